--- /dev/null
+++ b/internal/running/store/golden_test.go
@@ -0,0 +1,233 @@
+package store_test
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"forkhead/internal/placing/core"
+	"forkhead/internal/placing/state"
+	"forkhead/internal/protocol/hostproto"
+	"forkhead/internal/reading/settings"
+	"forkhead/internal/running/store"
+)
+
+// testdata/placer.db was written by `forkhead serve --config testdata/settings.sexp --store placer.db`, which was killed
+// after it had placed two projects and removed one of them. A store that an earlier build wrote must stay readable, so the
+// file is never written anew; -update writes only what is expected of it.
+const (
+	goldenStore    = "testdata/placer.db"
+	goldenSettings = "testdata/settings.sexp"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// checkGolden compares text with testdata/name.
+func checkGolden(t *testing.T, name string, text []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(text, want) {
+		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
+	}
+}
+
+// copyOfGoldenStore returns the path of a copy, which Open may write to.
+func copyOfGoldenStore(t *testing.T) string {
+	t.Helper()
+	text, err := os.ReadFile(goldenStore)
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "placer.db")
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// dump writes each key of a file with its sealed value's version and text.
+func dump(t *testing.T, path string) []byte {
+	t.Helper()
+	var b bytes.Buffer
+	if err := store.Each(path, func(bucket, key string, value []byte) error {
+		text, version, err := state.Open(value)
+		fmt.Fprintf(&b, "%s\t%s\t%d\t%s\n", bucket, key, version, text)
+		return err
+	}); err != nil {
+		t.Fatal(err)
+	}
+	return b.Bytes()
+}
+
+func openCopy(t *testing.T, path string) *state.Kept {
+	t.Helper()
+	s, kept, err := store.Open(store.Options{Path: path})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if s.Aside != "" || len(kept.Bad) > 0 {
+		t.Fatalf("set aside as %q, unreadable: %v", s.Aside, kept.Bad)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return kept
+}
+
+// The keys and values are the same before and after the file was opened, which writes it anew.
+func TestStoreReadsGoldenFile(t *testing.T) {
+	path := copyOfGoldenStore(t)
+	checkGolden(t, "placer.dump", dump(t, path))
+	openCopy(t, path)
+	checkGolden(t, "placer.dump", dump(t, path))
+}
+
+// What is read from the file and noted once more is stored under the same keys with the same bytes.
+func TestStoreWritesGoldenValues(t *testing.T) {
+	path := copyOfGoldenStore(t)
+	kept := openCopy(t, path)
+	again := filepath.Join(t.TempDir(), "again.db")
+	s, _, err := store.Open(store.Options{Path: again})
+	if err != nil {
+		t.Fatal(err)
+	}
+	notes := []state.Note{state.Began{Epoch: kept.Epoch}, state.Listed{List: kept.List}}
+	for _, f := range kept.Submissions {
+		var project state.Project
+		for _, p := range kept.Projects {
+			if p.Submission == f.ID {
+				project = p
+			}
+		}
+		if project.What == nil {
+			notes = append(notes, state.Taken{Submission: f.Submission}) // its project was removed
+		} else {
+			notes = append(notes, state.Taken{Submission: f.Submission, What: project.What})
+		}
+		for n, text := range f.Outcomes {
+			var o core.Outcome
+			if err := json.Unmarshal(text, &o); err != nil {
+				t.Fatal(err)
+			}
+			notes = append(notes, state.Told{Submission: f.ID, Number: n, Text: text, Task: state.Task{
+				Project: f.Project, Service: o.Service, Replica: o.Replica, Word: o.Outcome,
+			}})
+		}
+	}
+	for name, at := range kept.Removed {
+		notes = append(notes, state.Removed{Project: name, At: at})
+	}
+	for _, a := range kept.Attempts {
+		notes = append(notes, state.Offered{Attempt: a})
+	}
+	if err := s.Keep(notes); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "placer.dump", dump(t, again))
+}
+
+// A placer that begins with the file holds the same tasks and submissions: it asks the hosts about the unsafe tasks, which
+// it does not offer again, and offers the safe ones, which nobody has named, under the same identities.
+func TestPlacerRestoresGoldenFile(t *testing.T) {
+	kept := openCopy(t, copyOfGoldenStore(t))
+	text, err := os.ReadFile(goldenSettings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	set, err := settings.Read(goldenSettings, text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	placer, err := core.New(core.Config{Settings: set.For(0), Seed: 1, Epoch: kept.Epoch + 1, Durable: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var seen []string
+	const hostEpoch = 1796191483153710 // of the attempts in the file: the hosts have lived on
+	var answers []core.Input
+	carry := func(outputs []core.Output) {
+		answers = nil
+		for _, out := range outputs {
+			switch out := out.(type) {
+			case core.Dial:
+				answers = append(answers, core.Dialled{Host: out.Host, Conn: out.Conn})
+			case core.ToHost:
+				from := func(f hostproto.Frame) {
+					answers = append(answers, core.FromHost{Host: out.Host, Conn: out.Conn, Frame: f})
+				}
+				switch f := out.Frame.(type) {
+				case hostproto.Hello:
+					from(hostproto.Welcome{Version: hostproto.Version, Host: out.Host, Epoch: hostEpoch})
+				case hostproto.Probe:
+					from(hostproto.Probed{ID: f.ID})
+				case hostproto.Query:
+					for _, ref := range f.Refs {
+						seen = append(seen, fmt.Sprintf("asks %s about attempt %d of task %d of epoch %d", out.Host, ref.Attempt, ref.Task, ref.Epoch))
+						from(hostproto.Accepted{Ref: ref})
+						from(hostproto.Running{Ref: ref})
+					}
+				case hostproto.Offer:
+					s := &f.Spec
+					seen = append(seen, fmt.Sprintf("offers %s: key %016x, service %016x, fingerprint %016x, class %s, %d thousandths of a core, %d MiB, life %v, %s",
+						s.Name, s.Key, s.Service, s.Fingerprint, s.Class, s.Cores, s.Memory, s.Life, f.Payload))
+					from(hostproto.Accepted{Ref: f.Ref})
+					from(hostproto.Running{Ref: f.Ref})
+				case hostproto.Stop, hostproto.Withdraw:
+					t.Errorf("%T to %s", f, out.Host)
+				}
+			case core.Logged:
+				if out.Defect {
+					t.Errorf("defect: %s", out.Text)
+				}
+			}
+		}
+	}
+	now := kept.List.At + 10*time.Second
+	carry(placer.Step(now, core.Restore{Kept: kept}))
+	status := func(what string) {
+		line, err := json.Marshal(placer.Status())
+		if err != nil {
+			t.Fatal(err)
+		}
+		seen = append(seen, what+" "+string(line))
+	}
+	status("restored")
+	restored := len(seen)
+	for range 500 {
+		now += 10 * time.Millisecond
+		carry(placer.Step(now, answers...))
+	}
+	slices.Sort(seen[restored:])
+	status("5s later")
+	for _, f := range kept.Submissions {
+		list, complete, known := placer.Outcomes(f.ID, 0)
+		line, err := json.Marshal(list)
+		if err != nil {
+			t.Fatal(err)
+		}
+		seen = append(seen, fmt.Sprintf("submission %s, complete %v, known %v: %s", f.ID, complete, known, line))
+	}
+	var b bytes.Buffer
+	for _, line := range seen {
+		fmt.Fprintln(&b, line)
+	}
+	checkGolden(t, "restored.txt", b.Bytes())
+}
