--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -58,3 +58,12 @@
 	}
 	checkGolden(t, "store-dump.jsonl", goldenRun(t, exitOK, "store", "dump", compact, "--output", "json"))
 }
+
+// Tapes of an earlier build replay to the same verdict.
+func TestReplayCommandGolden(t *testing.T) {
+	for _, name := range []string{"placer-0-life-2", "placer-1-life-1"} {
+		file := "../proving/tape/testdata/" + name + ".tape"
+		checkGolden(t, "replay-"+name+".jsonl", goldenRun(t, exitOK, "badday", "--replay", file, "--output", "json"))
+		checkGolden(t, "replay-"+name+".txt", goldenRun(t, exitOK, "badday", "--replay", file))
+	}
+}
--- /dev/null
+++ b/internal/proving/rules/golden_test.go
@@ -0,0 +1,105 @@
+package rules
+
+import (
+	"bytes"
+	"compress/gzip"
+	"encoding/json"
+	"io"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"forkhead/internal/placing/core"
+	"forkhead/internal/placing/guard"
+	"forkhead/internal/protocol/record"
+	"forkhead/internal/proving/script"
+)
+
+// goldenRecord returns a day that `forkhead badday testdata/script.sexp --record-on-breach` has kept.
+func goldenRecord(t *testing.T) []byte {
+	t.Helper()
+	packed, err := os.ReadFile(filepath.Join("testdata", "record.jsonl.gz"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	r, err := gzip.NewReader(bytes.NewReader(packed))
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := io.ReadAll(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// The record of an earlier build's day is read, is written as it was, and comes to the verdict that was kept with it.
+func TestCheckGoldenRecord(t *testing.T) {
+	text := goldenRecord(t)
+	events, err := record.Read(bytes.NewReader(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var again bytes.Buffer
+	if err := record.Write(&again, events); err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(again.Bytes(), text) {
+		t.Error("the record is written otherwise than it was")
+	}
+	day, err := os.ReadFile(filepath.Join("testdata", "script.sexp"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, err := script.Read("script.sexp", day)
+	if err != nil {
+		t.Fatal(err)
+	}
+	facts := FactsOf(s.Settings, float64(s.Host.Starts)/s.Host.Start.Seconds())
+	facts.Durable = s.Durable
+	v := Check(events, facts)
+	for _, word := range []string{core.WordPlaced, core.WordRefused, core.WordFailed} {
+		v.Outcomes[word] += 0 // the kept result names all of them
+	}
+
+	kept, err := os.ReadFile(filepath.Join("testdata", "verdict.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var want struct {
+		Breaches json.RawMessage `json:"breaches"`
+		Result   map[string]json.RawMessage
+	}
+	if err := json.Unmarshal(kept, &want); err != nil {
+		t.Fatal(err)
+	}
+	counts := map[string]int{}
+	for rule := guard.OneAnswer; rule <= guard.Spread; rule++ {
+		counts[rule.String()] = v.Counts[rule]
+	}
+	for name, c := range map[string]struct {
+		got  any
+		want json.RawMessage
+	}{
+		"breaches":   {v.Breaches, want.Breaches},
+		"rules":      {counts, want.Result["rules"]},
+		"tasks":      {v.Tasks, want.Result["tasks"]},
+		"outcomes":   {v.Outcomes, want.Result["outcomes"]},
+		"offers":     {v.Offers, want.Result["offers"]},
+		"refused":    {v.Refused, want.Result["refused"]},
+		"host_lives": {v.Lives, want.Result["host_lives"]},
+		"accounts":   {v.Accounts, want.Result["accounts"]},
+	} {
+		got, err := json.Marshal(c.got)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var compact bytes.Buffer
+		if err := json.Compact(&compact, c.want); err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		if !bytes.Equal(got, compact.Bytes()) {
+			t.Errorf("%s: %s, want %s", name, got, compact.Bytes())
+		}
+	}
+}
--- /dev/null
+++ b/internal/proving/tape/golden_test.go
@@ -0,0 +1,227 @@
+package tape_test
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"forkhead"
+	"forkhead/internal/placing/core"
+	"forkhead/internal/placing/state"
+	"forkhead/internal/protocol/hostproto"
+	"forkhead/internal/protocol/record"
+	"forkhead/internal/proving/tape"
+	"forkhead/internal/reading/description"
+	"forkhead/internal/reading/source"
+)
+
+// goldenTapes were written by `forkhead badday --record-on-breach`: a placer that was killed and began again with what it
+// had stored, and one that ran through, each with hosts whose connections break. They are never written anew: a tape that
+// an earlier build wrote must replay. -update writes only what is expected of them.
+var goldenTapes = []string{"placer-0-life-2", "placer-1-life-1"}
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// checkGolden compares text with testdata/name.
+func checkGolden(t *testing.T, name string, text []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(text, want) {
+		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
+	}
+}
+
+// An earlier build's tapes replay without a difference, and show the same traffic.
+func TestReplayGoldenTapes(t *testing.T) {
+	for _, name := range goldenTapes {
+		t.Run(name, func(t *testing.T) {
+			text, err := os.ReadFile(filepath.Join("testdata", name+".tape"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			p, err := tape.Play(bytes.NewReader(text), nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if p.Diverged != nil || p.Cut {
+				t.Errorf("diverged at %+v, cut short: %v", p.Diverged, p.Cut)
+			}
+			summary, err := json.Marshal(p)
+			if err != nil {
+				t.Fatal(err)
+			}
+			var events bytes.Buffer
+			fmt.Fprintf(&events, "%s\n", summary)
+			if err := record.Write(&events, p.Events); err != nil {
+				t.Fatal(err)
+			}
+			checkGolden(t, name+".jsonl", events.Bytes())
+		})
+	}
+}
+
+// A difference is told at its step with both lines.
+func TestDivergenceGoldenForm(t *testing.T) {
+	p := tape.Replay{Steps: 3, Offers: 1, Vetoes: 2, Defects: 4, Cut: true, Diverged: &tape.Divergence{Step: 2, Now: 7, Want: "a", Got: "b"}}
+	text, err := json.Marshal(&p)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := `{"steps":3,"offers":1,"vetoes":2,"defects":4,"cut":true,"diverged":{"step":2,"now":7,"want":"a","got":"b"}}`
+	if string(text) != want {
+		t.Errorf("got %s, want %s", text, want)
+	}
+}
+
+// Outputs are kept on a tape as these lines.
+func TestLineGolden(t *testing.T) {
+	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
+	var b bytes.Buffer
+	for _, out := range []core.Output{
+		core.Dial{Host: "h", Address: "a:1", Conn: 2},
+		core.Close{Host: "h", Conn: 2},
+		core.ToHost{Host: "h", Conn: 2, Frame: hostproto.Hello{Version: 1, Placer: 2, Epoch: 3, Conn: 4}},
+		core.ToHost{Host: "h", Conn: 2, Frame: hostproto.Offer{Ref: ref, Wait: 1, Spec: exampleSpec(), Payload: []byte("{}")}},
+		core.ToHost{Host: "h", Conn: 2, Frame: hostproto.Withdraw{Ref: ref}},
+		core.ToHost{Host: "h", Conn: 2, Frame: hostproto.Stop{Ref: ref, Grace: 1}},
+		core.ToHost{Host: "h", Conn: 2, Frame: hostproto.Probe{ID: 1}},
+		core.ToHost{Host: "h", Conn: 2, Frame: hostproto.Query{Refs: []hostproto.Ref{ref}}},
+		core.Subscribe{},
+		core.ToPlacer{To: forkhead.Everyone, Data: []byte("data")},
+		core.Taken{Request: 1, Submission: "s", Again: true},
+		core.Rejected{Request: 1, Status: 503, Title: "t", Detail: "d", RetryAfter: 2},
+		core.Grew{Submission: "s"},
+		core.Keep{Note: state.Began{Epoch: 1}},
+	} {
+		fmt.Fprintln(&b, tape.Line(out))
+	}
+	checkGolden(t, "lines.txt", b.Bytes())
+}
+
+func exampleSpec() hostproto.Spec {
+	return hostproto.Spec{
+		Key: 1, Service: 2, Fingerprint: 3, Name: "p/s/1", Class: "c", Tenant: "t", Effect: 2, Priority: 3, Cores: 1500, Memory: 512, Life: 1,
+	}
+}
+
+// exampleInputs are one of each kind of input and of frame, with every field set.
+func exampleInputs() []core.Input {
+	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
+	pos := source.Pos{File: "a.yaml", Line: 3, Col: 5}
+	report := &hostproto.Report{Cores: 1, Memory: 2, Queue: 3, Util: 0.5}
+	what := &description.Description{
+		Name: "p", Whole: true, Notes: []description.Note{{Pos: pos, Text: "not acted on"}},
+		Services: []description.Service{{
+			Name: "web", Pos: pos, Class: "ledger-batch", Tenant: "t", Mode: description.ReplicatedJob, Replicas: 2, Cores: 0.5, Memory: 1.5,
+			LimitCores: 1, LimitMemory: 2, Life: time.Minute, Wait: time.Second, Patience: 2 * time.Second,
+			Constraints: []description.Constraint{{Attribute: "label.disk", Not: true, Value: "hdd", Pos: pos}},
+			Preferences: []description.Attribute{"label.rack"},
+			Limits:      []description.Limit{{Place: "rack", Most: 2, Pos: pos}},
+			Near:        []description.Near{{Service: "db", Place: "zone", Pos: pos}},
+			Restart:     description.Restart{When: description.OnFailure, Delay: time.Second, Most: 3, Window: time.Minute},
+			Update: description.Update{
+				Parallel: 1, Delay: time.Second, OnTrouble: description.Rollback, Monitor: time.Minute, MaxFailed: 0.25, StartFirst: true,
+			},
+			DependsOn: []description.Dependency{{Service: "db", When: description.Completed, Optional: true, Restart: true, Pos: pos}},
+			Labels:    map[string]string{"a": "b"}, StopGrace: 5 * time.Second, Payload: []byte(`{"image":"i"}`),
+		}},
+	}
+	hosts := []core.HostEntry{{
+		Name: "h", Address: "10.0.0.1:1", Kind: "std-28", Zone: "z", Rack: "r", State: forkhead.Ready, Started: time.Minute,
+		FreeCores: 1.5, FreeMemory: 2.5, Attributes: map[description.Attribute]string{"os": "linux"},
+	}}
+	inputs := []core.Input{
+		core.Listing{Mode: forkhead.ListFull, Hosts: hosts, Stale: true},
+		core.Dialled{Host: "h", Conn: 1},
+		core.Broke{Host: "h", Conn: 1, Why: "cut"},
+		core.Submit{Request: 1, Key: "key", Body: 2, What: what},
+		core.Remove{Request: 1, Project: "p"},
+		core.FromPlacer{From: 1, Data: []byte("data")},
+		core.Restore{Kept: &state.Kept{
+			Projects: []state.Project{{
+				Submission: "s-1", What: what, Tasks: []state.Task{{Project: "p", Service: "web", Replica: 1, Word: "placed", Over: true}},
+			}},
+			Removed: map[string]time.Duration{"q": time.Hour},
+			Submissions: []state.Followed{{
+				Submission: state.Submission{ID: "s-1", Key: "key", Body: 7, Total: 2, At: time.Hour, Project: "p"},
+				Outcomes:   []json.RawMessage{[]byte(`{"service":"web"}`)},
+			}},
+			Attempts: []state.Attempt{{
+				Ref: ref, Key: 5, Project: "p", Service: "web", Replica: 2, Class: "c", Host: "h", Address: "10.0.0.1:1", Life: 9, At: time.Hour,
+			}},
+			List: state.List{At: time.Hour, Hosts: hosts}, Epoch: 11, Bad: []string{"bad"},
+		}},
+	}
+	for _, f := range []hostproto.Frame{
+		hostproto.Welcome{Version: 1, Host: "h", Epoch: 2, Started: time.Minute, Draining: true, Count: 1},
+		hostproto.Holds{Held: []hostproto.Held{{Ref: ref, Phase: hostproto.Runs, Left: time.Second, Spec: exampleSpec()}}},
+		hostproto.Refused{Ref: ref, Reason: hostproto.NoCores, Report: report},
+		hostproto.Accepted{Ref: ref},
+		hostproto.Running{Ref: ref},
+		hostproto.Note{Ref: ref, Kind: 1, Amount: 0.5},
+		hostproto.Ended{Ref: ref, Result: hostproto.Evicted, Report: report},
+		hostproto.Probed{ID: 1, Report: report},
+		hostproto.Drain{On: true},
+		hostproto.Bye{Text: "bye"},
+	} {
+		inputs = append(inputs, core.FromHost{Host: "h", Conn: 1, Frame: f})
+	}
+	return inputs
+}
+
+// Every kind of input is read from a tape of an earlier build with every field as it was: gob passes over a field whose
+// name it does not know. The tape is written only where it is missing.
+func TestTapeGoldenInputs(t *testing.T) {
+	path := filepath.Join("testdata", "inputs.tape")
+	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) && *update {
+		w := tape.NewWriter(tape.Head{File: "day", Script: []byte(day), Seed: 5, Epoch: 9, Durable: true}, 1<<20)
+		for i, in := range exampleInputs() {
+			if err := w.Add(&tape.Step{Now: time.Hour, Due: time.Minute, In: []core.Input{in}, Out: []string{fmt.Sprint(i)}}); err != nil {
+				t.Fatal(err)
+			}
+		}
+		text, err := w.Bytes()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var steps []tape.Step
+	p, err := tape.Play(bytes.NewReader(text), func(s *tape.Step, _ []core.Output) { steps = append(steps, *s) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := (tape.Head{Version: 1, File: "day", Script: []byte(day), Seed: 5, Epoch: 9, Durable: true}); !reflect.DeepEqual(p.Head, want) {
+		t.Errorf("head %+v, want %+v", p.Head, want)
+	}
+	for i, in := range exampleInputs() {
+		if i >= len(steps) {
+			t.Fatalf("%d steps", len(steps))
+		}
+		if want := (tape.Step{Now: time.Hour, Due: time.Minute, In: []core.Input{in}, Out: []string{fmt.Sprint(i)}}); !reflect.DeepEqual(steps[i], want) {
+			t.Errorf("step %d: %+v, want %+v", i, steps[i], want)
+		}
+	}
+}
