--- /dev/null
+++ b/internal/protocol/hostproto/golden_test.go
@@ -0,0 +1,102 @@
+package hostproto
+
+import (
+	"bytes"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// checkGolden compares text with testdata/name.
+func checkGolden(t *testing.T, name string, text []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(text, want) {
+		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
+	}
+}
+
+// exampleFrames are one of each kind with every field set, and those whose optional parts are left out.
+func exampleFrames() []Frame {
+	ref := Ref{Epoch: 0x0102030405060708, Task: 0x11121314, Attempt: 0x15}
+	spec := Spec{
+		Key: 0x2122232425262728, Service: 0x3132333435363738, Fingerprint: 0x4142434445464748, Name: "shop/web/1", Class: "batch",
+		Tenant: "acme", Effect: 2, Priority: 3, Cores: 1500, Memory: 512, Life: 90 * time.Second,
+	}
+	report := &Report{Cores: 1.5, Memory: 2.5, Queue: 3, Util: 0.75}
+	return []Frame{
+		Hello{Version: Version, Placer: 0x0203, Epoch: 0x0102030405060708, Conn: 0x11121314},
+		Offer{Ref: ref, Wait: 2500 * time.Millisecond, Spec: spec, Payload: []byte(`{"image":"web:1"}`)},
+		Offer{Ref: ref},
+		Withdraw{Ref: ref},
+		Stop{Ref: ref, Grace: 5 * time.Second},
+		Probe{ID: 0x11121314},
+		Query{Refs: []Ref{ref, {Epoch: 1, Task: 2, Attempt: 3}}},
+		Welcome{Version: Version, Host: "north-1", Epoch: 0x0102030405060708, Started: 1500 * time.Microsecond, Draining: true, Count: 2},
+		Holds{Held: []Held{{Ref: ref, Phase: InLine, Spec: spec}, {Ref: ref, Phase: Starting, Spec: spec}, {Ref: ref, Phase: Runs, Left: time.Minute, Spec: spec}}},
+		Refused{Ref: ref, Reason: NoReason},
+		Refused{Ref: ref, Reason: NoCores, Report: report},
+		Refused{Ref: ref, Reason: NoMemory},
+		Refused{Ref: ref, Reason: LineFull},
+		Refused{Ref: ref, Reason: NotHere},
+		Accepted{Ref: ref},
+		Running{Ref: ref},
+		Note{Ref: ref, Kind: 5, Amount: 0.25},
+		Ended{Ref: ref, Result: Done, Report: report},
+		Ended{Ref: ref, Result: Failed},
+		Ended{Ref: ref, Result: Evicted},
+		Ended{Ref: ref, Result: PushedOut},
+		Ended{Ref: ref, Result: SentAway},
+		Ended{Ref: ref, Result: Stopped},
+		Ended{Ref: ref, Result: Called},
+		Ended{Ref: ref, Result: Forgotten},
+		Probed{ID: 0x11121314, Report: report},
+		Probed{ID: 0x11121314},
+		Drain{On: true},
+		Bye{Text: "stopped"},
+	}
+}
+
+// Every kind of frame has the same bytes on the wire, and these bytes are read as that frame.
+func TestFramesGolden(t *testing.T) {
+	var b bytes.Buffer
+	for _, f := range exampleFrames() {
+		fmt.Fprintln(&b, hex.EncodeToString(Append(nil, f)))
+	}
+	checkGolden(t, "frames.hex", b.Bytes())
+
+	kept, err := os.ReadFile(filepath.Join("testdata", "frames.hex"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	wire, err := hex.DecodeString(strings.Join(strings.Fields(string(kept)), ""))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []Frame
+	var d Decoder
+	if err := d.Feed(wire, func(f Frame) error { got = append(got, f); return nil }); err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(exampleFrames(), got); diff != "" {
+		t.Error(diff)
+	}
+}
--- /dev/null
+++ b/internal/protocol/platform/golden_test.go
@@ -0,0 +1,154 @@
+package platform
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// checkGolden compares text with testdata/name.
+func checkGolden(t *testing.T, name string, text []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(text, want) {
+		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
+	}
+}
+
+// values writes a value with all that it holds, in the order of its fields and without any name of Go's, so that it is the
+// same after a renaming. A number is written as such even where its type has words for it.
+func values(v reflect.Value) string {
+	var parts []string
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		if v.IsNil() {
+			return "nil"
+		}
+		return values(v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			parts = append(parts, values(v.Field(i)))
+		}
+		return "(" + strings.Join(parts, " ") + ")"
+	case reflect.Slice, reflect.Array:
+		if v.Type().Elem().Kind() == reflect.Uint8 && v.Kind() == reflect.Slice {
+			return fmt.Sprintf("%q", v.Bytes())
+		}
+		for i := range v.Len() {
+			parts = append(parts, values(v.Index(i)))
+		}
+		return "[" + strings.Join(parts, " ") + "]"
+	case reflect.Map:
+		for _, key := range v.MapKeys() {
+			parts = append(parts, values(key)+":"+values(v.MapIndex(key)))
+		}
+		slices.Sort(parts)
+		return "{" + strings.Join(parts, " ") + "}"
+	case reflect.String:
+		return fmt.Sprintf("%q", v.String())
+	case reflect.Bool:
+		return fmt.Sprint(v.Bool())
+	case reflect.Float32, reflect.Float64:
+		return fmt.Sprint(v.Float())
+	case reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64, reflect.Uint:
+		return fmt.Sprint(v.Uint())
+	}
+	return fmt.Sprint(v.Int())
+}
+
+// The types and causes of messages are these words and numbers.
+func TestMessageGoldenWords(t *testing.T) {
+	got := fmt.Sprint(
+		[]string{New, Progress, Answer, Release, Heard, Test, TestResult, Note, Move},
+		[]int{CauseOK, CauseMoved, CauseFull, CauseReset, CauseBusy, CauseFailed, CauseMoot},
+		[]string{InService, Terminating, Terminated}, MostLine, MostDatagram, MostEvent,
+	)
+	if want := "[new wait up down ack hb hb_ok tell shift] [16 31 34 41 42 47 102] [in_service terminating terminated] 16384 256 1048576"; got != want {
+		t.Errorf("got %s, want %s", got, want)
+	}
+}
+
+// testdata/messages.jsonl holds messages as they cross, one of each type. Each is read with all its parts, and what is
+// written of these parts is what came.
+func TestMessagesGolden(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "messages.jsonl"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var decoded, written bytes.Buffer
+	var s Splitter
+	if err := s.Feed(text, func(line []byte) error {
+		m, err := Decode(line)
+		if err != nil {
+			return err
+		}
+		fmt.Fprintln(&decoded, values(reflect.ValueOf(m)))
+		var fields []Field
+		for name, raw := range m.Fields {
+			fields = append(fields, Field{name, raw})
+		}
+		slices.SortFunc(fields, func(a, b Field) int { return strings.Compare(a.Name, b.Name) })
+		written.Write(Append(nil, m.Type, m.Ref, m.Cause, m.Desc, fields...))
+		return nil
+	}); err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "messages.decoded", decoded.Bytes())
+	if !bytes.Equal(written.Bytes(), text) {
+		t.Errorf("written as\n%s\nwant\n%s", written.Bytes(), text)
+	}
+	if got, want := string(Append(nil, Note, "0000000000000001", NoCause, nil, Quoted("k", "a\"b"))), `{"t":"tell","ref":"0000000000000001","f":{"k":"a\"b"}}`+"\n"; got != want {
+		t.Errorf("got %s, want %s", got, want)
+	}
+}
+
+// testdata/changelog.sse is a stream of the change log.
+func TestChangeLogGolden(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "changelog.sse"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var b bytes.Buffer
+	e := Events{Rest: func() { fmt.Fprintln(&b, "nothing more for now") }}
+	if err := e.Feed(text, func(ev Event) {
+		c, err := ReadChange(ev)
+		if err != nil {
+			fmt.Fprintln(&b, "error:", err)
+			return
+		}
+		fmt.Fprintln(&b, values(reflect.ValueOf(c)))
+	}); err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "changelog.decoded", b.Bytes())
+}
+
+// testdata/config.json is a configuration with every key.
+func TestConfigGolden(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "config.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := ReadConfig(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "config.decoded", []byte(fmt.Sprintln(values(reflect.ValueOf(c)))+fmt.Sprintln(c.SeedNumber())))
+}
--- /dev/null
+++ b/internal/protocol/record/golden_test.go
@@ -0,0 +1,82 @@
+package record
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"forkhead/internal/protocol/hostproto"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// checkGolden compares text with testdata/name.
+func checkGolden(t *testing.T, name string, text []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(text, want) {
+		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
+	}
+}
+
+// Every event is a line with these keys: one with all fields, one of each word, and what the frames of the hosts' protocol
+// come to.
+func TestEventsGolden(t *testing.T) {
+	events := []Event{{
+		At: 1, What: Offer, Near: true, Host: "h", Epoch: 2, Zone: "z", Rack: "r", Cold: true, Placer: 3, PlacerEpoch: 4, Conn: 5, RefEpoch: 6,
+		Task: 7, Attempt: 8, Key: 9, Service: 10, Name: "p/s/1", Class: "c", Result: "done", On: true, Ready: []string{"a"},
+		Draining: []string{"b"}, Submission: "s", Count: 11, Within: time.Second, Took: time.Minute,
+	}}
+	for _, what := range []What{
+		HostUp, HostDown, Fell, Hello, Gone, Offer, Withdraw, Stop, Refused, Accepted, Running, Ended, Drain, Told, Submit, Outcome, PlacerUp,
+		Killed, Cut, Welcome, Held, Late,
+	} {
+		events = append(events, Event{What: what})
+	}
+	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
+	spec := hostproto.Spec{Key: 4, Service: 5, Name: "p/s/1", Class: "c"}
+	for _, f := range []hostproto.Frame{
+		hostproto.Hello{}, hostproto.Offer{Ref: ref, Spec: spec}, hostproto.Withdraw{Ref: ref}, hostproto.Stop{Ref: ref}, hostproto.Probe{},
+		hostproto.Query{}, hostproto.Welcome{Epoch: 1, Draining: true}, hostproto.Refused{Ref: ref}, hostproto.Accepted{Ref: ref},
+		hostproto.Running{Ref: ref}, hostproto.Drain{On: true}, hostproto.Bye{}, hostproto.Note{}, hostproto.Probed{},
+		hostproto.Holds{Held: []hostproto.Held{
+			{Ref: ref, Phase: hostproto.InLine, Spec: spec}, {Ref: ref, Phase: hostproto.Starting, Spec: spec}, {Ref: ref, Phase: hostproto.Runs, Spec: spec},
+		}},
+		hostproto.Ended{Ref: ref, Result: hostproto.Done}, hostproto.Ended{Ref: ref, Result: hostproto.Failed},
+		hostproto.Ended{Ref: ref, Result: hostproto.Evicted}, hostproto.Ended{Ref: ref, Result: hostproto.PushedOut},
+		hostproto.Ended{Ref: ref, Result: hostproto.SentAway}, hostproto.Ended{Ref: ref, Result: hostproto.Stopped},
+		hostproto.Ended{Ref: ref, Result: hostproto.Called}, hostproto.Ended{Ref: ref, Result: hostproto.Forgotten},
+	} {
+		events = append(events, Frame(Event{Host: "h", Placer: 1}, f)...)
+	}
+	var b bytes.Buffer
+	if err := Write(&b, events); err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "events.jsonl", b.Bytes())
+
+	kept, err := os.ReadFile(filepath.Join("testdata", "events.jsonl"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := Read(bytes.NewReader(kept))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, events) {
+		t.Errorf("read as %+v, want %+v", got, events)
+	}
+}
