--- /dev/null
+++ b/cmd/benchlink/golden_test.go
@@ -0,0 +1,58 @@
+package main
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// checkGolden compares text with testdata/name.
+func checkGolden(t *testing.T, name string, text []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(text, want) {
+		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
+	}
+}
+
+// testdata/batches.hex is the life of one placer, with one of each event of the wire; the replies, one a line, are the same
+// to the byte. That fixes the translation both ways and what the module decides there: a change of a decision changes the
+// replies, one of a name does not.
+func TestRepliesGolden(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "batches.hex"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	batches, err := hex.DecodeString(strings.Join(strings.Fields(string(text)), ""))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out bytes.Buffer
+	if err := run(bytes.NewReader(batches), &out); err != nil {
+		t.Fatal(err)
+	}
+	var b bytes.Buffer
+	for replies := out.Bytes(); len(replies) > 0; {
+		n := 4 + binary.LittleEndian.Uint32(replies)
+		fmt.Fprintln(&b, hex.EncodeToString(replies[:n]))
+		replies = replies[n:]
+	}
+	checkGolden(t, "replies.hex", b.Bytes())
+}
