--- /dev/null
+++ b/bookkeeping.go
@@ -0,0 +1,227 @@
+package forkhead
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// capacityDirection is the sign of a capacityChange.
+type capacityDirection float64
+
+const (
+	reserved capacityDirection = 1
+	released capacityDirection = -1
+)
+
+func (p *Placer) emit(action Action) { p.actions = append(p.actions, action) }
+
+// machine returns the machine of that id; one that no list has named is Removed.
+func (p *Placer) machine(id MachineID) *machine {
+	m := p.machines[id]
+	if m == nil {
+		m = &machine{Machine: Machine{ID: id, State: Removed, Cell: -1, Zone: -1}, hash: hash64(uint64(id))}
+		p.machines[id] = m
+	}
+	return m
+}
+
+// activeAttempt returns the attempt of that number if it is the task's and has not ended, else nil.
+func (p *Placer) activeAttempt(id TaskID, number int) *attempt {
+	t := p.tasks[id]
+	if t == nil || number < 0 || number >= len(t.attempts) || t.attempts[number].ended {
+		return nil
+	}
+	return t.attempts[number]
+}
+
+// hasAttemptInFlight says whether the task's last attempt has not ended; earlier ones have.
+func (p *Placer) hasAttemptInFlight(t *task) bool {
+	return len(t.attempts) > 0 && !t.attempts[len(t.attempts)-1].ended
+}
+
+// forgetIfDone drops a task that is owed nothing once its last attempt has ended.
+func (p *Placer) forgetIfDone(t *task) {
+	if !t.pending && !p.hasAttemptInFlight(t) {
+		delete(p.tasks, t.ID)
+	}
+}
+
+// startAttempt adds a new attempt to all the counts.
+func (p *Placer) startAttempt(t *task, m *machine) *attempt {
+	a := &attempt{task: t, machine: m, number: len(t.attempts), sentAt: p.now}
+	t.attempts = append(t.attempts, a)
+	m.attempts = append(m.attempts, a)
+	m.starting++
+	m.reservedCores += t.Cores
+	m.reservedMemory += t.Memory
+	m.availableStale = true
+	p.services[t.Service] = append(p.services[t.Service], a)
+	p.reservedCores[t.Tenant] += t.Cores
+	return a
+}
+
+// markRunning notes that the attempt's task no longer delays other starts on its machine.
+func (p *Placer) markRunning(a *attempt) {
+	if !a.running {
+		a.running = true
+		a.machine.starting--
+	}
+}
+
+// endAttempt takes an attempt off all the counts.
+func (p *Placer) endAttempt(a *attempt) {
+	p.markRunning(a)
+	a.ended, a.endedAt = true, p.now
+	t, m := a.task, a.machine
+	p.reservedCores[t.Tenant] -= t.Cores
+	m.reservedCores -= t.Cores
+	m.reservedMemory -= t.Memory
+	m.availableStale = true
+	rest := slices.DeleteFunc(p.services[t.Service], func(other *attempt) bool { return a == other })
+	if p.services[t.Service] = rest; len(rest) == 0 {
+		delete(p.services, t.Service)
+	}
+	if a.bound {
+		m.cacheProgram(programID(t.Service))
+	}
+	m.attempts = slices.DeleteFunc(m.attempts, func(old *attempt) bool {
+		return old.ended && (!old.bound || old.endedAt < p.now-changeHistory)
+	})
+}
+
+// erroredOn says whether an attempt of the task ended in an error on the machine: another one is tried
+// first. It guards against a machine that returns errors and, since they leave its capacity available,
+// draws one attempt after the other.
+func (t *task) erroredOn(m *machine) bool {
+	for _, a := range t.attempts {
+		if a.errored && a.machine == m {
+			return true
+		}
+	}
+	return false
+}
+
+// announceCapacity collects a change for the other placers: the attempt reserves or releases its task's
+// capacity on its machine.
+func (p *Placer) announceCapacity(a *attempt, direction capacityDirection) {
+	if p.settings.Placers > 1 && p.seesPeerChanges() {
+		p.pendingGossip = append(p.pendingGossip, capacityChange{
+			program: programID(a.task.Service), machine: a.machine.ID,
+			cores: float64(direction) * a.task.Cores, memory: float64(direction) * a.task.Memory,
+		})
+	}
+}
+
+// addPeerChange keeps a change that another placer made, as long as the list may not show it.
+func (m *machine) addPeerChange(change capacityChange) {
+	m.cacheProgram(change.program)
+	m.peerChanges = slices.DeleteFunc(m.peerChanges, func(old capacityChange) bool {
+		return old.at < change.at-changeHistory
+	})
+	if m.peerChanges = append(m.peerChanges, change); len(m.peerChanges) > maxPeerChanges {
+		m.peerChanges = m.peerChanges[1:]
+	}
+	m.availableStale = true
+}
+
+// changesSince is what the tasks we know of request on the machine now, less what they did at a time.
+func (m *machine) changesSince(at time.Duration) (cores, memory float64) {
+	for _, a := range m.attempts {
+		if a.sentAt > at && (a.bound || !a.ended) {
+			cores, memory = cores+a.task.Cores, memory+a.task.Memory
+		}
+		if a.ended && a.bound && a.endedAt > at {
+			cores, memory = cores-a.task.Cores, memory-a.task.Memory
+		}
+	}
+	for _, change := range m.peerChanges {
+		if change.at > at {
+			cores, memory = cores+change.cores, memory+change.memory
+		}
+	}
+	return cores, memory
+}
+
+// cacheProgram takes the program to be on the machine from now on, until newer ones displace it.
+func (m *machine) cacheProgram(program uint32) {
+	m.cachedPrograms = slices.DeleteFunc(m.cachedPrograms, func(other uint32) bool { return other == program })
+	if m.cachedPrograms = append(m.cachedPrograms, program); len(m.cachedPrograms) > maxCachedPrograms {
+		m.cachedPrograms = m.cachedPrograms[1:]
+	}
+}
+
+// hasProgram says whether the machine has the service's program, as far as our own tasks and gossip tell.
+func (p *Placer) hasProgram(m *machine, service uint64) bool {
+	for _, a := range p.services[service] {
+		if a.machine == m {
+			return true
+		}
+	}
+	return slices.Contains(m.cachedPrograms, programID(service))
+}
+
+// clearOutlier forgets the failures of a class at a machine that has started a task of it.
+func (p *Placer) clearOutlier(m *machine, class int) {
+	if m.outliers != nil {
+		m.outliers[class] = outlierState{}
+	}
+}
+
+// insertCandidate keeps the candidates in the order of the service's hash.
+func (p *Placer) insertCandidate(m *machine, service uint64) {
+	at := len(p.candidates)
+	for at > 0 && m.rank(service) < p.candidates[at-1].rank(service) {
+		at--
+	}
+	p.candidates = slices.Insert(p.candidates, at, m)
+}
+
+// removeUnlisted marks the machines that a complete list does not name.
+func (p *Placer) removeUnlisted(listed map[MachineID]bool) {
+	for id, m := range p.machines {
+		if !listed[id] && m.State != Removed {
+			m.State, p.membershipChanged = Removed, true
+		}
+	}
+}
+
+// rebuildPools orders the machines of each type by the hash of their ids. A draining machine keeps its
+// slot, so that the groups stay as they are until it is removed.
+func (p *Placer) rebuildPools() {
+	p.membershipChanged = false
+	for _, pool := range p.pools {
+		pool.order = pool.order[:0]
+	}
+	for id, m := range p.machines {
+		switch {
+		case m.State != Removed:
+			m.removedAt = 0
+			p.pools[m.Type].order = append(p.pools[m.Type].order, m)
+		case m.removedAt == 0:
+			m.removedAt = p.now
+		case p.now > m.removedAt+removedRetention && !m.hasLiveAttempt():
+			delete(p.machines, id) // guards against ever new machines that fill the memory
+		}
+	}
+	for _, pool := range p.pools {
+		slices.SortFunc(pool.order, func(a, b *machine) int { return cmp.Compare(a.hash, b.hash) })
+	}
+}
+
+func (m *machine) hasLiveAttempt() bool {
+	return slices.ContainsFunc(m.attempts, func(a *attempt) bool { return !a.ended })
+}
+
+// sameDomain says whether two machines are in one domain of that level.
+func sameDomain(level Domain, a, b *machine) bool {
+	switch level {
+	case MachineDomain:
+		return a == b
+	case CellDomain:
+		return a.Cell == b.Cell
+	case ZoneDomain:
+		return a.Zone == b.Zone
+	}
+	return true
+}
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -136,7 +136,7 @@
 		u, err := l.update(ev)
 		return ev.Placer, u, err
 	case wire.Ask:
-		return ev.Placer, forkhead.Arrival{Task: task(ev)}, nil
+		return ev.Placer, forkhead.PlacementRequest{Task: task(ev)}, nil
 	case wire.Existing:
 		return ev.Placer, forkhead.HandedOver{Task: task(ev.Ask), Machine: forkhead.MachineID(ev.Host)}, nil
 	case wire.Bound:
@@ -153,7 +153,7 @@
 		how, err := result(ev.How)
 		return ev.Placer, forkhead.Outcome{
 			Task: forkhead.TaskID(ev.ID), Attempt: int(ev.Leg), Machine: forkhead.MachineID(ev.Host),
-			Result: how, Reason: forkhead.Reason(ev.Remark), Took: bootinfo.Duration(ev.Duration), Final: ev.Terminal,
+			Result: how, Reason: forkhead.RejectReason(ev.Remark), Took: bootinfo.Duration(ev.Duration), Final: ev.Terminal,
 			Report: l.report(ev.Placer, ev.Telemetry),
 		}, err
 	case wire.StatusBack:
@@ -163,11 +163,11 @@
 			Report: l.report(ev.Placer, ev.Telemetry),
 		}, err
 	case wire.ClientLeft:
-		return ev.Placer, forkhead.OwnerLeft{Task: forkhead.TaskID(ev.ID)}, nil
+		return ev.Placer, forkhead.RequestCanceled{Task: forkhead.TaskID(ev.ID)}, nil
 	case wire.Fired:
 		return ev.Placer, forkhead.TimerFired{Timer: ev.Label}, nil
 	case wire.Peer:
-		return ev.Placer, forkhead.Told{From: int(ev.Origin), Data: ev.Blob}, nil
+		return ev.Placer, forkhead.Received{From: int(ev.Origin), Data: ev.Blob}, nil
 	}
 	return 0, nil, fmt.Errorf("%T is not an event for a placer", ev)
 }
@@ -181,17 +181,17 @@
 func task(a wire.Ask) forkhead.Task {
 	t := forkhead.Task{
 		ID: forkhead.TaskID(a.ID), Key: a.UID, Service: a.Group, Class: int(a.Class), Tenant: int(a.Owner),
-		Wait: bootinfo.Duration(a.Budget), Cores: float64(a.Cores), Memory: float64(a.Memory), Again: a.Flags&flagAgain != 0,
+		Timeout: bootinfo.Duration(a.Budget), Cores: float64(a.Cores), Memory: float64(a.Memory), Resubmitted: a.Flags&flagAgain != 0,
 	}
 	if a.Flags&flagHint != 0 {
-		t.Life = bootinfo.Duration(a.RunsFor)
+		t.RemainingLifetime = bootinfo.Duration(a.RunsFor)
 	}
 	return t
 }
 
 var results = map[uint8]forkhead.Result{
-	10: forkhead.OK, 20: forkhead.Errored, 30: forkhead.Full, 40: forkhead.TimedOut,
-	50: forkhead.ConnectFailed, 60: forkhead.Reset, 70: forkhead.Withdrawn, 80: forkhead.Moot,
+	10: forkhead.OK, 20: forkhead.Errored, 30: forkhead.Rejected, 40: forkhead.TimedOut,
+	50: forkhead.ConnectFailed, 60: forkhead.Reset, 70: forkhead.Withdrawn, 80: forkhead.NotSent,
 }
 
 func result(code uint8) (forkhead.Result, error) {
@@ -203,17 +203,17 @@
 }
 
 var listModes = map[uint8]forkhead.ListMode{
-	0: forkhead.ListSaved, 2: forkhead.ListFull, 3: forkhead.ListDelta, 4: forkhead.ListFailed,
+	0: forkhead.ListCached, 2: forkhead.ListSnapshot, 3: forkhead.ListDelta, 4: forkhead.ListFailed,
 }
 
-var states = map[uint8]forkhead.State{0: forkhead.Draining, 1: forkhead.Ready, 2: forkhead.Gone}
+var states = map[uint8]forkhead.MachineState{0: forkhead.Draining, 1: forkhead.Ready, 2: forkhead.Removed}
 
 func (l *link) update(ev wire.DirectoryUpdate) (forkhead.Event, error) {
 	mode, ok := listModes[ev.How]
 	if !ok {
 		return nil, fmt.Errorf("unknown kind of list %d", ev.How)
 	}
-	u := forkhead.Update{Mode: mode}
+	u := forkhead.ListUpdate{Mode: mode}
 	if mode == forkhead.ListFailed {
 		return u, nil
 	}
@@ -226,9 +226,9 @@
 			return nil, fmt.Errorf("entry %d of list %d: unknown readiness %d", i, ev.Roster, e.Readiness)
 		}
 		u.Machines = append(u.Machines, forkhead.Machine{
-			ID: forkhead.MachineID(e.Host), State: state, Kind: int(e.Model), Zone: int(e.Zone),
-			Cell: int(e.Pod), Started: bootinfo.Duration(e.Launched),
-			FreeCores: float64(e.CPULeft), FreeMemory: float64(e.MemLeft),
+			ID: forkhead.MachineID(e.Host), State: state, Type: int(e.Model), Zone: int(e.Zone),
+			Cell: int(e.Pod), StartedAt: bootinfo.Duration(e.Launched),
+			AvailableCores: float64(e.CPULeft), AvailableMemory: float64(e.MemLeft),
 		})
 	}
 	return u, nil
@@ -239,7 +239,7 @@
 	switch a := a.(type) {
 	case forkhead.Offer:
 		r.Put(id, uint32(a.Task), uint32(a.Machine), bootinfo.Milliseconds(a.Timeout))
-	case forkhead.Refuse:
+	case forkhead.Reject:
 		r.NotNow(id, uint32(a.Task), bootinfo.Milliseconds(a.RetryAfter))
 	case forkhead.Fail:
 		r.GiveUp(id, uint32(a.Task))
@@ -251,23 +251,23 @@
 		r.Sleep(id, a.Timer, bootinfo.Milliseconds(a.At))
 	case forkhead.Probe:
 		r.Poll(id, uint32(a.Machine))
-	case forkhead.Tell:
+	case forkhead.Gossip:
 		to := uint32(wire.EveryPeer)
-		if a.To != forkhead.Everyone {
+		if a.To != forkhead.AllPlacers {
 			to = uint32(a.To)
 		}
 		r.Tell(id, to, a.Data)
 	case forkhead.Subscribe:
 		r.Watch(id, true)
 	case forkhead.Log:
-		r.Log(id, a.Text)
+		r.Log(id, a.Message)
 	default:
 		r.Crash(id, fmt.Sprintf("action %T has no form on the wire", a))
 	}
 }
 
 // report names the values of a load report; those not told are NaN.
-func (l *link) report(id uint32, values []float32) *forkhead.Report {
+func (l *link) report(id uint32, values []float32) *forkhead.LoadReport {
 	p := l.placers[id]
 	if p == nil || len(values) == 0 {
 		return nil
--- a/example_test.go
+++ b/example_test.go
@@ -9,12 +9,12 @@
 
 func Example() {
 	settings := forkhead.Settings{
-		Placers: 1,
-		Kinds:   []forkhead.Kind{{Cores: 16, Memory: 64}},
-		Classes: []forkhead.Class{{Effect: forkhead.Safe, Aim: time.Second, Worth: 1, Kind: -1, Calm: 0.8, Fade: 0.2}},
+		Placers:      1,
+		MachineTypes: []forkhead.MachineType{{Cores: 16, Memory: 64}},
+		Classes:      []forkhead.Class{{Effect: forkhead.Safe, LatencyObjective: time.Second, Weight: 1, MachineType: -1, SaturationThreshold: 0.8, DegradationRange: 0.2}},
 
-		MeanCores: 1, MeanMemory: 4, AcceptCores: 1, AcceptMemory: 1, MaxAttempts: 3,
-		ListPushed: true, ListsFree: true,
+		MeanCores: 1, MeanMemory: 4, CoresOvercommit: 1, MemoryOvercommit: 1, MaxAttempts: 3,
+		ListWatched: true, ListReportsAvailable: true,
 	}
 	p, err := forkhead.New(settings, 42)
 	if err != nil {
@@ -22,11 +22,11 @@
 		return
 	}
 	now := time.Minute
-	p.Step(now, []forkhead.Event{forkhead.Update{Mode: forkhead.ListFull, Machines: []forkhead.Machine{
-		{ID: 7, State: forkhead.Ready, FreeCores: 16, FreeMemory: 64},
+	p.Step(now, []forkhead.Event{forkhead.ListUpdate{Mode: forkhead.ListSnapshot, Machines: []forkhead.Machine{
+		{ID: 7, State: forkhead.Ready, AvailableCores: 16, AvailableMemory: 64},
 	}}})
-	task := forkhead.Task{ID: 1, Service: 5, Wait: 5 * time.Second, Cores: 2, Memory: 4}
-	for _, action := range p.Step(now, []forkhead.Event{forkhead.Arrival{Task: task}}) {
+	task := forkhead.Task{ID: 1, Service: 5, Timeout: 5 * time.Second, Cores: 2, Memory: 4}
+	for _, action := range p.Step(now, []forkhead.Event{forkhead.PlacementRequest{Task: task}}) {
 		if offer, ok := action.(forkhead.Offer); ok {
 			fmt.Printf("offer task %d to machine %d\n", offer.Task, offer.Machine)
 		}
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -30,36 +30,36 @@
 func coldOffers(t *testing.T, set Settings, n int) []time.Duration {
 	t.Helper()
 	begin := time.Hour
-	machine := Machine{ID: 5, State: Ready, Started: begin, FreeCores: 1e6, FreeMemory: 1e6}
+	machine := Machine{ID: 5, State: Ready, StartedAt: begin, AvailableCores: 1e6, AvailableMemory: 1e6}
 	gone := machine
-	gone.State = Gone
-	set.Kinds[0] = Kind{Cores: 1e6, Memory: 1e6}
+	gone.State = Removed
+	set.MachineTypes[0] = MachineType{Cores: 1e6, Memory: 1e6}
 	old := placers(t, set, n)
 	for i, p := range old {
 		state := machine
 		if i%7 == 0 {
 			state = gone
 		}
-		p.Step(begin-time.Minute, []Event{Update{Mode: ListSaved, Machines: []Machine{state}}})
+		p.Step(begin-time.Minute, []Event{ListUpdate{Mode: ListCached, Machines: []Machine{state}}})
 	}
 	renewed := placers(t, set, n)
 	var sent []time.Duration
 	const tick = 100 * time.Millisecond
-	for now := begin; now < begin+set.ColdFor; now += tick {
+	for now := begin; now < begin+set.SlowStartDuration; now += tick {
 		round := int((now - begin) / tick)
 		for i := range old {
 			var events []Event
 			if i%7 == 0 && round == i%10+2 {
-				events = append(events, Update{Mode: ListDelta, Machines: []Machine{machine}})
+				events = append(events, ListUpdate{Mode: ListDelta, Machines: []Machine{machine}})
 			}
 			if round == 6+i%40 {
 				old[i] = renewed[i]
-				events = append(events, Update{Mode: ListSaved, Machines: []Machine{machine}})
+				events = append(events, ListUpdate{Mode: ListCached, Machines: []Machine{machine}})
 			}
 			for k := range TaskID(1 + 40/n) {
 				id := TaskID(round*100) + k
-				task := Task{ID: id, Service: uint64(id), Wait: time.Second, Cores: 1, Memory: 1}
-				events = append(events, Arrival{Task: task})
+				task := Task{ID: id, Service: uint64(id), Timeout: time.Second, Cores: 1, Memory: 1}
+				events = append(events, PlacementRequest{Task: task})
 			}
 			actions := old[i].Step(now, events)
 			events = events[:0]
@@ -68,7 +68,7 @@
 				events = append(events, Bound{Task: o.Task}, Outcome{Task: o.Task, Result: OK, Final: true})
 			}
 			for k := range TaskID(1 + 40/n) {
-				events = append(events, OwnerLeft{Task: TaskID(round*100) + k})
+				events = append(events, RequestCanceled{Task: TaskID(round*100) + k})
 			}
 			old[i].Step(now, events)
 		}
@@ -81,20 +81,20 @@
 	for _, n := range []int{1, 3, 130, 470} {
 		for _, budget := range []float64{0, 0.5, 1, 3, 41} {
 			set := testSettings()
-			set.Classes[0].Spread, set.ColdOffers, set.ColdWindow = Anywhere, budget, 1500*time.Millisecond
-			set.ColdFor = 6 * time.Second
+			set.Classes[0].SpreadDomain, set.SlowStartMaxOffers, set.SlowStartWindow = AnyDomain, budget, 1500*time.Millisecond
+			set.SlowStartDuration = 6 * time.Second
 			t.Run(fmt.Sprintf("%d placers, %g offers", n, budget), func(t *testing.T) {
 				sent := coldOffers(t, set, n)
 				slices.Sort(sent)
 				most := 0
 				for i, at := range sent {
-					first, _ := slices.BinarySearch(sent, at-set.ColdWindow+1)
+					first, _ := slices.BinarySearch(sent, at-set.SlowStartWindow+1)
 					most = max(most, i-first+1)
 				}
 				if float64(most) > budget {
 					t.Errorf("%d offers in a window, at most %g are borne", most, budget)
 				}
-				windows := float64(set.ColdFor / set.ColdWindow)
+				windows := float64(set.SlowStartDuration / set.SlowStartWindow)
 				if budget >= 1 && float64(len(sent)) < windows*budget/8 {
 					t.Errorf("%d offers in %g windows of %g", len(sent), windows, budget)
 				}
@@ -110,13 +110,13 @@
 func TestPriceOfMessagesStaysBounded(t *testing.T) {
 	for _, n := range []int{1, 3, 130, 470} {
 		set := testSettings()
-		set.MayTell, set.Placers, set.Prices.Tell = true, n, 0.01
+		set.MayGossip, set.Placers, set.Costs.Gossip = true, n, 0.01
 		b := newBench(t, set, fleet(12))
 		const tasks = 300
 		cost := 0.0
 		count := func(actions []Action) {
-			for _, tell := range only[Tell](actions) {
-				cost += float64(len(tell.Data)) / 256 * float64(n-1) * set.Prices.Tell
+			for _, tell := range only[Gossip](actions) {
+				cost += float64(len(tell.Data)) / 256 * float64(n-1) * set.Costs.Gossip
 			}
 		}
 		for i := range tasks {
@@ -125,17 +125,17 @@
 			for _, o := range only[Offer](actions) {
 				// Every third start is slow: the machine answers a probe, the task stays unanswered.
 				for wait := 0; i%3 == 0 && wait < 6; wait++ {
-					b.now += patience
+					b.now += attemptTimeout
 					count(b.step(Probed{Machine: o.Machine, Result: OK}))
-					count(b.step(TimerFired{Timer: timerPatience<<32 | uint64(id)}))
+					count(b.step(TimerFired{Timer: timerNumber(timerAttempt, uint32(id))}))
 				}
 				count(b.step(Bound{Task: id, Machine: o.Machine}))
 				count(b.step(Outcome{Task: id, Machine: o.Machine, Result: OK, Final: true}))
 			}
 			b.now += 500 * time.Millisecond
 		}
-		if cost > 2*newsPrice*tasks {
-			t.Errorf("%d placers: messages cost %.4f a task, at most %g", n, cost/tasks, 2*newsPrice)
+		if cost > 2*maxGossipCost*tasks {
+			t.Errorf("%d placers: messages cost %.4f a task, at most %g", n, cost/tasks, 2*maxGossipCost)
 		}
 		if n == 3 && cost == 0 {
 			t.Error("three placers tell each other nothing")
@@ -151,8 +151,8 @@
 		b.offered(actions)
 		b.now += time.Millisecond
 		b.step(Probed{Machine: 1, Result: OK})
-		b.now += 2*firstSlow + patience
-		actions = b.step(TimerFired{Timer: timerPatience<<32 | uint64(id)})
+		b.now += 2*initialSlowestStart + attemptTimeout
+		actions = b.step(TimerFired{Timer: timerNumber(timerAttempt, uint32(id))})
 		said = append(said, actions...)
 		b.step(Outcome{Task: id, Machine: 1, Result: Withdrawn, Final: true})
 	}
@@ -162,7 +162,7 @@
 func twoClasses() Settings {
 	set := testSettings()
 	set.Classes = append(set.Classes, set.Classes[0])
-	set.Placers, set.MayTell = 200, true
+	set.Placers, set.MayGossip = 200, true
 	return set
 }
 
@@ -177,18 +177,18 @@
 	if _, actions := b.arrive(1, 4); len(only[Offer](actions)) != 1 {
 		t.Fatalf("the other class is kept off too: %v", describe(actions))
 	}
-	b.now += ailRest
+	b.now += ejectionTime
 	_, actions := b.arrive(0, 5)
-	if b.step(TimerFired{Timer: timerRetry << 32}); len(b.p.waiting) > 0 {
+	if b.step(TimerFired{Timer: timerNumber(timerRetry, 0)}); len(b.p.queue) > 0 {
 		t.Fatalf("kept off for good: %v", describe(actions))
 	}
 	other := newBench(t, set, fleet(1))
-	told := only[Tell](said)
+	told := only[Gossip](said)
 	if len(told) == 0 {
 		t.Fatal("nobody was told")
 	}
 	for range 2 {
-		other.step(Told{From: 1, Data: told[0].Data})
+		other.step(Received{From: 1, Data: told[0].Data})
 	}
 	if _, actions := other.arrive(0, 3); len(only[Offer](actions)) > 0 {
 		t.Error("a placer that was told twice offered the class")
@@ -202,7 +202,7 @@
 	first := b.offered(actions)
 	b.now += 2 * time.Second
 	actions = b.step(
-		TimerFired{Timer: timerPatience<<32 | uint64(id)}, Bound{Task: id, Machine: first.Machine},
+		TimerFired{Timer: timerNumber(timerAttempt, uint32(id))}, Bound{Task: id, Machine: first.Machine},
 	)
 	if len(only[Probe](actions))+len(only[Withdraw](actions)) > 0 {
 		t.Errorf("took an answered attempt for overdue: %v", describe(actions))
@@ -215,8 +215,8 @@
 	var events []Event
 	for i := range 3000 {
 		task := b.task(0, uint64(i))
-		task.Wait = 20 * time.Millisecond
-		events = append(events, Arrival{Task: task})
+		task.Timeout = 20 * time.Millisecond
+		events = append(events, PlacementRequest{Task: task})
 	}
 	actions := b.step(events...)
 	answers := map[TaskID]int{}
@@ -228,7 +228,7 @@
 				if a.At <= b.now+20*time.Millisecond {
 					due = append(due, TimerFired{Timer: a.Timer})
 				}
-			case Refuse:
+			case Reject:
 				answers[a.Task]++
 			case Fail:
 				answers[a.Task]++
@@ -247,23 +247,23 @@
 // Each placer with a task on a machine that serves poorly once moved one: all at once.
 func TestMovesOfManyPlacersStayFew(t *testing.T) {
 	set := testSettings()
-	set.Kinds[0] = Kind{Cores: 100, Memory: 200}
+	set.MachineTypes[0] = MachineType{Cores: 100, Memory: 200}
 	machines := fleet(2)
 	for i := range machines {
-		machines[i].FreeCores, machines[i].FreeMemory = 20, 40
+		machines[i].AvailableCores, machines[i].AvailableMemory = 20, 40
 	}
 	moved := 0
 	for _, p := range placers(t, set, 200) {
 		p.Step(time.Hour, []Event{
-			Update{Mode: ListSaved, Machines: machines},
+			ListUpdate{Mode: ListCached, Machines: machines},
 			HandedOver{Task: Task{ID: 1, Service: 7, Cores: 0.4, Memory: 1}, Machine: 1},
 		})
 		moved += len(only[Stop](p.Step(time.Hour+time.Second, []Event{
-			Note{Task: 1, Machine: 1, Kind: NoteServed, Amount: 0.1},
+			Note{Task: 1, Machine: 1, Kind: NoteServiceLevel, Amount: 0.1},
 		})))
 	}
-	if moved < 1 || moved > 3*movesAtOnce {
-		t.Errorf("200 placers moved %d tasks off one machine in a moment, about %d wanted", moved, movesAtOnce)
+	if moved < 1 || moved > 3*maxMigrationsPerSecond {
+		t.Errorf("200 placers moved %d tasks off one machine in a moment, about %d wanted", moved, maxMigrationsPerSecond)
 	}
 }
 
@@ -271,21 +271,21 @@
 func TestFloodOfMessagesIsBounded(t *testing.T) {
 	for _, n := range []int{3, 470} {
 		set := testSettings()
-		set.MayTell, set.Placers = true, n
+		set.MayGossip, set.Placers = true, n
 		b := newBench(t, set, fleet(3))
 		for i := range 20000 {
-			item := news{machine: MachineID(i%4 + 1), program: uint32(i), cores: 0.1, memory: 0.1}
+			item := capacityChange{machine: MachineID(i%4 + 1), program: uint32(i), cores: 0.1, memory: 0.1}
 			b.step(
-				Told{From: 1, Data: packNews([]news{item})[0]}, Told{From: 1, Data: make([]byte, i%255)},
-				Told{From: 1, Data: packAil(MachineID(i), i%256)},
+				Received{From: 1, Data: encodeCapacityChanges([]capacityChange{item})[0]}, Received{From: 1, Data: make([]byte, i%255)},
+				Received{From: 1, Data: encodeOutlier(MachineID(i), i%256)},
 			)
 		}
 		if len(b.p.machines) != 3 {
 			t.Errorf("%d machines after messages that name unknown ones, want 3", len(b.p.machines))
 		}
 		for _, m := range b.p.machines {
-			if len(m.others) > newsMost || len(m.kept) > keptPrograms {
-				t.Errorf("machine %d holds %d pieces of news, %d programs", m.ID, len(m.others), len(m.kept))
+			if len(m.peerChanges) > maxPeerChanges || len(m.cachedPrograms) > maxCachedPrograms {
+				t.Errorf("machine %d holds %d pieces of news, %d programs", m.ID, len(m.peerChanges), len(m.cachedPrograms))
 			}
 		}
 	}
@@ -298,12 +298,12 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	p.Step(time.Hour, []Event{Update{Mode: ListSaved, Machines: fleet(machines)}})
+	p.Step(time.Hour, []Event{ListUpdate{Mode: ListCached, Machines: fleet(machines)}})
 	i := 0
 	for b.Loop() {
 		p.Step(time.Hour+time.Duration(i)*time.Millisecond, []Event{event(p, i)})
 		i++
-		if id := TaskID(i); p.tasks[id] != nil && p.isOut(p.tasks[id]) {
+		if id := TaskID(i); p.tasks[id] != nil && p.hasAttemptInFlight(p.tasks[id]) {
 			p.Step(p.now, []Event{Outcome{Task: id, Result: OK, Final: true}})
 		}
 	}
@@ -313,15 +313,15 @@
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("arrival/%d", n), func(b *testing.B) {
 			benchmarkStep(b, n, func(_ *Placer, i int) Event {
-				return Arrival{Task: Task{ID: TaskID(i + 1), Service: uint64(i % 50), Wait: time.Second, Cores: 1, Memory: 1}}
+				return PlacementRequest{Task: Task{ID: TaskID(i + 1), Service: uint64(i % 50), Timeout: time.Second, Cores: 1, Memory: 1}}
 			})
 		})
 		list := fleet(n)
 		b.Run(fmt.Sprintf("list/%d", n), func(b *testing.B) {
 			benchmarkStep(b, n, func(_ *Placer, i int) Event {
 				m := list[i%n]
-				m.FreeCores = float64(i % 10)
-				return Update{Mode: ListDelta, Machines: []Machine{m}}
+				m.AvailableCores = float64(i % 10)
+				return ListUpdate{Mode: ListDelta, Machines: []Machine{m}}
 			})
 		})
 	}
@@ -331,19 +331,19 @@
 func TestLotsLetAboutAsManyOfferAsFit(t *testing.T) {
 	set := testSettings()
 	machine := fleet(1)[0]
-	machine.FreeCores, machine.FreeMemory = 4, 8
+	machine.AvailableCores, machine.AvailableMemory = 4, 8
 	all := placers(t, set, 400)
 	refused := &task{Task: Task{Cores: 1, Memory: 1}, attempts: make([]*attempt, 2)}
 	fresh := &task{Task: Task{Cores: 1, Memory: 1}}
 	turns := 0
 	for second := range 20 {
-		now, most := time.Hour+time.Duration(second)*roomSlot, 0
+		now, most := time.Hour+time.Duration(second)*lotterySlot, 0
 		for _, p := range all {
-			p.Step(now, []Event{Update{Mode: ListFull, Machines: []Machine{machine}}})
-			if p.hasTurn(refused, p.machines[1]) {
+			p.Step(now, []Event{ListUpdate{Mode: ListSnapshot, Machines: []Machine{machine}}})
+			if p.winsLottery(refused, p.machines[1]) {
 				most++
 			}
-			if !p.hasTurn(fresh, p.machines[1]) {
+			if !p.winsLottery(fresh, p.machines[1]) {
 				t.Fatal("a task that was not turned away has to draw lots")
 			}
 		}
@@ -362,11 +362,11 @@
 	for i, p := range placers(t, testSettings(), 130) {
 		machines := fleet(20)
 		for k := range machines {
-			machines[k].FreeCores = 3 + float64((i*7+k*3)%5)
+			machines[k].AvailableCores = 3 + float64((i*7+k*3)%5)
 		}
 		actions := p.Step(time.Hour, []Event{
-			Update{Mode: ListSaved, Machines: machines},
-			Arrival{Task: Task{ID: 1, Service: 42, Wait: time.Second, Cores: 1, Memory: 1}},
+			ListUpdate{Mode: ListCached, Machines: machines},
+			PlacementRequest{Task: Task{ID: 1, Service: 42, Timeout: time.Second, Cores: 1, Memory: 1}},
 		})
 		for _, o := range only[Offer](actions) {
 			used[o.Machine] = true
@@ -383,8 +383,8 @@
 	var probes [seconds + 10]int
 	for _, p := range placers(t, testSettings(), 470) {
 		actions := p.Step(time.Hour, []Event{
-			Update{Mode: ListSaved, Machines: fleet(1)},
-			Arrival{Task: Task{ID: 1, Service: 42, Wait: time.Second, Cores: 1, Memory: 1}},
+			ListUpdate{Mode: ListCached, Machines: fleet(1)},
+			PlacementRequest{Task: Task{ID: 1, Service: 42, Timeout: time.Second, Cores: 1, Memory: 1}},
 		})
 		if len(only[Offer](actions)) != 1 {
 			t.Fatalf("not offered: %v", describe(actions))
@@ -398,7 +398,7 @@
 					probes[int((now-time.Hour)/time.Second)]++
 					events = []Event{Probed{Machine: 1, Result: ConnectFailed}}
 				case SetTimer:
-					if a.Timer>>32 == timerSuspect {
+					if timerPurpose(a.Timer>>timerPurposeShift) == timerSuspect {
 						due, events = a.At, []Event{TimerFired{Timer: a.Timer}}
 					}
 				}
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -9,14 +9,14 @@
 // testSettings are settings in which nothing is scarce and everything is allowed.
 func testSettings() Settings {
 	return Settings{
-		Placers: 1, Kinds: []Kind{{Cores: 10, Memory: 20}}, MeanCores: 1, MeanMemory: 2,
+		Placers: 1, MachineTypes: []MachineType{{Cores: 10, Memory: 20}}, MeanCores: 1, MeanMemory: 2,
 		Classes: []Class{{
-			Effect: Safe, Window: 5 * time.Second, Aim: time.Second, Worth: 1, Kind: -1, Calm: 0.8, Fade: 0.2,
+			Effect: Safe, DedupWindow: 5 * time.Second, LatencyObjective: time.Second, Weight: 1, MachineType: -1, SaturationThreshold: 0.8, DegradationRange: 0.2,
 		}},
-		AcceptCores: 1, AcceptMemory: 1, BoundWhenRunning: true, ListsFree: true, ListPushed: true,
+		CoresOvercommit: 1, MemoryOvercommit: 1, BoundWhenRunning: true, ListReportsAvailable: true, ListWatched: true,
 		MaxAttempts: 4, MayWithdraw: true, MayProbe: true,
-		DrainGrace: time.Second, ColdFor: 10 * time.Second, ColdWindow: time.Second, ColdOffers: 20,
-		MustAskWithin: 10 * time.Second, OwnerWait: 3 * time.Second,
+		DrainGrace: time.Second, SlowStartDuration: 10 * time.Second, SlowStartWindow: time.Second, SlowStartMaxOffers: 20,
+		MaxPollInterval: 10 * time.Second, OwnerBackoff: 3 * time.Second,
 	}
 }
 
@@ -25,7 +25,7 @@
 	var list []Machine
 	for i := range n {
 		list = append(list, Machine{
-			ID: MachineID(i + 1), State: Ready, Cell: i / 3, Zone: i / 6, FreeCores: 10, FreeMemory: 20,
+			ID: MachineID(i + 1), State: Ready, Cell: i / 3, Zone: i / 6, AvailableCores: 10, AvailableMemory: 20,
 		})
 	}
 	return list
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	b := &bench{t: t, p: p, now: time.Hour}
-	b.step(Update{Mode: ListSaved, Machines: machines})
+	b.step(ListUpdate{Mode: ListCached, Machines: machines})
 	return b
 }
 
@@ -55,14 +55,14 @@
 func (b *bench) task(class int, service uint64) Task {
 	b.next++
 	return Task{
-		ID: b.next, Key: uint64(b.next), Service: service, Class: class, Wait: 5 * time.Second, Cores: 1, Memory: 1,
+		ID: b.next, Key: uint64(b.next), Service: service, Class: class, Timeout: 5 * time.Second, Cores: 1, Memory: 1,
 	}
 }
 
 // arrive brings one task of the service and returns its id and what was done.
 func (b *bench) arrive(class int, service uint64) (TaskID, []Action) {
 	task := b.task(class, service)
-	return task.ID, b.step(Arrival{Task: task})
+	return task.ID, b.step(PlacementRequest{Task: task})
 }
 
 // offered returns the one offer among the actions.
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -96,7 +96,7 @@
 	}
 	var tenants []shares.Tenant
 	for i, name := range s.Tenants {
-		tenants = append(tenants, shares.Tenant{Name: name, Share: uint64(s.Module.Tenants[i].Share*1e6 + 0.5)})
+		tenants = append(tenants, shares.Tenant{Name: name, Share: uint64(s.Module.Tenants[i].Quota*1e6 + 0.5)})
 	}
 	var placers []shares.Part
 	for i, p := range s.Placers {
--- a/internal/placing/attempt/attempt.go
+++ b/internal/placing/attempt/attempt.go
@@ -170,7 +170,7 @@
 // Rules are what an ask's class and the settings allow.
 type Rules struct {
 	Effect   forkhead.Effect
-	Group    forkhead.Place
+	Group    forkhead.Domain
 	Window   time.Duration
 	Most     int // attempts
 	Parallel bool
@@ -198,7 +198,7 @@
 
 // MayOffer says whether the ask may be offered to a host now. same says whether two hosts are
 // in one place.
-func (a *Ask) MayOffer(now time.Duration, to Host, same func(p forkhead.Place, x, y Host) bool) error {
+func (a *Ask) MayOffer(now time.Duration, to Host, same func(p forkhead.Domain, x, y Host) bool) error {
 	switch {
 	case a.Answer != Open:
 		return ErrAnswered
@@ -220,7 +220,7 @@
 		case forkhead.Unsafe:
 			return ErrMayRun
 		case forkhead.Keyed:
-			if a.Rules.Group != forkhead.Anywhere && !same(a.Rules.Group, at.Host, to) {
+			if a.Rules.Group != forkhead.AnyDomain && !same(a.Rules.Group, at.Host, to) {
 				return ErrGroup
 			}
 			if first && now >= at.At+a.Rules.Window {
@@ -279,7 +279,7 @@
 		return ErrTwoOut
 	}
 	if refuse && a.MayRun() && !(a.Rules.Effect == forkhead.Safe ||
-		a.Rules.Effect == forkhead.Keyed && a.Rules.Group == forkhead.Anywhere) {
+		a.Rules.Effect == forkhead.Keyed && a.Rules.Group == forkhead.AnyDomain) {
 		return ErrPromise
 	}
 	return nil
--- a/internal/placing/attempt/attempt_test.go
+++ b/internal/placing/attempt/attempt_test.go
@@ -38,11 +38,11 @@
 	}
 }
 
-func same(p forkhead.Place, x, y Host) bool {
+func same(p forkhead.Domain, x, y Host) bool {
 	switch p {
-	case forkhead.OnMachine:
+	case forkhead.MachineDomain:
 		return x == y
-	case forkhead.InCell:
+	case forkhead.CellDomain:
 		return x/2 == y/2
 	}
 	return true
@@ -71,8 +71,8 @@
 		"unsafe, died":             {Rules{Most: 4, Effect: forkhead.Unsafe}, []Input{Written, Died}, 3, 2 * s, false, ErrMayRun},
 		"keyed, anywhere":          {Rules{Most: 4, Effect: forkhead.Keyed, Window: 5 * s}, []Input{Written, Broke}, 5, 5 * s, true, nil},
 		"keyed, too late":          {Rules{Most: 4, Effect: forkhead.Keyed, Window: 5 * s}, []Input{Written, Broke}, 5, 6 * s, true, ErrWindow},
-		"keyed, in its rack":       {Rules{Most: 4, Effect: forkhead.Keyed, Group: forkhead.InCell, Window: 5 * s}, []Input{Written, Broke}, 3, 2 * s, false, nil},
-		"keyed, outside":           {Rules{Most: 4, Effect: forkhead.Keyed, Group: forkhead.InCell, Window: 5 * s}, []Input{Written, Broke}, 5, 2 * s, false, ErrGroup},
+		"keyed, in its rack":       {Rules{Most: 4, Effect: forkhead.Keyed, Group: forkhead.CellDomain, Window: 5 * s}, []Input{Written, Broke}, 3, 2 * s, false, nil},
+		"keyed, outside":           {Rules{Most: 4, Effect: forkhead.Keyed, Group: forkhead.CellDomain, Window: 5 * s}, []Input{Written, Broke}, 5, 2 * s, false, ErrGroup},
 	} {
 		a := Ask{Rules: c.rules, Deadline: 10 * s}
 		n := a.Offer(s, 2)
--- a/internal/placing/attempt/owner.go
+++ b/internal/placing/attempt/owner.go
@@ -21,7 +21,7 @@
 
 // Repeatable says whether a second copy does no harm wherever it starts.
 func (r *Rules) Repeatable() bool {
-	return r.Effect == forkhead.Safe || r.Effect == forkhead.Keyed && r.Group == forkhead.Anywhere
+	return r.Effect == forkhead.Safe || r.Effect == forkhead.Keyed && r.Group == forkhead.AnyDomain
 }
 
 // Adopts says whether an attempt that was given up, and now shows that it holds its task, is
--- a/internal/placing/core/asks.go
+++ b/internal/placing/core/asks.go
@@ -43,8 +43,8 @@
 // detail is what comes with an input beside it.
 type detail struct {
 	result forkhead.Result
-	reason forkhead.Reason
-	report *forkhead.Report
+	reason forkhead.RejectReason
+	report *forkhead.LoadReport
 }
 
 func ending(f hostproto.Ended) detail {
@@ -57,9 +57,9 @@
 	case hostproto.Evicted:
 		d.result, d.reason = forkhead.Reset, forkhead.Evicted
 	case hostproto.PushedOut:
-		d.result, d.reason = forkhead.Reset, forkhead.PushedOut
+		d.result, d.reason = forkhead.Reset, forkhead.Preempted
 	case hostproto.SentAway:
-		d.result, d.reason = forkhead.Reset, forkhead.SentAway
+		d.result, d.reason = forkhead.Reset, forkhead.Dismissed
 	case hostproto.Stopped, hostproto.Called:
 		d.result = forkhead.Withdrawn
 	}
@@ -72,7 +72,7 @@
 	m := &c.set.Module
 	k := &m.Classes[class]
 	return attempt.Rules{
-		Effect: k.Effect, Group: k.Group, Window: k.Window, Most: m.MaxAttempts, Parallel: m.ParallelAttempts,
+		Effect: k.Effect, Group: k.DedupDomain, Window: k.DedupWindow, Most: m.MaxAttempts, Parallel: m.ParallelAttempts,
 	}
 }
 
@@ -136,7 +136,7 @@
 func (c *Core) skip(k *ask, a forkhead.Offer, final bool) {
 	n := k.Skip(c.now, attempt.Host(a.Machine))
 	k.tries = append(k.tries, nil)
-	c.tell(forkhead.Outcome{Task: a.Task, Attempt: n, Machine: a.Machine, Result: forkhead.Moot, Final: final})
+	c.tell(forkhead.Outcome{Task: a.Task, Attempt: n, Machine: a.Machine, Result: forkhead.NotSent, Final: final})
 }
 
 // others runs over the hosts of a service's live attempts but one.
@@ -184,7 +184,7 @@
 			Key: w.key, Service: k.task.Service, Fingerprint: w.fingerprint, Name: w.name,
 			Class: c.set.Classes[w.class].Name, Tenant: w.spec.Tenant,
 			Effect: uint8(k.Rules.Effect), Priority: uint8(c.set.Module.Classes[w.class].Priority),
-			Cores: thousandths(k.task.Cores), Memory: uint32(k.task.Memory*1024 + 0.5), Life: k.task.Life,
+			Cores: thousandths(k.task.Cores), Memory: uint32(k.task.Memory*1024 + 0.5), Life: k.task.RemainingLifetime,
 		},
 	})
 }
@@ -235,7 +235,7 @@
 		return
 	}
 	c.defect("the ask for %s was left open at its deadline", k.wish.name)
-	c.tell(forkhead.OwnerLeft{Task: k.id})
+	c.tell(forkhead.RequestCanceled{Task: k.id})
 	c.answer(k.id, false, 0)
 }
 
@@ -247,7 +247,7 @@
 	}
 	w.ask = nil
 	c.left[k.id] = k
-	c.tell(forkhead.OwnerLeft{Task: k.id})
+	c.tell(forkhead.RequestCanceled{Task: k.id})
 	c.callOff(k)
 	k.End(false)
 	c.forget(k)
@@ -327,9 +327,9 @@
 		t.runs = c.set.Module.BoundWhenRunning
 		c.bound(w, t)
 	case attempt.Full:
-		out.Result, out.Reason = forkhead.Full, d.reason
+		out.Result, out.Reason = forkhead.Rejected, d.reason
 		if d.reason == forkhead.NoReason {
-			out.Reason = forkhead.NotHere
+			out.Reason = forkhead.Unsuitable
 		}
 		w.tally(reasonText(out.Reason))
 		c.tell(out)
@@ -378,13 +378,13 @@
 	c.forget(k)
 }
 
-func reasonText(r forkhead.Reason) string {
+func reasonText(r forkhead.RejectReason) string {
 	switch r {
-	case forkhead.NoCores:
+	case forkhead.InsufficientCores:
 		return "no cores"
-	case forkhead.NoMemory:
+	case forkhead.InsufficientMemory:
 		return "no memory"
-	case forkhead.LineFull:
+	case forkhead.QueueFull:
 		return "its line of offers was full"
 	}
 	return "not here"
@@ -442,36 +442,36 @@
 	k := &ask{id: forkhead.TaskID(c.nextTask), wish: w}
 	k.Rules = c.rules(w.class)
 	k.task = forkhead.Task{
-		ID: k.id, Key: w.key, Service: w.svc.key, Class: w.class, Tenant: w.tenant, Life: w.spec.Life,
-		Cores: w.spec.Cores, Memory: w.spec.Memory, Again: w.owner.Asks > 0 || w.lives > 0, Needs: w.svc.needs,
+		ID: k.id, Key: w.key, Service: w.svc.key, Class: w.class, Tenant: w.tenant, RemainingLifetime: w.spec.Life,
+		Cores: w.spec.Cores, Memory: w.spec.Memory, Resubmitted: w.owner.Asks > 0 || w.lives > 0, RequiredLabels: w.svc.needs,
 	}
 	for _, l := range w.spec.Limits {
-		limit(&k.task.Most, places[l.Place], l.Most)
+		limit(&k.task.SpreadLimits, places[l.Place], l.Most)
 	}
 	if !w.relaxed {
 		for _, p := range w.spec.Preferences {
-			limit(&k.task.Most, places[string(p)], c.evenShare(w, places[string(p)]))
+			limit(&k.task.SpreadLimits, places[string(p)], c.evenShare(w, places[string(p)]))
 		}
 	}
 	c.asks[k.id] = k
 	return k
 }
 
-var places = map[string]forkhead.Place{"machine": forkhead.OnMachine, "rack": forkhead.InCell, "zone": forkhead.InZone}
+var places = map[string]forkhead.Domain{"machine": forkhead.MachineDomain, "rack": forkhead.CellDomain, "zone": forkhead.ZoneDomain}
 
-func limit(to *forkhead.Limits, place forkhead.Place, most int) {
+func limit(to *forkhead.SpreadLimits, place forkhead.Domain, most int) {
 	if to[place] == 0 || most < to[place] {
 		to[place] = most
 	}
 }
 
 // evenShare is how many of a service's tasks come to one place when they are spread evenly.
-func (c *Core) evenShare(w *wish, place forkhead.Place) int {
+func (c *Core) evenShare(w *wish, place forkhead.Domain) int {
 	found := map[int]bool{}
 	for _, h := range c.hosts {
 		if h.state() == forkhead.Ready && w.svc.needs&^h.labels == 0 {
 			at := h.zone
-			if place == forkhead.InCell {
+			if place == forkhead.CellDomain {
 				at = h.cell
 			}
 			found[at] = true
--- a/internal/placing/core/core.go
+++ b/internal/placing/core/core.go
@@ -85,7 +85,7 @@
 		unknown: map[uint64]map[*try]bool{}, blocked: map[uint64]*wish{}, refs: map[hostproto.Ref]*try{}, live: map[uint64][]*try{},
 		projects: map[string]*project{}, submissions: map[string]*submission{}, byKey: map[string]*submission{},
 		policy: owner.Policy{
-			First: set.Owner.First, Most: set.Owner.Most, Soon: set.Owner.Soon, AfterMayRun: set.Module.OwnerWait,
+			First: set.Owner.First, Most: set.Owner.Most, Soon: set.Owner.Soon, AfterMayRun: set.Module.OwnerBackoff,
 			MaxRetryAfter: set.Module.MaxRetryAfter, Asks: set.Owner.Asks,
 		},
 		links: hostlink.Policy{Connect: set.Links.Connect, First: set.Links.First, Most: set.Links.Most},
@@ -182,7 +182,7 @@
 	case Restore:
 		c.restore(in.Kept)
 	case FromPlacer:
-		c.tell(forkhead.Told{From: in.From, Data: in.Data})
+		c.tell(forkhead.Received{From: in.From, Data: in.Data})
 	}
 }
 
@@ -213,7 +213,7 @@
 	switch a := a.(type) {
 	case forkhead.Offer:
 		c.offer(a)
-	case forkhead.Refuse:
+	case forkhead.Reject:
 		c.answer(a.Task, true, a.RetryAfter)
 	case forkhead.Fail:
 		c.answer(a.Task, false, 0)
@@ -228,12 +228,12 @@
 		c.at(&timer{at: a.At, kind: timerModule, number: a.Timer})
 	case forkhead.Probe:
 		c.probe(c.byID[a.Machine], a.Machine)
-	case forkhead.Tell:
+	case forkhead.Gossip:
 		c.do(ToPlacer{To: a.To, Data: a.Data})
 	case forkhead.Subscribe:
 		c.do(Subscribe{})
 	case forkhead.Log:
-		c.log("%s", a.Text)
+		c.log("%s", a.Message)
 	}
 }
 
--- a/internal/placing/core/core_test.go
+++ b/internal/placing/core/core_test.go
@@ -566,7 +566,7 @@
 				out = append(out, a)
 				if o, ok := a.(forkhead.Offer); ok {
 					out = append(out, o, forkhead.Withdraw{Task: o.Task, Attempt: 1}, forkhead.Withdraw{Task: o.Task, Attempt: 7},
-						forkhead.Offer{Task: 9999, Machine: o.Machine}, forkhead.Refuse{Task: 9999})
+						forkhead.Offer{Task: 9999, Machine: o.Machine}, forkhead.Reject{Task: 9999})
 				}
 			}
 			return out
--- a/internal/placing/core/explain.go
+++ b/internal/placing/core/explain.go
@@ -19,18 +19,18 @@
 	m := &c.set.Module
 	class := &m.Classes[w.class]
 	fits := false
-	for i, k := range m.Kinds {
-		if class.Kind >= 0 && class.Kind != i {
+	for i, k := range m.MachineTypes {
+		if class.MachineType >= 0 && class.MachineType != i {
 			continue
 		}
-		if w.spec.Cores <= k.Cores*m.AcceptCores && w.spec.Memory <= k.Memory*m.AcceptMemory {
+		if w.spec.Cores <= k.Cores*m.CoresOvercommit && w.spec.Memory <= k.Memory*m.MemoryOvercommit {
 			fits = true
 		}
 	}
 	if !fits {
 		where := "any kind of host"
-		if class.Kind >= 0 {
-			where = c.set.Kinds[class.Kind]
+		if class.MachineType >= 0 {
+			where = c.set.Kinds[class.MachineType]
 		}
 		return fmt.Sprintf("%g cores and %.4g GiB are more than %s has", w.spec.Cores, w.spec.Memory, where), true
 	}
@@ -40,7 +40,7 @@
 			continue
 		}
 		ready++
-		if class.Kind >= 0 && class.Kind != h.kind {
+		if class.MachineType >= 0 && class.MachineType != h.kind {
 			continue
 		}
 		kind++
@@ -56,7 +56,7 @@
 	case ready == 0:
 		return "no host is ready", false
 	case kind == 0:
-		return "no host of kind " + c.set.Kinds[class.Kind] + " is ready", false
+		return "no host of kind " + c.set.Kinds[class.MachineType] + " is ready", false
 	case labelled == 0:
 		var parts []string
 		for _, con := range w.spec.Constraints {
@@ -68,7 +68,7 @@
 		return "no ready host meets " + strings.Join(parts, ", "), false
 	case free == 0:
 		for _, h := range c.sorted() {
-			if h.state() == forkhead.Ready && w.svc.needs&^h.labels == 0 && (class.Kind < 0 || class.Kind == h.kind) {
+			if h.state() == forkhead.Ready && w.svc.needs&^h.labels == 0 && (class.MachineType < 0 || class.MachineType == h.kind) {
 				return "spread: " + c.spreadLimit(w, h) + ", and all that fit are at it", false
 			}
 		}
@@ -86,15 +86,15 @@
 // spreadLimit says which limit keeps the service's next task off a host, or "".
 func (c *Core) spreadLimit(w *wish, h *host) string {
 	class := &c.set.Module.Classes[w.class]
-	var most forkhead.Limits
+	var most forkhead.SpreadLimits
 	for _, l := range w.spec.Limits {
 		limit(&most, places[l.Place], l.Most)
 	}
-	if class.Spread != forkhead.Anywhere {
-		limit(&most, class.Spread, class.Most)
+	if class.SpreadDomain != forkhead.AnyDomain {
+		limit(&most, class.SpreadDomain, class.MaxPerDomain)
 	}
 	at := h.guard()
-	for place := forkhead.OnMachine; place <= forkhead.InZone; place++ {
+	for place := forkhead.MachineDomain; place <= forkhead.ZoneDomain; place++ {
 		if most[place] == 0 {
 			continue
 		}
--- a/internal/placing/core/hosts.go
+++ b/internal/placing/core/hosts.go
@@ -44,10 +44,10 @@
 }
 
 // state is what this placer goes by: the list's word, or the host's own if that is worse.
-func (h *host) state() forkhead.State {
+func (h *host) state() forkhead.MachineState {
 	switch {
 	case !h.listed || h.stale:
-		return forkhead.Gone
+		return forkhead.Removed
 	case h.drains:
 		return forkhead.Draining
 	}
@@ -66,8 +66,8 @@
 // machine is the host as the module is told of it.
 func (h *host) machine() forkhead.Machine {
 	return forkhead.Machine{
-		ID: h.id, State: h.state(), Kind: h.kind, Zone: h.zone, Cell: h.cell, Started: h.entry.Started,
-		FreeCores: h.entry.FreeCores, FreeMemory: h.entry.FreeMemory, Labels: h.labels,
+		ID: h.id, State: h.state(), Type: h.kind, Zone: h.zone, Cell: h.cell, StartedAt: h.entry.Started,
+		AvailableCores: h.entry.FreeCores, AvailableMemory: h.entry.FreeMemory, Labels: h.labels,
 	}
 }
 
@@ -83,7 +83,7 @@
 // listing takes in the list of hosts.
 func (c *Core) listing(l Listing) {
 	if l.Mode == forkhead.ListFailed {
-		c.tell(forkhead.Update{Mode: forkhead.ListFailed})
+		c.tell(forkhead.ListUpdate{Mode: forkhead.ListFailed})
 		return
 	}
 	if len(l.Hosts) > c.set.Limits.Hosts {
@@ -93,7 +93,7 @@
 	if c.listedAt == 0 {
 		c.listedAt = c.now
 	}
-	was := map[*host]forkhead.State{}
+	was := map[*host]forkhead.MachineState{}
 	for _, h := range c.hosts {
 		was[h] = h.state()
 	}
@@ -125,12 +125,12 @@
 		h.labels = c.labelsOf(h)
 		c.link(h, hostlink.Input{Kind: hostlink.Listed, Address: entry.Address})
 	}
-	update := forkhead.Update{Mode: l.Mode}
+	update := forkhead.ListUpdate{Mode: l.Mode}
 	if len(gone) > 0 {
-		c.tell(forkhead.Update{Mode: forkhead.ListDelta, Machines: gone})
+		c.tell(forkhead.ListUpdate{Mode: forkhead.ListDelta, Machines: gone})
 	}
 	for _, h := range c.sorted() {
-		if !seen[h] && h.restored && l.Mode == forkhead.ListFull {
+		if !seen[h] && h.restored && l.Mode == forkhead.ListSnapshot {
 			h.restored = false
 			c.departed(h)
 		}
@@ -152,7 +152,7 @@
 	}
 	c.tell(update)
 	c.forgetHosts()
-	if l.Mode == forkhead.ListFull && (c.keptAt == 0 || c.now >= c.keptAt+listEvery) {
+	if l.Mode == forkhead.ListSnapshot && (c.keptAt == 0 || c.now >= c.keptAt+listEvery) {
 		c.keptAt = c.now
 		c.keep(state.Listed{List: state.List{At: c.now, Hosts: l.Hosts}})
 	}
@@ -170,7 +170,7 @@
 	n, _ := c.ids.Number(name)
 	delete(c.byID, old)
 	gone := h.machine()
-	gone.ID, gone.State = old, forkhead.Gone
+	gone.ID, gone.State = old, forkhead.Removed
 	h.id = forkhead.MachineID(n)
 	c.byID[h.id] = h
 	c.log("two hosts have one number, %d; %s is %d from now on", old, name, n)
@@ -317,7 +317,7 @@
 		if t == nil {
 			return
 		}
-		c.input(t, attempt.Refusal(t.phase()), detail{reason: forkhead.Reason(f.Reason), report: report(f.Report)})
+		c.input(t, attempt.Refusal(t.phase()), detail{reason: forkhead.RejectReason(f.Reason), report: report(f.Report)})
 	case hostproto.Accepted:
 		if t := h.tries[f.Ref]; t != nil && !c.set.Module.BoundWhenRunning {
 			c.input(t, attempt.Accepted, detail{})
@@ -364,7 +364,7 @@
 	}
 	if t.phase() == attempt.Placed && !t.runs {
 		t.runs = true
-		c.tell(forkhead.Note{Task: t.ask.id, Attempt: t.number, Machine: t.machine, Kind: forkhead.NoteRuns})
+		c.tell(forkhead.Note{Task: t.ask.id, Attempt: t.number, Machine: t.machine, Kind: forkhead.NoteRunning})
 	}
 }
 
@@ -431,7 +431,7 @@
 	h.ready, h.spoken = true, true
 	if h.stale {
 		h.stale, h.since = false, 0
-		c.tell(forkhead.Update{Mode: forkhead.ListDelta, Machines: []forkhead.Machine{h.machine()}})
+		c.tell(forkhead.ListUpdate{Mode: forkhead.ListDelta, Machines: []forkhead.Machine{h.machine()}})
 	}
 	var refs []hostproto.Ref
 	for _, t := range h.sortedTries() {
@@ -474,7 +474,7 @@
 			h.since = c.now
 		}
 		if h.listed {
-			c.tell(forkhead.Update{Mode: forkhead.ListDelta, Machines: []forkhead.Machine{h.machine()}})
+			c.tell(forkhead.ListUpdate{Mode: forkhead.ListDelta, Machines: []forkhead.Machine{h.machine()}})
 		}
 	}
 }
@@ -525,11 +525,11 @@
 	}
 }
 
-func report(r *hostproto.Report) *forkhead.Report {
+func report(r *hostproto.Report) *forkhead.LoadReport {
 	if r == nil {
 		return nil
 	}
-	return &forkhead.Report{
-		Cores: float64(r.Cores), Memory: float64(r.Memory), Queue: float64(r.Queue), Util: float64(r.Util),
+	return &forkhead.LoadReport{
+		AvailableCores: float64(r.Cores), AvailableMemory: float64(r.Memory), Queue: float64(r.Queue), Utilization: float64(r.Util),
 	}
 }
--- a/internal/placing/core/labels.go
+++ b/internal/placing/core/labels.go
@@ -46,8 +46,8 @@
 }
 
 // nearPlaces are the attributes that are met where another service has a task.
-var nearPlaces = map[description.Attribute]forkhead.Place{
-	"near.machine": forkhead.OnMachine, "near.rack": forkhead.InCell, "near.zone": forkhead.InZone,
+var nearPlaces = map[description.Attribute]forkhead.Domain{
+	"near.machine": forkhead.MachineDomain, "near.rack": forkhead.CellDomain, "near.zone": forkhead.ZoneDomain,
 }
 
 // nearConstraints makes constraints of what a service has to be beside. The value is the other's
@@ -65,7 +65,7 @@
 }
 
 // isNear says whether a task of a service is placed in the host's place.
-func (c *Core) isNear(h *host, place forkhead.Place, service string) bool {
+func (c *Core) isNear(h *host, place forkhead.Domain, service string) bool {
 	key, err := strconv.ParseUint(service, 10, 64)
 	if err != nil {
 		return false
@@ -157,6 +157,6 @@
 		}
 	}
 	if len(changed) > 0 {
-		c.tell(forkhead.Update{Mode: forkhead.ListDelta, Machines: changed})
+		c.tell(forkhead.ListUpdate{Mode: forkhead.ListDelta, Machines: changed})
 	}
 }
--- a/internal/placing/core/projects.go
+++ b/internal/placing/core/projects.go
@@ -214,7 +214,7 @@
 		if h.state() != forkhead.Ready {
 			continue
 		}
-		if k := c.set.Module.Classes[class].Kind; k >= 0 && k != h.kind {
+		if k := c.set.Module.Classes[class].MachineType; k >= 0 && k != h.kind {
 			continue
 		}
 		good := true
--- a/internal/placing/core/restore.go
+++ b/internal/placing/core/restore.go
@@ -91,7 +91,7 @@
 		c.log("the list of hosts that was kept is %v old and is not used; at most %v is", age.Round(time.Second), saved.Old)
 		return
 	}
-	c.listing(Listing{Mode: forkhead.ListSaved, Hosts: l.Hosts, Stale: age < 0 || age > saved.Fresh})
+	c.listing(Listing{Mode: forkhead.ListCached, Hosts: l.Hosts, Stale: age < 0 || age > saved.Fresh})
 }
 
 func (c *Core) restoreSubmission(f *state.Followed) {
--- a/internal/placing/core/tasks.go
+++ b/internal/placing/core/tasks.go
@@ -101,7 +101,7 @@
 		wait = c.set.Classes[w.class].Wait
 	}
 	if len(w.spec.Preferences) > 0 && !w.relaxed {
-		wait = min(wait/4, c.set.Module.Classes[w.class].Aim+attempt.AskMargin) // the rest is for an ask without
+		wait = min(wait/4, c.set.Module.Classes[w.class].LatencyObjective+attempt.AskMargin) // the rest is for an ask without
 	}
 	wait = min(wait, w.owner.Until-c.now)
 	if w.blocked = c.mustWait(w, &wait); w.blocked {
@@ -113,12 +113,12 @@
 	}
 	k := c.newAsk(w)
 	k.Deadline = c.now + wait
-	k.task.Wait = wait
+	k.task.Timeout = wait
 	w.ask, w.state = k, asking
 	w.owner.Asks++
 	c.stat.Asks++
 	c.at(&timer{at: k.Deadline, kind: timerDeadline, ask: k})
-	c.tell(forkhead.Arrival{Task: k.task})
+	c.tell(forkhead.PlacementRequest{Task: k.task})
 }
 
 // mustWait says whether a task may not be asked for yet, because an attempt of an earlier ask, or
@@ -161,7 +161,7 @@
 	if c.listedAt == 0 {
 		return c.now + attempt.AskMargin
 	}
-	return c.listedAt + c.set.Module.OwnerWait
+	return c.listedAt + c.set.Module.OwnerBackoff
 }
 
 func (c *Core) heardAll() bool {
@@ -341,7 +341,7 @@
 		return
 	case d.result == forkhead.Reset:
 		cause := owner.Evicted
-		if d.reason == forkhead.SentAway {
+		if d.reason == forkhead.Dismissed {
 			cause = owner.Lost
 		}
 		c.over(w, t, cause)
--- a/internal/placing/guard/guard.go
+++ b/internal/placing/guard/guard.go
@@ -42,7 +42,7 @@
 // Host is what an offer's host looks like to this placer.
 type Host struct {
 	ID      attempt.Host
-	State   forkhead.State
+	State   forkhead.MachineState
 	Since   time.Duration // told that it drains or is gone
 	Kind    int
 	Zone    int
@@ -52,13 +52,13 @@
 }
 
 // Same says whether two hosts are in one place.
-func Same(p forkhead.Place, x, y *Host) bool {
+func Same(p forkhead.Domain, x, y *Host) bool {
 	switch p {
-	case forkhead.OnMachine:
+	case forkhead.MachineDomain:
 		return x.ID == y.ID
-	case forkhead.InCell:
+	case forkhead.CellDomain:
 		return x.Cell == y.Cell
-	case forkhead.InZone:
+	case forkhead.ZoneDomain:
 		return x.Zone == y.Zone
 	}
 	return true
@@ -66,7 +66,7 @@
 
 // Drained says whether nothing new may be sent to a host: it drains or is gone, and the grace since
 // that was told is over.
-func Drained(now time.Duration, s forkhead.State, since, grace time.Duration) bool {
+func Drained(now time.Duration, s forkhead.MachineState, since, grace time.Duration) bool {
 	return s != forkhead.Ready && now > since+grace
 }
 
@@ -84,7 +84,7 @@
 // MayOffer returns nil or the Veto. Others runs over the hosts of all live attempts of the
 // service at this placer.
 func MayOffer(now time.Duration, o *Offer) *Veto {
-	same := func(p forkhead.Place, x, y attempt.Host) bool {
+	same := func(p forkhead.Domain, x, y attempt.Host) bool {
 		hx, hy := o.Hosts(x), o.Hosts(y)
 		return hx != nil && hy != nil && Same(p, hx, hy)
 	}
@@ -98,10 +98,10 @@
 	if Drained(now, o.To.State, o.To.Since, o.Grace) {
 		return &Veto{Drain, fmt.Sprintf("told %v ago that the host drains or is gone", now-o.To.Since)}
 	}
-	if o.Class.Kind >= 0 && o.Class.Kind != o.To.Kind {
+	if o.Class.MachineType >= 0 && o.Class.MachineType != o.To.Kind {
 		return &Veto{Fit, "the host is of another kind than the class needs"}
 	}
-	if missing := o.Task.Needs &^ o.To.Labels; missing != 0 {
+	if missing := o.Task.RequiredLabels &^ o.To.Labels; missing != 0 {
 		return &Veto{Fit, "the host does not meet the task's constraints"}
 	}
 	return Crowded(o)
@@ -111,17 +111,17 @@
 // It is judged when the offer is chosen, and again when one that waited for its connection can be
 // written: tasks of an earlier life may have turned up meanwhile.
 func Crowded(o *Offer) *Veto {
-	limits := o.Task.Most
-	if o.Class.Spread != forkhead.Anywhere && (limits[o.Class.Spread] == 0 || o.Class.Most < limits[o.Class.Spread]) {
-		limits[o.Class.Spread] = o.Class.Most
+	limits := o.Task.SpreadLimits
+	if o.Class.SpreadDomain != forkhead.AnyDomain && (limits[o.Class.SpreadDomain] == 0 || o.Class.MaxPerDomain < limits[o.Class.SpreadDomain]) {
+		limits[o.Class.SpreadDomain] = o.Class.MaxPerDomain
 	}
 	for place, most := range limits {
-		if most == 0 || place == int(forkhead.Anywhere) {
+		if most == 0 || place == int(forkhead.AnyDomain) {
 			continue
 		}
 		n := 1
 		o.Others(func(h *Host) bool {
-			if Same(forkhead.Place(place), h, o.To) {
+			if Same(forkhead.Domain(place), h, o.To) {
 				n++
 			}
 			return true
--- a/internal/placing/node/bench_test.go
+++ b/internal/placing/node/bench_test.go
@@ -37,9 +37,9 @@
 	w := &world{t: t, now: time.Hour, seq: 1}
 	cfg := Config{
 		Settings: forkhead.Settings{
-			Placers: 2, Kinds: []forkhead.Kind{{Cores: 8, Memory: 8}}, MaxAttempts: 4, DrainGrace: 250 * time.Millisecond, MayWithdraw: true,
+			Placers: 2, MachineTypes: []forkhead.MachineType{{Cores: 8, Memory: 8}}, MaxAttempts: 4, DrainGrace: 250 * time.Millisecond, MayWithdraw: true,
 			Classes: []forkhead.Class{
-				{Effect: forkhead.Keyed, Window: 8 * time.Second, Kind: -1}, {Effect: forkhead.Unsafe, Kind: -1},
+				{Effect: forkhead.Keyed, DedupWindow: 8 * time.Second, MachineType: -1}, {Effect: forkhead.Unsafe, MachineType: -1},
 			},
 		},
 		Names: Names{Classes: []string{"keyed", "unsafe"}, Tenants: []string{"acme"}, Zones: []string{"z"}, Kinds: []string{"std"}},
@@ -59,7 +59,7 @@
 		return all
 	}
 	w.next = func(ev forkhead.Event) []forkhead.Action {
-		if a, ok := ev.(forkhead.Arrival); ok {
+		if a, ok := ev.(forkhead.PlacementRequest); ok {
 			return []forkhead.Action{forkhead.Offer{Task: a.Task.ID, Machine: 1}}
 		}
 		return nil
--- a/internal/placing/node/core.go
+++ b/internal/placing/node/core.go
@@ -165,7 +165,7 @@
 	case Changed:
 		c.changed(i.Change, i.Anew)
 	case Datagram:
-		c.event(forkhead.Told{From: i.From, Data: i.Data})
+		c.event(forkhead.Received{From: i.From, Data: i.Data})
 	case Stopping:
 		if c.stopAt == 0 {
 			c.stopAt = c.now
@@ -196,7 +196,7 @@
 	switch a := a.(type) {
 	case forkhead.Offer:
 		c.offer(a)
-	case forkhead.Refuse:
+	case forkhead.Reject:
 		c.answer(a.Task, true, a.RetryAfter)
 	case forkhead.Fail:
 		c.answer(a.Task, false, 0)
@@ -210,7 +210,7 @@
 		c.timers.Set(max(a.At, c.now+time.Microsecond), timer{id: a.Timer})
 	case forkhead.Probe:
 		c.probe(uint32(a.Machine))
-	case forkhead.Tell:
+	case forkhead.Gossip:
 		if len(a.Data) > platform.MostDatagram {
 			c.defect("a message of %d bytes for other placers is not sent", len(a.Data))
 			return
@@ -218,7 +218,7 @@
 		c.do(ToPlacer{To: a.To, Data: a.Data})
 	case forkhead.Subscribe: // the change log is always followed
 	case forkhead.Log:
-		c.logf("%s", a.Text)
+		c.logf("%s", a.Message)
 	}
 }
 
@@ -274,7 +274,7 @@
 		r.ask.Skip(c.now, attempt.Host(a.Machine))
 		r.tries = append(r.tries, nil)
 		c.event(forkhead.Outcome{
-			Task: r.id, Attempt: len(r.tries) - 1, Machine: a.Machine, Result: forkhead.Moot, Final: r.phase != open,
+			Task: r.id, Attempt: len(r.tries) - 1, Machine: a.Machine, Result: forkhead.NotSent, Final: r.phase != open,
 		})
 	}
 	if r.phase != open || h == nil || h.address == "" {
@@ -330,7 +330,7 @@
 	r := t.req
 	if r.phase != open || r.ask.MayWrite(c.now, t.number) != nil || c.crowded(t) ||
 		guard.Drained(c.now, t.host.entry.State, t.host.since, c.set.DrainGrace) {
-		c.outcome(t, attempt.CalledOff, forkhead.Moot, forkhead.NoReason, r.phase != open, nil)
+		c.outcome(t, attempt.CalledOff, forkhead.NotSent, forkhead.NoReason, r.phase != open, nil)
 		return
 	}
 	left := max((r.ask.Deadline - c.now).Milliseconds(), 1)
@@ -343,7 +343,7 @@
 }
 
 // outcome ends an attempt and tells the module.
-func (c *Core) outcome(t *try, in attempt.Input, result forkhead.Result, why forkhead.Reason, final bool, report *forkhead.Report) {
+func (c *Core) outcome(t *try, in attempt.Input, result forkhead.Result, why forkhead.RejectReason, final bool, report *forkhead.LoadReport) {
 	r := t.req
 	if p := t.phase(); !p.Live() {
 		return
@@ -459,14 +459,14 @@
 	c.rule()
 	if r.phase == open && c.now >= r.ask.Deadline {
 		c.defect("task %d has no answer at its deadline", id)
-		c.event(forkhead.OwnerLeft{Task: id})
+		c.event(forkhead.RequestCanceled{Task: id})
 		c.answer(id, false, 0)
 	}
 }
 
 // leave takes back a request for its owner.
 func (c *Core) leave(r *request) {
-	c.event(forkhead.OwnerLeft{Task: r.id})
+	c.event(forkhead.RequestCanceled{Task: r.id})
 	c.close(r, over)
 	r.ask.End(false)
 	c.giveUpAll(r, forkhead.Withdrawn, true)
@@ -510,7 +510,7 @@
 }
 
 // finish ends a standing task by its host's word, or by what proves that it is over.
-func (c *Core) finish(t *try, cause int, why forkhead.Reason, report *forkhead.Report) {
+func (c *Core) finish(t *try, cause int, why forkhead.RejectReason, report *forkhead.LoadReport) {
 	r := t.req
 	result := forkhead.Reset
 	switch {
--- a/internal/placing/node/crossings_test.go
+++ b/internal/placing/node/crossings_test.go
@@ -56,13 +56,13 @@
 		t.Errorf("%d of 10 are turned down, %d are waited for", refused, w.c.waited)
 	}
 	w.next = func(ev forkhead.Event) []forkhead.Action {
-		if a, ok := ev.(forkhead.Arrival); ok {
+		if a, ok := ev.(forkhead.PlacementRequest); ok {
 			return []forkhead.Action{forkhead.Offer{Task: a.Task.ID, Machine: 1000}}
 		}
 		return nil
 	}
 	w.say(o, setUp(ref2, "unsafe", ""))
-	if len(only[Dial](w.out)) > 0 || told[forkhead.Outcome](w)[0].Result != forkhead.Moot {
+	if len(only[Dial](w.out)) > 0 || told[forkhead.Outcome](w)[0].Result != forkhead.NotSent {
 		t.Error("an offer goes to a host that is not listed")
 	}
 }
@@ -124,7 +124,7 @@
 	o := w.owner()
 	w.next = func(ev forkhead.Event) []forkhead.Action {
 		switch ev := ev.(type) {
-		case forkhead.Arrival:
+		case forkhead.PlacementRequest:
 			return []forkhead.Action{forkhead.Offer{Task: ev.Task.ID, Machine: 1}}
 		case forkhead.TimerFired:
 			return []forkhead.Action{forkhead.Withdraw{Task: 1, Attempt: 0}}
@@ -185,8 +185,8 @@
 				if ev.Final {
 					return nil
 				}
-				if ev.Result == forkhead.Full || ev.Result == forkhead.TimedOut {
-					return []forkhead.Action{forkhead.Refuse{Task: ev.Task}}
+				if ev.Result == forkhead.Rejected || ev.Result == forkhead.TimedOut {
+					return []forkhead.Action{forkhead.Reject{Task: ev.Task}}
 				}
 				return []forkhead.Action{forkhead.Fail{Task: ev.Task}}
 			}
@@ -348,7 +348,7 @@
 func TestHandedOverWhileAnOfferWaits(t *testing.T) {
 	for most, want := range map[int]int{1: 0, 2: 1} {
 		w := newWorld(t, func(cfg *Config) {
-			cfg.Settings.Classes[0].Spread, cfg.Settings.Classes[0].Most = forkhead.OnMachine, most
+			cfg.Settings.Classes[0].SpreadDomain, cfg.Settings.Classes[0].MaxPerDomain = forkhead.MachineDomain, most
 		})
 		o := w.owner()
 		w.say(o, setUp(ref1, "keyed", ""))
@@ -360,7 +360,7 @@
 				n++
 			}
 		}
-		if got := told[forkhead.Outcome](w); n != want || want == 0 && (len(got) != 1 || got[0].Result != forkhead.Moot) {
+		if got := told[forkhead.Outcome](w); n != want || want == 0 && (len(got) != 1 || got[0].Result != forkhead.NotSent) {
 			t.Errorf("at most %d: %d offers are sent, outcomes %+v", most, n, got)
 		}
 	}
--- a/internal/placing/node/hosts.go
+++ b/internal/placing/node/hosts.go
@@ -237,7 +237,7 @@
 		h.redialAt = c.now + restFirst
 		for _, t := range l.waiting {
 			t.link = nil
-			c.outcome(t, attempt.CalledOff, forkhead.Moot, forkhead.NoReason, false, nil)
+			c.outcome(t, attempt.CalledOff, forkhead.NotSent, forkhead.NoReason, false, nil)
 		}
 		return
 	}
@@ -464,9 +464,9 @@
 	c.overtook(t)
 	switch m.Cause {
 	case platform.CauseFull:
-		c.outcome(t, attempt.Declined, forkhead.Full, why, false, report)
+		c.outcome(t, attempt.Declined, forkhead.Rejected, why, false, report)
 	case platform.CauseMoot:
-		c.outcome(t, attempt.Declined, forkhead.Moot, why, false, report)
+		c.outcome(t, attempt.Declined, forkhead.NotSent, why, false, report)
 	case platform.CauseFailed:
 		c.outcome(t, attempt.Ended, forkhead.Errored, why, false, report)
 	default:
@@ -479,12 +479,12 @@
 }
 
 // stood are the reasons for which only a task that stands ends.
-var stood = map[forkhead.Reason]bool{forkhead.Evicted: true, forkhead.PushedOut: true, forkhead.SentAway: true}
+var stood = map[forkhead.RejectReason]bool{forkhead.Evicted: true, forkhead.Preempted: true, forkhead.Dismissed: true}
 
 // overUnanswered ends a request whose task stood at its host and is over, though the host's answer has not come: by notes on
 // it, or by why it ended. What has stood and is over is released towards its owner within a second, so it is not offered
 // once more. It guards against an answer that is late and comes behind its own release.
-func (c *Core) overUnanswered(t *try, why forkhead.Reason, report *forkhead.Report) {
+func (c *Core) overUnanswered(t *try, why forkhead.RejectReason, report *forkhead.LoadReport) {
 	r := t.req
 	c.outcome(t, attempt.Ended, forkhead.Reset, why, true, report)
 	r.ask.End(false)
@@ -493,16 +493,16 @@
 }
 
 var notes = map[string]forkhead.NoteKind{
-	"running": forkhead.NoteRuns, "use_cpu": forkhead.NoteCores, "use_ram": forkhead.NoteMemory, "health": forkhead.NoteServed,
-	"ram_high": forkhead.NotePressure,
+	"running": forkhead.NoteRunning, "use_cpu": forkhead.NoteCoresUsed, "use_ram": forkhead.NoteMemoryUsed, "health": forkhead.NoteServiceLevel,
+	"ram_high": forkhead.NoteMemoryPressure,
 }
 
-var reasons = map[string]forkhead.Reason{
-	"lack_cpu": forkhead.NoCores, "lack_ram": forkhead.NoMemory, "backlog": forkhead.LineFull, "unfit": forkhead.NotHere,
-	"killed": forkhead.Evicted, "displaced": forkhead.PushedOut, "dismissed": forkhead.SentAway,
+var reasons = map[string]forkhead.RejectReason{
+	"lack_cpu": forkhead.InsufficientCores, "lack_ram": forkhead.InsufficientMemory, "backlog": forkhead.QueueFull, "unfit": forkhead.Unsuitable,
+	"killed": forkhead.Evicted, "displaced": forkhead.Preempted, "dismissed": forkhead.Dismissed,
 }
 
-func reason(m *platform.Message) forkhead.Reason {
+func reason(m *platform.Message) forkhead.RejectReason {
 	word, _ := m.Text("note")
 	return reasons[word]
 }
@@ -513,7 +513,7 @@
 	kind, ok := notes[word]
 	value, _ := m.Text("value")
 	amount, err := strconv.ParseFloat(value, 64)
-	if !ok || err != nil && kind != forkhead.NoteRuns {
+	if !ok || err != nil && kind != forkhead.NoteRunning {
 		return
 	}
 	c.event(forkhead.Note{
@@ -522,7 +522,7 @@
 }
 
 // report reads a load report; nil: there is none.
-func (c *Core) report(m *platform.Message) *forkhead.Report {
+func (c *Core) report(m *platform.Message) *forkhead.LoadReport {
 	text, _ := m.Text("load")
 	if text == "" {
 		return nil
@@ -599,7 +599,7 @@
 	return fmt.Sprintf("%016x", 0x7e57<<48|c.lastTest)
 }
 
-func (c *Core) probed(h *host, result forkhead.Result, report *forkhead.Report) {
+func (c *Core) probed(h *host, result forkhead.Result, report *forkhead.LoadReport) {
 	took := c.now - h.probe.at
 	h.probe = nil
 	for _, l := range h.links {
@@ -623,7 +623,7 @@
 	for _, h := range c.sorted() {
 		all = append(all, h.entry)
 	}
-	c.event(forkhead.Update{Mode: forkhead.ListSaved, Machines: all})
+	c.event(forkhead.ListUpdate{Mode: forkhead.ListCached, Machines: all})
 }
 
 // sorted lists the hosts by number. It must not be changed; what is added or forgotten makes it anew.
@@ -645,13 +645,13 @@
 	}
 	mode := forkhead.ListDelta
 	if ch.Fleet.Whole {
-		mode = forkhead.ListFull
+		mode = forkhead.ListSnapshot
 	}
-	c.event(forkhead.Update{Mode: mode, Machines: c.fold(ch.Fleet)})
+	c.event(forkhead.ListUpdate{Mode: mode, Machines: c.fold(ch.Fleet)})
 }
 
-var states = map[string]forkhead.State{
-	platform.InService: forkhead.Ready, platform.Terminating: forkhead.Draining, platform.Terminated: forkhead.Gone,
+var states = map[string]forkhead.MachineState{
+	platform.InService: forkhead.Ready, platform.Terminating: forkhead.Draining, platform.Terminated: forkhead.Removed,
 }
 
 // fold takes a list, or what has changed of it, and returns the entries for the module.
@@ -667,7 +667,7 @@
 		if len(c.cfg.Names.Zones) == 1 {
 			zone = 0
 		}
-		if !ok || !known || (kind < 0 || zone < 0) && state != forkhead.Gone {
+		if !ok || !known || (kind < 0 || zone < 0) && state != forkhead.Removed {
 			c.logf("the change log lists %q, which cannot be used", info.Name)
 			continue
 		}
@@ -678,20 +678,20 @@
 			c.hosts[number], c.order = h, nil
 		}
 		e := forkhead.Machine{
-			ID: forkhead.MachineID(number), State: state, Kind: max(kind, 0), Zone: max(zone, 0),
-			Cell: info.Block, Started: time.Duration(info.Born * float64(time.Millisecond)),
+			ID: forkhead.MachineID(number), State: state, Type: max(kind, 0), Zone: max(zone, 0),
+			Cell: info.Block, StartedAt: time.Duration(info.Born * float64(time.Millisecond)),
 		}
 		if len(info.Free) >= 2 {
-			e.FreeCores, e.FreeMemory = info.Free[0], info.Free[1]
+			e.AvailableCores, e.AvailableMemory = info.Free[0], info.Free[1]
 		}
 		c.entry(h, e, info.Dial)
 		entries = append(entries, h.entry)
 	}
 	if f.Whole {
 		for _, h := range c.sorted() {
-			if !listed[h.number] && h.entry.State != forkhead.Gone && h.awaited == 0 {
+			if !listed[h.number] && h.entry.State != forkhead.Removed && h.awaited == 0 {
 				e := h.entry
-				e.State = forkhead.Gone
+				e.State = forkhead.Removed
 				c.entry(h, e, h.address)
 			}
 		}
@@ -721,22 +721,22 @@
 	if e.State != forkhead.Ready && (h.entry.State == forkhead.Ready || h.since == 0) {
 		h.since = c.now
 	}
-	if e.State == forkhead.Gone && h.entry.State != forkhead.Gone {
+	if e.State == forkhead.Removed && h.entry.State != forkhead.Removed {
 		h.goneAt = c.now
 	}
-	if e.Started > h.entry.Started && h.address != "" {
+	if e.StartedAt > h.entry.StartedAt && h.address != "" {
 		// It is up anew: what stood there before is over.
-		for _, t := range h.triesThat(func(t *try) bool { return t.stands() && t.at < e.Started }) {
+		for _, t := range h.triesThat(func(t *try) bool { return t.stands() && t.at < e.StartedAt }) {
 			c.finish(t, platform.CauseReset, forkhead.NoReason, nil)
 		}
 		h.rest, h.redialAt, h.refusals = 0, 0, 0
 	}
-	if address != "" && address != h.address || e.State == forkhead.Gone {
+	if address != "" && address != h.address || e.State == forkhead.Removed {
 		for _, l := range slices.Clone(h.links) {
 			switch {
 			case l.open && l.out == 0:
 				c.retire(l)
-			case e.State != forkhead.Gone:
+			case e.State != forkhead.Removed:
 				c.cut(l)
 			}
 		}
@@ -746,7 +746,7 @@
 	}
 	h.entry = e
 	h.seenAs = guard.Host{
-		ID: attempt.Host(h.number), State: e.State, Since: h.since, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Started: e.Started,
+		ID: attempt.Host(h.number), State: e.State, Since: h.since, Kind: e.Type, Zone: e.Zone, Cell: e.Cell, Started: e.StartedAt,
 	}
 }
 
@@ -821,7 +821,7 @@
 		}
 		return
 	}
-	if h.entry.State == forkhead.Gone {
+	if h.entry.State == forkhead.Removed {
 		if c.now > h.goneAt+goneAfter {
 			c.lose(h, "the change log says that it is gone")
 			if c.now > h.goneAt+forgetHost && len(h.tries) == 0 && len(h.links) == 0 {
--- a/internal/placing/node/node_test.go
+++ b/internal/placing/node/node_test.go
@@ -27,8 +27,8 @@
 	if f["tenant"] != nil || f["extras"] != nil {
 		t.Error("the host is told what is for the placer")
 	}
-	a := told[forkhead.Arrival](w)[0].Task
-	if a.Cores != 1 || a.Memory != 2 || a.Service != 0xb4d65521 || a.Key != 0x7f3a9c21e0b4d655 || a.Wait != 1500*time.Millisecond || a.Again {
+	a := told[forkhead.PlacementRequest](w)[0].Task
+	if a.Cores != 1 || a.Memory != 2 || a.Service != 0xb4d65521 || a.Key != 0x7f3a9c21e0b4d655 || a.Timeout != 1500*time.Millisecond || a.Resubmitted {
 		t.Errorf("the module is told %+v", a)
 	}
 	w.now += 30 * time.Millisecond
@@ -59,11 +59,11 @@
 		do     func(w *world, link uint64)
 		result forkhead.Result
 		final  bool
-		reason forkhead.Reason
+		reason forkhead.RejectReason
 	}{
-		"refused":         {out, release(34, `"note":"lack_ram","load":"x0:1.5;queue:3"`), forkhead.Full, false, forkhead.NoMemory},
+		"refused":         {out, release(34, `"note":"lack_ram","load":"x0:1.5;queue:3"`), forkhead.Rejected, false, forkhead.InsufficientMemory},
 		"error":           {out, release(47, ""), forkhead.Errored, false, 0},
-		"moot":            {out, release(102, ""), forkhead.Moot, false, 0},
+		"moot":            {out, release(102, ""), forkhead.NotSent, false, 0},
 		"reset":           {out, release(41, ""), forkhead.Reset, false, 0},
 		"another cause":   {out, release(7, ""), forkhead.Reset, false, 0},
 		"connection ends": {out, func(w *world, link uint64) { w.step(LinkGone{link}) }, forkhead.Reset, false, 0},
@@ -112,7 +112,7 @@
 			if len(got) != 1 || got[0].Result != c.result || got[0].Final != c.final || got[0].Reason != c.reason || got[0].Attempt != 0 {
 				t.Fatalf("outcomes %+v, want one with result %d, final %v, reason %d", got, c.result, c.final, c.reason)
 			}
-			if name == "refused" && (got[0].Report == nil || got[0].Report.Cores != 1.5 || got[0].Report.Queue != 3) {
+			if name == "refused" && (got[0].Report == nil || got[0].Report.AvailableCores != 1.5 || got[0].Report.Queue != 3) {
 				t.Errorf("report %+v", got[0].Report)
 			}
 		})
@@ -136,7 +136,7 @@
 		if got := w.step(Dialled{dial.Link}); len(lines[ToHost](got)) != 0 {
 			t.Errorf("%s: %q is sent all the same", name, lines[ToHost](got))
 		}
-		if got := told[forkhead.Outcome](w); len(got) != 1 || got[0].Result != forkhead.Moot && got[0].Result != forkhead.Withdrawn {
+		if got := told[forkhead.Outcome](w); len(got) != 1 || got[0].Result != forkhead.NotSent && got[0].Result != forkhead.Withdrawn {
 			t.Errorf("%s: outcomes %+v", name, got)
 		}
 	}
@@ -147,8 +147,8 @@
 	w := newWorld(t, nil)
 	o := w.owner()
 	w.next = func(ev forkhead.Event) []forkhead.Action {
-		if a, ok := ev.(forkhead.Arrival); ok {
-			return []forkhead.Action{forkhead.Refuse{Task: a.Task.ID, RetryAfter: 300 * time.Millisecond}}
+		if a, ok := ev.(forkhead.PlacementRequest); ok {
+			return []forkhead.Action{forkhead.Reject{Task: a.Task.ID, RetryAfter: 300 * time.Millisecond}}
 		}
 		return nil
 	}
@@ -158,7 +158,7 @@
 		t.Errorf("wait is %s", wait)
 	}
 	w.next = func(ev forkhead.Event) []forkhead.Action {
-		if a, ok := ev.(forkhead.Arrival); ok {
+		if a, ok := ev.(forkhead.PlacementRequest); ok {
 			return []forkhead.Action{forkhead.Fail{Task: a.Task.ID}}
 		}
 		return nil
@@ -174,7 +174,7 @@
 	out := w.dials()
 	w.next = func(ev forkhead.Event) []forkhead.Action {
 		if x, ok := ev.(forkhead.Outcome); ok && x.Attempt == 0 {
-			return []forkhead.Action{forkhead.Offer{Task: x.Task, Machine: 2}, forkhead.Refuse{Task: x.Task}}
+			return []forkhead.Action{forkhead.Offer{Task: x.Task, Machine: 2}, forkhead.Reject{Task: x.Task}}
 		}
 		return nil
 	}
@@ -303,7 +303,7 @@
 		usual := w.owner()
 		w.say(usual, setUp(ref2, "keyed", ""))
 		o := w.owner()
-		told[forkhead.Arrival](w)
+		told[forkhead.PlacementRequest](w)
 		out := w.say(o, c.line)
 		if c.closes != (len(only[CloseOwner](out)) == 1) {
 			t.Errorf("%s: outputs %v, closed should be %v", name, out, c.closes)
@@ -311,7 +311,7 @@
 		if !c.closes {
 			w.want(lines[ToOwner](out), "down "+ref1+" 47")
 		}
-		if len(told[forkhead.Arrival](w)) > 0 || w.c.open != 1 || w.c.refs[ref2] == nil {
+		if len(told[forkhead.PlacementRequest](w)) > 0 || w.c.open != 1 || w.c.refs[ref2] == nil {
 			t.Errorf("%s: the module is told of it, or the request beside it is gone", name)
 		}
 	}
@@ -329,7 +329,7 @@
 	}
 	w.say(second, setUp(ref1, "keyed", ""))
 	w.step(OwnerGone{first})
-	if len(told[forkhead.Arrival](w)) != 1 || len(told[forkhead.OwnerLeft](w)) != 0 {
+	if len(told[forkhead.PlacementRequest](w)) != 1 || len(told[forkhead.RequestCanceled](w)) != 0 {
 		t.Fatal("the same again is not one request")
 	}
 	out = w.say(second, strings.Replace(setUp(ref1, "keyed", ""), `a\ud800`, "other", 1))
@@ -440,7 +440,7 @@
 func TestProbe(t *testing.T) {
 	w := newWorld(t, nil)
 	w.next = func(ev forkhead.Event) []forkhead.Action {
-		if _, ok := ev.(forkhead.Told); ok {
+		if _, ok := ev.(forkhead.Received); ok {
 			return []forkhead.Action{forkhead.Probe{Machine: 1}}
 		}
 		return nil
@@ -460,7 +460,7 @@
 	}
 	ref := strings.Fields(again[0])[1]
 	w.step(HostData{w.c.hosts[1].links[1].id, []byte(`{"t":"hb_ok","ref":"` + ref + `","f":{"load":"x0:2"},"c":1}` + "\n")})
-	if got := told[forkhead.Probed](w); len(got) != 1 || got[0].Result != forkhead.OK || got[0].Report.Cores != 2 {
+	if got := told[forkhead.Probed](w); len(got) != 1 || got[0].Result != forkhead.OK || got[0].Report.AvailableCores != 2 {
 		t.Errorf("probed %+v", got)
 	}
 	w.step(Datagram{1, nil})
@@ -473,11 +473,11 @@
 // An event of the change log counts once.
 func TestChangesCountOnce(t *testing.T) {
 	w := newWorld(t, nil)
-	told[forkhead.Update](w)
+	told[forkhead.ListUpdate](w)
 	ch := platform.Change{Seq: 2, Fleet: &platform.Fleet{Hosts: []platform.HostInfo{hostInfo(3, platform.InService)}}}
 	w.step(Changed{Change: ch}, Changed{Change: ch})
 	w.step(Changed{Change: platform.Change{Seq: 1, Fleet: ch.Fleet}})
-	if got := told[forkhead.Update](w); len(got) != 1 || got[0].Mode != forkhead.ListDelta || got[0].Machines[0].ID != 3 {
+	if got := told[forkhead.ListUpdate](w); len(got) != 1 || got[0].Mode != forkhead.ListDelta || got[0].Machines[0].ID != 3 {
 		t.Errorf("updates %+v", got)
 	}
 }
--- a/internal/placing/node/owners.go
+++ b/internal/placing/node/owners.go
@@ -104,7 +104,7 @@
 // hangUp closes a connection. Its open requests, of which there should be none, are failed first.
 func (c *Core) hangUp(o *owner) {
 	for _, r := range c.openOf(o) {
-		c.event(forkhead.OwnerLeft{Task: r.id})
+		c.event(forkhead.RequestCanceled{Task: r.id})
 		c.giveUpAll(r, forkhead.Withdrawn, true)
 		c.answer(r.id, false, 0)
 	}
@@ -298,7 +298,7 @@
 	c.open++
 	o.open[r] = struct{}{}
 	c.timers.Set(r.ask.Deadline, timer{id: uint64(r.id), deadline: true})
-	c.event(forkhead.Arrival{Task: r.task})
+	c.event(forkhead.PlacementRequest{Task: r.task})
 }
 
 func (c *Core) request(o *owner, m *platform.Message, task forkhead.Task, digest uint64) *request {
@@ -308,9 +308,9 @@
 	r := &request{id: task.ID, ref: m.Ref, owner: o.id, task: task, class: class, digest: digest}
 	r.ask = attempt.Ask{
 		Rules: attempt.Rules{
-			Effect: class.Effect, Group: class.Group, Window: class.Window, Most: c.set.MaxAttempts, Parallel: c.set.ParallelAttempts,
+			Effect: class.Effect, Group: class.DedupDomain, Window: class.DedupWindow, Most: c.set.MaxAttempts, Parallel: c.set.ParallelAttempts,
 		},
-		Deadline: c.now + task.Wait,
+		Deadline: c.now + task.Timeout,
 	}
 	c.tasks[r.id], c.refs[r.ref] = r, r
 	return r
@@ -329,7 +329,7 @@
 		return
 	}
 	over, cause := c.early(h, m.Ref)
-	if h.entry.State == forkhead.Gone && c.now > h.goneAt+goneAfter {
+	if h.entry.State == forkhead.Removed && c.now > h.goneAt+goneAfter {
 		over, cause = true, platform.CauseReset
 	}
 	if over {
@@ -393,7 +393,7 @@
 		case "service":
 			t.Service, good = hex(value)
 		case "again":
-			t.Again = value != "0"
+			t.Resubmitted = value != "0"
 		case "at":
 			at, good = value, value != ""
 		}
@@ -412,10 +412,10 @@
 	case !good || ms < 1 || ms > float64(mostWait/time.Millisecond):
 		return t, "", false
 	}
-	t.Wait = time.Duration(ms * float64(time.Millisecond))
+	t.Timeout = time.Duration(ms * float64(time.Millisecond))
 	if hint, told := m.Text("hint"); told {
 		if ms, good := figure(hint); good && ms <= 1e12 {
-			t.Life = time.Duration(ms * float64(time.Millisecond))
+			t.RemainingLifetime = time.Duration(ms * float64(time.Millisecond))
 		}
 	}
 	return t, at, true
--- a/internal/placing/node/room_test.go
+++ b/internal/placing/node/room_test.go
@@ -56,7 +56,7 @@
 	w := newWorld(t, nil)
 	w.say(w.owner(), setUp(ref1, "keyed", ""))
 	w.step(DialFailed{Link: only[Dial](w.out)[0].Link, Ours: true})
-	if got := told[forkhead.Outcome](w); len(got) != 1 || got[0].Result != forkhead.Moot {
+	if got := told[forkhead.Outcome](w); len(got) != 1 || got[0].Result != forkhead.NotSent {
 		t.Errorf("outcomes %+v, want one that was not sent", got)
 	}
 }
@@ -77,7 +77,7 @@
 	})
 	next := 0
 	w.next = func(ev forkhead.Event) []forkhead.Action {
-		if a, ok := ev.(forkhead.Arrival); ok {
+		if a, ok := ev.(forkhead.PlacementRequest); ok {
 			next++
 			return []forkhead.Action{forkhead.Offer{Task: a.Task.ID, Machine: forkhead.MachineID(next%hosts + 1)}}
 		}
--- a/internal/placing/state/golden_test.go
+++ b/internal/placing/state/golden_test.go
@@ -77,7 +77,7 @@
 		state.Settled{Ref: ref},
 		state.Began{Epoch: 11},
 		state.Listed{List: state.List{At: time.Hour, Hosts: []catalogue.Host{{
-			Name: "h", Address: "10.0.0.1:1", Kind: "k", Zone: "z", Rack: "r", State: forkhead.Gone, Started: time.Minute,
+			Name: "h", Address: "10.0.0.1:1", Kind: "k", Zone: "z", Rack: "r", State: forkhead.Removed, Started: time.Minute,
 			FreeCores: 1.5, FreeMemory: 2.5, Attributes: map[description.Attribute]string{"os": "linux"},
 		}}}},
 	}
@@ -120,7 +120,7 @@
 		"completed":      {uint8(description.Completed), 2},
 		"draining":       {uint8(forkhead.Draining), 0},
 		"ready":          {uint8(forkhead.Ready), 1},
-		"gone":           {uint8(forkhead.Gone), 2},
+		"gone":           {uint8(forkhead.Removed), 2},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s is stored as %d; want %d", name, c.got, c.want)
--- a/internal/planning/plan/plan.go
+++ b/internal/planning/plan/plan.go
@@ -166,7 +166,7 @@
 		at[h.ID] = i
 		in.Hosts = append(in.Hosts, solve.Host{
 			ID: h.ID, Zone: h.Zone, Rack: h.Rack, Cost: h.Cost, Closed: h.State == "draining" || h.State == "gone",
-			Cores: int64(math.Floor(h.Cores*m.AcceptCores*1000 + 1e-6)), Memory: int64(math.Floor(h.Memory*m.AcceptMemory*1024 + 1e-6)),
+			Cores: int64(math.Floor(h.Cores*m.CoresOvercommit*1000 + 1e-6)), Memory: int64(math.Floor(h.Memory*m.MemoryOvercommit*1024 + 1e-6)),
 		})
 	}
 	in.Home, in.Cross = q.Home, q.Cross
@@ -185,8 +185,8 @@
 				Name: spec.Name, Count: spec.Replicas, Where: spec.Pos.String(),
 				Cores: int64(math.Ceil(spec.Cores*1000 - 1e-6)), Memory: int64(math.Ceil(spec.Memory*1024 - 1e-6)),
 			}
-			if it.class.Kind >= 0 {
-				it.kind = q.Settings.Kinds[it.class.Kind]
+			if it.class.MachineType >= 0 {
+				it.kind = q.Settings.Kinds[it.class.MachineType]
 			}
 			fits := 0
 			may, all := make([]bool, len(q.Hosts)), true
@@ -218,8 +218,8 @@
 			for _, l := range spec.Limits {
 				limit(&s, l.Place, l.Most)
 			}
-			if it.class.Spread != forkhead.Anywhere {
-				limit(&s, [...]string{"", "machine", "rack", "zone"}[it.class.Spread], it.class.Most)
+			if it.class.SpreadDomain != forkhead.AnyDomain {
+				limit(&s, [...]string{"", "machine", "rack", "zone"}[it.class.SpreadDomain], it.class.MaxPerDomain)
 			}
 			if q.Running != nil {
 				s.Runs = make([]int, len(q.Hosts))
--- a/internal/protocol/catalogue/catalogue.go
+++ b/internal/protocol/catalogue/catalogue.go
@@ -24,7 +24,7 @@
 	Kind       string
 	Zone       string
 	Rack       string
-	State      forkhead.State
+	State      forkhead.MachineState
 	Started    time.Duration // since the epoch of the clock; 0: long past
 	FreeCores  float64
 	FreeMemory float64                          // GiB
@@ -174,7 +174,7 @@
 
 // state says whether a host may be offered tasks: one in maintenance drains, and so does one
 // whose checks are critical, until the catalogue drops it.
-func state(checks []Check) forkhead.State {
+func state(checks []Check) forkhead.MachineState {
 	for _, c := range checks {
 		if c.Status == "critical" {
 			return forkhead.Draining
--- a/internal/proving/badday/badday_test.go
+++ b/internal/proving/badday/badday_test.go
@@ -87,7 +87,7 @@
 		var seen []forkhead.MachineID
 		return func(now time.Duration, events []forkhead.Event) []forkhead.Action {
 			for _, ev := range events {
-				if u, ok := ev.(forkhead.Update); ok {
+				if u, ok := ev.(forkhead.ListUpdate); ok {
 					for _, m := range u.Machines {
 						seen = append(seen, m.ID)
 					}
@@ -99,7 +99,7 @@
 				switch a := a.(type) {
 				case forkhead.Offer:
 					out = append(out, forkhead.Offer{Task: a.Task, Machine: seen[rng.IntN(len(seen))]})
-				case forkhead.Refuse:
+				case forkhead.Reject:
 					out = append(out, forkhead.Fail{Task: a.Task})
 				}
 			}
--- a/internal/proving/badday/rogue.go
+++ b/internal/proving/badday/rogue.go
@@ -77,9 +77,9 @@
 			p.sleep(500 * time.Millisecond)
 		}
 	case script.PlantSpread:
-		class := p.classWith(func(i int) bool { return p.s.Settings.Module.Classes[i].Spread != forkhead.Anywhere })
+		class := p.classWith(func(i int) bool { return p.s.Settings.Module.Classes[i].SpreadDomain != forkhead.AnyDomain })
 		i, _ := p.s.Settings.Class(class)
-		for n := range p.s.Settings.Module.Classes[i].Most + 1 {
+		for n := range p.s.Settings.Module.Classes[i].MaxPerDomain + 1 {
 			if err := g.offer(hosts[0], class, uint64(100+n), 99); err != nil {
 				return err
 			}
--- a/internal/proving/explore/machines.go
+++ b/internal/proving/explore/machines.go
@@ -20,7 +20,7 @@
 	link      func(l *hostlink.Link, in hostlink.Input) hostlink.Output
 	side      func(hostside.State, hostside.Input) (hostside.State, hostside.Reply)
 	greet     func(last hostside.Session, epoch uint64, conn uint32) hostside.Verdict
-	drained   func(now time.Duration, s forkhead.State, since, grace time.Duration) bool
+	drained   func(now time.Duration, s forkhead.MachineState, since, grace time.Duration) bool
 	refusal   func(attempt.Phase) attempt.Input
 	adopts    func(wanted, out bool) bool
 	waits     func(r *attempt.Rules, heardAll, waited bool) bool
@@ -37,7 +37,7 @@
 	recheckNot bool // a drain told between choosing and writing is not looked for again
 }
 
-func same(forkhead.Place, attempt.Host, attempt.Host) bool { return true }
+func same(forkhead.Domain, attempt.Host, attempt.Host) bool { return true }
 
 var linkPolicy = hostlink.Policy{Connect: time.Second, First: time.Second, Most: time.Second}
 
--- a/internal/proving/explore/replay.go
+++ b/internal/proving/explore/replay.go
@@ -141,7 +141,7 @@
 		if r.core == nil {
 			break
 		}
-		if a, ok := ev.(forkhead.Arrival); ok {
+		if a, ok := ev.(forkhead.PlacementRequest); ok {
 			for i := range r.tasks {
 				if a.Task.Service == description.ServiceKey("", project(i), "s") {
 					r.tasks[i].ask = a.Task.ID
@@ -157,7 +157,7 @@
 func project(task int) string { return fmt.Sprintf("t%d", task) }
 
 func (r *replayer) listing() core.Listing {
-	l := core.Listing{Mode: forkhead.ListFull}
+	l := core.Listing{Mode: forkhead.ListSnapshot}
 	for _, h := range r.hosts {
 		e := core.HostEntry{Name: h.name, Address: h.name, Kind: "k", Zone: "a", Rack: h.name, State: forkhead.Ready, FreeCores: 100, FreeMemory: 100}
 		if h.drains {
@@ -323,7 +323,7 @@
 	case scan("task %d on host %d counts as lost", &ti, &hi):
 		r.advance(r.set.Links.LostAfter + time.Second)
 	case scan("hosts forget the key of task %d", &ti):
-		r.advance(r.set.Module.Classes[1].Window)
+		r.advance(r.set.Module.Classes[1].DedupWindow)
 	case scan("task %d is asked for", &ti):
 		return r.ask(ti)
 	case scan("the owner of task %d gives up", &ti):
@@ -331,7 +331,7 @@
 	case scan("module offers task %d to host %d", &ti, &hi):
 		r.act(forkhead.Offer{Task: r.tasks[ti].ask, Machine: forkhead.MachineID(ids.FNV(r.hosts[hi].name, 0))})
 	case scan("module refuses task %d", &ti):
-		r.act(append(r.withdraws(ti), forkhead.Refuse{Task: r.tasks[ti].ask})...)
+		r.act(append(r.withdraws(ti), forkhead.Reject{Task: r.tasks[ti].ask})...)
 	case scan("module fails task %d", &ti):
 		r.act(append(r.withdraws(ti), forkhead.Fail{Task: r.tasks[ti].ask})...)
 	case scan("module withdraws task %d", &ti):
--- a/internal/proving/lives/sim.go
+++ b/internal/proving/lives/sim.go
@@ -137,7 +137,7 @@
 	Config standin.Config
 	Life   *standin.Host
 	Listed bool
-	State  forkhead.State
+	State  forkhead.MachineState
 	Mute   bool // no frame gets through either way, without a reset
 	lives  uint64
 	conns  map[uint32]bool
@@ -450,7 +450,7 @@
 		return
 	}
 	var l core.Listing
-	l.Mode = forkhead.ListFull
+	l.Mode = forkhead.ListSnapshot
 	for _, name := range s.Names {
 		h := s.Hosts[name]
 		if !h.Listed {
--- a/internal/proving/nodelives/ends.go
+++ b/internal/proving/nodelives/ends.go
@@ -328,7 +328,7 @@
 		}
 	case node.ToPlacer:
 		for _, other := range w.placers {
-			if other != p && (o.To == forkhead.Everyone || o.To == other.n) && !w.odds(5) {
+			if other != p && (o.To == forkhead.AllPlacers || o.To == other.n) && !w.odds(5) {
 				w.at(w.delay(), func() { other.step(node.Datagram{From: p.n, Data: bytes.Clone(o.Data)}) })
 			}
 		}
@@ -370,9 +370,9 @@
 		switch {
 		case class.Effect == forkhead.Unsafe:
 			w.breach("no repeat: %s may have run", a.ref)
-		case class.Effect == forkhead.Keyed && !w.same(class.Group, t.host, c.host):
+		case class.Effect == forkhead.Keyed && !w.same(class.DedupDomain, t.host, c.host):
 			w.breach("no repeat: %s may have run in another group", a.ref)
-		case class.Effect == forkhead.Keyed && first && w.now > t.at+class.Window+slack:
+		case class.Effect == forkhead.Keyed && first && w.now > t.at+class.DedupWindow+slack:
 			w.breach("no repeat: %s may have run %v ago", a.ref, w.now-t.at)
 		}
 		first = false
@@ -380,20 +380,20 @@
 	if told := p.told[uint32(c.host.n)]; told.state != platform.InService && w.now > told.at+w.Settings.DrainGrace+slack {
 		w.breach("drain: an offer to %s, told %s %v ago", c.host.name(), told.state, w.now-told.at)
 	}
-	if class.Spread != forkhead.Anywhere {
+	if class.SpreadDomain != forkhead.AnyDomain {
 		n := 1
 		for _, other := range w.asks {
 			if other.p != p || other.life != a.life || other.service != a.service || other.class != a.class || other.final != "" || other.left || w.now < other.counts {
 				continue
 			}
 			for _, t := range other.attempts {
-				if !t.over && !t.never && w.same(class.Spread, t.host, c.host) && !(t.cutAt > 0 && w.now >= t.cutAt+time.Second) {
+				if !t.over && !t.never && w.same(class.SpreadDomain, t.host, c.host) && !(t.cutAt > 0 && w.now >= t.cutAt+time.Second) {
 					n++
 				}
 			}
 		}
-		if n > class.Most {
-			w.breach("spread: number %d of service %d of at most %d", n, a.service, class.Most)
+		if n > class.MaxPerDomain {
+			w.breach("spread: number %d of service %d of at most %d", n, a.service, class.MaxPerDomain)
 		}
 	}
 	t := &attempt{ask: a, host: c.host, conn: c, at: w.now}
@@ -401,13 +401,13 @@
 	c.open = append(c.open, t)
 }
 
-func (w *world) same(place forkhead.Place, a, b *host) bool {
+func (w *world) same(place forkhead.Domain, a, b *host) bool {
 	switch place {
-	case forkhead.OnMachine:
+	case forkhead.MachineDomain:
 		return a == b
-	case forkhead.InCell:
+	case forkhead.CellDomain:
 		return a.n/3 == b.n/3
-	case forkhead.InZone:
+	case forkhead.ZoneDomain:
 		return a.zone() == b.zone()
 	}
 	return true
@@ -458,7 +458,7 @@
 			w.report.Refused++
 			class := &w.Settings.Classes[a.class]
 			for _, t := range a.attempts {
-				if !t.never && (class.Effect == forkhead.Unsafe || class.Effect == forkhead.Keyed && class.Group != forkhead.Anywhere) {
+				if !t.never && (class.Effect == forkhead.Unsafe || class.Effect == forkhead.Keyed && class.DedupDomain != forkhead.AnyDomain) {
 					w.breach("no repeat: %s is refused and may have run", a.ref)
 				}
 			}
@@ -493,11 +493,11 @@
 func (h *host) judgeCold() {
 	w := h.w
 	w.report.ColdOffers += len(h.cold)
-	bound := w.Settings.ColdOffers + 2*math.Sqrt(w.Settings.ColdOffers) + 2
+	bound := w.Settings.SlowStartMaxOffers + 2*math.Sqrt(w.Settings.SlowStartMaxOffers) + 2
 	for i, at := range h.cold {
-		first, _ := slices.BinarySearch(h.cold, at-w.Settings.ColdWindow+1)
+		first, _ := slices.BinarySearch(h.cold, at-w.Settings.SlowStartWindow+1)
 		if n := float64(i - first + 1); n > bound {
-			w.breach("cold: %v offers to %s in a window that bears %v", n, h.name(), w.Settings.ColdOffers)
+			w.breach("cold: %v offers to %s in a window that bears %v", n, h.name(), w.Settings.SlowStartMaxOffers)
 			return
 		}
 	}
--- a/internal/proving/nodelives/hosts.go
+++ b/internal/proving/nodelives/hosts.go
@@ -36,7 +36,7 @@
 func (h *host) zone() string { return h.w.Names.Zones[h.n%len(h.w.Names.Zones)] }
 
 func (h *host) info(state string) platform.HostInfo {
-	free := h.w.Settings.Kinds[h.kind]
+	free := h.w.Settings.MachineTypes[h.kind]
 	return platform.HostInfo{
 		Name: h.name(), Dial: fmt.Sprintf("10.0.%d.%d:1", h.n, h.serial), Site: h.zone(), Class: h.w.Names.Kinds[h.kind], Block: h.n / 3,
 		State: state, Born: float64(h.born.Milliseconds()), Free: []float64{free.Cores, free.Memory},
@@ -258,7 +258,7 @@
 		}
 		h.end(t, platform.CauseMoved, true)
 	case platform.New:
-		if w.now < h.born+w.Settings.ColdFor && h.born > 0 {
+		if w.now < h.born+w.Settings.SlowStartDuration && h.born > 0 {
 			h.cold = append(h.cold, w.now)
 		}
 		var t *attempt
--- a/internal/proving/nodelives/play_test.go
+++ b/internal/proving/nodelives/play_test.go
@@ -33,35 +33,35 @@
 	}
 	for i := range num("kinds", 1, 2) {
 		l.Names.Kinds = append(l.Names.Kinds, fmt.Sprintf("kind\"%d", i))
-		l.Settings.Kinds = append(l.Settings.Kinds, forkhead.Kind{Cores: float64(num("cores", 2, 40)), Memory: float64(num("memory", 2, 40))})
+		l.Settings.MachineTypes = append(l.Settings.MachineTypes, forkhead.MachineType{Cores: float64(num("cores", 2, 40)), Memory: float64(num("memory", 2, 40))})
 	}
 	for i := range num("tenants", 0, 3) {
 		l.Names.Tenants = append(l.Names.Tenants, fmt.Sprintf("tenant %d", i))
-		l.Settings.Tenants = append(l.Settings.Tenants, forkhead.Tenant{Share: 0.3, Cores: float64(num("quota", 0, 50))})
+		l.Settings.Tenants = append(l.Settings.Tenants, forkhead.Tenant{Quota: 0.3, QuotaCores: float64(num("quota", 0, 50))})
 	}
 	for i := range num("classes", 1, 4) {
 		l.Names.Classes = append(l.Names.Classes, strings.Repeat("class ", 1+i*4)+fmt.Sprint(i))
 		c := forkhead.Class{
-			Effect: rapid.SampledFrom([]forkhead.Effect{forkhead.Safe, forkhead.Keyed, forkhead.Unsafe}).Draw(t, "effect"),
-			Group:  rapid.SampledFrom([]forkhead.Place{forkhead.Anywhere, forkhead.InZone, forkhead.InCell}).Draw(t, "group"),
-			Window: ms("window", 200, 8000), Aim: ms("aim", 50, 2000), Worth: float64(num("worth", 0, 9)), Kind: num("kind", -1, len(l.Names.Kinds)-1),
-			Calm: float64(num("calm, percent", 10, 100)) / 100, Fade: float64(num("fade, percent", 0, 100)) / 100, Priority: num("priority", 0, 3),
-			Spread: rapid.SampledFrom([]forkhead.Place{forkhead.Anywhere, forkhead.OnMachine, forkhead.InCell, forkhead.InZone}).Draw(t, "spread"),
-			Most:   num("most", 1, 4),
+			Effect:      rapid.SampledFrom([]forkhead.Effect{forkhead.Safe, forkhead.Keyed, forkhead.Unsafe}).Draw(t, "effect"),
+			DedupDomain: rapid.SampledFrom([]forkhead.Domain{forkhead.AnyDomain, forkhead.ZoneDomain, forkhead.CellDomain}).Draw(t, "group"),
+			DedupWindow: ms("window", 200, 8000), LatencyObjective: ms("aim", 50, 2000), Weight: float64(num("worth", 0, 9)), MachineType: num("kind", -1, len(l.Names.Kinds)-1),
+			SaturationThreshold: float64(num("calm, percent", 10, 100)) / 100, DegradationRange: float64(num("fade, percent", 0, 100)) / 100, Priority: num("priority", 0, 3),
+			SpreadDomain: rapid.SampledFrom([]forkhead.Domain{forkhead.AnyDomain, forkhead.MachineDomain, forkhead.CellDomain, forkhead.ZoneDomain}).Draw(t, "spread"),
+			MaxPerDomain: num("most", 1, 4),
 		}
 		l.Settings.Classes = append(l.Settings.Classes, c)
 	}
 	s := &l.Settings
 	s.MeanCores, s.MeanMemory = 1, 1
-	s.AcceptCores, s.AcceptMemory = 1+float64(num("accepts cores, percent more", 0, 150))/100, 1+float64(num("accepts memory, percent more", 0, 50))/100
-	s.BoundWhenRunning, s.ServicesStick, s.Preempts = flag("bound when running"), flag("services stick"), flag("preempts")
-	s.ListsFree, s.ListPushed, s.ReportsInAnswers = flag("lists free"), flag("list pushed"), flag("reports in answers")
+	s.CoresOvercommit, s.MemoryOvercommit = 1+float64(num("accepts cores, percent more", 0, 150))/100, 1+float64(num("accepts memory, percent more", 0, 50))/100
+	s.BoundWhenRunning, s.ServiceAffinity, s.Preemption = flag("bound when running"), flag("services stick"), flag("preempts")
+	s.ListReportsAvailable, s.ListWatched, s.ReportsInOutcomes = flag("lists free"), flag("list pushed"), flag("reports in answers")
 	s.MaxAttempts = num("attempts", 1, 5)
-	s.MayWithdraw, s.MayProbe, s.MayTell = flag("may withdraw"), flag("may probe"), flag("may tell")
+	s.MayWithdraw, s.MayProbe, s.MayGossip = flag("may withdraw"), flag("may probe"), flag("may tell")
 	s.DrainGrace = ms("grace", 0, 2000)
 	s.ConnectTimeout = ms("connect time-out", 50, 500)
-	s.ColdFor, s.ColdWindow, s.ColdOffers = ms("cold for", 0, 6000), ms("cold window", 200, 2000), float64(num("cold offers", 0, 40))
-	s.MustAskWithin, s.OwnerWait = 10*time.Second, 3*time.Second
+	s.SlowStartDuration, s.SlowStartWindow, s.SlowStartMaxOffers = ms("cold for", 0, 6000), ms("cold window", 200, 2000), float64(num("cold offers", 0, 40))
+	s.MaxPollInterval, s.OwnerBackoff = 10*time.Second, 3*time.Second
 	return l
 }
 
@@ -93,14 +93,14 @@
 	l := Life{Placers: 3, Hosts: 6, Tasks: 150, Room: 100, Faults: 0.6, Seed: seed}
 	l.Names = node.Names{Zones: []string{"a", "b"}, Kinds: []string{"std"}, Classes: []string{"safe", "keyed", "unsafe"}}
 	l.Settings = forkhead.Settings{
-		Kinds: []forkhead.Kind{{Cores: 16, Memory: 16}}, MeanCores: 1, MeanMemory: 1, AcceptCores: 1, AcceptMemory: 1, ListPushed: true,
+		MachineTypes: []forkhead.MachineType{{Cores: 16, Memory: 16}}, MeanCores: 1, MeanMemory: 1, CoresOvercommit: 1, MemoryOvercommit: 1, ListWatched: true,
 		Classes: []forkhead.Class{
-			{Effect: forkhead.Safe, Kind: -1, Worth: 1, Aim: time.Second, Calm: 1},
-			{Effect: forkhead.Keyed, Window: 3 * time.Second, Kind: -1, Worth: 1, Aim: time.Second, Calm: 1, Spread: forkhead.InCell, Most: 2},
-			{Effect: forkhead.Unsafe, Kind: -1, Worth: 1, Aim: time.Second, Calm: 1},
+			{Effect: forkhead.Safe, MachineType: -1, Weight: 1, LatencyObjective: time.Second, SaturationThreshold: 1},
+			{Effect: forkhead.Keyed, DedupWindow: 3 * time.Second, MachineType: -1, Weight: 1, LatencyObjective: time.Second, SaturationThreshold: 1, SpreadDomain: forkhead.CellDomain, MaxPerDomain: 2},
+			{Effect: forkhead.Unsafe, MachineType: -1, Weight: 1, LatencyObjective: time.Second, SaturationThreshold: 1},
 		},
 		MaxAttempts: 4, MayWithdraw: true, MayProbe: true, DrainGrace: 250 * time.Millisecond, ConnectTimeout: 250 * time.Millisecond,
-		ColdFor: 3 * time.Second, ColdWindow: 500 * time.Millisecond, ColdOffers: 12, MustAskWithin: 10 * time.Second, OwnerWait: time.Second,
+		SlowStartDuration: 3 * time.Second, SlowStartWindow: 500 * time.Millisecond, SlowStartMaxOffers: 12, MaxPollInterval: 10 * time.Second, OwnerBackoff: time.Second,
 	}
 	return l
 }
--- a/internal/proving/rules/near.go
+++ b/internal/proving/rules/near.go
@@ -306,7 +306,7 @@
 	if class.Effect == forkhead.Keyed && first >= 0 && e.At > first+class.Window {
 		c.breach(guard.NoRepeat, e.At, "placer %d sent %s, keyed, to %s %v after it may have run", e.Placer, e.Name, e.Host, e.At-first)
 	}
-	if class.Spread == forkhead.Anywhere {
+	if class.Spread == forkhead.AnyDomain {
 		return
 	}
 	count := 0
--- a/internal/proving/rules/rules.go
+++ b/internal/proving/rules/rules.go
@@ -37,9 +37,9 @@
 // Class is what the rules need of a class.
 type Class struct {
 	Effect forkhead.Effect
-	Group  forkhead.Place
+	Group  forkhead.Domain
 	Window time.Duration
-	Spread forkhead.Place
+	Spread forkhead.Domain
 	Most   int
 }
 
@@ -48,11 +48,11 @@
 	m := &s.Module
 	f := Facts{
 		Classes: map[string]Class{}, Parallel: m.ParallelAttempts, Running: m.BoundWhenRunning, Grace: m.DrainGrace, LostAfter: s.Links.LostAfter,
-		OwnerWait: m.OwnerWait, ColdFor: m.ColdFor, ColdFrom: m.ColdFrom, ColdWindow: m.ColdWindow, ColdOffers: m.ColdOffers,
-		ColdPace: pace, Multiple: m.ColdMultiple, Transit: 200 * time.Millisecond, Late: time.Second,
+		OwnerWait: m.OwnerBackoff, ColdFor: m.SlowStartDuration, ColdFrom: m.SlowStartInitialPace, ColdWindow: m.SlowStartWindow, ColdOffers: m.SlowStartMaxOffers,
+		ColdPace: pace, Multiple: m.SlowStartOverload, Transit: 200 * time.Millisecond, Late: time.Second,
 	}
 	for i, c := range m.Classes {
-		f.Classes[s.Classes[i].Name] = Class{Effect: c.Effect, Group: c.Group, Window: c.Window, Spread: c.Spread, Most: c.Most}
+		f.Classes[s.Classes[i].Name] = Class{Effect: c.Effect, Group: c.DedupDomain, Window: c.DedupWindow, Spread: c.SpreadDomain, Most: c.MaxPerDomain}
 	}
 	return f
 }
@@ -480,13 +480,13 @@
 	return false
 }
 
-func (c *checker) same(p forkhead.Place, a, b string) bool {
+func (c *checker) same(p forkhead.Domain, a, b string) bool {
 	switch p {
-	case forkhead.OnMachine:
+	case forkhead.MachineDomain:
 		return a == b
-	case forkhead.InCell:
+	case forkhead.CellDomain:
 		return c.places[a].rack == c.places[b].rack
-	case forkhead.InZone:
+	case forkhead.ZoneDomain:
 		return c.places[a].zone == c.places[b].zone
 	}
 	return true
@@ -598,7 +598,7 @@
 func (c *checker) spread() {
 	for _, t := range c.order {
 		class := c.f.Classes[t.class]
-		if class.Spread == forkhead.Anywhere || t.near {
+		if class.Spread == forkhead.AnyDomain || t.near {
 			continue
 		}
 		n := 1
--- a/internal/proving/rules/rules_test.go
+++ b/internal/proving/rules/rules_test.go
@@ -12,9 +12,9 @@
 func facts() Facts {
 	return Facts{
 		Classes: map[string]Class{
-			"safe": {}, "unsafe": {Effect: forkhead.Unsafe}, "spread": {Spread: forkhead.InCell, Most: 1},
+			"safe": {}, "unsafe": {Effect: forkhead.Unsafe}, "spread": {Spread: forkhead.CellDomain, Most: 1},
 			"keyed":  {Effect: forkhead.Keyed, Window: 5 * time.Second},
-			"racked": {Effect: forkhead.Keyed, Group: forkhead.InCell, Window: 5 * time.Second},
+			"racked": {Effect: forkhead.Keyed, Group: forkhead.CellDomain, Window: 5 * time.Second},
 		},
 		Grace: 250 * time.Millisecond, LostAfter: 2 * time.Second, OwnerWait: 3 * time.Second, ColdFor: 5 * time.Second, ColdFrom: 0.2,
 		ColdWindow: time.Second, ColdOffers: 3, ColdPace: 1, Multiple: 2, Transit: 100 * time.Millisecond, Late: time.Second,
--- a/internal/proving/scene/scene.go
+++ b/internal/proving/scene/scene.go
@@ -151,15 +151,15 @@
 
 // HostConfig is what a host of a group is.
 func HostConfig(s *script.Script, g *script.Group, name, rack string) standin.Config {
-	kind := s.Settings.Module.Kinds[settings.Index(s.Settings.Kinds, g.Kind)]
+	kind := s.Settings.Module.MachineTypes[settings.Index(s.Settings.Kinds, g.Kind)]
 	m := &s.Settings.Module
 	cfg := standin.Default(name, g.Kind, g.Zone, rack, kind.Cores, kind.Memory)
 	cfg.Labels = g.Labels
-	cfg.AcceptCores, cfg.AcceptMemory, cfg.PushOut = m.AcceptCores, m.AcceptMemory, m.Preempts
+	cfg.AcceptCores, cfg.AcceptMemory, cfg.PushOut = m.CoresOvercommit, m.MemoryOvercommit, m.Preemption
 	h := &s.Host
 	cfg.Look, cfg.Line, cfg.Starts, cfg.Start, cfg.Absent, cfg.Keep = h.Look, h.Line, h.Starts, h.Start, h.Absent, h.Keep
 	cfg.Use, cfg.Swing, cfg.Notes = h.Use, h.Swing, h.Notes
-	cfg.ColdFor, cfg.ColdFrom, cfg.ColdWindow, cfg.ColdOffers, cfg.Multiple = m.ColdFor, m.ColdFrom, m.ColdWindow, m.ColdOffers, m.ColdMultiple
+	cfg.ColdFor, cfg.ColdFrom, cfg.ColdWindow, cfg.ColdOffers, cfg.Multiple = m.SlowStartDuration, m.SlowStartInitialPace, m.SlowStartWindow, m.SlowStartMaxOffers, m.SlowStartOverload
 	return cfg
 }
 
--- a/internal/proving/tape/golden_test.go
+++ b/internal/proving/tape/golden_test.go
@@ -103,7 +103,7 @@
 		core.ToHost{Host: "h", Conn: 2, Frame: hostproto.Probe{ID: 1}},
 		core.ToHost{Host: "h", Conn: 2, Frame: hostproto.Query{Refs: []hostproto.Ref{ref}}},
 		core.Subscribe{},
-		core.ToPlacer{To: forkhead.Everyone, Data: []byte("data")},
+		core.ToPlacer{To: forkhead.AllPlacers, Data: []byte("data")},
 		core.Taken{Request: 1, Submission: "s", Again: true},
 		core.Rejected{Request: 1, Status: 503, Title: "t", Detail: "d", RetryAfter: 2},
 		core.Grew{Submission: "s"},
@@ -147,7 +147,7 @@
 		FreeCores: 1.5, FreeMemory: 2.5, Attributes: map[description.Attribute]string{"os": "linux"},
 	}}
 	inputs := []core.Input{
-		core.Listing{Mode: forkhead.ListFull, Hosts: hosts, Stale: true},
+		core.Listing{Mode: forkhead.ListSnapshot, Hosts: hosts, Stale: true},
 		core.Dialled{Host: "h", Conn: 1},
 		core.Broke{Host: "h", Conn: 1, Why: "cut"},
 		core.Submit{Request: 1, Key: "key", Body: 2, What: what},
--- a/internal/reading/bootinfo/settings.go
+++ b/internal/reading/bootinfo/settings.go
@@ -31,37 +31,37 @@
 	s := forkhead.Settings{
 		Placers: in.Balancers, Self: in.Me, Zone: in.Zone,
 		MeanCores: f.UnitCores, MeanMemory: f.MeanMemory,
-		AcceptCores: f.AcceptsCores, AcceptMemory: f.MemBooking,
-		BoundWhenRunning: f.SaysYes == "running", ServicesStick: f.Sticks, Preempts: f.Displaces,
-		TellsUse: f.SaysUse, TellsPressure: f.PressureNotes, ListsFree: f.ListsFree,
-		ListPushed:       in.Discovery == "automatic",
-		ReportsInAnswers: in.LoadInfo.How == "answers",
-		ReportsInProbes:  in.LoadInfo.How == "probe" || in.LoadInfo.How == "answers",
-		ReportsAsked:     f.ReportCounts == "asked",
-		MaxAttempts:      in.Caps.MaxAttempts, ParallelAttempts: in.Caps.ParallelTries,
-		MayWithdraw: in.Caps.Cancel, MayProbe: in.Caps.Probing, MayTell: in.Caps.Peers,
-		OwnerWait: Duration(f.OwnerWait), MaxRetryAfter: Duration(in.Caps.MaxRetryAfter),
+		CoresOvercommit: f.AcceptsCores, MemoryOvercommit: f.MemBooking,
+		BoundWhenRunning: f.SaysYes == "running", ServiceAffinity: f.Sticks, Preemption: f.Displaces,
+		NotesReportUsage: f.SaysUse, NotesReportPressure: f.PressureNotes, ListReportsAvailable: f.ListsFree,
+		ListWatched:           in.Discovery == "automatic",
+		ReportsInOutcomes:     in.LoadInfo.How == "answers",
+		ReportsInProbes:       in.LoadInfo.How == "probe" || in.LoadInfo.How == "answers",
+		ReportsCountRequested: f.ReportCounts == "asked",
+		MaxAttempts:           in.Caps.MaxAttempts, ParallelAttempts: in.Caps.ParallelTries,
+		MayWithdraw: in.Caps.Cancel, MayProbe: in.Caps.Probing, MayGossip: in.Caps.Peers,
+		OwnerBackoff: Duration(f.OwnerWait), MaxRetryAfter: Duration(in.Caps.MaxRetryAfter),
 		ConnectTimeout: Duration(in.Caps.ConnectTimeout), AnswerSlack: Duration(in.Rules.AnswerSlack),
-		DrainGrace: Duration(in.Rules.StopSendingWithin), MustAskWithin: Duration(in.Rules.MustAskIn),
-		ColdFor: Duration(in.Rules.Cold), ColdWindow: Duration(in.Rules.Fall), ColdOffers: f.ColdSends,
-		ColdFrom: in.Rules.ColdFrom, ColdMultiple: in.Rules.FallMultiple,
-		OverShareWorth: in.OverShareWorth,
-		Prices: forkhead.Prices{
-			Machine: in.Deductions.Fleet, Move: in.Deductions.Moves, Evict: f.EvictCounts,
-			Refusal: f.RefusalFee, Zone: in.Deductions.CrossZone, Waste: in.Deductions.Waste,
-			Probe: in.Deductions.Probe, Tell: in.Deductions.Peer, List: in.Deductions.Discovery,
+		DrainGrace: Duration(in.Rules.StopSendingWithin), MaxPollInterval: Duration(in.Rules.MustAskIn),
+		SlowStartDuration: Duration(in.Rules.Cold), SlowStartWindow: Duration(in.Rules.Fall), SlowStartMaxOffers: f.ColdSends,
+		SlowStartInitialPace: in.Rules.ColdFrom, SlowStartOverload: in.Rules.FallMultiple,
+		OverQuotaWeight: in.OverShareWorth,
+		Costs: forkhead.Costs{
+			SurplusMachine: in.Deductions.Fleet, Migration: in.Deductions.Moves, EvictionMigrations: f.EvictCounts,
+			Rejection: f.RefusalFee, RemoteZone: in.Deductions.CrossZone, WastedWork: in.Deductions.Waste,
+			Probe: in.Deductions.Probe, Gossip: in.Deductions.Peer, ListEntries: in.Deductions.Discovery,
 		},
 	}
 	if len(f.KindCores) != len(f.MemoryByKind) {
 		return s, fmt.Errorf("settings: %d kinds have cores, %d memory", len(f.KindCores), len(f.MemoryByKind))
 	}
 	for i, cores := range f.KindCores {
-		s.Kinds = append(s.Kinds, forkhead.Kind{Cores: cores, Memory: f.MemoryByKind[i]})
+		s.MachineTypes = append(s.MachineTypes, forkhead.MachineType{Cores: cores, Memory: f.MemoryByKind[i]})
 	}
 	for i, t := range in.Tenants {
-		tenant := forkhead.Tenant{Share: t.Share}
+		tenant := forkhead.Tenant{Quota: t.Share}
 		if i < len(f.TenantQuotaCores) {
-			tenant.Cores = f.TenantQuotaCores[i]
+			tenant.QuotaCores = f.TenantQuotaCores[i]
 		}
 		s.Tenants = append(s.Tenants, tenant)
 	}
@@ -80,18 +80,18 @@
 	}
 	for i, c := range in.Classes {
 		class := forkhead.Class{
-			Window: Duration(c.MemorySpan), Aim: Duration(c.Aim), Worth: c.Points, LateWorth: c.LateWorth,
-			StartWorth: f.PromptStartS[i], Priority: f.ClassPriority[i], Kind: f.KindByClass[i],
-			Most: f.ClassMost[i], Calm: f.EasyUntil[i], Fade: f.ClassFade[i],
+			DedupWindow: Duration(c.MemorySpan), LatencyObjective: Duration(c.Aim), Weight: c.Points, LateWeight: c.LateWorth,
+			StartWeight: f.PromptStartS[i], Priority: f.ClassPriority[i], MachineType: f.KindByClass[i],
+			MaxPerDomain: f.ClassMost[i], SaturationThreshold: f.EasyUntil[i], DegradationRange: f.ClassFade[i],
 		}
 		var err error
 		if class.Effect, err = lookup("effect", effects, c.Effect); err != nil {
 			return err
 		}
-		if class.Group, err = lookup("group", places, c.Group); err != nil {
+		if class.DedupDomain, err = lookup("group", places, c.Group); err != nil {
 			return err
 		}
-		if class.Spread, err = lookup("classSpread", places, f.ClassSpread[i]); err != nil {
+		if class.SpreadDomain, err = lookup("classSpread", places, f.ClassSpread[i]); err != nil {
 			return err
 		}
 		s.Classes = append(s.Classes, class)
@@ -103,9 +103,9 @@
 	"retryable": forkhead.Safe, "dedup": forkhead.Keyed, "fragile": forkhead.Unsafe,
 }
 
-var places = map[string]forkhead.Place{
-	"": forkhead.Anywhere, "all": forkhead.Anywhere, "none": forkhead.Anywhere,
-	"machine": forkhead.OnMachine, "cell": forkhead.InCell, "zone": forkhead.InZone,
+var places = map[string]forkhead.Domain{
+	"": forkhead.AnyDomain, "all": forkhead.AnyDomain, "none": forkhead.AnyDomain,
+	"machine": forkhead.MachineDomain, "cell": forkhead.CellDomain, "zone": forkhead.ZoneDomain,
 }
 
 func lookup[T any](field string, table map[string]T, word string) (T, error) {
--- a/internal/reading/settings/settings.go
+++ b/internal/reading/settings/settings.go
@@ -169,15 +169,15 @@
 
 func (r *reader) defaults() {
 	r.s.Module = forkhead.Settings{
-		AcceptCores: 1, AcceptMemory: 1, BoundWhenRunning: false, ListsFree: true, ReportsAsked: true,
-		ReportsInAnswers: true, ReportsInProbes: true, TellsUse: true, TellsPressure: true,
-		MaxAttempts: 4, MayWithdraw: true, MayProbe: true, MayTell: true,
-		OwnerWait: 3 * time.Second, MaxRetryAfter: 3 * time.Second, ConnectTimeout: 250 * time.Millisecond,
-		AnswerSlack: 10 * time.Millisecond, DrainGrace: 250 * time.Millisecond, MustAskWithin: 10 * time.Second,
-		ColdFor: 10 * time.Second, ColdWindow: time.Second, ColdOffers: 20, ColdFrom: 0.2, ColdMultiple: 4,
-		OverShareWorth: 0.2,
-		Prices: forkhead.Prices{
-			Machine: 0.15, Move: 0.05, Evict: 2, Refusal: 0.02, Waste: 0.05, Probe: 0.003, Tell: 0.01, List: 0.004,
+		CoresOvercommit: 1, MemoryOvercommit: 1, BoundWhenRunning: false, ListReportsAvailable: true, ReportsCountRequested: true,
+		ReportsInOutcomes: true, ReportsInProbes: true, NotesReportUsage: true, NotesReportPressure: true,
+		MaxAttempts: 4, MayWithdraw: true, MayProbe: true, MayGossip: true,
+		OwnerBackoff: 3 * time.Second, MaxRetryAfter: 3 * time.Second, ConnectTimeout: 250 * time.Millisecond,
+		AnswerSlack: 10 * time.Millisecond, DrainGrace: 250 * time.Millisecond, MaxPollInterval: 10 * time.Second,
+		SlowStartDuration: 10 * time.Second, SlowStartWindow: time.Second, SlowStartMaxOffers: 20, SlowStartInitialPace: 0.2, SlowStartOverload: 4,
+		OverQuotaWeight: 0.2,
+		Costs: forkhead.Costs{
+			SurplusMachine: 0.15, Migration: 0.05, EvictionMigrations: 2, Rejection: 0.02, WastedWork: 0.05, Probe: 0.003, Gossip: 0.01, ListEntries: 0.004,
 		},
 	}
 	r.s.DefaultClass = 0
@@ -217,37 +217,37 @@
 		}),
 		"mean-cores":  sexp.Number(&m.MeanCores, 1e-3, 1e4),
 		"mean-memory": r.memory(&m.MeanMemory),
-		"accept":      r.group(map[string]sexp.Field{"cores": sexp.Number(&m.AcceptCores, 0.1, 10), "memory": sexp.Number(&m.AcceptMemory, 0.1, 10)}),
+		"accept":      r.group(map[string]sexp.Field{"cores": sexp.Number(&m.CoresOvercommit, 0.1, 10), "memory": sexp.Number(&m.MemoryOvercommit, 0.1, 10)}),
 		"bound":       sexp.Choice(&m.BoundWhenRunning, map[string]bool{"accepted": false, "running": true}),
-		"sticky":      sexp.Bool(&m.ServicesStick),
-		"push-out":    sexp.Bool(&m.Preempts),
+		"sticky":      sexp.Bool(&m.ServiceAffinity),
+		"push-out":    sexp.Bool(&m.Preemption),
 		"attempts":    sexp.Int(&m.MaxAttempts, 1, 100),
 		"withdraw":    sexp.Bool(&m.MayWithdraw),
 		"probe":       sexp.Bool(&m.MayProbe),
-		"tell":        sexp.Bool(&m.MayTell),
+		"tell":        sexp.Bool(&m.MayGossip),
 		"drain-grace": sexp.Duration(&m.DrainGrace, 0, time.Minute),
-		"list-within": sexp.Duration(&m.MustAskWithin, 100*time.Millisecond, time.Hour),
+		"list-within": sexp.Duration(&m.MaxPollInterval, 100*time.Millisecond, time.Hour),
 		"cold": r.group(map[string]sexp.Field{
-			"for":      sexp.Duration(&m.ColdFor, 0, time.Hour),
-			"window":   sexp.Duration(&m.ColdWindow, 0, time.Minute),
-			"offers":   sexp.Number(&m.ColdOffers, 0, 1e6),
-			"from":     sexp.Number(&m.ColdFrom, 0, 1),
-			"multiple": sexp.Number(&m.ColdMultiple, 0, 1000),
+			"for":      sexp.Duration(&m.SlowStartDuration, 0, time.Hour),
+			"window":   sexp.Duration(&m.SlowStartWindow, 0, time.Minute),
+			"offers":   sexp.Number(&m.SlowStartMaxOffers, 0, 1e6),
+			"from":     sexp.Number(&m.SlowStartInitialPace, 0, 1),
+			"multiple": sexp.Number(&m.SlowStartOverload, 0, 1000),
 		}),
-		"over-share-worth": sexp.Number(&m.OverShareWorth, 0, 1),
+		"over-share-worth": sexp.Number(&m.OverQuotaWeight, 0, 1),
 		"prices": r.group(map[string]sexp.Field{
-			"machine": sexp.Number(&m.Prices.Machine, 0, 10),
-			"move":    sexp.Number(&m.Prices.Move, 0, 10),
-			"evict":   sexp.Number(&m.Prices.Evict, 0, 100),
-			"refusal": sexp.Number(&m.Prices.Refusal, 0, 10),
-			"zone":    sexp.Number(&m.Prices.Zone, 0, 10),
-			"waste":   sexp.Number(&m.Prices.Waste, 0, 10),
-			"probe":   sexp.Number(&m.Prices.Probe, 0, 10),
-			"tell":    sexp.Number(&m.Prices.Tell, 0, 10),
-			"list":    sexp.Number(&m.Prices.List, 0, 10),
+			"machine": sexp.Number(&m.Costs.SurplusMachine, 0, 10),
+			"move":    sexp.Number(&m.Costs.Migration, 0, 10),
+			"evict":   sexp.Number(&m.Costs.EvictionMigrations, 0, 100),
+			"refusal": sexp.Number(&m.Costs.Rejection, 0, 10),
+			"zone":    sexp.Number(&m.Costs.RemoteZone, 0, 10),
+			"waste":   sexp.Number(&m.Costs.WastedWork, 0, 10),
+			"probe":   sexp.Number(&m.Costs.Probe, 0, 10),
+			"tell":    sexp.Number(&m.Costs.Gossip, 0, 10),
+			"list":    sexp.Number(&m.Costs.ListEntries, 0, 10),
 		}),
 		"owner": r.group(map[string]sexp.Field{
-			"wait":            sexp.Duration(&m.OwnerWait, 0, time.Hour),
+			"wait":            sexp.Duration(&m.OwnerBackoff, 0, time.Hour),
 			"max-retry-after": sexp.Duration(&m.MaxRetryAfter, 0, time.Hour),
 			"first":           sexp.Duration(&r.s.Owner.First, time.Millisecond, time.Hour),
 			"most":            sexp.Duration(&r.s.Owner.Most, time.Millisecond, long),
@@ -305,7 +305,7 @@
 		if kind < 0 {
 			r.errs.Add(source.Wantf(w.name.Pos, strings.Join(s.Kinds, ", "), "kind %q is not named", w.name.Atom))
 		}
-		s.Module.Classes[w.class].Kind = kind
+		s.Module.Classes[w.class].MachineType = kind
 	}
 	if defaultClass != nil {
 		i, ok := s.Class(defaultClass.Atom)
@@ -328,7 +328,7 @@
 	}
 	total := 0.0
 	for _, t := range s.Module.Tenants {
-		total += t.Share
+		total += t.Quota
 	}
 	if total > 1.001 {
 		r.errs.Add(source.Wantf(n.Pos, "at most 1", "the tenants' shares sum to %.3g", total))
@@ -417,7 +417,7 @@
 	if err != nil {
 		return err
 	}
-	k := forkhead.Kind{}
+	k := forkhead.MachineType{}
 	sexp.Fields(rest, map[string]sexp.Field{
 		"cores": sexp.Number(&k.Cores, 1e-3, 1e5), "memory": r.memory(&k.Memory),
 	}, nil, r.errs)
@@ -425,7 +425,7 @@
 		r.errs.Add(source.Wantf(n.Pos, "(cores N) and (memory N)", "kind %q lacks its cores or memory", name))
 	}
 	r.s.Kinds = append(r.s.Kinds, name)
-	r.s.Module.Kinds = append(r.s.Module.Kinds, k)
+	r.s.Module.MachineTypes = append(r.s.Module.MachineTypes, k)
 	return nil
 }
 
@@ -440,20 +440,20 @@
 	}
 	c := Class{Name: name, Wait: 5 * time.Second}
 	m := forkhead.Class{
-		Window: 8 * time.Second, Aim: time.Second, Worth: 1, LateWorth: 0.1, StartWorth: 10, Kind: -1,
-		Calm: 0.9, Fade: 0.2,
+		DedupWindow: 8 * time.Second, LatencyObjective: time.Second, Weight: 1, LateWeight: 0.1, StartWeight: 10, MachineType: -1,
+		SaturationThreshold: 0.9, DegradationRange: 0.2,
 	}
 	at := len(r.s.Classes)
 	sexp.Fields(rest, map[string]sexp.Field{
 		"effect":      sexp.Choice(&m.Effect, map[string]forkhead.Effect{"safe": forkhead.Safe, "keyed": forkhead.Keyed, "unsafe": forkhead.Unsafe}),
-		"group":       sexp.Choice(&m.Group, Places),
-		"window":      sexp.Duration(&m.Window, 0, time.Hour),
-		"aim":         sexp.Duration(&m.Aim, 0, time.Hour),
+		"group":       sexp.Choice(&m.DedupDomain, Places),
+		"window":      sexp.Duration(&m.DedupWindow, 0, time.Hour),
+		"aim":         sexp.Duration(&m.LatencyObjective, 0, time.Hour),
 		"wait":        sexp.Duration(&c.Wait, time.Millisecond, time.Hour),
 		"patience":    sexp.Duration(&c.Patience, time.Millisecond, long),
-		"worth":       sexp.Number(&m.Worth, 0, most),
-		"late-worth":  sexp.Number(&m.LateWorth, 0, 1),
-		"start-worth": sexp.Number(&m.StartWorth, 0, most),
+		"worth":       sexp.Number(&m.Weight, 0, most),
+		"late-worth":  sexp.Number(&m.LateWeight, 0, 1),
+		"start-worth": sexp.Number(&m.StartWeight, 0, most),
 		"priority":    sexp.Int(&m.Priority, 0, 3),
 		"kind": sexp.One(func(v *sexp.Node) error {
 			r.classKinds = append(r.classKinds, wantKind{at, v})
@@ -464,14 +464,14 @@
 			if len(f.Args()) != 2 {
 				return source.Wantf(f.Pos, "(spread machine|rack|zone MOST)", "spread has %d values", len(f.Args()))
 			}
-			if err := sexp.Choice(&m.Spread, Places)(&sexp.Node{Pos: f.Pos, List: true, Items: f.Items[:2]}); err != nil {
+			if err := sexp.Choice(&m.SpreadDomain, Places)(&sexp.Node{Pos: f.Pos, List: true, Items: f.Items[:2]}); err != nil {
 				return err
 			}
-			m.Most, err = f.Items[2].Int(1, 1e6)
+			m.MaxPerDomain, err = f.Items[2].Int(1, 1e6)
 			return err
 		},
-		"calm": sexp.Number(&m.Calm, 0.01, 10),
-		"fade": sexp.Number(&m.Fade, 0, 10),
+		"calm": sexp.Number(&m.SaturationThreshold, 0.01, 10),
+		"fade": sexp.Number(&m.DegradationRange, 0, 10),
 	}, nil, r.errs)
 	if c.Patience == 0 {
 		c.Patience = 2 * c.Wait
@@ -485,8 +485,8 @@
 }
 
 // Places are the words for sets of hosts, in settings and descriptions.
-var Places = map[string]forkhead.Place{
-	"anywhere": forkhead.Anywhere, "machine": forkhead.OnMachine, "rack": forkhead.InCell, "zone": forkhead.InZone,
+var Places = map[string]forkhead.Domain{
+	"anywhere": forkhead.AnyDomain, "machine": forkhead.MachineDomain, "rack": forkhead.CellDomain, "zone": forkhead.ZoneDomain,
 }
 
 func (r *reader) tenant(n *sexp.Node) error {
@@ -496,7 +496,7 @@
 	}
 	t := forkhead.Tenant{}
 	sexp.Fields(rest, map[string]sexp.Field{
-		"share": sexp.Number(&t.Share, 0, 1), "cores": sexp.Number(&t.Cores, 0, most),
+		"share": sexp.Number(&t.Quota, 0, 1), "cores": sexp.Number(&t.QuotaCores, 0, most),
 	}, nil, r.errs)
 	r.s.Tenants = append(r.s.Tenants, name)
 	r.s.Module.Tenants = append(r.s.Module.Tenants, t)
--- a/internal/reading/settings/settings_test.go
+++ b/internal/reading/settings/settings_test.go
@@ -19,8 +19,8 @@
 	}
 	m := s.For(1).Module
 	c := m.Classes[0]
-	if m.Self != 1 || m.Placers != 2 || m.Kinds[0].Memory != 0.5 || c.Effect != forkhead.Unsafe || c.Spread != forkhead.InCell ||
-		c.Most != 3 || c.Kind != 0 || m.Tenants[0].Cores != 9 || s.Limits.Tasks != 7 {
+	if m.Self != 1 || m.Placers != 2 || m.MachineTypes[0].Memory != 0.5 || c.Effect != forkhead.Unsafe || c.SpreadDomain != forkhead.CellDomain ||
+		c.MaxPerDomain != 3 || c.MachineType != 0 || m.Tenants[0].QuotaCores != 9 || s.Limits.Tasks != 7 {
 		t.Fatalf("%+v", s)
 	}
 	if s.Classes[0].Patience < s.Classes[0].Wait {
--- a/internal/running/noded/noded.go
+++ b/internal/running/noded/noded.go
@@ -478,7 +478,7 @@
 		return
 	}
 	to := s.all
-	if o.To != forkhead.Everyone {
+	if o.To != forkhead.AllPlacers {
 		if o.To < 0 || o.To >= len(s.peers) {
 			return
 		}
--- a/internal/running/placerd/judge.go
+++ b/internal/running/placerd/judge.go
@@ -28,9 +28,9 @@
 		if kind < 0 {
 			continue
 		}
-		k := s.set.Module.Kinds[kind]
+		k := s.set.Module.MachineTypes[kind]
 		state := "ready" // one that drains may be back before the owner gives up
-		if h.State == forkhead.Gone {
+		if h.State == forkhead.Removed {
 			state = "gone"
 		}
 		fleet = append(fleet, plan.Host{
--- a/internal/running/placerd/placerd.go
+++ b/internal/running/placerd/placerd.go
@@ -405,7 +405,7 @@
 				if len(skipped) > 0 {
 					s.log.Warn().Strs("entries", skipped).Msg("the catalogue lists hosts that cannot be used")
 				}
-				s.put(core.Listing{Mode: forkhead.ListFull, Hosts: hosts})
+				s.put(core.Listing{Mode: forkhead.ListSnapshot, Hosts: hosts})
 				s.remember(hosts)
 			}
 		})
@@ -430,7 +430,7 @@
 	self := s.set.Module.Self
 	p := append([]byte{byte(self), byte(self >> 8)}, o.Data...)
 	for i, addr := range s.peers {
-		if i != self && (o.To == forkhead.Everyone || o.To == i) {
+		if i != self && (o.To == forkhead.AllPlacers || o.To == i) {
 			_, _ = s.tell.WriteTo(p, addr) // a message may be lost
 		}
 	}
--- a/list_test.go
+++ b/list_test.go
@@ -15,37 +15,37 @@
 	first := b.offered(actions)
 	actions = b.step(Outcome{Task: id, Attempt: 0, Machine: first.Machine, Result: ConnectFailed})
 	gone := machines[0]
-	gone.State = Gone
-	b.step(Update{Mode: ListDelta, Machines: []Machine{gone}})
+	gone.State = Removed
+	b.step(ListUpdate{Mode: ListDelta, Machines: []Machine{gone}})
 	b.now += time.Minute
 	for _, s := range only[SetTimer](actions) {
 		b.step(TimerFired{Timer: s.Timer})
 	}
 	back := machines[0]
-	back.Started = b.now - time.Second
-	b.step(Update{Mode: ListDelta, Machines: []Machine{back}})
+	back.StartedAt = b.now - time.Second
+	b.step(ListUpdate{Mode: ListDelta, Machines: []Machine{back}})
 	_, actions = b.arrive(0, 8)
 	b.offered(actions)
 }
 
 func TestSubscriptionIsRenewedAfterFailures(t *testing.T) {
 	set := testSettings()
-	set.ListPushed = false
+	set.ListWatched = false
 	p, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now, logged := time.Hour, 0
-	actions := p.Step(now, []Event{Update{Mode: ListSaved}})
+	actions := p.Step(now, []Event{ListUpdate{Mode: ListCached}})
 	if len(only[Subscribe](actions)) != 1 {
 		t.Fatalf("want a subscription at the start, got %v", describe(actions))
 	}
 	for round := range 12 {
-		actions = p.Step(now, []Event{Update{Mode: ListFailed}})
+		actions = p.Step(now, []Event{ListUpdate{Mode: ListFailed}})
 		logged += len(only[Log](actions))
 		timers := only[SetTimer](actions)
-		if len(timers) != 1 || timers[0].At <= now || timers[0].At > now+set.MustAskWithin {
-			t.Fatalf("round %d: want one timer within %v, got %v", round, set.MustAskWithin, describe(actions))
+		if len(timers) != 1 || timers[0].At <= now || timers[0].At > now+set.MaxPollInterval {
+			t.Fatalf("round %d: want one timer within %v, got %v", round, set.MaxPollInterval, describe(actions))
 		}
 		now = timers[0].At
 		actions = p.Step(now, []Event{TimerFired{Timer: timers[0].Timer}})
@@ -85,15 +85,15 @@
 		t.Fatalf("want one probe, got %d", len(probes))
 	}
 	actions = b.step(Probed{Machine: first.Machine, Result: OK})
-	b.now += retryEvery
-	actions = append(actions, b.step(Update{Mode: ListDelta})...)
+	b.now += queueRetryInterval
+	actions = append(actions, b.step(ListUpdate{Mode: ListDelta})...)
 	b.offered(actions)
 }
 
 // Each failed call once left one more timer behind than it took: calls doubled until the day ended.
 func TestListCallsOfManyPlacersStaySpreadAndFew(t *testing.T) {
 	set := testSettings()
-	set.ListPushed, set.Placers = false, 470
+	set.ListWatched, set.Placers = false, 470
 	const busiest = 100 // calls a second of all placers together that a list service is taken to bear
 	perSecond := map[time.Duration]int{}
 	for self := range set.Placers {
@@ -103,7 +103,7 @@
 			t.Fatal(err)
 		}
 		now, end, timers, calls := time.Hour, time.Hour+30*time.Second, []SetTimer(nil), 0
-		events := []Event{Update{Mode: ListSaved}}
+		events := []Event{ListUpdate{Mode: ListCached}}
 		for now < end {
 			actions := p.Step(now, events)
 			timers = append(timers, only[SetTimer](actions)...)
@@ -112,7 +112,7 @@
 				calls++
 				perSecond[now.Truncate(time.Second)]++
 				now += 2 * time.Second
-				events = append(events, Update{Mode: ListFailed})
+				events = append(events, ListUpdate{Mode: ListFailed})
 				continue
 			}
 			slices.SortFunc(timers, func(a, b SetTimer) int { return cmp.Compare(a.At, b.At) })
--- a/move_test.go
+++ b/move_test.go
@@ -12,10 +12,10 @@
 		on := b.offered(actions).Machine
 		b.step(Bound{Task: id, Machine: on})
 		b.now += 5 * time.Second
-		if got := b.step(Note{Task: id, Machine: on, Kind: NoteServed, Amount: 0.95}); len(only[Stop](got)) > 0 {
+		if got := b.step(Note{Task: id, Machine: on, Kind: NoteServiceLevel, Amount: 0.95}); len(only[Stop](got)) > 0 {
 			t.Errorf("%d machines: moved a task that is served well", n)
 		}
-		got := b.step(Note{Task: id, Machine: on, Kind: NoteServed, Amount: 0.2})
+		got := b.step(Note{Task: id, Machine: on, Kind: NoteServiceLevel, Amount: 0.2})
 		if len(only[Stop](got)) != want {
 			t.Errorf("%d machines: want %d moves, got %v", n, want, describe(got))
 		}
@@ -25,7 +25,7 @@
 func TestHigherPriorityIsOfferedWhereLowerOnesGiveWay(t *testing.T) {
 	for _, preempts := range []bool{false, true} {
 		set := testSettings()
-		set.Preempts = preempts
+		set.Preemption = preempts
 		high := set.Classes[0]
 		high.Priority = 1
 		set.Classes = append(set.Classes, high)
@@ -35,14 +35,14 @@
 			b.step(Bound{Task: id, Machine: b.offered(actions).Machine})
 		}
 		b.now += 3 * time.Second
-		b.step(Update{Mode: ListDelta, Machines: []Machine{{ID: 1, State: Ready, FreeMemory: 10}}})
+		b.step(ListUpdate{Mode: ListDelta, Machines: []Machine{{ID: 1, State: Ready, AvailableMemory: 10}}})
 		if _, actions := b.arrive(0, 98); len(only[Offer](actions)) > 0 {
 			t.Error("a task of the same priority was offered to a full machine")
 		}
 		task := b.task(1, 99)
-		actions := b.step(Arrival{Task: task})
+		actions := b.step(PlacementRequest{Task: task})
 		b.now += 60 * time.Millisecond
-		actions = append(actions, b.step(Update{Mode: ListDelta})...)
+		actions = append(actions, b.step(ListUpdate{Mode: ListDelta})...)
 		if got := len(only[Offer](actions)); got != map[bool]int{false: 0, true: 1}[preempts] {
 			t.Errorf("preempts %v: %d offers of the higher priority to a full machine", preempts, got)
 		}
@@ -50,16 +50,16 @@
 }
 
 func TestNewsSurvivesItsForm(t *testing.T) {
-	var sent []news
+	var sent []capacityChange
 	for i := range 50 {
-		sent = append(sent, news{program: uint32(i), machine: MachineID(i * 3), cores: float64(i) / 4, memory: -1.5})
+		sent = append(sent, capacityChange{program: uint32(i), machine: MachineID(i * 3), cores: float64(i) / 4, memory: -1.5})
 	}
-	var got []news
-	for _, data := range packNews(sent) {
+	var got []capacityChange
+	for _, data := range encodeCapacityChanges(sent) {
 		if len(data) > 256 {
 			t.Errorf("a message of %d bytes, at most 256", len(data))
 		}
-		got = append(got, unpackNews(data)...)
+		got = append(got, decodeCapacityChanges(data)...)
 	}
 	if len(got) != len(sent) {
 		t.Fatalf("%d items of %d came through", len(got), len(sent))
@@ -69,7 +69,7 @@
 			t.Errorf("item %d: %+v became %+v", i, sent[i], got[i])
 		}
 	}
-	if items := unpackNews([]byte{1, 2, 3}); len(items) > 0 {
+	if items := decodeCapacityChanges([]byte{1, 2, 3}); len(items) > 0 {
 		t.Errorf("a cut message gave %v", items)
 	}
 }
--- /dev/null
+++ b/outliers.go
@@ -0,0 +1,85 @@
+package forkhead
+
+import "time"
+
+// Tuned values of outlier detection and health checks.
+const (
+	ejectionTime        = 10 * time.Second       // at most, for a class: the length of a short fault
+	minSuspectTime      = 500 * time.Millisecond // after a failed probe or connection, doubled at each one
+	maxSuspectTime      = 4 * time.Second
+	maxSuspectDoublings = 8
+)
+
+// reportOutlier counts an unanswered attempt of the class against a machine that answers otherwise, and
+// tells the others, who see too few tasks to find out alone. It guards against machines that fail at one
+// class for whatever reason, and may hurt where starts are slow for a while.
+func (p *Placer) reportOutlier(m *machine, class int) {
+	p.recordOutlierFailure(m, class)
+	cost := float64(p.settings.Placers-1) * outlierMessageFraction * p.settings.Costs.Gossip
+	if p.settings.MayGossip && p.settings.Placers > 1 && cost <= p.outlierGossipBudget {
+		p.outlierGossipBudget -= cost
+		p.emit(Gossip{To: AllPlacers, Data: encodeOutlier(m.ID, class)})
+	}
+}
+
+// reportErroredMachines counts against a machine that it returned an error for a task that another machine
+// has taken. A task that errs wherever it comes says nothing of machines, and whoever sends such tasks
+// shuts none of them out.
+func (p *Placer) reportErroredMachines(t *task) {
+	for _, a := range t.attempts {
+		if a.errored {
+			p.reportOutlier(a.machine, t.Class)
+		}
+	}
+}
+
+// recordOutlierFailure ejects the machine for the class for a while at the second failure with no start
+// between, ours or others'; jitter lets few placers try it first.
+func (p *Placer) recordOutlierFailure(m *machine, class int) {
+	if m.outliers == nil {
+		m.outliers = make([]outlierState, len(p.settings.Classes))
+	}
+	outlier := &m.outliers[class]
+	if outlier.failedAt > 0 && p.now < outlier.failedAt+ejectionTime {
+		outlier.ejectedUntil = p.now + p.jitter(ejectionTime)
+	}
+	outlier.failedAt = p.now
+}
+
+// isEjected says whether tasks of the class are kept off the machine for now.
+func (p *Placer) isEjected(m *machine, class int) bool {
+	return m.outliers != nil && p.now < m.outliers[class].ejectedUntil
+}
+
+// isHealthy says whether the machine is neither suspect nor ejected for the class.
+func (p *Placer) isHealthy(m *machine, class int) bool {
+	return p.now >= m.suspectUntil && m.failures == 0 && !p.isEjected(m, class)
+}
+
+// probe checks a machine. One that does not answer gets nothing new until it does.
+func (p *Placer) probe(m *machine) {
+	if p.settings.MayProbe && !m.probing && m.State != Removed {
+		m.probing = true
+		p.emit(Probe{Machine: m.ID})
+	}
+}
+
+// recordHealth takes what the result of an attempt or a probe says of the machine.
+func (p *Placer) recordHealth(m *machine, result Result) {
+	switch result {
+	case OK, Rejected:
+		p.markHealthy(m)
+	case ConnectFailed, TimedOut:
+		suspectTime := min(minSuspectTime<<min(m.failures, maxSuspectDoublings), maxSuspectTime)
+		m.suspectUntil = p.now + suspectTime
+		if p.settings.MayProbe {
+			m.failures++
+			p.setTimer(timerSuspect, uint32(m.ID), p.jitter(suspectTime+p.pollSpread()))
+		}
+	}
+}
+
+// markHealthy notes that the machine has answered.
+func (p *Placer) markHealthy(m *machine) {
+	m.failures, m.suspectUntil, m.answeredAt = 0, 0, p.now
+}
--- a/random_test.go
+++ b/random_test.go
@@ -43,7 +43,7 @@
 
 func (c *checker) event(now time.Duration, ev Event) {
 	switch ev := ev.(type) {
-	case Update:
+	case ListUpdate:
 		listed := map[MachineID]bool{}
 		for _, m := range ev.Machines {
 			listed[m.ID] = true
@@ -54,15 +54,15 @@
 				c.drained[m.ID] = now
 			}
 		}
-		if ev.Mode == ListFull || ev.Mode == ListSaved {
+		if ev.Mode == ListSnapshot || ev.Mode == ListCached {
 			for id := range c.machines {
 				if _, told := c.drained[id]; !listed[id] && !told {
 					c.drained[id] = now
 				}
 			}
 		}
-	case Arrival:
-		c.tasks[ev.Task.ID] = &seen{Task: ev.Task, due: now + ev.Task.Wait}
+	case PlacementRequest:
+		c.tasks[ev.Task.ID] = &seen{Task: ev.Task, due: now + ev.Task.Timeout}
 	case HandedOver:
 		c.tasks[ev.Task.ID] = &seen{Task: ev.Task, answers: 1, sent: []*try{{on: ev.Machine, at: now, bound: true}}}
 	case Bound:
@@ -73,11 +73,11 @@
 		t := c.tasks[ev.Task]
 		a := t.sent[ev.Attempt]
 		a.over = true
-		a.mayRun = ev.Result != Full && ev.Result != ConnectFailed && ev.Result != Moot
+		a.mayRun = ev.Result != Rejected && ev.Result != ConnectFailed && ev.Result != NotSent
 		if ev.Final && !a.bound && t.answers == 0 {
 			t.answers++
 		}
-	case OwnerLeft:
+	case RequestCanceled:
 		c.tasks[ev.Task].leftTold = true
 	}
 }
@@ -87,12 +87,12 @@
 	switch a := action.(type) {
 	case Offer:
 		return c.offer(now, a)
-	case Refuse:
+	case Reject:
 		t := c.tasks[a.Task]
 		t.answers++
 		class := c.set.Classes[t.Class]
 		for _, s := range t.sent {
-			if (s.mayRun || !s.over) && (class.Effect == Unsafe || class.Effect == Keyed && class.Group != Anywhere) {
+			if (s.mayRun || !s.over) && (class.Effect == Unsafe || class.Effect == Keyed && class.DedupDomain != AnyDomain) {
 				return "refused a task that may have run"
 			}
 		}
@@ -103,7 +103,7 @@
 			return "withdrew an attempt never made"
 		}
 	case Subscribe:
-		if c.set.ListPushed {
+		if c.set.ListWatched {
 			return "asked a list that is pushed"
 		}
 	}
@@ -132,30 +132,30 @@
 		if class.Effect == Unsafe {
 			return "unsafe task sent again after it may have run"
 		}
-		if class.Effect == Keyed && (now > s.at+class.Window || !alike(class.Group, m, c.machines[s.on])) {
+		if class.Effect == Keyed && (now > s.at+class.DedupWindow || !alike(class.DedupDomain, m, c.machines[s.on])) {
 			return "keyed task sent outside its group or window"
 		}
 	}
 	t.sent = append(t.sent, &try{on: o.Machine, at: now})
-	if class.Spread != Anywhere {
+	if class.SpreadDomain != AnyDomain {
 		n := 0
 		for _, other := range c.tasks {
 			for _, s := range other.sent {
-				if other.Service == t.Service && !s.over && alike(class.Spread, m, c.machines[s.on]) {
+				if other.Service == t.Service && !s.over && alike(class.SpreadDomain, m, c.machines[s.on]) {
 					n++
 				}
 			}
 		}
-		if n > class.Most {
-			return fmt.Sprintf("%d tasks of a service in one place, at most %d", n, class.Most)
+		if n > class.MaxPerDomain {
+			return fmt.Sprintf("%d tasks of a service in one place, at most %d", n, class.MaxPerDomain)
 		}
 	}
-	if m.Started > 0 && now < m.Started+c.set.ColdFor {
+	if m.StartedAt > 0 && now < m.StartedAt+c.set.SlowStartDuration {
 		c.cold[m.ID] = append(c.cold[m.ID], now)
 		window := slices.DeleteFunc(slices.Clone(c.cold[m.ID]), func(at time.Duration) bool {
-			return at <= now-c.set.ColdWindow
+			return at <= now-c.set.SlowStartWindow
 		})
-		if float64(len(window)) > c.set.ColdOffers/float64(c.set.Placers) {
+		if float64(len(window)) > c.set.SlowStartMaxOffers/float64(c.set.Placers) {
 			return "over our share of a cold machine's budget"
 		}
 	}
@@ -163,9 +163,9 @@
 }
 
 // alike is the rule's own reading of one machine, cell or zone.
-func alike(place Place, a, b Machine) bool {
-	return place == Anywhere || place == OnMachine && a.ID == b.ID ||
-		place == InCell && a.Cell == b.Cell || place == InZone && a.Zone == b.Zone
+func alike(place Domain, a, b Machine) bool {
+	return place == AnyDomain || place == MachineDomain && a.ID == b.ID ||
+		place == CellDomain && a.Cell == b.Cell || place == ZoneDomain && a.Zone == b.Zone
 }
 
 // late returns a task whose answer is overdue, or that has more than one.
@@ -185,16 +185,16 @@
 func life(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	set := testSettings()
-	set.AnswerSlack, set.Placers, set.ColdOffers = 8*time.Millisecond, 1+rng.IntN(3), 9
-	set.ListPushed, set.BoundWhenRunning, set.Preempts = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
-	set.MayProbe, set.MayWithdraw, set.MayTell = rng.IntN(4) > 0, rng.IntN(4) > 0, rng.IntN(2) == 0
-	set.ListsFree = rng.IntN(4) > 0
+	set.AnswerSlack, set.Placers, set.SlowStartMaxOffers = 8*time.Millisecond, 1+rng.IntN(3), 9
+	set.ListWatched, set.BoundWhenRunning, set.Preemption = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
+	set.MayProbe, set.MayWithdraw, set.MayGossip = rng.IntN(4) > 0, rng.IntN(4) > 0, rng.IntN(2) == 0
+	set.ListReportsAvailable = rng.IntN(4) > 0
 	set.Classes = nil
 	for range 1 + rng.IntN(3) {
 		set.Classes = append(set.Classes, Class{
-			Effect: Effect(rng.IntN(3)), Group: []Place{Anywhere, InCell, InZone}[rng.IntN(3)], Window: 2 * time.Second,
-			Aim: time.Second, Worth: 1 + rng.Float64(), Kind: -1, Calm: 0.8, Fade: 0.2, Priority: rng.IntN(3),
-			Spread: Place(rng.IntN(4)), Most: 1 + rng.IntN(4),
+			Effect: Effect(rng.IntN(3)), DedupDomain: []Domain{AnyDomain, CellDomain, ZoneDomain}[rng.IntN(3)], DedupWindow: 2 * time.Second,
+			LatencyObjective: time.Second, Weight: 1 + rng.Float64(), MachineType: -1, SaturationThreshold: 0.8, DegradationRange: 0.2, Priority: rng.IntN(3),
+			SpreadDomain: Domain(rng.IntN(4)), MaxPerDomain: 1 + rng.IntN(4),
 		})
 	}
 	p, err := New(set, seed)
@@ -211,12 +211,12 @@
 	var timers []timer
 	var probes []MachineID
 	asked := 0
-	events := []Event{Update{Mode: ListSaved, Machines: slices.Clone(machines)}}
+	events := []Event{ListUpdate{Mode: ListCached, Machines: slices.Clone(machines)}}
 	newTask := func() Task {
 		next++
 		return Task{
 			ID: next, Key: uint64(next), Service: rng.Uint64N(12), Class: rng.IntN(len(set.Classes)),
-			Wait: time.Duration(500+rng.IntN(4000)) * time.Millisecond, Cores: []float64{0.5, 1, 4}[rng.IntN(3)], Memory: 1,
+			Timeout: time.Duration(500+rng.IntN(4000)) * time.Millisecond, Cores: []float64{0.5, 1, 4}[rng.IntN(3)], Memory: 1,
 		}
 	}
 	for range 600 {
@@ -252,10 +252,10 @@
 		}
 		probes = nil
 		for ; asked > 0; asked-- {
-			events = append(events, Update{Mode: []ListMode{ListFailed, ListDelta}[rng.IntN(2)]})
+			events = append(events, ListUpdate{Mode: []ListMode{ListFailed, ListDelta}[rng.IntN(2)]})
 		}
 		if rng.IntN(3) == 0 {
-			events = append(events, Arrival{Task: newTask()})
+			events = append(events, PlacementRequest{Task: newTask()})
 		}
 		if rng.IntN(60) == 0 {
 			events = append(events, HandedOver{Task: newTask(), Machine: machines[rng.IntN(len(machines))].ID})
@@ -264,11 +264,11 @@
 			events = append(events, flap(rng, machines, now))
 		}
 		if rng.IntN(5) == 0 { // a message, whole or broken, true or not
-			data := packAil(machines[rng.IntN(len(machines))].ID, rng.IntN(4))
+			data := encodeOutlier(machines[rng.IntN(len(machines))].ID, rng.IntN(4))
 			if rng.IntN(2) == 0 {
-				data = packNews([]news{{machine: machines[0].ID, cores: rng.Float64() - 0.5, memory: rng.Float64()}})[0]
+				data = encodeCapacityChanges([]capacityChange{{machine: machines[0].ID, cores: rng.Float64() - 0.5, memory: rng.Float64()}})[0]
 			}
-			events = append(events, Told{From: rng.IntN(3), Data: data[:rng.IntN(len(data)+1)]})
+			events = append(events, Received{From: rng.IntN(3), Data: data[:rng.IntN(len(data)+1)]})
 		}
 		ids := make([]TaskID, 0, len(c.tasks))
 		for id := range c.tasks {
@@ -286,16 +286,16 @@
 func flap(rng *rand.Rand, machines []Machine, now time.Duration) Event {
 	i := rng.IntN(len(machines))
 	m := &machines[i]
-	m.State = State(rng.IntN(3))
+	m.State = MachineState(rng.IntN(3))
 	if m.State == Ready && rng.IntN(2) == 0 {
-		m.Started = now - time.Duration(rng.IntN(3000))*time.Millisecond
+		m.StartedAt = now - time.Duration(rng.IntN(3000))*time.Millisecond
 	}
-	m.FreeCores, m.FreeMemory = 10*rng.Float64(), 20*rng.Float64()
+	m.AvailableCores, m.AvailableMemory = 10*rng.Float64(), 20*rng.Float64()
 	if rng.IntN(4) > 0 {
-		return Update{Mode: ListDelta, Machines: []Machine{*m}}
+		return ListUpdate{Mode: ListDelta, Machines: []Machine{*m}}
 	}
-	return Update{Mode: ListFull, Machines: slices.DeleteFunc(slices.Clone(machines), func(m Machine) bool {
-		return m.State == Gone
+	return ListUpdate{Mode: ListSnapshot, Machines: slices.DeleteFunc(slices.Clone(machines), func(m Machine) bool {
+		return m.State == Removed
 	})}
 }
 
@@ -315,9 +315,9 @@
 	case !a.bound && roll < 6 && t.answers == 0 && now < t.due-20*time.Millisecond:
 		return []Event{Bound{Task: t.ID, Attempt: n, Machine: a.on}}
 	case !a.bound && roll < 12:
-		result := []Result{Errored, Full, TimedOut, ConnectFailed, Reset}[rng.IntN(5)]
+		result := []Result{Errored, Rejected, TimedOut, ConnectFailed, Reset}[rng.IntN(5)]
 		return []Event{Outcome{
-			Task: t.ID, Attempt: n, Machine: a.on, Result: result, Reason: Reason(rng.IntN(5)), Final: t.answers > 0,
+			Task: t.ID, Attempt: n, Machine: a.on, Result: result, Reason: RejectReason(rng.IntN(5)), Final: t.answers > 0,
 		}}
 	}
 	return nil
@@ -343,12 +343,12 @@
 // The checker must catch a breach of each rule.
 func TestCheckerCatchesBreaches(t *testing.T) {
 	set := testSettings()
-	set.ColdOffers = 1
-	set.Classes[0].Effect, set.Classes[0].Spread, set.Classes[0].Most = Unsafe, OnMachine, 1
+	set.SlowStartMaxOffers = 1
+	set.Classes[0].Effect, set.Classes[0].SpreadDomain, set.Classes[0].MaxPerDomain = Unsafe, MachineDomain, 1
 	now := time.Hour
 	for name, breach := range map[string]func(c *checker) string{
 		"two answers": func(c *checker) string {
-			c.action(now, Refuse{Task: 1})
+			c.action(now, Reject{Task: 1})
 			c.action(now, Fail{Task: 1})
 			return c.late(now)
 		},
@@ -360,18 +360,18 @@
 		},
 		"unsafe refused": func(c *checker) string {
 			c.action(now, Offer{Task: 1, Machine: 1})
-			return c.action(now, Refuse{Task: 1})
+			return c.action(now, Reject{Task: 1})
 		},
 		"two out": func(c *checker) string {
 			c.action(now, Offer{Task: 1, Machine: 1})
 			return c.action(now, Offer{Task: 1, Machine: 2})
 		},
 		"drain": func(c *checker) string {
-			c.event(now, Update{Mode: ListDelta, Machines: []Machine{{ID: 1, State: Draining}}})
+			c.event(now, ListUpdate{Mode: ListDelta, Machines: []Machine{{ID: 1, State: Draining}}})
 			return c.action(now+2*time.Second, Offer{Task: 1, Machine: 1})
 		},
 		"cold": func(c *checker) string {
-			c.event(now, Update{Mode: ListDelta, Machines: []Machine{{ID: 1, State: Ready, Started: now}}})
+			c.event(now, ListUpdate{Mode: ListDelta, Machines: []Machine{{ID: 1, State: Ready, StartedAt: now}}})
 			c.action(now, Offer{Task: 1, Machine: 1})
 			return c.action(now, Offer{Task: 2, Machine: 1})
 		},
@@ -381,9 +381,9 @@
 		},
 	} {
 		c := newChecker(set)
-		c.event(now, Update{Mode: ListFull, Machines: fleet(2)})
-		c.event(now, Arrival{Task: Task{ID: 1, Wait: time.Second}})
-		c.event(now, Arrival{Task: Task{ID: 2, Service: 1, Wait: time.Second}})
+		c.event(now, ListUpdate{Mode: ListSnapshot, Machines: fleet(2)})
+		c.event(now, PlacementRequest{Task: Task{ID: 1, Timeout: time.Second}})
+		c.event(now, PlacementRequest{Task: Task{ID: 2, Service: 1, Timeout: time.Second}})
 		if breach(c) == "" {
 			t.Errorf("%s: not caught", name)
 		}
--- a/rules_test.go
+++ b/rules_test.go
@@ -7,31 +7,31 @@
 )
 
 // neverRan are the results that prove an unbound attempt did not run.
-var neverRan = map[Result]bool{Full: true, ConnectFailed: true, Moot: true}
+var neverRan = map[Result]bool{Rejected: true, ConnectFailed: true, NotSent: true}
 
-var allResults = []Result{OK, Errored, Full, TimedOut, ConnectFailed, Reset, Withdrawn, Moot}
+var allResults = []Result{OK, Errored, Rejected, TimedOut, ConnectFailed, Reset, Withdrawn, NotSent}
 
 func TestFurtherAttemptsByEffectAndResult(t *testing.T) {
 	cases := []struct {
 		name   string
 		effect Effect
-		group  Place
+		group  Domain
 	}{
-		{"safe", Safe, Anywhere}, {"keyed all", Keyed, Anywhere}, {"keyed zone", Keyed, InZone},
-		{"keyed cell", Keyed, InCell}, {"unsafe", Unsafe, Anywhere},
+		{"safe", Safe, AnyDomain}, {"keyed all", Keyed, AnyDomain}, {"keyed zone", Keyed, ZoneDomain},
+		{"keyed cell", Keyed, CellDomain}, {"unsafe", Unsafe, AnyDomain},
 	}
 	for _, c := range cases {
 		for _, result := range allResults {
 			t.Run(fmt.Sprintf("%s after result %d", c.name, result), func(t *testing.T) {
 				set := testSettings()
-				set.Classes[0].Effect, set.Classes[0].Group = c.effect, c.group
+				set.Classes[0].Effect, set.Classes[0].DedupDomain = c.effect, c.group
 				machines := fleet(12)
 				b := newBench(t, set, machines)
 				id, actions := b.arrive(0, 7)
 				first := b.offered(actions)
 				b.now += 20 * time.Millisecond
 				actions = b.step(Outcome{Task: id, Attempt: 0, Machine: first.Machine, Result: result})
-				offers, refusals := only[Offer](actions), only[Refuse](actions)
+				offers, refusals := only[Offer](actions), only[Reject](actions)
 				if neverRan[result] {
 					if len(only[Fail](actions)) > 0 {
 						t.Fatalf("failed although nothing ran: %v", describe(actions))
@@ -41,12 +41,12 @@
 				if c.effect == Unsafe && (len(offers) > 0 || len(refusals) > 0 || len(only[Fail](actions)) != 1) {
 					t.Fatalf("unsafe and possibly run: want one failure, got %v", describe(actions))
 				}
-				if c.effect == Keyed && c.group != Anywhere {
+				if c.effect == Keyed && c.group != AnyDomain {
 					if len(refusals) > 0 {
 						t.Fatalf("refused a keyed task that may have run: %v", describe(actions))
 					}
 					for _, o := range offers {
-						if !same(c.group, &machine{Machine: machines[o.Machine-1]}, &machine{Machine: machines[first.Machine-1]}) {
+						if !sameDomain(c.group, &machine{Machine: machines[o.Machine-1]}, &machine{Machine: machines[first.Machine-1]}) {
 							t.Fatalf("sent from machine %d to %d, outside its group", first.Machine, o.Machine)
 						}
 					}
@@ -58,13 +58,13 @@
 
 func TestKeyedTaskIsNotSentAfterItsWindow(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].Effect, set.Classes[0].Group, set.Classes[0].Window = Keyed, InCell, time.Second
+	set.Classes[0].Effect, set.Classes[0].DedupDomain, set.Classes[0].DedupWindow = Keyed, CellDomain, time.Second
 	b := newBench(t, set, fleet(12))
 	id, actions := b.arrive(0, 7)
 	first := b.offered(actions)
 	b.now += 2 * time.Second
 	actions = b.step(Outcome{Task: id, Attempt: 0, Machine: first.Machine, Result: TimedOut})
-	if len(only[Offer](actions)) > 0 || len(only[Refuse](actions)) > 0 || len(only[Fail](actions)) != 1 {
+	if len(only[Offer](actions)) > 0 || len(only[Reject](actions)) > 0 || len(only[Fail](actions)) != 1 {
 		t.Fatalf("want one failure, got %v", describe(actions))
 	}
 }
@@ -90,13 +90,13 @@
 		}
 		b.now = due[0].At
 		actions = b.step(TimerFired{Timer: due[0].Timer})
-		refusals, failures := len(only[Refuse](actions)), len(only[Fail](actions))
+		refusals, failures := len(only[Reject](actions)), len(only[Fail](actions))
 		if refusals+failures != 1 || (refusals == 1) != c.refuse {
 			t.Errorf("effect %d with an attempt out: %d refusals, %d failures", c.effect, refusals, failures)
 		}
 		b.now += time.Millisecond
-		late := b.step(Outcome{Task: id, Attempt: 0, Result: TimedOut}, OwnerLeft{Task: id})
-		if len(only[Offer](late))+len(only[Refuse](late))+len(only[Fail](late)) > 0 {
+		late := b.step(Outcome{Task: id, Attempt: 0, Result: TimedOut}, RequestCanceled{Task: id})
+		if len(only[Offer](late))+len(only[Reject](late))+len(only[Fail](late)) > 0 {
 			t.Errorf("something was sent after the answer: %v", describe(late))
 		}
 	}
@@ -111,7 +111,7 @@
 	b.now += 5*time.Second - deadlineMargin
 	for _, s := range only[SetTimer](actions) {
 		if s.At == b.now {
-			if got := b.step(TimerFired{Timer: s.Timer}); len(only[Refuse](got)) != 1 {
+			if got := b.step(TimerFired{Timer: s.Timer}); len(only[Reject](got)) != 1 {
 				t.Fatalf("want one refusal, got %v", describe(got))
 			}
 			return
@@ -123,10 +123,10 @@
 func TestNothingIsSentToDrainingGoneOrUnlistedMachines(t *testing.T) {
 	machines := fleet(4)
 	draining, gone := machines[0], machines[1]
-	draining.State, gone.State = Draining, Gone
-	for name, update := range map[string]Update{
+	draining.State, gone.State = Draining, Removed
+	for name, update := range map[string]ListUpdate{
 		"delta":          {Mode: ListDelta, Machines: []Machine{draining, gone}},
-		"full list":      {Mode: ListFull, Machines: []Machine{draining, machines[2], machines[3]}},
+		"full list":      {Mode: ListSnapshot, Machines: []Machine{draining, machines[2], machines[3]}},
 		"drains at once": {Mode: ListDelta, Machines: []Machine{draining, gone}},
 	} {
 		b := newBench(t, testSettings(), machines)
@@ -144,11 +144,11 @@
 
 func TestColdMachineGetsOurShareOfItsBudget(t *testing.T) {
 	set := testSettings()
-	set.Placers, set.ColdOffers = 4, 12
+	set.Placers, set.SlowStartMaxOffers = 4, 12
 	machines := fleet(1)
-	machines[0].Started = time.Hour - time.Second
-	machines[0].FreeCores, machines[0].FreeMemory = 1e6, 1e6
-	set.Kinds[0] = Kind{Cores: 1e6, Memory: 1e6}
+	machines[0].StartedAt = time.Hour - time.Second
+	machines[0].AvailableCores, machines[0].AvailableMemory = 1e6, 1e6
+	set.MachineTypes[0] = MachineType{Cores: 1e6, Memory: 1e6}
 	b := newBench(t, set, machines)
 	var sent []time.Duration
 	for i := range 400 {
@@ -156,14 +156,14 @@
 		id, actions := b.arrive(0, uint64(i))
 		for _, o := range only[Offer](actions) {
 			sent = append(sent, b.now)
-			b.step(Outcome{Task: o.Task, Attempt: 0, Machine: o.Machine, Result: Full, Reason: NoCores})
+			b.step(Outcome{Task: o.Task, Attempt: 0, Machine: o.Machine, Result: Rejected, Reason: InsufficientCores})
 		}
-		b.step(OwnerLeft{Task: id})
+		b.step(RequestCanceled{Task: id})
 	}
 	for i := range sent {
 		n := 0
 		for _, at := range sent[i:] {
-			if at < sent[i]+set.ColdWindow {
+			if at < sent[i]+set.SlowStartWindow {
 				n++
 			}
 		}
@@ -177,15 +177,15 @@
 }
 
 func TestSpreadCountsAttemptsAndHandedOverTasks(t *testing.T) {
-	for _, place := range []Place{OnMachine, InCell, InZone} {
+	for _, place := range []Domain{MachineDomain, CellDomain, ZoneDomain} {
 		set := testSettings()
-		set.Classes[0].Spread, set.Classes[0].Most = place, 2
+		set.Classes[0].SpreadDomain, set.Classes[0].MaxPerDomain = place, 2
 		machines := fleet(12)
 		b := newBench(t, set, machines)
 		held := map[int]int{}
 		count := func(m MachineID) int {
 			e := machines[m-1]
-			where := map[Place]int{OnMachine: int(e.ID), InCell: e.Cell, InZone: e.Zone}[place]
+			where := map[Domain]int{MachineDomain: int(e.ID), CellDomain: e.Cell, ZoneDomain: e.Zone}[place]
 			held[where]++
 			return held[where]
 		}
@@ -205,7 +205,7 @@
 		for _, n := range held {
 			total += n
 		}
-		if want := map[Place]int{OnMachine: 24, InCell: 8, InZone: 5}[place]; total != want {
+		if want := map[Domain]int{MachineDomain: 24, CellDomain: 8, ZoneDomain: 5}[place]; total != want {
 			t.Errorf("place %d: %d tasks placed, the spread leaves room for %d", place, total, want)
 		}
 	}
@@ -231,7 +231,7 @@
 // A tenant beyond its share once kept those within theirs waiting.
 func TestRoomGoesToTenantsWithinTheirShare(t *testing.T) {
 	set := testSettings()
-	set.Tenants, set.OverShareWorth = []Tenant{{Share: 0.5, Cores: 5}, {Share: 0.5, Cores: 5}}, 0.1
+	set.Tenants, set.OverQuotaWeight = []Tenant{{Quota: 0.5, QuotaCores: 5}, {Quota: 0.5, QuotaCores: 5}}, 0.1
 	b := newBench(t, set, fleet(1))
 	var held []Offer
 	for service := range uint64(14) {
@@ -246,7 +246,7 @@
 	}
 	task := b.task(0, 99)
 	task.Tenant = 1
-	b.step(Arrival{Task: task})
+	b.step(PlacementRequest{Task: task})
 	b.now += 100 * time.Millisecond
 	actions := b.step(Outcome{Task: held[0].Task, Machine: held[0].Machine, Result: OK, Final: true})
 	if got := b.offered(actions).Task; got != task.ID {
@@ -268,8 +268,8 @@
 			for _, s := range only[SetTimer](actions) {
 				got = append(got, b.step(TimerFired{Timer: s.Timer})...)
 			}
-			got = append(got, b.step(Outcome{Task: id, Machine: on, Result: result, Final: true}, OwnerLeft{Task: id})...)
-			if n := len(only[Offer](got)) + len(only[Refuse](got)) + len(only[Fail](got)); n > 0 {
+			got = append(got, b.step(Outcome{Task: id, Machine: on, Result: result, Final: true}, RequestCanceled{Task: id})...)
+			if n := len(only[Offer](got)) + len(only[Reject](got)) + len(only[Fail](got)); n > 0 {
 				t.Errorf("effect %d, result %d after the bind: %v", effect, result, describe(got))
 			}
 		}
@@ -279,7 +279,7 @@
 // A restarted placer learns of its running tasks by their being handed over.
 func TestRestartedPlacerCountsWhatIsHandedBack(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].Spread, set.Classes[0].Most = InZone, 1
+	set.Classes[0].SpreadDomain, set.Classes[0].MaxPerDomain = ZoneDomain, 1
 	b := newBench(t, set, fleet(6))
 	running := b.task(0, 7)
 	if got := b.step(HandedOver{Task: running, Machine: 2}); len(only[Offer](got)) > 0 {
@@ -346,7 +346,7 @@
 func TestHandedOverTaskIsInTheView(t *testing.T) {
 	machines := fleet(2)
 	for i := range machines {
-		machines[i].FreeCores, machines[i].FreeMemory = 3, 10 // of 10 and 20
+		machines[i].AvailableCores, machines[i].AvailableMemory = 3, 10 // of 10 and 20
 	}
 	b := newBench(t, testSettings(), machines)
 	for i := range 14 {
@@ -360,9 +360,9 @@
 // Machines in use beyond need have a price: the emptiest rest, and wake where the others have no room.
 func TestEmptiestMachinesRest(t *testing.T) {
 	set := testSettings()
-	set.Prices.Machine = 0.15
+	set.Costs.SurplusMachine = 0.15
 	machines := fleet(6)
-	machines[0].FreeCores, machines[1].FreeCores = 4, 4 // 12 of 60 asked: two machines hold it, one is spare
+	machines[0].AvailableCores, machines[1].AvailableCores = 4, 4 // 12 of 60 asked: two machines hold it, one is spare
 	b := newBench(t, set, machines)
 	used, ids := map[MachineID]int{}, []TaskID{}
 	place := func(n int) {
@@ -371,7 +371,7 @@
 			for _, o := range only[Offer](actions) {
 				used[o.Machine]++
 				ids = append(ids, id)
-				b.step(Bound{Task: id, Machine: o.Machine}, Note{Task: id, Machine: o.Machine, Kind: NoteRuns, Amount: 1})
+				b.step(Bound{Task: id, Machine: o.Machine}, Note{Task: id, Machine: o.Machine, Kind: NoteRunning, Amount: 1})
 			}
 		}
 	}
@@ -390,12 +390,12 @@
 	b := newBench(t, testSettings(), fleet(3))
 	task := b.task(0, 7)
 	b.step(HandedOver{Task: task, Machine: 1})
-	b.step(Update{Mode: ListDelta, Machines: []Machine{{ID: 1, State: Gone}}})
+	b.step(ListUpdate{Mode: ListDelta, Machines: []Machine{{ID: 1, State: Removed}}})
 	for i := range MachineID(1000) {
 		b.now += time.Second
 		fresh := fleet(1)[0]
 		fresh.ID = 100 + i
-		b.step(Update{Mode: ListDelta, Machines: []Machine{fresh, {ID: 99 + i, State: Gone}}})
+		b.step(ListUpdate{Mode: ListDelta, Machines: []Machine{fresh, {ID: 99 + i, State: Removed}}})
 	}
 	if n := len(b.p.machines); n > 70 {
 		t.Errorf("%d machines are known, want the few of the last minute", n)
@@ -409,14 +409,14 @@
 // A fleet that is replaced loses its oldest machines first: tasks that were packed onto those were cut with them.
 func TestOlderMachinesRestFirst(t *testing.T) {
 	set := testSettings()
-	set.Prices.Machine = 0.15
+	set.Costs.SurplusMachine = 0.15
 	machines := fleet(6)
-	machines[0].FreeCores, machines[1].FreeCores = 4, 4 // the fullest, and of old
+	machines[0].AvailableCores, machines[1].AvailableCores = 4, 4 // the fullest, and of old
 	b := newBench(t, set, nil)
 	for i := 3; i < 6; i++ {
-		machines[i].Started = b.now - time.Minute
+		machines[i].StartedAt = b.now - time.Minute
 	}
-	b.step(Update{Mode: ListFull, Machines: machines})
+	b.step(ListUpdate{Mode: ListSnapshot, Machines: machines})
 	for service := range uint64(8) {
 		_, actions := b.arrive(0, 1000+service)
 		if o := b.offered(actions); o.Machine < 4 {
--- a/validate.go
+++ b/validate.go
@@ -1,71 +1,100 @@
 package forkhead
 
 import (
+	"cmp"
 	"fmt"
 	"math"
 	"slices"
 )
 
-// check refuses settings that no decision can be based on.
-func check(set *Settings) error {
+// validateSettings refuses settings that no decision can be based on. The error names the field, its value
+// and what is wanted.
+func validateSettings(settings *Settings) error {
 	switch {
-	case set.Placers < 1:
-		return fmt.Errorf("settings: Placers is %d, want at least 1", set.Placers)
-	case set.Self < 0 || set.Self >= set.Placers:
-		return fmt.Errorf("settings: Self is %d, want 0 to %d", set.Self, set.Placers-1)
-	case len(set.Classes) == 0:
+	case settings.Placers < 1:
+		return fmt.Errorf("settings: Placers is %d, want at least 1", settings.Placers)
+	case settings.Self < 0 || settings.Self >= settings.Placers:
+		return fmt.Errorf("settings: Self is %d, want 0 to %d", settings.Self, settings.Placers-1)
+	case len(settings.Classes) == 0:
 		return fmt.Errorf("settings: Classes is empty")
-	case len(set.Kinds) == 0:
-		return fmt.Errorf("settings: Kinds is empty")
-	case set.MaxAttempts < 1:
-		return fmt.Errorf("settings: MaxAttempts is %d, want at least 1", set.MaxAttempts)
+	case len(settings.MachineTypes) == 0:
+		return fmt.Errorf("settings: MachineTypes is empty")
+	case settings.MaxAttempts < 1:
+		return fmt.Errorf("settings: MaxAttempts is %d, want at least 1", settings.MaxAttempts)
 	}
-	figures := map[string]float64{
-		"MeanCores": set.MeanCores, "MeanMemory": set.MeanMemory, "AcceptCores": set.AcceptCores,
-		"AcceptMemory": set.AcceptMemory, "ColdOffers": set.ColdOffers, "ColdFor": float64(set.ColdFor),
-		"ColdWindow": float64(set.ColdWindow), "DrainGrace": float64(set.DrainGrace),
-		"MustAskWithin": float64(set.MustAskWithin), "OwnerWait": float64(set.OwnerWait),
-	}
-	prices := map[string]float64{
-		"Machine": set.Prices.Machine, "Move": set.Prices.Move, "Evict": set.Prices.Evict,
-		"Refusal": set.Prices.Refusal, "Zone": set.Prices.Zone, "Waste": set.Prices.Waste,
-		"Probe": set.Prices.Probe, "Tell": set.Prices.Tell, "List": set.Prices.List,
-	}
-	for name, price := range prices {
-		figures["Prices."+name] = price
-	}
-	for i, k := range set.Kinds {
-		figures[fmt.Sprintf("Kinds[%d].Cores", i)] = k.Cores
-		figures[fmt.Sprintf("Kinds[%d].Memory", i)] = k.Memory
-	}
-	for i, c := range set.Classes {
-		figures[fmt.Sprintf("Classes[%d].Calm", i)] = c.Calm
-		figures[fmt.Sprintf("Classes[%d].Window", i)] = float64(c.Window)
-		figures[fmt.Sprintf("Classes[%d].Most", i)] = float64(c.Most)
-		if c.Kind < -1 || c.Kind >= len(set.Kinds) {
-			return fmt.Errorf("Classes[%d].Kind is %d, want -1 to %d", i, c.Kind, len(set.Kinds)-1)
+	for i, class := range settings.Classes {
+		if class.MachineType < -1 || class.MachineType >= len(settings.MachineTypes) {
+			return fmt.Errorf("Classes[%d].MachineType is %d, want -1 to %d",
+				i, class.MachineType, len(settings.MachineTypes)-1)
 		}
 	}
-	names := make([]string, 0, len(figures))
-	for name := range figures {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	for _, name := range names {
-		if v := figures[name]; !(v >= 0) || math.IsInf(v, 0) {
-			return fmt.Errorf("%s is %g, want a finite number not below 0", name, v)
+	for _, amount := range settingsAmounts(settings) {
+		if !(amount.value >= 0) || math.IsInf(amount.value, 0) {
+			return fmt.Errorf("%s is %g, want a finite number not below 0", amount.name, amount.value)
 		}
 	}
 	return nil
 }
 
-// usable says whether some kind of machine could ever hold the task.
-func (p *Placer) usable(t *Task) bool {
-	for k, kind := range p.set.Kinds {
-		if c := p.set.Classes[t.Class].Kind; c >= 0 && c != k {
+// namedAmount is an amount of the settings with the name of its field.
+type namedAmount struct {
+	name  string
+	value float64
+}
+
+// settingsAmounts returns all amounts that must be finite and not negative, by the order of their names.
+func settingsAmounts(settings *Settings) []namedAmount {
+	amounts := []namedAmount{
+		{"MeanCores", settings.MeanCores},
+		{"MeanMemory", settings.MeanMemory},
+		{"CoresOvercommit", settings.CoresOvercommit},
+		{"MemoryOvercommit", settings.MemoryOvercommit},
+		{"SlowStartMaxOffers", settings.SlowStartMaxOffers},
+		{"SlowStartDuration", float64(settings.SlowStartDuration)},
+		{"SlowStartWindow", float64(settings.SlowStartWindow)},
+		{"DrainGrace", float64(settings.DrainGrace)},
+		{"MaxPollInterval", float64(settings.MaxPollInterval)},
+		{"OwnerBackoff", float64(settings.OwnerBackoff)},
+		{"Costs.SurplusMachine", settings.Costs.SurplusMachine},
+		{"Costs.Migration", settings.Costs.Migration},
+		{"Costs.EvictionMigrations", settings.Costs.EvictionMigrations},
+		{"Costs.Rejection", settings.Costs.Rejection},
+		{"Costs.RemoteZone", settings.Costs.RemoteZone},
+		{"Costs.WastedWork", settings.Costs.WastedWork},
+		{"Costs.Probe", settings.Costs.Probe},
+		{"Costs.Gossip", settings.Costs.Gossip},
+		{"Costs.ListEntries", settings.Costs.ListEntries},
+	}
+	for i, machineType := range settings.MachineTypes {
+		field := fmt.Sprintf("MachineTypes[%d]", i)
+		amounts = append(amounts,
+			namedAmount{field + ".Cores", machineType.Cores},
+			namedAmount{field + ".Memory", machineType.Memory})
+	}
+	for i, class := range settings.Classes {
+		field := fmt.Sprintf("Classes[%d]", i)
+		amounts = append(amounts,
+			namedAmount{field + ".SaturationThreshold", class.SaturationThreshold},
+			namedAmount{field + ".DedupWindow", float64(class.DedupWindow)},
+			namedAmount{field + ".MaxPerDomain", float64(class.MaxPerDomain)})
+	}
+	slices.SortFunc(amounts, func(a, b namedAmount) int { return cmp.Compare(a.name, b.name) })
+	return amounts
+}
+
+// isValid says whether the task's amounts make sense and its class is one of the settings.
+func (p *Placer) isValid(t *Task) bool {
+	return t.Class >= 0 && t.Class < len(p.settings.Classes) && t.Cores >= 0 && t.Memory >= 0
+}
+
+// isPlaceable says whether some type of machine could ever hold the task.
+func (p *Placer) isPlaceable(t *Task) bool {
+	required := p.settings.Classes[t.Class].MachineType
+	for i, machineType := range p.settings.MachineTypes {
+		if required >= 0 && required != i {
 			continue
 		}
-		if t.Cores <= kind.Cores*p.set.AcceptCores && t.Memory <= kind.Memory*p.set.AcceptMemory {
+		if t.Cores <= machineType.Cores*p.settings.CoresOvercommit && t.Memory <= machineType.Memory*p.settings.MemoryOvercommit {
 			return true
 		}
 	}
