--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -6,6 +6,8 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
+	"strings"
 	"testing"
 )
 
@@ -67,3 +69,108 @@
 		checkGolden(t, "replay-"+name+".txt", goldenRun(t, exitOK, "badday", "--replay", file))
 	}
 }
+
+// masked hides what differs from run to run: the values of the keys, the ids of submissions and, with numbers, all numbers.
+func masked(text string, numbers bool, keys ...string) string {
+	for _, key := range keys {
+		text = regexp.MustCompile(`"`+key+`":("[^"]*"|[^,}]*)`).ReplaceAllString(text, `"`+key+`":"*"`)
+	}
+	text = regexp.MustCompile(`submission [a-z0-9]+-[a-z0-9]+`).ReplaceAllString(text, "submission *")
+	if numbers {
+		text = regexp.MustCompile(`:( ?)-?[0-9][0-9.e+-]*`).ReplaceAllString(text, ":${1}0")
+	}
+	return text
+}
+
+// sortedOnce returns the different lines of a text in order.
+func sortedOnce(text string) string {
+	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
+	slices.Sort(lines)
+	return strings.Join(slices.Compact(lines), "\n") + "\n"
+}
+
+const examples = "../../examples/"
+
+func TestCheckCommandGolden(t *testing.T) {
+	const settings = "../reading/settings/testdata/"
+	checkGolden(t, "check.jsonl", goldenRun(t, exitOK, "check", settings+"all.sexp", examples+"calendar.compose.yaml", "--output", "json"))
+	checkGolden(t, "check.txt", goldenRun(t, exitOK, "check", settings+"all.sexp", examples+"calendar.compose.yaml"))
+	code, out, errs := run("check", examples+"broken.compose.yaml", "--output", "json")
+	if code != exitInput || out != "" {
+		t.Errorf("exit %d, %s", code, out)
+	}
+	checkGolden(t, "check-broken.txt", errs)
+}
+
+func TestPlanCommandGolden(t *testing.T) {
+	plan := func(name string, code int, args ...string) {
+		t.Helper()
+		args = append([]string{"plan", "--hosts", examples + "hosts.json"}, args...)
+		checkGolden(t, "plan-"+name+".txt", goldenRun(t, code, args...))
+		checkGolden(t, "plan-"+name+".jsonl", masked(goldenRun(t, code, append(args, "--output", "json")...), false, "nodes"))
+	}
+	plan("calendar", exitOK, examples+"calendar.compose.yaml")
+	plan("running", exitOK, "--running", "testdata/running.json", "--move", "2", "--home", "south", "--cross", "9", examples+"calendar.compose.yaml")
+	plan("impossible", exitNo, examples+"impossible.compose.yaml")
+	plan("shares", exitOK, "--shares", "--config", "../reading/settings/testdata/all.sexp")
+	checkGolden(t, "plan-selfcheck.jsonl", goldenRun(t, exitOK, "plan", "--selfcheck", "5", "--output", "json"))
+}
+
+func TestExploreCommandGolden(t *testing.T) {
+	const varying = `states_per_second`
+	checkGolden(t, "explore.jsonl", masked(goldenRun(t, exitOK, "explore", "--tasks", "1", "--hosts", "1", "--output", "json"), false, varying, "mib"))
+	checkGolden(t, "explore-plant.jsonl", masked(goldenRun(t, exitNo, "explore", "--plant", "double-send", "--output", "json"), false, varying, "mib"))
+	checkGolden(t, "explore-plants.jsonl", masked(goldenRun(t, exitOK, "explore", "--list-plants", "--output", "json"), false, "what"))
+	checkGolden(t, "explore-lives.jsonl", goldenRun(t, exitOK, "explore", "--lives", "1", "--output", "json"))
+}
+
+// A trace is written as an earlier build did, and an earlier build's is replayed through the core.
+func TestTraceGolden(t *testing.T) {
+	const kept = "double-send.trace.json"
+	trace := filepath.Join(t.TempDir(), "trace.json")
+	goldenRun(t, exitNo, "explore", "--plant", "double-send", "--trace", trace, "--output", "json")
+	text, err := os.ReadFile(trace)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, kept, string(text))
+	out := goldenRun(t, exitOK, "explore", "--replay", filepath.Join("testdata", kept), "--output", "json")
+	checkGolden(t, "explore-replay.jsonl", regexp.MustCompile(`placer logs: [^"]*`).ReplaceAllString(out, "placer logs: *"))
+}
+
+func TestTryCommandGolden(t *testing.T) {
+	out := goldenRun(t, exitOK, "try", examples+"calendar.compose.yaml", "--output", "json")
+	checkGolden(t, "try.jsonl", sortedOnce(masked(out, false, "host", "zone", "rack", "attempts", "took_ms")))
+}
+
+// A short day on sockets whose placer is built to tell an outcome twice: the lines of its breaches and its result, and what
+// is kept of it.
+func TestBaddayCommandGolden(t *testing.T) {
+	dir := t.TempDir()
+	script := filepath.Join(dir, "day.sexp")
+	if err := os.WriteFile(script, []byte(`(badday (seed 3) (length 500ms) (settle 500ms) (hosts 2 (kind std-28) (zone north))
+		(load web (class web) (rate 20) (replicas 1 1)) (plant one-answer))`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	out := goldenRun(t, exitNo, "badday", script, "--record-on-breach", dir, "--output", "json")
+	checkGolden(t, "badday.jsonl", sortedOnce(masked(out, true)))
+
+	var kept []string
+	files, err := os.ReadDir(filepath.Join(dir, "seed-3"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, f := range files {
+		kept = append(kept, f.Name())
+	}
+	if got, want := strings.Join(kept, " "), "placer-0-life-1.tape placer-1-life-1.tape placer-2-life-1.tape record.jsonl script.sexp verdict.json"; got != want {
+		t.Errorf("kept %s, want %s", got, want)
+	}
+	verdict, err := os.ReadFile(filepath.Join(dir, "seed-3", "verdict.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	// Breaches are as many as the machine was fast: one stands for all.
+	text := regexp.MustCompile(`(?s)(\{[^{}]*\}),\n    \{.*?\n  \]`).ReplaceAllString(masked(string(verdict), true), "$1\n  ]")
+	checkGolden(t, "badday-verdict.json", text)
+}
--- /dev/null
+++ b/internal/running/placerd/golden_test.go
@@ -0,0 +1,89 @@
+package placerd
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"forkhead/internal/placing/core"
+	"forkhead/internal/protocol/http1"
+	"forkhead/internal/reading/compose"
+	"forkhead/internal/reading/source"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// checkGolden compares text with testdata/name.
+func checkGolden(t *testing.T, name string, text []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(text, want) {
+		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
+	}
+}
+
+// Responses that tell of a problem have these heads and bodies.
+func TestProblemsGolden(t *testing.T) {
+	pos := source.Pos{File: "a.yaml", Line: 3, Col: 5}
+	var b bytes.Buffer
+	for _, p := range [][]byte{
+		problem(nil, Problem{Title: "No such resource", Status: 404, Detail: "/x"}, 0, false),
+		problem([]http1.Field{{Name: "allow", Value: "GET"}}, Problem{Title: "Method not allowed", Status: 405}, 0, true),
+		problem(nil, Problem{Title: "Stopping", Status: 503}, 1500*time.Millisecond, false),
+		problem(nil, BadDescription(errors.Join(source.Wantf(pos, "image", "unknown"), source.Errorf(pos, "twice"))), 0, false),
+		problem(nil, impossible([]string{"a", "b"}), 0, false),
+	} {
+		b.Write(bytes.ReplaceAll(p, []byte("\r"), nil))
+	}
+	checkGolden(t, "problems.txt", b.Bytes())
+}
+
+// A submission of several files has these keys, and what the front answers these.
+func TestBodiesGolden(t *testing.T) {
+	envelope := Envelope{
+		Files: []compose.File{{Name: "a.yaml", Text: "services: {}"}}, Others: []compose.File{{Name: "b.env", Text: "A=1"}},
+		Variables: map[string]string{"TAG": "1"}, Profiles: []string{"p"}, Services: []string{"s"}, Project: "shop",
+	}
+	outcome := core.Outcome{
+		Service: "web", Replica: 1, Outcome: core.WordPlaced, Host: "h", Zone: "z", Rack: "r", Reason: "why", Attempts: 2, TookMS: 3,
+	}
+	status := core.Status{
+		Placer: 1, Epoch: 2, Hosts: 3, Up: 4, Ready: 5, Tasks: 6, Running: 7, Waiting: 8, Unknown: 9, Submissions: 10, Asks: 11, Offers: 12,
+		Outcomes: map[string]uint64{core.WordPlaced: 13, core.WordRefused: 14, core.WordFailed: 15}, Lost: 16, Moved: 17, Vetoes: 18,
+		ByRule: map[string]uint64{"drain": 19}, Defects: 20,
+	}
+	var b bytes.Buffer
+	fmt.Fprintln(&b, EnvelopeType)
+	enc := json.NewEncoder(&b)
+	for _, body := range []any{envelope, Envelope{}, outcome, core.Outcome{}, status} {
+		if err := enc.Encode(body); err != nil {
+			t.Fatal(err)
+		}
+	}
+	checkGolden(t, "bodies.jsonl", b.Bytes())
+
+	kept, err := os.ReadFile(filepath.Join("testdata", "bodies.jsonl"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got Envelope
+	if err := json.Unmarshal(bytes.Split(kept, []byte("\n"))[1], &got); err != nil || !reflect.DeepEqual(got, envelope) {
+		t.Errorf("read as %+v, %v; want %+v", got, err, envelope)
+	}
+}
