--- a/internal/placing/node/golden_test.go
+++ b/internal/placing/node/golden_test.go
@@ -138,13 +138,17 @@
 		}
 		return nil
 	}
-	offer := func(id forkhead.TaskID) []forkhead.Action { return []forkhead.Action{forkhead.Offer{Task: id, Machine: 1}} }
+	offer := func(id forkhead.TaskID) []forkhead.Action {
+		return []forkhead.Action{forkhead.Offer{Task: id, Machine: 1}}
+	}
 	ref := func(n int) string { return fmt.Sprintf("9b1f03aa5c7e2d%02x", n) }
 	setUp := func(n int, more string) string {
 		return fmt.Sprintf(`{"t":"new","ref":"%s","f":{"class":"keyed","left":"1500","tenant":"acme","key":"7f3a9c21e0b4d6%02x","idem":"%02x","hint":"4000","extras":"cores:1.5;memory:2;service:00000000b4d65521%s","other":7},"d":"a\ud800\r\nb"}`,
 			ref(n), n, n, more)
 	}
-	hostLine := func(kind string, n int, rest string) string { return fmt.Sprintf(`{"t":"%s","ref":"%s",%s}`, kind, ref(n), rest) }
+	hostLine := func(kind string, n int, rest string) string {
+		return fmt.Sprintf(`{"t":"%s","ref":"%s",%s}`, kind, ref(n), rest)
+	}
 	o := w.owner()
 
 	// A task is placed, told of, and ends.
--- /dev/null
+++ b/internal/proving/script/testdata/all.sexp
@@ -0,0 +1,23 @@
+(badday
+  (settings (forkhead
+    (placer (zone north) (http "127.0.0.1:0") (tell "127.0.0.1:0"))
+    (placer (zone south) (http "127.0.0.1:0") (tell "127.0.0.1:0"))
+    (kind std-16 (cores 16) (memory 32GiB))
+    (class web (effect safe))
+    (tenant courts (share 0.5) (cores 80))))
+  (seed 7) (length 51s) (durable yes) (settle 21s)
+  (host (look 3ms) (start 61ms) (notes 502ms) (refresh 253ms) (line 401) (starts 5) (keep 66) (absent 2.5) (use 0.75) (swing 0.25))
+  (hosts 5 (kind std-16) (zone north) (racks 2) (prefix n-) (label disk ssd) (label os linux))
+  (hosts 3 (kind std-16) (zone south) (racks 1) (prefix s-) (cold yes))
+  (catalogue (lag 201ms) (critical 1502ms) (deregister 4s))
+  (load web (class web) (tenant courts) (rate 8.5) (replicas 1 6) (cores 0.25 1.5) (memory 0.5 2.5) (life 1s 5s) (from 2s) (to 40s))
+  (load other (class web) (rate 1))
+  (troubles
+    (crash (at 3s) (for 4s) (hosts 0.25))
+    (zone-loss (at 5s) (for 6s) (zone south))
+    (mass-restart (at 7s) (for 8s) (zone north) (rack north-r0))
+    (refuse (at 9s) (for 10s) (hosts 0.5) (class web))
+    (placer-kill (at 11s) (for 12s) (placer 1))
+    (burst (at 13s) (for 14s) (factor 2.5))
+    (pauses (at 15s) (for 16s) (hosts 0.75) (every 900ms) (delay 300ms)))
+  (plant one-answer) (plant drain))
