--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -10,13 +10,13 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/reading/bootinfo"
-	"forkhead/internal/wire"
+	"forkhead/internal/parse/platformconfig"
+	"forkhead/internal/simadapter"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
@@ -26,7 +26,7 @@
 	l := link{placers: map[uint32]*placer{}}
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
 	for {
-		batch, err := wire.ReadBatch(r)
+		batch, err := simadapter.ReadBatch(r)
 		if err == io.EOF {
 			return nil
 		}
@@ -48,10 +48,10 @@
 // link is the state of one process: the lists that came for it and its placers,
 // which share nothing else.
 type link struct {
-	pages   [16]*wire.Page
+	pages   [16]*simadapter.Page
 	placers map[uint32]*placer
 	touched []*placer
-	reply   wire.Reply
+	reply   simadapter.Reply
 }
 
 // placer is one instance and its events of the batch in hand.
@@ -62,8 +62,8 @@
 	events       []forkhead.Event
 }
 
-func (l *link) answer(batch *wire.Batch) error {
-	now := bootinfo.Duration(batch.Clock)
+func (l *link) answer(batch *simadapter.Batch) error {
+	now := platformconfig.Duration(batch.Clock)
 	l.reply.Reset()
 	for i, ev := range batch.Events {
 		if err := l.take(now, ev); err != nil {
@@ -90,18 +90,18 @@
 
 func (l *link) take(now time.Duration, ev any) error {
 	switch ev := ev.(type) {
-	case wire.Page:
+	case simadapter.Page:
 		if int(ev.Roster) >= len(l.pages) {
 			return fmt.Errorf("list number %d is not within 0 to %d", ev.Roster, len(l.pages)-1)
 		}
 		l.pages[ev.Roster] = &ev
 		return nil
-	case wire.Boot:
-		info, err := bootinfo.Parse(ev.Info)
+	case simadapter.Boot:
+		info, err := platformconfig.Parse(ev.Info)
 		if err != nil {
 			return err
 		}
-		s, err := bootinfo.Settings(info)
+		s, err := platformconfig.Settings(info)
 		if err != nil {
 			return err
 		}
@@ -111,7 +111,7 @@
 		}
 		l.placers[ev.Placer] = &placer{id: ev.Placer, core: core, reportFields: info.LoadInfo.Fields}
 		return nil
-	case wire.Teardown:
+	case simadapter.Teardown:
 		delete(l.placers, ev.Placer)
 		return nil
 	}
@@ -132,41 +132,41 @@
 
 func (l *link) translate(ev any) (uint32, forkhead.Event, error) {
 	switch ev := ev.(type) {
-	case wire.DirectoryUpdate:
+	case simadapter.DirectoryUpdate:
 		u, err := l.update(ev)
 		return ev.Placer, u, err
-	case wire.Ask:
+	case simadapter.Ask:
 		return ev.Placer, forkhead.PlacementRequest{Task: task(ev)}, nil
-	case wire.Existing:
+	case simadapter.Existing:
 		return ev.Placer, forkhead.HandedOver{Task: task(ev.Ask), Machine: forkhead.MachineID(ev.Host)}, nil
-	case wire.Bound:
+	case simadapter.Bound:
 		return ev.Placer, forkhead.Bound{
 			Task: forkhead.TaskID(ev.ID), Attempt: int(ev.Leg), Machine: forkhead.MachineID(ev.Host),
-			Took: bootinfo.Duration(ev.Duration),
+			Took: platformconfig.Duration(ev.Duration),
 		}, nil
-	case wire.StatusNote:
+	case simadapter.StatusNote:
 		return ev.Placer, forkhead.Note{
 			Task: forkhead.TaskID(ev.ID), Attempt: int(ev.Leg), Machine: forkhead.MachineID(ev.Host),
 			Kind: forkhead.NoteKind(ev.Kind), Amount: float64(ev.Amount),
 		}, nil
-	case wire.Answer:
+	case simadapter.Answer:
 		how, err := result(ev.How)
 		return ev.Placer, forkhead.Outcome{
 			Task: forkhead.TaskID(ev.ID), Attempt: int(ev.Leg), Machine: forkhead.MachineID(ev.Host),
-			Result: how, Reason: forkhead.RejectReason(ev.Remark), Took: bootinfo.Duration(ev.Duration), Final: ev.Terminal,
+			Result: how, Reason: forkhead.RejectReason(ev.Remark), Took: platformconfig.Duration(ev.Duration), Final: ev.Terminal,
 			Report: l.report(ev.Placer, ev.Telemetry),
 		}, err
-	case wire.StatusBack:
+	case simadapter.StatusBack:
 		how, err := result(ev.How)
 		return ev.Placer, forkhead.Probed{
-			Machine: forkhead.MachineID(ev.Host), Result: how, Took: bootinfo.Duration(ev.Duration),
+			Machine: forkhead.MachineID(ev.Host), Result: how, Took: platformconfig.Duration(ev.Duration),
 			Report: l.report(ev.Placer, ev.Telemetry),
 		}, err
-	case wire.ClientLeft:
+	case simadapter.ClientLeft:
 		return ev.Placer, forkhead.RequestCanceled{Task: forkhead.TaskID(ev.ID)}, nil
-	case wire.Fired:
+	case simadapter.Fired:
 		return ev.Placer, forkhead.TimerFired{Timer: ev.Label}, nil
-	case wire.Peer:
+	case simadapter.Peer:
 		return ev.Placer, forkhead.Received{From: int(ev.Origin), Data: ev.Blob}, nil
 	}
 	return 0, nil, fmt.Errorf("%T is not an event for a placer", ev)
@@ -178,13 +178,13 @@
 	flagAgain = 2 | 16
 )
 
-func task(a wire.Ask) forkhead.Task {
+func task(a simadapter.Ask) forkhead.Task {
 	t := forkhead.Task{
 		ID: forkhead.TaskID(a.ID), Key: a.UID, Service: a.Group, Class: int(a.Class), Tenant: int(a.Owner),
-		Timeout: bootinfo.Duration(a.Budget), Cores: float64(a.Cores), Memory: float64(a.Memory), Resubmitted: a.Flags&flagAgain != 0,
+		Timeout: platformconfig.Duration(a.Budget), Cores: float64(a.Cores), Memory: float64(a.Memory), Resubmitted: a.Flags&flagAgain != 0,
 	}
 	if a.Flags&flagHint != 0 {
-		t.RemainingLifetime = bootinfo.Duration(a.RunsFor)
+		t.RemainingLifetime = platformconfig.Duration(a.RunsFor)
 	}
 	return t
 }
@@ -208,7 +208,7 @@
 
 var states = map[uint8]forkhead.MachineState{0: forkhead.Draining, 1: forkhead.Ready, 2: forkhead.Removed}
 
-func (l *link) update(ev wire.DirectoryUpdate) (forkhead.Event, error) {
+func (l *link) update(ev simadapter.DirectoryUpdate) (forkhead.Event, error) {
 	mode, ok := listModes[ev.How]
 	if !ok {
 		return nil, fmt.Errorf("unknown kind of list %d", ev.How)
@@ -227,7 +227,7 @@
 		}
 		u.Machines = append(u.Machines, forkhead.Machine{
 			ID: forkhead.MachineID(e.Host), State: state, Type: int(e.Model), Zone: int(e.Zone),
-			Cell: int(e.Pod), StartedAt: bootinfo.Duration(e.Launched),
+			Cell: int(e.Pod), StartedAt: platformconfig.Duration(e.Launched),
 			AvailableCores: float64(e.CPULeft), AvailableMemory: float64(e.MemLeft),
 		})
 	}
@@ -238,9 +238,9 @@
 	r := &l.reply
 	switch a := a.(type) {
 	case forkhead.Offer:
-		r.Put(id, uint32(a.Task), uint32(a.Machine), bootinfo.Milliseconds(a.Timeout))
+		r.Put(id, uint32(a.Task), uint32(a.Machine), platformconfig.Milliseconds(a.Timeout))
 	case forkhead.Reject:
-		r.NotNow(id, uint32(a.Task), bootinfo.Milliseconds(a.RetryAfter))
+		r.NotNow(id, uint32(a.Task), platformconfig.Milliseconds(a.RetryAfter))
 	case forkhead.Fail:
 		r.GiveUp(id, uint32(a.Task))
 	case forkhead.Withdraw:
@@ -248,11 +248,11 @@
 	case forkhead.Stop:
 		r.Unseat(id, uint32(a.Task))
 	case forkhead.SetTimer:
-		r.Sleep(id, a.Timer, bootinfo.Milliseconds(a.At))
+		r.Sleep(id, a.Timer, platformconfig.Milliseconds(a.At))
 	case forkhead.Probe:
 		r.Poll(id, uint32(a.Machine))
 	case forkhead.Gossip:
-		to := uint32(wire.EveryPeer)
+		to := uint32(simadapter.EveryPeer)
 		if a.To != forkhead.AllPlacers {
 			to = uint32(a.To)
 		}
@@ -272,12 +272,12 @@
 	if p == nil || len(values) == 0 {
 		return nil
 	}
-	r := bootinfo.NoReport()
+	r := platformconfig.NoReport()
 	for i, name := range p.reportFields {
 		if i >= len(values) {
 			break
 		}
-		bootinfo.Tell(r, name, float64(values[i]))
+		platformconfig.Tell(r, name, float64(values[i]))
 	}
 	return r
 }
--- a/internal/cli/badday.go
+++ b/internal/cli/badday.go
@@ -13,13 +13,13 @@
 
 	"github.com/spf13/cobra"
 
-	"forkhead/internal/placing/core"
-	"forkhead/internal/placing/guard"
-	"forkhead/internal/protocol/record"
-	"forkhead/internal/proving/badday"
-	"forkhead/internal/proving/rules"
-	"forkhead/internal/proving/script"
-	"forkhead/internal/proving/tape"
+	"forkhead/internal/protocol/capture"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/scheduler/invariant"
+	"forkhead/internal/verify/chaos"
+	"forkhead/internal/verify/replay"
+	"forkhead/internal/verify/rules"
+	"forkhead/internal/verify/scenario"
 )
 
 type baddayFlags struct {
@@ -45,9 +45,9 @@
 			if f.replay != "" {
 				return a.replayTape(f.replay)
 			}
-			from, preset := name, script.Default
+			from, preset := name, scenario.Default
 			if name == "recovery" {
-				from, preset = "", script.Recovery
+				from, preset = "", scenario.Recovery
 			}
 			s, err := readScript(from, preset)
 			if err != nil {
@@ -74,9 +74,9 @@
 	return c
 }
 
-func (a *app) playDay(ctx context.Context, s *script.Script, f *baddayFlags) error {
+func (a *app) playDay(ctx context.Context, s *scenario.Script, f *baddayFlags) error {
 	start := time.Now()
-	r, err := badday.Play(ctx, s, badday.Options{Log: a.log, Keep: f.onBreach != "", Begun: func(t script.Trouble) {
+	r, err := chaos.Play(ctx, s, chaos.Options{Log: a.log, Keep: f.onBreach != "", Begun: func(t scenario.Trouble) {
 		if a.output == "text" {
 			fmt.Fprintf(a.errs, "%5.1f s  %s\n", time.Since(start).Seconds(), t.Kind)
 		}
@@ -89,7 +89,7 @@
 	}
 	if f.keep != "" {
 		var b bytes.Buffer
-		if err := record.Write(&b, r.Record); err != nil {
+		if err := capture.Write(&b, r.Record); err != nil {
 			return err
 		}
 		if err := os.WriteFile(f.keep, b.Bytes(), 0o600); err != nil {
@@ -127,13 +127,13 @@
 }
 
 // keepDay writes all of a day that broke a rule: what is needed to see it again.
-func keepDay(folder string, s *script.Script, r *badday.Result) error {
+func keepDay(folder string, s *scenario.Script, r *chaos.Result) error {
 	dir := filepath.Join(folder, fmt.Sprintf("seed-%d", s.Seed))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return badInput(err)
 	}
 	var events bytes.Buffer
-	if err := record.Write(&events, r.Record); err != nil {
+	if err := capture.Write(&events, r.Record); err != nil {
 		return err
 	}
 	verdict, err := json.MarshalIndent(map[string]any{"result": r, "breaches": r.Verdict.Breaches}, "", "  ")
@@ -143,7 +143,7 @@
 	files := map[string][]byte{"script.sexp": s.Text, "record.jsonl": events.Bytes(), "verdict.json": verdict}
 	for _, l := range r.Tapes {
 		text, err := l.Bytes()
-		if err != nil && !errors.Is(err, tape.ErrFull) {
+		if err != nil && !errors.Is(err, replay.ErrFull) {
 			return fmt.Errorf("tape of placer %d: %w", l.Placer, err)
 		}
 		files[fmt.Sprintf("placer-%d-life-%d.tape", l.Placer, l.Life)] = text
@@ -157,12 +157,12 @@
 }
 
 // repeat plays a day many times.
-func (a *app) repeat(ctx context.Context, name string, s *script.Script, f *baddayFlags) error {
+func (a *app) repeat(ctx context.Context, name string, s *scenario.Script, f *baddayFlags) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	r := badday.Repeat{
+	r := chaos.Repeat{
 		Times: f.times, Parallel: f.parallel, Seed: s.Seed, Busy: f.busy, Stop: f.stop,
 		Command: func(seed int) []string {
 			words := []string{self, "badday", "--output", "json", "--log", "error", "--seed", strconv.Itoa(seed)}
@@ -174,7 +174,7 @@
 			}
 			return words
 		},
-		Done: func(p badday.Played) {
+		Done: func(p chaos.Played) {
 			if a.output == "json" {
 				_ = a.json(p)
 			} else {
@@ -206,15 +206,15 @@
 	if err != nil {
 		return err
 	}
-	var places []record.Event
-	p, err := tape.Play(bytes.NewReader(text), func(s *tape.Step, _ []core.Output) { places = append(places, tape.Places(s.In)...) })
+	var places []capture.Event
+	p, err := replay.Play(bytes.NewReader(text), func(s *replay.Step, _ []core.Output) { places = append(places, replay.Places(s.In)...) })
 	if err != nil {
 		return badInput(fmt.Errorf("%s: %w", name, err))
 	}
 	host := p.Script.Host
 	v := rules.Check(append(places, p.Events...), rules.FactsOf(p.Script.Settings, float64(host.Starts)/host.Start.Seconds()))
 	counts := map[string]int{}
-	for rule := guard.OneAnswer; rule <= guard.Spread; rule++ {
+	for rule := invariant.OneAnswer; rule <= invariant.Spread; rule++ {
 		counts[rule.String()] = v.Counts[rule]
 	}
 	if a.output == "json" {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
 
-	"forkhead/internal/reading/source"
+	"forkhead/internal/parse/diagnostic"
 )
 
 // Exit codes.
@@ -64,7 +64,7 @@
 		return exitOK
 	case errors.Is(err, errNo):
 		return exitNo
-	case errors.As(err, &in) || source.First(err) != nil || strings.HasPrefix(err.Error(), "unknown command"):
+	case errors.As(err, &in) || diagnostic.First(err) != nil || strings.HasPrefix(err.Error(), "unknown command"):
 		fmt.Fprintln(errs, err)
 		return exitInput
 	default:
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"forkhead/internal/placing/core"
+	"forkhead/internal/scheduler/core"
 )
 
 func run(args ...string) (code int, out, errs string) {
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -10,18 +10,18 @@
 
 	"github.com/spf13/cobra"
 
-	"forkhead/internal/proving/scene"
-	"forkhead/internal/proving/script"
-	"forkhead/internal/reading/settings"
-	"forkhead/internal/reading/sexp"
-	"forkhead/internal/reading/source"
-	"forkhead/internal/running/clock"
-	"forkhead/internal/running/netio"
-	"forkhead/internal/running/placerd"
-	"forkhead/internal/running/store"
-	"forkhead/internal/running/submitter"
-	"forkhead/internal/standins/catalogued"
-	"forkhead/internal/standins/hostd"
+	"forkhead/internal/client"
+	consulemulator "forkhead/internal/emulator/consul"
+	"forkhead/internal/emulator/host"
+	"forkhead/internal/parse/diagnostic"
+	"forkhead/internal/parse/settings"
+	"forkhead/internal/parse/sexp"
+	"forkhead/internal/server/clock"
+	"forkhead/internal/server/netio"
+	"forkhead/internal/server/placer"
+	"forkhead/internal/server/store"
+	"forkhead/internal/verify/scenario"
+	"forkhead/internal/verify/testcluster"
 )
 
 // readSettings reads a file of settings; "" stands for the default ones.
@@ -36,15 +36,15 @@
 	return settings.Read(name, text)
 }
 
-func readScript(name string, preset []byte) (*script.Script, error) {
+func readScript(name string, preset []byte) (*scenario.Script, error) {
 	if name == "" {
-		return script.Read("built-in script", preset)
+		return scenario.Read("built-in script", preset)
 	}
 	text, err := file(name, "a script: (badday ...)")
 	if err != nil {
 		return nil, err
 	}
-	return script.Read(name, text)
+	return scenario.Read(name, text)
 }
 
 func (a *app) serveCommand() *cobra.Command {
@@ -62,14 +62,14 @@
 				return badInput(fmt.Errorf("--self is %d, and the settings name placers 0 to %d", self, len(s.Placers)-1))
 			}
 			c := clock.New()
-			cfg := placerd.Config{Settings: s.For(self), Clock: c, Log: a.log, Seed: uint64(c.Now())}
+			cfg := placer.Config{Settings: s.For(self), Clock: c, Log: a.log, Seed: uint64(c.Now())}
 			if keep != "" {
 				if cfg.Store, cfg.Kept, err = store.Open(store.Options{Path: keep}); err != nil {
 					return err
 				}
 				defer cfg.Store.Close()
 			}
-			p, err := placerd.Start(cfg)
+			p, err := placer.Start(cfg)
 			if err != nil {
 				return err
 			}
@@ -96,7 +96,7 @@
 	c := &cobra.Command{
 		Use: "host", Short: "run the stand-in hosts of a script", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := readScript(scriptFile, script.Calm)
+			s, err := readScript(scriptFile, scenario.Calm)
 			if err != nil {
 				return err
 			}
@@ -114,8 +114,8 @@
 				g := &s.Hosts[gi]
 				for i := range g.Count {
 					name, rack := fmt.Sprintf("%s%d", g.Prefix, i), fmt.Sprintf("%s-r%d", g.Zone, i%g.Racks)
-					h, err := hostd.Start(hostd.Config{
-						Host: scene.HostConfig(s, g, name, rack), Listen: net.JoinHostPort(address, "0"), Catalogue: catalogue,
+					h, err := host.Start(host.Config{
+						Host: testcluster.HostConfig(s, g, name, rack), Listen: net.JoinHostPort(address, "0"), Catalogue: catalogue,
 						Service: s.Settings.Catalogue.Service, Refresh: s.Host.Refresh, Seed: uint64(gi*10_000 + i), Cold: g.Cold, Clock: c, Engine: engine,
 					})
 					if err != nil {
@@ -137,11 +137,11 @@
 
 func (a *app) catalogueCommand() *cobra.Command {
 	var listen string
-	var p catalogued.Policy
+	var p consulemulator.Policy
 	c := &cobra.Command{
 		Use: "catalogue", Short: "run the stand-in catalogue of hosts", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := catalogued.Serve(listen, p, clock.New(), nil)
+			s, err := consulemulator.Serve(listen, p, clock.New(), nil)
 			if err != nil {
 				return err
 			}
@@ -162,7 +162,7 @@
 	c := &cobra.Command{
 		Use: "try FILE...", Short: "place a description on stand-in hosts, all in this process", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, names []string) error {
-			s, err := readScript(scriptFile, script.Calm)
+			s, err := readScript(scriptFile, scenario.Calm)
 			if err != nil {
 				return err
 			}
@@ -175,7 +175,7 @@
 				return err
 			}
 			named(e, d, names[0])
-			sc, err := scene.Start(s, nil, a.log, nil, false)
+			sc, err := testcluster.Start(s, nil, a.log, nil, false)
 			if err != nil {
 				return err
 			}
@@ -187,7 +187,7 @@
 				a.log.Warn().Str("at", n.Pos.String()).Msg(n.Text)
 			}
 			out := a.outcomes()
-			client := submitter.Client{Address: sc.Settings.Placers[0].HTTP}
+			client := client.Client{Address: sc.Settings.Placers[0].HTTP}
 			if err := client.Submit(cmd.Context(), e, out.add); err != nil {
 				return a.refusal(err)
 			}
@@ -221,7 +221,7 @@
 				}
 			}
 			out := a.outcomes()
-			client := submitter.Client{Address: to, Key: key, Tries: tries, Pause: 500 * time.Millisecond}
+			client := client.Client{Address: to, Key: key, Tries: tries, Pause: 500 * time.Millisecond}
 			if err := client.Submit(cmd.Context(), e, out.add); err != nil {
 				return a.refusal(err)
 			}
@@ -237,7 +237,7 @@
 
 // refusal tells a placer's answer as what it is: bad input, a no, or trouble.
 func (a *app) refusal(err error) error {
-	var r *submitter.Refusal
+	var r *client.Refusal
 	if !errors.As(err, &r) {
 		return err
 	}
@@ -267,7 +267,7 @@
 				return err
 			}
 			var rest []string
-			errs := &source.List{}
+			errs := &diagnostic.List{}
 			for _, name := range names {
 				text, err := file(name, "settings, a script or a Compose description")
 				if err != nil {
@@ -277,7 +277,7 @@
 				case "forkhead":
 					_, err = settings.Read(name, text)
 				case "badday":
-					_, err = script.Read(name, text)
+					_, err = scenario.Read(name, text)
 				default:
 					rest = append(rest, name)
 					continue
--- a/internal/cli/describe.go
+++ b/internal/cli/describe.go
@@ -10,11 +10,11 @@
 
 	"github.com/spf13/pflag"
 
-	"forkhead/internal/placing/core"
-	"forkhead/internal/reading/compose"
-	"forkhead/internal/reading/description"
-	"forkhead/internal/reading/settings"
-	"forkhead/internal/running/placerd"
+	"forkhead/internal/parse/compose"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/parse/settings"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/server/placer"
 )
 
 // projectFlags are what bears on reading a description.
@@ -33,8 +33,8 @@
 }
 
 // envelope gathers the files of a submission, those that they name, and the variables.
-func (p *projectFlags) envelope(names []string) (*placerd.Envelope, error) {
-	e := &placerd.Envelope{Profiles: p.profiles, Services: p.services, Project: p.project, Variables: map[string]string{}}
+func (p *projectFlags) envelope(names []string) (*placer.Envelope, error) {
+	e := &placer.Envelope{Profiles: p.profiles, Services: p.services, Project: p.project, Variables: map[string]string{}}
 	seen := map[string]bool{}
 	var load func(name string, into *[]compose.File, must bool) error
 	load = func(name string, into *[]compose.File, must bool) error {
@@ -71,7 +71,7 @@
 }
 
 // variables come from .env, or the file that is named, and over it from the environment.
-func (p *projectFlags) variables(e *placerd.Envelope, first string) error {
+func (p *projectFlags) variables(e *placer.Envelope, first string) error {
 	name, must := p.envFile, true
 	if name == "" {
 		name, must = filepath.Join(filepath.Dir(first), ".env"), false
@@ -101,7 +101,7 @@
 }
 
 // used says whether any file names a variable: the rest of the environment stays here.
-func used(e *placerd.Envelope, name string) bool {
+func used(e *placer.Envelope, name string) bool {
 	for _, list := range [][]compose.File{e.Files, e.Others} {
 		for _, f := range list {
 			if strings.Contains(f.Text, name) {
@@ -113,7 +113,7 @@
 }
 
 // parse reads an envelope as a placer with these settings would.
-func parse(e *placerd.Envelope, s *settings.Settings) (*description.Description, error) {
+func parse(e *placer.Envelope, s *settings.Settings) (*servicespec.Description, error) {
 	in := &compose.Input{
 		Files: e.Files, Others: e.Others, Variables: e.Variables, Profiles: e.Profiles, Services: e.Services, Project: e.Project,
 		Tenants: s.Tenants,
@@ -126,7 +126,7 @@
 }
 
 // named makes sure that a project has a name: by the specification that of the file's folder.
-func named(e *placerd.Envelope, d *description.Description, first string) {
+func named(e *placer.Envelope, d *servicespec.Description, first string) {
 	if d.Name != "" || e.Project != "" {
 		return
 	}
--- a/internal/cli/explore.go
+++ b/internal/cli/explore.go
@@ -16,31 +16,31 @@
 	"github.com/spf13/cobra"
 
 	"forkhead"
-	"forkhead/internal/proving/explore"
-	"forkhead/internal/proving/lives"
+	"forkhead/internal/verify/modelcheck"
+	"forkhead/internal/verify/simulation"
 )
 
 var effects = map[string]forkhead.Effect{"safe": forkhead.Safe, "keyed": forkhead.Keyed, "unsafe": forkhead.Unsafe}
 
 // exploration is what is written of a search.
 type exploration struct {
-	Effect     string              `json:"effect"`
-	Tasks      int                 `json:"tasks"`
-	Hosts      int                 `json:"hosts"`
-	Faults     int                 `json:"faults"`
-	Plant      string              `json:"plant,omitempty"`
-	States     int                 `json:"states"`
-	Steps      int                 `json:"steps"`
-	Ends       int                 `json:"ends"`
-	Depth      int                 `json:"depth"`
-	PerSecond  int                 `json:"states_per_second"`
-	MiB        uint64              `json:"mib"`
-	Complete   bool                `json:"complete"`
-	Violations []explore.Violation `json:"violations"`
+	Effect     string                 `json:"effect"`
+	Tasks      int                    `json:"tasks"`
+	Hosts      int                    `json:"hosts"`
+	Faults     int                    `json:"faults"`
+	Plant      string                 `json:"plant,omitempty"`
+	States     int                    `json:"states"`
+	Steps      int                    `json:"steps"`
+	Ends       int                    `json:"ends"`
+	Depth      int                    `json:"depth"`
+	PerSecond  int                    `json:"states_per_second"`
+	MiB        uint64                 `json:"mib"`
+	Complete   bool                   `json:"complete"`
+	Violations []modelcheck.Violation `json:"violations"`
 }
 
 func (a *app) exploreCommand() *cobra.Command {
-	var cfg explore.Config
+	var cfg modelcheck.Config
 	var effect, trace, replay string
 	var list bool
 	var lives int
@@ -65,7 +65,7 @@
 			} else if _, ok := effects[effect]; !ok {
 				return badInput(fmt.Errorf("--effect is %q, want safe, keyed, unsafe or all", effect))
 			}
-			if p, ok := explore.FindPlant(cfg.Plant); cfg.Plant != "" && !ok {
+			if p, ok := modelcheck.FindPlant(cfg.Plant); cfg.Plant != "" && !ok {
 				return badInput(fmt.Errorf("no plant is named %q; see --list-plants", cfg.Plant))
 			} else if ok && !cmd.Flags().Changed("effect") {
 				for name, e := range effects {
@@ -118,7 +118,7 @@
 
 func (a *app) plants() error {
 	if a.output == "json" {
-		for _, p := range explore.Plants {
+		for _, p := range modelcheck.Plants {
 			if err := a.json(map[string]string{"plant": p.Name, "what": p.What, "property": p.Property}); err != nil {
 				return err
 			}
@@ -127,7 +127,7 @@
 	}
 	w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "PLANT\tBREAKS\tWHAT")
-	for _, p := range explore.Plants {
+	for _, p := range modelcheck.Plants {
 		fmt.Fprintf(w, "%s\t%s\t%s\n", p.Name, p.Property, p.What)
 	}
 	return w.Flush()
@@ -139,14 +139,14 @@
 	if err != nil {
 		return err
 	}
-	var t explore.Trace
+	var t modelcheck.Trace
 	if err := json.Unmarshal(text, &t); err != nil {
 		return badInput(fmt.Errorf("%s: not a trace: %w", name, err))
 	}
 	if t.Config.Tasks < 1 || t.Config.Tasks > 3 || t.Config.Hosts < 1 || t.Config.Hosts > 2 || t.Config.Effect > forkhead.Unsafe {
 		return badInput(fmt.Errorf("%s: not a trace of 1 to 3 tasks and 1 or 2 hosts", name))
 	}
-	r, err := explore.Replay(&t)
+	r, err := modelcheck.Replay(&t)
 	if err != nil {
 		return err
 	}
@@ -183,8 +183,8 @@
 		go func() {
 			defer wait.Done()
 			for i := next.Add(1) - 1; i < int64(n) && ctx.Err() == nil; i = next.Add(1) - 1 {
-				for _, mix := range lives.Mixes {
-					if err := lives.Check(mix, from+uint64(i)); err != nil {
+				for _, mix := range simulation.Mixes {
+					if err := simulation.Check(mix, from+uint64(i)); err != nil {
 						mu.Lock()
 						failed = append(failed, mix.Name+" "+err.Error())
 						mu.Unlock()
@@ -199,14 +199,14 @@
 	wait.Wait()
 	slices.Sort(failed)
 	if a.output == "json" {
-		if err := a.json(map[string]any{"lives": done.Load() * int64(len(lives.Mixes)), "from": from, "failed": append([]string{}, failed...)}); err != nil {
+		if err := a.json(map[string]any{"lives": done.Load() * int64(len(simulation.Mixes)), "from": from, "failed": append([]string{}, failed...)}); err != nil {
 			return err
 		}
 	} else {
 		for _, f := range failed {
 			fmt.Fprintln(a.out, f)
 		}
-		fmt.Fprintf(a.out, "%d lives, %d went wrong\n", done.Load()*int64(len(lives.Mixes)), len(failed))
+		fmt.Fprintf(a.out, "%d lives, %d went wrong\n", done.Load()*int64(len(simulation.Mixes)), len(failed))
 	}
 	if len(failed) > 0 {
 		return errNo
@@ -215,7 +215,7 @@
 }
 
 // search runs one search and tells of it; it returns whether a property was broken.
-func (a *app) search(cfg explore.Config, effect, trace string) (bool, error) {
+func (a *app) search(cfg modelcheck.Config, effect, trace string) (bool, error) {
 	cfg.Effect = effects[effect]
 	last := time.Now()
 	cfg.Progress = func(states, depth int) {
@@ -224,7 +224,7 @@
 			fmt.Fprintf(a.errs, "%d states, depth %d\n", states, depth)
 		}
 	}
-	r, err := explore.Run(cfg)
+	r, err := modelcheck.Run(cfg)
 	if err != nil {
 		return false, badInput(err)
 	}
@@ -234,7 +234,7 @@
 		Complete: r.Complete, Violations: r.Violations,
 	}
 	if trace != "" && len(r.Violations) > 0 {
-		text, err := json.MarshalIndent(explore.Trace{Config: cfg, Violation: r.Violations[0]}, "", "  ")
+		text, err := json.MarshalIndent(modelcheck.Trace{Config: cfg, Violation: r.Violations[0]}, "", "  ")
 		if err != nil {
 			return false, err
 		}
@@ -248,7 +248,7 @@
 	fmt.Fprintf(a.out, "%d tasks, %d hosts, %s, %d faults: %d states, %d steps, depth %d, %d ends, %d states/s, %d MiB, complete: %v\n",
 		e.Tasks, e.Hosts, effect, e.Faults, e.States, e.Steps, e.Depth, e.Ends, e.PerSecond, e.MiB, e.Complete)
 	if len(r.Violations) == 0 {
-		for _, p := range explore.Properties {
+		for _, p := range modelcheck.Properties {
 			fmt.Fprintf(a.out, "  holds  %-14s %s\n", p.Name, p.Text)
 		}
 		return false, nil
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -43,7 +43,7 @@
 
 // The store of an earlier build is verified and dumped byte for byte.
 func TestStoreCommandGolden(t *testing.T) {
-	const file = "../running/store/testdata/placer.db"
+	const file = "../server/store/testdata/placer.db"
 	checkGolden(t, "store-verify.txt", goldenRun(t, exitOK, "store", "verify", file))
 	checkGolden(t, "store-verify.jsonl", goldenRun(t, exitOK, "store", "verify", file, "--output", "json"))
 	checkGolden(t, "store-dump.txt", goldenRun(t, exitOK, "store", "dump", file))
@@ -53,7 +53,7 @@
 // A copy without free space holds the same.
 func TestStoreCompactGolden(t *testing.T) {
 	compact := filepath.Join(t.TempDir(), "copy.db")
-	out := goldenRun(t, exitOK, "store", "compact", "../running/store/testdata/placer.db", compact, "--output", "json")
+	out := goldenRun(t, exitOK, "store", "compact", "../server/store/testdata/placer.db", compact, "--output", "json")
 	// Sizes are whole pages of the machine's.
 	if got, want := regexp.MustCompile(`\d+`).ReplaceAllString(out, "N"), `{"after":N,"before":N}`+"\n"; got != want {
 		t.Errorf("got %s, want %s", got, want)
@@ -64,7 +64,7 @@
 // Tapes of an earlier build replay to the same verdict.
 func TestReplayCommandGolden(t *testing.T) {
 	for _, name := range []string{"placer-0-life-2", "placer-1-life-1"} {
-		file := "../proving/tape/testdata/" + name + ".tape"
+		file := "../verify/replay/testdata/" + name + ".tape"
 		checkGolden(t, "replay-"+name+".jsonl", goldenRun(t, exitOK, "badday", "--replay", file, "--output", "json"))
 		checkGolden(t, "replay-"+name+".txt", goldenRun(t, exitOK, "badday", "--replay", file))
 	}
@@ -92,7 +92,7 @@
 const examples = "../../examples/"
 
 func TestCheckCommandGolden(t *testing.T) {
-	const settings = "../reading/settings/testdata/"
+	const settings = "../parse/settings/testdata/"
 	checkGolden(t, "check.jsonl", goldenRun(t, exitOK, "check", settings+"all.sexp", examples+"calendar.compose.yaml", "--output", "json"))
 	checkGolden(t, "check.txt", goldenRun(t, exitOK, "check", settings+"all.sexp", examples+"calendar.compose.yaml"))
 	code, out, errs := run("check", examples+"broken.compose.yaml", "--output", "json")
@@ -112,7 +112,7 @@
 	plan("calendar", exitOK, examples+"calendar.compose.yaml")
 	plan("running", exitOK, "--running", "testdata/running.json", "--move", "2", "--home", "south", "--cross", "9", examples+"calendar.compose.yaml")
 	plan("impossible", exitNo, examples+"impossible.compose.yaml")
-	plan("shares", exitOK, "--shares", "--config", "../reading/settings/testdata/all.sexp")
+	plan("shares", exitOK, "--shares", "--config", "../parse/settings/testdata/all.sexp")
 	checkGolden(t, "plan-selfcheck.jsonl", goldenRun(t, exitOK, "plan", "--selfcheck", "5", "--output", "json"))
 }
 
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"forkhead/internal/protocol/platform"
-	"forkhead/internal/running/noded"
+	platformserver "forkhead/internal/server/platform"
 )
 
 // Memory that the collector is given, of the platform's limit: the rest is for the program itself and its sockets.
@@ -36,17 +36,17 @@
 			if cfg.Limits.MemoryMB > 0 {
 				debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB * heapShare * (1 << 20)))
 			}
-			o := noded.Options{Config: cfg, Log: a.log}
+			o := platformserver.Options{Config: cfg, Log: a.log}
 			if trace != "" {
 				f, err := os.Create(trace)
 				if err != nil {
 					return err
 				}
 				defer f.Close()
-				o.Tap = noded.Trace(f)
+				o.Tap = platformserver.Trace(f)
 			}
-			s, err := noded.Start(o)
-			if errors.As(err, &noded.ConfigError{}) {
+			s, err := platformserver.Start(o)
+			if errors.As(err, &platformserver.ConfigError{}) {
 				return badInput(err)
 			}
 			if err != nil {
@@ -66,7 +66,7 @@
 				case <-signals:
 					fresh, err := platformConfig()
 					if err == nil {
-						err = noded.Check(fresh)
+						err = platformserver.Check(fresh)
 					}
 					if err != nil {
 						a.log.Error().Err(err).Msg("the new configuration cannot be used; the old one stays")
--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -50,7 +50,7 @@
 	if text, err := exec.Command("go", "build", "-o", program, "forkhead/cmd/forkhead").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, text)
 	}
-	settings, err := os.ReadFile("../running/noded/testdata/settings.json")
+	settings, err := os.ReadFile("../server/platform/testdata/settings.json")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -8,12 +8,12 @@
 
 	"github.com/spf13/cobra"
 
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/parse/settings"
 	"forkhead/internal/planning/plan"
-	"forkhead/internal/planning/shares"
-	"forkhead/internal/planning/solve"
-	"forkhead/internal/proving/solvecheck"
-	"forkhead/internal/reading/description"
-	"forkhead/internal/reading/settings"
+	"forkhead/internal/planning/quota"
+	"forkhead/internal/planning/solver"
+	"forkhead/internal/verify/bruteforce"
 )
 
 func (a *app) planCommand() *cobra.Command {
@@ -64,9 +64,9 @@
 			if err != nil {
 				return err
 			}
-			q.What = []*description.Description{d}
+			q.What = []*servicespec.Description{d}
 			end := time.Now().Add(limit)
-			p, err := plan.Solve(q, solve.Options{Stop: func() bool { return time.Now().After(end) || cmd.Context().Err() != nil }})
+			p, err := plan.Solve(q, solver.Options{Stop: func() bool { return time.Now().After(end) || cmd.Context().Err() != nil }})
 			if err != nil {
 				return badInput(err)
 			}
@@ -94,15 +94,15 @@
 			total += h.Cores
 		}
 	}
-	var tenants []shares.Tenant
+	var tenants []quota.Tenant
 	for i, name := range s.Tenants {
-		tenants = append(tenants, shares.Tenant{Name: name, Share: uint64(s.Module.Tenants[i].Quota*1e6 + 0.5)})
+		tenants = append(tenants, quota.Tenant{Name: name, Share: uint64(s.Module.Tenants[i].Quota*1e6 + 0.5)})
 	}
-	var placers []shares.Part
+	var placers []quota.Part
 	for i, p := range s.Placers {
-		placers = append(placers, shares.Part{Name: fmt.Sprintf("%d (%s)", i, p.Zone), Weight: 1})
+		placers = append(placers, quota.Part{Name: fmt.Sprintf("%d (%s)", i, p.Zone), Weight: 1})
 	}
-	t, err := shares.Of(int64(total*1000+0.5), tenants, placers, nil)
+	t, err := quota.Of(int64(total*1000+0.5), tenants, placers, nil)
 	if err != nil {
 		return badInput(err)
 	}
@@ -134,7 +134,7 @@
 
 func (a *app) selfcheck(n int) error {
 	start := time.Now()
-	feasible, err := solvecheck.Compare(1, n, solve.Options{})
+	feasible, err := bruteforce.Compare(1, n, solver.Options{})
 	if a.output == "json" {
 		out := map[string]any{"instances": n, "feasible": feasible, "agree": err == nil}
 		if err != nil {
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -6,8 +6,8 @@
 
 	"github.com/spf13/cobra"
 
-	"forkhead/internal/placing/state"
-	"forkhead/internal/running/store"
+	"forkhead/internal/scheduler/durable"
+	"forkhead/internal/server/store"
 )
 
 func (a *app) storeCommand() *cobra.Command {
@@ -51,7 +51,7 @@
 	counts, bad := map[string]int{}, 0
 	err := store.Each(path, func(bucket, key string, value []byte) error {
 		counts[bucket]++
-		text, version, err := state.Open(value)
+		text, version, err := durable.Open(value)
 		if err != nil {
 			bad++
 			fmt.Fprintf(a.errs, "%s: %s %q: %v\n", path, bucket, key, err)
--- a/internal/running/submitter/submitter.go
+++ b/internal/client/submitter.go
@@ -1,6 +1,6 @@
-// Package submitter is a client of the front: it sends a submission, reads its outcomes as they
+// Package client is a client of the front: it sends a submission, reads its outcomes as they
 // come, and sends it again under the same key where the reply was lost.
-package submitter
+package client
 
 import (
 	"bufio"
@@ -17,8 +17,8 @@
 	"strings"
 	"time"
 
-	"forkhead/internal/placing/core"
-	"forkhead/internal/running/placerd"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/server/placer"
 )
 
 // Client submits to one placer.
@@ -38,7 +38,7 @@
 
 // Refusal is an answer that the placer gave instead of outcomes.
 type Refusal struct {
-	placerd.Problem
+	placer.Problem
 	RetryAfter time.Duration
 }
 
@@ -65,7 +65,7 @@
 
 // Submit sends a submission and calls each with every outcome, once, in the order in which they
 // come. It returns when the submission is complete.
-func (c *Client) Submit(ctx context.Context, e *placerd.Envelope, each func(core.Outcome)) error {
+func (c *Client) Submit(ctx context.Context, e *placer.Envelope, each func(core.Outcome)) error {
 	body, err := json.Marshal(e)
 	if err != nil {
 		return err
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	req.Header.Set("Content-Type", placerd.EnvelopeType)
+	req.Header.Set("Content-Type", placer.EnvelopeType)
 	req.Header.Set("Idempotency-Key", key)
 	client := c.HTTP
 	if client == nil {
@@ -157,7 +157,7 @@
 		return err
 	}
 	if err := json.Unmarshal(data, &r.Problem); err != nil || r.Status == 0 {
-		r.Problem = placerd.Problem{Status: resp.StatusCode, Title: resp.Status}
+		r.Problem = placer.Problem{Status: resp.StatusCode, Title: resp.Status}
 	}
 	if n, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil && n >= 0 && n < 86400 {
 		r.RetryAfter = time.Duration(n) * time.Second
--- a/internal/running/submitter/submitter_test.go
+++ b/internal/client/submitter_test.go
@@ -1,4 +1,4 @@
-package submitter
+package client
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"forkhead/internal/placing/core"
-	"forkhead/internal/running/placerd"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/server/placer"
 )
 
 // A stream that breaks in the middle of a line is asked for again under the same key, and each
@@ -42,7 +42,7 @@
 	broken := ""
 	c := Client{Address: strings.TrimPrefix(srv.URL, "http://"), Tries: 5, Pause: time.Millisecond, Broken: func(id string) { broken = id }}
 	var got []string
-	err := c.Submit(context.Background(), &placerd.Envelope{}, func(o core.Outcome) {
+	err := c.Submit(context.Background(), &placer.Envelope{}, func(o core.Outcome) {
 		got = append(got, fmt.Sprintf("%d %s", o.Replica, o.Outcome))
 	})
 	if err != nil || strings.Join(got, ",") != "1 placed,2 refused" || broken != "s-1" {
@@ -63,7 +63,7 @@
 	}))
 	defer srv.Close()
 	c := Client{Address: strings.TrimPrefix(srv.URL, "http://"), Tries: 5}
-	err := c.Submit(context.Background(), &placerd.Envelope{}, func(core.Outcome) {})
+	err := c.Submit(context.Background(), &placer.Envelope{}, func(core.Outcome) {})
 	var r *Refusal
 	if !errors.As(err, &r) || r.Busy() || len(r.Errors) != 1 || r.Errors[0].Line != 3 || calls != 1 {
 		t.Fatalf("%v after %d calls", err, calls)
--- a/internal/doc.go
+++ b/internal/doc.go
@@ -1,7 +1,7 @@
-// Package internal holds the program, in wings; the root package, the module, decides each placement. Arrows go one way:
+// Package internal holds the program, in layers; the root package, the module, decides each placement. Imports go one way:
 //
-//	cmd -> cli -> proving -> standins -> running -> planning, placing -> protocol -> reading -> the module
+//	cmd -> cli -> verify -> emulator, client -> server -> planning, scheduler -> protocol -> parse -> the module
 //
-// Each wing's doc.go says what belongs there. Package wire is the simulator's and stands apart. The test of this
+// Each layer's doc.go says what belongs there. Package simadapter is the simulator's and stands apart. The test of this
 // package holds the code to all of it.
 package internal
--- a/internal/standins/catalogued/server.go
+++ b/internal/emulator/consul/server.go
@@ -1,4 +1,4 @@
-package catalogued
+package consul
 
 import (
 	"encoding/json"
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
-	"forkhead/internal/protocol/catalogue"
-	"forkhead/internal/protocol/record"
-	"forkhead/internal/running/clock"
-	"forkhead/internal/running/recorder"
+	"forkhead/internal/protocol/capture"
+	"forkhead/internal/protocol/consul"
+	"forkhead/internal/server/clock"
+	"forkhead/internal/server/recorder"
 )
 
 // Server is a Store behind HTTP on loopback.
@@ -113,7 +113,7 @@
 			http.Error(w, errDown.Error(), http.StatusInternalServerError)
 			return
 		}
-		var entries []catalogue.Entry
+		var entries []consul.Entry
 		var at uint64
 		s.With(func(st *Store, now time.Duration) { entries, at = st.Health(now, r.PathValue("service")) })
 		timeout := false
@@ -130,7 +130,7 @@
 			}
 		}
 		if entries == nil {
-			entries = []catalogue.Entry{}
+			entries = []consul.Entry{}
 		}
 		body, err := json.Marshal(entries)
 		if err != nil {
@@ -149,12 +149,12 @@
 
 // told records what a placer is told, if the one that asks is one. It is recorded when the
 // answer leaves: the placer cannot know it earlier.
-func (s *Server) told(agent string, entries []catalogue.Entry) {
+func (s *Server) told(agent string, entries []consul.Entry) {
 	n, err := strconv.Atoi(strings.TrimPrefix(agent, "forkhead-placer/"))
 	if s.log == nil || err != nil || !strings.HasPrefix(agent, "forkhead-placer/") {
 		return
 	}
-	e := record.Event{At: s.clock.Now(), What: record.Told, Placer: n}
+	e := capture.Event{At: s.clock.Now(), What: capture.Told, Placer: n}
 	for i := range entries {
 		critical := false
 		for _, c := range entries[i].Checks {
@@ -183,7 +183,7 @@
 		http.Error(w, errDown.Error(), http.StatusInternalServerError)
 		return
 	}
-	reg, ok := decode[catalogue.Registration](w, r)
+	reg, ok := decode[consul.Registration](w, r)
 	if !ok {
 		return
 	}
@@ -200,7 +200,7 @@
 		http.Error(w, errDown.Error(), http.StatusInternalServerError)
 		return
 	}
-	dereg, ok := decode[catalogue.Deregistration](w, r)
+	dereg, ok := decode[consul.Deregistration](w, r)
 	if !ok {
 		return
 	}
--- a/internal/standins/catalogued/store.go
+++ b/internal/emulator/consul/store.go
@@ -1,13 +1,13 @@
-// Package catalogued is a stand-in for a service catalogue: as much of Consul's HTTP API as hosts
+// Package consul is a stand-in for a service catalogue: as much of Consul's HTTP API as hosts
 // and placers use, with lag, outage and stale answers on command.
-package catalogued
+package consul
 
 import (
 	"slices"
 	"strings"
 	"time"
 
-	"forkhead/internal/protocol/catalogue"
+	"forkhead/internal/protocol/consul"
 )
 
 // Policy says when a host that no longer registers is taken for dead.
@@ -27,7 +27,7 @@
 }
 
 type node struct {
-	reg         catalogue.Registration
+	reg         consul.Registration
 	seen        time.Duration
 	critical    bool
 	maintenance bool
@@ -36,7 +36,7 @@
 type version struct {
 	at      time.Duration
 	index   uint64
-	entries []catalogue.Entry
+	entries []consul.Entry
 }
 
 const keepPast = 2 * time.Minute
@@ -49,7 +49,7 @@
 }
 
 // Register takes a registration, new or repeated.
-func (s *Store) Register(now time.Duration, r catalogue.Registration) {
+func (s *Store) Register(now time.Duration, r consul.Registration) {
 	n := s.nodes[r.Node]
 	if n == nil {
 		n = &node{}
@@ -114,16 +114,16 @@
 	slices.SortFunc(names, strings.Compare)
 	for _, name := range names {
 		n := s.nodes[name]
-		e := catalogue.Entry{
-			Node:    catalogue.Node{ID: n.reg.ID, Node: name, Address: n.reg.Address, Datacenter: "dc1", Meta: n.reg.NodeMeta},
+		e := consul.Entry{
+			Node:    consul.Node{ID: n.reg.ID, Node: name, Address: n.reg.Address, Datacenter: "dc1", Meta: n.reg.NodeMeta},
 			Service: *n.reg.Service,
-			Checks:  []catalogue.Check{{Node: name, CheckID: "serfHealth", Name: "Serf Health Status", Status: "passing"}},
+			Checks:  []consul.Check{{Node: name, CheckID: "serfHealth", Name: "Serf Health Status", Status: "passing"}},
 		}
 		if n.critical {
 			e.Checks[0].Status = "critical"
 		}
 		if n.maintenance {
-			e.Checks = append(e.Checks, catalogue.Check{Node: name, CheckID: catalogue.Maintenance, Name: "Node Maintenance Mode", Status: "critical"})
+			e.Checks = append(e.Checks, consul.Check{Node: name, CheckID: consul.Maintenance, Name: "Node Maintenance Mode", Status: "critical"})
 		}
 		v.entries = append(v.entries, e)
 	}
@@ -146,7 +146,7 @@
 }
 
 // Health answers /v1/health/service/:service as of now: the entries and their index.
-func (s *Store) Health(now time.Duration, service string) (entries []catalogue.Entry, index uint64) {
+func (s *Store) Health(now time.Duration, service string) (entries []consul.Entry, index uint64) {
 	v := s.view(now)
 	for _, e := range v.entries {
 		if e.Service.Service == service {
--- a/internal/standins/hostd/hostd.go
+++ b/internal/emulator/host/hostd.go
@@ -1,6 +1,6 @@
-// Package hostd puts a stand-in host on sockets: it carries frames and time to package standin,
+// Package host puts a stand-in host on sockets: it carries frames and time to package standin,
 // registers with the catalogue, records the traffic, and does to connections what a script says.
-package hostd
+package host
 
 import (
 	"bytes"
@@ -14,21 +14,21 @@
 	"sync"
 	"time"
 
-	"forkhead/internal/placing/core"
-	"forkhead/internal/protocol/catalogue"
+	"forkhead/internal/emulator/hostmodel"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/protocol/capture"
+	"forkhead/internal/protocol/consul"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/protocol/record"
-	"forkhead/internal/reading/description"
-	"forkhead/internal/running/clock"
-	"forkhead/internal/running/loop"
-	"forkhead/internal/running/netio"
-	"forkhead/internal/running/recorder"
-	"forkhead/internal/standins/standin"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/server/clock"
+	"forkhead/internal/server/eventloop"
+	"forkhead/internal/server/netio"
+	"forkhead/internal/server/recorder"
 )
 
 // Config is where a host lives.
 type Config struct {
-	Host      standin.Config
+	Host      hostmodel.Config
 	Listen    string // ADDRESS:PORT; port 0: any
 	Catalogue string // "": it registers nowhere
 	Service   string
@@ -51,8 +51,8 @@
 	rng    *rand.Rand
 	client *http.Client
 
-	loop *loop.Loop
-	life *standin.Host // nil: down
+	loop *eventloop.Loop
+	life *hostmodel.Host // nil: down
 	num  uint64
 	ln   net.Listener
 	addr string // stays the same over lives
@@ -61,8 +61,8 @@
 	out  time.Duration // frames leave this much later
 	torn bool          // the next frame that leaves is cut in the middle
 
-	conns map[standin.ConnID]*conn
-	next  standin.ConnID
+	conns map[hostmodel.ConnID]*conn
+	next  hostmodel.ConnID
 	reg   time.Duration // next registration
 
 	stopped  sync.Once
@@ -73,8 +73,8 @@
 
 type conn struct {
 	s      *Server
-	id     standin.ConnID
-	life   *standin.Host // in which it was opened
+	id     hostmodel.ConnID
+	life   *hostmodel.Host // in which it was opened
 	c      *netio.Conn
 	dec    hostproto.Decoder
 	buf    []byte
@@ -88,11 +88,11 @@
 		cfg.Refresh = 500 * time.Millisecond
 	}
 	s := &Server{
-		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), conns: map[standin.ConnID]*conn{}, mute: map[*conn]bool{},
+		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), conns: map[hostmodel.ConnID]*conn{}, mute: map[*conn]bool{},
 		client: &http.Client{Timeout: 2 * time.Second}, addr: cfg.Listen,
 		register: make(chan core.HostEntry, 1), ended: make(chan struct{}),
 	}
-	s.loop = loop.New(cfg.Clock, mostJobs, s.step)
+	s.loop = eventloop.New(cfg.Clock, mostJobs, s.step)
 	s.loop.Start()
 	var err error
 	s.loop.Call(func() { err = s.up(cfg.Cold) })
@@ -127,7 +127,7 @@
 
 // With runs f on the host's goroutine with its present life, or nil, and carries out what f
 // returns.
-func (s *Server) With(f func(h *standin.Host, now time.Duration) []standin.Output) {
+func (s *Server) With(f func(h *hostmodel.Host, now time.Duration) []hostmodel.Output) {
 	s.loop.Call(func() {
 		now := s.cfg.Clock.Now()
 		if s.life != nil {
@@ -213,9 +213,9 @@
 	}
 	s.ln, s.addr = ln, ln.Addr().String()
 	// Epochs grow over restarts of this process too: they hold the time.
-	s.life = standin.New(s.cfg.Host, uint64(now.Microseconds())+s.num, s.cfg.Seed+s.num, now, cold)
+	s.life = hostmodel.New(s.cfg.Host, uint64(now.Microseconds())+s.num, s.cfg.Seed+s.num, now, cold)
 	s.deaf, s.reg = false, now
-	s.log(record.Event{What: record.HostUp, Cold: cold, Zone: s.cfg.Host.Zone, Rack: s.cfg.Host.Rack})
+	s.log(capture.Event{What: capture.HostUp, Cold: cold, Zone: s.cfg.Host.Zone, Rack: s.cfg.Host.Rack})
 	return nil
 }
 
@@ -225,9 +225,9 @@
 		return
 	}
 	if s.life.Fell() {
-		s.log(record.Event{What: record.Fell})
+		s.log(capture.Event{What: capture.Fell})
 	}
-	s.log(record.Event{What: record.HostDown})
+	s.log(capture.Event{What: capture.HostDown})
 	s.life = nil
 }
 
@@ -246,7 +246,7 @@
 	}
 }
 
-func (s *Server) log(e record.Event) {
+func (s *Server) log(e capture.Event) {
 	if s.cfg.Log == nil {
 		return
 	}
@@ -303,7 +303,7 @@
 		delete(s.conns, h.id)
 		delete(s.mute, h)
 		if h.placer >= 0 {
-			s.log(record.Event{What: record.Gone, Placer: h.placer, PlacerEpoch: h.epoch, Conn: uint64(h.id)})
+			s.log(capture.Event{What: capture.Gone, Placer: h.placer, PlacerEpoch: h.epoch, Conn: uint64(h.id)})
 		}
 		if s.life != nil {
 			s.carry(s.life.Closed(s.cfg.Clock.Now(), h.id))
@@ -330,11 +330,11 @@
 	if s.cfg.Log == nil {
 		return
 	}
-	e := record.Event{At: at, Host: s.cfg.Host.Name, Placer: h.placer, PlacerEpoch: h.epoch, Conn: uint64(h.id)}
+	e := capture.Event{At: at, Host: s.cfg.Host.Name, Placer: h.placer, PlacerEpoch: h.epoch, Conn: uint64(h.id)}
 	if s.life != nil {
 		e.Epoch = s.life.Epoch()
 	}
-	for _, e := range record.Frame(e, f) {
+	for _, e := range capture.Frame(e, f) {
 		s.cfg.Log.Add(e)
 	}
 }
@@ -362,7 +362,7 @@
 }
 
 // carry writes what the host does, one write a connection.
-func (s *Server) carry(out []standin.Output) {
+func (s *Server) carry(out []hostmodel.Output) {
 	var touched []*conn
 	for _, o := range out {
 		h := s.conns[o.Conn]
@@ -415,10 +415,10 @@
 	cfg := &s.cfg.Host
 	e := core.HostEntry{
 		Name: cfg.Name, Address: s.addr, Kind: cfg.Kind, Zone: cfg.Zone, Rack: cfg.Rack, Started: s.life.Started(),
-		Attributes: map[description.Attribute]string{},
+		Attributes: map[servicespec.Attribute]string{},
 	}
 	for k, v := range cfg.Labels {
-		e.Attributes[description.Attribute("label."+k)] = v
+		e.Attributes[servicespec.Attribute("label."+k)] = v
 	}
 	e.FreeCores, e.FreeMemory = s.life.Free()
 	return e
@@ -453,7 +453,7 @@
 }
 
 func (s *Server) put(e *core.HostEntry) error {
-	reg, err := catalogue.Registered(e, s.cfg.Service)
+	reg, err := consul.Registered(e, s.cfg.Service)
 	if err != nil {
 		return err
 	}
--- a/internal/standins/hostd/hostd_test.go
+++ b/internal/emulator/host/hostd_test.go
@@ -1,4 +1,4 @@
-package hostd
+package host
 
 import (
 	"io"
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
+	"forkhead/internal/emulator/hostmodel"
+	"forkhead/internal/protocol/capture"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/protocol/record"
-	"forkhead/internal/running/clock"
-	"forkhead/internal/running/netio"
-	"forkhead/internal/running/recorder"
-	"forkhead/internal/standins/standin"
+	"forkhead/internal/server/clock"
+	"forkhead/internal/server/netio"
+	"forkhead/internal/server/recorder"
 )
 
 func start(t *testing.T) (*Server, *recorder.Log) {
@@ -23,7 +23,7 @@
 	}
 	log := recorder.New(1000)
 	s, err := Start(Config{
-		Host: standin.Default("h", "k", "z", "r", 8, 8), Listen: "127.0.0.1:0", Clock: clock.New(), Engine: engine, Log: log,
+		Host: hostmodel.Default("h", "k", "z", "r", 8, 8), Listen: "127.0.0.1:0", Clock: clock.New(), Engine: engine, Log: log,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 	})
 	events, _ := log.Events()
 	for _, e := range events {
-		if e.What == record.Offer {
+		if e.What == capture.Offer {
 			t.Fatalf("recorded: %+v", e)
 		}
 	}
@@ -145,9 +145,9 @@
 	ups, downs := 0, 0
 	for _, e := range events {
 		switch e.What {
-		case record.HostUp:
+		case capture.HostUp:
 			ups++
-		case record.HostDown:
+		case capture.HostDown:
 			downs++
 		}
 	}
--- a/internal/standins/standin/sessions.go
+++ b/internal/emulator/hostmodel/sessions.go
@@ -1,4 +1,4 @@
-package standin
+package hostmodel
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"forkhead/internal/placing/hostside"
 	"forkhead/internal/protocol/hostproto"
+	"forkhead/internal/scheduler/hostsession"
 )
 
 // ---- Sessions.
@@ -68,9 +68,9 @@
 	case hostproto.Offer:
 		h.offer(p, f)
 	case hostproto.Withdraw:
-		h.called(p, f.Ref, hostside.Withdraw)
+		h.called(p, f.Ref, hostsession.Withdraw)
 	case hostproto.Stop:
-		h.called(p, f.Ref, hostside.Stop)
+		h.called(p, f.Ref, hostsession.Stop)
 	case hostproto.Probe:
 		h.send(p, hostproto.Probed{ID: f.ID, Report: h.report()})
 	case hostproto.Query:
@@ -93,11 +93,11 @@
 		return
 	}
 	old := h.peers[f.Placer]
-	last := hostside.Session{Epoch: h.life[f.Placer]}
+	last := hostsession.Session{Epoch: h.life[f.Placer]}
 	if old != nil {
 		last.Conn, last.Open = old.conn, true
 	}
-	if hostside.Greet(last, f.Epoch, f.Conn) == hostside.TooOld {
+	if hostsession.Greet(last, f.Epoch, f.Conn) == hostsession.TooOld {
 		h.bye(p, "a later life or connection of this placer is known")
 		return
 	}
@@ -138,37 +138,37 @@
 			h.send(p, hostproto.Ended{Ref: ref, Result: hostproto.Forgotten})
 			continue
 		}
-		_, say := hostside.Next(h.state(ref), hostside.Query)
+		_, say := hostsession.Next(h.state(ref), hostsession.Query)
 		h.reply(p.placer, ref, say, nil)
 	}
 }
 
 // state is where the host's machine has an attempt.
-func (h *Host) state(ref hostproto.Ref) hostside.State {
+func (h *Host) state(ref hostproto.Ref) hostsession.State {
 	if t := h.tasks[ref]; t != nil {
-		return [...]hostside.State{hostside.InLine, hostside.Starting, hostside.Running}[t.phase]
+		return [...]hostsession.State{hostsession.InLine, hostsession.Starting, hostsession.Running}[t.phase]
 	}
 	switch f := h.over[ref].(type) {
 	case hostproto.Refused:
-		return hostside.Refused
+		return hostsession.Refused
 	case hostproto.Ended:
 		if f.Result == hostproto.Called {
-			return hostside.Called
+			return hostsession.Called
 		}
-		return hostside.Ended
+		return hostsession.Ended
 	}
-	return hostside.Absent
+	return hostsession.Absent
 }
 
 // reply sends the frame that the machine says. over is the frame of an attempt that ends now; one
 // that had ended is told again as it was.
-func (h *Host) reply(placer uint16, ref hostproto.Ref, say hostside.Reply, over hostproto.Frame) {
+func (h *Host) reply(placer uint16, ref hostproto.Ref, say hostsession.Reply, over hostproto.Frame) {
 	switch say {
-	case hostside.SayAccepted:
+	case hostsession.SayAccepted:
 		h.say(placer, hostproto.Accepted{Ref: ref})
-	case hostside.SayRunning:
+	case hostsession.SayRunning:
 		h.say(placer, hostproto.Running{Ref: ref})
-	case hostside.SayRefused, hostside.SayEnded, hostside.SayCalled:
+	case hostsession.SayRefused, hostsession.SayEnded, hostsession.SayCalled:
 		if over == nil {
 			over = h.over[ref]
 		}
--- a/internal/standins/standin/standin.go
+++ b/internal/emulator/hostmodel/standin.go
@@ -1,7 +1,7 @@
-// Package standin is a host without its sockets: it takes offers, starts and runs tasks, and
+// Package hostmodel is a host without its sockets: it takes offers, starts and runs tasks, and
 // fails on command. It stands in for real hosts in tests, in badday and in try. It is pure: the
 // shell of it carries frames and time.
-package standin
+package hostmodel
 
 import (
 	"math"
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"forkhead/internal/placing/hostside"
 	"forkhead/internal/protocol/hostproto"
+	"forkhead/internal/scheduler/hostsession"
 )
 
 // Config is what a host is.
@@ -256,7 +256,7 @@
 // ---- Offers.
 
 func (h *Host) offer(p *peer, f hostproto.Offer) {
-	if h.state(f.Ref) != hostside.Absent {
+	if h.state(f.Ref) != hostsession.Absent {
 		return // it came before
 	}
 	h.pressure()
@@ -310,7 +310,7 @@
 
 func (h *Host) refuse(t *task, why hostproto.Reason) {
 	f := hostproto.Refused{Ref: t.ref, Reason: why, Report: h.report()}
-	_, say := hostside.Next(hostside.InLine, hostside.Decline)
+	_, say := hostsession.Next(hostsession.InLine, hostsession.Decline)
 	h.remember(t, f)
 	h.reply(t.placer, t.ref, say, f)
 }
@@ -340,7 +340,7 @@
 		h.refuse(t, why)
 		return
 	}
-	_, say := hostside.Next(h.state(t.ref), hostside.Accept)
+	_, say := hostsession.Next(h.state(t.ref), hostsession.Accept)
 	t.phase = hostproto.Starting
 	h.starts = append(h.starts, t)
 	h.reply(t.placer, t.ref, say, nil)
@@ -399,19 +399,19 @@
 
 // called takes a Withdraw or a Stop by the machine: an offer in line never runs, a start may have
 // done something and is ended, not undone, and what runs goes on unless it is stopped.
-func (h *Host) called(p *peer, ref hostproto.Ref, in hostside.Input) {
+func (h *Host) called(p *peer, ref hostproto.Ref, in hostsession.Input) {
 	t := h.tasks[ref]
 	if t != nil && t.placer != p.placer {
 		return
 	}
-	to, say := hostside.Next(h.state(ref), in)
+	to, say := hostsession.Next(h.state(ref), in)
 	switch {
-	case t != nil && to == hostside.Called:
+	case t != nil && to == hostsession.Called:
 		h.dropLine(func(o *task) bool { return o == t })
 		f := hostproto.Ended{Ref: ref, Result: hostproto.Called, Report: h.report()}
 		h.remember(t, f)
 		h.reply(t.placer, ref, say, f)
-	case t != nil && to == hostside.Ended:
+	case t != nil && to == hostsession.Ended:
 		h.end(t, hostproto.Stopped)
 	default:
 		h.reply(p.placer, ref, say, nil)
--- a/internal/standins/standin/standin_test.go
+++ b/internal/emulator/hostmodel/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package hostmodel
 
 import (
 	"testing"
--- a/internal/wings_test.go
+++ b/internal/layers_test.go
@@ -16,22 +16,24 @@
 
 const module = "forkhead"
 
-// may says which wings a wing may import beside itself. Tests may import any.
-var may = map[string][]string{
-	"reading":  {"."},
-	"protocol": {".", "reading"},
-	"placing":  {".", "reading", "protocol"},
-	"planning": {".", "reading"},
-	"running":  {".", "reading", "protocol", "placing", "planning"},
-	"standins": {".", "reading", "protocol", "placing", "running"},
-	"proving":  {".", "reading", "protocol", "placing", "planning", "running", "standins"},
-	"cli":      {".", "reading", "protocol", "placing", "planning", "running", "standins", "proving"},
-	"wire":     {"."},
+// mayImport says which layers a layer may import beside itself. Tests may import any.
+var mayImport = map[string][]string{
+	"parse":      {"."},
+	"protocol":   {".", "parse"},
+	"scheduler":  {".", "parse", "protocol"},
+	"planning":   {".", "parse"},
+	"server":     {".", "parse", "protocol", "scheduler", "planning"},
+	"client":     {".", "parse", "protocol", "scheduler", "planning", "server"},
+	"emulator":   {".", "parse", "protocol", "scheduler", "server"},
+	"verify":     {".", "parse", "protocol", "scheduler", "planning", "server", "client", "emulator"},
+	"cli":        {".", "parse", "protocol", "scheduler", "planning", "server", "client", "emulator", "verify"},
+	"simadapter": {"."},
 }
 
-// pure names the wings and packages that hold no socket, clock, goroutine or global.
+// pure names the layers and packages that hold no socket, clock, goroutine or global.
 var pure = []string{
-	".", "reading", "protocol", "placing", "planning", "standins/standin", "proving/lives", "proving/nodelives", "proving/rules", "proving/script", "proving/tape",
+	".", "parse", "protocol", "scheduler", "planning", "emulator/hostmodel", "verify/simulation", "verify/platformsim",
+	"verify/rules", "verify/scenario", "verify/replay",
 }
 
 // forbidden in a pure package: imports, by themselves or with all below them, and names of a package.
@@ -45,8 +47,8 @@
 	}
 )
 
-// wing returns the wing of an import path of this module: "." for the module itself, "" for none.
-func wing(imported string) string {
+// layer returns the layer of an import path of this module: "." for the module itself, "" for none.
+func layer(imported string) string {
 	if imported == module {
 		return "."
 	}
@@ -80,8 +82,8 @@
 			name = im.Name.Name
 		}
 		names[name] = p
-		if w := wing(p); w != "" && w != own && !slices.Contains(may[own], w) {
-			wrong = append(wrong, fmt.Sprintf("%s imports %s: wing %s may import %v", dir, p, own, may[own]))
+		if l := layer(p); l != "" && l != own && !slices.Contains(mayImport[own], l) {
+			wrong = append(wrong, fmt.Sprintf("%s imports %s: layer %s may import %v", dir, p, own, mayImport[own]))
 		}
 		if isPure(dir) && slices.ContainsFunc(impure, func(i string) bool { return p == i || strings.HasPrefix(p, i+"/") }) &&
 			p != "net/url" && p != "net/netip" {
@@ -107,7 +109,7 @@
 }
 
 // The tree is as internal/doc.go says.
-func TestWings(t *testing.T) {
+func TestLayers(t *testing.T) {
 	fset := token.NewFileSet()
 	documented := map[string]bool{}
 	err := filepath.WalkDir("..", func(name string, d os.DirEntry, err error) error {
@@ -131,8 +133,8 @@
 		dir := path.Dir(rel)
 		documented[dir] = documented[dir] || f.Doc != nil && len(strings.Fields(f.Doc.Text())) > 3
 		switch inner, ok := strings.CutPrefix(dir, "internal/"); {
-		case ok && may[strings.Split(inner, "/")[0]] == nil:
-			t.Errorf("%s is of no wing; want one of those in this test", dir)
+		case ok && mayImport[strings.Split(inner, "/")[0]] == nil:
+			t.Errorf("%s is of no layer; want one of those in this test", dir)
 		case ok:
 			for _, w := range judge(inner, f) {
 				t.Error(w)
@@ -152,9 +154,9 @@
 			t.Errorf("package %s has no doc comment", dir)
 		}
 	}
-	for w := range may {
-		if _, err := os.Stat(w); err != nil {
-			t.Errorf("wing %s is gone", w)
+	for l := range mayImport {
+		if _, err := os.Stat(l); err != nil {
+			t.Errorf("layer %s is gone", l)
 		}
 	}
 }
@@ -162,21 +164,21 @@
 // What is forbidden is found.
 func TestPlantedArrows(t *testing.T) {
 	for text, c := range map[string]struct{ dir, want string }{
-		`import "forkhead/internal/running/netio"`:                               {"placing/core", "wing placing may import"},
-		`import "forkhead/internal/proving/rules"`:                               {"running/placerd", "wing running may import"},
-		`import "forkhead/internal/cli"`:                                         {"proving/badday", "wing proving may import"},
-		`import "net"`:                                                           {"placing/core", "imports net"},
-		`import "net/http"`:                                                      {"reading/compose", "imports net/http"},
-		`import "os"`:                                                            {"planning/solve", "imports os"},
-		`import "sync/atomic"`:                                                   {"protocol/record", "imports sync/atomic"},
-		`import "github.com/lesismal/nbio"`:                                      {"standins/standin", "imports github.com/lesismal/nbio"},
+		`import "forkhead/internal/server/netio"`:                                {"scheduler/core", "layer scheduler may import"},
+		`import "forkhead/internal/verify/rules"`:                                {"server/placer", "layer server may import"},
+		`import "forkhead/internal/cli"`:                                         {"verify/chaos", "layer verify may import"},
+		`import "net"`:                                                           {"scheduler/core", "imports net"},
+		`import "net/http"`:                                                      {"parse/compose", "imports net/http"},
+		`import "os"`:                                                            {"planning/solver", "imports os"},
+		`import "sync/atomic"`:                                                   {"protocol/capture", "imports sync/atomic"},
+		`import "github.com/lesismal/nbio"`:                                      {"emulator/hostmodel", "imports github.com/lesismal/nbio"},
 		"import \"time\"\nvar x = time.Now()":                                    {".", "uses time.Now"},
-		"import clock \"time\"\nvar x = clock.Sleep":                             {"proving/lives", "uses clock.Sleep"},
-		"import \"math/rand/v2\"\nvar x = rand.IntN(3)":                          {"placing/core", "uses rand.IntN"},
-		"func f() { go f() }":                                                    {"placing/attempt", "starts a goroutine"},
-		"import \"math/rand/v2\"\nvar x = rand.New(nil)":                         {"placing/core", ""},
-		"import \"net/url\"\nimport \"time\"\nvar x time.Duration = time.Second": {"reading/compose", ""},
-		`import "forkhead/internal/placing/core"`:                                {"running/placerd", ""},
+		"import clock \"time\"\nvar x = clock.Sleep":                             {"verify/simulation", "uses clock.Sleep"},
+		"import \"math/rand/v2\"\nvar x = rand.IntN(3)":                          {"scheduler/core", "uses rand.IntN"},
+		"func f() { go f() }":                                                    {"scheduler/attempt", "starts a goroutine"},
+		"import \"math/rand/v2\"\nvar x = rand.New(nil)":                         {"scheduler/core", ""},
+		"import \"net/url\"\nimport \"time\"\nvar x time.Duration = time.Second": {"parse/compose", ""},
+		`import "forkhead/internal/scheduler/core"`:                              {"server/placer", ""},
 	} {
 		f, err := parser.ParseFile(token.NewFileSet(), "x.go", "package x\n"+text, 0)
 		if err != nil {
--- a/internal/reading/compose/compose.go
+++ b/internal/parse/compose/compose.go
@@ -7,8 +7,8 @@
 	"path"
 	"strings"
 
-	"forkhead/internal/reading/description"
-	"forkhead/internal/reading/source"
+	"forkhead/internal/parse/diagnostic"
+	"forkhead/internal/parse/servicespec"
 )
 
 // File is a file of a submission.
@@ -31,19 +31,19 @@
 }
 
 // Parse reads a description. The error lists what is wrong with file, line and column.
-func Parse(in *Input) (*description.Description, error) {
+func Parse(in *Input) (*servicespec.Description, error) {
 	size := 0
 	for _, f := range append(append([]File{}, in.Files...), in.Others...) {
 		size += len(f.Text)
 	}
 	if size > MostBytes || len(in.Files)+len(in.Others) > mostFiles {
-		return nil, source.Wantf(source.Pos{File: "submission"}, "at most 4 MiB in 64 files", "%d bytes in %d files", size, len(in.Files)+len(in.Others))
+		return nil, diagnostic.Wantf(diagnostic.Pos{File: "submission"}, "at most 4 MiB in 64 files", "%d bytes in %d files", size, len(in.Files)+len(in.Others))
 	}
 	if in.Project != "" && !projectName.MatchString(in.Project) {
-		return nil, source.Wantf(source.Pos{File: "submission"}, "lower-case letters, digits, - and _, at most 128", "project %q", in.Project)
+		return nil, diagnostic.Wantf(diagnostic.Pos{File: "submission"}, "lower-case letters, digits, - and _, at most 128", "project %q", in.Project)
 	}
-	p := &parser{in: in, budget: mostNodes, errs: &source.List{}}
-	d := &decoder{in: in, errs: p.errs, out: &description.Description{}, reader: p.read}
+	p := &parser{in: in, budget: mostNodes, errs: &diagnostic.List{}}
+	d := &decoder{in: in, errs: p.errs, out: &servicespec.Description{}, reader: p.read}
 	p.interpolator = &interpolator{vars: in.Variables, errs: p.errs, warned: map[string]bool{}, notes: d.note}
 	tree, err := p.tree()
 	if err != nil {
@@ -62,7 +62,7 @@
 type parser struct {
 	in           *Input
 	budget       int
-	errs         *source.List
+	errs         *diagnostic.List
 	interpolator *interpolator
 	loaded       map[string]*value
 }
@@ -94,7 +94,7 @@
 		if len(p.in.Files) > 0 {
 			name = p.in.Files[0].Name
 		}
-		return nil, source.Wantf(source.Pos{File: name, Line: 1, Col: 1}, "a Compose file", "there is nothing in it")
+		return nil, diagnostic.Wantf(diagnostic.Pos{File: name, Line: 1, Col: 1}, "a Compose file", "there is nothing in it")
 	}
 	return all, p.errs.Err()
 }
@@ -107,7 +107,7 @@
 	var all *value
 	for _, doc := range docs {
 		if doc.kind != mapping {
-			return nil, source.Wantf(doc.pos, "a mapping with services", "the file is %s", doc.kind)
+			return nil, diagnostic.Wantf(doc.pos, "a mapping with services", "the file is %s", doc.kind)
 		}
 		all = merge(all, p.interpolator.tree(doc), "")
 	}
@@ -136,7 +136,7 @@
 }
 
 // load returns the tree of a file that extends names.
-func (p *parser) load(from, name string, pos source.Pos) (*value, string, error) {
+func (p *parser) load(from, name string, pos diagnostic.Pos) (*value, string, error) {
 	at, text, err := p.read(from, name, pos)
 	if err != nil {
 		return nil, "", err
@@ -149,14 +149,14 @@
 		return nil, "", err
 	}
 	if tree == nil {
-		return nil, "", source.Errorf(pos, "%s is empty", at)
+		return nil, "", diagnostic.Errorf(pos, "%s is empty", at)
 	}
 	p.loaded[at] = tree
 	return tree, at, nil
 }
 
 // read finds a file of the submission by its path from the file that names it.
-func (p *parser) read(from, name string, pos source.Pos) (string, []byte, error) {
+func (p *parser) read(from, name string, pos diagnostic.Pos) (string, []byte, error) {
 	at := Resolve(from, name)
 	for _, list := range [][]File{p.in.Others, p.in.Files} {
 		for _, f := range list {
@@ -165,7 +165,7 @@
 			}
 		}
 	}
-	return "", nil, source.Wantf(pos, "the file with the submission: forkhead submit sends it along", "%s was not given", at)
+	return "", nil, diagnostic.Wantf(pos, "the file with the submission: forkhead submit sends it along", "%s was not given", at)
 }
 
 // Resolve gives the path of a file that another one names.
--- a/internal/reading/compose/compose_test.go
+++ b/internal/parse/compose/compose_test.go
@@ -8,16 +8,16 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"forkhead/internal/proving/page"
-	"forkhead/internal/reading/description"
-	"forkhead/internal/reading/source"
+	"forkhead/internal/parse/diagnostic"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/verify/doccheck"
 )
 
 func input(text string) *Input {
 	return &Input{Files: []File{{Name: "a.yaml", Text: text}}, Classes: []string{"web", "batch"}, Tenants: []string{"courts"}}
 }
 
-func read(t *testing.T, in *Input) *description.Description {
+func read(t *testing.T, in *Input) *servicespec.Description {
 	t.Helper()
 	d, err := Parse(in)
 	if err != nil {
@@ -53,32 +53,32 @@
       db: {condition: service_healthy, restart: true}
   db: {image: db, mem_reservation: 1gb, cpus: 2, restart: unless-stopped}
 `))
-	want := &description.Description{Name: "calendar", Notes: []description.Note{
+	want := &servicespec.Description{Name: "calendar", Notes: []servicespec.Note{
 		{Text: "restart of batch with db is not acted on: submit the project again to replace both"},
-	}, Services: []description.Service{
+	}, Services: []servicespec.Service{
 		{
 			Name: "batch", Class: "batch", Tenant: "courts", Replicas: 4, Cores: 6, Memory: 0.5, LimitCores: 8, LimitMemory: 2,
 			Life: 30 * time.Second, Wait: 2 * time.Second, Patience: time.Minute,
-			Constraints: []description.Constraint{
+			Constraints: []servicespec.Constraint{
 				{Attribute: "os", Value: "linux"}, {Attribute: "arch", Value: "arm64"},
 				{Attribute: "label.disk", Value: "ssd"}, {Attribute: "hostname", Not: true, Value: "h9"},
 			},
-			Preferences: []description.Attribute{"zone"},
-			Limits:      []description.Limit{{Place: "rack", Most: 2}, {Place: "machine", Most: 1}},
-			Restart:     description.Restart{When: description.OnFailure, Delay: 5 * time.Second, Most: 3, Window: 2 * time.Minute},
-			Update: description.Update{
-				Parallel: 2, Delay: 10 * time.Second, OnTrouble: description.Rollback, Monitor: 5 * time.Second, MaxFailed: 0.5, StartFirst: true,
+			Preferences: []servicespec.Attribute{"zone"},
+			Limits:      []servicespec.Limit{{Place: "rack", Most: 2}, {Place: "machine", Most: 1}},
+			Restart:     servicespec.Restart{When: servicespec.OnFailure, Delay: 5 * time.Second, Most: 3, Window: 2 * time.Minute},
+			Update: servicespec.Update{
+				Parallel: 2, Delay: 10 * time.Second, OnTrouble: servicespec.Rollback, Monitor: 5 * time.Second, MaxFailed: 0.5, StartFirst: true,
 			},
-			DependsOn: []description.Dependency{{Service: "db", When: description.Healthy, Restart: true}},
+			DependsOn: []servicespec.Dependency{{Service: "db", When: servicespec.Healthy, Restart: true}},
 			Labels:    map[string]string{"a": "1", "b": ""}, StopGrace: 90 * time.Second,
 			Payload: []byte(`{"image":"batch:3","limits":{"cpus":8,"memory_bytes":2147483648},"platform":"linux/arm64","service_labels":{"a":"1","b":""}}`),
 		},
 		{
-			Name: "db", Tenant: "courts", Replicas: 1, Cores: 2, Memory: 1, LimitCores: 2, Update: description.Update{Parallel: 1},
+			Name: "db", Tenant: "courts", Replicas: 1, Cores: 2, Memory: 1, LimitCores: 2, Update: servicespec.Update{Parallel: 1},
 			Payload: []byte(`{"image":"db","limits":{"cpus":2}}`),
 		},
 	}}
-	if diff := cmp.Diff(want, d, cmpopts.IgnoreTypes(source.Pos{}), cmpopts.EquateEmpty()); diff != "" {
+	if diff := cmp.Diff(want, d, cmpopts.IgnoreTypes(diagnostic.Pos{}), cmpopts.EquateEmpty()); diff != "" {
 		t.Fatal(diff)
 	}
 }
@@ -152,7 +152,7 @@
 			t.Errorf("%s: %v", name, err)
 		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)):
 			t.Errorf("%s: %v\nwant %s", name, err, c.want)
-		case c.want != "" && source.First(err) == nil:
+		case c.want != "" && diagnostic.First(err) == nil:
 			t.Errorf("%s: the error has no place: %v", name, err)
 		}
 	}
@@ -241,7 +241,7 @@
 }
 
 // The page and the parser go by one table.
-func TestTableOnPage(t *testing.T) { page.Holds(t, "docs/compose.md", Table()) }
+func TestTableOnPage(t *testing.T) { doccheck.Holds(t, "docs/compose.md", Table()) }
 
 func FuzzParse(f *testing.F) {
 	f.Add("services: {a: {image: '${A:-b}', deploy: {replicas: 2}}}")
--- a/internal/reading/compose/decode.go
+++ b/internal/parse/compose/decode.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"forkhead/internal/reading/description"
-	"forkhead/internal/reading/source"
+	"forkhead/internal/parse/diagnostic"
+	"forkhead/internal/parse/servicespec"
 )
 
 const (
@@ -25,26 +25,26 @@
 // decoder reads a merged tree into a description.
 type decoder struct {
 	in     *Input
-	errs   *source.List
-	out    *description.Description
+	errs   *diagnostic.List
+	out    *servicespec.Description
 	own    *value // x-forkhead of the top level
 	top    *value
 	reader fileReader
 }
 
-type fileReader func(from, name string, pos source.Pos) (string, []byte, error)
+type fileReader func(from, name string, pos diagnostic.Pos) (string, []byte, error)
 
-func (d *decoder) fail(pos source.Pos, format string, args ...any) {
-	d.errs.Add(source.Errorf(pos, format, args...))
+func (d *decoder) fail(pos diagnostic.Pos, format string, args ...any) {
+	d.errs.Add(diagnostic.Errorf(pos, format, args...))
 }
 
-func (d *decoder) want(pos source.Pos, want, format string, args ...any) {
-	d.errs.Add(source.Wantf(pos, want, format, args...))
+func (d *decoder) want(pos diagnostic.Pos, want, format string, args ...any) {
+	d.errs.Add(diagnostic.Wantf(pos, want, format, args...))
 }
 
-func (d *decoder) note(pos source.Pos, text string) {
+func (d *decoder) note(pos diagnostic.Pos, text string) {
 	if len(d.out.Notes) < 1000 {
-		d.out.Notes = append(d.out.Notes, description.Note{Pos: pos, Text: text})
+		d.out.Notes = append(d.out.Notes, servicespec.Note{Pos: pos, Text: text})
 	}
 }
 
@@ -86,7 +86,7 @@
 		}
 	}
 	slices.Sort(names)
-	d.errs.Add(source.Wantf(v.keyPos[k], source.Nearest(k, names), "unknown element %q in %s", k, where))
+	d.errs.Add(diagnostic.Wantf(v.keyPos[k], diagnostic.Nearest(k, names), "unknown element %q in %s", k, where))
 }
 
 // only refuses keys of a small mapping that are not listed.
@@ -167,7 +167,7 @@
 // extension returns x-forkhead of a mapping, checked for unknown keys.
 func (d *decoder) extension(v *value, where string) *value {
 	for _, k := range v.keys {
-		if near := source.Nearest(k, []string{"x-forkhead"}); k != "x-forkhead" && near != "" && strings.HasPrefix(k, "x-") {
+		if near := diagnostic.Nearest(k, []string{"x-forkhead"}); k != "x-forkhead" && near != "" && strings.HasPrefix(k, "x-") {
 			d.note(v.keyPos[k], k+" is passed over; x-forkhead is the extension read here")
 		}
 	}
@@ -178,10 +178,10 @@
 	return own
 }
 
-func (d *decoder) service(name string, pos source.Pos, v *value, inactive map[string]bool) description.Service {
-	s := description.Service{
+func (d *decoder) service(name string, pos diagnostic.Pos, v *value, inactive map[string]bool) servicespec.Service {
+	s := servicespec.Service{
 		Name: name, Pos: pos, Replicas: 1,
-		Update: description.Update{Parallel: 1, OnTrouble: description.Pause},
+		Update: servicespec.Update{Parallel: 1, OnTrouble: servicespec.Pause},
 	}
 	d.known(v, serviceIndex, "", "service "+strconv.Quote(name))
 	d.owned(&s, d.own)
@@ -198,8 +198,8 @@
 	d.update(&s, deploy)
 	d.dependsOn(&s, v, inactive)
 	for _, n := range s.Near { // what it has to be beside goes first
-		if !slices.ContainsFunc(s.DependsOn, func(dep description.Dependency) bool { return dep.Service == n.Service }) {
-			s.DependsOn = append(s.DependsOn, description.Dependency{Service: n.Service, Pos: n.Pos})
+		if !slices.ContainsFunc(s.DependsOn, func(dep servicespec.Dependency) bool { return dep.Service == n.Service }) {
+			s.DependsOn = append(s.DependsOn, servicespec.Dependency{Service: n.Service, Pos: n.Pos})
 		}
 	}
 	d.tied(v)
@@ -214,7 +214,7 @@
 }
 
 // owned takes what an x-forkhead says.
-func (d *decoder) owned(s *description.Service, own *value) {
+func (d *decoder) owned(s *servicespec.Service, own *value) {
 	if own == nil {
 		return
 	}
@@ -247,7 +247,7 @@
 				d.want(place.pos, "machine, rack or zone", "near %s is %q", name, place.text)
 			default:
 				pos := near.keyPos[name]
-				s.Near = append(s.Near, description.Near{Service: name, Place: place.text, Pos: pos})
+				s.Near = append(s.Near, servicespec.Near{Service: name, Place: place.text, Pos: pos})
 			}
 		}
 	}
@@ -259,12 +259,12 @@
 	s.Limits = nil
 	for _, place := range spread.keys {
 		if n, ok := d.integer(spread.fields[place], place, 1, mostReplicas); ok {
-			s.Limits = append(s.Limits, description.Limit{Place: place, Most: n, Pos: spread.keyPos[place]})
+			s.Limits = append(s.Limits, servicespec.Limit{Place: place, Most: n, Pos: spread.keyPos[place]})
 		}
 	}
 }
 
-func (d *decoder) dependsOn(s *description.Service, v *value, inactive map[string]bool) {
+func (d *decoder) dependsOn(s *servicespec.Service, v *value, inactive map[string]bool) {
 	deps := v.get("depends_on")
 	if deps == nil || deps.kind == null {
 		return
@@ -278,12 +278,12 @@
 		d.want(deps.pos, "a list of names", "depends_on holds something else")
 		return
 	}
-	conditions := map[string]description.Condition{
-		"service_started": description.Started, "service_healthy": description.Healthy,
-		"service_completed_successfully": description.Completed,
+	conditions := map[string]servicespec.Condition{
+		"service_started": servicespec.Started, "service_healthy": servicespec.Healthy,
+		"service_completed_successfully": servicespec.Completed,
 	}
 	for _, name := range deps.keys {
-		dep := description.Dependency{Service: name, Pos: deps.keyPos[name]}
+		dep := servicespec.Dependency{Service: name, Pos: deps.keyPos[name]}
 		if m := d.of(deps.fields[name], mapping, "a dependency"); m != nil {
 			d.only(m, "a dependency", "condition", "restart", "required")
 			if c := d.of(m.get("condition"), scalar, "condition"); c != nil {
--- a/internal/reading/compose/deploy.go
+++ b/internal/parse/compose/deploy.go
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
-	"forkhead/internal/reading/description"
+	"forkhead/internal/parse/servicespec"
 )
 
-func (d *decoder) resources(s *description.Service, v, deploy *value) {
+func (d *decoder) resources(s *servicespec.Service, v, deploy *value) {
 	res := d.of(deploy.get("resources"), mapping, "resources")
 	var limits, reserved *value
 	if res != nil {
@@ -65,10 +65,10 @@
 	}
 }
 
-func (d *decoder) count(s *description.Service, v, deploy *value) {
-	modes := map[string]description.Mode{
-		"replicated": description.Replicated, "global": description.Global,
-		"replicated-job": description.ReplicatedJob, "global-job": description.GlobalJob,
+func (d *decoder) count(s *servicespec.Service, v, deploy *value) {
+	modes := map[string]servicespec.Mode{
+		"replicated": servicespec.Replicated, "global": servicespec.Global,
+		"replicated-job": servicespec.ReplicatedJob, "global-job": servicespec.GlobalJob,
 	}
 	if m := d.of(deploy.get("mode"), scalar, "mode"); m != nil {
 		mode, ok := modes[m.text]
@@ -99,18 +99,18 @@
 		d.fail(c.pos, "container_name allows one task, and service %q asks for more", s.Name)
 	}
 	if s.Mode.Each() {
-		s.Limits = append(s.Limits, description.Limit{Place: "machine", Most: 1, Pos: deploy.get("mode").pos})
+		s.Limits = append(s.Limits, servicespec.Limit{Place: "machine", Most: 1, Pos: deploy.get("mode").pos})
 	}
 }
 
 var constraintForm = regexp.MustCompile(`^\s*([A-Za-z0-9._/-]+)\s*(==|!=)\s*(.*?)\s*$`)
 
-func (d *decoder) placement(s *description.Service, v, deploy *value) {
+func (d *decoder) placement(s *servicespec.Service, v, deploy *value) {
 	if p := d.of(v.get("platform"), scalar, "platform"); p != nil {
 		os, arch, _ := strings.Cut(p.text, "/")
-		s.Constraints = append(s.Constraints, description.Constraint{Attribute: "os", Value: os, Pos: p.pos})
+		s.Constraints = append(s.Constraints, servicespec.Constraint{Attribute: "os", Value: os, Pos: p.pos})
 		if arch != "" {
-			s.Constraints = append(s.Constraints, description.Constraint{Attribute: "arch", Value: arch, Pos: p.pos})
+			s.Constraints = append(s.Constraints, servicespec.Constraint{Attribute: "arch", Value: arch, Pos: p.pos})
 		}
 	}
 	d.hostPorts(s, v)
@@ -147,33 +147,33 @@
 	}
 	if n := p.get("max_replicas_per_node"); n != nil {
 		if most, ok := d.integer(n, "max_replicas_per_node", 0, mostReplicas); ok && most > 0 {
-			s.Limits = append(s.Limits, description.Limit{Place: "machine", Most: most, Pos: n.pos})
+			s.Limits = append(s.Limits, servicespec.Limit{Place: "machine", Most: most, Pos: n.pos})
 		}
 	}
 }
 
-func (d *decoder) preference(s *description.Service, v *value) {
+func (d *decoder) preference(s *servicespec.Service, v *value) {
 	switch v.text {
 	case "node.labels.zone", "node.labels.rack":
-		s.Preferences = append(s.Preferences, description.Attribute(strings.TrimPrefix(v.text, "node.labels.")))
+		s.Preferences = append(s.Preferences, servicespec.Attribute(strings.TrimPrefix(v.text, "node.labels.")))
 	default:
 		d.want(v.pos, "node.labels.zone or node.labels.rack", "spread over %q", v.text)
 	}
 }
 
-func (d *decoder) constraint(v *value) (description.Constraint, bool) {
+func (d *decoder) constraint(v *value) (servicespec.Constraint, bool) {
 	m := constraintForm.FindStringSubmatch(v.text)
 	if m == nil || m[3] == "" {
 		d.want(v.pos, "ATTRIBUTE == VALUE or ATTRIBUTE != VALUE", "constraint %q", v.text)
-		return description.Constraint{}, false
+		return servicespec.Constraint{}, false
 	}
-	c := description.Constraint{Not: m[2] == "!=", Value: m[3], Pos: v.pos}
-	names := map[string]description.Attribute{
+	c := servicespec.Constraint{Not: m[2] == "!=", Value: m[3], Pos: v.pos}
+	names := map[string]servicespec.Attribute{
 		"node.id": "id", "node.hostname": "hostname", "node.role": "role",
 		"node.platform.os": "os", "node.platform.arch": "arch",
 	}
 	if label, ok := strings.CutPrefix(m[1], "node.labels."); ok && label != "" {
-		c.Attribute = description.Attribute("label." + label)
+		c.Attribute = servicespec.Attribute("label." + label)
 		return c, true
 	}
 	attr, ok := names[m[1]]
@@ -186,7 +186,7 @@
 }
 
 // hostPorts limits a service that publishes a port of its host to one task a host.
-func (d *decoder) hostPorts(s *description.Service, v *value) {
+func (d *decoder) hostPorts(s *servicespec.Service, v *value) {
 	ports := d.of(v.get("ports"), sequence, "ports")
 	if ports == nil {
 		return
@@ -196,25 +196,25 @@
 			continue
 		}
 		if m := p.get("mode"); m != nil && m.text == "host" && p.get("published") != nil {
-			s.Limits = append(s.Limits, description.Limit{Place: "machine", Most: 1, Pos: p.pos})
+			s.Limits = append(s.Limits, servicespec.Limit{Place: "machine", Most: 1, Pos: p.pos})
 			return
 		}
 	}
 }
 
-func (d *decoder) restart(s *description.Service, v, deploy *value) {
+func (d *decoder) restart(s *servicespec.Service, v, deploy *value) {
 	if s.Mode.Job() {
-		s.Restart.When = description.OnFailure
+		s.Restart.When = servicespec.OnFailure
 	}
 	if r := d.of(v.get("restart"), scalar, "restart"); r != nil {
 		word, count, has := strings.Cut(r.text, ":")
 		switch word {
 		case "no":
-			s.Restart.When = description.Never
+			s.Restart.When = servicespec.Never
 		case "always", "unless-stopped":
-			s.Restart.When = description.Always
+			s.Restart.When = servicespec.Always
 		case "on-failure":
-			s.Restart.When = description.OnFailure
+			s.Restart.When = servicespec.OnFailure
 		default:
 			d.want(r.pos, `"no", always, on-failure, on-failure:N or unless-stopped`, "restart %q", r.text)
 		}
@@ -232,8 +232,8 @@
 	}
 	d.only(p, "restart_policy", "condition", "delay", "max_attempts", "window")
 	if c := d.of(p.get("condition"), scalar, "condition"); c != nil {
-		when, ok := map[string]description.When{
-			"any": description.Always, "on-failure": description.OnFailure, "none": description.Never,
+		when, ok := map[string]servicespec.When{
+			"any": servicespec.Always, "on-failure": servicespec.OnFailure, "none": servicespec.Never,
 		}[c.text]
 		if !ok {
 			d.want(c.pos, "any, on-failure or none", "condition %q", c.text)
@@ -251,7 +251,7 @@
 	}
 }
 
-func (d *decoder) update(s *description.Service, deploy *value) {
+func (d *decoder) update(s *servicespec.Service, deploy *value) {
 	u := d.of(deploy.get("update_config"), mapping, "update_config")
 	if r := d.of(deploy.get("rollback_config"), mapping, "rollback_config"); r != nil {
 		d.only(r, "rollback_config", "parallelism", "delay", "failure_action", "monitor", "max_failure_ratio", "order")
@@ -273,8 +273,8 @@
 		s.Update.MaxFailed = d.number(x, "max_failure_ratio", 0, 1)
 	}
 	if x := d.of(u.get("failure_action"), scalar, "failure_action"); x != nil {
-		action, ok := map[string]description.OnTrouble{
-			"pause": description.Pause, "continue": description.Continue, "rollback": description.Rollback,
+		action, ok := map[string]servicespec.OnTrouble{
+			"pause": servicespec.Pause, "continue": servicespec.Continue, "rollback": servicespec.Rollback,
 		}[x.text]
 		if !ok {
 			d.want(x.pos, "pause, continue or rollback", "failure_action %q", x.text)
--- a/internal/reading/compose/interpolate.go
+++ b/internal/parse/compose/interpolate.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"forkhead/internal/reading/source"
+	"forkhead/internal/parse/diagnostic"
 )
 
 const mostInterpolated = 1 << 20 // bytes that variables may add up to in all files
@@ -14,9 +14,9 @@
 type interpolator struct {
 	vars   map[string]string
 	grown  int
-	errs   *source.List
+	errs   *diagnostic.List
 	warned map[string]bool
-	notes  func(pos source.Pos, text string)
+	notes  func(pos diagnostic.Pos, text string)
 }
 
 // tree returns the value with its scalars interpolated; keys stay as they are.
@@ -35,7 +35,7 @@
 			return v
 		}
 		if in.grown += len(text); in.grown > mostInterpolated {
-			in.errs.Add(source.Wantf(v.pos, "at most 1 MiB", "the variables unfold to too much"))
+			in.errs.Add(diagnostic.Wantf(v.pos, "at most 1 MiB", "the variables unfold to too much"))
 			in.grown = 0
 			return v
 		}
@@ -60,9 +60,9 @@
 	return v
 }
 
-func (in *interpolator) expand(pos source.Pos, text string, depth int) (string, error) {
+func (in *interpolator) expand(pos diagnostic.Pos, text string, depth int) (string, error) {
 	if depth > 16 {
-		return "", source.Wantf(pos, "at most 16 levels", "variables are nested too deep")
+		return "", diagnostic.Wantf(pos, "at most 16 levels", "variables are nested too deep")
 	}
 	var b strings.Builder
 	for {
@@ -80,7 +80,7 @@
 		case strings.HasPrefix(text, "{"):
 			end := closing(text)
 			if end < 0 {
-				return "", source.Wantf(pos, "${NAME}, or $$ for a plain $", "a ${ is never closed")
+				return "", diagnostic.Wantf(pos, "${NAME}, or $$ for a plain $", "a ${ is never closed")
 			}
 			word, err := in.braced(pos, text[1:end], depth)
 			if err != nil {
@@ -91,7 +91,7 @@
 		default:
 			n := nameLength(text)
 			if n == 0 {
-				return "", source.Wantf(pos, "$NAME, ${NAME}, or $$ for a plain $", "a $ without a name")
+				return "", diagnostic.Wantf(pos, "$NAME, ${NAME}, or $$ for a plain $", "a $ without a name")
 			}
 			b.WriteString(in.lookup(pos, text[:n]))
 			text = text[n:]
@@ -127,10 +127,10 @@
 	return n
 }
 
-func (in *interpolator) braced(pos source.Pos, text string, depth int) (string, error) {
+func (in *interpolator) braced(pos diagnostic.Pos, text string, depth int) (string, error) {
 	n := nameLength(text)
 	if n == 0 {
-		return "", source.Wantf(pos, "${NAME}", "${%s} has no name", text)
+		return "", diagnostic.Wantf(pos, "${NAME}", "${%s} has no name", text)
 	}
 	name, rest := text[:n], text[n:]
 	val, set := in.vars[name]
@@ -142,7 +142,7 @@
 		rest = rest[1:]
 	}
 	if rest == "" {
-		return "", source.Wantf(pos, "one of - ? + behind the name", "${%s} is not a form of variable", text)
+		return "", diagnostic.Wantf(pos, "one of - ? + behind the name", "${%s} is not a form of variable", text)
 	}
 	switch op, word := rest[0], rest[1:]; op {
 	case '-':
@@ -161,17 +161,17 @@
 		if why == "" {
 			why = "it is required"
 		}
-		return "", source.Errorf(pos, "variable %s is not set: %s", name, why)
+		return "", diagnostic.Errorf(pos, "variable %s is not set: %s", name, why)
 	case '+':
 		if !set {
 			return "", nil
 		}
 		return in.expand(pos, word, depth+1)
 	}
-	return "", source.Wantf(pos, "one of - ? + behind the name", "${%s} is not a form of variable", text)
+	return "", diagnostic.Wantf(pos, "one of - ? + behind the name", "${%s} is not a form of variable", text)
 }
 
-func (in *interpolator) lookup(pos source.Pos, name string) string {
+func (in *interpolator) lookup(pos diagnostic.Pos, name string) string {
 	val, ok := in.vars[name]
 	if !ok && !in.warned[name] {
 		in.warned[name] = true
--- a/internal/reading/compose/merge.go
+++ b/internal/parse/compose/merge.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"forkhead/internal/reading/source"
+	"forkhead/internal/parse/diagnostic"
 )
 
 // merge lays one tree over another by the specification's chapter on merging: mappings are
@@ -157,12 +157,12 @@
 // extender resolves extends, each service once.
 type extender struct {
 	files map[string]*value // merged tree of each file
-	load  func(from, file string, pos source.Pos) (*value, string, error)
+	load  func(from, file string, pos diagnostic.Pos) (*value, string, error)
 	done  map[string]*value
 }
 
 // service returns a service of a file with all it extends merged in.
-func (e *extender) service(file, name string, pos source.Pos, open []string) (*value, error) {
+func (e *extender) service(file, name string, pos diagnostic.Pos, open []string) (*value, error) {
 	id := file + "\x00" + name
 	if v, ok := e.done[id]; ok {
 		return v, nil
@@ -174,15 +174,15 @@
 				_, n, _ := strings.Cut(o, "\x00")
 				names = append(names, n)
 			}
-			return nil, source.Errorf(pos, "extends goes round: %s", strings.Join(names, " -> "))
+			return nil, diagnostic.Errorf(pos, "extends goes round: %s", strings.Join(names, " -> "))
 		}
 	}
 	if len(open) >= mostExtends {
-		return nil, source.Wantf(pos, "at most 32 steps", "extends goes on too long")
+		return nil, diagnostic.Wantf(pos, "at most 32 steps", "extends goes on too long")
 	}
 	v := e.files[file].get("services").get(name)
 	if v == nil {
-		return nil, source.Errorf(pos, "extends names service %q, which %s does not hold", name, file)
+		return nil, diagnostic.Errorf(pos, "extends names service %q, which %s does not hold", name, file)
 	}
 	ext := v.get("extends")
 	if ext == nil || v.kind != mapping {
@@ -196,7 +196,7 @@
 	case mapping:
 		for _, k := range ext.keys {
 			if k != "service" && k != "file" {
-				return nil, source.Wantf(ext.keyPos[k], "service or file", "unknown key %q in extends", k)
+				return nil, diagnostic.Wantf(ext.keyPos[k], "service or file", "unknown key %q in extends", k)
 			}
 		}
 		if s := ext.get("service"); s != nil {
@@ -211,14 +211,14 @@
 		}
 	}
 	if base == "" {
-		return nil, source.Wantf(ext.pos, "the name of a service", "extends names none")
+		return nil, diagnostic.Wantf(ext.pos, "the name of a service", "extends names none")
 	}
 	b, err := e.service(baseFile, base, ext.pos, append(open[:len(open):len(open)], id))
 	if err != nil {
 		return nil, err
 	}
 	if b.kind != mapping {
-		return nil, source.Wantf(b.pos, "a mapping", "service %q is %s", base, b.kind)
+		return nil, diagnostic.Wantf(b.pos, "a mapping", "service %q is %s", base, b.kind)
 	}
 	own := newMap(v.pos)
 	for _, k := range v.keys {
--- a/internal/reading/compose/payload.go
+++ b/internal/parse/compose/payload.go
@@ -5,12 +5,12 @@
 	"slices"
 	"strings"
 
-	"forkhead/internal/reading/description"
-	"forkhead/internal/reading/source"
+	"forkhead/internal/parse/diagnostic"
+	"forkhead/internal/parse/servicespec"
 )
 
 // payload gathers what only the host acts on.
-func (d *decoder) payload(s *description.Service, v, deploy *value) []byte {
+func (d *decoder) payload(s *servicespec.Service, v, deploy *value) []byte {
 	out := map[string]any{}
 	limits := map[string]any{}
 	if s.LimitCores > 0 {
@@ -80,7 +80,7 @@
 		return nil
 	}
 	out := map[string]any{}
-	add := func(name string, pos source.Pos, must bool) {
+	add := func(name string, pos diagnostic.Pos, must bool) {
 		decl, ok := (*value)(nil), false
 		if all != nil {
 			decl, ok = all.fields[name]
@@ -158,7 +158,7 @@
 			k, val, has := strings.Cut(line, "=")
 			k = strings.TrimSpace(strings.TrimPrefix(k, "export "))
 			if k == "" || strings.ContainsAny(k, " \t") {
-				d.want(source.Pos{File: file, Line: i + 1, Col: 1}, "KEY=VALUE", "a line of the %s", what)
+				d.want(diagnostic.Pos{File: file, Line: i + 1, Col: 1}, "KEY=VALUE", "a line of the %s", what)
 				continue
 			}
 			val = strings.TrimSpace(val)
--- a/internal/reading/compose/tree.go
+++ b/internal/parse/compose/tree.go
@@ -7,7 +7,7 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"forkhead/internal/reading/source"
+	"forkhead/internal/parse/diagnostic"
 )
 
 // Limits of one submission's files.
@@ -35,14 +35,14 @@
 
 // value is a node of the expanded tree. Trees are not changed once built, so that merges share.
 type value struct {
-	pos    source.Pos
+	pos    diagnostic.Pos
 	kind   kind
 	text   string // of a scalar
 	plain  bool   // the scalar stood without quotes
 	tag    string // !reset or !override, else ""
 	keys   []string
 	fields map[string]*value
-	keyPos map[string]source.Pos
+	keyPos map[string]diagnostic.Pos
 	items  []*value
 }
 
@@ -54,11 +54,11 @@
 }
 
 // newMap returns an empty mapping at a place.
-func newMap(pos source.Pos) *value {
-	return &value{pos: pos, kind: mapping, fields: map[string]*value{}, keyPos: map[string]source.Pos{}}
+func newMap(pos diagnostic.Pos) *value {
+	return &value{pos: pos, kind: mapping, fields: map[string]*value{}, keyPos: map[string]diagnostic.Pos{}}
 }
 
-func (v *value) set(key string, pos source.Pos, to *value) {
+func (v *value) set(key string, pos diagnostic.Pos, to *value) {
 	if _, ok := v.fields[key]; !ok {
 		v.keys = append(v.keys, key)
 	}
@@ -86,7 +86,7 @@
 			return nil, unreadable(file, err)
 		}
 		if len(docs) >= mostFiles {
-			return nil, source.Wantf(source.Pos{File: file, Line: n.Line, Col: n.Column}, "at most 64", "too many documents")
+			return nil, diagnostic.Wantf(diagnostic.Pos{File: file, Line: n.Line, Col: n.Column}, "at most 64", "too many documents")
 		}
 		b := &builder{file: file, nodes: *budget, open: map[*yaml.Node]bool{}}
 		v, err := b.build(&n, 0)
@@ -103,7 +103,7 @@
 // unreadable gives a parser's error the place that its text names.
 func unreadable(file string, err error) error {
 	text := strings.TrimPrefix(err.Error(), "yaml: ")
-	pos := source.Pos{File: file, Line: 1, Col: 1}
+	pos := diagnostic.Pos{File: file, Line: 1, Col: 1}
 	if rest, ok := strings.CutPrefix(text, "line "); ok {
 		line := 0
 		for len(rest) > 0 && rest[0] >= '0' && rest[0] <= '9' && line < 1<<24 {
@@ -111,17 +111,17 @@
 		}
 		pos.Line, text = max(line, 1), strings.TrimPrefix(rest, ": ")
 	}
-	return source.Errorf(pos, "not readable as YAML: %s", text)
+	return diagnostic.Errorf(pos, "not readable as YAML: %s", text)
 }
 
 func (b *builder) build(n *yaml.Node, depth int) (*value, error) {
-	pos := source.Pos{File: b.file, Line: n.Line, Col: n.Column}
+	pos := diagnostic.Pos{File: b.file, Line: n.Line, Col: n.Column}
 	// Guards against aliases that unfold into more than memory holds.
 	if b.nodes--; b.nodes < 0 {
-		return nil, source.Wantf(pos, "at most 50000 nodes", "the files unfold to too much")
+		return nil, diagnostic.Wantf(pos, "at most 50000 nodes", "the files unfold to too much")
 	}
 	if depth > mostDepth {
-		return nil, source.Wantf(pos, "at most 64 levels", "nested too deep")
+		return nil, diagnostic.Wantf(pos, "at most 64 levels", "nested too deep")
 	}
 	v := &value{pos: pos}
 	if n.Tag == "!reset" || n.Tag == "!override" {
@@ -135,7 +135,7 @@
 		return b.build(n.Content[0], depth)
 	case yaml.AliasNode:
 		if b.open[n.Alias] {
-			return nil, source.Errorf(pos, "the alias *%s stands inside what it names", n.Value)
+			return nil, diagnostic.Errorf(pos, "the alias *%s stands inside what it names", n.Value)
 		}
 		return b.build(n.Alias, depth+1)
 	case yaml.ScalarNode:
@@ -168,15 +168,15 @@
 }
 
 // mapping builds a mapping; merge keys (<<) give what the mapping itself does not name.
-func (b *builder) mapping(n *yaml.Node, pos source.Pos, tag string, depth int) (*value, error) {
+func (b *builder) mapping(n *yaml.Node, pos diagnostic.Pos, tag string, depth int) (*value, error) {
 	v := newMap(pos)
 	v.tag = tag
 	var merged []*value
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		k := n.Content[i]
-		kpos := source.Pos{File: b.file, Line: k.Line, Col: k.Column}
+		kpos := diagnostic.Pos{File: b.file, Line: k.Line, Col: k.Column}
 		if k.Kind != yaml.ScalarNode {
-			return nil, source.Wantf(kpos, "a word", "a key is not a single value")
+			return nil, diagnostic.Wantf(kpos, "a word", "a key is not a single value")
 		}
 		c, err := b.build(n.Content[i+1], depth+1)
 		if err != nil {
@@ -189,14 +189,14 @@
 			}
 			for _, m := range sources {
 				if m.kind != mapping {
-					return nil, source.Wantf(m.pos, "a mapping or a list of mappings", "<< is given %s", m.kind)
+					return nil, diagnostic.Wantf(m.pos, "a mapping or a list of mappings", "<< is given %s", m.kind)
 				}
 				merged = append(merged, m)
 			}
 			continue
 		}
 		if _, twice := v.fields[k.Value]; twice {
-			return nil, source.Errorf(kpos, "%q stands here a second time", k.Value)
+			return nil, diagnostic.Errorf(kpos, "%q stands here a second time", k.Value)
 		}
 		v.set(k.Value, kpos, c)
 	}
--- a/internal/reading/source/source.go
+++ b/internal/parse/diagnostic/source.go
@@ -1,5 +1,5 @@
-// Package source names places in the files that users write, and the errors found there.
-package source
+// Package diagnostic names places in the files that users write, and the errors found there.
+package diagnostic
 
 import (
 	"errors"
--- a/internal/reading/endpoint/endpoint.go
+++ b/internal/parse/hostport/endpoint.go
@@ -1,6 +1,6 @@
-// Package endpoint takes addresses of the form HOST:PORT apart and puts them together, without a
+// Package hostport takes addresses of the form HOST:PORT apart and puts them together, without a
 // socket library: what reads a file or a list must be able to say whether one is written well.
-package endpoint
+package hostport
 
 import (
 	"errors"
--- a/internal/reading/endpoint/endpoint_test.go
+++ b/internal/parse/hostport/endpoint_test.go
@@ -1,4 +1,4 @@
-package endpoint
+package hostport
 
 import (
 	"net"
--- a/internal/reading/bootinfo/check.go
+++ b/internal/parse/platformconfig/check.go
@@ -1,4 +1,4 @@
-package bootinfo
+package platformconfig
 
 import (
 	"encoding/json"
--- a/internal/reading/bootinfo/check_test.go
+++ b/internal/parse/platformconfig/check_test.go
@@ -1,4 +1,4 @@
-package bootinfo
+package platformconfig
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 // What a decision rests on is there, of its type, in range and without contradiction, or one line names the field; what is
 // not known is passed over.
 func TestCheck(t *testing.T) {
-	good, err := os.ReadFile("../../running/noded/testdata/settings.json")
+	good, err := os.ReadFile("../../server/platform/testdata/settings.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 
 // No text makes the check panic.
 func FuzzCheck(f *testing.F) {
-	if good, err := os.ReadFile("../../running/noded/testdata/settings.json"); err == nil {
+	if good, err := os.ReadFile("../../server/platform/testdata/settings.json"); err == nil {
 		f.Add(string(good))
 	}
 	f.Fuzz(func(t *testing.T, text string) { _ = Check([]byte(text)) })
--- a/internal/reading/bootinfo/info.go
+++ b/internal/parse/platformconfig/info.go
@@ -1,6 +1,6 @@
-// Package bootinfo reads the settings object that a placer of the platform is started with, in the simulator's first
+// Package platformconfig reads the settings object that a placer of the platform is started with, in the simulator's first
 // message as in the configuration of a real placer, and translates it for the module. Times are in milliseconds there.
-package bootinfo
+package platformconfig
 
 import (
 	"encoding/json"
--- a/internal/reading/description/description.go
+++ b/internal/parse/servicespec/description.go
@@ -1,6 +1,6 @@
-// Package description is the model of a service description that every source format is read
+// Package servicespec is the model of a service description that every source format is read
 // into: what is to run, how many times, and what bears on where.
-package description
+package servicespec
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"forkhead/internal/reading/source"
+	"forkhead/internal/parse/diagnostic"
 )
 
 // Description is one project.
@@ -22,7 +22,7 @@
 
 // Note says that an element is carried but not acted on.
 type Note struct {
-	Pos  source.Pos
+	Pos  diagnostic.Pos
 	Text string
 }
 
@@ -46,7 +46,7 @@
 // Service is one service of a project.
 type Service struct {
 	Name        string
-	Pos         source.Pos
+	Pos         diagnostic.Pos
 	Class       string // "": the service's default
 	Tenant      string // "": none
 	Mode        Mode
@@ -79,7 +79,7 @@
 	Attribute Attribute
 	Not       bool
 	Value     string
-	Pos       source.Pos
+	Pos       diagnostic.Pos
 }
 
 // String gives the constraint in Compose's form.
@@ -95,14 +95,14 @@
 type Limit struct {
 	Place string
 	Most  int
-	Pos   source.Pos
+	Pos   diagnostic.Pos
 }
 
 // Near keeps a service's tasks to places where another service of the project has one.
 type Near struct {
 	Service string
 	Place   string // machine, rack or zone
-	Pos     source.Pos
+	Pos     diagnostic.Pos
 }
 
 // When says when an ended task is started again.
@@ -159,7 +159,7 @@
 	When     Condition
 	Optional bool
 	Restart  bool // placed anew when the dependency is
-	Pos      source.Pos
+	Pos      diagnostic.Pos
 }
 
 // Service returns a service by name, or nil.
@@ -174,11 +174,11 @@
 // Check sorts the services and refuses dependencies that are missing or go round.
 func (d *Description) Check() error {
 	slices.SortFunc(d.Services, func(a, b Service) int { return strings.Compare(a.Name, b.Name) })
-	errs := &source.List{}
+	errs := &diagnostic.List{}
 	for i := range d.Services {
 		for _, dep := range d.Services[i].DependsOn {
 			if d.Service(dep.Service) == nil && !dep.Optional {
-				errs.Add(source.Errorf(dep.Pos, "service %q depends on %q, which is not here", d.Services[i].Name, dep.Service))
+				errs.Add(diagnostic.Errorf(dep.Pos, "service %q depends on %q, which is not here", d.Services[i].Name, dep.Service))
 			}
 		}
 	}
@@ -198,7 +198,7 @@
 			return nil
 		case open:
 			from := slices.Index(path, s.Name)
-			return source.Errorf(s.Pos, "depends_on goes round: %s", strings.Join(append(path[from:], s.Name), " -> "))
+			return diagnostic.Errorf(s.Pos, "depends_on goes round: %s", strings.Join(append(path[from:], s.Name), " -> "))
 		}
 		state[s.Name] = open
 		for _, dep := range s.DependsOn {
--- a/internal/reading/settings/settings.go
+++ b/internal/parse/settings/settings.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/reading/endpoint"
-	"forkhead/internal/reading/sexp"
-	"forkhead/internal/reading/source"
+	"forkhead/internal/parse/diagnostic"
+	"forkhead/internal/parse/hostport"
+	"forkhead/internal/parse/sexp"
 )
 
 // Default is the text of the settings that hold where a user gives none.
@@ -103,11 +103,11 @@
 		return nil, err
 	}
 	if len(nodes) != 1 || nodes[0].Head() != "forkhead" {
-		pos := source.Pos{File: file, Line: 1, Col: 1}
+		pos := diagnostic.Pos{File: file, Line: 1, Col: 1}
 		if len(nodes) > 0 {
 			pos = nodes[min(len(nodes), 2)-1].Pos
 		}
-		return nil, source.Wantf(pos, "one (forkhead ...)", "the file holds something else")
+		return nil, diagnostic.Wantf(pos, "one (forkhead ...)", "the file holds something else")
 	}
 	return FromNode(nodes[0])
 }
@@ -115,7 +115,7 @@
 // FromNode reads settings from a (forkhead ...) list that stands in a larger file.
 func FromNode(n *sexp.Node) (*Settings, error) {
 	s := &Settings{}
-	errs := &source.List{}
+	errs := &diagnostic.List{}
 	r := reader{s: s, errs: errs}
 	r.defaults()
 	r.read(n)
@@ -123,7 +123,7 @@
 		return nil, err
 	}
 	if _, err := forkhead.New(s.For(0).Module, 0); err != nil {
-		return nil, source.Errorf(n.Pos, "%s", strings.TrimPrefix(err.Error(), "forkhead: "))
+		return nil, diagnostic.Errorf(n.Pos, "%s", strings.TrimPrefix(err.Error(), "forkhead: "))
 	}
 	return s, nil
 }
@@ -157,7 +157,7 @@
 
 type reader struct {
 	s          *Settings
-	errs       *source.List
+	errs       *diagnostic.List
 	classKinds []wantKind
 }
 
@@ -295,22 +295,22 @@
 		s.Placers = []Placer{{Zone: "", HTTP: "127.0.0.1:7070", Tell: "127.0.0.1:7071"}}
 	}
 	if len(s.Kinds) == 0 {
-		r.errs.Add(source.Wantf(n.Pos, "(kind NAME (cores N) (memory N))", "no kind of host is named"))
+		r.errs.Add(diagnostic.Wantf(n.Pos, "(kind NAME (cores N) (memory N))", "no kind of host is named"))
 	}
 	if len(s.Classes) == 0 {
-		r.errs.Add(source.Wantf(n.Pos, "(class NAME ...)", "no class of task is named"))
+		r.errs.Add(diagnostic.Wantf(n.Pos, "(class NAME ...)", "no class of task is named"))
 	}
 	for _, w := range r.classKinds {
 		kind := Index(s.Kinds, w.name.Atom)
 		if kind < 0 {
-			r.errs.Add(source.Wantf(w.name.Pos, strings.Join(s.Kinds, ", "), "kind %q is not named", w.name.Atom))
+			r.errs.Add(diagnostic.Wantf(w.name.Pos, strings.Join(s.Kinds, ", "), "kind %q is not named", w.name.Atom))
 		}
 		s.Module.Classes[w.class].MachineType = kind
 	}
 	if defaultClass != nil {
 		i, ok := s.Class(defaultClass.Atom)
 		if !ok {
-			r.errs.Add(source.Errorf(defaultClass.Pos, "class %q is not named", defaultClass.Atom))
+			r.errs.Add(diagnostic.Errorf(defaultClass.Pos, "class %q is not named", defaultClass.Atom))
 		}
 		s.DefaultClass = i
 	}
@@ -321,17 +321,17 @@
 		s.Module.MeanMemory = 2
 	}
 	if s.Owner.Most < s.Owner.First {
-		r.errs.Add(source.Wantf(n.Pos, fmt.Sprintf("at least first, %v", s.Owner.First), "owner: most is %v", s.Owner.Most))
+		r.errs.Add(diagnostic.Wantf(n.Pos, fmt.Sprintf("at least first, %v", s.Owner.First), "owner: most is %v", s.Owner.Most))
 	}
 	if s.Links.Most < s.Links.First {
-		r.errs.Add(source.Wantf(n.Pos, fmt.Sprintf("at least first, %v", s.Links.First), "links: most is %v", s.Links.Most))
+		r.errs.Add(diagnostic.Wantf(n.Pos, fmt.Sprintf("at least first, %v", s.Links.First), "links: most is %v", s.Links.Most))
 	}
 	total := 0.0
 	for _, t := range s.Module.Tenants {
 		total += t.Quota
 	}
 	if total > 1.001 {
-		r.errs.Add(source.Wantf(n.Pos, "at most 1", "the tenants' shares sum to %.3g", total))
+		r.errs.Add(diagnostic.Wantf(n.Pos, "at most 1", "the tenants' shares sum to %.3g", total))
 	}
 	s.Module.Placers = len(s.Placers)
 }
@@ -349,8 +349,8 @@
 		if err != nil {
 			return err
 		}
-		if _, _, err := endpoint.Split(word); err != nil {
-			return source.Wantf(v.Pos, "ADDRESS:PORT", "%q", word)
+		if _, _, err := hostport.Split(word); err != nil {
+			return diagnostic.Wantf(v.Pos, "ADDRESS:PORT", "%q", word)
 		}
 		*to = word
 		return nil
@@ -373,13 +373,13 @@
 				amount := &sexp.Node{Pos: v.Pos, Atom: rest}
 				x, err := amount.Number(1e-3, 1e6)
 				if err != nil {
-					return source.Wantf(v.Pos, "an amount as 512MiB or 64GiB", "%q", word)
+					return diagnostic.Wantf(v.Pos, "an amount as 512MiB or 64GiB", "%q", word)
 				}
 				*to = x * factor
 				return nil
 			}
 		}
-		return source.Wantf(v.Pos, "an amount as 512MiB or 64GiB", "%q", word)
+		return diagnostic.Wantf(v.Pos, "an amount as 512MiB or 64GiB", "%q", word)
 	})
 }
 
@@ -391,7 +391,7 @@
 		"tell": r.address(&p.Tell),
 	}, nil, r.errs)
 	if len(r.s.Placers) >= 4096 {
-		return source.Wantf(n.Pos, "at most 4096", "too many placers")
+		return diagnostic.Wantf(n.Pos, "at most 4096", "too many placers")
 	}
 	r.s.Placers = append(r.s.Placers, p)
 	return nil
@@ -401,13 +401,13 @@
 func named(n *sexp.Node, taken []string) (string, []*sexp.Node, error) {
 	args := n.Args()
 	if len(args) == 0 || args[0].List || args[0].Atom == "" {
-		return "", nil, source.Wantf(n.Pos, "("+n.Head()+" NAME ...)", "the %s has no name", n.Head())
+		return "", nil, diagnostic.Wantf(n.Pos, "("+n.Head()+" NAME ...)", "the %s has no name", n.Head())
 	}
 	if Index(taken, args[0].Atom) >= 0 {
-		return "", nil, source.Errorf(args[0].Pos, "%s %q is named a second time", n.Head(), args[0].Atom)
+		return "", nil, diagnostic.Errorf(args[0].Pos, "%s %q is named a second time", n.Head(), args[0].Atom)
 	}
 	if len(taken) >= 250 {
-		return "", nil, source.Wantf(n.Pos, "at most 250", "too many of %s", n.Head())
+		return "", nil, diagnostic.Wantf(n.Pos, "at most 250", "too many of %s", n.Head())
 	}
 	return args[0].Atom, args[1:], nil
 }
@@ -422,7 +422,7 @@
 		"cores": sexp.Number(&k.Cores, 1e-3, 1e5), "memory": r.memory(&k.Memory),
 	}, nil, r.errs)
 	if k.Cores == 0 || k.Memory == 0 {
-		r.errs.Add(source.Wantf(n.Pos, "(cores N) and (memory N)", "kind %q lacks its cores or memory", name))
+		r.errs.Add(diagnostic.Wantf(n.Pos, "(cores N) and (memory N)", "kind %q lacks its cores or memory", name))
 	}
 	r.s.Kinds = append(r.s.Kinds, name)
 	r.s.Module.MachineTypes = append(r.s.Module.MachineTypes, k)
@@ -462,7 +462,7 @@
 		}),
 		"spread": func(f *sexp.Node) error {
 			if len(f.Args()) != 2 {
-				return source.Wantf(f.Pos, "(spread machine|rack|zone MOST)", "spread has %d values", len(f.Args()))
+				return diagnostic.Wantf(f.Pos, "(spread machine|rack|zone MOST)", "spread has %d values", len(f.Args()))
 			}
 			if err := sexp.Choice(&m.SpreadDomain, Places)(&sexp.Node{Pos: f.Pos, List: true, Items: f.Items[:2]}); err != nil {
 				return err
@@ -477,7 +477,7 @@
 		c.Patience = 2 * c.Wait
 	}
 	if c.Patience < c.Wait {
-		r.errs.Add(source.Wantf(n.Pos, fmt.Sprintf("at least its wait, %v", c.Wait), "class %q: patience is %v", name, c.Patience))
+		r.errs.Add(diagnostic.Wantf(n.Pos, fmt.Sprintf("at least its wait, %v", c.Wait), "class %q: patience is %v", name, c.Patience))
 	}
 	r.s.Classes = append(r.s.Classes, c)
 	r.s.Module.Classes = append(r.s.Module.Classes, m)
--- a/internal/reading/sexp/sexp.go
+++ b/internal/parse/sexp/sexp.go
@@ -13,7 +13,7 @@
 	"time"
 	"unicode/utf8"
 
-	"forkhead/internal/reading/source"
+	"forkhead/internal/parse/diagnostic"
 )
 
 // Limits of one file.
@@ -25,7 +25,7 @@
 
 // Node is an atom or a list.
 type Node struct {
-	Pos    source.Pos
+	Pos    diagnostic.Pos
 	Atom   string // where List is false
 	Quoted bool   // the atom stood in quotes
 	List   bool
@@ -52,10 +52,10 @@
 func Parse(file string, text []byte) ([]*Node, error) {
 	r := &reader{file: file, text: text, line: 1, col: 1}
 	if len(text) > MostBytes {
-		return nil, source.Wantf(source.Pos{File: file}, "at most 1 MiB", "the file has %d bytes", len(text))
+		return nil, diagnostic.Wantf(diagnostic.Pos{File: file}, "at most 1 MiB", "the file has %d bytes", len(text))
 	}
 	if !utf8.Valid(text) {
-		return nil, source.Wantf(source.Pos{File: file}, "UTF-8", "the file is not valid UTF-8")
+		return nil, diagnostic.Wantf(diagnostic.Pos{File: file}, "UTF-8", "the file is not valid UTF-8")
 	}
 	var stack []*Node
 	var top []*Node
@@ -74,12 +74,12 @@
 		}
 		pos := r.pos()
 		if nodes >= MostNodes {
-			return nil, source.Wantf(pos, "at most 200000 nodes", "the file holds too much")
+			return nil, diagnostic.Wantf(pos, "at most 200000 nodes", "the file holds too much")
 		}
 		switch r.text[r.at] {
 		case '(':
 			if len(stack) >= MostDepth {
-				return nil, source.Wantf(pos, "at most 64 levels", "lists are nested too deep")
+				return nil, diagnostic.Wantf(pos, "at most 64 levels", "lists are nested too deep")
 			}
 			r.next()
 			n := &Node{Pos: pos, List: true}
@@ -87,7 +87,7 @@
 			stack = append(stack, n)
 		case ')':
 			if len(stack) == 0 {
-				return nil, source.Errorf(pos, "a ) without its (")
+				return nil, diagnostic.Errorf(pos, "a ) without its (")
 			}
 			r.next()
 			stack = stack[:len(stack)-1]
@@ -102,7 +102,7 @@
 		}
 	}
 	if len(stack) > 0 {
-		return nil, source.Errorf(stack[len(stack)-1].Pos, "this ( is never closed")
+		return nil, diagnostic.Errorf(stack[len(stack)-1].Pos, "this ( is never closed")
 	}
 	return top, nil
 }
@@ -114,7 +114,7 @@
 	line, col int
 }
 
-func (r *reader) pos() source.Pos { return source.Pos{File: r.file, Line: r.line, Col: r.col} }
+func (r *reader) pos() diagnostic.Pos { return diagnostic.Pos{File: r.file, Line: r.line, Col: r.col} }
 
 func (r *reader) next() byte {
 	c := r.text[r.at]
@@ -159,10 +159,10 @@
 		case '"':
 			return b.String(), nil
 		case '\n':
-			return "", source.Errorf(start, "this string is not closed on its line")
+			return "", diagnostic.Errorf(start, "this string is not closed on its line")
 		case '\\':
 			if r.at >= len(r.text) {
-				return "", source.Errorf(start, "this string is never closed")
+				return "", diagnostic.Errorf(start, "this string is never closed")
 			}
 			switch e := r.next(); e {
 			case '"', '\\':
@@ -172,19 +172,19 @@
 			case 't':
 				b.WriteByte('\t')
 			default:
-				return "", source.Wantf(pos, `\" \\ \n or \t`, `unknown escape \%c`, e)
+				return "", diagnostic.Wantf(pos, `\" \\ \n or \t`, `unknown escape \%c`, e)
 			}
 		default:
 			b.WriteByte(c)
 		}
 	}
-	return "", source.Errorf(start, "this string is never closed")
+	return "", diagnostic.Errorf(start, "this string is never closed")
 }
 
 // Word returns the atom, or an error if the node is a list.
 func (n *Node) Word() (string, error) {
 	if n.List {
-		return "", source.Errorf(n.Pos, "a list stands where a word belongs")
+		return "", diagnostic.Errorf(n.Pos, "a list stands where a word belongs")
 	}
 	return n.Atom, nil
 }
@@ -197,7 +197,7 @@
 	}
 	v, err := strconv.ParseFloat(word, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < lo || v > hi {
-		return 0, source.Wantf(n.Pos, "a number from "+short(lo)+" to "+short(hi), "%q", word)
+		return 0, diagnostic.Wantf(n.Pos, "a number from "+short(lo)+" to "+short(hi), "%q", word)
 	}
 	return v, nil
 }
@@ -212,7 +212,7 @@
 	}
 	v, err := strconv.Atoi(word)
 	if err != nil || v < lo || v > hi {
-		return 0, source.Wantf(n.Pos, "a whole number from "+strconv.Itoa(lo)+" to "+strconv.Itoa(hi), "%q", word)
+		return 0, diagnostic.Wantf(n.Pos, "a whole number from "+strconv.Itoa(lo)+" to "+strconv.Itoa(hi), "%q", word)
 	}
 	return v, nil
 }
@@ -225,7 +225,7 @@
 	}
 	d, err := time.ParseDuration(word)
 	if err != nil || d < lo || d > hi {
-		return 0, source.Wantf(n.Pos, "a duration from "+lo.String()+" to "+hi.String()+", as 250ms or 1.5s", "%q", word)
+		return 0, diagnostic.Wantf(n.Pos, "a duration from "+lo.String()+" to "+hi.String()+", as 250ms or 1.5s", "%q", word)
 	}
 	return d, nil
 }
@@ -242,7 +242,7 @@
 	case "no", "false":
 		return false, nil
 	}
-	return false, source.Wantf(n.Pos, "yes or no", "%q", word)
+	return false, diagnostic.Wantf(n.Pos, "yes or no", "%q", word)
 }
 
 // Field reads one value of a form.
@@ -250,12 +250,12 @@
 
 // Fields reads each item as a list whose head is one of the fields. It adds an error for an
 // unknown head, for one that stands twice unless many names it, and for all that a field says.
-func Fields(items []*Node, fields map[string]Field, many map[string]bool, errs *source.List) {
+func Fields(items []*Node, fields map[string]Field, many map[string]bool, errs *diagnostic.List) {
 	seen := map[string]bool{}
 	for _, item := range items {
 		head := item.Head()
 		if head == "" {
-			errs.Add(source.Wantf(item.Pos, "(name value ...)", "this is not a setting"))
+			errs.Add(diagnostic.Wantf(item.Pos, "(name value ...)", "this is not a setting"))
 			continue
 		}
 		field, ok := fields[head]
@@ -265,14 +265,14 @@
 				known = append(known, k)
 			}
 			want := ""
-			if near := source.Nearest(head, known); near != "" {
+			if near := diagnostic.Nearest(head, known); near != "" {
 				want = near
 			}
-			errs.Add(source.Wantf(item.Items[0].Pos, want, "unknown setting %q", head))
+			errs.Add(diagnostic.Wantf(item.Items[0].Pos, want, "unknown setting %q", head))
 			continue
 		}
 		if seen[head] && !many[head] {
-			errs.Add(source.Errorf(item.Pos, "%s stands here a second time", head))
+			errs.Add(diagnostic.Errorf(item.Pos, "%s stands here a second time", head))
 			continue
 		}
 		seen[head] = true
@@ -286,7 +286,7 @@
 		if args := n.Args(); len(args) == 1 {
 			return read(args[0])
 		}
-		return source.Wantf(n.Pos, "exactly one value", "%s has %d", n.Head(), len(n.Args()))
+		return diagnostic.Wantf(n.Pos, "exactly one value", "%s has %d", n.Head(), len(n.Args()))
 	}
 }
 
@@ -329,7 +329,7 @@
 				known = append(known, k)
 			}
 			slices.Sort(known)
-			return source.Wantf(v.Pos, strings.Join(known, ", "), "%q", word)
+			return diagnostic.Wantf(v.Pos, strings.Join(known, ", "), "%q", word)
 		}
 		*to = got
 		return nil
--- a/internal/planning/plan/plan.go
+++ b/internal/planning/plan/plan.go
@@ -12,10 +12,10 @@
 	"strings"
 
 	"forkhead"
-	"forkhead/internal/planning/solve"
-	"forkhead/internal/reading/description"
-	"forkhead/internal/reading/settings"
-	"forkhead/internal/reading/source"
+	"forkhead/internal/parse/diagnostic"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/parse/settings"
+	"forkhead/internal/planning/solver"
 )
 
 // Host is a host of a plan.
@@ -29,7 +29,7 @@
 	Cost   int64                            `json:"cost"`
 	State  string                           `json:"state"` // ready (or ""), cold, draining, gone
 	Labels map[string]string                `json:"labels"`
-	Attrs  map[description.Attribute]string `json:"-"`
+	Attrs  map[servicespec.Attribute]string `json:"-"`
 }
 
 // Running is a task that runs.
@@ -72,14 +72,14 @@
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		return source.Errorf(place(file, data, d.InputOffset()), "%v", strings.TrimPrefix(err.Error(), "json: "))
+		return diagnostic.Errorf(place(file, data, d.InputOffset()), "%v", strings.TrimPrefix(err.Error(), "json: "))
 	}
 	return nil
 }
 
-func place(file string, data []byte, offset int64) source.Pos {
+func place(file string, data []byte, offset int64) diagnostic.Pos {
 	before := data[:min(int(offset), len(data))]
-	return source.Pos{File: file, Line: 1 + bytes.Count(before, []byte("\n")), Col: len(before) - bytes.LastIndexByte(before, '\n')}
+	return diagnostic.Pos{File: file, Line: 1 + bytes.Count(before, []byte("\n")), Col: len(before) - bytes.LastIndexByte(before, '\n')}
 }
 
 // mostMemory is the most that a host has, in GiB.
@@ -93,36 +93,36 @@
 	if err := decode(file, data, &in); err != nil {
 		return nil, err
 	}
-	errs := &source.List{}
+	errs := &diagnostic.List{}
 	seen := map[string]bool{}
 	large := 0 // hosts whose memory can only be in another unit
 	for i := range in.Hosts {
 		h := &in.Hosts[i]
-		pos := source.Pos{File: file}
+		pos := diagnostic.Pos{File: file}
 		switch {
 		case h.Memory > mostMemory && h.ID != "" && !seen[h.ID]:
 			if large++; large == 1 {
-				errs.Add(source.Wantf(pos, "memory in GiB, from 0 to 10^6", "host %s has %g GiB of memory, which looks like another unit", h.ID, h.Memory))
+				errs.Add(diagnostic.Wantf(pos, "memory in GiB, from 0 to 10^6", "host %s has %g GiB of memory, which looks like another unit", h.ID, h.Memory))
 			}
 		case h.ID == "" || seen[h.ID]:
-			errs.Add(source.Wantf(pos, "an id of its own", "host %d has id %q", i, h.ID))
+			errs.Add(diagnostic.Wantf(pos, "an id of its own", "host %d has id %q", i, h.ID))
 		case !(h.Cores >= 0 && h.Cores <= 1e6) || !(h.Memory >= 0):
-			errs.Add(source.Wantf(pos, "0 to 10^6", "host %s has %g cores and %g GiB", h.ID, h.Cores, h.Memory))
+			errs.Add(diagnostic.Wantf(pos, "0 to 10^6", "host %s has %g cores and %g GiB", h.ID, h.Cores, h.Memory))
 		case h.Cost < 0 || h.Cost > 1<<40:
-			errs.Add(source.Wantf(pos, "0 to 2^40", "host %s has cost %d", h.ID, h.Cost))
+			errs.Add(diagnostic.Wantf(pos, "0 to 2^40", "host %s has cost %d", h.ID, h.Cost))
 		case !slices.Contains([]string{"", "ready", "cold", "draining", "gone"}, h.State):
-			errs.Add(source.Wantf(pos, "ready, cold, draining or gone", "host %s has state %q", h.ID, h.State))
+			errs.Add(diagnostic.Wantf(pos, "ready, cold, draining or gone", "host %s has state %q", h.ID, h.State))
 		}
 		seen[h.ID] = true
-		h.Attrs = map[description.Attribute]string{
+		h.Attrs = map[servicespec.Attribute]string{
 			"id": h.ID, "hostname": h.ID, "role": "worker", "label.kind": h.Kind, "label.zone": h.Zone, "label.rack": h.Rack,
 		}
 		for k, v := range h.Labels {
-			h.Attrs[description.Attribute("label."+k)] = v
+			h.Attrs[servicespec.Attribute("label."+k)] = v
 		}
 	}
 	if large > 1 {
-		errs.Add(source.Errorf(source.Pos{File: file}, "%d more hosts have such memory", large-1))
+		errs.Add(diagnostic.Errorf(diagnostic.Pos{File: file}, "%d more hosts have such memory", large-1))
 	}
 	return in.Hosts, errs.Err()
 }
@@ -140,7 +140,7 @@
 type Question struct {
 	Settings *settings.Settings
 	Hosts    []Host
-	What     []*description.Description
+	What     []*servicespec.Description
 	Running  []Running
 	Move     int64  // cost of a move
 	Home     string // a zone; "": none
@@ -150,7 +150,7 @@
 // item is a service of the question.
 type item struct {
 	name  string
-	spec  *description.Service
+	spec  *servicespec.Service
 	class *forkhead.Class
 	kind  string
 	runs  map[int]int // replica to host, by place
@@ -158,13 +158,13 @@
 
 // Instance makes the solver's question. Amounts of tasks are rounded up and of hosts down, to
 // thousandths of a core and MiB, so that what fits there fits.
-func (q *Question) instance() (*solve.Instance, []item, error) {
-	in := &solve.Instance{Move: q.Move}
+func (q *Question) instance() (*solver.Instance, []item, error) {
+	in := &solver.Instance{Move: q.Move}
 	at := map[string]int{}
 	m := &q.Settings.Module
 	for i, h := range q.Hosts {
 		at[h.ID] = i
-		in.Hosts = append(in.Hosts, solve.Host{
+		in.Hosts = append(in.Hosts, solver.Host{
 			ID: h.ID, Zone: h.Zone, Rack: h.Rack, Cost: h.Cost, Closed: h.State == "draining" || h.State == "gone",
 			Cores: int64(math.Floor(h.Cores*m.CoresOvercommit*1000 + 1e-6)), Memory: int64(math.Floor(h.Memory*m.MemoryOvercommit*1024 + 1e-6)),
 		})
@@ -181,7 +181,7 @@
 				class = c
 			}
 			it := item{name: spec.Name, spec: spec, class: &m.Classes[class], runs: map[int]int{}}
-			s := solve.Service{
+			s := solver.Service{
 				Name: spec.Name, Count: spec.Replicas, Where: spec.Pos.String(),
 				Cores: int64(math.Ceil(spec.Cores*1000 - 1e-6)), Memory: int64(math.Ceil(spec.Memory*1024 - 1e-6)),
 			}
@@ -211,7 +211,7 @@
 			for _, n := range spec.Near {
 				for oi := range d.Services {
 					if d.Services[oi].Name == n.Service {
-						s.Near = append(s.Near, solve.Near{Service: first + oi, Place: nearPlaces[n.Place]})
+						s.Near = append(s.Near, solver.Near{Service: first + oi, Place: nearPlaces[n.Place]})
 					}
 				}
 			}
@@ -243,9 +243,9 @@
 	return in, items, nil
 }
 
-var nearPlaces = map[string]solve.Place{"machine": solve.OnHost, "rack": solve.InRack, "zone": solve.InZone}
+var nearPlaces = map[string]solver.Place{"machine": solver.OnHost, "rack": solver.InRack, "zone": solver.InZone}
 
-func limit(s *solve.Service, place string, most int) {
+func limit(s *solver.Service, place string, most int) {
 	to := map[string]*int{"machine": &s.Machine, "rack": &s.Rack, "zone": &s.Zone}[place]
 	if *to == 0 || most < *to {
 		*to = most
@@ -253,12 +253,12 @@
 }
 
 // Solve answers a question.
-func Solve(q *Question, opt solve.Options) (*Plan, error) {
+func Solve(q *Question, opt solver.Options) (*Plan, error) {
 	in, items, err := q.instance()
 	if err != nil {
 		return nil, err
 	}
-	a, err := solve.Solve(in, opt)
+	a, err := solver.Solve(in, opt)
 	if err != nil {
 		return nil, err
 	}
@@ -266,13 +266,13 @@
 	if !a.Feasible {
 		p.Cost, p.Bound = 0, 0
 		if a.Optimal {
-			parts, _ := solve.Conflict(in, opt)
+			parts, _ := solver.Conflict(in, opt)
 			p.Conflict = q.words(in, items, parts)
 		}
 		return p, nil
 	}
 	// Nothing is told that the certificate does not bear out.
-	if err := solve.Check(in, a.Counts, a.Cost); err != nil {
+	if err := solver.Check(in, a.Counts, a.Cost); err != nil {
 		return nil, fmt.Errorf("the solver's answer does not hold: %w", err)
 	}
 	used := map[int]bool{}
@@ -318,7 +318,7 @@
 }
 
 // words tells a conflict in the descriptions' terms.
-func (q *Question) words(in *solve.Instance, items []item, parts []solve.Part) []string {
+func (q *Question) words(in *solver.Instance, items []item, parts []solver.Part) []string {
 	out := []string{}
 	var open, cores, memory int64
 	for _, h := range in.Hosts {
@@ -365,7 +365,7 @@
 }
 
 // limitPos is where a limit stands: in the description, or with its service where its class says it.
-func (q *Question) limitPos(it *item, place string) source.Pos {
+func (q *Question) limitPos(it *item, place string) diagnostic.Pos {
 	for _, l := range it.spec.Limits {
 		if l.Place == place {
 			return l.Pos
--- a/internal/planning/plan/plan_test.go
+++ b/internal/planning/plan/plan_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"forkhead/internal/placing/core"
-	"forkhead/internal/planning/solve"
-	"forkhead/internal/proving/lives"
-	"forkhead/internal/reading/description"
-	"forkhead/internal/reading/settings"
-	"forkhead/internal/standins/standin"
+	"forkhead/internal/emulator/hostmodel"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/parse/settings"
+	"forkhead/internal/planning/solver"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/verify/simulation"
 )
 
 func question(t testing.TB, hosts string) *Question {
@@ -32,20 +32,20 @@
 const fleet = `{"hosts":[{"id":"a","kind":"k","rack":"r","cores":4,"memory":8,"cost":4},{"id":"b","kind":"k","rack":"r","cores":4,"memory":8,"cost":4},
   {"id":"c","kind":"big","rack":"s","cores":8,"memory":16,"cost":9,"labels":{"disk":"ssd"}},{"id":"d","kind":"big","rack":"s","cores":8,"memory":16,"cost":9,"state":"draining"}]}`
 
-func service(name, class string, n int, cores float64) description.Service {
-	return description.Service{Name: name, Class: class, Replicas: n, Cores: cores, Memory: 1}
+func service(name, class string, n int, cores float64) servicespec.Service {
+	return servicespec.Service{Name: name, Class: class, Replicas: n, Cores: cores, Memory: 1}
 }
 
 func TestPlan(t *testing.T) {
 	q := question(t, fleet)
-	q.What = []*description.Description{{Services: []description.Service{service("x", "c", 4, 2), service("y", "b", 1, 1)}}}
-	p, err := Solve(q, solve.Options{})
+	q.What = []*servicespec.Description{{Services: []servicespec.Service{service("x", "c", 4, 2), service("y", "b", 1, 1)}}}
+	p, err := Solve(q, solver.Options{})
 	if err != nil || !p.Feasible || p.Cost != 9+4 || p.Hosts != 2 || len(p.Assignments) != 5 {
 		t.Fatalf("%+v, %v", p, err)
 	}
 	// What runs where the plan would as well have it stays; what has to go is told as a move.
 	q.Running = []Running{{"x", 1, "a"}, {"x", 2, "b"}, {"y", 1, "d"}}
-	p, err = Solve(q, solve.Options{})
+	p, err = Solve(q, solver.Options{})
 	if err != nil || len(p.Moves) != 2 || p.Moves[1] != (Move{"y", 1, "d", "c"}) {
 		t.Fatalf("%+v, %v", p, err)
 	}
@@ -53,20 +53,20 @@
 
 func TestConflictWords(t *testing.T) {
 	for name, c := range map[string]struct {
-		what []description.Service
+		what []servicespec.Service
 		want []string
 	}{
-		"too large":   {[]description.Service{service("x", "c", 1, 9)}, []string{"x asks for 1 tasks of 9 cores", "the cores of the 3 hosts"}},
-		"kind drains": {[]description.Service{service("x", "b", 3, 3)}, []string{"x asks for 3", "the cores of the 3 hosts", "x runs only on hosts with kind big"}},
-		"rack":        {[]description.Service{service("ok", "c", 1, 1), service("x", "r", 5, 1)}, []string{"x asks for 5", "at most 2 of x in one rack"}},
-		"near": {[]description.Service{service("x", "b", 1, 4), {Name: "y", Class: "c", Replicas: 2, Cores: 4, Memory: 1, Near: []description.Near{{Service: "x", Place: "machine"}}}},
+		"too large":   {[]servicespec.Service{service("x", "c", 1, 9)}, []string{"x asks for 1 tasks of 9 cores", "the cores of the 3 hosts"}},
+		"kind drains": {[]servicespec.Service{service("x", "b", 3, 3)}, []string{"x asks for 3", "the cores of the 3 hosts", "x runs only on hosts with kind big"}},
+		"rack":        {[]servicespec.Service{service("ok", "c", 1, 1), service("x", "r", 5, 1)}, []string{"x asks for 5", "at most 2 of x in one rack"}},
+		"near": {[]servicespec.Service{service("x", "b", 1, 4), {Name: "y", Class: "c", Replicas: 2, Cores: 4, Memory: 1, Near: []servicespec.Near{{Service: "x", Place: "machine"}}}},
 			[]string{"x asks for 1", "y asks for 2", "the cores of the 3 hosts", "y has to be near x, in one machine"}},
-		"no such label": {[]description.Service{{Name: "x", Replicas: 1, Cores: 1, Constraints: []description.Constraint{{Attribute: "label.disk", Value: "tape"}}}},
+		"no such label": {[]servicespec.Service{{Name: "x", Replicas: 1, Cores: 1, Constraints: []servicespec.Constraint{{Attribute: "label.disk", Value: "tape"}}}},
 			[]string{"x asks for 1", "x runs only on hosts with label.disk == tape"}},
 	} {
 		q := question(t, fleet)
-		q.What = []*description.Description{{Services: c.what}}
-		p, err := Solve(q, solve.Options{})
+		q.What = []*servicespec.Description{{Services: c.what}}
+		p, err := Solve(q, solver.Options{})
 		if err != nil || p.Feasible || !p.Optimal || len(p.Conflict) != len(c.want) {
 			t.Errorf("%s: %+v, %v", name, p, err)
 			continue
@@ -97,8 +97,8 @@
 // distance places services on a fleet through the real core and module, and asks the solver for the
 // best that could be.
 func distance(t testing.TB, hosts int, load float64, seed uint64) (used, best, unplaced int) {
-	set := lives.Settings(t, "")
-	s := lives.New(t, set, 0)
+	set := simulation.Settings(t, "")
+	s := simulation.New(t, set, 0)
 	q := &Question{Settings: set}
 	cores := 0.0
 	for i := range hosts {
@@ -106,7 +106,7 @@
 		if i%3 == 2 {
 			kind, c, m = "large", 32, 64
 		}
-		cfg := standin.Default(fmt.Sprint("n", i), kind, "a", fmt.Sprint("r", i/4), c, m)
+		cfg := hostmodel.Default(fmt.Sprint("n", i), kind, "a", fmt.Sprint("r", i/4), c, m)
 		cfg.Swing, cfg.Notes, cfg.Use = 0, 0, 0.7
 		s.AddHost(cfg)
 		q.Hosts = append(q.Hosts, Host{ID: cfg.Name, Kind: kind, Zone: "a", Rack: cfg.Rack, Cores: c, Memory: m, Cost: 1})
@@ -134,9 +134,9 @@
 			unplaced++
 		}
 	}
-	q.What = []*description.Description{s.Parse(text)}
+	q.What = []*servicespec.Description{s.Parse(text)}
 	end := time.Now().Add(5 * time.Second)
-	p, err := Solve(q, solve.Options{Stop: func() bool { return time.Now().After(end) }})
+	p, err := Solve(q, solver.Options{Stop: func() bool { return time.Now().After(end) }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/planning/shares/shares.go
+++ b/internal/planning/quota/shares.go
@@ -1,7 +1,7 @@
-// Package shares splits whole amounts by weights: tenants' shares of a fleet, and each tenant's
+// Package quota splits whole amounts by weights: tenants' shares of a fleet, and each tenant's
 // part at every placer. Parts are whole, sum exactly, and change as little as may be when a weight
 // changes, a placer comes or one goes. It is pure and deterministic.
-package shares
+package quota
 
 import (
 	"cmp"
--- a/internal/planning/shares/shares_test.go
+++ b/internal/planning/quota/shares_test.go
@@ -1,4 +1,4 @@
-package shares
+package quota
 
 import (
 	"fmt"
--- a/internal/planning/solve/instance.go
+++ b/internal/planning/solver/instance.go
@@ -1,4 +1,4 @@
-package solve
+package solver
 
 import (
 	"fmt"
--- a/internal/planning/solve/solve.go
+++ b/internal/planning/solver/solve.go
@@ -1,4 +1,4 @@
-// Package solve finds placements of least cost under capacity and spread limits, or proves that
+// Package solver finds placements of least cost under capacity and spread limits, or proves that
 // there are none. It is exact: amounts are whole numbers, no float decides. It is pure and
 // deterministic; a caller may stop it at any time and gets the best answer so far with a bound.
 //
@@ -6,7 +6,7 @@
 // Tasks of a service are alike, so only the hosts of one follow another in order; hosts that are
 // alike and hold alike are tried once. Bounds come from covers: the cheapest share of hosts that
 // holds what is left, by cores, by memory and by both weighed.
-package solve
+package solver
 
 import (
 	"cmp"
--- a/internal/protocol/record/golden_test.go
+++ b/internal/protocol/capture/golden_test.go
@@ -1,4 +1,4 @@
-package record
+package capture
 
 import (
 	"bytes"
--- a/internal/protocol/record/record.go
+++ b/internal/protocol/capture/record.go
@@ -1,7 +1,7 @@
-// Package record is the traffic of a run as seen at the hosts', the clients' and the catalogue's
+// Package capture is the traffic of a run as seen at the hosts', the clients' and the catalogue's
 // end, and at the placers' own sockets: what the rules are checked on. It holds nothing of any
 // placer's own tables.
-package record
+package capture
 
 import (
 	"bufio"
--- a/internal/protocol/catalogue/catalogue.go
+++ b/internal/protocol/consul/catalogue.go
@@ -1,8 +1,8 @@
-// Package catalogue reads and writes the list of hosts in the form of Consul's HTTP API
+// Package consul reads and writes the list of hosts in the form of Consul's HTTP API
 // (/v1/health/service/:service with blocking queries, and /v1/catalog/register), as published at
 // developer.hashicorp.com/consul/api-docs. It is pure: package listwatch is the client, package
 // catalogued a stand-in for the service.
-package catalogue
+package consul
 
 import (
 	"encoding/json"
@@ -13,8 +13,8 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/reading/description"
-	"forkhead/internal/reading/endpoint"
+	"forkhead/internal/parse/hostport"
+	"forkhead/internal/parse/servicespec"
 )
 
 // Host is a host as the list names it.
@@ -28,7 +28,7 @@
 	Started    time.Duration // since the epoch of the clock; 0: long past
 	FreeCores  float64
 	FreeMemory float64                          // GiB
-	Attributes map[description.Attribute]string // id, hostname, role, os, arch, label.NAME
+	Attributes map[servicespec.Attribute]string // id, hostname, role, os, arch, label.NAME
 }
 
 // Entry is one element of the answer to /v1/health/service/:service.
@@ -146,19 +146,19 @@
 	if h.Zone == "" {
 		h.Zone = e.Node.Datacenter
 	}
-	h.Address = endpoint.Join(address, e.Service.Port)
+	h.Address = hostport.Join(address, e.Service.Port)
 	if us, err := strconv.ParseInt(e.Service.Meta[MetaStarted], 10, 64); err == nil && us > 0 && us < math.MaxInt64/1000 {
 		h.Started = time.Duration(us) * time.Microsecond
 	}
 	h.FreeCores = amount(e.Service.Meta[MetaFreeCores])
 	h.FreeMemory = amount(e.Service.Meta[MetaFreeMemory])
-	h.Attributes = map[description.Attribute]string{
+	h.Attributes = map[servicespec.Attribute]string{
 		"id": e.Node.ID, "hostname": h.Name, "role": "worker", "os": e.Node.Meta[MetaOS], "arch": e.Node.Meta[MetaArch],
 		"label.kind": h.Kind, "label.zone": h.Zone, "label.rack": h.Rack,
 	}
 	for k, v := range e.Node.Meta {
 		if label, ok := strings.CutPrefix(k, LabelPrefix); ok {
-			h.Attributes[description.Attribute("label."+label)] = v
+			h.Attributes[servicespec.Attribute("label."+label)] = v
 		}
 	}
 	return h, ""
@@ -185,7 +185,7 @@
 
 // Registered makes the registration of a host.
 func Registered(h *Host, service string) (Registration, error) {
-	address, n, err := endpoint.Split(h.Address)
+	address, n, err := hostport.Split(h.Address)
 	if err != nil {
 		return Registration{}, err
 	}
--- a/internal/protocol/catalogue/golden_test.go
+++ b/internal/protocol/consul/golden_test.go
@@ -1,4 +1,4 @@
-package catalogue
+package consul
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"forkhead/internal/reading/description"
+	"forkhead/internal/parse/servicespec"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -112,7 +112,7 @@
 func TestRegistrationGolden(t *testing.T) {
 	r, err := Registered(&Host{
 		Name: "north-1", Address: "10.1.0.1:7000", Kind: "std-28", Zone: "north", Rack: "r1", Started: 1500 * time.Microsecond,
-		FreeCores: 1.25, FreeMemory: -2.5, Attributes: map[description.Attribute]string{"label.disk": "ssd", "os": "linux"},
+		FreeCores: 1.25, FreeMemory: -2.5, Attributes: map[servicespec.Attribute]string{"label.disk": "ssd", "os": "linux"},
 	}, "forkhead-host")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,5 +1,4 @@
-// Package protocol is the wing of what crosses sockets: frames, HTTP, the form of the catalogue, and the events of a
-// record.
+// Package protocol is the layer of what crosses sockets: frames, HTTP, Consul's API, and captured traffic.
 //
-// It may import reading. All of it is pure: bytes in, values out.
+// It may import parse. All of it is pure: bytes in, values out.
 package protocol
--- a/internal/placing/attempt/attempt.go
+++ b/internal/scheduler/attempt/attempt.go
@@ -5,7 +5,7 @@
 
 import (
 	"errors"
-	"forkhead/internal/placing/grid"
+	"forkhead/internal/scheduler/statetable"
 	"time"
 
 	"forkhead"
@@ -328,7 +328,7 @@
 
 // Table writes the transition function as rows of a page.
 func Table() string {
-	return grid.Write(phaseNames[:], inputNames[:], func(in, p int) string {
+	return statetable.Write(phaseNames[:], inputNames[:], func(in, p int) string {
 		s := table[p][in]
 		switch {
 		case s.to == Phase(p) && s.what == None:
--- a/internal/placing/attempt/attempt_test.go
+++ b/internal/scheduler/attempt/attempt_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"errors"
-	"forkhead/internal/proving/page"
+	"forkhead/internal/verify/doccheck"
 	"testing"
 	"time"
 
@@ -157,4 +157,4 @@
 }
 
 // The page holds the table as the code has it.
-func TestTableOnPage(t *testing.T) { page.Holds(t, "docs/design/attempts.md", Table()) }
+func TestTableOnPage(t *testing.T) { doccheck.Holds(t, "docs/design/attempts.md", Table()) }
--- a/internal/placing/core/api.go
+++ b/internal/scheduler/core/api.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/state"
-	"forkhead/internal/protocol/catalogue"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/protocol/consul"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/reading/description"
+	"forkhead/internal/scheduler/durable"
 )
 
 // Input is something that the shell carries in.
@@ -47,7 +47,7 @@
 		Request uint64 // names the answer
 		Key     string // Idempotency-Key, or ""
 		Body    uint64 // a hash of what was submitted
-		What    *description.Description
+		What    *servicespec.Description
 	}
 	// Remove ends a project: its tasks are stopped.
 	Remove struct {
@@ -55,7 +55,7 @@
 		Project string
 	}
 	// Restore brings what an earlier life has noted, before anything else.
-	Restore struct{ Kept *state.Kept }
+	Restore struct{ Kept *durable.Kept }
 	// FromPlacer brings a message from another placer.
 	FromPlacer struct {
 		From int
@@ -73,7 +73,7 @@
 func (FromPlacer) input() {}
 
 // HostEntry is a host as the list names it.
-type HostEntry = catalogue.Host
+type HostEntry = consul.Host
 
 // Output is something that the shell carries out.
 type Output interface{ output() }
@@ -121,7 +121,7 @@
 	Grew struct{ Submission string }
 	// Keep notes what must not be forgotten. What follows in the step leaves only when the step's notes are durable, if
 	// one of them is to be waited for (state.Waits).
-	Keep struct{ Note state.Note }
+	Keep struct{ Note durable.Note }
 	// Logged is a line for whoever is on call.
 	Logged struct {
 		Defect bool // of this program
--- a/internal/placing/core/asks.go
+++ b/internal/scheduler/core/asks.go
@@ -6,12 +6,12 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/attempt"
-	"forkhead/internal/placing/guard"
-	"forkhead/internal/placing/hostlink"
-	"forkhead/internal/placing/owner"
-	"forkhead/internal/placing/state"
 	"forkhead/internal/protocol/hostproto"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/durable"
+	"forkhead/internal/scheduler/hostconn"
+	"forkhead/internal/scheduler/invariant"
+	"forkhead/internal/scheduler/retrypolicy"
 )
 
 // ask is one arrival of a task at the module.
@@ -85,16 +85,16 @@
 		return
 	}
 	if k == nil || h == nil {
-		c.veto(&guard.Veto{Rule: guard.OneAnswer, Why: "no such ask or host"}, "offer of task %d to machine %d", a.Task, a.Machine)
+		c.veto(&invariant.Veto{Rule: invariant.OneAnswer, Why: "no such ask or host"}, "offer of task %d to machine %d", a.Task, a.Machine)
 		return
 	}
 	if c.harmful(k) {
 		c.skip(k, a, false)
 		return
 	}
-	v := guard.MayOffer(c.now, &guard.Offer{
+	v := invariant.MayOffer(c.now, &invariant.Offer{
 		Ask: &k.Ask, Task: &k.task, Class: &c.set.Module.Classes[k.task.Class], To: h.guard(), Grace: c.set.Module.DrainGrace,
-		Hosts: func(id attempt.Host) *guard.Host {
+		Hosts: func(id attempt.Host) *invariant.Host {
 			for _, t := range k.tries { // also one that has left the list and is forgotten there
 				if t != nil && t.machine == forkhead.MachineID(id) {
 					return t.host.guard()
@@ -124,7 +124,7 @@
 	switch {
 	case h.usable():
 		c.write(t)
-	case h.link.State == hostlink.Down:
+	case h.link.State == hostconn.Down:
 		c.input(t, attempt.Broke, detail{})
 	default:
 		t.waited = true
@@ -140,8 +140,8 @@
 }
 
 // others runs over the hosts of a service's live attempts but one.
-func (c *Core) others(service uint64, but *try) func(yield func(*guard.Host) bool) {
-	return func(yield func(*guard.Host) bool) {
+func (c *Core) others(service uint64, but *try) func(yield func(*invariant.Host) bool) {
+	return func(yield func(*invariant.Host) bool) {
 		for _, t := range c.live[service] {
 			if t != but && !yield(t.host.guard()) {
 				return
@@ -161,12 +161,12 @@
 // write sends an offer that waited for its connection, if it still may be sent.
 func (c *Core) write(t *try) {
 	k, h := t.ask, t.host
-	if guard.Drained(c.now, h.state(), h.since, c.set.Module.DrainGrace) || k.MayWrite(c.now, t.number) != nil || c.harmful(k) {
+	if invariant.Drained(c.now, h.state(), h.since, c.set.Module.DrainGrace) || k.MayWrite(c.now, t.number) != nil || c.harmful(k) {
 		// Guards against a drain told between choosing and writing, and a wait that was too long.
 		c.input(t, attempt.Broke, detail{})
 		return
 	}
-	if t.waited && (h.drains || guard.Crowded(&guard.Offer{
+	if t.waited && (h.drains || invariant.Crowded(&invariant.Offer{
 		Task: &k.task, Class: &c.set.Module.Classes[k.task.Class], To: h.guard(), Others: c.others(k.task.Service, t),
 	}) != nil) {
 		// Guards against tasks of an earlier life that turned up while this one waited for its
@@ -198,15 +198,15 @@
 		return
 	}
 	if k == nil {
-		c.veto(&guard.Veto{Rule: guard.OneAnswer, Why: "no such ask"}, "answer to task %d", id)
+		c.veto(&invariant.Veto{Rule: invariant.OneAnswer, Why: "no such ask"}, "answer to task %d", id)
 		return
 	}
 	if k.Answer == attempt.Open {
 		c.callOff(k)
 	}
-	if v := guard.MayAnswer(&k.Ask, refuse); v != nil {
+	if v := invariant.MayAnswer(&k.Ask, refuse); v != nil {
 		c.veto(v, "answer to %s", k.wish.name)
-		if v.Rule != guard.NoRepeat {
+		if v.Rule != invariant.NoRepeat {
 			return
 		}
 		refuse = false
@@ -303,7 +303,7 @@
 		delete(t.host.tries, t.ref)
 		delete(c.refs, t.ref)
 		if t.noted {
-			c.keep(state.Settled{Ref: t.ref})
+			c.keep(durable.Settled{Ref: t.ref})
 		}
 	}
 	if after == attempt.Unknown && before != after {
@@ -352,7 +352,7 @@
 		c.tell(out)
 		if wasPlaced {
 			c.stat.Lost++
-			c.over(w, t, owner.Lost)
+			c.over(w, t, retrypolicy.Lost)
 		} else {
 			w.tally("the reply broke off")
 		}
--- a/internal/placing/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/agenda"
-	"forkhead/internal/placing/attempt"
-	"forkhead/internal/placing/guard"
-	"forkhead/internal/placing/hostlink"
-	"forkhead/internal/placing/ids"
-	"forkhead/internal/placing/owner"
+	"forkhead/internal/parse/settings"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/reading/settings"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/hostconn"
+	"forkhead/internal/scheduler/ids"
+	"forkhead/internal/scheduler/invariant"
+	"forkhead/internal/scheduler/retrypolicy"
+	"forkhead/internal/scheduler/timerqueue"
 )
 
 // Config is what a Core starts from.
@@ -37,7 +37,7 @@
 	now    time.Duration
 	out    []Output
 	events []forkhead.Event // for the module, of this moment
-	timers agenda.Agenda[*timer]
+	timers timerqueue.Agenda[*timer]
 
 	ids      *ids.Table
 	listedAt time.Duration // when a list first came
@@ -66,8 +66,8 @@
 	buried  map[string]bool // projects that were removed in an earlier life
 	keptAt  time.Duration   // the list was last noted
 
-	policy owner.Policy
-	links  hostlink.Policy
+	policy retrypolicy.Policy
+	links  hostconn.Policy
 	stat   Status
 }
 
@@ -84,11 +84,11 @@
 		asks: map[forkhead.TaskID]*ask{}, left: map[forkhead.TaskID]*ask{},
 		unknown: map[uint64]map[*try]bool{}, blocked: map[uint64]*wish{}, refs: map[hostproto.Ref]*try{}, live: map[uint64][]*try{},
 		projects: map[string]*project{}, submissions: map[string]*submission{}, byKey: map[string]*submission{},
-		policy: owner.Policy{
+		policy: retrypolicy.Policy{
 			First: set.Owner.First, Most: set.Owner.Most, Soon: set.Owner.Soon, AfterMayRun: set.Module.OwnerBackoff,
 			MaxRetryAfter: set.Module.MaxRetryAfter, Asks: set.Owner.Asks,
 		},
-		links: hostlink.Policy{Connect: set.Links.Connect, First: set.Links.First, Most: set.Links.Most},
+		links: hostconn.Policy{Connect: set.Links.Connect, First: set.Links.First, Most: set.Links.Most},
 	}
 	c.labels.most = set.Limits.Label
 	c.durable, c.buried = cfg.Durable, map[string]bool{}
@@ -165,11 +165,11 @@
 		c.listing(in)
 	case Dialled:
 		if h := c.hosts[in.Host]; h != nil {
-			c.link(h, hostlink.Input{Kind: hostlink.Dialled, Conn: in.Conn})
+			c.link(h, hostconn.Input{Kind: hostconn.Dialled, Conn: in.Conn})
 		}
 	case Broke:
 		if h := c.hosts[in.Host]; h != nil {
-			c.link(h, hostlink.Input{Kind: hostlink.Broke, Conn: in.Conn})
+			c.link(h, hostconn.Input{Kind: hostconn.Broke, Conn: in.Conn})
 		}
 	case FromHost:
 		if h := c.hosts[in.Host]; h != nil && in.Conn == h.link.Conn {
@@ -202,7 +202,7 @@
 }
 
 // veto counts an action of the module that the guard did not let through.
-func (c *Core) veto(v *guard.Veto, format string, args ...any) {
+func (c *Core) veto(v *invariant.Veto, format string, args ...any) {
 	c.stat.Vetoes++
 	c.stat.ByRule[v.Rule.String()]++
 	c.defect("veto: %s: %v", fmt.Sprintf(format, args...), v)
@@ -294,9 +294,9 @@
 			c.impatient(t.wish)
 		}
 	case timerRetry:
-		c.link(t.host, hostlink.Input{Kind: hostlink.Retry})
+		c.link(t.host, hostconn.Input{Kind: hostconn.Retry})
 	case timerLate:
-		c.link(t.host, hostlink.Input{Kind: hostlink.Late, Conn: uint32(t.number)})
+		c.link(t.host, hostconn.Input{Kind: hostconn.Late, Conn: uint32(t.number)})
 	case timerAlive:
 		c.alive(t.host, uint32(t.number))
 	case timerLapse:
--- a/internal/placing/core/core_test.go
+++ b/internal/scheduler/core/core_test.go
@@ -7,21 +7,21 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/core"
+	"forkhead/internal/emulator/hostmodel"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/proving/lives"
-	"forkhead/internal/standins/standin"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/verify/simulation"
 )
 
 func TestPlaces(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 6)
+	s := simulation.New(t, simulation.Settings(t, ""), 6)
 	out := s.Await(s.Submit("", `
 name: shop
 services:
   web: {image: web, deploy: {replicas: 5}}
   ledger: {image: ledger, x-forkhead: {class: ledger}, deploy: {replicas: 2}}
 `), 5*time.Second)
-	if lives.Count(out, core.WordPlaced) != 7 {
+	if simulation.Count(out, core.WordPlaced) != 7 {
 		t.Fatalf("outcomes: %+v", out)
 	}
 	if o := out["web/1"]; o.Host == "" || o.Rack == "" || o.Attempts < 1 {
@@ -33,7 +33,7 @@
 // Two in a rack are allowed, three racks have a large host: six of eight are placed, the rest
 // refused with the spread as the reason, and none has two outcomes.
 func TestSpreadRefuses(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 6)
+	s := simulation.New(t, simulation.Settings(t, ""), 6)
 	out := s.Await(s.Submit("", `
 name: calendar
 services:
@@ -41,7 +41,7 @@
     x-forkhead: {class: batch}
     deploy: {replicas: 8, resources: {reservations: {cpus: "2", memory: 4gb}}}
 `), 20*time.Second)
-	if lives.Count(out, core.WordPlaced) != 6 || lives.Count(out, core.WordRefused) != 2 {
+	if simulation.Count(out, core.WordPlaced) != 6 || simulation.Count(out, core.WordRefused) != 2 {
 		t.Fatalf("outcomes: %+v", out)
 	}
 	for _, o := range out {
@@ -55,14 +55,14 @@
 // Hosts that die in the middle of a start, or after it and before they say so: safe tasks go
 // elsewhere, and each gets one outcome.
 func TestHostDies(t *testing.T) {
-	for name, point := range map[string]standin.Point{"mid look": standin.MidLook, "mid start": standin.MidStart, "after bind": standin.AfterBind} {
+	for name, point := range map[string]hostmodel.Point{"mid look": hostmodel.MidLook, "mid start": hostmodel.MidStart, "after bind": hostmodel.AfterBind} {
 		t.Run(name, func(t *testing.T) {
-			s := lives.New(t, lives.Settings(t, ""), 6)
+			s := simulation.New(t, simulation.Settings(t, ""), 6)
 			for _, h := range s.Names[:3] {
 				s.Hosts[h].Life.DieAt(point)
 			}
 			out := s.Await(s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 12}}}"), 20*time.Second)
-			if lives.Count(out, core.WordPlaced) != 12 {
+			if simulation.Count(out, core.WordPlaced) != 12 {
 				t.Fatalf("outcomes: %+v", out)
 			}
 			s.Clean()
@@ -73,9 +73,9 @@
 // An unsafe task whose host dies before it answered is not sent again before that life of the
 // host is known to be over, and then is.
 func TestUnsafeWaitsForItsFate(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 4)
+	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	for _, h := range s.Names {
-		s.Hosts[h].Life.DieAt(standin.AfterBind)
+		s.Hosts[h].Life.DieAt(hostmodel.AfterBind)
 	}
 	id := s.Submit("", "name: p\nservices: {l: {x-forkhead: {class: ledger}}}")
 	s.Run(5 * time.Second)
@@ -84,11 +84,11 @@
 	}
 	first := s.Offers[0].Host
 	for _, h := range s.Names {
-		s.Hosts[h].Life.DieAt(standin.Nowhere)
+		s.Hosts[h].Life.DieAt(hostmodel.Nowhere)
 	}
 	s.Revive(first, true)
 	out := s.Await(id, 15*time.Second)
-	if lives.Count(out, core.WordPlaced) != 1 || len(s.Offers) != 2 {
+	if simulation.Count(out, core.WordPlaced) != 1 || len(s.Offers) != 2 {
 		t.Fatalf("outcomes %+v after %d offers", out, len(s.Offers))
 	}
 	s.Clean()
@@ -97,7 +97,7 @@
 // The connection breaks while the start reply is on its way: the task runs, the host says so
 // when it is back, and the task is placed there; it is not started a second time.
 func TestReplyLostThenHeld(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 4)
+	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	lost := ""
 	s.FromHost = func(host string, f hostproto.Frame) bool {
 		if _, ok := f.(hostproto.Running); ok && lost == "" {
@@ -116,7 +116,7 @@
 
 // An offer that never arrived is known never to have run once the host is back and asked.
 func TestOfferLostThenSettled(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 4)
+	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	lost := false
 	s.ToHost = func(host string, f hostproto.Frame) bool {
 		if _, ok := f.(hostproto.Offer); ok && !lost {
@@ -127,7 +127,7 @@
 		return true
 	}
 	out := s.Await(s.Submit("", "name: p\nservices: {l: {x-forkhead: {class: ledger}}}"), 15*time.Second)
-	if lives.Count(out, core.WordPlaced) != 1 || len(s.Offers) != 2 {
+	if simulation.Count(out, core.WordPlaced) != 1 || len(s.Offers) != 2 {
 		t.Fatalf("outcomes %+v, %d offers", out, len(s.Offers))
 	}
 	s.Clean()
@@ -136,7 +136,7 @@
 // A reply that comes after the deadline's timer: the ask has ended, the host is asked to stop
 // what it started, or its owner takes it; there is one outcome either way.
 func TestReplyAfterDeadline(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 2)
+	s := simulation.New(t, simulation.Settings(t, ""), 2)
 	for _, h := range s.Names {
 		s.Hosts[h].Life.Slow(s.Now, 10*time.Second, 30) // starts take 3 s, asks 2 s
 	}
@@ -146,7 +146,7 @@
 	}
 	s.Run(5 * time.Second)
 	running := s.Running()
-	if placed := lives.Count(out, core.WordPlaced); running != placed {
+	if placed := simulation.Count(out, core.WordPlaced); running != placed {
 		t.Fatalf("%d run, %d placed", running, placed)
 	}
 	s.Clean()
@@ -155,7 +155,7 @@
 // A host that goes silent without a reset is found out; harmless tasks go elsewhere, and when it
 // comes back what it still runs is stopped.
 func TestSilentHost(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 4)
+	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	out := s.Await(s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 4}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}"), 5*time.Second)
 	victim := out["web/1"].Host
 	s.Hosts[victim].Mute = true
@@ -181,13 +181,13 @@
 // A placer that is killed and starts again finds its tasks with the hosts; a client that sends
 // its submission again gets them as they are, and nothing is started twice.
 func TestPlacerRestarts(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 6)
+	s := simulation.New(t, simulation.Settings(t, ""), 6)
 	text := "name: p\nservices: {web: {deploy: {replicas: 3}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 3}}}"
 	s.Submit("k", text)
 	s.Run(30 * time.Millisecond) // attempts are out
 	s.Restart()
 	out := s.Await(s.Submit("k", text), 20*time.Second)
-	if lives.Count(out, core.WordPlaced) != 6 {
+	if simulation.Count(out, core.WordPlaced) != 6 {
 		t.Fatalf("outcomes: %+v", out)
 	}
 	s.Run(3 * time.Second)
@@ -212,7 +212,7 @@
 // A drain told while offers are in flight and while a retry waits: nothing new reaches the host
 // later than the grace.
 func TestDrain(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 3)
+	s := simulation.New(t, simulation.Settings(t, ""), 3)
 	s.Delay = 20 * time.Millisecond
 	s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 20}}}")
 	s.Run(25 * time.Millisecond)
@@ -230,7 +230,7 @@
 // A host that flaps under one name with a new epoch each time: no task has two outcomes, none is
 // lost, and the tables are empty once the project is gone.
 func TestFlappingHost(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 4)
+	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	id := s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 30}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}")
 	for range 10 {
 		s.Run(300 * time.Millisecond)
@@ -251,7 +251,7 @@
 }
 
 func TestIdempotencyKey(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 2)
+	s := simulation.New(t, simulation.Settings(t, ""), 2)
 	text := "name: p\nservices: {web: {deploy: {replicas: 2}}}"
 	a, b := s.Submit("k", text), s.Submit("k", text)
 	if a != b {
@@ -271,14 +271,14 @@
 func TestUpdate(t *testing.T) {
 	for _, order := range []string{"stop-first", "start-first"} {
 		t.Run(order, func(t *testing.T) {
-			s := lives.New(t, lives.Settings(t, ""), 6)
+			s := simulation.New(t, simulation.Settings(t, ""), 6)
 			text := func(image string, n string) string {
 				return "name: p\nservices:\n  web: {image: " + image + ", deploy: {replicas: " + n + ", update_config: {parallelism: 1, delay: 500ms, order: " + order + "}}}\n  old: {image: old}"
 			}
 			s.Await(s.Submit("", text("web:1", "3")), 5*time.Second)
 			start := s.Now
 			out := s.Await(s.Submit("", strings.Replace(text("web:2", "3"), "\n  old: {image: old}", "", 1)), 20*time.Second)
-			if lives.Count(out, core.WordPlaced) != 3 || len(out) != 3 {
+			if simulation.Count(out, core.WordPlaced) != 3 || len(out) != 3 {
 				t.Fatalf("outcomes: %+v", out)
 			}
 			if took := s.Now - start; took < time.Second {
@@ -303,14 +303,14 @@
 // A project that is removed and submitted again at once: no task starts while its earlier copy
 // has not ended, also where that takes a while. Found by a bad day, as a breach of rule 2.
 func TestRemoveAndSubmitAgain(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 4)
+	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	text := "name: p\nservices: {l: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}"
 	s.Await(s.Submit("", text), 5*time.Second)
 	s.Delay = 100 * time.Millisecond
 	s.Step(core.Remove{Request: 2, Project: "p"})
 	stopped := s.Now
 	out := s.Await(s.Submit("", text), 10*time.Second)
-	if lives.Count(out, core.WordPlaced) != 4 {
+	if simulation.Count(out, core.WordPlaced) != 4 {
 		t.Fatalf("outcomes: %+v", out)
 	}
 	for _, o := range s.Offers[4:] {
@@ -327,7 +327,7 @@
 	}
 	n := len(s.Offers)
 	s.Step(core.Remove{Request: 3, Project: "p"})
-	if out := s.Await(s.Submit("", text), 60*time.Second); lives.Count(out, core.WordRefused) != 4 || len(s.Offers) != n {
+	if out := s.Await(s.Submit("", text), 60*time.Second); simulation.Count(out, core.WordRefused) != 4 || len(s.Offers) != n {
 		t.Fatalf("outcomes: %+v, %d new offers", out, len(s.Offers)-n)
 	}
 	s.Clean()
@@ -335,13 +335,13 @@
 
 // An update whose first tasks cannot be placed is stopped; what was not yet replaced runs on.
 func TestUpdatePauses(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 2)
+	s := simulation.New(t, simulation.Settings(t, ""), 2)
 	text := func(cpus string) string {
 		return "name: p\nservices: {web: {x-forkhead: {patience: 2s}, deploy: {replicas: 3, resources: {reservations: {cpus: '" + cpus + "'}}, update_config: {parallelism: 1}}}}"
 	}
 	s.Await(s.Submit("", text("1")), 5*time.Second)
 	out := s.Await(s.Submit("", text("40")), 20*time.Second)
-	if lives.Count(out, core.WordRefused) != 3 {
+	if simulation.Count(out, core.WordRefused) != 3 {
 		t.Fatalf("outcomes: %+v", out)
 	}
 	running := s.Running()
@@ -352,7 +352,7 @@
 }
 
 func TestDependsOn(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 4)
+	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	out := s.Await(s.Submit("", `
 name: p
 services:
@@ -360,7 +360,7 @@
   db: {depends_on: {migrate: {condition: service_completed_successfully}}}
   migrate: {x-forkhead: {life: 500ms}, deploy: {mode: replicated-job}}
 `), 10*time.Second)
-	if lives.Count(out, core.WordPlaced) != 3 {
+	if simulation.Count(out, core.WordPlaced) != 3 {
 		t.Fatalf("outcomes: %+v", out)
 	}
 	if s.Offers[0].Offer.Spec.Name != "p/migrate/1" || s.Offers[2].Offer.Spec.Name != "p/web/1" {
@@ -385,7 +385,7 @@
 }
 
 func TestConstraints(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 6)
+	s := simulation.New(t, simulation.Settings(t, ""), 6)
 	out := s.Await(s.Submit("", `
 name: p
 services:
@@ -429,7 +429,7 @@
 // A service that has to be near another goes only where that one is, follows it where it is placed
 // anew, and is refused where there is no room beside it.
 func TestNear(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 8)
+	s := simulation.New(t, simulation.Settings(t, ""), 8)
 	out := s.Await(s.Submit("", `
 name: p
 services:
@@ -468,7 +468,7 @@
 }
 
 func TestRestartPolicy(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 2)
+	s := simulation.New(t, simulation.Settings(t, ""), 2)
 	s.Await(s.Submit("", `
 name: p
 services:
@@ -488,7 +488,7 @@
 }
 
 func TestLimits(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, "(limits (tasks 10) (per-submit 8) (submissions 2) (labels 2))"), 2)
+	s := simulation.New(t, simulation.Settings(t, "(limits (tasks 10) (per-submit 8) (submissions 2) (labels 2))"), 2)
 	for _, c := range []struct {
 		text   string
 		status int
@@ -517,16 +517,16 @@
 
 // The list fails and comes back; the module asks for it again, and tasks wait meanwhile.
 func TestListFails(t *testing.T) {
-	s := lives.New(t, lives.Settings(t, ""), 0)
+	s := simulation.New(t, simulation.Settings(t, ""), 0)
 	s.ListUp = false
 	s.List()
 	for i := range 3 {
-		s.AddHost(standin.Default("late"+string(rune('a'+i)), "small", "a", "r", 8, 16))
+		s.AddHost(hostmodel.Default("late"+string(rune('a'+i)), "small", "a", "r", 8, 16))
 	}
 	id := s.Submit("", "services: {w: {}}")
 	s.Run(time.Second)
 	s.ListUp = true
-	if out := s.Await(id, 10*time.Second); lives.Count(out, core.WordPlaced) != 1 {
+	if out := s.Await(id, 10*time.Second); simulation.Count(out, core.WordPlaced) != 1 {
 		t.Fatalf("outcomes: %+v", out)
 	}
 	s.Clean()
@@ -540,7 +540,7 @@
 		}
 		return uint32(name[1]) + salt*1000
 	}
-	s := lives.New(t, lives.Settings(t, ""), 4, func(c *core.Config) { c.Hash = hash })
+	s := simulation.New(t, simulation.Settings(t, ""), 4, func(c *core.Config) { c.Hash = hash })
 	out := s.Await(s.Submit("", "services: {w: {deploy: {mode: global}}}"), 5*time.Second)
 	hosts := map[string]bool{}
 	for _, o := range out {
@@ -555,12 +555,12 @@
 // A module that offers twice and withdraws what was vetoed, and what never was: vetoed, counted,
 // and the placer goes on.
 func TestVetoes(t *testing.T) {
-	set := lives.Settings(t, "")
+	set := simulation.Settings(t, "")
 	module, err := forkhead.New(set.Module, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := lives.New(t, set, 4, func(c *core.Config) {
+	s := simulation.New(t, set, 4, func(c *core.Config) {
 		c.Decide = func(now time.Duration, events []forkhead.Event) (out []forkhead.Action) {
 			for _, a := range module.Step(now, events) {
 				out = append(out, a)
@@ -572,7 +572,7 @@
 			return out
 		}
 	})
-	if out := s.Await(s.Submit("", "services: {l: {x-forkhead: {class: ledger}}}"), 10*time.Second); lives.Count(out, core.WordPlaced) != 1 {
+	if out := s.Await(s.Submit("", "services: {l: {x-forkhead: {class: ledger}}}"), 10*time.Second); simulation.Count(out, core.WordPlaced) != 1 {
 		t.Fatalf("outcomes: %+v", out)
 	}
 	if st := s.Core.Status(); st.Vetoes != 3 || st.ByRule["no_repeat"] != 1 || st.ByRule["one_answer"] != 2 || st.Defects != 3 || len(s.Offers) != 1 {
@@ -583,7 +583,7 @@
 // The same inputs at the same times give the same outputs.
 func TestDeterminism(t *testing.T) {
 	play := func() (string, int) {
-		s := lives.New(t, lives.Settings(t, ""), 5)
+		s := simulation.New(t, simulation.Settings(t, ""), 5)
 		s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 30}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 5}}}")
 		s.Run(time.Second)
 		s.Kill("h1")
--- a/internal/placing/core/explain.go
+++ b/internal/scheduler/core/explain.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"forkhead"
-	"forkhead/internal/placing/guard"
+	"forkhead/internal/scheduler/invariant"
 )
 
 // ---- What is told of a task that does not get placed.
@@ -100,7 +100,7 @@
 		}
 		n := 0
 		for _, t := range c.live[w.svc.key] {
-			if guard.Same(place, t.host.guard(), at) {
+			if invariant.Same(place, t.host.guard(), at) {
 				n++
 			}
 		}
--- a/internal/placing/core/hosts.go
+++ b/internal/scheduler/core/hosts.go
@@ -6,12 +6,12 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/attempt"
-	"forkhead/internal/placing/guard"
-	"forkhead/internal/placing/hostlink"
-	"forkhead/internal/placing/state"
+	"forkhead/internal/parse/settings"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/reading/settings"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/durable"
+	"forkhead/internal/scheduler/hostconn"
+	"forkhead/internal/scheduler/invariant"
 )
 
 // host is a host of the list, or one that has left it and still holds something of ours.
@@ -27,7 +27,7 @@
 	since  time.Duration // told that it drains or is gone
 	labels uint64
 
-	link   hostlink.Link
+	link   hostconn.Link
 	ready  bool // Welcome and all its Holds have come
 	spoken bool // they came at least once: a Welcome alone says nothing of what it holds
 	await  int  // Holds entries still to come
@@ -54,10 +54,10 @@
 	return h.entry.State
 }
 
-func (h *host) usable() bool { return h.link.State == hostlink.Up && h.ready }
+func (h *host) usable() bool { return h.link.State == hostconn.Up && h.ready }
 
-func (h *host) guard() *guard.Host {
-	return &guard.Host{
+func (h *host) guard() *invariant.Host {
+	return &invariant.Host{
 		ID: attempt.Host(h.id), State: h.state(), Since: h.since, Kind: h.kind, Zone: h.zone, Cell: h.cell,
 		Labels: h.labels, Started: h.entry.Started,
 	}
@@ -123,7 +123,7 @@
 		h.listed, h.restored, h.stale, h.entry, h.kind = true, false, l.Stale && !h.spoken, entry, kind
 		h.zone, h.cell = number(c.zones, entry.Zone), number(c.racks, entry.Rack)
 		h.labels = c.labelsOf(h)
-		c.link(h, hostlink.Input{Kind: hostlink.Listed, Address: entry.Address})
+		c.link(h, hostconn.Input{Kind: hostconn.Listed, Address: entry.Address})
 	}
 	update := forkhead.ListUpdate{Mode: l.Mode}
 	if len(gone) > 0 {
@@ -136,7 +136,7 @@
 		}
 		if !seen[h] && h.listed {
 			h.listed = false
-			c.link(h, hostlink.Input{Kind: hostlink.Delisted})
+			c.link(h, hostconn.Input{Kind: hostconn.Delisted})
 			c.departed(h)
 		}
 		if s := h.state(); s != forkhead.Ready && was[h] != s {
@@ -154,7 +154,7 @@
 	c.forgetHosts()
 	if l.Mode == forkhead.ListSnapshot && (c.keptAt == 0 || c.now >= c.keptAt+listEvery) {
 		c.keptAt = c.now
-		c.keep(state.Listed{List: state.List{At: c.now, Hosts: l.Hosts}})
+		c.keep(durable.Listed{List: durable.List{At: c.now, Hosts: l.Hosts}})
 	}
 }
 
@@ -190,7 +190,7 @@
 // departed settles what a host that has left the list had, if it is out of reach too: being
 // taken off the list is the operator's word that it is gone.
 func (c *Core) departed(h *host) {
-	if !h.listed && h.link.State == hostlink.Down {
+	if !h.listed && h.link.State == hostconn.Down {
 		for _, t := range h.sortedTries() {
 			c.input(t, attempt.Died, detail{})
 		}
@@ -200,7 +200,7 @@
 // forgetHosts drops hosts of which nothing is left.
 func (c *Core) forgetHosts() {
 	for name, h := range c.hosts {
-		if !h.listed && h.link.State == hostlink.Down && len(h.tries) == 0 {
+		if !h.listed && h.link.State == hostconn.Down && len(h.tries) == 0 {
 			delete(c.hosts, name)
 			delete(c.byID, h.id)
 		}
@@ -228,7 +228,7 @@
 }
 
 // link takes an input to a host's connection and carries out what follows.
-func (c *Core) link(h *host, in hostlink.Input) {
+func (c *Core) link(h *host, in hostconn.Input) {
 	out := h.link.On(in, c.links, c.rng.Float64())
 	if out.Close {
 		c.do(Close{Host: h.name, Conn: out.Closing})
@@ -305,7 +305,7 @@
 		c.log("host %s says: %s", h.name, b.Text)
 		return
 	}
-	if h.link.State != hostlink.Up {
+	if h.link.State != hostconn.Up {
 		c.absurd(h, "a frame before Welcome")
 		return
 	}
@@ -371,7 +371,7 @@
 func (c *Core) absurd(h *host, what string) {
 	c.log("host %s: %s; the connection is closed", h.name, what)
 	c.do(Close{Host: h.name, Conn: h.link.Conn})
-	c.link(h, hostlink.Input{Kind: hostlink.Broke, Conn: h.link.Conn})
+	c.link(h, hostconn.Input{Kind: hostconn.Broke, Conn: h.link.Conn})
 }
 
 func (c *Core) welcome(h *host, w hostproto.Welcome) {
@@ -380,12 +380,12 @@
 		c.absurd(h, "it is "+w.Host+", or speaks another version")
 		return
 	}
-	if h.link.State != hostlink.Greeting {
+	if h.link.State != hostconn.Greeting {
 		c.absurd(h, "a second Welcome")
 		return
 	}
-	c.link(h, hostlink.Input{Kind: hostlink.Welcomed, Conn: h.link.Conn, Epoch: w.Epoch})
-	if h.link.State != hostlink.Up {
+	c.link(h, hostconn.Input{Kind: hostconn.Welcomed, Conn: h.link.Conn, Epoch: w.Epoch})
+	if h.link.State != hostconn.Up {
 		return
 	}
 	h.lapse++
@@ -483,14 +483,14 @@
 // of LostAfter is asked, and one that says nothing for all of it is taken to be gone. Guards
 // against hosts that vanish without a reset.
 func (c *Core) alive(h *host, conn uint32) {
-	if conn != h.link.Conn || h.link.State != hostlink.Up {
+	if conn != h.link.Conn || h.link.State != hostconn.Up {
 		return
 	}
 	quiet := c.now - h.heard
 	if quiet >= c.set.Links.LostAfter {
 		c.log("host %s has said nothing for %v; the connection is closed", h.name, quiet.Round(time.Millisecond))
 		c.do(Close{Host: h.name, Conn: conn})
-		c.link(h, hostlink.Input{Kind: hostlink.Broke, Conn: conn})
+		c.link(h, hostconn.Input{Kind: hostconn.Broke, Conn: conn})
 		return
 	}
 	if quiet >= c.set.Links.LostAfter/2 {
@@ -502,7 +502,7 @@
 // probe asks a host for a sign of life on the module's behalf.
 func (c *Core) probe(h *host, id forkhead.MachineID) {
 	switch {
-	case h == nil || h.link.State == hostlink.Down:
+	case h == nil || h.link.State == hostconn.Down:
 		c.tell(forkhead.Probed{Machine: id, Result: forkhead.ConnectFailed})
 	case !h.usable():
 		h.ask = true // answered by the connection, or by its failure
--- a/internal/placing/core/inherit.go
+++ b/internal/scheduler/core/inherit.go
@@ -5,11 +5,11 @@
 	"strings"
 	"time"
 
-	"forkhead/internal/placing/attempt"
-	"forkhead/internal/placing/owner"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/parse/settings"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/reading/description"
-	"forkhead/internal/reading/settings"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/retrypolicy"
 )
 
 // ---- Tasks of an earlier life.
@@ -39,7 +39,7 @@
 	}
 	svc := p.services[parts[1]]
 	if svc == nil {
-		svc = &service{project: p, name: parts[1], key: spec.Service, wishes: map[int]*wish{}, fostered: true, before: map[*wish]*description.Service{}}
+		svc = &service{project: p, name: parts[1], key: spec.Service, wishes: map[int]*wish{}, fostered: true, before: map[*wish]*servicespec.Service{}}
 		p.services[parts[1]] = svc
 	}
 	w := svc.wishes[replica]
@@ -69,15 +69,15 @@
 		return
 	}
 	// The description is lost: what the host knows of the task stands for it.
-	own := &description.Service{
+	own := &servicespec.Service{
 		Name: svc.name, Class: spec.Class, Tenant: spec.Tenant, Replicas: 1, Life: spec.Life,
 		Cores: float64(spec.Cores) / 1000, Memory: float64(spec.Memory) / 1024,
 	}
 	w = &wish{
 		svc: svc, replica: replica, spec: own, class: class, tenant: settings.Index(c.set.Tenants, spec.Tenant),
-		fingerprint: spec.Fingerprint, key: spec.Key, name: spec.Name, state: waiting, owner: owner.Owner{},
+		fingerprint: spec.Fingerprint, key: spec.Key, name: spec.Name, state: waiting, owner: retrypolicy.Owner{},
 	}
-	if w.key != description.Key(spec.Tenant, p.name, svc.name, replica) {
+	if w.key != servicespec.Key(spec.Tenant, p.name, svc.name, replica) {
 		w.generation = 1
 	}
 	svc.wishes[replica] = w
--- a/internal/placing/core/labels.go
+++ b/internal/scheduler/core/labels.go
@@ -5,9 +5,9 @@
 	"strconv"
 
 	"forkhead"
-	"forkhead/internal/placing/attempt"
-	"forkhead/internal/placing/guard"
-	"forkhead/internal/reading/description"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/invariant"
 )
 
 // ---- Labels: each constraint in use is one bit.
@@ -21,7 +21,7 @@
 }
 
 type labelRow struct {
-	what  description.Constraint
+	what  servicespec.Constraint
 	users int
 }
 
@@ -46,20 +46,20 @@
 }
 
 // nearPlaces are the attributes that are met where another service has a task.
-var nearPlaces = map[description.Attribute]forkhead.Domain{
+var nearPlaces = map[servicespec.Attribute]forkhead.Domain{
 	"near.machine": forkhead.MachineDomain, "near.rack": forkhead.CellDomain, "near.zone": forkhead.ZoneDomain,
 }
 
 // nearConstraints makes constraints of what a service has to be beside. The value is the other's
 // number, which is the same in every submission.
-func nearConstraints(project string, d *description.Description, s *description.Service) (out []description.Constraint) {
+func nearConstraints(project string, d *servicespec.Description, s *servicespec.Service) (out []servicespec.Constraint) {
 	for _, n := range s.Near {
 		tenant := ""
 		if other := d.Service(n.Service); other != nil {
 			tenant = other.Tenant
 		}
-		key := description.ServiceKey(tenant, project, n.Service)
-		out = append(out, description.Constraint{Attribute: description.Attribute("near." + n.Place), Value: strconv.FormatUint(key, 10), Pos: n.Pos})
+		key := servicespec.ServiceKey(tenant, project, n.Service)
+		out = append(out, servicespec.Constraint{Attribute: servicespec.Attribute("near." + n.Place), Value: strconv.FormatUint(key, 10), Pos: n.Pos})
 	}
 	return out
 }
@@ -71,20 +71,20 @@
 		return false
 	}
 	for _, t := range c.live[key] {
-		if t.phase() == attempt.Placed && guard.Same(place, t.host.guard(), h.guard()) {
+		if t.phase() == attempt.Placed && invariant.Same(place, t.host.guard(), h.guard()) {
 			return true
 		}
 	}
 	return false
 }
 
-func meets(e *HostEntry, c *description.Constraint) bool {
+func meets(e *HostEntry, c *servicespec.Constraint) bool {
 	return (e.Attributes[c.Attribute] == c.Value) != c.Not
 }
 
 // take returns the bits of constraints and counts their users. ok is false if there are more
 // than the table holds; then nothing is counted.
-func (c *Core) takeLabels(constraints []description.Constraint) (bits uint64, ok bool) {
+func (c *Core) takeLabels(constraints []servicespec.Constraint) (bits uint64, ok bool) {
 	if len(constraints) == 0 {
 		return 0, true
 	}
--- a/internal/placing/core/projects.go
+++ b/internal/scheduler/core/projects.go
@@ -9,12 +9,12 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/attempt"
-	"forkhead/internal/placing/rollout"
-	"forkhead/internal/placing/state"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/parse/settings"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/reading/description"
-	"forkhead/internal/reading/settings"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/durable"
+	"forkhead/internal/scheduler/rollingupdate"
 )
 
 // project is what is to run under one name.
@@ -28,15 +28,15 @@
 	project  *project
 	name     string
 	key      uint64
-	spec     *description.Service // nil: fostered
+	spec     *servicespec.Service // nil: fostered
 	needs    uint64
 	wishes   map[int]*wish // by replica
 	fostered bool          // known only from what hosts run: its description is lost
 	failed   string        // why its dependants cannot go on, or ""
-	update   *rollout.Update
+	update   *rollingupdate.Update
 	queue    []*wish // to be replaced
 	replaced []*wish // replaced by this update, with their old specs in before
-	before   map[*wish]*description.Service
+	before   map[*wish]*servicespec.Service
 	building bool // being brought to a description: not to be tidied away
 }
 
@@ -71,7 +71,7 @@
 		if err != nil {
 			c.defect("an outcome has no form to be kept in: %v", err)
 		}
-		c.keep(state.Told{Submission: s.id, Number: len(s.outcomes), Text: text, Task: w.task(o.Outcome, o.Outcome != WordPlaced)})
+		c.keep(durable.Told{Submission: s.id, Number: len(s.outcomes), Text: text, Task: w.task(o.Outcome, o.Outcome != WordPlaced)})
 	}
 	s.outcomes = append(s.outcomes, o)
 	if s.complete() {
@@ -105,7 +105,7 @@
 	s := c.ended[0]
 	c.ended = c.ended[1:]
 	delete(c.submissions, s.id)
-	c.keep(state.Forgotten{Submission: s.id})
+	c.keep(durable.Forgotten{Submission: s.id})
 	if c.byKey[s.key] == s {
 		delete(c.byKey, s.key)
 	}
@@ -177,7 +177,7 @@
 	if s.key != "" {
 		c.byKey[s.key] = s
 	}
-	c.keep(state.Taken{What: d, Submission: state.Submission{ID: s.id, Key: s.key, Body: s.body, Total: s.total, At: c.now, Project: name}})
+	c.keep(durable.Taken{What: d, Submission: durable.Submission{ID: s.id, Key: s.key, Body: s.body, Total: s.total, At: c.now, Project: name}})
 	delete(c.buried, name)
 	c.do(Taken{Request: in.Request, Submission: s.id})
 	if tasks == 0 {
@@ -190,7 +190,7 @@
 }
 
 // needs takes the labels of all services of a description.
-func (c *Core) needs(p *project, d *description.Description) ([]uint64, bool) {
+func (c *Core) needs(p *project, d *servicespec.Description) ([]uint64, bool) {
 	out := make([]uint64, len(d.Services))
 	for i := range d.Services {
 		spec := &d.Services[i]
@@ -207,7 +207,7 @@
 }
 
 // fitting counts the ready hosts that a service with one task each may use.
-func (c *Core) fitting(s *description.Service) int {
+func (c *Core) fitting(s *servicespec.Service) int {
 	class := c.classOf(s)
 	n := 0
 	for _, h := range c.hosts {
@@ -228,7 +228,7 @@
 	return n
 }
 
-func (c *Core) classOf(s *description.Service) int {
+func (c *Core) classOf(s *servicespec.Service) int {
 	if i, ok := c.set.Class(s.Class); ok {
 		return i
 	}
@@ -237,7 +237,7 @@
 
 // apply brings a project to a description: what is new is asked for, what runs unchanged stays,
 // what has changed is replaced by its service's update_config, and the rest is stopped.
-func (c *Core) apply(p *project, d *description.Description, s *submission, needs []uint64) {
+func (c *Core) apply(p *project, d *servicespec.Description, s *submission, needs []uint64) {
 	var fresh []*wish
 	for i := range d.Services {
 		spec := &d.Services[i]
@@ -249,8 +249,8 @@
 		svc.building = true
 		c.dropLabels(svc.needs)
 		svc.spec, svc.needs, svc.fostered, svc.failed = spec, needs[i], false, ""
-		svc.key = description.ServiceKey(spec.Tenant, p.name, spec.Name)
-		svc.update, svc.queue, svc.replaced, svc.before = nil, nil, nil, map[*wish]*description.Service{}
+		svc.key = servicespec.ServiceKey(spec.Tenant, p.name, spec.Name)
+		svc.update, svc.queue, svc.replaced, svc.before = nil, nil, nil, map[*wish]*servicespec.Service{}
 		for r := 1; r <= spec.Replicas; r++ {
 			if w := c.claimFor(svc, r, s); w != nil {
 				fresh = append(fresh, w)
@@ -262,7 +262,7 @@
 			}
 		}
 		if n := len(svc.queue); n > 0 {
-			svc.update = rollout.New(spec.Update, n)
+			svc.update = rollingupdate.New(spec.Update, n)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.services)) {
@@ -325,7 +325,7 @@
 	return nil
 }
 
-func (c *Core) newWish(svc *service, replica int, spec *description.Service) *wish {
+func (c *Core) newWish(svc *service, replica int, spec *servicespec.Service) *wish {
 	w := &wish{
 		svc: svc, replica: replica, spec: spec, class: c.classOf(spec), tenant: settings.Index(c.set.Tenants, spec.Tenant),
 		fingerprint: spec.Fingerprint(), name: svc.project.name + "/" + svc.name + "/" + strconv.Itoa(replica),
@@ -343,8 +343,8 @@
 
 // taskKey is a task's key. A copy that is started before the old one stops has another, so that
 // its host does not take it for a repeat.
-func taskKey(svc *service, spec *description.Service, replica, generation int) uint64 {
-	return description.Key(spec.Tenant, svc.project.name, svc.name, replica) ^ uint64(generation&1)
+func taskKey(svc *service, spec *servicespec.Service, replica, generation int) uint64 {
+	return servicespec.Key(spec.Tenant, svc.project.name, svc.name, replica) ^ uint64(generation&1)
 }
 
 // removeWish ends a task that its project no longer has.
@@ -427,7 +427,7 @@
 		c.do(Rejected{Request: in.Request, Status: 404, Title: "No such project", Detail: in.Project + " is not here"})
 		return
 	}
-	c.keep(state.Removed{Project: in.Project, At: c.now})
+	c.keep(durable.Removed{Project: in.Project, At: c.now})
 	for _, name := range slices.Sorted(maps.Keys(p.services)) {
 		if svc := p.services[name]; svc != nil {
 			c.removeService(svc)
@@ -483,7 +483,7 @@
 }
 
 // reached says whether the service is as far as a condition asks, or why it never will be.
-func (s *service) reached(when description.Condition) (met bool, failed string) {
+func (s *service) reached(when servicespec.Condition) (met bool, failed string) {
 	if s.failed != "" {
 		return false, "was not placed"
 	}
@@ -493,7 +493,7 @@
 		case w.state == done && !w.success:
 			return false, "has failed"
 		case w.state == done:
-		case when == description.Completed:
+		case when == servicespec.Completed:
 			met = false
 		case w.state != placed:
 			met = false
--- a/internal/placing/core/restore.go
+++ b/internal/scheduler/core/restore.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/state"
+	"forkhead/internal/parse/servicespec"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/reading/description"
+	"forkhead/internal/scheduler/durable"
 )
 
 // What follows carries a placer over its own death: what it notes while it lives, and how a new life begins with it.
@@ -15,15 +15,15 @@
 // buriedFor is how long it is kept that a project was removed: hosts that come back by then stop what they run of it.
 const buriedFor = 24 * time.Hour
 
-func (c *Core) keep(n state.Note) {
+func (c *Core) keep(n durable.Note) {
 	if c.durable {
 		c.do(Keep{Note: n})
 	}
 }
 
 // task is what is noted of a wish.
-func (w *wish) task(word string, over bool) state.Task {
-	return state.Task{Project: w.svc.project.name, Service: w.svc.name, Replica: w.replica, Word: word, Over: over}
+func (w *wish) task(word string, over bool) durable.Task {
+	return durable.Task{Project: w.svc.project.name, Service: w.svc.name, Replica: w.replica, Word: word, Over: over}
 }
 
 // neverAgain notes that a task has ended for good.
@@ -32,7 +32,7 @@
 	if w.success {
 		word = WordPlaced
 	}
-	c.keep(state.Done{Task: w.task(word, true)})
+	c.keep(durable.Done{Task: w.task(word, true)})
 }
 
 // noteAttempt notes an attempt that must not be made twice. A safe one is not noted: to make it again does no harm, and the
@@ -43,7 +43,7 @@
 		return
 	}
 	t.noted = true
-	c.keep(state.Offered{Attempt: state.Attempt{
+	c.keep(durable.Offered{Attempt: durable.Attempt{
 		Ref: t.ref, Key: w.key, Project: w.svc.project.name, Service: w.svc.name, Replica: w.replica, Class: c.set.Classes[w.class].Name,
 		Host: t.host.name, Address: t.host.link.Address, Life: t.hostEpoch, At: t.ask.Attempts[t.number].At,
 	}})
@@ -51,8 +51,8 @@
 
 // restore begins a life with what an earlier one has noted. Nothing is offered before hosts have said what they run, or
 // the owner's wait is over; an attempt that was noted is unknown until its host has said what became of it.
-func (c *Core) restore(k *state.Kept) {
-	c.keep(state.Began{Epoch: c.epoch})
+func (c *Core) restore(k *durable.Kept) {
+	c.keep(durable.Began{Epoch: c.epoch})
 	for _, bad := range k.Bad {
 		c.log("what was kept cannot be read: %s", bad)
 	}
@@ -65,7 +65,7 @@
 	}
 	for name, at := range k.Removed {
 		if at+buriedFor <= c.now {
-			c.keep(state.Erased{Project: name})
+			c.keep(durable.Erased{Project: name})
 			continue
 		}
 		c.buried[name] = true
@@ -82,7 +82,7 @@
 // savedList begins with the list that an earlier life was told last, by its age: so that a placer whose rack restarts while
 // discovery is silent does not sit idle, and one that was away for long does not go by what was. A list from the future
 // shows that a clock was set back: how old it is nobody knows, so its hosts have to greet first.
-func (c *Core) savedList(l *state.List) {
+func (c *Core) savedList(l *durable.List) {
 	age, saved := c.now-l.At, c.set.Saved
 	switch {
 	case len(l.Hosts) == 0:
@@ -94,7 +94,7 @@
 	c.listing(Listing{Mode: forkhead.ListCached, Hosts: l.Hosts, Stale: age < 0 || age > saved.Fresh})
 }
 
-func (c *Core) restoreSubmission(f *state.Followed) {
+func (c *Core) restoreSubmission(f *durable.Followed) {
 	s := &submission{id: f.ID, key: f.Key, body: f.Body, total: f.Total, at: f.At}
 	for _, text := range f.Outcomes {
 		var o Outcome
@@ -116,7 +116,7 @@
 }
 
 // restoreProject brings a project back and returns the tasks whose outcome is owed.
-func (c *Core) restoreProject(k *state.Project) (held []*wish) {
+func (c *Core) restoreProject(k *durable.Project) (held []*wish) {
 	d := k.What
 	p := &project{name: d.Name, services: map[string]*service{}}
 	needs, ok := c.needs(p, d)
@@ -129,7 +129,7 @@
 		service string
 		replica int
 	}
-	was := map[name]state.Task{}
+	was := map[name]durable.Task{}
 	for _, t := range k.Tasks {
 		was[name{t.Service, t.Replica}] = t
 	}
@@ -137,8 +137,8 @@
 	for i := range d.Services {
 		spec := &d.Services[i]
 		svc := &service{
-			project: p, name: spec.Name, wishes: map[int]*wish{}, spec: spec, needs: needs[i], before: map[*wish]*description.Service{},
-			key: description.ServiceKey(spec.Tenant, p.name, spec.Name),
+			project: p, name: spec.Name, wishes: map[int]*wish{}, spec: spec, needs: needs[i], before: map[*wish]*servicespec.Service{},
+			key: servicespec.ServiceKey(spec.Tenant, p.name, spec.Name),
 		}
 		p.services[spec.Name] = svc
 		for r := 1; r <= spec.Replicas; r++ {
@@ -168,14 +168,14 @@
 
 // restoreAttempt makes an attempt of an earlier life unknown: its task waits, as its class says, until its host has said
 // what became of it.
-func (c *Core) restoreAttempt(a *state.Attempt) {
+func (c *Core) restoreAttempt(a *durable.Attempt) {
 	var w *wish
 	if p := c.projects[a.Project]; p != nil && p.services[a.Service] != nil {
 		w = p.services[a.Service].wishes[a.Replica]
 	}
 	if w == nil || w.state == done {
 		// Nobody wants the task any more: what its host still runs of it is stopped when it shows.
-		c.keep(state.Settled{Ref: a.Ref})
+		c.keep(durable.Settled{Ref: a.Ref})
 		return
 	}
 	h := c.hosts[a.Host]
--- a/internal/placing/core/saved_test.go
+++ b/internal/scheduler/core/saved_test.go
@@ -5,16 +5,16 @@
 	"testing"
 	"time"
 
-	"forkhead/internal/placing/core"
-	"forkhead/internal/placing/state"
-	"forkhead/internal/proving/lives"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/scheduler/durable"
+	"forkhead/internal/verify/simulation"
 )
 
 // back runs a durable placer until it has a list, then kills it with discovery silent, lets time pass, and begins another
 // life. h0 has left meanwhile.
-func back(t *testing.T, away time.Duration) *lives.Sim {
+func back(t *testing.T, away time.Duration) *simulation.Sim {
 	t.Helper()
-	s := lives.NewDurable(t, lives.Settings(t, "(saved-list (fresh 10s) (old 1h))"), 4)
+	s := simulation.NewDurable(t, simulation.Settings(t, "(saved-list (fresh 10s) (old 1h))"), 4)
 	s.Run(3 * time.Second)
 	s.List() // noted
 	s.Submit("k", "name: first\nservices: {a: {x-forkhead: {class: web, life: 1s}, restart: 'no'}}")
@@ -24,7 +24,7 @@
 	if away < 0 { // a clock that was set back, seen from the list
 		list := s.Disk.Kept().List
 		list.At = s.Now - away
-		s.Disk.Keep([]state.Note{state.Listed{List: list}, state.Began{Epoch: s.Epoch}})
+		s.Disk.Keep([]durable.Note{durable.Listed{List: list}, durable.Began{Epoch: s.Epoch}})
 		away = time.Second
 	}
 	s.Now += away
@@ -44,7 +44,7 @@
 func startsAlone(t *testing.T, away time.Duration) {
 	s := back(t, away)
 	out := s.Await(s.Submit("k2", "name: second\nservices: {a: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}"), 20*time.Second)
-	if lives.Count(out, core.WordPlaced) != 4 {
+	if simulation.Count(out, core.WordPlaced) != 4 {
 		t.Errorf("%+v", out)
 	}
 	for _, o := range s.Offers {
@@ -74,7 +74,7 @@
 
 // A description, its outcomes and its key outlive the placer; what was removed stays removed, and is stopped where it shows.
 func TestNothingForgotten(t *testing.T) {
-	s := lives.NewDurable(t, lives.Settings(t, ""), 4)
+	s := simulation.NewDurable(t, simulation.Settings(t, ""), 4)
 	text := "name: p\nservices: {a: {x-forkhead: {class: ledger}, deploy: {replicas: 2}}}"
 	id := s.Submit("key", text)
 	before := s.Await(id, 5*time.Second)
--- a/internal/placing/core/tasks.go
+++ b/internal/scheduler/core/tasks.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/attempt"
-	"forkhead/internal/placing/owner"
+	"forkhead/internal/parse/servicespec"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/reading/description"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/retrypolicy"
 )
 
 type wishState uint8
@@ -28,14 +28,14 @@
 	replica     int
 	key         uint64
 	generation  int // odd where the task runs under its second key
-	spec        *description.Service
+	spec        *servicespec.Service
 	class       int
 	tenant      int
 	fingerprint uint64
 	name        string
 
 	state     wishState
-	owner     owner.Owner
+	owner     retrypolicy.Owner
 	claim     *claim // the outcome that is owed
 	ask       *ask   // while asking
 	try       *try   // while placed
@@ -56,7 +56,7 @@
 	refusals map[string]int
 	reason   string
 	updating bool                 // its old copy is being replaced
-	next     *description.Service // what it is replaced by
+	next     *servicespec.Service // what it is replaced by
 	twin     *wish                // start-first: the copy that takes over
 	twinOf   *wish
 	watchSeq uint64 // of the timer that ends the monitoring of an update
@@ -195,19 +195,19 @@
 		c.giveUp(w)
 		return
 	}
-	cause := owner.Refused
+	cause := retrypolicy.Refused
 	if !refuse {
-		cause = owner.Failed
+		cause = retrypolicy.Failed
 	}
 	if len(w.spec.Preferences) > 0 && !w.relaxed {
 		w.relaxed = true
-		cause = owner.Moved
+		cause = retrypolicy.Moved
 	}
 	c.again(w, cause, retryAfter, 0)
 }
 
 // again asks for a task once more after a while, or gives it up.
-func (c *Core) again(w *wish, cause owner.Cause, advice, least time.Duration) {
+func (c *Core) again(w *wish, cause retrypolicy.Cause, advice, least time.Duration) {
 	r := c.rules(w.class)
 	harm := len(c.unknown[w.key]) > 0 && !r.Repeatable()
 	at, ok := w.owner.Again(c.now, cause, harm, advice, least, c.policy, c.rng.Float64())
@@ -299,7 +299,7 @@
 }
 
 // over follows the loss of a placed task.
-func (c *Core) over(w *wish, t *try, cause owner.Cause) {
+func (c *Core) over(w *wish, t *try, cause retrypolicy.Cause) {
 	if w.try != t {
 		return
 	}
@@ -334,15 +334,15 @@
 	}
 	switch {
 	case w.removing, w.next != nil, w.spec == nil, w.svc.fostered:
-		c.over(w, t, owner.Ended)
+		c.over(w, t, retrypolicy.Ended)
 		return
 	case d.result == forkhead.Withdrawn || t.moving:
-		c.over(w, t, owner.Moved)
+		c.over(w, t, retrypolicy.Moved)
 		return
 	case d.result == forkhead.Reset:
-		cause := owner.Evicted
+		cause := retrypolicy.Evicted
 		if d.reason == forkhead.Dismissed {
-			cause = owner.Lost
+			cause = retrypolicy.Lost
 		}
 		c.over(w, t, cause)
 		return
@@ -352,7 +352,7 @@
 	}
 	well := d.result == forkhead.OK
 	r := &w.spec.Restart
-	want := r.When == description.Always && !w.spec.Mode.Job() || r.When != description.Never && !well
+	want := r.When == servicespec.Always && !w.spec.Mode.Job() || r.When != servicespec.Never && !well
 	if r.Most > 0 && want {
 		if r.Window > 0 {
 			w.restarts = slices.DeleteFunc(w.restarts, func(at time.Duration) bool { return at <= c.now-r.Window })
@@ -370,7 +370,7 @@
 	w.watchSeq++
 	c.rolledOut(w, well)
 	w.owner.Begin(c.now + forever)
-	c.again(w, owner.Ended, 0, r.Delay)
+	c.again(w, retrypolicy.Ended, 0, r.Delay)
 }
 
 // outcome tells the one outcome that is owed for a task, if one is.
--- a/internal/placing/core/updates.go
+++ b/internal/scheduler/core/updates.go
@@ -5,9 +5,9 @@
 	"slices"
 
 	"forkhead"
-	"forkhead/internal/placing/rollout"
-	"forkhead/internal/reading/description"
-	"forkhead/internal/reading/settings"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/parse/settings"
+	"forkhead/internal/scheduler/rollingupdate"
 )
 
 // ---- Updates.
@@ -31,7 +31,7 @@
 }
 
 // replace begins to replace a running task by one of another make.
-func (c *Core) replace(w *wish, spec *description.Service) {
+func (c *Core) replace(w *wish, spec *servicespec.Service) {
 	if w.gone {
 		c.rolledOut(w, false)
 		return
@@ -95,7 +95,7 @@
 }
 
 // remake makes a wish one for a task of another make.
-func (c *Core) remake(w *wish, spec *description.Service) {
+func (c *Core) remake(w *wish, spec *servicespec.Service) {
 	w.spec, w.fingerprint = spec, spec.Fingerprint()
 	w.class, w.tenant = c.classOf(spec), settings.Index(c.set.Tenants, spec.Tenant)
 }
@@ -132,17 +132,17 @@
 		svc.replaced = append(svc.replaced, w)
 	}
 	switch svc.update.Verdict() {
-	case rollout.Paused, rollout.RollBack:
+	case rollingupdate.Paused, rollingupdate.RollBack:
 		why := fmt.Sprintf("the update was stopped after %d tasks had failed", svc.update.Failed())
 		for _, q := range svc.queue {
 			c.outcome(q, WordRefused, nil, why)
 		}
 		svc.queue = nil
-		if svc.update.Verdict() == rollout.RollBack {
+		if svc.update.Verdict() == rollingupdate.RollBack {
 			c.rollBack(svc)
 		}
 		svc.update = nil
-	case rollout.Complete:
+	case rollingupdate.Complete:
 		svc.update = nil
 	default:
 		c.roll(svc)
--- /dev/null
+++ b/internal/scheduler/durable/golden_test.go
@@ -0,0 +1,129 @@
+package durable_test
+
+import (
+	"bytes"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"forkhead"
+	"forkhead/internal/parse/diagnostic"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/protocol/consul"
+	"forkhead/internal/protocol/hostproto"
+	"forkhead/internal/scheduler/durable"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// checkGolden compares text with testdata/name.
+func checkGolden(t *testing.T, name string, text []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(text, want) {
+		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
+	}
+}
+
+// exampleNotes are one of each kind, with every field set.
+func exampleNotes() []durable.Note {
+	pos := diagnostic.Pos{File: "a.yaml", Line: 3, Col: 5}
+	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
+	return []durable.Note{
+		durable.Taken{
+			Submission: durable.Submission{ID: "s-1", Key: "key", Body: 7, Total: 2, At: time.Hour, Project: "p"},
+			What: &servicespec.Description{
+				Name: "p", Whole: true, Notes: []servicespec.Note{{Pos: pos, Text: "not acted on"}},
+				Services: []servicespec.Service{{
+					Name: "web", Pos: pos, Class: "c", Tenant: "t", Mode: servicespec.GlobalJob, Replicas: 2, Cores: 0.5, Memory: 1.5,
+					LimitCores: 1, LimitMemory: 2, Life: time.Minute, Wait: time.Second, Patience: 2 * time.Second,
+					Constraints: []servicespec.Constraint{{Attribute: "label.disk", Not: true, Value: "hdd", Pos: pos}},
+					Preferences: []servicespec.Attribute{"label.rack"},
+					Limits:      []servicespec.Limit{{Place: "rack", Most: 2, Pos: pos}},
+					Near:        []servicespec.Near{{Service: "db", Place: "zone", Pos: pos}},
+					Restart:     servicespec.Restart{When: servicespec.OnFailure, Delay: time.Second, Most: 3, Window: time.Minute},
+					Update: servicespec.Update{
+						Parallel: 1, Delay: time.Second, OnTrouble: servicespec.Rollback, Monitor: time.Minute, MaxFailed: 0.25, StartFirst: true,
+					},
+					DependsOn: []servicespec.Dependency{{Service: "db", When: servicespec.Completed, Optional: true, Restart: true, Pos: pos}},
+					Labels:    map[string]string{"a": "b"}, StopGrace: 5 * time.Second, Payload: []byte(`{"image":"i"}`),
+				}},
+			},
+		},
+		durable.Told{
+			Submission: "s-1", Number: 1, Text: []byte(`{"service":"web"}`),
+			Task: durable.Task{Project: "p", Service: "web", Replica: 2, Word: "placed"},
+		},
+		durable.Done{Task: durable.Task{Project: "p", Service: "web", Replica: 2, Word: "failed", Over: true}},
+		durable.Removed{Project: "p", At: 2 * time.Hour},
+		durable.Erased{Project: "p"},
+		durable.Forgotten{Submission: "s-1"},
+		durable.Offered{Attempt: durable.Attempt{
+			Ref: ref, Key: 5, Project: "p", Service: "web", Replica: 1, Class: "c", Host: "h", Address: "10.0.0.1:1", Life: 9, At: time.Hour,
+		}},
+		durable.Settled{Ref: ref},
+		durable.Began{Epoch: 11},
+		durable.Listed{List: durable.List{At: time.Hour, Hosts: []consul.Host{{
+			Name: "h", Address: "10.0.0.1:1", Kind: "k", Zone: "z", Rack: "r", State: forkhead.Removed, Started: time.Minute,
+			FreeCores: 1.5, FreeMemory: 2.5, Attributes: map[servicespec.Attribute]string{"os": "linux"},
+		}}}},
+	}
+}
+
+// Every kind of note comes to the same changes of the same keys, with the same sealed bytes.
+func TestChangesGolden(t *testing.T) {
+	var b bytes.Buffer
+	for _, n := range exampleNotes() {
+		fmt.Fprintf(&b, "waited for: %v\n", durable.Waits(n))
+		for _, c := range durable.Changes(n) {
+			switch {
+			case c.All:
+				fmt.Fprintf(&b, "\tdrop all %s %s\n", c.Bucket, c.Key)
+			case c.Value == nil:
+				fmt.Fprintf(&b, "\tdrop %s %s\n", c.Bucket, c.Key)
+			default:
+				fmt.Fprintf(&b, "\tput %s %s %s %s\n", c.Bucket, c.Key, hex.EncodeToString(c.Value[:5]), c.Value[5:])
+			}
+		}
+	}
+	checkGolden(t, "changes.txt", b.Bytes())
+}
+
+// A stored description and list hold these words as numbers.
+func TestStoredNumbers(t *testing.T) {
+	for name, c := range map[string]struct{ got, want uint8 }{
+		"replicated":     {uint8(servicespec.Replicated), 0},
+		"global":         {uint8(servicespec.Global), 1},
+		"replicated job": {uint8(servicespec.ReplicatedJob), 2},
+		"global job":     {uint8(servicespec.GlobalJob), 3},
+		"always":         {uint8(servicespec.Always), 0},
+		"on failure":     {uint8(servicespec.OnFailure), 1},
+		"never":          {uint8(servicespec.Never), 2},
+		"pause":          {uint8(servicespec.Pause), 0},
+		"continue":       {uint8(servicespec.Continue), 1},
+		"rollback":       {uint8(servicespec.Rollback), 2},
+		"started":        {uint8(servicespec.Started), 0},
+		"healthy":        {uint8(servicespec.Healthy), 1},
+		"completed":      {uint8(servicespec.Completed), 2},
+		"draining":       {uint8(forkhead.Draining), 0},
+		"ready":          {uint8(forkhead.Ready), 1},
+		"gone":           {uint8(forkhead.Removed), 2},
+	} {
+		if c.got != c.want {
+			t.Errorf("%s is stored as %d; want %d", name, c.got, c.want)
+		}
+	}
+}
