--- a/internal/placing/state/state.go
+++ b/internal/scheduler/durable/state.go
@@ -1,8 +1,8 @@
-// Package state says what a placer must not forget over its death, and in what form it is kept. It is pure: a note of what
+// Package durable says what a placer must not forget over its death, and in what form it is kept. It is pure: a note of what
 // happened becomes changes of keys and values, which a store makes durable, and keys and values read back become what a
 // new life of the placer starts from. Each value carries the version of its form and a checksum; one that does not hold is
 // named and left out whole, never read in part.
-package state
+package durable
 
 import (
 	"cmp"
@@ -16,9 +16,9 @@
 	"strings"
 	"time"
 
-	"forkhead/internal/protocol/catalogue"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/protocol/consul"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/reading/description"
 )
 
 // Version is that of the form of a value. A reader takes older ones and refuses newer ones.
@@ -33,7 +33,7 @@
 	// to the submission.
 	Taken struct {
 		Submission Submission
-		What       *description.Description // by the name of Submission.Project
+		What       *servicespec.Description // by the name of Submission.Project
 	}
 	// Told says that an outcome was told; Word and Text are the front's own.
 	Told struct {
@@ -110,7 +110,7 @@
 // List is a list of hosts with when it was told.
 type List struct {
 	At    time.Duration // since the Unix epoch
-	Hosts []catalogue.Host
+	Hosts []consul.Host
 }
 
 // Change is one change of what is kept.
@@ -137,7 +137,7 @@
 
 type project struct {
 	Submission string                   `json:",omitempty"`
-	What       *description.Description `json:",omitempty"` // nil: it was removed
+	What       *servicespec.Description `json:",omitempty"` // nil: it was removed
 	RemovedAt  time.Duration            `json:",omitempty"`
 }
 
@@ -246,7 +246,7 @@
 // Project is a project that is to run, with what became of its tasks.
 type Project struct {
 	Submission string
-	What       *description.Description
+	What       *servicespec.Description
 	Tasks      []Task
 }
 
--- a/internal/placing/hostlink/hostlink.go
+++ b/internal/scheduler/hostconn/hostlink.go
@@ -1,10 +1,10 @@
-// Package hostlink holds the states of a placer's connection to one host: when it is dialled,
+// Package hostconn holds the states of a placer's connection to one host: when it is dialled,
 // greeted, up, down, and what the host's lives mean for what it held. It is pure: the shell
 // dials, writes and sets timers as it is told.
-package hostlink
+package hostconn
 
 import (
-	"forkhead/internal/placing/grid"
+	"forkhead/internal/scheduler/statetable"
 	"strings"
 	"time"
 )
@@ -175,7 +175,7 @@
 // Table writes what each input does to a listed link, as rows of a page: Listed with the address
 // that is known, and all else of the present connection and the known life of the host.
 func Table() string {
-	return grid.Write(stateNames[:], kindNames[:], func(k, s int) string {
+	return statetable.Write(stateNames[:], kindNames[:], func(k, s int) string {
 		l := Link{State: State(s), Listed: true, Address: "a", Conn: 1, Epoch: 1}
 		o := l.On(Input{Kind: Kind(k), Address: "a", Conn: 1, Epoch: 1}, Policy{First: time.Second, Most: time.Second}, 0)
 		var words []string
--- a/internal/placing/hostlink/hostlink_test.go
+++ b/internal/scheduler/hostconn/hostlink_test.go
@@ -1,7 +1,7 @@
-package hostlink
+package hostconn
 
 import (
-	"forkhead/internal/proving/page"
+	"forkhead/internal/verify/doccheck"
 	"testing"
 	"time"
 
@@ -121,4 +121,4 @@
 }
 
 // The page holds the table as the code has it.
-func TestTableOnPage(t *testing.T) { page.Holds(t, "docs/design/attempts.md", Table()) }
+func TestTableOnPage(t *testing.T) { doccheck.Holds(t, "docs/design/attempts.md", Table()) }
--- a/internal/placing/hostside/hostside.go
+++ b/internal/scheduler/hostsession/hostside.go
@@ -1,8 +1,8 @@
-// Package hostside holds the states of an attempt and of a placer's session at a host. It is pure
+// Package hostsession holds the states of an attempt and of a placer's session at a host. It is pure
 // and total, as package attempt is for the placer's side.
-package hostside
+package hostsession
 
-import "forkhead/internal/placing/grid"
+import "forkhead/internal/scheduler/statetable"
 
 // State is what a host has of an attempt.
 type State uint8
@@ -142,7 +142,7 @@
 
 // Table writes the transition function as rows of a page.
 func Table() string {
-	return grid.Write(stateNames[:], inputNames[:], func(in, s int) string {
+	return statetable.Write(stateNames[:], inputNames[:], func(in, s int) string {
 		t := table[s][in]
 		switch {
 		case t.to == State(s) && t.say == Nothing:
--- a/internal/placing/hostside/hostside_test.go
+++ b/internal/scheduler/hostsession/hostside_test.go
@@ -1,7 +1,7 @@
-package hostside
+package hostsession
 
 import (
-	"forkhead/internal/proving/page"
+	"forkhead/internal/verify/doccheck"
 	"testing"
 )
 
@@ -51,4 +51,4 @@
 }
 
 // The page holds the table as the code has it.
-func TestTableOnPage(t *testing.T) { page.Holds(t, "docs/design/attempts.md", Table()) }
+func TestTableOnPage(t *testing.T) { doccheck.Holds(t, "docs/design/attempts.md", Table()) }
--- a/internal/placing/guard/guard.go
+++ b/internal/scheduler/invariant/guard.go
@@ -1,14 +1,14 @@
-// Package guard stands between the module's actions and the sockets: it says whether an offer
+// Package invariant stands between the module's actions and the sockets: it says whether an offer
 // or an answer would break one of the five rules. The module keeps them by itself, so a veto is
 // a defect; it is counted, logged and never sent.
-package guard
+package invariant
 
 import (
 	"fmt"
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/attempt"
+	"forkhead/internal/scheduler/attempt"
 )
 
 // Rule is the rule that an action would break.
--- a/internal/placing/node/api.go
+++ b/internal/scheduler/platform/api.go
@@ -1,8 +1,8 @@
-// Package node is the core of a placer on the users' platform: it owns requests, attempts, standing tasks and the
+// Package platform is the core of a placer on the users' platform: it owns requests, attempts, standing tasks and the
 // connections that carry them, turns what crosses the sockets into the module's events and the module's actions into
 // messages. Every ruling is the module's; the core keeps the protocol and its bounds. It is pure: inputs and time in,
 // outputs out.
-package node
+package platform
 
 import (
 	"time"
--- a/internal/placing/node/bench_test.go
+++ b/internal/scheduler/platform/bench_test.go
@@ -1,4 +1,4 @@
-package node
+package platform
 
 import (
 	"encoding/json"
--- a/internal/placing/node/core.go
+++ b/internal/scheduler/platform/core.go
@@ -1,4 +1,4 @@
-package node
+package platform
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/agenda"
-	"forkhead/internal/placing/attempt"
-	"forkhead/internal/placing/guard"
 	"forkhead/internal/protocol/platform"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/invariant"
+	"forkhead/internal/scheduler/timerqueue"
 )
 
 // Core is one placer's state.
@@ -21,7 +21,7 @@
 	events []forkhead.Event // for the module, of this step
 	decide func(time.Duration, []forkhead.Event) []forkhead.Action
 
-	timers agenda.Agenda[timer]
+	timers timerqueue.Agenda[timer]
 	tendAt time.Duration
 
 	owners  map[uint64]*owner
@@ -281,9 +281,9 @@
 		moot()
 		return
 	}
-	veto := guard.MayOffer(c.now, &guard.Offer{
+	veto := invariant.MayOffer(c.now, &invariant.Offer{
 		Ask: &r.ask, Task: &r.task, Class: r.class, To: h.guarded(), Grace: c.set.DrainGrace,
-		Hosts: func(id attempt.Host) *guard.Host {
+		Hosts: func(id attempt.Host) *invariant.Host {
 			if h := c.hosts[uint32(id)]; h != nil {
 				return h.guarded()
 			}
@@ -309,14 +309,14 @@
 // crowded says whether an attempt would be one too many of its service in some place by now: tasks may have been handed over
 // while it waited for its connection.
 func (c *Core) crowded(t *try) bool {
-	return guard.Crowded(&guard.Offer{
+	return invariant.Crowded(&invariant.Offer{
 		Task: &t.req.task, Class: t.req.class, To: t.host.guarded(), Others: c.others(t.req.task.Service, t),
 	}) != nil
 }
 
 // others runs over the hosts of a service's live attempts, but one.
-func (c *Core) others(service uint64, but *try) func(yield func(*guard.Host) bool) {
-	return func(yield func(*guard.Host) bool) {
+func (c *Core) others(service uint64, but *try) func(yield func(*invariant.Host) bool) {
+	return func(yield func(*invariant.Host) bool) {
 		for _, t := range c.services[service] {
 			if t != but && !yield(t.host.guarded()) {
 				return
@@ -329,7 +329,7 @@
 func (c *Core) write(t *try) {
 	r := t.req
 	if r.phase != open || r.ask.MayWrite(c.now, t.number) != nil || c.crowded(t) ||
-		guard.Drained(c.now, t.host.entry.State, t.host.since, c.set.DrainGrace) {
+		invariant.Drained(c.now, t.host.entry.State, t.host.since, c.set.DrainGrace) {
 		c.outcome(t, attempt.CalledOff, forkhead.NotSent, forkhead.NoReason, r.phase != open, nil)
 		return
 	}
@@ -419,7 +419,7 @@
 		// more is waited for, and its host is told nothing.
 		c.giveUpAll(r, forkhead.Withdrawn, true)
 	}
-	if veto := guard.MayAnswer(&r.ask, refuse); veto != nil {
+	if veto := invariant.MayAnswer(&r.ask, refuse); veto != nil {
 		c.defect("an answer to task %d is vetoed: %v", id, veto)
 		c.giveUpAll(r, forkhead.Withdrawn, true)
 		refuse = false
--- a/internal/placing/node/hosts.go
+++ b/internal/scheduler/platform/hosts.go
@@ -1,4 +1,4 @@
-package node
+package platform
 
 import (
 	"cmp"
@@ -10,10 +10,10 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/attempt"
-	"forkhead/internal/placing/guard"
+	"forkhead/internal/parse/platformconfig"
 	"forkhead/internal/protocol/platform"
-	"forkhead/internal/reading/bootinfo"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/invariant"
 )
 
 // host is one host of the list, by its number.
@@ -24,7 +24,7 @@
 	entry   forkhead.Machine
 	since   time.Duration // told that it is not in service
 	goneAt  time.Duration // told that it is gone
-	seenAs  guard.Host
+	seenAs  invariant.Host
 	tries   map[string]*try // live attempts, by ref
 	links   []*link
 
@@ -62,7 +62,7 @@
 	again time.Duration // when to test on another connection; 0: not
 }
 
-func (h *host) guarded() *guard.Host { return &h.seenAs }
+func (h *host) guarded() *invariant.Host { return &h.seenAs }
 
 // renewing says whether a connection is being made that is to take the place of an idle one.
 func (h *host) renewing() bool {
@@ -527,7 +527,7 @@
 	if text == "" {
 		return nil
 	}
-	r := bootinfo.NoReport()
+	r := platformconfig.NoReport()
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(part, ":")
 		v, err := strconv.ParseFloat(value, 64)
@@ -540,7 +540,7 @@
 		case "util":
 			name = "utilization"
 		}
-		bootinfo.Tell(r, name, v)
+		platformconfig.Tell(r, name, v)
 	}
 	return r
 }
@@ -707,7 +707,7 @@
 	c.waited++
 	h := &host{number: number, name: name, tries: map[string]*try{}, awaited: c.now}
 	h.entry = forkhead.Machine{ID: forkhead.MachineID(number), State: forkhead.Draining, Zone: -1, Cell: -1}
-	h.seenAs = guard.Host{ID: attempt.Host(number), State: forkhead.Draining, Zone: -1, Cell: -1}
+	h.seenAs = invariant.Host{ID: attempt.Host(number), State: forkhead.Draining, Zone: -1, Cell: -1}
 	c.hosts[number], c.order = h, nil
 	return h
 }
@@ -745,7 +745,7 @@
 		h.address = address
 	}
 	h.entry = e
-	h.seenAs = guard.Host{
+	h.seenAs = invariant.Host{
 		ID: attempt.Host(h.number), State: e.State, Since: h.since, Kind: e.Type, Zone: e.Zone, Cell: e.Cell, Started: e.StartedAt,
 	}
 }
--- a/internal/placing/node/owners.go
+++ b/internal/scheduler/platform/owners.go
@@ -1,4 +1,4 @@
-package node
+package platform
 
 import (
 	"cmp"
@@ -11,8 +11,8 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/attempt"
 	"forkhead/internal/protocol/platform"
+	"forkhead/internal/scheduler/attempt"
 )
 
 // owner is one connection of an owner.
--- a/internal/placing/owner/owner.go
+++ b/internal/scheduler/retrypolicy/owner.go
@@ -1,6 +1,6 @@
-// Package owner decides what the owner of a task does when an ask has ended without its being
+// Package retrypolicy decides what the owner of a task does when an ask has ended without its being
 // placed, or a placed task is gone: whether and when it asks again. It is pure.
-package owner
+package retrypolicy
 
 import "time"
 
--- a/internal/placing/owner/owner_test.go
+++ b/internal/scheduler/retrypolicy/owner_test.go
@@ -1,4 +1,4 @@
-package owner
+package retrypolicy
 
 import (
 	"testing"
--- a/internal/placing/rollout/rollout.go
+++ b/internal/scheduler/rollingupdate/rollout.go
@@ -1,11 +1,11 @@
-// Package rollout decides how a changed service replaces its tasks: how many at a time, when the
+// Package rollingupdate decides how a changed service replaces its tasks: how many at a time, when the
 // next ones go, and what follows when some fail. It is pure and knows tasks by their count only.
-package rollout
+package rollingupdate
 
 import (
 	"time"
 
-	"forkhead/internal/reading/description"
+	"forkhead/internal/parse/servicespec"
 )
 
 // Verdict is what an update comes to.
@@ -21,7 +21,7 @@
 
 // Update is one update of one service.
 type Update struct {
-	by      description.Update
+	by      servicespec.Update
 	total   int
 	begun   int
 	busy    int
@@ -32,7 +32,7 @@
 }
 
 // New returns an update of so many tasks.
-func New(by description.Update, total int) *Update {
+func New(by servicespec.Update, total int) *Update {
 	u := &Update{by: by, total: total}
 	u.judge()
 	return u
@@ -87,10 +87,10 @@
 	// By the specification the ratio is of the tasks of the update; more than it ends the update.
 	if u.failed > 0 && float64(u.failed) > u.by.MaxFailed*float64(u.total) {
 		switch u.by.OnTrouble {
-		case description.Pause:
+		case servicespec.Pause:
 			u.verdict = Paused
 			return
-		case description.Rollback:
+		case servicespec.Rollback:
 			u.verdict = RollBack
 			return
 		}
--- a/internal/placing/grid/grid.go
+++ b/internal/scheduler/statetable/grid.go
@@ -1,6 +1,6 @@
-// Package grid writes what a state machine does as a table of a page, a column for each state and a
+// Package statetable writes what a state machine does as a table of a page, a column for each state and a
 // row for each input, so that pages can say what the code does.
-package grid
+package statetable
 
 import "strings"
 
--- a/internal/placing/agenda/agenda.go
+++ b/internal/scheduler/timerqueue/agenda.go
@@ -1,6 +1,6 @@
-// Package agenda keeps what is to be done at what time, for cores that are stepped: the earliest first, and of one moment
+// Package timerqueue keeps what is to be done at what time, for cores that are stepped: the earliest first, and of one moment
 // what was set first.
-package agenda
+package timerqueue
 
 import (
 	"container/heap"
--- a/internal/placing/agenda/agenda_test.go
+++ b/internal/scheduler/timerqueue/agenda_test.go
@@ -1,4 +1,4 @@
-package agenda
+package timerqueue
 
 import (
 	"slices"
--- a/internal/running/loop/loop.go
+++ b/internal/server/eventloop/loop.go
@@ -1,12 +1,12 @@
-// Package loop runs a pure core on one goroutine: jobs come from any goroutine, and the core is
+// Package eventloop runs a pure core on one goroutine: jobs come from any goroutine, and the core is
 // stepped after each batch of them and when its next timer is due.
-package loop
+package eventloop
 
 import (
 	"sync"
 	"time"
 
-	"forkhead/internal/running/clock"
+	"forkhead/internal/server/clock"
 )
 
 // A loop that is called on so late for a timer stood still, and so did those that bring it jobs: it lets them bring what
--- a/internal/running/loop/loop_test.go
+++ b/internal/server/eventloop/loop_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"sync"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"forkhead/internal/running/clock"
+	"forkhead/internal/server/clock"
 )
 
 // Jobs run in order on one goroutine; the step follows them, and comes again when its time is due.
--- a/internal/running/listwatch/listwatch.go
+++ b/internal/server/listwatch/listwatch.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"forkhead/internal/placing/core"
-	"forkhead/internal/protocol/catalogue"
+	"forkhead/internal/protocol/consul"
+	"forkhead/internal/scheduler/core"
 )
 
 // Config says whom to ask and how.
@@ -107,17 +107,17 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, nil, 0, fmt.Errorf("the catalogue answers %s", resp.Status)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, catalogue.MostBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, consul.MostBytes+1))
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	if len(body) > catalogue.MostBytes {
+	if len(body) > consul.MostBytes {
 		return nil, nil, 0, errSize
 	}
 	next, err := strconv.ParseUint(resp.Header.Get("X-Consul-Index"), 10, 64)
 	if err != nil {
 		return nil, nil, 0, fmt.Errorf("the catalogue's answer has no usable X-Consul-Index: %q", resp.Header.Get("X-Consul-Index"))
 	}
-	hosts, skipped, err := catalogue.Decode(body)
+	hosts, skipped, err := consul.Decode(body)
 	return hosts, skipped, next, err
 }
--- a/internal/running/listwatch/listwatch_test.go
+++ b/internal/server/listwatch/listwatch_test.go
@@ -10,15 +10,15 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/core"
-	"forkhead/internal/protocol/catalogue"
-	"forkhead/internal/running/clock"
-	"forkhead/internal/running/listwatch"
-	"forkhead/internal/standins/catalogued"
+	consulemulator "forkhead/internal/emulator/consul"
+	"forkhead/internal/protocol/consul"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/server/clock"
+	"forkhead/internal/server/listwatch"
 )
 
-func entry(name string, free float64) catalogue.Registration {
-	r, err := catalogue.Registered(&core.HostEntry{Name: name, Address: "127.0.0.1:9", Kind: "k", Zone: "z", Rack: "r", FreeCores: free, Started: time.Hour}, "hosts")
+func entry(name string, free float64) consul.Registration {
+	r, err := consul.Registered(&core.HostEntry{Name: name, Address: "127.0.0.1:9", Kind: "k", Zone: "z", Rack: "r", FreeCores: free, Started: time.Hour}, "hosts")
 	if err != nil {
 		panic(err)
 	}
@@ -47,26 +47,26 @@
 // Against the stand-in: a change is told by the query that blocks, drains and departures are
 // told, and an outage ends the watch.
 func TestFollows(t *testing.T) {
-	s, err := catalogued.Serve("127.0.0.1:0", catalogued.Policy{Critical: time.Hour, Deregister: time.Hour}, clock.New(), nil)
+	s, err := consulemulator.Serve("127.0.0.1:0", consulemulator.Policy{Critical: time.Hour, Deregister: time.Hour}, clock.New(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Stop()
-	with := func(f func(st *catalogued.Store, now time.Duration)) { s.With(f) }
-	with(func(st *catalogued.Store, now time.Duration) { st.Register(now, entry("a", 5)) })
+	with := func(f func(st *consulemulator.Store, now time.Duration)) { s.With(f) }
+	with(func(st *consulemulator.Store, now time.Duration) { st.Register(now, entry("a", 5)) })
 	lists, failed := watch(t, s.Address(), 10*time.Second)
 	if l := next(t, lists); len(l) != 1 || l[0].FreeCores != 5 || l[0].Started != time.Hour || l[0].State != forkhead.Ready {
 		t.Fatalf("%+v", l)
 	}
-	with(func(st *catalogued.Store, now time.Duration) { st.Register(now, entry("b", 7)) })
+	with(func(st *consulemulator.Store, now time.Duration) { st.Register(now, entry("b", 7)) })
 	if l := next(t, lists); len(l) != 2 {
 		t.Fatalf("%+v", l)
 	}
-	with(func(st *catalogued.Store, now time.Duration) { st.Maintain(now, "a", true) })
+	with(func(st *consulemulator.Store, now time.Duration) { st.Maintain(now, "a", true) })
 	if l := next(t, lists); l[0].State != forkhead.Draining {
 		t.Fatalf("%+v", l)
 	}
-	with(func(st *catalogued.Store, now time.Duration) { st.Deregister(now, "a") })
+	with(func(st *consulemulator.Store, now time.Duration) { st.Deregister(now, "a") })
 	if l := next(t, lists); len(l) != 1 || l[0].Name != "b" {
 		t.Fatalf("%+v", l)
 	}
@@ -107,7 +107,7 @@
 }
 
 func TestDecode(t *testing.T) {
-	hosts, skipped, err := catalogue.Decode([]byte(`[
+	hosts, skipped, err := consul.Decode([]byte(`[
 	  {"Node":{"Node":"a","Address":"127.0.0.1","Meta":{"kind":"k","label-disk":"ssd"}},"Service":{"Port":1,"Meta":{"free-cores":"NaN","started":"-5"}},"Checks":[{"Status":"warning"}]},
 	  {"Node":{"Node":"b","Address":"127.0.0.1","Meta":{"kind":"k"}},"Service":{"Port":70000}},
 	  {"Node":{"Node":"c","Address":"127.0.0.1"},"Service":{"Port":1}},
@@ -119,7 +119,7 @@
 	if h := hosts[0]; h.FreeCores != 0 || h.Started != 0 || h.State != forkhead.Ready || h.Attributes["label.disk"] != "ssd" {
 		t.Fatalf("%+v", h)
 	}
-	if _, _, err := catalogue.Decode([]byte(`{"a":`)); err == nil {
+	if _, _, err := consul.Decode([]byte(`{"a":`)); err == nil {
 		t.Fatal("half an answer is read")
 	}
 }
--- a/internal/running/placerd/front.go
+++ b/internal/server/placer/front.go
@@ -1,4 +1,4 @@
-package placerd
+package placer
 
 import (
 	"encoding/json"
@@ -12,11 +12,11 @@
 	"sync/atomic"
 	"time"
 
-	"forkhead/internal/placing/core"
+	"forkhead/internal/parse/compose"
+	"forkhead/internal/parse/diagnostic"
 	"forkhead/internal/protocol/http1"
-	"forkhead/internal/reading/compose"
-	"forkhead/internal/reading/source"
-	"forkhead/internal/running/netio"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/server/netio"
 )
 
 // Times that a client has. Slow senders hold a connection and nothing else.
@@ -374,7 +374,7 @@
 			}
 			return
 		}
-		if e := source.First(err); e != nil {
+		if e := diagnostic.First(err); e != nil {
 			p.Errors = append(p.Errors, Place{File: e.Pos.File, Line: e.Pos.Line, Column: e.Pos.Col, Detail: e.What, Want: e.Want})
 		}
 	}
--- a/internal/running/placerd/front_test.go
+++ b/internal/server/placer/front_test.go
@@ -1,4 +1,4 @@
-package placerd_test
+package placer_test
 
 import (
 	"bufio"
@@ -16,23 +16,23 @@
 
 	"github.com/rs/zerolog"
 
-	"forkhead/internal/placing/core"
-	"forkhead/internal/proving/scene"
-	"forkhead/internal/proving/script"
-	"forkhead/internal/running/placerd"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/server/placer"
+	"forkhead/internal/verify/scenario"
+	"forkhead/internal/verify/testcluster"
 )
 
 // serve starts one placer with four hosts and returns it with its front's address.
-func serve(t testing.TB, limits string) (*scene.Scene, string) {
+func serve(t testing.TB, limits string) (*testcluster.Scene, string) {
 	t.Helper()
 	text := `(badday (settings (forkhead (placer (zone a))
 	  (kind k (cores 64) (memory 256GiB)) (class web (effect safe) (wait 5s) (patience 30s)) (bound running) ` + limits + `))
 	  (hosts 4 (kind k) (zone a) (racks 2)) (catalogue (lag 0ms)) (host (start 1ms) (look 100us) (line 5000) (starts 64)))`
-	s, err := script.Read("test", []byte(text))
+	s, err := scenario.Read("test", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	sc, err := scene.Start(s, nil, zerolog.Nop(), nil, false)
+	sc, err := testcluster.Start(s, nil, zerolog.Nop(), nil, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,9 +133,9 @@
 		"unknown":        {"application/yaml", "", "services:\n  a: {imgae: x}", 422, `"file":"compose.yaml","line":2,"column":7`},
 		"too many tasks": {"application/yaml", "", web(51), 413, "at most 50"},
 		"too long":       {"application/yaml", "", strings.Repeat("#", 5000), 413, "4096"},
-		"media type":     {"image/png", "", "x", 415, placerd.EnvelopeType},
-		"bad envelope":   {placerd.EnvelopeType, "", `{"fils":[]}`, 400, "unknown field"},
-		"empty envelope": {placerd.EnvelopeType, "", `{}`, 422, "there is nothing in it"},
+		"media type":     {"image/png", "", "x", 415, placer.EnvelopeType},
+		"bad envelope":   {placer.EnvelopeType, "", `{"fils":[]}`, 400, "unknown field"},
+		"empty envelope": {placer.EnvelopeType, "", `{}`, 422, "there is nothing in it"},
 		"long key":       {"application/yaml", strings.Repeat("k", 300), web(1), 400, "at most 200"},
 	} {
 		req, _ := http.NewRequest("POST", "http://"+addr+"/v1/submissions", strings.NewReader(c.body))
@@ -296,7 +296,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var p placerd.Problem
+	var p placer.Problem
 	if err := json.NewDecoder(resp.Body).Decode(&p); err != nil || resp.StatusCode != 422 || p.Type != "urn:forkhead:impossible" {
 		t.Fatalf("%s: %+v, %v", resp.Status, p, err)
 	}
--- a/internal/running/placerd/golden_test.go
+++ b/internal/server/placer/golden_test.go
@@ -1,4 +1,4 @@
-package placerd
+package placer
 
 import (
 	"bytes"
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"forkhead/internal/placing/core"
+	"forkhead/internal/parse/compose"
+	"forkhead/internal/parse/diagnostic"
 	"forkhead/internal/protocol/http1"
-	"forkhead/internal/reading/compose"
-	"forkhead/internal/reading/source"
+	"forkhead/internal/scheduler/core"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -40,13 +40,13 @@
 
 // Responses that tell of a problem have these heads and bodies.
 func TestProblemsGolden(t *testing.T) {
-	pos := source.Pos{File: "a.yaml", Line: 3, Col: 5}
+	pos := diagnostic.Pos{File: "a.yaml", Line: 3, Col: 5}
 	var b bytes.Buffer
 	for _, p := range [][]byte{
 		problem(nil, Problem{Title: "No such resource", Status: 404, Detail: "/x"}, 0, false),
 		problem([]http1.Field{{Name: "allow", Value: "GET"}}, Problem{Title: "Method not allowed", Status: 405}, 0, true),
 		problem(nil, Problem{Title: "Stopping", Status: 503}, 1500*time.Millisecond, false),
-		problem(nil, BadDescription(errors.Join(source.Wantf(pos, "image", "unknown"), source.Errorf(pos, "twice"))), 0, false),
+		problem(nil, BadDescription(errors.Join(diagnostic.Wantf(pos, "image", "unknown"), diagnostic.Errorf(pos, "twice"))), 0, false),
 		problem(nil, impossible([]string{"a", "b"}), 0, false),
 	} {
 		b.Write(bytes.ReplaceAll(p, []byte("\r"), nil))
--- a/internal/running/placerd/judge.go
+++ b/internal/server/placer/judge.go
@@ -1,15 +1,15 @@
-package placerd
+package placer
 
 import (
 	"strings"
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/core"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/parse/settings"
 	"forkhead/internal/planning/plan"
-	"forkhead/internal/planning/solve"
-	"forkhead/internal/reading/description"
-	"forkhead/internal/reading/settings"
+	"forkhead/internal/planning/solver"
+	"forkhead/internal/scheduler/core"
 )
 
 // Bounds of judging: it never holds up placing. Where no judge is free, or none of them decides
@@ -42,14 +42,14 @@
 
 // judge says whether a description is proven not to fit on the whole fleet, even were it empty,
 // and if so why. It runs on its own goroutine.
-func (s *Server) judge(d *description.Description) (conflict []string) {
+func (s *Server) judge(d *servicespec.Description) (conflict []string) {
 	fleet := s.fleet.Load()
 	if fleet == nil {
 		return nil
 	}
 	end := time.Now().Add(judgeSlice)
-	p, err := plan.Solve(&plan.Question{Settings: s.set, Hosts: *fleet, What: []*description.Description{d}},
-		solve.Options{Stop: func() bool { return time.Now().After(end) || s.stopping.Load() }})
+	p, err := plan.Solve(&plan.Question{Settings: s.set, Hosts: *fleet, What: []*servicespec.Description{d}},
+		solver.Options{Stop: func() bool { return time.Now().After(end) || s.stopping.Load() }})
 	if err != nil || p.Feasible || !p.Optimal {
 		return nil
 	}
--- a/internal/running/placerd/placerd.go
+++ b/internal/server/placer/placerd.go
@@ -1,6 +1,6 @@
-// Package placerd puts a placer's core on sockets: connections to hosts, the HTTP front, the
+// Package placer puts a placer's core on sockets: connections to hosts, the HTTP front, the
 // watch on the catalogue and datagrams between placers. It carries and decides nothing.
-package placerd
+package placer
 
 import (
 	"errors"
@@ -13,16 +13,16 @@
 	"github.com/rs/zerolog"
 
 	"forkhead"
-	"forkhead/internal/placing/core"
-	"forkhead/internal/placing/state"
+	"forkhead/internal/parse/settings"
 	"forkhead/internal/planning/plan"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/reading/settings"
-	"forkhead/internal/running/clock"
-	"forkhead/internal/running/listwatch"
-	"forkhead/internal/running/loop"
-	"forkhead/internal/running/netio"
-	"forkhead/internal/running/store"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/scheduler/durable"
+	"forkhead/internal/server/clock"
+	"forkhead/internal/server/eventloop"
+	"forkhead/internal/server/listwatch"
+	"forkhead/internal/server/netio"
+	"forkhead/internal/server/store"
 )
 
 // Config is what a placer runs with.
@@ -39,7 +39,7 @@
 	// Store keeps what must not be forgotten, and Kept is what an earlier life left in it; nil: nothing is kept. The
 	// caller closes the store when the placer has stopped.
 	Store *store.Store
-	Kept  *state.Kept
+	Kept  *durable.Kept
 	// Drop loses a message from another placer, for tests; nil: none.
 	Drop func(from int) bool
 	// Decide stands in the module's place, for tests of the guard and the checker.
@@ -59,7 +59,7 @@
 	log    zerolog.Logger
 	clock  *clock.Clock
 	engine *netio.Engine
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	core   *core.Core
 
 	inputs []core.Input         // of the batch in hand
@@ -118,7 +118,7 @@
 	if cfg.Kept != nil {
 		s.put(core.Restore{Kept: cfg.Kept})
 	}
-	s.loop = loop.New(cfg.Clock, mostJobs, s.step)
+	s.loop = eventloop.New(cfg.Clock, mostJobs, s.step)
 	s.loop.Start()
 	s.wait.Add(1)
 	go s.hear()
@@ -243,7 +243,7 @@
 		return false
 	default:
 	}
-	var notes []state.Note
+	var notes []durable.Note
 	for _, o := range out {
 		if k, ok := o.(core.Keep); ok {
 			notes = append(notes, k.Note)
--- a/internal/running/noded/changes.go
+++ b/internal/server/platform/changes.go
@@ -1,4 +1,4 @@
-package noded
+package platform
 
 import (
 	"context"
--- a/internal/running/noded/crossings_test.go
+++ b/internal/server/platform/crossings_test.go
@@ -1,4 +1,4 @@
-package noded
+package platform
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 
 	"github.com/rs/zerolog"
 
-	"forkhead/internal/placing/node"
 	"forkhead/internal/protocol/platform"
+	platformcore "forkhead/internal/scheduler/platform"
 )
 
 // stall holds the loop until the function that it returns is called, as a process that gets no processor stands still.
@@ -276,7 +276,7 @@
 		s.loop.Call(func() {
 			if w := s.owners[before+1]; w != nil {
 				for w.conn.Pending() == 0 {
-					s.carry(node.ToOwner{Owner: w.id, Line: make([]byte, 64<<10)})
+					s.carry(platformcore.ToOwner{Owner: w.id, Line: make([]byte, 64<<10)})
 					written += 64 << 10
 					w.flush()
 				}
@@ -293,7 +293,7 @@
 	c, written := fullOwner(t, s)
 	s.loop.Call(func() {
 		for id := range s.owners {
-			s.carry(node.CloseOwner{Owner: id})
+			s.carry(platformcore.CloseOwner{Owner: id})
 		}
 	})
 	if n, err := io.Copy(io.Discard, c); err != nil || int(n) != written {
--- a/internal/running/noded/noded.go
+++ b/internal/server/platform/noded.go
@@ -1,6 +1,6 @@
-// Package noded puts the core of a placer on the users' platform on sockets: connections of owners and to hosts, the
+// Package platform puts the core of a placer on the users' platform on sockets: connections of owners and to hosts, the
 // change log, datagrams between placers and the clock. It carries and decides nothing.
-package noded
+package platform
 
 import (
 	"errors"
@@ -15,12 +15,12 @@
 	"github.com/rs/zerolog"
 
 	"forkhead"
-	"forkhead/internal/placing/node"
+	"forkhead/internal/parse/platformconfig"
 	"forkhead/internal/protocol/platform"
-	"forkhead/internal/reading/bootinfo"
-	"forkhead/internal/running/clock"
-	"forkhead/internal/running/loop"
-	"forkhead/internal/running/netio"
+	platformcore "forkhead/internal/scheduler/platform"
+	"forkhead/internal/server/clock"
+	"forkhead/internal/server/eventloop"
+	"forkhead/internal/server/netio"
 )
 
 // Bounds of the shell.
@@ -42,7 +42,7 @@
 	Config *platform.Config
 	Log    zerolog.Logger
 	// Tap is shown each step; it must keep none of it. nil: nobody looks.
-	Tap func(now time.Duration, in []node.Input, out []node.Output)
+	Tap func(now time.Duration, in []platformcore.Input, out []platformcore.Output)
 }
 
 // ConfigError means that the configuration cannot be used.
@@ -59,11 +59,11 @@
 	log    zerolog.Logger
 	clock  *clock.Clock
 	engine *netio.Engine
-	loop   *loop.Loop
-	core   *node.Core
-	tap    func(now time.Duration, in []node.Input, out []node.Output)
+	loop   *eventloop.Loop
+	core   *platformcore.Core
+	tap    func(now time.Duration, in []platformcore.Input, out []platformcore.Output)
 
-	inputs []node.Input
+	inputs []platformcore.Input
 	owners map[uint64]*socket
 	links  map[uint64]*socket
 	dirty  []*socket
@@ -103,7 +103,7 @@
 
 // Check says what of a configuration a placer cannot go by, as a ConfigError.
 func Check(cfg *platform.Config) error {
-	if err := bootinfo.Check(cfg.Settings); err != nil {
+	if err := platformconfig.Check(cfg.Settings); err != nil {
 		return ConfigError{err}
 	}
 	for i, p := range cfg.Peers {
@@ -125,11 +125,11 @@
 	if err := Check(cfg); err != nil {
 		return nil, err
 	}
-	info, err := bootinfo.Parse(cfg.Settings)
+	info, err := platformconfig.Parse(cfg.Settings)
 	if err != nil {
 		return nil, ConfigError{err}
 	}
-	set, err := bootinfo.Settings(info)
+	set, err := platformconfig.Settings(info)
 	if err != nil {
 		return nil, ConfigError{err}
 	}
@@ -138,11 +138,11 @@
 		sockets = 1024
 	}
 	room := max(sockets-spareSockets, 16)
-	c := node.Config{
-		Settings: set, Idle: bootinfo.Duration(info.Caps.ConnIdle), Seed: cfg.SeedNumber(), Known: cfg.Known.Results,
+	c := platformcore.Config{
+		Settings: set, Idle: platformconfig.Duration(info.Caps.ConnIdle), Seed: cfg.SeedNumber(), Known: cfg.Known.Results,
 		// Usual owners hold a third of the limit at most; what they and others leave is for hosts, and the other way.
 		Owners: room * 2 / 3, Kept: min(sockets/3, room/2), Links: room - acceptReserve - min(sockets/3, room/2), Room: room - acceptReserve,
-		Names: node.Names{Zones: info.Zones, Kinds: info.Kinds},
+		Names: platformcore.Names{Zones: info.Zones, Kinds: info.Kinds},
 	}
 	for i := range info.Classes {
 		c.Names.Classes = append(c.Names.Classes, info.Classes[i].Name)
@@ -150,7 +150,7 @@
 	for i := range info.Tenants {
 		c.Names.Tenants = append(c.Names.Tenants, info.Tenants[i].Name)
 	}
-	core, err := node.New(c)
+	core, err := platformcore.New(c)
 	if err != nil {
 		return nil, ConfigError{err}
 	}
@@ -163,7 +163,7 @@
 		seats: make(chan struct{}, c.Owners+acceptReserve), self: info.Me, ended: make(chan struct{}), killed: make(chan struct{}),
 		connect: set.ConnectTimeout,
 	}
-	s.loop = loop.New(s.clock, mostJobs, s.step)
+	s.loop = eventloop.New(s.clock, mostJobs, s.step)
 	if err := s.listenPeers(cfg); err != nil {
 		engine.Stop()
 		return nil, err
@@ -179,7 +179,7 @@
 		last = max(last, ch.Seq)
 	}
 	s.changes = follow(cfg.ChangeLog, last, s.connect, s.log, func(ch platform.Change, anew bool) {
-		s.loop.Wait(func() { s.put(node.Changed{Change: ch, Anew: anew}) })
+		s.loop.Wait(func() { s.put(platformcore.Changed{Change: ch, Anew: anew}) })
 	})
 	return s, nil
 }
@@ -219,7 +219,7 @@
 func (s *Server) Reload(cfg *platform.Config) { s.changes.move(cfg.ChangeLog) }
 
 // Stop asks the core to end; Ended tells when nothing is owed any more.
-func (s *Server) Stop() { s.loop.Do(func() { s.put(node.Stopping{}) }) }
+func (s *Server) Stop() { s.loop.Do(func() { s.put(platformcore.Stopping{}) }) }
 
 // Ended is closed when the core has ended after Stop.
 func (s *Server) Ended() <-chan struct{} { return s.ended }
@@ -239,7 +239,7 @@
 	})
 }
 
-func (s *Server) put(in node.Input) { s.inputs = append(s.inputs, in) }
+func (s *Server) put(in platformcore.Input) { s.inputs = append(s.inputs, in) }
 
 func (s *Server) step(now time.Duration) (time.Duration, bool) {
 	in := s.inputs
@@ -271,11 +271,11 @@
 	return s.lingering.Load() == 0
 }
 
-func (s *Server) carry(o node.Output) {
+func (s *Server) carry(o platformcore.Output) {
 	switch o := o.(type) {
-	case node.ToOwner:
+	case platformcore.ToOwner:
 		s.write(s.owners[o.Owner], o.Line)
-	case node.ToHost:
+	case platformcore.ToHost:
 		w := s.links[o.Link]
 		s.write(w, o.Line)
 		if o.GivesUp && w != nil && w.conn != nil && w.conn.Unsent() {
@@ -283,26 +283,26 @@
 			// begin long after their owner has left. Closing a connection gives up what is open on it.
 			w.conn.Reset()
 		}
-	case node.CloseOwner:
+	case platformcore.CloseOwner:
 		s.close(s.owners, o.Owner)
-	case node.CloseLink:
+	case platformcore.CloseLink:
 		s.close(s.links, o.Link)
-	case node.FinishLink:
+	case platformcore.FinishLink:
 		if w := s.links[o.Link]; w != nil && w.conn != nil {
 			w.flush()
 			w.conn.CloseWrite()
 		}
-	case node.Dial:
+	case platformcore.Dial:
 		s.dial(o)
-	case node.ToPlacer:
+	case platformcore.ToPlacer:
 		s.send(o)
-	case node.CloseListener:
+	case platformcore.CloseListener:
 		s.front.Drain(drainQuiet, drainMost)
-	case node.Ended:
+	case platformcore.Ended:
 		if s.endBy == 0 {
 			s.endBy = s.clock.Now() + lastWords
 		}
-	case node.Logged:
+	case platformcore.Logged:
 		if o.Defect {
 			s.log.Error().Msg(o.Text)
 		} else {
@@ -383,7 +383,7 @@
 	if !s.loop.Wait(func() {
 		if !c.Gone() {
 			s.owners[w.id] = w
-			s.put(node.Accepted{Owner: w.id})
+			s.put(platformcore.Accepted{Owner: w.id})
 		}
 	}) {
 		w.leave()
@@ -399,7 +399,7 @@
 	}
 }
 
-func (s *Server) dial(o node.Dial) {
+func (s *Server) dial(o platformcore.Dial) {
 	w := &socket{s: s, id: o.Link}
 	s.links[o.Link] = w
 	s.engine.Dial(o.Address, s.connect, toHost, w, func(c *netio.Conn, err error) {
@@ -411,10 +411,10 @@
 				}
 			case err != nil || c.Gone():
 				delete(s.links, o.Link)
-				s.put(node.DialFailed{Link: o.Link, Refused: errors.Is(err, syscall.ECONNREFUSED), Ours: ours(err)})
+				s.put(platformcore.DialFailed{Link: o.Link, Refused: errors.Is(err, syscall.ECONNREFUSED), Ours: ours(err)})
 			default:
 				w.conn = c
-				s.put(node.Dialled{Link: o.Link})
+				s.put(platformcore.Dialled{Link: o.Link})
 			}
 		})
 	})
@@ -438,12 +438,12 @@
 		switch {
 		case w.closed:
 		case w.owner:
-			w.s.put(node.OwnerData{Owner: w.id, Data: data})
+			w.s.put(platformcore.OwnerData{Owner: w.id, Data: data})
 			if len(data) < netio.ReadSize && c.Left() {
 				w.s.gone(w)
 			}
 		default:
-			w.s.put(node.HostData{Link: w.id, Data: data})
+			w.s.put(platformcore.HostData{Link: w.id, Data: data})
 		}
 	})
 }
@@ -463,16 +463,16 @@
 	w.closed = true
 	if w.owner {
 		delete(s.owners, w.id)
-		s.put(node.OwnerGone{Owner: w.id})
+		s.put(platformcore.OwnerGone{Owner: w.id})
 	} else {
 		delete(s.links, w.id)
-		s.put(node.LinkGone{Link: w.id})
+		s.put(platformcore.LinkGone{Link: w.id})
 	}
 }
 
 // ---- Other placers.
 
-func (s *Server) send(o node.ToPlacer) {
+func (s *Server) send(o platformcore.ToPlacer) {
 	udp, ok := s.tell.(*net.UDPConn)
 	if !ok {
 		return
@@ -505,7 +505,7 @@
 		for i, p := range s.peers {
 			if i != s.self && p == from {
 				data := append([]byte(nil), buf[:n]...)
-				s.loop.Wait(func() { s.put(node.Datagram{From: i, Data: data}) })
+				s.loop.Wait(func() { s.put(platformcore.Datagram{From: i, Data: data}) })
 				break
 			}
 		}
--- a/internal/running/noded/trace.go
+++ b/internal/server/platform/trace.go
@@ -1,4 +1,4 @@
-package noded
+package platform
 
 import (
 	"bufio"
@@ -7,23 +7,23 @@
 	"io"
 	"time"
 
-	"forkhead/internal/placing/node"
+	platformcore "forkhead/internal/scheduler/platform"
 )
 
 // Trace returns a tap that writes each step with inputs or outputs as JSON lines: the time in microseconds, the type and
 // the value.
-func Trace(to io.Writer) func(now time.Duration, in []node.Input, out []node.Output) {
+func Trace(to io.Writer) func(now time.Duration, in []platformcore.Input, out []platformcore.Output) {
 	w := bufio.NewWriter(to)
 	line := func(now time.Duration, way string, v any) {
 		name := fmt.Sprintf("%T", v)
 		switch x := v.(type) { // lines as text, not as base64
-		case node.OwnerData:
+		case platformcore.OwnerData:
 			v = map[string]any{"Owner": x.Owner, "Data": string(x.Data)}
-		case node.HostData:
+		case platformcore.HostData:
 			v = map[string]any{"Link": x.Link, "Data": string(x.Data)}
-		case node.ToOwner:
+		case platformcore.ToOwner:
 			v = map[string]any{"Owner": x.Owner, "Line": string(x.Line)}
-		case node.ToHost:
+		case platformcore.ToHost:
 			v = map[string]any{"Link": x.Link, "Line": string(x.Line)}
 		}
 		text, err := json.Marshal(v)
@@ -32,7 +32,7 @@
 		}
 		fmt.Fprintf(w, `{"at":%d,"way":%q,"what":%q,"value":%s}`+"\n", now.Microseconds(), way, name, text)
 	}
-	return func(now time.Duration, in []node.Input, out []node.Output) {
+	return func(now time.Duration, in []platformcore.Input, out []platformcore.Output) {
 		for _, i := range in {
 			line(now, "in", i)
 		}
--- a/internal/running/recorder/recorder.go
+++ b/internal/server/recorder/recorder.go
@@ -4,13 +4,13 @@
 import (
 	"sync"
 
-	"forkhead/internal/protocol/record"
+	"forkhead/internal/protocol/capture"
 )
 
 // Log gathers events. A nil Log takes none.
 type Log struct {
 	mu     sync.Mutex
-	events []record.Event
+	events []capture.Event
 	most   int
 	full   bool
 }
@@ -20,7 +20,7 @@
 
 // Add takes an event. A log that is full takes no more, and says so by Full: a record with a
 // hole proves nothing.
-func (l *Log) Add(e record.Event) {
+func (l *Log) Add(e capture.Event) {
 	if l == nil {
 		return
 	}
@@ -34,8 +34,8 @@
 }
 
 // Events returns what has been gathered, and whether all of it was.
-func (l *Log) Events() (events []record.Event, whole bool) {
+func (l *Log) Events() (events []capture.Event, whole bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]record.Event(nil), l.events...), !l.full
+	return append([]capture.Event(nil), l.events...), !l.full
 }
--- a/internal/running/store/golden_test.go
+++ b/internal/server/store/golden_test.go
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"forkhead/internal/placing/core"
-	"forkhead/internal/placing/state"
+	"forkhead/internal/parse/settings"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/reading/settings"
-	"forkhead/internal/running/store"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/scheduler/durable"
+	"forkhead/internal/server/store"
 )
 
 // testdata/placer.db was written by `forkhead serve --config testdata/settings.sexp --store placer.db`, which was killed
@@ -65,7 +65,7 @@
 	t.Helper()
 	var b bytes.Buffer
 	if err := store.Each(path, func(bucket, key string, value []byte) error {
-		text, version, err := state.Open(value)
+		text, version, err := durable.Open(value)
 		fmt.Fprintf(&b, "%s\t%s\t%d\t%s\n", bucket, key, version, text)
 		return err
 	}); err != nil {
@@ -74,7 +74,7 @@
 	return b.Bytes()
 }
 
-func openCopy(t *testing.T, path string) *state.Kept {
+func openCopy(t *testing.T, path string) *durable.Kept {
 	t.Helper()
 	s, kept, err := store.Open(store.Options{Path: path})
 	if err != nil {
@@ -106,34 +106,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	notes := []state.Note{state.Began{Epoch: kept.Epoch}, state.Listed{List: kept.List}}
+	notes := []durable.Note{durable.Began{Epoch: kept.Epoch}, durable.Listed{List: kept.List}}
 	for _, f := range kept.Submissions {
-		var project state.Project
+		var project durable.Project
 		for _, p := range kept.Projects {
 			if p.Submission == f.ID {
 				project = p
 			}
 		}
 		if project.What == nil {
-			notes = append(notes, state.Taken{Submission: f.Submission}) // its project was removed
+			notes = append(notes, durable.Taken{Submission: f.Submission}) // its project was removed
 		} else {
-			notes = append(notes, state.Taken{Submission: f.Submission, What: project.What})
+			notes = append(notes, durable.Taken{Submission: f.Submission, What: project.What})
 		}
 		for n, text := range f.Outcomes {
 			var o core.Outcome
 			if err := json.Unmarshal(text, &o); err != nil {
 				t.Fatal(err)
 			}
-			notes = append(notes, state.Told{Submission: f.ID, Number: n, Text: text, Task: state.Task{
+			notes = append(notes, durable.Told{Submission: f.ID, Number: n, Text: text, Task: durable.Task{
 				Project: f.Project, Service: o.Service, Replica: o.Replica, Word: o.Outcome,
 			}})
 		}
 	}
 	for name, at := range kept.Removed {
-		notes = append(notes, state.Removed{Project: name, At: at})
+		notes = append(notes, durable.Removed{Project: name, At: at})
 	}
 	for _, a := range kept.Attempts {
-		notes = append(notes, state.Offered{Attempt: a})
+		notes = append(notes, durable.Offered{Attempt: a})
 	}
 	if err := s.Keep(notes); err != nil {
 		t.Fatal(err)
--- a/internal/running/store/store.go
+++ b/internal/server/store/store.go
@@ -17,7 +17,7 @@
 	"go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
 
-	"forkhead/internal/placing/state"
+	"forkhead/internal/scheduler/durable"
 )
 
 // Options say where the file is, and stand in for the disk in tests.
@@ -36,7 +36,7 @@
 	opt     Options
 	Commits int    // fsyncs for notes
 	Aside   string // where a file that could not be read was put; "": none was
-	lazy    []state.Change
+	lazy    []durable.Change
 	counts  map[string]int // keys by bucket
 }
 
@@ -48,7 +48,7 @@
 
 // Open opens a store and reads what it keeps. A file that is no store, or in which a key's value does not hold, is set
 // aside as a whole where nothing of it can be read, and the keys are named in Kept.Bad where only they cannot.
-func Open(opt Options) (*Store, *state.Kept, error) {
+func Open(opt Options) (*Store, *durable.Kept, error) {
 	if opt.Most == 0 {
 		opt.Most = DefaultMost
 	}
@@ -81,8 +81,8 @@
 // open reads the file through, page by page and value by value, before it is written to; then all of it goes into a fresh
 // file that takes its place. So a page that makes no sense is found here and not when it is written over, and the space of
 // what is gone is given back at each start.
-func (s *Store) open() (*state.Kept, error) {
-	var l state.Loader
+func (s *Store) open() (*durable.Kept, error) {
+	var l durable.Loader
 	fresh := s.opt.Path + ".new"
 	if err := os.Remove(fresh); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err // of a start that was cut short
@@ -93,7 +93,7 @@
 	}
 	s.counts = map[string]int{}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		for _, name := range append([]string{meta}, state.Buckets...) {
+		for _, name := range append([]string{meta}, durable.Buckets...) {
 			if _, err := tx.CreateBucket([]byte(name)); err != nil {
 				return err
 			}
@@ -103,7 +103,7 @@
 		}
 		if err := Each(s.opt.Path, func(bucket, key string, value []byte) error {
 			l.Add(bucket, key, value)
-			if _, _, err := state.Open(value); err != nil {
+			if _, _, err := durable.Open(value); err != nil {
 				return nil // it is named, and goes no further
 			}
 			s.counts[bucket]++
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	return tx.Bucket([]byte(meta)).Put([]byte("counts"), state.Seal(text))
+	return tx.Bucket([]byte(meta)).Put([]byte("counts"), durable.Seal(text))
 }
 
 // guarded turns what bbolt does with a page that makes no sense into an error: a panic, or a fault where the page points
@@ -158,12 +158,12 @@
 
 // Keep makes notes durable. Those that nothing has to wait for are written with the next that something waits for, or by
 // Flush. After an error nothing of this call is kept.
-func (s *Store) Keep(notes []state.Note) error {
+func (s *Store) Keep(notes []durable.Note) error {
 	wait := false
-	var changes []state.Change
+	var changes []durable.Change
 	for _, n := range notes {
-		wait = wait || state.Waits(n)
-		changes = append(changes, state.Changes(n)...)
+		wait = wait || durable.Waits(n)
+		changes = append(changes, durable.Changes(n)...)
 	}
 	if !wait {
 		s.lazy = append(s.lazy, changes...)
@@ -183,7 +183,7 @@
 	return s.write(nil)
 }
 
-func (s *Store) write(changes []state.Change) error {
+func (s *Store) write(changes []durable.Change) error {
 	var size int64
 	counts := maps.Clone(s.counts)
 	err := s.db.Update(func(tx *bbolt.Tx) error {
@@ -197,7 +197,7 @@
 			}
 		}
 		// What waited comes first: it was noted first.
-		for _, list := range [][]state.Change{s.lazy, changes} {
+		for _, list := range [][]durable.Change{s.lazy, changes} {
 			for _, c := range list {
 				if err := s.apply(tx, c); err != nil {
 					return err
@@ -215,7 +215,7 @@
 	return nil
 }
 
-func (s *Store) apply(tx *bbolt.Tx, c state.Change) error {
+func (s *Store) apply(tx *bbolt.Tx, c durable.Change) error {
 	b := tx.Bucket([]byte(c.Bucket))
 	drop := func(key []byte) error {
 		if b.Get(key) != nil {
@@ -284,7 +284,7 @@
 	return db.View(func(tx *bbolt.Tx) error {
 		want, found := map[string]int{}, 0
 		if b := tx.Bucket([]byte(meta)); b != nil {
-			text, _, err := state.Open(b.Get([]byte("counts")))
+			text, _, err := durable.Open(b.Get([]byte("counts")))
 			if err != nil {
 				return fmt.Errorf("store %s: its counts: %w", path, err)
 			}
@@ -292,7 +292,7 @@
 				return fmt.Errorf("store %s: its counts: %w", path, err)
 			}
 		}
-		for _, name := range state.Buckets {
+		for _, name := range durable.Buckets {
 			b := tx.Bucket([]byte(name))
 			if b == nil {
 				return fmt.Errorf("store %s has no bucket %s", path, name)
--- a/internal/running/store/store_test.go
+++ b/internal/server/store/store_test.go
@@ -10,12 +10,12 @@
 	"testing"
 	"time"
 
-	"forkhead/internal/placing/state"
+	"forkhead/internal/parse/servicespec"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/reading/description"
+	"forkhead/internal/scheduler/durable"
 )
 
-func open(t *testing.T, path string, most int64) (*Store, *state.Kept) {
+func open(t *testing.T, path string, most int64) (*Store, *durable.Kept) {
 	t.Helper()
 	s, kept, err := Open(Options{Path: path, Most: most, Aside: func(time.Time) string { return "x" }})
 	if err != nil {
@@ -24,19 +24,19 @@
 	return s, kept
 }
 
-func taken(id string) state.Note {
-	return state.Taken{
-		Submission: state.Submission{ID: id, Key: "key-" + id, Body: 7, Total: 2, At: time.Hour, Project: "p-" + id},
-		What:       &description.Description{Services: []description.Service{{Name: "web", Replicas: 2, Cores: 0.5, Labels: map[string]string{"a": "b"}}}},
+func taken(id string) durable.Note {
+	return durable.Taken{
+		Submission: durable.Submission{ID: id, Key: "key-" + id, Body: 7, Total: 2, At: time.Hour, Project: "p-" + id},
+		What:       &servicespec.Description{Services: []servicespec.Service{{Name: "web", Replicas: 2, Cores: 0.5, Labels: map[string]string{"a": "b"}}}},
 	}
 }
 
-func told(id string, n int) state.Note {
-	return state.Told{Submission: id, Number: n, Text: []byte(fmt.Sprintf(`{"replica":%d}`, n+1)), Task: state.Task{Project: "p-" + id, Service: "web", Replica: n + 1, Word: "placed"}}
+func told(id string, n int) durable.Note {
+	return durable.Told{Submission: id, Number: n, Text: []byte(fmt.Sprintf(`{"replica":%d}`, n+1)), Task: durable.Task{Project: "p-" + id, Service: "web", Replica: n + 1, Word: "placed"}}
 }
 
-func offered(task uint32) state.Note {
-	return state.Offered{Attempt: state.Attempt{Ref: hostproto.Ref{Epoch: 1, Task: task}, Key: 5, Project: "p-a", Service: "web", Replica: 1, Host: "h"}}
+func offered(task uint32) durable.Note {
+	return durable.Offered{Attempt: durable.Attempt{Ref: hostproto.Ref{Epoch: 1, Task: task}, Key: 5, Project: "p-a", Service: "web", Replica: 1, Host: "h"}}
 }
 
 func TestKeepAndRead(t *testing.T) {
@@ -45,23 +45,23 @@
 	if len(kept.Projects) != 0 {
 		t.Fatalf("a new file keeps %+v", kept)
 	}
-	keep := func(notes ...state.Note) {
+	keep := func(notes ...durable.Note) {
 		t.Helper()
 		if err := s.Keep(notes); err != nil {
 			t.Fatal(err)
 		}
 	}
-	keep(state.Began{Epoch: 9})
+	keep(durable.Began{Epoch: 9})
 	keep(taken("a"), taken("b"), offered(1), offered(2))
 	if s.Commits != 2 {
 		t.Fatalf("%d fsyncs for two steps", s.Commits)
 	}
 	keep(told("a", 0))
-	keep(state.Settled{Ref: hostproto.Ref{Epoch: 1, Task: 1}}) // nothing waits for it
+	keep(durable.Settled{Ref: hostproto.Ref{Epoch: 1, Task: 1}}) // nothing waits for it
 	if s.Commits != 3 || !s.Pending() {
 		t.Fatalf("%d fsyncs, pending %v", s.Commits, s.Pending())
 	}
-	keep(state.Removed{Project: "p-b", At: 2 * time.Hour}, state.Forgotten{Submission: "b"})
+	keep(durable.Removed{Project: "p-b", At: 2 * time.Hour}, durable.Forgotten{Submission: "b"})
 	if err := s.Kill(); err != nil {
 		t.Fatal(err)
 	}
@@ -87,13 +87,13 @@
 	path := filepath.Join(t.TempDir(), "s.db")
 	s, _ := open(t, path, 1)
 	defer s.Close()
-	if err := s.Keep([]state.Note{taken("a")}); !errors.Is(err, ErrFull) {
+	if err := s.Keep([]durable.Note{taken("a")}); !errors.Is(err, ErrFull) {
 		t.Fatalf("%v", err)
 	}
-	if err := s.Keep([]state.Note{state.Removed{Project: "p"}}); !errors.Is(err, ErrFull) {
+	if err := s.Keep([]durable.Note{durable.Removed{Project: "p"}}); !errors.Is(err, ErrFull) {
 		t.Fatalf("a tombstone: %v", err) // it grows the file, too
 	}
-	if err := s.Keep([]state.Note{state.Erased{Project: "p"}, state.Forgotten{Submission: "a"}}); err != nil {
+	if err := s.Keep([]durable.Note{durable.Erased{Project: "p"}, durable.Forgotten{Submission: "a"}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Flush(); err != nil {
@@ -108,7 +108,7 @@
 	path := filepath.Join(dir, "s.db")
 	s, _ := open(t, path, 0)
 	for i := range 20 {
-		if err := s.Keep([]state.Note{taken(fmt.Sprint(i)), told(fmt.Sprint(i), 0), offered(uint32(i))}); err != nil {
+		if err := s.Keep([]durable.Note{taken(fmt.Sprint(i)), told(fmt.Sprint(i), 0), offered(uint32(i))}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -123,7 +123,7 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	projects := map[string]state.Project{}
+	projects := map[string]durable.Project{}
 	for _, p := range whole.Projects {
 		projects[p.What.Name] = p
 	}
@@ -171,14 +171,14 @@
 }
 
 func TestSeal(t *testing.T) {
-	b := state.Seal([]byte("text"))
-	if text, v, err := state.Open(b); err != nil || v != state.Version || string(text) != "text" {
+	b := durable.Seal([]byte("text"))
+	if text, v, err := durable.Open(b); err != nil || v != durable.Version || string(text) != "text" {
 		t.Fatalf("%q %d %v", text, v, err)
 	}
 	for i := range b {
 		c := append([]byte(nil), b...)
 		c[i] ^= 1
-		if _, _, err := state.Open(c); !errors.Is(err, state.ErrSum) {
+		if _, _, err := durable.Open(c); !errors.Is(err, durable.ErrSum) {
 			t.Errorf("byte %d turned: %v", i, err)
 		}
 	}
@@ -195,7 +195,7 @@
 			defer s.Close()
 			n := 0
 			for b.Loop() {
-				var notes []state.Note
+				var notes []durable.Note
 				for range asks {
 					n++
 					notes = append(notes, taken(fmt.Sprint(n)))
--- a/internal/wire/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -1,4 +1,4 @@
-package wire
+package simadapter
 
 import (
 	"bytes"
--- a/internal/wire/wire.go
+++ b/internal/simadapter/wire.go
@@ -1,6 +1,6 @@
-// Package wire reads batches of events and writes replies in the simulator's
+// Package simadapter reads batches of events and writes replies in the simulator's
 // binary frames. It knows nothing of placement.
-package wire
+package simadapter
 
 import (
 	"encoding/binary"
--- a/internal/proving/solvecheck/pseudo_test.go
+++ b/internal/verify/bruteforce/pseudo_test.go
@@ -1,19 +1,19 @@
-package solvecheck
+package bruteforce
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"testing"
 
-	"github.com/crillab/gophersat/solver"
+	gophersat "github.com/crillab/gophersat/solver"
 
-	"forkhead/internal/planning/solve"
+	"forkhead/internal/planning/solver"
 )
 
 // pseudo answers an instance by a pseudo-Boolean solver from elsewhere, as an independent check at
 // sizes that brute force does not reach: a variable for each task and host, one for each host in use.
-func pseudo(in *solve.Instance) int64 {
-	var constrs []solver.PBConstr
+func pseudo(in *solver.Instance) int64 {
+	var constrs []gophersat.PBConstr
 	next := 0
 	fresh := func() int { next++; return next }
 	use := make([]int, len(in.Hosts))
@@ -29,19 +29,19 @@
 			for h, host := range in.Hosts {
 				x := fresh()
 				if host.Closed || s.May != nil && !s.May[h] {
-					constrs = append(constrs, solver.PropClause(-x))
+					constrs = append(constrs, gophersat.PropClause(-x))
 				}
 				any = append(any, x)
-				constrs = append(constrs, solver.PropClause(-x, use[h]))
+				constrs = append(constrs, gophersat.PropClause(-x, use[h]))
 				byHost[h], cores[h], memory[h] = append(byHost[h], x), append(cores[h], int(s.Cores)), append(memory[h], int(s.Memory))
 				onHost[h] = append(onHost[h], x)
 				inRack[host.Rack], inZone[host.Zone] = append(inRack[host.Rack], x), append(inZone[host.Zone], x)
 			}
-			constrs = append(constrs, solver.AtLeast(any, 1), solver.AtMost(any, 1))
+			constrs = append(constrs, gophersat.AtLeast(any, 1), gophersat.AtMost(any, 1))
 		}
 		bound := func(lits []int, most int) {
 			if most > 0 && len(lits) > most {
-				constrs = append(constrs, solver.AtMost(lits, most))
+				constrs = append(constrs, gophersat.AtMost(lits, most))
 			}
 		}
 		for _, lits := range onHost {
@@ -66,31 +66,31 @@
 				}
 			}
 			if len(lits) > 0 {
-				constrs = append(constrs, solver.LtEq(lits, weights, int(res.most)))
+				constrs = append(constrs, gophersat.LtEq(lits, weights, int(res.most)))
 			}
 		}
 	}
-	problem := solver.ParsePBConstrs(constrs)
-	var lits []solver.Lit
+	problem := gophersat.ParsePBConstrs(constrs)
+	var lits []gophersat.Lit
 	var weights []int
 	for h, host := range in.Hosts {
-		lits, weights = append(lits, solver.IntToLit(int32(use[h]))), append(weights, int(host.Cost))
+		lits, weights = append(lits, gophersat.IntToLit(int32(use[h]))), append(weights, int(host.Cost))
 	}
 	problem.SetCostFunc(lits, weights)
-	return int64(solver.New(problem).Minimize())
+	return int64(gophersat.New(problem).Minimize())
 }
 
 // medium draws an instance beyond brute force: six to eight hosts, ten to fourteen tasks.
-func medium(rng *rand.Rand) *solve.Instance {
-	in := &solve.Instance{}
+func medium(rng *rand.Rand) *solver.Instance {
+	in := &solver.Instance{}
 	for i := range 6 + rng.IntN(3) {
-		in.Hosts = append(in.Hosts, solve.Host{
+		in.Hosts = append(in.Hosts, solver.Host{
 			ID: fmt.Sprint("h", i), Rack: fmt.Sprint("r", i/2), Zone: fmt.Sprint("z", i/4), Cores: 4 + rng.Int64N(6), Memory: 4 + rng.Int64N(6), Cost: 1 + rng.Int64N(5),
 			Closed: rng.IntN(10) == 0,
 		})
 	}
 	for left := 10 + rng.IntN(5); left > 0; {
-		s := solve.Service{Name: fmt.Sprint("s", left), Count: min(1+rng.IntN(4), left), Cores: 1 + rng.Int64N(4), Memory: 1 + rng.Int64N(4)}
+		s := solver.Service{Name: fmt.Sprint("s", left), Count: min(1+rng.IntN(4), left), Cores: 1 + rng.Int64N(4), Memory: 1 + rng.Int64N(4)}
 		if rng.IntN(2) == 0 {
 			s.Rack = 1 + rng.IntN(2)
 		}
@@ -110,7 +110,7 @@
 	const n = 14
 	for seed := range uint64(n) {
 		in := medium(rand.New(rand.NewPCG(seed, 31)))
-		a, err := solve.Solve(in, solve.Options{})
+		a, err := solver.Solve(in, solver.Options{})
 		if err != nil || !a.Optimal {
 			t.Fatalf("instance %d: %+v, %v", seed, a, err)
 		}
--- a/internal/proving/solvecheck/size_test.go
+++ b/internal/verify/bruteforce/size_test.go
@@ -1,4 +1,4 @@
-package solvecheck
+package bruteforce
 
 import (
 	"fmt"
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"forkhead/internal/planning/solve"
+	"forkhead/internal/planning/solver"
 )
 
 // BenchmarkSizes tells time and gap of instances of a fleet's size and of triplets, stopped after
-// five seconds. go test ./internal/proving/solvecheck -run xxx -bench Sizes -benchtime 1x
+// five seconds. go test ./internal/verify/bruteforce -run xxx -bench Sizes -benchtime 1x
 func BenchmarkSizes(b *testing.B) {
 	for _, size := range [][2]int{{10, 30}, {40, 120}, {130, 400}} {
 		for seed := range 3 {
@@ -26,17 +26,17 @@
 	}
 }
 
-func one(b *testing.B, in *solve.Instance) {
-	var a *solve.Answer
+func one(b *testing.B, in *solver.Instance) {
+	var a *solver.Answer
 	for b.Loop() {
 		end := time.Now().Add(5 * time.Second)
 		var err error
-		a, err = solve.Solve(in, solve.Options{Stop: func() bool { return time.Now().After(end) }})
+		a, err = solver.Solve(in, solver.Options{Stop: func() bool { return time.Now().After(end) }})
 		if err != nil {
 			b.Fatal(err)
 		}
 		if a.Feasible {
-			if err := solve.Check(in, a.Counts, a.Cost); err != nil {
+			if err := solver.Check(in, a.Counts, a.Cost); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/proving/solvecheck/solvecheck.go
+++ b/internal/verify/bruteforce/solvecheck.go
@@ -1,16 +1,16 @@
-// Package solvecheck holds the solver against brute force that shares no code with it: it walks
+// Package bruteforce holds the solver against brute force that shares no code with it: it walks
 // through every assignment of tasks to hosts of a small instance, one task after another.
-package solvecheck
+package bruteforce
 
 import (
 	"fmt"
 	"math/rand/v2"
 
-	"forkhead/internal/planning/solve"
+	"forkhead/internal/planning/solver"
 )
 
 // Brute answers a small instance by trying everything. cost is -1 if there is no answer.
-func Brute(in *solve.Instance) (cost int64) {
+func Brute(in *solver.Instance) (cost int64) {
 	type one struct{ service, host int }
 	var tasks []one
 	for si, s := range in.Services {
@@ -41,7 +41,7 @@
 }
 
 // price is the cost of a whole assignment, if it keeps every limit.
-func price(in *solve.Instance, each func(yield func(service, host int))) (int64, bool) {
+func price(in *solver.Instance, each func(yield func(service, host int))) (int64, bool) {
 	type at struct {
 		service int
 		place   string
@@ -71,7 +71,7 @@
 			found := false
 			for other := range byHost {
 				x, y := in.Hosts[other[1]], in.Hosts[key[1]]
-				found = found || other[0] == near.Service && (other[1] == key[1] || near.Place == solve.InRack && x.Rack == y.Rack || near.Place == solve.InZone && x.Zone == y.Zone)
+				found = found || other[0] == near.Service && (other[1] == key[1] || near.Place == solver.InRack && x.Rack == y.Rack || near.Place == solver.InZone && x.Zone == y.Zone)
 			}
 			good = good && found
 		}
@@ -93,10 +93,10 @@
 }
 
 // Random draws a small instance: up to four hosts and six tasks, often just at capacity.
-func Random(rng *rand.Rand) *solve.Instance {
-	in := &solve.Instance{Move: rng.Int64N(4)}
+func Random(rng *rand.Rand) *solver.Instance {
+	in := &solver.Instance{Move: rng.Int64N(4)}
 	for i := range rng.IntN(5) {
-		h := solve.Host{
+		h := solver.Host{
 			ID: fmt.Sprint("h", i), Rack: fmt.Sprint("r", rng.IntN(2)), Cores: 1 + rng.Int64N(8), Memory: 1 + rng.Int64N(8),
 			Cost: rng.Int64N(6), Closed: rng.IntN(12) == 0, Used: rng.IntN(8) == 0,
 		}
@@ -109,7 +109,7 @@
 	}
 	left := rng.IntN(7)
 	for i := 0; left > 0; i++ {
-		s := solve.Service{Name: fmt.Sprint("s", i), Count: 1 + rng.IntN(left), Cores: rng.Int64N(5), Memory: rng.Int64N(5)}
+		s := solver.Service{Name: fmt.Sprint("s", i), Count: 1 + rng.IntN(left), Cores: rng.Int64N(5), Memory: rng.Int64N(5)}
 		left -= s.Count
 		for _, to := range []*int{&s.Machine, &s.Rack, &s.Zone} {
 			if rng.IntN(3) == 0 {
@@ -127,7 +127,7 @@
 			}
 		}
 		if i > 0 && rng.IntN(4) == 0 {
-			s.Near = []solve.Near{{Service: rng.IntN(i), Place: solve.Place(rng.IntN(3))}}
+			s.Near = []solver.Near{{Service: rng.IntN(i), Place: solver.Place(rng.IntN(3))}}
 		}
 		in.Services = append(in.Services, s)
 	}
@@ -139,11 +139,11 @@
 
 // Compare draws instances from a seed on and returns the first that solver and brute force do not
 // agree on, or nil; and how many of them have an answer.
-func Compare(seed uint64, n int, opt solve.Options) (feasible int, err error) {
+func Compare(seed uint64, n int, opt solver.Options) (feasible int, err error) {
 	for i := range n {
 		rng := rand.New(rand.NewPCG(seed+uint64(i), 12))
 		in := Random(rng)
-		a, err := solve.Solve(in, opt)
+		a, err := solver.Solve(in, opt)
 		if err != nil {
 			return feasible, fmt.Errorf("instance %d: %w", seed+uint64(i), err)
 		}
@@ -158,7 +158,7 @@
 		}
 		if a.Feasible {
 			feasible++
-			if err := solve.Check(in, a.Counts, a.Cost); err != nil {
+			if err := solver.Check(in, a.Counts, a.Cost); err != nil {
 				return feasible, fmt.Errorf("instance %d: %w", seed+uint64(i), err)
 			}
 		}
@@ -168,11 +168,11 @@
 
 // Live draws an instance of about so many hosts and tasks as a fleet has them: two kinds of host,
 // racks of four, services of one to six tasks, some with limits in racks, a fifth on large hosts only.
-func Live(rng *rand.Rand, hosts, tasks int) *solve.Instance {
-	in := &solve.Instance{}
+func Live(rng *rand.Rand, hosts, tasks int) *solver.Instance {
+	in := &solver.Instance{}
 	large := make([]bool, hosts)
 	for i := range hosts {
-		h := solve.Host{
+		h := solver.Host{
 			ID: fmt.Sprint("h", i), Rack: fmt.Sprint("r", i/4), Zone: fmt.Sprint("z", i*3/hosts), Cores: 28_000, Memory: 64 << 10, Cost: 28,
 		}
 		if large[i] = i%3 == 2; large[i] {
@@ -181,7 +181,7 @@
 		in.Hosts = append(in.Hosts, h)
 	}
 	for i := 0; tasks > 0; i++ {
-		s := solve.Service{Name: fmt.Sprint("s", i), Count: min(1+rng.IntN(6), tasks), Cores: 250 * (1 + rng.Int64N(24)), Memory: 512 * (1 + rng.Int64N(24))}
+		s := solver.Service{Name: fmt.Sprint("s", i), Count: min(1+rng.IntN(6), tasks), Cores: 250 * (1 + rng.Int64N(24)), Memory: 512 * (1 + rng.Int64N(24))}
 		tasks -= s.Count
 		if rng.IntN(5) == 0 {
 			s.May = large
@@ -197,14 +197,14 @@
 
 // Triplets is bin packing of the kind that is hard for bounds by sums: three tasks fill each host
 // exactly, and every other arrangement wastes some.
-func Triplets(rng *rand.Rand, hosts int) *solve.Instance {
-	in := &solve.Instance{}
+func Triplets(rng *rand.Rand, hosts int) *solver.Instance {
+	in := &solver.Instance{}
 	for i := range hosts {
-		in.Hosts = append(in.Hosts, solve.Host{ID: fmt.Sprint("h", i), Rack: fmt.Sprint("r", i), Zone: "z", Cores: 1000, Memory: 1000, Cost: 1})
+		in.Hosts = append(in.Hosts, solver.Host{ID: fmt.Sprint("h", i), Rack: fmt.Sprint("r", i), Zone: "z", Cores: 1000, Memory: 1000, Cost: 1})
 		a := 380 + rng.Int64N(111)
 		b := 250 + rng.Int64N(max((1000-a)/2-250, 1))
 		for k, size := range []int64{a, b, 1000 - a - b} {
-			in.Services = append(in.Services, solve.Service{Name: fmt.Sprint("s", i, k), Count: 1, Cores: size, Memory: 1})
+			in.Services = append(in.Services, solver.Service{Name: fmt.Sprint("s", i, k), Count: 1, Cores: size, Memory: 1})
 		}
 	}
 	return in
--- a/internal/proving/solvecheck/solvecheck_test.go
+++ b/internal/verify/bruteforce/solvecheck_test.go
@@ -1,14 +1,14 @@
-package solvecheck
+package bruteforce
 
 import (
 	"testing"
 
-	"forkhead/internal/planning/solve"
+	"forkhead/internal/planning/solver"
 )
 
 func TestAgainstBruteForce(t *testing.T) {
 	n := 3000
-	feasible, err := Compare(1, n, solve.Options{})
+	feasible, err := Compare(1, n, solver.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,7 +20,7 @@
 // A bug in the bound and one in propagation are caught by the comparison.
 func TestPlantedFlaws(t *testing.T) {
 	for _, flaw := range []string{"bound", "propagation"} {
-		if _, err := Compare(1, 20_000, solve.Options{Flaw: flaw}); err == nil {
+		if _, err := Compare(1, 20_000, solver.Options{Flaw: flaw}); err == nil {
 			t.Errorf("a flaw in the %s is not caught", flaw)
 		}
 	}
--- a/internal/proving/badday/badday.go
+++ b/internal/verify/chaos/badday.go
@@ -1,6 +1,6 @@
-// Package badday plays a script: a fleet on loopback sockets, clients with load, and troubles at
+// Package chaos plays a script: a fleet on loopback sockets, clients with load, and troubles at
 // their times. The five rules are then checked on the record of what crossed the sockets.
-package badday
+package chaos
 
 import (
 	"context"
@@ -17,16 +17,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/rs/zerolog"
 
-	"forkhead/internal/placing/core"
-	"forkhead/internal/placing/guard"
-	"forkhead/internal/protocol/record"
-	"forkhead/internal/proving/rules"
-	"forkhead/internal/proving/scene"
-	"forkhead/internal/proving/script"
-	"forkhead/internal/reading/compose"
-	"forkhead/internal/running/placerd"
-	"forkhead/internal/running/recorder"
-	"forkhead/internal/running/submitter"
+	"forkhead/internal/client"
+	"forkhead/internal/parse/compose"
+	"forkhead/internal/protocol/capture"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/scheduler/invariant"
+	"forkhead/internal/server/placer"
+	"forkhead/internal/server/recorder"
+	"forkhead/internal/verify/rules"
+	"forkhead/internal/verify/scenario"
+	"forkhead/internal/verify/testcluster"
 )
 
 const mostEvents = 20_000_000
@@ -34,34 +34,34 @@
 // Options say how a day is played.
 type Options struct {
 	Log     zerolog.Logger
-	Breaker scene.Breaker // a module that is built to break rules, for tests
-	Begun   func(trouble script.Trouble)
+	Breaker testcluster.Breaker // a module that is built to break rules, for tests
+	Begun   func(trouble scenario.Trouble)
 	Keep    bool // the tapes of placers' lives, for Result.Tapes
 }
 
 // Result is what a day came to.
 type Result struct {
-	Rules       map[string]int `json:"rules"` // breaches
-	Vetoes      uint64         `json:"vetoes"`
-	Defects     uint64         `json:"defects"`
-	Tasks       int            `json:"tasks"`
-	Outcomes    map[string]int `json:"outcomes"`
-	Submissions int            `json:"submissions"`
-	TurnedAway  int            `json:"turned_away"` // submissions that no placer took
-	Resent      int            `json:"resent"`      // sent again after a lost reply
-	Offers      int            `json:"offers"`      // frames that reached hosts
-	Refused     int            `json:"refused"`     // of them by the hosts
-	HostLives   int            `json:"host_lives"`
-	Troubles    int            `json:"troubles"`
-	Events      int            `json:"events"`
-	P50MS       float64        `json:"p50_ms"` // from submission to a placed outcome
-	P99MS       float64        `json:"p99_ms"`
-	Seconds     float64        `json:"seconds"`
-	Accounts    rules.Accounts `json:"accounts"`          // their sum is the tasks
-	Commits     uint64         `json:"commits,omitempty"` // fsyncs of placers' stores
-	Record      []record.Event `json:"-"`
-	Tapes       []scene.Life   `json:"-"`
-	Verdict     rules.Verdict  `json:"-"`
+	Rules       map[string]int     `json:"rules"` // breaches
+	Vetoes      uint64             `json:"vetoes"`
+	Defects     uint64             `json:"defects"`
+	Tasks       int                `json:"tasks"`
+	Outcomes    map[string]int     `json:"outcomes"`
+	Submissions int                `json:"submissions"`
+	TurnedAway  int                `json:"turned_away"` // submissions that no placer took
+	Resent      int                `json:"resent"`      // sent again after a lost reply
+	Offers      int                `json:"offers"`      // frames that reached hosts
+	Refused     int                `json:"refused"`     // of them by the hosts
+	HostLives   int                `json:"host_lives"`
+	Troubles    int                `json:"troubles"`
+	Events      int                `json:"events"`
+	P50MS       float64            `json:"p50_ms"` // from submission to a placed outcome
+	P99MS       float64            `json:"p99_ms"`
+	Seconds     float64            `json:"seconds"`
+	Accounts    rules.Accounts     `json:"accounts"`          // their sum is the tasks
+	Commits     uint64             `json:"commits,omitempty"` // fsyncs of placers' stores
+	Record      []capture.Event    `json:"-"`
+	Tapes       []testcluster.Life `json:"-"`
+	Verdict     rules.Verdict      `json:"-"`
 }
 
 // OK says whether no rule was broken and nothing was vetoed.
@@ -69,8 +69,8 @@
 
 type player struct {
 	opt    Options
-	s      *script.Script
-	c      *scene.Scene
+	s      *scenario.Script
+	c      *testcluster.Scene
 	log    *recorder.Log
 	start  time.Time
 	wait   sync.WaitGroup
@@ -94,14 +94,14 @@
 type project struct {
 	placer int
 	text   string
-	load   script.Load
+	load   scenario.Load
 	tasks  int
 }
 
 // Play plays a day to its end.
-func Play(ctx context.Context, s *script.Script, opt Options) (*Result, error) {
+func Play(ctx context.Context, s *scenario.Script, opt Options) (*Result, error) {
 	log := recorder.New(mostEvents)
-	c, err := scene.Start(s, log, opt.Log, opt.Breaker, opt.Keep)
+	c, err := testcluster.Start(s, log, opt.Log, opt.Breaker, opt.Keep)
 	if err != nil {
 		return nil, err
 	}
@@ -160,7 +160,7 @@
 		Accounts: v.Accounts, Commits: c.Commits.Load(), Tapes: c.Tapes(), Troubles: len(s.Troubles), Events: len(events), Seconds: time.Since(p.start).Seconds(), Record: events, Verdict: v,
 		P50MS: float64(p.tracks.v.ValueAtQuantile(50)) / 1000, P99MS: float64(p.tracks.v.ValueAtQuantile(99)) / 1000,
 	}
-	for rule := guard.OneAnswer; rule <= guard.Spread; rule++ {
+	for rule := invariant.OneAnswer; rule <= invariant.Spread; rule++ {
 		r.Rules[rule.String()] = v.Counts[rule]
 	}
 	for _, word := range []string{core.WordPlaced, core.WordRefused, core.WordFailed} {
@@ -184,7 +184,7 @@
 // ---- Load.
 
 // drive submits a load's projects at exponential intervals.
-func (p *player) drive(l script.Load, n uint64) {
+func (p *player) drive(l scenario.Load, n uint64) {
 	defer p.wait.Done()
 	rng := rand.New(rand.NewPCG(uint64(p.s.Seed)*7919, n))
 	if !p.sleep(l.From) {
@@ -209,7 +209,7 @@
 func between(rng *rand.Rand, r [2]float64) float64 { return r[0] + rng.Float64()*(r[1]-r[0]) }
 
 // describe writes a Compose description of one service.
-func describe(rng *rand.Rand, l *script.Load) (text string, tasks int) {
+func describe(rng *rand.Rand, l *scenario.Load) (text string, tasks int) {
 	tasks = l.Replicas[0] + rng.IntN(l.Replicas[1]-l.Replicas[0]+1)
 	life := l.Life[0] + time.Duration(rng.Float64()*float64(l.Life[1]-l.Life[0]))
 	tenant := ""
@@ -228,13 +228,13 @@
 }
 
 // submit sends a project and reads its outcomes, again under its key where a reply is lost.
-func (p *player) submit(placer int, name string, pr project, generation int) {
+func (p *player) submit(placerIndex int, name string, pr project, generation int) {
 	p.subs.Add(1)
 	patience := p.s.Settings.Classes[p.classOf(pr.load.Class)].Patience
 	ctx, cancel := context.WithTimeout(p.ctx, 2*patience+p.s.Settle)
 	defer cancel()
 	slow, cutting := p.slow.Load(), p.cut.Load()
-	client := &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true, DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
+	httpClient := &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true, DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		if err == nil && slow {
 			conn = &slowConn{Conn: conn, until: time.Now().Add(2 * time.Second)}
@@ -245,32 +245,32 @@
 		return conn, err
 	}}}
 	if p.twice.Load() {
-		client.Transport = twiceOver{client.Transport}
+		httpClient.Transport = twiceOver{httpClient.Transport}
 	}
 	current := ""
 	began := p.c.Clock.Now()
-	sub := submitter.Client{
-		Address: p.c.Settings.Placers[placer].HTTP, HTTP: client, Key: fmt.Sprintf("%s-%d", name, generation), Tries: 40, Pause: 250 * time.Millisecond,
+	sub := client.Client{
+		Address: p.c.Settings.Placers[placerIndex].HTTP, HTTP: httpClient, Key: fmt.Sprintf("%s-%d", name, generation), Tries: 40, Pause: 250 * time.Millisecond,
 		Taken: func(id string) {
 			if current != "" {
 				p.resent.Add(1)
 			}
 			current = id
-			p.log.Add(record.Event{At: p.c.Clock.Now(), What: record.Submit, Placer: placer, Submission: id, Count: pr.tasks, Within: patience})
+			p.log.Add(capture.Event{At: p.c.Clock.Now(), What: capture.Submit, Placer: placerIndex, Submission: id, Count: pr.tasks, Within: patience})
 		},
 		Broken: func(id string) {
 			cutting = false
-			p.log.Add(record.Event{At: p.c.Clock.Now(), What: record.Cut, Submission: id})
+			p.log.Add(capture.Event{At: p.c.Clock.Now(), What: capture.Cut, Submission: id})
 		},
 	}
 	// Each life of a placer tells outcomes of its own: all that are read are recorded.
 	sub.Line = func(o core.Outcome) {
-		p.log.Add(record.Event{
-			At: p.c.Clock.Now(), What: record.Outcome, Placer: placer, Submission: current,
+		p.log.Add(capture.Event{
+			At: p.c.Clock.Now(), What: capture.Outcome, Placer: placerIndex, Submission: current,
 			Name: fmt.Sprintf("%s/%d", o.Service, o.Replica), Result: o.Outcome, Took: time.Duration(o.TookMS) * time.Millisecond,
 		})
 	}
-	e := &placerd.Envelope{Project: name, Files: []compose.File{{Name: name + ".yaml", Text: pr.text}}}
+	e := &placer.Envelope{Project: name, Files: []compose.File{{Name: name + ".yaml", Text: pr.text}}}
 	err := sub.Submit(ctx, e, func(o core.Outcome) {
 		if o.Outcome == core.WordPlaced {
 			p.tracks.Lock()
@@ -339,7 +339,7 @@
 	a := &r.Accounts
 	fmt.Fprintf(w, "of the tasks %d were told an outcome, %d lost their placer before it was due, %d were cut off and not asked for again, "+
 		"%d were not due yet, %d forgotten\n", a.Told, a.Dead, a.Cut, a.NotDue, a.Forgotten)
-	for rule := guard.OneAnswer; rule <= guard.Spread; rule++ {
+	for rule := invariant.OneAnswer; rule <= invariant.Spread; rule++ {
 		fmt.Fprintf(w, "rule %-10s %d breaches\n", rule, r.Rules[rule.String()])
 	}
 	fmt.Fprintf(w, "%d vetoes, %d defects\n", r.Vetoes, r.Defects)
--- a/internal/proving/badday/badday_test.go
+++ b/internal/verify/chaos/badday_test.go
@@ -1,4 +1,4 @@
-package badday
+package chaos
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"github.com/rs/zerolog"
 
 	"forkhead"
-	"forkhead/internal/placing/guard"
-	"forkhead/internal/proving/script"
+	"forkhead/internal/scheduler/invariant"
+	"forkhead/internal/verify/scenario"
 )
 
 const day = `(badday (seed 3) (length 5s) (settle 8s)
@@ -25,14 +25,14 @@
 
 // A breach of each rule, planted by a placer that is built to make it, is caught on the traffic.
 func TestPlants(t *testing.T) {
-	rule := map[script.Plant]guard.Rule{
-		script.PlantAnswer: guard.OneAnswer, script.PlantRepeat: guard.NoRepeat, script.PlantDrain: guard.Drain,
-		script.PlantCold: guard.Cold, script.PlantSpread: guard.Spread,
+	rule := map[scenario.Plant]invariant.Rule{
+		scenario.PlantAnswer: invariant.OneAnswer, scenario.PlantRepeat: invariant.NoRepeat, scenario.PlantDrain: invariant.Drain,
+		scenario.PlantCold: invariant.Cold, scenario.PlantSpread: invariant.Spread,
 	}
-	for _, plant := range script.Plants {
+	for _, plant := range scenario.Plants {
 		t.Run(string(plant), func(t *testing.T) {
 			t.Parallel()
-			s, err := script.Read("test", []byte(`(badday (length 2s) (settle 2s) (hosts 3 (kind std-28) (zone north))
+			s, err := scenario.Read("test", []byte(`(badday (length 2s) (settle 2s) (hosts 3 (kind std-28) (zone north))
 			  (load web (class web) (rate 10)) (plant `+string(plant)+`))`))
 			if err != nil {
 				t.Fatal(err)
@@ -50,7 +50,7 @@
 
 func play(t *testing.T, opt Options) *Result {
 	t.Helper()
-	s, err := script.Read("test", []byte(day))
+	s, err := scenario.Read("test", []byte(day))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,7 +110,7 @@
 	if r.Vetoes == 0 {
 		t.Fatal("no veto of a module that breaks rules")
 	}
-	if n := r.Verdict.Counts[guard.NoRepeat] + r.Verdict.Counts[guard.Spread] + r.Verdict.Counts[guard.Drain]; n > 0 {
+	if n := r.Verdict.Counts[invariant.NoRepeat] + r.Verdict.Counts[invariant.Spread] + r.Verdict.Counts[invariant.Drain]; n > 0 {
 		t.Fatalf("%d breaches reached the sockets: %v", n, r.Verdict.Breaches)
 	}
 }
--- a/internal/proving/badday/golden_test.go
+++ b/internal/verify/chaos/golden_test.go
@@ -1,4 +1,4 @@
-package badday
+package chaos
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"testing"
 
-	"forkhead/internal/proving/rules"
+	"forkhead/internal/verify/rules"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/proving/badday/repeat_test.go
+++ b/internal/verify/chaos/repeat_test.go
@@ -1,4 +1,4 @@
-package badday
+package chaos
 
 import (
 	"context"
--- a/internal/proving/badday/rogue.go
+++ b/internal/verify/chaos/rogue.go
@@ -1,4 +1,4 @@
-package badday
+package chaos
 
 import (
 	"bytes"
@@ -9,10 +9,10 @@
 	"time"
 
 	"forkhead"
+	"forkhead/internal/emulator/hostmodel"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/proving/scene"
-	"forkhead/internal/proving/script"
-	"forkhead/internal/standins/standin"
+	"forkhead/internal/verify/scenario"
+	"forkhead/internal/verify/testcluster"
 )
 
 // A rogue is a placer that is built to break a rule: it speaks the host protocol by itself, with
@@ -26,7 +26,7 @@
 // roguePlacer is the number that it greets with: no real placer of a script has it.
 const roguePlacer = 4000
 
-func (g *rogue) dial(h *scene.Host) (net.Conn, error) {
+func (g *rogue) dial(h *testcluster.Host) (net.Conn, error) {
 	if c := g.conns[h.Name()]; c != nil {
 		return c, nil
 	}
@@ -41,7 +41,7 @@
 }
 
 // offer sends an offer; tasks with one key are one task.
-func (g *rogue) offer(h *scene.Host, class string, key, service uint64) error {
+func (g *rogue) offer(h *testcluster.Host, class string, key, service uint64) error {
 	c, err := g.dial(h)
 	if err != nil {
 		return err
@@ -63,12 +63,12 @@
 }
 
 // plant breaks a rule.
-func (p *player) plant(what script.Plant) error {
+func (p *player) plant(what scenario.Plant) error {
 	g := &rogue{conns: map[string]net.Conn{}}
 	defer g.close()
 	hosts := p.c.Hosts
 	switch what {
-	case script.PlantRepeat:
+	case scenario.PlantRepeat:
 		class := p.classWith(func(i int) bool { return p.s.Settings.Module.Classes[i].Effect == forkhead.Unsafe })
 		for _, h := range hosts[:2] {
 			if err := g.offer(h, class, 77, 78); err != nil {
@@ -76,7 +76,7 @@
 			}
 			p.sleep(500 * time.Millisecond)
 		}
-	case script.PlantSpread:
+	case scenario.PlantSpread:
 		class := p.classWith(func(i int) bool { return p.s.Settings.Module.Classes[i].SpreadDomain != forkhead.AnyDomain })
 		i, _ := p.s.Settings.Class(class)
 		for n := range p.s.Settings.Module.Classes[i].MaxPerDomain + 1 {
@@ -84,17 +84,17 @@
 				return err
 			}
 		}
-	case script.PlantDrain:
+	case scenario.PlantDrain:
 		if _, err := g.dial(hosts[0]); err != nil {
 			return err
 		}
 		p.sleep(100 * time.Millisecond)
-		hosts[0].With(func(h *standin.Host, now time.Duration) []standin.Output { return h.Drain(now, true, false) })
+		hosts[0].With(func(h *hostmodel.Host, now time.Duration) []hostmodel.Output { return h.Drain(now, true, false) })
 		p.sleep(p.s.Settings.Module.DrainGrace + 500*time.Millisecond)
 		if err := g.offer(hosts[0], p.s.Settings.Classes[0].Name, 5, 6); err != nil {
 			return err
 		}
-	case script.PlantCold:
+	case scenario.PlantCold:
 		hosts[0].Kill()
 		if err := hosts[0].Revive(true); err != nil {
 			return err
@@ -104,7 +104,7 @@
 				break // it has fallen
 			}
 		}
-	case script.PlantAnswer:
+	case scenario.PlantAnswer:
 		p.twice.Store(true)
 	}
 	p.sleep(500 * time.Millisecond)
--- a/internal/proving/badday/troubles.go
+++ b/internal/verify/chaos/troubles.go
@@ -1,4 +1,4 @@
-package badday
+package chaos
 
 import (
 	"context"
@@ -7,15 +7,15 @@
 	"net/http"
 	"time"
 
-	"forkhead/internal/proving/scene"
-	"forkhead/internal/proving/script"
-	"forkhead/internal/standins/catalogued"
-	"forkhead/internal/standins/standin"
+	consulemulator "forkhead/internal/emulator/consul"
+	"forkhead/internal/emulator/hostmodel"
+	"forkhead/internal/verify/scenario"
+	"forkhead/internal/verify/testcluster"
 )
 
 // victims draws the hosts that a trouble strikes.
-func (p *player) victims(t *script.Trouble, rng *rand.Rand) []*scene.Host {
-	var from []*scene.Host
+func (p *player) victims(t *scenario.Trouble, rng *rand.Rand) []*testcluster.Host {
+	var from []*testcluster.Host
 	for _, h := range p.c.Hosts {
 		if (t.Zone == "" || h.Group.Zone == t.Zone) && (t.Rack == "" || h.Rack == t.Rack) {
 			from = append(from, h)
@@ -27,7 +27,7 @@
 }
 
 // repeat calls do every so often until the trouble is over.
-func (p *player) repeat(t *script.Trouble, do func()) {
+func (p *player) repeat(t *scenario.Trouble, do func()) {
 	for end := time.Now().Add(t.For); time.Now().Before(end); {
 		do()
 		if !p.sleep(t.Every) {
@@ -37,7 +37,7 @@
 }
 
 // revive brings hosts back, cold.
-func (p *player) revive(hosts []*scene.Host) {
+func (p *player) revive(hosts []*testcluster.Host) {
 	for _, h := range hosts {
 		if err := h.Revive(true); err != nil {
 			p.opt.Log.Error().Err(err).Msg("a host does not come back")
@@ -46,83 +46,83 @@
 }
 
 // trouble plays one trouble to its end.
-func (p *player) trouble(t script.Trouble, rng *rand.Rand) {
+func (p *player) trouble(t scenario.Trouble, rng *rand.Rand) {
 	hosts := p.victims(&t, rng)
-	with := func(do func(h *standin.Host, now time.Duration)) {
+	with := func(do func(h *hostmodel.Host, now time.Duration)) {
 		for _, h := range hosts {
-			h.With(func(host *standin.Host, now time.Duration) []standin.Output {
+			h.With(func(host *hostmodel.Host, now time.Duration) []hostmodel.Output {
 				do(host, now)
 				return nil
 			})
 		}
 	}
 	switch t.Kind {
-	case script.Crash:
+	case scenario.Crash:
 		for _, h := range hosts {
 			h.Kill()
 		}
 		p.sleep(t.For)
 		p.revive(hosts)
-	case script.Vanish:
+	case scenario.Vanish:
 		for _, h := range hosts {
 			h.Vanish()
 		}
 		p.sleep(t.For)
 		p.revive(hosts)
-	case script.Pauses:
-		p.repeat(&t, func() { with(func(h *standin.Host, now time.Duration) { h.Pause(now, t.Delay) }) })
-	case script.ReportLate:
+	case scenario.Pauses:
+		p.repeat(&t, func() { with(func(h *hostmodel.Host, now time.Duration) { h.Pause(now, t.Delay) }) })
+	case scenario.ReportLate:
 		// Reports are as late as registrations: hosts say what is free so much less often.
-		p.c.Catalogue.With(func(st *catalogued.Store, _ time.Duration) {
+		p.c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) {
 			st.Lag(time.Duration(t.Factor * float64(p.s.Catalogue.Lag)))
 		})
 		p.sleep(t.For)
-		p.c.Catalogue.With(func(st *catalogued.Store, _ time.Duration) { st.Lag(p.s.Catalogue.Lag) })
-	case script.DiscoveryStale:
-		p.c.Catalogue.With(func(st *catalogued.Store, _ time.Duration) { st.Lag(t.Delay) })
+		p.c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) { st.Lag(p.s.Catalogue.Lag) })
+	case scenario.DiscoveryStale:
+		p.c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) { st.Lag(t.Delay) })
 		p.sleep(t.For)
-		p.c.Catalogue.With(func(st *catalogued.Store, _ time.Duration) { st.Lag(p.s.Catalogue.Lag) })
-	case script.ListOutage:
+		p.c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) { st.Lag(p.s.Catalogue.Lag) })
+	case scenario.ListOutage:
 		p.c.Catalogue.Outage(true)
 		p.sleep(t.For)
 		p.c.Catalogue.Outage(false)
-	case script.ListFrozen:
-		p.c.Catalogue.With(func(st *catalogued.Store, now time.Duration) { st.Freeze(now, true) })
+	case scenario.ListFrozen:
+		p.c.Catalogue.With(func(st *consulemulator.Store, now time.Duration) { st.Freeze(now, true) })
 		p.sleep(t.For)
-		p.c.Catalogue.With(func(st *catalogued.Store, now time.Duration) { st.Freeze(now, false) })
-	case script.Shrink:
+		p.c.Catalogue.With(func(st *consulemulator.Store, now time.Duration) { st.Freeze(now, false) })
+	case scenario.Shrink:
 		for _, h := range hosts {
 			p.drain(h, true)
 			p.sleep(t.For / time.Duration(len(hosts)))
 			h.Kill()
 		}
-	case script.Deploy:
+	case scenario.Deploy:
 		for _, h := range hosts {
 			p.drain(h, rng.IntN(2) == 0)
 			p.sleep(t.Delay)
 			h.Kill()
 			p.sleep(t.Delay / 2)
-			p.c.Catalogue.With(func(st *catalogued.Store, now time.Duration) { st.Maintain(now, h.Name(), false) })
-			p.revive([]*scene.Host{h})
+			p.c.Catalogue.With(func(st *consulemulator.Store, now time.Duration) { st.Maintain(now, h.Name(), false) })
+			p.revive([]*testcluster.Host{h})
 		}
-	case script.HotKey, script.Ageing:
+	case scenario.HotKey, scenario.Ageing:
 		steps := 1
-		if t.Kind == script.Ageing {
+		if t.Kind == scenario.Ageing {
 			steps = 4
 		}
 		for i := range steps {
 			factor := 1 + (t.Factor-1)*float64(i+1)/float64(steps)
-			with(func(h *standin.Host, now time.Duration) { h.Slow(now, t.For, factor) })
+			with(func(h *hostmodel.Host, now time.Duration) { h.Slow(now, t.For, factor) })
 			p.sleep(t.For / time.Duration(steps))
 		}
-		if t.Kind == script.Ageing {
+		if t.Kind == scenario.Ageing {
 			for _, h := range hosts {
 				h.Kill()
 			}
 			p.sleep(t.Every)
 			p.revive(hosts)
 		}
-	case script.ZoneLoss:
+	case scenario.ZoneLoss:
 		t.Hosts = 1
 		hosts = p.victims(&t, rng)
 		var placers []int
@@ -140,7 +140,7 @@
 		p.sleep(t.For)
 		p.revive(hosts)
 		p.startPlacers(placers)
-	case script.MassRestart:
+	case scenario.MassRestart:
 		t.Hosts = 1
 		if t.Rack == "" {
 			t.Rack = t.Zone + "-r0"
@@ -151,26 +151,26 @@
 		}
 		p.sleep(t.For)
 		p.revive(hosts)
-	case script.Burst:
+	case scenario.Burst:
 		p.burst.Store(uint64(1000 * t.Factor))
 		p.sleep(t.For)
 		p.burst.Store(1000)
-	case script.Reconnect:
+	case scenario.Reconnect:
 		p.reconnect(&t, rng)
-	case script.ClassFail:
-		with(func(h *standin.Host, now time.Duration) { h.Mute(now, t.For, t.Class) })
-	case script.Refuse:
-		with(func(h *standin.Host, now time.Duration) { h.Refuse(now, t.For, t.Class) })
-	case script.DieMidStart, script.DieAfterBind:
-		at := standin.MidStart
-		if t.Kind == script.DieAfterBind {
-			at = standin.AfterBind
+	case scenario.ClassFail:
+		with(func(h *hostmodel.Host, now time.Duration) { h.Mute(now, t.For, t.Class) })
+	case scenario.Refuse:
+		with(func(h *hostmodel.Host, now time.Duration) { h.Refuse(now, t.For, t.Class) })
+	case scenario.DieMidStart, scenario.DieAfterBind:
+		at := hostmodel.MidStart
+		if t.Kind == scenario.DieAfterBind {
+			at = hostmodel.AfterBind
 		}
-		with(func(h *standin.Host, _ time.Duration) { h.DieAt(at) })
+		with(func(h *hostmodel.Host, _ time.Duration) { h.DieAt(at) })
 		p.sleep(t.For)
-		with(func(h *standin.Host, _ time.Duration) { h.DieAt(standin.Nowhere) })
+		with(func(h *hostmodel.Host, _ time.Duration) { h.DieAt(hostmodel.Nowhere) })
 		p.revive(hosts)
-	case script.PlacerStall:
+	case scenario.PlacerStall:
 		p.repeat(&t, func() {
 			for i := range p.c.Placers() {
 				if pl := p.c.Placer(i); pl != nil && (t.Placer < 0 || t.Placer == i) {
@@ -178,28 +178,28 @@
 				}
 			}
 		})
-	case script.PlacerKill:
+	case scenario.PlacerKill:
 		i := max(t.Placer, 0)
 		p.c.KillPlacer(i)
 		p.sleep(t.For)
 		p.startPlacers([]int{i})
-	case script.Cut:
+	case scenario.Cut:
 		p.repeat(&t, func() {
 			for _, h := range hosts {
 				h.Cut(t.Placer, false)
 			}
 		})
-	case script.HalfOpen:
+	case scenario.HalfOpen:
 		for _, h := range hosts {
 			h.Cut(t.Placer, true)
 		}
-	case script.Tear:
+	case scenario.Tear:
 		p.repeat(&t, func() {
 			for _, h := range hosts {
 				h.Tear()
 			}
 		})
-	case script.LateFrames:
+	case scenario.LateFrames:
 		for _, h := range hosts {
 			h.Late(t.Delay)
 		}
@@ -207,15 +207,15 @@
 		for _, h := range hosts {
 			h.Late(0)
 		}
-	case script.TellLoss:
+	case scenario.TellLoss:
 		p.c.Loss.Store(uint64(1000 * min(t.Factor, 1)))
 		p.sleep(t.For)
 		p.c.Loss.Store(0)
-	case script.ClientCut:
+	case scenario.ClientCut:
 		p.cut.Store(true)
 		p.sleep(t.For)
 		p.cut.Store(false)
-	case script.SlowReader:
+	case scenario.SlowReader:
 		p.slow.Store(true)
 		p.sleep(t.For)
 		p.slow.Store(false)
@@ -223,9 +223,11 @@
 }
 
 // drain makes a host drain by its own word and by the catalogue's.
-func (p *player) drain(h *scene.Host, sendAway bool) {
-	p.c.Catalogue.With(func(st *catalogued.Store, now time.Duration) { st.Maintain(now, h.Name(), true) })
-	h.With(func(host *standin.Host, now time.Duration) []standin.Output { return host.Drain(now, true, sendAway) })
+func (p *player) drain(h *testcluster.Host, sendAway bool) {
+	p.c.Catalogue.With(func(st *consulemulator.Store, now time.Duration) { st.Maintain(now, h.Name(), true) })
+	h.With(func(host *hostmodel.Host, now time.Duration) []hostmodel.Output {
+		return host.Drain(now, true, sendAway)
+	})
 }
 
 func (p *player) startPlacers(which []int) {
@@ -237,7 +239,7 @@
 }
 
 // reconnect lets owners end some of the projects that live and ask for all of each again.
-func (p *player) reconnect(t *script.Trouble, rng *rand.Rand) {
+func (p *player) reconnect(t *scenario.Trouble, rng *rand.Rand) {
 	p.live.Lock()
 	var names []string
 	for name := range p.live.v {
--- a/internal/proving/page/page.go
+++ b/internal/verify/doccheck/page.go
@@ -1,5 +1,5 @@
-// Package page holds the pages under docs against the code, in tests.
-package page
+// Package doccheck holds the pages under docs against the code, in tests.
+package doccheck
 
 import (
 	"os"
--- a/internal/proving/explore/actions.go
+++ b/internal/verify/modelcheck/actions.go
@@ -1,11 +1,11 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
 
-	"forkhead/internal/placing/attempt"
-	"forkhead/internal/placing/hostlink"
-	"forkhead/internal/placing/hostside"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/hostconn"
+	"forkhead/internal/scheduler/hostsession"
 )
 
 // actions lists what may happen in a state, in a fixed order.
@@ -21,7 +21,7 @@
 		h := &s.hosts[hi]
 		m.network(s, hi, add)
 		m.hostActions(s, hi, add)
-		if hostlink.State(h.link) == hostlink.Down && h.up == 1 && h.streams[1].num == 0 {
+		if hostconn.State(h.link) == hostconn.Down && h.up == 1 && h.streams[1].num == 0 {
 			add(true, func(st *step) { st.dial(hi) }, "placer connects to host %d", hi)
 		}
 		if h.drains == 1 && h.told == 0 {
@@ -75,7 +75,7 @@
 				num := q.num
 				q.pOpen = 0
 				q.settle()
-				x.link(hi, hostlink.Input{Kind: hostlink.Broke, Conn: uint32(num)})
+				x.link(hi, hostconn.Input{Kind: hostconn.Broke, Conn: uint32(num)})
 			}, "placer sees the connection to host %d end", hi)
 		}
 		if st.hOpen == 1 && (st.pOpen == 0 || st.dead == 1) {
@@ -114,23 +114,23 @@
 	for ti := range m.cfg.Tasks {
 		for ai := range mostAttempts {
 			switch h.job(ti, ai) {
-			case hostside.InLine:
+			case hostsession.InLine:
 				copyStands := false
 				for other := range mostAttempts {
 					copyStands = copyStands || other != ai && h.job(ti, other).Holds()
 				}
 				if !copyStands && h.drains == 0 {
 					add(true, func(st *step) {
-						st.side(hi, ti, ai, hostside.Accept)
+						st.side(hi, ti, ai, hostsession.Accept)
 						st.checkStart(ti, ai)
 					}, "host %d accepts task %d", hi, ti)
 				}
-				add(true, func(st *step) { st.side(hi, ti, ai, hostside.Decline) }, "host %d refuses task %d", hi, ti)
-			case hostside.Starting:
-				add(true, func(st *step) { st.side(hi, ti, ai, hostside.Start) }, "task %d runs on host %d", ti, hi)
-			case hostside.Running:
+				add(true, func(st *step) { st.side(hi, ti, ai, hostsession.Decline) }, "host %d refuses task %d", hi, ti)
+			case hostsession.Starting:
+				add(true, func(st *step) { st.side(hi, ti, ai, hostsession.Start) }, "task %d runs on host %d", ti, hi)
+			case hostsession.Running:
 				if m.cfg.Ends {
-					add(false, func(st *step) { st.side(hi, ti, ai, hostside.Finish) }, "task %d ends on host %d", ti, hi)
+					add(false, func(st *step) { st.side(hi, ti, ai, hostsession.Finish) }, "task %d ends on host %d", ti, hi)
 				}
 			}
 		}
@@ -230,7 +230,7 @@
 			if st.drained(h) || m.m.mayOffer(&ask, t.now(), attempt.Host(hi)) != nil || st.crowded(hi, -1, -1) {
 				continue
 			}
-			if l := hostlink.State(h.link); l == hostlink.Down {
+			if l := hostconn.State(h.link); l == hostconn.Down {
 				continue // no connection: the attempt is over before it began
 			}
 			add(false, func(x *step) {
@@ -292,7 +292,7 @@
 	s.faults++
 	for hi := range st.cfg.Hosts {
 		h := &s.hosts[hi]
-		h.link, h.conn, h.known, h.ready = uint8(hostlink.Down), 0, 0, 0
+		h.link, h.conn, h.known, h.ready = uint8(hostconn.Down), 0, 0, 0
 		if h.told > 0 {
 			h.told = 0
 		}
--- a/internal/proving/explore/explore_test.go
+++ b/internal/verify/modelcheck/explore_test.go
@@ -1,7 +1,7 @@
-package explore
+package modelcheck
 
 import (
-	"forkhead/internal/proving/page"
+	"forkhead/internal/verify/doccheck"
 	"strings"
 	"testing"
 
@@ -92,10 +92,10 @@
 // The page says what is searched for in the words of the code.
 func TestPropertiesOnPage(t *testing.T) {
 	for _, p := range Properties {
-		page.Holds(t, "docs/design/attempts.md", "| "+p.Name+" | "+p.Text+" |")
+		doccheck.Holds(t, "docs/design/attempts.md", "| "+p.Name+" | "+p.Text+" |")
 	}
 	for _, p := range Plants {
-		page.Holds(t, "docs/design/attempts.md", "`"+p.Name+"`")
+		doccheck.Holds(t, "docs/design/attempts.md", "`"+p.Name+"`")
 	}
 }
 
--- a/internal/proving/explore/machines.go
+++ b/internal/verify/modelcheck/machines.go
@@ -1,13 +1,13 @@
-package explore
+package modelcheck
 
 import (
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/attempt"
-	"forkhead/internal/placing/guard"
-	"forkhead/internal/placing/hostlink"
-	"forkhead/internal/placing/hostside"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/hostconn"
+	"forkhead/internal/scheduler/hostsession"
+	"forkhead/internal/scheduler/invariant"
 )
 
 // machines are the functions that the daemon runs. A plant replaces one of them, or one step of
@@ -17,9 +17,9 @@
 	mayOffer  func(a *attempt.Ask, now time.Duration, to attempt.Host) error
 	mayWrite  func(a *attempt.Ask, now time.Duration, number int) error
 	mayAnswer func(a *attempt.Ask, refuse bool) error
-	link      func(l *hostlink.Link, in hostlink.Input) hostlink.Output
-	side      func(hostside.State, hostside.Input) (hostside.State, hostside.Reply)
-	greet     func(last hostside.Session, epoch uint64, conn uint32) hostside.Verdict
+	link      func(l *hostconn.Link, in hostconn.Input) hostconn.Output
+	side      func(hostsession.State, hostsession.Input) (hostsession.State, hostsession.Reply)
+	greet     func(last hostsession.Session, epoch uint64, conn uint32) hostsession.Verdict
 	drained   func(now time.Duration, s forkhead.MachineState, since, grace time.Duration) bool
 	refusal   func(attempt.Phase) attempt.Input
 	adopts    func(wanted, out bool) bool
@@ -39,7 +39,7 @@
 
 func same(forkhead.Domain, attempt.Host, attempt.Host) bool { return true }
 
-var linkPolicy = hostlink.Policy{Connect: time.Second, First: time.Second, Most: time.Second}
+var linkPolicy = hostconn.Policy{Connect: time.Second, First: time.Second, Most: time.Second}
 
 func real() machines {
 	return machines{
@@ -47,10 +47,10 @@
 		mayOffer:  func(a *attempt.Ask, now time.Duration, to attempt.Host) error { return a.MayOffer(now, to, same) },
 		mayWrite:  (*attempt.Ask).MayWrite,
 		mayAnswer: func(a *attempt.Ask, refuse bool) error { return a.MayAnswer(refuse) },
-		link:      func(l *hostlink.Link, in hostlink.Input) hostlink.Output { return l.On(in, linkPolicy, 0.5) },
-		side:      hostside.Next,
-		greet:     hostside.Greet,
-		drained:   guard.Drained,
+		link:      func(l *hostconn.Link, in hostconn.Input) hostconn.Output { return l.On(in, linkPolicy, 0.5) },
+		side:      hostsession.Next,
+		greet:     hostsession.Greet,
+		drained:   invariant.Drained,
 		refusal:   attempt.Refusal,
 		adopts:    attempt.Adopts,
 		waits:     (*attempt.Rules).Waits,
@@ -128,11 +128,11 @@
 		func(m *machines) { m.crowdNot = true }, 1},
 	{"keeps-line", "a host keeps offers in line whose connection ended, and says that it never saw them", "no-repeat", forkhead.Unsafe, 1, func(m *machines) {
 		m.keepsLine = true
-		m.side = func(s hostside.State, in hostside.Input) (hostside.State, hostside.Reply) {
-			if s == hostside.InLine && in == hostside.Query {
-				return s, hostside.SayRefused
+		m.side = func(s hostsession.State, in hostsession.Input) (hostsession.State, hostsession.Reply) {
+			if s == hostsession.InLine && in == hostsession.Query {
+				return s, hostsession.SayRefused
 			}
-			return hostside.Next(s, in)
+			return hostsession.Next(s, in)
 		}
 	}, 0},
 	{"old-connection", "a host goes on reading an older connection beside the present one", "no-repeat", forkhead.Unsafe, 1,
--- a/internal/proving/explore/replay.go
+++ b/internal/verify/modelcheck/replay.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/core"
-	"forkhead/internal/placing/hostside"
-	"forkhead/internal/placing/ids"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/parse/settings"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/reading/description"
-	"forkhead/internal/reading/settings"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/scheduler/hostsession"
+	"forkhead/internal/scheduler/ids"
 )
 
 // Replayed is what the placer's real core made of a trace.
@@ -59,7 +59,7 @@
 	dialled uint32 // a connection that the core wants made; 0: none
 	streams []*rStream
 	session *rStream
-	last    hostside.Session
+	last    hostsession.Session
 	jobs    map[hostproto.Ref]*rJob
 }
 
@@ -74,7 +74,7 @@
 }
 
 type rJob struct {
-	state hostside.State
+	state hostsession.State
 	task  int
 	spec  hostproto.Spec
 }
@@ -143,7 +143,7 @@
 		}
 		if a, ok := ev.(forkhead.PlacementRequest); ok {
 			for i := range r.tasks {
-				if a.Task.Service == description.ServiceKey("", project(i), "s") {
+				if a.Task.Service == servicespec.ServiceKey("", project(i), "s") {
 					r.tasks[i].ask = a.Task.ID
 				}
 			}
@@ -185,7 +185,7 @@
 			if f, ok := o.Frame.(hostproto.Offer); ok {
 				r.out.Offers++
 				for i := range r.tasks {
-					if f.Spec.Service == description.ServiceKey("", project(i), "s") {
+					if f.Spec.Service == servicespec.ServiceKey("", project(i), "s") {
 						r.tasks[i].made[f.Ref] = true
 					}
 				}
@@ -298,7 +298,7 @@
 		}
 	case scan("host %d dies", &hi):
 		h := r.hosts[hi]
-		h.up, h.drains, h.session, h.last = false, false, nil, hostside.Session{}
+		h.up, h.drains, h.session, h.last = false, false, nil, hostsession.Session{}
 		h.jobs = map[hostproto.Ref]*rJob{}
 		for _, s := range h.streams {
 			s.hOpen = false
@@ -313,13 +313,13 @@
 	case scan("grace of host %d is over", &hi):
 		r.advance(r.set.Module.DrainGrace + time.Millisecond)
 	case scan("host %d accepts task %d", &hi, &ti):
-		return r.work(hi, ti, hostside.InLine, hostside.Accept)
+		return r.work(hi, ti, hostsession.InLine, hostsession.Accept)
 	case scan("host %d refuses task %d", &hi, &ti):
-		return r.work(hi, ti, hostside.InLine, hostside.Decline)
+		return r.work(hi, ti, hostsession.InLine, hostsession.Decline)
 	case scan("task %d runs on host %d", &ti, &hi):
-		return r.work(hi, ti, hostside.Starting, hostside.Start)
+		return r.work(hi, ti, hostsession.Starting, hostsession.Start)
 	case scan("task %d ends on host %d", &ti, &hi):
-		return r.work(hi, ti, hostside.Running, hostside.Finish)
+		return r.work(hi, ti, hostsession.Running, hostsession.Finish)
 	case scan("task %d on host %d counts as lost", &ti, &hi):
 		r.advance(r.set.Links.LostAfter + time.Second)
 	case scan("hosts forget the key of task %d", &ti):
@@ -381,8 +381,8 @@
 	if !t.asked {
 		t.asked = true
 		class := [...]string{"safe", "keyed", "unsafe"}[r.cfg.Effect]
-		r.feed(core.Submit{Request: 1, Key: fmt.Sprintf("%d-%d", r.life, ti), Body: 1, What: &description.Description{
-			Name: project(ti), Services: []description.Service{{Name: "s", Class: class, Replicas: 1, Cores: 1, Memory: 1}},
+		r.feed(core.Submit{Request: 1, Key: fmt.Sprintf("%d-%d", r.life, ti), Body: 1, What: &servicespec.Description{
+			Name: project(ti), Services: []servicespec.Service{{Name: "s", Class: class, Replicas: 1, Cores: 1, Memory: 1}},
 		}})
 	}
 	if t.ask == before {
@@ -434,16 +434,16 @@
 func (r *replayer) endSession(h *rHost) {
 	h.session, h.last.Open = nil, false
 	for _, j := range h.jobs {
-		j.state, _ = hostside.Next(j.state, hostside.Lost)
+		j.state, _ = hostsession.Next(j.state, hostsession.Lost)
 	}
 }
 
 // work is something that a host does with the first attempt of a task that is in a state.
-func (r *replayer) work(hi, ti int, in hostside.State, what hostside.Input) error {
+func (r *replayer) work(hi, ti int, in hostsession.State, what hostsession.Input) error {
 	h := r.hosts[hi]
 	for ref, j := range h.jobs {
 		if j.task == ti && j.state == in {
-			if what == hostside.Accept {
+			if what == hostsession.Accept {
 				r.out.Starts++
 			}
 			r.side(h, ref, what)
@@ -453,24 +453,24 @@
 	return fmt.Errorf("%s has no attempt of task %d that is %v", h.name, ti, in)
 }
 
-func (r *replayer) side(h *rHost, ref hostproto.Ref, in hostside.Input) {
+func (r *replayer) side(h *rHost, ref hostproto.Ref, in hostsession.Input) {
 	j := h.jobs[ref]
 	if j == nil {
 		j = &rJob{}
-		if in == hostside.Offer {
+		if in == hostsession.Offer {
 			h.jobs[ref] = j
 		}
 	}
-	to, say := hostside.Next(j.state, in)
+	to, say := hostsession.Next(j.state, in)
 	j.state = to
 	switch say {
-	case hostside.SayRefused:
+	case hostsession.SayRefused:
 		r.say(h, hostproto.Refused{Ref: ref, Reason: hostproto.NotHere})
-	case hostside.SayRunning:
+	case hostsession.SayRunning:
 		r.say(h, hostproto.Running{Ref: ref})
-	case hostside.SayEnded:
+	case hostsession.SayEnded:
 		r.say(h, hostproto.Ended{Ref: ref, Result: hostproto.Stopped})
-	case hostside.SayCalled:
+	case hostsession.SayCalled:
 		r.say(h, hostproto.Ended{Ref: ref, Result: hostproto.Called})
 	}
 }
@@ -487,20 +487,20 @@
 		case hostproto.Hello:
 			r.greet(h, s, f)
 		case hostproto.Offer:
-			r.side(h, f.Ref, hostside.Offer)
+			r.side(h, f.Ref, hostsession.Offer)
 			h.jobs[f.Ref].spec = f.Spec
 			for i := range r.tasks {
-				if f.Spec.Service == description.ServiceKey("", project(i), "s") {
+				if f.Spec.Service == servicespec.ServiceKey("", project(i), "s") {
 					h.jobs[f.Ref].task = i
 				}
 			}
 		case hostproto.Withdraw:
-			r.side(h, f.Ref, hostside.Withdraw)
+			r.side(h, f.Ref, hostsession.Withdraw)
 		case hostproto.Stop:
-			r.side(h, f.Ref, hostside.Stop)
+			r.side(h, f.Ref, hostsession.Stop)
 		case hostproto.Query:
 			for _, ref := range f.Refs {
-				r.side(h, ref, hostside.Query)
+				r.side(h, ref, hostsession.Query)
 			}
 		}
 		return nil
@@ -509,7 +509,7 @@
 }
 
 func (r *replayer) greet(h *rHost, s *rStream, f hostproto.Hello) {
-	if hostside.Greet(h.last, f.Epoch, f.Conn) == hostside.TooOld {
+	if hostsession.Greet(h.last, f.Epoch, f.Conn) == hostsession.TooOld {
 		s.hOpen = false
 		return
 	}
@@ -517,12 +517,12 @@
 		h.session.hOpen = false
 		r.endSession(h)
 	}
-	h.session, h.last = s, hostside.Session{Epoch: f.Epoch, Conn: f.Conn, Open: true}
+	h.session, h.last = s, hostsession.Session{Epoch: f.Epoch, Conn: f.Conn, Open: true}
 	var held []hostproto.Held
 	for ref, j := range h.jobs {
 		if j.state.Holds() {
 			phase := hostproto.Starting
-			if j.state == hostside.Running {
+			if j.state == hostsession.Running {
 				phase = hostproto.Runs
 			}
 			held = append(held, hostproto.Held{Ref: ref, Phase: phase, Spec: j.spec})
--- a/internal/proving/explore/search.go
+++ b/internal/verify/modelcheck/search.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"forkhead"
-	"forkhead/internal/placing/attempt"
-	"forkhead/internal/placing/hostlink"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/hostconn"
 )
 
 // Config bounds a search.
@@ -136,7 +136,7 @@
 	var s state
 	for hi := range cfg.Hosts {
 		h := &s.hosts[hi]
-		h.up, h.epoch, h.known, h.conn, h.ready, h.link = 1, 1, 1, 1, 1, uint8(hostlink.Up)
+		h.up, h.epoch, h.known, h.conn, h.ready, h.link = 1, 1, 1, 1, 1, uint8(hostconn.Up)
 		h.sConn, h.sOpen = 1, 1
 		h.streams[0] = stream{num: 1, pOpen: 1, hOpen: 1}
 	}
--- a/internal/proving/explore/state.go
+++ b/internal/verify/modelcheck/state.go
@@ -1,14 +1,14 @@
-// Package explore searches all states of a small service: the machines that the placer and the
+// Package modelcheck searches all states of a small service: the machines that the placer and the
 // hosts run on (attempt, hostlink, hostside and the guard's drain rule), composed with a network that
 // loses, delays and cuts, hosts that die and come back, a placer that crashes, drains, and timers
 // that may fire at any time. In the module's place stands every legal action at any moment.
-package explore
+package modelcheck
 
 import (
 	"unsafe"
 
-	"forkhead/internal/placing/attempt"
-	"forkhead/internal/placing/hostside"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/hostsession"
 )
 
 // Bounds of the arrays.
@@ -184,7 +184,7 @@
 	return nil
 }
 
-func (h *host) job(t, a int) hostside.State { return hostside.State(h.jobs[t][a]) }
+func (h *host) job(t, a int) hostsession.State { return hostsession.State(h.jobs[t][a]) }
 
 func (a *att) is() attempt.Phase { return attempt.Phase(a.phase) }
 
--- a/internal/proving/explore/steps.go
+++ b/internal/verify/modelcheck/steps.go
@@ -1,13 +1,13 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/attempt"
-	"forkhead/internal/placing/hostlink"
-	"forkhead/internal/placing/hostside"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/hostconn"
+	"forkhead/internal/scheduler/hostsession"
 )
 
 // model is one search's configuration.
@@ -153,7 +153,7 @@
 	t.told = what
 }
 
-func (st *step) usable(h *host) bool { return hostlink.State(h.link) == hostlink.Up && h.ready == 1 }
+func (st *step) usable(h *host) bool { return hostconn.State(h.link) == hostconn.Up && h.ready == 1 }
 
 func (st *step) send(h *host, m message) {
 	if s := h.stream(h.conn, st.s.life); s != nil && s.pOpen == 1 && !s.toHost(m) {
@@ -168,9 +168,9 @@
 }
 
 // link takes an input to a host's link.
-func (st *step) link(hi int, in hostlink.Input) {
+func (st *step) link(hi int, in hostconn.Input) {
 	h := &st.s.hosts[hi]
-	l := hostlink.Link{State: hostlink.State(h.link), Listed: true, Address: "a", Conn: uint32(h.conn), Epoch: uint64(h.known)}
+	l := hostconn.Link{State: hostconn.State(h.link), Listed: true, Address: "a", Conn: uint32(h.conn), Epoch: uint64(h.known)}
 	in.Address = "a"
 	out := st.m.link(&l, in)
 	h.link, h.conn, h.known = uint8(l.State), uint8(l.Conn), uint8(l.Epoch)
@@ -204,8 +204,8 @@
 // dial makes a connection and greets, in one step: one that fails to be made is one that breaks
 // before anything is read.
 func (st *step) dial(hi int) {
-	st.link(hi, hostlink.Input{Kind: hostlink.Retry})
-	st.link(hi, hostlink.Input{Kind: hostlink.Dialled, Conn: uint32(st.s.hosts[hi].conn)})
+	st.link(hi, hostconn.Input{Kind: hostconn.Retry})
+	st.link(hi, hostconn.Input{Kind: hostconn.Dialled, Conn: uint32(st.s.hosts[hi].conn)})
 }
 
 func (st *step) closePlacer(h *host, num uint8) {
@@ -276,8 +276,8 @@
 func (st *step) frame(hi int, m message) {
 	h := &st.s.hosts[hi]
 	if m.kind == mWelcome {
-		st.link(hi, hostlink.Input{Kind: hostlink.Welcomed, Conn: uint32(h.conn), Epoch: uint64(m.at)})
-		if hostlink.State(h.link) == hostlink.Up {
+		st.link(hi, hostconn.Input{Kind: hostconn.Welcomed, Conn: uint32(h.conn), Epoch: uint64(m.at)})
+		if hostconn.State(h.link) == hostconn.Up {
 			st.holds(hi, m)
 		}
 		return
@@ -350,7 +350,7 @@
 
 // ---- The host.
 
-func (st *step) side(hi, ti, ai int, in hostside.Input) {
+func (st *step) side(hi, ti, ai int, in hostsession.Input) {
 	h := &st.s.hosts[hi]
 	to, say := st.m.side(h.job(ti, ai), in)
 	h.jobs[ti][ai] = uint8(to)
@@ -370,7 +370,7 @@
 	}
 	for ti := range st.cfg.Tasks {
 		for ai := range mostAttempts {
-			to, _ := st.m.side(h.job(ti, ai), hostside.Lost)
+			to, _ := st.m.side(h.job(ti, ai), hostsession.Lost)
 			h.jobs[ti][ai] = uint8(to)
 		}
 	}
@@ -380,8 +380,8 @@
 func (st *step) hear(hi int, s *stream, m message) {
 	h := &st.s.hosts[hi]
 	if m.kind == mHello {
-		last := hostside.Session{Epoch: uint64(h.sLife), Conn: uint32(h.sConn), Open: h.sOpen == 1}
-		if st.m.greet(last, uint64(s.life), uint32(s.num)) == hostside.TooOld {
+		last := hostsession.Session{Epoch: uint64(h.sLife), Conn: uint32(h.sConn), Open: h.sOpen == 1}
+		if st.m.greet(last, uint64(s.life), uint32(s.num)) == hostsession.TooOld {
 			s.hOpen = 0
 			return
 		}
@@ -408,13 +408,13 @@
 	ti, ai := m.task()
 	switch m.kind {
 	case mOffer:
-		st.side(hi, ti, ai, hostside.Offer)
+		st.side(hi, ti, ai, hostsession.Offer)
 	case mWithdraw:
-		st.side(hi, ti, ai, hostside.Withdraw)
+		st.side(hi, ti, ai, hostsession.Withdraw)
 	case mStop:
-		st.side(hi, ti, ai, hostside.Stop)
+		st.side(hi, ti, ai, hostsession.Stop)
 	case mQuery:
-		st.side(hi, ti, ai, hostside.Query)
+		st.side(hi, ti, ai, hostsession.Query)
 	}
 }
 
@@ -426,9 +426,9 @@
 	at := &st.s.tasks[ti].att[ai]
 	h := &st.s.hosts[at.host]
 	switch h.job(ti, ai) {
-	case hostside.InLine, hostside.Starting, hostside.Running:
+	case hostsession.InLine, hostsession.Starting, hostsession.Running:
 		return h.up == 1
-	case hostside.Ended:
+	case hostsession.Ended:
 		// What has ended in an earlier life of the placer is its client's to judge, by the terms.
 		return h.up == 1 && at.mine(st.s.life)
 	}
--- a/internal/proving/nodelives/ends.go
+++ b/internal/verify/platformsim/ends.go
@@ -1,4 +1,4 @@
-package nodelives
+package platformsim
 
 import (
 	"bytes"
@@ -8,8 +8,8 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/node"
 	"forkhead/internal/protocol/platform"
+	platformcore "forkhead/internal/scheduler/platform"
 )
 
 // ask is one set-up of an owner.
@@ -69,7 +69,7 @@
 func (o *owner) send(line string) {
 	o.p.in(o.life, &o.busy, func() {
 		if o.open {
-			o.p.step(node.OwnerData{Owner: o.id, Data: []byte(line)})
+			o.p.step(platformcore.OwnerData{Owner: o.id, Data: []byte(line)})
 		}
 	})
 }
@@ -84,7 +84,7 @@
 					o.p.w.report.GaveUp++
 				}
 			}
-			o.p.step(node.OwnerGone{Owner: o.id})
+			o.p.step(platformcore.OwnerGone{Owner: o.id})
 		}
 	})
 }
@@ -94,7 +94,7 @@
 	w      *world
 	n      int
 	life   int
-	core   *node.Core
+	core   *platformcore.Core
 	wake   time.Duration
 	owners map[uint64]*owner
 	links  map[uint64]*conn
@@ -138,7 +138,7 @@
 	set := p.w.Settings
 	set.Placers, set.Self = p.w.Placers, p.n
 	room := max(p.w.Room, 8)
-	core, err := node.New(node.Config{
+	core, err := platformcore.New(platformcore.Config{
 		Settings: set, Names: p.w.Names, Idle: p.w.Idle, Seed: p.w.Seed + uint64(p.life), Known: slices.Clone(p.w.events),
 		Owners: room * 2 / 3, Kept: room / 3, Links: room - room/3, Room: room,
 	})
@@ -220,7 +220,7 @@
 	}
 	o := &owner{p: p, id: uint64(len(p.owners)) + 100*uint64(p.life) + 1000*id, life: p.life, open: true}
 	p.owners[id], p.owners[o.id] = o, o
-	p.in(p.life, &o.busy, func() { p.step(node.Accepted{Owner: o.id}) })
+	p.in(p.life, &o.busy, func() { p.step(platformcore.Accepted{Owner: o.id}) })
 	return o
 }
 
@@ -240,7 +240,7 @@
 			return
 		}
 		p.note(ch)
-		p.step(node.Changed{Change: ch})
+		p.step(platformcore.Changed{Change: ch})
 	})
 }
 
@@ -262,7 +262,7 @@
 	}
 }
 
-func (p *placer) step(in ...node.Input) {
+func (p *placer) step(in ...platformcore.Input) {
 	if p.core == nil {
 		return
 	}
@@ -286,12 +286,12 @@
 	})
 }
 
-func (p *placer) carry(o node.Output) {
+func (p *placer) carry(o platformcore.Output) {
 	w := p.w
 	switch o := o.(type) {
-	case node.Dial:
+	case platformcore.Dial:
 		p.dial(o)
-	case node.ToHost:
+	case platformcore.ToHost:
 		if c := p.links[o.Link]; c != nil {
 			m, err := platform.Decode(bytes.TrimSuffix(o.Line, []byte("\n")))
 			if err != nil {
@@ -305,17 +305,17 @@
 			}
 			c.toHost(m)
 		}
-	case node.CloseLink:
+	case platformcore.CloseLink:
 		if c := p.links[o.Link]; c != nil {
 			c.lost()
 		}
-	case node.FinishLink:
+	case platformcore.FinishLink:
 		if c := p.links[o.Link]; c != nil && c.made {
 			w.at(w.delay(), c.reset) // its host closes too, behind what it has said
 		}
-	case node.ToOwner:
+	case platformcore.ToOwner:
 		p.answered(o)
-	case node.CloseOwner:
+	case platformcore.CloseOwner:
 		for _, x := range p.owners {
 			if x.id == o.Owner {
 				x.open = false
@@ -326,13 +326,13 @@
 				}
 			}
 		}
-	case node.ToPlacer:
+	case platformcore.ToPlacer:
 		for _, other := range w.placers {
 			if other != p && (o.To == forkhead.AllPlacers || o.To == other.n) && !w.odds(5) {
-				w.at(w.delay(), func() { other.step(node.Datagram{From: p.n, Data: bytes.Clone(o.Data)}) })
+				w.at(w.delay(), func() { other.step(platformcore.Datagram{From: p.n, Data: bytes.Clone(o.Data)}) })
 			}
 		}
-	case node.Logged:
+	case platformcore.Logged:
 		if o.Defect {
 			w.breach("defect: %s", o.Text)
 		}
@@ -427,7 +427,7 @@
 }
 
 // answered judges what an owner is told.
-func (p *placer) answered(o node.ToOwner) {
+func (p *placer) answered(o platformcore.ToOwner) {
 	w := p.w
 	m, err := platform.Decode(bytes.TrimSuffix(o.Line, []byte("\n")))
 	if err != nil {
--- a/internal/proving/nodelives/hosts.go
+++ b/internal/verify/platformsim/hosts.go
@@ -1,12 +1,12 @@
-package nodelives
+package platformsim
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"forkhead/internal/placing/node"
 	"forkhead/internal/protocol/platform"
+	platformcore "forkhead/internal/scheduler/platform"
 )
 
 // host is one machine, life after life.
@@ -107,7 +107,7 @@
 	open      []*attempt
 }
 
-func (p *placer) dial(o node.Dial) {
+func (p *placer) dial(o platformcore.Dial) {
 	w := p.w
 	var h *host
 	for _, x := range w.hosts {
@@ -124,7 +124,7 @@
 		p.in(c.life, &c.back, func() {
 			if p.links[c.id] == c {
 				delete(p.links, c.id)
-				p.step(node.DialFailed{Link: c.id, Refused: refused, Ours: !refused && w.odds(4)})
+				p.step(platformcore.DialFailed{Link: c.id, Refused: refused, Ours: !refused && w.odds(4)})
 			}
 		})
 	}
@@ -145,11 +145,11 @@
 				}
 				if !h.up {
 					delete(p.links, c.id)
-					p.step(node.DialFailed{Link: c.id})
+					p.step(platformcore.DialFailed{Link: c.id})
 					return
 				}
 				c.made, c.at = true, h.life
-				p.step(node.Dialled{Link: c.id})
+				p.step(platformcore.Dialled{Link: c.id})
 				h.opened(c)
 			})
 		})
@@ -192,7 +192,7 @@
 	for _, t := range c.open {
 		t.over = t.over || !t.up
 	}
-	c.p.step(node.LinkGone{Link: c.id})
+	c.p.step(platformcore.LinkGone{Link: c.id})
 }
 
 // toHost carries a message to the host.
@@ -222,7 +222,7 @@
 		if read != nil {
 			read()
 		}
-		c.p.step(node.HostData{Link: c.id, Data: []byte(line)})
+		c.p.step(platformcore.HostData{Link: c.id, Data: []byte(line)})
 	})
 }
 
--- a/internal/proving/nodelives/orders.go
+++ b/internal/verify/platformsim/orders.go
@@ -1,4 +1,4 @@
-package nodelives
+package platformsim
 
 import (
 	"fmt"
@@ -6,15 +6,15 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/node"
 	"forkhead/internal/protocol/platform"
+	platformcore "forkhead/internal/scheduler/platform"
 )
 
 // Orders plays every order of so many events around one task of each class of the settings, with one placer and two hosts:
 // connections made, refused and ended, every word of a host on any attempt, late ones too, the owner's give-up and leaving, a
 // hand-over, a drain, a host's loss and the deadline. It returns how many orders it played and the first breaches, each with
 // its order.
-func Orders(set forkhead.Settings, names node.Names, depth int, spoil func() func(node.Output) []node.Output) (played int, breaches []string) {
+func Orders(set forkhead.Settings, names platformcore.Names, depth int, spoil func() func(platformcore.Output) []platformcore.Output) (played int, breaches []string) {
 	for class := range set.Classes {
 		var walk func(order []string)
 		walk = func(order []string) {
@@ -45,7 +45,7 @@
 
 const orderWait = 1500 * time.Millisecond
 
-func replay(set forkhead.Settings, names node.Names, class int, order []string, spoil func() func(node.Output) []node.Output) (*world, *ask) {
+func replay(set forkhead.Settings, names platformcore.Names, class int, order []string, spoil func() func(platformcore.Output) []platformcore.Output) (*world, *ask) {
 	w := newWorld(Life{Settings: set, Names: names, Placers: 1, Hosts: 2, Room: 40})
 	w.calm, w.manual = true, true
 	if spoil != nil {
@@ -58,8 +58,8 @@
 	p.owners[1] = o
 	a := &ask{ref: "00000000000000a1", p: p, life: p.life, class: class, service: 1, cores: 1, at: w.now, wait: orderWait, owner: o}
 	w.asks[a.ref] = a
-	p.step(node.Accepted{Owner: 1})
-	p.step(node.OwnerData{Owner: 1, Data: []byte(a.line(""))})
+	p.step(platformcore.Accepted{Owner: 1})
+	p.step(platformcore.OwnerData{Owner: 1, Data: []byte(a.line(""))})
 	for _, ev := range order {
 		w.happen(a, ev)
 	}
@@ -119,7 +119,7 @@
 		if cause == platform.NoCause {
 			kind = platform.Answer
 		}
-		p.step(node.HostData{Link: t.conn.id, Data: []byte(word(kind, a.ref, cause))})
+		p.step(platformcore.HostData{Link: t.conn.id, Data: []byte(word(kind, a.ref, cause))})
 	}
 	switch what {
 	case "wait":
@@ -129,20 +129,20 @@
 	case "owner-gone":
 		a.owner.open = false
 		a.left = a.left || a.answer == ""
-		p.step(node.OwnerGone{Owner: 1})
+		p.step(platformcore.OwnerGone{Owner: 1})
 	case "give-up":
 		a.leaving = true
-		p.step(node.OwnerData{Owner: 1, Data: []byte(word(platform.Release, a.ref, platform.CauseOK))})
+		p.step(platformcore.OwnerData{Owner: 1, Data: []byte(word(platform.Release, a.ref, platform.CauseOK))})
 		a.left = a.left || a.answer == ""
 	case "hand-over":
-		p.step(node.OwnerData{Owner: 1, Data: []byte(a.line(";at:" + a.standing().host.name()))})
+		p.step(platformcore.OwnerData{Owner: 1, Data: []byte(a.line(";at:" + a.standing().host.name()))})
 	case "made":
 		c := p.links[uint64(n)]
 		c.made = true
-		p.step(node.Dialled{Link: c.id})
+		p.step(platformcore.Dialled{Link: c.id})
 	case "refused":
 		delete(p.links, uint64(n))
-		p.step(node.DialFailed{Link: uint64(n), Refused: true})
+		p.step(platformcore.DialFailed{Link: uint64(n), Refused: true})
 	case "gone":
 		p.links[uint64(n)].ended()
 	case "up":
@@ -160,7 +160,7 @@
 		ch := platform.Change{Seq: uint64(len(w.events) + 1), Fleet: &platform.Fleet{Hosts: []platform.HostInfo{w.hosts[0].info(platform.Terminating)}}}
 		w.events = append(w.events, ch)
 		p.note(ch)
-		p.step(node.Changed{Change: ch})
+		p.step(platformcore.Changed{Change: ch})
 	}
 }
 
@@ -187,7 +187,7 @@
 		for _, c := range p.conns() {
 			if !c.made {
 				delete(p.links, c.id)
-				p.step(node.DialFailed{Link: c.id})
+				p.step(platformcore.DialFailed{Link: c.id})
 			}
 		}
 	}
--- a/internal/proving/nodelives/orders_test.go
+++ b/internal/verify/platformsim/orders_test.go
@@ -1,11 +1,11 @@
-package nodelives
+package platformsim
 
 import (
 	"bytes"
 	"strings"
 	"testing"
 
-	"forkhead/internal/placing/node"
+	platformcore "forkhead/internal/scheduler/platform"
 )
 
 // Every order of four events around one task of each class keeps the rules.
@@ -23,29 +23,29 @@
 
 // What is planted is found in a few events.
 func TestOrdersFindPlantedFaults(t *testing.T) {
-	once := func(o node.Output) bool {
-		x, ok := o.(node.ToHost)
+	once := func(o platformcore.Output) bool {
+		x, ok := o.(platformcore.ToHost)
 		return ok && bytes.Contains(x.Line, []byte(`"new"`))
 	}
-	final := func(o node.Output) bool {
-		x, ok := o.(node.ToOwner)
+	final := func(o platformcore.Output) bool {
+		x, ok := o.(platformcore.ToOwner)
 		return ok && bytes.Contains(x.Line, []byte(`"down"`))
 	}
 	l := one(1)
 	l.Settings.MaxAttempts = 2
 	for name, c := range map[string]struct {
-		which func(node.Output) bool
+		which func(platformcore.Output) bool
 		times int
 		want  string
 	}{
 		"an offer twice": {once, 2, "two attempts"}, "an answer never": {final, 0, "one answer"}, "an answer twice": {final, 2, "a second time"},
 	} {
-		_, breaches := Orders(l.Settings, l.Names, 2, func() func(node.Output) []node.Output {
-			return func(o node.Output) []node.Output {
+		_, breaches := Orders(l.Settings, l.Names, 2, func() func(platformcore.Output) []platformcore.Output {
+			return func(o platformcore.Output) []platformcore.Output {
 				if !c.which(o) {
-					return []node.Output{o}
+					return []platformcore.Output{o}
 				}
-				var all []node.Output
+				var all []platformcore.Output
 				for range c.times {
 					all = append(all, o)
 				}
--- a/internal/proving/nodelives/play.go
+++ b/internal/verify/platformsim/play.go
@@ -1,8 +1,8 @@
-// Package nodelives plays lives of pure cores of the platform's placer: several placers over a few hosts on a clock of its
+// Package platformsim plays lives of pure cores of the platform's placer: several placers over a few hosts on a clock of its
 // own, with connections that come late, break, fall silent and spoil what they carry, hosts that drain, die, come back cold
 // and are cut off, a list that is late, owners that give up, and placers that are killed. The five rules are judged by what
 // is written and delivered.
-package nodelives
+package platformsim
 
 import (
 	"fmt"
@@ -10,15 +10,15 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/agenda"
-	"forkhead/internal/placing/node"
 	"forkhead/internal/protocol/platform"
+	platformcore "forkhead/internal/scheduler/platform"
+	"forkhead/internal/scheduler/timerqueue"
 )
 
 // Life says what is played.
 type Life struct {
 	Settings forkhead.Settings // Placers and Self are filled in
-	Names    node.Names
+	Names    platformcore.Names
 	Idle     time.Duration
 	Placers  int
 	Hosts    int
@@ -27,7 +27,7 @@
 	Faults   float64 // how much goes wrong, from 0 to 1
 	Seed     uint64
 	// Spoil changes what a placer writes to hosts or owners, to see that the judge finds it; nil: nothing.
-	Spoil func(node.Output) []node.Output
+	Spoil func(platformcore.Output) []platformcore.Output
 }
 
 // Report is what a life came to.
@@ -50,7 +50,7 @@
 	Life
 	rng     *rand.Rand
 	now     time.Duration
-	todo    agenda.Agenda[func()]
+	todo    timerqueue.Agenda[func()]
 	hosts   []*host
 	placers []*placer
 	events  []platform.Change
--- a/internal/proving/nodelives/play_test.go
+++ b/internal/verify/platformsim/play_test.go
@@ -1,4 +1,4 @@
-package nodelives
+package platformsim
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"forkhead"
-	"forkhead/internal/placing/node"
+	platformcore "forkhead/internal/scheduler/platform"
 )
 
 // drawn is a life under settings drawn from what the platform's page allows.
@@ -91,7 +91,7 @@
 // one is a life with much going on.
 func one(seed uint64) Life {
 	l := Life{Placers: 3, Hosts: 6, Tasks: 150, Room: 100, Faults: 0.6, Seed: seed}
-	l.Names = node.Names{Zones: []string{"a", "b"}, Kinds: []string{"std"}, Classes: []string{"safe", "keyed", "unsafe"}}
+	l.Names = platformcore.Names{Zones: []string{"a", "b"}, Kinds: []string{"std"}, Classes: []string{"safe", "keyed", "unsafe"}}
 	l.Settings = forkhead.Settings{
 		MachineTypes: []forkhead.MachineType{{Cores: 16, Memory: 16}}, MeanCores: 1, MeanMemory: 1, CoresOvercommit: 1, MemoryOvercommit: 1, ListWatched: true,
 		Classes: []forkhead.Class{
@@ -128,44 +128,44 @@
 // The judge finds what is planted.
 func TestPlantedFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil func() func(node.Output) []node.Output
+		spoil func() func(platformcore.Output) []platformcore.Output
 		want  string
 	}{
-		"an answer twice": {func() func(node.Output) []node.Output {
-			return func(o node.Output) []node.Output {
-				if x, ok := o.(node.ToOwner); ok && bytes.Contains(x.Line, []byte(`"up"`)) {
-					return []node.Output{o, o}
+		"an answer twice": {func() func(platformcore.Output) []platformcore.Output {
+			return func(o platformcore.Output) []platformcore.Output {
+				if x, ok := o.(platformcore.ToOwner); ok && bytes.Contains(x.Line, []byte(`"up"`)) {
+					return []platformcore.Output{o, o}
 				}
-				return []node.Output{o}
+				return []platformcore.Output{o}
 			}
 		}, "a second time"},
-		"an answer never": {func() func(node.Output) []node.Output {
-			return func(o node.Output) []node.Output {
-				if x, ok := o.(node.ToOwner); ok && bytes.Contains(x.Line, []byte(`"down"`)) {
+		"an answer never": {func() func(platformcore.Output) []platformcore.Output {
+			return func(o platformcore.Output) []platformcore.Output {
+				if x, ok := o.(platformcore.ToOwner); ok && bytes.Contains(x.Line, []byte(`"down"`)) {
 					return nil
 				}
-				return []node.Output{o}
+				return []platformcore.Output{o}
 			}
 		}, "has none"},
-		"an offer twice": {func() func(node.Output) []node.Output {
-			return func(o node.Output) []node.Output {
-				if x, ok := o.(node.ToHost); ok && bytes.Contains(x.Line, []byte(`"new"`)) {
-					return []node.Output{o, o}
+		"an offer twice": {func() func(platformcore.Output) []platformcore.Output {
+			return func(o platformcore.Output) []platformcore.Output {
+				if x, ok := o.(platformcore.ToHost); ok && bytes.Contains(x.Line, []byte(`"new"`)) {
+					return []platformcore.Output{o, o}
 				}
-				return []node.Output{o}
+				return []platformcore.Output{o}
 			}
 		}, "two attempts"},
-		"a release kept": {func() func(node.Output) []node.Output {
+		"a release kept": {func() func(platformcore.Output) []platformcore.Output {
 			answered := map[string]bool{}
-			return func(o node.Output) []node.Output {
-				if x, ok := o.(node.ToOwner); ok {
+			return func(o platformcore.Output) []platformcore.Output {
+				if x, ok := o.(platformcore.ToOwner); ok {
 					ref := string(x.Line[bytes.Index(x.Line, []byte(`"ref"`)):][:24])
 					if answered[ref] && bytes.Contains(x.Line, []byte(`"down"`)) {
 						return nil
 					}
 					answered[ref] = answered[ref] || bytes.Contains(x.Line, []byte(`"up"`))
 				}
-				return []node.Output{o}
+				return []platformcore.Output{o}
 			}
 		}, "takes it for standing"},
 	} {
--- a/internal/proving/tape/golden_test.go
+++ b/internal/verify/replay/golden_test.go
@@ -1,4 +1,4 @@
-package tape_test
+package replay_test
 
 import (
 	"bytes"
@@ -13,13 +13,13 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/core"
-	"forkhead/internal/placing/state"
+	"forkhead/internal/parse/diagnostic"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/protocol/capture"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/protocol/record"
-	"forkhead/internal/proving/tape"
-	"forkhead/internal/reading/description"
-	"forkhead/internal/reading/source"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/scheduler/durable"
+	"forkhead/internal/verify/replay"
 )
 
 // goldenTapes were written by `forkhead badday --record-on-breach`: a placer that was killed and began again with what it
@@ -55,7 +55,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p, err := tape.Play(bytes.NewReader(text), nil)
+			p, err := replay.Play(bytes.NewReader(text), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -68,7 +68,7 @@
 			}
 			var events bytes.Buffer
 			fmt.Fprintf(&events, "%s\n", summary)
-			if err := record.Write(&events, p.Events); err != nil {
+			if err := capture.Write(&events, p.Events); err != nil {
 				t.Fatal(err)
 			}
 			checkGolden(t, name+".jsonl", events.Bytes())
@@ -78,7 +78,7 @@
 
 // A difference is told at its step with both lines.
 func TestDivergenceGoldenForm(t *testing.T) {
-	p := tape.Replay{Steps: 3, Offers: 1, Vetoes: 2, Defects: 4, Cut: true, Diverged: &tape.Divergence{Step: 2, Now: 7, Want: "a", Got: "b"}}
+	p := replay.Replay{Steps: 3, Offers: 1, Vetoes: 2, Defects: 4, Cut: true, Diverged: &replay.Divergence{Step: 2, Now: 7, Want: "a", Got: "b"}}
 	text, err := json.Marshal(&p)
 	if err != nil {
 		t.Fatal(err)
@@ -107,9 +107,9 @@
 		core.Taken{Request: 1, Submission: "s", Again: true},
 		core.Rejected{Request: 1, Status: 503, Title: "t", Detail: "d", RetryAfter: 2},
 		core.Grew{Submission: "s"},
-		core.Keep{Note: state.Began{Epoch: 1}},
+		core.Keep{Note: durable.Began{Epoch: 1}},
 	} {
-		fmt.Fprintln(&b, tape.Line(out))
+		fmt.Fprintln(&b, replay.Line(out))
 	}
 	checkGolden(t, "lines.txt", b.Bytes())
 }
@@ -123,28 +123,28 @@
 // exampleInputs are one of each kind of input and of frame, with every field set.
 func exampleInputs() []core.Input {
 	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
-	pos := source.Pos{File: "a.yaml", Line: 3, Col: 5}
+	pos := diagnostic.Pos{File: "a.yaml", Line: 3, Col: 5}
 	report := &hostproto.Report{Cores: 1, Memory: 2, Queue: 3, Util: 0.5}
-	what := &description.Description{
-		Name: "p", Whole: true, Notes: []description.Note{{Pos: pos, Text: "not acted on"}},
-		Services: []description.Service{{
-			Name: "web", Pos: pos, Class: "ledger-batch", Tenant: "t", Mode: description.ReplicatedJob, Replicas: 2, Cores: 0.5, Memory: 1.5,
+	what := &servicespec.Description{
+		Name: "p", Whole: true, Notes: []servicespec.Note{{Pos: pos, Text: "not acted on"}},
+		Services: []servicespec.Service{{
+			Name: "web", Pos: pos, Class: "ledger-batch", Tenant: "t", Mode: servicespec.ReplicatedJob, Replicas: 2, Cores: 0.5, Memory: 1.5,
 			LimitCores: 1, LimitMemory: 2, Life: time.Minute, Wait: time.Second, Patience: 2 * time.Second,
-			Constraints: []description.Constraint{{Attribute: "label.disk", Not: true, Value: "hdd", Pos: pos}},
-			Preferences: []description.Attribute{"label.rack"},
-			Limits:      []description.Limit{{Place: "rack", Most: 2, Pos: pos}},
-			Near:        []description.Near{{Service: "db", Place: "zone", Pos: pos}},
-			Restart:     description.Restart{When: description.OnFailure, Delay: time.Second, Most: 3, Window: time.Minute},
-			Update: description.Update{
-				Parallel: 1, Delay: time.Second, OnTrouble: description.Rollback, Monitor: time.Minute, MaxFailed: 0.25, StartFirst: true,
+			Constraints: []servicespec.Constraint{{Attribute: "label.disk", Not: true, Value: "hdd", Pos: pos}},
+			Preferences: []servicespec.Attribute{"label.rack"},
+			Limits:      []servicespec.Limit{{Place: "rack", Most: 2, Pos: pos}},
+			Near:        []servicespec.Near{{Service: "db", Place: "zone", Pos: pos}},
+			Restart:     servicespec.Restart{When: servicespec.OnFailure, Delay: time.Second, Most: 3, Window: time.Minute},
+			Update: servicespec.Update{
+				Parallel: 1, Delay: time.Second, OnTrouble: servicespec.Rollback, Monitor: time.Minute, MaxFailed: 0.25, StartFirst: true,
 			},
-			DependsOn: []description.Dependency{{Service: "db", When: description.Completed, Optional: true, Restart: true, Pos: pos}},
+			DependsOn: []servicespec.Dependency{{Service: "db", When: servicespec.Completed, Optional: true, Restart: true, Pos: pos}},
 			Labels:    map[string]string{"a": "b"}, StopGrace: 5 * time.Second, Payload: []byte(`{"image":"i"}`),
 		}},
 	}
 	hosts := []core.HostEntry{{
 		Name: "h", Address: "10.0.0.1:1", Kind: "std-28", Zone: "z", Rack: "r", State: forkhead.Ready, Started: time.Minute,
-		FreeCores: 1.5, FreeMemory: 2.5, Attributes: map[description.Attribute]string{"os": "linux"},
+		FreeCores: 1.5, FreeMemory: 2.5, Attributes: map[servicespec.Attribute]string{"os": "linux"},
 	}}
 	inputs := []core.Input{
 		core.Listing{Mode: forkhead.ListSnapshot, Hosts: hosts, Stale: true},
@@ -153,19 +153,19 @@
 		core.Submit{Request: 1, Key: "key", Body: 2, What: what},
 		core.Remove{Request: 1, Project: "p"},
 		core.FromPlacer{From: 1, Data: []byte("data")},
-		core.Restore{Kept: &state.Kept{
-			Projects: []state.Project{{
-				Submission: "s-1", What: what, Tasks: []state.Task{{Project: "p", Service: "web", Replica: 1, Word: "placed", Over: true}},
+		core.Restore{Kept: &durable.Kept{
+			Projects: []durable.Project{{
+				Submission: "s-1", What: what, Tasks: []durable.Task{{Project: "p", Service: "web", Replica: 1, Word: "placed", Over: true}},
 			}},
 			Removed: map[string]time.Duration{"q": time.Hour},
-			Submissions: []state.Followed{{
-				Submission: state.Submission{ID: "s-1", Key: "key", Body: 7, Total: 2, At: time.Hour, Project: "p"},
+			Submissions: []durable.Followed{{
+				Submission: durable.Submission{ID: "s-1", Key: "key", Body: 7, Total: 2, At: time.Hour, Project: "p"},
 				Outcomes:   []json.RawMessage{[]byte(`{"service":"web"}`)},
 			}},
-			Attempts: []state.Attempt{{
+			Attempts: []durable.Attempt{{
 				Ref: ref, Key: 5, Project: "p", Service: "web", Replica: 2, Class: "c", Host: "h", Address: "10.0.0.1:1", Life: 9, At: time.Hour,
 			}},
-			List: state.List{At: time.Hour, Hosts: hosts}, Epoch: 11, Bad: []string{"bad"},
+			List: durable.List{At: time.Hour, Hosts: hosts}, Epoch: 11, Bad: []string{"bad"},
 		}},
 	}
 	for _, f := range []hostproto.Frame{
@@ -190,9 +190,9 @@
 func TestTapeGoldenInputs(t *testing.T) {
 	path := filepath.Join("testdata", "inputs.tape")
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) && *update {
-		w := tape.NewWriter(tape.Head{File: "day", Script: []byte(day), Seed: 5, Epoch: 9, Durable: true}, 1<<20)
+		w := replay.NewWriter(replay.Head{File: "day", Script: []byte(day), Seed: 5, Epoch: 9, Durable: true}, 1<<20)
 		for i, in := range exampleInputs() {
-			if err := w.Add(&tape.Step{Now: time.Hour, Due: time.Minute, In: []core.Input{in}, Out: []string{fmt.Sprint(i)}}); err != nil {
+			if err := w.Add(&replay.Step{Now: time.Hour, Due: time.Minute, In: []core.Input{in}, Out: []string{fmt.Sprint(i)}}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -208,19 +208,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var steps []tape.Step
-	p, err := tape.Play(bytes.NewReader(text), func(s *tape.Step, _ []core.Output) { steps = append(steps, *s) })
+	var steps []replay.Step
+	p, err := replay.Play(bytes.NewReader(text), func(s *replay.Step, _ []core.Output) { steps = append(steps, *s) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := (tape.Head{Version: 1, File: "day", Script: []byte(day), Seed: 5, Epoch: 9, Durable: true}); !reflect.DeepEqual(p.Head, want) {
+	if want := (replay.Head{Version: 1, File: "day", Script: []byte(day), Seed: 5, Epoch: 9, Durable: true}); !reflect.DeepEqual(p.Head, want) {
 		t.Errorf("head %+v, want %+v", p.Head, want)
 	}
 	for i, in := range exampleInputs() {
 		if i >= len(steps) {
 			t.Fatalf("%d steps", len(steps))
 		}
-		if want := (tape.Step{Now: time.Hour, Due: time.Minute, In: []core.Input{in}, Out: []string{fmt.Sprint(i)}}); !reflect.DeepEqual(steps[i], want) {
+		if want := (replay.Step{Now: time.Hour, Due: time.Minute, In: []core.Input{in}, Out: []string{fmt.Sprint(i)}}); !reflect.DeepEqual(steps[i], want) {
 			t.Errorf("step %d: %+v, want %+v", i, steps[i], want)
 		}
 	}
--- a/internal/proving/tape/tape.go
+++ b/internal/verify/replay/tape.go
@@ -1,7 +1,7 @@
-// Package tape keeps what the core of a running placer was given at each step and what it said,
+// Package replay keeps what the core of a running placer was given at each step and what it said,
 // and plays it again off the sockets: the same core, the same inputs at the same times, the same
 // outputs. What a busy machine did once becomes something that can be looked at step by step.
-package tape
+package replay
 
 import (
 	"bytes"
@@ -15,10 +15,10 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/core"
+	"forkhead/internal/protocol/capture"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/protocol/record"
-	"forkhead/internal/proving/script"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/verify/scenario"
 )
 
 // Version is that of the form of a tape. A reader takes no other.
@@ -123,15 +123,15 @@
 
 // Replay is what came of playing a tape.
 type Replay struct {
-	Head     Head           `json:"-"`
-	Script   *script.Script `json:"-"`
-	Steps    int            `json:"steps"`
-	Offers   int            `json:"offers"`
-	Vetoes   uint64         `json:"vetoes"`
-	Defects  uint64         `json:"defects"`
-	Cut      bool           `json:"cut"` // the tape ends in the middle of a step: its placer was killed, or the file torn
-	Diverged *Divergence    `json:"diverged,omitempty"`
-	Events   []record.Event `json:"-"` // what crossed the placer's sockets, for the rules
+	Head     Head             `json:"-"`
+	Script   *scenario.Script `json:"-"`
+	Steps    int              `json:"steps"`
+	Offers   int              `json:"offers"`
+	Vetoes   uint64           `json:"vetoes"`
+	Defects  uint64           `json:"defects"`
+	Cut      bool             `json:"cut"` // the tape ends in the middle of a step: its placer was killed, or the file torn
+	Diverged *Divergence      `json:"diverged,omitempty"`
+	Events   []capture.Event  `json:"-"` // what crossed the placer's sockets, for the rules
 }
 
 // Play reads a tape and steps the core through it. Each step is also shown to look, if that is
@@ -149,7 +149,7 @@
 	if p.Head.Version != Version {
 		return nil, fmt.Errorf("the tape is of version %d; want %d", p.Head.Version, Version)
 	}
-	if p.Script, err = script.Read(p.Head.File, p.Head.Script); err != nil {
+	if p.Script, err = scenario.Read(p.Head.File, p.Head.Script); err != nil {
 		return nil, err
 	}
 	set := p.Script.Settings
@@ -160,7 +160,7 @@
 	if err != nil {
 		return nil, err
 	}
-	base := record.Event{Near: true, Placer: p.Head.Placer, PlacerEpoch: p.Head.Epoch}
+	base := capture.Event{Near: true, Placer: p.Head.Placer, PlacerEpoch: p.Head.Epoch}
 	for ; ; p.Steps++ {
 		var s Step
 		switch err := dec.Decode(&s); {
@@ -203,12 +203,12 @@
 
 // Events are what a step shows of a placer's own sockets, in the order in which its loop took what
 // had come and wrote what goes out. base names the placer and its life.
-func Events(base record.Event, now, due time.Duration, in []core.Input, out []core.Output) []record.Event {
+func Events(base capture.Event, now, due time.Duration, in []core.Input, out []core.Output) []capture.Event {
 	base.At = now
-	var events []record.Event
+	var events []capture.Event
 	if due > 0 && now > due+late {
 		e := base
-		e.What, e.Within = record.Late, now-due
+		e.What, e.Within = capture.Late, now-due
 		events = append(events, e)
 	}
 	for _, in := range in {
@@ -216,15 +216,15 @@
 		switch in := in.(type) {
 		case core.FromHost:
 			e.Host, e.Conn = in.Host, uint64(in.Conn)
-			events = append(events, record.Frame(e, in.Frame)...)
+			events = append(events, capture.Frame(e, in.Frame)...)
 		case core.Broke:
-			e.What, e.Host, e.Conn = record.Gone, in.Host, uint64(in.Conn)
+			e.What, e.Host, e.Conn = capture.Gone, in.Host, uint64(in.Conn)
 			events = append(events, e)
 		case core.Listing:
 			if in.Mode == forkhead.ListFailed {
 				continue
 			}
-			e.What = record.Told
+			e.What = capture.Told
 			for i := range in.Hosts {
 				if h := &in.Hosts[i]; h.State == forkhead.Ready {
 					e.Ready = append(e.Ready, h.Name)
@@ -240,12 +240,12 @@
 		switch out := out.(type) {
 		case core.ToHost:
 			e.Host, e.Conn = out.Host, uint64(out.Conn)
-			events = append(events, record.Frame(e, out.Frame)...)
+			events = append(events, capture.Frame(e, out.Frame)...)
 		case core.Close:
-			e.What, e.Host, e.Conn = record.Gone, out.Host, uint64(out.Conn)
+			e.What, e.Host, e.Conn = capture.Gone, out.Host, uint64(out.Conn)
 			events = append(events, e)
 		case core.Taken:
-			e.What, e.Submission = record.Submit, out.Submission
+			e.What, e.Submission = capture.Submit, out.Submission
 			events = append(events, e)
 		}
 	}
@@ -253,13 +253,13 @@
 }
 
 // Places are the hosts' zones and racks as a tape's lists name them, as a record has them.
-func Places(in []core.Input) []record.Event {
-	var events []record.Event
+func Places(in []core.Input) []capture.Event {
+	var events []capture.Event
 	for _, in := range in {
 		if l, ok := in.(core.Listing); ok {
 			for i := range l.Hosts {
 				h := &l.Hosts[i]
-				events = append(events, record.Event{What: record.HostUp, Host: h.Name, Zone: h.Zone, Rack: h.Rack})
+				events = append(events, capture.Event{What: capture.HostUp, Host: h.Name, Zone: h.Zone, Rack: h.Rack})
 			}
 		}
 	}
--- a/internal/proving/tape/tape_test.go
+++ b/internal/verify/replay/tape_test.go
@@ -1,4 +1,4 @@
-package tape_test
+package replay_test
 
 import (
 	"bytes"
@@ -6,18 +6,18 @@
 	"testing"
 	"time"
 
-	"forkhead/internal/placing/core"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/proving/script"
-	"forkhead/internal/proving/tape"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/verify/replay"
+	"forkhead/internal/verify/scenario"
 )
 
 const day = `(badday (hosts 1 (kind std-28) (zone north)))`
 
 // kept plays a little with a core and keeps it. change may alter what is kept of a step.
-func kept(t *testing.T, most int, change func(n int, s *tape.Step)) ([]byte, error) {
+func kept(t *testing.T, most int, change func(n int, s *replay.Step)) ([]byte, error) {
 	t.Helper()
-	s, err := script.Read("day", []byte(day))
+	s, err := scenario.Read("day", []byte(day))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := tape.NewWriter(tape.Head{File: "day", Script: []byte(day), Seed: 5, Epoch: 9}, most)
+	w := replay.NewWriter(replay.Head{File: "day", Script: []byte(day), Seed: 5, Epoch: 9}, most)
 	now := time.Hour
 	for n, in := range [][]core.Input{
 		nil,
@@ -36,7 +36,7 @@
 		nil,
 	} {
 		now += 10 * time.Millisecond
-		step := tape.Step{Now: now, In: in, Out: tape.Lines(c.Step(now, in...))}
+		step := replay.Step{Now: now, In: in, Out: replay.Lines(c.Step(now, in...))}
 		if change != nil {
 			change(n, &step)
 		}
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := tape.Play(bytes.NewReader(text), nil)
+	p, err := replay.Play(bytes.NewReader(text), nil)
 	if err != nil || p.Steps != 6 || p.Diverged != nil || p.Cut {
 		t.Fatalf("%+v, %v", p, err)
 	}
@@ -60,7 +60,7 @@
 		t.Fatal("nothing crossed the placer's sockets")
 	}
 	// Another word at one step is found there.
-	text, err = kept(t, 1<<20, func(n int, s *tape.Step) {
+	text, err = kept(t, 1<<20, func(n int, s *replay.Step) {
 		if n == 2 {
 			s.Out = []string{"Close {}"}
 		}
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p, err = tape.Play(bytes.NewReader(text), nil); err != nil || p.Diverged == nil || p.Diverged.Step != 2 || p.Diverged.Want != "Close {}" {
+	if p, err = replay.Play(bytes.NewReader(text), nil); err != nil || p.Diverged == nil || p.Diverged.Step != 2 || p.Diverged.Want != "Close {}" {
 		t.Fatalf("%+v, %v", p, err)
 	}
 }
@@ -80,18 +80,18 @@
 		t.Fatal(err)
 	}
 	for n := range len(text) {
-		p, err := tape.Play(bytes.NewReader(text[:n]), nil)
+		p, err := replay.Play(bytes.NewReader(text[:n]), nil)
 		if err == nil && (!p.Cut || p.Diverged != nil) {
 			t.Fatalf("of %d bytes %d: %+v", len(text), n, p)
 		}
 	}
-	if _, err := tape.Play(bytes.NewReader([]byte("no tape")), nil); err == nil {
+	if _, err := replay.Play(bytes.NewReader([]byte("no tape")), nil); err == nil {
 		t.Fatal("what is no tape was played")
 	}
 }
 
 func TestFullTape(t *testing.T) {
-	if _, err := kept(t, 1, nil); !errors.Is(err, tape.ErrFull) {
+	if _, err := kept(t, 1, nil); !errors.Is(err, replay.ErrFull) {
 		t.Fatalf("%v", err)
 	}
 }
--- a/internal/proving/rules/golden_test.go
+++ b/internal/verify/rules/golden_test.go
@@ -9,10 +9,10 @@
 	"path/filepath"
 	"testing"
 
-	"forkhead/internal/placing/core"
-	"forkhead/internal/placing/guard"
-	"forkhead/internal/protocol/record"
-	"forkhead/internal/proving/script"
+	"forkhead/internal/protocol/capture"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/scheduler/invariant"
+	"forkhead/internal/verify/scenario"
 )
 
 // goldenRecord returns a day that `forkhead badday testdata/script.sexp --record-on-breach` has kept.
@@ -36,12 +36,12 @@
 // The record of an earlier build's day is read, is written as it was, and comes to the verdict that was kept with it.
 func TestCheckGoldenRecord(t *testing.T) {
 	text := goldenRecord(t)
-	events, err := record.Read(bytes.NewReader(text))
+	events, err := capture.Read(bytes.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var again bytes.Buffer
-	if err := record.Write(&again, events); err != nil {
+	if err := capture.Write(&again, events); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again.Bytes(), text) {
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := script.Read("script.sexp", day)
+	s, err := scenario.Read("script.sexp", day)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	counts := map[string]int{}
-	for rule := guard.OneAnswer; rule <= guard.Spread; rule++ {
+	for rule := invariant.OneAnswer; rule <= invariant.Spread; rule++ {
 		counts[rule.String()] = v.Counts[rule]
 	}
 	for name, c := range map[string]struct {
--- a/internal/proving/rules/near.go
+++ b/internal/verify/rules/near.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/guard"
-	"forkhead/internal/protocol/record"
+	"forkhead/internal/protocol/capture"
+	"forkhead/internal/scheduler/invariant"
 )
 
 // What follows judges a placer's life by its own sockets: what it had read, and what it had sent,
@@ -80,7 +80,7 @@
 	for _, t := range c.order {
 		if n := lives[lifeOf{t.placer, t.placerEpoch}]; n != nil {
 			if n.seats[nearRef(t.ref)] == nil {
-				c.breach(guard.OneAnswer, t.at, "%s came to %s, and placer %d did not note that it sent it", t.name, t.host, t.placer)
+				c.breach(invariant.OneAnswer, t.at, "%s came to %s, and placer %d did not note that it sent it", t.name, t.host, t.placer)
 			}
 			t.near = true
 		}
@@ -99,7 +99,7 @@
 }
 
 // drain takes the host's own word, by Drain or Welcome, on whether it drains.
-func (h *nearHost) drain(e *record.Event) {
+func (h *nearHost) drain(e *capture.Event) {
 	if !e.On {
 		h.drains = -1
 	} else if h.drains < 0 {
@@ -107,7 +107,7 @@
 	}
 }
 
-func (n *reading) take(e *record.Event) {
+func (n *reading) take(e *capture.Event) {
 	if e.At != n.at {
 		n.step++
 		n.at = e.At
@@ -115,21 +115,21 @@
 	r := nearRef(refOf(e))
 	s := n.seats[r]
 	switch e.What {
-	case record.Held, record.Accepted, record.Running, record.Refused, record.Ended, record.Drain:
+	case capture.Held, capture.Accepted, capture.Running, capture.Refused, capture.Ended, capture.Drain:
 		if h := n.host(e.Host); !h.up || e.Conn != h.conn {
 			return // before Welcome, or of a connection that is over: a host that is not known says it
 		}
-	case record.Welcome:
+	case capture.Welcome:
 		if h := n.host(e.Host); e.Conn != h.conn || e.Epoch < h.life {
 			return
 		}
 	}
 	switch e.What {
-	case record.Told:
+	case capture.Told:
 		n.told(e)
-	case record.Hello:
+	case capture.Hello:
 		n.host(e.Host).conn = e.Conn
-	case record.Welcome:
+	case capture.Welcome:
 		h := n.host(e.Host)
 		h.up, h.life = true, e.Epoch
 		h.drain(e)
@@ -138,11 +138,11 @@
 				s.stand = isOver // its host's life has ended
 			}
 		}
-	case record.Gone:
+	case capture.Gone:
 		n.gone(e)
-	case record.Drain:
+	case capture.Drain:
 		n.host(e.Host).drain(e)
-	case record.Held:
+	case capture.Held:
 		if e.Result == "in-line" {
 			return
 		}
@@ -152,33 +152,33 @@
 		}
 		s.hostLife = n.host(e.Host).life
 		n.bound(s)
-	case record.Accepted, record.Running:
-		if s != nil && (e.What == record.Running || !n.c.f.Running) {
+	case capture.Accepted, capture.Running:
+		if s != nil && (e.What == capture.Running || !n.c.f.Running) {
 			n.bound(s)
 		}
-	case record.Refused:
+	case capture.Refused:
 		if s != nil && (s.stand == isBound || s.stand == isSilent) {
 			s.stand = isOver
 		} else if s != nil && s.stand != isOver {
 			s.stand = neverRan
 		}
-	case record.Ended:
+	case capture.Ended:
 		if s != nil && e.Result == "called" && (s.stand == isOut || s.stand == mayRun) {
 			s.stand = neverRan
 		} else if s != nil && s.stand != neverRan {
 			s.stand = isOver
 		}
-	case record.Withdraw:
+	case capture.Withdraw:
 		if s != nil && s.stand == isOut {
 			s.stand = mayRun
 		}
-	case record.Stop:
+	case capture.Stop:
 		// One that turned up again and is not wanted. All others count until their host says that
 		// they are over.
 		if s != nil && s.stand == isBound && s.back == n.step {
 			s.stand = mayRun
 		}
-	case record.Offer:
+	case capture.Offer:
 		s = n.add(e, r)
 		n.offered(e, s)
 		if h := n.host(e.Host); !h.up || e.Conn != h.conn {
@@ -189,7 +189,7 @@
 	}
 }
 
-func (n *reading) add(e *record.Event, r ref) *seat {
+func (n *reading) add(e *capture.Event, r ref) *seat {
 	s := &seat{ref: r, key: e.Key, service: e.Service, class: e.Class, sent: e.At, hostLife: n.host(e.Host).life}
 	n.seats[r] = s
 	n.byKey[s.key] = append(n.byKey[s.key], s)
@@ -208,7 +208,7 @@
 }
 
 // gone takes the end of a connection: what was out on it is unknown, what was placed is silent.
-func (n *reading) gone(e *record.Event) {
+func (n *reading) gone(e *capture.Event) {
 	h := n.host(e.Host)
 	if e.Conn != h.conn {
 		return
@@ -243,7 +243,7 @@
 	}
 }
 
-func (n *reading) told(e *record.Event) {
+func (n *reading) told(e *capture.Event) {
 	ready := map[string]bool{}
 	listed := map[string]bool{}
 	for _, name := range e.Ready {
@@ -271,7 +271,7 @@
 }
 
 // offered judges an offer by what its placer knew when it sent it.
-func (n *reading) offered(e *record.Event, s *seat) {
+func (n *reading) offered(e *capture.Event, s *seat) {
 	c := n.c
 	class, ok := c.f.Classes[s.class]
 	if !ok {
@@ -280,7 +280,7 @@
 	h := n.host(e.Host)
 	for _, since := range []time.Duration{h.away, h.drains} {
 		if since >= 0 && e.At > since+c.f.Grace {
-			c.breach(guard.Drain, e.At, "placer %d sent %s to %s %v after it had read that the host drains or is gone",
+			c.breach(invariant.Drain, e.At, "placer %d sent %s to %s %v after it had read that the host drains or is gone",
 				e.Placer, e.Name, e.Host, (e.At - since).Round(time.Millisecond))
 		}
 	}
@@ -290,7 +290,7 @@
 			continue
 		}
 		if o.stand == isOut && !c.f.Parallel {
-			c.breach(guard.NoRepeat, e.At, "placer %d sent %s to %s while its attempt at %s was out", e.Placer, e.Name, e.Host, o.ref.host)
+			c.breach(invariant.NoRepeat, e.At, "placer %d sent %s to %s while its attempt at %s was out", e.Placer, e.Name, e.Host, o.ref.host)
 			continue
 		}
 		if first < 0 || o.sent < first {
@@ -298,13 +298,13 @@
 		}
 		switch {
 		case class.Effect == forkhead.Unsafe:
-			c.breach(guard.NoRepeat, e.At, "placer %d sent %s, unsafe, to %s while its attempt at %s may have run", e.Placer, e.Name, e.Host, o.ref.host)
+			c.breach(invariant.NoRepeat, e.At, "placer %d sent %s, unsafe, to %s while its attempt at %s may have run", e.Placer, e.Name, e.Host, o.ref.host)
 		case class.Effect == forkhead.Keyed && !c.same(class.Group, o.ref.host, e.Host):
-			c.breach(guard.NoRepeat, e.At, "placer %d sent %s, keyed, to %s, outside the group of %s where it may have run", e.Placer, e.Name, e.Host, o.ref.host)
+			c.breach(invariant.NoRepeat, e.At, "placer %d sent %s, keyed, to %s, outside the group of %s where it may have run", e.Placer, e.Name, e.Host, o.ref.host)
 		}
 	}
 	if class.Effect == forkhead.Keyed && first >= 0 && e.At > first+class.Window {
-		c.breach(guard.NoRepeat, e.At, "placer %d sent %s, keyed, to %s %v after it may have run", e.Placer, e.Name, e.Host, e.At-first)
+		c.breach(invariant.NoRepeat, e.At, "placer %d sent %s, keyed, to %s %v after it may have run", e.Placer, e.Name, e.Host, e.At-first)
 	}
 	if class.Spread == forkhead.AnyDomain {
 		return
@@ -316,7 +316,7 @@
 		}
 	}
 	if count > class.Most {
-		c.breach(guard.Spread, e.At, "placer %d sent %s to %s as number %d of its service in one %v, of at most %d",
+		c.breach(invariant.Spread, e.At, "placer %d sent %s to %s as number %d of its service in one %v, of at most %d",
 			e.Placer, e.Name, e.Host, count, placeNames[class.Spread], class.Most)
 	}
 }
--- a/internal/proving/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/guard"
-	"forkhead/internal/protocol/record"
-	"forkhead/internal/reading/settings"
+	"forkhead/internal/parse/settings"
+	"forkhead/internal/protocol/capture"
+	"forkhead/internal/scheduler/invariant"
 )
 
 // Facts are the figures of the rules.
@@ -59,14 +59,14 @@
 
 // Breach is one breach of a rule.
 type Breach struct {
-	Rule guard.Rule
+	Rule invariant.Rule
 	At   time.Duration
 	Text string
 }
 
 // Verdict is what the record says.
 type Verdict struct {
-	Counts   [guard.Rules]int
+	Counts   [invariant.Rules]int
 	Breaches []Breach // the first of them
 	Tasks    int      // tasks of which an outcome was owed
 	Accounts Accounts
@@ -124,26 +124,26 @@
 type checker struct {
 	f      Facts
 	v      Verdict
-	events []record.Event
-	ours   []record.Event // noted at placers' own ends
+	events []capture.Event
+	ours   []capture.Event // noted at placers' own ends
 	places map[string]place
 	tries  map[ref]*try
 	byKey  map[uint64][]*try
 	bySvc  map[uint64][]*try
 	order  []*try
-	held   map[ref][]record.Event  // by the host's life too: named to a life of a placer that greeted
-	deaths map[int][]record.Event  // of placers
+	held   map[ref][]capture.Event // by the host's life too: named to a life of a placer that greeted
+	deaths map[int][]capture.Event // of placers
 	ups    map[int][]time.Duration // when their lives began
 }
 
 // Check judges a record.
-func Check(events []record.Event, f Facts) Verdict {
+func Check(events []capture.Event, f Facts) Verdict {
 	c := &checker{
 		f: f, events: slices.Clone(events), places: map[string]place{}, tries: map[ref]*try{}, byKey: map[uint64][]*try{},
-		bySvc: map[uint64][]*try{}, held: map[ref][]record.Event{}, deaths: map[int][]record.Event{}, ups: map[int][]time.Duration{},
+		bySvc: map[uint64][]*try{}, held: map[ref][]capture.Event{}, deaths: map[int][]capture.Event{}, ups: map[int][]time.Duration{},
 	}
 	c.v.Outcomes = map[string]int{}
-	slices.SortStableFunc(c.events, func(a, b record.Event) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(c.events, func(a, b capture.Event) int { return cmp.Compare(a.At, b.At) })
 	far := c.events[:0:0]
 	for i := range c.events {
 		if c.events[i].Near {
@@ -164,14 +164,14 @@
 	return c.v
 }
 
-func (c *checker) breach(r guard.Rule, at time.Duration, format string, args ...any) {
+func (c *checker) breach(r invariant.Rule, at time.Duration, format string, args ...any) {
 	c.v.Counts[r]++
 	if len(c.v.Breaches) < mostBreaches {
 		c.v.Breaches = append(c.v.Breaches, Breach{r, at, fmt.Sprintf(format, args...)})
 	}
 }
 
-func refOf(e *record.Event) ref { return ref{e.Host, e.Epoch, e.RefEpoch, e.Task, e.Attempt} }
+func refOf(e *capture.Event) ref { return ref{e.Host, e.Epoch, e.RefEpoch, e.Task, e.Attempt} }
 
 // gather makes attempts of frames.
 func (c *checker) gather() {
@@ -184,28 +184,28 @@
 	for i := range c.events {
 		e := &c.events[i]
 		switch e.What {
-		case record.HostUp:
+		case capture.HostUp:
 			c.v.Lives++
 			c.places[e.Host] = place{e.Zone, e.Rack}
 			open[e.Host] = map[ref]*try{}
-		case record.HostDown:
+		case capture.HostDown:
 			for _, t := range open[e.Host] {
 				first(&t.died, e.At)
 			}
 			open[e.Host] = nil
-		case record.Held:
+		case capture.Held:
 			c.held[refOf(e)] = append(c.held[refOf(e)], *e)
-		case record.PlacerUp:
+		case capture.PlacerUp:
 			c.ups[e.Placer] = append(c.ups[e.Placer], e.At)
-		case record.Killed:
+		case capture.Killed:
 			c.deaths[e.Placer] = append(c.deaths[e.Placer], *e)
-		case record.Gone:
+		case capture.Gone:
 			for _, t := range open[e.Host] {
 				if t.conn == e.Conn {
 					first(&t.gone, e.At)
 				}
 			}
-		case record.Offer:
+		case capture.Offer:
 			c.v.Offers++
 			t := &try{ref: refOf(e), placer: e.Placer, key: e.Key, service: e.Service, class: e.Class, name: e.Name, conn: e.Conn, at: e.At, placerEpoch: e.PlacerEpoch}
 			c.tries[t.ref] = t
@@ -215,24 +215,24 @@
 			if open[e.Host] != nil {
 				open[e.Host][t.ref] = t
 			}
-		case record.Withdraw, record.Refused, record.Accepted, record.Running, record.Ended:
+		case capture.Withdraw, capture.Refused, capture.Accepted, capture.Running, capture.Ended:
 			t := c.tries[refOf(e)]
 			if t == nil {
 				continue
 			}
 			switch e.What {
-			case record.Withdraw:
+			case capture.Withdraw:
 				first(&t.withdraw, e.At)
 				continue
-			case record.Refused:
+			case capture.Refused:
 				c.v.Refused++
 				first(&t.never, e.At)
-			case record.Accepted, record.Running:
+			case capture.Accepted, capture.Running:
 				first(&t.accepted, e.At)
-				if e.What == record.Running || !c.f.Running {
+				if e.What == capture.Running || !c.f.Running {
 					first(&t.bound, e.At)
 				}
-			case record.Ended:
+			case capture.Ended:
 				if e.Result == "called" {
 					first(&t.never, e.At)
 				} else {
@@ -283,7 +283,7 @@
 		end = e.At
 		s := subs[e.Submission]
 		switch e.What {
-		case record.Submit:
+		case capture.Submit:
 			if s != nil {
 				s.again = e.At
 				continue
@@ -292,7 +292,7 @@
 			subs[e.Submission] = s
 			order = append(order, s)
 			c.v.Tasks += e.Count
-		case record.Cut:
+		case capture.Cut:
 			if s != nil {
 				s.cut = e.At
 			}
@@ -301,26 +301,26 @@
 	slept, stood := c.nearAnswers(subs)
 	for i := range c.events {
 		e := &c.events[i]
-		if e.What != record.Outcome {
+		if e.What != capture.Outcome {
 			continue
 		}
 		s := subs[e.Submission]
 		if s == nil {
-			c.breach(guard.OneAnswer, e.At, "an outcome for %s of submission %s, which nobody made", e.Name, e.Submission)
+			c.breach(invariant.OneAnswer, e.At, "an outcome for %s of submission %s, which nobody made", e.Name, e.Submission)
 			continue
 		}
 		// What a stream told that broke is told again: by a cut, or in a later life of a placer that forgets nothing.
 		cut := s.cut > 0 && s.cut <= e.At || c.f.Durable && c.deadAt(s.placer, s.at, e.At)
 		if before, ok := s.told[e.Name]; ok {
 			if before != e.Result || !cut {
-				c.breach(guard.OneAnswer, e.At, "%s of submission %s was told %s and then %s", e.Name, e.Submission, before, e.Result)
+				c.breach(invariant.OneAnswer, e.At, "%s of submission %s was told %s and then %s", e.Name, e.Submission, before, e.Result)
 			}
 			continue
 		}
 		s.told[e.Name] = e.Result
 		c.v.Outcomes[e.Result]++
 		if e.Result != "placed" && e.Result != "refused" && e.Result != "failed" {
-			c.breach(guard.OneAnswer, e.At, "%s was told %q", e.Name, e.Result)
+			c.breach(invariant.OneAnswer, e.At, "%s was told %q", e.Name, e.Result)
 		}
 		// From when its placer settled it, where that is noted, an outcome has so long to reach its client;
 		// whether it was settled in time is judged below, with no slack.
@@ -330,18 +330,18 @@
 		}
 		// A process that stood still meanwhile carried nothing: for how long, its placers' late steps say.
 		if late := e.At - since; late > c.f.Late && late-stood(since, e.At) > c.f.Late && !cut {
-			c.breach(guard.OneAnswer, e.At, "%s of submission %s was told %v after its owner gave up", e.Name, e.Submission, late.Round(time.Millisecond))
+			c.breach(invariant.OneAnswer, e.At, "%s of submission %s was told %v after its owner gave up", e.Name, e.Submission, late.Round(time.Millisecond))
 		}
 		// By the placer's clock there is no way to be late but a step that ran late.
 		if due := s.near + s.within; s.near > 0 && e.Took > s.within+time.Millisecond && !slept(s.placer, due) && !c.deadAt(s.placer, due, due) {
-			c.breach(guard.OneAnswer, e.At, "%s of submission %s was settled %v after its owner gave up", e.Name, e.Submission, e.Took-s.within)
+			c.breach(invariant.OneAnswer, e.At, "%s of submission %s was settled %v after its owner gave up", e.Name, e.Submission, e.Took-s.within)
 		}
 	}
 	for _, s := range order {
 		missing := s.count - len(s.told)
 		c.v.Accounts.Told += min(s.count, len(s.told))
 		if missing < 0 {
-			c.breach(guard.OneAnswer, end, "submission %s of %d tasks was told %d outcomes", s.name, s.count, len(s.told))
+			c.breach(invariant.OneAnswer, end, "submission %s of %d tasks was told %d outcomes", s.name, s.count, len(s.told))
 			continue
 		}
 		due := s.at + s.within
@@ -361,7 +361,7 @@
 			c.v.Accounts.NotDue += missing
 		default:
 			c.v.Accounts.Forgotten += missing
-			c.breach(guard.OneAnswer, end, "%d of %d tasks of submission %s were never told an outcome", missing, s.count, s.name)
+			c.breach(invariant.OneAnswer, end, "%d of %d tasks of submission %s were never told an outcome", missing, s.count, s.name)
 		}
 	}
 }
@@ -395,11 +395,11 @@
 	for i := range c.ours {
 		e := &c.ours[i]
 		switch e.What {
-		case record.Submit:
+		case capture.Submit:
 			if s := subs[e.Submission]; s != nil && s.near == 0 {
 				s.near = e.At
 			}
-		case record.Late:
+		case capture.Late:
 			late[e.Placer] = append(late[e.Placer], [2]time.Duration{e.At - e.Within, e.At})
 			all = append(all, [2]time.Duration{e.At - e.Within, e.At})
 		}
@@ -427,7 +427,7 @@
 	for _, t := range c.order {
 		class, ok := c.f.Classes[t.class]
 		if !ok {
-			c.breach(guard.NoRepeat, t.at, "%s is of class %q, which is unknown", t.name, t.class)
+			c.breach(invariant.NoRepeat, t.at, "%s is of class %q, which is unknown", t.name, t.class)
 			continue
 		}
 		slack := t.at + c.f.Transit
@@ -447,7 +447,7 @@
 			}
 			// Out: unanswered on a connection that stands, and not withdrawn.
 			if !c.f.Parallel && !by(o.answered, t.at) && !by(o.withdraw, slack) && !by(o.gone, slack) && o.placer == t.placer {
-				c.breach(guard.NoRepeat, t.at, "%s was offered to %s while its attempt at %s was out", t.name, t.host, o.host)
+				c.breach(invariant.NoRepeat, t.at, "%s was offered to %s while its attempt at %s was out", t.name, t.host, o.host)
 				continue
 			}
 			if first == nil {
@@ -455,12 +455,12 @@
 			}
 			switch class.Effect {
 			case forkhead.Unsafe:
-				c.breach(guard.NoRepeat, t.at, "%s, unsafe, was offered to %s while its attempt at %s may have run", t.name, t.host, o.host)
+				c.breach(invariant.NoRepeat, t.at, "%s, unsafe, was offered to %s while its attempt at %s may have run", t.name, t.host, o.host)
 			case forkhead.Keyed:
 				if !c.same(class.Group, o.host, t.host) {
-					c.breach(guard.NoRepeat, t.at, "%s, keyed, was offered to %s, outside the group of %s where it may have run", t.name, t.host, o.host)
+					c.breach(invariant.NoRepeat, t.at, "%s, keyed, was offered to %s, outside the group of %s where it may have run", t.name, t.host, o.host)
 				} else if t.at > first.at+class.Window+c.f.Transit {
-					c.breach(guard.NoRepeat, t.at, "%s, keyed, was offered to %s %v after it may have run at %s", t.name, t.host, t.at-first.at, first.host)
+					c.breach(invariant.NoRepeat, t.at, "%s, keyed, was offered to %s %v after it may have run at %s", t.name, t.host, t.at-first.at, first.host)
 				}
 			}
 		}
@@ -507,7 +507,7 @@
 	for i := range c.events {
 		e := &c.events[i]
 		switch e.What {
-		case record.Told:
+		case capture.Told:
 			ready := map[string]bool{}
 			for _, h := range e.Ready {
 				ready[h] = true
@@ -528,7 +528,7 @@
 					notReady[p] = e.At
 				}
 			}
-		case record.Drain, record.Welcome:
+		case capture.Drain, capture.Welcome:
 			p := pair{e.Placer, e.Host}
 			if e.On {
 				if _, known := drains[p]; !known {
@@ -537,24 +537,24 @@
 			} else {
 				delete(drains, p)
 			}
-		case record.HostUp:
+		case capture.HostUp:
 			for p := range drains {
 				if p.host == e.Host {
 					delete(drains, p)
 				}
 			}
-		case record.PlacerUp:
+		case capture.PlacerUp:
 			for p := range listed {
 				if p.placer == e.Placer {
 					delete(listed, p)
 					delete(notReady, p)
 				}
 			}
-		case record.Offer:
+		case capture.Offer:
 			p := pair{e.Placer, e.Host}
 			for _, since := range []map[pair]time.Duration{notReady, drains} {
 				if at, ok := since[p]; ok && e.At > at+c.f.Grace+c.f.Transit && !c.tries[refOf(e)].near {
-					c.breach(guard.Drain, e.At, "placer %d offered %s to %s %v after it was told that the host drains or is gone",
+					c.breach(invariant.Drain, e.At, "placer %d offered %s to %s %v after it was told that the host drains or is gone",
 						e.Placer, e.Name, e.Host, (e.At - at).Round(time.Millisecond))
 				}
 			}
@@ -566,17 +566,17 @@
 
 // cold checks that no cold host was offered more than it bears, or fell.
 func (c *checker) cold() {
-	up := map[string]record.Event{}
+	up := map[string]capture.Event{}
 	recent := map[string][]time.Duration{}
 	for i := range c.events {
 		e := &c.events[i]
 		switch e.What {
-		case record.HostUp:
+		case capture.HostUp:
 			up[e.Host] = *e
 			recent[e.Host] = nil
-		case record.Fell:
-			c.breach(guard.Cold, e.At, "host %s fell over while cold", e.Host)
-		case record.Offer:
+		case capture.Fell:
+			c.breach(invariant.Cold, e.At, "host %s fell over while cold", e.Host)
+		case capture.Offer:
 			u, ok := up[e.Host]
 			age := e.At - u.At
 			if !ok || !u.Cold || age >= c.f.ColdFor {
@@ -586,7 +586,7 @@
 			recent[e.Host] = keep
 			pace := c.f.ColdPace * (c.f.ColdFrom + (1-c.f.ColdFrom)*float64(age)/float64(c.f.ColdFor))
 			if bears := max(c.f.ColdOffers, c.f.Multiple*pace*c.f.ColdWindow.Seconds()); float64(len(keep)) > bears {
-				c.breach(guard.Cold, e.At, "host %s, up for %v, was offered %d tasks within %v; it bears %.0f", e.Host, age.Round(time.Millisecond), len(keep), c.f.ColdWindow, bears)
+				c.breach(invariant.Cold, e.At, "host %s, up for %v, was offered %d tasks within %v; it bears %.0f", e.Host, age.Round(time.Millisecond), len(keep), c.f.ColdWindow, bears)
 			}
 		}
 	}
@@ -611,7 +611,7 @@
 			}
 		}
 		if n > class.Most {
-			c.breach(guard.Spread, t.at, "%s was offered to %s as number %d of its service in one %v, of at most %d", t.name, t.host, n, placeNames[class.Spread], class.Most)
+			c.breach(invariant.Spread, t.at, "%s was offered to %s as number %d of its service in one %v, of at most %d", t.name, t.host, n, placeNames[class.Spread], class.Most)
 		}
 	}
 }
--- a/internal/proving/script/golden_test.go
+++ b/internal/verify/scenario/golden_test.go
@@ -1,4 +1,4 @@
-package script
+package scenario
 
 import (
 	"bytes"
--- a/internal/proving/script/script.go
+++ b/internal/verify/scenario/script.go
@@ -1,5 +1,5 @@
-// Package script reads what a bad day is: a fleet, its load and its troubles, as an S-expression.
-package script
+// Package scenario reads what a bad day is: a fleet, its load and its troubles, as an S-expression.
+package scenario
 
 import (
 	_ "embed"
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"forkhead/internal/reading/settings"
-	"forkhead/internal/reading/sexp"
-	"forkhead/internal/reading/source"
+	"forkhead/internal/parse/diagnostic"
+	"forkhead/internal/parse/settings"
+	"forkhead/internal/parse/sexp"
 )
 
 // Default is the bad day that CI plays: all kinds of trouble, three placers, twelve hosts.
@@ -78,7 +78,7 @@
 	Memory   [2]float64 // GiB
 	Life     [2]time.Duration
 	From, To time.Duration
-	Pos      source.Pos
+	Pos      diagnostic.Pos
 }
 
 // Kind is a kind of trouble.
@@ -151,7 +151,7 @@
 	Factor float64
 	Every  time.Duration // of those that repeat
 	Delay  time.Duration
-	Pos    source.Pos
+	Pos    diagnostic.Pos
 }
 
 // Read parses and checks a script.
@@ -161,7 +161,7 @@
 		return nil, err
 	}
 	if len(nodes) != 1 || nodes[0].Head() != "badday" {
-		return nil, source.Wantf(source.Pos{File: file, Line: 1, Col: 1}, "one (badday ...)", "the file holds something else")
+		return nil, diagnostic.Wantf(diagnostic.Pos{File: file, Line: 1, Col: 1}, "one (badday ...)", "the file holds something else")
 	}
 	s := &Script{
 		File: file, Text: text, Seed: 1, Length: 20 * time.Second, Settle: 15 * time.Second,
@@ -171,7 +171,7 @@
 			Line: 50, Starts: 4, Keep: 8, Absent: 5, Use: 0.7, Swing: 0.15,
 		},
 	}
-	errs := &source.List{}
+	errs := &diagnostic.List{}
 	r := &reader{s: s, errs: errs}
 	r.read(nodes[0])
 	if err := errs.Err(); err != nil {
@@ -182,7 +182,7 @@
 
 type reader struct {
 	s    *Script
-	errs *source.List
+	errs *diagnostic.List
 }
 
 const day = 24 * time.Hour
@@ -247,7 +247,7 @@
 	case len(own.Args()) == 1 && own.Args()[0].Head() == "forkhead":
 		s.Settings, err = settings.FromNode(own.Args()[0])
 	default:
-		err = source.Wantf(own.Pos, "(settings (forkhead ...))", "the settings are something else")
+		err = diagnostic.Wantf(own.Pos, "(settings (forkhead ...))", "the settings are something else")
 	}
 	r.errs.Add(err)
 	if s.Settings != nil {
@@ -267,27 +267,27 @@
 func (r *reader) check(n *sexp.Node) {
 	s := r.s
 	if len(s.Hosts) == 0 {
-		r.errs.Add(source.Wantf(n.Pos, "(hosts COUNT (kind NAME) ...)", "the day has no hosts"))
+		r.errs.Add(diagnostic.Wantf(n.Pos, "(hosts COUNT (kind NAME) ...)", "the day has no hosts"))
 	}
 	for _, g := range s.Hosts {
 		if settings.Index(s.Settings.Kinds, g.Kind) < 0 {
-			r.errs.Add(source.Wantf(n.Pos, strings.Join(s.Settings.Kinds, ", "), "hosts of kind %q, which the settings do not name", g.Kind))
+			r.errs.Add(diagnostic.Wantf(n.Pos, strings.Join(s.Settings.Kinds, ", "), "hosts of kind %q, which the settings do not name", g.Kind))
 		}
 	}
 	for _, l := range s.Load {
 		if _, ok := s.Settings.Class(l.Class); !ok {
-			r.errs.Add(source.Errorf(l.Pos, "load of class %q, which the settings do not name", l.Class))
+			r.errs.Add(diagnostic.Errorf(l.Pos, "load of class %q, which the settings do not name", l.Class))
 		}
 		if l.Tenant != "" && !slices.Contains(s.Settings.Tenants, l.Tenant) {
-			r.errs.Add(source.Errorf(l.Pos, "load of tenant %q, which the settings do not name", l.Tenant))
+			r.errs.Add(diagnostic.Errorf(l.Pos, "load of tenant %q, which the settings do not name", l.Tenant))
 		}
 	}
 	for _, t := range s.Troubles {
 		if t.At > s.Length {
-			r.errs.Add(source.Wantf(t.Pos, fmt.Sprintf("at most the length, %v", s.Length), "%s begins at %v", t.Kind, t.At))
+			r.errs.Add(diagnostic.Wantf(t.Pos, fmt.Sprintf("at most the length, %v", s.Length), "%s begins at %v", t.Kind, t.At))
 		}
 		if t.Placer >= len(s.Settings.Placers) {
-			r.errs.Add(source.Wantf(t.Pos, fmt.Sprintf("0 to %d", len(s.Settings.Placers)-1), "placer %d", t.Placer))
+			r.errs.Add(diagnostic.Wantf(t.Pos, fmt.Sprintf("0 to %d", len(s.Settings.Placers)-1), "placer %d", t.Placer))
 		}
 	}
 }
@@ -295,7 +295,7 @@
 func (r *reader) hosts(n *sexp.Node) error {
 	args := n.Args()
 	if len(args) == 0 {
-		return source.Wantf(n.Pos, "(hosts COUNT (kind NAME) ...)", "no count of hosts")
+		return diagnostic.Wantf(n.Pos, "(hosts COUNT (kind NAME) ...)", "no count of hosts")
 	}
 	g := Group{Racks: 1, Labels: map[string]string{}}
 	var err error
@@ -310,7 +310,7 @@
 		"cold":   sexp.Bool(&g.Cold),
 		"label": func(f *sexp.Node) error {
 			if len(f.Args()) != 2 {
-				return source.Wantf(f.Pos, "(label NAME VALUE)", "label has %d values", len(f.Args()))
+				return diagnostic.Wantf(f.Pos, "(label NAME VALUE)", "label has %d values", len(f.Args()))
 			}
 			g.Labels[f.Items[1].Atom] = f.Items[2].Atom
 			return nil
@@ -328,7 +328,7 @@
 	return func(n *sexp.Node) error {
 		args := n.Args()
 		if len(args) < 1 || len(args) > 2 {
-			return source.Wantf(n.Pos, "one value, or least and most", "%s has %d", n.Head(), len(args))
+			return diagnostic.Wantf(n.Pos, "one value, or least and most", "%s has %d", n.Head(), len(args))
 		}
 		for i := range to {
 			v, err := read(args[min(i, len(args)-1)])
@@ -338,7 +338,7 @@
 			to[i] = v
 		}
 		if less(to[1], to[0]) {
-			return source.Errorf(n.Pos, "the most of %s is below the least", n.Head())
+			return diagnostic.Errorf(n.Pos, "the most of %s is below the least", n.Head())
 		}
 		return nil
 	}
@@ -347,7 +347,7 @@
 func (r *reader) load(n *sexp.Node) error {
 	args := n.Args()
 	if len(args) == 0 || args[0].List {
-		return source.Wantf(n.Pos, "(load NAME ...)", "the load has no name")
+		return diagnostic.Wantf(n.Pos, "(load NAME ...)", "the load has no name")
 	}
 	l := Load{
 		Name: args[0].Atom, Rate: 1, Replicas: [2]int{1, 1}, Cores: [2]float64{0.5, 0.5}, Memory: [2]float64{1, 1},
--- a/internal/proving/script/script_test.go
+++ b/internal/verify/scenario/script_test.go
@@ -1,11 +1,11 @@
-package script
+package scenario
 
 import (
 	"strings"
 	"testing"
 
-	"forkhead/internal/reading/settings"
-	"forkhead/internal/reading/source"
+	"forkhead/internal/parse/diagnostic"
+	"forkhead/internal/parse/settings"
 )
 
 func TestBuiltIn(t *testing.T) {
@@ -62,7 +62,7 @@
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v\nwant %s", text, err, want)
 		}
-		if err != nil && source.First(err) == nil {
+		if err != nil && diagnostic.First(err) == nil {
 			t.Errorf("%s: the error has no place", text)
 		}
 	}
--- a/internal/proving/lives/durable.go
+++ b/internal/verify/simulation/durable.go
@@ -1,4 +1,4 @@
-package lives
+package simulation
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"forkhead/internal/placing/core"
 	"forkhead/internal/protocol/hostproto"
+	"forkhead/internal/scheduler/core"
 )
 
 // Crashes counts where the placer of a durable life died.
--- a/internal/proving/lives/lives.go
+++ b/internal/verify/simulation/lives.go
@@ -1,12 +1,12 @@
-package lives
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"forkhead/internal/placing/core"
 	"forkhead/internal/protocol/hostproto"
+	"forkhead/internal/scheduler/core"
 )
 
 // failure is what a life was ended for.
--- a/internal/proving/lives/lives_test.go
+++ b/internal/verify/simulation/lives_test.go
@@ -1,4 +1,4 @@
-package lives
+package simulation
 
 import (
 	"fmt"
--- a/internal/proving/lives/sim.go
+++ b/internal/verify/simulation/sim.go
@@ -1,7 +1,7 @@
-// Package lives runs the real core of a placer, with the real module, against stand-in hosts on a
+// Package simulation runs the real core of a placer, with the real module, against stand-in hosts on a
 // clock of its own: frames cross as bytes, connections break, hosts die and go silent, and the same
 // seed gives the same life. It is what tests of the core, and `forkhead explore --lives`, run.
-package lives
+package simulation
 
 import (
 	"fmt"
@@ -11,17 +11,17 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/placing/agenda"
-	"forkhead/internal/placing/core"
-	"forkhead/internal/placing/state"
+	"forkhead/internal/emulator/hostmodel"
+	"forkhead/internal/parse/compose"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/parse/settings"
+	"forkhead/internal/protocol/capture"
 	"forkhead/internal/protocol/hostproto"
-	"forkhead/internal/protocol/record"
-	"forkhead/internal/proving/rules"
-	"forkhead/internal/proving/tape"
-	"forkhead/internal/reading/compose"
-	"forkhead/internal/reading/description"
-	"forkhead/internal/reading/settings"
-	"forkhead/internal/standins/standin"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/scheduler/durable"
+	"forkhead/internal/scheduler/timerqueue"
+	"forkhead/internal/verify/replay"
+	"forkhead/internal/verify/rules"
 )
 
 // Sim runs one placer's core against stand-in hosts on a clock of its own. Frames cross as
@@ -33,7 +33,7 @@
 	Hosts    map[string]*Host
 	Names    []string
 	Now      time.Duration
-	queue    agenda.Agenda[func()]
+	queue    timerqueue.Agenda[func()]
 	rng      *rand.Rand
 	Delay    time.Duration // of a frame, each way
 
@@ -48,34 +48,34 @@
 	FromHost func(host string, f hostproto.Frame) bool // and from it
 	Epoch    uint64
 	crashed  bool
-	Durable  bool           // the placer notes what it must not forget, and a new life begins with it
-	Disk     *Disk          // what was made durable
-	CrashAt  func() Crash   // asked at each step that notes something; nil: never
-	Record   []record.Event // what crossed the placer's own sockets
+	Durable  bool            // the placer notes what it must not forget, and a new life begins with it
+	Disk     *Disk           // what was made durable
+	CrashAt  func() Crash    // asked at each step that notes something; nil: never
+	Record   []capture.Event // what crossed the placer's own sockets
 }
 
 // Disk is what a placer's notes have come to.
 type Disk struct {
 	Values  map[string]map[string][]byte // by bucket and key
-	lazy    []state.Change               // noted and not yet written
+	lazy    []durable.Change             // noted and not yet written
 	Commits int
 }
 
 // NewDisk returns an empty one.
 func NewDisk() *Disk {
 	d := &Disk{Values: map[string]map[string][]byte{}}
-	for _, b := range state.Buckets {
+	for _, b := range durable.Buckets {
 		d.Values[b] = map[string][]byte{}
 	}
 	return d
 }
 
 // Keep takes the notes of a step, as package store does.
-func (d *Disk) Keep(notes []state.Note) {
+func (d *Disk) Keep(notes []durable.Note) {
 	wait := false
 	for _, n := range notes {
-		wait = wait || state.Waits(n)
-		d.lazy = append(d.lazy, state.Changes(n)...)
+		wait = wait || durable.Waits(n)
+		d.lazy = append(d.lazy, durable.Changes(n)...)
 	}
 	if !wait {
 		return
@@ -95,9 +95,9 @@
 }
 
 // Kept reads what was made durable; what was not is lost.
-func (d *Disk) Kept() *state.Kept {
+func (d *Disk) Kept() *durable.Kept {
 	d.lazy = nil
-	var l state.Loader
+	var l durable.Loader
 	for bucket, values := range d.Values {
 		for key, v := range values {
 			l.Add(bucket, key, v)
@@ -134,8 +134,8 @@
 
 // Host is a stand-in host with its connections.
 type Host struct {
-	Config standin.Config
-	Life   *standin.Host
+	Config hostmodel.Config
+	Life   *hostmodel.Host
 	Listed bool
 	State  forkhead.MachineState
 	Mute   bool // no frame gets through either way, without a reset
@@ -184,7 +184,7 @@
 		if i%2 == 1 {
 			kind, cores, memory = "large", 32, 64
 		}
-		s.AddHost(standin.Default(fmt.Sprintf("h%d", i), kind, "a", fmt.Sprintf("r%d", i/2), cores, memory))
+		s.AddHost(hostmodel.Default(fmt.Sprintf("h%d", i), kind, "a", fmt.Sprintf("r%d", i/2), cores, memory))
 	}
 	s.startCore(change...)
 	s.Run(200 * time.Millisecond)
@@ -224,9 +224,9 @@
 	s.startCore()
 }
 
-func (s *Sim) AddHost(cfg standin.Config) {
+func (s *Sim) AddHost(cfg hostmodel.Config) {
 	h := &Host{Config: cfg, Listed: true, State: forkhead.Ready, lives: 1, conns: map[uint32]bool{}}
-	h.Life = standin.New(cfg, h.lives, 3, s.Now, false)
+	h.Life = hostmodel.New(cfg, h.lives, 3, s.Now, false)
 	s.Hosts[cfg.Name] = h
 	s.Names = append(s.Names, cfg.Name)
 }
@@ -235,8 +235,8 @@
 	s.queue.Set(s.Now+d, do)
 }
 
-func (s *Sim) conn(h *Host, conn uint32) standin.ConnID {
-	return standin.ConnID(s.Epoch<<32 | uint64(conn))
+func (s *Sim) conn(h *Host, conn uint32) hostmodel.ConnID {
+	return hostmodel.ConnID(s.Epoch<<32 | uint64(conn))
 }
 
 // Step gives the core inputs and carries out what it says.
@@ -246,8 +246,8 @@
 	}
 	c := s.Core
 	out := c.Step(s.Now, in...)
-	base := record.Event{Near: true, Placer: s.Settings.Module.Self, PlacerEpoch: s.Epoch}
-	var notes []state.Note
+	base := capture.Event{Near: true, Placer: s.Settings.Module.Self, PlacerEpoch: s.Epoch}
+	var notes []durable.Note
 	leaves := out[:0:0]
 	for _, o := range out {
 		if k, ok := o.(core.Keep); ok {
@@ -269,7 +269,7 @@
 	case HalfCarried:
 		leaves = leaves[:len(leaves)/2]
 	}
-	s.Record = append(s.Record, tape.Events(base, s.Now, 0, in, leaves)...)
+	s.Record = append(s.Record, replay.Events(base, s.Now, 0, in, leaves)...)
 	for _, o := range leaves {
 		s.carry(c, o)
 	}
@@ -293,10 +293,10 @@
 
 // Verdict judges what has crossed the placer's sockets by the rules.
 func (s *Sim) Verdict() rules.Verdict {
-	events := make([]record.Event, 0, len(s.Names)+len(s.Record))
+	events := make([]capture.Event, 0, len(s.Names)+len(s.Record))
 	for _, name := range s.Names {
 		cfg := &s.Hosts[name].Config
-		events = append(events, record.Event{What: record.HostUp, Host: name, Zone: cfg.Zone, Rack: cfg.Rack})
+		events = append(events, capture.Event{What: capture.HostUp, Host: name, Zone: cfg.Zone, Rack: cfg.Rack})
 	}
 	return rules.Check(append(events, s.Record...), rules.FactsOf(s.Settings, 0))
 }
@@ -367,7 +367,7 @@
 }
 
 // HostOut carries what a host did.
-func (s *Sim) HostOut(name string, out []standin.Output) {
+func (s *Sim) HostOut(name string, out []hostmodel.Output) {
 	h := s.Hosts[name]
 	c := s.Core
 	if h.Life.Dead() {
@@ -435,7 +435,7 @@
 func (s *Sim) Revive(name string, cold bool) {
 	h := s.Hosts[name]
 	h.lives++
-	h.Life = standin.New(h.Config, h.lives, 3, s.Now, cold)
+	h.Life = hostmodel.New(h.Config, h.lives, 3, s.Now, cold)
 	s.List()
 }
 
@@ -460,7 +460,7 @@
 		l.Hosts = append(l.Hosts, core.HostEntry{
 			Name: name, Address: "addr-" + name, Kind: h.Config.Kind, Zone: h.Config.Zone, Rack: h.Config.Rack, State: h.State,
 			Started: h.Life.Started(), FreeCores: cores, FreeMemory: memory,
-			Attributes: map[description.Attribute]string{"hostname": name, "label.rack": h.Config.Rack, "label.kind": h.Config.Kind},
+			Attributes: map[servicespec.Attribute]string{"hostname": name, "label.rack": h.Config.Rack, "label.kind": h.Config.Kind},
 		})
 	}
 	s.Step(l)
@@ -500,7 +500,7 @@
 }
 
 // Parse reads a Compose text as the front would.
-func (s *Sim) Parse(text string) *description.Description {
+func (s *Sim) Parse(text string) *servicespec.Description {
 	s.t.Helper()
 	var classes []string
 	for _, c := range s.Settings.Classes {
--- a/internal/proving/scene/path_test.go
+++ b/internal/verify/testcluster/path_test.go
@@ -1,4 +1,4 @@
-package scene_test
+package testcluster_test
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/rs/zerolog"
 
-	"forkhead/internal/proving/scene"
-	"forkhead/internal/proving/script"
+	"forkhead/internal/verify/scenario"
+	"forkhead/internal/verify/testcluster"
 )
 
 // BenchmarkPath measures the whole path on loopback: a client's POST, the front, the parser, the
@@ -37,11 +37,11 @@
 	  (class web (effect safe) (wait 5s) (patience 10s)) (bound running)))
 	  (hosts %d (kind k) (zone a) (racks 5)) (catalogue (lag 0ms))
 	  (host (look 1us) (start 1us) (absent 1) (line 1000) (starts 64) (notes 1h) (refresh 1s)))`, hosts)
-	s, err := script.Read("bench", []byte(text))
+	s, err := scenario.Read("bench", []byte(text))
 	if err != nil {
 		b.Fatal(err)
 	}
-	sc, err := scene.Start(s, nil, zerolog.Nop(), nil, false)
+	sc, err := testcluster.Start(s, nil, zerolog.Nop(), nil, false)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/proving/scene/scene.go
+++ b/internal/verify/testcluster/scene.go
@@ -1,6 +1,6 @@
-// Package scene puts a whole service on loopback in one process: a stand-in catalogue, stand-in
+// Package testcluster puts a whole service on loopback in one process: a stand-in catalogue, stand-in
 // hosts and real placers, as a script describes them.
-package scene
+package testcluster
 
 import (
 	"fmt"
@@ -16,28 +16,28 @@
 	"github.com/rs/zerolog"
 
 	"forkhead"
-	"forkhead/internal/placing/core"
-	"forkhead/internal/protocol/record"
-	"forkhead/internal/proving/script"
-	"forkhead/internal/proving/tape"
-	"forkhead/internal/reading/settings"
-	"forkhead/internal/running/clock"
-	"forkhead/internal/running/netio"
-	"forkhead/internal/running/placerd"
-	"forkhead/internal/running/recorder"
-	"forkhead/internal/running/store"
-	"forkhead/internal/standins/catalogued"
-	"forkhead/internal/standins/hostd"
-	"forkhead/internal/standins/standin"
+	consulemulator "forkhead/internal/emulator/consul"
+	"forkhead/internal/emulator/host"
+	"forkhead/internal/emulator/hostmodel"
+	"forkhead/internal/parse/settings"
+	"forkhead/internal/protocol/capture"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/server/clock"
+	"forkhead/internal/server/netio"
+	"forkhead/internal/server/placer"
+	"forkhead/internal/server/recorder"
+	"forkhead/internal/server/store"
+	"forkhead/internal/verify/replay"
+	"forkhead/internal/verify/scenario"
 )
 
 // Scene is a running service.
 type Scene struct {
-	Script    *script.Script
+	Script    *scenario.Script
 	Settings  *settings.Settings
 	Clock     *clock.Clock
 	Log       *recorder.Log
-	Catalogue *catalogued.Server
+	Catalogue *consulemulator.Server
 	Hosts     []*Host
 	Loss      atomic.Uint64 // of messages between placers, in thousandths
 	Commits   atomic.Uint64 // fsyncs of stores that are closed
@@ -45,7 +45,7 @@
 
 	log      zerolog.Logger
 	engine   *netio.Engine
-	placers  []atomic.Pointer[placerd.Server]
+	placers  []atomic.Pointer[placer.Server]
 	vetoes   atomic.Uint64 // of lives that are over
 	defects  atomic.Uint64
 	offers   atomic.Uint64
@@ -63,25 +63,25 @@
 
 // Host is one host of the scene.
 type Host struct {
-	*hostd.Server
-	Group *script.Group
+	*host.Server
+	Group *scenario.Group
 	Rack  string
 }
 
 // Start brings everything up. logs may be nil: nothing is recorded then. keep: the tapes of placers'
 // lives are kept.
-func Start(s *script.Script, logs *recorder.Log, log zerolog.Logger, breaker Breaker, keep bool) (*Scene, error) {
+func Start(s *scenario.Script, logs *recorder.Log, log zerolog.Logger, breaker Breaker, keep bool) (*Scene, error) {
 	c := &Scene{Script: s, Clock: clock.New(), Log: logs, Keep: keep, log: log, breaker: breaker}
 	var err error
 	if c.engine, err = netio.New("hosts", 2); err != nil {
 		return nil, err
 	}
-	c.Catalogue, err = catalogued.Serve("127.0.0.1:0", catalogued.Policy{Critical: s.Catalogue.Critical, Deregister: s.Catalogue.Deregister}, c.Clock, logs)
+	c.Catalogue, err = consulemulator.Serve("127.0.0.1:0", consulemulator.Policy{Critical: s.Catalogue.Critical, Deregister: s.Catalogue.Deregister}, c.Clock, logs)
 	if err != nil {
 		c.engine.Stop()
 		return nil, err
 	}
-	c.Catalogue.With(func(st *catalogued.Store, _ time.Duration) { st.Lag(s.Catalogue.Lag) })
+	c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) { st.Lag(s.Catalogue.Lag) })
 	if err := c.start(); err != nil {
 		c.Stop()
 		return nil, err
@@ -105,7 +105,7 @@
 		}
 	}
 	c.Settings = &set
-	c.placers = make([]atomic.Pointer[placerd.Server], len(set.Placers))
+	c.placers = make([]atomic.Pointer[placer.Server], len(set.Placers))
 	c.lives = make([]int, len(set.Placers))
 	c.stores = make([]*store.Store, len(set.Placers))
 	if c.Script.Durable {
@@ -150,10 +150,10 @@
 }
 
 // HostConfig is what a host of a group is.
-func HostConfig(s *script.Script, g *script.Group, name, rack string) standin.Config {
+func HostConfig(s *scenario.Script, g *scenario.Group, name, rack string) hostmodel.Config {
 	kind := s.Settings.Module.MachineTypes[settings.Index(s.Settings.Kinds, g.Kind)]
 	m := &s.Settings.Module
-	cfg := standin.Default(name, g.Kind, g.Zone, rack, kind.Cores, kind.Memory)
+	cfg := hostmodel.Default(name, g.Kind, g.Zone, rack, kind.Cores, kind.Memory)
 	cfg.Labels = g.Labels
 	cfg.AcceptCores, cfg.AcceptMemory, cfg.PushOut = m.CoresOvercommit, m.MemoryOvercommit, m.Preemption
 	h := &s.Host
@@ -163,12 +163,12 @@
 	return cfg
 }
 
-func (c *Scene) addHost(g *script.Group, name, rack string) error {
+func (c *Scene) addHost(g *scenario.Group, name, rack string) error {
 	address, err := free("tcp")
 	if err != nil {
 		return err
 	}
-	h, err := hostd.Start(hostd.Config{
+	h, err := host.Start(host.Config{
 		Host: HostConfig(c.Script, g, name, rack), Listen: address, Catalogue: c.Settings.Catalogue.Address,
 		Service: c.Settings.Catalogue.Service, Refresh: c.Script.Host.Refresh, Seed: uint64(c.Script.Seed)<<16 + uint64(len(c.Hosts)),
 		Cold: g.Cold, Clock: c.Clock, Engine: c.engine, Log: c.Log,
@@ -189,7 +189,7 @@
 	}
 	set := c.Settings.For(i)
 	c.lives[i]++
-	cfg := placerd.Config{
+	cfg := placer.Config{
 		Settings: set, Clock: c.Clock, Log: c.log, Seed: uint64(c.Script.Seed)<<8 + uint64(i) + uint64(c.lives[i])<<32,
 		Epoch: uint64(c.Clock.Now().Microseconds()),
 		Drop:  func(int) bool { return rand.Uint64N(1000) < c.Loss.Load() },
@@ -209,10 +209,10 @@
 	if c.breaker != nil {
 		cfg.Decide = c.breaker(set.Module)
 	}
-	var p *placerd.Server
+	var p *placer.Server
 	var err error
 	for try := 0; try < 100; try++ { // the port may still be held by what is closing
-		if p, err = placerd.Start(cfg); err == nil {
+		if p, err = placer.Start(cfg); err == nil {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -220,7 +220,7 @@
 	if err != nil {
 		return fmt.Errorf("placer %d: %w", i, err)
 	}
-	c.Log.Add(record.Event{At: c.Clock.Now(), What: record.PlacerUp, Placer: i, PlacerEpoch: p.Epoch()})
+	c.Log.Add(capture.Event{At: c.Clock.Now(), What: capture.PlacerUp, Placer: i, PlacerEpoch: p.Epoch()})
 	c.placers[i].Store(p)
 	return nil
 }
@@ -231,26 +231,26 @@
 // Life is the tape of one life of a placer.
 type Life struct {
 	Placer, Life int // Life counts from 1
-	*tape.Writer
+	*replay.Writer
 }
 
 // tap notes what crosses a placer's own sockets, and keeps its tape where Keep says so.
 func (c *Scene) tap(placer int, seed, epoch uint64) func(now, due time.Duration, in []core.Input, out []core.Output) {
-	base := record.Event{Near: true, Placer: placer, PlacerEpoch: epoch}
-	var w *tape.Writer
+	base := capture.Event{Near: true, Placer: placer, PlacerEpoch: epoch}
+	var w *replay.Writer
 	if c.Keep {
-		w = tape.NewWriter(tape.Head{Durable: c.Script.Durable, File: c.Script.File, Script: c.Script.Text, Placer: placer, Seed: seed, Epoch: epoch}, MostTape)
+		w = replay.NewWriter(replay.Head{Durable: c.Script.Durable, File: c.Script.File, Script: c.Script.Text, Placer: placer, Seed: seed, Epoch: epoch}, MostTape)
 		c.mu.Lock()
 		c.tapes = append(c.tapes, Life{Placer: placer, Life: c.lives[placer], Writer: w})
 		c.mu.Unlock()
 	}
 	return func(now, due time.Duration, in []core.Input, out []core.Output) {
-		for _, e := range tape.Events(base, now, due, in, out) {
+		for _, e := range replay.Events(base, now, due, in, out) {
 			c.Log.Add(e)
 		}
 		if w != nil {
 			// A tape that is cut short says so when it is ended.
-			_ = w.Add(&tape.Step{Now: now, Due: due, In: in, Out: tape.Lines(out)})
+			_ = w.Add(&replay.Step{Now: now, Due: due, In: in, Out: replay.Lines(out)})
 		}
 	}
 }
@@ -259,7 +259,7 @@
 func (c *Scene) Tapes() []Life { return c.tapes }
 
 // Placer returns a placer, or nil while it is down.
-func (c *Scene) Placer(i int) *placerd.Server { return c.placers[i].Load() }
+func (c *Scene) Placer(i int) *placer.Server { return c.placers[i].Load() }
 
 // Placers is how many there are.
 func (c *Scene) Placers() int { return len(c.placers) }
@@ -282,11 +282,11 @@
 		c.Commits.Add(uint64(st.Commits))
 		c.stores[i] = nil
 	}
-	c.Log.Add(record.Event{At: c.Clock.Now(), What: record.Killed, Placer: i, PlacerEpoch: p.Epoch()})
+	c.Log.Add(capture.Event{At: c.Clock.Now(), What: capture.Killed, Placer: i, PlacerEpoch: p.Epoch()})
 }
 
 // keep adds a life's counts to those of lives that are over.
-func (c *Scene) keep(p *placerd.Server) {
+func (c *Scene) keep(p *placer.Server) {
 	st := p.Status()
 	c.vetoes.Add(st.Vetoes)
 	c.defects.Add(st.Defects)
