--- a/internal/protocol/capture/golden_test.go
+++ b/internal/protocol/capture/golden_test.go
@@ -48,7 +48,7 @@
 	}
 	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
 	spec := hostproto.Spec{Key: 4, Service: 5, Name: "p/s/1", Class: "c"}
-	for _, f := range []hostproto.Frame{
+	frames := []hostproto.Frame{
 		hostproto.Hello{}, hostproto.Offer{Ref: ref, Spec: spec}, hostproto.Withdraw{Ref: ref}, hostproto.Stop{Ref: ref}, hostproto.Probe{},
 		hostproto.Query{}, hostproto.Welcome{Epoch: 1, Draining: true}, hostproto.Refused{Ref: ref}, hostproto.Accepted{Ref: ref},
 		hostproto.Running{Ref: ref}, hostproto.Drain{On: true}, hostproto.Bye{}, hostproto.Note{}, hostproto.Probed{},
@@ -59,7 +59,8 @@
 		hostproto.Ended{Ref: ref, Result: hostproto.Evicted}, hostproto.Ended{Ref: ref, Result: hostproto.PushedOut},
 		hostproto.Ended{Ref: ref, Result: hostproto.SentAway}, hostproto.Ended{Ref: ref, Result: hostproto.Stopped},
 		hostproto.Ended{Ref: ref, Result: hostproto.Called}, hostproto.Ended{Ref: ref, Result: hostproto.Forgotten},
-	} {
+	}
+	for _, f := range frames {
 		events = append(events, Frame(Event{Host: "h", Placer: 1}, f)...)
 	}
 	var b bytes.Buffer
--- a/internal/scheduler/platform/golden_test.go
+++ b/internal/scheduler/platform/golden_test.go
@@ -80,7 +80,8 @@
 // transcript writes what crosses a world's sockets and what its module is told, without any name of Go's.
 type transcript struct {
 	*world
-	b bytes.Buffer
+	b    bytes.Buffer
+	rule func(id forkhead.TaskID) []forkhead.Action // the module's answer to a request
 }
 
 func (s *transcript) did() {
@@ -119,87 +120,85 @@
 	s.did()
 }
 
-func (s *transcript) hostSays(link uint64, line string) {
-	fmt.Fprintf(&s.b, "host on connection %d: %s\n", link, line)
-	s.step(HostData{link, []byte(line + "\n")})
+// hostSays is said on connection 1.
+func (s *transcript) hostSays(line string) {
+	fmt.Fprintf(&s.b, "host on connection 1: %s\n", line)
+	s.step(HostData{1, []byte(line + "\n")})
 	s.did()
 }
 
-// The lines between owners, this placer and hosts are the same, and so is what the module is told by them: their types,
-// fields, words and causes.
-func TestLinesGolden(t *testing.T) {
-	w := newWorld(t, nil)
-	s := &transcript{world: w}
-	s.did()
-	var rule func(id forkhead.TaskID) []forkhead.Action
-	w.next = func(ev forkhead.Event) []forkhead.Action {
-		if a, ok := ev.(forkhead.PlacementRequest); ok {
-			return rule(a.Task.ID)
-		}
-		return nil
-	}
-	offer := func(id forkhead.TaskID) []forkhead.Action {
-		return []forkhead.Action{forkhead.Offer{Task: id, Machine: 1}}
-	}
-	ref := func(n int) string { return fmt.Sprintf("9b1f03aa5c7e2d%02x", n) }
-	setUp := func(n int, more string) string {
-		return fmt.Sprintf(`{"t":"new","ref":"%s","f":{"class":"keyed","left":"1500","tenant":"acme","key":"7f3a9c21e0b4d6%02x","idem":"%02x","hint":"4000","extras":"cores:1.5;memory:2;service:00000000b4d65521%s","other":7},"d":"a\ud800\r\nb"}`,
-			ref(n), n, n, more)
-	}
-	hostLine := func(kind string, n int, rest string) string {
-		return fmt.Sprintf(`{"t":"%s","ref":"%s",%s}`, kind, ref(n), rest)
-	}
-	o := w.owner()
+func goldenRef(n int) string { return fmt.Sprintf("9b1f03aa5c7e2d%02x", n) }
+
+// goldenSetUp is the set-up of task n; more goes into its extras.
+func goldenSetUp(n int, more string) string {
+	return fmt.Sprintf(`{"t":"new","ref":"%s","f":{"class":"keyed","left":"1500","tenant":"acme","key":"7f3a9c21e0b4d6%02x","idem":"%02x",`+
+		`"hint":"4000","extras":"cores:1.5;memory:2;service:00000000b4d65521%s","other":7},"d":"a\ud800\r\nb"}`, goldenRef(n), n, n, more)
+}
+
+func goldenLine(kind string, n int, rest string) string {
+	return fmt.Sprintf(`{"t":"%s","ref":"%s",%s}`, kind, goldenRef(n), rest)
+}
+
+func offerAtHost1(id forkhead.TaskID) []forkhead.Action {
+	return []forkhead.Action{forkhead.Offer{Task: id, Machine: 1}}
+}
 
-	// A task is placed, told of, and ends.
-	rule = offer
-	s.ownerSays(o, setUp(1, ";again:1"))
+// taskIsPlaced follows a task that is placed, noted and ends.
+func (s *transcript) taskIsPlaced(o uint64) {
+	s.rule = offerAtHost1
+	s.ownerSays(o, goldenSetUp(1, ";again:1"))
 	s.connects(1)
-	s.hostSays(1, hostLine("wait", 1, `"f":{}`))
-	s.hostSays(1, hostLine("up", 1, `"f":{"load":"x0:1;x1:2;queue:3;util:0.5"},"d":"from the host"`))
+	s.hostSays(goldenLine("wait", 1, `"f":{}`))
+	s.hostSays(goldenLine("up", 1, `"f":{"load":"x0:1;x1:2;queue:3;util:0.5"},"d":"from the host"`))
 	for _, note := range []string{"running", "use_cpu", "use_ram", "health", "ram_high"} {
-		s.hostSays(1, hostLine("tell", 1, `"f":{"note":"`+note+`","value":"0.5"}`))
+		s.hostSays(goldenLine("tell", 1, `"f":{"note":"`+note+`","value":"0.5"}`))
 	}
-	s.hostSays(1, hostLine("down", 1, `"f":{"note":"killed","load":"x0:4"},"c":41`))
-	s.ownerSays(o, hostLine("ack", 1, `"f":{}`))
+	s.hostSays(goldenLine("down", 1, `"f":{"note":"killed","load":"x0:4"},"c":41`))
+	s.ownerSays(o, goldenLine("ack", 1, `"f":{}`))
+}
 
-	// Each way in which a host turns a task down.
-	n := 2
-	for _, rest := range []string{
+// hostTurnsDown goes through each way in which a host turns a task down.
+func (s *transcript) hostTurnsDown(o uint64) {
+	for i, rest := range []string{
 		`"f":{"note":"lack_cpu"},"c":34`, `"f":{"note":"lack_ram"},"c":34`, `"f":{"note":"backlog"},"c":34`, `"f":{"note":"unfit"},"c":34`, `"f":{},"c":42`,
 		`"f":{},"c":47`, `"f":{},"c":102`,
 	} {
-		s.ownerSays(o, setUp(n, ""))
-		s.hostSays(1, hostLine("down", n, rest))
-		s.ownerSays(o, hostLine("down", n, `"f":{},"c":16`))
-		n++
+		s.ownerSays(o, goldenSetUp(2+i, ""))
+		s.hostSays(goldenLine("down", 2+i, rest))
+		s.ownerSays(o, goldenLine("down", 2+i, `"f":{},"c":16`))
 	}
+}
 
-	// The module refuses, fails, stops, probes and sends a message.
-	rule = func(id forkhead.TaskID) []forkhead.Action {
+// moduleActs has the module refuse, fail, stop, probe and send a message.
+func (s *transcript) moduleActs(o uint64) {
+	s.rule = func(id forkhead.TaskID) []forkhead.Action {
 		return []forkhead.Action{forkhead.Reject{Task: id, RetryAfter: 1500 * time.Millisecond}}
 	}
-	s.ownerSays(o, setUp(n, ""))
-	rule = func(id forkhead.TaskID) []forkhead.Action { return []forkhead.Action{forkhead.Fail{Task: id}} }
-	s.ownerSays(o, setUp(n+1, ""))
-	rule = func(id forkhead.TaskID) []forkhead.Action {
+	s.ownerSays(o, goldenSetUp(9, ""))
+	s.rule = func(id forkhead.TaskID) []forkhead.Action { return []forkhead.Action{forkhead.Fail{Task: id}} }
+	s.ownerSays(o, goldenSetUp(10, ""))
+	s.rule = func(id forkhead.TaskID) []forkhead.Action {
 		return []forkhead.Action{
 			forkhead.Offer{Task: id, Machine: 1}, forkhead.Probe{Machine: 1}, forkhead.Gossip{To: forkhead.AllPlacers, Data: []byte("data")},
 		}
 	}
-	s.ownerSays(o, setUp(n+2, ""))
-	s.hostSays(1, hostLine("up", n+2, `"f":{},"d":"x"`))
-	rule = func(forkhead.TaskID) []forkhead.Action { return []forkhead.Action{forkhead.Stop{Task: 11}} }
-	s.ownerSays(o, setUp(n+3, ""))
-
-	// An owner that comes again with a task that stands at a host, and what cannot be read.
-	rule = offer
-	s.ownerSays(o, setUp(n+4, ";at:s-00000001"))
+	s.ownerSays(o, goldenSetUp(11, ""))
+	s.hostSays(goldenLine("up", 11, `"f":{},"d":"x"`))
+	s.rule = func(forkhead.TaskID) []forkhead.Action { return []forkhead.Action{forkhead.Stop{Task: 11}} }
+	s.ownerSays(o, goldenSetUp(12, ""))
+}
+
+// ownerComesAgain brings a task that stands at a host, and lines that cannot be read.
+func (s *transcript) ownerComesAgain(o uint64) {
+	s.rule = offerAtHost1
+	s.ownerSays(o, goldenSetUp(13, ";at:s-00000001"))
 	s.ownerSays(o, `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`)
-	s.ownerSays(o, hostLine("new", n+5, `"f":{"class":"unheard-of"},"d":"x"`))
+	s.ownerSays(o, goldenLine("new", 14, `"f":{"class":"unheard-of"},"d":"x"`))
 	s.ownerSays(o, `{`)
+}
 
-	// Another placer, and the change log.
+// otherSources brings a message of another placer and events of the change log.
+func (s *transcript) otherSources() {
 	fmt.Fprintln(&s.b, "placer 1 sends data")
 	s.step(Datagram{From: 1, Data: []byte("data")})
 	s.did()
@@ -208,5 +207,25 @@
 		s.step(Changed{Change: platform.Change{Seq: uint64(i + 2), Fleet: &platform.Fleet{Hosts: []platform.HostInfo{hostInfo(2, state)}}}})
 		s.did()
 	}
+}
+
+// The lines between owners, this placer and hosts are the same, and so is what the module is told by them: their types,
+// fields, words and causes.
+func TestLinesGolden(t *testing.T) {
+	w := newWorld(t, nil)
+	s := &transcript{world: w}
+	s.did()
+	w.next = func(ev forkhead.Event) []forkhead.Action {
+		if a, ok := ev.(forkhead.PlacementRequest); ok {
+			return s.rule(a.Task.ID)
+		}
+		return nil
+	}
+	o := w.owner()
+	s.taskIsPlaced(o)
+	s.hostTurnsDown(o)
+	s.moduleActs(o)
+	s.ownerComesAgain(o)
+	s.otherSources()
 	checkGolden(t, "lines.txt", s.b.Bytes())
 }
--- a/internal/server/store/golden_test.go
+++ b/internal/server/store/golden_test.go
@@ -8,6 +8,7 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -144,6 +145,66 @@
 	checkGolden(t, "placer.dump", dump(t, again))
 }
 
+// hostEpoch is that of the attempts in the file: their hosts live on.
+const hostEpoch = 1796191483153710
+
+// hosts answer a placer as hosts would that run whatever they are asked about or offered, and note both.
+type hosts struct {
+	t       *testing.T
+	seen    []string
+	answers []core.Input // to the outputs of the last step
+}
+
+func (h *hosts) carry(outputs []core.Output) {
+	h.answers = nil
+	for _, out := range outputs {
+		switch out := out.(type) {
+		case core.Dial:
+			h.answers = append(h.answers, core.Dialled{Host: out.Host, Conn: out.Conn})
+		case core.ToHost:
+			for _, f := range h.answer(out.Host, out.Frame) {
+				h.answers = append(h.answers, core.FromHost{Host: out.Host, Conn: out.Conn, Frame: f})
+			}
+		case core.Logged:
+			if out.Defect {
+				h.t.Errorf("defect: %s", out.Text)
+			}
+		}
+	}
+}
+
+func (h *hosts) answer(host string, f hostproto.Frame) (answers []hostproto.Frame) {
+	switch f := f.(type) {
+	case hostproto.Hello:
+		return []hostproto.Frame{hostproto.Welcome{Version: hostproto.Version, Host: host, Epoch: hostEpoch}}
+	case hostproto.Probe:
+		return []hostproto.Frame{hostproto.Probed{ID: f.ID}}
+	case hostproto.Query:
+		for _, ref := range f.Refs {
+			h.seen = append(h.seen, fmt.Sprintf("asks %s about attempt %d of task %d of epoch %d", host, ref.Attempt, ref.Task, ref.Epoch))
+			answers = append(answers, hostproto.Accepted{Ref: ref}, hostproto.Running{Ref: ref})
+		}
+	case hostproto.Offer:
+		s := &f.Spec
+		h.seen = append(h.seen, fmt.Sprintf(
+			"offers %s: key %016x, service %016x, fingerprint %016x, class %s, %d thousandths of a core, %d MiB, life %v, %s",
+			s.Name, s.Key, s.Service, s.Fingerprint, s.Class, s.Cores, s.Memory, s.Life, f.Payload))
+		answers = append(answers, hostproto.Accepted{Ref: f.Ref}, hostproto.Running{Ref: f.Ref})
+	case hostproto.Stop, hostproto.Withdraw:
+		h.t.Errorf("%T to %s", f, host)
+	}
+	return answers
+}
+
+func (h *hosts) status(placer *core.Core, when string) {
+	h.t.Helper()
+	line, err := json.Marshal(placer.Status())
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	h.seen = append(h.seen, when+" "+string(line))
+}
+
 // A placer that begins with the file holds the same tasks and submissions: it asks the hosts about the unsafe tasks, which
 // it does not offer again, and offers the safe ones, which nobody has named, under the same identities.
 func TestPlacerRestoresGoldenFile(t *testing.T) {
@@ -160,74 +221,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var seen []string
-	const hostEpoch = 1796191483153710 // of the attempts in the file: the hosts have lived on
-	var answers []core.Input
-	carry := func(outputs []core.Output) {
-		answers = nil
-		for _, out := range outputs {
-			switch out := out.(type) {
-			case core.Dial:
-				answers = append(answers, core.Dialled{Host: out.Host, Conn: out.Conn})
-			case core.ToHost:
-				from := func(f hostproto.Frame) {
-					answers = append(answers, core.FromHost{Host: out.Host, Conn: out.Conn, Frame: f})
-				}
-				switch f := out.Frame.(type) {
-				case hostproto.Hello:
-					from(hostproto.Welcome{Version: hostproto.Version, Host: out.Host, Epoch: hostEpoch})
-				case hostproto.Probe:
-					from(hostproto.Probed{ID: f.ID})
-				case hostproto.Query:
-					for _, ref := range f.Refs {
-						seen = append(seen, fmt.Sprintf("asks %s about attempt %d of task %d of epoch %d", out.Host, ref.Attempt, ref.Task, ref.Epoch))
-						from(hostproto.Accepted{Ref: ref})
-						from(hostproto.Running{Ref: ref})
-					}
-				case hostproto.Offer:
-					s := &f.Spec
-					seen = append(seen, fmt.Sprintf("offers %s: key %016x, service %016x, fingerprint %016x, class %s, %d thousandths of a core, %d MiB, life %v, %s",
-						s.Name, s.Key, s.Service, s.Fingerprint, s.Class, s.Cores, s.Memory, s.Life, f.Payload))
-					from(hostproto.Accepted{Ref: f.Ref})
-					from(hostproto.Running{Ref: f.Ref})
-				case hostproto.Stop, hostproto.Withdraw:
-					t.Errorf("%T to %s", f, out.Host)
-				}
-			case core.Logged:
-				if out.Defect {
-					t.Errorf("defect: %s", out.Text)
-				}
-			}
-		}
-	}
+	h := &hosts{t: t}
 	now := kept.List.At + 10*time.Second
-	carry(placer.Step(now, core.Restore{Kept: kept}))
-	status := func(what string) {
-		line, err := json.Marshal(placer.Status())
-		if err != nil {
-			t.Fatal(err)
-		}
-		seen = append(seen, what+" "+string(line))
-	}
-	status("restored")
-	restored := len(seen)
+	h.carry(placer.Step(now, core.Restore{Kept: kept}))
+	h.status(placer, "restored")
+	restored := len(h.seen)
 	for range 500 {
 		now += 10 * time.Millisecond
-		carry(placer.Step(now, answers...))
+		h.carry(placer.Step(now, h.answers...))
 	}
-	slices.Sort(seen[restored:])
-	status("5s later")
+	slices.Sort(h.seen[restored:])
+	h.status(placer, "5s later")
 	for _, f := range kept.Submissions {
 		list, complete, known := placer.Outcomes(f.ID, 0)
 		line, err := json.Marshal(list)
 		if err != nil {
 			t.Fatal(err)
 		}
-		seen = append(seen, fmt.Sprintf("submission %s, complete %v, known %v: %s", f.ID, complete, known, line))
-	}
-	var b bytes.Buffer
-	for _, line := range seen {
-		fmt.Fprintln(&b, line)
+		h.seen = append(h.seen, fmt.Sprintf("submission %s, complete %v, known %v: %s", f.ID, complete, known, line))
 	}
-	checkGolden(t, "restored.txt", b.Bytes())
+	checkGolden(t, "restored.txt", []byte(strings.Join(h.seen, "\n")+"\n"))
 }
--- a/internal/verify/replay/golden_test.go
+++ b/internal/verify/replay/golden_test.go
@@ -124,7 +124,6 @@
 func exampleInputs() []core.Input {
 	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
 	pos := diagnostic.Pos{File: "a.yaml", Line: 3, Col: 5}
-	report := &hostproto.Report{Cores: 1, Memory: 2, Queue: 3, Util: 0.5}
 	what := &servicespec.Description{
 		Name: "p", Whole: true, Notes: []servicespec.Note{{Pos: pos, Text: "not acted on"}},
 		Services: []servicespec.Service{{
@@ -168,7 +167,17 @@
 			List: durable.List{At: time.Hour, Hosts: hosts}, Epoch: 11, Bad: []string{"bad"},
 		}},
 	}
-	for _, f := range []hostproto.Frame{
+	for _, f := range exampleFrames() {
+		inputs = append(inputs, core.FromHost{Host: "h", Conn: 1, Frame: f})
+	}
+	return inputs
+}
+
+// exampleFrames are one of each kind that hosts send.
+func exampleFrames() []hostproto.Frame {
+	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
+	report := &hostproto.Report{Cores: 1, Memory: 2, Queue: 3, Util: 0.5}
+	return []hostproto.Frame{
 		hostproto.Welcome{Version: 1, Host: "h", Epoch: 2, Started: time.Minute, Draining: true, Count: 1},
 		hostproto.Holds{Held: []hostproto.Held{{Ref: ref, Phase: hostproto.Runs, Left: time.Second, Spec: exampleSpec()}}},
 		hostproto.Refused{Ref: ref, Reason: hostproto.NoCores, Report: report},
@@ -179,10 +188,7 @@
 		hostproto.Probed{ID: 1, Report: report},
 		hostproto.Drain{On: true},
 		hostproto.Bye{Text: "bye"},
-	} {
-		inputs = append(inputs, core.FromHost{Host: "h", Conn: 1, Frame: f})
 	}
-	return inputs
 }
 
 // Every kind of input is read from a tape of an earlier build with every field as it was: gob passes over a field whose
--- a/internal/verify/rules/golden_test.go
+++ b/internal/verify/rules/golden_test.go
@@ -33,20 +33,9 @@
 	return text
 }
 
-// The record of an earlier build's day is read, is written as it was, and comes to the verdict that was kept with it.
-func TestCheckGoldenRecord(t *testing.T) {
-	text := goldenRecord(t)
-	events, err := capture.Read(bytes.NewReader(text))
-	if err != nil {
-		t.Fatal(err)
-	}
-	var again bytes.Buffer
-	if err := capture.Write(&again, events); err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(again.Bytes(), text) {
-		t.Error("the record is written otherwise than it was")
-	}
+// goldenVerdict judges a record by the figures of testdata/script.sexp.
+func goldenVerdict(t *testing.T, events []capture.Event) Verdict {
+	t.Helper()
 	day, err := os.ReadFile(filepath.Join("testdata", "script.sexp"))
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +50,24 @@
 	for _, word := range []string{core.WordPlaced, core.WordRefused, core.WordFailed} {
 		v.Outcomes[word] += 0 // the kept result names all of them
 	}
+	return v
+}
 
+// The record of an earlier build's day is read, is written as it was, and comes to the verdict that was kept with it.
+func TestCheckGoldenRecord(t *testing.T) {
+	text := goldenRecord(t)
+	events, err := capture.Read(bytes.NewReader(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var again bytes.Buffer
+	if err := capture.Write(&again, events); err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(again.Bytes(), text) {
+		t.Error("the record is written otherwise than it was")
+	}
+	v := goldenVerdict(t, events)
 	kept, err := os.ReadFile(filepath.Join("testdata", "verdict.json"))
 	if err != nil {
 		t.Fatal(err)
