--- a/internal/server/netio/netio.go
+++ b/internal/server/netio/netio.go
@@ -44,8 +44,8 @@
 // before; accept itself must not use the connection.
 type Opener interface{ Opened(c *Conn) }
 
-// ErrFull means that a connection's reader does not keep up: it has been closed.
-var ErrFull = errors.New("too much is waiting to be written")
+// ErrWriteBufferFull means that a connection's reader does not keep up: it has been closed.
+var ErrWriteBufferFull = errors.New("too much is waiting to be written")
 
 // Engine runs connections.
 type Engine struct {
@@ -370,8 +370,8 @@
 		return net.ErrClosed
 	}
 	if c.pending.Add(int64(len(p))) > c.most {
-		c.CloseWith(ErrFull)
-		return ErrFull
+		c.CloseWith(ErrWriteBufferFull)
+		return ErrWriteBufferFull
 	}
 	if _, err := c.nb.Write(p); err != nil {
 		return err
@@ -379,11 +379,11 @@
 	return nil
 }
 
-// Gone says whether the connection is closed.
-func (c *Conn) Gone() bool { return c.closed.Load() }
+// IsClosed says whether the connection is closed.
+func (c *Conn) IsClosed() bool { return c.closed.Load() }
 
-// Unsent says whether bytes that were written wait in this process or its machine, as the other end does not read.
-func (c *Conn) Unsent() bool {
+// HasUnsent says whether bytes that were written wait in this process or its machine, as the other end does not read.
+func (c *Conn) HasUnsent() bool {
 	if c.closed.Load() {
 		return false
 	}
@@ -394,8 +394,8 @@
 	return err == nil && n > 0
 }
 
-// Pending is how many bytes wait to be written.
-func (c *Conn) Pending() int { return int(c.pending.Load()) }
+// PendingBytes is how many bytes wait to be written.
+func (c *Conn) PendingBytes() int { return int(c.pending.Load()) }
 
 // Close closes the connection; Closed of its handler follows.
 func (c *Conn) Close() { c.CloseWith(nil) }
@@ -415,9 +415,9 @@
 	c.end(err)
 }
 
-// CloseWritten closes the connection once what is queued has gone out, or after most: what is queued when a connection is
+// CloseAfterFlush closes the connection once what is queued has gone out, or after most: what is queued when a connection is
 // closed is lost. Data may come until then.
-func (c *Conn) CloseWritten(most time.Duration) {
+func (c *Conn) CloseAfterFlush(most time.Duration) {
 	c.closing.Store(true)
 	if c.pending.Load() == 0 {
 		c.Close()
@@ -434,8 +434,8 @@
 	}
 }
 
-// Left says whether the other end has closed its side or reset the connection, though that was not read yet.
-func (c *Conn) Left() bool {
+// PeerClosed says whether the other end has closed its side or reset the connection, though that was not read yet.
+func (c *Conn) PeerClosed() bool {
 	if c.closed.Load() {
 		return true
 	}
@@ -450,8 +450,8 @@
 	c.Close()
 }
 
-// Deadline closes the connection if nothing has come by then; 0 takes that back.
-func (c *Conn) Deadline(d time.Duration) {
+// SetReadTimeout closes the connection if nothing has come by then; 0 takes that back.
+func (c *Conn) SetReadTimeout(d time.Duration) {
 	t := time.Time{}
 	if d > 0 {
 		t = time.Now().Add(d)
@@ -459,5 +459,5 @@
 	_ = c.nb.SetReadDeadline(t)
 }
 
-// Remote is the other end's address.
-func (c *Conn) Remote() string { return c.nb.RemoteAddr().String() }
+// RemoteAddress is the other end's address.
+func (c *Conn) RemoteAddress() string { return c.nb.RemoteAddr().String() }
--- a/internal/server/netio/netio_test.go
+++ b/internal/server/netio/netio_test.go
@@ -112,7 +112,7 @@
 	if _, err := c.Write([]byte{1}); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-h.closed; !errors.Is(err, ErrFull) {
+	if err := <-h.closed; !errors.Is(err, ErrWriteBufferFull) {
 		t.Fatalf("closed with %v", err)
 	}
 }
@@ -163,7 +163,7 @@
 	ln, err := e.Listen("127.0.0.1:0", 1<<20, func(c *Conn) Handler {
 		if n++; n == 1 {
 			done := make(chan struct{})
-			go func() { c.CloseWith(ErrFull); close(done) }()
+			go func() { c.CloseWith(ErrWriteBufferFull); close(done) }()
 			<-done
 			return first
 		}
@@ -177,7 +177,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := <-first.closed; !errors.Is(err, ErrFull) {
+	if err := <-first.closed; !errors.Is(err, ErrWriteBufferFull) {
 		t.Errorf("closed with %v", err)
 	}
 	for range 3 {
@@ -252,13 +252,13 @@
 	if err := c.Write(make([]byte, want)); err != nil {
 		t.Fatal(err)
 	}
-	if c.Pending() == 0 {
+	if c.PendingBytes() == 0 {
 		t.Fatal("all of it is out already; this tests nothing")
 	}
-	if !c.Unsent() {
+	if !c.HasUnsent() {
 		t.Error("nothing is unsent with a reader that does not read")
 	}
-	c.CloseWritten(time.Minute)
+	c.CloseAfterFlush(time.Minute)
 	if n, err := io.Copy(io.Discard, slow); err != nil || int(n) != want {
 		t.Errorf("%d bytes of %d came, then %v", n, want, err)
 	}
@@ -268,11 +268,11 @@
 		"reset":       func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() },
 	} {
 		mine, c := dial()
-		if c.Left() {
+		if c.PeerClosed() {
 			t.Errorf("%s: it has left before it did", name)
 		}
 		leave(mine)
-		for end := time.Now().Add(20 * time.Second); !c.Left(); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(20 * time.Second); !c.PeerClosed(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("%s: not seen", name)
 			}
--- a/internal/server/placer/front.go
+++ b/internal/server/placer/front.go
@@ -114,7 +114,7 @@
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	if !cl.busy {
-		c.Deadline(headTime)
+		c.SetReadTimeout(headTime)
 	}
 }
 
@@ -138,13 +138,13 @@
 		}
 	case r != nil:
 		cl.busy = true
-		cl.c.Deadline(0)
+		cl.c.SetReadTimeout(0)
 		cl.serve(r)
 	case cl.p.Expects():
 		_ = cl.c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
-		cl.c.Deadline(bodyTime)
+		cl.c.SetReadTimeout(bodyTime)
 	case !cl.busy && cl.p.Idle():
-		cl.c.Deadline(idleTime)
+		cl.c.SetReadTimeout(idleTime)
 	}
 }
 
@@ -156,17 +156,17 @@
 		return
 	}
 	cl.busy = false
-	cl.c.Deadline(idleTime)
+	cl.c.SetReadTimeout(idleTime)
 }
 
 // finish closes a connection once what was written has gone out, or a while has passed.
 func (cl *client) finish() {
 	cl.ending.Store(true)
-	if cl.c.Pending() == 0 {
+	if cl.c.PendingBytes() == 0 {
 		cl.c.Close()
 		return
 	}
-	cl.c.Deadline(headTime) // a reader that does not read has so long
+	cl.c.SetReadTimeout(headTime) // a reader that does not read has so long
 }
 
 // next goes on to a request that was sent ahead. It runs outside the loop.
@@ -179,7 +179,7 @@
 			return
 		}
 		cl.busy = false
-		cl.c.Deadline(idleTime)
+		cl.c.SetReadTimeout(idleTime)
 		r, err := cl.p.Next()
 		cl.took(r, err)
 	}()
@@ -200,7 +200,7 @@
 		go c.Close()
 		return
 	}
-	cl.s.loop.Do(func() {
+	cl.s.loop.Post(func() {
 		if cl.st != nil {
 			cl.s.pump(cl.st)
 		}
@@ -210,7 +210,7 @@
 // Closed forgets the client. What it submitted goes on.
 func (cl *client) Closed(*netio.Conn, error) {
 	cl.s.conns.Add(-1)
-	cl.s.loop.Do(func() {
+	cl.s.loop.Post(func() {
 		cl.gone = true
 		if cl.st != nil {
 			cl.s.unfollow(cl.st)
@@ -231,7 +231,7 @@
 		cl.submit(r)
 	case strings.HasPrefix(r.Path, "/v1/submissions/") && r.Method == "GET":
 		id := strings.TrimPrefix(r.Path, "/v1/submissions/")
-		s.loop.Wait(func() {
+		s.loop.PostBlocking(func() {
 			if _, _, known := s.core.Outcomes(id, 0); !known {
 				s.reply(cl, r.Close, problem(nil, Problem{Title: "No such submission", Status: 404, Detail: "it never was, or was complete long ago"}, 0, r.Close))
 				return
@@ -240,13 +240,13 @@
 		})
 	case strings.HasPrefix(r.Path, "/v1/projects/") && r.Method == "DELETE":
 		name := strings.TrimPrefix(r.Path, "/v1/projects/")
-		s.loop.Wait(func() {
+		s.loop.PostBlocking(func() {
 			s.request++
 			s.await[s.request] = &exchange{cl: cl, closes: r.Close, remove: true}
 			s.put(core.Remove{Request: s.request, Project: name})
 		})
 	case r.Path == "/v1/status" && r.Method == "GET":
-		s.loop.Wait(func() {
+		s.loop.PostBlocking(func() {
 			body, _ := json.Marshal(s.core.Status())
 			body = append(body, '\n')
 			fields := []http1.Field{{Name: "content-type", Value: "application/json"}}
@@ -296,7 +296,7 @@
 			go func() {
 				defer func() { <-s.judging }()
 				if conflict := s.judge(d); conflict != nil {
-					s.loop.Do(func() { s.reply(cl, r.Close, problem(nil, impossible(conflict), 0, r.Close)) })
+					s.loop.Post(func() { s.reply(cl, r.Close, problem(nil, impossible(conflict), 0, r.Close)) })
 					return
 				}
 				s.take(cl, r.Close, take)
@@ -310,7 +310,7 @@
 
 // take hands a submission to the core.
 func (s *Server) take(cl *client, closes bool, in core.Submit) {
-	s.loop.Wait(func() {
+	s.loop.PostBlocking(func() {
 		s.request++
 		in.Request = s.request
 		s.await[s.request] = &exchange{cl: cl, closes: closes}
@@ -461,7 +461,7 @@
 // Buffer bytes and no more: the rest stays with the submission until it reads on.
 func (s *Server) pump(st *stream) {
 	list, complete, known := s.core.Outcomes(st.sub, st.sent)
-	room := s.set.Limits.Buffer - st.cl.c.Pending()
+	room := s.set.Limits.Buffer - st.cl.c.PendingBytes()
 	lines := st.buf[:0]
 	n := 0
 	for ; n < len(list) && len(lines) < room; n++ {
--- a/internal/server/placer/placerd.go
+++ b/internal/server/placer/placerd.go
@@ -159,7 +159,7 @@
 }
 
 // Stall makes the placer stand still for a while, as a long collection or a stopped process would.
-func (s *Server) Stall(d time.Duration) { s.loop.Do(func() { time.Sleep(d) }) }
+func (s *Server) Stall(d time.Duration) { s.loop.Post(func() { time.Sleep(d) }) }
 
 // Stop ends the placer: the front takes nothing new, what is under way has up to grace to be
 // answered, then all connections are closed. Tasks run on.
@@ -333,13 +333,13 @@
 	h := &hostConn{s: s, host: o.Host, num: o.Conn}
 	s.links[o.Host] = h
 	s.engine.Dial(o.Address, s.set.Links.Connect, mostUnwritten, h, func(c *netio.Conn, err error) {
-		s.loop.Do(func() {
+		s.loop.Post(func() {
 			switch {
 			case s.links[o.Host] != h:
 				if c != nil {
 					c.Close()
 				}
-			case err != nil || c.Gone():
+			case err != nil || c.IsClosed():
 				delete(s.links, o.Host)
 				s.put(core.Broke{Host: h.host, Conn: h.num})
 			default:
@@ -357,7 +357,7 @@
 		frames = append(frames, f)
 		return nil
 	})
-	h.s.loop.Wait(func() {
+	h.s.loop.PostBlocking(func() {
 		if h.s.links[h.host] != h {
 			return
 		}
@@ -374,7 +374,7 @@
 
 // Closed takes the end of the connection.
 func (h *hostConn) Closed(_ *netio.Conn, err error) {
-	h.s.loop.Do(func() {
+	h.s.loop.Post(func() {
 		if h.s.links[h.host] != h {
 			return // the core closed it
 		}
@@ -400,7 +400,7 @@
 	}
 	var w *listwatch.Watch
 	w = listwatch.Start(cfg, func(hosts []core.HostEntry, skipped []string) {
-		s.loop.Wait(func() {
+		s.loop.PostBlocking(func() {
 			if s.watch == w {
 				if len(skipped) > 0 {
 					s.log.Warn().Strs("entries", skipped).Msg("the catalogue lists hosts that cannot be used")
@@ -410,7 +410,7 @@
 			}
 		})
 	}, func(err error) {
-		s.loop.Do(func() {
+		s.loop.Post(func() {
 			if s.watch == w {
 				s.watch = nil
 				s.log.Debug().Err(err).Msg("asking the catalogue failed")
@@ -455,6 +455,6 @@
 			continue
 		}
 		data := append([]byte(nil), buf[2:n]...)
-		s.loop.Wait(func() { s.put(core.FromPlacer{From: placer, Data: data}) })
+		s.loop.PostBlocking(func() { s.put(core.FromPlacer{From: placer, Data: data}) })
 	}
 }
--- a/internal/server/platform/changes.go
+++ b/internal/server/platform/changes.go
@@ -26,7 +26,7 @@
 // changes follows the change log until it is stopped.
 type changes struct {
 	log  zerolog.Logger
-	take func(ch platform.Change, anew bool)
+	take func(ch platform.WatchEvent, anew bool)
 	dial net.Dialer
 	done sync.WaitGroup
 
@@ -39,7 +39,7 @@
 }
 
 // follow begins behind the event of that number. connect bounds the making of a connection.
-func follow(address string, last uint64, connect time.Duration, log zerolog.Logger, take func(ch platform.Change, anew bool)) *changes {
+func follow(address string, last uint64, connect time.Duration, log zerolog.Logger, take func(ch platform.WatchEvent, anew bool)) *changes {
 	c := &changes{
 		log: log, take: take, dial: net.Dialer{Timeout: connect}, address: address, seq: platform.Sequence{Last: last},
 		cancel: func() {},
@@ -79,7 +79,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		c.cancel = cancel
 		address, last := c.address, c.seq.Last
-		c.seq.Asked()
+		c.seq.StreamOpened()
 		c.mu.Unlock()
 		err := c.read(ctx, cancel, address, last)
 		moved := ctx.Err() != nil
@@ -122,9 +122,9 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("the change log answers %s", resp.Status)
 	}
-	events := platform.Events{Rest: func() {
+	events := platform.EventReader{OnComment: func() {
 		c.mu.Lock()
-		anew := c.seq.Rest()
+		anew := c.seq.StreamIdle()
 		c.mu.Unlock()
 		for i, ch := range anew {
 			c.take(ch, i == 0)
@@ -140,8 +140,8 @@
 			heard.reset(silentLog)
 		}
 		bad := error(nil)
-		feed := events.Feed(buf[:n], func(ev platform.Event) {
-			ch, err := platform.ReadChange(ev)
+		feed := events.Feed(buf[:n], func(ev platform.ServerSentEvent) {
+			ch, err := platform.DecodeWatchEvent(ev)
 			if err != nil || bad != nil {
 				bad = errors.Join(bad, err)
 				return
--- a/internal/server/platform/changes_test.go
+++ b/internal/server/platform/changes_test.go
@@ -101,7 +101,7 @@
 func listen(t *testing.T, address string, last uint64) (*changes, chan heard) {
 	t.Helper()
 	all := make(chan heard, 1000)
-	c := follow(address, last, time.Second, zerolog.Nop(), func(ch platform.Change, anew bool) { all <- heard{ch.Seq, anew} })
+	c := follow(address, last, time.Second, zerolog.Nop(), func(ch platform.WatchEvent, anew bool) { all <- heard{ch.Seq, anew} })
 	t.Cleanup(c.stop)
 	return c, all
 }
--- a/internal/server/platform/crossings_test.go
+++ b/internal/server/platform/crossings_test.go
@@ -21,7 +21,7 @@
 func stall(t *testing.T, s *Server) (on func()) {
 	t.Helper()
 	stalled, gate := make(chan struct{}), make(chan struct{})
-	s.loop.Do(func() { close(stalled); <-gate })
+	s.loop.Post(func() { close(stalled); <-gate })
 	<-stalled
 	return func() { close(gate) }
 }
@@ -66,7 +66,7 @@
 			o.ping(t)
 			on := stall(t, s)
 			for range mostJobs {
-				s.loop.Do(func() {})
+				s.loop.Post(func() {})
 			}
 			for i := range 3 { // pipelined
 				o.ask(fmt.Sprintf("%016x", 0xc0+i), 9000)
@@ -160,7 +160,7 @@
 		s.loop.Call(func() {
 			for _, w := range s.links {
 				if w.conn != nil {
-					if all++; w.conn.Unsent() {
+					if all++; w.conn.HasUnsent() {
 						unsent++
 					}
 				}
@@ -213,7 +213,7 @@
 	time.Sleep(750 * time.Millisecond)
 	on := stall(t, s)
 	for range mostJobs {
-		s.loop.Do(func() {})
+		s.loop.Post(func() {})
 	}
 	var late []*standOwner // all but one wait in the accept queue as the listener is told to close
 	for i := range 20 {
@@ -235,7 +235,7 @@
 	}
 	fmt.Fprint(pieces.c, set[60:])
 	until(t, "an answer to the request in pieces", func() bool { return len(pieces.got("00000000000000a7")) == 1 })
-	if got := pieces.got("00000000000000a7")[0]; got.Type != platform.Release || got.Cause != platform.CauseBusy {
+	if got := pieces.got("00000000000000a7")[0]; got.Type != platform.TypeRelease || got.Cause != platform.CauseBusy {
 		t.Errorf("it is answered %s %d, want a refusal", got.Type, got.Cause)
 	}
 	<-s.Ended()
@@ -275,8 +275,8 @@
 	until(t, "the connection is taken", func() bool {
 		s.loop.Call(func() {
 			if w := s.owners[before+1]; w != nil {
-				for w.conn.Pending() == 0 {
-					s.carry(platformcore.ToOwner{Owner: w.id, Line: make([]byte, 64<<10)})
+				for w.conn.PendingBytes() == 0 {
+					s.carry(platformcore.SendToOwner{Owner: w.id, Line: make([]byte, 64<<10)})
 					written += 64 << 10
 					w.flush()
 				}
@@ -293,7 +293,7 @@
 	c, written := fullOwner(t, s)
 	s.loop.Call(func() {
 		for id := range s.owners {
-			s.carry(platformcore.CloseOwner{Owner: id})
+			s.carry(platformcore.CloseOwnerConnection{Owner: id})
 		}
 	})
 	if n, err := io.Copy(io.Discard, c); err != nil || int(n) != written {
@@ -338,7 +338,7 @@
 	o.ask(ref, 5000)
 	until(t, "the release", func() bool {
 		got := o.got(ref)
-		return len(got) == 2 && got[1].Type == platform.Release && got[1].Cause == platform.CauseOK
+		return len(got) == 2 && got[1].Type == platform.TypeRelease && got[1].Cause == platform.CauseOK
 	})
 }
 
@@ -354,7 +354,7 @@
 	}
 	_ = down.Close()
 	_, cfg := start(t, &standLog{cut: make(chan struct{}), events: []string{known}})
-	cfg.ChangeLog = down.Addr().String()
+	cfg.WatchAddress = down.Addr().String()
 	s, err := Start(Options{Config: cfg, Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
@@ -374,7 +374,7 @@
 	o.ping(t) // as the front does
 	o.ask("00000000000000a0", 9000)
 	until(t, "a task is placed from the known list", func() bool { return len(o.got("00000000000000a0")) == 1 })
-	cfg.ChangeLog = good
+	cfg.WatchAddress = good
 	s.Reload(cfg)
 	until(t, "a task goes to a host of the new list", func() bool {
 		o.ask(fmt.Sprintf("%016x", time.Now().UnixNano()), 9000)
--- a/internal/server/platform/noded.go
+++ b/internal/server/platform/noded.go
@@ -111,7 +111,7 @@
 			return ConfigError{fmt.Errorf("peers[%d]: %w", i, err)}
 		}
 	}
-	for name, address := range map[string]string{"changelog": cfg.ChangeLog, "listen": cfg.Listen, "peer_listen": cfg.PeerListen, "peers_all": cfg.PeersAll} {
+	for name, address := range map[string]string{"changelog": cfg.WatchAddress, "listen": cfg.Listen, "peer_listen": cfg.PeerListen, "peers_all": cfg.PeersAll} {
 		if _, _, err := net.SplitHostPort(address); address != "" && err != nil {
 			return ConfigError{fmt.Errorf("%s: %w", name, err)}
 		}
@@ -139,10 +139,10 @@
 	}
 	room := max(sockets-spareSockets, 16)
 	c := platformcore.Config{
-		Settings: set, Idle: platformconfig.Duration(info.Caps.ConnIdle), Seed: cfg.SeedNumber(), Known: cfg.Known.Results,
+		Settings: set, IdleTimeout: platformconfig.Duration(info.Caps.ConnIdle), Seed: cfg.SeedNumber(), InitialEvents: cfg.Initial.Results,
 		// Usual owners hold a third of the limit at most; what they and others leave is for hosts, and the other way.
-		Owners: room * 2 / 3, Kept: min(sockets/3, room/2), Links: room - acceptReserve - min(sockets/3, room/2), Room: room - acceptReserve,
-		Names: platformcore.Names{Zones: info.Zones, Kinds: info.Kinds},
+		MaxOwnerConnections: room * 2 / 3, ProtectedOwnerConnections: min(sockets/3, room/2), MaxHostConnections: room - acceptReserve - min(sockets/3, room/2), MaxConnections: room - acceptReserve,
+		Names: platformcore.Names{Zones: info.Zones, MachineTypes: info.Kinds},
 	}
 	for i := range info.Classes {
 		c.Names.Classes = append(c.Names.Classes, info.Classes[i].Name)
@@ -160,7 +160,7 @@
 	}
 	s := &Server{
 		log: o.Log, clock: clock.New(), engine: engine, core: core, tap: o.Tap, owners: map[uint64]*socket{}, links: map[uint64]*socket{},
-		seats: make(chan struct{}, c.Owners+acceptReserve), self: info.Me, ended: make(chan struct{}), killed: make(chan struct{}),
+		seats: make(chan struct{}, c.MaxOwnerConnections+acceptReserve), self: info.Me, ended: make(chan struct{}), killed: make(chan struct{}),
 		connect: set.ConnectTimeout,
 	}
 	s.loop = eventloop.New(s.clock, mostJobs, s.step)
@@ -174,12 +174,12 @@
 		return nil, fmt.Errorf("owners: %w", err)
 	}
 	s.loop.Start()
-	last := cfg.Known.Seq
-	for _, ch := range cfg.Known.Results {
+	last := cfg.Initial.Seq
+	for _, ch := range cfg.Initial.Results {
 		last = max(last, ch.Seq)
 	}
-	s.changes = follow(cfg.ChangeLog, last, s.connect, s.log, func(ch platform.Change, anew bool) {
-		s.loop.Wait(func() { s.put(platformcore.Changed{Change: ch, Anew: anew}) })
+	s.changes = follow(cfg.WatchAddress, last, s.connect, s.log, func(ch platform.WatchEvent, anew bool) {
+		s.loop.PostBlocking(func() { s.put(platformcore.WatchEventReceived{Event: ch, SequenceRestarted: anew}) })
 	})
 	return s, nil
 }
@@ -216,10 +216,10 @@
 }
 
 // Reload follows the change log at the address that a new configuration names; all else stays as it was.
-func (s *Server) Reload(cfg *platform.Config) { s.changes.move(cfg.ChangeLog) }
+func (s *Server) Reload(cfg *platform.Config) { s.changes.move(cfg.WatchAddress) }
 
 // Stop asks the core to end; Ended tells when nothing is owed any more.
-func (s *Server) Stop() { s.loop.Do(func() { s.put(platformcore.Stopping{}) }) }
+func (s *Server) Stop() { s.loop.Post(func() { s.put(platformcore.ShutdownRequested{}) }) }
 
 // Ended is closed when the core has ended after Stop.
 func (s *Server) Ended() <-chan struct{} { return s.ended }
@@ -264,7 +264,7 @@
 // allWritten says whether owners have all that was written for them.
 func (s *Server) allWritten() bool {
 	for _, w := range s.owners {
-		if !w.conn.Gone() && w.conn.Pending() > 0 {
+		if !w.conn.IsClosed() && w.conn.PendingBytes() > 0 {
 			return false
 		}
 	}
@@ -273,36 +273,36 @@
 
 func (s *Server) carry(o platformcore.Output) {
 	switch o := o.(type) {
-	case platformcore.ToOwner:
+	case platformcore.SendToOwner:
 		s.write(s.owners[o.Owner], o.Line)
-	case platformcore.ToHost:
-		w := s.links[o.Link]
+	case platformcore.SendToHost:
+		w := s.links[o.Connection]
 		s.write(w, o.Line)
-		if o.GivesUp && w != nil && w.conn != nil && w.conn.Unsent() {
+		if o.Abandons && w != nil && w.conn != nil && w.conn.HasUnsent() {
 			// The offer may not have left yet, and would begin whenever the host reads on: guards against attempts that
 			// begin long after their owner has left. Closing a connection gives up what is open on it.
 			w.conn.Reset()
 		}
-	case platformcore.CloseOwner:
+	case platformcore.CloseOwnerConnection:
 		s.close(s.owners, o.Owner)
-	case platformcore.CloseLink:
-		s.close(s.links, o.Link)
-	case platformcore.FinishLink:
-		if w := s.links[o.Link]; w != nil && w.conn != nil {
+	case platformcore.CloseHostConnection:
+		s.close(s.links, o.Connection)
+	case platformcore.HalfCloseHostConnection:
+		if w := s.links[o.Connection]; w != nil && w.conn != nil {
 			w.flush()
 			w.conn.CloseWrite()
 		}
-	case platformcore.Dial:
+	case platformcore.DialHost:
 		s.dial(o)
-	case platformcore.ToPlacer:
+	case platformcore.SendGossip:
 		s.send(o)
 	case platformcore.CloseListener:
 		s.front.Drain(drainQuiet, drainMost)
-	case platformcore.Ended:
+	case platformcore.ShutdownComplete:
 		if s.endBy == 0 {
 			s.endBy = s.clock.Now() + lastWords
 		}
-	case platformcore.Logged:
+	case platformcore.Log:
 		if o.Defect {
 			s.log.Error().Msg(o.Text)
 		} else {
@@ -342,7 +342,7 @@
 		return
 	}
 	w.flush()
-	if w.conn.Pending() == 0 || !s.linger(w) {
+	if w.conn.PendingBytes() == 0 || !s.linger(w) {
 		w.conn.Close()
 	}
 }
@@ -356,8 +356,8 @@
 	}
 	w.lingers.Store(true)
 	w.leave() // the core has room for another already
-	w.conn.CloseWritten(lingerFor)
-	if w.conn.Gone() { // perhaps before it lingered
+	w.conn.CloseAfterFlush(lingerFor)
+	if w.conn.IsClosed() { // perhaps before it lingered
 		w.lingered()
 	}
 	return true
@@ -380,10 +380,10 @@
 		return nil
 	}
 	w := &socket{s: s, id: s.lastOwner.Add(1), owner: true, conn: c}
-	if !s.loop.Wait(func() {
-		if !c.Gone() {
+	if !s.loop.PostBlocking(func() {
+		if !c.IsClosed() {
 			s.owners[w.id] = w
-			s.put(platformcore.Accepted{Owner: w.id})
+			s.put(platformcore.OwnerConnected{Owner: w.id})
 		}
 	}) {
 		w.leave()
@@ -399,22 +399,22 @@
 	}
 }
 
-func (s *Server) dial(o platformcore.Dial) {
-	w := &socket{s: s, id: o.Link}
-	s.links[o.Link] = w
+func (s *Server) dial(o platformcore.DialHost) {
+	w := &socket{s: s, id: o.Connection}
+	s.links[o.Connection] = w
 	s.engine.Dial(o.Address, s.connect, toHost, w, func(c *netio.Conn, err error) {
-		s.loop.Do(func() {
+		s.loop.Post(func() {
 			switch {
 			case w.closed:
 				if c != nil {
 					c.Close()
 				}
-			case err != nil || c.Gone():
-				delete(s.links, o.Link)
-				s.put(platformcore.DialFailed{Link: o.Link, Refused: errors.Is(err, syscall.ECONNREFUSED), Ours: ours(err)})
+			case err != nil || c.IsClosed():
+				delete(s.links, o.Connection)
+				s.put(platformcore.DialFailed{Connection: o.Connection, Refused: errors.Is(err, syscall.ECONNREFUSED), Local: ours(err)})
 			default:
 				w.conn = c
-				s.put(platformcore.Dialled{Link: o.Link})
+				s.put(platformcore.HostConnected{Connection: o.Connection})
 			}
 		})
 	})
@@ -434,16 +434,16 @@
 // attempts for an owner that left while its bytes waited to be read.
 func (w *socket) Data(c *netio.Conn, p []byte) {
 	data := append([]byte(nil), p...)
-	w.s.loop.Wait(func() {
+	w.s.loop.PostBlocking(func() {
 		switch {
 		case w.closed:
 		case w.owner:
 			w.s.put(platformcore.OwnerData{Owner: w.id, Data: data})
-			if len(data) < netio.ReadSize && c.Left() {
+			if len(data) < netio.ReadSize && c.PeerClosed() {
 				w.s.gone(w)
 			}
 		default:
-			w.s.put(platformcore.HostData{Link: w.id, Data: data})
+			w.s.put(platformcore.HostData{Connection: w.id, Data: data})
 		}
 	})
 }
@@ -452,7 +452,7 @@
 func (w *socket) Closed(*netio.Conn, error) {
 	w.lingered()
 	w.leave()
-	w.s.loop.Do(func() { w.s.gone(w) })
+	w.s.loop.Post(func() { w.s.gone(w) })
 }
 
 // gone tells the core, once, that the other end of a connection has left.
@@ -463,16 +463,16 @@
 	w.closed = true
 	if w.owner {
 		delete(s.owners, w.id)
-		s.put(platformcore.OwnerGone{Owner: w.id})
+		s.put(platformcore.OwnerDisconnected{Owner: w.id})
 	} else {
 		delete(s.links, w.id)
-		s.put(platformcore.LinkGone{Link: w.id})
+		s.put(platformcore.HostDisconnected{Connection: w.id})
 	}
 }
 
 // ---- Other placers.
 
-func (s *Server) send(o platformcore.ToPlacer) {
+func (s *Server) send(o platformcore.SendGossip) {
 	udp, ok := s.tell.(*net.UDPConn)
 	if !ok {
 		return
@@ -492,20 +492,20 @@
 func (s *Server) hear() {
 	defer s.wait.Done()
 	udp := s.tell.(*net.UDPConn)
-	buf := make([]byte, platform.MostDatagram+1)
+	buf := make([]byte, platform.MaxDatagramSize+1)
 	for {
 		n, from, err := udp.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil || n > platform.MostDatagram {
+		if err != nil || n > platform.MaxDatagramSize {
 			continue
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		for i, p := range s.peers {
 			if i != s.self && p == from {
 				data := append([]byte(nil), buf[:n]...)
-				s.loop.Wait(func() { s.put(platformcore.Datagram{From: i, Data: data}) })
+				s.loop.PostBlocking(func() { s.put(platformcore.GossipReceived{From: i, Data: data}) })
 				break
 			}
 		}
--- a/internal/server/platform/noded_test.go
+++ b/internal/server/platform/noded_test.go
@@ -79,18 +79,18 @@
 		h.mu.Lock()
 		roll := h.rng.Float64()
 		fault := h.rng.IntN(5)
-		if m.Type == platform.New {
+		if m.Type == platform.TypeRequest {
 			h.news[m.Ref]++
 			h.late = append(h.late, time.Now())
 		}
 		h.mu.Unlock()
-		up := string(platform.Append(nil, platform.Answer, m.Ref, platform.NoCause, []byte(`"of the host"`)))
+		up := string(platform.Append(nil, platform.TypeBound, m.Ref, platform.NoCause, []byte(`"of the host"`)))
 		switch {
-		case m.Type == platform.Test:
+		case m.Type == platform.TypeProbe:
 			fmt.Fprintf(c, `{"t":"hb_ok","ref":"%s","f":{"load":"x0:4;x1:9"},"c":1}`+"\n", m.Ref)
-		case m.Type == platform.Release:
+		case m.Type == platform.TypeRelease:
 			fmt.Fprintf(c, `{"t":"down","ref":"%s","f":{},"c":31}`+"\n", m.Ref)
-		case m.Type != platform.New:
+		case m.Type != platform.TypeRequest:
 		case roll >= h.bad:
 			fmt.Fprintf(c, `%s{"t":"tell","ref":"%s","f":{"note":"running"}}`+"\n", up, m.Ref)
 		case fault == 0:
@@ -101,7 +101,7 @@
 		case fault == 2:
 			fmt.Fprint(c, up[:len(up)/2]) // and no more
 		case fault == 3:
-			fmt.Fprint(c, strings.Repeat("x", 2*platform.MostLine))
+			fmt.Fprint(c, strings.Repeat("x", 2*platform.MaxLineSize))
 		case fault == 4:
 			fmt.Fprint(c, `{"t":"up","ref":"00000000000000ff","f":{},"d":"whose?"}`+"\n"+up+up)
 		}
@@ -169,12 +169,12 @@
 
 func start(t *testing.T, log *standLog) (*Server, *platform.Config) {
 	t.Helper()
-	var first platform.Change
+	var first platform.WatchEvent
 	if err := json.Unmarshal([]byte(log.events[0]), &first); err != nil {
 		t.Fatal(err)
 	}
-	cfg := &platform.Config{Listen: "127.0.0.1:0", Seed: "1", ChangeLog: log.serve(t), Settings: json.RawMessage(testSettings)}
-	cfg.Known.Seq, cfg.Known.Results = 1, []platform.Change{first}
+	cfg := &platform.Config{Listen: "127.0.0.1:0", Seed: "1", WatchAddress: log.serve(t), Settings: json.RawMessage(testSettings)}
+	cfg.Initial.Seq, cfg.Initial.Results = 1, []platform.WatchEvent{first}
 	cfg.Limits.Sockets = 256
 	s, err := Start(Options{Config: cfg, Log: zerolog.Nop()})
 	if err != nil {
@@ -261,15 +261,15 @@
 	})
 	for i := range n {
 		got := o.got(ref(i))
-		if len(got) > 1 && got[0].Type != platform.Answer {
+		if len(got) > 1 && got[0].Type != platform.TypeBound {
 			t.Errorf("%s has %d answers", ref(i), len(got))
 		}
 		ups := 0
 		for _, m := range got {
-			if m.Type == platform.Answer {
+			if m.Type == platform.TypeBound {
 				ups++
-				if string(m.Desc) != `"of the host"` {
-					t.Errorf("served with %s", m.Desc)
+				if string(m.Description) != `"of the host"` {
+					t.Errorf("served with %s", m.Description)
 				}
 			}
 		}
@@ -304,7 +304,7 @@
 	log.mu.Unlock()
 	second := &standLog{cut: make(chan struct{}), events: []string{first, change(2, false, entry(2, b, "in_service")), change(3, false, entry(1, a, "terminating"))}}
 	fresh := *cfg
-	fresh.ChangeLog = second.serve(t)
+	fresh.WatchAddress = second.serve(t)
 	until(t, "a call after the break", calls(2))
 	s.Reload(&fresh)
 	o := newOwner(t, s.Address())
@@ -348,7 +348,7 @@
 	h.die()
 	until(t, "its release", func() bool {
 		got := o.got("00000000000000a1")
-		return len(got) == 2 && got[1].Type == platform.Release && got[1].Cause == platform.CauseReset
+		return len(got) == 2 && got[1].Type == platform.TypeRelease && got[1].Cause == platform.CauseReset
 	})
 }
 
--- a/internal/server/platform/trace.go
+++ b/internal/server/platform/trace.go
@@ -20,11 +20,11 @@
 		case platformcore.OwnerData:
 			v = map[string]any{"Owner": x.Owner, "Data": string(x.Data)}
 		case platformcore.HostData:
-			v = map[string]any{"Link": x.Link, "Data": string(x.Data)}
-		case platformcore.ToOwner:
+			v = map[string]any{"Link": x.Connection, "Data": string(x.Data)}
+		case platformcore.SendToOwner:
 			v = map[string]any{"Owner": x.Owner, "Line": string(x.Line)}
-		case platformcore.ToHost:
-			v = map[string]any{"Link": x.Link, "Line": string(x.Line)}
+		case platformcore.SendToHost:
+			v = map[string]any{"Link": x.Connection, "Line": string(x.Line)}
 		}
 		text, err := json.Marshal(v)
 		if err != nil {
--- a/internal/verify/chaos/badday_test.go
+++ b/internal/verify/chaos/badday_test.go
@@ -27,7 +27,7 @@
 func TestPlants(t *testing.T) {
 	rule := map[scenario.Plant]invariant.Rule{
 		scenario.PlantAnswer: invariant.OneAnswer, scenario.PlantRepeat: invariant.NoRepeat, scenario.PlantDrain: invariant.Drain,
-		scenario.PlantCold: invariant.Cold, scenario.PlantSpread: invariant.Spread,
+		scenario.PlantCold: invariant.SlowStart, scenario.PlantSpread: invariant.Spread,
 	}
 	for _, plant := range scenario.Plants {
 		t.Run(string(plant), func(t *testing.T) {
--- a/internal/verify/modelcheck/actions.go
+++ b/internal/verify/modelcheck/actions.go
@@ -75,7 +75,7 @@
 				num := q.num
 				q.pOpen = 0
 				q.settle()
-				x.link(hi, hostconn.Input{Kind: hostconn.Broke, Conn: uint32(num)})
+				x.link(hi, hostconn.Input{Kind: hostconn.Disconnected, Conn: uint32(num)})
 			}, "placer sees the connection to host %d end", hi)
 		}
 		if st.hOpen == 1 && (st.pOpen == 0 || st.dead == 1) {
@@ -114,10 +114,10 @@
 	for ti := range m.cfg.Tasks {
 		for ai := range mostAttempts {
 			switch h.job(ti, ai) {
-			case hostsession.InLine:
+			case hostsession.Queued:
 				copyStands := false
 				for other := range mostAttempts {
-					copyStands = copyStands || other != ai && h.job(ti, other).Holds()
+					copyStands = copyStands || other != ai && h.job(ti, other).HoldsCapacity()
 				}
 				if !copyStands && h.drains == 0 {
 					add(true, func(st *step) {
@@ -125,7 +125,7 @@
 						st.checkStart(ti, ai)
 					}, "host %d accepts task %d", hi, ti)
 				}
-				add(true, func(st *step) { st.side(hi, ti, ai, hostsession.Decline) }, "host %d refuses task %d", hi, ti)
+				add(true, func(st *step) { st.side(hi, ti, ai, hostsession.Reject) }, "host %d refuses task %d", hi, ti)
 			case hostsession.Starting:
 				add(true, func(st *step) { st.side(hi, ti, ai, hostsession.Start) }, "task %d runs on host %d", ti, hi)
 			case hostsession.Running:
@@ -193,10 +193,10 @@
 	if t.late == 0 && m.cfg.keyed && t.n > 0 {
 		add(false, func(st *step) { st.s.tasks[ti].late = 1 }, "hosts forget the key of task %d", ti)
 	}
-	if m.rules.Lapses() {
+	if m.rules.ExpiresWhenUnreachable() {
 		for ai := range int(t.n) {
-			if at := &t.att[ai]; at.mine(s.life) && at.is() == attempt.Silent {
-				add(true, func(st *step) { st.input(ti, ai, attempt.Lapsed) }, "task %d on host %d counts as lost", ti, at.host)
+			if at := &t.att[ai]; at.mine(s.life) && at.is() == attempt.Unreachable {
+				add(true, func(st *step) { st.input(ti, ai, attempt.Expired) }, "task %d on host %d counts as lost", ti, at.host)
 			}
 		}
 	}
@@ -204,7 +204,7 @@
 
 // checkPromise: a refusal says that trying again is harmless.
 func (st *step) checkPromise(ti int) {
-	if st.rules.Repeatable() {
+	if st.rules.RetryIsHarmless() {
 		return
 	}
 	t := &st.s.tasks[ti]
@@ -249,8 +249,8 @@
 		given := ask
 		given.Attempts = append([]attempt.Attempt(nil), ask.Attempts...)
 		for i := range given.Attempts {
-			if given.Attempts[i].Phase.Out() {
-				given.Attempts[i].Phase, _ = m.m.next(given.Attempts[i].Phase, attempt.CalledOff)
+			if given.Attempts[i].Phase.IsInFlight() {
+				given.Attempts[i].Phase, _ = m.m.next(given.Attempts[i].Phase, attempt.Abandoned)
 			}
 		}
 		if m.m.mayAnswer(&given, refuse) != nil {
@@ -263,8 +263,8 @@
 		add(true, func(x *step) {
 			tt := &x.s.tasks[ti]
 			for ai := range int(tt.n) {
-				if at := &tt.att[ai]; at.mine(x.s.life) && at.ask == tt.asks && at.is().Out() {
-					x.input(ti, ai, attempt.CalledOff)
+				if at := &tt.att[ai]; at.mine(x.s.life) && at.ask == tt.asks && at.is().IsInFlight() {
+					x.input(ti, ai, attempt.Abandoned)
 				}
 			}
 			tt.owner, tt.refused = waiting, 0
@@ -273,12 +273,12 @@
 			}
 		}, "module %s task %d", word, ti)
 	}
-	if ask.IsOut() {
+	if ask.HasAttemptInFlight() {
 		add(false, func(x *step) {
 			tt := &x.s.tasks[ti]
 			for ai := range int(tt.n) {
-				if at := &tt.att[ai]; at.mine(x.s.life) && at.ask == tt.asks && at.is().Out() {
-					x.input(ti, ai, attempt.CalledOff)
+				if at := &tt.att[ai]; at.mine(x.s.life) && at.ask == tt.asks && at.is().IsInFlight() {
+					x.input(ti, ai, attempt.Abandoned)
 				}
 			}
 		}, "module withdraws task %d", ti)
--- a/internal/verify/modelcheck/machines.go
+++ b/internal/verify/modelcheck/machines.go
@@ -14,10 +14,10 @@
 // how they are put together, to show that the search finds what it is for.
 type machines struct {
 	next      func(attempt.Phase, attempt.Input) (attempt.Phase, attempt.Effect)
-	mayOffer  func(a *attempt.Ask, now time.Duration, to attempt.Host) error
-	mayWrite  func(a *attempt.Ask, now time.Duration, number int) error
-	mayAnswer func(a *attempt.Ask, refuse bool) error
-	link      func(l *hostconn.Link, in hostconn.Input) hostconn.Output
+	mayOffer  func(a *attempt.Request, now time.Duration, to attempt.Host) error
+	mayWrite  func(a *attempt.Request, now time.Duration, number int) error
+	mayAnswer func(a *attempt.Request, refuse bool) error
+	link      func(l *hostconn.Connection, in hostconn.Input) hostconn.Output
 	side      func(hostsession.State, hostsession.Input) (hostsession.State, hostsession.Reply)
 	greet     func(last hostsession.Session, epoch uint64, conn uint32) hostsession.Verdict
 	drained   func(now time.Duration, s forkhead.MachineState, since, grace time.Duration) bool
@@ -39,23 +39,23 @@
 
 func same(forkhead.Domain, attempt.Host, attempt.Host) bool { return true }
 
-var linkPolicy = hostconn.Policy{Connect: time.Second, First: time.Second, Most: time.Second}
+var linkPolicy = hostconn.Policy{ConnectTimeout: time.Second, MinBackoff: time.Second, MaxBackoff: time.Second}
 
 func real() machines {
 	return machines{
-		next:      attempt.Next,
-		mayOffer:  func(a *attempt.Ask, now time.Duration, to attempt.Host) error { return a.MayOffer(now, to, same) },
-		mayWrite:  (*attempt.Ask).MayWrite,
-		mayAnswer: func(a *attempt.Ask, refuse bool) error { return a.MayAnswer(refuse) },
-		link:      func(l *hostconn.Link, in hostconn.Input) hostconn.Output { return l.On(in, linkPolicy, 0.5) },
-		side:      hostsession.Next,
-		greet:     hostsession.Greet,
-		drained:   invariant.Drained,
-		refusal:   attempt.Refusal,
-		adopts:    attempt.Adopts,
-		waits:     (*attempt.Rules).Waits,
-		mayAsk:    (*attempt.Rules).MayAsk,
-		harmless:  (*attempt.Rules).Harmless,
+		next:      attempt.Transition,
+		mayOffer:  func(a *attempt.Request, now time.Duration, to attempt.Host) error { return a.MayOffer(now, to, same) },
+		mayWrite:  (*attempt.Request).MayWrite,
+		mayAnswer: func(a *attempt.Request, refuse bool) error { return a.MayAnswer(refuse) },
+		link:      func(l *hostconn.Connection, in hostconn.Input) hostconn.Output { return l.Handle(in, linkPolicy, 0.5) },
+		side:      hostsession.Transition,
+		greet:     hostsession.JudgeHello,
+		drained:   invariant.DrainGraceExpired,
+		refusal:   attempt.RejectionInput,
+		adopts:    attempt.ShouldAdopt,
+		waits:     (*attempt.Rules).MustWaitForHosts,
+		mayAsk:    (*attempt.Rules).MayRequest,
+		harmless:  (*attempt.Rules).RejectionIsHarmless,
 	}
 }
 
@@ -76,7 +76,7 @@
 			if q == p && i == in {
 				return to, what
 			}
-			return attempt.Next(q, i)
+			return attempt.Transition(q, i)
 		}
 	}
 }
@@ -84,16 +84,16 @@
 // Plants are the bugs that can be planted.
 var Plants = []Plant{
 	{"double-send", "an offer is legal while another is out", "one-out", forkhead.Safe, 1, func(m *machines) {
-		m.mayOffer = func(a *attempt.Ask, now time.Duration, to attempt.Host) error {
-			if err := a.MayOffer(now, to, same); err != attempt.ErrTwoOut {
+		m.mayOffer = func(a *attempt.Request, now time.Duration, to attempt.Host) error {
+			if err := a.MayOffer(now, to, same); err != attempt.ErrAttemptInFlight {
 				return err
 			}
 			return nil
 		}
 	}, 0},
 	{"unsafe-repeat", "an unsafe task is offered again in one ask after an attempt that may have run", "no-repeat", forkhead.Unsafe, 1, func(m *machines) {
-		m.mayOffer = func(a *attempt.Ask, now time.Duration, to attempt.Host) error {
-			if err := a.MayOffer(now, to, same); err != attempt.ErrMayRun {
+		m.mayOffer = func(a *attempt.Request, now time.Duration, to attempt.Host) error {
+			if err := a.MayOffer(now, to, same); err != attempt.ErrMayHaveRun {
 				return err
 			}
 			return nil
@@ -106,13 +106,13 @@
 		m.harmless = func(*attempt.Rules, bool, bool, int) bool { return true }
 	}, 0},
 	{"break-is-never", "an offer whose connection broke is taken never to have run", "no-repeat", forkhead.Unsafe, 1,
-		phaseRule(attempt.Out, attempt.Broke, attempt.Never, attempt.NoConnect), 0},
+		phaseRule(attempt.InFlight, attempt.ConnectionLost, attempt.NeverRan, attempt.ReportConnectFailed), 0},
 	{"call-off-is-never", "an offer that was called off is taken never to have run", "no-repeat", forkhead.Unsafe, 1,
-		phaseRule(attempt.Out, attempt.CalledOff, attempt.Never, attempt.Drop), 0},
+		phaseRule(attempt.InFlight, attempt.Abandoned, attempt.NeverRan, attempt.ReportWithdrawn), 0},
 	{"late-bind", "the reply to an attempt that was given up binds it", "one-outcome", forkhead.Safe, 1,
-		phaseRule(attempt.Unknown, attempt.Accepted, attempt.Placed, attempt.Bind), 0},
+		phaseRule(attempt.Unknown, attempt.Accepted, attempt.Placed, attempt.ReportBound), 0},
 	{"silent-is-lost", "a task on a host out of reach is taken to have ended", "no-repeat", forkhead.Unsafe, 1,
-		phaseRule(attempt.Placed, attempt.Broke, attempt.Over, attempt.Lose), 0},
+		phaseRule(attempt.Placed, attempt.ConnectionLost, attempt.Finished, attempt.ReportLost), 0},
 	{"no-stray", "an attempt that was given up and shows itself is neither adopted nor stopped", "no-leak", forkhead.Safe, 1,
 		func(m *machines) { m.noStray = true }, 0},
 	{"no-query", "what a host does not list after a break is not asked about", "no-leak", forkhead.Unsafe, 1, func(m *machines) { m.noQuery = true }, 0},
@@ -129,10 +129,10 @@
 	{"keeps-line", "a host keeps offers in line whose connection ended, and says that it never saw them", "no-repeat", forkhead.Unsafe, 1, func(m *machines) {
 		m.keepsLine = true
 		m.side = func(s hostsession.State, in hostsession.Input) (hostsession.State, hostsession.Reply) {
-			if s == hostsession.InLine && in == hostsession.Query {
-				return s, hostsession.SayRefused
+			if s == hostsession.Queued && in == hostsession.Query {
+				return s, hostsession.SendRejected
 			}
-			return hostsession.Next(s, in)
+			return hostsession.Transition(s, in)
 		}
 	}, 0},
 	{"old-connection", "a host goes on reading an older connection beside the present one", "no-repeat", forkhead.Unsafe, 1,
@@ -142,13 +142,13 @@
 		m.noCallOff = true
 	}, 0},
 	{"late-write", "an offer that waited for its connection is written after hosts have forgotten its key", "no-repeat", forkhead.Keyed, 1, func(m *machines) {
-		m.mayWrite = func(*attempt.Ask, time.Duration, int) error { return nil }
+		m.mayWrite = func(*attempt.Request, time.Duration, int) error { return nil }
 	}, 0},
 	{"ask-for-good", "an owner asks again for good", "liveness", forkhead.Safe, 1, func(m *machines) {
 		m.askAlways = true
 	}, 0},
 	{"died-ignored", "the end of a host's life settles nothing", "no-leak", forkhead.Unsafe, 1,
-		phaseRule(attempt.Unknown, attempt.Died, attempt.Unknown, attempt.None), 0},
+		phaseRule(attempt.Unknown, attempt.HostRestarted, attempt.Unknown, attempt.NoEffect), 0},
 }
 
 // FindPlant returns a plant by name.
--- a/internal/verify/modelcheck/replay.go
+++ b/internal/verify/modelcheck/replay.go
@@ -313,9 +313,9 @@
 	case scan("grace of host %d is over", &hi):
 		r.advance(r.set.Module.DrainGrace + time.Millisecond)
 	case scan("host %d accepts task %d", &hi, &ti):
-		return r.work(hi, ti, hostsession.InLine, hostsession.Accept)
+		return r.work(hi, ti, hostsession.Queued, hostsession.Accept)
 	case scan("host %d refuses task %d", &hi, &ti):
-		return r.work(hi, ti, hostsession.InLine, hostsession.Decline)
+		return r.work(hi, ti, hostsession.Queued, hostsession.Reject)
 	case scan("task %d runs on host %d", &ti, &hi):
 		return r.work(hi, ti, hostsession.Starting, hostsession.Start)
 	case scan("task %d ends on host %d", &ti, &hi):
@@ -434,7 +434,7 @@
 func (r *replayer) endSession(h *rHost) {
 	h.session, h.last.Open = nil, false
 	for _, j := range h.jobs {
-		j.state, _ = hostsession.Next(j.state, hostsession.Lost)
+		j.state, _ = hostsession.Transition(j.state, hostsession.ConnectionLost)
 	}
 }
 
@@ -461,16 +461,16 @@
 			h.jobs[ref] = j
 		}
 	}
-	to, say := hostsession.Next(j.state, in)
+	to, say := hostsession.Transition(j.state, in)
 	j.state = to
 	switch say {
-	case hostsession.SayRefused:
+	case hostsession.SendRejected:
 		r.say(h, hostproto.Refused{Ref: ref, Reason: hostproto.NotHere})
-	case hostsession.SayRunning:
+	case hostsession.SendRunning:
 		r.say(h, hostproto.Running{Ref: ref})
-	case hostsession.SayEnded:
+	case hostsession.SendEnded:
 		r.say(h, hostproto.Ended{Ref: ref, Result: hostproto.Stopped})
-	case hostsession.SayCalled:
+	case hostsession.SendCanceled:
 		r.say(h, hostproto.Ended{Ref: ref, Result: hostproto.Called})
 	}
 }
@@ -509,7 +509,7 @@
 }
 
 func (r *replayer) greet(h *rHost, s *rStream, f hostproto.Hello) {
-	if hostsession.Greet(h.last, f.Epoch, f.Conn) == hostsession.TooOld {
+	if hostsession.JudgeHello(h.last, f.Epoch, f.Conn) == hostsession.Stale {
 		s.hOpen = false
 		return
 	}
@@ -520,7 +520,7 @@
 	h.session, h.last = s, hostsession.Session{Epoch: f.Epoch, Conn: f.Conn, Open: true}
 	var held []hostproto.Held
 	for ref, j := range h.jobs {
-		if j.state.Holds() {
+		if j.state.HoldsCapacity() {
 			phase := hostproto.Starting
 			if j.state == hostsession.Running {
 				phase = hostproto.Runs
@@ -539,7 +539,7 @@
 	held := make([]int, len(r.tasks))
 	for _, h := range r.hosts {
 		for _, j := range h.jobs {
-			if h.up && j.state.Holds() {
+			if h.up && j.state.HoldsCapacity() {
 				if held[j.task]++; held[j.task] > 1 {
 					r.out.Twice = true
 				}
--- a/internal/verify/modelcheck/search.go
+++ b/internal/verify/modelcheck/search.go
@@ -109,7 +109,7 @@
 	if cfg.Tasks < 1 || cfg.Tasks > mostTasks || cfg.Hosts < 1 || cfg.Hosts > mostHosts || cfg.Attempts < 1 || cfg.Attempts > mostAttempts {
 		return nil, fmt.Errorf("%d tasks, %d hosts and %d attempts: want 1 to %d, 1 to %d and 1 to %d", cfg.Tasks, cfg.Hosts, cfg.Attempts, mostTasks, mostHosts, mostAttempts)
 	}
-	s := &search{model: model{m: real(), cfg: cfg, rules: attempt.Rules{Effect: cfg.Effect, Window: 10 * second, Most: 2}}}
+	s := &search{model: model{m: real(), cfg: cfg, rules: attempt.Rules{Effect: cfg.Effect, DedupWindow: 10 * second, MaxAttempts: 2}}}
 	s.cfg.keyed = cfg.Effect == forkhead.Keyed
 	if cfg.Plant != "" {
 		p, ok := FindPlant(cfg.Plant)
--- a/internal/verify/modelcheck/steps.go
+++ b/internal/verify/modelcheck/steps.go
@@ -51,8 +51,8 @@
 }
 
 // ask is the present ask of a task as package attempt has it.
-func (st *step) ask(t *task, buf *[mostAttempts]attempt.Attempt) attempt.Ask {
-	a := attempt.Ask{Rules: st.rules, Deadline: 100 * second, Attempts: buf[:0]}
+func (st *step) ask(t *task, buf *[mostAttempts]attempt.Attempt) attempt.Request {
+	a := attempt.Request{Rules: st.rules, Deadline: 100 * second, Attempts: buf[:0]}
 	for i := range t.n {
 		at := &t.att[i]
 		if !at.mine(st.s.life) {
@@ -87,33 +87,33 @@
 	before := at.is()
 	after, effect := st.m.next(before, in)
 	at.phase = uint8(after)
-	wasPlaced := before == attempt.Placed || before == attempt.Silent
+	wasPlaced := before == attempt.Placed || before == attempt.Unreachable
 	switch effect {
-	case attempt.Bind:
+	case attempt.ReportBound:
 		t.owner = placed
 		st.tell(t, toldPlaced)
-	case attempt.Drop:
-		if before == attempt.Out {
+	case attempt.ReportWithdrawn:
+		if before == attempt.InFlight {
 			h := &st.s.hosts[at.host]
 			if st.usable(h) && at.conn == h.conn {
 				st.send(h, msg(mWithdraw, ti, ai))
 			}
 		}
-	case attempt.Lose:
+	case attempt.ReportLost:
 		if wasPlaced && t.owner == placed {
 			t.owner = waiting
 		}
-	case attempt.Finish:
+	case attempt.ReportEnded:
 		if wasPlaced && t.owner == placed {
 			t.owner = done
 		}
-	case attempt.Stray:
+	case attempt.Orphaned:
 		st.stray(ti, ai)
-	case attempt.Return:
+	case attempt.Reconnected:
 		if t.owner != placed {
 			st.send(&st.s.hosts[at.host], msg(mStop, ti, ai))
 		}
-	case attempt.Absurd:
+	case attempt.ProtocolViolation:
 		st.violate("absurd", "%v of an attempt that is %v", in, before)
 	}
 }
@@ -127,14 +127,14 @@
 	var buf [mostAttempts]attempt.Attempt
 	ask := st.ask(t, &buf)
 	wanted := t.owner == waiting || t.owner == asking
-	if !st.m.adopts(wanted, t.owner == asking && ask.IsOut()) {
+	if !st.m.adopts(wanted, t.owner == asking && ask.HasAttemptInFlight()) {
 		st.send(&st.s.hosts[t.att[ai].host], msg(mStop, ti, ai))
 		return
 	}
 	// The ask that was open is taken back, and what it has out given up.
 	for i := range t.n {
-		if at := &t.att[i]; int(i) != ai && at.mine(st.s.life) && at.is().Out() && !st.m.noCallOff {
-			st.input(ti, int(i), attempt.CalledOff)
+		if at := &t.att[i]; int(i) != ai && at.mine(st.s.life) && at.is().IsInFlight() && !st.m.noCallOff {
+			st.input(ti, int(i), attempt.Abandoned)
 		}
 	}
 	t.att[ai].phase = uint8(attempt.Placed)
@@ -170,21 +170,21 @@
 // link takes an input to a host's link.
 func (st *step) link(hi int, in hostconn.Input) {
 	h := &st.s.hosts[hi]
-	l := hostconn.Link{State: hostconn.State(h.link), Listed: true, Address: "a", Conn: uint32(h.conn), Epoch: uint64(h.known)}
+	l := hostconn.Connection{State: hostconn.State(h.link), Listed: true, Address: "a", Conn: uint32(h.conn), Epoch: uint64(h.known)}
 	in.Address = "a"
 	out := st.m.link(&l, in)
 	h.link, h.conn, h.known = uint8(l.State), uint8(l.Conn), uint8(l.Epoch)
 	if out.Close {
 		st.closePlacer(h, uint8(out.Closing))
 	}
-	if out.Broken {
+	if out.AttemptsDisconnected {
 		h.ready = 0
-		st.each(hi, func(ti, ai int) { st.input(ti, ai, attempt.Broke) })
+		st.each(hi, func(ti, ai int) { st.input(ti, ai, attempt.ConnectionLost) })
 	}
-	if out.Died {
+	if out.HostRestarted {
 		st.each(hi, func(ti, ai int) {
 			if at := &st.s.tasks[ti].att[ai]; at.is() != attempt.Waiting && at.epoch < h.known {
-				st.input(ti, ai, attempt.Died)
+				st.input(ti, ai, attempt.HostRestarted)
 			}
 		})
 	}
@@ -204,8 +204,8 @@
 // dial makes a connection and greets, in one step: one that fails to be made is one that breaks
 // before anything is read.
 func (st *step) dial(hi int) {
-	st.link(hi, hostconn.Input{Kind: hostconn.Retry})
-	st.link(hi, hostconn.Input{Kind: hostconn.Dialled, Conn: uint32(st.s.hosts[hi].conn)})
+	st.link(hi, hostconn.Input{Kind: hostconn.RetryDue})
+	st.link(hi, hostconn.Input{Kind: hostconn.Dialed, Conn: uint32(st.s.hosts[hi].conn)})
 }
 
 func (st *step) closePlacer(h *host, num uint8) {
@@ -220,7 +220,7 @@
 	for ti := range st.cfg.Tasks {
 		t := &st.s.tasks[ti]
 		for ai := range int(t.n) {
-			if at := &t.att[ai]; at.mine(st.s.life) && int(at.host) == hi && !at.is().Settled() {
+			if at := &t.att[ai]; at.mine(st.s.life) && int(at.host) == hi && !at.is().IsSettled() {
 				f(ti, ai)
 			}
 		}
@@ -237,11 +237,11 @@
 	number := len(ask.Attempts) - 1 // the one that waits is the last
 	if !st.m.recheckNot && st.drained(h) || st.m.mayWrite(&ask, t.now(), number) != nil ||
 		!st.m.crowdNot && st.crowded(int(at.host), ti, ai) {
-		st.input(ti, ai, attempt.Broke)
+		st.input(ti, ai, attempt.ConnectionLost)
 		return
 	}
 	at.epoch, at.conn = h.known, h.conn
-	st.input(ti, ai, attempt.Written)
+	st.input(ti, ai, attempt.OfferWritten)
 	st.checkOffer(ti, ai)
 	st.send(h, msg(mOffer, ti, ai))
 }
@@ -254,7 +254,7 @@
 	}
 	n := 0
 	st.each(hi, func(oti, oai int) {
-		if (oti != ti || oai != ai) && st.s.tasks[oti].att[oai].is().Live() {
+		if (oti != ti || oai != ai) && st.s.tasks[oti].att[oai].is().IsLive() {
 			n++
 		}
 	})
@@ -284,14 +284,14 @@
 	}
 	ti, ai := m.task()
 	at := &st.s.tasks[ti].att[ai]
-	if !at.mine(st.s.life) || at.is().Settled() {
+	if !at.mine(st.s.life) || at.is().IsSettled() {
 		return // its ref is not known any more
 	}
 	switch m.kind {
 	case mRefused:
 		st.input(ti, ai, st.m.refusal(at.is()))
 	case mCalled:
-		st.input(ti, ai, attempt.Declined)
+		st.input(ti, ai, attempt.Rejected)
 	case mRunning:
 		st.input(ti, ai, attempt.Accepted)
 	case mEnded:
@@ -311,10 +311,10 @@
 			switch at := &st.s.tasks[ti].att[ai]; {
 			case at.phase == forgotten || at.life != st.s.life:
 				st.inherit(ti, ai)
-			case at.is().Settled():
+			case at.is().IsSettled():
 				st.send(h, msg(mStop, ti, ai))
 			default:
-				st.input(ti, ai, attempt.Held)
+				st.input(ti, ai, attempt.ListedByHost)
 			}
 		}
 	}
@@ -339,7 +339,7 @@
 	var buf [mostAttempts]attempt.Attempt
 	ask := st.ask(t, &buf)
 	wanted := t.owner == waiting || t.owner == asking
-	if !st.m.adopts(wanted, t.owner == asking && ask.IsOut()) {
+	if !st.m.adopts(wanted, t.owner == asking && ask.HasAttemptInFlight()) {
 		st.send(h, msg(mStop, ti, ai))
 		return
 	}
@@ -370,7 +370,7 @@
 	}
 	for ti := range st.cfg.Tasks {
 		for ai := range mostAttempts {
-			to, _ := st.m.side(h.job(ti, ai), hostsession.Lost)
+			to, _ := st.m.side(h.job(ti, ai), hostsession.ConnectionLost)
 			h.jobs[ti][ai] = uint8(to)
 		}
 	}
@@ -381,7 +381,7 @@
 	h := &st.s.hosts[hi]
 	if m.kind == mHello {
 		last := hostsession.Session{Epoch: uint64(h.sLife), Conn: uint32(h.sConn), Open: h.sOpen == 1}
-		if st.m.greet(last, uint64(s.life), uint32(s.num)) == hostsession.TooOld {
+		if st.m.greet(last, uint64(s.life), uint32(s.num)) == hostsession.Stale {
 			s.hOpen = 0
 			return
 		}
@@ -396,7 +396,7 @@
 		w := message{kind: mWelcome, at: h.epoch}
 		for ti := range st.cfg.Tasks {
 			for ai := range mostAttempts {
-				if h.job(ti, ai).Holds() {
+				if h.job(ti, ai).HoldsCapacity() {
 					i, b := bit(ti, ai)
 					w.held[i] |= b
 				}
@@ -426,7 +426,7 @@
 	at := &st.s.tasks[ti].att[ai]
 	h := &st.s.hosts[at.host]
 	switch h.job(ti, ai) {
-	case hostsession.InLine, hostsession.Starting, hostsession.Running:
+	case hostsession.Queued, hostsession.Starting, hostsession.Running:
 		return h.up == 1
 	case hostsession.Ended:
 		// What has ended in an earlier life of the placer is its client's to judge, by the terms.
@@ -461,13 +461,13 @@
 		if i == ai {
 			continue
 		}
-		if o.mine(st.s.life) && o.ask == at.ask && o.is().Out() {
+		if o.mine(st.s.life) && o.ask == at.ask && o.is().IsInFlight() {
 			st.violate("one-out", "an offer while another of the same ask is out")
 		}
 		if st.rules.Effect == forkhead.Safe || !st.couldRun(ti, i) {
 			continue
 		}
-		known := o.mine(st.s.life) && o.is() == attempt.Over && o.ask != at.ask
+		known := o.mine(st.s.life) && o.is() == attempt.Finished && o.ask != at.ask
 		if st.rules.Effect == forkhead.Keyed && t.late == 0 {
 			continue // within the window hosts drop the repeat
 		}
@@ -491,7 +491,7 @@
 	}
 	for i := range int(st.s.tasks[ti].n) {
 		o := &st.s.tasks[ti].att[i]
-		if i != ai && st.s.hosts[o.host].up == 1 && st.s.hosts[o.host].job(ti, i).Holds() {
+		if i != ai && st.s.hosts[o.host].up == 1 && st.s.hosts[o.host].job(ti, i).HoldsCapacity() {
 			st.violate("no-repeat", "an unsafe task starts while another start of it runs")
 		}
 	}
@@ -512,11 +512,11 @@
 					return "no-leak", fmt.Sprintf("task %d is placed twice", ti)
 				}
 			}
-			if at.mine(s.life) && !at.is().Settled() && at.is() != attempt.Placed {
+			if at.mine(s.life) && !at.is().IsSettled() && at.is() != attempt.Placed {
 				return "no-leak", fmt.Sprintf("attempt %d of task %d stays %v for good", ai, ti, at.is())
 			}
 			h := &s.hosts[at.host]
-			runs := h.up == 1 && h.job(ti, ai).Holds()
+			runs := h.up == 1 && h.job(ti, ai).HoldsCapacity()
 			has := at.mine(s.life) && at.is() == attempt.Placed && t.owner == placed
 			if runs && !has {
 				return "no-leak", fmt.Sprintf("attempt %d of task %d runs on, and nobody has it", ai, ti)
--- a/internal/verify/platformsim/ends.go
+++ b/internal/verify/platformsim/ends.go
@@ -84,7 +84,7 @@
 					o.p.w.report.GaveUp++
 				}
 			}
-			o.p.step(platformcore.OwnerGone{Owner: o.id})
+			o.p.step(platformcore.OwnerDisconnected{Owner: o.id})
 		}
 	})
 }
@@ -122,7 +122,7 @@
 func (p *placer) in(life int, busy *time.Duration, do func()) {
 	at := max(*busy, p.w.now+p.w.delay())
 	*busy = at
-	p.w.todo.Set(at, func() {
+	p.w.todo.Add(at, func() {
 		if p.life == life && p.core != nil {
 			do()
 		}
@@ -139,8 +139,8 @@
 	set.Placers, set.Self = p.w.Placers, p.n
 	room := max(p.w.Room, 8)
 	core, err := platformcore.New(platformcore.Config{
-		Settings: set, Names: p.w.Names, Idle: p.w.Idle, Seed: p.w.Seed + uint64(p.life), Known: slices.Clone(p.w.events),
-		Owners: room * 2 / 3, Kept: room / 3, Links: room - room/3, Room: room,
+		Settings: set, Names: p.w.Names, IdleTimeout: p.w.Idle, Seed: p.w.Seed + uint64(p.life), InitialEvents: slices.Clone(p.w.events),
+		MaxOwnerConnections: room * 2 / 3, ProtectedOwnerConnections: room / 3, MaxHostConnections: room - room/3, MaxConnections: room,
 	})
 	if err != nil {
 		p.w.breach("a core does not start: %v", err)
@@ -159,7 +159,7 @@
 		}
 		for _, ref := range sortedRefs(p.w.asks) {
 			a := p.w.asks[ref]
-			if a.p == p && a.answer == platform.Answer && a.final == "" {
+			if a.p == p && a.answer == platform.TypeBound && a.final == "" {
 				t := a.standing()
 				if t == nil {
 					continue
@@ -220,17 +220,17 @@
 	}
 	o := &owner{p: p, id: uint64(len(p.owners)) + 100*uint64(p.life) + 1000*id, life: p.life, open: true}
 	p.owners[id], p.owners[o.id] = o, o
-	p.in(p.life, &o.busy, func() { p.step(platformcore.Accepted{Owner: o.id}) })
+	p.in(p.life, &o.busy, func() { p.step(platformcore.OwnerConnected{Owner: o.id}) })
 	return o
 }
 
-func (p *placer) hear(ch platform.Change) {
+func (p *placer) hear(ch platform.WatchEvent) {
 	if p.core == nil {
 		return // it reads the list when it starts
 	}
 	p.in(p.life, &p.heard, func() {
 		if p.w.now < p.deaf {
-			p.w.todo.Set(p.deaf, func() { p.hear(ch) })
+			p.w.todo.Add(p.deaf, func() { p.hear(ch) })
 			return
 		}
 		if ch.Seq != p.seq+1 {
@@ -240,21 +240,21 @@
 			return
 		}
 		p.note(ch)
-		p.step(platformcore.Changed{Change: ch})
+		p.step(platformcore.WatchEventReceived{Event: ch})
 	})
 }
 
 // note is what the placer has been told from now on.
-func (p *placer) note(ch platform.Change) {
+func (p *placer) note(ch platform.WatchEvent) {
 	p.seq = ch.Seq
-	for _, h := range ch.Fleet.Hosts {
+	for _, h := range ch.Endpoints.Hosts {
 		n, _ := platform.HostNumber(h.Name)
 		if p.told[n].state != h.State {
 			p.told[n] = told{h.State, p.w.now}
 		}
 		for _, a := range p.w.asks { // what stood in an earlier life of the host is over
 			for _, t := range a.attempts {
-				if a.p == p && t.up && t.host.n == int(n) && float64(t.at.Milliseconds()) < h.Born {
+				if a.p == p && t.up && t.host.n == int(n) && float64(t.at.Milliseconds()) < h.StartedAtMS {
 					t.over = true
 				}
 			}
@@ -279,7 +279,7 @@
 	}
 	at, life := max(p.core.Next(), p.w.now+time.Microsecond), p.life
 	p.wake = at
-	p.w.todo.Set(at, func() {
+	p.w.todo.Add(at, func() {
 		if p.life == life && p.wake == at {
 			p.step()
 		}
@@ -289,33 +289,33 @@
 func (p *placer) carry(o platformcore.Output) {
 	w := p.w
 	switch o := o.(type) {
-	case platformcore.Dial:
+	case platformcore.DialHost:
 		p.dial(o)
-	case platformcore.ToHost:
-		if c := p.links[o.Link]; c != nil {
+	case platformcore.SendToHost:
+		if c := p.links[o.Connection]; c != nil {
 			m, err := platform.Decode(bytes.TrimSuffix(o.Line, []byte("\n")))
 			if err != nil {
 				w.breach("a host is sent what cannot be read: %s", o.Line)
 				return
 			}
-			if m.Type == platform.New {
+			if m.Type == platform.TypeRequest {
 				p.offered(c, &m)
-			} else if m.Type == platform.Release {
+			} else if m.Type == platform.TypeRelease {
 				p.cancelled(c.host, m.Ref)
 			}
 			c.toHost(m)
 		}
-	case platformcore.CloseLink:
-		if c := p.links[o.Link]; c != nil {
+	case platformcore.CloseHostConnection:
+		if c := p.links[o.Connection]; c != nil {
 			c.lost()
 		}
-	case platformcore.FinishLink:
-		if c := p.links[o.Link]; c != nil && c.made {
+	case platformcore.HalfCloseHostConnection:
+		if c := p.links[o.Connection]; c != nil && c.made {
 			w.at(w.delay(), c.reset) // its host closes too, behind what it has said
 		}
-	case platformcore.ToOwner:
+	case platformcore.SendToOwner:
 		p.answered(o)
-	case platformcore.CloseOwner:
+	case platformcore.CloseOwnerConnection:
 		for _, x := range p.owners {
 			if x.id == o.Owner {
 				x.open = false
@@ -326,13 +326,13 @@
 				}
 			}
 		}
-	case platformcore.ToPlacer:
+	case platformcore.SendGossip:
 		for _, other := range w.placers {
 			if other != p && (o.To == forkhead.AllPlacers || o.To == other.n) && !w.odds(5) {
-				w.at(w.delay(), func() { other.step(platformcore.Datagram{From: p.n, Data: bytes.Clone(o.Data)}) })
+				w.at(w.delay(), func() { other.step(platformcore.GossipReceived{From: p.n, Data: bytes.Clone(o.Data)}) })
 			}
 		}
-	case platformcore.Logged:
+	case platformcore.Log:
 		if o.Defect {
 			w.breach("defect: %s", o.Text)
 		}
@@ -427,7 +427,7 @@
 }
 
 // answered judges what an owner is told.
-func (p *placer) answered(o platformcore.ToOwner) {
+func (p *placer) answered(o platformcore.SendToOwner) {
 	w := p.w
 	m, err := platform.Decode(bytes.TrimSuffix(o.Line, []byte("\n")))
 	if err != nil {
@@ -435,26 +435,26 @@
 		return
 	}
 	a := w.asks[m.Ref]
-	if a == nil || m.Type == platform.Heard || m.Type == platform.TestResult {
+	if a == nil || m.Type == platform.TypeAck || m.Type == platform.TypeProbeResult {
 		return
 	}
 	switch {
-	case m.Type == platform.Answer && a.answer != "":
+	case m.Type == platform.TypeBound && a.answer != "":
 		w.breach("one answer: %s is answered a second time", a.ref)
-	case m.Type == platform.Answer:
+	case m.Type == platform.TypeBound:
 		a.answer = m.Type
 		w.report.Placed++
 		if a.standing() == nil {
 			w.breach("one answer: %s is said to stand by no host's word", a.ref)
 		}
-	case m.Type == platform.Move && a.answer != platform.Answer:
+	case m.Type == platform.TypeMigrate && a.answer != platform.TypeBound:
 		w.breach("%s is moved and does not stand", a.ref)
-	case m.Type == platform.Move:
-	case a.final != "" || a.answer == platform.Release:
+	case m.Type == platform.TypeMigrate:
+	case a.final != "" || a.answer == platform.TypeRelease:
 		w.breach("one answer: %s is released a second time", a.ref)
 	case a.answer == "":
 		a.answer, a.final = m.Type, m.Type
-		if m.Cause == platform.CauseFull || m.Cause == platform.CauseBusy || m.Cause == platform.CauseMoot {
+		if m.Cause == platform.CauseRejected || m.Cause == platform.CauseBusy || m.Cause == platform.CauseNotSent {
 			w.report.Refused++
 			class := &w.Settings.Classes[a.class]
 			for _, t := range a.attempts {
@@ -475,12 +475,12 @@
 func (w *world) judgeEnd() {
 	for _, ref := range sortedRefs(w.asks) {
 		a := w.asks[ref]
-		if a.answer != platform.Answer || a.final != "" || a.leaving || !a.owner.open || len(w.report.Breaches) > 0 {
+		if a.answer != platform.TypeBound || a.final != "" || a.leaving || !a.owner.open || len(w.report.Breaches) > 0 {
 			// Its owner has ended it, or has closed the connection that it would be told on.
 			continue
 		}
 		t := a.standing()
-		if t != nil && t.done && t.cause != platform.CauseMoved && a.p.core != nil {
+		if t != nil && t.done && t.cause != platform.CauseMigrated && a.p.core != nil {
 			w.breach("one answer: %s is over at its host and its owner takes it for standing", a.ref)
 		}
 	}
--- a/internal/verify/platformsim/hosts.go
+++ b/internal/verify/platformsim/hosts.go
@@ -35,11 +35,11 @@
 
 func (h *host) zone() string { return h.w.Names.Zones[h.n%len(h.w.Names.Zones)] }
 
-func (h *host) info(state string) platform.HostInfo {
+func (h *host) info(state string) platform.Endpoint {
 	free := h.w.Settings.MachineTypes[h.kind]
-	return platform.HostInfo{
-		Name: h.name(), Dial: fmt.Sprintf("10.0.%d.%d:1", h.n, h.serial), Site: h.zone(), Class: h.w.Names.Kinds[h.kind], Block: h.n / 3,
-		State: state, Born: float64(h.born.Milliseconds()), Free: []float64{free.Cores, free.Memory},
+	return platform.Endpoint{
+		Name: h.name(), Address: fmt.Sprintf("10.0.%d.%d:1", h.n, h.serial), Zone: h.zone(), MachineType: h.w.Names.MachineTypes[h.kind], Cell: h.n / 3,
+		State: state, StartedAtMS: float64(h.born.Milliseconds()), Available: []float64{free.Cores, free.Memory},
 	}
 }
 
@@ -87,7 +87,7 @@
 // word is a message as a line; an answer has a description.
 func word(kind, ref string, cause int, fields ...platform.Field) string {
 	var desc []byte
-	if kind == platform.Answer {
+	if kind == platform.TypeBound {
 		desc = []byte(`"y"`)
 	}
 	return string(platform.Append(nil, kind, ref, cause, desc, fields...))
@@ -107,7 +107,7 @@
 	open      []*attempt
 }
 
-func (p *placer) dial(o platformcore.Dial) {
+func (p *placer) dial(o platformcore.DialHost) {
 	w := p.w
 	var h *host
 	for _, x := range w.hosts {
@@ -115,8 +115,8 @@
 			h = x
 		}
 	}
-	c := &conn{p: p, id: o.Link, life: p.life, host: h}
-	p.links[o.Link] = c
+	c := &conn{p: p, id: o.Connection, life: p.life, host: h}
+	p.links[o.Connection] = c
 	if w.manual {
 		return
 	}
@@ -124,7 +124,7 @@
 		p.in(c.life, &c.back, func() {
 			if p.links[c.id] == c {
 				delete(p.links, c.id)
-				p.step(platformcore.DialFailed{Link: c.id, Refused: refused, Ours: !refused && w.odds(4)})
+				p.step(platformcore.DialFailed{Connection: c.id, Refused: refused, Local: !refused && w.odds(4)})
 			}
 		})
 	}
@@ -145,11 +145,11 @@
 				}
 				if !h.up {
 					delete(p.links, c.id)
-					p.step(platformcore.DialFailed{Link: c.id})
+					p.step(platformcore.DialFailed{Connection: c.id})
 					return
 				}
 				c.made, c.at = true, h.life
-				p.step(platformcore.Dialled{Link: c.id})
+				p.step(platformcore.HostConnected{Connection: c.id})
 				h.opened(c)
 			})
 		})
@@ -167,7 +167,7 @@
 		if !t.up {
 			t.over = true
 			if t.stands { // the answer is on its way, and nobody reads it
-				t.host.end(t, platform.CauseMoved, false)
+				t.host.end(t, platform.CauseMigrated, false)
 			}
 		}
 	}
@@ -192,7 +192,7 @@
 	for _, t := range c.open {
 		t.over = t.over || !t.up
 	}
-	c.p.step(platformcore.LinkGone{Link: c.id})
+	c.p.step(platformcore.HostDisconnected{Connection: c.id})
 }
 
 // toHost carries a message to the host.
@@ -203,8 +203,8 @@
 	}
 	at := max(c.out, w.now+w.delay())
 	c.out = at
-	w.todo.Set(at, func() {
-		if c.host != nil && c.made && !c.silent && !c.host.cut && c.host.up && c.host.life == c.at && !(c.gone && m.Type == platform.New) {
+	w.todo.Add(at, func() {
+		if c.host != nil && c.made && !c.silent && !c.host.cut && c.host.up && c.host.life == c.at && !(c.gone && m.Type == platform.TypeRequest) {
 			c.host.receive(c, m)
 		}
 	})
@@ -222,7 +222,7 @@
 		if read != nil {
 			read()
 		}
-		c.p.step(platformcore.HostData{Link: c.id, Data: []byte(line)})
+		c.p.step(platformcore.HostData{Connection: c.id, Data: []byte(line)})
 	})
 }
 
@@ -242,11 +242,11 @@
 func (h *host) receive(c *conn, m platform.Message) {
 	w := h.w
 	switch m.Type {
-	case platform.Test:
-		c.toPlacer(word(platform.TestResult, m.Ref, 1, platform.Quoted("load", "x0:4;x1:4")), nil)
-	case platform.Heard:
+	case platform.TypeProbe:
+		c.toPlacer(word(platform.TypeProbeResult, m.Ref, 1, platform.Quoted("load", "x0:4;x1:4")), nil)
+	case platform.TypeAck:
 		h.owed = slices.DeleteFunc(h.owed, func(o owed) bool { return o.p == c.p && o.t.ask.ref == m.Ref })
-	case platform.Release:
+	case platform.TypeRelease:
 		t := h.held[m.Ref]
 		if t == nil {
 			for _, open := range c.open {
@@ -256,8 +256,8 @@
 			}
 			return
 		}
-		h.end(t, platform.CauseMoved, true)
-	case platform.New:
+		h.end(t, platform.CauseMigrated, true)
+	case platform.TypeRequest:
 		if w.now < h.born+w.Settings.SlowStartDuration && h.born > 0 {
 			h.cold = append(h.cold, w.now)
 		}
@@ -283,9 +283,9 @@
 	ref := t.ask.ref
 	switch {
 	case !h.ready || w.rng.IntN(12) == 0:
-		c.toPlacer(word(platform.Release, ref, []int{platform.CauseFull, platform.CauseMoot}[w.rng.IntN(2)]), func() { t.never, t.over = true, true })
+		c.toPlacer(word(platform.TypeRelease, ref, []int{platform.CauseRejected, platform.CauseNotSent}[w.rng.IntN(2)]), func() { t.never, t.over = true, true })
 	case w.odds(15):
-		c.toPlacer(word(platform.Release, ref, []int{platform.CauseFailed, platform.CauseReset}[w.rng.IntN(2)]), func() { t.over = true })
+		c.toPlacer(word(platform.TypeRelease, ref, []int{platform.CauseFailed, platform.CauseReset}[w.rng.IntN(2)]), func() { t.over = true })
 	case w.odds(15):
 		c.reset()
 	case w.odds(20):
@@ -294,13 +294,13 @@
 	default:
 		t.stands = true
 		h.held[ref] = t
-		c.toPlacer(word(platform.Answer, ref, platform.NoCause), func() {
+		c.toPlacer(word(platform.TypeBound, ref, platform.NoCause), func() {
 			if !t.over {
 				t.up = true
 			}
 		})
 		if w.odds(8) {
-			c.toPlacer(word(platform.Answer, ref, platform.NoCause), nil)
+			c.toPlacer(word(platform.TypeBound, ref, platform.NoCause), nil)
 		}
 		life := h.life
 		w.at(time.Duration(300+w.rng.IntN(6000))*time.Millisecond, func() {
@@ -323,7 +323,7 @@
 	if !tell {
 		return
 	}
-	text := word(platform.Release, t.ask.ref, cause)
+	text := word(platform.TypeRelease, t.ask.ref, cause)
 	p := t.ask.p
 	heard := func() { t.over = true }
 	h.owed = append(h.owed, owed{p, text, t})
--- a/internal/verify/platformsim/orders.go
+++ b/internal/verify/platformsim/orders.go
@@ -58,7 +58,7 @@
 	p.owners[1] = o
 	a := &ask{ref: "00000000000000a1", p: p, life: p.life, class: class, service: 1, cores: 1, at: w.now, wait: orderWait, owner: o}
 	w.asks[a.ref] = a
-	p.step(platformcore.Accepted{Owner: 1})
+	p.step(platformcore.OwnerConnected{Owner: 1})
 	p.step(platformcore.OwnerData{Owner: 1, Data: []byte(a.line(""))})
 	for _, ev := range order {
 		w.happen(a, ev)
@@ -75,7 +75,7 @@
 		if a.final == "" && !a.leaving {
 			all = append(all, "give-up")
 		}
-		if a.answer == platform.Answer && a.final == "" {
+		if a.answer == platform.TypeBound && a.final == "" {
 			all = append(all, "hand-over")
 		}
 	}
@@ -115,11 +115,11 @@
 	say := func(t *attempt, cause int, read func()) {
 		t.done = cause != platform.NoCause
 		read()
-		kind := platform.Release
+		kind := platform.TypeRelease
 		if cause == platform.NoCause {
-			kind = platform.Answer
+			kind = platform.TypeBound
 		}
-		p.step(platformcore.HostData{Link: t.conn.id, Data: []byte(word(kind, a.ref, cause))})
+		p.step(platformcore.HostData{Connection: t.conn.id, Data: []byte(word(kind, a.ref, cause))})
 	}
 	switch what {
 	case "wait":
@@ -129,20 +129,20 @@
 	case "owner-gone":
 		a.owner.open = false
 		a.left = a.left || a.answer == ""
-		p.step(platformcore.OwnerGone{Owner: 1})
+		p.step(platformcore.OwnerDisconnected{Owner: 1})
 	case "give-up":
 		a.leaving = true
-		p.step(platformcore.OwnerData{Owner: 1, Data: []byte(word(platform.Release, a.ref, platform.CauseOK))})
+		p.step(platformcore.OwnerData{Owner: 1, Data: []byte(word(platform.TypeRelease, a.ref, platform.CauseOK))})
 		a.left = a.left || a.answer == ""
 	case "hand-over":
 		p.step(platformcore.OwnerData{Owner: 1, Data: []byte(a.line(";at:" + a.standing().host.name()))})
 	case "made":
 		c := p.links[uint64(n)]
 		c.made = true
-		p.step(platformcore.Dialled{Link: c.id})
+		p.step(platformcore.HostConnected{Connection: c.id})
 	case "refused":
 		delete(p.links, uint64(n))
-		p.step(platformcore.DialFailed{Link: uint64(n), Refused: true})
+		p.step(platformcore.DialFailed{Connection: uint64(n), Refused: true})
 	case "gone":
 		p.links[uint64(n)].ended()
 	case "up":
@@ -151,16 +151,16 @@
 		say(t, platform.NoCause, func() { t.up = t.up || !t.over })
 	case "full":
 		t := a.attempts[n]
-		say(t, platform.CauseFull, func() { t.never, t.over = true, true })
+		say(t, platform.CauseRejected, func() { t.never, t.over = true, true })
 	case "error", "end", "cut":
 		t := a.attempts[n]
 		cause := map[string]int{"error": platform.CauseFailed, "end": platform.CauseOK, "cut": platform.CauseReset}[what]
 		say(t, cause, func() { t.over, t.cause = true, cause })
 	case "drain":
-		ch := platform.Change{Seq: uint64(len(w.events) + 1), Fleet: &platform.Fleet{Hosts: []platform.HostInfo{w.hosts[0].info(platform.Terminating)}}}
+		ch := platform.WatchEvent{Seq: uint64(len(w.events) + 1), Endpoints: &platform.EndpointList{Hosts: []platform.Endpoint{w.hosts[0].info(platform.Terminating)}}}
 		w.events = append(w.events, ch)
 		p.note(ch)
-		p.step(platformcore.Changed{Change: ch})
+		p.step(platformcore.WatchEventReceived{Event: ch})
 	}
 }
 
@@ -171,7 +171,7 @@
 		if !some || next > at {
 			break
 		}
-		do, _ := w.todo.Due(next)
+		do, _ := w.todo.PopDue(next)
 		w.now = next
 		do()
 	}
@@ -187,14 +187,14 @@
 		for _, c := range p.conns() {
 			if !c.made {
 				delete(p.links, c.id)
-				p.step(platformcore.DialFailed{Link: c.id})
+				p.step(platformcore.DialFailed{Connection: c.id})
 			}
 		}
 	}
 	if a.answer == "" && !a.left {
 		w.breach("one answer: it has none")
 	}
-	if a.answer == platform.Answer && a.final == "" && !a.leaving && a.owner.open {
+	if a.answer == platform.TypeBound && a.final == "" && !a.leaving && a.owner.open {
 		w.breach("one answer: its owner takes it for standing")
 	}
 }
--- a/internal/verify/platformsim/orders_test.go
+++ b/internal/verify/platformsim/orders_test.go
@@ -24,11 +24,11 @@
 // What is planted is found in a few events.
 func TestOrdersFindPlantedFaults(t *testing.T) {
 	once := func(o platformcore.Output) bool {
-		x, ok := o.(platformcore.ToHost)
+		x, ok := o.(platformcore.SendToHost)
 		return ok && bytes.Contains(x.Line, []byte(`"new"`))
 	}
 	final := func(o platformcore.Output) bool {
-		x, ok := o.(platformcore.ToOwner)
+		x, ok := o.(platformcore.SendToOwner)
 		return ok && bytes.Contains(x.Line, []byte(`"down"`))
 	}
 	l := one(1)
--- a/internal/verify/platformsim/play.go
+++ b/internal/verify/platformsim/play.go
@@ -50,10 +50,10 @@
 	Life
 	rng     *rand.Rand
 	now     time.Duration
-	todo    timerqueue.Agenda[func()]
+	todo    timerqueue.Queue[func()]
 	hosts   []*host
 	placers []*placer
-	events  []platform.Change
+	events  []platform.WatchEvent
 	asks    map[string]*ask
 	report  Report
 	last    int
@@ -82,7 +82,7 @@
 		if !some || at > end+settling || len(w.report.Breaches) >= mostTold {
 			break
 		}
-		do, _ := w.todo.Due(at)
+		do, _ := w.todo.PopDue(at)
 		w.now = at
 		do()
 	}
@@ -93,9 +93,9 @@
 // newWorld has the hosts, listed, and no placer yet.
 func newWorld(life Life) *world {
 	w := &world{Life: life, rng: rand.New(rand.NewPCG(life.Seed, 5)), now: time.Hour, asks: map[string]*ask{}}
-	var all []platform.HostInfo
+	var all []platform.Endpoint
 	for i := range life.Hosts {
-		h := &host{w: w, n: i + 1, life: 1, up: true, ready: true, kind: i % len(life.Names.Kinds), held: map[string]*attempt{}}
+		h := &host{w: w, n: i + 1, life: 1, up: true, ready: true, kind: i % len(life.Names.MachineTypes), held: map[string]*attempt{}}
 		w.hosts = append(w.hosts, h)
 		all = append(all, h.info(platform.InService))
 	}
@@ -103,7 +103,7 @@
 	return w
 }
 
-func (w *world) at(in time.Duration, do func()) { w.todo.Set(w.now+in, do) }
+func (w *world) at(in time.Duration, do func()) { w.todo.Add(w.now+in, do) }
 
 func (w *world) breach(format string, args ...any) {
 	if len(w.report.Breaches) < mostTold {
@@ -123,8 +123,8 @@
 }
 
 // tell puts an event into the change log; placers hear of it in order, sometimes late.
-func (w *world) tell(whole bool, hosts ...platform.HostInfo) {
-	ch := platform.Change{Seq: uint64(len(w.events) + 1), Fleet: &platform.Fleet{Whole: whole, Hosts: hosts}}
+func (w *world) tell(whole bool, hosts ...platform.Endpoint) {
+	ch := platform.WatchEvent{Seq: uint64(len(w.events) + 1), Endpoints: &platform.EndpointList{Snapshot: whole, Hosts: hosts}}
 	w.events = append(w.events, ch)
 	for _, p := range w.placers {
 		p.hear(ch)
@@ -201,7 +201,7 @@
 		w.at(time.Duration(w.rng.IntN(int(a.wait))), func() {
 			if a.final == "" && !a.left && a.owner.open && p.life == a.life {
 				if w.rng.IntN(2) == 0 {
-					a.owner.send(word(platform.Release, a.ref, platform.CauseOK))
+					a.owner.send(word(platform.TypeRelease, a.ref, platform.CauseOK))
 					a.leaving = true
 					p.in(a.life, &a.owner.busy, func() { a.left = a.left || a.answer == "" })
 				} else {
--- a/internal/verify/platformsim/play_test.go
+++ b/internal/verify/platformsim/play_test.go
@@ -32,7 +32,7 @@
 		l.Names.Zones = append(l.Names.Zones, fmt.Sprintf("zone %d: ü/%d", i, i))
 	}
 	for i := range num("kinds", 1, 2) {
-		l.Names.Kinds = append(l.Names.Kinds, fmt.Sprintf("kind\"%d", i))
+		l.Names.MachineTypes = append(l.Names.MachineTypes, fmt.Sprintf("kind\"%d", i))
 		l.Settings.MachineTypes = append(l.Settings.MachineTypes, forkhead.MachineType{Cores: float64(num("cores", 2, 40)), Memory: float64(num("memory", 2, 40))})
 	}
 	for i := range num("tenants", 0, 3) {
@@ -44,7 +44,7 @@
 		c := forkhead.Class{
 			Effect:      rapid.SampledFrom([]forkhead.Effect{forkhead.Safe, forkhead.Keyed, forkhead.Unsafe}).Draw(t, "effect"),
 			DedupDomain: rapid.SampledFrom([]forkhead.Domain{forkhead.AnyDomain, forkhead.ZoneDomain, forkhead.CellDomain}).Draw(t, "group"),
-			DedupWindow: ms("window", 200, 8000), LatencyObjective: ms("aim", 50, 2000), Weight: float64(num("worth", 0, 9)), MachineType: num("kind", -1, len(l.Names.Kinds)-1),
+			DedupWindow: ms("window", 200, 8000), LatencyObjective: ms("aim", 50, 2000), Weight: float64(num("worth", 0, 9)), MachineType: num("kind", -1, len(l.Names.MachineTypes)-1),
 			SaturationThreshold: float64(num("calm, percent", 10, 100)) / 100, DegradationRange: float64(num("fade, percent", 0, 100)) / 100, Priority: num("priority", 0, 3),
 			SpreadDomain: rapid.SampledFrom([]forkhead.Domain{forkhead.AnyDomain, forkhead.MachineDomain, forkhead.CellDomain, forkhead.ZoneDomain}).Draw(t, "spread"),
 			MaxPerDomain: num("most", 1, 4),
@@ -91,7 +91,7 @@
 // one is a life with much going on.
 func one(seed uint64) Life {
 	l := Life{Placers: 3, Hosts: 6, Tasks: 150, Room: 100, Faults: 0.6, Seed: seed}
-	l.Names = platformcore.Names{Zones: []string{"a", "b"}, Kinds: []string{"std"}, Classes: []string{"safe", "keyed", "unsafe"}}
+	l.Names = platformcore.Names{Zones: []string{"a", "b"}, MachineTypes: []string{"std"}, Classes: []string{"safe", "keyed", "unsafe"}}
 	l.Settings = forkhead.Settings{
 		MachineTypes: []forkhead.MachineType{{Cores: 16, Memory: 16}}, MeanCores: 1, MeanMemory: 1, CoresOvercommit: 1, MemoryOvercommit: 1, ListWatched: true,
 		Classes: []forkhead.Class{
@@ -133,7 +133,7 @@
 	}{
 		"an answer twice": {func() func(platformcore.Output) []platformcore.Output {
 			return func(o platformcore.Output) []platformcore.Output {
-				if x, ok := o.(platformcore.ToOwner); ok && bytes.Contains(x.Line, []byte(`"up"`)) {
+				if x, ok := o.(platformcore.SendToOwner); ok && bytes.Contains(x.Line, []byte(`"up"`)) {
 					return []platformcore.Output{o, o}
 				}
 				return []platformcore.Output{o}
@@ -141,7 +141,7 @@
 		}, "a second time"},
 		"an answer never": {func() func(platformcore.Output) []platformcore.Output {
 			return func(o platformcore.Output) []platformcore.Output {
-				if x, ok := o.(platformcore.ToOwner); ok && bytes.Contains(x.Line, []byte(`"down"`)) {
+				if x, ok := o.(platformcore.SendToOwner); ok && bytes.Contains(x.Line, []byte(`"down"`)) {
 					return nil
 				}
 				return []platformcore.Output{o}
@@ -149,7 +149,7 @@
 		}, "has none"},
 		"an offer twice": {func() func(platformcore.Output) []platformcore.Output {
 			return func(o platformcore.Output) []platformcore.Output {
-				if x, ok := o.(platformcore.ToHost); ok && bytes.Contains(x.Line, []byte(`"new"`)) {
+				if x, ok := o.(platformcore.SendToHost); ok && bytes.Contains(x.Line, []byte(`"new"`)) {
 					return []platformcore.Output{o, o}
 				}
 				return []platformcore.Output{o}
@@ -158,7 +158,7 @@
 		"a release kept": {func() func(platformcore.Output) []platformcore.Output {
 			answered := map[string]bool{}
 			return func(o platformcore.Output) []platformcore.Output {
-				if x, ok := o.(platformcore.ToOwner); ok {
+				if x, ok := o.(platformcore.SendToOwner); ok {
 					ref := string(x.Line[bytes.Index(x.Line, []byte(`"ref"`)):][:24])
 					if answered[ref] && bytes.Contains(x.Line, []byte(`"down"`)) {
 						return nil
--- a/internal/verify/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -575,7 +575,7 @@
 			up[e.Host] = *e
 			recent[e.Host] = nil
 		case capture.Fell:
-			c.breach(invariant.Cold, e.At, "host %s fell over while cold", e.Host)
+			c.breach(invariant.SlowStart, e.At, "host %s fell over while cold", e.Host)
 		case capture.Offer:
 			u, ok := up[e.Host]
 			age := e.At - u.At
@@ -586,7 +586,7 @@
 			recent[e.Host] = keep
 			pace := c.f.ColdPace * (c.f.ColdFrom + (1-c.f.ColdFrom)*float64(age)/float64(c.f.ColdFor))
 			if bears := max(c.f.ColdOffers, c.f.Multiple*pace*c.f.ColdWindow.Seconds()); float64(len(keep)) > bears {
-				c.breach(invariant.Cold, e.At, "host %s, up for %v, was offered %d tasks within %v; it bears %.0f", e.Host, age.Round(time.Millisecond), len(keep), c.f.ColdWindow, bears)
+				c.breach(invariant.SlowStart, e.At, "host %s, up for %v, was offered %d tasks within %v; it bears %.0f", e.Host, age.Round(time.Millisecond), len(keep), c.f.ColdWindow, bears)
 			}
 		}
 	}
--- a/internal/verify/simulation/sim.go
+++ b/internal/verify/simulation/sim.go
@@ -33,7 +33,7 @@
 	Hosts    map[string]*Host
 	Names    []string
 	Now      time.Duration
-	queue    timerqueue.Agenda[func()]
+	queue    timerqueue.Queue[func()]
 	rng      *rand.Rand
 	Delay    time.Duration // of a frame, each way
 
@@ -232,7 +232,7 @@
 }
 
 func (s *Sim) After(d time.Duration, do func()) {
-	s.queue.Set(s.Now+d, do)
+	s.queue.Add(s.Now+d, do)
 }
 
 func (s *Sim) conn(h *Host, conn uint32) hostmodel.ConnID {
@@ -488,7 +488,7 @@
 			s.Now = end
 			return
 		case "event":
-			if do, due := s.queue.Due(s.Now); due {
+			if do, due := s.queue.PopDue(s.Now); due {
 				do()
 			}
 		case "core":
