--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -1,6 +1,7 @@
 package cli
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"net"
@@ -64,7 +65,7 @@
 			c := clock.New()
 			cfg := placer.Config{Settings: s.For(self), Clock: c, Log: a.log, Seed: uint64(c.Now())}
 			if keep != "" {
-				if cfg.Store, cfg.Kept, err = store.Open(store.Options{Path: keep}); err != nil {
+				if cfg.Store, cfg.SavedState, err = store.Open(store.Options{Path: keep}); err != nil {
 					return err
 				}
 				defer cfg.Store.Close()
@@ -76,11 +77,14 @@
 			a.log.WithLevel(a.log.GetLevel()).Int("placer", self).Str("http", p.Address()).Msg("the placer serves")
 			select {
 			case err := <-p.Failed():
-				p.Kill()
+				p.Close()
 				return err
 			case <-cmd.Context().Done():
 			}
-			p.Stop(grace)
+			// The command's context is done already.
+			ctx, cancel := context.WithTimeout(context.WithoutCancel(cmd.Context()), grace)
+			defer cancel()
+			p.Shutdown(ctx)
 			return nil
 		},
 	}
--- a/internal/client/submitter.go
+++ b/internal/client/submitter.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	req.Header.Set("Content-Type", placer.EnvelopeType)
+	req.Header.Set("Content-Type", placer.EnvelopeMediaType)
 	req.Header.Set("Idempotency-Key", key)
 	client := c.HTTP
 	if client == nil {
--- a/internal/server/placer/front.go
+++ b/internal/server/placer/front.go
@@ -27,8 +27,8 @@
 	mostKey  = 200              // bytes of an Idempotency-Key
 )
 
-// EnvelopeType is the media type of a submission of several files with variables.
-const EnvelopeType = "application/vnd.forkhead.files+json"
+// EnvelopeMediaType is the media type of a submission of several files with variables.
+const EnvelopeMediaType = "application/vnd.forkhead.files+json"
 
 // Envelope is such a submission.
 type Envelope struct {
@@ -42,17 +42,17 @@
 
 // Problem is an error by RFC 9457.
 type Problem struct {
-	Type   string  `json:"type"`
-	Title  string  `json:"title"`
-	Status int     `json:"status"`
-	Detail string  `json:"detail,omitempty"`
-	Errors []Place `json:"errors,omitempty"`
+	Type   string      `json:"type"`
+	Title  string      `json:"title"`
+	Status int         `json:"status"`
+	Detail string      `json:"detail,omitempty"`
+	Errors []SpecError `json:"errors,omitempty"`
 
 	Conflict []string `json:"conflict,omitempty"` // what cannot be met together
 }
 
-// Place is one error of a description, where it is.
-type Place struct {
+// SpecError is one error of a description, where it is.
+type SpecError struct {
 	File   string `json:"file"`
 	Line   int    `json:"line,omitempty"`
 	Column int    `json:"column,omitempty"`
@@ -283,7 +283,7 @@
 	}
 	d, err := compose.Parse(in)
 	if err != nil {
-		cl.again(r, problem(nil, BadDescription(err), 0, r.Close))
+		cl.again(r, problem(nil, InvalidSpecProblem(err), 0, r.Close))
 		return
 	}
 	h := fnv.New64a()
@@ -346,7 +346,7 @@
 				in.Variables[name] = v[0]
 			}
 		}
-	case EnvelopeType:
+	case EnvelopeMediaType:
 		var e Envelope
 		dec := json.NewDecoder(strings.NewReader(string(r.Body)))
 		dec.DisallowUnknownFields()
@@ -358,13 +358,13 @@
 			in.Variables = e.Variables
 		}
 	default:
-		return nil, &Problem{Title: "Unknown Content-Type", Status: 415, Detail: "want application/yaml or " + EnvelopeType}
+		return nil, &Problem{Title: "Unknown Content-Type", Status: 415, Detail: "want application/yaml or " + EnvelopeMediaType}
 	}
 	return in, nil
 }
 
-// BadDescription makes a Problem of a parser's error.
-func BadDescription(err error) Problem {
+// InvalidSpecProblem makes a Problem of a parser's error.
+func InvalidSpecProblem(err error) Problem {
 	p := Problem{Type: "urn:forkhead:bad-description", Title: "The description cannot be used", Status: 422, Detail: err.Error()}
 	var walk func(err error)
 	walk = func(err error) {
@@ -375,7 +375,7 @@
 			return
 		}
 		if e := diagnostic.First(err); e != nil {
-			p.Errors = append(p.Errors, Place{File: e.Pos.File, Line: e.Pos.Line, Column: e.Pos.Col, Detail: e.What, Want: e.Want})
+			p.Errors = append(p.Errors, SpecError{File: e.Pos.File, Line: e.Pos.Line, Column: e.Pos.Col, Detail: e.What, Want: e.Want})
 		}
 	}
 	walk(err)
--- a/internal/server/placer/front_test.go
+++ b/internal/server/placer/front_test.go
@@ -133,9 +133,9 @@
 		"unknown":        {"application/yaml", "", "services:\n  a: {imgae: x}", 422, `"file":"compose.yaml","line":2,"column":7`},
 		"too many tasks": {"application/yaml", "", web(51), 413, "at most 50"},
 		"too long":       {"application/yaml", "", strings.Repeat("#", 5000), 413, "4096"},
-		"media type":     {"image/png", "", "x", 415, placer.EnvelopeType},
-		"bad envelope":   {placer.EnvelopeType, "", `{"fils":[]}`, 400, "unknown field"},
-		"empty envelope": {placer.EnvelopeType, "", `{}`, 422, "there is nothing in it"},
+		"media type":     {"image/png", "", "x", 415, placer.EnvelopeMediaType},
+		"bad envelope":   {placer.EnvelopeMediaType, "", `{"fils":[]}`, 400, "unknown field"},
+		"empty envelope": {placer.EnvelopeMediaType, "", `{}`, 422, "there is nothing in it"},
 		"long key":       {"application/yaml", strings.Repeat("k", 300), web(1), 400, "at most 200"},
 	} {
 		req, _ := http.NewRequest("POST", "http://"+addr+"/v1/submissions", strings.NewReader(c.body))
@@ -346,7 +346,9 @@
 	for sc.Placer(0).Status().Offers == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	sc.Placer(0).Stop(10 * time.Second)
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+	defer cancel()
+	sc.Placer(0).Shutdown(ctx)
 	if n := <-done; n != 200 {
 		t.Fatalf("%d outcomes of 200", n)
 	}
--- a/internal/server/placer/golden_test.go
+++ b/internal/server/placer/golden_test.go
@@ -46,7 +46,7 @@
 		problem(nil, Problem{Title: "No such resource", Status: 404, Detail: "/x"}, 0, false),
 		problem([]http1.Field{{Name: "allow", Value: "GET"}}, Problem{Title: "Method not allowed", Status: 405}, 0, true),
 		problem(nil, Problem{Title: "Stopping", Status: 503}, 1500*time.Millisecond, false),
-		problem(nil, BadDescription(errors.Join(diagnostic.Wantf(pos, "image", "unknown"), diagnostic.Errorf(pos, "twice"))), 0, false),
+		problem(nil, InvalidSpecProblem(errors.Join(diagnostic.Wantf(pos, "image", "unknown"), diagnostic.Errorf(pos, "twice"))), 0, false),
 		problem(nil, impossible([]string{"a", "b"}), 0, false),
 	} {
 		b.Write(bytes.ReplaceAll(p, []byte("\r"), nil))
@@ -69,7 +69,7 @@
 		ByRule: map[string]uint64{"drain": 19}, Defects: 20,
 	}
 	var b bytes.Buffer
-	fmt.Fprintln(&b, EnvelopeType)
+	fmt.Fprintln(&b, EnvelopeMediaType)
 	enc := json.NewEncoder(&b)
 	for _, body := range []any{envelope, Envelope{}, outcome, core.Outcome{}, status} {
 		if err := enc.Encode(body); err != nil {
--- a/internal/server/placer/placerd.go
+++ b/internal/server/placer/placerd.go
@@ -3,6 +3,7 @@
 package placer
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"net"
@@ -32,16 +33,16 @@
 	Log      zerolog.Logger
 	Seed     uint64
 	Epoch    uint64 // 0: by the clock
-	// Tap is shown each step of the core: its time, when it had asked for it by itself (0: not), its
+	// OnStep is shown each step of the core: its time, when it had asked for it by itself (0: not), its
 	// inputs in the order in which they came and its outputs in the order in which they go out. It
 	// must keep none of them. nil: nobody looks.
-	Tap func(now, due time.Duration, in []core.Input, out []core.Output)
+	OnStep func(now, due time.Duration, in []core.Input, out []core.Output)
 	// Store keeps what must not be forgotten, and Kept is what an earlier life left in it; nil: nothing is kept. The
 	// caller closes the store when the placer has stopped.
-	Store *store.Store
-	Kept  *durable.Kept
-	// Drop loses a message from another placer, for tests; nil: none.
-	Drop func(from int) bool
+	Store      *store.Store
+	SavedState *durable.Kept
+	// DropGossip loses a message from another placer, for tests; nil: none.
+	DropGossip func(from int) bool
 	// Decide stands in the module's place, for tests of the guard and the checker.
 	Decide func(now time.Duration, events []forkhead.Event) []forkhead.Action
 }
@@ -95,9 +96,9 @@
 	if cfg.Epoch == 0 {
 		cfg.Epoch = uint64(cfg.Clock.Now().Microseconds())
 	}
-	if cfg.Kept != nil {
+	if cfg.SavedState != nil {
 		// Guards against a clock that was set back: hosts refuse an earlier life.
-		cfg.Epoch = max(cfg.Epoch, cfg.Kept.Epoch+1)
+		cfg.Epoch = max(cfg.Epoch, cfg.SavedState.Epoch+1)
 	}
 	c, err := core.New(core.Config{Settings: set, Seed: cfg.Seed, Epoch: cfg.Epoch, Decide: cfg.Decide, Durable: cfg.Store != nil})
 	if err != nil {
@@ -115,8 +116,8 @@
 		engine.Stop()
 		return nil, err
 	}
-	if cfg.Kept != nil {
-		s.put(core.Restore{Kept: cfg.Kept})
+	if cfg.SavedState != nil {
+		s.put(core.Restore{Kept: cfg.SavedState})
 	}
 	s.loop = eventloop.New(cfg.Clock, mostJobs, s.step)
 	s.loop.Start()
@@ -124,7 +125,7 @@
 	go s.hear()
 	s.front, err = engine.Listen(set.Placers[self].HTTP, set.Limits.Buffer+(1<<20), s.accept)
 	if err != nil {
-		s.Kill()
+		s.Close()
 		return nil, fmt.Errorf("front: %w", err)
 	}
 	return s, nil
@@ -158,27 +159,27 @@
 	return st
 }
 
-// Stall makes the placer stand still for a while, as a long collection or a stopped process would.
-func (s *Server) Stall(d time.Duration) { s.loop.Post(func() { time.Sleep(d) }) }
+// InjectStall makes the placer stand still for a while, as a long collection or a stopped process would.
+func (s *Server) InjectStall(d time.Duration) { s.loop.Post(func() { time.Sleep(d) }) }
 
-// Stop ends the placer: the front takes nothing new, what is under way has up to grace to be
-// answered, then all connections are closed. Tasks run on.
-func (s *Server) Stop(grace time.Duration) {
+// Shutdown ends the placer: the front takes nothing new, and all connections are closed once what is under way has been
+// answered, or ctx is done. Tasks run on.
+func (s *Server) Shutdown(ctx context.Context) {
 	s.stopping.Store(true)
 	if s.front != nil {
 		_ = s.front.Close()
 	}
-	for end := time.Now().Add(grace); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for ; ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
 		busy := false
 		if !s.loop.Call(func() { busy = len(s.await) > 0 || len(s.follows) > 0 }) || !busy {
 			break
 		}
 	}
-	s.Kill()
+	s.Close()
 }
 
-// Kill ends the placer at once, as when its process is killed: what it held is forgotten.
-func (s *Server) Kill() {
+// Close ends the placer at once, as when its process is killed: what it held is forgotten.
+func (s *Server) Close() {
 	s.stopping.Store(true)
 	s.stopOnce.Do(func() {
 		s.loop.Stop()
@@ -199,8 +200,8 @@
 	in := s.inputs
 	s.inputs = s.inputs[:0]
 	out := s.core.Step(now, in...)
-	if s.cfg.Tap != nil {
-		s.cfg.Tap(now, s.due, in, out)
+	if s.cfg.OnStep != nil {
+		s.cfg.OnStep(now, s.due, in, out)
 	}
 	if !s.keep(now, out) {
 		return 0, false
@@ -451,7 +452,7 @@
 		if placer >= len(s.peers) || placer == s.set.Module.Self || from.String() != s.peers[placer].String() {
 			continue // not from a placer of the settings
 		}
-		if s.cfg.Drop != nil && s.cfg.Drop(placer) {
+		if s.cfg.DropGossip != nil && s.cfg.DropGossip(placer) {
 			continue
 		}
 		data := append([]byte(nil), buf[2:n]...)
--- a/internal/verify/chaos/troubles.go
+++ b/internal/verify/chaos/troubles.go
@@ -174,7 +174,7 @@
 		p.repeat(&t, func() {
 			for i := range p.c.Placers() {
 				if pl := p.c.Placer(i); pl != nil && (t.Placer < 0 || t.Placer == i) {
-					pl.Stall(t.Delay)
+					pl.InjectStall(t.Delay)
 				}
 			}
 		})
--- a/internal/verify/testcluster/scene.go
+++ b/internal/verify/testcluster/scene.go
@@ -191,20 +191,20 @@
 	c.lives[i]++
 	cfg := placer.Config{
 		Settings: set, Clock: c.Clock, Log: c.log, Seed: uint64(c.Script.Seed)<<8 + uint64(i) + uint64(c.lives[i])<<32,
-		Epoch: uint64(c.Clock.Now().Microseconds()),
-		Drop:  func(int) bool { return rand.Uint64N(1000) < c.Loss.Load() },
+		Epoch:      uint64(c.Clock.Now().Microseconds()),
+		DropGossip: func(int) bool { return rand.Uint64N(1000) < c.Loss.Load() },
 	}
 	if c.Script.Durable {
 		st, kept, err := store.Open(store.Options{Path: filepath.Join(c.folder, fmt.Sprintf("placer-%d.db", i))})
 		if err != nil {
 			return err
 		}
-		cfg.Store, cfg.Kept = st, kept
+		cfg.Store, cfg.SavedState = st, kept
 		cfg.Epoch = max(cfg.Epoch, kept.Epoch+1)
 		c.stores[i] = st
 	}
 	if c.Log != nil {
-		cfg.Tap = c.tap(i, cfg.Seed, cfg.Epoch)
+		cfg.OnStep = c.tap(i, cfg.Seed, cfg.Epoch)
 	}
 	if c.breaker != nil {
 		cfg.Decide = c.breaker(set.Module)
@@ -273,7 +273,7 @@
 		return
 	}
 	c.keep(p)
-	p.Kill()
+	p.Close()
 	if st := c.stores[i]; st != nil {
 		// What waits is lost, as with the process.
 		if err := st.Kill(); err != nil {
@@ -328,7 +328,7 @@
 func (c *Scene) Stop() {
 	for i := range c.placers {
 		if p := c.placers[i].Swap(nil); p != nil {
-			p.Kill()
+			p.Close()
 		}
 		if st := c.stores[i]; st != nil {
 			c.stores[i] = nil
