--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -49,9 +49,9 @@
 		return unreadable(err, "what serve --store keeps")
 	}
 	counts, bad := map[string]int{}, 0
-	err := store.Each(path, func(bucket, key string, value []byte) error {
+	err := store.ForEach(path, func(bucket, key string, value []byte) error {
 		counts[bucket]++
-		text, version, err := durable.Open(value)
+		text, version, err := durable.DecodeValue(value)
 		if err != nil {
 			bad++
 			fmt.Fprintf(a.errs, "%s: %s %q: %v\n", path, bucket, key, err)
--- a/internal/scheduler/core/api.go
+++ b/internal/scheduler/core/api.go
@@ -55,7 +55,7 @@
 		Project string
 	}
 	// Restore brings what an earlier life has noted, before anything else.
-	Restore struct{ Kept *durable.Kept }
+	Restore struct{ Kept *durable.Snapshot }
 	// FromPlacer brings a message from another placer.
 	FromPlacer struct {
 		From int
@@ -121,7 +121,7 @@
 	Grew struct{ Submission string }
 	// Keep notes what must not be forgotten. What follows in the step leaves only when the step's notes are durable, if
 	// one of them is to be waited for (state.Waits).
-	Keep struct{ Note durable.Note }
+	Keep struct{ Note durable.Record }
 	// Logged is a line for whoever is on call.
 	Logged struct {
 		Defect bool // of this program
--- a/internal/scheduler/core/asks.go
+++ b/internal/scheduler/core/asks.go
@@ -303,7 +303,7 @@
 		delete(t.host.tries, t.ref)
 		delete(c.refs, t.ref)
 		if t.noted {
-			c.keep(durable.Settled{Ref: t.ref})
+			c.keep(durable.AttemptResolved{Ref: t.ref})
 		}
 	}
 	if after == attempt.Unknown && before != after {
--- a/internal/scheduler/core/hosts.go
+++ b/internal/scheduler/core/hosts.go
@@ -154,7 +154,7 @@
 	c.forgetHosts()
 	if l.Mode == forkhead.ListSnapshot && (c.keptAt == 0 || c.now >= c.keptAt+listEvery) {
 		c.keptAt = c.now
-		c.keep(durable.Listed{List: durable.List{At: c.now, Hosts: l.Hosts}})
+		c.keep(durable.HostListReceived{List: durable.HostList{ReceivedAt: c.now, Hosts: l.Hosts}})
 	}
 }
 
--- a/internal/scheduler/core/projects.go
+++ b/internal/scheduler/core/projects.go
@@ -71,7 +71,7 @@
 		if err != nil {
 			c.defect("an outcome has no form to be kept in: %v", err)
 		}
-		c.keep(durable.Told{Submission: s.id, Number: len(s.outcomes), Text: text, Task: w.task(o.Outcome, o.Outcome != WordPlaced)})
+		c.keep(durable.OutcomeReported{SubmissionID: s.id, Index: len(s.outcomes), Outcome: text, Task: w.task(o.Outcome, o.Outcome != WordPlaced)})
 	}
 	s.outcomes = append(s.outcomes, o)
 	if s.complete() {
@@ -105,7 +105,7 @@
 	s := c.ended[0]
 	c.ended = c.ended[1:]
 	delete(c.submissions, s.id)
-	c.keep(durable.Forgotten{Submission: s.id})
+	c.keep(durable.SubmissionExpired{SubmissionID: s.id})
 	if c.byKey[s.key] == s {
 		delete(c.byKey, s.key)
 	}
@@ -177,7 +177,7 @@
 	if s.key != "" {
 		c.byKey[s.key] = s
 	}
-	c.keep(durable.Taken{What: d, Submission: durable.Submission{ID: s.id, Key: s.key, Body: s.body, Total: s.total, At: c.now, Project: name}})
+	c.keep(durable.SubmissionAccepted{Specification: d, Submission: durable.Submission{ID: s.id, IdempotencyKey: s.key, BodyHash: s.body, TotalOutcomes: s.total, AcceptedAt: c.now, Project: name}})
 	delete(c.buried, name)
 	c.do(Taken{Request: in.Request, Submission: s.id})
 	if tasks == 0 {
@@ -427,7 +427,7 @@
 		c.do(Rejected{Request: in.Request, Status: 404, Title: "No such project", Detail: in.Project + " is not here"})
 		return
 	}
-	c.keep(durable.Removed{Project: in.Project, At: c.now})
+	c.keep(durable.ProjectRemoved{Project: in.Project, At: c.now})
 	for _, name := range slices.Sorted(maps.Keys(p.services)) {
 		if svc := p.services[name]; svc != nil {
 			c.removeService(svc)
--- a/internal/scheduler/core/restore.go
+++ b/internal/scheduler/core/restore.go
@@ -15,7 +15,7 @@
 // buriedFor is how long it is kept that a project was removed: hosts that come back by then stop what they run of it.
 const buriedFor = 24 * time.Hour
 
-func (c *Core) keep(n durable.Note) {
+func (c *Core) keep(n durable.Record) {
 	if c.durable {
 		c.do(Keep{Note: n})
 	}
@@ -23,7 +23,7 @@
 
 // task is what is noted of a wish.
 func (w *wish) task(word string, over bool) durable.Task {
-	return durable.Task{Project: w.svc.project.name, Service: w.svc.name, Replica: w.replica, Word: word, Over: over}
+	return durable.Task{Project: w.svc.project.name, Service: w.svc.name, Replica: w.replica, Outcome: word, Finished: over}
 }
 
 // neverAgain notes that a task has ended for good.
@@ -32,7 +32,7 @@
 	if w.success {
 		word = WordPlaced
 	}
-	c.keep(durable.Done{Task: w.task(word, true)})
+	c.keep(durable.TaskFinished{Task: w.task(word, true)})
 }
 
 // noteAttempt notes an attempt that must not be made twice. A safe one is not noted: to make it again does no harm, and the
@@ -43,17 +43,17 @@
 		return
 	}
 	t.noted = true
-	c.keep(durable.Offered{Attempt: durable.Attempt{
-		Ref: t.ref, Key: w.key, Project: w.svc.project.name, Service: w.svc.name, Replica: w.replica, Class: c.set.Classes[w.class].Name,
-		Host: t.host.name, Address: t.host.link.Address, Life: t.hostEpoch, At: t.ask.Attempts[t.number].ChosenAt,
+	c.keep(durable.AttemptOffered{Attempt: durable.Attempt{
+		Ref: t.ref, TaskKey: w.key, Project: w.svc.project.name, Service: w.svc.name, Replica: w.replica, Class: c.set.Classes[w.class].Name,
+		Host: t.host.name, Address: t.host.link.Address, HostEpoch: t.hostEpoch, ChosenAt: t.ask.Attempts[t.number].ChosenAt,
 	}})
 }
 
 // restore begins a life with what an earlier one has noted. Nothing is offered before hosts have said what they run, or
 // the owner's wait is over; an attempt that was noted is unknown until its host has said what became of it.
-func (c *Core) restore(k *durable.Kept) {
-	c.keep(durable.Began{Epoch: c.epoch})
-	for _, bad := range k.Bad {
+func (c *Core) restore(k *durable.Snapshot) {
+	c.keep(durable.IncarnationStarted{Epoch: c.epoch})
+	for _, bad := range k.Unreadable {
 		c.log("what was kept cannot be read: %s", bad)
 	}
 	for i := range k.Submissions {
@@ -63,9 +63,9 @@
 	for i := range k.Projects {
 		held = append(held, c.restoreProject(&k.Projects[i])...)
 	}
-	for name, at := range k.Removed {
+	for name, at := range k.Tombstones {
 		if at+buriedFor <= c.now {
-			c.keep(durable.Erased{Project: name})
+			c.keep(durable.TombstoneExpired{Project: name})
 			continue
 		}
 		c.buried[name] = true
@@ -73,7 +73,7 @@
 	for i := range k.Attempts {
 		c.restoreAttempt(&k.Attempts[i])
 	}
-	c.savedList(&k.List)
+	c.savedList(&k.HostList)
 	for _, w := range held {
 		c.release(w)
 	}
@@ -82,8 +82,8 @@
 // savedList begins with the list that an earlier life was told last, by its age: so that a placer whose rack restarts while
 // discovery is silent does not sit idle, and one that was away for long does not go by what was. A list from the future
 // shows that a clock was set back: how old it is nobody knows, so its hosts have to greet first.
-func (c *Core) savedList(l *durable.List) {
-	age, saved := c.now-l.At, c.set.Saved
+func (c *Core) savedList(l *durable.HostList) {
+	age, saved := c.now-l.ReceivedAt, c.set.Saved
 	switch {
 	case len(l.Hosts) == 0:
 		return
@@ -94,8 +94,8 @@
 	c.listing(Listing{Mode: forkhead.ListCached, Hosts: l.Hosts, Stale: age < 0 || age > saved.Fresh})
 }
 
-func (c *Core) restoreSubmission(f *durable.Followed) {
-	s := &submission{id: f.ID, key: f.Key, body: f.Body, total: f.Total, at: f.At}
+func (c *Core) restoreSubmission(f *durable.SubmissionProgress) {
+	s := &submission{id: f.ID, key: f.IdempotencyKey, body: f.BodyHash, total: f.TotalOutcomes, at: f.AcceptedAt}
 	for _, text := range f.Outcomes {
 		var o Outcome
 		if err := json.Unmarshal(text, &o); err != nil {
@@ -117,7 +117,7 @@
 
 // restoreProject brings a project back and returns the tasks whose outcome is owed.
 func (c *Core) restoreProject(k *durable.Project) (held []*wish) {
-	d := k.What
+	d := k.Specification
 	p := &project{name: d.Name, services: map[string]*service{}}
 	needs, ok := c.needs(p, d)
 	if !ok {
@@ -133,7 +133,7 @@
 	for _, t := range k.Tasks {
 		was[name{t.Service, t.Replica}] = t
 	}
-	sub := c.submissions[k.Submission]
+	sub := c.submissions[k.SubmissionID]
 	for i := range d.Services {
 		spec := &d.Services[i]
 		svc := &service{
@@ -143,14 +143,14 @@
 		p.services[spec.Name] = svc
 		for r := 1; r <= spec.Replicas; r++ {
 			t, told := was[name{spec.Name, r}]
-			if told && t.Over && t.Word != WordPlaced {
+			if told && t.Finished && t.Outcome != WordPlaced {
 				svc.failed = "was not placed"
 				continue
 			}
 			w := c.newWish(svc, r, spec)
 			w.recovered = true
 			switch {
-			case told && t.Over:
+			case told && t.Finished:
 				w.state, w.success = done, true
 			case told || sub == nil:
 				// Its outcome is told: it is to run, and most likely does.
@@ -175,7 +175,7 @@
 	}
 	if w == nil || w.state == done {
 		// Nobody wants the task any more: what its host still runs of it is stopped when it shows.
-		c.keep(durable.Settled{Ref: a.Ref})
+		c.keep(durable.AttemptResolved{Ref: a.Ref})
 		return
 	}
 	h := c.hosts[a.Host]
@@ -190,6 +190,6 @@
 		}
 		c.byID[h.id] = h
 	}
-	h.link.Epoch = max(h.link.Epoch, a.Life)
-	c.suspect(w, h, a.Ref, a.Life, a.At).noted = true
+	h.link.Epoch = max(h.link.Epoch, a.HostEpoch)
+	c.suspect(w, h, a.Ref, a.HostEpoch, a.ChosenAt).noted = true
 }
--- a/internal/scheduler/core/saved_test.go
+++ b/internal/scheduler/core/saved_test.go
@@ -22,9 +22,9 @@
 	s.ListUp = false
 	s.Kill("h0")
 	if away < 0 { // a clock that was set back, seen from the list
-		list := s.Disk.Kept().List
-		list.At = s.Now - away
-		s.Disk.Keep([]durable.Note{durable.Listed{List: list}, durable.Began{Epoch: s.Epoch}})
+		list := s.Disk.Kept().HostList
+		list.ReceivedAt = s.Now - away
+		s.Disk.Keep([]durable.Record{durable.HostListReceived{List: list}, durable.IncarnationStarted{Epoch: s.Epoch}})
 		away = time.Second
 	}
 	s.Now += away
--- a/internal/scheduler/durable/golden_test.go
+++ b/internal/scheduler/durable/golden_test.go
@@ -39,13 +39,13 @@
 }
 
 // exampleNotes are one of each kind, with every field set.
-func exampleNotes() []durable.Note {
+func exampleNotes() []durable.Record {
 	pos := diagnostic.Pos{File: "a.yaml", Line: 3, Col: 5}
 	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
-	return []durable.Note{
-		durable.Taken{
-			Submission: durable.Submission{ID: "s-1", Key: "key", Body: 7, Total: 2, At: time.Hour, Project: "p"},
-			What: &servicespec.Description{
+	return []durable.Record{
+		durable.SubmissionAccepted{
+			Submission: durable.Submission{ID: "s-1", IdempotencyKey: "key", BodyHash: 7, TotalOutcomes: 2, AcceptedAt: time.Hour, Project: "p"},
+			Specification: &servicespec.Description{
 				Name: "p", Whole: true, Notes: []servicespec.Note{{Pos: pos, Text: "not acted on"}},
 				Services: []servicespec.Service{{
 					Name: "web", Pos: pos, Class: "c", Tenant: "t", Mode: servicespec.GlobalJob, Replicas: 2, Cores: 0.5, Memory: 1.5,
@@ -63,20 +63,20 @@
 				}},
 			},
 		},
-		durable.Told{
-			Submission: "s-1", Number: 1, Text: []byte(`{"service":"web"}`),
-			Task: durable.Task{Project: "p", Service: "web", Replica: 2, Word: "placed"},
+		durable.OutcomeReported{
+			SubmissionID: "s-1", Index: 1, Outcome: []byte(`{"service":"web"}`),
+			Task: durable.Task{Project: "p", Service: "web", Replica: 2, Outcome: "placed"},
 		},
-		durable.Done{Task: durable.Task{Project: "p", Service: "web", Replica: 2, Word: "failed", Over: true}},
-		durable.Removed{Project: "p", At: 2 * time.Hour},
-		durable.Erased{Project: "p"},
-		durable.Forgotten{Submission: "s-1"},
-		durable.Offered{Attempt: durable.Attempt{
-			Ref: ref, Key: 5, Project: "p", Service: "web", Replica: 1, Class: "c", Host: "h", Address: "10.0.0.1:1", Life: 9, At: time.Hour,
+		durable.TaskFinished{Task: durable.Task{Project: "p", Service: "web", Replica: 2, Outcome: "failed", Finished: true}},
+		durable.ProjectRemoved{Project: "p", At: 2 * time.Hour},
+		durable.TombstoneExpired{Project: "p"},
+		durable.SubmissionExpired{SubmissionID: "s-1"},
+		durable.AttemptOffered{Attempt: durable.Attempt{
+			Ref: ref, TaskKey: 5, Project: "p", Service: "web", Replica: 1, Class: "c", Host: "h", Address: "10.0.0.1:1", HostEpoch: 9, ChosenAt: time.Hour,
 		}},
-		durable.Settled{Ref: ref},
-		durable.Began{Epoch: 11},
-		durable.Listed{List: durable.List{At: time.Hour, Hosts: []consul.Host{{
+		durable.AttemptResolved{Ref: ref},
+		durable.IncarnationStarted{Epoch: 11},
+		durable.HostListReceived{List: durable.HostList{ReceivedAt: time.Hour, Hosts: []consul.Host{{
 			Name: "h", Address: "10.0.0.1:1", Kind: "k", Zone: "z", Rack: "r", State: forkhead.Removed, Started: time.Minute,
 			FreeCores: 1.5, FreeMemory: 2.5, Attributes: map[servicespec.Attribute]string{"os": "linux"},
 		}}}},
@@ -87,7 +87,7 @@
 func TestChangesGolden(t *testing.T) {
 	var b bytes.Buffer
 	for _, n := range exampleNotes() {
-		fmt.Fprintf(&b, "waited for: %v\n", durable.Waits(n))
+		fmt.Fprintf(&b, "waited for: %v\n", durable.MustBeDurableFirst(n))
 		for _, c := range durable.Changes(n) {
 			switch {
 			case c.All:
--- a/internal/scheduler/durable/state.go
+++ b/internal/scheduler/durable/state.go
@@ -21,96 +21,98 @@
 	"forkhead/internal/protocol/hostproto"
 )
 
-// Version is that of the form of a value. A reader takes older ones and refuses newer ones.
-const Version = 1
+// FormatVersion is that of the form of a value. A reader takes older ones and refuses newer ones.
+const FormatVersion = 1
 
-// Note is something that must not be forgotten.
-type Note interface{ note() }
+// Record is something that must not be forgotten.
+type Record interface{ record() }
 
 // The notes.
 type (
-	// Taken says that a description was taken: it is its project's from now on, and an outcome of each of its tasks is owed
+	// SubmissionAccepted says that a description was taken: it is its project's from now on, and an outcome of each of its tasks is owed
 	// to the submission.
-	Taken struct {
-		Submission Submission
-		What       *servicespec.Description // by the name of Submission.Project
+	SubmissionAccepted struct {
+		Submission    Submission
+		Specification *servicespec.Description `json:"What"` // by the name of Submission.Project
 	}
-	// Told says that an outcome was told; Word and Text are the front's own.
-	Told struct {
-		Submission string
-		Number     int // of the outcome, from 0
-		Text       json.RawMessage
-		Task       Task
+	// OutcomeReported says that an outcome was told; Word and Text are the front's own.
+	OutcomeReported struct {
+		SubmissionID string          `json:"Submission"`
+		Index        int             `json:"Number"` // of the outcome, from 0
+		Outcome      json.RawMessage `json:"Text"`
+		Task         Task
 	}
-	// Done says that a task has ended for good: it is not to be started again.
-	Done struct{ Task Task }
-	// Removed says that a project is to end. It is kept that it was: what still runs of it is stopped when it shows.
-	Removed struct {
+	// TaskFinished says that a task has ended for good: it is not to be started again.
+	TaskFinished struct{ Task Task }
+	// ProjectRemoved says that a project is to end. It is kept that it was: what still runs of it is stopped when it shows.
+	ProjectRemoved struct {
 		Project string
 		At      time.Duration
 	}
-	// Erased says that nothing of a removed project is expected any more.
-	Erased struct{ Project string }
-	// Forgotten says that nobody reads a submission any more.
-	Forgotten struct{ Submission string }
-	// Offered is noted before an offer is sent that must not be sent twice.
-	Offered struct{ Attempt Attempt }
-	// Settled says that the fate of such an attempt is known, and that it runs no more.
-	Settled struct{ Ref hostproto.Ref }
-	// Began says that a life of the placer has begun: the next has a higher number, whatever the clock says.
-	Began struct{ Epoch uint64 }
-	// Listed is the list of hosts as the catalogue told it last.
-	Listed struct{ List List }
+	// TombstoneExpired says that nothing of a removed project is expected any more.
+	TombstoneExpired struct{ Project string }
+	// SubmissionExpired says that nobody reads a submission any more.
+	SubmissionExpired struct {
+		SubmissionID string `json:"Submission"`
+	}
+	// AttemptOffered is noted before an offer is sent that must not be sent twice.
+	AttemptOffered struct{ Attempt Attempt }
+	// AttemptResolved says that the fate of such an attempt is known, and that it runs no more.
+	AttemptResolved struct{ Ref hostproto.Ref }
+	// IncarnationStarted says that a life of the placer has begun: the next has a higher number, whatever the clock says.
+	IncarnationStarted struct{ Epoch uint64 }
+	// HostListReceived is the list of hosts as the catalogue told it last.
+	HostListReceived struct{ List HostList }
 )
 
-func (Taken) note()     {}
-func (Told) note()      {}
-func (Done) note()      {}
-func (Removed) note()   {}
-func (Erased) note()    {}
-func (Forgotten) note() {}
-func (Offered) note()   {}
-func (Settled) note()   {}
-func (Began) note()     {}
-func (Listed) note()    {}
+func (SubmissionAccepted) record() {}
+func (OutcomeReported) record()    {}
+func (TaskFinished) record()       {}
+func (ProjectRemoved) record()     {}
+func (TombstoneExpired) record()   {}
+func (SubmissionExpired) record()  {}
+func (AttemptOffered) record()     {}
+func (AttemptResolved) record()    {}
+func (IncarnationStarted) record() {}
+func (HostListReceived) record()   {}
 
 // Submission is one that was taken.
 type Submission struct {
-	ID      string
-	Key     string // Idempotency-Key, or ""
-	Body    uint64 // a hash of what was submitted
-	Total   int    // outcomes owed
-	At      time.Duration
-	Project string
+	ID             string
+	IdempotencyKey string        `json:"Key"`   // Idempotency-Key, or ""
+	BodyHash       uint64        `json:"Body"`  // a hash of what was submitted
+	TotalOutcomes  int           `json:"Total"` // outcomes owed
+	AcceptedAt     time.Duration `json:"At"`
+	Project        string
 }
 
 // Task is what became of one task of a project.
 type Task struct {
-	Project string
-	Service string
-	Replica int
-	Word    string // of the outcome that was told; "" where none was owed
-	Over    bool   // it is not to be started again
+	Project  string
+	Service  string
+	Replica  int
+	Outcome  string `json:"Word"` // of the outcome that was told; "" where none was owed
+	Finished bool   `json:"Over"` // it is not to be started again
 }
 
 // Attempt is an offer whose effect must not happen twice.
 type Attempt struct {
-	Ref     hostproto.Ref
-	Key     uint64 // of the task
-	Project string
-	Service string
-	Replica int
-	Class   string
-	Host    string
-	Address string
-	Life    uint64 // of the host
-	At      time.Duration
+	Ref       hostproto.Ref
+	TaskKey   uint64 `json:"Key"` // of the task
+	Project   string
+	Service   string
+	Replica   int
+	Class     string
+	Host      string
+	Address   string
+	HostEpoch uint64        `json:"Life"` // of the host
+	ChosenAt  time.Duration `json:"At"`
 }
 
-// List is a list of hosts with when it was told.
-type List struct {
-	At    time.Duration // since the Unix epoch
-	Hosts []consul.Host
+// HostList is a list of hosts with when it was told.
+type HostList struct {
+	ReceivedAt time.Duration `json:"At"` // since the Unix epoch
+	Hosts      []consul.Host
 }
 
 // Change is one change of what is kept.
@@ -123,17 +125,17 @@
 
 // The buckets.
 const (
-	Projects    = "projects"
-	Submissions = "submissions"
-	Outcomes    = "outcomes" // SUBMISSION/NUMBER
-	Tasks       = "tasks"    // PROJECT/SERVICE/REPLICA
-	Attempts    = "attempts" // EPOCH/TASK/ATTEMPT
-	Lists       = "lists"    // "last"
-	Lives       = "lives"    // "last"
+	ProjectsBucket     = "projects"
+	SubmissionsBucket  = "submissions"
+	OutcomesBucket     = "outcomes" // SUBMISSION/NUMBER
+	TasksBucket        = "tasks"    // PROJECT/SERVICE/REPLICA
+	AttemptsBucket     = "attempts" // EPOCH/TASK/ATTEMPT
+	HostListsBucket    = "lists"    // "last"
+	IncarnationsBucket = "lives"    // "last"
 )
 
 // Buckets are all of them.
-var Buckets = []string{Projects, Submissions, Outcomes, Tasks, Attempts, Lists, Lives}
+var Buckets = []string{ProjectsBucket, SubmissionsBucket, OutcomesBucket, TasksBucket, AttemptsBucket, HostListsBucket, IncarnationsBucket}
 
 type project struct {
 	Submission string                   `json:",omitempty"`
@@ -142,45 +144,45 @@
 }
 
 // Changes says what a note changes. Applying them twice is as applying them once.
-func Changes(n Note) []Change {
+func Changes(n Record) []Change {
 	switch n := n.(type) {
-	case Taken:
+	case SubmissionAccepted:
 		return []Change{
-			put(Submissions, n.Submission.ID, n.Submission),
-			put(Projects, n.Submission.Project, project{Submission: n.Submission.ID, What: n.What}),
+			put(SubmissionsBucket, n.Submission.ID, n.Submission),
+			put(ProjectsBucket, n.Submission.Project, project{Submission: n.Submission.ID, What: n.Specification}),
 			// What was told of an earlier submission's tasks is not told of this one's.
-			{Bucket: Tasks, Key: n.Submission.Project + "/", All: true},
+			{Bucket: TasksBucket, Key: n.Submission.Project + "/", All: true},
 		}
-	case Told:
+	case OutcomeReported:
 		return []Change{
-			put(Outcomes, fmt.Sprintf("%s/%08d", n.Submission, n.Number), n.Text),
-			put(Tasks, n.Task.key(), n.Task),
+			put(OutcomesBucket, fmt.Sprintf("%s/%08d", n.SubmissionID, n.Index), n.Outcome),
+			put(TasksBucket, n.Task.key(), n.Task),
 		}
-	case Done:
-		return []Change{put(Tasks, n.Task.key(), n.Task)}
-	case Removed:
-		return []Change{put(Projects, n.Project, project{RemovedAt: n.At}), {Bucket: Tasks, Key: n.Project + "/", All: true}}
-	case Erased:
-		return []Change{{Bucket: Projects, Key: n.Project}}
-	case Forgotten:
-		return []Change{{Bucket: Submissions, Key: n.Submission}, {Bucket: Outcomes, Key: n.Submission + "/", All: true}}
-	case Offered:
-		return []Change{put(Attempts, refKey(n.Attempt.Ref), n.Attempt)}
-	case Settled:
-		return []Change{{Bucket: Attempts, Key: refKey(n.Ref)}}
-	case Began:
-		return []Change{put(Lives, "last", n)}
-	case Listed:
-		return []Change{put(Lists, "last", n.List)}
+	case TaskFinished:
+		return []Change{put(TasksBucket, n.Task.key(), n.Task)}
+	case ProjectRemoved:
+		return []Change{put(ProjectsBucket, n.Project, project{RemovedAt: n.At}), {Bucket: TasksBucket, Key: n.Project + "/", All: true}}
+	case TombstoneExpired:
+		return []Change{{Bucket: ProjectsBucket, Key: n.Project}}
+	case SubmissionExpired:
+		return []Change{{Bucket: SubmissionsBucket, Key: n.SubmissionID}, {Bucket: OutcomesBucket, Key: n.SubmissionID + "/", All: true}}
+	case AttemptOffered:
+		return []Change{put(AttemptsBucket, refKey(n.Attempt.Ref), n.Attempt)}
+	case AttemptResolved:
+		return []Change{{Bucket: AttemptsBucket, Key: refKey(n.Ref)}}
+	case IncarnationStarted:
+		return []Change{put(IncarnationsBucket, "last", n)}
+	case HostListReceived:
+		return []Change{put(HostListsBucket, "last", n.List)}
 	}
 	return nil
 }
 
-// Waits says whether what follows from a note in the same step must not leave before the note is durable. A settled
+// MustBeDurableFirst says whether what follows from a note in the same step must not leave before the note is durable. A settled
 // attempt that is not noted is settled again by asking its host; a list is told again; an end is seen again.
-func Waits(n Note) bool {
+func MustBeDurableFirst(n Record) bool {
 	switch n.(type) {
-	case Settled, Listed, Forgotten, Erased:
+	case AttemptResolved, HostListReceived, SubmissionExpired, TombstoneExpired:
 		return false
 	}
 	return true
@@ -200,13 +202,13 @@
 		// Notes hold nothing that JSON has no form for but figures that are not finite, which no reader lets through.
 		text = []byte("null")
 	}
-	return Change{Bucket: bucket, Key: key, Value: Seal(text)}
+	return Change{Bucket: bucket, Key: key, Value: EncodeValue(text)}
 }
 
-// Seal gives a value its version and checksum.
-func Seal(text []byte) []byte {
+// EncodeValue gives a value its version and checksum.
+func EncodeValue(text []byte) []byte {
 	b := make([]byte, 5, 5+len(text))
-	b[0] = Version
+	b[0] = FormatVersion
 	b = append(b, text...)
 	binary.BigEndian.PutUint32(b[1:], sum(b))
 	return b
@@ -217,41 +219,41 @@
 
 // Why a value is not read.
 var (
-	ErrSum   = errors.New("the checksum does not hold")
-	ErrNewer = errors.New("it is of a later version of this program")
+	ErrChecksum     = errors.New("the checksum does not hold")
+	ErrNewerVersion = errors.New("it is of a later version of this program")
 )
 
-// Open returns what a value holds, and its version.
-func Open(b []byte) (text []byte, version int, err error) {
+// DecodeValue returns what a value holds, and its version.
+func DecodeValue(b []byte) (text []byte, version int, err error) {
 	if len(b) < 5 || binary.BigEndian.Uint32(b[1:]) != sum(b) {
-		return nil, 0, ErrSum
+		return nil, 0, ErrChecksum
 	}
-	if b[0] > Version {
-		return nil, int(b[0]), ErrNewer
+	if b[0] > FormatVersion {
+		return nil, int(b[0]), ErrNewerVersion
 	}
 	return b[5:], int(b[0]), nil
 }
 
-// Kept is what a new life starts from.
-type Kept struct {
+// Snapshot is what a new life starts from.
+type Snapshot struct {
 	Projects    []Project
-	Removed     map[string]time.Duration // projects, since when
-	Submissions []Followed
+	Tombstones  map[string]time.Duration // projects, since when
+	Submissions []SubmissionProgress
 	Attempts    []Attempt
-	List        List
+	HostList    HostList
 	Epoch       uint64   // of the last life
-	Bad         []string // keys whose values could not be read, with why
+	Unreadable  []string // keys whose values could not be read, with why
 }
 
 // Project is a project that is to run, with what became of its tasks.
 type Project struct {
-	Submission string
-	What       *servicespec.Description
-	Tasks      []Task
+	SubmissionID  string
+	Specification *servicespec.Description
+	Tasks         []Task
 }
 
-// Followed is a submission with the outcomes that were told of it, in order.
-type Followed struct {
+// SubmissionProgress is a submission with the outcomes that were told of it, in order.
+type SubmissionProgress struct {
 	Submission
 	Outcomes []json.RawMessage
 }
@@ -259,20 +261,22 @@
 // Loader puts what was kept together again, a key at a time, in any order.
 type Loader struct {
 	projects map[string]*project
-	subs     map[string]*Followed
+	subs     map[string]*SubmissionProgress
 	outcomes map[string]map[int]json.RawMessage
 	tasks    []Task
-	kept     Kept
+	kept     Snapshot
 }
 
 // Add takes a key and its value.
 func (l *Loader) Add(bucket, key string, value []byte) {
 	if l.projects == nil {
-		l.kept.Removed = map[string]time.Duration{}
-		l.projects, l.subs, l.outcomes = map[string]*project{}, map[string]*Followed{}, map[string]map[int]json.RawMessage{}
+		l.kept.Tombstones = map[string]time.Duration{}
+		l.projects, l.subs, l.outcomes = map[string]*project{}, map[string]*SubmissionProgress{}, map[string]map[int]json.RawMessage{}
+	}
+	bad := func(err error) {
+		l.kept.Unreadable = append(l.kept.Unreadable, fmt.Sprintf("%s %q: %v", bucket, key, err))
 	}
-	bad := func(err error) { l.kept.Bad = append(l.kept.Bad, fmt.Sprintf("%s %q: %v", bucket, key, err)) }
-	text, _, err := Open(value)
+	text, _, err := DecodeValue(value)
 	if err != nil {
 		bad(err)
 		return
@@ -285,21 +289,21 @@
 		return true
 	}
 	switch bucket {
-	case Projects:
+	case ProjectsBucket:
 		var p project
 		switch {
 		case !read(&p):
 		case p.What != nil:
 			l.projects[key] = &p
 		default:
-			l.kept.Removed[key] = p.RemovedAt
+			l.kept.Tombstones[key] = p.RemovedAt
 		}
-	case Submissions:
-		var s Followed
+	case SubmissionsBucket:
+		var s SubmissionProgress
 		if read(&s.Submission) {
 			l.subs[key] = &s
 		}
-	case Outcomes:
+	case OutcomesBucket:
 		id, number, _ := strings.Cut(key, "/")
 		n, err := strconv.Atoi(number)
 		if err != nil {
@@ -310,20 +314,20 @@
 			l.outcomes[id] = map[int]json.RawMessage{}
 		}
 		l.outcomes[id][n] = slices.Clone(text)
-	case Tasks:
+	case TasksBucket:
 		var t Task
 		if read(&t) {
 			l.tasks = append(l.tasks, t)
 		}
-	case Attempts:
+	case AttemptsBucket:
 		var a Attempt
 		if read(&a) {
 			l.kept.Attempts = append(l.kept.Attempts, a)
 		}
-	case Lists:
-		read(&l.kept.List)
-	case Lives:
-		var b Began
+	case HostListsBucket:
+		read(&l.kept.HostList)
+	case IncarnationsBucket:
+		var b IncarnationStarted
 		if read(&b) {
 			l.kept.Epoch = b.Epoch
 		}
@@ -332,12 +336,12 @@
 	}
 }
 
-// Kept returns what was kept, in a fixed order.
-func (l *Loader) Kept() *Kept {
+// Snapshot returns what was kept, in a fixed order.
+func (l *Loader) Snapshot() *Snapshot {
 	k := &l.kept
 	for name, p := range l.projects {
-		out := Project{Submission: p.Submission, What: p.What}
-		out.What.Name = name
+		out := Project{SubmissionID: p.Submission, Specification: p.What}
+		out.Specification.Name = name
 		for _, t := range l.tasks {
 			if t.Project == name {
 				out.Tasks = append(out.Tasks, t)
@@ -345,7 +349,7 @@
 		}
 		k.Projects = append(k.Projects, out)
 	}
-	slices.SortFunc(k.Projects, func(a, b Project) int { return cmp.Compare(a.What.Name, b.What.Name) })
+	slices.SortFunc(k.Projects, func(a, b Project) int { return cmp.Compare(a.Specification.Name, b.Specification.Name) })
 	for id, s := range l.subs {
 		for n := 0; ; n++ {
 			text, ok := l.outcomes[id][n]
@@ -356,10 +360,10 @@
 		}
 		k.Submissions = append(k.Submissions, *s)
 	}
-	slices.SortFunc(k.Submissions, func(a, b Followed) int {
-		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.ID, b.ID))
+	slices.SortFunc(k.Submissions, func(a, b SubmissionProgress) int {
+		return cmp.Or(cmp.Compare(a.AcceptedAt, b.AcceptedAt), cmp.Compare(a.ID, b.ID))
 	})
 	slices.SortFunc(k.Attempts, func(a, b Attempt) int { return cmp.Compare(refKey(a.Ref), refKey(b.Ref)) })
-	slices.Sort(k.Bad)
+	slices.Sort(k.Unreadable)
 	return k
 }
--- a/internal/server/placer/placerd.go
+++ b/internal/server/placer/placerd.go
@@ -40,7 +40,7 @@
 	// Store keeps what must not be forgotten, and Kept is what an earlier life left in it; nil: nothing is kept. The
 	// caller closes the store when the placer has stopped.
 	Store      *store.Store
-	SavedState *durable.Kept
+	SavedState *durable.Snapshot
 	// DropGossip loses a message from another placer, for tests; nil: none.
 	DropGossip func(from int) bool
 	// Decide stands in the module's place, for tests of the guard and the checker.
@@ -244,7 +244,7 @@
 		return false
 	default:
 	}
-	var notes []durable.Note
+	var notes []durable.Record
 	for _, o := range out {
 		if k, ok := o.(core.Keep); ok {
 			notes = append(notes, k.Note)
@@ -252,7 +252,7 @@
 	}
 	var err error
 	if len(notes) > 0 {
-		err = st.Keep(notes)
+		err = st.Commit(notes)
 	}
 	if err == nil && s.lazyBy > 0 && now >= s.lazyBy {
 		err = st.Flush()
@@ -263,7 +263,7 @@
 		s.stopping.Store(true)
 		return false
 	}
-	if !st.Pending() {
+	if !st.HasPending() {
 		s.lazyBy = 0
 	} else if s.lazyBy == 0 {
 		s.lazyBy = now + lazily
--- a/internal/server/store/golden_test.go
+++ b/internal/server/store/golden_test.go
@@ -65,8 +65,8 @@
 func dump(t *testing.T, path string) []byte {
 	t.Helper()
 	var b bytes.Buffer
-	if err := store.Each(path, func(bucket, key string, value []byte) error {
-		text, version, err := durable.Open(value)
+	if err := store.ForEach(path, func(bucket, key string, value []byte) error {
+		text, version, err := durable.DecodeValue(value)
 		fmt.Fprintf(&b, "%s\t%s\t%d\t%s\n", bucket, key, version, text)
 		return err
 	}); err != nil {
@@ -75,14 +75,14 @@
 	return b.Bytes()
 }
 
-func openCopy(t *testing.T, path string) *durable.Kept {
+func openCopy(t *testing.T, path string) *durable.Snapshot {
 	t.Helper()
 	s, kept, err := store.Open(store.Options{Path: path})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Aside != "" || len(kept.Bad) > 0 {
-		t.Fatalf("set aside as %q, unreadable: %v", s.Aside, kept.Bad)
+	if s.QuarantinedAs != "" || len(kept.Unreadable) > 0 {
+		t.Fatalf("set aside as %q, unreadable: %v", s.QuarantinedAs, kept.Unreadable)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -107,36 +107,36 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	notes := []durable.Note{durable.Began{Epoch: kept.Epoch}, durable.Listed{List: kept.List}}
+	notes := []durable.Record{durable.IncarnationStarted{Epoch: kept.Epoch}, durable.HostListReceived{List: kept.HostList}}
 	for _, f := range kept.Submissions {
 		var project durable.Project
 		for _, p := range kept.Projects {
-			if p.Submission == f.ID {
+			if p.SubmissionID == f.ID {
 				project = p
 			}
 		}
-		if project.What == nil {
-			notes = append(notes, durable.Taken{Submission: f.Submission}) // its project was removed
+		if project.Specification == nil {
+			notes = append(notes, durable.SubmissionAccepted{Submission: f.Submission}) // its project was removed
 		} else {
-			notes = append(notes, durable.Taken{Submission: f.Submission, What: project.What})
+			notes = append(notes, durable.SubmissionAccepted{Submission: f.Submission, Specification: project.Specification})
 		}
 		for n, text := range f.Outcomes {
 			var o core.Outcome
 			if err := json.Unmarshal(text, &o); err != nil {
 				t.Fatal(err)
 			}
-			notes = append(notes, durable.Told{Submission: f.ID, Number: n, Text: text, Task: durable.Task{
-				Project: f.Project, Service: o.Service, Replica: o.Replica, Word: o.Outcome,
+			notes = append(notes, durable.OutcomeReported{SubmissionID: f.ID, Index: n, Outcome: text, Task: durable.Task{
+				Project: f.Project, Service: o.Service, Replica: o.Replica, Outcome: o.Outcome,
 			}})
 		}
 	}
-	for name, at := range kept.Removed {
-		notes = append(notes, durable.Removed{Project: name, At: at})
+	for name, at := range kept.Tombstones {
+		notes = append(notes, durable.ProjectRemoved{Project: name, At: at})
 	}
 	for _, a := range kept.Attempts {
-		notes = append(notes, durable.Offered{Attempt: a})
+		notes = append(notes, durable.AttemptOffered{Attempt: a})
 	}
-	if err := s.Keep(notes); err != nil {
+	if err := s.Commit(notes); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
@@ -222,7 +222,7 @@
 		t.Fatal(err)
 	}
 	h := &hosts{t: t}
-	now := kept.List.At + 10*time.Second
+	now := kept.HostList.ReceivedAt + 10*time.Second
 	h.carry(placer.Step(now, core.Restore{Kept: kept}))
 	h.status(placer, "restored")
 	restored := len(h.seen)
--- a/internal/server/store/store.go
+++ b/internal/server/store/store.go
@@ -22,22 +22,22 @@
 
 // Options say where the file is, and stand in for the disk in tests.
 type Options struct {
-	Path  string
-	Most  int64                      // bytes of the file at which notes are refused; 0: DefaultMost
-	Aside func(now time.Time) string // what a broken file's name ends with; nil: by the time
+	Path             string
+	MaxBytes         int64                      // bytes of the file at which notes are refused; 0: DefaultMost
+	QuarantineSuffix func(now time.Time) string // what a broken file's name ends with; nil: by the time
 }
 
-// DefaultMost bounds a file.
-const DefaultMost = 4 << 30
+// DefaultMaxBytes bounds a file.
+const DefaultMaxBytes = 4 << 30
 
 // Store is an open file. One goroutine uses it.
 type Store struct {
-	db      *bbolt.DB
-	opt     Options
-	Commits int    // fsyncs for notes
-	Aside   string // where a file that could not be read was put; "": none was
-	lazy    []durable.Change
-	counts  map[string]int // keys by bucket
+	db            *bbolt.DB
+	opt           Options
+	Commits       int    // fsyncs for notes
+	QuarantinedAs string // where a file that could not be read was put; "": none was
+	lazy          []durable.Change
+	counts        map[string]int // keys by bucket
 }
 
 // ErrFull says that the file has come to its bound.
@@ -48,9 +48,9 @@
 
 // Open opens a store and reads what it keeps. A file that is no store, or in which a key's value does not hold, is set
 // aside as a whole where nothing of it can be read, and the keys are named in Kept.Bad where only they cannot.
-func Open(opt Options) (*Store, *durable.Kept, error) {
-	if opt.Most == 0 {
-		opt.Most = DefaultMost
+func Open(opt Options) (*Store, *durable.Snapshot, error) {
+	if opt.MaxBytes == 0 {
+		opt.MaxBytes = DefaultMaxBytes
 	}
 	s := &Store{opt: opt}
 	kept, err := s.open()
@@ -64,24 +64,24 @@
 		return nil, nil, fmt.Errorf("store %s: %w", opt.Path, err)
 	}
 	end := time.Now().UTC().Format("20060102T150405.000")
-	if opt.Aside != nil {
-		end = opt.Aside(time.Now())
+	if opt.QuarantineSuffix != nil {
+		end = opt.QuarantineSuffix(time.Now())
 	}
-	s.Aside = opt.Path + ".broken-" + end
-	if rerr := os.Rename(opt.Path, s.Aside); rerr != nil {
+	s.QuarantinedAs = opt.Path + ".broken-" + end
+	if rerr := os.Rename(opt.Path, s.QuarantinedAs); rerr != nil {
 		return nil, nil, fmt.Errorf("store %s cannot be read (%w), nor set aside: %w", opt.Path, err, rerr)
 	}
 	if kept, err = s.open(); err != nil {
 		return nil, nil, fmt.Errorf("store %s: %w", opt.Path, err)
 	}
-	kept.Bad = append(kept.Bad, "all of it: it is kept as "+s.Aside)
+	kept.Unreadable = append(kept.Unreadable, "all of it: it is kept as "+s.QuarantinedAs)
 	return s, kept, nil
 }
 
 // open reads the file through, page by page and value by value, before it is written to; then all of it goes into a fresh
 // file that takes its place. So a page that makes no sense is found here and not when it is written over, and the space of
 // what is gone is given back at each start.
-func (s *Store) open() (*durable.Kept, error) {
+func (s *Store) open() (*durable.Snapshot, error) {
 	var l durable.Loader
 	fresh := s.opt.Path + ".new"
 	if err := os.Remove(fresh); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -101,9 +101,9 @@
 		if _, err := os.Stat(s.opt.Path); errors.Is(err, os.ErrNotExist) {
 			return s.count(tx)
 		}
-		if err := Each(s.opt.Path, func(bucket, key string, value []byte) error {
+		if err := ForEach(s.opt.Path, func(bucket, key string, value []byte) error {
 			l.Add(bucket, key, value)
-			if _, _, err := durable.Open(value); err != nil {
+			if _, _, err := durable.DecodeValue(value); err != nil {
 				return nil // it is named, and goes no further
 			}
 			s.counts[bucket]++
@@ -130,7 +130,7 @@
 		}
 	}
 	s.db, err = bbolt.Open(s.opt.Path, 0o600, &bbolt.Options{Timeout: lockWait, FreelistType: bbolt.FreelistMapType})
-	return l.Kept(), err
+	return l.Snapshot(), err
 }
 
 // meta is the bucket of how many keys each other has: a page that lost some of its own has no other sign of it.
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	return tx.Bucket([]byte(meta)).Put([]byte("counts"), durable.Seal(text))
+	return tx.Bucket([]byte(meta)).Put([]byte("counts"), durable.EncodeValue(text))
 }
 
 // guarded turns what bbolt does with a page that makes no sense into an error: a panic, or a fault where the page points
@@ -156,13 +156,13 @@
 	}
 }
 
-// Keep makes notes durable. Those that nothing has to wait for are written with the next that something waits for, or by
+// Commit makes notes durable. Those that nothing has to wait for are written with the next that something waits for, or by
 // Flush. After an error nothing of this call is kept.
-func (s *Store) Keep(notes []durable.Note) error {
+func (s *Store) Commit(notes []durable.Record) error {
 	wait := false
 	var changes []durable.Change
 	for _, n := range notes {
-		wait = wait || durable.Waits(n)
+		wait = wait || durable.MustBeDurableFirst(n)
 		changes = append(changes, durable.Changes(n)...)
 	}
 	if !wait {
@@ -172,8 +172,8 @@
 	return s.write(changes)
 }
 
-// Pending says whether there are changes that Flush would write.
-func (s *Store) Pending() bool { return len(s.lazy) > 0 }
+// HasPending says whether there are changes that Flush would write.
+func (s *Store) HasPending() bool { return len(s.lazy) > 0 }
 
 // Flush writes what waits.
 func (s *Store) Flush() error {
@@ -187,7 +187,7 @@
 	var size int64
 	counts := maps.Clone(s.counts)
 	err := s.db.Update(func(tx *bbolt.Tx) error {
-		if size = tx.Size(); size >= s.opt.Most {
+		if size = tx.Size(); size >= s.opt.MaxBytes {
 			grows := false
 			for _, c := range changes {
 				grows = grows || c.Value != nil
@@ -246,8 +246,8 @@
 	return errors.Join(s.Flush(), s.db.Close())
 }
 
-// Kill closes the file as the death of the process would: what waits is lost.
-func (s *Store) Kill() error { return s.db.Close() }
+// CloseWithoutFlush closes the file as the death of the process would: what waits is lost.
+func (s *Store) CloseWithoutFlush() error { return s.db.Close() }
 
 // Compact writes what a store keeps into a new file, without the space that is free in the old one.
 func Compact(from, to string) (before, after int64, err error) {
@@ -273,8 +273,8 @@
 	return before, after, nil
 }
 
-// Each calls f for every key of a file that is not in use, in order, and then checks that none is missing.
-func Each(path string, f func(bucket, key string, value []byte) error) (err error) {
+// ForEach calls f for every key of a file that is not in use, in order, and then checks that none is missing.
+func ForEach(path string, f func(bucket, key string, value []byte) error) (err error) {
 	defer guarded(&err)()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: lockWait})
 	if err != nil {
@@ -284,7 +284,7 @@
 	return db.View(func(tx *bbolt.Tx) error {
 		want, found := map[string]int{}, 0
 		if b := tx.Bucket([]byte(meta)); b != nil {
-			text, _, err := durable.Open(b.Get([]byte("counts")))
+			text, _, err := durable.DecodeValue(b.Get([]byte("counts")))
 			if err != nil {
 				return fmt.Errorf("store %s: its counts: %w", path, err)
 			}
--- a/internal/server/store/store_test.go
+++ b/internal/server/store/store_test.go
@@ -15,28 +15,28 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-func open(t *testing.T, path string, most int64) (*Store, *durable.Kept) {
+func open(t *testing.T, path string, most int64) (*Store, *durable.Snapshot) {
 	t.Helper()
-	s, kept, err := Open(Options{Path: path, Most: most, Aside: func(time.Time) string { return "x" }})
+	s, kept, err := Open(Options{Path: path, MaxBytes: most, QuarantineSuffix: func(time.Time) string { return "x" }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s, kept
 }
 
-func taken(id string) durable.Note {
-	return durable.Taken{
-		Submission: durable.Submission{ID: id, Key: "key-" + id, Body: 7, Total: 2, At: time.Hour, Project: "p-" + id},
-		What:       &servicespec.Description{Services: []servicespec.Service{{Name: "web", Replicas: 2, Cores: 0.5, Labels: map[string]string{"a": "b"}}}},
+func taken(id string) durable.Record {
+	return durable.SubmissionAccepted{
+		Submission:    durable.Submission{ID: id, IdempotencyKey: "key-" + id, BodyHash: 7, TotalOutcomes: 2, AcceptedAt: time.Hour, Project: "p-" + id},
+		Specification: &servicespec.Description{Services: []servicespec.Service{{Name: "web", Replicas: 2, Cores: 0.5, Labels: map[string]string{"a": "b"}}}},
 	}
 }
 
-func told(id string, n int) durable.Note {
-	return durable.Told{Submission: id, Number: n, Text: []byte(fmt.Sprintf(`{"replica":%d}`, n+1)), Task: durable.Task{Project: "p-" + id, Service: "web", Replica: n + 1, Word: "placed"}}
+func told(id string, n int) durable.Record {
+	return durable.OutcomeReported{SubmissionID: id, Index: n, Outcome: []byte(fmt.Sprintf(`{"replica":%d}`, n+1)), Task: durable.Task{Project: "p-" + id, Service: "web", Replica: n + 1, Outcome: "placed"}}
 }
 
-func offered(task uint32) durable.Note {
-	return durable.Offered{Attempt: durable.Attempt{Ref: hostproto.Ref{Epoch: 1, Task: task}, Key: 5, Project: "p-a", Service: "web", Replica: 1, Host: "h"}}
+func offered(task uint32) durable.Record {
+	return durable.AttemptOffered{Attempt: durable.Attempt{Ref: hostproto.Ref{Epoch: 1, Task: task}, TaskKey: 5, Project: "p-a", Service: "web", Replica: 1, Host: "h"}}
 }
 
 func TestKeepAndRead(t *testing.T) {
@@ -45,36 +45,36 @@
 	if len(kept.Projects) != 0 {
 		t.Fatalf("a new file keeps %+v", kept)
 	}
-	keep := func(notes ...durable.Note) {
+	keep := func(notes ...durable.Record) {
 		t.Helper()
-		if err := s.Keep(notes); err != nil {
+		if err := s.Commit(notes); err != nil {
 			t.Fatal(err)
 		}
 	}
-	keep(durable.Began{Epoch: 9})
+	keep(durable.IncarnationStarted{Epoch: 9})
 	keep(taken("a"), taken("b"), offered(1), offered(2))
 	if s.Commits != 2 {
 		t.Fatalf("%d fsyncs for two steps", s.Commits)
 	}
 	keep(told("a", 0))
-	keep(durable.Settled{Ref: hostproto.Ref{Epoch: 1, Task: 1}}) // nothing waits for it
-	if s.Commits != 3 || !s.Pending() {
-		t.Fatalf("%d fsyncs, pending %v", s.Commits, s.Pending())
+	keep(durable.AttemptResolved{Ref: hostproto.Ref{Epoch: 1, Task: 1}}) // nothing waits for it
+	if s.Commits != 3 || !s.HasPending() {
+		t.Fatalf("%d fsyncs, pending %v", s.Commits, s.HasPending())
 	}
-	keep(durable.Removed{Project: "p-b", At: 2 * time.Hour}, durable.Forgotten{Submission: "b"})
-	if err := s.Kill(); err != nil {
+	keep(durable.ProjectRemoved{Project: "p-b", At: 2 * time.Hour}, durable.SubmissionExpired{SubmissionID: "b"})
+	if err := s.CloseWithoutFlush(); err != nil {
 		t.Fatal(err)
 	}
 	s, kept = open(t, path, 0)
 	defer s.Close()
-	if len(kept.Bad) > 0 || kept.Epoch != 9 || len(kept.Projects) != 1 || len(kept.Submissions) != 1 || len(kept.Attempts) != 1 || kept.Removed["p-b"] != 2*time.Hour {
+	if len(kept.Unreadable) > 0 || kept.Epoch != 9 || len(kept.Projects) != 1 || len(kept.Submissions) != 1 || len(kept.Attempts) != 1 || kept.Tombstones["p-b"] != 2*time.Hour {
 		t.Fatalf("%+v", kept)
 	}
 	p, f := kept.Projects[0], kept.Submissions[0]
-	if p.What.Name != "p-a" || p.What.Services[0].Labels["a"] != "b" || len(p.Tasks) != 1 || p.Tasks[0].Word != "placed" {
+	if p.Specification.Name != "p-a" || p.Specification.Services[0].Labels["a"] != "b" || len(p.Tasks) != 1 || p.Tasks[0].Outcome != "placed" {
 		t.Errorf("project %+v", p)
 	}
-	if f.ID != "a" || f.Key != "key-a" || f.Total != 2 || len(f.Outcomes) != 1 || string(f.Outcomes[0]) != `{"replica":1}` {
+	if f.ID != "a" || f.IdempotencyKey != "key-a" || f.TotalOutcomes != 2 || len(f.Outcomes) != 1 || string(f.Outcomes[0]) != `{"replica":1}` {
 		t.Errorf("submission %+v", f)
 	}
 	if kept.Attempts[0].Ref.Task != 2 {
@@ -87,13 +87,13 @@
 	path := filepath.Join(t.TempDir(), "s.db")
 	s, _ := open(t, path, 1)
 	defer s.Close()
-	if err := s.Keep([]durable.Note{taken("a")}); !errors.Is(err, ErrFull) {
+	if err := s.Commit([]durable.Record{taken("a")}); !errors.Is(err, ErrFull) {
 		t.Fatalf("%v", err)
 	}
-	if err := s.Keep([]durable.Note{durable.Removed{Project: "p"}}); !errors.Is(err, ErrFull) {
+	if err := s.Commit([]durable.Record{durable.ProjectRemoved{Project: "p"}}); !errors.Is(err, ErrFull) {
 		t.Fatalf("a tombstone: %v", err) // it grows the file, too
 	}
-	if err := s.Keep([]durable.Note{durable.Erased{Project: "p"}, durable.Forgotten{Submission: "a"}}); err != nil {
+	if err := s.Commit([]durable.Record{durable.TombstoneExpired{Project: "p"}, durable.SubmissionExpired{SubmissionID: "a"}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Flush(); err != nil {
@@ -108,7 +108,7 @@
 	path := filepath.Join(dir, "s.db")
 	s, _ := open(t, path, 0)
 	for i := range 20 {
-		if err := s.Keep([]durable.Note{taken(fmt.Sprint(i)), told(fmt.Sprint(i), 0), offered(uint32(i))}); err != nil {
+		if err := s.Commit([]durable.Record{taken(fmt.Sprint(i)), told(fmt.Sprint(i), 0), offered(uint32(i))}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -125,7 +125,7 @@
 	}
 	projects := map[string]durable.Project{}
 	for _, p := range whole.Projects {
-		projects[p.What.Name] = p
+		projects[p.Specification.Name] = p
 	}
 	aside, named := 0, 0
 	try := func(name string, text []byte) {
@@ -134,18 +134,18 @@
 			t.Fatal(err)
 		}
 		s, kept := open(t, broken, 0)
-		if s.Aside != "" {
+		if s.QuarantinedAs != "" {
 			aside++
-			if set, err := os.ReadFile(s.Aside); err != nil || len(set) < len(text) {
+			if set, err := os.ReadFile(s.QuarantinedAs); err != nil || len(set) < len(text) {
 				t.Errorf("%s: what was set aside has %d bytes of %d, %v", name, len(set), len(text), err)
 			}
-			_ = os.Remove(s.Aside)
-		} else if len(kept.Bad) > 0 {
+			_ = os.Remove(s.QuarantinedAs)
+		} else if len(kept.Unreadable) > 0 {
 			named++
 		}
 		for _, p := range kept.Projects {
-			if !reflect.DeepEqual(p.What, projects[p.What.Name].What) {
-				t.Errorf("%s: %s was read as %+v", name, p.What.Name, p.What)
+			if !reflect.DeepEqual(p.Specification, projects[p.Specification.Name].Specification) {
+				t.Errorf("%s: %s was read as %+v", name, p.Specification.Name, p.Specification)
 			}
 		}
 		if err := s.Close(); err != nil {
@@ -171,14 +171,14 @@
 }
 
 func TestSeal(t *testing.T) {
-	b := durable.Seal([]byte("text"))
-	if text, v, err := durable.Open(b); err != nil || v != durable.Version || string(text) != "text" {
+	b := durable.EncodeValue([]byte("text"))
+	if text, v, err := durable.DecodeValue(b); err != nil || v != durable.FormatVersion || string(text) != "text" {
 		t.Fatalf("%q %d %v", text, v, err)
 	}
 	for i := range b {
 		c := append([]byte(nil), b...)
 		c[i] ^= 1
-		if _, _, err := durable.Open(c); !errors.Is(err, durable.ErrSum) {
+		if _, _, err := durable.DecodeValue(c); !errors.Is(err, durable.ErrChecksum) {
 			t.Errorf("byte %d turned: %v", i, err)
 		}
 	}
@@ -195,12 +195,12 @@
 			defer s.Close()
 			n := 0
 			for b.Loop() {
-				var notes []durable.Note
+				var notes []durable.Record
 				for range asks {
 					n++
 					notes = append(notes, taken(fmt.Sprint(n)))
 				}
-				if err := s.Keep(notes); err != nil {
+				if err := s.Commit(notes); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/verify/replay/golden_test.go
+++ b/internal/verify/replay/golden_test.go
@@ -107,7 +107,7 @@
 		core.Taken{Request: 1, Submission: "s", Again: true},
 		core.Rejected{Request: 1, Status: 503, Title: "t", Detail: "d", RetryAfter: 2},
 		core.Grew{Submission: "s"},
-		core.Keep{Note: durable.Began{Epoch: 1}},
+		core.Keep{Note: durable.IncarnationStarted{Epoch: 1}},
 	} {
 		fmt.Fprintln(&b, replay.Line(out))
 	}
@@ -152,19 +152,19 @@
 		core.Submit{Request: 1, Key: "key", Body: 2, What: what},
 		core.Remove{Request: 1, Project: "p"},
 		core.FromPlacer{From: 1, Data: []byte("data")},
-		core.Restore{Kept: &durable.Kept{
+		core.Restore{Kept: &durable.Snapshot{
 			Projects: []durable.Project{{
-				Submission: "s-1", What: what, Tasks: []durable.Task{{Project: "p", Service: "web", Replica: 1, Word: "placed", Over: true}},
+				SubmissionID: "s-1", Specification: what, Tasks: []durable.Task{{Project: "p", Service: "web", Replica: 1, Outcome: "placed", Finished: true}},
 			}},
-			Removed: map[string]time.Duration{"q": time.Hour},
-			Submissions: []durable.Followed{{
-				Submission: durable.Submission{ID: "s-1", Key: "key", Body: 7, Total: 2, At: time.Hour, Project: "p"},
+			Tombstones: map[string]time.Duration{"q": time.Hour},
+			Submissions: []durable.SubmissionProgress{{
+				Submission: durable.Submission{ID: "s-1", IdempotencyKey: "key", BodyHash: 7, TotalOutcomes: 2, AcceptedAt: time.Hour, Project: "p"},
 				Outcomes:   []json.RawMessage{[]byte(`{"service":"web"}`)},
 			}},
 			Attempts: []durable.Attempt{{
-				Ref: ref, Key: 5, Project: "p", Service: "web", Replica: 2, Class: "c", Host: "h", Address: "10.0.0.1:1", Life: 9, At: time.Hour,
+				Ref: ref, TaskKey: 5, Project: "p", Service: "web", Replica: 2, Class: "c", Host: "h", Address: "10.0.0.1:1", HostEpoch: 9, ChosenAt: time.Hour,
 			}},
-			List: durable.List{At: time.Hour, Hosts: hosts}, Epoch: 11, Bad: []string{"bad"},
+			HostList: durable.HostList{ReceivedAt: time.Hour, Hosts: hosts}, Epoch: 11, Unreadable: []string{"bad"},
 		}},
 	}
 	for _, f := range exampleFrames() {
--- a/internal/verify/replay/tape.go
+++ b/internal/verify/replay/tape.go
@@ -47,13 +47,49 @@
 	// gob wants the types that stand behind an interface named: by words of the tape's own, so that a
 	// tape outlives a move of a package.
 	for _, v := range []any{
-		core.Listing{}, core.Dialled{}, core.Broke{}, core.FromHost{}, core.Submit{}, core.Remove{}, core.Restore{}, core.FromPlacer{},
+		core.Listing{}, core.Dialled{}, core.Broke{}, core.FromHost{}, core.Submit{}, core.Remove{}, core.FromPlacer{},
 		hostproto.Welcome{}, hostproto.Holds{}, hostproto.Refused{}, hostproto.Accepted{}, hostproto.Running{}, hostproto.Note{},
 		hostproto.Ended{}, hostproto.Probed{}, hostproto.Drain{}, hostproto.Bye{}, hostproto.Hello{}, hostproto.Offer{},
 		hostproto.Withdraw{}, hostproto.Stop{}, hostproto.Probe{}, hostproto.Query{},
 	} {
 		gob.RegisterName(fmt.Sprintf("tape.%T", v), v)
 	}
+	gob.RegisterName("tape.core.Restore", recordedRestore{})
+}
+
+// recordedStep is the form of a Step on a tape; it differs in the form of its inputs.
+type recordedStep struct {
+	Now time.Duration
+	Due time.Duration
+	In  []any
+	Out []string
+}
+
+func recordStep(s *Step) *recordedStep {
+	return &recordedStep{Now: s.Now, Due: s.Due, In: convertAll(s.In, recordInput), Out: s.Out}
+}
+
+func recordInput(in core.Input) any {
+	if in, ok := in.(core.Restore); ok {
+		return recordRestore(in)
+	}
+	return in
+}
+
+// step returns the step that was recorded, or an error if one of its inputs is none of the core.
+func (r *recordedStep) step() (*Step, error) {
+	s := &Step{Now: r.Now, Due: r.Due, Out: r.Out}
+	for _, v := range r.In {
+		if recorded, ok := v.(recordedRestore); ok {
+			v = recorded.restore()
+		}
+		in, ok := v.(core.Input)
+		if !ok {
+			return nil, fmt.Errorf("%T is no input of the core", v)
+		}
+		s.In = append(s.In, in)
+	}
+	return s, nil
 }
 
 // Line writes an output so that two can be compared.
@@ -102,7 +138,7 @@
 		w.err = ErrFull
 	}
 	if w.err == nil {
-		w.err = w.enc.Encode(s)
+		w.err = w.enc.Encode(recordStep(s))
 	}
 	return w.err
 }
@@ -162,8 +198,8 @@
 	}
 	base := capture.Event{Near: true, Placer: p.Head.Placer, PlacerEpoch: p.Head.Epoch}
 	for ; ; p.Steps++ {
-		var s Step
-		switch err := dec.Decode(&s); {
+		var recorded recordedStep
+		switch err := dec.Decode(&recorded); {
 		case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
 			p.Cut = !errors.Is(err, io.EOF)
 			st := c.Status()
@@ -172,13 +208,17 @@
 		case err != nil:
 			return nil, fmt.Errorf("step %d: %w", p.Steps, err)
 		}
+		s, err := recorded.step()
+		if err != nil {
+			return nil, fmt.Errorf("step %d: %w", p.Steps, err)
+		}
 		out := c.Step(s.Now, s.In...)
 		p.Events = append(p.Events, Events(base, s.Now, s.Due, s.In, out)...)
 		if look != nil {
-			look(&s, out)
+			look(s, out)
 		}
 		if p.Diverged == nil {
-			p.Diverged = compare(p.Steps, &s, Lines(out))
+			p.Diverged = compare(p.Steps, s, Lines(out))
 		}
 	}
 }
--- a/internal/verify/simulation/sim.go
+++ b/internal/verify/simulation/sim.go
@@ -71,10 +71,10 @@
 }
 
 // Keep takes the notes of a step, as package store does.
-func (d *Disk) Keep(notes []durable.Note) {
+func (d *Disk) Keep(notes []durable.Record) {
 	wait := false
 	for _, n := range notes {
-		wait = wait || durable.Waits(n)
+		wait = wait || durable.MustBeDurableFirst(n)
 		d.lazy = append(d.lazy, durable.Changes(n)...)
 	}
 	if !wait {
@@ -95,7 +95,7 @@
 }
 
 // Kept reads what was made durable; what was not is lost.
-func (d *Disk) Kept() *durable.Kept {
+func (d *Disk) Kept() *durable.Snapshot {
 	d.lazy = nil
 	var l durable.Loader
 	for bucket, values := range d.Values {
@@ -103,7 +103,7 @@
 			l.Add(bucket, key, v)
 		}
 	}
-	return l.Kept()
+	return l.Snapshot()
 }
 
 // Crash says where in a step that notes something the placer dies.
@@ -247,7 +247,7 @@
 	c := s.Core
 	out := c.Step(s.Now, in...)
 	base := capture.Event{Near: true, Placer: s.Settings.Module.Self, PlacerEpoch: s.Epoch}
-	var notes []durable.Note
+	var notes []durable.Record
 	leaves := out[:0:0]
 	for _, o := range out {
 		if k, ok := o.(core.Keep); ok {
--- a/internal/verify/testcluster/scene.go
+++ b/internal/verify/testcluster/scene.go
@@ -276,7 +276,7 @@
 	p.Close()
 	if st := c.stores[i]; st != nil {
 		// What waits is lost, as with the process.
-		if err := st.Kill(); err != nil {
+		if err := st.CloseWithoutFlush(); err != nil {
 			c.log.Error().Err(err).Msg("a store does not close")
 		}
 		c.Commits.Add(uint64(st.Commits))
