--- a/internal/scheduler/platform/api.go
+++ b/internal/scheduler/platform/api.go
@@ -9,12 +9,13 @@
 
 	"forkhead"
 	"forkhead/internal/protocol/platform"
+	"forkhead/internal/scheduler/moduledriver"
 )
 
 // Config is what a core runs with.
 type Config struct {
 	Settings                  forkhead.Settings
-	Names                     Names
+	Names                     WireNames
 	IdleTimeout               time.Duration // hosts close connections that are idle for so long; 0: never
 	Seed                      uint64
 	InitialEvents             []platform.WatchEvent // the change log up to the start
@@ -23,11 +24,11 @@
 	MaxHostConnections        int                   // most connections to hosts
 	MaxConnections            int                   // most connections of both kinds; 0: Owners and Links together
 	// Decide stands in the module's place, for tests; nil: the module.
-	Decide func(now time.Duration, events []forkhead.Event) []forkhead.Action
+	Decide moduledriver.Decide
 }
 
-// Names are those of the settings' lists, in their order.
-type Names struct {
+// WireNames are those of the settings' lists, in their order.
+type WireNames struct {
 	Classes, Tenants, Zones, MachineTypes []string
 }
 
@@ -155,11 +156,6 @@
 	CloseListener struct{}
 	// ShutdownComplete says that nothing is owed any more: the process may end.
 	ShutdownComplete struct{}
-	// Log is a line for whoever is on call; a Defect is the program's.
-	Log struct {
-		Text   string
-		Defect bool
-	}
 )
 
 func (SendToOwner) output()             {}
--- a/internal/scheduler/platform/bench_test.go
+++ b/internal/scheduler/platform/bench_test.go
@@ -42,7 +42,7 @@
 				{Effect: forkhead.Keyed, DedupWindow: 8 * time.Second, MachineType: -1}, {Effect: forkhead.Unsafe, MachineType: -1},
 			},
 		},
-		Names:       Names{Classes: []string{"keyed", "unsafe"}, Tenants: []string{"acme"}, Zones: []string{"z"}, MachineTypes: []string{"std"}},
+		Names:       WireNames{Classes: []string{"keyed", "unsafe"}, Tenants: []string{"acme"}, Zones: []string{"z"}, MachineTypes: []string{"std"}},
 		IdleTimeout: 30 * time.Second, MaxOwnerConnections: 8, MaxHostConnections: 16,
 		InitialEvents: []platform.WatchEvent{{Seq: 1, Endpoints: &platform.EndpointList{Snapshot: true, Hosts: []platform.Endpoint{
 			hostInfo(1, platform.InService), hostInfo(2, platform.InService),
--- a/internal/scheduler/platform/core.go
+++ b/internal/scheduler/platform/core.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"slices"
 	"time"
 
@@ -9,6 +10,7 @@
 	"forkhead/internal/protocol/platform"
 	"forkhead/internal/scheduler/attempt"
 	"forkhead/internal/scheduler/invariant"
+	"forkhead/internal/scheduler/moduledriver"
 	"forkhead/internal/scheduler/timerqueue"
 )
 
@@ -18,8 +20,7 @@
 	set    *forkhead.Settings
 	now    time.Duration
 	out    []Output
-	events []forkhead.Event // for the module, of this step
-	decide func(time.Duration, []forkhead.Event) []forkhead.Action
+	module *moduledriver.Driver
 
 	timers timerqueue.Queue[timer]
 	tendAt time.Duration
@@ -81,18 +82,15 @@
 	if cfg.MaxConnections == 0 {
 		cfg.MaxConnections = cfg.MaxOwnerConnections + cfg.MaxHostConnections
 	}
+	module, err := moduledriver.New(cfg.Settings, cfg.Seed, cfg.Decide, 0)
+	if err != nil {
+		return nil, err
+	}
 	c := &Core{
-		cfg: cfg, set: &cfg.Settings, decide: cfg.Decide, owners: map[uint64]*owner{}, tasks: map[forkhead.TaskID]*request{},
+		cfg: cfg, set: &cfg.Settings, module: module, owners: map[uint64]*owner{}, tasks: map[forkhead.TaskID]*request{},
 		refs: map[string]*request{}, services: map[uint64][]*try{},
 		ended: newRecent[givenUp](mostGivenUp), releases: newRecent[release](mostGivenUp), hosts: map[uint32]*host{}, links: map[uint64]*link{},
 	}
-	if c.decide == nil {
-		p, err := forkhead.New(cfg.Settings, cfg.Seed)
-		if err != nil {
-			return nil, err
-		}
-		c.decide = p.Step
-	}
 	return c, nil
 }
 
@@ -129,7 +127,7 @@
 		c.tendAt = now + tendEvery
 		c.tend()
 	}
-	c.rule()
+	c.runModule()
 	for _, s := range c.strays {
 		// Whether it stands is not known, and nobody would ever end it. One that was offered to the same host again is
 		// that host's to sort out.
@@ -173,26 +171,17 @@
 	}
 }
 
-func (c *Core) event(ev forkhead.Event) { c.events = append(c.events, ev) }
-func (c *Core) do(o Output)             { c.out = append(c.out, o) }
+func (c *Core) event(ev forkhead.Event) { c.module.Add(ev) }
+func (c *Core) emit(o Output)           { c.out = append(c.out, o) }
 
-func (c *Core) logf(format string, args ...any) { c.do(Log{Text: fmt.Sprintf(format, args...)}) }
-func (c *Core) defect(format string, args ...any) {
-	c.do(Log{Text: fmt.Sprintf(format, args...), Defect: true})
-}
-
-// rule hands the module its events until it has none left: some actions cause events at once.
-func (c *Core) rule() {
-	for len(c.events) > 0 {
-		events := c.events
-		c.events = nil
-		for _, a := range c.decide(c.now, events) {
-			c.act(a)
-		}
+// runModule hands the module its events until it has none left: some actions cause events at once.
+func (c *Core) runModule() {
+	if err := c.module.Run(c.now, c.execute); err != nil {
+		c.logViolation(messageModuleInterrupted, errorAttr(err))
 	}
 }
 
-func (c *Core) act(a forkhead.Action) {
+func (c *Core) execute(a forkhead.Action) {
 	switch a := a.(type) {
 	case forkhead.Offer:
 		c.offer(a)
@@ -212,13 +201,13 @@
 		c.probe(uint32(a.Machine))
 	case forkhead.Gossip:
 		if len(a.Data) > platform.MaxDatagramSize {
-			c.defect("a message of %d bytes for other placers is not sent", len(a.Data))
+			c.logViolation(messageOversizedGossip, slog.Int(keyBytes, len(a.Data)))
 			return
 		}
-		c.do(SendGossip{To: a.To, Data: a.Data})
+		c.emit(SendGossip{To: a.To, Data: a.Data})
 	case forkhead.Subscribe: // the change log is always followed
 	case forkhead.Log:
-		c.logf("%s", a.Message)
+		c.logInfo(a.Message)
 	}
 }
 
@@ -266,7 +255,7 @@
 func (c *Core) offer(a forkhead.Offer) {
 	r := c.tasks[a.Task]
 	if r == nil {
-		c.defect("an offer of task %d, which is not known", a.Task)
+		c.logViolation(messageUnknownTask, taskAttr(a.Task))
 		return
 	}
 	h := c.hosts[uint32(a.Machine)]
@@ -292,7 +281,7 @@
 		Others: c.others(r.task.Service, nil),
 	})
 	if veto != nil {
-		c.defect("an offer of task %d to %s is vetoed: %v", r.id, h.name, veto)
+		c.logViolation(messageOfferVetoed, taskAttr(r.id), hostAttr(h.name), errorAttr(veto))
 		moot()
 		return
 	}
@@ -338,7 +327,7 @@
 	t.link.out++
 	t.link.usedAt = c.now
 	r.ask.Handle(t.number, attempt.OfferWritten)
-	c.do(SendToHost{Connection: t.link.id, Line: platform.Append(nil, platform.TypeRequest, r.ref, platform.NoCause, r.desc,
+	c.emit(SendToHost{Connection: t.link.id, Line: platform.Append(nil, platform.TypeRequest, r.ref, platform.NoCause, r.desc,
 		append(r.fields[:len(r.fields):len(r.fields)], platform.Quoted("left", fmt.Sprint(left)))...)})
 }
 
@@ -381,7 +370,9 @@
 }
 
 // cancel tells a host that an offer is given up, or that a task is to end: the same message, whichever it has.
-func (c *Core) cancel(l *link, ref string) { c.do(SendToHost{Connection: l.id, Line: giveUpLine(ref)}) }
+func (c *Core) cancel(l *link, ref string) {
+	c.emit(SendToHost{Connection: l.id, Line: giveUpLine(ref)})
+}
 
 func giveUpLine(ref string) []byte {
 	return platform.Append(nil, platform.TypeRelease, ref, platform.CauseOK, nil)
@@ -394,7 +385,7 @@
 	}
 	if t.phase() == attempt.InFlight {
 		if t.link != nil && c.set.MayWithdraw {
-			c.do(SendToHost{Connection: t.link.id, Line: giveUpLine(t.req.ref), Abandons: true})
+			c.emit(SendToHost{Connection: t.link.id, Line: giveUpLine(t.req.ref), Abandons: true})
 		}
 		c.ended.add(givenUp{t.host.number, t.req.ref})
 	}
@@ -420,7 +411,7 @@
 		c.giveUpAll(r, forkhead.Withdrawn, true)
 	}
 	if veto := invariant.CheckAnswer(&r.ask, refuse); veto != nil {
-		c.defect("an answer to task %d is vetoed: %v", id, veto)
+		c.logViolation(messageAnswerVetoed, taskAttr(id), errorAttr(veto))
 		c.giveUpAll(r, forkhead.Withdrawn, true)
 		refuse = false
 	}
@@ -456,9 +447,9 @@
 		return
 	}
 	c.giveUpAll(r, forkhead.TimedOut, false)
-	c.rule()
+	c.runModule()
 	if r.phase == open && c.now >= r.ask.Deadline {
-		c.defect("task %d has no answer at its deadline", id)
+		c.logViolation(messageNoAnswer, taskAttr(id))
 		c.event(forkhead.RequestCanceled{Task: id})
 		c.answer(id, false, 0)
 	}
--- a/internal/scheduler/platform/crossings_test.go
+++ b/internal/scheduler/platform/crossings_test.go
@@ -276,7 +276,7 @@
 	w.want(lines[SendToOwner](out), "down "+ref1+" 47")
 	w.want(lines[SendToHost](out))
 	for _, l := range only[Log](out) {
-		t.Errorf("logged: %s", l.Text)
+		t.Errorf("logged: %s", l)
 	}
 	w.want(lines[SendToHost](w.step(HostData{link, []byte(`{"t":"up","ref":"` + ref1 + `","f":{},"d":"x"}` + "\n")})), "down "+ref1+" 16")
 }
--- a/internal/scheduler/platform/hosts.go
+++ b/internal/scheduler/platform/hosts.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"fmt"
+	"log/slog"
 	"maps"
 	"slices"
 	"strconv"
@@ -127,7 +128,7 @@
 	l := &link{id: c.lastLink, host: h, usedAt: c.now}
 	c.links[l.id] = l
 	h.links = append(h.links, l)
-	c.do(DialHost{l.id, h.address})
+	c.emit(DialHost{l.id, h.address})
 	return l
 }
 
@@ -190,7 +191,7 @@
 	l.retired = c.now
 	c.retired = append(c.retired, l)
 	l.host.links = slices.DeleteFunc(l.host.links, func(o *link) bool { return o == l })
-	c.do(HalfCloseHostConnection{l.id})
+	c.emit(HalfCloseHostConnection{l.id})
 }
 
 func (c *Core) dialled(id uint64) {
@@ -262,7 +263,7 @@
 		c.probed(h, forkhead.ConnectFailed, nil)
 	}
 	if h.best() == nil && h.refusals >= 2 && (h.entry.State == forkhead.Ready || c.now > h.heardAt+lostAfter) {
-		c.lose(h, "it refuses connections")
+		c.lose(h, reasonRefusesConnections)
 	}
 }
 
@@ -294,7 +295,7 @@
 
 // cut closes a connection.
 func (c *Core) cut(l *link) {
-	c.do(CloseHostConnection{l.id})
+	c.emit(CloseHostConnection{l.id})
 	c.unlink(l)
 }
 
@@ -319,7 +320,7 @@
 		c.finish(t, platform.CauseReset, forkhead.NoReason, nil)
 	}
 	if len(lost) > 0 {
-		c.logf("%s: %s; its %d tasks are lost", h.name, why, len(lost))
+		c.logInfo(messageTasksLost, hostAttr(h.name), reasonAttr(why), slog.Int(keyTasks, len(lost)))
 	}
 }
 
@@ -343,7 +344,7 @@
 		return nil
 	})
 	if err != nil && c.links[in.Connection] == l {
-		c.logf("%s: a connection is closed: %v", l.host.name, err)
+		c.logInfo(messageConnectionClosed, hostAttr(l.host.name), connectionAttr(l.id), reasonAttr(reasonUnreadable), errorAttr(err))
 		c.cut(l)
 	}
 }
@@ -367,7 +368,7 @@
 		}
 	case platform.TypeRelease:
 		if l.retired == 0 { // else its host says it once more on the next connection
-			c.do(SendToHost{Connection: l.id, Line: platform.Append(nil, platform.TypeAck, m.Ref, platform.NoCause, nil)})
+			c.emit(SendToHost{Connection: l.id, Line: platform.Append(nil, platform.TypeAck, m.Ref, platform.NoCause, nil)})
 		}
 		if t != nil {
 			c.hostRelease(t, m)
@@ -405,7 +406,7 @@
 	})
 	for _, t := range dead {
 		if l := t.link; l != nil { // nil: cut with an earlier one
-			c.logf("%s: a connection is closed: later offers are answered and its own is not", l.host.name)
+			c.logInfo(messageConnectionClosed, hostAttr(l.host.name), connectionAttr(l.id), reasonAttr(reasonOvertaken))
 			c.cut(l)
 		}
 	}
@@ -591,7 +592,7 @@
 	ref := c.testRef()
 	p.refs, p.links = append(p.refs, ref), append(p.links, l)
 	l.usedAt = c.now
-	c.do(SendToHost{Connection: l.id, Line: platform.Append(nil, platform.TypeProbe, ref, 0, nil)})
+	c.emit(SendToHost{Connection: l.id, Line: platform.Append(nil, platform.TypeProbe, ref, 0, nil)})
 }
 
 func (c *Core) testRef() string {
@@ -668,7 +669,7 @@
 			zone = 0
 		}
 		if !ok || !known || (kind < 0 || zone < 0) && state != forkhead.Removed {
-			c.logf("the change log lists %q, which cannot be used", info.Name)
+			c.logInfo(messageUnusableEndpoint, hostAttr(info.Name))
 			continue
 		}
 		listed[number] = true
@@ -765,11 +766,11 @@
 	if c.stopAt > 0 {
 		if !c.closing && c.now >= c.stopAt+stopListening {
 			c.closing = true
-			c.do(CloseListener{})
+			c.emit(CloseListener{})
 		}
 		if c.closing && c.open == 0 && c.now >= c.stopAt+stopAtLeast &&
 			(!c.halfSaid() || c.now >= c.stopAt+stopAtLeast+wholeLine) {
-			c.do(ShutdownComplete{})
+			c.emit(ShutdownComplete{})
 		}
 	}
 }
@@ -778,7 +779,7 @@
 	for _, l := range slices.Clone(h.links) {
 		switch {
 		case l.lines.since > 0 && c.now > l.lines.since+probeWithin:
-			c.logf("%s: a connection is closed: a message did not end", h.name)
+			c.logInfo(messageConnectionClosed, hostAttr(h.name), connectionAttr(l.id), reasonAttr(reasonPartialLine))
 			c.cut(l)
 		case l.open && l.out == 0 && c.cfg.IdleTimeout > 0 && c.now > max(l.usedAt, l.heardAt)+c.cfg.IdleTimeout*3/5:
 			needed := len(h.links) == 1 && h.standing()
@@ -788,7 +789,7 @@
 			case needed && c.set.MayProbe:
 				// A host that drains takes no new connection, and says what becomes of its tasks on this one.
 				l.usedAt = c.now
-				c.do(SendToHost{Connection: l.id, Line: platform.Append(nil, platform.TypeProbe, c.testRef(), 0, nil)})
+				c.emit(SendToHost{Connection: l.id, Line: platform.Append(nil, platform.TypeProbe, c.testRef(), 0, nil)})
 			case needed && c.now >= h.redialAt:
 				if fresh := c.dial(h); fresh != nil {
 					fresh.renew = true
@@ -812,7 +813,7 @@
 	}
 	if h.awaited > 0 {
 		if c.now > h.awaited+awaitListed {
-			c.lose(h, "the change log does not list it")
+			c.lose(h, reasonNotListed)
 		}
 		if len(h.tries) == 0 {
 			c.waited--
@@ -823,7 +824,7 @@
 	}
 	if h.entry.State == forkhead.Removed {
 		if c.now > h.goneAt+goneAfter {
-			c.lose(h, "the change log says that it is gone")
+			c.lose(h, reasonGone)
 			if c.now > h.goneAt+forgetHost && len(h.tries) == 0 && len(h.links) == 0 {
 				delete(c.hosts, h.number)
 				c.order = nil
@@ -843,7 +844,7 @@
 	last := quiet > lostAfter-lastCall && h.failedAt < h.heardAt+lostAfter-lastCall
 	switch {
 	case quiet > lostAfter && h.failedAt > h.heardAt+quietAfter && (!making || quiet > lostAfter+lastCall/2):
-		c.lose(h, "it says nothing and takes no connection")
+		c.lose(h, reasonUnresponsive)
 		for _, l := range slices.Clone(h.links) {
 			c.cut(l)
 		}
--- a/internal/scheduler/platform/owners.go
+++ b/internal/scheduler/platform/owners.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"hash/fnv"
+	"log/slog"
 	"maps"
 	"math"
 	"slices"
@@ -82,7 +83,7 @@
 	if full {
 		victim := c.spareOwner()
 		if victim == nil {
-			c.do(CloseOwnerConnection{id})
+			c.emit(CloseOwnerConnection{id})
 			return
 		}
 		c.hangUp(victim)
@@ -109,7 +110,7 @@
 		c.answer(r.id, false, 0)
 	}
 	delete(c.owners, o.id)
-	c.do(CloseOwnerConnection{o.id})
+	c.emit(CloseOwnerConnection{o.id})
 }
 
 // openOf lists the open requests of a connection in the order in which they came.
@@ -130,7 +131,7 @@
 // It returns whether one of the first two was there.
 func (c *Core) tell(r *request, line []byte) bool {
 	if c.owners[r.owner] != nil {
-		c.do(SendToOwner{r.owner, line})
+		c.emit(SendToOwner{r.owner, line})
 		return true
 	}
 	var best *owner
@@ -141,7 +142,7 @@
 	}
 	switch {
 	case best != nil:
-		c.do(SendToOwner{best.id, line})
+		c.emit(SendToOwner{best.id, line})
 	case len(c.pending) < mostOwed:
 		c.pending = append(c.pending, undelivered{r.ref, line, c.now + owedFor})
 	}
@@ -182,7 +183,7 @@
 		if len(c.hosts) > 0 {
 			well = 1
 		}
-		c.do(SendToOwner{o.id, platform.Append(nil, platform.TypeProbeResult, m.Ref, well, nil)})
+		c.emit(SendToOwner{o.id, platform.Append(nil, platform.TypeProbeResult, m.Ref, well, nil)})
 	case platform.TypeRequest:
 		c.setUp(o, &m)
 	case platform.TypeRelease:
@@ -202,7 +203,7 @@
 	o.stands++
 	o.placed++
 	for _, w := range c.pending {
-		c.do(SendToOwner{o.id, w.line})
+		c.emit(SendToOwner{o.id, w.line})
 	}
 	c.pending = nil
 }
@@ -216,7 +217,7 @@
 
 // turnDown answers a set-up that cannot be taken. A connection that brings too many of them is closed.
 func (c *Core) turnDown(o *owner, ref string) {
-	c.do(SendToOwner{o.id, platform.Append(nil, platform.TypeRelease, ref, platform.CauseFailed, nil)})
+	c.emit(SendToOwner{o.id, platform.Append(nil, platform.TypeRelease, ref, platform.CauseFailed, nil)})
 	if o.bad++; o.bad > mostBadLines {
 		c.hangUp(o)
 	}
@@ -225,7 +226,7 @@
 // release takes a give-up of an open request, or the end of a standing task.
 func (c *Core) release(o *owner, m *platform.Message) {
 	r := c.refs[m.Ref]
-	c.do(SendToOwner{o.id, platform.Append(nil, platform.TypeAck, m.Ref, platform.NoCause, nil)})
+	c.emit(SendToOwner{o.id, platform.Append(nil, platform.TypeAck, m.Ref, platform.NoCause, nil)})
 	switch {
 	case r == nil:
 		if !o.spoke { // nothing that it could mean
@@ -286,7 +287,7 @@
 	}
 	o.spoke = true
 	if c.open >= mostOpen || len(o.open) >= mostOpenEach || c.stopAt > 0 && c.now > c.stopAt+stopListening {
-		c.do(SendToOwner{o.id, platform.Append(nil, platform.TypeRelease, m.Ref, platform.CauseBusy, nil)})
+		c.emit(SendToOwner{o.id, platform.Append(nil, platform.TypeRelease, m.Ref, platform.CauseBusy, nil)})
 		return
 	}
 	r := c.request(o, m, task, digest)
@@ -336,14 +337,14 @@
 		o.spoke = true
 		c.pending = slices.DeleteFunc(c.pending, func(w undelivered) bool { return w.ref == m.Ref })
 		if cause != platform.CauseMigrated {
-			c.do(SendToOwner{o.id, platform.Append(nil, platform.TypeRelease, m.Ref, cause, nil)})
+			c.emit(SendToOwner{o.id, platform.Append(nil, platform.TypeRelease, m.Ref, cause, nil)})
 		}
 		return
 	}
 	o.spoke = true
 	for _, t := range h.tries {
 		if t.req.task.Key == task.Key && t.phase() == attempt.Placed {
-			c.logf("task %016x at %s is handed over as %s and stands as %s", task.Key, at, m.Ref, t.req.ref)
+			c.logInfo(messageSecondHandOver, taskKeyAttr(task.Key), hostAttr(at), refAttr(m.Ref), slog.String(keyPlacedRef, t.req.ref))
 		}
 	}
 	r := c.request(o, m, task, digest)
--- a/internal/server/platform/noded.go
+++ b/internal/server/platform/noded.go
@@ -142,7 +142,7 @@
 		Settings: set, IdleTimeout: platformconfig.Duration(info.Caps.ConnIdle), Seed: cfg.SeedNumber(), InitialEvents: cfg.Initial.Results,
 		// Usual owners hold a third of the limit at most; what they and others leave is for hosts, and the other way.
 		MaxOwnerConnections: room * 2 / 3, ProtectedOwnerConnections: min(sockets/3, room/2), MaxHostConnections: room - acceptReserve - min(sockets/3, room/2), MaxConnections: room - acceptReserve,
-		Names: platformcore.Names{Zones: info.Zones, MachineTypes: info.Kinds},
+		Names: platformcore.WireNames{Zones: info.Zones, MachineTypes: info.Kinds},
 	}
 	for i := range info.Classes {
 		c.Names.Classes = append(c.Names.Classes, info.Classes[i].Name)
@@ -303,11 +303,7 @@
 			s.endBy = s.clock.Now() + lastWords
 		}
 	case platformcore.Log:
-		if o.Defect {
-			s.log.Error().Msg(o.Text)
-		} else {
-			s.log.Info().Msg(o.Text)
-		}
+		s.writeLog(o)
 	}
 }
 
--- a/internal/server/platform/trace.go
+++ b/internal/server/platform/trace.go
@@ -25,6 +25,8 @@
 			v = map[string]any{"Owner": x.Owner, "Line": string(x.Line)}
 		case platformcore.SendToHost:
 			v = map[string]any{"Link": x.Connection, "Line": string(x.Line)}
+		case platformcore.Log:
+			v = map[string]any{"Level": x.Level, "Message": x.Message, "Attributes": attributeValues(x.Attributes), "InvariantViolation": x.InvariantViolation}
 		}
 		text, err := json.Marshal(v)
 		if err != nil {
--- a/internal/verify/platformsim/ends.go
+++ b/internal/verify/platformsim/ends.go
@@ -333,8 +333,8 @@
 			}
 		}
 	case platformcore.Log:
-		if o.Defect {
-			w.breach("defect: %s", o.Text)
+		if o.InvariantViolation {
+			w.breach("invariant violation: %s", o)
 		}
 	}
 }
--- a/internal/verify/platformsim/orders.go
+++ b/internal/verify/platformsim/orders.go
@@ -14,7 +14,7 @@
 // connections made, refused and ended, every word of a host on any attempt, late ones too, the owner's give-up and leaving, a
 // hand-over, a drain, a host's loss and the deadline. It returns how many orders it played and the first breaches, each with
 // its order.
-func Orders(set forkhead.Settings, names platformcore.Names, depth int, spoil func() func(platformcore.Output) []platformcore.Output) (played int, breaches []string) {
+func Orders(set forkhead.Settings, names platformcore.WireNames, depth int, spoil func() func(platformcore.Output) []platformcore.Output) (played int, breaches []string) {
 	for class := range set.Classes {
 		var walk func(order []string)
 		walk = func(order []string) {
@@ -45,7 +45,7 @@
 
 const orderWait = 1500 * time.Millisecond
 
-func replay(set forkhead.Settings, names platformcore.Names, class int, order []string, spoil func() func(platformcore.Output) []platformcore.Output) (*world, *ask) {
+func replay(set forkhead.Settings, names platformcore.WireNames, class int, order []string, spoil func() func(platformcore.Output) []platformcore.Output) (*world, *ask) {
 	w := newWorld(Life{Settings: set, Names: names, Placers: 1, Hosts: 2, Room: 40})
 	w.calm, w.manual = true, true
 	if spoil != nil {
--- a/internal/verify/platformsim/play.go
+++ b/internal/verify/platformsim/play.go
@@ -18,7 +18,7 @@
 // Life says what is played.
 type Life struct {
 	Settings forkhead.Settings // Placers and Self are filled in
-	Names    platformcore.Names
+	Names    platformcore.WireNames
 	Idle     time.Duration
 	Placers  int
 	Hosts    int
--- a/internal/verify/platformsim/play_test.go
+++ b/internal/verify/platformsim/play_test.go
@@ -91,7 +91,7 @@
 // one is a life with much going on.
 func one(seed uint64) Life {
 	l := Life{Placers: 3, Hosts: 6, Tasks: 150, Room: 100, Faults: 0.6, Seed: seed}
-	l.Names = platformcore.Names{Zones: []string{"a", "b"}, MachineTypes: []string{"std"}, Classes: []string{"safe", "keyed", "unsafe"}}
+	l.Names = platformcore.WireNames{Zones: []string{"a", "b"}, MachineTypes: []string{"std"}, Classes: []string{"safe", "keyed", "unsafe"}}
 	l.Settings = forkhead.Settings{
 		MachineTypes: []forkhead.MachineType{{Cores: 16, Memory: 16}}, MeanCores: 1, MeanMemory: 1, CoresOvercommit: 1, MemoryOvercommit: 1, ListWatched: true,
 		Classes: []forkhead.Class{
