--- a/internal/emulator/hostmodel/sessions.go
+++ b/internal/emulator/hostmodel/sessions.go
@@ -95,9 +95,9 @@
 	old := h.peers[f.Placer]
 	last := hostsession.Session{Epoch: h.life[f.Placer]}
 	if old != nil {
-		last.Conn, last.Open = old.conn, true
+		last.Conn, last.Connected = old.conn, true
 	}
-	if hostsession.JudgeHello(last, f.Epoch, f.Conn) == hostsession.Stale {
+	if hostsession.CheckHello(last, f.Epoch, f.Conn) == hostsession.HelloStale {
 		h.bye(p, "a later life or connection of this placer is known")
 		return
 	}
--- a/internal/scheduler/attempt/attempt.go
+++ b/internal/scheduler/attempt/attempt.go
@@ -157,12 +157,12 @@
 	AnsweredFailed          // failed: no promise
 )
 
-// Host is a host as an ask knows it.
-type Host uint32
+// HostID is a host as an ask knows it.
+type HostID uint32
 
 // Attempt is one offer.
 type Attempt struct {
-	Host     Host
+	Host     HostID
 	Phase    Phase
 	ChosenAt time.Duration // chosen
 }
@@ -198,7 +198,7 @@
 
 // MayOffer says whether the ask may be offered to a host now. same says whether two hosts are
 // in one place.
-func (a *Request) MayOffer(now time.Duration, to Host, same func(p forkhead.Domain, x, y Host) bool) error {
+func (a *Request) MayOffer(now time.Duration, to HostID, same func(p forkhead.Domain, x, y HostID) bool) error {
 	switch {
 	case a.Answer != Unanswered:
 		return ErrAnswered
@@ -254,7 +254,7 @@
 }
 
 // AddOffer notes a new attempt, which is Waiting, and returns its number. Check MayOffer first.
-func (a *Request) AddOffer(now time.Duration, to Host) int {
+func (a *Request) AddOffer(now time.Duration, to HostID) int {
 	a.Attempts = append(a.Attempts, Attempt{Host: to, ChosenAt: now})
 	return len(a.Attempts) - 1
 }
@@ -328,7 +328,7 @@
 
 // Table writes the transition function as rows of a page.
 func Table() string {
-	return statetable.Write(phaseNames[:], inputNames[:], func(in, p int) string {
+	return statetable.Render(phaseNames[:], inputNames[:], func(in, p int) string {
 		s := table[p][in]
 		switch {
 		case s.to == Phase(p) && s.what == NoEffect:
@@ -343,7 +343,7 @@
 }
 
 // AddUnsent notes an attempt that was never sent, so that numbers stay in step with the module's.
-func (a *Request) AddUnsent(now time.Duration, to Host) int {
+func (a *Request) AddUnsent(now time.Duration, to HostID) int {
 	a.Attempts = append(a.Attempts, Attempt{Host: to, ChosenAt: now, Phase: NeverRan})
 	return len(a.Attempts) - 1
 }
--- a/internal/scheduler/attempt/attempt_test.go
+++ b/internal/scheduler/attempt/attempt_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func same(p forkhead.Domain, x, y Host) bool {
+func same(p forkhead.Domain, x, y HostID) bool {
 	switch p {
 	case forkhead.MachineDomain:
 		return x == y
@@ -53,7 +53,7 @@
 	for name, c := range map[string]struct {
 		rules   Rules
 		inputs  []Input // of a first attempt, made at 1s to host 2
-		to      Host
+		to      HostID
 		at      time.Duration
 		promise bool // a refusal may follow
 		want    error
--- a/internal/scheduler/core/asks.go
+++ b/internal/scheduler/core/asks.go
@@ -93,8 +93,8 @@
 		return
 	}
 	v := invariant.CheckOffer(c.now, &invariant.Offer{
-		Request: &k.Request, Task: &k.task, Class: &c.set.Module.Classes[k.task.Class], To: h.guard(), Grace: c.set.Module.DrainGrace,
-		Hosts: func(id attempt.Host) *invariant.Host {
+		Request: &k.Request, Task: &k.task, Class: &c.set.Module.Classes[k.task.Class], To: h.guard(), DrainGrace: c.set.Module.DrainGrace,
+		HostByID: func(id attempt.HostID) *invariant.Host {
 			for _, t := range k.tries { // also one that has left the list and is forgotten there
 				if t != nil && t.machine == forkhead.MachineID(id) {
 					return t.host.guard()
@@ -105,14 +105,14 @@
 			}
 			return nil
 		},
-		Others: c.others(k.task.Service, nil),
+		ServiceHosts: c.others(k.task.Service, nil),
 	})
 	if v != nil {
 		c.veto(v, "offer of %s to %s", k.wish.name, h.name)
 		c.skip(k, a, false)
 		return
 	}
-	t := &try{ask: k, number: k.AddOffer(c.now, attempt.Host(h.id)), host: h, machine: a.Machine}
+	t := &try{ask: k, number: k.AddOffer(c.now, attempt.HostID(h.id)), host: h, machine: a.Machine}
 	t.ref = hostproto.Ref{Epoch: c.epoch, Task: uint32(k.id), Attempt: uint8(t.number)}
 	k.tries = append(k.tries, t)
 	c.index(t)
@@ -134,7 +134,7 @@
 
 // skip tells the module that an offer was not sent, and keeps the numbers of attempts in step with its own.
 func (c *Core) skip(k *ask, a forkhead.Offer, final bool) {
-	n := k.AddUnsent(c.now, attempt.Host(a.Machine))
+	n := k.AddUnsent(c.now, attempt.HostID(a.Machine))
 	k.tries = append(k.tries, nil)
 	c.tell(forkhead.Outcome{Task: a.Task, Attempt: n, Machine: a.Machine, Result: forkhead.NotSent, Final: final})
 }
@@ -167,7 +167,7 @@
 		return
 	}
 	if t.waited && (h.drains || invariant.CheckSpread(&invariant.Offer{
-		Task: &k.task, Class: &c.set.Module.Classes[k.task.Class], To: h.guard(), Others: c.others(k.task.Service, t),
+		Task: &k.task, Class: &c.set.Module.Classes[k.task.Class], To: h.guard(), ServiceHosts: c.others(k.task.Service, t),
 	}) != nil) {
 		// Guards against tasks of an earlier life that turned up while this one waited for its
 		// connection: they count against the spread, and the choice was made without them. And
@@ -423,7 +423,7 @@
 	}
 	k := c.newAsk(w)
 	k.Answer, k.Rules = attempt.AnsweredPlaced, made
-	k.Attempts = []attempt.Attempt{{Host: attempt.Host(h.id), Phase: attempt.Placed, ChosenAt: c.now}}
+	k.Attempts = []attempt.Attempt{{Host: attempt.HostID(h.id), Phase: attempt.Placed, ChosenAt: c.now}}
 	t := &try{ask: k, host: h, machine: h.id, ref: ref, hostEpoch: epoch, conn: conn, runs: true}
 	k.tries = []*try{t}
 	c.index(t)
--- a/internal/scheduler/core/hosts.go
+++ b/internal/scheduler/core/hosts.go
@@ -58,7 +58,7 @@
 
 func (h *host) guard() *invariant.Host {
 	return &invariant.Host{
-		ID: attempt.Host(h.id), State: h.state(), DrainingSince: h.since, MachineType: h.kind, Zone: h.zone, Cell: h.cell,
+		ID: attempt.HostID(h.id), State: h.state(), DrainingSince: h.since, MachineType: h.kind, Zone: h.zone, Cell: h.cell,
 		Labels: h.labels, StartedAt: h.entry.Started,
 	}
 }
@@ -230,8 +230,8 @@
 // link takes an input to a host's connection and carries out what follows.
 func (c *Core) link(h *host, in hostconn.Input) {
 	out := h.link.Handle(in, c.links, c.rng.Float64())
-	if out.Close {
-		c.do(Close{Host: h.name, Conn: out.Closing})
+	if out.CloseConn {
+		c.do(Close{Host: h.name, Conn: out.ConnToClose})
 	}
 	if out.StaleIncarnation {
 		c.log("host %s answered with an earlier life; the connection is closed", h.name)
@@ -249,7 +249,7 @@
 	if out.Dial {
 		c.do(Dial{Host: h.name, Address: h.link.Address, Conn: h.link.Conn})
 	}
-	if out.Greet {
+	if out.SendHello {
 		c.do(ToHost{Host: h.name, Conn: h.link.Conn, Frame: hostproto.Hello{
 			Version: hostproto.Version, Placer: uint16(c.set.Module.Self), Epoch: c.epoch, Conn: h.link.Conn,
 		}})
@@ -380,7 +380,7 @@
 		c.absurd(h, "it is "+w.Host+", or speaks another version")
 		return
 	}
-	if h.link.State != hostconn.Greeting {
+	if h.link.State != hostconn.Handshaking {
 		c.absurd(h, "a second Welcome")
 		return
 	}
--- a/internal/scheduler/core/inherit.go
+++ b/internal/scheduler/core/inherit.go
@@ -99,7 +99,7 @@
 func (c *Core) suspect(w *wish, h *host, ref hostproto.Ref, life uint64, at time.Duration) *try {
 	k := c.newAsk(w)
 	k.Answer = attempt.AnsweredFailed
-	k.Attempts = []attempt.Attempt{{Host: attempt.Host(h.id), Phase: attempt.Unknown, ChosenAt: at}}
+	k.Attempts = []attempt.Attempt{{Host: attempt.HostID(h.id), Phase: attempt.Unknown, ChosenAt: at}}
 	t := &try{ask: k, host: h, machine: h.id, ref: ref, hostEpoch: life}
 	k.tries = []*try{t}
 	c.index(t)
--- a/internal/scheduler/core/updates.go
+++ b/internal/scheduler/core/updates.go
@@ -131,14 +131,14 @@
 	if well {
 		svc.replaced = append(svc.replaced, w)
 	}
-	switch svc.update.Verdict() {
-	case rollingupdate.Paused, rollingupdate.RollBack:
+	switch svc.update.Status() {
+	case rollingupdate.Paused, rollingupdate.RollingBack:
 		why := fmt.Sprintf("the update was stopped after %d tasks had failed", svc.update.Failed())
 		for _, q := range svc.queue {
 			c.outcome(q, WordRefused, nil, why)
 		}
 		svc.queue = nil
-		if svc.update.Verdict() == rollingupdate.RollBack {
+		if svc.update.Status() == rollingupdate.RollingBack {
 			c.rollBack(svc)
 		}
 		svc.update = nil
--- a/internal/scheduler/hostconn/hostconn.go
+++ b/internal/scheduler/hostconn/hostconn.go
@@ -16,7 +16,7 @@
 const (
 	Down     State = iota // nothing is under way; a retry is due if the host is listed
 	Dialing               // a connection is being made
-	Greeting              // Hello is written, Welcome awaited
+	Handshaking              // Hello is written, Welcome awaited
 	Up                    // frames may be sent
 	states
 )
@@ -56,13 +56,13 @@
 
 // Output is what follows, in this order.
 type Output struct {
-	Close                bool          // close connection Conn: it is the one that was in use
-	Closing              uint32        // its number
+	CloseConn                bool          // close connection Conn: it is the one that was in use
+	ConnToClose              uint32        // its number
 	Dial                 bool          // dial Link.Address as connection Link.Conn
-	Greet                bool          // write Hello on Link.Conn
+	SendHello                bool          // write Hello on Link.Conn
 	AttemptsDisconnected bool          // attempts on this link: Broke
 	HostRestarted        bool          // the host's earlier life ended: attempts made in it have died
-	Opened               bool          // frames may be sent from now on
+	Established               bool          // frames may be sent from now on
 	StaleIncarnation     bool          // the host greeted with a life earlier than one that is known
 	RetryAfter           time.Duration // > 0: set the retry timer
 	ConnectTimeoutAfter  time.Duration // > 0: set the timer for dialling and greeting, for Link.Conn
@@ -104,16 +104,16 @@
 	case Delisted:
 		// The link stays as it is: what runs there goes on being heard of. It is not made anew.
 		l.Listed = false
-		if l.State == Dialing || l.State == Greeting {
+		if l.State == Dialing || l.State == Handshaking {
 			l.drop(&out)
 		}
 	case Dialed:
 		if l.State == Dialing && in.Conn == l.Conn {
-			l.State = Greeting
-			out.Greet = true
+			l.State = Handshaking
+			out.SendHello = true
 		}
 	case Welcomed:
-		if l.State != Greeting || in.Conn != l.Conn {
+		if l.State != Handshaking || in.Conn != l.Conn {
 			break
 		}
 		if in.Epoch < l.Epoch {
@@ -128,16 +128,16 @@
 			out.HostRestarted = true
 		}
 		l.Epoch, l.State, l.Failures = in.Epoch, Up, 0
-		out.Opened = true
+		out.Established = true
 	case Disconnected:
 		if l.State == Down || in.Conn != l.Conn {
 			break
 		}
 		l.drop(&out)
-		out.Close = false // it is closed
+		out.CloseConn = false // it is closed
 		l.retry(&out, p, random)
 	case ConnectTimedOut:
-		if (l.State == Dialing || l.State == Greeting) && in.Conn == l.Conn {
+		if (l.State == Dialing || l.State == Handshaking) && in.Conn == l.Conn {
 			l.drop(&out)
 			l.retry(&out, p, random)
 		}
@@ -159,7 +159,7 @@
 	if l.State == Down {
 		return
 	}
-	out.Close, out.Closing, out.AttemptsDisconnected = true, l.Conn, true
+	out.CloseConn, out.ConnToClose, out.AttemptsDisconnected = true, l.Conn, true
 	l.State = Down
 }
 
@@ -175,7 +175,7 @@
 // Table writes what each input does to a listed link, as rows of a page: Listed with the address
 // that is known, and all else of the present connection and the known life of the host.
 func Table() string {
-	return statetable.Write(stateNames[:], kindNames[:], func(k, s int) string {
+	return statetable.Render(stateNames[:], kindNames[:], func(k, s int) string {
 		l := Connection{State: State(s), Listed: true, Address: "a", Conn: 1, Epoch: 1}
 		o := l.Handle(Input{Kind: InputKind(k), Address: "a", Conn: 1, Epoch: 1}, Policy{MinBackoff: time.Second, MaxBackoff: time.Second}, 0)
 		var words []string
@@ -186,7 +186,7 @@
 			on   bool
 			name string
 		}{
-			{o.Close, "close"}, {o.AttemptsDisconnected, "broken"}, {o.HostRestarted, "died"}, {o.Dial, "dial"}, {o.Greet, "greet"}, {o.Opened, "opened"},
+			{o.CloseConn, "close"}, {o.AttemptsDisconnected, "broken"}, {o.HostRestarted, "died"}, {o.Dial, "dial"}, {o.SendHello, "greet"}, {o.Established, "opened"},
 			{o.RetryAfter > 0, "retry later"},
 		} {
 			if w.on {
--- a/internal/scheduler/hostconn/hostconn_test.go
+++ b/internal/scheduler/hostconn/hostconn_test.go
@@ -19,10 +19,10 @@
 	if out := on(&l, Listed, 0, 0); !out.Dial || l.State != Dialing || out.ConnectTimeoutAfter != time.Second {
 		t.Fatalf("listed: %+v", out)
 	}
-	if out := on(&l, Dialed, 1, 0); !out.Greet || l.State != Greeting {
+	if out := on(&l, Dialed, 1, 0); !out.SendHello || l.State != Handshaking {
 		t.Fatalf("dialled: %+v", out)
 	}
-	if out := on(&l, Welcomed, 1, 7); !out.Opened || out.HostRestarted || l.State != Up {
+	if out := on(&l, Welcomed, 1, 7); !out.Established || out.HostRestarted || l.State != Up {
 		t.Fatalf("welcomed: %+v", out)
 	}
 	if out := on(&l, Disconnected, 1, 0); !out.AttemptsDisconnected || out.RetryAfter != 100*time.Millisecond || l.State != Down {
@@ -30,13 +30,13 @@
 	}
 	on(&l, RetryDue, 0, 0)
 	on(&l, Dialed, 2, 0)
-	if out := on(&l, Welcomed, 2, 8); !out.HostRestarted || !out.Opened {
+	if out := on(&l, Welcomed, 2, 8); !out.HostRestarted || !out.Established {
 		t.Fatalf("welcomed by a later life: %+v", out)
 	}
 	on(&l, Disconnected, 2, 0)
 	on(&l, RetryDue, 0, 0)
 	on(&l, Dialed, 3, 0)
-	if out := on(&l, Welcomed, 3, 7); !out.StaleIncarnation || !out.Close || out.Opened || l.State != Down || l.Epoch != 8 {
+	if out := on(&l, Welcomed, 3, 7); !out.StaleIncarnation || !out.CloseConn || out.Established || l.State != Down || l.Epoch != 8 {
 		t.Fatalf("welcomed by an earlier life: %+v", out)
 	}
 }
@@ -101,7 +101,7 @@
 				}
 				dialled[l.Conn] = true
 			}
-			if out.Opened {
+			if out.Established {
 				if open {
 					t.Fatal("opened twice")
 				}
--- a/internal/scheduler/hostsession/hostsession.go
+++ b/internal/scheduler/hostsession/hostsession.go
@@ -119,30 +119,30 @@
 type Session struct {
 	Epoch uint64 // of the placer's life
 	Conn  uint32
-	Open  bool
+	Connected  bool
 }
 
-// Verdict is what a Hello comes to.
-type Verdict uint8
+// HelloResult is what a Hello comes to.
+type HelloResult uint8
 
 // The verdicts.
 const (
-	Welcome Verdict = iota // and an older connection is closed
-	Stale                  // a later life, or a later connection of this life, is known
+	HelloAccepted HelloResult = iota // and an older connection is closed
+	HelloStale                  // a later life, or a later connection of this life, is known
 )
 
-// JudgeHello judges a Hello against the last session of the same placer. Of two connections the later
+// CheckHello judges a Hello against the last session of the same placer. Of two connections the later
 // one counts: frames may still stand in the buffers of the older.
-func JudgeHello(last Session, epoch uint64, conn uint32) Verdict {
-	if epoch < last.Epoch || last.Open && epoch == last.Epoch && conn <= last.Conn {
-		return Stale
+func CheckHello(last Session, epoch uint64, conn uint32) HelloResult {
+	if epoch < last.Epoch || last.Connected && epoch == last.Epoch && conn <= last.Conn {
+		return HelloStale
 	}
-	return Welcome
+	return HelloAccepted
 }
 
 // Table writes the transition function as rows of a page.
 func Table() string {
-	return statetable.Write(stateNames[:], inputNames[:], func(in, s int) string {
+	return statetable.Render(stateNames[:], inputNames[:], func(in, s int) string {
 		t := table[s][in]
 		switch {
 		case t.to == State(s) && t.say == NoReply:
--- a/internal/scheduler/hostsession/hostsession_test.go
+++ b/internal/scheduler/hostsession/hostsession_test.go
@@ -35,17 +35,17 @@
 }
 
 func TestGreet(t *testing.T) {
-	last := Session{Epoch: 5, Conn: 3, Open: true}
+	last := Session{Epoch: 5, Conn: 3, Connected: true}
 	for _, c := range []struct {
 		epoch uint64
 		conn  uint32
-		want  Verdict
-	}{{5, 4, Welcome}, {6, 1, Welcome}, {5, 3, Stale}, {5, 2, Stale}, {4, 9, Stale}} {
-		if got := JudgeHello(last, c.epoch, c.conn); got != c.want {
+		want  HelloResult
+	}{{5, 4, HelloAccepted}, {6, 1, HelloAccepted}, {5, 3, HelloStale}, {5, 2, HelloStale}, {4, 9, HelloStale}} {
+		if got := CheckHello(last, c.epoch, c.conn); got != c.want {
 			t.Errorf("life %d, connection %d: %v", c.epoch, c.conn, got)
 		}
 	}
-	if last.Open = false; JudgeHello(last, 5, 1) != Welcome {
+	if last.Connected = false; CheckHello(last, 5, 1) != HelloAccepted {
 		t.Error("a connection of the same life is turned away where none is open")
 	}
 }
--- a/internal/scheduler/invariant/invariant.go
+++ b/internal/scheduler/invariant/invariant.go
@@ -22,10 +22,10 @@
 	SlowStart             // all placers together do not push a cold host over
 	Spread                // no more of a service in one place than its class states
 	Fit                   // a host that the task cannot run on: no rule, yet never right
-	Rules
+	RuleCount
 )
 
-var names = [Rules]string{"one_answer", "no_repeat", "drain", "cold", "spread", "fit"}
+var names = [RuleCount]string{"one_answer", "no_repeat", "drain", "cold", "spread", "fit"}
 
 // String names the rule.
 func (r Rule) String() string { return names[r] }
@@ -41,7 +41,7 @@
 
 // Host is what an offer's host looks like to this placer.
 type Host struct {
-	ID            attempt.Host
+	ID            attempt.HostID
 	State         forkhead.MachineState
 	DrainingSince time.Duration // told that it drains or is gone
 	MachineType   int
@@ -76,16 +76,16 @@
 	Task    *forkhead.Task
 	Class   *forkhead.Class
 	To      *Host
-	Grace   time.Duration
-	Hosts   func(id attempt.Host) *Host // any host that the ask has been offered to
-	Others  func(yield func(*Host) bool)
+	DrainGrace   time.Duration
+	HostByID   func(id attempt.HostID) *Host // any host that the ask has been offered to
+	ServiceHosts  func(yield func(*Host) bool)
 }
 
 // CheckOffer returns nil or the Veto. Others runs over the hosts of all live attempts of the
 // service at this placer.
 func CheckOffer(now time.Duration, o *Offer) *Violation {
-	same := func(p forkhead.Domain, x, y attempt.Host) bool {
-		hx, hy := o.Hosts(x), o.Hosts(y)
+	same := func(p forkhead.Domain, x, y attempt.HostID) bool {
+		hx, hy := o.HostByID(x), o.HostByID(y)
 		return hx != nil && hy != nil && SameDomain(p, hx, hy)
 	}
 	if err := o.Request.MayOffer(now, o.To.ID, same); err != nil {
@@ -95,7 +95,7 @@
 		}
 		return &Violation{rule, err.Error()}
 	}
-	if DrainGraceExpired(now, o.To.State, o.To.DrainingSince, o.Grace) {
+	if DrainGraceExpired(now, o.To.State, o.To.DrainingSince, o.DrainGrace) {
 		return &Violation{Drain, fmt.Sprintf("told %v ago that the host drains or is gone", now-o.To.DrainingSince)}
 	}
 	if o.Class.MachineType >= 0 && o.Class.MachineType != o.To.MachineType {
@@ -120,7 +120,7 @@
 			continue
 		}
 		n := 1
-		o.Others(func(h *Host) bool {
+		o.ServiceHosts(func(h *Host) bool {
 			if SameDomain(forkhead.Domain(place), h, o.To) {
 				n++
 			}
--- a/internal/scheduler/platform/core.go
+++ b/internal/scheduler/platform/core.go
@@ -260,7 +260,7 @@
 	}
 	h := c.hosts[uint32(a.Machine)]
 	moot := func() {
-		r.ask.AddUnsent(c.now, attempt.Host(a.Machine))
+		r.ask.AddUnsent(c.now, attempt.HostID(a.Machine))
 		r.tries = append(r.tries, nil)
 		c.event(forkhead.Outcome{
 			Task: r.id, Attempt: len(r.tries) - 1, Machine: a.Machine, Result: forkhead.NotSent, Final: r.phase != open,
@@ -271,21 +271,21 @@
 		return
 	}
 	veto := invariant.CheckOffer(c.now, &invariant.Offer{
-		Request: &r.ask, Task: &r.task, Class: r.class, To: h.guarded(), Grace: c.set.DrainGrace,
-		Hosts: func(id attempt.Host) *invariant.Host {
+		Request: &r.ask, Task: &r.task, Class: r.class, To: h.guarded(), DrainGrace: c.set.DrainGrace,
+		HostByID: func(id attempt.HostID) *invariant.Host {
 			if h := c.hosts[uint32(id)]; h != nil {
 				return h.guarded()
 			}
 			return nil
 		},
-		Others: c.others(r.task.Service, nil),
+		ServiceHosts: c.others(r.task.Service, nil),
 	})
 	if veto != nil {
 		c.logViolation(messageOfferVetoed, taskAttr(r.id), hostAttr(h.name), errorAttr(veto))
 		moot()
 		return
 	}
-	t := &try{req: r, number: r.ask.AddOffer(c.now, attempt.Host(a.Machine)), host: h, at: c.now}
+	t := &try{req: r, number: r.ask.AddOffer(c.now, attempt.HostID(a.Machine)), host: h, at: c.now}
 	r.tries = append(r.tries, t)
 	c.services[r.task.Service] = append(c.services[r.task.Service], t)
 	if a.Timeout > 0 && c.now+a.Timeout < r.ask.Deadline {
@@ -299,7 +299,7 @@
 // while it waited for its connection.
 func (c *Core) crowded(t *try) bool {
 	return invariant.CheckSpread(&invariant.Offer{
-		Task: &t.req.task, Class: t.req.class, To: t.host.guarded(), Others: c.others(t.req.task.Service, t),
+		Task: &t.req.task, Class: t.req.class, To: t.host.guarded(), ServiceHosts: c.others(t.req.task.Service, t),
 	}) != nil
 }
 
--- a/internal/scheduler/platform/hosts.go
+++ b/internal/scheduler/platform/hosts.go
@@ -709,7 +709,7 @@
 	c.waited++
 	h := &host{number: number, name: name, tries: map[string]*try{}, awaited: c.now}
 	h.entry = forkhead.Machine{ID: forkhead.MachineID(number), State: forkhead.Draining, Zone: -1, Cell: -1}
-	h.seenAs = invariant.Host{ID: attempt.Host(number), State: forkhead.Draining, Zone: -1, Cell: -1}
+	h.seenAs = invariant.Host{ID: attempt.HostID(number), State: forkhead.Draining, Zone: -1, Cell: -1}
 	c.hosts[number], c.order = h, nil
 	return h
 }
@@ -748,7 +748,7 @@
 	}
 	h.entry = e
 	h.seenAs = invariant.Host{
-		ID: attempt.Host(h.number), State: e.State, DrainingSince: h.since, MachineType: e.Type, Zone: e.Zone, Cell: e.Cell, StartedAt: e.StartedAt,
+		ID: attempt.HostID(h.number), State: e.State, DrainingSince: h.since, MachineType: e.Type, Zone: e.Zone, Cell: e.Cell, StartedAt: e.StartedAt,
 	}
 }
 
--- a/internal/scheduler/platform/owners.go
+++ b/internal/scheduler/platform/owners.go
@@ -352,7 +352,7 @@
 	r := c.request(o, m, task, digest)
 	r.phase = standing
 	r.ask.Answer = attempt.AnsweredPlaced
-	r.ask.Attempts = []attempt.Attempt{{Host: attempt.Host(number), Phase: attempt.Placed, ChosenAt: c.now}}
+	r.ask.Attempts = []attempt.Attempt{{Host: attempt.HostID(number), Phase: attempt.Placed, ChosenAt: c.now}}
 	t := &try{req: r, host: h, at: c.now}
 	r.tries = []*try{t}
 	h.tries[r.ref] = t
--- a/internal/scheduler/rollingupdate/rollingupdate.go
+++ b/internal/scheduler/rollingupdate/rollingupdate.go
@@ -8,14 +8,14 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// Verdict is what an update comes to.
-type Verdict uint8
+// Status is what an update comes to.
+type Status uint8
 
 // The verdicts.
 const (
-	InProgress Verdict = iota // more is to be done, or under way
+	InProgress Status = iota // more is to be done, or under way
 	Paused                    // stopped for good: the rest keeps what it has
-	RollBack                  // what was replaced is to be put back
+	RollingBack                  // what was replaced is to be put back
 	Complete
 )
 
@@ -28,7 +28,7 @@
 	good    int
 	failed  int
 	nextAt  time.Duration
-	verdict Verdict
+	verdict Status
 }
 
 // New returns an update of so many tasks.
@@ -38,8 +38,8 @@
 	return u
 }
 
-// Verdict returns what the update has come to.
-func (u *Update) Verdict() Verdict { return u.verdict }
+// Status returns what the update has come to.
+func (u *Update) Status() Status { return u.verdict }
 
 // Failed is the number of tasks whose replacement failed.
 func (u *Update) Failed() int { return u.failed }
@@ -91,7 +91,7 @@
 			u.verdict = Paused
 			return
 		case servicespec.Rollback:
-			u.verdict = RollBack
+			u.verdict = RollingBack
 			return
 		}
 	}
--- a/internal/scheduler/statetable/grid.go
+++ b/internal/scheduler/statetable/grid.go
@@ -4,8 +4,8 @@
 
 import "strings"
 
-// Write writes a table. cell says what an input does in a state; "" is nothing.
-func Write(states, inputs []string, cell func(input, state int) string) string {
+// Render writes a table. cell says what an input does in a state; "" is nothing.
+func Render(states, inputs []string, cell func(input, state int) string) string {
 	var b strings.Builder
 	b.WriteString("| input |")
 	for _, s := range states {
--- a/internal/verify/modelcheck/actions.go
+++ b/internal/verify/modelcheck/actions.go
@@ -227,7 +227,7 @@
 	if int(t.n) < m.cfg.Attempts {
 		for hi := range m.cfg.Hosts {
 			h := &s.hosts[hi]
-			if st.drained(h) || m.m.mayOffer(&ask, t.now(), attempt.Host(hi)) != nil || st.crowded(hi, -1, -1) {
+			if st.drained(h) || m.m.mayOffer(&ask, t.now(), attempt.HostID(hi)) != nil || st.crowded(hi, -1, -1) {
 				continue
 			}
 			if l := hostconn.State(h.link); l == hostconn.Down {
--- a/internal/verify/modelcheck/machines.go
+++ b/internal/verify/modelcheck/machines.go
@@ -14,12 +14,12 @@
 // how they are put together, to show that the search finds what it is for.
 type machines struct {
 	next      func(attempt.Phase, attempt.Input) (attempt.Phase, attempt.Effect)
-	mayOffer  func(a *attempt.Request, now time.Duration, to attempt.Host) error
+	mayOffer  func(a *attempt.Request, now time.Duration, to attempt.HostID) error
 	mayWrite  func(a *attempt.Request, now time.Duration, number int) error
 	mayAnswer func(a *attempt.Request, refuse bool) error
 	link      func(l *hostconn.Connection, in hostconn.Input) hostconn.Output
 	side      func(hostsession.State, hostsession.Input) (hostsession.State, hostsession.Reply)
-	greet     func(last hostsession.Session, epoch uint64, conn uint32) hostsession.Verdict
+	greet     func(last hostsession.Session, epoch uint64, conn uint32) hostsession.HelloResult
 	drained   func(now time.Duration, s forkhead.MachineState, since, grace time.Duration) bool
 	refusal   func(attempt.Phase) attempt.Input
 	adopts    func(wanted, out bool) bool
@@ -37,19 +37,19 @@
 	recheckNot bool // a drain told between choosing and writing is not looked for again
 }
 
-func same(forkhead.Domain, attempt.Host, attempt.Host) bool { return true }
+func same(forkhead.Domain, attempt.HostID, attempt.HostID) bool { return true }
 
 var linkPolicy = hostconn.Policy{ConnectTimeout: time.Second, MinBackoff: time.Second, MaxBackoff: time.Second}
 
 func real() machines {
 	return machines{
 		next:      attempt.Transition,
-		mayOffer:  func(a *attempt.Request, now time.Duration, to attempt.Host) error { return a.MayOffer(now, to, same) },
+		mayOffer:  func(a *attempt.Request, now time.Duration, to attempt.HostID) error { return a.MayOffer(now, to, same) },
 		mayWrite:  (*attempt.Request).MayWrite,
 		mayAnswer: func(a *attempt.Request, refuse bool) error { return a.MayAnswer(refuse) },
 		link:      func(l *hostconn.Connection, in hostconn.Input) hostconn.Output { return l.Handle(in, linkPolicy, 0.5) },
 		side:      hostsession.Transition,
-		greet:     hostsession.JudgeHello,
+		greet:     hostsession.CheckHello,
 		drained:   invariant.DrainGraceExpired,
 		refusal:   attempt.RejectionInput,
 		adopts:    attempt.ShouldAdopt,
@@ -84,7 +84,7 @@
 // Plants are the bugs that can be planted.
 var Plants = []Plant{
 	{"double-send", "an offer is legal while another is out", "one-out", forkhead.Safe, 1, func(m *machines) {
-		m.mayOffer = func(a *attempt.Request, now time.Duration, to attempt.Host) error {
+		m.mayOffer = func(a *attempt.Request, now time.Duration, to attempt.HostID) error {
 			if err := a.MayOffer(now, to, same); err != attempt.ErrAttemptInFlight {
 				return err
 			}
@@ -92,7 +92,7 @@
 		}
 	}, 0},
 	{"unsafe-repeat", "an unsafe task is offered again in one ask after an attempt that may have run", "no-repeat", forkhead.Unsafe, 1, func(m *machines) {
-		m.mayOffer = func(a *attempt.Request, now time.Duration, to attempt.Host) error {
+		m.mayOffer = func(a *attempt.Request, now time.Duration, to attempt.HostID) error {
 			if err := a.MayOffer(now, to, same); err != attempt.ErrMayHaveRun {
 				return err
 			}
--- a/internal/verify/modelcheck/replay.go
+++ b/internal/verify/modelcheck/replay.go
@@ -432,7 +432,7 @@
 }
 
 func (r *replayer) endSession(h *rHost) {
-	h.session, h.last.Open = nil, false
+	h.session, h.last.Connected = nil, false
 	for _, j := range h.jobs {
 		j.state, _ = hostsession.Transition(j.state, hostsession.ConnectionLost)
 	}
@@ -509,7 +509,7 @@
 }
 
 func (r *replayer) greet(h *rHost, s *rStream, f hostproto.Hello) {
-	if hostsession.JudgeHello(h.last, f.Epoch, f.Conn) == hostsession.Stale {
+	if hostsession.CheckHello(h.last, f.Epoch, f.Conn) == hostsession.HelloStale {
 		s.hOpen = false
 		return
 	}
@@ -517,7 +517,7 @@
 		h.session.hOpen = false
 		r.endSession(h)
 	}
-	h.session, h.last = s, hostsession.Session{Epoch: f.Epoch, Conn: f.Conn, Open: true}
+	h.session, h.last = s, hostsession.Session{Epoch: f.Epoch, Conn: f.Conn, Connected: true}
 	var held []hostproto.Held
 	for ref, j := range h.jobs {
 		if j.state.HoldsCapacity() {
--- a/internal/verify/modelcheck/steps.go
+++ b/internal/verify/modelcheck/steps.go
@@ -59,7 +59,7 @@
 			continue
 		}
 		if at.ask == t.asks {
-			a.Attempts = append(a.Attempts, attempt.Attempt{Host: attempt.Host(at.host), Phase: at.is()})
+			a.Attempts = append(a.Attempts, attempt.Attempt{Host: attempt.HostID(at.host), Phase: at.is()})
 		} else if most, _ := st.m.mayAsk(&st.rules, second, 1, 0); at.is() == attempt.Unknown && most > 0 {
 			a.Deadline = second + most // an ask beside an unknown attempt ends before its key is forgotten
 		}
@@ -174,8 +174,8 @@
 	in.Address = "a"
 	out := st.m.link(&l, in)
 	h.link, h.conn, h.known = uint8(l.State), uint8(l.Conn), uint8(l.Epoch)
-	if out.Close {
-		st.closePlacer(h, uint8(out.Closing))
+	if out.CloseConn {
+		st.closePlacer(h, uint8(out.ConnToClose))
 	}
 	if out.AttemptsDisconnected {
 		h.ready = 0
@@ -195,7 +195,7 @@
 		}
 		h.streams[1], h.streams[0] = h.streams[0], stream{}
 	}
-	if out.Greet {
+	if out.SendHello {
 		h.streams[0] = stream{num: h.conn, life: st.s.life, pOpen: 1, hOpen: 1}
 		st.send(h, message{kind: mHello})
 	}
@@ -380,8 +380,8 @@
 func (st *step) hear(hi int, s *stream, m message) {
 	h := &st.s.hosts[hi]
 	if m.kind == mHello {
-		last := hostsession.Session{Epoch: uint64(h.sLife), Conn: uint32(h.sConn), Open: h.sOpen == 1}
-		if st.m.greet(last, uint64(s.life), uint32(s.num)) == hostsession.Stale {
+		last := hostsession.Session{Epoch: uint64(h.sLife), Conn: uint32(h.sConn), Connected: h.sOpen == 1}
+		if st.m.greet(last, uint64(s.life), uint32(s.num)) == hostsession.HelloStale {
 			s.hOpen = 0
 			return
 		}
--- a/internal/verify/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -66,7 +66,7 @@
 
 // Verdict is what the record says.
 type Verdict struct {
-	Counts   [invariant.Rules]int
+	Counts   [invariant.RuleCount]int
 	Breaches []Breach // the first of them
 	Tasks    int      // tasks of which an outcome was owed
 	Accounts Accounts
--- a/internal/verify/rules/rules_test.go
+++ b/internal/verify/rules/rules_test.go
@@ -75,7 +75,7 @@
 		w := near(at, capture.Welcome, host, "", 0, 0, 0)
 		return []capture.Event{near(at, capture.Hello, host, "", 0, 0, 0), w}
 	}
-	const none = invariant.Rules
+	const none = invariant.RuleCount
 	drained := capture.Event{At: 100 * ms, What: capture.Told, Near: true, PlacerEpoch: 1, Ready: []string{"b", "c"}}
 	word := near(100*ms, capture.Drain, "a", "", 0, 0, 0)
 	word.On = true
@@ -109,7 +109,7 @@
 	} {
 		events := append(append(fleet(), listed), append(append(opened(3*ms, "a"), opened(3*ms, "b")...), opened(3*ms, "c")...)...)
 		v := Check(append(events, c.events...), facts())
-		for r := invariant.Rule(0); r < invariant.Rules; r++ {
+		for r := invariant.Rule(0); r < invariant.RuleCount; r++ {
 			if want := r == c.rule; (v.Counts[r] > 0) != want {
 				t.Errorf("%s: %d breaches of %v: %v", name, v.Counts[r], r, v.Breaches)
 			}
@@ -185,7 +185,7 @@
 	told := func(at time.Duration, ready ...string) capture.Event {
 		return capture.Event{At: at, What: capture.Told, Ready: ready}
 	}
-	const none = invariant.Rules
+	const none = invariant.RuleCount
 	for name, c := range map[string]struct {
 		events []capture.Event
 		rule   invariant.Rule
@@ -230,7 +230,7 @@
 		"two in one rack, in turn": {[]capture.Event{frame(10*ms, capture.Offer, "a", "spread", 1, 1, 0), frame(20*ms, capture.Accepted, "a", "", 1, 1, 0), frame(400*ms, capture.Ended, "a", "", 1, 1, 0), frame(500*ms, capture.Offer, "b", "spread", 2, 2, 0)}, none},
 	} {
 		v := Check(append(fleet(), c.events...), facts())
-		for r := invariant.Rule(0); r < invariant.Rules; r++ {
+		for r := invariant.Rule(0); r < invariant.RuleCount; r++ {
 			if want := r == c.rule; (v.Counts[r] > 0) != want {
 				t.Errorf("%s: %d breaches of %v: %v", name, v.Counts[r], r, v.Breaches)
 			}
