--- a/internal/scheduler/core/tasks.go
+++ b/internal/scheduler/core/tasks.go
@@ -210,7 +210,8 @@
 func (c *Core) again(w *wish, cause retrypolicy.Cause, advice, least time.Duration) {
 	r := c.rules(w.class)
 	harm := len(c.unknown[w.key]) > 0 && !r.RetryIsHarmless()
-	at, ok := w.owner.NextRetry(c.now, cause, harm, advice, least, c.policy, c.rng.Float64())
+	event := retrypolicy.Event{Cause: cause, RepeatMayHarm: harm, RetryAfter: advice, MinWait: least}
+	at, ok := w.owner.NextRetry(c.now, event, c.policy, c.rng.Float64())
 	if !ok && w.claim == nil && w.lives > 0 {
 		// It was placed once and its outcome is told: its project wants it back for good.
 		w.owner.Begin(c.now + forever)
--- a/internal/scheduler/retrypolicy/retrypolicy_test.go
+++ b/internal/scheduler/retrypolicy/retrypolicy_test.go
@@ -5,50 +5,51 @@
 	"time"
 )
 
-const s = time.Second
-
-var policy = Policy{MinBackoff: s, MaxBackoff: 4 * s, MigrationBackoff: 100 * time.Millisecond, UnsafeBackoff: 3 * s, MaxRetryAfter: 2 * s, MaxRequests: 5}
+// policy is the one that all tests go by; a random value of 0.5 makes waits their mean.
+var policy = Policy{
+	MinBackoff: time.Second, MaxBackoff: 4 * time.Second, MigrationBackoff: 100 * time.Millisecond,
+	UnsafeBackoff: 3 * time.Second, MaxRetryAfter: 2 * time.Second, MaxRequests: 5,
+}
 
-func TestWaits(t *testing.T) {
+func TestRetrierNextRetryWaits(t *testing.T) {
+	const now = 10 * time.Second
 	for name, c := range map[string]struct {
 		failures int
-		cause    Cause
-		harm     bool
-		advice   time.Duration
-		least    time.Duration
+		event    Event
 		want     time.Duration
 	}{
-		"first refusal":        {0, Rejected, false, 0, 0, s},
-		"third failure":        {2, Failed, false, 0, 0, 4 * s},
-		"bounded":              {10, Failed, false, 0, 0, 4 * s},
-		"moved":                {3, Migrated, false, 0, 0, 100 * time.Millisecond},
-		"lost, may have run":   {0, Lost, true, 0, 0, 3 * s},
-		"advice":               {0, Lost, false, 1500 * time.Millisecond, 0, 1500 * time.Millisecond},
-		"too long an advice":   {0, Lost, false, time.Hour, 0, 2 * s},
-		"restart policy":       {0, Ended, false, 0, 5 * s, 5 * s},
-		"advice below the own": {0, Rejected, false, time.Millisecond, 0, s},
+		"first rejection":       {0, Event{Cause: Rejected}, time.Second},
+		"third failure":         {2, Event{Cause: Failed}, 4 * time.Second},
+		"bounded":               {10, Event{Cause: Failed}, 4 * time.Second},
+		"migrated":              {3, Event{Cause: Migrated}, 100 * time.Millisecond},
+		"lost, may have run":    {0, Event{Cause: Lost, RepeatMayHarm: true}, 3 * time.Second},
+		"advice":                {0, Event{Cause: Lost, RetryAfter: 1500 * time.Millisecond}, 1500 * time.Millisecond},
+		"too long an advice":    {0, Event{Cause: Lost, RetryAfter: time.Hour}, 2 * time.Second},
+		"restart policy":        {0, Event{Cause: Ended, MinWait: 5 * time.Second}, 5 * time.Second},
+		"advice below own wait": {0, Event{Cause: Rejected, RetryAfter: time.Millisecond}, time.Second},
 	} {
-		o := Retrier{Failures: c.failures, Deadline: 100 * s}
-		at, ok := o.NextRetry(10*s, c.cause, c.harm, c.advice, c.least, policy, 0.5)
-		if !ok || at != 10*s+c.want {
-			t.Errorf("%s: again after %v, %v; want %v", name, at-10*s, ok, c.want)
+		retrier := Retrier{Failures: c.failures, Deadline: 100 * time.Second}
+		at, ok := retrier.NextRetry(now, c.event, policy, 0.5)
+		if !ok || at != now+c.want {
+			t.Errorf("%s: again after %v, %v; want %v", name, at-now, ok, c.want)
 		}
 	}
 }
 
-func TestGivesUp(t *testing.T) {
-	o := Retrier{}
-	o.Begin(20 * s)
-	if _, ok := o.NextRetry(19500*time.Millisecond, Rejected, false, 0, 0, policy, 0.5); ok {
-		t.Error("asks again past its time")
+func TestRetrierNextRetryGivesUp(t *testing.T) {
+	rejected := Event{Cause: Rejected}
+	var retrier Retrier
+	retrier.Begin(20 * time.Second)
+	if _, ok := retrier.NextRetry(19500*time.Millisecond, rejected, policy, 0.5); ok {
+		t.Error("requests again past its deadline")
 	}
-	o.Begin(1000 * s)
-	o.Requests = 5
-	if _, ok := o.NextRetry(10*s, Rejected, false, 0, 0, policy, 0.5); ok {
-		t.Error("asks more often than its asks")
+	retrier.Begin(1000 * time.Second)
+	retrier.Requests = policy.MaxRequests
+	if _, ok := retrier.NextRetry(10*time.Second, rejected, policy, 0.5); ok {
+		t.Error("makes more requests than its policy allows")
 	}
-	o.Placed()
-	if _, ok := o.NextRetry(10*s, Rejected, false, 0, 0, policy, 0.5); !ok {
-		t.Error("a task that was placed begins anew")
+	retrier.Placed()
+	if _, ok := retrier.NextRetry(10*time.Second, rejected, policy, 0.5); !ok {
+		t.Error("gives up a task whose counts were reset since it was placed")
 	}
 }
