--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -1,6 +1,7 @@
 package cli
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"os"
@@ -15,73 +16,91 @@
 	platformserver "forkhead/internal/server/platform"
 )
 
-// Memory that the collector is given, of the platform's limit: the rest is for the program itself and its sockets.
+// heapShare is how much of the platform's memory limit the collector is given: the rest is for the program itself and its
+// sockets.
 const heapShare = 0.5
 
+// maxPendingSignals bounds the signals that wait while the command is busy.
+const maxPendingSignals = 16
+
 func (a *app) nodeCommand() *cobra.Command {
-	var trace string
+	var traceFile string
 	c := &cobra.Command{
 		Use: "node", Short: "run a placer on the users' platform, by the variables BALANCER_CONFIG and BALANCER_LISTEN", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			signals := make(chan os.Signal, 16)
-			signal.Notify(signals, syscall.SIGHUP)
-			defer signal.Stop(signals)
-			cfg, err := platformConfig()
-			if err != nil {
-				return badInput(err)
-			}
-			if cfg.Limits.Cores > 0 {
-				runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores+0.999)))
-			}
-			if cfg.Limits.MemoryMB > 0 {
-				debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB * heapShare * (1 << 20)))
-			}
-			o := platformserver.Options{Config: cfg, Log: a.log}
-			if trace != "" {
-				f, err := os.Create(trace)
-				if err != nil {
-					return err
-				}
-				defer f.Close()
-				o.Tap = platformserver.Trace(f)
-			}
-			s, err := platformserver.Start(o)
-			if errors.As(err, &platformserver.ConfigError{}) {
-				return badInput(err)
-			}
-			if err != nil {
-				return err
-			}
-			defer s.Kill()
-			a.log.Info().Str("name", cfg.Name).Str("owners", s.Address()).Msg("the placer serves")
-			told := cmd.Context().Done() // SIGTERM and SIGINT, from before this command began
-			for {
-				select {
-				case <-s.Ended():
-					return nil
-				case <-told:
-					told = nil
-					a.log.Info().Msg("told to end")
-					s.Stop()
-				case <-signals:
-					fresh, err := platformConfig()
-					if err == nil {
-						err = platformserver.Check(fresh)
-					}
-					if err != nil {
-						a.log.Error().Err(err).Msg("the new configuration cannot be used; the old one stays")
-						continue
-					}
-					a.log.Info().Str("changelog", fresh.WatchAddress).Msg("a new configuration")
-					s.Reload(fresh)
-				}
-			}
-		},
+		RunE: func(cmd *cobra.Command, _ []string) error { return a.runNode(cmd.Context(), traceFile) },
 	}
-	c.Flags().StringVar(&trace, "trace", "", "file to write each step of the core to, as JSON lines (default: none)")
+	c.Flags().StringVar(&traceFile, "trace", "", "file to write each step of the core to, as JSON lines (default: none)")
 	return c
 }
 
+// runNode runs a placer until it has shut down, which ctx's end asks it to: SIGTERM and SIGINT end it, also those from
+// before the command began.
+func (a *app) runNode(ctx context.Context, traceFile string) error {
+	reload := make(chan os.Signal, maxPendingSignals)
+	signal.Notify(reload, syscall.SIGHUP)
+	defer signal.Stop(reload)
+	cfg, err := platformConfig()
+	if err != nil {
+		return badInput(err)
+	}
+	limitRuntime(cfg)
+	options := platformserver.Options{Config: cfg, Log: a.log}
+	if traceFile != "" {
+		f, err := os.Create(traceFile)
+		if err != nil {
+			return err
+		}
+		defer func() { _ = f.Close() }()
+		options.Tap = platformserver.Trace(f)
+	}
+	server, err := platformserver.Start(options)
+	if errors.As(err, &platformserver.ConfigError{}) {
+		return badInput(err)
+	}
+	if err != nil {
+		return err
+	}
+	defer server.Close()
+	a.log.Info().Str("placer", cfg.Name).Str("address", server.Address()).Msg("serving")
+	shutdown := ctx.Done()
+	for {
+		select {
+		case <-server.ShutdownComplete():
+			return nil
+		case <-shutdown:
+			shutdown = nil
+			a.log.Info().Msg("shutdown requested")
+			server.BeginShutdown()
+		case <-reload:
+			a.reloadNode(server)
+		}
+	}
+}
+
+// limitRuntime holds the Go runtime to the platform's limits.
+func limitRuntime(cfg *platform.Config) {
+	if cfg.Limits.Cores > 0 {
+		runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores+0.999)))
+	}
+	if cfg.Limits.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB * heapShare * (1 << 20)))
+	}
+}
+
+// reloadNode reads the configuration again and has the placer follow it. One that cannot be used changes nothing.
+func (a *app) reloadNode(server *platformserver.Server) {
+	cfg, err := platformConfig()
+	if err == nil {
+		err = platformserver.CheckConfig(cfg)
+	}
+	if err != nil {
+		a.log.Error().Err(err).Msg("configuration rejected, the previous one stays in use")
+		return
+	}
+	a.log.Info().Str("address", cfg.WatchAddress).Msg("configuration reloaded")
+	server.Reload(cfg)
+}
+
 // platformConfig reads the configuration that the environment names.
 func platformConfig() (*platform.Config, error) {
 	name := os.Getenv("BALANCER_CONFIG")
--- /dev/null
+++ b/internal/server/platform/config.go
@@ -0,0 +1,100 @@
+package platform
+
+import (
+	"fmt"
+	"net"
+	"net/netip"
+
+	"forkhead"
+	"forkhead/internal/parse/platformconfig"
+	"forkhead/internal/protocol/platform"
+	platformcore "forkhead/internal/scheduler/platform"
+)
+
+const (
+	defaultDescriptors  = 1024 // where the configuration sets no limit
+	reservedDescriptors = 24   // for all but the connections of owners and to hosts
+	minConnections      = 16   // of both kinds together, however low the limit is
+)
+
+// ConfigError means that the configuration cannot be used.
+type ConfigError struct{ Err error }
+
+// Error describes what is wrong with the configuration.
+func (e ConfigError) Error() string { return "configuration: " + e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e ConfigError) Unwrap() error { return e.Err }
+
+// CheckConfig returns a ConfigError for what a placer cannot use of a configuration.
+func CheckConfig(cfg *platform.Config) error {
+	if err := platformconfig.Check(cfg.Settings); err != nil {
+		return ConfigError{err}
+	}
+	if _, err := parsePeers(cfg.Peers); err != nil {
+		return ConfigError{err}
+	}
+	addresses := []struct{ key, value string }{
+		{"changelog", cfg.WatchAddress}, {"listen", cfg.Listen}, {"peer_listen", cfg.PeerListen}, {"peers_all", cfg.PeersBroadcast},
+	}
+	for _, address := range addresses {
+		if _, _, err := net.SplitHostPort(address.value); address.value != "" && err != nil {
+			return ConfigError{fmt.Errorf("%s: %w", address.key, err)}
+		}
+	}
+	return nil
+}
+
+// parsePeers returns the gossip addresses of all placers, by their numbers.
+func parsePeers(peers []string) ([]netip.AddrPort, error) {
+	addresses := make([]netip.AddrPort, len(peers))
+	for i, peer := range peers {
+		var err error
+		if addresses[i], err = netip.ParseAddrPort(peer); err != nil {
+			return nil, fmt.Errorf("peers[%d]: %w", i, err)
+		}
+	}
+	return addresses, nil
+}
+
+// readSettings returns the settings object as the platform writes it and as the module takes it.
+func readSettings(cfg *platform.Config) (*platformconfig.Info, forkhead.Settings, error) {
+	info, err := platformconfig.Parse(cfg.Settings)
+	if err != nil {
+		return nil, forkhead.Settings{}, ConfigError{err}
+	}
+	settings, err := platformconfig.Settings(info)
+	if err != nil {
+		return nil, forkhead.Settings{}, ConfigError{err}
+	}
+	return info, settings, nil
+}
+
+// coreConfig returns what the core runs with. Usual owners hold a third of the descriptors at most; what they and others
+// leave is for hosts, and the other way round.
+func coreConfig(cfg *platform.Config, info *platformconfig.Info, settings forkhead.Settings) platformcore.Config {
+	descriptors := cfg.Limits.Sockets
+	if descriptors == 0 {
+		descriptors = defaultDescriptors
+	}
+	connections := max(descriptors-reservedDescriptors, minConnections)
+	protected := min(descriptors/3, connections/2)
+	core := platformcore.Config{
+		Settings:                  settings,
+		Names:                     platformcore.WireNames{Zones: info.Zones, MachineTypes: info.Kinds},
+		IdleTimeout:               platformconfig.Duration(info.Caps.ConnIdle),
+		Seed:                      cfg.SeedNumber(),
+		InitialEvents:             cfg.Initial.Events,
+		MaxOwnerConnections:       connections * 2 / 3,
+		ProtectedOwnerConnections: protected,
+		MaxHostConnections:        connections - acceptReserve - protected,
+		MaxConnections:            connections - acceptReserve,
+	}
+	for i := range info.Classes {
+		core.Names.Classes = append(core.Names.Classes, info.Classes[i].Name)
+	}
+	for i := range info.Tenants {
+		core.Names.Tenants = append(core.Names.Tenants, info.Tenants[i].Name)
+	}
+	return core
+}
--- a/internal/server/platform/crossings_test.go
+++ b/internal/server/platform/crossings_test.go
@@ -65,7 +65,7 @@
 			until(t, "the usual owner's answer", func() bool { return len(usual.got("00000000000000a0")) == 1 })
 			o.ping(t)
 			on := stall(t, s)
-			for range mostJobs {
+			for range maxQueuedJobs {
 				s.loop.Post(func() {})
 			}
 			for i := range 3 { // pipelined
@@ -107,11 +107,11 @@
 			silent = append(silent, c)
 		}
 	}
-	crowd(cap(s.seats) - acceptReserve) // all that the core takes
+	crowd(cap(s.owners.slots) - acceptReserve) // all that the core takes
 	until(t, "the crowd is in", func() bool {
 		n := 0
-		s.loop.Call(func() { n = len(s.owners) })
-		return n == cap(s.seats)-acceptReserve
+		s.loop.Call(func() { n = len(s.owners.open) })
+		return n == cap(s.owners.slots)-acceptReserve
 	})
 	on := stall(t, s)
 	crowd(3 * acceptReserve)
@@ -158,9 +158,9 @@
 	// The host's machine takes less unread than most set-ups: the rest of each waits in this process or its machine.
 	waits := func() (unsent, all int) {
 		s.loop.Call(func() {
-			for _, w := range s.links {
-				if w.conn != nil {
-					if all++; w.conn.HasUnsent() {
+			for _, w := range s.hosts.open {
+				if w.stream != nil {
+					if all++; w.stream.HasUnsent() {
 						unsent++
 					}
 				}
@@ -181,7 +181,7 @@
 	_ = o.c.Close()
 	until(t, "the placer hears of it", func() bool {
 		open := 0
-		s.loop.Call(func() { open = len(s.owners) })
+		s.loop.Call(func() { open = len(s.owners.open) })
 		return open == 0
 	})
 	time.Sleep(100 * time.Millisecond)
@@ -209,10 +209,10 @@
 	pieces := newOwner(t, s.Address())
 	pieces.ping(t)
 	set := `{"t":"new","ref":"00000000000000a7","f":{"class":"keyed","left":"3000","tenant":"acme","key":"0000000000000001","idem":"k","extras":"cores:1;memory:1;service:0000000000000009"},"d":"in pieces"}` + "\n"
-	s.Stop()
+	s.BeginShutdown()
 	time.Sleep(750 * time.Millisecond)
 	on := stall(t, s)
-	for range mostJobs {
+	for range maxQueuedJobs {
 		s.loop.Post(func() {})
 	}
 	var late []*standOwner // all but one wait in the accept queue as the listener is told to close
@@ -229,7 +229,7 @@
 	fmt.Fprint(pieces.c, set[:60])
 	time.Sleep(700 * time.Millisecond) // past the least time after which it may end
 	select {
-	case <-s.Ended():
+	case <-s.ShutdownComplete():
 		t.Fatal("it ends with half a request read")
 	default:
 	}
@@ -238,7 +238,7 @@
 	if got := pieces.got("00000000000000a7")[0]; got.Type != platform.TypeRelease || got.Cause != platform.CauseBusy {
 		t.Errorf("it is answered %s %d, want a refusal", got.Type, got.Cause)
 	}
-	<-s.Ended()
+	<-s.ShutdownComplete()
 }
 
 // Told to end, a placer stays until a slow reader has its answers, and not for ever.
@@ -246,10 +246,10 @@
 	for _, reads := range []bool{true, false} {
 		s := one(t, newHost(t, 0, 1))
 		slow, written := fullOwner(t, s)
-		s.Stop()
+		s.BeginShutdown()
 		time.Sleep(1500 * time.Millisecond)
 		select {
-		case <-s.Ended():
+		case <-s.ShutdownComplete():
 			t.Error("it ends with answers that were not read")
 		default:
 		}
@@ -259,14 +259,14 @@
 				t.Errorf("%d bytes of %d came, then %v", n, written, err)
 			}
 		}
-		<-s.Ended()
+		<-s.ShutdownComplete()
 	}
 }
 
 // fullOwner connects an owner that reads nothing, and writes to it until no more leaves this process.
 func fullOwner(t *testing.T, s *Server) (c net.Conn, written int) {
 	t.Helper()
-	before := s.lastOwner.Load()
+	before := s.owners.lastID.Load()
 	c, err := net.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -274,9 +274,9 @@
 	t.Cleanup(func() { _ = c.Close() })
 	until(t, "the connection is taken", func() bool {
 		s.loop.Call(func() {
-			if w := s.owners[before+1]; w != nil {
-				for w.conn.PendingBytes() == 0 {
-					s.carry(platformcore.SendToOwner{Owner: w.id, Line: make([]byte, 64<<10)})
+			if w := s.owners.open[before+1]; w != nil {
+				for w.stream.PendingBytes() == 0 {
+					s.execute(platformcore.SendToOwner{Owner: w.id, Line: make([]byte, 64<<10)})
 					written += 64 << 10
 					w.flush()
 				}
@@ -292,8 +292,8 @@
 	s := one(t, newHost(t, 0, 1))
 	c, written := fullOwner(t, s)
 	s.loop.Call(func() {
-		for id := range s.owners {
-			s.carry(platformcore.CloseOwnerConnection{Owner: id})
+		for id := range s.owners.open {
+			s.execute(platformcore.CloseOwnerConnection{Owner: id})
 		}
 	})
 	if n, err := io.Copy(io.Discard, c); err != nil || int(n) != written {
@@ -359,8 +359,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Kill()
-	for i := range 2 * cap(s.seats) {
+	defer s.Close()
+	for i := range 2 * cap(s.owners.slots) {
 		c, err := net.Dial("tcp", s.Address())
 		if err != nil {
 			t.Fatal(err)
--- /dev/null
+++ b/internal/server/platform/gossip.go
@@ -0,0 +1,113 @@
+package platform
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"net/netip"
+	"sync"
+
+	"forkhead"
+	"forkhead/internal/protocol/platform"
+	platformcore "forkhead/internal/scheduler/platform"
+)
+
+// gossipSocket exchanges datagrams with other placers. Its fields don't change once it is open. A nil gossipSocket stands
+// for none: it sends and receives nothing.
+type gossipSocket struct {
+	socket    *net.UDPConn
+	self      int              // this placer's number
+	peers     []netip.AddrPort // by number, this placer included
+	broadcast netip.AddrPort   // reaches all placers; zero: none does
+	inputs    *inputQueue
+	receiver  sync.WaitGroup
+}
+
+// openGossip opens the socket that the configuration names, or none. receive follows, once the event loop runs.
+func openGossip(cfg *platform.Config, self int, inputs *inputQueue) (*gossipSocket, error) {
+	if cfg.PeerListen == "" {
+		return nil, nil
+	}
+	peers, err := parsePeers(cfg.Peers)
+	if err != nil {
+		return nil, ConfigError{err}
+	}
+	g := &gossipSocket{self: self, peers: peers, inputs: inputs}
+	if cfg.PeersBroadcast != "" {
+		if g.broadcast, err = netip.ParseAddrPort(cfg.PeersBroadcast); err != nil {
+			return nil, ConfigError{fmt.Errorf("peers_all: %w", err)}
+		}
+	}
+	socket, err := net.ListenPacket("udp", cfg.PeerListen)
+	if err != nil {
+		return nil, fmt.Errorf("listen for gossip: %w", err)
+	}
+	g.socket = socket.(*net.UDPConn)
+	return g, nil
+}
+
+// start receives on a goroutine that close waits for.
+func (g *gossipSocket) start() {
+	if g == nil {
+		return
+	}
+	g.receiver.Add(1)
+	go func() {
+		defer g.receiver.Done()
+		g.receive()
+	}()
+}
+
+// close closes the socket and waits for its goroutine, which the event loop must not hold up any more.
+func (g *gossipSocket) close() {
+	if g == nil {
+		return
+	}
+	_ = g.socket.Close()
+	g.receiver.Wait()
+}
+
+// send sends a message, which may be lost, to one placer or to all.
+func (g *gossipSocket) send(o platformcore.SendGossip) {
+	if g == nil {
+		return
+	}
+	to := g.broadcast
+	if o.To != forkhead.AllPlacers {
+		if o.To < 0 || o.To >= len(g.peers) {
+			return
+		}
+		to = g.peers[o.To]
+	}
+	if to.IsValid() {
+		_, _ = g.socket.WriteToUDPAddrPort(o.Data, to)
+	}
+}
+
+// receive dispatches the datagrams of other placers until the socket is closed.
+func (g *gossipSocket) receive() {
+	buf := make([]byte, platform.MaxDatagramSize+1)
+	for {
+		n, sender, err := g.socket.ReadFromUDPAddrPort(buf)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil || n > platform.MaxDatagramSize {
+			continue
+		}
+		if from, ok := g.peerNumber(sender); ok {
+			g.inputs.postBlocking(platformcore.GossipReceived{From: from, Data: append([]byte(nil), buf[:n]...)})
+		}
+	}
+}
+
+// peerNumber returns the number of another placer.
+func (g *gossipSocket) peerNumber(sender netip.AddrPort) (int, bool) {
+	sender = netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())
+	for i, peer := range g.peers {
+		if i != g.self && peer == sender {
+			return i, true
+		}
+	}
+	return 0, false
+}
--- /dev/null
+++ b/internal/server/platform/server.go
@@ -0,0 +1,199 @@
+// Package platform is the I/O shell of a placer on the users' platform. It connects the core to connections of owners and
+// to hosts, the watch of the endpoint list, gossip between placers and the clock, and decides nothing.
+//
+// One goroutine, the event loop, steps the core and executes its outputs. It owns the state of the connections; what
+// happens on other goroutines reaches it as jobs.
+package platform
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"forkhead/internal/protocol/platform"
+	platformcore "forkhead/internal/scheduler/platform"
+	"forkhead/internal/server/clock"
+	"forkhead/internal/server/eventloop"
+	"forkhead/internal/server/netio"
+)
+
+// maxQueuedJobs bounds the jobs of up to 32 KiB each that wait for the event loop: pollers wait beyond it.
+const maxQueuedJobs = 128
+
+// Tap is shown each step of the core, on the event loop's goroutine. It must not keep the inputs and outputs.
+type Tap func(now time.Duration, in []platformcore.Input, out []platformcore.Output)
+
+// Options are what a placer runs with.
+type Options struct {
+	Config *platform.Config
+	Log    zerolog.Logger
+	Tap    Tap // nil: none
+}
+
+// Server is a running placer. Its methods are safe for concurrent use.
+type Server struct {
+	log   zerolog.Logger
+	clock *clock.Clock
+	tap   Tap
+
+	// Each has goroutines of its own, which Close waits for.
+	engine *netio.Engine
+	loop   *eventloop.Loop
+	gossip *gossipSocket // nil: none
+	watch  *watcher
+
+	// Of the event loop's goroutine; each type names what others may use of it.
+	core     *platformcore.Core
+	inputs   *inputQueue
+	writes   *writeQueue
+	owners   *ownerConnections
+	hosts    *hostConnections
+	lingerer *lingerer
+	shutdown *shutdown
+
+	cancel    context.CancelFunc // ends the watch and the wait for a connection slot
+	closeOnce sync.Once
+}
+
+// Start begins to serve. What is wrong with the configuration comes back as a ConfigError.
+func Start(options Options) (*Server, error) {
+	cfg := options.Config
+	if err := CheckConfig(cfg); err != nil {
+		return nil, err
+	}
+	info, settings, err := readSettings(cfg)
+	if err != nil {
+		return nil, err
+	}
+	limits := coreConfig(cfg, info, settings)
+	core, err := platformcore.New(limits)
+	if err != nil {
+		return nil, ConfigError{err}
+	}
+	engine, err := netio.New("node", 1)
+	if err != nil {
+		return nil, fmt.Errorf("start the connection engine: %w", err)
+	}
+	s := newServer(options, core, engine, limits.MaxOwnerConnections, settings.ConnectTimeout)
+	ctx, cancel := context.WithCancel(context.Background())
+	s.cancel = cancel
+	if s.gossip, err = openGossip(cfg, info.Me, s.inputs); err != nil {
+		cancel()
+		engine.Stop()
+		return nil, err
+	}
+	if err := s.owners.listen(ctx, engine, cfg.Listen); err != nil {
+		cancel()
+		engine.Stop()
+		s.gossip.close()
+		return nil, err
+	}
+	s.loop.Start()
+	s.gossip.start()
+	s.watch = startWatch(ctx, watchConfig{
+		address: cfg.WatchAddress, last: lastSequence(cfg), connectTimeout: settings.ConnectTimeout, log: s.log,
+		deliver: func(event platform.WatchEvent, restarted bool) {
+			s.inputs.postBlocking(platformcore.WatchEventReceived{Event: event, SequenceRestarted: restarted})
+		},
+	})
+	return s, nil
+}
+
+// newServer returns a server whose event loop, listener, gossip and watch have not started.
+func newServer(options Options, core *platformcore.Core, engine *netio.Engine, maxOwners int, connectTimeout time.Duration) *Server {
+	s := &Server{
+		log: options.Log, clock: clock.New(), tap: options.Tap, engine: engine, core: core,
+		writes: &writeQueue{}, lingerer: &lingerer{}, shutdown: newShutdown(),
+	}
+	s.loop = eventloop.New(s.clock, maxQueuedJobs, s.step)
+	s.inputs = &inputQueue{loop: s.loop}
+	s.owners = &ownerConnections{
+		inputs: s.inputs, writes: s.writes, lingerer: s.lingerer, slots: newConnectionSlots(maxOwners + acceptReserve),
+		open: map[uint64]*ownerConnection{},
+	}
+	s.hosts = &hostConnections{
+		inputs: s.inputs, writes: s.writes, lingerer: s.lingerer, engine: engine, connectTimeout: connectTimeout,
+		open: map[uint64]*hostConnection{},
+	}
+	return s
+}
+
+// lastSequence returns the number of the last event that the configuration holds.
+func lastSequence(cfg *platform.Config) uint64 {
+	last := cfg.Initial.Seq
+	for _, event := range cfg.Initial.Events {
+		last = max(last, event.Seq)
+	}
+	return last
+}
+
+// Address returns where owners connect.
+func (s *Server) Address() string { return s.owners.listener.Addr().String() }
+
+// Reload watches the endpoint list at the address that a new configuration names; all else stays as it was.
+func (s *Server) Reload(cfg *platform.Config) { s.watch.setAddress(cfg.WatchAddress) }
+
+// BeginShutdown asks the core to shut down, without waiting; ShutdownComplete follows.
+func (s *Server) BeginShutdown() { s.inputs.post(platformcore.ShutdownRequested{}) }
+
+// ShutdownComplete is closed when, after BeginShutdown, the core has shut down and owners have what was written to them or
+// the time for that is over.
+func (s *Server) ShutdownComplete() <-chan struct{} { return s.shutdown.complete }
+
+// Close ends the placer at once and waits for its goroutines.
+func (s *Server) Close() {
+	s.closeOnce.Do(func() {
+		s.cancel()
+		s.watch.wait()
+		s.loop.Stop()
+		s.gossip.close()
+		s.engine.Stop()
+	})
+}
+
+// step runs the core on what has happened and executes its outputs. It is the event loop's Step.
+func (s *Server) step(now time.Duration) (next time.Duration, ok bool) {
+	in := s.inputs.take()
+	out := s.core.Step(now, in...)
+	if s.tap != nil {
+		s.tap(now, in, out)
+	}
+	for _, output := range out {
+		s.execute(output)
+	}
+	s.writes.flush()
+	s.shutdown.update(now, s.isFlushed)
+	return s.core.Next(), true
+}
+
+// isFlushed says whether owners have everything that was written to them. Connections that linger count as theirs.
+func (s *Server) isFlushed() bool { return s.owners.isFlushed() && s.lingerer.isEmpty() }
+
+// execute carries out an output of the core.
+func (s *Server) execute(output platformcore.Output) {
+	switch o := output.(type) {
+	case platformcore.SendToOwner:
+		s.owners.send(o.Owner, o.Line)
+	case platformcore.CloseOwnerConnection:
+		s.owners.close(o.Owner)
+	case platformcore.CloseListener:
+		s.owners.closeListener()
+	case platformcore.DialHost:
+		s.hosts.dial(o)
+	case platformcore.SendToHost:
+		s.hosts.send(o)
+	case platformcore.HalfCloseHostConnection:
+		s.hosts.halfClose(o.Connection)
+	case platformcore.CloseHostConnection:
+		s.hosts.close(o.Connection)
+	case platformcore.SendGossip:
+		s.gossip.send(o)
+	case platformcore.ShutdownComplete:
+		s.shutdown.coreComplete(s.clock.Now())
+	case platformcore.Log:
+		s.writeLog(o)
+	}
+}
--- a/internal/server/platform/noded_test.go
+++ b/internal/server/platform/server_test.go
@@ -180,7 +180,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.Kill)
+	t.Cleanup(s.Close)
 	return s, cfg
 }
 
@@ -383,9 +383,9 @@
 			t.Fatalf("a silent connection is not closed: %v", err)
 		}
 	}
-	s.Stop()
+	s.BeginShutdown()
 	select {
-	case <-s.Ended():
+	case <-s.ShutdownComplete():
 	case <-time.After(20 * time.Second):
 		t.Fatal("it does not end")
 	}
@@ -401,8 +401,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Kill()
-	if s.connect != 700*time.Millisecond || s.changes.dial.Timeout != s.connect {
-		t.Errorf("connections are given %v, the change log's %v", s.connect, s.changes.dial.Timeout)
+	defer s.Close()
+	if s.hosts.connectTimeout != 700*time.Millisecond || s.watch.dialer.Timeout != s.hosts.connectTimeout {
+		t.Errorf("connections are given %v, the change log's %v", s.hosts.connectTimeout, s.watch.dialer.Timeout)
 	}
 }
--- a/internal/server/platform/trace.go
+++ b/internal/server/platform/trace.go
@@ -11,38 +11,42 @@
 )
 
 // Trace returns a tap that writes each step with inputs or outputs as JSON lines: the time in microseconds, the type and
-// the value.
-func Trace(to io.Writer) func(now time.Duration, in []platformcore.Input, out []platformcore.Output) {
+// the value. What cannot be written is lost.
+func Trace(to io.Writer) Tap {
 	w := bufio.NewWriter(to)
-	line := func(now time.Duration, way string, v any) {
-		name := fmt.Sprintf("%T", v)
-		switch x := v.(type) { // lines as text, not as base64
-		case platformcore.OwnerData:
-			v = map[string]any{"Owner": x.Owner, "Data": string(x.Data)}
-		case platformcore.HostData:
-			v = map[string]any{"Link": x.Connection, "Data": string(x.Data)}
-		case platformcore.SendToOwner:
-			v = map[string]any{"Owner": x.Owner, "Line": string(x.Line)}
-		case platformcore.SendToHost:
-			v = map[string]any{"Link": x.Connection, "Line": string(x.Line)}
-		case platformcore.Log:
-			v = map[string]any{"Level": x.Level, "Message": x.Message, "Attributes": attributeValues(x.Attributes), "InvariantViolation": x.InvariantViolation}
-		}
-		text, err := json.Marshal(v)
+	write := func(now time.Duration, direction string, value any) {
+		text, err := json.Marshal(readable(value))
 		if err != nil {
 			return
 		}
-		fmt.Fprintf(w, `{"at":%d,"way":%q,"what":%q,"value":%s}`+"\n", now.Microseconds(), way, name, text)
+		_, _ = fmt.Fprintf(w, `{"at":%d,"way":%q,"what":%q,"value":%s}`+"\n", now.Microseconds(), direction, fmt.Sprintf("%T", value), text)
 	}
 	return func(now time.Duration, in []platformcore.Input, out []platformcore.Output) {
-		for _, i := range in {
-			line(now, "in", i)
+		for _, input := range in {
+			write(now, "in", input)
 		}
-		for _, o := range out {
-			line(now, "out", o)
+		for _, output := range out {
+			write(now, "out", output)
 		}
 		if len(in)+len(out) > 0 {
 			_ = w.Flush()
 		}
 	}
 }
+
+// readable returns a value to encode in place of one that JSON would not show as text: bytes, and attributes of the log.
+func readable(value any) any {
+	switch v := value.(type) {
+	case platformcore.OwnerData:
+		return map[string]any{"Owner": v.Owner, "Data": string(v.Data)}
+	case platformcore.HostData:
+		return map[string]any{"Connection": v.Connection, "Data": string(v.Data)}
+	case platformcore.SendToOwner:
+		return map[string]any{"Owner": v.Owner, "Line": string(v.Line)}
+	case platformcore.SendToHost:
+		return map[string]any{"Connection": v.Connection, "Line": string(v.Line)}
+	case platformcore.Log:
+		return map[string]any{"Level": v.Level, "Message": v.Message, "Attributes": attributeValues(v.Attributes), "InvariantViolation": v.InvariantViolation}
+	}
+	return value
+}
--- a/internal/server/platform/changes_test.go
+++ b/internal/server/platform/watch_test.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"net/http"
@@ -18,29 +19,29 @@
 // A log that tells something all the time is asked again when it goes without an event for longer, ever more rarely; one
 // whose events are rare is not.
 func TestPace(t *testing.T) {
-	var p pace
+	var p eventIntervals
 	now := time.Unix(1000, 0)
-	if p.patience() != 0 {
+	if p.nextTimeout() != 0 {
 		t.Error("it is impatient before it knows the pace")
 	}
 	for range 40 {
 		now = now.Add(300 * time.Millisecond)
-		p.event(now)
+		p.add(now)
 	}
-	if got := []time.Duration{p.patience(), p.patience(), p.patience()}; got[0] != leastPatience || got[1] != 2*leastPatience || got[2] != 4*leastPatience {
+	if got := []time.Duration{p.nextTimeout(), p.nextTimeout(), p.nextTimeout()}; got[0] != minEventTimeout || got[1] != 2*minEventTimeout || got[2] != 4*minEventTimeout {
 		t.Errorf("it waits %v", got)
 	}
 	for range 10 {
-		if p.patience() > mostPatience {
+		if p.nextTimeout() > maxEventTimeout {
 			t.Error("it waits for too long")
 		}
 	}
 	now = now.Add(3 * time.Second)
-	if p.event(now); p.patience() != 6*time.Second {
+	if p.add(now); p.nextTimeout() != 6*time.Second {
 		t.Error("a longer gap does not count")
 	}
 	now = now.Add(time.Minute)
-	if p.event(now); p.patience() != 0 {
+	if p.add(now); p.nextTimeout() != 0 {
 		t.Error("a log with rare events is asked again")
 	}
 }
@@ -48,10 +49,10 @@
 // A watch that fires late, as its process stood still, gives as long again; one that is reset as it fires does not fire.
 func TestWatch(t *testing.T) {
 	var fired atomic.Int64
-	w := newWatch(time.Hour, func() { fired.Add(1) })
+	w := newIdleTimer(time.Hour, func() { fired.Add(1) })
 	defer w.stop()
 	w.mu.Lock()
-	w.within, w.due = 30*time.Millisecond, time.Now().Add(-time.Second) // due a second ago: a stall
+	w.timeout, w.due = 30*time.Millisecond, time.Now().Add(-time.Second) // due a second ago: a stall
 	w.timer.Reset(0)
 	w.mu.Unlock()
 	time.Sleep(10 * time.Millisecond)
@@ -63,7 +64,7 @@
 			t.Fatal("silence is not noticed any more")
 		}
 	}
-	quiet := newWatch(0, func() { t.Error("a watch that rests fires") })
+	quiet := newIdleTimer(0, func() { t.Error("a watch that rests fires") })
 	quiet.reset(time.Hour)
 	quiet.reset(0)
 	quiet.stop()
@@ -98,11 +99,14 @@
 }
 
 // listen follows a log from a number and returns what it tells.
-func listen(t *testing.T, address string, last uint64) (*changes, chan heard) {
+func listen(t *testing.T, address string, last uint64) (*watcher, chan heard) {
 	t.Helper()
 	all := make(chan heard, 1000)
-	c := follow(address, last, time.Second, zerolog.Nop(), func(ch platform.WatchEvent, anew bool) { all <- heard{ch.Seq, anew} })
-	t.Cleanup(c.stop)
+	ctx, cancel := context.WithCancel(context.Background())
+	c := startWatch(ctx, watchConfig{address: address, last: last, connectTimeout: time.Second, log: zerolog.Nop(), deliver: func(ch platform.WatchEvent, anew bool) {
+		all <- heard{ch.Seq, anew}
+	}})
+	t.Cleanup(func() { cancel(); c.wait() })
 	return c, all
 }
 
@@ -198,7 +202,7 @@
 		c, all := listen(t, old, 0)
 		wants(t, all, heard{1, false})
 		<-said
-		c.move(fresh)
+		c.setAddress(fresh)
 		close(moved)
 		wants(t, all, heard{2, false}, heard{3, false})
 		if asked.Load() != "1" {
