--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -102,12 +102,12 @@
 				t.Fatalf("%s: %q: %v %s", file, line, err, errs)
 			}
 			switch o.Outcome {
-			case core.WordPlaced:
+			case core.OutcomePlaced:
 				placed++
 				if o.Host == "" || o.Attempts < 1 {
 					t.Errorf("%s: %+v", file, o)
 				}
-			case core.WordRefused:
+			case core.OutcomeRejected:
 				refused++
 				if !strings.Contains(o.Reason, "spread") {
 					t.Errorf("%s: %+v", file, o)
--- a/internal/cli/describe.go
+++ b/internal/cli/describe.go
@@ -188,12 +188,12 @@
 		if err := o.table.Flush(); err != nil {
 			return err
 		}
-		fmt.Fprintf(o.app.out, "%d placed, %d refused, %d failed\n", o.counts[core.WordPlaced], o.counts[core.WordRefused], o.counts[core.WordFailed])
+		fmt.Fprintf(o.app.out, "%d placed, %d refused, %d failed\n", o.counts[core.OutcomePlaced], o.counts[core.OutcomeRejected], o.counts[core.OutcomeFailed])
 	}
 	if o.err != nil {
 		return o.err
 	}
-	if o.counts[core.WordRefused]+o.counts[core.WordFailed] > 0 {
+	if o.counts[core.OutcomeRejected]+o.counts[core.OutcomeFailed] > 0 {
 		return errNo
 	}
 	return nil
--- a/internal/planning/plan/plan_test.go
+++ b/internal/planning/plan/plan_test.go
@@ -128,7 +128,7 @@
 	outcomes := s.Await(id, 2*time.Minute)
 	on := map[string]bool{}
 	for _, o := range outcomes {
-		if o.Outcome == core.WordPlaced {
+		if o.Outcome == core.OutcomePlaced {
 			on[o.Host] = true
 		} else {
 			unplaced++
--- a/internal/scheduler/core/api.go
+++ b/internal/scheduler/core/api.go
@@ -1,7 +1,7 @@
-// Package core is a placer without its sockets: it turns what the shell carries in (lists,
-// frames, submissions, time) into events for the module, and what the module rules into what
-// the shell carries out. It holds no socket, clock, goroutine or global; the same inputs at the
-// same times give the same outputs.
+// Package core holds the decisions and the state of the service's placer. It turns what its shell receives (host lists,
+// frames of hosts, submissions, gossip, time) into events for the module, checks the module's actions against the
+// invariants and turns them into outputs for the shell. It is pure: it has no socket, clock, goroutine or global, and
+// the same inputs at the same times give the same outputs in the same order.
 package core
 
 import (
@@ -14,170 +14,171 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// Input is something that the shell carries in.
+// Input is something that happened outside of the core. The shell passes inputs to Core.Step in the order in which they
+// happened.
 type Input interface{ input() }
 
 // The inputs.
 type (
-	// Listing brings the list of hosts, complete, or the news that asking for it failed.
-	Listing struct {
-		Mode  forkhead.ListMode // ListSaved, ListFull or ListFailed
+	// HostListReceived is the complete list of hosts, or says that it could not be read.
+	HostListReceived struct {
+		Mode  forkhead.ListMode // ListCached, ListSnapshot or ListFailed
 		Hosts []HostEntry
-		Stale bool // of ListSaved: it is old, and a host counts only once it has greeted
+		Stale bool // of ListCached: the list is old, and a host counts only once it has greeted
 	}
-	// Dialled says that connection Conn to a host is made.
-	Dialled struct {
+	// HostConnected says that connection Conn to a host is established.
+	HostConnected struct {
 		Host string
 		Conn uint32
 	}
-	// Broke says that connection Conn to a host failed, broke or was closed.
-	Broke struct {
-		Host string
-		Conn uint32
-		Why  string
+	// HostDisconnected says that connection Conn to a host could not be made, broke, or was closed by the host.
+	HostDisconnected struct {
+		Host   string
+		Conn   uint32
+		Reason string // for the log; may be ""
 	}
-	// FromHost brings a frame that came on connection Conn.
-	FromHost struct {
+	// FrameReceived is a frame that a host sent on connection Conn.
+	FrameReceived struct {
 		Host  string
 		Conn  uint32
 		Frame hostproto.Frame
 	}
-	// Submit brings a description.
+	// Submit brings a project to a description. Accepted or Rejected answers it.
 	Submit struct {
-		Request uint64 // names the answer
-		Key     string // Idempotency-Key, or ""
-		Body    uint64 // a hash of what was submitted
-		What    *servicespec.Description
+		Request        uint64 // number of the client's request, repeated in the answer
+		IdempotencyKey string // or ""
+		BodyHash       uint64 // of what the client sent
+		Description    *servicespec.Description
 	}
-	// Remove ends a project: its tasks are stopped.
-	Remove struct {
-		Request uint64
+	// RemoveProject stops all tasks of a project. Accepted or Rejected answers it.
+	RemoveProject struct {
+		Request uint64 // number of the client's request, repeated in the answer
 		Project string
 	}
-	// Restore brings what an earlier life has noted, before anything else.
-	Restore struct{ Kept *durable.Snapshot }
-	// FromPlacer brings a message from another placer.
-	FromPlacer struct {
-		From int
+	// Restore is what an earlier incarnation of this placer persisted. It comes before any other input.
+	Restore struct{ Snapshot *durable.Snapshot }
+	// GossipReceived is a message of another placer.
+	GossipReceived struct {
+		From int // number of that placer
 		Data []byte
 	}
 )
 
-func (Listing) input()    {}
-func (Dialled) input()    {}
-func (Broke) input()      {}
-func (FromHost) input()   {}
-func (Submit) input()     {}
-func (Remove) input()     {}
-func (Restore) input()    {}
-func (FromPlacer) input() {}
+func (HostListReceived) input() {}
+func (HostConnected) input()    {}
+func (HostDisconnected) input() {}
+func (FrameReceived) input()    {}
+func (Submit) input()           {}
+func (RemoveProject) input()    {}
+func (Restore) input()          {}
+func (GossipReceived) input()   {}
 
-// HostEntry is a host as the list names it.
+// HostEntry is one host of the list.
 type HostEntry = consul.Host
 
-// Output is something that the shell carries out.
+// Output is something for the shell to do.
 type Output interface{ output() }
 
-// The outputs.
+// The outputs. The shell executes them in order.
 type (
-	// Dial asks for a connection; Dialled or Broke with its number answers.
-	Dial struct {
+	// DialHost establishes a connection. HostConnected or HostDisconnected with its number answers.
+	DialHost struct {
 		Host, Address string
 		Conn          uint32
 	}
-	// Close ends a connection; no answer is wanted.
-	Close struct {
+	// CloseHostConnection closes a connection, or stops establishing it. Nothing answers.
+	CloseHostConnection struct {
 		Host string
 		Conn uint32
 	}
-	// ToHost writes a frame.
-	ToHost struct {
+	// SendToHost writes a frame to a connection.
+	SendToHost struct {
 		Host  string
 		Conn  uint32
 		Frame hostproto.Frame
 	}
-	// Subscribe asks for the list and its changes from now on. Listing answers.
+	// Subscribe begins to watch the list of hosts. HostListReceived answers, and again after each change.
 	Subscribe struct{}
-	// ToPlacer sends a message to a placer, or to forkhead.Everyone.
-	ToPlacer struct {
+	// SendGossip sends a message to a placer, or to forkhead.AllPlacers.
+	SendGossip struct {
 		To   int
 		Data []byte
 	}
-	// Taken answers Submit and Remove.
-	Taken struct {
+	// Accepted answers Submit and RemoveProject.
+	Accepted struct {
 		Request    uint64
-		Submission string
-		Again      bool // it had been taken before
+		Submission string // its ID; "" for RemoveProject
+		Duplicate  bool   // the same submission had been accepted before
 	}
-	// Rejected answers Submit and Remove.
+	// Rejected answers Submit and RemoveProject.
 	Rejected struct {
 		Request    uint64
-		Status     int // by HTTP
+		Status     int // HTTP status code
 		Title      string
 		Detail     string
-		RetryAfter time.Duration // 0: not told
+		RetryAfter time.Duration // 0: not stated
 	}
-	// Grew says that a submission has more outcomes, or is complete.
-	Grew struct{ Submission string }
-	// Keep notes what must not be forgotten. What follows in the step leaves only when the step's notes are durable, if
-	// one of them is to be waited for (state.Waits).
-	Keep struct{ Note durable.Record }
-	// Logged is a line for whoever is on call.
-	Logged struct {
-		Defect bool // of this program
+	// OutcomesAdded says that a submission has more outcomes, or is complete. Core.Outcomes returns them.
+	OutcomesAdded struct{ Submission string }
+	// Persist stores a record. The outputs that follow it in the same step leave only once the step's records are durable,
+	// if durable.MustBeDurableFirst holds for one of them.
+	Persist struct{ Record durable.Record }
+	// Log is a line for whoever is on call.
+	Log struct {
+		Defect bool // the line tells of a fault of this program
 		Text   string
 	}
 )
 
-func (Dial) output()      {}
-func (Close) output()     {}
-func (ToHost) output()    {}
-func (Subscribe) output() {}
-func (ToPlacer) output()  {}
-func (Taken) output()     {}
-func (Rejected) output()  {}
-func (Grew) output()      {}
-func (Keep) output()      {}
-func (Logged) output()    {}
+func (DialHost) output()            {}
+func (CloseHostConnection) output() {}
+func (SendToHost) output()          {}
+func (Subscribe) output()           {}
+func (SendGossip) output()          {}
+func (Accepted) output()            {}
+func (Rejected) output()            {}
+func (OutcomesAdded) output()       {}
+func (Persist) output()             {}
+func (Log) output()                 {}
 
-// Outcome is the one outcome of a task of a submission.
+// Outcome is the one outcome that a submission gets for a task. Its JSON form is what clients read and what is persisted.
 type Outcome struct {
 	Service  string `json:"service"`
 	Replica  int    `json:"replica"` // from 1
-	Outcome  string `json:"outcome"` // placed, refused or failed
-	Host     string `json:"host"`
+	Outcome  string `json:"outcome"` // OutcomePlaced, OutcomeRejected or OutcomeFailed
+	Host     string `json:"host"`    // "" unless the task was placed; likewise Zone and Rack
 	Zone     string `json:"zone"`
 	Rack     string `json:"rack"`
 	Reason   string `json:"reason"`
-	Attempts int    `json:"attempts"` // offers to hosts, over all asks
-	TookMS   int64  `json:"took_ms"`
+	Attempts int    `json:"attempts"` // offers to hosts, over all placement requests
+	TookMS   int64  `json:"took_ms"`  // milliseconds since the submission was accepted
 }
 
-// Words of an Outcome.
+// The values of Outcome.Outcome.
 const (
-	WordPlaced  = "placed"
-	WordRefused = "refused"
-	WordFailed  = "failed"
+	OutcomePlaced   = "placed"
+	OutcomeRejected = "refused" // the task never ran: submitting it again is harmless
+	OutcomeFailed   = "failed"  // the task may have run
 )
 
-// Status counts what a placer holds and has done.
+// Status is what a placer holds now, and what it has counted since it started.
 type Status struct {
-	Placer      int               `json:"placer"`
-	Epoch       uint64            `json:"epoch"`
-	Hosts       int               `json:"hosts"` // in the list
-	Up          int               `json:"hosts_up"`
-	Ready       int               `json:"hosts_ready"`
-	Tasks       int               `json:"tasks"`
-	Running     int               `json:"tasks_placed"`
-	Waiting     int               `json:"tasks_waiting"`
-	Unknown     int               `json:"attempts_unknown"`
-	Submissions int               `json:"submissions"`
-	Asks        uint64            `json:"asks"`
-	Offers      uint64            `json:"offers"`
-	Outcomes    map[string]uint64 `json:"outcomes"`
-	Lost        uint64            `json:"lost"`
-	Moved       uint64            `json:"moved"`
-	Vetoes      uint64            `json:"vetoes"`
-	ByRule      map[string]uint64 `json:"vetoes_by_rule"`
-	Defects     uint64            `json:"defects"`
+	Placer            int               `json:"placer"`
+	Epoch             uint64            `json:"epoch"`
+	Hosts             int               `json:"hosts"`       // in the list
+	HostsUp           int               `json:"hosts_up"`    // connected and greeted
+	HostsReady        int               `json:"hosts_ready"` // neither draining nor gone
+	Tasks             int               `json:"tasks"`
+	TasksPlaced       int               `json:"tasks_placed"`
+	TasksWaiting      int               `json:"tasks_waiting"`
+	AttemptsUnknown   int               `json:"attempts_unknown"` // they may have run, and their hosts haven't said
+	Submissions       int               `json:"submissions"`
+	PlacementRequests uint64            `json:"asks"`
+	Offers            uint64            `json:"offers"`
+	Outcomes          map[string]uint64 `json:"outcomes"` // by the values of Outcome.Outcome
+	Lost              uint64            `json:"lost"`     // placed tasks whose hosts were lost
+	Migrated          uint64            `json:"moved"`    // placed tasks that the module stopped
+	Vetoes            uint64            `json:"vetoes"`   // actions of the module that would have broken an invariant
+	VetoesByRule      map[string]uint64 `json:"vetoes_by_rule"`
+	Defects           uint64            `json:"defects"` // faults of this program that it found by itself
 }
--- a/internal/scheduler/core/asks.go
+++ b/internal/scheduler/core/asks.go
@@ -262,7 +262,7 @@
 	for _, t := range k.tries {
 		if t != nil && t.phase() == attempt.Placed && !t.moving && t.host.usable() {
 			t.moving = true
-			c.stat.Moved++
+			c.stat.Migrated++
 			c.send(t.host, hostproto.Stop{Ref: t.ref, Grace: k.wish.grace()})
 		}
 	}
--- a/internal/scheduler/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -92,7 +92,7 @@
 	}
 	c.labels.most = set.Limits.Label
 	c.durable, c.buried = cfg.Durable, map[string]bool{}
-	c.stat = Status{Placer: set.Module.Self, Epoch: cfg.Epoch, Outcomes: map[string]uint64{}, ByRule: map[string]uint64{}}
+	c.stat = Status{Placer: set.Module.Self, Epoch: cfg.Epoch, Outcomes: map[string]uint64{}, VetoesByRule: map[string]uint64{}}
 	c.zones[set.Placers[set.Module.Self].Zone] = 0
 	if c.decide == nil {
 		module, err := forkhead.New(set.Module, cfg.Seed)
@@ -161,27 +161,27 @@
 
 func (c *Core) take(in Input) {
 	switch in := in.(type) {
-	case Listing:
+	case HostListReceived:
 		c.listing(in)
-	case Dialled:
+	case HostConnected:
 		if h := c.hosts[in.Host]; h != nil {
 			c.link(h, hostconn.Input{Kind: hostconn.Dialed, Conn: in.Conn})
 		}
-	case Broke:
+	case HostDisconnected:
 		if h := c.hosts[in.Host]; h != nil {
 			c.link(h, hostconn.Input{Kind: hostconn.Disconnected, Conn: in.Conn})
 		}
-	case FromHost:
+	case FrameReceived:
 		if h := c.hosts[in.Host]; h != nil && in.Conn == h.link.Conn {
 			c.frame(h, in.Frame)
 		}
 	case Submit:
 		c.submit(in)
-	case Remove:
+	case RemoveProject:
 		c.remove(in)
 	case Restore:
-		c.restore(in.Kept)
-	case FromPlacer:
+		c.restore(in.Snapshot)
+	case GossipReceived:
 		c.tell(forkhead.Received{From: in.From, Data: in.Data})
 	}
 }
@@ -192,19 +192,19 @@
 func (c *Core) do(o Output) { c.out = append(c.out, o) }
 
 func (c *Core) log(format string, args ...any) {
-	c.do(Logged{Text: fmt.Sprintf(format, args...)})
+	c.do(Log{Text: fmt.Sprintf(format, args...)})
 }
 
 // defect notes something that this program should never do.
 func (c *Core) defect(format string, args ...any) {
 	c.stat.Defects++
-	c.do(Logged{Defect: true, Text: fmt.Sprintf(format, args...)})
+	c.do(Log{Defect: true, Text: fmt.Sprintf(format, args...)})
 }
 
 // veto counts an action of the module that the guard did not let through.
 func (c *Core) veto(v *invariant.Violation, format string, args ...any) {
 	c.stat.Vetoes++
-	c.stat.ByRule[v.Rule.String()]++
+	c.stat.VetoesByRule[v.Rule.String()]++
 	c.defect("veto: %s: %v", fmt.Sprintf(format, args...), v)
 }
 
@@ -229,7 +229,7 @@
 	case forkhead.Probe:
 		c.probe(c.byID[a.Machine], a.Machine)
 	case forkhead.Gossip:
-		c.do(ToPlacer{To: a.To, Data: a.Data})
+		c.do(SendGossip{To: a.To, Data: a.Data})
 	case forkhead.Subscribe:
 		c.do(Subscribe{})
 	case forkhead.Log:
@@ -323,10 +323,10 @@
 			s.Hosts++
 		}
 		if h.usable() {
-			s.Up++
+			s.HostsUp++
 		}
 		if h.state() == forkhead.Ready {
-			s.Ready++
+			s.HostsReady++
 		}
 	}
 	for _, p := range c.projects {
@@ -334,37 +334,37 @@
 			for _, w := range svc.wishes {
 				switch w.state {
 				case placed:
-					s.Running++
+					s.TasksPlaced++
 				case waiting, asking, heldBack:
-					s.Waiting++
+					s.TasksWaiting++
 				}
 			}
 		}
 	}
 	for _, t := range c.refs {
 		if t.phase() == attempt.Unknown {
-			s.Unknown++
+			s.AttemptsUnknown++
 		}
 	}
-	s.Outcomes, s.ByRule = map[string]uint64{}, map[string]uint64{}
+	s.Outcomes, s.VetoesByRule = map[string]uint64{}, map[string]uint64{}
 	for k, v := range c.stat.Outcomes {
 		s.Outcomes[k] = v
 	}
-	for k, v := range c.stat.ByRule {
-		s.ByRule[k] = v
+	for k, v := range c.stat.VetoesByRule {
+		s.VetoesByRule[k] = v
 	}
 	return s
 }
 
-// Held counts what the tables hold. With no project left all but Hosts is 0.
-type Held struct {
-	Hosts, Asks, Attempts, Live, Unknown, Blocked, Tasks, Projects, Labels int
+// TableSizes counts what the tables hold. With no project left all but Hosts is 0.
+type TableSizes struct {
+	Hosts, Requests, Attempts, Live, Unknown, Blocked, Tasks, Projects, Labels int
 }
 
-// Held counts the tables' entries: what is left when all is over is a leak.
-func (c *Core) Held() Held {
-	h := Held{
-		Hosts: len(c.hosts), Asks: len(c.asks), Attempts: len(c.refs), Live: len(c.live), Unknown: len(c.unknown),
+// TableSizes counts the tables' entries: what is left when all is over is a leak.
+func (c *Core) TableSizes() TableSizes {
+	h := TableSizes{
+		Hosts: len(c.hosts), Requests: len(c.asks), Attempts: len(c.refs), Live: len(c.live), Unknown: len(c.unknown),
 		Blocked: len(c.blocked), Tasks: c.wishes, Projects: len(c.projects),
 	}
 	for _, row := range c.labels.rows {
--- a/internal/scheduler/core/core_test.go
+++ b/internal/scheduler/core/core_test.go
@@ -21,7 +21,7 @@
   web: {image: web, deploy: {replicas: 5}}
   ledger: {image: ledger, x-forkhead: {class: ledger}, deploy: {replicas: 2}}
 `), 5*time.Second)
-	if simulation.Count(out, core.WordPlaced) != 7 {
+	if simulation.Count(out, core.OutcomePlaced) != 7 {
 		t.Fatalf("outcomes: %+v", out)
 	}
 	if o := out["web/1"]; o.Host == "" || o.Rack == "" || o.Attempts < 1 {
@@ -41,11 +41,11 @@
     x-forkhead: {class: batch}
     deploy: {replicas: 8, resources: {reservations: {cpus: "2", memory: 4gb}}}
 `), 20*time.Second)
-	if simulation.Count(out, core.WordPlaced) != 6 || simulation.Count(out, core.WordRefused) != 2 {
+	if simulation.Count(out, core.OutcomePlaced) != 6 || simulation.Count(out, core.OutcomeRejected) != 2 {
 		t.Fatalf("outcomes: %+v", out)
 	}
 	for _, o := range out {
-		if o.Outcome == core.WordRefused && !strings.Contains(o.Reason, "spread: at most 2 of the service in one rack") {
+		if o.Outcome == core.OutcomeRejected && !strings.Contains(o.Reason, "spread: at most 2 of the service in one rack") {
 			t.Fatalf("reason: %q", o.Reason)
 		}
 	}
@@ -62,7 +62,7 @@
 				s.Hosts[h].Life.DieAt(point)
 			}
 			out := s.Await(s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 12}}}"), 20*time.Second)
-			if simulation.Count(out, core.WordPlaced) != 12 {
+			if simulation.Count(out, core.OutcomePlaced) != 12 {
 				t.Fatalf("outcomes: %+v", out)
 			}
 			s.Clean()
@@ -88,7 +88,7 @@
 	}
 	s.Revive(first, true)
 	out := s.Await(id, 15*time.Second)
-	if simulation.Count(out, core.WordPlaced) != 1 || len(s.Offers) != 2 {
+	if simulation.Count(out, core.OutcomePlaced) != 1 || len(s.Offers) != 2 {
 		t.Fatalf("outcomes %+v after %d offers", out, len(s.Offers))
 	}
 	s.Clean()
@@ -108,7 +108,7 @@
 		return true
 	}
 	out := s.Await(s.Submit("", "name: p\nservices: {l: {x-forkhead: {class: ledger}}}"), 15*time.Second)
-	if o := out["l/1"]; o.Outcome != core.WordPlaced || o.Host != lost || len(s.Offers) != 1 {
+	if o := out["l/1"]; o.Outcome != core.OutcomePlaced || o.Host != lost || len(s.Offers) != 1 {
 		t.Fatalf("outcome %+v, %d offers, lost at %s", o, len(s.Offers), lost)
 	}
 	s.Clean()
@@ -127,7 +127,7 @@
 		return true
 	}
 	out := s.Await(s.Submit("", "name: p\nservices: {l: {x-forkhead: {class: ledger}}}"), 15*time.Second)
-	if simulation.Count(out, core.WordPlaced) != 1 || len(s.Offers) != 2 {
+	if simulation.Count(out, core.OutcomePlaced) != 1 || len(s.Offers) != 2 {
 		t.Fatalf("outcomes %+v, %d offers", out, len(s.Offers))
 	}
 	s.Clean()
@@ -146,7 +146,7 @@
 	}
 	s.Run(5 * time.Second)
 	running := s.Running()
-	if placed := simulation.Count(out, core.WordPlaced); running != placed {
+	if placed := simulation.Count(out, core.OutcomePlaced); running != placed {
 		t.Fatalf("%d run, %d placed", running, placed)
 	}
 	s.Clean()
@@ -187,7 +187,7 @@
 	s.Run(30 * time.Millisecond) // attempts are out
 	s.Restart()
 	out := s.Await(s.Submit("k", text), 20*time.Second)
-	if simulation.Count(out, core.WordPlaced) != 6 {
+	if simulation.Count(out, core.OutcomePlaced) != 6 {
 		t.Fatalf("outcomes: %+v", out)
 	}
 	s.Run(3 * time.Second)
@@ -242,9 +242,9 @@
 		t.Fatalf("%d outcomes", len(out))
 	}
 	s.Run(10 * time.Second)
-	s.Step(core.Remove{Request: 2, Project: "p"})
+	s.Step(core.RemoveProject{Request: 2, Project: "p"})
 	s.Run(5 * time.Second)
-	if held := s.Core.Held(); held != (core.Held{Hosts: held.Hosts}) {
+	if held := s.Core.TableSizes(); held != (core.TableSizes{Hosts: held.Hosts}) {
 		t.Fatalf("left over: %+v", held)
 	}
 	s.Clean()
@@ -278,7 +278,7 @@
 			s.Await(s.Submit("", text("web:1", "3")), 5*time.Second)
 			start := s.Now
 			out := s.Await(s.Submit("", strings.Replace(text("web:2", "3"), "\n  old: {image: old}", "", 1)), 20*time.Second)
-			if simulation.Count(out, core.WordPlaced) != 3 || len(out) != 3 {
+			if simulation.Count(out, core.OutcomePlaced) != 3 || len(out) != 3 {
 				t.Fatalf("outcomes: %+v", out)
 			}
 			if took := s.Now - start; took < time.Second {
@@ -307,10 +307,10 @@
 	text := "name: p\nservices: {l: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}"
 	s.Await(s.Submit("", text), 5*time.Second)
 	s.Delay = 100 * time.Millisecond
-	s.Step(core.Remove{Request: 2, Project: "p"})
+	s.Step(core.RemoveProject{Request: 2, Project: "p"})
 	stopped := s.Now
 	out := s.Await(s.Submit("", text), 10*time.Second)
-	if simulation.Count(out, core.WordPlaced) != 4 {
+	if simulation.Count(out, core.OutcomePlaced) != 4 {
 		t.Fatalf("outcomes: %+v", out)
 	}
 	for _, o := range s.Offers[4:] {
@@ -326,8 +326,8 @@
 		s.Hosts[h].Mute = true
 	}
 	n := len(s.Offers)
-	s.Step(core.Remove{Request: 3, Project: "p"})
-	if out := s.Await(s.Submit("", text), 60*time.Second); simulation.Count(out, core.WordRefused) != 4 || len(s.Offers) != n {
+	s.Step(core.RemoveProject{Request: 3, Project: "p"})
+	if out := s.Await(s.Submit("", text), 60*time.Second); simulation.Count(out, core.OutcomeRejected) != 4 || len(s.Offers) != n {
 		t.Fatalf("outcomes: %+v, %d new offers", out, len(s.Offers)-n)
 	}
 	s.Clean()
@@ -341,7 +341,7 @@
 	}
 	s.Await(s.Submit("", text("1")), 5*time.Second)
 	out := s.Await(s.Submit("", text("40")), 20*time.Second)
-	if simulation.Count(out, core.WordRefused) != 3 {
+	if simulation.Count(out, core.OutcomeRejected) != 3 {
 		t.Fatalf("outcomes: %+v", out)
 	}
 	running := s.Running()
@@ -360,7 +360,7 @@
   db: {depends_on: {migrate: {condition: service_completed_successfully}}}
   migrate: {x-forkhead: {life: 500ms}, deploy: {mode: replicated-job}}
 `), 10*time.Second)
-	if simulation.Count(out, core.WordPlaced) != 3 {
+	if simulation.Count(out, core.OutcomePlaced) != 3 {
 		t.Fatalf("outcomes: %+v", out)
 	}
 	if s.Offers[0].Offer.Spec.Name != "p/migrate/1" || s.Offers[2].Offer.Spec.Name != "p/web/1" {
@@ -375,7 +375,7 @@
   web: {depends_on: [db]}
   db: {deploy: {resources: {reservations: {cpus: "400"}}}}
 `), 10*time.Second)
-	if o := out["web/1"]; o.Outcome != core.WordRefused || !strings.Contains(o.Reason, "depends on db") {
+	if o := out["web/1"]; o.Outcome != core.OutcomeRejected || !strings.Contains(o.Reason, "depends on db") {
 		t.Fatalf("web: %+v", o)
 	}
 	if o := out["db/1"]; !strings.Contains(o.Reason, "more than any kind of host has") {
@@ -398,7 +398,7 @@
 	hosts := map[string]map[string]int{}
 	racks := map[string]int{}
 	for _, o := range out {
-		if o.Outcome != core.WordPlaced {
+		if o.Outcome != core.OutcomePlaced {
 			continue
 		}
 		if hosts[o.Service] == nil {
@@ -415,12 +415,12 @@
 	if racks["r0"] != 2 || racks["r1"] != 2 || racks["r2"] != 2 {
 		t.Fatalf("a preference to spread over racks gave %v", racks)
 	}
-	if o := out["e/1"]; o.Outcome != core.WordRefused || !strings.Contains(o.Reason, "no ready host meets label.disk == ssd") {
+	if o := out["e/1"]; o.Outcome != core.OutcomeRejected || !strings.Contains(o.Reason, "no ready host meets label.disk == ssd") {
 		t.Fatalf("e: %+v", o)
 	}
-	s.Step(core.Remove{Project: "p"})
+	s.Step(core.RemoveProject{Project: "p"})
 	s.Run(time.Second)
-	if n := s.Core.Held().Labels; n != 0 {
+	if n := s.Core.TableSizes().Labels; n != 0 {
 		t.Fatalf("%d labels are still held", n)
 	}
 	s.Clean()
@@ -440,14 +440,14 @@
 `), 10*time.Second)
 	db := out["db/1"]
 	for i := 1; i <= 4; i++ {
-		if o := out[fmt.Sprintf("web/%d", i)]; o.Outcome != core.WordPlaced || o.Rack != db.Rack {
+		if o := out[fmt.Sprintf("web/%d", i)]; o.Outcome != core.OutcomePlaced || o.Rack != db.Rack {
 			t.Fatalf("db is at %+v, web/%d at %+v", db, i, o)
 		}
 	}
 	if o := out["side/1"]; o.Host != db.Host {
 		t.Fatalf("db is at %+v, side at %+v", db, o)
 	}
-	if o := out["far/1"]; o.Outcome != core.WordRefused {
+	if o := out["far/1"]; o.Outcome != core.OutcomeRejected {
 		t.Fatalf("far: %+v", o)
 	}
 	// Its host dies for good: db comes up elsewhere, and what comes anew follows it.
@@ -526,7 +526,7 @@
 	id := s.Submit("", "services: {w: {}}")
 	s.Run(time.Second)
 	s.ListUp = true
-	if out := s.Await(id, 10*time.Second); simulation.Count(out, core.WordPlaced) != 1 {
+	if out := s.Await(id, 10*time.Second); simulation.Count(out, core.OutcomePlaced) != 1 {
 		t.Fatalf("outcomes: %+v", out)
 	}
 	s.Clean()
@@ -572,10 +572,10 @@
 			return out
 		}
 	})
-	if out := s.Await(s.Submit("", "services: {l: {x-forkhead: {class: ledger}}}"), 10*time.Second); simulation.Count(out, core.WordPlaced) != 1 {
+	if out := s.Await(s.Submit("", "services: {l: {x-forkhead: {class: ledger}}}"), 10*time.Second); simulation.Count(out, core.OutcomePlaced) != 1 {
 		t.Fatalf("outcomes: %+v", out)
 	}
-	if st := s.Core.Status(); st.Vetoes != 3 || st.ByRule["no_repeat"] != 1 || st.ByRule["one_answer"] != 2 || st.Defects != 3 || len(s.Offers) != 1 {
+	if st := s.Core.Status(); st.Vetoes != 3 || st.VetoesByRule["no_repeat"] != 1 || st.VetoesByRule["one_answer"] != 2 || st.Defects != 3 || len(s.Offers) != 1 {
 		t.Fatalf("%+v, %d offers", st, len(s.Offers))
 	}
 }
--- a/internal/scheduler/core/hosts.go
+++ b/internal/scheduler/core/hosts.go
@@ -81,7 +81,7 @@
 }
 
 // listing takes in the list of hosts.
-func (c *Core) listing(l Listing) {
+func (c *Core) listing(l HostListReceived) {
 	if l.Mode == forkhead.ListFailed {
 		c.tell(forkhead.ListUpdate{Mode: forkhead.ListFailed})
 		return
@@ -231,7 +231,7 @@
 func (c *Core) link(h *host, in hostconn.Input) {
 	out := h.link.Handle(in, c.links, c.rng.Float64())
 	if out.CloseConn {
-		c.do(Close{Host: h.name, Conn: out.ConnToClose})
+		c.do(CloseHostConnection{Host: h.name, Conn: out.ConnToClose})
 	}
 	if out.StaleIncarnation {
 		c.log("host %s answered with an earlier life; the connection is closed", h.name)
@@ -247,10 +247,10 @@
 		}
 	}
 	if out.Dial {
-		c.do(Dial{Host: h.name, Address: h.link.Address, Conn: h.link.Conn})
+		c.do(DialHost{Host: h.name, Address: h.link.Address, Conn: h.link.Conn})
 	}
 	if out.SendHello {
-		c.do(ToHost{Host: h.name, Conn: h.link.Conn, Frame: hostproto.Hello{
+		c.do(SendToHost{Host: h.name, Conn: h.link.Conn, Frame: hostproto.Hello{
 			Version: hostproto.Version, Placer: uint16(c.set.Module.Self), Epoch: c.epoch, Conn: h.link.Conn,
 		}})
 	}
@@ -370,7 +370,7 @@
 
 func (c *Core) absurd(h *host, what string) {
 	c.log("host %s: %s; the connection is closed", h.name, what)
-	c.do(Close{Host: h.name, Conn: h.link.Conn})
+	c.do(CloseHostConnection{Host: h.name, Conn: h.link.Conn})
 	c.link(h, hostconn.Input{Kind: hostconn.Disconnected, Conn: h.link.Conn})
 }
 
@@ -458,7 +458,7 @@
 }
 
 func (c *Core) send(h *host, f hostproto.Frame) {
-	c.do(ToHost{Host: h.name, Conn: h.link.Conn, Frame: f})
+	c.do(SendToHost{Host: h.name, Conn: h.link.Conn, Frame: f})
 }
 
 // drain takes a host's own word on whether it drains.
@@ -489,7 +489,7 @@
 	quiet := c.now - h.heard
 	if quiet >= c.set.Links.LostAfter {
 		c.log("host %s has said nothing for %v; the connection is closed", h.name, quiet.Round(time.Millisecond))
-		c.do(Close{Host: h.name, Conn: conn})
+		c.do(CloseHostConnection{Host: h.name, Conn: conn})
 		c.link(h, hostconn.Input{Kind: hostconn.Disconnected, Conn: conn})
 		return
 	}
--- a/internal/scheduler/core/projects.go
+++ b/internal/scheduler/core/projects.go
@@ -71,7 +71,7 @@
 		if err != nil {
 			c.defect("an outcome has no form to be kept in: %v", err)
 		}
-		c.keep(durable.OutcomeReported{SubmissionID: s.id, Index: len(s.outcomes), Outcome: text, Task: w.task(o.Outcome, o.Outcome != WordPlaced)})
+		c.keep(durable.OutcomeReported{SubmissionID: s.id, Index: len(s.outcomes), Outcome: text, Task: w.task(o.Outcome, o.Outcome != OutcomePlaced)})
 	}
 	s.outcomes = append(s.outcomes, o)
 	if s.complete() {
@@ -79,7 +79,7 @@
 		c.ended = append(c.ended, s)
 		c.at(&timer{at: c.now + c.set.Limits.Keep, kind: timerExpire})
 	}
-	c.do(Grew{Submission: s.id})
+	c.do(OutcomesAdded{Submission: s.id})
 }
 
 func (s *submission) complete() bool { return len(s.outcomes) >= s.total }
@@ -123,17 +123,17 @@
 		}
 		c.do(r)
 	}
-	if in.Key != "" {
-		if s := c.byKey[in.Key]; s != nil {
-			if s.body != in.Body {
+	if in.IdempotencyKey != "" {
+		if s := c.byKey[in.IdempotencyKey]; s != nil {
+			if s.body != in.BodyHash {
 				reject(422, "Idempotency-Key is taken", "the key came before with another body")
 				return
 			}
-			c.do(Taken{Request: in.Request, Submission: s.id, Again: true})
+			c.do(Accepted{Request: in.Request, Submission: s.id, Duplicate: true})
 			return
 		}
 	}
-	d := in.What
+	d := in.Description
 	tasks := d.Tasks()
 	for i := range d.Services {
 		if s := &d.Services[i]; s.Mode.Each() {
@@ -158,7 +158,7 @@
 		c.forgetSubmission()
 	}
 	c.nextSub++
-	s := &submission{id: strconv.FormatUint(c.epoch, 36) + "-" + strconv.FormatUint(c.nextSub, 36), key: in.Key, body: in.Body, total: tasks, at: c.now}
+	s := &submission{id: strconv.FormatUint(c.epoch, 36) + "-" + strconv.FormatUint(c.nextSub, 36), key: in.IdempotencyKey, body: in.BodyHash, total: tasks, at: c.now}
 	name := d.Name
 	if name == "" {
 		name = "unnamed-" + s.id
@@ -179,12 +179,12 @@
 	}
 	c.keep(durable.SubmissionAccepted{Specification: d, Submission: durable.Submission{ID: s.id, IdempotencyKey: s.key, BodyHash: s.body, TotalOutcomes: s.total, AcceptedAt: c.now, Project: name}})
 	delete(c.buried, name)
-	c.do(Taken{Request: in.Request, Submission: s.id})
+	c.do(Accepted{Request: in.Request, Submission: s.id})
 	if tasks == 0 {
 		s.total = 0
 		s.doneAt = c.now
 		c.ended = append(c.ended, s)
-		c.do(Grew{Submission: s.id})
+		c.do(OutcomesAdded{Submission: s.id})
 	}
 	c.apply(p, d, s, needs)
 }
@@ -307,13 +307,13 @@
 		return w
 	}
 	if w.claim != nil {
-		c.outcome(w, WordRefused, nil, "a later submission has taken its place")
+		c.outcome(w, OutcomeRejected, nil, "a later submission has taken its place")
 	}
 	w.claim = cl
 	switch {
 	case w.state == placed && w.fingerprint == print:
 		w.spec = svc.spec
-		c.outcome(w, WordPlaced, w.try.host, "it runs already")
+		c.outcome(w, OutcomePlaced, w.try.host, "it runs already")
 	case w.state == placed:
 		svc.queue = append(svc.queue, w)
 	default:
@@ -356,7 +356,7 @@
 		c.removeWish(w.twin)
 	}
 	if w.claim != nil {
-		c.outcome(w, WordRefused, nil, "a later submission has taken its place")
+		c.outcome(w, OutcomeRejected, nil, "a later submission has taken its place")
 	}
 	w.removing = true
 	if w.state == placed && w.try != nil {
@@ -421,7 +421,7 @@
 }
 
 // remove ends a project.
-func (c *Core) remove(in Remove) {
+func (c *Core) remove(in RemoveProject) {
 	p := c.projects[in.Project]
 	if p == nil {
 		c.do(Rejected{Request: in.Request, Status: 404, Title: "No such project", Detail: in.Project + " is not here"})
@@ -433,7 +433,7 @@
 			c.removeService(svc)
 		}
 	}
-	c.do(Taken{Request: in.Request})
+	c.do(Accepted{Request: in.Request})
 }
 
 // ---- Dependencies.
--- a/internal/scheduler/core/restore.go
+++ b/internal/scheduler/core/restore.go
@@ -17,7 +17,7 @@
 
 func (c *Core) keep(n durable.Record) {
 	if c.durable {
-		c.do(Keep{Note: n})
+		c.do(Persist{Record: n})
 	}
 }
 
@@ -28,9 +28,9 @@
 
 // neverAgain notes that a task has ended for good.
 func (c *Core) neverAgain(w *wish) {
-	word := WordFailed
+	word := OutcomeFailed
 	if w.success {
-		word = WordPlaced
+		word = OutcomePlaced
 	}
 	c.keep(durable.TaskFinished{Task: w.task(word, true)})
 }
@@ -91,7 +91,7 @@
 		c.log("the list of hosts that was kept is %v old and is not used; at most %v is", age.Round(time.Second), saved.Old)
 		return
 	}
-	c.listing(Listing{Mode: forkhead.ListCached, Hosts: l.Hosts, Stale: age < 0 || age > saved.Fresh})
+	c.listing(HostListReceived{Mode: forkhead.ListCached, Hosts: l.Hosts, Stale: age < 0 || age > saved.Fresh})
 }
 
 func (c *Core) restoreSubmission(f *durable.SubmissionProgress) {
@@ -143,7 +143,7 @@
 		p.services[spec.Name] = svc
 		for r := 1; r <= spec.Replicas; r++ {
 			t, told := was[name{spec.Name, r}]
-			if told && t.Finished && t.Outcome != WordPlaced {
+			if told && t.Finished && t.Outcome != OutcomePlaced {
 				svc.failed = "was not placed"
 				continue
 			}
--- a/internal/scheduler/core/saved_test.go
+++ b/internal/scheduler/core/saved_test.go
@@ -44,7 +44,7 @@
 func startsAlone(t *testing.T, away time.Duration) {
 	s := back(t, away)
 	out := s.Await(s.Submit("k2", "name: second\nservices: {a: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}"), 20*time.Second)
-	if simulation.Count(out, core.WordPlaced) != 4 {
+	if simulation.Count(out, core.OutcomePlaced) != 4 {
 		t.Errorf("%+v", out)
 	}
 	for _, o := range s.Offers {
@@ -59,14 +59,14 @@
 func TestOldListIsRefused(t *testing.T) {
 	s := back(t, 2*time.Hour)
 	s.Run(2 * time.Second)
-	if st := s.Core.Status(); st.Ready != 0 || !strings.Contains(strings.Join(s.Logs, "\n"), "the list of hosts that was kept is 2h0m") {
-		t.Fatalf("%d hosts are ready; logs %v", st.Ready, s.Logs)
+	if st := s.Core.Status(); st.HostsReady != 0 || !strings.Contains(strings.Join(s.Logs, "\n"), "the list of hosts that was kept is 2h0m") {
+		t.Fatalf("%d hosts are ready; logs %v", st.HostsReady, s.Logs)
 	}
 	s.ListUp = true
 	s.Run(2 * time.Second)
 	s.List()
 	s.Run(time.Second)
-	if s.Core.Status().Ready == 0 {
+	if s.Core.Status().HostsReady == 0 {
 		t.Fatal("a list from the catalogue is not taken")
 	}
 	s.Clean()
@@ -84,7 +84,7 @@
 	for _, name := range s.Names {
 		s.Hosts[name].Mute = true // the stop of q does not arrive
 	}
-	s.Step(core.Remove{Request: 3, Project: "q"})
+	s.Step(core.RemoveProject{Request: 3, Project: "q"})
 	s.Restart()
 	for _, name := range s.Names {
 		s.Hosts[name].Mute = false
--- a/internal/scheduler/core/tasks.go
+++ b/internal/scheduler/core/tasks.go
@@ -116,7 +116,7 @@
 	k.task.Timeout = wait
 	w.ask, w.state = k, asking
 	w.owner.Requests++
-	c.stat.Asks++
+	c.stat.PlacementRequests++
 	c.at(&timer{at: k.Deadline, kind: timerDeadline, ask: k})
 	c.tell(forkhead.PlacementRequest{Task: k.task})
 }
@@ -239,7 +239,7 @@
 	}
 	if w.state == placed {
 		if w.next != nil { // the old copy has not ended: nothing was offered for the new one
-			c.outcome(w, WordRefused, nil, "its earlier copy on "+w.try.host.name+" has not ended")
+			c.outcome(w, OutcomeRejected, nil, "its earlier copy on "+w.try.host.name+" has not ended")
 			w.next, w.removing = nil, true
 			c.rolledOut(w, false)
 		}
@@ -260,9 +260,9 @@
 // giveUp tells the outcome of a task that was not placed.
 func (c *Core) giveUp(w *wish) {
 	r := c.rules(w.class)
-	word := WordRefused
+	word := OutcomeRejected
 	if !r.RejectionIsHarmless(w.refused, w.offers > 0, len(c.unknown[w.key])) {
-		word = WordFailed
+		word = OutcomeFailed
 	}
 	if len(c.unknown[w.key]) > 0 && !r.RetryIsHarmless() {
 		var names []string
@@ -288,7 +288,7 @@
 	w.owner.Placed()
 	w.recovered = false
 	w.lives++
-	c.outcome(w, WordPlaced, t.host, "")
+	c.outcome(w, OutcomePlaced, t.host, "")
 	c.swap(w)
 	if m := w.spec.Update.Monitor; w.updating && m > 0 {
 		w.watchSeq++
@@ -399,7 +399,7 @@
 		return
 	}
 	if w.claim != nil {
-		c.outcome(w, WordRefused, nil, "a later submission has taken its place")
+		c.outcome(w, OutcomeRejected, nil, "a later submission has taken its place")
 	}
 	w.gone = true
 	if c.blocked[w.key] == w {
--- a/internal/scheduler/core/updates.go
+++ b/internal/scheduler/core/updates.go
@@ -135,7 +135,7 @@
 	case rollingupdate.Paused, rollingupdate.RollingBack:
 		why := fmt.Sprintf("the update was stopped after %d tasks had failed", svc.update.Failed())
 		for _, q := range svc.queue {
-			c.outcome(q, WordRefused, nil, why)
+			c.outcome(q, OutcomeRejected, nil, why)
 		}
 		svc.queue = nil
 		if svc.update.Status() == rollingupdate.RollingBack {
--- a/internal/server/placer/front.go
+++ b/internal/server/placer/front.go
@@ -243,7 +243,7 @@
 		s.loop.PostBlocking(func() {
 			s.request++
 			s.await[s.request] = &exchange{cl: cl, closes: r.Close, remove: true}
-			s.put(core.Remove{Request: s.request, Project: name})
+			s.put(core.RemoveProject{Request: s.request, Project: name})
 		})
 	case r.Path == "/v1/status" && r.Method == "GET":
 		s.loop.PostBlocking(func() {
@@ -289,7 +289,7 @@
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(r.Get("content-type") + "\n" + r.Query.Encode() + "\n"))
 	_, _ = h.Write(r.Body)
-	take := core.Submit{Key: key, Body: h.Sum64(), What: d}
+	take := core.Submit{IdempotencyKey: key, BodyHash: h.Sum64(), Description: d}
 	if d.Whole {
 		select {
 		case s.judging <- struct{}{}:
@@ -408,7 +408,7 @@
 	cl.next(closes)
 }
 
-func (s *Server) taken(o core.Taken) {
+func (s *Server) taken(o core.Accepted) {
 	x := s.await[o.Request]
 	if x == nil {
 		return
--- a/internal/server/placer/front_test.go
+++ b/internal/server/placer/front_test.go
@@ -277,7 +277,7 @@
 	}
 	c.Close()
 	deadline := time.Now().Add(10 * time.Second)
-	for sc.Placer(0).Status().Running < 50 {
+	for sc.Placer(0).Status().TasksPlaced < 50 {
 		if time.Now().After(deadline) {
 			t.Fatalf("%+v", sc.Placer(0).Status())
 		}
@@ -304,10 +304,10 @@
 	if len(p.Conflict) != 2 || !strings.Contains(p.Conflict[1], "compose.yaml:2:") || !strings.Contains(p.Conflict[1], "at most 1 of w in one rack") {
 		t.Fatalf("conflict: %q", p.Conflict)
 	}
-	if n := sc.Placer(0).Status().Asks; n != 0 {
+	if n := sc.Placer(0).Status().PlacementRequests; n != 0 {
 		t.Fatalf("%d asks", n)
 	}
-	if _, out := post(t, addr, "", "application/yaml", strings.Replace(body, "replicas: 3", "replicas: 2", 1)); len(out) != 3 || out[0].Outcome != core.WordPlaced {
+	if _, out := post(t, addr, "", "application/yaml", strings.Replace(body, "replicas: 3", "replicas: 2", 1)); len(out) != 3 || out[0].Outcome != core.OutcomePlaced {
 		t.Fatalf("%+v", out)
 	}
 	if _, out := post(t, addr, "", "application/yaml", strings.Replace(body, "whole: true", "whole: false", 1)); len(out) != 4 {
--- a/internal/server/placer/golden_test.go
+++ b/internal/server/placer/golden_test.go
@@ -61,12 +61,12 @@
 		Variables: map[string]string{"TAG": "1"}, Profiles: []string{"p"}, Services: []string{"s"}, Project: "shop",
 	}
 	outcome := core.Outcome{
-		Service: "web", Replica: 1, Outcome: core.WordPlaced, Host: "h", Zone: "z", Rack: "r", Reason: "why", Attempts: 2, TookMS: 3,
+		Service: "web", Replica: 1, Outcome: core.OutcomePlaced, Host: "h", Zone: "z", Rack: "r", Reason: "why", Attempts: 2, TookMS: 3,
 	}
 	status := core.Status{
-		Placer: 1, Epoch: 2, Hosts: 3, Up: 4, Ready: 5, Tasks: 6, Running: 7, Waiting: 8, Unknown: 9, Submissions: 10, Asks: 11, Offers: 12,
-		Outcomes: map[string]uint64{core.WordPlaced: 13, core.WordRefused: 14, core.WordFailed: 15}, Lost: 16, Moved: 17, Vetoes: 18,
-		ByRule: map[string]uint64{"drain": 19}, Defects: 20,
+		Placer: 1, Epoch: 2, Hosts: 3, HostsUp: 4, HostsReady: 5, Tasks: 6, TasksPlaced: 7, TasksWaiting: 8, AttemptsUnknown: 9, Submissions: 10, PlacementRequests: 11, Offers: 12,
+		Outcomes: map[string]uint64{core.OutcomePlaced: 13, core.OutcomeRejected: 14, core.OutcomeFailed: 15}, Lost: 16, Migrated: 17, Vetoes: 18,
+		VetoesByRule: map[string]uint64{"drain": 19}, Defects: 20,
 	}
 	var b bytes.Buffer
 	fmt.Fprintln(&b, EnvelopeMediaType)
--- a/internal/server/placer/placerd.go
+++ b/internal/server/placer/placerd.go
@@ -117,7 +117,7 @@
 		return nil, err
 	}
 	if cfg.SavedState != nil {
-		s.put(core.Restore{Kept: cfg.SavedState})
+		s.put(core.Restore{Snapshot: cfg.SavedState})
 	}
 	s.loop = eventloop.New(cfg.Clock, mostJobs, s.step)
 	s.loop.Start()
@@ -246,8 +246,8 @@
 	}
 	var notes []durable.Record
 	for _, o := range out {
-		if k, ok := o.(core.Keep); ok {
-			notes = append(notes, k.Note)
+		if k, ok := o.(core.Persist); ok {
+			notes = append(notes, k.Record)
 		}
 	}
 	var err error
@@ -276,7 +276,7 @@
 
 func (s *Server) carry(o core.Output) {
 	switch o := o.(type) {
-	case core.ToHost:
+	case core.SendToHost:
 		h := s.links[o.Host]
 		if h == nil || h.num != o.Conn || h.conn == nil {
 			return
@@ -286,9 +286,9 @@
 			s.dirty = append(s.dirty, h)
 		}
 		h.buf = hostproto.Append(h.buf, o.Frame)
-	case core.Dial:
+	case core.DialHost:
 		s.dial(o)
-	case core.Close:
+	case core.CloseHostConnection:
 		if h := s.links[o.Host]; h != nil && h.num == o.Conn {
 			delete(s.links, o.Host)
 			if h.conn != nil {
@@ -297,18 +297,18 @@
 		}
 	case core.Subscribe:
 		s.subscribe()
-	case core.ToPlacer:
+	case core.SendGossip:
 		s.send(o)
-	case core.Taken:
+	case core.Accepted:
 		s.taken(o)
 	case core.Rejected:
 		s.rejected(o)
-	case core.Grew:
+	case core.OutcomesAdded:
 		for st := range s.follows[o.Submission] {
 			s.pump(st)
 		}
-	case core.Keep: // by keep
-	case core.Logged:
+	case core.Persist: // by keep
+	case core.Log:
 		if o.Defect {
 			s.log.Error().Msg(o.Text)
 		} else {
@@ -330,7 +330,7 @@
 	dirty bool
 }
 
-func (s *Server) dial(o core.Dial) {
+func (s *Server) dial(o core.DialHost) {
 	h := &hostConn{s: s, host: o.Host, num: o.Conn}
 	s.links[o.Host] = h
 	s.engine.Dial(o.Address, s.set.Links.Connect, mostUnwritten, h, func(c *netio.Conn, err error) {
@@ -342,10 +342,10 @@
 				}
 			case err != nil || c.IsClosed():
 				delete(s.links, o.Host)
-				s.put(core.Broke{Host: h.host, Conn: h.num})
+				s.put(core.HostDisconnected{Host: h.host, Conn: h.num})
 			default:
 				h.conn = c
-				s.put(core.Dialled{Host: h.host, Conn: h.num})
+				s.put(core.HostConnected{Host: h.host, Conn: h.num})
 			}
 		})
 	})
@@ -363,7 +363,7 @@
 			return
 		}
 		for _, f := range frames {
-			h.s.put(core.FromHost{Host: h.host, Conn: h.num, Frame: f})
+			h.s.put(core.FrameReceived{Host: h.host, Conn: h.num, Frame: f})
 		}
 		if err != nil {
 			h.s.log.Warn().Str("host", h.host).Err(err).Msg("unreadable frame; the connection is closed")
@@ -384,7 +384,7 @@
 		if err != nil {
 			why = err.Error()
 		}
-		h.s.put(core.Broke{Host: h.host, Conn: h.num, Why: why})
+		h.s.put(core.HostDisconnected{Host: h.host, Conn: h.num, Reason: why})
 	})
 }
 
@@ -406,7 +406,7 @@
 				if len(skipped) > 0 {
 					s.log.Warn().Strs("entries", skipped).Msg("the catalogue lists hosts that cannot be used")
 				}
-				s.put(core.Listing{Mode: forkhead.ListSnapshot, Hosts: hosts})
+				s.put(core.HostListReceived{Mode: forkhead.ListSnapshot, Hosts: hosts})
 				s.remember(hosts)
 			}
 		})
@@ -415,7 +415,7 @@
 			if s.watch == w {
 				s.watch = nil
 				s.log.Debug().Err(err).Msg("asking the catalogue failed")
-				s.put(core.Listing{Mode: forkhead.ListFailed})
+				s.put(core.HostListReceived{Mode: forkhead.ListFailed})
 			}
 		})
 	})
@@ -424,7 +424,7 @@
 
 // ---- Other placers.
 
-func (s *Server) send(o core.ToPlacer) {
+func (s *Server) send(o core.SendGossip) {
 	if len(o.Data) > mostDatagram-2 {
 		return
 	}
@@ -456,6 +456,6 @@
 			continue
 		}
 		data := append([]byte(nil), buf[2:n]...)
-		s.loop.PostBlocking(func() { s.put(core.FromPlacer{From: placer, Data: data}) })
+		s.loop.PostBlocking(func() { s.put(core.GossipReceived{From: placer, Data: data}) })
 	}
 }
--- a/internal/server/store/golden_test.go
+++ b/internal/server/store/golden_test.go
@@ -159,13 +159,13 @@
 	h.answers = nil
 	for _, out := range outputs {
 		switch out := out.(type) {
-		case core.Dial:
-			h.answers = append(h.answers, core.Dialled{Host: out.Host, Conn: out.Conn})
-		case core.ToHost:
+		case core.DialHost:
+			h.answers = append(h.answers, core.HostConnected{Host: out.Host, Conn: out.Conn})
+		case core.SendToHost:
 			for _, f := range h.answer(out.Host, out.Frame) {
-				h.answers = append(h.answers, core.FromHost{Host: out.Host, Conn: out.Conn, Frame: f})
+				h.answers = append(h.answers, core.FrameReceived{Host: out.Host, Conn: out.Conn, Frame: f})
 			}
-		case core.Logged:
+		case core.Log:
 			if out.Defect {
 				h.t.Errorf("defect: %s", out.Text)
 			}
@@ -223,7 +223,7 @@
 	}
 	h := &hosts{t: t}
 	now := kept.HostList.ReceivedAt + 10*time.Second
-	h.carry(placer.Step(now, core.Restore{Kept: kept}))
+	h.carry(placer.Step(now, core.Restore{Snapshot: kept}))
 	h.status(placer, "restored")
 	restored := len(h.seen)
 	for range 500 {
--- a/internal/verify/chaos/badday.go
+++ b/internal/verify/chaos/badday.go
@@ -163,7 +163,7 @@
 	for rule := invariant.OneAnswer; rule <= invariant.Spread; rule++ {
 		r.Rules[rule.String()] = v.Counts[rule]
 	}
-	for _, word := range []string{core.WordPlaced, core.WordRefused, core.WordFailed} {
+	for _, word := range []string{core.OutcomePlaced, core.OutcomeRejected, core.OutcomeFailed} {
 		r.Outcomes[word] += 0
 	}
 	return r, nil
@@ -272,7 +272,7 @@
 	}
 	e := &placer.Envelope{Project: name, Files: []compose.File{{Name: name + ".yaml", Text: pr.text}}}
 	err := sub.Submit(ctx, e, func(o core.Outcome) {
-		if o.Outcome == core.WordPlaced {
+		if o.Outcome == core.OutcomePlaced {
 			p.tracks.Lock()
 			// What took over two minutes is out of the histogram's range.
 			_ = p.tracks.v.RecordValue(max((p.c.Clock.Now() - began).Microseconds(), 1))
--- a/internal/verify/modelcheck/replay.go
+++ b/internal/verify/modelcheck/replay.go
@@ -156,8 +156,8 @@
 
 func project(task int) string { return fmt.Sprintf("t%d", task) }
 
-func (r *replayer) listing() core.Listing {
-	l := core.Listing{Mode: forkhead.ListSnapshot}
+func (r *replayer) listing() core.HostListReceived {
+	l := core.HostListReceived{Mode: forkhead.ListSnapshot}
 	for _, h := range r.hosts {
 		e := core.HostEntry{Name: h.name, Address: h.name, Kind: "k", Zone: "a", Rack: h.name, State: forkhead.Ready, FreeCores: 100, FreeMemory: 100}
 		if h.drains {
@@ -172,9 +172,9 @@
 func (r *replayer) feed(in ...core.Input) {
 	for _, o := range r.core.Step(r.now, in...) {
 		switch o := o.(type) {
-		case core.Dial:
+		case core.DialHost:
 			r.host(o.Host).dialled = o.Conn
-		case core.ToHost:
+		case core.SendToHost:
 			if _, probe := o.Frame.(hostproto.Probe); probe {
 				continue
 			}
@@ -190,11 +190,11 @@
 					}
 				}
 			}
-		case core.Close:
+		case core.CloseHostConnection:
 			if s := r.host(o.Host).stream(o.Conn, r.life); s != nil {
 				s.pOpen = false
 			}
-		case core.Logged:
+		case core.Log:
 			r.did = append(r.did, "placer logs: "+o.Text)
 		}
 	}
@@ -203,7 +203,7 @@
 // act has the module do something: an event makes the core ask it.
 func (r *replayer) act(a ...forkhead.Action) {
 	r.pending = a
-	r.feed(core.FromPlacer{From: 0, Data: []byte{0}})
+	r.feed(core.GossipReceived{From: 0, Data: []byte{0}})
 }
 
 func (r *replayer) host(name string) *rHost {
@@ -273,7 +273,7 @@
 		for _, s := range r.hosts[hi].streams {
 			if s.pOpen && (s.dead || !s.hOpen) {
 				s.pOpen = false
-				r.feed(core.Broke{Host: r.hosts[hi].name, Conn: s.num})
+				r.feed(core.HostDisconnected{Host: r.hosts[hi].name, Conn: s.num})
 				return nil
 			}
 		}
@@ -381,7 +381,7 @@
 	if !t.asked {
 		t.asked = true
 		class := [...]string{"safe", "keyed", "unsafe"}[r.cfg.Effect]
-		r.feed(core.Submit{Request: 1, Key: fmt.Sprintf("%d-%d", r.life, ti), Body: 1, What: &servicespec.Description{
+		r.feed(core.Submit{Request: 1, IdempotencyKey: fmt.Sprintf("%d-%d", r.life, ti), BodyHash: 1, Description: &servicespec.Description{
 			Name: project(ti), Services: []servicespec.Service{{Name: "s", Class: class, Replicas: 1, Cores: 1, Memory: 1}},
 		}})
 	}
@@ -401,7 +401,7 @@
 	s := &rStream{num: h.dialled, life: r.life, pOpen: true, hOpen: true}
 	h.dialled = 0
 	h.streams = append(h.streams, s)
-	r.feed(core.Dialled{Host: h.name, Conn: s.num})
+	r.feed(core.HostConnected{Host: h.name, Conn: s.num})
 	return nil
 }
 
@@ -416,7 +416,7 @@
 			}
 			s.toPlacer = s.toPlacer[len(frames):]
 			for _, f := range frames {
-				r.feed(core.FromHost{Host: h.name, Conn: s.num, Frame: f})
+				r.feed(core.FrameReceived{Host: h.name, Conn: s.num, Frame: f})
 			}
 			return nil
 		}
--- a/internal/verify/replay/form.go
+++ b/internal/verify/replay/form.go
@@ -69,51 +69,51 @@
 )
 
 func (s recordedListing) toCore() core.Input {
-	return core.Listing{Mode: s.Mode, Hosts: s.Hosts, Stale: s.Stale}
+	return core.HostListReceived{Mode: s.Mode, Hosts: s.Hosts, Stale: s.Stale}
 }
 
-func (s recordedDialled) toCore() core.Input { return core.Dialled{Host: s.Host, Conn: s.Conn} }
+func (s recordedDialled) toCore() core.Input { return core.HostConnected{Host: s.Host, Conn: s.Conn} }
 
 func (s recordedBroke) toCore() core.Input {
-	return core.Broke{Host: s.Host, Conn: s.Conn, Why: s.Why}
+	return core.HostDisconnected{Host: s.Host, Conn: s.Conn, Reason: s.Why}
 }
 
 func (s recordedFromHost) toCore() core.Input {
-	return core.FromHost{Host: s.Host, Conn: s.Conn, Frame: s.Frame}
+	return core.FrameReceived{Host: s.Host, Conn: s.Conn, Frame: s.Frame}
 }
 
 func (s recordedSubmit) toCore() core.Input {
-	return core.Submit{Request: s.Request, Key: s.Key, Body: s.Body, What: s.What}
+	return core.Submit{Request: s.Request, IdempotencyKey: s.Key, BodyHash: s.Body, Description: s.What}
 }
 
 func (s recordedRemove) toCore() core.Input {
-	return core.Remove{Request: s.Request, Project: s.Project}
+	return core.RemoveProject{Request: s.Request, Project: s.Project}
 }
 
 func (r recordedRestore) toCore() core.Input { return r.restore() }
 
 func (s recordedFromPlacer) toCore() core.Input {
-	return core.FromPlacer{From: s.From, Data: s.Data}
+	return core.GossipReceived{From: s.From, Data: s.Data}
 }
 
 // recordInput returns the stored form of an input, or nil for one that has none.
 func recordInput(in core.Input) recordedInput {
 	switch in := in.(type) {
-	case core.Listing:
+	case core.HostListReceived:
 		return recordedListing{Mode: in.Mode, Hosts: in.Hosts, Stale: in.Stale}
-	case core.Dialled:
+	case core.HostConnected:
 		return recordedDialled{Host: in.Host, Conn: in.Conn}
-	case core.Broke:
-		return recordedBroke{Host: in.Host, Conn: in.Conn, Why: in.Why}
-	case core.FromHost:
+	case core.HostDisconnected:
+		return recordedBroke{Host: in.Host, Conn: in.Conn, Why: in.Reason}
+	case core.FrameReceived:
 		return recordedFromHost{Host: in.Host, Conn: in.Conn, Frame: in.Frame}
 	case core.Submit:
-		return recordedSubmit{Request: in.Request, Key: in.Key, Body: in.Body, What: in.What}
-	case core.Remove:
+		return recordedSubmit{Request: in.Request, Key: in.IdempotencyKey, Body: in.BodyHash, What: in.Description}
+	case core.RemoveProject:
 		return recordedRemove{Request: in.Request, Project: in.Project}
 	case core.Restore:
 		return recordRestore(in)
-	case core.FromPlacer:
+	case core.GossipReceived:
 		return recordedFromPlacer{From: in.From, Data: in.Data}
 	}
 	return nil
@@ -209,27 +209,27 @@
 // recordOutput returns the stored form of an output with its word, or "" and nil for one that has none.
 func recordOutput(out core.Output) (word string, form any) {
 	switch out := out.(type) {
-	case core.Dial:
+	case core.DialHost:
 		return "Dial", recordedDial{Host: out.Host, Address: out.Address, Conn: out.Conn}
-	case core.Close:
+	case core.CloseHostConnection:
 		return "Close", recordedClose{Host: out.Host, Conn: out.Conn}
-	case core.ToHost:
+	case core.SendToHost:
 		return "ToHost", recordedToHost{Host: out.Host, Conn: out.Conn, Frame: out.Frame}
 	case core.Subscribe:
 		return "Subscribe", recordedSubscribe{}
-	case core.ToPlacer:
+	case core.SendGossip:
 		return "ToPlacer", recordedToPlacer{To: out.To, Data: out.Data}
-	case core.Taken:
-		return "Taken", recordedTaken{Request: out.Request, Submission: out.Submission, Again: out.Again}
+	case core.Accepted:
+		return "Taken", recordedTaken{Request: out.Request, Submission: out.Submission, Again: out.Duplicate}
 	case core.Rejected:
 		return "Rejected", recordedRejected{
 			Request: out.Request, Status: out.Status, Title: out.Title, Detail: out.Detail, RetryAfter: out.RetryAfter,
 		}
-	case core.Grew:
+	case core.OutcomesAdded:
 		return "Grew", recordedGrew{Submission: out.Submission}
-	case core.Keep:
-		return "Keep", recordedKeep{Note: out.Note}
-	case core.Logged:
+	case core.Persist:
+		return "Keep", recordedKeep{Note: out.Record}
+	case core.Log:
 		return "Logged", recordedLogged{Defect: out.Defect, Text: out.Text}
 	}
 	return "", nil
--- a/internal/verify/replay/form_test.go
+++ b/internal/verify/replay/form_test.go
@@ -9,8 +9,8 @@
 // An output without a stored form would stand in a tape as an empty line, and would replay against anything.
 func TestRecordOutputHasAWordForEachOutput(t *testing.T) {
 	for _, out := range []core.Output{
-		core.Dial{}, core.Close{}, core.ToHost{}, core.Subscribe{}, core.ToPlacer{}, core.Taken{}, core.Rejected{}, core.Grew{}, core.Keep{},
-		core.Logged{},
+		core.DialHost{}, core.CloseHostConnection{}, core.SendToHost{}, core.Subscribe{}, core.SendGossip{}, core.Accepted{}, core.Rejected{}, core.OutcomesAdded{}, core.Persist{},
+		core.Log{},
 	} {
 		if word, form := recordOutput(out); word == "" || form == nil {
 			t.Errorf("%T has the word %q and the form %v", out, word, form)
--- a/internal/verify/replay/golden_test.go
+++ b/internal/verify/replay/golden_test.go
@@ -94,20 +94,20 @@
 	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
 	var b bytes.Buffer
 	for _, out := range []core.Output{
-		core.Dial{Host: "h", Address: "a:1", Conn: 2},
-		core.Close{Host: "h", Conn: 2},
-		core.ToHost{Host: "h", Conn: 2, Frame: hostproto.Hello{Version: 1, Placer: 2, Epoch: 3, Conn: 4}},
-		core.ToHost{Host: "h", Conn: 2, Frame: hostproto.Offer{Ref: ref, Wait: 1, Spec: exampleSpec(), Payload: []byte("{}")}},
-		core.ToHost{Host: "h", Conn: 2, Frame: hostproto.Withdraw{Ref: ref}},
-		core.ToHost{Host: "h", Conn: 2, Frame: hostproto.Stop{Ref: ref, Grace: 1}},
-		core.ToHost{Host: "h", Conn: 2, Frame: hostproto.Probe{ID: 1}},
-		core.ToHost{Host: "h", Conn: 2, Frame: hostproto.Query{Refs: []hostproto.Ref{ref}}},
+		core.DialHost{Host: "h", Address: "a:1", Conn: 2},
+		core.CloseHostConnection{Host: "h", Conn: 2},
+		core.SendToHost{Host: "h", Conn: 2, Frame: hostproto.Hello{Version: 1, Placer: 2, Epoch: 3, Conn: 4}},
+		core.SendToHost{Host: "h", Conn: 2, Frame: hostproto.Offer{Ref: ref, Wait: 1, Spec: exampleSpec(), Payload: []byte("{}")}},
+		core.SendToHost{Host: "h", Conn: 2, Frame: hostproto.Withdraw{Ref: ref}},
+		core.SendToHost{Host: "h", Conn: 2, Frame: hostproto.Stop{Ref: ref, Grace: 1}},
+		core.SendToHost{Host: "h", Conn: 2, Frame: hostproto.Probe{ID: 1}},
+		core.SendToHost{Host: "h", Conn: 2, Frame: hostproto.Query{Refs: []hostproto.Ref{ref}}},
 		core.Subscribe{},
-		core.ToPlacer{To: forkhead.AllPlacers, Data: []byte("data")},
-		core.Taken{Request: 1, Submission: "s", Again: true},
+		core.SendGossip{To: forkhead.AllPlacers, Data: []byte("data")},
+		core.Accepted{Request: 1, Submission: "s", Duplicate: true},
 		core.Rejected{Request: 1, Status: 503, Title: "t", Detail: "d", RetryAfter: 2},
-		core.Grew{Submission: "s"},
-		core.Keep{Note: durable.IncarnationStarted{Epoch: 1}},
+		core.OutcomesAdded{Submission: "s"},
+		core.Persist{Record: durable.IncarnationStarted{Epoch: 1}},
 	} {
 		fmt.Fprintln(&b, replay.Line(out))
 	}
@@ -146,13 +146,13 @@
 		FreeCores: 1.5, FreeMemory: 2.5, Attributes: map[servicespec.Attribute]string{"os": "linux"},
 	}}
 	inputs := []core.Input{
-		core.Listing{Mode: forkhead.ListSnapshot, Hosts: hosts, Stale: true},
-		core.Dialled{Host: "h", Conn: 1},
-		core.Broke{Host: "h", Conn: 1, Why: "cut"},
-		core.Submit{Request: 1, Key: "key", Body: 2, What: what},
-		core.Remove{Request: 1, Project: "p"},
-		core.FromPlacer{From: 1, Data: []byte("data")},
-		core.Restore{Kept: &durable.Snapshot{
+		core.HostListReceived{Mode: forkhead.ListSnapshot, Hosts: hosts, Stale: true},
+		core.HostConnected{Host: "h", Conn: 1},
+		core.HostDisconnected{Host: "h", Conn: 1, Reason: "cut"},
+		core.Submit{Request: 1, IdempotencyKey: "key", BodyHash: 2, Description: what},
+		core.RemoveProject{Request: 1, Project: "p"},
+		core.GossipReceived{From: 1, Data: []byte("data")},
+		core.Restore{Snapshot: &durable.Snapshot{
 			Projects: []durable.Project{{
 				SubmissionID: "s-1", Specification: what, Tasks: []durable.Task{{Project: "p", Service: "web", Replica: 1, Outcome: "placed", Finished: true}},
 			}},
@@ -168,7 +168,7 @@
 		}},
 	}
 	for _, f := range exampleFrames() {
-		inputs = append(inputs, core.FromHost{Host: "h", Conn: 1, Frame: f})
+		inputs = append(inputs, core.FrameReceived{Host: "h", Conn: 1, Frame: f})
 	}
 	return inputs
 }
--- a/internal/verify/replay/snapshot.go
+++ b/internal/verify/replay/snapshot.go
@@ -84,7 +84,7 @@
 
 // recordRestore returns the form of a restore on a tape.
 func recordRestore(in core.Restore) recordedRestore {
-	s := in.Kept
+	s := in.Snapshot
 	if s == nil {
 		return recordedRestore{}
 	}
@@ -105,7 +105,7 @@
 	if s == nil {
 		return core.Restore{}
 	}
-	return core.Restore{Kept: &durable.Snapshot{
+	return core.Restore{Snapshot: &durable.Snapshot{
 		Projects:    convertAll(s.Projects, recordedProject.project),
 		Tombstones:  s.Removed,
 		Submissions: convertAll(s.Submissions, recordedProgress.progress),
--- a/internal/verify/replay/tape.go
+++ b/internal/verify/replay/tape.go
@@ -204,13 +204,13 @@
 	for _, in := range in {
 		e := base
 		switch in := in.(type) {
-		case core.FromHost:
+		case core.FrameReceived:
 			e.Host, e.Conn = in.Host, uint64(in.Conn)
 			events = append(events, capture.Frame(e, in.Frame)...)
-		case core.Broke:
+		case core.HostDisconnected:
 			e.What, e.Host, e.Conn = capture.Gone, in.Host, uint64(in.Conn)
 			events = append(events, e)
-		case core.Listing:
+		case core.HostListReceived:
 			if in.Mode == forkhead.ListFailed {
 				continue
 			}
@@ -228,13 +228,13 @@
 	for _, out := range out {
 		e := base
 		switch out := out.(type) {
-		case core.ToHost:
+		case core.SendToHost:
 			e.Host, e.Conn = out.Host, uint64(out.Conn)
 			events = append(events, capture.Frame(e, out.Frame)...)
-		case core.Close:
+		case core.CloseHostConnection:
 			e.What, e.Host, e.Conn = capture.Gone, out.Host, uint64(out.Conn)
 			events = append(events, e)
-		case core.Taken:
+		case core.Accepted:
 			e.What, e.Submission = capture.Submit, out.Submission
 			events = append(events, e)
 		}
@@ -246,7 +246,7 @@
 func Places(in []core.Input) []capture.Event {
 	var events []capture.Event
 	for _, in := range in {
-		if l, ok := in.(core.Listing); ok {
+		if l, ok := in.(core.HostListReceived); ok {
 			for i := range l.Hosts {
 				h := &l.Hosts[i]
 				events = append(events, capture.Event{What: capture.HostUp, Host: h.Name, Zone: h.Zone, Rack: h.Rack})
--- a/internal/verify/replay/tape_test.go
+++ b/internal/verify/replay/tape_test.go
@@ -29,10 +29,10 @@
 	now := time.Hour
 	for n, in := range [][]core.Input{
 		nil,
-		{core.Listing{Hosts: []core.HostEntry{{Name: "h", Address: "h:1", Kind: "std-28", Zone: "north", Rack: "r"}}}},
-		{core.Dialled{Host: "h", Conn: 1}},
-		{core.FromHost{Host: "h", Conn: 1, Frame: hostproto.Welcome{Version: hostproto.Version, Host: "h", Epoch: 3}}},
-		{core.Broke{Host: "h", Conn: 1, Why: "cut"}},
+		{core.HostListReceived{Hosts: []core.HostEntry{{Name: "h", Address: "h:1", Kind: "std-28", Zone: "north", Rack: "r"}}}},
+		{core.HostConnected{Host: "h", Conn: 1}},
+		{core.FrameReceived{Host: "h", Conn: 1, Frame: hostproto.Welcome{Version: hostproto.Version, Host: "h", Epoch: 3}}},
+		{core.HostDisconnected{Host: "h", Conn: 1, Reason: "cut"}},
 		nil,
 	} {
 		now += 10 * time.Millisecond
--- a/internal/verify/rules/golden_test.go
+++ b/internal/verify/rules/golden_test.go
@@ -47,7 +47,7 @@
 	facts := FactsOf(s.Settings, float64(s.Host.Starts)/s.Host.Start.Seconds())
 	facts.Durable = s.Durable
 	v := Check(events, facts)
-	for _, word := range []string{core.WordPlaced, core.WordRefused, core.WordFailed} {
+	for _, word := range []string{core.OutcomePlaced, core.OutcomeRejected, core.OutcomeFailed} {
 		v.Outcomes[word] += 0 // the kept result names all of them
 	}
 	return v
--- a/internal/verify/simulation/durable.go
+++ b/internal/verify/simulation/durable.go
@@ -97,7 +97,7 @@
 			text := fmt.Sprintf("name: p%d\nservices:\n  a: {x-forkhead: {class: %s, life: %dms}, deploy: {replicas: %d, restart_policy: {condition: on-failure}}}\n",
 				n, classes[rng.IntN(len(classes))], 500+rng.IntN(4000), tasks)
 			taken := len(s.Taken)
-			s.Step(core.Submit{Request: 1, Key: fmt.Sprintf("k%d", n), Body: 1, What: s.Parse(text)})
+			s.Step(core.Submit{Request: 1, IdempotencyKey: fmt.Sprintf("k%d", n), BodyHash: 1, Description: s.Parse(text)})
 			if len(s.Taken) > taken {
 				subs = append(subs, &followed{s.Taken[taken].Submission, tasks, map[string]string{}})
 			}
@@ -148,7 +148,7 @@
 		}
 	}
 	for i := range 200 {
-		s.Step(core.Remove{Request: 10, Project: fmt.Sprintf("p%d", i)})
+		s.Step(core.RemoveProject{Request: 10, Project: fmt.Sprintf("p%d", i)})
 	}
 	s.Run(20 * time.Second)
 	if s.Running() != 0 {
--- a/internal/verify/simulation/lives.go
+++ b/internal/verify/simulation/lives.go
@@ -88,7 +88,7 @@
 				subs = append(subs, sub{id, s.Epoch, s.Now + 21*time.Second})
 			}
 		case 4:
-			s.Step(core.Remove{Request: 9, Project: fmt.Sprintf("p%d", rng.IntN(6))})
+			s.Step(core.RemoveProject{Request: 9, Project: fmt.Sprintf("p%d", rng.IntN(6))})
 		case 5:
 			s.Cut(name)
 		case 6:
@@ -166,10 +166,10 @@
 		}
 	}
 	for i := range 7 {
-		s.Step(core.Remove{Request: 10, Project: fmt.Sprintf("p%d", i)})
+		s.Step(core.RemoveProject{Request: 10, Project: fmt.Sprintf("p%d", i)})
 	}
 	s.Run(20 * time.Second)
-	if held := s.Core.Held(); held != (core.Held{Hosts: held.Hosts}) || s.Running() != 0 {
+	if held := s.Core.TableSizes(); held != (core.TableSizes{Hosts: held.Hosts}) || s.Running() != 0 {
 		t.Fatalf("left over: %+v, %d running", held, s.Running())
 	}
 	s.Clean()
--- a/internal/verify/simulation/sim.go
+++ b/internal/verify/simulation/sim.go
@@ -39,7 +39,7 @@
 
 	ListUp   bool // the catalogue answers
 	subs     bool // the core has asked for the list
-	Taken    []core.Taken
+	Taken    []core.Accepted
 	Rejected []core.Rejected
 	Logs     []string
 	Defects  []string
@@ -205,7 +205,7 @@
 		if s.Disk == nil {
 			s.Disk = NewDisk()
 		}
-		s.Step(core.Restore{Kept: s.Disk.Kept()})
+		s.Step(core.Restore{Snapshot: s.Disk.Kept()})
 		return
 	}
 	s.Step()
@@ -250,8 +250,8 @@
 	var notes []durable.Record
 	leaves := out[:0:0]
 	for _, o := range out {
-		if k, ok := o.(core.Keep); ok {
-			notes = append(notes, k.Note)
+		if k, ok := o.(core.Persist); ok {
+			notes = append(notes, k.Record)
 		} else {
 			leaves = append(leaves, o)
 		}
@@ -310,26 +310,26 @@
 		}
 	}
 	switch o := o.(type) {
-	case core.Dial:
+	case core.DialHost:
 		h := s.Hosts[o.Host]
 		gen := h.gen
 		s.After(s.Delay, alive(func() {
 			if h.Life.Dead() || h.Mute || gen != h.gen {
-				s.Step(core.Broke{Host: o.Host, Conn: o.Conn})
+				s.Step(core.HostDisconnected{Host: o.Host, Conn: o.Conn})
 				return
 			}
 			h.conns[o.Conn] = true
 			s.HostOut(o.Host, h.Life.Opened(s.Now, s.conn(h, o.Conn)))
-			s.Step(core.Dialled{Host: o.Host, Conn: o.Conn})
+			s.Step(core.HostConnected{Host: o.Host, Conn: o.Conn})
 		}))
-	case core.Close:
+	case core.CloseHostConnection:
 		h := s.Hosts[o.Host]
 		if h.conns[o.Conn] {
 			delete(h.conns, o.Conn)
 			id := s.conn(h, o.Conn)
 			s.After(s.Delay, func() { s.HostOut(o.Host, h.Life.Closed(s.Now, id)) })
 		}
-	case core.ToHost:
+	case core.SendToHost:
 		h := s.Hosts[o.Host]
 		if f, ok := o.Frame.(hostproto.Offer); ok {
 			s.Offers = append(s.Offers, Offer{s.Now, o.Host, f})
@@ -345,11 +345,11 @@
 	case core.Subscribe:
 		s.subs = true
 		s.After(s.Delay, alive(s.List))
-	case core.Taken:
+	case core.Accepted:
 		s.Taken = append(s.Taken, o)
 	case core.Rejected:
 		s.Rejected = append(s.Rejected, o)
-	case core.Logged:
+	case core.Log:
 		s.Logs = append(s.Logs, o.Text)
 		if o.Defect {
 			s.Defects = append(s.Defects, o.Text)
@@ -383,7 +383,7 @@
 			delete(h.conns, conn)
 			s.After(s.Delay, func() {
 				if s.Core == c {
-					s.Step(core.Broke{Host: name, Conn: conn})
+					s.Step(core.HostDisconnected{Host: name, Conn: conn})
 				}
 			})
 			continue
@@ -393,7 +393,7 @@
 			if s.Core != c || h.Mute || gen != h.gen || !h.conns[conn] || s.FromHost != nil && !s.FromHost(name, f) {
 				return
 			}
-			s.Step(core.FromHost{Host: name, Conn: conn, Frame: f})
+			s.Step(core.FrameReceived{Host: name, Conn: conn, Frame: f})
 		})
 	}
 }
@@ -410,7 +410,7 @@
 	for conn := range conns {
 		s.After(s.Delay, func() {
 			if s.Core == c {
-				s.Step(core.Broke{Host: name, Conn: conn})
+				s.Step(core.HostDisconnected{Host: name, Conn: conn})
 			}
 		})
 	}
@@ -446,10 +446,10 @@
 	}
 	if !s.ListUp {
 		s.subs = false
-		s.Step(core.Listing{Mode: forkhead.ListFailed})
+		s.Step(core.HostListReceived{Mode: forkhead.ListFailed})
 		return
 	}
-	var l core.Listing
+	var l core.HostListReceived
 	l.Mode = forkhead.ListSnapshot
 	for _, name := range s.Names {
 		h := s.Hosts[name]
@@ -520,7 +520,7 @@
 	s.t.Helper()
 	d := s.Parse(text)
 	n, r := len(s.Taken), len(s.Rejected)
-	s.Step(core.Submit{Request: 1, Key: key, Body: uint64(len(text)), What: d})
+	s.Step(core.Submit{Request: 1, IdempotencyKey: key, BodyHash: uint64(len(text)), Description: d})
 	if len(s.Rejected) > r {
 		return ""
 	}
@@ -558,7 +558,7 @@
 		s.t.Fatalf("defects: %v", s.Defects)
 	}
 	if st := s.Core.Status(); st.Vetoes > 0 {
-		s.t.Fatalf("vetoes: %v", st.ByRule)
+		s.t.Fatalf("vetoes: %v", st.VetoesByRule)
 	}
 	if v := s.Verdict(); !v.OK() {
 		s.t.Fatalf("breaches: %v", v.Breaches)
--- a/internal/verify/testcluster/scene.go
+++ b/internal/verify/testcluster/scene.go
@@ -312,7 +312,7 @@
 		for i := range c.placers {
 			if p := c.placers[i].Load(); p != nil {
 				st := p.Status()
-				good = good && st.Up >= len(c.Hosts) && st.Ready >= len(c.Hosts)
+				good = good && st.HostsUp >= len(c.Hosts) && st.HostsReady >= len(c.Hosts)
 			}
 		}
 		if good {
