--- a/internal/scheduler/platform/api.go
+++ b/internal/scheduler/platform/api.go
@@ -34,35 +34,35 @@
 
 // Bounds of the core. What each does when it is met is said where it is used.
 const (
-	mostOpen      = 8192                  // requests without an answer, of all owners
-	mostOpenEach  = 2048                  // and of one connection
-	mostBadLines  = 64                    // lines of one connection that were turned down as malformed
-	linksEach     = 8                     // connections to one host
-	streamsEach   = 32                    // attempts out on one connection
-	mostGivenUp   = 4096                  // attempts remembered after they were given up, and releases of unknown tasks
-	mostUnlisted  = 1024                  // hosts that hold tasks by their owners' word and that the list does not have yet
-	mostRetired   = 4                     // connections to hosts that are being closed, beyond the room for others
-	retireFor     = time.Second           // and are read for so long at most
-	mostOwed      = 1024                  // messages that wait for a connection of owners
-	overtaken     = 50 * time.Millisecond // an answer to a later offer by so much shows that a connection is dead
-	wholeLine     = 2 * time.Second
-	sayFirst      = 2 * time.Second
-	probeWithin   = 250 * time.Millisecond
-	retest        = 120 * time.Millisecond // a probe that is not answered is sent again on another connection
-	restFirst     = 100 * time.Millisecond // between connections that were refused or not made
-	restMost      = time.Second
-	quietAfter    = time.Second                    // a host with standing tasks that has said nothing for so long is called on, and again
-	lostAfter     = owedFor - 500*time.Millisecond // and is lost after this, where no connection to it could be made since
-	lastCall      = 500 * time.Millisecond
-	goneAfter     = 500 * time.Millisecond
-	hostsWord     = time.Second             // a release that the host does not answer counts as heard
-	owedFor       = 8 * time.Second         // the protocol: what is over and could not be told is released within this time of its end
-	forgetHost    = 30 * time.Second        // a host that is gone and holds nothing is forgotten
-	awaitListed   = 2500 * time.Millisecond // a host that an owner names may come to the list so late; bad clients get their answer in 3 s
-	tendEvery     = 50 * time.Millisecond
-	mostWait      = 60 * 24 * time.Hour // the longest that an owner may say it waits
-	stopListening = 800 * time.Millisecond
-	stopAtLeast   = 1200 * time.Millisecond
+	maxOpenRequests          = 8192                  // requests without an answer, of all owners
+	maxOpenRequestsPerOwner  = 2048                  // and of one connection
+	maxMalformedRequests     = 64                    // lines of one connection that were turned down as malformed
+	maxConnectionsPerHost    = 8                     // connections to one host
+	maxAttemptsPerConnection = 32                    // attempts out on one connection
+	maxRemembered            = 4096                  // attempts remembered after they were given up, and releases of unknown tasks
+	maxUnlistedHosts         = 1024                  // hosts that hold tasks by their owners' word and that the list does not have yet
+	maxHalfClosed            = 4                     // connections to hosts that are being closed, beyond the room for others
+	halfClosedTimeout        = time.Second           // and are read for so long at most
+	maxUndelivered           = 1024                  // messages that wait for a connection of owners
+	overtakenAfter           = 50 * time.Millisecond // an answer to a later offer by so much shows that a connection is dead
+	ownerLineTimeout         = 2 * time.Second
+	firstMessageTimeout      = 2 * time.Second
+	probeTimeout             = 250 * time.Millisecond
+	probeRetryAfter          = 120 * time.Millisecond // a probe that is not answered is sent again on another connection
+	minRedialBackoff         = 100 * time.Millisecond // between connections that were refused or not made
+	maxRedialBackoff         = time.Second
+	unresponsiveAfter        = time.Second                               // a host with standing tasks that has said nothing for so long is called on, and again
+	lostAfter                = undeliveredTimeout - 500*time.Millisecond // and is lost after this, where no connection to it could be made since
+	lastDialBeforeLoss       = 500 * time.Millisecond
+	removedGrace             = 500 * time.Millisecond
+	stopTimeout              = time.Second             // a release that the host does not answer counts as heard
+	undeliveredTimeout       = 8 * time.Second         // the protocol: what is over and could not be told is released within this time of its end
+	forgetHostAfter          = 30 * time.Second        // a host that is gone and holds nothing is forgotten
+	unlistedTimeout          = 2500 * time.Millisecond // a host that an owner names may come to the list so late; bad clients get their answer in 3 s
+	reconcileInterval        = 50 * time.Millisecond
+	maxRequestWait           = 60 * 24 * time.Hour // the longest that an owner may say it waits
+	listenAfterShutdown      = 800 * time.Millisecond
+	minShutdownDuration      = 1200 * time.Millisecond
 )
 
 // Input is something that happened on the sockets.
--- a/internal/scheduler/platform/bench_test.go
+++ b/internal/scheduler/platform/bench_test.go
@@ -119,7 +119,7 @@
 
 // refuse fails the connections to host 1 that are being made.
 func (w *world) refuse(refused bool) {
-	for _, l := range slices.Clone(w.c.hosts[1].links) {
+	for _, l := range slices.Clone(w.c.hosts[1].connections) {
 		if !l.open {
 			w.step(DialFailed{Connection: l.id, Refused: refused})
 		}
--- a/internal/scheduler/platform/core.go
+++ b/internal/scheduler/platform/core.go
@@ -16,59 +16,59 @@
 
 // Core is one placer's state.
 type Core struct {
-	cfg    Config
-	set    *forkhead.Settings
-	now    time.Duration
-	out    []Output
-	module *moduledriver.Driver
-
-	timers timerqueue.Queue[timer]
-	tendAt time.Duration
-
-	owners  map[uint64]*owner
-	pending []undelivered // what no connection of owners could take yet
-
-	lastTask forkhead.TaskID
-	tasks    map[forkhead.TaskID]*request
-	refs     map[string]*request
-	open     int               // requests without an answer
-	services map[uint64][]*try // live attempts
-	strays   []stray           // attempts of this step whose answer was lost
-	over     []*request        // to be forgotten at the end of the step
-	ended    recent[givenUp]   // attempts that were given up, by host and ref
-	releases recent[release]   // that hosts told of tasks which are not known here
-	waited   int               // hosts that are not listed and hold tasks
-	hosts    map[uint32]*host  // by number
-	order    []*host           // the same, sorted; nil: to be made anew
-	links    map[uint64]*link  // all connections to hosts
-	retired  []*link           // those of them that are being closed
-	lastLink uint64
-	lastTest uint64
-	seq      uint64 // of the change log
-	listed   bool   // the module has a list
-
-	stopAt  time.Duration // when the stop began; 0: it has not
-	closing bool
-}
-
-type givenUp struct {
+	config   Config
+	settings *forkhead.Settings
+	now      time.Duration
+	outputs  []Output
+	module   *moduledriver.Driver
+
+	timers      timerqueue.Queue[timer]
+	reconcileAt time.Duration
+
+	owners      map[uint64]*ownerConnection
+	undelivered []undeliveredMessage // what no connection of owners could take yet
+
+	lastTask          forkhead.TaskID
+	requests          map[forkhead.TaskID]*request
+	requestsByRef     map[string]*request
+	unanswered        int                        // requests without an answer
+	attemptsByService map[uint64][]*taskAttempt  // live attempts
+	possibleOrphans   []possibleOrphan           // attempts of this step whose answer was lost
+	finished          []*request                 // to be forgotten at the end of the step
+	abandoned         recent[attemptKey]         // attempts that were given up, by host and ref
+	reportedEnds      recent[reportedEnd]        // that hosts told of tasks which are not known here
+	unlistedHosts     int                        // hosts that are not listed and hold tasks
+	hosts             map[uint32]*host           // by number
+	sortedHosts       []*host                    // the same, sorted; nil: to be made anew
+	connections       map[uint64]*hostConnection // all connections to hosts
+	halfClosed        []*hostConnection          // those of them that are being closed
+	lastConnection    uint64
+	lastProbe         uint64
+	listSequence      uint64 // of the change log
+	started           bool   // the module has a list
+
+	shutdownAt     time.Duration // when the stop began; 0: it has not
+	listenerClosed bool
+}
+
+type attemptKey struct {
 	host uint32
 	ref  string
 }
 
-// release is the end of a task as its host told it, with one of the causes CauseOK, CauseMoved and CauseReset.
-type release struct {
-	givenUp
+// reportedEnd is the end of a task as its host told it, with one of the causes CauseOK, CauseMoved and CauseReset.
+type reportedEnd struct {
+	attemptKey
 	cause platform.Cause
 }
 
-// stray is an attempt whose answer was lost with its connection: its task may stand.
-type stray struct {
+// possibleOrphan is an attempt whose answer was lost with its connection: its task may stand.
+type possibleOrphan struct {
 	host *host
 	ref  string
 }
 
-type undelivered struct {
+type undeliveredMessage struct {
 	ref  string
 	line []byte
 	by   time.Duration
@@ -87,9 +87,9 @@
 		return nil, err
 	}
 	c := &Core{
-		cfg: cfg, set: &cfg.Settings, module: module, owners: map[uint64]*owner{}, tasks: map[forkhead.TaskID]*request{},
-		refs: map[string]*request{}, services: map[uint64][]*try{},
-		ended: newRecent[givenUp](mostGivenUp), releases: newRecent[release](mostGivenUp), hosts: map[uint32]*host{}, links: map[uint64]*link{},
+		config: cfg, settings: &cfg.Settings, module: module, owners: map[uint64]*ownerConnection{}, requests: map[forkhead.TaskID]*request{},
+		requestsByRef: map[string]*request{}, attemptsByService: map[uint64][]*taskAttempt{},
+		abandoned: newRecent[attemptKey](maxRemembered), reportedEnds: newRecent[reportedEnd](maxRemembered), hosts: map[uint32]*host{}, connections: map[uint64]*hostConnection{},
 	}
 	return c, nil
 }
@@ -97,20 +97,20 @@
 // Next is when the core wants to be stepped without inputs.
 func (c *Core) Next() time.Duration {
 	if at, ok := c.timers.Next(); ok {
-		return min(at, c.tendAt)
+		return min(at, c.reconcileAt)
 	}
-	return c.tendAt
+	return c.reconcileAt
 }
 
 // Step takes the inputs of one moment, in order, and returns what to do, in order.
 func (c *Core) Step(now time.Duration, in ...Input) []Output {
-	c.now, c.out = now, nil
-	if !c.listed {
-		c.listed = true
-		c.begin()
+	c.now, c.outputs = now, nil
+	if !c.started {
+		c.started = true
+		c.loadInitialList()
 	}
 	for _, i := range in {
-		c.take(i)
+		c.handle(i)
 	}
 	for {
 		t, due := c.timers.PopDue(now)
@@ -118,61 +118,61 @@
 			break
 		}
 		if t.deadline {
-			c.deadline(forkhead.TaskID(t.id))
+			c.expireAttempts(forkhead.TaskID(t.id))
 		} else {
-			c.event(forkhead.TimerFired{Timer: t.id})
+			c.notifyModule(forkhead.TimerFired{Timer: t.id})
 		}
 	}
-	if now >= c.tendAt {
-		c.tendAt = now + tendEvery
-		c.tend()
+	if now >= c.reconcileAt {
+		c.reconcileAt = now + reconcileInterval
+		c.reconcile()
 	}
 	c.runModule()
-	for _, s := range c.strays {
+	for _, s := range c.possibleOrphans {
 		// Whether it stands is not known, and nobody would ever end it. One that was offered to the same host again is
 		// that host's to sort out.
-		if l := s.host.best(); l != nil && s.host.tries[s.ref] == nil {
-			c.cancel(l, s.ref)
+		if l := s.host.leastBusyConnection(); l != nil && s.host.attempts[s.ref] == nil {
+			c.sendRelease(l, s.ref)
 		}
 	}
-	c.strays = c.strays[:0]
-	c.sweep()
-	return c.out
+	c.possibleOrphans = c.possibleOrphans[:0]
+	c.forgetRequests()
+	return c.outputs
 }
 
-func (c *Core) take(i Input) {
+func (c *Core) handle(i Input) {
 	switch i := i.(type) {
 	case OwnerConnected:
-		c.accepted(i.Owner)
+		c.ownerConnected(i.Owner)
 	case OwnerData:
-		c.ownerData(i)
+		c.receiveFromOwner(i)
 	case OwnerDisconnected:
 		if o := c.owners[i.Owner]; o != nil {
-			c.left(o)
+			c.ownerDisconnected(o)
 		}
 	case HostConnected:
-		c.dialled(i.Connection)
+		c.hostConnected(i.Connection)
 	case DialFailed:
 		c.dialFailed(i)
 	case HostData:
-		c.hostData(i)
+		c.receiveFromHost(i)
 	case HostDisconnected:
-		if l := c.links[i.Connection]; l != nil {
-			c.unlink(l)
+		if l := c.connections[i.Connection]; l != nil {
+			c.connectionLost(l)
 		}
 	case WatchEventReceived:
-		c.changed(i.Event, i.SequenceRestarted)
+		c.handleWatchEvent(i.Event, i.SequenceRestarted)
 	case GossipReceived:
-		c.event(forkhead.Received{From: i.From, Data: i.Data})
+		c.notifyModule(forkhead.Received{From: i.From, Data: i.Data})
 	case ShutdownRequested:
-		if c.stopAt == 0 {
-			c.stopAt = c.now
+		if c.shutdownAt == 0 {
+			c.shutdownAt = c.now
 		}
 	}
 }
 
-func (c *Core) event(ev forkhead.Event) { c.module.Add(ev) }
-func (c *Core) emit(o Output)           { c.out = append(c.out, o) }
+func (c *Core) notifyModule(ev forkhead.Event) { c.module.Add(ev) }
+func (c *Core) emit(o Output)                  { c.outputs = append(c.outputs, o) }
 
 // runModule hands the module its events until it has none left: some actions cause events at once.
 func (c *Core) runModule() {
@@ -190,15 +190,15 @@
 	case forkhead.Fail:
 		c.answer(a.Task, false, 0)
 	case forkhead.Withdraw:
-		if r := c.tasks[a.Task]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.tries) {
-			c.giveUp(r.tries[a.Attempt], forkhead.Withdrawn, r.phase != open)
+		if r := c.requests[a.Task]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
+			c.withdraw(r.attempts[a.Attempt], forkhead.Withdrawn, r.phase != requestOpen)
 		}
 	case forkhead.Stop:
-		c.move(a.Task)
+		c.migrate(a.Task)
 	case forkhead.SetTimer:
 		c.timers.Add(max(a.At, c.now+time.Microsecond), timer{id: a.Timer})
 	case forkhead.Probe:
-		c.probe(uint32(a.Machine))
+		c.startProbe(uint32(a.Machine))
 	case forkhead.Gossip:
 		if len(a.Data) > platform.MaxDatagramSize {
 			c.logViolation(messageOversizedGossip, slog.Int(keyBytes, len(a.Data)))
@@ -213,206 +213,206 @@
 
 // ---- Requests.
 
-type phase uint8
+type requestPhase uint8
 
 const (
-	open     phase = iota // an answer is owed
-	standing              // placed
-	ending                // its owner or the module has ended it, and its host has not said so yet
-	over
+	requestOpen   requestPhase = iota // an answer is owed
+	requestPlaced                     // placed
+	requestEnding                     // its owner or the module has ended it, and its host has not said so yet
+	requestOver
 )
 
 // request is one arrival of a task.
 type request struct {
-	id     forkhead.TaskID
-	ref    string
-	owner  uint64 // the connection that it came on last
-	task   forkhead.Task
-	class  *forkhead.Class
-	fields []platform.Field // for hosts
-	desc   []byte
-	digest uint64
-	ask    attempt.Request
-	tries  []*try
-	phase  phase
-}
-
-// try is an attempt.
-type try struct {
-	req    *request
-	number int
-	host   *host
-	link   *link // that carries it, or that it waits for
-	at     time.Duration
-	endBy  time.Duration // ending: the host's word is awaited until then
-	told   bool          // ending: its host has been told
-	noted  bool          // its host has sent notes on it: it stands there, answered or not
-}
-
-func (t *try) phase() attempt.Phase { return t.req.ask.Attempts[t.number].Phase }
+	id          forkhead.TaskID
+	ref         string
+	owner       uint64 // the connection that it came on last
+	task        forkhead.Task
+	class       *forkhead.Class
+	hostFields  []platform.Field // for hosts
+	description []byte
+	digest      uint64
+	lifecycle   attempt.Request
+	attempts    []*taskAttempt
+	phase       requestPhase
+}
+
+// taskAttempt is an attempt.
+type taskAttempt struct {
+	request      *request
+	number       int
+	host         *host
+	connection   *hostConnection // that carries it, or that it waits for
+	sentAt       time.Duration
+	stopDeadline time.Duration // ending: the host's word is awaited until then
+	stopSent     bool          // ending: its host has been told
+	hasNotes     bool          // its host has sent notes on it: it stands there, answered or not
+}
+
+func (t *taskAttempt) phase() attempt.Phase { return t.request.lifecycle.Attempts[t.number].Phase }
 
 // offer starts an attempt where that is legal now; else its outcome is that it was not sent.
 func (c *Core) offer(a forkhead.Offer) {
-	r := c.tasks[a.Task]
+	r := c.requests[a.Task]
 	if r == nil {
 		c.logViolation(messageUnknownTask, taskAttr(a.Task))
 		return
 	}
 	h := c.hosts[uint32(a.Machine)]
 	moot := func() {
-		r.ask.AddUnsent(c.now, attempt.HostID(a.Machine))
-		r.tries = append(r.tries, nil)
-		c.event(forkhead.Outcome{
-			Task: r.id, Attempt: len(r.tries) - 1, Machine: a.Machine, Result: forkhead.NotSent, Final: r.phase != open,
+		r.lifecycle.AddUnsent(c.now, attempt.HostID(a.Machine))
+		r.attempts = append(r.attempts, nil)
+		c.notifyModule(forkhead.Outcome{
+			Task: r.id, Attempt: len(r.attempts) - 1, Machine: a.Machine, Result: forkhead.NotSent, Final: r.phase != requestOpen,
 		})
 	}
-	if r.phase != open || h == nil || h.address == "" {
+	if r.phase != requestOpen || h == nil || h.address == "" {
 		moot()
 		return
 	}
 	veto := invariant.CheckOffer(c.now, &invariant.Offer{
-		Request: &r.ask, Task: &r.task, Class: r.class, To: h.guarded(), DrainGrace: c.set.DrainGrace,
+		Request: &r.lifecycle, Task: &r.task, Class: r.class, To: h.forInvariants(), DrainGrace: c.settings.DrainGrace,
 		HostByID: func(id attempt.HostID) *invariant.Host {
 			if h := c.hosts[uint32(id)]; h != nil {
-				return h.guarded()
+				return h.forInvariants()
 			}
 			return nil
 		},
-		ServiceHosts: c.others(r.task.Service, nil),
+		ServiceHosts: c.otherHosts(r.task.Service, nil),
 	})
 	if veto != nil {
 		c.logViolation(messageOfferVetoed, taskAttr(r.id), hostAttr(h.name), errorAttr(veto))
 		moot()
 		return
 	}
-	t := &try{req: r, number: r.ask.AddOffer(c.now, attempt.HostID(a.Machine)), host: h, at: c.now}
-	r.tries = append(r.tries, t)
-	c.services[r.task.Service] = append(c.services[r.task.Service], t)
-	if a.Timeout > 0 && c.now+a.Timeout < r.ask.Deadline {
+	t := &taskAttempt{request: r, number: r.lifecycle.AddOffer(c.now, attempt.HostID(a.Machine)), host: h, sentAt: c.now}
+	r.attempts = append(r.attempts, t)
+	c.attemptsByService[r.task.Service] = append(c.attemptsByService[r.task.Service], t)
+	if a.Timeout > 0 && c.now+a.Timeout < r.lifecycle.Deadline {
 		c.timers.Add(c.now+a.Timeout, timer{id: uint64(r.id), deadline: true})
 	}
-	h.tries[r.ref] = t
-	c.carry(t)
+	h.attempts[r.ref] = t
+	c.assignConnection(t)
 }
 
-// crowded says whether an attempt would be one too many of its service in some place by now: tasks may have been handed over
+// exceedsSpread says whether an attempt would be one too many of its service in some place by now: tasks may have been handed over
 // while it waited for its connection.
-func (c *Core) crowded(t *try) bool {
+func (c *Core) exceedsSpread(t *taskAttempt) bool {
 	return invariant.CheckSpread(&invariant.Offer{
-		Task: &t.req.task, Class: t.req.class, To: t.host.guarded(), ServiceHosts: c.others(t.req.task.Service, t),
+		Task: &t.request.task, Class: t.request.class, To: t.host.forInvariants(), ServiceHosts: c.otherHosts(t.request.task.Service, t),
 	}) != nil
 }
 
-// others runs over the hosts of a service's live attempts, but one.
-func (c *Core) others(service uint64, but *try) func(yield func(*invariant.Host) bool) {
+// otherHosts runs over the hosts of a service's live attempts, but one.
+func (c *Core) otherHosts(service uint64, but *taskAttempt) func(yield func(*invariant.Host) bool) {
 	return func(yield func(*invariant.Host) bool) {
-		for _, t := range c.services[service] {
-			if t != but && !yield(t.host.guarded()) {
+		for _, t := range c.attemptsByService[service] {
+			if t != but && !yield(t.host.forInvariants()) {
 				return
 			}
 		}
 	}
 }
 
-// write sends an attempt on its link, which is open; one that has become wrong while it waited is not sent.
-func (c *Core) write(t *try) {
-	r := t.req
-	if r.phase != open || r.ask.MayWrite(c.now, t.number) != nil || c.crowded(t) ||
-		invariant.DrainGraceExpired(c.now, t.host.entry.State, t.host.since, c.set.DrainGrace) {
-		c.outcome(t, attempt.Abandoned, forkhead.NotSent, forkhead.NoReason, r.phase != open, nil)
+// sendOffer sends an attempt on its link, which is open; one that has become wrong while it waited is not sent.
+func (c *Core) sendOffer(t *taskAttempt) {
+	r := t.request
+	if r.phase != requestOpen || r.lifecycle.MayWrite(c.now, t.number) != nil || c.exceedsSpread(t) ||
+		invariant.DrainGraceExpired(c.now, t.host.entry.State, t.host.drainingSince, c.settings.DrainGrace) {
+		c.endAttempt(t, attempt.Abandoned, forkhead.NotSent, forkhead.NoReason, r.phase != requestOpen, nil)
 		return
 	}
-	left := max((r.ask.Deadline - c.now).Milliseconds(), 1)
-	t.at = c.now
-	t.link.out++
-	t.link.usedAt = c.now
-	r.ask.Handle(t.number, attempt.OfferWritten)
-	c.emit(SendToHost{Connection: t.link.id, Line: platform.Append(nil, platform.TypeRequest, r.ref, platform.NoCause, r.desc,
-		append(r.fields[:len(r.fields):len(r.fields)], platform.TextField(platform.FieldTimeout, fmt.Sprint(left)))...)})
+	left := max((r.lifecycle.Deadline - c.now).Milliseconds(), 1)
+	t.sentAt = c.now
+	t.connection.inFlight++
+	t.connection.lastSentAt = c.now
+	r.lifecycle.Handle(t.number, attempt.OfferWritten)
+	c.emit(SendToHost{Connection: t.connection.id, Line: platform.Append(nil, platform.TypeRequest, r.ref, platform.NoCause, r.description,
+		append(r.hostFields[:len(r.hostFields):len(r.hostFields)], platform.TextField(platform.FieldTimeout, fmt.Sprint(left)))...)})
 }
 
-// outcome ends an attempt and tells the module.
-func (c *Core) outcome(t *try, in attempt.Input, result forkhead.Result, why forkhead.RejectReason, final bool, report *forkhead.LoadReport) {
-	r := t.req
+// endAttempt ends an attempt and tells the module.
+func (c *Core) endAttempt(t *taskAttempt, in attempt.Input, result forkhead.Result, why forkhead.RejectReason, final bool, report *forkhead.LoadReport) {
+	r := t.request
 	if p := t.phase(); !p.IsLive() {
 		return
 	}
-	c.offLink(t)
-	r.ask.Handle(t.number, in)
-	if t.host.tries[r.ref] == t {
-		delete(t.host.tries, r.ref)
+	c.detach(t)
+	r.lifecycle.Handle(t.number, in)
+	if t.host.attempts[r.ref] == t {
+		delete(t.host.attempts, r.ref)
 	}
-	live := slices.DeleteFunc(c.services[r.task.Service], func(other *try) bool { return other == t })
-	if c.services[r.task.Service] = live; len(live) == 0 {
-		delete(c.services, r.task.Service)
+	live := slices.DeleteFunc(c.attemptsByService[r.task.Service], func(other *taskAttempt) bool { return other == t })
+	if c.attemptsByService[r.task.Service] = live; len(live) == 0 {
+		delete(c.attemptsByService, r.task.Service)
 	}
-	c.event(forkhead.Outcome{
+	c.notifyModule(forkhead.Outcome{
 		Task: r.id, Attempt: t.number, Machine: forkhead.MachineID(t.host.number), Result: result, Reason: why,
-		Took: c.now - t.at, Final: final, Report: report,
+		Took: c.now - t.sentAt, Final: final, Report: report,
 	})
-	if r.phase != open {
-		c.over = append(c.over, r)
+	if r.phase != requestOpen {
+		c.finished = append(c.finished, r)
 	}
 }
 
-// offLink takes an attempt that is out off the count of its link, or off the line that waits for it.
-func (c *Core) offLink(t *try) {
-	l := t.link
+// detach takes an attempt that is out off the count of its link, or off the line that waits for it.
+func (c *Core) detach(t *taskAttempt) {
+	l := t.connection
 	if l == nil {
 		return
 	}
-	t.link = nil
+	t.connection = nil
 	if t.phase() == attempt.InFlight {
-		l.out--
+		l.inFlight--
 		return
 	}
-	l.waiting = slices.DeleteFunc(l.waiting, func(w *try) bool { return w == t })
+	l.queued = slices.DeleteFunc(l.queued, func(w *taskAttempt) bool { return w == t })
 }
 
-// cancel tells a host that an offer is given up, or that a task is to end: the same message, whichever it has.
-func (c *Core) cancel(l *link, ref string) {
-	c.emit(SendToHost{Connection: l.id, Line: giveUpLine(ref)})
+// sendRelease tells a host that an offer is given up, or that a task is to end: the same message, whichever it has.
+func (c *Core) sendRelease(l *hostConnection, ref string) {
+	c.emit(SendToHost{Connection: l.id, Line: releaseLine(ref)})
 }
 
-func giveUpLine(ref string) []byte {
+func releaseLine(ref string) []byte {
 	return platform.Append(nil, platform.TypeRelease, ref, platform.CauseOK, nil)
 }
 
-// giveUp stops waiting for an attempt that is out.
-func (c *Core) giveUp(t *try, result forkhead.Result, final bool) {
+// withdraw stops waiting for an attempt that is out.
+func (c *Core) withdraw(t *taskAttempt, result forkhead.Result, final bool) {
 	if t == nil || !t.phase().IsInFlight() {
 		return
 	}
 	if t.phase() == attempt.InFlight {
-		if t.link != nil && c.set.MayWithdraw {
-			c.emit(SendToHost{Connection: t.link.id, Line: giveUpLine(t.req.ref), Abandons: true})
+		if t.connection != nil && c.settings.MayWithdraw {
+			c.emit(SendToHost{Connection: t.connection.id, Line: releaseLine(t.request.ref), Abandons: true})
 		}
-		c.ended.add(givenUp{t.host.number, t.req.ref})
+		c.abandoned.add(attemptKey{t.host.number, t.request.ref})
 	}
-	c.outcome(t, attempt.Abandoned, result, forkhead.NoReason, final, nil)
+	c.endAttempt(t, attempt.Abandoned, result, forkhead.NoReason, final, nil)
 }
 
-// giveUpAll stops waiting for whatever attempts of a request are out.
-func (c *Core) giveUpAll(r *request, result forkhead.Result, final bool) {
-	for _, t := range r.tries {
-		c.giveUp(t, result, final)
+// withdrawAll stops waiting for whatever attempts of a request are out.
+func (c *Core) withdrawAll(r *request, result forkhead.Result, final bool) {
+	for _, t := range r.attempts {
+		c.withdraw(t, result, final)
 	}
 }
 
 // answer carries out the module's refusal or failure.
 func (c *Core) answer(id forkhead.TaskID, refuse bool, wait time.Duration) {
-	r := c.tasks[id]
-	if r == nil || r.phase != open {
+	r := c.requests[id]
+	if r == nil || r.phase != requestOpen {
 		return
 	}
-	if !c.set.MayWithdraw {
+	if !c.settings.MayWithdraw {
 		// An attempt that may not be called off is out until its owner gives up, which is when the module answers: nothing
 		// more is waited for, and its host is told nothing.
-		c.giveUpAll(r, forkhead.Withdrawn, true)
+		c.withdrawAll(r, forkhead.Withdrawn, true)
 	}
-	if veto := invariant.CheckAnswer(&r.ask, refuse); veto != nil {
+	if veto := invariant.CheckAnswer(&r.lifecycle, refuse); veto != nil {
 		c.logViolation(messageAnswerVetoed, taskAttr(id), errorAttr(veto))
-		c.giveUpAll(r, forkhead.Withdrawn, true)
+		c.withdrawAll(r, forkhead.Withdrawn, true)
 		refuse = false
 	}
 	cause, fields := platform.CauseFailed, []platform.Field(nil)
@@ -422,50 +422,50 @@
 			fields = append(fields, platform.TextField(platform.FieldRetryAfter, fmt.Sprint(ms)))
 		}
 	}
-	r.ask.Finish(refuse)
-	c.close(r, over)
-	c.tell(r, platform.Append(nil, platform.TypeRelease, r.ref, cause, nil, fields...))
+	r.lifecycle.Finish(refuse)
+	c.closeRequest(r, requestOver)
+	c.notifyOwner(r, platform.Append(nil, platform.TypeRelease, r.ref, cause, nil, fields...))
 }
 
-// close takes an open request out of those that are owed an answer.
-func (c *Core) close(r *request, p phase) {
+// closeRequest takes an open request out of those that are owed an answer.
+func (c *Core) closeRequest(r *request, p requestPhase) {
 	r.phase = p
-	c.open--
+	c.unanswered--
 	if o := c.owners[r.owner]; o != nil {
-		delete(o.open, r)
+		delete(o.openRequests, r)
 	}
-	r.desc, r.fields = nil, nil
-	if p == over {
-		c.over = append(c.over, r)
+	r.description, r.hostFields = nil, nil
+	if p == requestOver {
+		c.finished = append(c.finished, r)
 	}
 }
 
-// deadline ends attempts at the time that was given for them.
-func (c *Core) deadline(id forkhead.TaskID) {
-	r := c.tasks[id]
-	if r == nil || r.phase != open {
+// expireAttempts ends attempts at the time that was given for them.
+func (c *Core) expireAttempts(id forkhead.TaskID) {
+	r := c.requests[id]
+	if r == nil || r.phase != requestOpen {
 		return
 	}
-	c.giveUpAll(r, forkhead.TimedOut, false)
+	c.withdrawAll(r, forkhead.TimedOut, false)
 	c.runModule()
-	if r.phase == open && c.now >= r.ask.Deadline {
+	if r.phase == requestOpen && c.now >= r.lifecycle.Deadline {
 		c.logViolation(messageNoAnswer, taskAttr(id))
-		c.event(forkhead.RequestCanceled{Task: id})
+		c.notifyModule(forkhead.RequestCanceled{Task: id})
 		c.answer(id, false, 0)
 	}
 }
 
-// leave takes back a request for its owner.
-func (c *Core) leave(r *request) {
-	c.event(forkhead.RequestCanceled{Task: r.id})
-	c.close(r, over)
-	r.ask.Finish(false)
-	c.giveUpAll(r, forkhead.Withdrawn, true)
+// cancelRequest takes back a request for its owner.
+func (c *Core) cancelRequest(r *request) {
+	c.notifyModule(forkhead.RequestCanceled{Task: r.id})
+	c.closeRequest(r, requestOver)
+	r.lifecycle.Finish(false)
+	c.withdrawAll(r, forkhead.Withdrawn, true)
 }
 
-// current is the attempt that holds a standing task.
-func (r *request) current() *try {
-	for _, t := range r.tries {
+// placedAttempt is the attempt that holds a standing task.
+func (r *request) placedAttempt() *taskAttempt {
+	for _, t := range r.attempts {
 		if t != nil && t.phase() == attempt.Placed {
 			return t
 		}
@@ -473,67 +473,67 @@
 	return nil
 }
 
-// end cuts a standing task at its host; the host's word, or its silence, makes the outcome.
-func (c *Core) end(r *request) {
-	t := r.current()
-	if t == nil || r.phase != standing {
+// endTask cuts a standing task at its host; the host's word, or its silence, makes the outcome.
+func (c *Core) endTask(r *request) {
+	t := r.placedAttempt()
+	if t == nil || r.phase != requestPlaced {
 		return
 	}
-	r.phase = ending
-	c.stopTask(t)
+	r.phase = requestEnding
+	c.sendStop(t)
 }
 
-// stopTask tells the host of a task that it is to end, where a connection is open, else on the next (dialled).
-func (c *Core) stopTask(t *try) {
-	t.endBy = c.now + hostsWord
-	if l := t.host.best(); l != nil {
-		t.told = true
-		c.cancel(l, t.req.ref)
+// sendStop tells the host of a task that it is to end, where a connection is open, else on the next (dialled).
+func (c *Core) sendStop(t *taskAttempt) {
+	t.stopDeadline = c.now + stopTimeout
+	if l := t.host.leastBusyConnection(); l != nil {
+		t.stopSent = true
+		c.sendRelease(l, t.request.ref)
 	}
 }
 
-// move carries out the module's Stop.
-func (c *Core) move(id forkhead.TaskID) {
-	if r := c.tasks[id]; r != nil && r.phase == standing {
-		c.tell(r, platform.Append(nil, platform.TypeMigrate, r.ref, platform.NoCause, nil))
-		c.end(r)
+// migrate carries out the module's Stop.
+func (c *Core) migrate(id forkhead.TaskID) {
+	if r := c.requests[id]; r != nil && r.phase == requestPlaced {
+		c.notifyOwner(r, platform.Append(nil, platform.TypeMigrate, r.ref, platform.NoCause, nil))
+		c.endTask(r)
 	}
 }
 
-// finish ends a standing task by its host's word, or by what proves that it is over.
-func (c *Core) finish(t *try, cause platform.Cause, why forkhead.RejectReason, report *forkhead.LoadReport) {
-	r := t.req
+// finishTask ends a standing task by its host's word, or by what proves that it is over.
+func (c *Core) finishTask(t *taskAttempt, cause platform.Cause, why forkhead.RejectReason, report *forkhead.LoadReport) {
+	r := t.request
 	result := forkhead.Reset
 	switch {
-	case r.phase == ending || cause == platform.CauseMigrated:
+	case r.phase == requestEnding || cause == platform.CauseMigrated:
 		result = forkhead.Withdrawn
 	case cause == platform.CauseOK:
 		result = forkhead.OK
 	default:
 		cause = platform.CauseReset
 	}
-	c.fell(r)
-	known := release{givenUp{t.host.number, r.ref}, platform.CauseMigrated} // a hand-over that comes now is owed nothing
-	if r.phase == standing && cause != platform.CauseMigrated && !c.tell(r, platform.Append(nil, platform.TypeRelease, r.ref, cause, nil)) {
+	c.uncountPlaced(r)
+	known := reportedEnd{attemptKey{t.host.number, r.ref}, platform.CauseMigrated} // a hand-over that comes now is owed nothing
+	if r.phase == requestPlaced && cause != platform.CauseMigrated && !c.notifyOwner(r, platform.Append(nil, platform.TypeRelease, r.ref, cause, nil)) {
 		known.cause = cause // but what could not be told
 	}
-	c.releases.add(known)
-	r.phase = over
-	c.outcome(t, attempt.Ended, result, why, true, report)
+	c.reportedEnds.add(known)
+	r.phase = requestOver
+	c.endAttempt(t, attempt.Ended, result, why, true, report)
 }
 
-// sweep forgets requests that nothing more can come of.
-func (c *Core) sweep() {
-	for _, r := range c.over {
-		if r.phase != over || r.ask.HasAttemptInFlight() || r.current() != nil {
+// forgetRequests forgets requests that nothing more can come of.
+func (c *Core) forgetRequests() {
+	for _, r := range c.finished {
+		if r.phase != requestOver || r.lifecycle.HasAttemptInFlight() || r.placedAttempt() != nil {
 			continue
 		}
-		delete(c.tasks, r.id)
-		if c.refs[r.ref] == r {
-			delete(c.refs, r.ref)
+		delete(c.requests, r.id)
+		if c.requestsByRef[r.ref] == r {
+			delete(c.requestsByRef, r.ref)
 		}
 	}
-	c.over = c.over[:0]
+	c.finished = c.finished[:0]
 }
 
 // timer is the module's, or the deadline of a task.
@@ -544,28 +544,28 @@
 
 // recent remembers the last so many values.
 type recent[K comparable] struct {
-	ring []K
-	next int
-	has  map[K]int // how often it is in the ring
+	ring   []K
+	next   int
+	counts map[K]int // how often it is in the ring
 }
 
 func newRecent[K comparable](most int) recent[K] {
-	return recent[K]{ring: make([]K, 0, most), has: map[K]int{}}
+	return recent[K]{ring: make([]K, 0, most), counts: map[K]int{}}
 }
 
 func (r *recent[K]) add(k K) {
 	if len(r.ring) < cap(r.ring) {
 		r.ring = append(r.ring, k)
 	} else {
-		if old := r.ring[r.next]; r.has[old] == 1 {
-			delete(r.has, old)
+		if old := r.ring[r.next]; r.counts[old] == 1 {
+			delete(r.counts, old)
 		} else {
-			r.has[old]--
+			r.counts[old]--
 		}
 		r.ring[r.next] = k
 		r.next = (r.next + 1) % len(r.ring)
 	}
-	r.has[k]++
+	r.counts[k]++
 }
 
-func (r *recent[K]) holds(k K) bool { return r.has[k] > 0 }
+func (r *recent[K]) contains(k K) bool { return r.counts[k] > 0 }
--- a/internal/scheduler/platform/crossings_test.go
+++ b/internal/scheduler/platform/crossings_test.go
@@ -38,7 +38,7 @@
 		if want := "down " + ref1 + " 41"; listed && (calls == 0 || len(out) > 0) || !listed && (len(out) != 1 || out[0] != want) {
 			t.Errorf("listed %v: %d calls, the owner is told %q", listed, calls, out)
 		}
-		if !listed && (w.c.hosts[9] != nil || w.c.waited != 0) {
+		if !listed && (w.c.hosts[9] != nil || w.c.unlistedHosts != 0) {
 			t.Error("a host that never came is not forgotten")
 		}
 	}
@@ -49,11 +49,11 @@
 	w := newWorld(t, nil)
 	o := w.owner()
 	refused := 0
-	for i := range mostUnlisted + 10 {
+	for i := range maxUnlistedHosts + 10 {
 		refused += len(lines[SendToOwner](w.say(o, hold(fmt.Sprintf("%016x", i+1), 1000+i))))
 	}
-	if refused != 10 || w.c.waited != mostUnlisted {
-		t.Errorf("%d of 10 are turned down, %d are waited for", refused, w.c.waited)
+	if refused != 10 || w.c.unlistedHosts != maxUnlistedHosts {
+		t.Errorf("%d of 10 are turned down, %d are waited for", refused, w.c.unlistedHosts)
 	}
 	w.next = func(ev forkhead.Event) []forkhead.Action {
 		if a, ok := ev.(forkhead.PlacementRequest); ok {
@@ -76,19 +76,19 @@
 		w.step(HostData{link, []byte(fmt.Sprintf(`{"t":"down","ref":"%s","f":{},"c":%d}`+"\n", ref2, cause))})
 		w.want(lines[SendToHost](w.out), "ack "+ref2)
 		w.want(lines[SendToOwner](w.say(o, hold(ref2, 1))), want...)
-		if len(told[forkhead.HandedOver](w)) > 0 || w.c.refs[ref2] != nil {
+		if len(told[forkhead.HandedOver](w)) > 0 || w.c.requestsByRef[ref2] != nil {
 			t.Errorf("cause %d: the task stands", cause)
 		}
 	}
 	w := newWorld(t, nil)
 	o, link := w.placed(ref1)
 	w.want(lines[SendToOwner](w.step(HostData{link, []byte(`{"t":"down","ref":"` + ref1 + `","f":{},"c":16}` + "\n")})), "down "+ref1+" 16")
-	if w.want(lines[SendToOwner](w.say(o, hold(ref1, 1)))); w.c.refs[ref1] != nil {
+	if w.want(lines[SendToOwner](w.say(o, hold(ref1, 1)))); w.c.requestsByRef[ref1] != nil {
 		t.Error("a task that has been released stands once more")
 	}
 	w.step(changedHost(2, 2, platform.Terminated))
 	w.pass(time.Second)
-	for i := range 3 * mostBadLines {
+	for i := range 3 * maxMalformedRequests {
 		ref := fmt.Sprintf("%016x", i+1)
 		w.want(lines[SendToOwner](w.say(o, hold(ref, 2))), "down "+ref+" 41")
 	}
@@ -103,7 +103,7 @@
 	first, second := w.owner(), w.owner()
 	w.want(lines[SendToOwner](w.say(first, hold(ref1, 1))))
 	w.pass(100 * time.Millisecond)
-	link := w.c.hosts[1].links[0].id
+	link := w.c.hosts[1].connections[0].id
 	w.step(HostConnected{link})
 	w.want(lines[SendToOwner](w.step(OwnerData{second, []byte(hold(ref1, 1) + "\n")}, HostData{link, []byte(`{"t":"down","ref":"` + ref1 + `","f":{},"c":16}` + "\n")})),
 		"down "+ref1+" 16")
@@ -222,18 +222,18 @@
 					tests++
 				}
 			}
-			if l := w.c.hosts[1].best(); l != nil && w.now%(500*time.Millisecond) < 10*time.Millisecond { // its host is heard
-				l.host.heardAt = w.now
+			if l := w.c.hosts[1].leastBusyConnection(); l != nil && w.now%(500*time.Millisecond) < 10*time.Millisecond { // its host is heard
+				l.host.lastReceivedAt = w.now
 				notes++
 			}
-			if len(w.c.hosts[1].links) == 0 {
+			if len(w.c.hosts[1].connections) == 0 {
 				t.Fatal("no connection is left to a host with tasks")
 			}
 		})
 		if may && tests == 0 || !may && tests > 0 {
 			t.Errorf("tests allowed %v: %d tests", may, tests)
 		}
-		if !may && w.c.links[link] != nil {
+		if !may && w.c.connections[link] != nil {
 			t.Error("an idle connection stays for ever")
 		}
 	}
@@ -245,13 +245,13 @@
 	o, _ := w.placed(ref1)
 	second := w.owner()
 	for _, by := range []uint64{o, second} {
-		if w.want(lines[SendToOwner](w.say(by, hold(ref1, 1)))); w.c.owners[by] == nil || w.c.refs[ref1].owner != by {
+		if w.want(lines[SendToOwner](w.say(by, hold(ref1, 1)))); w.c.owners[by] == nil || w.c.requestsByRef[ref1].owner != by {
 			t.Fatal("its owner is closed, or its release would go elsewhere")
 		}
 	}
 	w.say(o, setUp(ref2, "keyed", ""))
 	w.want(lines[SendToOwner](w.say(second, hold(ref2, 1))))
-	if w.c.refs[ref2] == nil || w.c.refs[ref2].phase != open {
+	if w.c.requestsByRef[ref2] == nil || w.c.requestsByRef[ref2].phase != requestOpen {
 		t.Error("the open request is touched")
 	}
 	w.want(lines[SendToOwner](w.say(o, strings.Replace(hold(ref1, 1), "7f3a9c21e0b4d655", "00000000000000aa", 1))), "down "+ref1+" 47")
@@ -376,13 +376,13 @@
 	for range 40 { // its host takes no connection for 2 s
 		w.now += 50 * time.Millisecond
 		calls = append(calls, only[DialHost](w.step())...)
-		if len(calls) > 0 && w.c.links[calls[len(calls)-1].Connection] != nil && len(calls) < 3 {
+		if len(calls) > 0 && w.c.connections[calls[len(calls)-1].Connection] != nil && len(calls) < 3 {
 			w.step(DialFailed{Connection: calls[len(calls)-1].Connection})
 		}
 	}
 	w.want(lines[SendToHost](w.step(HostConnected{calls[len(calls)-1].Connection})), "down "+ref1+" 16")
 	w.pass(1100 * time.Millisecond)
-	if w.c.refs[ref1] != nil {
+	if w.c.requestsByRef[ref1] != nil {
 		t.Error("it is not forgotten once its host was told")
 	}
 }
--- a/internal/scheduler/platform/node_test.go
+++ b/internal/scheduler/platform/node_test.go
@@ -210,7 +210,7 @@
 	if got := told[forkhead.Outcome](w); len(got) != 1 || got[0].Result != forkhead.Withdrawn || !got[0].Final {
 		t.Errorf("outcomes %+v", got)
 	}
-	if len(w.c.tasks)+len(w.c.refs)+len(w.c.services) > 0 {
+	if len(w.c.requests)+len(w.c.requestsByRef)+len(w.c.attemptsByService) > 0 {
 		t.Error("the task is not forgotten")
 	}
 }
@@ -238,10 +238,10 @@
 	}
 	w.pass(100 * time.Millisecond) // its host has something to say on the next connection that opens
 	w.pass(time.Millisecond)
-	if len(w.c.hosts[2].links) != 1 {
+	if len(w.c.hosts[2].connections) != 1 {
 		t.Fatal("no connection to its host is made")
 	}
-	link := w.c.hosts[2].links[0].id
+	link := w.c.hosts[2].connections[0].id
 	w.step(HostConnected{link})
 	w.step(HostData{link, []byte(`{"t":"down","ref":"` + ref1 + `","f":{},"c":16}` + "\n")})
 	w.want(lines[SendToOwner](w.out), "down "+ref1+" 16")
@@ -259,7 +259,7 @@
 	if got := told[forkhead.Outcome](w); len(got) != 0 {
 		t.Fatalf("a host that drains loses its tasks: %+v", got)
 	}
-	if w.c.links[link] == nil {
+	if w.c.connections[link] == nil {
 		t.Fatal("its connection was closed")
 	}
 	began := w.now
@@ -311,7 +311,7 @@
 		if !c.closes {
 			w.want(lines[SendToOwner](out), "down "+ref1+" 47")
 		}
-		if len(told[forkhead.PlacementRequest](w)) > 0 || w.c.open != 1 || w.c.refs[ref2] == nil {
+		if len(told[forkhead.PlacementRequest](w)) > 0 || w.c.unanswered != 1 || w.c.requestsByRef[ref2] == nil {
 			t.Errorf("%s: the module is told of it, or the request beside it is gone", name)
 		}
 	}
@@ -324,7 +324,7 @@
 	w.say(first, setUp(ref1, "keyed", ""))
 	out := w.say(second, strings.Replace(setUp(ref1, "keyed", ""), `a\ud800`, "other", 1))
 	w.want(lines[SendToOwner](out), "down "+ref1+" 47")
-	if only[SendToOwner](out)[0].Owner != second || w.c.open != 1 {
+	if only[SendToOwner](out)[0].Owner != second || w.c.unanswered != 1 {
 		t.Fatal("the open request is touched")
 	}
 	w.say(second, setUp(ref1, "keyed", ""))
@@ -403,7 +403,7 @@
 	w.step(HostData{link, []byte(`{"t":"up","ref":"` + ref1 + `","f":{},"d":"y"}` + "\n" + `{"t":"up","ref":"` + ref2 + `","f":{},"d":"y"}` + "\n")})
 	w.want(lines[SendToOwner](w.out))
 	w.want(lines[SendToHost](w.out))
-	if w.c.links[link] == nil {
+	if w.c.connections[link] == nil {
 		t.Fatal("the connection is closed")
 	}
 	o := w.owner()
@@ -429,7 +429,7 @@
 		t.Fatal("the second offer takes the busy connection")
 	}
 	w.step(HostData{link, []byte(`{"t":"up","ref":"` + ref2 + `","f":{},"d":"y"}` + "\n")})
-	if got := told[forkhead.Outcome](w); len(got) != 1 || got[0].Result != forkhead.Reset || w.c.links[stuck] != nil {
+	if got := told[forkhead.Outcome](w); len(got) != 1 || got[0].Result != forkhead.Reset || w.c.connections[stuck] != nil {
 		t.Errorf("outcomes %+v", got)
 	}
 	// Its task may stand without an owner: it is cut.
@@ -449,7 +449,7 @@
 	w.dials()
 	test := lines[SendToHost](w.out)[0]
 	w.pass(150 * time.Millisecond)
-	for _, l := range w.c.hosts[1].links {
+	for _, l := range w.c.hosts[1].connections {
 		if !l.open {
 			w.step(HostConnected{l.id})
 		}
@@ -459,7 +459,7 @@
 		t.Fatalf("the probe is not sent again: %q", again)
 	}
 	ref := strings.Fields(again[0])[1]
-	w.step(HostData{w.c.hosts[1].links[1].id, []byte(`{"t":"hb_ok","ref":"` + ref + `","f":{"load":"x0:2"},"c":1}` + "\n")})
+	w.step(HostData{w.c.hosts[1].connections[1].id, []byte(`{"t":"hb_ok","ref":"` + ref + `","f":{"load":"x0:2"},"c":1}` + "\n")})
 	if got := told[forkhead.Probed](w); len(got) != 1 || got[0].Result != forkhead.OK || got[0].Report.AvailableCores != 2 {
 		t.Errorf("probed %+v", got)
 	}
@@ -531,7 +531,7 @@
 		o := w.owner()
 		w.say(o, setUp(ref, "keyed", ""))
 		w.dials()
-		l := w.c.hosts[1].best()
+		l := w.c.hosts[1].leastBusyConnection()
 		switch i % 4 {
 		case 0:
 			w.step(HostData{l.id, []byte(`{"t":"down","ref":"` + ref + `","f":{},"c":34}` + "\n")})
@@ -549,10 +549,10 @@
 	}
 	w.pass(time.Minute)
 	c := w.c
-	if n := len(c.tasks) + len(c.refs) + len(c.services) + len(c.owners) + len(c.pending) + c.open + c.timers.Len(); n != 0 {
+	if n := len(c.requests) + len(c.requestsByRef) + len(c.attemptsByService) + len(c.owners) + len(c.undelivered) + c.unanswered + c.timers.Len(); n != 0 {
 		t.Errorf("%d tasks, refs, services, owners, lines and timers are kept", n)
 	}
-	if len(c.hosts) > 6 || len(c.links) > linksEach || len(c.ended.ring) > mostGivenUp || len(c.ended.has) > mostGivenUp {
-		t.Errorf("%d hosts, %d links, %d given up", len(c.hosts), len(c.links), len(c.ended.has))
+	if len(c.hosts) > 6 || len(c.connections) > maxConnectionsPerHost || len(c.abandoned.ring) > maxRemembered || len(c.abandoned.counts) > maxRemembered {
+		t.Errorf("%d hosts, %d links, %d given up", len(c.hosts), len(c.connections), len(c.abandoned.counts))
 	}
 }
--- a/internal/scheduler/platform/rest_test.go
+++ b/internal/scheduler/platform/rest_test.go
@@ -29,14 +29,14 @@
 	w.now += 100 * time.Millisecond
 	w.step()
 	w.dials()
-	if len(w.c.links) != 100 {
-		b.Fatalf("%d connections", len(w.c.links))
+	if len(w.c.connections) != 100 {
+		b.Fatalf("%d connections", len(w.c.connections))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		w.now += tendEvery
+		w.now += reconcileInterval
 		for _, h := range w.c.hosts {
-			h.heardAt = w.now
+			h.lastReceivedAt = w.now
 		}
 		w.step()
 	}
--- a/internal/scheduler/platform/room_test.go
+++ b/internal/scheduler/platform/room_test.go
@@ -41,7 +41,7 @@
 		w := newWorld(t, nil)
 		w.placed(ref1)
 		tests, most := 0, 0
-		w.live(60*time.Second, func(d DialHost) Input { tests++; return c.made(d) }, func() { most = max(most, len(w.c.hosts[1].links)) })
+		w.live(60*time.Second, func(d DialHost) Input { tests++; return c.made(d) }, func() { most = max(most, len(w.c.hosts[1].connections)) })
 		if lost := len(told[forkhead.Outcome](w)) > 0; lost != c.lost {
 			t.Errorf("%s: its task is lost %v, want %v", name, lost, c.lost)
 		}
@@ -86,8 +86,8 @@
 	usual := w.owner()
 	made := func(d DialHost) Input { return HostConnected{d.Connection} }
 	check := func() {
-		if len(w.c.links)+len(w.c.owners) > room+mostRetired || w.c.used()+len(w.c.owners) > room || w.c.used() > 27 || len(w.c.owners) > 26 {
-			t.Fatalf("%d connections to hosts, of these %d being closed, and %d of owners", len(w.c.links), len(w.c.retired), len(w.c.owners))
+		if len(w.c.connections)+len(w.c.owners) > room+maxHalfClosed || w.c.usedHostConnections()+len(w.c.owners) > room || w.c.usedHostConnections() > 27 || len(w.c.owners) > 26 {
+			t.Fatalf("%d connections to hosts, of these %d being closed, and %d of owners", len(w.c.connections), len(w.c.halfClosed), len(w.c.owners))
 		}
 	}
 	placed := func(i int) {
@@ -101,7 +101,7 @@
 		}
 		out := slices.Clone(w.say(usual, strings.Replace(setUp(ref, "keyed", ""), "b4d65521", fmt.Sprintf("%08x", i), 1)))
 		offered(append(out, w.dials()...))
-		if w.c.refs[ref] == nil || w.c.refs[ref].phase != standing {
+		if w.c.requestsByRef[ref] == nil || w.c.requestsByRef[ref].phase != requestPlaced {
 			t.Fatalf("task %d is not placed: %q", i, lines[SendToOwner](w.out))
 		}
 		check()
@@ -111,7 +111,7 @@
 	}
 	called := map[uint64]bool{}
 	w.live(10*time.Second, func(d DialHost) Input {
-		if l := w.c.links[d.Connection]; l != nil {
+		if l := w.c.connections[d.Connection]; l != nil {
 			called[uint64(l.host.number)] = true
 		}
 		return made(d)
@@ -141,7 +141,7 @@
 		w.placed(ref1)
 		up := func(d DialHost) Input { return HostConnected{d.Connection} }
 		w.live(3*time.Second, up, func() {})
-		heard, from := w.c.hosts[1].heardAt, w.now
+		heard, from := w.c.hosts[1].lastReceivedAt, w.now
 		over := time.Duration(0)
 		w.live(10*time.Second, func(d DialHost) Input {
 			if w.now > from+cut {
