--- /dev/null
+++ b/capacity_test.go
@@ -0,0 +1,84 @@
+package forkhead
+
+import (
+	"testing"
+	"time"
+)
+
+// When a placer starts, the list already counts the tasks that are handed over to it. They were once counted
+// a second time, and all machines looked full for the first seconds.
+func TestHandedOverTaskIsNotCountedTwice(t *testing.T) {
+	machines := readyMachines(2)
+	for i := range machines {
+		machines[i].AvailableCores, machines[i].AvailableMemory = 3, 10 // of 10 and 20
+	}
+	h := newHarness(t, testSettings(), machines)
+	for i := range 14 {
+		h.step(HandedOver{Task: h.newTask(0, uint64(100+i)), Machine: machines[i%2].ID})
+	}
+	_, actions := h.request(0, 7)
+	h.singleOffer(actions)
+}
+
+// Every change was once sent to all placers, whose number raised the cost of a task's messages.
+func TestGossipCostIsBounded(t *testing.T) {
+	for _, n := range []int{1, 3, 130, 470} {
+		settings := testSettings()
+		settings.MayGossip, settings.Placers, settings.Costs.Gossip = true, n, 0.01
+		h := newHarness(t, settings, readyMachines(12))
+		const tasks = 300
+		cost := 0.0
+		count := func(actions []Action) {
+			for _, gossip := range actionsOf[Gossip](actions) {
+				cost += float64(len(gossip.Data)) / 256 * float64(n-1) * settings.Costs.Gossip
+			}
+		}
+		for i := range tasks {
+			id, actions := h.request(0, uint64(i%20))
+			count(actions)
+			for _, offer := range actionsOf[Offer](actions) {
+				// Every third start is slow: the machine answers probes, the attempt stays unanswered.
+				for wait := 0; i%3 == 0 && wait < 6; wait++ {
+					h.now += attemptTimeout
+					count(h.step(Probed{Machine: offer.Machine, Result: OK}))
+					count(h.step(TimerFired{Timer: timerNumber(timerAttempt, uint32(id))}))
+				}
+				count(h.step(Bound{Task: id, Machine: offer.Machine}))
+				count(h.step(Outcome{Task: id, Machine: offer.Machine, Result: OK, Final: true}))
+			}
+			h.now += 500 * time.Millisecond
+		}
+		if cost > 2*maxGossipCost*tasks {
+			t.Errorf("%d placers: gossip costs %.4f a task, at most %g", n, cost/tasks, 2*maxGossipCost)
+		}
+		if n == 3 && cost == 0 {
+			t.Error("three placers do not gossip")
+		}
+	}
+}
+
+// A flood of messages, valid or not, is ignored or stays within bounds.
+func TestGossipFloodIsBounded(t *testing.T) {
+	for _, n := range []int{3, 470} {
+		settings := testSettings()
+		settings.MayGossip, settings.Placers = true, n
+		h := newHarness(t, settings, readyMachines(3))
+		for i := range 20000 {
+			change := capacityChange{machine: MachineID(i%4 + 1), program: uint32(i), cores: 0.1, memory: 0.1}
+			h.step(
+				Received{From: 1, Data: encodeCapacityChanges([]capacityChange{change})[0]},
+				Received{From: 1, Data: make([]byte, i%255)},
+				Received{From: 1, Data: encodeOutlier(MachineID(i), i%256)},
+			)
+		}
+		if len(h.placer.machines) != 3 {
+			t.Errorf("%d machines after messages that name unknown ones, want 3", len(h.placer.machines))
+		}
+		for _, m := range h.placer.machines {
+			if len(m.peerChanges) > maxPeerChanges || len(m.cachedPrograms) > maxCachedPrograms {
+				t.Errorf("machine %d has %d changes of other placers and %d cached programs",
+					m.ID, len(m.peerChanges), len(m.cachedPrograms))
+			}
+		}
+	}
+}
--- a/example_test.go
+++ b/example_test.go
@@ -11,7 +11,10 @@
 	settings := forkhead.Settings{
 		Placers:      1,
 		MachineTypes: []forkhead.MachineType{{Cores: 16, Memory: 64}},
-		Classes:      []forkhead.Class{{Effect: forkhead.Safe, LatencyObjective: time.Second, Weight: 1, MachineType: -1, SaturationThreshold: 0.8, DegradationRange: 0.2}},
+		Classes: []forkhead.Class{{
+			Effect: forkhead.Safe, LatencyObjective: time.Second, Weight: 1, MachineType: -1,
+			SaturationThreshold: 0.8, DegradationRange: 0.2,
+		}},
 
 		MeanCores: 1, MeanMemory: 4, CoresOvercommit: 1, MemoryOvercommit: 1, MaxAttempts: 3,
 		ListWatched: true, ListReportsAvailable: true,
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -11,7 +11,8 @@
 	return Settings{
 		Placers: 1, MachineTypes: []MachineType{{Cores: 10, Memory: 20}}, MeanCores: 1, MeanMemory: 2,
 		Classes: []Class{{
-			Effect: Safe, DedupWindow: 5 * time.Second, LatencyObjective: time.Second, Weight: 1, MachineType: -1, SaturationThreshold: 0.8, DegradationRange: 0.2,
+			Effect: Safe, DedupWindow: 5 * time.Second, LatencyObjective: time.Second, Weight: 1, MachineType: -1,
+			SaturationThreshold: 0.8, DegradationRange: 0.2,
 		}},
 		CoresOvercommit: 1, MemoryOvercommit: 1, BoundWhenRunning: true, ListReportsAvailable: true, ListWatched: true,
 		MaxAttempts: 4, MayWithdraw: true, MayProbe: true,
@@ -20,76 +21,94 @@
 	}
 }
 
-// fleet returns n ready machines of kind 0, three to a cell and six to a zone.
-func fleet(n int) []Machine {
-	var list []Machine
+// readyMachines returns n ready machines of type 0, with ids from 1, three to a cell and six to a zone.
+func readyMachines(n int) []Machine {
+	var machines []Machine
 	for i := range n {
-		list = append(list, Machine{
+		machines = append(machines, Machine{
 			ID: MachineID(i + 1), State: Ready, Cell: i / 3, Zone: i / 6, AvailableCores: 10, AvailableMemory: 20,
 		})
 	}
-	return list
+	return machines
 }
 
-// bench drives one placer by hand.
-type bench struct {
-	t    *testing.T
-	p    *Placer
-	now  time.Duration
-	next TaskID
+// harness drives one placer event by event. Tests set now to let time pass.
+type harness struct {
+	t      *testing.T
+	placer *Placer
+	now    time.Duration
+	lastID TaskID
 }
 
-func newBench(t *testing.T, set Settings, machines []Machine) *bench {
+// newHarness starts a placer that knows the machines.
+func newHarness(t *testing.T, settings Settings, machines []Machine) *harness {
 	t.Helper()
-	p, err := New(set, 1)
+	p, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, p: p, now: time.Hour}
-	b.step(ListUpdate{Mode: ListCached, Machines: machines})
-	return b
+	h := &harness{t: t, placer: p, now: time.Hour}
+	h.step(ListUpdate{Mode: ListCached, Machines: machines})
+	return h
 }
 
-func (b *bench) step(events ...Event) []Action { return b.p.Step(b.now, events) }
+func (h *harness) step(events ...Event) []Action { return h.placer.Step(h.now, events) }
 
-func (b *bench) task(class int, service uint64) Task {
-	b.next++
+// newTask returns a task of one core with an id of its own; it is not requested yet.
+func (h *harness) newTask(class int, service uint64) Task {
+	h.lastID++
 	return Task{
-		ID: b.next, Key: uint64(b.next), Service: service, Class: class, Timeout: 5 * time.Second, Cores: 1, Memory: 1,
+		ID: h.lastID, Key: uint64(h.lastID), Service: service, Class: class, Timeout: 5 * time.Second, Cores: 1, Memory: 1,
 	}
 }
 
-// arrive brings one task of the service and returns its id and what was done.
-func (b *bench) arrive(class int, service uint64) (TaskID, []Action) {
-	task := b.task(class, service)
-	return task.ID, b.step(PlacementRequest{Task: task})
+// request requests one task of the service and returns its id and the actions.
+func (h *harness) request(class int, service uint64) (TaskID, []Action) {
+	task := h.newTask(class, service)
+	return task.ID, h.step(PlacementRequest{Task: task})
 }
 
-// offered returns the one offer among the actions.
-func (b *bench) offered(actions []Action) Offer {
-	b.t.Helper()
-	offers := only[Offer](actions)
+// singleOffer returns the only offer among the actions.
+func (h *harness) singleOffer(actions []Action) Offer {
+	h.t.Helper()
+	offers := actionsOf[Offer](actions)
 	if len(offers) != 1 {
-		b.t.Fatalf("want one offer, got %v", describe(actions))
+		h.t.Fatalf("want one offer, got %v", formatActions(actions))
 	}
 	return offers[0]
 }
 
-// only returns the actions of one type.
-func only[A Action](actions []Action) []A {
-	var out []A
-	for _, a := range actions {
-		if a, ok := a.(A); ok {
-			out = append(out, a)
+// newPlacers starts n placers with the same settings but their own numbers and seeds.
+func newPlacers(t *testing.T, settings Settings, n int) []*Placer {
+	t.Helper()
+	settings.Placers = n
+	placers := make([]*Placer, n)
+	for i := range placers {
+		settings.Self = i
+		p, err := New(settings, uint64(i)+1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		placers[i] = p
+	}
+	return placers
+}
+
+// actionsOf returns the actions of one type.
+func actionsOf[A Action](actions []Action) []A {
+	var matching []A
+	for _, action := range actions {
+		if a, ok := action.(A); ok {
+			matching = append(matching, a)
 		}
 	}
-	return out
+	return matching
 }
 
-func describe(actions []Action) string {
+func formatActions(actions []Action) string {
 	text := ""
-	for _, a := range actions {
-		text += fmt.Sprintf("%T%+v ", a, a)
+	for _, action := range actions {
+		text += fmt.Sprintf("%T%+v ", action, action)
 	}
 	return text
 }
--- /dev/null
+++ b/machinelist_test.go
@@ -0,0 +1,205 @@
+package forkhead
+
+import (
+	"cmp"
+	"slices"
+	"testing"
+	"time"
+)
+
+// A machine that failed a connection, left the list and was listed again once got no offers for good.
+func TestMachineListedAgainIsUsed(t *testing.T) {
+	machines := readyMachines(1)
+	h := newHarness(t, testSettings(), machines)
+	id, actions := h.request(0, 7)
+	first := h.singleOffer(actions)
+	actions = h.step(Outcome{Task: id, Attempt: 0, Machine: first.Machine, Result: ConnectFailed})
+	removed := machines[0]
+	removed.State = Removed
+	h.step(ListUpdate{Mode: ListDelta, Machines: []Machine{removed}})
+	h.now += time.Minute
+	for _, timer := range actionsOf[SetTimer](actions) {
+		h.step(TimerFired{Timer: timer.Timer})
+	}
+	restarted := machines[0]
+	restarted.StartedAt = h.now - time.Second
+	h.step(ListUpdate{Mode: ListDelta, Machines: []Machine{restarted}})
+	_, actions = h.request(0, 8)
+	h.singleOffer(actions)
+}
+
+func TestNoOfferToDrainingRemovedOrUnlistedMachines(t *testing.T) {
+	machines := readyMachines(4)
+	draining, removed := machines[0], machines[1]
+	draining.State, removed.State = Draining, Removed
+	for name, update := range map[string]ListUpdate{
+		"delta":          {Mode: ListDelta, Machines: []Machine{draining, removed}},
+		"snapshot":       {Mode: ListSnapshot, Machines: []Machine{draining, machines[2], machines[3]}},
+		"drains at once": {Mode: ListDelta, Machines: []Machine{draining, removed}},
+	} {
+		h := newHarness(t, testSettings(), machines)
+		h.step(update)
+		for service := range uint64(40) {
+			_, actions := h.request(0, service)
+			for _, offer := range actionsOf[Offer](actions) {
+				if offer.Machine == 1 || offer.Machine == 2 {
+					t.Fatalf("%s: offer to machine %d", name, offer.Machine)
+				}
+			}
+		}
+	}
+}
+
+// Where machines are replaced all the time, removed ones are forgotten unless a task of ours is on them.
+func TestRemovedMachinesAreForgotten(t *testing.T) {
+	h := newHarness(t, testSettings(), readyMachines(3))
+	task := h.newTask(0, 7)
+	h.step(HandedOver{Task: task, Machine: 1})
+	h.step(ListUpdate{Mode: ListDelta, Machines: []Machine{{ID: 1, State: Removed}}})
+	for i := range MachineID(1000) {
+		h.now += time.Second
+		added := readyMachines(1)[0]
+		added.ID = 100 + i
+		h.step(ListUpdate{Mode: ListDelta, Machines: []Machine{added, {ID: 99 + i, State: Removed}}})
+	}
+	if n := len(h.placer.machines); n > 70 {
+		t.Errorf("%d machines are known, want the few of the last minute", n)
+	}
+	if h.placer.machines[1] == nil {
+		t.Error("a machine that holds a task is forgotten")
+	}
+	h.step(Outcome{Task: task.ID, Machine: 1, Result: Reset, Final: true})
+}
+
+func TestPollIsRetriedAfterFailures(t *testing.T) {
+	settings := testSettings()
+	settings.ListWatched = false
+	p, err := New(settings, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	now, logged := time.Hour, 0
+	actions := p.Step(now, []Event{ListUpdate{Mode: ListCached}})
+	if len(actionsOf[Subscribe](actions)) != 1 {
+		t.Fatalf("want a subscription at the start, got %v", formatActions(actions))
+	}
+	for round := range 12 {
+		actions = p.Step(now, []Event{ListUpdate{Mode: ListFailed}})
+		logged += len(actionsOf[Log](actions))
+		timers := actionsOf[SetTimer](actions)
+		if len(timers) != 1 || timers[0].At <= now || timers[0].At > now+settings.MaxPollInterval {
+			t.Fatalf("round %d: want one timer within %v, got %v", round, settings.MaxPollInterval, formatActions(actions))
+		}
+		now = timers[0].At
+		actions = p.Step(now, []Event{TimerFired{Timer: timers[0].Timer}})
+		if len(actionsOf[Subscribe](actions)) != 1 {
+			t.Fatalf("round %d: not polled again", round)
+		}
+	}
+	if logged != 1 {
+		t.Errorf("%d log messages for one run of failures, want 1", logged)
+	}
+}
+
+func TestWatchedListIsNotPolled(t *testing.T) {
+	h := newHarness(t, testSettings(), readyMachines(3))
+	if got := h.step(); len(actionsOf[Subscribe](got)) > 0 {
+		t.Fatalf("polled a list that is watched: %v", formatActions(got))
+	}
+}
+
+// Each failed poll once set one timer more than it used, so the polls doubled without end.
+func TestPollsOfManyPlacersStayFew(t *testing.T) {
+	settings := testSettings()
+	settings.ListWatched, settings.Placers = false, 470
+	const maxPollsPerSecond = 100 // of all placers together, that a list service is taken to bear
+	perSecond := map[time.Duration]int{}
+	for self := range settings.Placers {
+		settings.Self = self
+		p, err := New(settings, uint64(self))
+		if err != nil {
+			t.Fatal(err)
+		}
+		now, end := time.Hour, time.Hour+30*time.Second
+		polls := 0
+		var timers []SetTimer
+		events := []Event{ListUpdate{Mode: ListCached}}
+		for now < end {
+			actions := p.Step(now, events)
+			timers = append(timers, actionsOf[SetTimer](actions)...)
+			events = nil
+			if len(actionsOf[Subscribe](actions)) > 0 {
+				polls++
+				perSecond[now.Truncate(time.Second)]++
+				now += 2 * time.Second
+				events = append(events, ListUpdate{Mode: ListFailed})
+				continue
+			}
+			slices.SortFunc(timers, func(a, b SetTimer) int { return cmp.Compare(a.At, b.At) })
+			if len(timers) == 0 {
+				t.Fatalf("placer %d stopped after %d polls", self, polls)
+			}
+			now = max(now, timers[0].At)
+			events = append(events, TimerFired{Timer: timers[0].Timer})
+			timers = timers[1:]
+		}
+		if polls < 2 || polls > 12 {
+			t.Fatalf("placer %d made %d polls in 30 s of failures", self, polls)
+		}
+	}
+	for second, n := range perSecond {
+		if n > maxPollsPerSecond+maxPollsPerSecond/2 {
+			t.Errorf("%d polls of %d placers in the second at %v", n, settings.Placers, second)
+		}
+	}
+}
+
+// Machines in use beyond need have a cost: the emptiest go on standby until the others have no capacity.
+func TestStandbyTakesEmptiestMachines(t *testing.T) {
+	settings := testSettings()
+	settings.Costs.SurplusMachine = 0.15
+	machines := readyMachines(6)
+	machines[0].AvailableCores, machines[1].AvailableCores = 4, 4 // 12 of 60 are requested: two machines hold that, one is spare
+	h := newHarness(t, settings, machines)
+	used, placed := map[MachineID]int{}, 0
+	place := func(n int) {
+		for range n {
+			id, actions := h.request(0, uint64(1000+placed))
+			for _, offer := range actionsOf[Offer](actions) {
+				used[offer.Machine]++
+				placed++
+				h.step(
+					Bound{Task: id, Machine: offer.Machine},
+					Note{Task: id, Machine: offer.Machine, Kind: NoteRunning, Amount: 1},
+				)
+			}
+		}
+	}
+	place(8)
+	if len(used) > 3 || used[1]+used[2] == 0 {
+		t.Errorf("8 tasks go to %v, want to the two machines in use and one spare at most", used)
+	}
+	place(40)
+	if len(used) != 6 {
+		t.Errorf("48 tasks go to %v, want to all 6", used)
+	}
+}
+
+// Where all machines are replaced, the oldest go first, and tasks that were packed onto those were lost.
+func TestStandbyTakesOlderMachinesFirst(t *testing.T) {
+	settings := testSettings()
+	settings.Costs.SurplusMachine = 0.15
+	machines := readyMachines(6)
+	machines[0].AvailableCores, machines[1].AvailableCores = 4, 4 // the fullest, and among the oldest
+	h := newHarness(t, settings, nil)
+	for i := 3; i < 6; i++ {
+		machines[i].StartedAt = h.now - time.Minute
+	}
+	h.step(ListUpdate{Mode: ListSnapshot, Machines: machines})
+	for service := range uint64(8) {
+		_, actions := h.request(0, 1000+service)
+		if offer := h.singleOffer(actions); offer.Machine < 4 {
+			t.Errorf("a task goes to machine %d, one of the oldest", offer.Machine)
+		}
+	}
+}
--- /dev/null
+++ b/selection_test.go
@@ -0,0 +1,247 @@
+package forkhead
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestSelectionSpillsToNearestGroup(t *testing.T) {
+	machines := readyMachines(9)
+	h := newHarness(t, testSettings(), machines)
+	groups := groupIDs(h.placer)
+	small := h.newTask(0, 7)
+	small.Cores = 0.5
+	own := int(h.placer.pools[0].sizes.loadPosition(small.Cores, 1, small.Service) * float64(len(groups)))
+	var full []Machine
+	for _, id := range groups[own] {
+		m := machines[id-1]
+		m.AvailableCores = 0
+		full = append(full, m)
+	}
+	h.step(ListUpdate{Mode: ListDelta, Machines: full})
+	got := h.singleOffer(h.step(PlacementRequest{Task: small})).Machine
+	isNearest := false
+	for i, group := range groups {
+		if slices.Contains(group, got) && (i-own == 1 || own-i == 1) {
+			isNearest = true
+		}
+	}
+	if !isNearest {
+		t.Errorf("spilled from group %d of %v to machine %d", own, groups, got)
+	}
+}
+
+func TestSelectionTakesTightestFit(t *testing.T) {
+	machines := readyMachines(2)
+	machines[1].AvailableCores, machines[1].AvailableMemory = 4, 8
+	h := newHarness(t, testSettings(), machines)
+	group := h.placer.pools[0].order
+	got := h.placer.selectInGroup(&task{Task: h.newTask(0, 7)}, group, selectionPass{maxStarting: 1})
+	if got == nil || got.ID != 2 {
+		t.Errorf("selected %+v, want the fuller machine 2", got)
+	}
+}
+
+func TestSelectionPrefersCachedProgram(t *testing.T) {
+	h := newHarness(t, testSettings(), readyMachines(9))
+	id, actions := h.request(0, 7)
+	first := h.singleOffer(actions).Machine
+	h.step(Bound{Task: id, Machine: first})
+	h.step(Outcome{Task: id, Machine: first, Result: OK, Final: true})
+	for range 5 {
+		_, actions = h.request(0, 7)
+		if got := h.singleOffer(actions).Machine; got != first {
+			t.Fatalf("offered to machine %d, the program is on %d", got, first)
+		}
+	}
+}
+
+// Placers that see different available capacity once brought one program to many machines.
+func TestSelectionOfManyPlacersAgrees(t *testing.T) {
+	used := map[MachineID]bool{}
+	for i, p := range newPlacers(t, testSettings(), 130) {
+		machines := readyMachines(20)
+		for k := range machines {
+			machines[k].AvailableCores = 3 + float64((i*7+k*3)%5)
+		}
+		actions := p.Step(time.Hour, []Event{
+			ListUpdate{Mode: ListCached, Machines: machines},
+			PlacementRequest{Task: Task{ID: 1, Service: 42, Timeout: time.Second, Cores: 1, Memory: 1}},
+		})
+		for _, offer := range actionsOf[Offer](actions) {
+			used[offer.Machine] = true
+		}
+	}
+	if len(used) != 1 {
+		t.Errorf("130 placers bring one service to %d machines, want 1", len(used))
+	}
+}
+
+// A task that requires labels goes only to a machine that carries all, and is queued where none does.
+func TestSelectionRequiresLabels(t *testing.T) {
+	machines := readyMachines(6)
+	machines[4].Labels = 0b10
+	h := newHarness(t, testSettings(), machines)
+	task := h.newTask(0, 7)
+	task.RequiredLabels = 0b10
+	if offer := h.singleOffer(h.step(PlacementRequest{Task: task})); offer.Machine != 5 {
+		t.Fatalf("offered to machine %d, which lacks the label", offer.Machine)
+	}
+	task = h.newTask(0, 8)
+	task.RequiredLabels = 0b110
+	if offers := actionsOf[Offer](h.step(PlacementRequest{Task: task})); len(offers) != 0 {
+		t.Fatalf("offered to %v, which carries one of two labels", offers)
+	}
+	machines[1].Labels = 0b111
+	if offer := h.singleOffer(h.step(ListUpdate{Mode: ListDelta, Machines: machines[1:2]})); offer.Machine != 2 {
+		t.Fatalf("offered to machine %d, want 2, which carries both labels", offer.Machine)
+	}
+}
+
+func TestSelectionOffersWhereMachinesPreempt(t *testing.T) {
+	for _, c := range []struct {
+		preemption bool
+		wantOffers int
+	}{
+		{false, 0},
+		{true, 1},
+	} {
+		settings := testSettings()
+		settings.Preemption = c.preemption
+		high := settings.Classes[0]
+		high.Priority = 1
+		settings.Classes = append(settings.Classes, high)
+		h := newHarness(t, settings, readyMachines(1))
+		for service := range uint64(10) {
+			id, actions := h.request(0, service)
+			h.step(Bound{Task: id, Machine: h.singleOffer(actions).Machine})
+		}
+		h.now += 3 * time.Second
+		h.step(ListUpdate{Mode: ListDelta, Machines: []Machine{{ID: 1, State: Ready, AvailableMemory: 10}}})
+		if _, actions := h.request(0, 98); len(actionsOf[Offer](actions)) > 0 {
+			t.Error("a task of the same priority was offered to a full machine")
+		}
+		_, actions := h.request(1, 99)
+		h.now += 60 * time.Millisecond
+		actions = append(actions, h.step(ListUpdate{Mode: ListDelta})...)
+		if got := len(actionsOf[Offer](actions)); got != c.wantOffers {
+			t.Errorf("preemption %v: %d offers of the higher priority to a full machine, want %d",
+				c.preemption, got, c.wantOffers)
+		}
+	}
+}
+
+// The limit of the service itself and that of its class hold both, so the tighter one counts.
+func TestSpreadLimitsOfTaskAndClassBothHold(t *testing.T) {
+	settings := testSettings()
+	settings.Classes[0].SpreadDomain, settings.Classes[0].MaxPerDomain = ZoneDomain, 3
+	h := newHarness(t, settings, readyMachines(6)) // two cells, one zone
+	offers := 0
+	for range 5 {
+		task := h.newTask(0, 7)
+		task.SpreadLimits[CellDomain] = 1
+		offers += len(actionsOf[Offer](h.step(PlacementRequest{Task: task})))
+	}
+	if offers != 2 {
+		t.Fatalf("%d offers at one task a cell in two cells, want 2", offers)
+	}
+	for range 3 {
+		task := h.newTask(0, 7)
+		task.SpreadLimits[CellDomain] = 9
+		offers += len(actionsOf[Offer](h.step(PlacementRequest{Task: task})))
+	}
+	if offers != 3 {
+		t.Fatalf("%d offers, want the 3 that the class allows in the zone", offers)
+	}
+}
+
+func TestSpreadLimitCountsAttemptsAndHandedOverTasks(t *testing.T) {
+	const maxPerDomain = 2
+	for _, c := range []struct {
+		name      string
+		level     Domain
+		domain    func(m Machine) int
+		wantTasks int
+	}{
+		{"machine", MachineDomain, func(m Machine) int { return int(m.ID) }, 24},
+		{"cell", CellDomain, func(m Machine) int { return m.Cell }, 8},
+		{"zone", ZoneDomain, func(m Machine) int { return m.Zone }, 5},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			settings := testSettings()
+			settings.Classes[0].SpreadDomain, settings.Classes[0].MaxPerDomain = c.level, maxPerDomain
+			machines := readyMachines(12)
+			h := newHarness(t, settings, machines)
+			tasks, total := map[int]int{}, 0
+			count := func(id MachineID) int {
+				total++
+				domain := c.domain(machines[id-1])
+				tasks[domain]++
+				return tasks[domain]
+			}
+			for _, id := range []MachineID{1, 1, 4} {
+				h.step(HandedOver{Task: h.newTask(0, 7), Machine: id})
+				count(id)
+			}
+			for range 40 {
+				_, actions := h.request(0, 7)
+				for _, offer := range actionsOf[Offer](actions) {
+					if n := count(offer.Machine); n > maxPerDomain {
+						t.Fatalf("an offer makes %d tasks of one service in one %s", n, c.name)
+					}
+				}
+			}
+			if total != c.wantTasks {
+				t.Errorf("%d tasks placed, the spread limit allows %d", total, c.wantTasks)
+			}
+		})
+	}
+}
+
+// A restarted placer learns of its running tasks when they are handed over.
+func TestHandedOverTaskCountsForSpread(t *testing.T) {
+	settings := testSettings()
+	settings.Classes[0].SpreadDomain, settings.Classes[0].MaxPerDomain = ZoneDomain, 1
+	h := newHarness(t, settings, readyMachines(6))
+	running := h.newTask(0, 7)
+	if got := h.step(HandedOver{Task: running, Machine: 2}); len(actionsOf[Offer](got)) > 0 {
+		t.Fatalf("a handed-over task was offered: %v", formatActions(got))
+	}
+	id, actions := h.request(0, 7)
+	if len(actionsOf[Offer](actions)) > 0 {
+		t.Fatal("the handed-over task was not counted")
+	}
+	actions = h.step(Outcome{Task: running.ID, Machine: 2, Result: OK, Final: true})
+	if got := h.singleOffer(actions); got.Task != id {
+		t.Errorf("offered task %d, want the queued %d", got.Task, id)
+	}
+}
+
+// Once all placers offered into the same gap of a list that lags.
+func TestLotteryAdmitsAboutAsManyAsFit(t *testing.T) {
+	machine := readyMachines(1)[0]
+	machine.AvailableCores, machine.AvailableMemory = 4, 8
+	placers := newPlacers(t, testSettings(), 400)
+	rejectedTwice := &task{Task: Task{Cores: 1, Memory: 1}, attempts: make([]*attempt, 2)}
+	notAttempted := &task{Task: Task{Cores: 1, Memory: 1}}
+	total := 0
+	for slot := range 20 {
+		now, winners := time.Hour+time.Duration(slot)*lotterySlot, 0
+		for _, p := range placers {
+			p.Step(now, []Event{ListUpdate{Mode: ListSnapshot, Machines: []Machine{machine}}})
+			if p.winsLottery(rejectedTwice, p.machines[1]) {
+				winners++
+			}
+			if !p.winsLottery(notAttempted, p.machines[1]) {
+				t.Fatal("a task that was not rejected takes part in the lottery")
+			}
+		}
+		if total += winners; winners > 15 {
+			t.Errorf("%d placers may offer where 4 tasks fit", winners)
+		}
+	}
+	if total < 40 || total > 120 {
+		t.Errorf("%d winners in 20 slots where 4 tasks fit, want about 80", total)
+	}
+}
--- a/validate_test.go
+++ b/validate_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-func TestNewNamesTheFieldItCannotUse(t *testing.T) {
-	cases := map[string]func(*Settings){
+func TestNewNamesInvalidField(t *testing.T) {
+	for field, invalidate := range map[string]func(*Settings){
 		"Classes":                        func(s *Settings) { s.Classes = nil },
 		"MachineTypes":                   func(s *Settings) { s.MachineTypes = nil },
 		"Placers":                        func(s *Settings) { s.Placers = 0 },
@@ -25,47 +25,30 @@
 		"Classes[0].SaturationThreshold": func(s *Settings) { s.Classes[0].SaturationThreshold = math.NaN() },
 		"SlowStartMaxOffers":             func(s *Settings) { s.SlowStartMaxOffers = -1 },
 		"Classes[0].MaxPerDomain ":       func(s *Settings) { s.Classes[0].MaxPerDomain = -1 },
-	}
-	for field, spoil := range cases {
-		s := testSettings()
-		spoil(&s)
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
+	} {
+		settings := testSettings()
+		invalidate(&settings)
+		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: error %v does not name it", field, err)
 		}
 	}
 }
 
-func TestTasksThatCannotBePlacedAreRefusedAtOnce(t *testing.T) {
-	for name, spoil := range map[string]func(*Task){
-		"too large":     func(k *Task) { k.Cores = 11 },
-		"too much":      func(k *Task) { k.Memory = 21 },
-		"unknown class": func(k *Task) { k.Class = 5 },
-		"not a number":  func(k *Task) { k.Cores = math.NaN() },
-		"infinite":      func(k *Task) { k.Memory = math.Inf(1) },
-		"negative":      func(k *Task) { k.Cores = -1 },
+func TestUnplaceableTaskIsRejectedAtOnce(t *testing.T) {
+	for name, invalidate := range map[string]func(*Task){
+		"too many cores":  func(t *Task) { t.Cores = 11 },
+		"too much memory": func(t *Task) { t.Memory = 21 },
+		"unknown class":   func(t *Task) { t.Class = 5 },
+		"not a number":    func(t *Task) { t.Cores = math.NaN() },
+		"infinite":        func(t *Task) { t.Memory = math.Inf(1) },
+		"negative":        func(t *Task) { t.Cores = -1 },
 	} {
-		b := newBench(t, testSettings(), fleet(3))
-		task := b.task(0, 7)
-		spoil(&task)
-		actions := b.step(PlacementRequest{Task: task})
-		if len(actions) != 1 || len(only[Reject](actions)) != 1 {
-			t.Errorf("%s: want one refusal, got %v", name, describe(actions))
+		h := newHarness(t, testSettings(), readyMachines(3))
+		task := h.newTask(0, 7)
+		invalidate(&task)
+		actions := h.step(PlacementRequest{Task: task})
+		if len(actions) != 1 || len(actionsOf[Reject](actions)) != 1 {
+			t.Errorf("%s: want one rejection, got %v", name, formatActions(actions))
 		}
 	}
 }
-
-func TestUnknownNewsIsPassedOver(t *testing.T) {
-	b := newBench(t, testSettings(), fleet(3))
-	actions := b.step(
-		Bound{Task: 99}, Outcome{Task: 99, Result: OK}, Note{Task: 99, Kind: NoteCoresUsed}, RequestCanceled{Task: 99},
-		Probed{Machine: 99}, Received{Data: []byte{1, 2, 3}}, TimerFired{Timer: 1<<40 | 7},
-		Probed{Machine: 1, Result: OK, Report: &LoadReport{AvailableCores: math.NaN(), AvailableMemory: math.NaN()}},
-		ListUpdate{Mode: ListDelta, Machines: []Machine{{ID: 50, Type: 9, State: Ready}}},
-	)
-	if len(actions) > 0 {
-		t.Errorf("want nothing done, got %v", describe(actions))
-	}
-	id, _ := b.arrive(0, 7)
-	b.step(Bound{Task: id, Attempt: 3}, Outcome{Task: id, Attempt: -1, Result: Rejected})
-	b.step(Outcome{Task: id, Attempt: 0, Result: OK, Final: true}, Outcome{Task: id, Attempt: 0, Result: OK, Final: true})
-}
