--- /dev/null
+++ b/internal/scheduler/attempt/rules.go
@@ -0,0 +1,79 @@
+package attempt
+
+import (
+	"time"
+
+	"forkhead"
+)
+
+// MinRequestTime is the shortest time for which a placement request is worth making.
+const MinRequestTime = 50 * time.Millisecond
+
+// Rules are what a task's class and the settings allow its requests.
+type Rules struct {
+	Effect      forkhead.Effect
+	DedupDomain forkhead.Domain // hosts of one such domain share the keys of keyed tasks
+	DedupWindow time.Duration   // hosts remember a key for so long
+	MaxAttempts int             // of one request
+	Parallel    bool            // attempts of one request may be in flight together
+}
+
+// RetryIsHarmless reports whether a second copy of the task does no harm wherever it starts.
+func (r *Rules) RetryIsHarmless() bool {
+	return r.Effect == forkhead.Safe || r.Effect == forkhead.Keyed && r.DedupDomain == forkhead.AnyDomain
+}
+
+// mayRepeat returns nil if the task may be offered to a host although an earlier attempt may have run, else
+// ErrMayHaveRun or ErrOutsideDedupDomain.
+func (r *Rules) mayRepeat(earlier *Attempt, to HostID, same SameDomain) error {
+	switch r.Effect {
+	case forkhead.Unsafe:
+		return ErrMayHaveRun
+	case forkhead.Keyed:
+		if r.DedupDomain != forkhead.AnyDomain && !same(r.DedupDomain, earlier.Host, to) {
+			return ErrOutsideDedupDomain
+		}
+	}
+	return nil
+}
+
+// isForgotten reports whether the hosts that may have started an attempt of a keyed task no longer remember its key.
+func (r *Rules) isForgotten(now time.Duration, earlier *Attempt) bool {
+	return r.Effect == forkhead.Keyed && now >= earlier.ChosenAt+r.DedupWindow
+}
+
+// MayRequest reports whether the owner may request a task while attempts of its earlier requests are unknown, and for
+// how long at most (0: no limit). unknown is their number, and the first was made at firstAt. A host that started one of
+// them remembers its key for the window only, so a request for a keyed task ends before.
+func (r *Rules) MayRequest(now time.Duration, unknown int, firstAt time.Duration) (limit time.Duration, ok bool) {
+	switch {
+	case unknown == 0 || r.Effect == forkhead.Safe:
+		return 0, true
+	case !r.RetryIsHarmless():
+		return 0, false
+	}
+	left := firstAt + r.DedupWindow - now - MinRequestTime
+	return left, left >= MinRequestTime
+}
+
+// MustWaitForHosts reports whether the first request of a placer's new incarnation has to wait until all hosts have
+// reported what they run. allReported says that they have, timedOut that the owner's wait for them is over.
+func (r *Rules) MustWaitForHosts(allReported, timedOut bool) bool {
+	return r.Effect != forkhead.Safe && !allReported && !timedOut
+}
+
+// RejectionIsHarmless reports whether a task that is given up may be answered with a rejection, which promises that a
+// retry is harmless. rejected says that its last request was rejected, offered that any attempt was made, and unknown is
+// the number of attempts whose fate is not known.
+func (r *Rules) RejectionIsHarmless(rejected, offered bool, unknown int) bool {
+	return (rejected || !offered) && (unknown == 0 || r.RetryIsHarmless())
+}
+
+// ExpiresWhenUnreachable reports whether a task on an unreachable host counts as lost after a time. All others wait
+// until their fate is known.
+func (r *Rules) ExpiresWhenUnreachable() bool { return r.Effect == forkhead.Safe }
+
+// ShouldAdopt reports whether an attempt that was given up, and now turns out to hold its task, becomes the task's
+// placement; else it is stopped. wanted says that the owner still waits for the task, inFlight that an attempt of the
+// present request is in flight.
+func ShouldAdopt(wanted, inFlight bool) bool { return wanted && !inFlight }
--- a/internal/scheduler/hostconn/hostconn_test.go
+++ b/internal/scheduler/hostconn/hostconn_test.go
@@ -1,7 +1,6 @@
 package hostconn
 
 import (
-	"forkhead/internal/verify/doccheck"
 	"testing"
 	"time"
 
@@ -119,6 +118,3 @@
 		}
 	})
 }
-
-// The page holds the table as the code has it.
-func TestTableOnPage(t *testing.T) { doccheck.Holds(t, "docs/design/attempts.md", Table()) }
--- a/internal/scheduler/hostsession/hostsession_test.go
+++ b/internal/scheduler/hostsession/hostsession_test.go
@@ -1,7 +1,6 @@
 package hostsession
 
 import (
-	"forkhead/internal/verify/doccheck"
 	"testing"
 )
 
@@ -49,6 +48,3 @@
 		t.Error("a connection of the same life is turned away where none is open")
 	}
 }
-
-// The page holds the table as the code has it.
-func TestTableOnPage(t *testing.T) { doccheck.Holds(t, "docs/design/attempts.md", Table()) }
--- /dev/null
+++ b/internal/scheduler/statetable/statetable.go
@@ -0,0 +1,44 @@
+// Package statetable renders the transition function of a state machine as a Markdown table, with a column for each state
+// and a row for each input, so that a test can hold a page to what the code does.
+package statetable
+
+import (
+	"fmt"
+	"strings"
+)
+
+// Render returns a Markdown table. cell returns what an input does in a state, by their indexes; "" is nothing.
+func Render(states, inputs []string, cell func(input, state int) string) string {
+	var b strings.Builder
+	b.WriteString("| input |")
+	for _, name := range states {
+		b.WriteString(" " + name + " |")
+	}
+	b.WriteString("\n| --- |" + strings.Repeat(" --- |", len(states)) + "\n")
+	for input, name := range inputs {
+		b.WriteString("| " + name + " |")
+		for state := range states {
+			b.WriteString(strings.TrimRight(" "+cell(input, state), " ") + " |")
+		}
+		b.WriteString("\n")
+	}
+	return b.String()
+}
+
+// Cell returns the text of a cell: the state that follows, unless it is the present one, and the outputs that are not
+// empty, with a separator between any two.
+func Cell[State interface {
+	comparable
+	fmt.Stringer
+}](separator string, from, to State, outputs ...string) string {
+	var parts []string
+	if to != from {
+		parts = append(parts, to.String())
+	}
+	for _, output := range outputs {
+		if output != "" {
+			parts = append(parts, output)
+		}
+	}
+	return strings.Join(parts, separator)
+}
--- /dev/null
+++ b/internal/scheduler/statetable/statetable_test.go
@@ -0,0 +1,51 @@
+package statetable_test
+
+import (
+	"testing"
+
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/hostconn"
+	"forkhead/internal/scheduler/hostsession"
+	"forkhead/internal/scheduler/statetable"
+	"forkhead/internal/verify/doccheck"
+)
+
+// The page on the state machines holds their tables as the code has them.
+func TestTablesOnDesignPage(t *testing.T) {
+	for name, table := range map[string]func() string{
+		"attempt":     attempt.Table,
+		"hostconn":    hostconn.Table,
+		"hostsession": hostsession.Table,
+	} {
+		t.Run(name, func(t *testing.T) { doccheck.Holds(t, "docs/design/attempts.md", table()) })
+	}
+}
+
+func TestRender(t *testing.T) {
+	got := statetable.Render([]string{"Off", "On"}, []string{"push", "pull"}, func(input, state int) string {
+		if input == state {
+			return "x"
+		}
+		return ""
+	})
+	const want = "| input | Off | On |\n| --- | --- | --- |\n| push | x | |\n| pull | | x |\n"
+	if got != want {
+		t.Errorf("got\n%swant\n%s", got, want)
+	}
+}
+
+func TestCell(t *testing.T) {
+	const from, to = attempt.Waiting, attempt.Placed
+	for name, c := range map[string]struct {
+		got, want string
+	}{
+		"nothing":          {statetable.Cell(", ", from, from, ""), ""},
+		"another state":    {statetable.Cell(", ", from, to), "Placed"},
+		"an output":        {statetable.Cell(", ", from, from, "close"), "close"},
+		"all, some absent": {statetable.Cell(", ", from, to, "", "close", "", "retry"), "Placed, close, retry"},
+	} {
+		if c.got != c.want {
+			t.Errorf("%s: %q, want %q", name, c.got, c.want)
+		}
+	}
+}
