--- a/internal/scheduler/hostconn/hostconn.go
+++ b/internal/scheduler/hostconn/hostconn.go
@@ -1,52 +1,57 @@
-// Package hostconn holds the states of a placer's connection to one host: when it is dialled,
-// greeted, up, down, and what the host's lives mean for what it held. It is pure: the shell
-// dials, writes and sets timers as it is told.
+// Package hostconn has the states of a placer's connection to one host: when it is dialed, when messages may be sent, and
+// what a new incarnation of the host means for attempts made in the earlier one. It is pure: the caller dials, writes,
+// closes and sets timers as each Output says.
 package hostconn
 
 import (
-	"forkhead/internal/scheduler/statetable"
 	"strings"
 	"time"
+
+	"forkhead/internal/scheduler/statetable"
 )
 
-// State is the state of a link.
+// State is the state of a connection.
 type State uint8
 
 // The states.
 const (
-	Down     State = iota // nothing is under way; a retry is due if the host is listed
-	Dialing               // a connection is being made
+	Down        State = iota // nothing is under way; a reconnect is due if the host is listed
+	Dialing                  // the connection is being made
 	Handshaking              // Hello is written, Welcome awaited
-	Up                    // frames may be sent
-	states
+	Up                       // messages may be sent
+	stateCount
 )
 
-var stateNames = [states]string{"Down", "Dialling", "Greeting", "Up"}
+// stateNames are the names in traces, `explore --output json` and docs/design/attempts.md. Stored traces hold them, so
+// they stay as they are where a constant is renamed; the same goes for inputNames.
+var stateNames = [stateCount]string{"Down", "Dialling", "Greeting", "Up"} //nolint:misspell // stored names stay
 
-// String names the state.
+// String returns the state's name in traces and in docs/design/attempts.md.
 func (s State) String() string { return stateNames[s] }
 
-// InputKind is what can happen to a link.
+// InputKind is the kind of an Input.
 type InputKind uint8
 
 // The kinds of input.
 const (
-	Listed          InputKind = iota // the list names the host at Input.Address
-	Delisted                         // the list no longer names it
+	Listed          InputKind = iota // the endpoint list names the host at Input.Address
+	Delisted                         // the endpoint list no longer names the host
 	Dialed                           // connection Input.Conn is made
-	Welcomed                         // the host greeted on Input.Conn with Input.Epoch
+	Welcomed                         // the host answered Hello on Input.Conn with a Welcome of Input.Epoch
 	Disconnected                     // connection Input.Conn failed, broke, or was closed
-	RetryDue                         // the retry timer fired
-	ConnectTimedOut                  // dialling or greeting on Input.Conn took too long
-	kinds
+	RetryDue                         // the timer of Output.RetryAfter fired
+	ConnectTimedOut                  // the timer of Output.ConnectTimeoutAfter fired for Input.Conn
+	inputKindCount
 )
 
-var kindNames = [kinds]string{"Listed", "Delisted", "Dialled", "Welcomed", "Broke", "Retry", "Late"}
+var inputNames = [inputKindCount]string{
+	"Listed", "Delisted", "Dialled", "Welcomed", "Broke", "Retry", "Late", //nolint:misspell // stored names stay
+}
 
-// String names the kind.
-func (k InputKind) String() string { return kindNames[k] }
+// String returns the kind's name in traces and in docs/design/attempts.md.
+func (k InputKind) String() string { return inputNames[k] }
 
-// Input is one thing that happened.
+// Input is an event of a connection. Its kind says which of the other fields it has.
 type Input struct {
 	Kind    InputKind
 	Address string
@@ -54,145 +59,193 @@
 	Epoch   uint64
 }
 
-// Output is what follows, in this order.
+// Output is what the caller does after an input, in this order.
 type Output struct {
-	CloseConn                bool          // close connection Conn: it is the one that was in use
-	ConnToClose              uint32        // its number
-	Dial                 bool          // dial Link.Address as connection Link.Conn
-	SendHello                bool          // write Hello on Link.Conn
-	AttemptsDisconnected bool          // attempts on this link: Broke
-	HostRestarted        bool          // the host's earlier life ended: attempts made in it have died
-	Established               bool          // frames may be sent from now on
-	StaleIncarnation     bool          // the host greeted with a life earlier than one that is known
-	RetryAfter           time.Duration // > 0: set the retry timer
-	ConnectTimeoutAfter  time.Duration // > 0: set the timer for dialling and greeting, for Link.Conn
+	CloseConn            bool          // close connection ConnToClose
+	ConnToClose          uint32        // the connection that was in use
+	Dial                 bool          // dial Connection.Address as connection Connection.Conn
+	SendHello            bool          // write Hello on Connection.Conn
+	AttemptsDisconnected bool          // attempts made on the connection have lost it
+	HostRestarted        bool          // the host's earlier incarnation ended, and with it what ran there
+	Established          bool          // messages may be sent from now on
+	StaleIncarnation     bool          // the host answered with an earlier incarnation than the last known one
+	RetryAfter           time.Duration // > 0: set the timer of RetryDue
+	ConnectTimeoutAfter  time.Duration // > 0: set the timer of ConnectTimedOut, for Connection.Conn
 }
 
 // Policy bounds waits.
 type Policy struct {
-	ConnectTimeout time.Duration // dialling and greeting may take so long
+	ConnectTimeout time.Duration // for dialing and the handshake together
 	MinBackoff     time.Duration // mean wait before the first reconnect
-	MaxBackoff     time.Duration // waits double up to this
+	MaxBackoff     time.Duration // mean waits double up to this
 }
 
-// Connection is one connection to a host, with what outlives it.
+// maxDoublings bounds the doublings of MinBackoff: more would overflow, and MaxBackoff is reached well before.
+const maxDoublings = 16
+
+// Connection is a placer's connection to one host, with what outlives a single TCP connection. The zero value is that of
+// a host that is not listed yet.
 type Connection struct {
 	State    State
-	Listed   bool
-	Address  string
-	Conn     uint32 // number of the present or last connection; each dial has the next
-	Epoch    uint64 // of the host's last known life; 0: none yet
-	Failures int    // since it was last up
+	Listed   bool   // the endpoint list names the host
+	Address  string // at which it was last listed
+	Conn     uint32 // number of the present or last TCP connection; each dial takes the next
+	Epoch    uint64 // of the host's last known incarnation; 0: none yet
+	Failures int    // since the connection was last up
 }
 
-// Handle takes an input. random is in [0, 1) and spreads reconnects, so that placers which all lost
-// a host at one moment do not all come back at one.
-func (l *Connection) Handle(in Input, p Policy, random float64) Output {
+// Handle applies an input. random is in [0, 1) and spreads reconnects, so that placers that lost a host together do not
+// come back together. An input of an earlier TCP connection changes nothing.
+func (c *Connection) Handle(in Input, p Policy, random float64) Output {
 	var out Output
 	switch in.Kind {
 	case Listed:
-		moved := l.Listed && l.Address != in.Address
-		fresh := !l.Listed
-		l.Listed, l.Address = true, in.Address
-		if moved {
-			l.drop(&out)
-			l.Failures = 0
-		}
-		if l.State == Down && (fresh || moved) {
-			l.dial(&out, p)
-		}
+		c.handleListed(&out, in.Address, p)
 	case Delisted:
-		// The link stays as it is: what runs there goes on being heard of. It is not made anew.
-		l.Listed = false
-		if l.State == Dialing || l.State == Handshaking {
-			l.drop(&out)
-		}
+		c.handleDelisted(&out)
 	case Dialed:
-		if l.State == Dialing && in.Conn == l.Conn {
-			l.State = Handshaking
-			out.SendHello = true
-		}
+		c.handleDialed(&out, in.Conn)
 	case Welcomed:
-		if l.State != Handshaking || in.Conn != l.Conn {
-			break
-		}
-		if in.Epoch < l.Epoch {
-			// Guards against a host's earlier life that is still answering, on the same address or
-			// out of a buffer: it must not settle what belongs to the later one.
-			out.StaleIncarnation = true
-			l.drop(&out)
-			l.retry(&out, p, random)
-			break
-		}
-		if l.Epoch != 0 && in.Epoch > l.Epoch {
-			out.HostRestarted = true
-		}
-		l.Epoch, l.State, l.Failures = in.Epoch, Up, 0
-		out.Established = true
+		c.handleWelcomed(&out, in, p, random)
 	case Disconnected:
-		if l.State == Down || in.Conn != l.Conn {
-			break
-		}
-		l.drop(&out)
-		out.CloseConn = false // it is closed
-		l.retry(&out, p, random)
-	case ConnectTimedOut:
-		if (l.State == Dialing || l.State == Handshaking) && in.Conn == l.Conn {
-			l.drop(&out)
-			l.retry(&out, p, random)
-		}
+		c.handleDisconnected(&out, in.Conn, p, random)
 	case RetryDue:
-		if l.State == Down && l.Listed {
-			l.dial(&out, p)
-		}
+		c.handleRetryDue(&out, p)
+	case ConnectTimedOut:
+		c.handleConnectTimedOut(&out, in.Conn, p, random)
 	}
 	return out
 }
 
-func (l *Connection) dial(out *Output, p Policy) {
-	l.Conn++
-	l.State = Dialing
+func (c *Connection) handleListed(out *Output, address string, p Policy) {
+	added := !c.Listed
+	moved := c.Listed && c.Address != address
+	c.Listed, c.Address = true, address
+	if moved {
+		c.closeConn(out)
+		c.Failures = 0
+	}
+	if c.State == Down && (added || moved) {
+		c.dial(out, p)
+	}
+}
+
+// handleDelisted keeps a connection that is up, since the host goes on reporting what runs there.
+func (c *Connection) handleDelisted(out *Output) {
+	c.Listed = false
+	if c.isConnecting() {
+		c.closeConn(out)
+	}
+}
+
+func (c *Connection) handleDialed(out *Output, conn uint32) {
+	if c.State == Dialing && conn == c.Conn {
+		c.State = Handshaking
+		out.SendHello = true
+	}
+}
+
+func (c *Connection) handleWelcomed(out *Output, in Input, p Policy, random float64) {
+	if c.State != Handshaking || in.Conn != c.Conn {
+		return
+	}
+	if in.Epoch < c.Epoch {
+		// An earlier incarnation of the host still answers, at the same address or out of a buffer. It must not settle
+		// what belongs to the later one.
+		out.StaleIncarnation = true
+		c.closeConn(out)
+		c.scheduleRetry(out, p, random)
+		return
+	}
+	out.HostRestarted = c.Epoch != 0 && in.Epoch > c.Epoch
+	out.Established = true
+	c.State, c.Epoch, c.Failures = Up, in.Epoch, 0
+}
+
+func (c *Connection) handleDisconnected(out *Output, conn uint32, p Policy, random float64) {
+	if c.State == Down || conn != c.Conn {
+		return
+	}
+	c.goDown(out) // it is closed already
+	c.scheduleRetry(out, p, random)
+}
+
+func (c *Connection) handleRetryDue(out *Output, p Policy) {
+	if c.State == Down && c.Listed {
+		c.dial(out, p)
+	}
+}
+
+func (c *Connection) handleConnectTimedOut(out *Output, conn uint32, p Policy, random float64) {
+	if c.isConnecting() && conn == c.Conn {
+		c.closeConn(out)
+		c.scheduleRetry(out, p, random)
+	}
+}
+
+func (c *Connection) isConnecting() bool { return c.State == Dialing || c.State == Handshaking }
+
+// dial makes the next TCP connection.
+func (c *Connection) dial(out *Output, p Policy) {
+	c.Conn++
+	c.State = Dialing
 	out.Dial, out.ConnectTimeoutAfter = true, p.ConnectTimeout
 }
 
-func (l *Connection) drop(out *Output) {
-	if l.State == Down {
+// closeConn closes the present TCP connection, if there is one.
+func (c *Connection) closeConn(out *Output) {
+	if c.State == Down {
 		return
 	}
-	out.CloseConn, out.ConnToClose, out.AttemptsDisconnected = true, l.Conn, true
-	l.State = Down
+	out.CloseConn, out.ConnToClose = true, c.Conn
+	c.goDown(out)
+}
+
+func (c *Connection) goDown(out *Output) {
+	c.State = Down
+	out.AttemptsDisconnected = true
 }
 
-func (l *Connection) retry(out *Output, p Policy, random float64) {
-	if !l.Listed {
+// scheduleRetry counts a failure and sets the reconnect timer, if the host is listed.
+func (c *Connection) scheduleRetry(out *Output, p Policy, random float64) {
+	if !c.Listed {
 		return
 	}
-	wait := min(p.MinBackoff<<min(l.Failures, 16), p.MaxBackoff)
-	l.Failures++
-	out.RetryAfter = max(time.Duration(float64(wait)*(0.5+random)), time.Millisecond)
+	mean := min(p.MinBackoff<<min(c.Failures, maxDoublings), p.MaxBackoff)
+	c.Failures++
+	out.RetryAfter = max(time.Duration(float64(mean)*(0.5+random)), time.Millisecond)
 }
 
-// Table writes what each input does to a listed link, as rows of a page: Listed with the address
-// that is known, and all else of the present connection and the known life of the host.
+// Table returns as a Markdown table what each input does to the connection of a listed host, where the input is of the
+// known address, the present TCP connection and the known incarnation of the host.
 func Table() string {
-	return statetable.Render(stateNames[:], kindNames[:], func(k, s int) string {
-		l := Connection{State: State(s), Listed: true, Address: "a", Conn: 1, Epoch: 1}
-		o := l.Handle(Input{Kind: InputKind(k), Address: "a", Conn: 1, Epoch: 1}, Policy{MinBackoff: time.Second, MaxBackoff: time.Second}, 0)
-		var words []string
-		if l.State != State(s) {
-			words = append(words, l.State.String())
-		}
-		for _, w := range []struct {
-			on   bool
-			name string
-		}{
-			{o.CloseConn, "close"}, {o.AttemptsDisconnected, "broken"}, {o.HostRestarted, "died"}, {o.Dial, "dial"}, {o.SendHello, "greet"}, {o.Established, "opened"},
-			{o.RetryAfter > 0, "retry later"},
-		} {
-			if w.on {
-				words = append(words, w.name)
-			}
-		}
-		return strings.Join(words, ", ")
+	return statetable.Render(stateNames[:], inputNames[:], func(kind, state int) string {
+		from := State(state)
+		c := Connection{State: from, Listed: true, Address: "a", Conn: 1, Epoch: 1}
+		in := Input{Kind: InputKind(kind), Address: "a", Conn: 1, Epoch: 1}
+		out := c.Handle(in, Policy{MinBackoff: time.Second, MaxBackoff: time.Second}, 0)
+		return statetable.Cell(", ", from, c.State, out.describe())
 	})
 }
+
+// describe lists what an output asks for, in the words of docs/design/attempts.md.
+func (o *Output) describe() string {
+	var parts []string
+	for _, part := range []struct {
+		present bool
+		text    string
+	}{
+		{o.CloseConn, "close"},
+		{o.AttemptsDisconnected, "broken"},
+		{o.HostRestarted, "died"},
+		{o.Dial, "dial"},
+		{o.SendHello, "greet"},
+		{o.Established, "opened"},
+		{o.RetryAfter > 0, "retry later"},
+	} {
+		if part.present {
+			parts = append(parts, part.text)
+		}
+	}
+	return strings.Join(parts, ", ")
+}
