--- a/internal/scheduler/core/asks.go
+++ b/internal/scheduler/core/asks.go
@@ -14,41 +14,41 @@
 	"forkhead/internal/scheduler/retrypolicy"
 )
 
-// ask is one arrival of a task at the module.
-type ask struct {
+// placementRequest is one arrival of a task at the module.
+type placementRequest struct {
 	attempt.Request
 	id    forkhead.TaskID
 	task  forkhead.Task
-	wish  *wish
-	tries []*try // by number; nil where nothing was sent
+	replica  *desiredReplica
+	attempts []*taskAttempt // by number; nil where nothing was sent
 }
 
-// try is one attempt: what the machine of package attempt rules over, and where it is.
-type try struct {
-	ask       *ask
+// taskAttempt is one attempt: what the machine of package attempt rules over, and where it is.
+type taskAttempt struct {
+	request       *placementRequest
 	number    int
 	host      *host
-	machine   forkhead.MachineID // as the module named it
+	machineID   forkhead.MachineID // as the module named it
 	ref       hostproto.Ref
 	hostEpoch uint64 // the host's life in which it was written
 	conn      uint32 // the connection on which it was written
-	runs      bool
-	noted     bool // so that a later life knows of it
-	waited    bool // for its host's connection
-	moving    bool // stopped by the module, to be placed anew
+	running      bool
+	persisted     bool // so that a later life knows of it
+	waitedForConn    bool // for its host's connection
+	migrating    bool // stopped by the module, to be placed anew
 }
 
-func (t *try) phase() attempt.Phase { return t.ask.Attempts[t.number].Phase }
+func (t *taskAttempt) phase() attempt.Phase { return t.request.Attempts[t.number].Phase }
 
-// detail is what comes with an input beside it.
-type detail struct {
+// attemptDetail is what comes with an input beside it.
+type attemptDetail struct {
 	result forkhead.Result
 	reason forkhead.RejectReason
 	report *forkhead.LoadReport
 }
 
-func ending(f hostproto.Ended) detail {
-	d := detail{report: report(f.Report)}
+func toAttemptDetail(f hostproto.Ended) attemptDetail {
+	d := attemptDetail{report: toLoadReport(f.Report)}
 	switch f.Result {
 	case hostproto.Done:
 		d.result = forkhead.OK
@@ -68,122 +68,122 @@
 
 // ---- The module's actions on asks.
 
-func (c *Core) rules(class int) attempt.Rules {
-	m := &c.set.Module
+func (c *Core) attemptRules(class int) attempt.Rules {
+	m := &c.settings.Module
 	k := &m.Classes[class]
 	return attempt.Rules{
 		Effect: k.Effect, DedupDomain: k.DedupDomain, DedupWindow: k.DedupWindow, MaxAttempts: m.MaxAttempts, Parallel: m.ParallelAttempts,
 	}
 }
 
-// offer carries out an Offer, if the guard lets it through.
-func (c *Core) offer(a forkhead.Offer) {
-	k, h := c.asks[a.Task], c.byID[a.Machine]
-	if gone := c.left[a.Task]; gone != nil {
+// executeOffer carries out an Offer, if the guard lets it through.
+func (c *Core) executeOffer(a forkhead.Offer) {
+	k, h := c.requests[a.Task], c.hostsByID[a.Machine]
+	if gone := c.canceledRequests[a.Task]; gone != nil {
 		// The module ruled before it heard that nobody waits any more: that is no fault of its.
-		c.skip(gone, a, true)
+		c.reportNotSent(gone, a, true)
 		return
 	}
 	if k == nil || h == nil {
-		c.veto(&invariant.Violation{Rule: invariant.OneAnswer, Reason: "no such ask or host"}, "offer of task %d to machine %d", a.Task, a.Machine)
+		c.reportVeto(&invariant.Violation{Rule: invariant.OneAnswer, Reason: "no such ask or host"}, "offer of task %d to machine %d", a.Task, a.Machine)
 		return
 	}
-	if c.harmful(k) {
-		c.skip(k, a, false)
+	if c.repeatIsHarmful(k) {
+		c.reportNotSent(k, a, false)
 		return
 	}
 	v := invariant.CheckOffer(c.now, &invariant.Offer{
-		Request: &k.Request, Task: &k.task, Class: &c.set.Module.Classes[k.task.Class], To: h.guard(), DrainGrace: c.set.Module.DrainGrace,
+		Request: &k.Request, Task: &k.task, Class: &c.settings.Module.Classes[k.task.Class], To: h.forInvariants(), DrainGrace: c.settings.Module.DrainGrace,
 		HostByID: func(id attempt.HostID) *invariant.Host {
-			for _, t := range k.tries { // also one that has left the list and is forgotten there
-				if t != nil && t.machine == forkhead.MachineID(id) {
-					return t.host.guard()
+			for _, t := range k.attempts { // also one that has left the list and is forgotten there
+				if t != nil && t.machineID == forkhead.MachineID(id) {
+					return t.host.forInvariants()
 				}
 			}
-			if h := c.byID[forkhead.MachineID(id)]; h != nil {
-				return h.guard()
+			if h := c.hostsByID[forkhead.MachineID(id)]; h != nil {
+				return h.forInvariants()
 			}
 			return nil
 		},
-		ServiceHosts: c.others(k.task.Service, nil),
+		ServiceHosts: c.otherLiveHosts(k.task.Service, nil),
 	})
 	if v != nil {
-		c.veto(v, "offer of %s to %s", k.wish.name, h.name)
-		c.skip(k, a, false)
+		c.reportVeto(v, "offer of %s to %s", k.replica.name, h.name)
+		c.reportNotSent(k, a, false)
 		return
 	}
-	t := &try{ask: k, number: k.AddOffer(c.now, attempt.HostID(h.id)), host: h, machine: a.Machine}
+	t := &taskAttempt{request: k, number: k.AddOffer(c.now, attempt.HostID(h.id)), host: h, machineID: a.Machine}
 	t.ref = hostproto.Ref{Epoch: c.epoch, Task: uint32(k.id), Attempt: uint8(t.number)}
-	k.tries = append(k.tries, t)
-	c.index(t)
-	c.stat.Offers++
-	k.wish.offers++
+	k.attempts = append(k.attempts, t)
+	c.indexAttempt(t)
+	c.status.Offers++
+	k.replica.offerCount++
 	if a.Timeout > 0 {
-		c.at(&timer{at: c.now + a.Timeout, kind: timerCap, try: t})
+		c.addTimer(&timer{at: c.now + a.Timeout, kind: timerAttemptTimeout, attempt: t})
 	}
 	switch {
 	case h.usable():
-		c.write(t)
-	case h.link.State == hostconn.Down:
-		c.input(t, attempt.ConnectionLost, detail{})
+		c.sendOffer(t)
+	case h.connection.State == hostconn.Down:
+		c.handleAttempt(t, attempt.ConnectionLost, attemptDetail{})
 	default:
-		t.waited = true
-		c.at(&timer{at: c.now + c.set.Module.ConnectTimeout, kind: timerConnect, try: t})
+		t.waitedForConn = true
+		c.addTimer(&timer{at: c.now + c.settings.Module.ConnectTimeout, kind: timerAttemptConnectTimeout, attempt: t})
 	}
 }
 
-// skip tells the module that an offer was not sent, and keeps the numbers of attempts in step with its own.
-func (c *Core) skip(k *ask, a forkhead.Offer, final bool) {
+// reportNotSent tells the module that an offer was not sent, and keeps the numbers of attempts in step with its own.
+func (c *Core) reportNotSent(k *placementRequest, a forkhead.Offer, final bool) {
 	n := k.AddUnsent(c.now, attempt.HostID(a.Machine))
-	k.tries = append(k.tries, nil)
-	c.tell(forkhead.Outcome{Task: a.Task, Attempt: n, Machine: a.Machine, Result: forkhead.NotSent, Final: final})
+	k.attempts = append(k.attempts, nil)
+	c.notifyModule(forkhead.Outcome{Task: a.Task, Attempt: n, Machine: a.Machine, Result: forkhead.NotSent, Final: final})
 }
 
-// others runs over the hosts of a service's live attempts but one.
-func (c *Core) others(service uint64, but *try) func(yield func(*invariant.Host) bool) {
+// otherLiveHosts runs over the hosts of a service's live attempts but one.
+func (c *Core) otherLiveHosts(service uint64, but *taskAttempt) func(yield func(*invariant.Host) bool) {
 	return func(yield func(*invariant.Host) bool) {
-		for _, t := range c.live[service] {
-			if t != but && !yield(t.host.guard()) {
+		for _, t := range c.liveAttempts[service] {
+			if t != but && !yield(t.host.forInvariants()) {
 				return
 			}
 		}
 	}
 }
 
-func (c *Core) index(t *try) {
-	t.host.tries[t.ref], c.refs[t.ref] = t, t
+func (c *Core) indexAttempt(t *taskAttempt) {
+	t.host.attempts[t.ref], c.attemptsByRef[t.ref] = t, t
 	if t.phase().IsLive() {
-		service := t.ask.task.Service
-		c.live[service] = append(c.live[service], t)
+		service := t.request.task.Service
+		c.liveAttempts[service] = append(c.liveAttempts[service], t)
 	}
 }
 
-// write sends an offer that waited for its connection, if it still may be sent.
-func (c *Core) write(t *try) {
-	k, h := t.ask, t.host
-	if invariant.DrainGraceExpired(c.now, h.state(), h.since, c.set.Module.DrainGrace) || k.MayWrite(c.now, t.number) != nil || c.harmful(k) {
+// sendOffer sends an offer that waited for its connection, if it still may be sent.
+func (c *Core) sendOffer(t *taskAttempt) {
+	k, h := t.request, t.host
+	if invariant.DrainGraceExpired(c.now, h.state(), h.drainingSince, c.settings.Module.DrainGrace) || k.MayWrite(c.now, t.number) != nil || c.repeatIsHarmful(k) {
 		// Guards against a drain told between choosing and writing, and a wait that was too long.
-		c.input(t, attempt.ConnectionLost, detail{})
+		c.handleAttempt(t, attempt.ConnectionLost, attemptDetail{})
 		return
 	}
-	if t.waited && (h.drains || invariant.CheckSpread(&invariant.Offer{
-		Task: &k.task, Class: &c.set.Module.Classes[k.task.Class], To: h.guard(), ServiceHosts: c.others(k.task.Service, t),
+	if t.waitedForConn && (h.reportsDraining || invariant.CheckSpread(&invariant.Offer{
+		Task: &k.task, Class: &c.settings.Module.Classes[k.task.Class], To: h.forInvariants(), ServiceHosts: c.otherLiveHosts(k.task.Service, t),
 	}) != nil) {
 		// Guards against tasks of an earlier life that turned up while this one waited for its
 		// connection: they count against the spread, and the choice was made without them. And
 		// against a host that greets as draining: it may have said so before it was forgotten.
-		c.input(t, attempt.ConnectionLost, detail{})
+		c.handleAttempt(t, attempt.ConnectionLost, attemptDetail{})
 		return
 	}
-	t.hostEpoch, t.conn = h.link.Epoch, h.link.Conn
-	c.input(t, attempt.OfferWritten, detail{})
-	w := k.wish
-	c.noteAttempt(t)
-	c.send(h, hostproto.Offer{
+	t.hostEpoch, t.conn = h.connection.Epoch, h.connection.Conn
+	c.handleAttempt(t, attempt.OfferWritten, attemptDetail{})
+	w := k.replica
+	c.persistAttempt(t)
+	c.sendFrame(h, hostproto.Offer{
 		Ref: t.ref, Wait: max(k.Deadline-c.now, time.Millisecond), Payload: w.spec.Payload, Spec: hostproto.Spec{
-			Key: w.key, Service: k.task.Service, Fingerprint: w.fingerprint, Name: w.name,
-			Class: c.set.Classes[w.class].Name, Tenant: w.spec.Tenant,
-			Effect: uint8(k.Rules.Effect), Priority: uint8(c.set.Module.Classes[w.class].Priority),
+			Key: w.taskKey, Service: k.task.Service, Fingerprint: w.fingerprint, Name: w.name,
+			Class: c.settings.Classes[w.class].Name, Tenant: w.spec.Tenant,
+			Effect: uint8(k.Rules.Effect), Priority: uint8(c.settings.Module.Classes[w.class].Priority),
 			Cores: thousandths(k.task.Cores), Memory: uint32(k.task.Memory*1024 + 0.5), Life: k.task.RemainingLifetime,
 		},
 	})
@@ -191,191 +191,191 @@
 
 func thousandths(cores float64) uint32 { return uint32(cores*1000 + 0.5) }
 
-// answer carries out a Refuse or Fail.
-func (c *Core) answer(id forkhead.TaskID, refuse bool, retryAfter time.Duration) {
-	k := c.asks[id]
-	if c.left[id] != nil {
+// finishRequest carries out a Refuse or Fail.
+func (c *Core) finishRequest(id forkhead.TaskID, refuse bool, retryAfter time.Duration) {
+	k := c.requests[id]
+	if c.canceledRequests[id] != nil {
 		return
 	}
 	if k == nil {
-		c.veto(&invariant.Violation{Rule: invariant.OneAnswer, Reason: "no such ask"}, "answer to task %d", id)
+		c.reportVeto(&invariant.Violation{Rule: invariant.OneAnswer, Reason: "no such ask"}, "answer to task %d", id)
 		return
 	}
 	if k.Answer == attempt.Unanswered {
-		c.callOff(k)
+		c.abandonAttempts(k)
 	}
 	if v := invariant.CheckAnswer(&k.Request, refuse); v != nil {
-		c.veto(v, "answer to %s", k.wish.name)
+		c.reportVeto(v, "answer to %s", k.replica.name)
 		if v.Rule != invariant.NoRepeat {
 			return
 		}
 		refuse = false
 	}
 	k.Finish(refuse)
-	c.forget(k)
-	if w := k.wish; w.ask == k {
-		w.ask = nil
-		c.unplaced(w, refuse, retryAfter)
+	c.forgetIfDone(k)
+	if w := k.replica; w.request == k {
+		w.request = nil
+		c.handleUnplaced(w, refuse, retryAfter)
 	}
 }
 
-// callOff gives up the attempts of an ask that are out.
-func (c *Core) callOff(k *ask) {
-	for _, t := range k.tries {
+// abandonAttempts gives up the attempts of an ask that are out.
+func (c *Core) abandonAttempts(k *placementRequest) {
+	for _, t := range k.attempts {
 		if t != nil && t.phase().IsInFlight() {
-			c.input(t, attempt.Abandoned, detail{})
+			c.handleAttempt(t, attempt.Abandoned, attemptDetail{})
 		}
 	}
 }
 
-// overdue ends an ask that the module has left open past its deadline. That is a defect: the
+// expireRequest ends an ask that the module has left open past its deadline. That is a defect: the
 // module ends its asks just before.
-func (c *Core) overdue(k *ask) {
-	if k.Answer != attempt.Unanswered || c.asks[k.id] != k {
+func (c *Core) expireRequest(k *placementRequest) {
+	if k.Answer != attempt.Unanswered || c.requests[k.id] != k {
 		return
 	}
-	c.defect("the ask for %s was left open at its deadline", k.wish.name)
-	c.tell(forkhead.RequestCanceled{Task: k.id})
-	c.answer(k.id, false, 0)
+	c.reportDefect("the ask for %s was left open at its deadline", k.replica.name)
+	c.notifyModule(forkhead.RequestCanceled{Task: k.id})
+	c.finishRequest(k.id, false, 0)
 }
 
-// abandon takes an ask back from the module: nobody waits for it any more.
-func (c *Core) abandon(w *wish) {
-	k := w.ask
+// cancelRequest takes an ask back from the module: nobody waits for it any more.
+func (c *Core) cancelRequest(w *desiredReplica) {
+	k := w.request
 	if k == nil {
 		return
 	}
-	w.ask = nil
-	c.left[k.id] = k
-	c.tell(forkhead.RequestCanceled{Task: k.id})
-	c.callOff(k)
+	w.request = nil
+	c.canceledRequests[k.id] = k
+	c.notifyModule(forkhead.RequestCanceled{Task: k.id})
+	c.abandonAttempts(k)
 	k.Finish(false)
-	c.forget(k)
+	c.forgetIfDone(k)
 }
 
-// stop carries out a Stop: the placed task is ended, and its owner asks anew.
-func (c *Core) stop(id forkhead.TaskID) {
-	k := c.asks[id]
+// migrateTask carries out a Stop: the placed task is ended, and its owner asks anew.
+func (c *Core) migrateTask(id forkhead.TaskID) {
+	k := c.requests[id]
 	if k == nil {
 		return
 	}
-	for _, t := range k.tries {
-		if t != nil && t.phase() == attempt.Placed && !t.moving && t.host.usable() {
-			t.moving = true
-			c.stat.Migrated++
-			c.send(t.host, hostproto.Stop{Ref: t.ref, Grace: k.wish.grace()})
+	for _, t := range k.attempts {
+		if t != nil && t.phase() == attempt.Placed && !t.migrating && t.host.usable() {
+			t.migrating = true
+			c.status.Migrated++
+			c.sendFrame(t.host, hostproto.Stop{Ref: t.ref, Grace: k.replica.stopGrace()})
 		}
 	}
 }
 
-func (w *wish) grace() time.Duration {
+func (w *desiredReplica) stopGrace() time.Duration {
 	if w.spec == nil {
 		return 0
 	}
 	return w.spec.StopGrace
 }
 
-// forget drops an ask that is answered and whose attempts are all settled.
-func (c *Core) forget(k *ask) {
+// forgetIfDone drops an ask that is answered and whose attempts are all settled.
+func (c *Core) forgetIfDone(k *placementRequest) {
 	if k.IsDone() {
-		delete(c.asks, k.id)
+		delete(c.requests, k.id)
 	}
 }
 
 // ---- Inputs of attempts.
 
-// input takes an input to an attempt, keeps the indexes in step with its phase, and does what
+// handleAttempt takes an handleAttempt to an attempt, keeps the indexes in step with its phase, and does what
 // the machine says follows.
-func (c *Core) input(t *try, in attempt.Input, d detail) {
-	k, w := t.ask, t.ask.wish
+func (c *Core) handleAttempt(t *taskAttempt, in attempt.Input, d attemptDetail) {
+	k, w := t.request, t.request.replica
 	before := t.phase()
 	effect := k.Handle(t.number, in)
 	after := t.phase()
 	if before.IsLive() && !after.IsLive() {
-		left := slices.DeleteFunc(c.live[k.task.Service], func(o *try) bool { return o == t })
-		if c.live[k.task.Service] = left; len(left) == 0 {
-			delete(c.live, k.task.Service)
+		left := slices.DeleteFunc(c.liveAttempts[k.task.Service], func(o *taskAttempt) bool { return o == t })
+		if c.liveAttempts[k.task.Service] = left; len(left) == 0 {
+			delete(c.liveAttempts, k.task.Service)
 		}
 	} else if !before.IsLive() && after.IsLive() {
-		c.live[k.task.Service] = append(c.live[k.task.Service], t)
+		c.liveAttempts[k.task.Service] = append(c.liveAttempts[k.task.Service], t)
 	}
 	if after.IsSettled() && !before.IsSettled() {
-		delete(t.host.tries, t.ref)
-		delete(c.refs, t.ref)
-		if t.noted {
-			c.keep(durable.AttemptResolved{Ref: t.ref})
+		delete(t.host.attempts, t.ref)
+		delete(c.attemptsByRef, t.ref)
+		if t.persisted {
+			c.persist(durable.AttemptResolved{Ref: t.ref})
 		}
 	}
 	if after == attempt.Unknown && before != after {
-		if c.unknown[w.key] == nil {
-			c.unknown[w.key] = map[*try]bool{}
+		if c.unknownAttempts[w.taskKey] == nil {
+			c.unknownAttempts[w.taskKey] = map[*taskAttempt]bool{}
 		}
-		c.unknown[w.key][t] = true
+		c.unknownAttempts[w.taskKey][t] = true
 	} else if before == attempt.Unknown && before != after {
-		if delete(c.unknown[w.key], t); len(c.unknown[w.key]) == 0 {
-			delete(c.unknown, w.key)
+		if delete(c.unknownAttempts[w.taskKey], t); len(c.unknownAttempts[w.taskKey]) == 0 {
+			delete(c.unknownAttempts, w.taskKey)
 		}
 	}
-	if c.labels.near > 0 && (before == attempt.Placed) != (after == attempt.Placed) {
-		c.relabel() // others may have to be beside it
+	if c.labels.nearCount > 0 && (before == attempt.Placed) != (after == attempt.Placed) {
+		c.updateHostLabels() // others may have to be beside it
 	}
-	out := forkhead.Outcome{Task: k.id, Attempt: t.number, Machine: t.machine, Took: c.now - k.Attempts[t.number].ChosenAt, Report: d.report}
+	out := forkhead.Outcome{Task: k.id, Attempt: t.number, Machine: t.machineID, Took: c.now - k.Attempts[t.number].ChosenAt, Report: d.report}
 	wasPlaced := before == attempt.Placed || before == attempt.Unreachable
 	switch effect {
 	case attempt.ReportBound:
-		c.tell(forkhead.Bound{Task: k.id, Attempt: t.number, Machine: t.machine, Took: out.Took})
-		t.runs = c.set.Module.BoundWhenRunning
-		c.bound(w, t)
+		c.notifyModule(forkhead.Bound{Task: k.id, Attempt: t.number, Machine: t.machineID, Took: out.Took})
+		t.running = c.settings.Module.BoundWhenRunning
+		c.handleBound(w, t)
 	case attempt.ReportRejected:
 		out.Result, out.Reason = forkhead.Rejected, d.reason
 		if d.reason == forkhead.NoReason {
 			out.Reason = forkhead.Unsuitable
 		}
-		w.tally(reasonText(out.Reason))
-		c.tell(out)
+		w.countFailure(reasonText(out.Reason))
+		c.notifyModule(out)
 	case attempt.ReportConnectFailed:
 		out.Result = forkhead.ConnectFailed
-		w.tally("no connection")
-		c.tell(out)
+		w.countFailure("no connection")
+		c.notifyModule(out)
 	case attempt.ReportWithdrawn:
-		if before == attempt.InFlight && t.host.usable() && t.conn == t.host.link.Conn {
-			c.send(t.host, hostproto.Withdraw{Ref: t.ref})
+		if before == attempt.InFlight && t.host.usable() && t.conn == t.host.connection.Conn {
+			c.sendFrame(t.host, hostproto.Withdraw{Ref: t.ref})
 		}
 		out.Result = forkhead.Withdrawn
 		if d.result != forkhead.OK {
 			out.Result = d.result
 		}
-		w.tally("no answer in time")
-		c.tell(out)
+		w.countFailure("no answer in time")
+		c.notifyModule(out)
 	case attempt.ReportLost:
 		out.Result, out.Final = forkhead.Reset, wasPlaced
-		c.tell(out)
+		c.notifyModule(out)
 		if wasPlaced {
-			c.stat.Lost++
-			c.over(w, t, retrypolicy.Lost)
+			c.status.Lost++
+			c.handleLost(w, t, retrypolicy.Lost)
 		} else {
-			w.tally("the reply broke off")
+			w.countFailure("the reply broke off")
 		}
 	case attempt.ReportEnded:
 		out.Result, out.Reason, out.Final = d.result, d.reason, wasPlaced
-		c.tell(out)
+		c.notifyModule(out)
 		if wasPlaced {
-			c.finished(w, t, d)
+			c.handleEnded(w, t, d)
 		} else {
-			w.tally("the start failed")
+			w.countFailure("the start failed")
 		}
 	case attempt.ReportSettled:
-		c.unblock(w.key)
+		c.unblock(w.taskKey)
 	case attempt.Orphaned:
-		c.stray(w, t)
+		c.handleOrphan(w, t)
 	case attempt.Reconnected:
-		if w.removing || w.stopAsked {
-			c.send(t.host, hostproto.Stop{Ref: t.ref, Grace: w.grace()})
+		if w.removing || w.stopRequested {
+			c.sendFrame(t.host, hostproto.Stop{Ref: t.ref, Grace: w.stopGrace()})
 		}
 	case attempt.ProtocolViolation:
-		c.absurd(t.host, fmt.Sprintf("%v for an attempt that is %v", in, before))
+		c.closeForViolation(t.host, fmt.Sprintf("%v for an attempt that is %v", in, before))
 	}
-	c.forget(k)
+	c.forgetIfDone(k)
 }
 
 func reasonText(r forkhead.RejectReason) string {
@@ -390,26 +390,26 @@
 	return "not here"
 }
 
-// tally counts why attempts came to nothing, for the reason that is told.
-func (w *wish) tally(why string) {
-	if w.refusals == nil {
-		w.refusals = map[string]int{}
+// countFailure counts why attempts came to nothing, for the reason that is told.
+func (w *desiredReplica) countFailure(why string) {
+	if w.failureCounts == nil {
+		w.failureCounts = map[string]int{}
 	}
-	w.refusals[why]++
+	w.failureCounts[why]++
 }
 
-// stray settles an attempt that was given up and now shows that it holds its task: where its
+// handleOrphan settles an attempt that was given up and now shows that it holds its task: where its
 // owner still wants the task and nothing else is out, it is taken as placed; else it is stopped.
-func (c *Core) stray(w *wish, t *try) {
-	wanted := !w.gone && !w.removing && (w.state == waiting || w.state == asking)
-	if !attempt.ShouldAdopt(wanted, w.ask != nil && w.ask.HasAttemptInFlight()) {
-		c.send(t.host, hostproto.Stop{Ref: t.ref, Grace: w.grace()})
+func (c *Core) handleOrphan(w *desiredReplica, t *taskAttempt) {
+	wanted := !w.removed && !w.removing && (w.state == awaitingRequest || w.state == requesting)
+	if !attempt.ShouldAdopt(wanted, w.request != nil && w.request.HasAttemptInFlight()) {
+		c.sendFrame(t.host, hostproto.Stop{Ref: t.ref, Grace: w.stopGrace()})
 		return
 	}
-	h, ref, epoch, conn, made := t.host, t.ref, t.hostEpoch, t.conn, t.ask.Rules
-	c.input(t, attempt.Adopted, detail{})
+	h, ref, epoch, conn, made := t.host, t.ref, t.hostEpoch, t.conn, t.request.Rules
+	c.handleAttempt(t, attempt.Adopted, attemptDetail{})
 	if w.state == placed { // settling it let another attempt go ahead
-		c.send(h, hostproto.Stop{Ref: ref, Grace: w.grace()})
+		c.sendFrame(h, hostproto.Stop{Ref: ref, Grace: w.stopGrace()})
 		return
 	}
 	c.adopt(w, h, ref, epoch, conn, made)
@@ -417,59 +417,59 @@
 
 // adopt takes a task that already runs as the placement of its wish. made are the rules of the class
 // that it was started as: they go on holding for it where its owner has named another since.
-func (c *Core) adopt(w *wish, h *host, ref hostproto.Ref, epoch uint64, conn uint32, made attempt.Rules) {
-	if w.ask != nil {
-		c.abandon(w)
+func (c *Core) adopt(w *desiredReplica, h *host, ref hostproto.Ref, epoch uint64, conn uint32, made attempt.Rules) {
+	if w.request != nil {
+		c.cancelRequest(w)
 	}
-	k := c.newAsk(w)
+	k := c.newRequest(w)
 	k.Answer, k.Rules = attempt.AnsweredPlaced, made
 	k.Attempts = []attempt.Attempt{{Host: attempt.HostID(h.id), Phase: attempt.Placed, ChosenAt: c.now}}
-	t := &try{ask: k, host: h, machine: h.id, ref: ref, hostEpoch: epoch, conn: conn, runs: true}
-	k.tries = []*try{t}
-	c.index(t)
-	if c.labels.near > 0 {
-		c.relabel()
-	}
-	c.noteAttempt(t)
-	c.tell(forkhead.HandedOver{Task: k.task, Machine: h.id})
-	c.bound(w, t)
+	t := &taskAttempt{request: k, host: h, machineID: h.id, ref: ref, hostEpoch: epoch, conn: conn, running: true}
+	k.attempts = []*taskAttempt{t}
+	c.indexAttempt(t)
+	if c.labels.nearCount > 0 {
+		c.updateHostLabels()
+	}
+	c.persistAttempt(t)
+	c.notifyModule(forkhead.HandedOver{Task: k.task, Machine: h.id})
+	c.handleBound(w, t)
 }
 
-// newAsk makes an ask of a wish, with a number of its own.
-func (c *Core) newAsk(w *wish) *ask {
-	for c.nextTask++; c.nextTask == 0 || c.asks[forkhead.TaskID(c.nextTask)] != nil; c.nextTask++ {
+// newRequest makes an ask of a wish, with a number of its own.
+func (c *Core) newRequest(w *desiredReplica) *placementRequest {
+	for c.lastTaskID++; c.lastTaskID == 0 || c.requests[forkhead.TaskID(c.lastTaskID)] != nil; c.lastTaskID++ {
 	}
-	k := &ask{id: forkhead.TaskID(c.nextTask), wish: w}
-	k.Rules = c.rules(w.class)
+	k := &placementRequest{id: forkhead.TaskID(c.lastTaskID), replica: w}
+	k.Rules = c.attemptRules(w.class)
 	k.task = forkhead.Task{
-		ID: k.id, Key: w.key, Service: w.svc.key, Class: w.class, Tenant: w.tenant, RemainingLifetime: w.spec.Life,
-		Cores: w.spec.Cores, Memory: w.spec.Memory, Resubmitted: w.owner.Requests > 0 || w.lives > 0, RequiredLabels: w.svc.needs,
+		ID: k.id, Key: w.taskKey, Service: w.service.key, Class: w.class, Tenant: w.tenant, RemainingLifetime: w.spec.Life,
+		Cores: w.spec.Cores, Memory: w.spec.Memory, Resubmitted: w.retrier.Requests > 0 || w.placements > 0, RequiredLabels: w.service.requiredLabels,
 	}
 	for _, l := range w.spec.Limits {
-		limit(&k.task.SpreadLimits, places[l.Place], l.Most)
+		tightenLimit(&k.task.SpreadLimits, spreadDomains[l.Place], l.Most)
 	}
-	if !w.relaxed {
+	if !w.preferencesDropped {
 		for _, p := range w.spec.Preferences {
-			limit(&k.task.SpreadLimits, places[string(p)], c.evenShare(w, places[string(p)]))
+			tightenLimit(&k.task.SpreadLimits, spreadDomains[string(p)], c.evenShare(w, spreadDomains[string(p)]))
 		}
 	}
-	c.asks[k.id] = k
+	c.requests[k.id] = k
 	return k
 }
 
-var places = map[string]forkhead.Domain{"machine": forkhead.MachineDomain, "rack": forkhead.CellDomain, "zone": forkhead.ZoneDomain}
+var spreadDomains = map[string]forkhead.Domain{"machine": forkhead.MachineDomain, "rack": forkhead.CellDomain, "zone": forkhead.ZoneDomain}
 
-func limit(to *forkhead.SpreadLimits, place forkhead.Domain, most int) {
+func tightenLimit(to *forkhead.SpreadLimits, place forkhead.Domain, most int) {
 	if to[place] == 0 || most < to[place] {
 		to[place] = most
 	}
 }
 
 // evenShare is how many of a service's tasks come to one place when they are spread evenly.
-func (c *Core) evenShare(w *wish, place forkhead.Domain) int {
+func (c *Core) evenShare(w *desiredReplica, place forkhead.Domain) int {
 	found := map[int]bool{}
 	for _, h := range c.hosts {
-		if h.state() == forkhead.Ready && w.svc.needs&^h.labels == 0 {
+		if h.state() == forkhead.Ready && w.service.requiredLabels&^h.labels == 0 {
 			at := h.zone
 			if place == forkhead.CellDomain {
 				at = h.cell
@@ -478,5 +478,5 @@
 		}
 	}
 	n := max(len(found), 1)
-	return max((len(w.svc.wishes)+n-1)/n, 1)
+	return max((len(w.service.replicas)+n-1)/n, 1)
 }
--- a/internal/scheduler/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -29,46 +29,46 @@
 
 // Core is one placer. It is not safe for concurrent use.
 type Core struct {
-	set    *settings.Settings
+	settings    *settings.Settings
 	decide func(now time.Duration, events []forkhead.Event) []forkhead.Action
 	rng    *rand.Rand
 	epoch  uint64
 
 	now    time.Duration
-	out    []Output
+	outputs    []Output
 	events []forkhead.Event // for the module, of this moment
 	timers timerqueue.Queue[*timer]
 
-	ids      *ids.Table
-	listedAt time.Duration // when a list first came
+	hostIDs      *ids.Table
+	firstListAt time.Duration // when a list first came
 	hosts    map[string]*host
-	byID     map[forkhead.MachineID]*host
-	zones    map[string]int
-	racks    map[string]int
+	hostsByID     map[forkhead.MachineID]*host
+	zoneIndexes    map[string]int
+	rackIndexes    map[string]int
 
-	asks     map[forkhead.TaskID]*ask
-	refs     map[hostproto.Ref]*try
-	live     map[uint64][]*try        // attempts that count against the spread, by service
-	left     map[forkhead.TaskID]*ask // taken back from the module at this moment
-	unknown  map[uint64]map[*try]bool // attempts of which nobody knows what became, by their task's key
-	blocked  map[uint64]*wish         // tasks that wait for those of their key to be settled
-	nextTask uint32
-	labels   labels
+	requests     map[forkhead.TaskID]*placementRequest
+	attemptsByRef     map[hostproto.Ref]*taskAttempt
+	liveAttempts     map[uint64][]*taskAttempt        // attempts that count against the spread, by service
+	canceledRequests     map[forkhead.TaskID]*placementRequest // taken back from the module at this moment
+	unknownAttempts  map[uint64]map[*taskAttempt]bool // attempts of which nobody knows what became, by their task's key
+	blockedReplicas  map[uint64]*desiredReplica         // tasks that wait for those of their key to be settled
+	lastTaskID uint32
+	labels   labelTable
 
 	projects    map[string]*project
-	wishes      int
+	replicaCount      int
 	submissions map[string]*submission
-	byKey       map[string]*submission
-	ended       []*submission // complete, in the order in which they became so
-	nextSub     uint64
+	submissionsByKey       map[string]*submission
+	completeSubmissions       []*submission // complete, in the order in which they became so
+	lastSubmission     uint64
 
 	durable bool
-	buried  map[string]bool // projects that were removed in an earlier life
-	keptAt  time.Duration   // the list was last noted
+	removedProjects  map[string]bool // projects that were removed in an earlier life
+	hostListPersistedAt  time.Duration   // the list was last noted
 
-	policy retrypolicy.Policy
-	links  hostconn.Policy
-	stat   Status
+	retryPolicy retrypolicy.Policy
+	connPolicy  hostconn.Policy
+	status   Status
 }
 
 // New returns a placer's core, or the module's word on what it cannot use.
@@ -78,22 +78,22 @@
 		cfg.Hash = ids.FNV
 	}
 	c := &Core{
-		set: set, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Epoch)), epoch: cfg.Epoch, decide: cfg.Decide,
-		ids: ids.NewTable(cfg.Hash), hosts: map[string]*host{}, byID: map[forkhead.MachineID]*host{},
-		zones: map[string]int{}, racks: map[string]int{},
-		asks: map[forkhead.TaskID]*ask{}, left: map[forkhead.TaskID]*ask{},
-		unknown: map[uint64]map[*try]bool{}, blocked: map[uint64]*wish{}, refs: map[hostproto.Ref]*try{}, live: map[uint64][]*try{},
-		projects: map[string]*project{}, submissions: map[string]*submission{}, byKey: map[string]*submission{},
-		policy: retrypolicy.Policy{
+		settings: set, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Epoch)), epoch: cfg.Epoch, decide: cfg.Decide,
+		hostIDs: ids.NewTable(cfg.Hash), hosts: map[string]*host{}, hostsByID: map[forkhead.MachineID]*host{},
+		zoneIndexes: map[string]int{}, rackIndexes: map[string]int{},
+		requests: map[forkhead.TaskID]*placementRequest{}, canceledRequests: map[forkhead.TaskID]*placementRequest{},
+		unknownAttempts: map[uint64]map[*taskAttempt]bool{}, blockedReplicas: map[uint64]*desiredReplica{}, attemptsByRef: map[hostproto.Ref]*taskAttempt{}, liveAttempts: map[uint64][]*taskAttempt{},
+		projects: map[string]*project{}, submissions: map[string]*submission{}, submissionsByKey: map[string]*submission{},
+		retryPolicy: retrypolicy.Policy{
 			MinBackoff: set.Owner.First, MaxBackoff: set.Owner.Most, MigrationBackoff: set.Owner.Soon, UnsafeBackoff: set.Module.OwnerBackoff,
 			MaxRetryAfter: set.Module.MaxRetryAfter, MaxRequests: set.Owner.Asks,
 		},
-		links: hostconn.Policy{ConnectTimeout: set.Links.Connect, MinBackoff: set.Links.First, MaxBackoff: set.Links.Most},
+		connPolicy: hostconn.Policy{ConnectTimeout: set.Links.Connect, MinBackoff: set.Links.First, MaxBackoff: set.Links.Most},
 	}
-	c.labels.most = set.Limits.Label
-	c.durable, c.buried = cfg.Durable, map[string]bool{}
-	c.stat = Status{Placer: set.Module.Self, Epoch: cfg.Epoch, Outcomes: map[string]uint64{}, VetoesByRule: map[string]uint64{}}
-	c.zones[set.Placers[set.Module.Self].Zone] = 0
+	c.labels.maxLabels = set.Limits.Label
+	c.durable, c.removedProjects = cfg.Durable, map[string]bool{}
+	c.status = Status{Placer: set.Module.Self, Epoch: cfg.Epoch, Outcomes: map[string]uint64{}, VetoesByRule: map[string]uint64{}}
+	c.zoneIndexes[set.Placers[set.Module.Self].Zone] = 0
 	if c.decide == nil {
 		module, err := forkhead.New(set.Module, cfg.Seed)
 		if err != nil {
@@ -104,17 +104,17 @@
 	return c, nil
 }
 
-// mostRounds bounds how often the module is asked within one Step: each round is an offer that
+// maxModuleRounds bounds how often the module is asked within one Step: each round is an offer that
 // could not be sent, and those are bounded by the attempts of each ask.
-const mostRounds = 10_000
+const maxModuleRounds = 10_000
 
 // Step takes the inputs of one moment, and what is due by then, and returns what to carry out,
 // in order. A now before the last one counts as the last one: the clock may have been set back.
 func (c *Core) Step(now time.Duration, inputs ...Input) []Output {
 	first := c.now == 0
-	c.now, c.out = max(now, c.now), nil
+	c.now, c.outputs = max(now, c.now), nil
 	for _, in := range inputs {
-		c.take(in)
+		c.handleInput(in)
 	}
 	var late []*timer
 	for {
@@ -122,116 +122,116 @@
 		if !due {
 			break
 		}
-		if t.kind == timerDeadline {
+		if t.kind == timerRequestDeadline {
 			// After the module's own timers of this moment: a placer that stood still lets the
 			// module end its asks before they are taken to be forgotten.
 			late = append(late, t)
 			continue
 		}
-		c.fire(t)
+		c.handleTimer(t)
 	}
-	c.run(first)
+	c.runModule(first)
 	for _, t := range late {
-		c.fire(t)
+		c.handleTimer(t)
 	}
-	c.run(false)
-	clear(c.left)
-	return c.out
+	c.runModule(false)
+	clear(c.canceledRequests)
+	return c.outputs
 }
 
 // Next returns when Step has something to do by itself.
 func (c *Core) Next() (time.Duration, bool) { return c.timers.Next() }
 
-// run hands the module its events until it has none.
-func (c *Core) run(always bool) {
+// runModule hands the module its events until it has none.
+func (c *Core) runModule(always bool) {
 	for round := 0; always || len(c.events) > 0; round++ {
 		always = false
-		if round >= mostRounds {
-			c.defect("the module was asked %d times at one moment", round)
+		if round >= maxModuleRounds {
+			c.reportDefect("the module was asked %d times at one moment", round)
 			c.events = nil
 			return
 		}
 		events := c.events
 		c.events = nil
 		for _, a := range c.decide(c.now, events) {
-			c.act(a)
+			c.execute(a)
 		}
 	}
 }
 
-func (c *Core) take(in Input) {
+func (c *Core) handleInput(in Input) {
 	switch in := in.(type) {
 	case HostListReceived:
-		c.listing(in)
+		c.handleHostList(in)
 	case HostConnected:
 		if h := c.hosts[in.Host]; h != nil {
-			c.link(h, hostconn.Input{Kind: hostconn.Dialed, Conn: in.Conn})
+			c.handleConnection(h, hostconn.Input{Kind: hostconn.Dialed, Conn: in.Conn})
 		}
 	case HostDisconnected:
 		if h := c.hosts[in.Host]; h != nil {
-			c.link(h, hostconn.Input{Kind: hostconn.Disconnected, Conn: in.Conn})
+			c.handleConnection(h, hostconn.Input{Kind: hostconn.Disconnected, Conn: in.Conn})
 		}
 	case FrameReceived:
-		if h := c.hosts[in.Host]; h != nil && in.Conn == h.link.Conn {
-			c.frame(h, in.Frame)
+		if h := c.hosts[in.Host]; h != nil && in.Conn == h.connection.Conn {
+			c.handleFrame(h, in.Frame)
 		}
 	case Submit:
-		c.submit(in)
+		c.handleSubmit(in)
 	case RemoveProject:
-		c.remove(in)
+		c.handleRemoveProject(in)
 	case Restore:
-		c.restore(in.Snapshot)
+		c.handleRestore(in.Snapshot)
 	case GossipReceived:
-		c.tell(forkhead.Received{From: in.From, Data: in.Data})
+		c.notifyModule(forkhead.Received{From: in.From, Data: in.Data})
 	}
 }
 
-// tell puts an event before the module.
-func (c *Core) tell(ev forkhead.Event) { c.events = append(c.events, ev) }
+// notifyModule puts an event before the module.
+func (c *Core) notifyModule(ev forkhead.Event) { c.events = append(c.events, ev) }
 
-func (c *Core) do(o Output) { c.out = append(c.out, o) }
+func (c *Core) emit(o Output) { c.outputs = append(c.outputs, o) }
 
 func (c *Core) log(format string, args ...any) {
-	c.do(Log{Text: fmt.Sprintf(format, args...)})
+	c.emit(Log{Text: fmt.Sprintf(format, args...)})
 }
 
-// defect notes something that this program should never do.
-func (c *Core) defect(format string, args ...any) {
-	c.stat.Defects++
-	c.do(Log{Defect: true, Text: fmt.Sprintf(format, args...)})
+// reportDefect notes something that this program should never do.
+func (c *Core) reportDefect(format string, args ...any) {
+	c.status.Defects++
+	c.emit(Log{Defect: true, Text: fmt.Sprintf(format, args...)})
 }
 
-// veto counts an action of the module that the guard did not let through.
-func (c *Core) veto(v *invariant.Violation, format string, args ...any) {
-	c.stat.Vetoes++
-	c.stat.VetoesByRule[v.Rule.String()]++
-	c.defect("veto: %s: %v", fmt.Sprintf(format, args...), v)
+// reportVeto counts an action of the module that the guard did not let through.
+func (c *Core) reportVeto(v *invariant.Violation, format string, args ...any) {
+	c.status.Vetoes++
+	c.status.VetoesByRule[v.Rule.String()]++
+	c.reportDefect("veto: %s: %v", fmt.Sprintf(format, args...), v)
 }
 
-// act carries out one action of the module, if the guard lets it through.
-func (c *Core) act(a forkhead.Action) {
+// execute carries out one action of the module, if the guard lets it through.
+func (c *Core) execute(a forkhead.Action) {
 	switch a := a.(type) {
 	case forkhead.Offer:
-		c.offer(a)
+		c.executeOffer(a)
 	case forkhead.Reject:
-		c.answer(a.Task, true, a.RetryAfter)
+		c.finishRequest(a.Task, true, a.RetryAfter)
 	case forkhead.Fail:
-		c.answer(a.Task, false, 0)
+		c.finishRequest(a.Task, false, 0)
 	case forkhead.Withdraw:
-		k := c.asks[a.Task]
-		if k != nil && a.Attempt >= 0 && a.Attempt < len(k.tries) && k.tries[a.Attempt] != nil { // nil: vetoed
-			c.input(k.tries[a.Attempt], attempt.Abandoned, detail{})
+		k := c.requests[a.Task]
+		if k != nil && a.Attempt >= 0 && a.Attempt < len(k.attempts) && k.attempts[a.Attempt] != nil { // nil: vetoed
+			c.handleAttempt(k.attempts[a.Attempt], attempt.Abandoned, attemptDetail{})
 		}
 	case forkhead.Stop:
-		c.stop(a.Task)
+		c.migrateTask(a.Task)
 	case forkhead.SetTimer:
-		c.at(&timer{at: a.At, kind: timerModule, number: a.Timer})
+		c.addTimer(&timer{at: a.At, kind: timerModule, number: a.Timer})
 	case forkhead.Probe:
-		c.probe(c.byID[a.Machine], a.Machine)
+		c.probeHost(c.hostsByID[a.Machine], a.Machine)
 	case forkhead.Gossip:
-		c.do(SendGossip{To: a.To, Data: a.Data})
+		c.emit(SendGossip{To: a.To, Data: a.Data})
 	case forkhead.Subscribe:
-		c.do(Subscribe{})
+		c.emit(Subscribe{})
 	case forkhead.Log:
 		c.log("%s", a.Message)
 	}
@@ -243,81 +243,81 @@
 
 const (
 	timerModule   timerKind = iota // number
-	timerDeadline                  // ask: its owner gives it up
-	timerCap                       // try: its own time-out
-	timerConnect                   // try: its connection takes too long
-	timerAsk                       // wish: to be asked again
-	timerGiveUp                    // wish: its owner's patience is over
-	timerRetry                     // host: to be dialled
-	timerLate                      // host, number: dialling or greeting takes too long
-	timerAlive                     // host, number: to be heard from
-	timerLapse                     // host, number: what was placed there counts as lost
-	timerProbe                     // host, number: a probe without an answer
-	timerRollout                   // service
-	timerWatch                     // wish, number: it has stood an update's monitoring
-	timerExpire                    // submissions that nobody reads again
+	timerRequestDeadline                  // ask: its owner gives it up
+	timerAttemptTimeout                       // try: its own time-out
+	timerAttemptConnectTimeout                   // try: its connection takes too long
+	timerRequest                       // wish: to be asked again
+	timerOwnerDeadline                    // wish: its owner's patience is over
+	timerReconnect                     // host: to be dialled
+	timerHostConnectTimeout                      // host, number: dialling or greeting takes too long
+	timerLiveness                     // host, number: to be heard from
+	timerHostLost                     // host, number: what was placed there counts as lost
+	timerProbeTimeout                     // host, number: a probe without an answer
+	timerUpdate                   // service
+	timerMonitorEnd                     // wish, number: it has stood an update's monitoring
+	timerSubmissionExpiry                    // submissions that nobody reads again
 )
 
 type timer struct {
 	at     time.Duration
 	kind   timerKind
 	number uint64
-	ask    *ask
-	try    *try
-	wish   *wish
+	request    *placementRequest
+	attempt    *taskAttempt
+	replica   *desiredReplica
 	host   *host
-	svc    *service
+	service    *service
 }
 
-func (c *Core) at(t *timer) { c.timers.Add(t.at, t) }
+func (c *Core) addTimer(t *timer) { c.timers.Add(t.at, t) }
 
-func (c *Core) fire(t *timer) {
+func (c *Core) handleTimer(t *timer) {
 	switch t.kind {
 	case timerModule:
-		c.tell(forkhead.TimerFired{Timer: t.number})
-	case timerDeadline:
-		c.overdue(t.ask)
-	case timerCap:
-		if t.try.phase().IsInFlight() {
-			c.input(t.try, attempt.Abandoned, detail{result: forkhead.TimedOut})
+		c.notifyModule(forkhead.TimerFired{Timer: t.number})
+	case timerRequestDeadline:
+		c.expireRequest(t.request)
+	case timerAttemptTimeout:
+		if t.attempt.phase().IsInFlight() {
+			c.handleAttempt(t.attempt, attempt.Abandoned, attemptDetail{result: forkhead.TimedOut})
 		}
-	case timerConnect:
-		if t.try.phase() == attempt.Waiting {
-			c.input(t.try, attempt.ConnectionLost, detail{})
+	case timerAttemptConnectTimeout:
+		if t.attempt.phase() == attempt.Waiting {
+			c.handleAttempt(t.attempt, attempt.ConnectionLost, attemptDetail{})
 		}
-	case timerAsk:
-		if t.wish.askSeq == t.number {
-			c.askNow(t.wish)
+	case timerRequest:
+		if t.replica.requestTimerSeq == t.number {
+			c.requestNow(t.replica)
 		}
-	case timerGiveUp:
-		if t.wish.giveUpSeq == t.number {
-			c.impatient(t.wish)
+	case timerOwnerDeadline:
+		if t.replica.deadlineTimerSeq == t.number {
+			c.handleOwnerTimeout(t.replica)
 		}
-	case timerRetry:
-		c.link(t.host, hostconn.Input{Kind: hostconn.RetryDue})
-	case timerLate:
-		c.link(t.host, hostconn.Input{Kind: hostconn.ConnectTimedOut, Conn: uint32(t.number)})
-	case timerAlive:
-		c.alive(t.host, uint32(t.number))
-	case timerLapse:
-		c.lapse(t.host, t.number)
-	case timerProbe:
-		c.probeLate(t.host, uint32(t.number))
-	case timerRollout:
-		c.roll(t.svc)
-	case timerWatch:
-		if t.wish.watchSeq == t.number {
-			c.rolledOut(t.wish, true)
+	case timerReconnect:
+		c.handleConnection(t.host, hostconn.Input{Kind: hostconn.RetryDue})
+	case timerHostConnectTimeout:
+		c.handleConnection(t.host, hostconn.Input{Kind: hostconn.ConnectTimedOut, Conn: uint32(t.number)})
+	case timerLiveness:
+		c.checkLiveness(t.host, uint32(t.number))
+	case timerHostLost:
+		c.expireUnreachable(t.host, t.number)
+	case timerProbeTimeout:
+		c.handleProbeTimeout(t.host, uint32(t.number))
+	case timerUpdate:
+		c.continueUpdate(t.service)
+	case timerMonitorEnd:
+		if t.replica.monitorTimerSeq == t.number {
+			c.reportUpdateResult(t.replica, true)
 		}
-	case timerExpire:
-		c.expire()
+	case timerSubmissionExpiry:
+		c.expireSubmissions()
 	}
 }
 
 // Status counts what the placer holds and has done.
 func (c *Core) Status() Status {
-	s := c.stat
-	s.Tasks, s.Submissions = c.wishes, len(c.submissions)
+	s := c.status
+	s.Tasks, s.Submissions = c.replicaCount, len(c.submissions)
 	for _, h := range c.hosts {
 		if h.listed {
 			s.Hosts++
@@ -331,26 +331,26 @@
 	}
 	for _, p := range c.projects {
 		for _, svc := range p.services {
-			for _, w := range svc.wishes {
+			for _, w := range svc.replicas {
 				switch w.state {
 				case placed:
 					s.TasksPlaced++
-				case waiting, asking, heldBack:
+				case awaitingRequest, requesting, awaitingDependencies:
 					s.TasksWaiting++
 				}
 			}
 		}
 	}
-	for _, t := range c.refs {
+	for _, t := range c.attemptsByRef {
 		if t.phase() == attempt.Unknown {
 			s.AttemptsUnknown++
 		}
 	}
 	s.Outcomes, s.VetoesByRule = map[string]uint64{}, map[string]uint64{}
-	for k, v := range c.stat.Outcomes {
+	for k, v := range c.status.Outcomes {
 		s.Outcomes[k] = v
 	}
-	for k, v := range c.stat.VetoesByRule {
+	for k, v := range c.status.VetoesByRule {
 		s.VetoesByRule[k] = v
 	}
 	return s
@@ -364,8 +364,8 @@
 // TableSizes counts the tables' entries: what is left when all is over is a leak.
 func (c *Core) TableSizes() TableSizes {
 	h := TableSizes{
-		Hosts: len(c.hosts), Requests: len(c.asks), Attempts: len(c.refs), Live: len(c.live), Unknown: len(c.unknown),
-		Blocked: len(c.blocked), Tasks: c.wishes, Projects: len(c.projects),
+		Hosts: len(c.hosts), Requests: len(c.requests), Attempts: len(c.attemptsByRef), Live: len(c.liveAttempts), Unknown: len(c.unknownAttempts),
+		Blocked: len(c.blockedReplicas), Tasks: c.replicaCount, Projects: len(c.projects),
 	}
 	for _, row := range c.labels.rows {
 		if row != nil {
--- a/internal/scheduler/core/explain.go
+++ b/internal/scheduler/core/explain.go
@@ -15,8 +15,8 @@
 
 // explain says why a task cannot be placed, from what this placer sees and what hosts said.
 // hopeless says that no host of any kind could ever take it.
-func (c *Core) explain(w *wish) (reason string, hopeless bool) {
-	m := &c.set.Module
+func (c *Core) explain(w *desiredReplica) (reason string, hopeless bool) {
+	m := &c.settings.Module
 	class := &m.Classes[w.class]
 	fits := false
 	for i, k := range m.MachineTypes {
@@ -30,7 +30,7 @@
 	if !fits {
 		where := "any kind of host"
 		if class.MachineType >= 0 {
-			where = c.set.Kinds[class.MachineType]
+			where = c.settings.Kinds[class.MachineType]
 		}
 		return fmt.Sprintf("%g cores and %.4g GiB are more than %s has", w.spec.Cores, w.spec.Memory, where), true
 	}
@@ -40,15 +40,15 @@
 			continue
 		}
 		ready++
-		if class.MachineType >= 0 && class.MachineType != h.kind {
+		if class.MachineType >= 0 && class.MachineType != h.machineType {
 			continue
 		}
 		kind++
-		if w.svc.needs&^h.labels != 0 {
+		if w.service.requiredLabels&^h.labels != 0 {
 			continue
 		}
 		labelled++
-		if c.spreadLimit(w, h) == "" {
+		if c.reachedSpreadLimit(w, h) == "" {
 			free++
 		}
 	}
@@ -56,7 +56,7 @@
 	case ready == 0:
 		return "no host is ready", false
 	case kind == 0:
-		return "no host of kind " + c.set.Kinds[class.MachineType] + " is ready", false
+		return "no host of kind " + c.settings.Kinds[class.MachineType] + " is ready", false
 	case labelled == 0:
 		var parts []string
 		for _, con := range w.spec.Constraints {
@@ -67,40 +67,40 @@
 		}
 		return "no ready host meets " + strings.Join(parts, ", "), false
 	case free == 0:
-		for _, h := range c.sorted() {
-			if h.state() == forkhead.Ready && w.svc.needs&^h.labels == 0 && (class.MachineType < 0 || class.MachineType == h.kind) {
-				return "spread: " + c.spreadLimit(w, h) + ", and all that fit are at it", false
+		for _, h := range c.sortedHosts() {
+			if h.state() == forkhead.Ready && w.service.requiredLabels&^h.labels == 0 && (class.MachineType < 0 || class.MachineType == h.machineType) {
+				return "spread: " + c.reachedSpreadLimit(w, h) + ", and all that fit are at it", false
 			}
 		}
 	}
-	if len(w.refusals) > 0 {
+	if len(w.failureCounts) > 0 {
 		var parts []string
-		for _, why := range slices.Sorted(maps.Keys(w.refusals)) {
-			parts = append(parts, fmt.Sprintf("%s (%d)", why, w.refusals[why]))
+		for _, why := range slices.Sorted(maps.Keys(w.failureCounts)) {
+			parts = append(parts, fmt.Sprintf("%s (%d)", why, w.failureCounts[why]))
 		}
 		return "hosts did not take it: " + strings.Join(parts, ", "), false
 	}
 	return "no host that fits had room", false
 }
 
-// spreadLimit says which limit keeps the service's next task off a host, or "".
-func (c *Core) spreadLimit(w *wish, h *host) string {
-	class := &c.set.Module.Classes[w.class]
+// reachedSpreadLimit says which limit keeps the service's next task off a host, or "".
+func (c *Core) reachedSpreadLimit(w *desiredReplica, h *host) string {
+	class := &c.settings.Module.Classes[w.class]
 	var most forkhead.SpreadLimits
 	for _, l := range w.spec.Limits {
-		limit(&most, places[l.Place], l.Most)
+		tightenLimit(&most, spreadDomains[l.Place], l.Most)
 	}
 	if class.SpreadDomain != forkhead.AnyDomain {
-		limit(&most, class.SpreadDomain, class.MaxPerDomain)
+		tightenLimit(&most, class.SpreadDomain, class.MaxPerDomain)
 	}
-	at := h.guard()
+	at := h.forInvariants()
 	for place := forkhead.MachineDomain; place <= forkhead.ZoneDomain; place++ {
 		if most[place] == 0 {
 			continue
 		}
 		n := 0
-		for _, t := range c.live[w.svc.key] {
-			if invariant.SameDomain(place, t.host.guard(), at) {
+		for _, t := range c.liveAttempts[w.service.key] {
+			if invariant.SameDomain(place, t.host.forInvariants(), at) {
 				n++
 			}
 		}
--- a/internal/scheduler/core/inherit.go
+++ b/internal/scheduler/core/inherit.go
@@ -14,11 +14,11 @@
 
 // ---- Tasks of an earlier life.
 
-// inherit takes a task that a host has run since an earlier life of this placer.
-func (c *Core) inherit(h *host, held *hostproto.Held) {
+// handleInherited takes a task that a host has run since an earlier life of this placer.
+func (c *Core) handleInherited(h *host, held *hostproto.Held) {
 	spec := &held.Spec
 	parts := strings.Split(spec.Name, "/")
-	class, known := c.set.Class(spec.Class)
+	class, known := c.settings.Class(spec.Class)
 	if len(parts) != 3 || !known {
 		c.log("host %s runs %q, of a class or name unknown here; it is left alone", h.name, spec.Name)
 		return
@@ -29,8 +29,8 @@
 		return
 	}
 	p := c.projects[parts[0]]
-	if p == nil && c.buried[parts[0]] {
-		c.send(h, hostproto.Stop{Ref: held.Ref}) // its project was removed before the earlier life ended
+	if p == nil && c.removedProjects[parts[0]] {
+		c.sendFrame(h, hostproto.Stop{Ref: held.Ref}) // its project was removed before the earlier life ended
 		return
 	}
 	if p == nil {
@@ -39,33 +39,33 @@
 	}
 	svc := p.services[parts[1]]
 	if svc == nil {
-		svc = &service{project: p, name: parts[1], key: spec.Service, wishes: map[int]*wish{}, fostered: true, before: map[*wish]*servicespec.Service{}}
+		svc = &service{project: p, name: parts[1], key: spec.Service, replicas: map[int]*desiredReplica{}, specLost: true, previousSpecs: map[*desiredReplica]*servicespec.Service{}}
 		p.services[parts[1]] = svc
 	}
-	w := svc.wishes[replica]
-	if w != nil && !svc.fostered {
-		wanted := (w.state == waiting || w.state == heldBack || w.state == asking) && !w.removing
-		if w.key|1 != spec.Key|1 {
-			c.send(h, hostproto.Stop{Ref: held.Ref})
+	w := svc.replicas[replica]
+	if w != nil && !svc.specLost {
+		wanted := (w.state == awaitingRequest || w.state == awaitingDependencies || w.state == requesting) && !w.removing
+		if w.taskKey|1 != spec.Key|1 {
+			c.sendFrame(h, hostproto.Stop{Ref: held.Ref})
 			return
 		}
-		if !attempt.ShouldAdopt(wanted, w.ask != nil && w.ask.HasAttemptInFlight()) {
-			c.unwanted(w, h, held)
+		if !attempt.ShouldAdopt(wanted, w.request != nil && w.request.HasAttemptInFlight()) {
+			c.stopInherited(w, h, held)
 			return
 		}
 		same := w.fingerprint == spec.Fingerprint
-		c.adopt(w, h, held.Ref, h.link.Epoch, h.link.Conn, c.rules(class))
+		c.adopt(w, h, held.Ref, h.connection.Epoch, h.connection.Conn, c.attemptRules(class))
 		if !same {
 			c.log("%s runs on %s as an earlier make; submit the project again to replace it", w.name, h.name)
 		}
 		return
 	}
 	if w != nil {
-		c.unwanted(w, h, held)
+		c.stopInherited(w, h, held)
 		return
 	}
-	if !svc.fostered {
-		c.send(h, hostproto.Stop{Ref: held.Ref}) // the description that is known asks for no such task
+	if !svc.specLost {
+		c.sendFrame(h, hostproto.Stop{Ref: held.Ref}) // the description that is known asks for no such task
 		return
 	}
 	// The description is lost: what the host knows of the task stands for it.
@@ -73,39 +73,39 @@
 		Name: svc.name, Class: spec.Class, Tenant: spec.Tenant, Replicas: 1, Life: spec.Life,
 		Cores: float64(spec.Cores) / 1000, Memory: float64(spec.Memory) / 1024,
 	}
-	w = &wish{
-		svc: svc, replica: replica, spec: own, class: class, tenant: settings.Index(c.set.Tenants, spec.Tenant),
-		fingerprint: spec.Fingerprint, key: spec.Key, name: spec.Name, state: waiting, owner: retrypolicy.Retrier{},
+	w = &desiredReplica{
+		service: svc, number: replica, spec: own, class: class, tenant: settings.Index(c.settings.Tenants, spec.Tenant),
+		fingerprint: spec.Fingerprint, taskKey: spec.Key, name: spec.Name, state: awaitingRequest, retrier: retrypolicy.Retrier{},
 	}
-	if w.key != servicespec.Key(spec.Tenant, p.name, svc.name, replica) {
+	if w.taskKey != servicespec.Key(spec.Tenant, p.name, svc.name, replica) {
 		w.generation = 1
 	}
-	svc.wishes[replica] = w
-	c.wishes++
-	c.adopt(w, h, held.Ref, h.link.Epoch, h.link.Conn, c.rules(class))
+	svc.replicas[replica] = w
+	c.replicaCount++
+	c.adopt(w, h, held.Ref, h.connection.Epoch, h.connection.Conn, c.attemptRules(class))
 }
 
-// unwanted stops what a host has run since an earlier life and its task no longer needs. Until the
+// stopInherited stops what a host has run since an earlier life and its task no longer needs. Until the
 // host says that it is over it may run, whether the Stop arrives or not: what must not run twice is
 // not begun before. Guards against a Stop that is lost with its connection, found by random lives.
-func (c *Core) unwanted(w *wish, h *host, held *hostproto.Held) {
+func (c *Core) stopInherited(w *desiredReplica, h *host, held *hostproto.Held) {
 	// It began nobody knows when: no window of its key is left.
-	t := c.suspect(w, h, held.Ref, h.link.Epoch, c.now-c.rules(w.class).DedupWindow)
-	t.conn = h.link.Conn
-	c.send(h, hostproto.Stop{Ref: held.Ref})
+	t := c.addUnknownAttempt(w, h, held.Ref, h.connection.Epoch, c.now-c.attemptRules(w.class).DedupWindow)
+	t.conn = h.connection.Conn
+	c.sendFrame(h, hostproto.Stop{Ref: held.Ref})
 }
 
-// suspect takes up an attempt that an earlier life made at a time: until its host says what became of it, it may run.
-func (c *Core) suspect(w *wish, h *host, ref hostproto.Ref, life uint64, at time.Duration) *try {
-	k := c.newAsk(w)
+// addUnknownAttempt takes up an attempt that an earlier life made at a time: until its host says what became of it, it may run.
+func (c *Core) addUnknownAttempt(w *desiredReplica, h *host, ref hostproto.Ref, life uint64, at time.Duration) *taskAttempt {
+	k := c.newRequest(w)
 	k.Answer = attempt.AnsweredFailed
 	k.Attempts = []attempt.Attempt{{Host: attempt.HostID(h.id), Phase: attempt.Unknown, ChosenAt: at}}
-	t := &try{ask: k, host: h, machine: h.id, ref: ref, hostEpoch: life}
-	k.tries = []*try{t}
-	c.index(t)
-	if c.unknown[w.key] == nil {
-		c.unknown[w.key] = map[*try]bool{}
+	t := &taskAttempt{request: k, host: h, machineID: h.id, ref: ref, hostEpoch: life}
+	k.attempts = []*taskAttempt{t}
+	c.indexAttempt(t)
+	if c.unknownAttempts[w.taskKey] == nil {
+		c.unknownAttempts[w.taskKey] = map[*taskAttempt]bool{}
 	}
-	c.unknown[w.key][t] = true
+	c.unknownAttempts[w.taskKey][t] = true
 	return t
 }
--- a/internal/scheduler/core/labels.go
+++ b/internal/scheduler/core/labels.go
@@ -12,16 +12,16 @@
 
 // ---- Labels: each constraint in use is one bit.
 
-// labels numbers the constraints of the tasks that are held.
-type labels struct {
-	most  int
+// labelTable numbers the constraints of the tasks that are held.
+type labelTable struct {
+	maxLabels  int
 	rows  [64]*labelRow
 	index map[string]int
-	near  int // rows that change with what is placed
+	nearCount  int // rows that change with what is placed
 }
 
 type labelRow struct {
-	what  servicespec.Constraint
+	constraint  servicespec.Constraint
 	users int
 }
 
@@ -33,10 +33,10 @@
 			continue
 		}
 		good := false
-		if place, ok := nearPlaces[row.what.Attribute]; ok {
-			good = c.isNear(h, place, row.what.Value)
+		if place, ok := nearDomains[row.constraint.Attribute]; ok {
+			good = c.isNear(h, place, row.constraint.Value)
 		} else {
-			good = meets(&h.entry, &row.what)
+			good = meets(&h.entry, &row.constraint)
 		}
 		if good {
 			bits |= 1 << i
@@ -45,8 +45,8 @@
 	return bits
 }
 
-// nearPlaces are the attributes that are met where another service has a task.
-var nearPlaces = map[servicespec.Attribute]forkhead.Domain{
+// nearDomains are the attributes that are met where another service has a task.
+var nearDomains = map[servicespec.Attribute]forkhead.Domain{
 	"near.machine": forkhead.MachineDomain, "near.rack": forkhead.CellDomain, "near.zone": forkhead.ZoneDomain,
 }
 
@@ -70,8 +70,8 @@
 	if err != nil {
 		return false
 	}
-	for _, t := range c.live[key] {
-		if t.phase() == attempt.Placed && invariant.SameDomain(place, t.host.guard(), h.guard()) {
+	for _, t := range c.liveAttempts[key] {
+		if t.phase() == attempt.Placed && invariant.SameDomain(place, t.host.forInvariants(), h.forInvariants()) {
 			return true
 		}
 	}
@@ -98,16 +98,16 @@
 		name := con.String()
 		i, known := l.index[name]
 		if !known {
-			i = slices.Index(l.rows[:l.most], nil)
+			i = slices.Index(l.rows[:l.maxLabels], nil)
 			if i < 0 {
 				for _, j := range taken {
 					c.dropLabel(j)
 				}
 				return 0, false
 			}
-			l.rows[i] = &labelRow{what: con}
-			if _, near := nearPlaces[con.Attribute]; near {
-				l.near++
+			l.rows[i] = &labelRow{constraint: con}
+			if _, near := nearDomains[con.Attribute]; near {
+				l.nearCount++
 			}
 			l.index[name] = i
 			fresh = true
@@ -120,7 +120,7 @@
 		bits |= 1 << i
 	}
 	if fresh {
-		c.relabel()
+		c.updateHostLabels()
 	}
 	return bits, true
 }
@@ -137,26 +137,26 @@
 func (c *Core) dropLabel(i int) {
 	row := c.labels.rows[i]
 	if row.users--; row.users == 0 {
-		delete(c.labels.index, row.what.String())
-		if _, near := nearPlaces[row.what.Attribute]; near {
-			c.labels.near--
+		delete(c.labels.index, row.constraint.String())
+		if _, near := nearDomains[row.constraint.Attribute]; near {
+			c.labels.nearCount--
 		}
 		c.labels.rows[i] = nil
 	}
 }
 
-// relabel tells the module of hosts that meet a constraint which nobody had asked for before.
-func (c *Core) relabel() {
+// updateHostLabels tells the module of hosts that meet a constraint which nobody had asked for before.
+func (c *Core) updateHostLabels() {
 	var changed []forkhead.Machine
-	for _, h := range c.sorted() {
+	for _, h := range c.sortedHosts() {
 		if bits := c.labelsOf(h); bits != h.labels {
 			h.labels = bits
 			if h.listed {
-				changed = append(changed, h.machine())
+				changed = append(changed, h.forModule())
 			}
 		}
 	}
 	if len(changed) > 0 {
-		c.tell(forkhead.ListUpdate{Mode: forkhead.ListDelta, Machines: changed})
+		c.notifyModule(forkhead.ListUpdate{Mode: forkhead.ListDelta, Machines: changed})
 	}
 }
--- a/internal/scheduler/core/projects.go
+++ b/internal/scheduler/core/projects.go
@@ -29,21 +29,21 @@
 	name     string
 	key      uint64
 	spec     *servicespec.Service // nil: fostered
-	needs    uint64
-	wishes   map[int]*wish // by replica
-	fostered bool          // known only from what hosts run: its description is lost
-	failed   string        // why its dependants cannot go on, or ""
+	requiredLabels    uint64
+	replicas   map[int]*desiredReplica // by replica
+	specLost bool          // known only from what hosts run: its description is lost
+	failureReason   string        // why its dependants cannot go on, or ""
 	update   *rollingupdate.Update
-	queue    []*wish // to be replaced
-	replaced []*wish // replaced by this update, with their old specs in before
-	before   map[*wish]*servicespec.Service
-	building bool // being brought to a description: not to be tidied away
+	updateQueue    []*desiredReplica // to be replaced
+	updated []*desiredReplica // replaced by this update, with their old specs in before
+	previousSpecs   map[*desiredReplica]*servicespec.Service
+	applying bool // being brought to a description: not to be tidied away
 }
 
-func (s *service) sorted() []*wish {
-	out := make([]*wish, 0, len(s.wishes))
-	for _, r := range slices.Sorted(maps.Keys(s.wishes)) {
-		out = append(out, s.wishes[r])
+func (s *service) sortedReplicas() []*desiredReplica {
+	out := make([]*desiredReplica, 0, len(s.replicas))
+	for _, r := range slices.Sorted(maps.Keys(s.replicas)) {
+		out = append(out, s.replicas[r])
 	}
 	return out
 }
@@ -51,38 +51,38 @@
 // submission is one taken Submit and the outcomes that it is owed.
 type submission struct {
 	id       string
-	key      string
-	body     uint64
-	total    int
-	at       time.Duration // taken
+	idempotencyKey      string
+	bodyHash     uint64
+	totalOutcomes    int
+	acceptedAt       time.Duration // taken
 	outcomes []Outcome
-	doneAt   time.Duration
+	completedAt   time.Duration
 }
 
-// claim is an outcome that is owed to a submission.
-type claim struct {
-	sub *submission
-	at  time.Duration
+// pendingOutcome is an outcome that is owed to a submission.
+type pendingOutcome struct {
+	submission *submission
+	since  time.Duration
 }
 
-func (s *submission) add(c *Core, w *wish, o Outcome) {
+func (s *submission) addOutcome(c *Core, w *desiredReplica, o Outcome) {
 	if c.durable {
 		text, err := json.Marshal(o)
 		if err != nil {
-			c.defect("an outcome has no form to be kept in: %v", err)
+			c.reportDefect("an outcome has no form to be kept in: %v", err)
 		}
-		c.keep(durable.OutcomeReported{SubmissionID: s.id, Index: len(s.outcomes), Outcome: text, Task: w.task(o.Outcome, o.Outcome != OutcomePlaced)})
+		c.persist(durable.OutcomeReported{SubmissionID: s.id, Index: len(s.outcomes), Outcome: text, Task: w.durableTask(o.Outcome, o.Outcome != OutcomePlaced)})
 	}
 	s.outcomes = append(s.outcomes, o)
 	if s.complete() {
-		s.doneAt = c.now
-		c.ended = append(c.ended, s)
-		c.at(&timer{at: c.now + c.set.Limits.Keep, kind: timerExpire})
+		s.completedAt = c.now
+		c.completeSubmissions = append(c.completeSubmissions, s)
+		c.addTimer(&timer{at: c.now + c.settings.Limits.Keep, kind: timerSubmissionExpiry})
 	}
-	c.do(OutcomesAdded{Submission: s.id})
+	c.emit(OutcomesAdded{Submission: s.id})
 }
 
-func (s *submission) complete() bool { return len(s.outcomes) >= s.total }
+func (s *submission) complete() bool { return len(s.outcomes) >= s.totalOutcomes }
 
 // Outcomes returns the outcomes of a submission from the one of that number on, whether these
 // are the last, and whether the submission is known.
@@ -94,42 +94,42 @@
 	return s.outcomes[min(max(from, 0), len(s.outcomes)):], s.complete(), true
 }
 
-// expire forgets submissions that have been complete for as long as they are kept.
-func (c *Core) expire() {
-	for len(c.ended) > 0 && c.ended[0].doneAt+c.set.Limits.Keep <= c.now {
-		c.forgetSubmission()
+// expireSubmissions forgets submissions that have been complete for as long as they are kept.
+func (c *Core) expireSubmissions() {
+	for len(c.completeSubmissions) > 0 && c.completeSubmissions[0].completedAt+c.settings.Limits.Keep <= c.now {
+		c.forgetOldestSubmission()
 	}
 }
 
-func (c *Core) forgetSubmission() {
-	s := c.ended[0]
-	c.ended = c.ended[1:]
+func (c *Core) forgetOldestSubmission() {
+	s := c.completeSubmissions[0]
+	c.completeSubmissions = c.completeSubmissions[1:]
 	delete(c.submissions, s.id)
-	c.keep(durable.SubmissionExpired{SubmissionID: s.id})
-	if c.byKey[s.key] == s {
-		delete(c.byKey, s.key)
+	c.persist(durable.SubmissionExpired{SubmissionID: s.id})
+	if c.submissionsByKey[s.idempotencyKey] == s {
+		delete(c.submissionsByKey, s.idempotencyKey)
 	}
 }
 
-// busyRetry is what a client is told to wait when a limit is reached.
-const busyRetry = time.Second
+// busyRetryAfter is what a client is told to wait when a limit is reached.
+const busyRetryAfter = time.Second
 
-// submit takes a description, unless a limit says no.
-func (c *Core) submit(in Submit) {
+// handleSubmit takes a description, unless a limit says no.
+func (c *Core) handleSubmit(in Submit) {
 	reject := func(status int, title, format string, args ...any) {
 		r := Rejected{Request: in.Request, Status: status, Title: title, Detail: fmt.Sprintf(format, args...)}
 		if status == 429 || status == 503 {
-			r.RetryAfter = busyRetry
+			r.RetryAfter = busyRetryAfter
 		}
-		c.do(r)
+		c.emit(r)
 	}
 	if in.IdempotencyKey != "" {
-		if s := c.byKey[in.IdempotencyKey]; s != nil {
-			if s.body != in.BodyHash {
+		if s := c.submissionsByKey[in.IdempotencyKey]; s != nil {
+			if s.bodyHash != in.BodyHash {
 				reject(422, "Idempotency-Key is taken", "the key came before with another body")
 				return
 			}
-			c.do(Accepted{Request: in.Request, Submission: s.id, Duplicate: true})
+			c.emit(Accepted{Request: in.Request, Submission: s.id, Duplicate: true})
 			return
 		}
 	}
@@ -137,28 +137,28 @@
 	tasks := d.Tasks()
 	for i := range d.Services {
 		if s := &d.Services[i]; s.Mode.Each() {
-			s.Replicas = c.fitting(s)
+			s.Replicas = c.countSuitableHosts(s)
 			tasks += s.Replicas
 		}
 	}
-	lim := &c.set.Limits
+	lim := &c.settings.Limits
 	if tasks > lim.PerSubmit {
 		reject(413, "Too many tasks", "the description asks for %d tasks, at most %d are taken at once", tasks, lim.PerSubmit)
 		return
 	}
-	if c.wishes+tasks > lim.Tasks {
-		reject(503, "Full", "this placer holds %d tasks of at most %d", c.wishes, lim.Tasks)
+	if c.replicaCount+tasks > lim.Tasks {
+		reject(503, "Full", "this placer holds %d tasks of at most %d", c.replicaCount, lim.Tasks)
 		return
 	}
 	if len(c.submissions) >= lim.Submissions {
-		if len(c.ended) == 0 {
+		if len(c.completeSubmissions) == 0 {
 			reject(429, "Too many submissions", "%d submissions are under way", len(c.submissions))
 			return
 		}
-		c.forgetSubmission()
+		c.forgetOldestSubmission()
 	}
-	c.nextSub++
-	s := &submission{id: strconv.FormatUint(c.epoch, 36) + "-" + strconv.FormatUint(c.nextSub, 36), key: in.IdempotencyKey, body: in.BodyHash, total: tasks, at: c.now}
+	c.lastSubmission++
+	s := &submission{id: strconv.FormatUint(c.epoch, 36) + "-" + strconv.FormatUint(c.lastSubmission, 36), idempotencyKey: in.IdempotencyKey, bodyHash: in.BodyHash, totalOutcomes: tasks, acceptedAt: c.now}
 	name := d.Name
 	if name == "" {
 		name = "unnamed-" + s.id
@@ -167,30 +167,30 @@
 	if p == nil {
 		p = &project{name: name, services: map[string]*service{}}
 	}
-	needs, ok := c.needs(p, d)
+	needs, ok := c.takeServiceLabels(p, d)
 	if !ok {
 		reject(503, "Too many constraints", "more than %d different placement constraints are in use", lim.Label)
 		return
 	}
 	c.projects[name] = p
 	c.submissions[s.id] = s
-	if s.key != "" {
-		c.byKey[s.key] = s
+	if s.idempotencyKey != "" {
+		c.submissionsByKey[s.idempotencyKey] = s
 	}
-	c.keep(durable.SubmissionAccepted{Specification: d, Submission: durable.Submission{ID: s.id, IdempotencyKey: s.key, BodyHash: s.body, TotalOutcomes: s.total, AcceptedAt: c.now, Project: name}})
-	delete(c.buried, name)
-	c.do(Accepted{Request: in.Request, Submission: s.id})
+	c.persist(durable.SubmissionAccepted{Specification: d, Submission: durable.Submission{ID: s.id, IdempotencyKey: s.idempotencyKey, BodyHash: s.bodyHash, TotalOutcomes: s.totalOutcomes, AcceptedAt: c.now, Project: name}})
+	delete(c.removedProjects, name)
+	c.emit(Accepted{Request: in.Request, Submission: s.id})
 	if tasks == 0 {
-		s.total = 0
-		s.doneAt = c.now
-		c.ended = append(c.ended, s)
-		c.do(OutcomesAdded{Submission: s.id})
+		s.totalOutcomes = 0
+		s.completedAt = c.now
+		c.completeSubmissions = append(c.completeSubmissions, s)
+		c.emit(OutcomesAdded{Submission: s.id})
 	}
-	c.apply(p, d, s, needs)
+	c.applyDescription(p, d, s, needs)
 }
 
-// needs takes the labels of all services of a description.
-func (c *Core) needs(p *project, d *servicespec.Description) ([]uint64, bool) {
+// takeServiceLabels takes the labels of all services of a description.
+func (c *Core) takeServiceLabels(p *project, d *servicespec.Description) ([]uint64, bool) {
 	out := make([]uint64, len(d.Services))
 	for i := range d.Services {
 		spec := &d.Services[i]
@@ -206,15 +206,15 @@
 	return out, true
 }
 
-// fitting counts the ready hosts that a service with one task each may use.
-func (c *Core) fitting(s *servicespec.Service) int {
-	class := c.classOf(s)
+// countSuitableHosts counts the ready hosts that a service with one task each may use.
+func (c *Core) countSuitableHosts(s *servicespec.Service) int {
+	class := c.classIndex(s)
 	n := 0
 	for _, h := range c.hosts {
 		if h.state() != forkhead.Ready {
 			continue
 		}
-		if k := c.set.Module.Classes[class].MachineType; k >= 0 && k != h.kind {
+		if k := c.settings.Module.Classes[class].MachineType; k >= 0 && k != h.machineType {
 			continue
 		}
 		good := true
@@ -228,40 +228,40 @@
 	return n
 }
 
-func (c *Core) classOf(s *servicespec.Service) int {
-	if i, ok := c.set.Class(s.Class); ok {
+func (c *Core) classIndex(s *servicespec.Service) int {
+	if i, ok := c.settings.Class(s.Class); ok {
 		return i
 	}
-	return c.set.DefaultClass
+	return c.settings.DefaultClass
 }
 
-// apply brings a project to a description: what is new is asked for, what runs unchanged stays,
+// applyDescription brings a project to a description: what is new is asked for, what runs unchanged stays,
 // what has changed is replaced by its service's update_config, and the rest is stopped.
-func (c *Core) apply(p *project, d *servicespec.Description, s *submission, needs []uint64) {
-	var fresh []*wish
+func (c *Core) applyDescription(p *project, d *servicespec.Description, s *submission, needs []uint64) {
+	var fresh []*desiredReplica
 	for i := range d.Services {
 		spec := &d.Services[i]
 		svc := p.services[spec.Name]
 		if svc == nil {
-			svc = &service{project: p, name: spec.Name, wishes: map[int]*wish{}}
+			svc = &service{project: p, name: spec.Name, replicas: map[int]*desiredReplica{}}
 			p.services[spec.Name] = svc
 		}
-		svc.building = true
-		c.dropLabels(svc.needs)
-		svc.spec, svc.needs, svc.fostered, svc.failed = spec, needs[i], false, ""
+		svc.applying = true
+		c.dropLabels(svc.requiredLabels)
+		svc.spec, svc.requiredLabels, svc.specLost, svc.failureReason = spec, needs[i], false, ""
 		svc.key = servicespec.ServiceKey(spec.Tenant, p.name, spec.Name)
-		svc.update, svc.queue, svc.replaced, svc.before = nil, nil, nil, map[*wish]*servicespec.Service{}
+		svc.update, svc.updateQueue, svc.updated, svc.previousSpecs = nil, nil, nil, map[*desiredReplica]*servicespec.Service{}
 		for r := 1; r <= spec.Replicas; r++ {
-			if w := c.claimFor(svc, r, s); w != nil {
+			if w := c.claimReplica(svc, r, s); w != nil {
 				fresh = append(fresh, w)
 			}
 		}
-		for _, w := range svc.sorted() {
-			if w.replica > spec.Replicas {
-				c.removeWish(w)
+		for _, w := range svc.sortedReplicas() {
+			if w.number > spec.Replicas {
+				c.stopAndRemove(w)
 			}
 		}
-		if n := len(svc.queue); n > 0 {
+		if n := len(svc.updateQueue); n > 0 {
 			svc.update = rollingupdate.New(spec.Update, n)
 		}
 	}
@@ -271,73 +271,73 @@
 		}
 	}
 	for i := range d.Services {
-		p.services[d.Services[i].Name].building = false
+		p.services[d.Services[i].Name].applying = false
 	}
 	// Only now are all services known, and with them what depends on what.
 	for _, w := range fresh {
-		c.release(w)
+		c.startIfReady(w)
 	}
 	for i := range d.Services {
 		if svc := p.services[d.Services[i].Name]; svc != nil {
-			c.roll(svc)
+			c.continueUpdate(svc)
 		}
 	}
 }
 
-// claimFor makes a submission the one that is told of a task. It returns a wish that is new.
-func (c *Core) claimFor(svc *service, replica int, s *submission) *wish {
-	w := svc.wishes[replica]
-	cl := &claim{sub: s, at: c.now}
+// claimReplica makes a submission the one that is told of a task. It returns a wish that is new.
+func (c *Core) claimReplica(svc *service, replica int, s *submission) *desiredReplica {
+	w := svc.replicas[replica]
+	cl := &pendingOutcome{submission: s, since: c.now}
 	print := svc.spec.Fingerprint()
-	if w != nil && w.state == done {
-		c.drop(w)
+	if w != nil && w.state == finished {
+		c.removeReplica(w)
 		w = nil
 	}
 	if w != nil && w.removing {
 		// It is on its way out. Guards against a second copy, under the same key, beside one that has
 		// not ended yet: the new one follows it.
 		w.removing = false
-		w.claim, w.next = cl, svc.spec
-		c.awaitEnd(w)
+		w.pending, w.nextSpec = cl, svc.spec
+		c.awaitOldCopyEnd(w)
 		return nil
 	}
 	if w == nil {
-		w = c.newWish(svc, replica, svc.spec)
-		w.claim = cl
+		w = c.newReplica(svc, replica, svc.spec)
+		w.pending = cl
 		return w
 	}
-	if w.claim != nil {
-		c.outcome(w, OutcomeRejected, nil, "a later submission has taken its place")
+	if w.pending != nil {
+		c.reportOutcome(w, OutcomeRejected, nil, "a later submission has taken its place")
 	}
-	w.claim = cl
+	w.pending = cl
 	switch {
 	case w.state == placed && w.fingerprint == print:
 		w.spec = svc.spec
-		c.outcome(w, OutcomePlaced, w.try.host, "it runs already")
+		c.reportOutcome(w, OutcomePlaced, w.attempt.host, "it runs already")
 	case w.state == placed:
-		svc.queue = append(svc.queue, w)
+		svc.updateQueue = append(svc.updateQueue, w)
 	default:
-		c.abandon(w)
-		c.remake(w, svc.spec)
-		w.state = heldBack
+		c.cancelRequest(w)
+		c.setSpec(w, svc.spec)
+		w.state = awaitingDependencies
 		return w
 	}
 	return nil
 }
 
-func (c *Core) newWish(svc *service, replica int, spec *servicespec.Service) *wish {
-	w := &wish{
-		svc: svc, replica: replica, spec: spec, class: c.classOf(spec), tenant: settings.Index(c.set.Tenants, spec.Tenant),
+func (c *Core) newReplica(svc *service, replica int, spec *servicespec.Service) *desiredReplica {
+	w := &desiredReplica{
+		service: svc, number: replica, spec: spec, class: c.classIndex(spec), tenant: settings.Index(c.settings.Tenants, spec.Tenant),
 		fingerprint: spec.Fingerprint(), name: svc.project.name + "/" + svc.name + "/" + strconv.Itoa(replica),
 	}
-	w.key = taskKey(svc, spec, replica, 0)
-	if old := svc.wishes[replica]; old != nil {
+	w.taskKey = taskKey(svc, spec, replica, 0)
+	if old := svc.replicas[replica]; old != nil {
 		w.generation = old.generation + 1
-		w.key = taskKey(svc, spec, replica, w.generation)
+		w.taskKey = taskKey(svc, spec, replica, w.generation)
 	} else {
-		svc.wishes[replica] = w
+		svc.replicas[replica] = w
 	}
-	c.wishes++
+	c.replicaCount++
 	return w
 }
 
@@ -347,57 +347,57 @@
 	return servicespec.Key(spec.Tenant, svc.project.name, svc.name, replica) ^ uint64(generation&1)
 }
 
-// removeWish ends a task that its project no longer has.
-func (c *Core) removeWish(w *wish) {
-	if w.gone || w.removing {
+// stopAndRemove ends a task that its project no longer has.
+func (c *Core) stopAndRemove(w *desiredReplica) {
+	if w.removed || w.removing {
 		return
 	}
-	if w.twin != nil {
-		c.removeWish(w.twin)
+	if w.successor != nil {
+		c.stopAndRemove(w.successor)
 	}
-	if w.claim != nil {
-		c.outcome(w, OutcomeRejected, nil, "a later submission has taken its place")
+	if w.pending != nil {
+		c.reportOutcome(w, OutcomeRejected, nil, "a later submission has taken its place")
 	}
 	w.removing = true
-	if w.state == placed && w.try != nil {
-		c.halt(w)
+	if w.state == placed && w.attempt != nil {
+		c.stopPlaced(w)
 		return
 	}
-	c.abandon(w)
-	c.drop(w)
+	c.cancelRequest(w)
+	c.removeReplica(w)
 }
 
-// halt stops a placed task for its project's sake.
-func (c *Core) halt(w *wish) {
-	w.stopAsked = true
-	if t := w.try; t.phase() == attempt.Placed && t.host.usable() {
-		c.send(t.host, hostproto.Stop{Ref: t.ref, Grace: w.grace()})
+// stopPlaced stops a placed task for its project's sake.
+func (c *Core) stopPlaced(w *desiredReplica) {
+	w.stopRequested = true
+	if t := w.attempt; t.phase() == attempt.Placed && t.host.usable() {
+		c.sendFrame(t.host, hostproto.Stop{Ref: t.ref, Grace: w.stopGrace()})
 	}
 }
 
 func (c *Core) removeService(svc *service) {
-	for _, w := range svc.sorted() {
-		c.removeWish(w)
+	for _, w := range svc.sortedReplicas() {
+		c.stopAndRemove(w)
 	}
-	c.tidy(svc)
+	c.pruneService(svc)
 }
 
-// tidy drops a service of which nothing is left, and its project with the last one.
-func (c *Core) tidy(svc *service) {
+// pruneService drops a service of which nothing is left, and its project with the last one.
+func (c *Core) pruneService(svc *service) {
 	p := svc.project
-	if len(svc.wishes) > 0 || svc.building || p.services[svc.name] != svc {
+	if len(svc.replicas) > 0 || svc.applying || p.services[svc.name] != svc {
 		return
 	}
-	c.dropLabels(svc.needs)
-	svc.needs = 0
-	if c.wanted(svc) {
+	c.dropLabels(svc.requiredLabels)
+	svc.requiredLabels = 0
+	if c.hasDependents(svc) {
 		return
 	}
 	delete(p.services, svc.name)
 	for _, name := range slices.Sorted(maps.Keys(p.services)) {
 		// What this one waited for may have been kept for its sake alone.
-		if other := p.services[name]; other != nil && len(other.wishes) == 0 {
-			c.tidy(other)
+		if other := p.services[name]; other != nil && len(other.replicas) == 0 {
+			c.pruneService(other)
 		}
 	}
 	if len(p.services) == 0 && c.projects[p.name] == p {
@@ -405,10 +405,10 @@
 	}
 }
 
-// wanted says whether another service waits for this one, so that its fate has to be known.
-func (c *Core) wanted(svc *service) bool {
+// hasDependents says whether another service waits for this one, so that its fate has to be known.
+func (c *Core) hasDependents(svc *service) bool {
 	for _, other := range svc.project.services {
-		if other.spec == nil || other == svc || len(other.wishes) == 0 {
+		if other.spec == nil || other == svc || len(other.replicas) == 0 {
 			continue
 		}
 		for _, dep := range other.spec.DependsOn {
@@ -420,44 +420,44 @@
 	return false
 }
 
-// remove ends a project.
-func (c *Core) remove(in RemoveProject) {
+// handleRemoveProject ends a project.
+func (c *Core) handleRemoveProject(in RemoveProject) {
 	p := c.projects[in.Project]
 	if p == nil {
-		c.do(Rejected{Request: in.Request, Status: 404, Title: "No such project", Detail: in.Project + " is not here"})
+		c.emit(Rejected{Request: in.Request, Status: 404, Title: "No such project", Detail: in.Project + " is not here"})
 		return
 	}
-	c.keep(durable.ProjectRemoved{Project: in.Project, At: c.now})
+	c.persist(durable.ProjectRemoved{Project: in.Project, At: c.now})
 	for _, name := range slices.Sorted(maps.Keys(p.services)) {
 		if svc := p.services[name]; svc != nil {
 			c.removeService(svc)
 		}
 	}
-	c.do(Accepted{Request: in.Request})
+	c.emit(Accepted{Request: in.Request})
 }
 
 // ---- Dependencies.
 
-// release starts a wish whose service's dependencies are met, or refuses it if they cannot be.
-func (c *Core) release(w *wish) {
-	if w.state != heldBack || w.gone {
+// startIfReady starts a wish whose service's dependencies are met, or refuses it if they cannot be.
+func (c *Core) startIfReady(w *desiredReplica) {
+	if w.state != awaitingDependencies || w.removed {
 		return
 	}
-	ready, why := c.dependencies(w.svc)
+	ready, why := c.dependencyState(w.service)
 	switch {
 	case why != "":
-		w.refused, w.reason = true, why
-		if w.svc.failed == "" {
-			w.svc.failed = why
+		w.rejected, w.reason = true, why
+		if w.service.failureReason == "" {
+			w.service.failureReason = why
 		}
 		c.giveUp(w)
 	case ready:
-		c.begin(w)
+		c.startRequesting(w)
 	}
 }
 
-// dependencies says whether all that a service depends on has come about, or why it will not.
-func (c *Core) dependencies(svc *service) (ready bool, why string) {
+// dependencyState says whether all that a service depends on has come about, or why it will not.
+func (c *Core) dependencyState(svc *service) (ready bool, why string) {
 	ready = true
 	if svc.spec == nil {
 		return true, ""
@@ -484,15 +484,15 @@
 
 // reached says whether the service is as far as a condition asks, or why it never will be.
 func (s *service) reached(when servicespec.Condition) (met bool, failed string) {
-	if s.failed != "" {
+	if s.failureReason != "" {
 		return false, "was not placed"
 	}
 	met = true
-	for _, w := range s.wishes {
+	for _, w := range s.replicas {
 		switch {
-		case w.state == done && !w.success:
+		case w.state == finished && !w.succeeded:
 			return false, "has failed"
-		case w.state == done:
+		case w.state == finished:
 		case when == servicespec.Completed:
 			met = false
 		case w.state != placed:
@@ -502,8 +502,8 @@
 	return met, ""
 }
 
-// wake looks again at the services that depend on this one.
-func (c *Core) wake(svc *service) {
+// startDependents looks again at the services that depend on this one.
+func (c *Core) startDependents(svc *service) {
 	p := svc.project
 	for _, name := range slices.Sorted(maps.Keys(p.services)) {
 		other := p.services[name]
@@ -514,8 +514,8 @@
 			if dep.Service != svc.name {
 				continue
 			}
-			for _, w := range other.sorted() {
-				c.release(w)
+			for _, w := range other.sortedReplicas() {
+				c.startIfReady(w)
 			}
 			break
 		}
--- a/internal/scheduler/core/restore.go
+++ b/internal/scheduler/core/restore.go
@@ -12,78 +12,78 @@
 
 // What follows carries a placer over its own death: what it notes while it lives, and how a new life begins with it.
 
-// buriedFor is how long it is kept that a project was removed: hosts that come back by then stop what they run of it.
-const buriedFor = 24 * time.Hour
+// tombstoneLifetime is how long it is kept that a project was removed: hosts that come back by then stop what they run of it.
+const tombstoneLifetime = 24 * time.Hour
 
-func (c *Core) keep(n durable.Record) {
+func (c *Core) persist(n durable.Record) {
 	if c.durable {
-		c.do(Persist{Record: n})
+		c.emit(Persist{Record: n})
 	}
 }
 
-// task is what is noted of a wish.
-func (w *wish) task(word string, over bool) durable.Task {
-	return durable.Task{Project: w.svc.project.name, Service: w.svc.name, Replica: w.replica, Outcome: word, Finished: over}
+// durableTask is what is noted of a wish.
+func (w *desiredReplica) durableTask(word string, over bool) durable.Task {
+	return durable.Task{Project: w.service.project.name, Service: w.service.name, Replica: w.number, Outcome: word, Finished: over}
 }
 
-// neverAgain notes that a task has ended for good.
-func (c *Core) neverAgain(w *wish) {
+// persistFinished notes that a task has ended for good.
+func (c *Core) persistFinished(w *desiredReplica) {
 	word := OutcomeFailed
-	if w.success {
+	if w.succeeded {
 		word = OutcomePlaced
 	}
-	c.keep(durable.TaskFinished{Task: w.task(word, true)})
+	c.persist(durable.TaskFinished{Task: w.durableTask(word, true)})
 }
 
-// noteAttempt notes an attempt that must not be made twice. A safe one is not noted: to make it again does no harm, and the
+// persistAttempt notes an attempt that must not be made twice. A safe one is not noted: to make it again does no harm, and the
 // note would cost its start an fsync.
-func (c *Core) noteAttempt(t *try) {
-	w := t.ask.wish
-	if !c.durable || t.ask.Rules.Effect == forkhead.Safe || w.svc.fostered {
+func (c *Core) persistAttempt(t *taskAttempt) {
+	w := t.request.replica
+	if !c.durable || t.request.Rules.Effect == forkhead.Safe || w.service.specLost {
 		return
 	}
-	t.noted = true
-	c.keep(durable.AttemptOffered{Attempt: durable.Attempt{
-		Ref: t.ref, TaskKey: w.key, Project: w.svc.project.name, Service: w.svc.name, Replica: w.replica, Class: c.set.Classes[w.class].Name,
-		Host: t.host.name, Address: t.host.link.Address, HostEpoch: t.hostEpoch, ChosenAt: t.ask.Attempts[t.number].ChosenAt,
+	t.persisted = true
+	c.persist(durable.AttemptOffered{Attempt: durable.Attempt{
+		Ref: t.ref, TaskKey: w.taskKey, Project: w.service.project.name, Service: w.service.name, Replica: w.number, Class: c.settings.Classes[w.class].Name,
+		Host: t.host.name, Address: t.host.connection.Address, HostEpoch: t.hostEpoch, ChosenAt: t.request.Attempts[t.number].ChosenAt,
 	}})
 }
 
-// restore begins a life with what an earlier one has noted. Nothing is offered before hosts have said what they run, or
+// handleRestore begins a life with what an earlier one has noted. Nothing is offered before hosts have said what they run, or
 // the owner's wait is over; an attempt that was noted is unknown until its host has said what became of it.
-func (c *Core) restore(k *durable.Snapshot) {
-	c.keep(durable.IncarnationStarted{Epoch: c.epoch})
+func (c *Core) handleRestore(k *durable.Snapshot) {
+	c.persist(durable.IncarnationStarted{Epoch: c.epoch})
 	for _, bad := range k.Unreadable {
 		c.log("what was kept cannot be read: %s", bad)
 	}
 	for i := range k.Submissions {
 		c.restoreSubmission(&k.Submissions[i])
 	}
-	var held []*wish
+	var held []*desiredReplica
 	for i := range k.Projects {
 		held = append(held, c.restoreProject(&k.Projects[i])...)
 	}
 	for name, at := range k.Tombstones {
-		if at+buriedFor <= c.now {
-			c.keep(durable.TombstoneExpired{Project: name})
+		if at+tombstoneLifetime <= c.now {
+			c.persist(durable.TombstoneExpired{Project: name})
 			continue
 		}
-		c.buried[name] = true
+		c.removedProjects[name] = true
 	}
 	for i := range k.Attempts {
 		c.restoreAttempt(&k.Attempts[i])
 	}
-	c.savedList(&k.HostList)
+	c.restoreHostList(&k.HostList)
 	for _, w := range held {
-		c.release(w)
+		c.startIfReady(w)
 	}
 }
 
-// savedList begins with the list that an earlier life was told last, by its age: so that a placer whose rack restarts while
+// restoreHostList begins with the list that an earlier life was told last, by its age: so that a placer whose rack restarts while
 // discovery is silent does not sit idle, and one that was away for long does not go by what was. A list from the future
 // shows that a clock was set back: how old it is nobody knows, so its hosts have to greet first.
-func (c *Core) savedList(l *durable.HostList) {
-	age, saved := c.now-l.ReceivedAt, c.set.Saved
+func (c *Core) restoreHostList(l *durable.HostList) {
+	age, saved := c.now-l.ReceivedAt, c.settings.Saved
 	switch {
 	case len(l.Hosts) == 0:
 		return
@@ -91,11 +91,11 @@
 		c.log("the list of hosts that was kept is %v old and is not used; at most %v is", age.Round(time.Second), saved.Old)
 		return
 	}
-	c.listing(HostListReceived{Mode: forkhead.ListCached, Hosts: l.Hosts, Stale: age < 0 || age > saved.Fresh})
+	c.handleHostList(HostListReceived{Mode: forkhead.ListCached, Hosts: l.Hosts, Stale: age < 0 || age > saved.Fresh})
 }
 
 func (c *Core) restoreSubmission(f *durable.SubmissionProgress) {
-	s := &submission{id: f.ID, key: f.IdempotencyKey, body: f.BodyHash, total: f.TotalOutcomes, at: f.AcceptedAt}
+	s := &submission{id: f.ID, idempotencyKey: f.IdempotencyKey, bodyHash: f.BodyHash, totalOutcomes: f.TotalOutcomes, acceptedAt: f.AcceptedAt}
 	for _, text := range f.Outcomes {
 		var o Outcome
 		if err := json.Unmarshal(text, &o); err != nil {
@@ -105,21 +105,21 @@
 		s.outcomes = append(s.outcomes, o)
 	}
 	c.submissions[s.id] = s
-	if s.key != "" {
-		c.byKey[s.key] = s
+	if s.idempotencyKey != "" {
+		c.submissionsByKey[s.idempotencyKey] = s
 	}
 	if s.complete() {
-		s.doneAt = c.now
-		c.ended = append(c.ended, s)
-		c.at(&timer{at: c.now + c.set.Limits.Keep, kind: timerExpire})
+		s.completedAt = c.now
+		c.completeSubmissions = append(c.completeSubmissions, s)
+		c.addTimer(&timer{at: c.now + c.settings.Limits.Keep, kind: timerSubmissionExpiry})
 	}
 }
 
 // restoreProject brings a project back and returns the tasks whose outcome is owed.
-func (c *Core) restoreProject(k *durable.Project) (held []*wish) {
+func (c *Core) restoreProject(k *durable.Project) (held []*desiredReplica) {
 	d := k.Specification
 	p := &project{name: d.Name, services: map[string]*service{}}
-	needs, ok := c.needs(p, d)
+	needs, ok := c.takeServiceLabels(p, d)
 	if !ok {
 		c.log("project %s needs more placement constraints than there may be; it is left out", d.Name)
 		return nil
@@ -137,28 +137,28 @@
 	for i := range d.Services {
 		spec := &d.Services[i]
 		svc := &service{
-			project: p, name: spec.Name, wishes: map[int]*wish{}, spec: spec, needs: needs[i], before: map[*wish]*servicespec.Service{},
+			project: p, name: spec.Name, replicas: map[int]*desiredReplica{}, spec: spec, requiredLabels: needs[i], previousSpecs: map[*desiredReplica]*servicespec.Service{},
 			key: servicespec.ServiceKey(spec.Tenant, p.name, spec.Name),
 		}
 		p.services[spec.Name] = svc
 		for r := 1; r <= spec.Replicas; r++ {
 			t, told := was[name{spec.Name, r}]
 			if told && t.Finished && t.Outcome != OutcomePlaced {
-				svc.failed = "was not placed"
+				svc.failureReason = "was not placed"
 				continue
 			}
-			w := c.newWish(svc, r, spec)
+			w := c.newReplica(svc, r, spec)
 			w.recovered = true
 			switch {
 			case told && t.Finished:
-				w.state, w.success = done, true
+				w.state, w.succeeded = finished, true
 			case told || sub == nil:
 				// Its outcome is told: it is to run, and most likely does.
-				w.lives = 1
-				w.owner.Begin(c.now + forever)
-				c.askAt(w, c.now)
+				w.placements = 1
+				w.retrier.Begin(c.now + noDeadline)
+				c.requestAt(w, c.now)
 			default:
-				w.claim = &claim{sub: sub, at: sub.at}
+				w.pending = &pendingOutcome{submission: sub, since: sub.acceptedAt}
 				held = append(held, w)
 			}
 		}
@@ -169,27 +169,27 @@
 // restoreAttempt makes an attempt of an earlier life unknown: its task waits, as its class says, until its host has said
 // what became of it.
 func (c *Core) restoreAttempt(a *durable.Attempt) {
-	var w *wish
+	var w *desiredReplica
 	if p := c.projects[a.Project]; p != nil && p.services[a.Service] != nil {
-		w = p.services[a.Service].wishes[a.Replica]
+		w = p.services[a.Service].replicas[a.Replica]
 	}
-	if w == nil || w.state == done {
+	if w == nil || w.state == finished {
 		// Nobody wants the task any more: what its host still runs of it is stopped when it shows.
-		c.keep(durable.AttemptResolved{Ref: a.Ref})
+		c.persist(durable.AttemptResolved{Ref: a.Ref})
 		return
 	}
 	h := c.hosts[a.Host]
 	if h == nil {
-		h = &host{name: a.Host, tries: map[hostproto.Ref]*try{}, probes: map[uint32]time.Duration{}, restored: true}
-		h.link.Address = a.Address
+		h = &host{name: a.Host, attempts: map[hostproto.Ref]*taskAttempt{}, probesSentAt: map[uint32]time.Duration{}, restored: true}
+		h.connection.Address = a.Address
 		c.hosts[a.Host] = h
-		n, renamed := c.ids.Add(a.Host)
+		n, renamed := c.hostIDs.Add(a.Host)
 		h.id = forkhead.MachineID(n)
 		for name, old := range renamed {
-			c.renumber(name, forkhead.MachineID(old))
+			c.renumberHost(name, forkhead.MachineID(old))
 		}
-		c.byID[h.id] = h
+		c.hostsByID[h.id] = h
 	}
-	h.link.Epoch = max(h.link.Epoch, a.HostEpoch)
-	c.suspect(w, h, a.Ref, a.HostEpoch, a.ChosenAt).noted = true
+	h.connection.Epoch = max(h.connection.Epoch, a.HostEpoch)
+	c.addUnknownAttempt(w, h, a.Ref, a.HostEpoch, a.ChosenAt).persisted = true
 }
--- a/internal/scheduler/core/tasks.go
+++ b/internal/scheduler/core/tasks.go
@@ -12,21 +12,21 @@
 	"forkhead/internal/scheduler/retrypolicy"
 )
 
-type wishState uint8
+type replicaState uint8
 
 const (
-	heldBack wishState = iota // waits for what its service depends on
-	waiting                   // to be asked at a time, or once it may be
-	asking                    // the module has it
+	awaitingDependencies replicaState = iota // waits for what its service depends on
+	awaitingRequest                   // to be asked at a time, or once it may be
+	requesting                    // the module has it
 	placed
-	done // ended for good
+	finished // ended for good
 )
 
-// wish is one task that is to run: its owner's side.
-type wish struct {
-	svc         *service
-	replica     int
-	key         uint64
+// desiredReplica is one task that is to run: its owner's side.
+type desiredReplica struct {
+	service         *service
+	number     int
+	taskKey         uint64
 	generation  int // odd where the task runs under its second key
 	spec        *servicespec.Service
 	class       int
@@ -34,139 +34,139 @@
 	fingerprint uint64
 	name        string
 
-	state     wishState
-	owner     retrypolicy.Retrier
-	claim     *claim // the outcome that is owed
-	ask       *ask   // while asking
-	try       *try   // while placed
-	askSeq    uint64 // of the timer that counts
-	giveUpSeq uint64
+	state     replicaState
+	retrier     retrypolicy.Retrier
+	pending     *pendingOutcome // the outcome that is owed
+	request       *placementRequest   // while asking
+	attempt       *taskAttempt   // while placed
+	requestTimerSeq    uint64 // of the timer that counts
+	deadlineTimerSeq uint64
 	blocked   bool // to be asked as soon as it may be
-	lives     int  // times that it was placed
-	restarts  []time.Duration
-	relaxed   bool // its preferences could not be kept
+	placements     int  // times that it was placed
+	restartTimes  []time.Duration
+	preferencesDropped   bool // its preferences could not be kept
 	recovered bool // from what an earlier life has noted: it may run already
 	removing  bool
-	gone      bool // no longer of any project
-	success   bool // of a task that is done
-	stopAsked bool
+	removed      bool // no longer of any project
+	succeeded   bool // of a task that is done
+	stopRequested bool
 
-	offers   int
-	refused  bool // how its last ask was answered
-	refusals map[string]int
+	offerCount   int
+	rejected  bool // how its last ask was answered
+	failureCounts map[string]int
 	reason   string
 	updating bool                 // its old copy is being replaced
-	next     *servicespec.Service // what it is replaced by
-	twin     *wish                // start-first: the copy that takes over
-	twinOf   *wish
-	watchSeq uint64 // of the timer that ends the monitoring of an update
+	nextSpec     *servicespec.Service // what it is replaced by
+	successor     *desiredReplica                // start-first: the copy that takes over
+	predecessor   *desiredReplica
+	monitorTimerSeq uint64 // of the timer that ends the monitoring of an update
 }
 
 // ---- The owner's side.
 
-// begin starts the wait for an outcome.
-func (c *Core) begin(w *wish) {
+// startRequesting starts the wait for an outcome.
+func (c *Core) startRequesting(w *desiredReplica) {
 	patience := w.spec.Patience
 	if patience == 0 {
-		patience = max(c.set.Classes[w.class].Patience, w.spec.Wait)
+		patience = max(c.settings.Classes[w.class].Patience, w.spec.Wait)
 	}
 	from := c.now
-	if w.recovered && w.claim != nil {
-		from = min(w.claim.at, c.now) // its owner has waited since before this life; a clock may have been set back
-	}
-	w.owner.Begin(max(from+patience, c.now+attempt.MinRequestTime))
-	w.relaxed, w.refusals, w.reason = false, nil, ""
-	w.giveUpSeq++
-	c.at(&timer{at: w.owner.Deadline, kind: timerGiveUp, wish: w, number: w.giveUpSeq})
-	c.askAt(w, c.now)
+	if w.recovered && w.pending != nil {
+		from = min(w.pending.since, c.now) // its owner has waited since before this life; a clock may have been set back
+	}
+	w.retrier.Begin(max(from+patience, c.now+attempt.MinRequestTime))
+	w.preferencesDropped, w.failureCounts, w.reason = false, nil, ""
+	w.deadlineTimerSeq++
+	c.addTimer(&timer{at: w.retrier.Deadline, kind: timerOwnerDeadline, replica: w, number: w.deadlineTimerSeq})
+	c.requestAt(w, c.now)
 }
 
-func (c *Core) askAt(w *wish, at time.Duration) {
-	w.state, w.blocked = waiting, false
-	w.askSeq++
+func (c *Core) requestAt(w *desiredReplica, at time.Duration) {
+	w.state, w.blocked = awaitingRequest, false
+	w.requestTimerSeq++
 	if at <= c.now {
-		c.askNow(w)
+		c.requestNow(w)
 		return
 	}
-	c.at(&timer{at: at, kind: timerAsk, wish: w, number: w.askSeq})
+	c.addTimer(&timer{at: at, kind: timerRequest, replica: w, number: w.requestTimerSeq})
 }
 
-// askNow puts the task before the module, unless it has to wait until it may be asked for.
-func (c *Core) askNow(w *wish) {
-	if w.state != waiting || w.gone {
+// requestNow puts the task before the module, unless it has to wait until it may be asked for.
+func (c *Core) requestNow(w *desiredReplica) {
+	if w.state != awaitingRequest || w.removed {
 		return
 	}
 	wait := w.spec.Wait
 	if wait == 0 {
-		wait = c.set.Classes[w.class].Wait
+		wait = c.settings.Classes[w.class].Wait
 	}
-	if len(w.spec.Preferences) > 0 && !w.relaxed {
-		wait = min(wait/4, c.set.Module.Classes[w.class].LatencyObjective+attempt.MinRequestTime) // the rest is for an ask without
+	if len(w.spec.Preferences) > 0 && !w.preferencesDropped {
+		wait = min(wait/4, c.settings.Module.Classes[w.class].LatencyObjective+attempt.MinRequestTime) // the rest is for an ask without
 	}
-	wait = min(wait, w.owner.Deadline-c.now)
+	wait = min(wait, w.retrier.Deadline-c.now)
 	if w.blocked = c.mustWait(w, &wait); w.blocked {
-		c.blocked[w.key] = w
+		c.blockedReplicas[w.taskKey] = w
 		return
 	}
 	if wait <= 0 {
 		return
 	}
-	k := c.newAsk(w)
+	k := c.newRequest(w)
 	k.Deadline = c.now + wait
 	k.task.Timeout = wait
-	w.ask, w.state = k, asking
-	w.owner.Requests++
-	c.stat.PlacementRequests++
-	c.at(&timer{at: k.Deadline, kind: timerDeadline, ask: k})
-	c.tell(forkhead.PlacementRequest{Task: k.task})
+	w.request, w.state = k, requesting
+	w.retrier.Requests++
+	c.status.PlacementRequests++
+	c.addTimer(&timer{at: k.Deadline, kind: timerRequestDeadline, request: k})
+	c.notifyModule(forkhead.PlacementRequest{Task: k.task})
 }
 
 // mustWait says whether a task may not be asked for yet, because an attempt of an earlier ask, or
 // of an earlier life of this placer, may run. It shortens an ask that must end before the hosts
 // forget its key.
-func (c *Core) mustWait(w *wish, wait *time.Duration) bool {
-	r := c.rules(w.class)
-	if r.MustWaitForHosts(c.heardAll(), c.now >= c.gate()) || w.recovered && !c.heardAll() && c.now < c.gate() {
+func (c *Core) mustWait(w *desiredReplica, wait *time.Duration) bool {
+	r := c.attemptRules(w.class)
+	if r.MustWaitForHosts(c.allHostsReported(), c.now >= c.hostReportDeadline()) || w.recovered && !c.allHostsReported() && c.now < c.hostReportDeadline() {
 		// Guards against starting again what an earlier life had started: hosts say what they run.
-		w.askSeq++
-		c.at(&timer{at: min(c.gate(), c.now+attempt.MinRequestTime), kind: timerAsk, wish: w, number: w.askSeq})
+		w.requestTimerSeq++
+		c.addTimer(&timer{at: min(c.hostReportDeadline(), c.now+attempt.MinRequestTime), kind: timerRequest, replica: w, number: w.requestTimerSeq})
 		return true
 	}
 	first := c.now
-	for t := range c.unknown[w.key] {
-		first = min(first, t.ask.Attempts[t.number].ChosenAt)
+	for t := range c.unknownAttempts[w.taskKey] {
+		first = min(first, t.request.Attempts[t.number].ChosenAt)
 	}
-	most, ok := r.MayRequest(c.now, len(c.unknown[w.key]), first)
+	most, ok := r.MayRequest(c.now, len(c.unknownAttempts[w.taskKey]), first)
 	if most > 0 {
 		*wait = min(*wait, most)
 	}
 	return !ok
 }
 
-// harmful says whether an attempt of another ask that may run forbids to send one of this ask now.
+// repeatIsHarmful says whether an attempt of another ask that may run forbids to send one of this ask now.
 // Guards against what turns up after the ask began: a host that tells late what it runs.
-func (c *Core) harmful(k *ask) bool {
-	for t := range c.unknown[k.wish.key] {
-		if t.ask != k && (k.Rules.Effect == forkhead.Unsafe ||
-			k.Rules.Effect == forkhead.Keyed && c.now >= t.ask.Attempts[t.number].ChosenAt+k.Rules.DedupWindow) {
+func (c *Core) repeatIsHarmful(k *placementRequest) bool {
+	for t := range c.unknownAttempts[k.replica.taskKey] {
+		if t.request != k && (k.Rules.Effect == forkhead.Unsafe ||
+			k.Rules.Effect == forkhead.Keyed && c.now >= t.request.Attempts[t.number].ChosenAt+k.Rules.DedupWindow) {
 			return true
 		}
 	}
 	return false
 }
 
-// gate is until when a new life waits to hear from all hosts before it starts what must not be
+// hostReportDeadline is until when a new life waits to hear from all hosts before it starts what must not be
 // started twice.
-func (c *Core) gate() time.Duration {
-	if c.listedAt == 0 {
+func (c *Core) hostReportDeadline() time.Duration {
+	if c.firstListAt == 0 {
 		return c.now + attempt.MinRequestTime
 	}
-	return c.listedAt + c.set.Module.OwnerBackoff
+	return c.firstListAt + c.settings.Module.OwnerBackoff
 }
 
-func (c *Core) heardAll() bool {
+func (c *Core) allHostsReported() bool {
 	for _, h := range c.hosts {
-		if h.listed && !h.spoken {
+		if h.listed && !h.everSynced {
 			return false
 		}
 	}
@@ -175,23 +175,23 @@
 
 // unblock lets a task be asked for that waited until it might.
 func (c *Core) unblock(key uint64) {
-	if w := c.blocked[key]; w != nil {
-		delete(c.blocked, key)
-		if w.blocked && w.state == waiting && !w.gone {
-			c.askNow(w)
+	if w := c.blockedReplicas[key]; w != nil {
+		delete(c.blockedReplicas, key)
+		if w.blocked && w.state == awaitingRequest && !w.removed {
+			c.requestNow(w)
 		}
 	}
 }
 
-// unplaced follows an ask that was refused or failed.
-func (c *Core) unplaced(w *wish, refuse bool, retryAfter time.Duration) {
-	w.refused = refuse
+// handleUnplaced follows an ask that was refused or failed.
+func (c *Core) handleUnplaced(w *desiredReplica, refuse bool, retryAfter time.Duration) {
+	w.rejected = refuse
 	reason, hopeless := c.explain(w)
 	w.reason = reason
-	if w.gone || w.removing {
+	if w.removed || w.removing {
 		return
 	}
-	if hopeless && w.lives == 0 {
+	if hopeless && w.placements == 0 {
 		c.giveUp(w)
 		return
 	}
@@ -199,56 +199,56 @@
 	if !refuse {
 		cause = retrypolicy.Failed
 	}
-	if len(w.spec.Preferences) > 0 && !w.relaxed {
-		w.relaxed = true
+	if len(w.spec.Preferences) > 0 && !w.preferencesDropped {
+		w.preferencesDropped = true
 		cause = retrypolicy.Migrated
 	}
-	c.again(w, cause, retryAfter, 0)
+	c.retry(w, cause, retryAfter, 0)
 }
 
-// again asks for a task once more after a while, or gives it up.
-func (c *Core) again(w *wish, cause retrypolicy.Cause, advice, least time.Duration) {
-	r := c.rules(w.class)
-	harm := len(c.unknown[w.key]) > 0 && !r.RetryIsHarmless()
+// retry asks for a task once more after a while, or gives it up.
+func (c *Core) retry(w *desiredReplica, cause retrypolicy.Cause, advice, least time.Duration) {
+	r := c.attemptRules(w.class)
+	harm := len(c.unknownAttempts[w.taskKey]) > 0 && !r.RetryIsHarmless()
 	event := retrypolicy.Event{Cause: cause, RepeatMayHarm: harm, RetryAfter: advice, MinWait: least}
-	at, ok := w.owner.NextRetry(c.now, event, c.policy, c.rng.Float64())
-	if !ok && w.claim == nil && w.lives > 0 {
+	at, ok := w.retrier.NextRetry(c.now, event, c.retryPolicy, c.rng.Float64())
+	if !ok && w.pending == nil && w.placements > 0 {
 		// It was placed once and its outcome is told: its project wants it back for good.
-		w.owner.Begin(c.now + forever)
-		at, ok = c.now+c.policy.MaxBackoff, true
+		w.retrier.Begin(c.now + noDeadline)
+		at, ok = c.now+c.retryPolicy.MaxBackoff, true
 	}
 	if !ok {
-		if w.owner.Deadline > c.now && (w.blocked || harm) {
+		if w.retrier.Deadline > c.now && (w.blocked || harm) {
 			// Until its fate is known, or its owner's time is over.
-			w.state, w.blocked = waiting, true
-			c.blocked[w.key] = w
+			w.state, w.blocked = awaitingRequest, true
+			c.blockedReplicas[w.taskKey] = w
 			return
 		}
 		c.giveUp(w)
 		return
 	}
-	c.askAt(w, at)
+	c.requestAt(w, at)
 }
 
-const forever = 10 * 365 * 24 * time.Hour
+const noDeadline = 10 * 365 * 24 * time.Hour
 
-// impatient ends the wait of an owner whose time is over.
-func (c *Core) impatient(w *wish) {
-	if w.state == done || w.gone {
+// handleOwnerTimeout ends the wait of an owner whose time is over.
+func (c *Core) handleOwnerTimeout(w *desiredReplica) {
+	if w.state == finished || w.removed {
 		return
 	}
 	if w.state == placed {
-		if w.next != nil { // the old copy has not ended: nothing was offered for the new one
-			c.outcome(w, OutcomeRejected, nil, "its earlier copy on "+w.try.host.name+" has not ended")
-			w.next, w.removing = nil, true
-			c.rolledOut(w, false)
+		if w.nextSpec != nil { // the old copy has not ended: nothing was offered for the new one
+			c.reportOutcome(w, OutcomeRejected, nil, "its earlier copy on "+w.attempt.host.name+" has not ended")
+			w.nextSpec, w.removing = nil, true
+			c.reportUpdateResult(w, false)
 		}
 		return
 	}
-	if w.claim == nil {
+	if w.pending == nil {
 		return
 	}
-	if w.state == asking {
+	if w.state == requesting {
 		return // the ask ends by now too, and with it the wait
 	}
 	if w.reason == "" {
@@ -258,97 +258,97 @@
 }
 
 // giveUp tells the outcome of a task that was not placed.
-func (c *Core) giveUp(w *wish) {
-	r := c.rules(w.class)
+func (c *Core) giveUp(w *desiredReplica) {
+	r := c.attemptRules(w.class)
 	word := OutcomeRejected
-	if !r.RejectionIsHarmless(w.refused, w.offers > 0, len(c.unknown[w.key])) {
+	if !r.RejectionIsHarmless(w.rejected, w.offerCount > 0, len(c.unknownAttempts[w.taskKey])) {
 		word = OutcomeFailed
 	}
-	if len(c.unknown[w.key]) > 0 && !r.RetryIsHarmless() {
+	if len(c.unknownAttempts[w.taskKey]) > 0 && !r.RetryIsHarmless() {
 		var names []string
-		for t := range c.unknown[w.key] {
+		for t := range c.unknownAttempts[w.taskKey] {
 			names = append(names, t.host.name)
 		}
 		slices.Sort(names)
 		w.reason = "an attempt at " + strings.Join(names, ", ") + " may have run, and nothing was heard of it since"
 	}
-	c.outcome(w, word, nil, w.reason)
-	w.svc.failed = w.reason
-	c.drop(w)
+	c.reportOutcome(w, word, nil, w.reason)
+	w.service.failureReason = w.reason
+	c.removeReplica(w)
 }
 
-// bound follows a task's placement.
-func (c *Core) bound(w *wish, t *try) {
-	if w.gone || w.removing {
-		c.send(t.host, hostproto.Stop{Ref: t.ref, Grace: w.grace()})
-		w.state, w.try, w.ask = placed, t, nil
+// handleBound follows a task's placement.
+func (c *Core) handleBound(w *desiredReplica, t *taskAttempt) {
+	if w.removed || w.removing {
+		c.sendFrame(t.host, hostproto.Stop{Ref: t.ref, Grace: w.stopGrace()})
+		w.state, w.attempt, w.request = placed, t, nil
 		return
 	}
-	w.state, w.try, w.ask = placed, t, nil
-	w.owner.Placed()
+	w.state, w.attempt, w.request = placed, t, nil
+	w.retrier.Placed()
 	w.recovered = false
-	w.lives++
-	c.outcome(w, OutcomePlaced, t.host, "")
-	c.swap(w)
+	w.placements++
+	c.reportOutcome(w, OutcomePlaced, t.host, "")
+	c.replacePredecessor(w)
 	if m := w.spec.Update.Monitor; w.updating && m > 0 {
-		w.watchSeq++
-		c.at(&timer{at: c.now + m, kind: timerWatch, wish: w, number: w.watchSeq})
+		w.monitorTimerSeq++
+		c.addTimer(&timer{at: c.now + m, kind: timerMonitorEnd, replica: w, number: w.monitorTimerSeq})
 	} else {
-		c.rolledOut(w, true)
+		c.reportUpdateResult(w, true)
 	}
-	c.wake(w.svc)
+	c.startDependents(w.service)
 }
 
-// over follows the loss of a placed task.
-func (c *Core) over(w *wish, t *try, cause retrypolicy.Cause) {
-	if w.try != t {
+// handleLost follows the loss of a placed task.
+func (c *Core) handleLost(w *desiredReplica, t *taskAttempt, cause retrypolicy.Cause) {
+	if w.attempt != t {
 		return
 	}
-	w.try, w.stopAsked = nil, false
-	if w.next == nil {
-		w.watchSeq++
-		c.rolledOut(w, false)
+	w.attempt, w.stopRequested = nil, false
+	if w.nextSpec == nil {
+		w.monitorTimerSeq++
+		c.reportUpdateResult(w, false)
 	}
 	switch {
-	case w.gone || w.removing:
-		c.drop(w)
-	case w.next != nil:
-		c.replaced(w)
-	case c.overtaken(w):
-	case w.spec == nil || w.svc.fostered:
-		c.drop(w) // nobody knows any more what it was made of
-	case w.lives >= c.set.Owner.Lives:
-		c.log("task %s was placed %d times and is given up", w.name, w.lives)
-		c.neverAgain(w)
-		c.drop(w)
+	case w.removed || w.removing:
+		c.removeReplica(w)
+	case w.nextSpec != nil:
+		c.finishReplacement(w)
+	case c.replaceIfQueued(w):
+	case w.spec == nil || w.service.specLost:
+		c.removeReplica(w) // nobody knows any more what it was made of
+	case w.placements >= c.settings.Owner.Lives:
+		c.log("task %s was placed %d times and is given up", w.name, w.placements)
+		c.persistFinished(w)
+		c.removeReplica(w)
 	default:
-		w.owner.Begin(c.now + forever)
-		w.refusals = nil
-		c.again(w, cause, 0, 0)
+		w.retrier.Begin(c.now + noDeadline)
+		w.failureCounts = nil
+		c.retry(w, cause, 0, 0)
 	}
 }
 
-// finished follows the end of a placed task that its host told.
-func (c *Core) finished(w *wish, t *try, d detail) {
-	if w.try != t {
+// handleEnded follows the end of a placed task that its host told.
+func (c *Core) handleEnded(w *desiredReplica, t *taskAttempt, d attemptDetail) {
+	if w.attempt != t {
 		return
 	}
 	switch {
-	case w.removing, w.next != nil, w.spec == nil, w.svc.fostered:
-		c.over(w, t, retrypolicy.Ended)
+	case w.removing, w.nextSpec != nil, w.spec == nil, w.service.specLost:
+		c.handleLost(w, t, retrypolicy.Ended)
 		return
-	case d.result == forkhead.Withdrawn || t.moving:
-		c.over(w, t, retrypolicy.Migrated)
+	case d.result == forkhead.Withdrawn || t.migrating:
+		c.handleLost(w, t, retrypolicy.Migrated)
 		return
 	case d.result == forkhead.Reset:
 		cause := retrypolicy.Evicted
 		if d.reason == forkhead.Dismissed {
 			cause = retrypolicy.Lost
 		}
-		c.over(w, t, cause)
+		c.handleLost(w, t, cause)
 		return
 	}
-	if w.try = nil; c.overtaken(w) {
+	if w.attempt = nil; c.replaceIfQueued(w) {
 		return
 	}
 	well := d.result == forkhead.OK
@@ -356,64 +356,64 @@
 	want := r.When == servicespec.Always && !w.spec.Mode.Job() || r.When != servicespec.Never && !well
 	if r.Most > 0 && want {
 		if r.Window > 0 {
-			w.restarts = slices.DeleteFunc(w.restarts, func(at time.Duration) bool { return at <= c.now-r.Window })
+			w.restartTimes = slices.DeleteFunc(w.restartTimes, func(at time.Duration) bool { return at <= c.now-r.Window })
 		}
-		if want = len(w.restarts) < r.Most; want {
-			w.restarts = append(w.restarts, c.now)
+		if want = len(w.restartTimes) < r.Most; want {
+			w.restartTimes = append(w.restartTimes, c.now)
 		}
 	}
 	if !want {
-		w.state, w.success = done, well
-		c.neverAgain(w)
-		c.wake(w.svc)
+		w.state, w.succeeded = finished, well
+		c.persistFinished(w)
+		c.startDependents(w.service)
 		return
 	}
-	w.watchSeq++
-	c.rolledOut(w, well)
-	w.owner.Begin(c.now + forever)
-	c.again(w, retrypolicy.Ended, 0, r.Delay)
+	w.monitorTimerSeq++
+	c.reportUpdateResult(w, well)
+	w.retrier.Begin(c.now + noDeadline)
+	c.retry(w, retrypolicy.Ended, 0, r.Delay)
 }
 
-// outcome tells the one outcome that is owed for a task, if one is.
-func (c *Core) outcome(w *wish, word string, h *host, reason string) {
-	if w.claim == nil {
+// reportOutcome tells the one reportOutcome that is owed for a task, if one is.
+func (c *Core) reportOutcome(w *desiredReplica, word string, h *host, reason string) {
+	if w.pending == nil {
 		return
 	}
-	cl := w.claim
-	w.claim = nil
+	cl := w.pending
+	w.pending = nil
 	o := Outcome{
-		Service: w.svc.name, Replica: w.replica, Outcome: word, Reason: reason, Attempts: w.offers,
-		TookMS: (c.now - cl.at).Milliseconds(),
+		Service: w.service.name, Replica: w.number, Outcome: word, Reason: reason, Attempts: w.offerCount,
+		TookMS: (c.now - cl.since).Milliseconds(),
 	}
 	if h != nil {
 		o.Host, o.Zone, o.Rack = h.name, h.entry.Zone, h.entry.Rack
 	}
-	w.offers = 0
-	c.stat.Outcomes[word]++
-	cl.sub.add(c, w, o)
+	w.offerCount = 0
+	c.status.Outcomes[word]++
+	cl.submission.addOutcome(c, w, o)
 }
 
-// drop takes a wish out of its project. What may still run of it is stopped when it shows.
-func (c *Core) drop(w *wish) {
-	if w.gone {
+// removeReplica takes a wish out of its project. What may still run of it is stopped when it shows.
+func (c *Core) removeReplica(w *desiredReplica) {
+	if w.removed {
 		return
 	}
-	if w.claim != nil {
-		c.outcome(w, OutcomeRejected, nil, "a later submission has taken its place")
+	if w.pending != nil {
+		c.reportOutcome(w, OutcomeRejected, nil, "a later submission has taken its place")
 	}
-	w.gone = true
-	if c.blocked[w.key] == w {
-		delete(c.blocked, w.key)
+	w.removed = true
+	if c.blockedReplicas[w.taskKey] == w {
+		delete(c.blockedReplicas, w.taskKey)
 	}
-	w.askSeq++
-	w.giveUpSeq++
-	c.wishes--
-	svc := w.svc
-	if svc.wishes[w.replica] == w {
-		delete(svc.wishes, w.replica)
+	w.requestTimerSeq++
+	w.deadlineTimerSeq++
+	c.replicaCount--
+	svc := w.service
+	if svc.replicas[w.number] == w {
+		delete(svc.replicas, w.number)
 	}
-	c.rolledOut(w, false)
-	w.state = done
-	c.wake(svc)
-	c.tidy(svc)
+	c.reportUpdateResult(w, false)
+	w.state = finished
+	c.startDependents(svc)
+	c.pruneService(svc)
 }
--- a/internal/scheduler/core/updates.go
+++ b/internal/scheduler/core/updates.go
@@ -12,132 +12,132 @@
 
 // ---- Updates.
 
-// roll goes on with a service's update.
-func (c *Core) roll(svc *service) {
+// continueUpdate goes on with a service's update.
+func (c *Core) continueUpdate(svc *service) {
 	u := svc.update
 	if u == nil {
 		return
 	}
 	n, at := u.Next(c.now)
 	if at > 0 {
-		c.at(&timer{at: at, kind: timerRollout, svc: svc})
+		c.addTimer(&timer{at: at, kind: timerUpdate, service: svc})
 	}
-	for ; n > 0 && len(svc.queue) > 0; n-- {
-		w := svc.queue[0]
-		svc.queue = svc.queue[1:]
+	for ; n > 0 && len(svc.updateQueue) > 0; n-- {
+		w := svc.updateQueue[0]
+		svc.updateQueue = svc.updateQueue[1:]
 		u.Begin()
-		c.replace(w, svc.spec)
+		c.beginReplacement(w, svc.spec)
 	}
 }
 
-// replace begins to replace a running task by one of another make.
-func (c *Core) replace(w *wish, spec *servicespec.Service) {
-	if w.gone {
-		c.rolledOut(w, false)
+// beginReplacement begins to beginReplacement a running task by one of another make.
+func (c *Core) beginReplacement(w *desiredReplica, spec *servicespec.Service) {
+	if w.removed {
+		c.reportUpdateResult(w, false)
 		return
 	}
 	if w.state != placed {
 		// It was lost or has ended meanwhile: it comes back as what it is to be.
 		w.updating = true
-		c.abandon(w)
-		c.remake(w, spec)
-		c.begin(w)
+		c.cancelRequest(w)
+		c.setSpec(w, spec)
+		c.startRequesting(w)
 		return
 	}
 	w.updating = true
-	w.svc.before[w] = w.spec
+	w.service.previousSpecs[w] = w.spec
 	// Two copies of what must never run twice are not started side by side, whatever the order.
-	if !spec.Update.StartFirst || c.rules(w.class).Effect == forkhead.Unsafe {
-		w.next = spec
-		c.awaitEnd(w)
-		c.halt(w)
+	if !spec.Update.StartFirst || c.attemptRules(w.class).Effect == forkhead.Unsafe {
+		w.nextSpec = spec
+		c.awaitOldCopyEnd(w)
+		c.stopPlaced(w)
 		return
 	}
-	twin := c.newWish(w.svc, w.replica, spec)
-	twin.claim, w.claim = w.claim, nil
-	twin.twinOf, w.twin = w, twin
+	twin := c.newReplica(w.service, w.number, spec)
+	twin.pending, w.pending = w.pending, nil
+	twin.predecessor, w.successor = w, twin
 	twin.updating, w.updating = true, false
-	c.begin(twin)
+	c.startRequesting(twin)
 }
 
-// overtaken begins the replacement of a task that ended, or was lost, while it waited in the queue
+// replaceIfQueued begins the replacement of a task that ended, or was lost, while it waited in the queue
 // of its service's update. Guards against one that comes back as its old make, and tells that as
 // the outcome of the new.
-func (c *Core) overtaken(w *wish) bool {
-	i := slices.Index(w.svc.queue, w)
-	if i < 0 || w.svc.update == nil {
+func (c *Core) replaceIfQueued(w *desiredReplica) bool {
+	i := slices.Index(w.service.updateQueue, w)
+	if i < 0 || w.service.update == nil {
 		return false
 	}
-	w.svc.queue = slices.Delete(w.svc.queue, i, i+1)
-	w.svc.update.Begin()
-	w.state = waiting
-	c.replace(w, w.svc.spec)
+	w.service.updateQueue = slices.Delete(w.service.updateQueue, i, i+1)
+	w.service.update.Begin()
+	w.state = awaitingRequest
+	c.beginReplacement(w, w.service.spec)
 	return true
 }
 
-// awaitEnd bounds the wait for a task's earlier copy to end: its host may be out of reach.
-func (c *Core) awaitEnd(w *wish) {
-	patience := w.next.Patience
+// awaitOldCopyEnd bounds the wait for a task's earlier copy to end: its host may be out of reach.
+func (c *Core) awaitOldCopyEnd(w *desiredReplica) {
+	patience := w.nextSpec.Patience
 	if patience == 0 {
-		patience = c.set.Classes[c.classOf(w.next)].Patience
+		patience = c.settings.Classes[c.classIndex(w.nextSpec)].Patience
 	}
-	w.owner.Deadline = c.now + patience
-	w.giveUpSeq++
-	c.at(&timer{at: w.owner.Deadline, kind: timerGiveUp, wish: w, number: w.giveUpSeq})
+	w.retrier.Deadline = c.now + patience
+	w.deadlineTimerSeq++
+	c.addTimer(&timer{at: w.retrier.Deadline, kind: timerOwnerDeadline, replica: w, number: w.deadlineTimerSeq})
 }
 
-// replaced follows the end of the old copy: the new one is asked for.
-func (c *Core) replaced(w *wish) {
-	spec := w.next
-	w.next = nil
-	c.remake(w, spec)
-	c.begin(w)
+// finishReplacement follows the end of the old copy: the new one is asked for.
+func (c *Core) finishReplacement(w *desiredReplica) {
+	spec := w.nextSpec
+	w.nextSpec = nil
+	c.setSpec(w, spec)
+	c.startRequesting(w)
 }
 
-// remake makes a wish one for a task of another make.
-func (c *Core) remake(w *wish, spec *servicespec.Service) {
+// setSpec makes a wish one for a task of another make.
+func (c *Core) setSpec(w *desiredReplica, spec *servicespec.Service) {
 	w.spec, w.fingerprint = spec, spec.Fingerprint()
-	w.class, w.tenant = c.classOf(spec), settings.Index(c.set.Tenants, spec.Tenant)
+	w.class, w.tenant = c.classIndex(spec), settings.Index(c.settings.Tenants, spec.Tenant)
 }
 
-// swap lets a copy that was started first take the place of the one that it replaces.
-func (c *Core) swap(w *wish) {
-	old := w.twinOf
+// replacePredecessor lets a copy that was started first take the place of the one that it replaces.
+func (c *Core) replacePredecessor(w *desiredReplica) {
+	old := w.predecessor
 	if old == nil {
 		return
 	}
-	w.twinOf, old.twin = nil, nil
-	w.svc.wishes[w.replica] = w
+	w.predecessor, old.successor = nil, nil
+	w.service.replicas[w.number] = w
 	old.removing = true
-	if old.state == placed && old.try != nil {
-		c.halt(old)
+	if old.state == placed && old.attempt != nil {
+		c.stopPlaced(old)
 	} else {
-		c.abandon(old)
-		c.drop(old)
+		c.cancelRequest(old)
+		c.removeReplica(old)
 	}
 }
 
-// rolledOut takes the news that a task under update is placed and has stood its time, or has not.
-func (c *Core) rolledOut(w *wish, well bool) {
-	if !well && w.twinOf != nil {
-		w.twinOf.twin, w.twinOf = nil, nil
+// reportUpdateResult takes the news that a task under update is placed and has stood its time, or has not.
+func (c *Core) reportUpdateResult(w *desiredReplica, well bool) {
+	if !well && w.predecessor != nil {
+		w.predecessor.successor, w.predecessor = nil, nil
 	}
-	svc := w.svc
+	svc := w.service
 	if !w.updating || svc.update == nil {
 		return
 	}
 	w.updating = false
 	svc.update.Done(c.now, well)
 	if well {
-		svc.replaced = append(svc.replaced, w)
+		svc.updated = append(svc.updated, w)
 	}
 	switch svc.update.Status() {
 	case rollingupdate.Paused, rollingupdate.RollingBack:
 		why := fmt.Sprintf("the update was stopped after %d tasks had failed", svc.update.Failed())
-		for _, q := range svc.queue {
-			c.outcome(q, OutcomeRejected, nil, why)
+		for _, q := range svc.updateQueue {
+			c.reportOutcome(q, OutcomeRejected, nil, why)
 		}
-		svc.queue = nil
+		svc.updateQueue = nil
 		if svc.update.Status() == rollingupdate.RollingBack {
 			c.rollBack(svc)
 		}
@@ -145,20 +145,20 @@
 	case rollingupdate.Complete:
 		svc.update = nil
 	default:
-		c.roll(svc)
+		c.continueUpdate(svc)
 	}
 }
 
 // rollBack puts back what an update has replaced, all at once.
 func (c *Core) rollBack(svc *service) {
 	c.log("update of %s/%s failed and is rolled back", svc.project.name, svc.name)
-	for _, w := range svc.replaced {
-		old := svc.before[w]
-		if old == nil || w.gone || w.state != placed {
+	for _, w := range svc.updated {
+		old := svc.previousSpecs[w]
+		if old == nil || w.removed || w.state != placed {
 			continue
 		}
-		w.next = old
-		c.halt(w)
+		w.nextSpec = old
+		c.stopPlaced(w)
 	}
-	svc.replaced = nil
+	svc.updated = nil
 }
