--- a/internal/scheduler/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -218,9 +218,9 @@
 	case forkhead.Fail:
 		c.finishRequest(a.Task, false, 0)
 	case forkhead.Withdraw:
-		k := c.requests[a.Task]
-		if k != nil && a.Attempt >= 0 && a.Attempt < len(k.attempts) && k.attempts[a.Attempt] != nil { // nil: vetoed
-			c.handleAttempt(k.attempts[a.Attempt], attempt.Abandoned, attemptDetail{})
+		request := c.requests[a.Task]
+		if request != nil && a.Attempt >= 0 && a.Attempt < len(request.attempts) && request.attempts[a.Attempt] != nil { // nil: vetoed
+			c.handleAttempt(request.attempts[a.Attempt], attempt.Abandoned, attemptDetail{})
 		}
 	case forkhead.Stop:
 		c.migrateTask(a.Task)
@@ -331,8 +331,8 @@
 	}
 	for _, p := range c.projects {
 		for _, svc := range p.services {
-			for _, w := range svc.replicas {
-				switch w.state {
+			for _, replica := range svc.replicas {
+				switch replica.state {
 				case placed:
 					s.TasksPlaced++
 				case awaitingRequest, requesting, awaitingDependencies:
@@ -341,8 +341,8 @@
 			}
 		}
 	}
-	for _, t := range c.attemptsByRef {
-		if t.phase() == attempt.Unknown {
+	for _, a := range c.attemptsByRef {
+		if a.phase() == attempt.Unknown {
 			s.AttemptsUnknown++
 		}
 	}
--- a/internal/scheduler/core/explain.go
+++ b/internal/scheduler/core/explain.go
@@ -15,15 +15,15 @@
 
 // explain says why a task cannot be placed, from what this placer sees and what hosts said.
 // hopeless says that no host of any kind could ever take it.
-func (c *Core) explain(w *desiredReplica) (reason string, hopeless bool) {
+func (c *Core) explain(replica *desiredReplica) (reason string, hopeless bool) {
 	m := &c.settings.Module
-	class := &m.Classes[w.class]
+	class := &m.Classes[replica.class]
 	fits := false
 	for i, k := range m.MachineTypes {
 		if class.MachineType >= 0 && class.MachineType != i {
 			continue
 		}
-		if w.spec.Cores <= k.Cores*m.CoresOvercommit && w.spec.Memory <= k.Memory*m.MemoryOvercommit {
+		if replica.spec.Cores <= k.Cores*m.CoresOvercommit && replica.spec.Memory <= k.Memory*m.MemoryOvercommit {
 			fits = true
 		}
 	}
@@ -32,7 +32,7 @@
 		if class.MachineType >= 0 {
 			where = c.settings.Kinds[class.MachineType]
 		}
-		return fmt.Sprintf("%g cores and %.4g GiB are more than %s has", w.spec.Cores, w.spec.Memory, where), true
+		return fmt.Sprintf("%g cores and %.4g GiB are more than %s has", replica.spec.Cores, replica.spec.Memory, where), true
 	}
 	var ready, kind, labelled, free int
 	for _, h := range c.hosts {
@@ -44,11 +44,11 @@
 			continue
 		}
 		kind++
-		if w.service.requiredLabels&^h.labels != 0 {
+		if replica.service.requiredLabels&^h.labels != 0 {
 			continue
 		}
 		labelled++
-		if c.reachedSpreadLimit(w, h) == "" {
+		if c.reachedSpreadLimit(replica, h) == "" {
 			free++
 		}
 	}
@@ -59,24 +59,24 @@
 		return "no host of kind " + c.settings.Kinds[class.MachineType] + " is ready", false
 	case labelled == 0:
 		var parts []string
-		for _, con := range w.spec.Constraints {
+		for _, con := range replica.spec.Constraints {
 			parts = append(parts, con.String())
 		}
-		for _, n := range w.spec.Near {
+		for _, n := range replica.spec.Near {
 			parts = append(parts, "near "+n.Service+" in one "+n.Place)
 		}
 		return "no ready host meets " + strings.Join(parts, ", "), false
 	case free == 0:
 		for _, h := range c.sortedHosts() {
-			if h.state() == forkhead.Ready && w.service.requiredLabels&^h.labels == 0 && (class.MachineType < 0 || class.MachineType == h.machineType) {
-				return "spread: " + c.reachedSpreadLimit(w, h) + ", and all that fit are at it", false
+			if h.state() == forkhead.Ready && replica.service.requiredLabels&^h.labels == 0 && (class.MachineType < 0 || class.MachineType == h.machineType) {
+				return "spread: " + c.reachedSpreadLimit(replica, h) + ", and all that fit are at it", false
 			}
 		}
 	}
-	if len(w.failureCounts) > 0 {
+	if len(replica.failureCounts) > 0 {
 		var parts []string
-		for _, why := range slices.Sorted(maps.Keys(w.failureCounts)) {
-			parts = append(parts, fmt.Sprintf("%s (%d)", why, w.failureCounts[why]))
+		for _, why := range slices.Sorted(maps.Keys(replica.failureCounts)) {
+			parts = append(parts, fmt.Sprintf("%s (%d)", why, replica.failureCounts[why]))
 		}
 		return "hosts did not take it: " + strings.Join(parts, ", "), false
 	}
@@ -84,10 +84,10 @@
 }
 
 // reachedSpreadLimit says which limit keeps the service's next task off a host, or "".
-func (c *Core) reachedSpreadLimit(w *desiredReplica, h *host) string {
-	class := &c.settings.Module.Classes[w.class]
+func (c *Core) reachedSpreadLimit(replica *desiredReplica, h *host) string {
+	class := &c.settings.Module.Classes[replica.class]
 	var most forkhead.SpreadLimits
-	for _, l := range w.spec.Limits {
+	for _, l := range replica.spec.Limits {
 		tightenLimit(&most, spreadDomains[l.Place], l.Most)
 	}
 	if class.SpreadDomain != forkhead.AnyDomain {
@@ -99,8 +99,8 @@
 			continue
 		}
 		n := 0
-		for _, t := range c.liveAttempts[w.service.key] {
-			if invariant.SameDomain(place, t.host.forInvariants(), at) {
+		for _, a := range c.liveAttempts[replica.service.key] {
+			if invariant.SameDomain(place, a.host.forInvariants(), at) {
 				n++
 			}
 		}
--- a/internal/scheduler/core/hosts.go
+++ b/internal/scheduler/core/hosts.go
@@ -191,8 +191,8 @@
 // taken off the list is the operator's word that it is gone.
 func (c *Core) settleIfGone(h *host) {
 	if !h.listed && h.connection.State == hostconn.Down {
-		for _, t := range h.sortedAttempts() {
-			c.handleAttempt(t, attempt.HostRestarted, attemptDetail{})
+		for _, a := range h.sortedAttempts() {
+			c.handleAttempt(a, attempt.HostRestarted, attemptDetail{})
 		}
 	}
 }
@@ -209,8 +209,8 @@
 
 func (h *host) sortedAttempts() []*taskAttempt {
 	out := make([]*taskAttempt, 0, len(h.attempts))
-	for _, t := range h.attempts {
-		out = append(out, t)
+	for _, a := range h.attempts {
+		out = append(out, a)
 	}
 	slices.SortFunc(out, func(a, b *taskAttempt) int {
 		if a.ref.Task != b.ref.Task {
@@ -240,9 +240,9 @@
 		c.handleDisconnect(h)
 	}
 	if out.HostRestarted {
-		for _, t := range h.sortedAttempts() {
-			if t.hostEpoch < h.connection.Epoch && t.phase() != attempt.Waiting {
-				c.handleAttempt(t, attempt.HostRestarted, attemptDetail{})
+		for _, a := range h.sortedAttempts() {
+			if a.hostEpoch < h.connection.Epoch && a.phase() != attempt.Waiting {
+				c.handleAttempt(a, attempt.HostRestarted, attemptDetail{})
 			}
 		}
 	}
@@ -265,8 +265,8 @@
 // handleDisconnect tells all that a host's connection is gone.
 func (c *Core) handleDisconnect(h *host) {
 	h.synced, h.heldRefs = false, nil
-	for _, t := range h.sortedAttempts() {
-		c.handleAttempt(t, attempt.ConnectionLost, attemptDetail{})
+	for _, a := range h.sortedAttempts() {
+		c.handleAttempt(a, attempt.ConnectionLost, attemptDetail{})
 	}
 	for range h.probesSentAt {
 		c.notifyModule(forkhead.Probed{Machine: h.id, Result: forkhead.ConnectFailed})
@@ -287,9 +287,9 @@
 	if number != h.lostTimerSeq || h.usable() {
 		return
 	}
-	for _, t := range h.sortedAttempts() {
-		if t.phase() == attempt.Unreachable && t.request.Rules.ExpiresWhenUnreachable() {
-			c.handleAttempt(t, attempt.Expired, attemptDetail{})
+	for _, a := range h.sortedAttempts() {
+		if a.phase() == attempt.Unreachable && a.request.Rules.ExpiresWhenUnreachable() {
+			c.handleAttempt(a, attempt.Expired, attemptDetail{})
 		}
 	}
 }
@@ -297,8 +297,8 @@
 // handleFrame takes a handleFrame from a host.
 func (c *Core) handleFrame(h *host, f hostproto.Frame) {
 	h.lastFrameAt = c.now
-	if w, ok := f.(hostproto.Welcome); ok {
-		c.handleWelcome(h, w)
+	if welcome, ok := f.(hostproto.Welcome); ok {
+		c.handleWelcome(h, welcome)
 		return
 	}
 	if b, ok := f.(hostproto.Bye); ok {
@@ -313,33 +313,33 @@
 	case hostproto.Holds:
 		c.handleHolds(h, f)
 	case hostproto.Refused:
-		t := h.attempts[f.Ref]
-		if t == nil {
+		a := h.attempts[f.Ref]
+		if a == nil {
 			return
 		}
-		c.handleAttempt(t, attempt.RejectionInput(t.phase()), attemptDetail{reason: forkhead.RejectReason(f.Reason), report: toLoadReport(f.Report)})
+		c.handleAttempt(a, attempt.RejectionInput(a.phase()), attemptDetail{reason: forkhead.RejectReason(f.Reason), report: toLoadReport(f.Report)})
 	case hostproto.Accepted:
-		if t := h.attempts[f.Ref]; t != nil && !c.settings.Module.BoundWhenRunning {
-			c.handleAttempt(t, attempt.Accepted, attemptDetail{})
+		if a := h.attempts[f.Ref]; a != nil && !c.settings.Module.BoundWhenRunning {
+			c.handleAttempt(a, attempt.Accepted, attemptDetail{})
 		}
 	case hostproto.Running:
-		if t := h.attempts[f.Ref]; t != nil {
-			c.handleRunning(t, attempt.Accepted)
+		if a := h.attempts[f.Ref]; a != nil {
+			c.handleRunning(a, attempt.Accepted)
 		}
 	case hostproto.Note:
-		if t := h.attempts[f.Ref]; t != nil && t.phase() == attempt.Placed {
+		if a := h.attempts[f.Ref]; a != nil && a.phase() == attempt.Placed {
 			c.notifyModule(forkhead.Note{
-				Task: t.request.id, Attempt: t.number, Machine: t.machineID, Kind: forkhead.NoteKind(f.Kind), Amount: float64(f.Amount),
+				Task: a.request.id, Attempt: a.number, Machine: a.machineID, Kind: forkhead.NoteKind(f.Kind), Amount: float64(f.Amount),
 			})
 		}
 	case hostproto.Ended:
-		if t := h.attempts[f.Ref]; t != nil {
+		if a := h.attempts[f.Ref]; a != nil {
 			d := toAttemptDetail(f)
 			in := attempt.Ended
 			if f.Result == hostproto.Called {
 				in = attempt.Rejected
 			}
-			c.handleAttempt(t, in, d)
+			c.handleAttempt(a, in, d)
 		}
 	case hostproto.Probed:
 		if _, ok := h.probesSentAt[f.ID]; ok {
@@ -354,17 +354,17 @@
 }
 
 // handleRunning takes the news that a task runs.
-func (c *Core) handleRunning(t *taskAttempt, in attempt.Input) {
+func (c *Core) handleRunning(a *taskAttempt, in attempt.Input) {
 	if c.settings.Module.BoundWhenRunning {
-		c.handleAttempt(t, in, attemptDetail{})
+		c.handleAttempt(a, in, attemptDetail{})
 		return
 	}
-	if t.phase() != attempt.Placed {
-		c.handleAttempt(t, in, attemptDetail{})
+	if a.phase() != attempt.Placed {
+		c.handleAttempt(a, in, attemptDetail{})
 	}
-	if t.phase() == attempt.Placed && !t.running {
-		t.running = true
-		c.notifyModule(forkhead.Note{Task: t.request.id, Attempt: t.number, Machine: t.machineID, Kind: forkhead.NoteRunning})
+	if a.phase() == attempt.Placed && !a.running {
+		a.running = true
+		c.notifyModule(forkhead.Note{Task: a.request.id, Attempt: a.number, Machine: a.machineID, Kind: forkhead.NoteRunning})
 	}
 }
 
@@ -374,24 +374,24 @@
 	c.handleConnection(h, hostconn.Input{Kind: hostconn.Disconnected, Conn: h.connection.Conn})
 }
 
-func (c *Core) handleWelcome(h *host, w hostproto.Welcome) {
-	if w.Version != hostproto.Version || w.Host != h.name {
+func (c *Core) handleWelcome(h *host, welcome hostproto.Welcome) {
+	if welcome.Version != hostproto.Version || welcome.Host != h.name {
 		// Guards against an address that another host has by now.
-		c.closeForViolation(h, "it is "+w.Host+", or speaks another version")
+		c.closeForViolation(h, "it is "+welcome.Host+", or speaks another version")
 		return
 	}
 	if h.connection.State != hostconn.Handshaking {
 		c.closeForViolation(h, "a second Welcome")
 		return
 	}
-	c.handleConnection(h, hostconn.Input{Kind: hostconn.Welcomed, Conn: h.connection.Conn, Epoch: w.Epoch})
+	c.handleConnection(h, hostconn.Input{Kind: hostconn.Welcomed, Conn: h.connection.Conn, Epoch: welcome.Epoch})
 	if h.connection.State != hostconn.Up {
 		return
 	}
 	h.lostTimerSeq++
-	h.expectedHolds, h.heldRefs = int(w.Count), map[hostproto.Ref]bool{}
+	h.expectedHolds, h.heldRefs = int(welcome.Count), map[hostproto.Ref]bool{}
 	c.addTimer(&timer{at: c.now + c.settings.Links.LostAfter/2, kind: timerLiveness, host: h, number: uint64(h.connection.Conn)})
-	c.handleDrain(h, w.Draining)
+	c.handleDrain(h, welcome.Draining)
 	if h.expectedHolds == 0 {
 		c.completeSync(h)
 	}
@@ -407,13 +407,13 @@
 	for i := range f.Held {
 		held := &f.Held[i]
 		h.heldRefs[held.Ref] = true
-		switch t := h.attempts[held.Ref]; {
-		case t != nil && held.Phase == hostproto.InLine:
+		switch a := h.attempts[held.Ref]; {
+		case a != nil && held.Phase == hostproto.InLine:
 			c.sendFrame(h, hostproto.Withdraw{Ref: held.Ref}) // it was given up when the connection broke
-		case t != nil && held.Phase == hostproto.Starting:
-			c.handleAttempt(t, attempt.ListedByHost, attemptDetail{})
-		case t != nil:
-			c.handleRunning(t, attempt.ListedByHost)
+		case a != nil && held.Phase == hostproto.Starting:
+			c.handleAttempt(a, attempt.ListedByHost, attemptDetail{})
+		case a != nil:
+			c.handleRunning(a, attempt.ListedByHost)
 		case held.Ref.Epoch < c.epoch:
 			c.handleInherited(h, held)
 		case held.Ref.Epoch == c.epoch:
@@ -434,15 +434,15 @@
 		c.notifyModule(forkhead.ListUpdate{Mode: forkhead.ListDelta, Machines: []forkhead.Machine{h.forModule()}})
 	}
 	var refs []hostproto.Ref
-	for _, t := range h.sortedAttempts() {
-		switch p := t.phase(); {
+	for _, a := range h.sortedAttempts() {
+		switch p := a.phase(); {
 		case p == attempt.Waiting:
-			c.sendOffer(t)
-		case p == attempt.Placed && t.request.replica.stopRequested:
+			c.sendOffer(a)
+		case p == attempt.Placed && a.request.replica.stopRequested:
 			// Guards against a stop that was called for while its host was still telling what it holds.
-			c.sendFrame(h, hostproto.Stop{Ref: t.ref, Grace: t.request.replica.stopGrace()})
-		case !p.IsSettled() && !h.heldRefs[t.ref] && t.hostEpoch == h.connection.Epoch && t.conn != h.connection.Conn:
-			refs = append(refs, t.ref)
+			c.sendFrame(h, hostproto.Stop{Ref: a.ref, Grace: a.request.replica.stopGrace()})
+		case !p.IsSettled() && !h.heldRefs[a.ref] && a.hostEpoch == h.connection.Epoch && a.conn != h.connection.Conn:
+			refs = append(refs, a.ref)
 		}
 	}
 	h.heldRefs = nil
--- a/internal/scheduler/core/inherit.go
+++ b/internal/scheduler/core/inherit.go
@@ -23,7 +23,7 @@
 		c.log("host %s runs %q, of a class or name unknown here; it is left alone", h.name, spec.Name)
 		return
 	}
-	replica, err := strconv.Atoi(parts[2])
+	number, err := strconv.Atoi(parts[2])
 	if err != nil {
 		c.log("host %s runs %q, which has no number; it is left alone", h.name, spec.Name)
 		return
@@ -42,26 +42,26 @@
 		svc = &service{project: p, name: parts[1], key: spec.Service, replicas: map[int]*desiredReplica{}, specLost: true, previousSpecs: map[*desiredReplica]*servicespec.Service{}}
 		p.services[parts[1]] = svc
 	}
-	w := svc.replicas[replica]
-	if w != nil && !svc.specLost {
-		wanted := (w.state == awaitingRequest || w.state == awaitingDependencies || w.state == requesting) && !w.removing
-		if w.taskKey|1 != spec.Key|1 {
+	replica := svc.replicas[number]
+	if replica != nil && !svc.specLost {
+		wanted := (replica.state == awaitingRequest || replica.state == awaitingDependencies || replica.state == requesting) && !replica.removing
+		if replica.taskKey|1 != spec.Key|1 {
 			c.sendFrame(h, hostproto.Stop{Ref: held.Ref})
 			return
 		}
-		if !attempt.ShouldAdopt(wanted, w.request != nil && w.request.HasAttemptInFlight()) {
-			c.stopInherited(w, h, held)
+		if !attempt.ShouldAdopt(wanted, replica.request != nil && replica.request.HasAttemptInFlight()) {
+			c.stopInherited(replica, h, held)
 			return
 		}
-		same := w.fingerprint == spec.Fingerprint
-		c.adopt(w, h, held.Ref, h.connection.Epoch, h.connection.Conn, c.attemptRules(class))
+		same := replica.fingerprint == spec.Fingerprint
+		c.adopt(replica, h, held.Ref, h.connection.Epoch, h.connection.Conn, c.attemptRules(class))
 		if !same {
-			c.log("%s runs on %s as an earlier make; submit the project again to replace it", w.name, h.name)
+			c.log("%s runs on %s as an earlier make; submit the project again to replace it", replica.name, h.name)
 		}
 		return
 	}
-	if w != nil {
-		c.stopInherited(w, h, held)
+	if replica != nil {
+		c.stopInherited(replica, h, held)
 		return
 	}
 	if !svc.specLost {
@@ -73,39 +73,39 @@
 		Name: svc.name, Class: spec.Class, Tenant: spec.Tenant, Replicas: 1, Life: spec.Life,
 		Cores: float64(spec.Cores) / 1000, Memory: float64(spec.Memory) / 1024,
 	}
-	w = &desiredReplica{
-		service: svc, number: replica, spec: own, class: class, tenant: settings.Index(c.settings.Tenants, spec.Tenant),
+	replica = &desiredReplica{
+		service: svc, number: number, spec: own, class: class, tenant: settings.Index(c.settings.Tenants, spec.Tenant),
 		fingerprint: spec.Fingerprint, taskKey: spec.Key, name: spec.Name, state: awaitingRequest, retrier: retrypolicy.Retrier{},
 	}
-	if w.taskKey != servicespec.Key(spec.Tenant, p.name, svc.name, replica) {
-		w.generation = 1
+	if replica.taskKey != servicespec.Key(spec.Tenant, p.name, svc.name, number) {
+		replica.generation = 1
 	}
-	svc.replicas[replica] = w
+	svc.replicas[number] = replica
 	c.replicaCount++
-	c.adopt(w, h, held.Ref, h.connection.Epoch, h.connection.Conn, c.attemptRules(class))
+	c.adopt(replica, h, held.Ref, h.connection.Epoch, h.connection.Conn, c.attemptRules(class))
 }
 
 // stopInherited stops what a host has run since an earlier life and its task no longer needs. Until the
 // host says that it is over it may run, whether the Stop arrives or not: what must not run twice is
 // not begun before. Guards against a Stop that is lost with its connection, found by random lives.
-func (c *Core) stopInherited(w *desiredReplica, h *host, held *hostproto.Held) {
+func (c *Core) stopInherited(replica *desiredReplica, h *host, held *hostproto.Held) {
 	// It began nobody knows when: no window of its key is left.
-	t := c.addUnknownAttempt(w, h, held.Ref, h.connection.Epoch, c.now-c.attemptRules(w.class).DedupWindow)
-	t.conn = h.connection.Conn
+	a := c.addUnknownAttempt(replica, h, held.Ref, h.connection.Epoch, c.now-c.attemptRules(replica.class).DedupWindow)
+	a.conn = h.connection.Conn
 	c.sendFrame(h, hostproto.Stop{Ref: held.Ref})
 }
 
 // addUnknownAttempt takes up an attempt that an earlier life made at a time: until its host says what became of it, it may run.
-func (c *Core) addUnknownAttempt(w *desiredReplica, h *host, ref hostproto.Ref, life uint64, at time.Duration) *taskAttempt {
-	k := c.newRequest(w)
-	k.Answer = attempt.AnsweredFailed
-	k.Attempts = []attempt.Attempt{{Host: attempt.HostID(h.id), Phase: attempt.Unknown, ChosenAt: at}}
-	t := &taskAttempt{request: k, host: h, machineID: h.id, ref: ref, hostEpoch: life}
-	k.attempts = []*taskAttempt{t}
-	c.indexAttempt(t)
-	if c.unknownAttempts[w.taskKey] == nil {
-		c.unknownAttempts[w.taskKey] = map[*taskAttempt]bool{}
+func (c *Core) addUnknownAttempt(replica *desiredReplica, h *host, ref hostproto.Ref, life uint64, at time.Duration) *taskAttempt {
+	request := c.newRequest(replica)
+	request.Answer = attempt.AnsweredFailed
+	request.Attempts = []attempt.Attempt{{Host: attempt.HostID(h.id), Phase: attempt.Unknown, ChosenAt: at}}
+	a := &taskAttempt{request: request, host: h, machineID: h.id, ref: ref, hostEpoch: life}
+	request.attempts = []*taskAttempt{a}
+	c.indexAttempt(a)
+	if c.unknownAttempts[replica.taskKey] == nil {
+		c.unknownAttempts[replica.taskKey] = map[*taskAttempt]bool{}
 	}
-	c.unknownAttempts[w.taskKey][t] = true
-	return t
+	c.unknownAttempts[replica.taskKey][a] = true
+	return a
 }
--- a/internal/scheduler/core/labels.go
+++ b/internal/scheduler/core/labels.go
@@ -70,8 +70,8 @@
 	if err != nil {
 		return false
 	}
-	for _, t := range c.liveAttempts[key] {
-		if t.phase() == attempt.Placed && invariant.SameDomain(place, t.host.forInvariants(), h.forInvariants()) {
+	for _, a := range c.liveAttempts[key] {
+		if a.phase() == attempt.Placed && invariant.SameDomain(place, a.host.forInvariants(), h.forInvariants()) {
 			return true
 		}
 	}
--- a/internal/scheduler/core/projects.go
+++ b/internal/scheduler/core/projects.go
@@ -65,13 +65,13 @@
 	since  time.Duration
 }
 
-func (s *submission) addOutcome(c *Core, w *desiredReplica, o Outcome) {
+func (s *submission) addOutcome(c *Core, replica *desiredReplica, o Outcome) {
 	if c.durable {
 		text, err := json.Marshal(o)
 		if err != nil {
 			c.reportDefect("an outcome has no form to be kept in: %v", err)
 		}
-		c.persist(durable.OutcomeReported{SubmissionID: s.id, Index: len(s.outcomes), Outcome: text, Task: w.durableTask(o.Outcome, o.Outcome != OutcomePlaced)})
+		c.persist(durable.OutcomeReported{SubmissionID: s.id, Index: len(s.outcomes), Outcome: text, Task: replica.durableTask(o.Outcome, o.Outcome != OutcomePlaced)})
 	}
 	s.outcomes = append(s.outcomes, o)
 	if s.complete() {
@@ -252,13 +252,13 @@
 		svc.key = servicespec.ServiceKey(spec.Tenant, p.name, spec.Name)
 		svc.update, svc.updateQueue, svc.updated, svc.previousSpecs = nil, nil, nil, map[*desiredReplica]*servicespec.Service{}
 		for r := 1; r <= spec.Replicas; r++ {
-			if w := c.claimReplica(svc, r, s); w != nil {
-				fresh = append(fresh, w)
+			if replica := c.claimReplica(svc, r, s); replica != nil {
+				fresh = append(fresh, replica)
 			}
 		}
-		for _, w := range svc.sortedReplicas() {
-			if w.number > spec.Replicas {
-				c.stopAndRemove(w)
+		for _, replica := range svc.sortedReplicas() {
+			if replica.number > spec.Replicas {
+				c.stopAndRemove(replica)
 			}
 		}
 		if n := len(svc.updateQueue); n > 0 {
@@ -274,8 +274,8 @@
 		p.services[d.Services[i].Name].applying = false
 	}
 	// Only now are all services known, and with them what depends on what.
-	for _, w := range fresh {
-		c.startIfReady(w)
+	for _, replica := range fresh {
+		c.startIfReady(replica)
 	}
 	for i := range d.Services {
 		if svc := p.services[d.Services[i].Name]; svc != nil {
@@ -285,99 +285,99 @@
 }
 
 // claimReplica makes a submission the one that is told of a task. It returns a wish that is new.
-func (c *Core) claimReplica(svc *service, replica int, s *submission) *desiredReplica {
-	w := svc.replicas[replica]
+func (c *Core) claimReplica(svc *service, number int, s *submission) *desiredReplica {
+	replica := svc.replicas[number]
 	cl := &pendingOutcome{submission: s, since: c.now}
 	print := svc.spec.Fingerprint()
-	if w != nil && w.state == finished {
-		c.removeReplica(w)
-		w = nil
+	if replica != nil && replica.state == finished {
+		c.removeReplica(replica)
+		replica = nil
 	}
-	if w != nil && w.removing {
+	if replica != nil && replica.removing {
 		// It is on its way out. Guards against a second copy, under the same key, beside one that has
 		// not ended yet: the new one follows it.
-		w.removing = false
-		w.pending, w.nextSpec = cl, svc.spec
-		c.awaitOldCopyEnd(w)
+		replica.removing = false
+		replica.pending, replica.nextSpec = cl, svc.spec
+		c.awaitOldCopyEnd(replica)
 		return nil
 	}
-	if w == nil {
-		w = c.newReplica(svc, replica, svc.spec)
-		w.pending = cl
-		return w
+	if replica == nil {
+		replica = c.newReplica(svc, number, svc.spec)
+		replica.pending = cl
+		return replica
 	}
-	if w.pending != nil {
-		c.reportOutcome(w, OutcomeRejected, nil, "a later submission has taken its place")
+	if replica.pending != nil {
+		c.reportOutcome(replica, OutcomeRejected, nil, "a later submission has taken its place")
 	}
-	w.pending = cl
+	replica.pending = cl
 	switch {
-	case w.state == placed && w.fingerprint == print:
-		w.spec = svc.spec
-		c.reportOutcome(w, OutcomePlaced, w.attempt.host, "it runs already")
-	case w.state == placed:
-		svc.updateQueue = append(svc.updateQueue, w)
+	case replica.state == placed && replica.fingerprint == print:
+		replica.spec = svc.spec
+		c.reportOutcome(replica, OutcomePlaced, replica.attempt.host, "it runs already")
+	case replica.state == placed:
+		svc.updateQueue = append(svc.updateQueue, replica)
 	default:
-		c.cancelRequest(w)
-		c.setSpec(w, svc.spec)
-		w.state = awaitingDependencies
-		return w
+		c.cancelRequest(replica)
+		c.setSpec(replica, svc.spec)
+		replica.state = awaitingDependencies
+		return replica
 	}
 	return nil
 }
 
-func (c *Core) newReplica(svc *service, replica int, spec *servicespec.Service) *desiredReplica {
-	w := &desiredReplica{
-		service: svc, number: replica, spec: spec, class: c.classIndex(spec), tenant: settings.Index(c.settings.Tenants, spec.Tenant),
-		fingerprint: spec.Fingerprint(), name: svc.project.name + "/" + svc.name + "/" + strconv.Itoa(replica),
+func (c *Core) newReplica(svc *service, number int, spec *servicespec.Service) *desiredReplica {
+	replica := &desiredReplica{
+		service: svc, number: number, spec: spec, class: c.classIndex(spec), tenant: settings.Index(c.settings.Tenants, spec.Tenant),
+		fingerprint: spec.Fingerprint(), name: svc.project.name + "/" + svc.name + "/" + strconv.Itoa(number),
 	}
-	w.taskKey = taskKey(svc, spec, replica, 0)
-	if old := svc.replicas[replica]; old != nil {
-		w.generation = old.generation + 1
-		w.taskKey = taskKey(svc, spec, replica, w.generation)
+	replica.taskKey = taskKey(svc, spec, number, 0)
+	if old := svc.replicas[number]; old != nil {
+		replica.generation = old.generation + 1
+		replica.taskKey = taskKey(svc, spec, number, replica.generation)
 	} else {
-		svc.replicas[replica] = w
+		svc.replicas[number] = replica
 	}
 	c.replicaCount++
-	return w
+	return replica
 }
 
 // taskKey is a task's key. A copy that is started before the old one stops has another, so that
 // its host does not take it for a repeat.
-func taskKey(svc *service, spec *servicespec.Service, replica, generation int) uint64 {
-	return servicespec.Key(spec.Tenant, svc.project.name, svc.name, replica) ^ uint64(generation&1)
+func taskKey(svc *service, spec *servicespec.Service, number, generation int) uint64 {
+	return servicespec.Key(spec.Tenant, svc.project.name, svc.name, number) ^ uint64(generation&1)
 }
 
 // stopAndRemove ends a task that its project no longer has.
-func (c *Core) stopAndRemove(w *desiredReplica) {
-	if w.removed || w.removing {
+func (c *Core) stopAndRemove(replica *desiredReplica) {
+	if replica.removed || replica.removing {
 		return
 	}
-	if w.successor != nil {
-		c.stopAndRemove(w.successor)
+	if replica.successor != nil {
+		c.stopAndRemove(replica.successor)
 	}
-	if w.pending != nil {
-		c.reportOutcome(w, OutcomeRejected, nil, "a later submission has taken its place")
+	if replica.pending != nil {
+		c.reportOutcome(replica, OutcomeRejected, nil, "a later submission has taken its place")
 	}
-	w.removing = true
-	if w.state == placed && w.attempt != nil {
-		c.stopPlaced(w)
+	replica.removing = true
+	if replica.state == placed && replica.attempt != nil {
+		c.stopPlaced(replica)
 		return
 	}
-	c.cancelRequest(w)
-	c.removeReplica(w)
+	c.cancelRequest(replica)
+	c.removeReplica(replica)
 }
 
 // stopPlaced stops a placed task for its project's sake.
-func (c *Core) stopPlaced(w *desiredReplica) {
-	w.stopRequested = true
-	if t := w.attempt; t.phase() == attempt.Placed && t.host.usable() {
-		c.sendFrame(t.host, hostproto.Stop{Ref: t.ref, Grace: w.stopGrace()})
+func (c *Core) stopPlaced(replica *desiredReplica) {
+	replica.stopRequested = true
+	if a := replica.attempt; a.phase() == attempt.Placed && a.host.usable() {
+		c.sendFrame(a.host, hostproto.Stop{Ref: a.ref, Grace: replica.stopGrace()})
 	}
 }
 
 func (c *Core) removeService(svc *service) {
-	for _, w := range svc.sortedReplicas() {
-		c.stopAndRemove(w)
+	for _, replica := range svc.sortedReplicas() {
+		c.stopAndRemove(replica)
 	}
 	c.pruneService(svc)
 }
@@ -439,20 +439,20 @@
 // ---- Dependencies.
 
 // startIfReady starts a wish whose service's dependencies are met, or refuses it if they cannot be.
-func (c *Core) startIfReady(w *desiredReplica) {
-	if w.state != awaitingDependencies || w.removed {
+func (c *Core) startIfReady(replica *desiredReplica) {
+	if replica.state != awaitingDependencies || replica.removed {
 		return
 	}
-	ready, why := c.dependencyState(w.service)
+	ready, why := c.dependencyState(replica.service)
 	switch {
 	case why != "":
-		w.rejected, w.reason = true, why
-		if w.service.failureReason == "" {
-			w.service.failureReason = why
+		replica.rejected, replica.reason = true, why
+		if replica.service.failureReason == "" {
+			replica.service.failureReason = why
 		}
-		c.giveUp(w)
+		c.giveUp(replica)
 	case ready:
-		c.startRequesting(w)
+		c.startRequesting(replica)
 	}
 }
 
@@ -488,14 +488,14 @@
 		return false, "was not placed"
 	}
 	met = true
-	for _, w := range s.replicas {
+	for _, replica := range s.replicas {
 		switch {
-		case w.state == finished && !w.succeeded:
+		case replica.state == finished && !replica.succeeded:
 			return false, "has failed"
-		case w.state == finished:
+		case replica.state == finished:
 		case when == servicespec.Completed:
 			met = false
-		case w.state != placed:
+		case replica.state != placed:
 			met = false
 		}
 	}
@@ -514,8 +514,8 @@
 			if dep.Service != svc.name {
 				continue
 			}
-			for _, w := range other.sortedReplicas() {
-				c.startIfReady(w)
+			for _, replica := range other.sortedReplicas() {
+				c.startIfReady(replica)
 			}
 			break
 		}
--- a/internal/scheduler/core/restore.go
+++ b/internal/scheduler/core/restore.go
@@ -22,29 +22,29 @@
 }
 
 // durableTask is what is noted of a wish.
-func (w *desiredReplica) durableTask(word string, over bool) durable.Task {
-	return durable.Task{Project: w.service.project.name, Service: w.service.name, Replica: w.number, Outcome: word, Finished: over}
+func (replica *desiredReplica) durableTask(word string, over bool) durable.Task {
+	return durable.Task{Project: replica.service.project.name, Service: replica.service.name, Replica: replica.number, Outcome: word, Finished: over}
 }
 
 // persistFinished notes that a task has ended for good.
-func (c *Core) persistFinished(w *desiredReplica) {
+func (c *Core) persistFinished(replica *desiredReplica) {
 	word := OutcomeFailed
-	if w.succeeded {
+	if replica.succeeded {
 		word = OutcomePlaced
 	}
-	c.persist(durable.TaskFinished{Task: w.durableTask(word, true)})
+	c.persist(durable.TaskFinished{Task: replica.durableTask(word, true)})
 }
 
 // persistAttempt notes an attempt that must not be made twice. A safe one is not noted: to make it again does no harm, and the
 // note would cost its start an fsync.
 func (c *Core) persistAttempt(t *taskAttempt) {
-	w := t.request.replica
-	if !c.durable || t.request.Rules.Effect == forkhead.Safe || w.service.specLost {
+	replica := t.request.replica
+	if !c.durable || t.request.Rules.Effect == forkhead.Safe || replica.service.specLost {
 		return
 	}
 	t.persisted = true
 	c.persist(durable.AttemptOffered{Attempt: durable.Attempt{
-		Ref: t.ref, TaskKey: w.taskKey, Project: w.service.project.name, Service: w.service.name, Replica: w.number, Class: c.settings.Classes[w.class].Name,
+		Ref: t.ref, TaskKey: replica.taskKey, Project: replica.service.project.name, Service: replica.service.name, Replica: replica.number, Class: c.settings.Classes[replica.class].Name,
 		Host: t.host.name, Address: t.host.connection.Address, HostEpoch: t.hostEpoch, ChosenAt: t.request.Attempts[t.number].ChosenAt,
 	}})
 }
@@ -74,8 +74,8 @@
 		c.restoreAttempt(&k.Attempts[i])
 	}
 	c.restoreHostList(&k.HostList)
-	for _, w := range held {
-		c.startIfReady(w)
+	for _, replica := range held {
+		c.startIfReady(replica)
 	}
 }
 
@@ -147,19 +147,19 @@
 				svc.failureReason = "was not placed"
 				continue
 			}
-			w := c.newReplica(svc, r, spec)
-			w.recovered = true
+			replica := c.newReplica(svc, r, spec)
+			replica.recovered = true
 			switch {
 			case told && t.Finished:
-				w.state, w.succeeded = finished, true
+				replica.state, replica.succeeded = finished, true
 			case told || sub == nil:
 				// Its outcome is told: it is to run, and most likely does.
-				w.placements = 1
-				w.retrier.Begin(c.now + noDeadline)
-				c.requestAt(w, c.now)
+				replica.placements = 1
+				replica.retrier.Begin(c.now + noDeadline)
+				c.requestAt(replica, c.now)
 			default:
-				w.pending = &pendingOutcome{submission: sub, since: sub.acceptedAt}
-				held = append(held, w)
+				replica.pending = &pendingOutcome{submission: sub, since: sub.acceptedAt}
+				held = append(held, replica)
 			}
 		}
 	}
@@ -169,11 +169,11 @@
 // restoreAttempt makes an attempt of an earlier life unknown: its task waits, as its class says, until its host has said
 // what became of it.
 func (c *Core) restoreAttempt(a *durable.Attempt) {
-	var w *desiredReplica
+	var replica *desiredReplica
 	if p := c.projects[a.Project]; p != nil && p.services[a.Service] != nil {
-		w = p.services[a.Service].replicas[a.Replica]
+		replica = p.services[a.Service].replicas[a.Replica]
 	}
-	if w == nil || w.state == finished {
+	if replica == nil || replica.state == finished {
 		// Nobody wants the task any more: what its host still runs of it is stopped when it shows.
 		c.persist(durable.AttemptResolved{Ref: a.Ref})
 		return
@@ -191,5 +191,5 @@
 		c.hostsByID[h.id] = h
 	}
 	h.connection.Epoch = max(h.connection.Epoch, a.HostEpoch)
-	c.addUnknownAttempt(w, h, a.Ref, a.HostEpoch, a.ChosenAt).persisted = true
+	c.addUnknownAttempt(replica, h, a.Ref, a.HostEpoch, a.ChosenAt).persisted = true
 }
--- a/internal/scheduler/core/tasks.go
+++ b/internal/scheduler/core/tasks.go
@@ -65,78 +65,78 @@
 // ---- The owner's side.
 
 // startRequesting starts the wait for an outcome.
-func (c *Core) startRequesting(w *desiredReplica) {
-	patience := w.spec.Patience
+func (c *Core) startRequesting(replica *desiredReplica) {
+	patience := replica.spec.Patience
 	if patience == 0 {
-		patience = max(c.settings.Classes[w.class].Patience, w.spec.Wait)
+		patience = max(c.settings.Classes[replica.class].Patience, replica.spec.Wait)
 	}
 	from := c.now
-	if w.recovered && w.pending != nil {
-		from = min(w.pending.since, c.now) // its owner has waited since before this life; a clock may have been set back
-	}
-	w.retrier.Begin(max(from+patience, c.now+attempt.MinRequestTime))
-	w.preferencesDropped, w.failureCounts, w.reason = false, nil, ""
-	w.deadlineTimerSeq++
-	c.addTimer(&timer{at: w.retrier.Deadline, kind: timerOwnerDeadline, replica: w, number: w.deadlineTimerSeq})
-	c.requestAt(w, c.now)
+	if replica.recovered && replica.pending != nil {
+		from = min(replica.pending.since, c.now) // its owner has waited since before this life; a clock may have been set back
+	}
+	replica.retrier.Begin(max(from+patience, c.now+attempt.MinRequestTime))
+	replica.preferencesDropped, replica.failureCounts, replica.reason = false, nil, ""
+	replica.deadlineTimerSeq++
+	c.addTimer(&timer{at: replica.retrier.Deadline, kind: timerOwnerDeadline, replica: replica, number: replica.deadlineTimerSeq})
+	c.requestAt(replica, c.now)
 }
 
-func (c *Core) requestAt(w *desiredReplica, at time.Duration) {
-	w.state, w.blocked = awaitingRequest, false
-	w.requestTimerSeq++
+func (c *Core) requestAt(replica *desiredReplica, at time.Duration) {
+	replica.state, replica.blocked = awaitingRequest, false
+	replica.requestTimerSeq++
 	if at <= c.now {
-		c.requestNow(w)
+		c.requestNow(replica)
 		return
 	}
-	c.addTimer(&timer{at: at, kind: timerRequest, replica: w, number: w.requestTimerSeq})
+	c.addTimer(&timer{at: at, kind: timerRequest, replica: replica, number: replica.requestTimerSeq})
 }
 
 // requestNow puts the task before the module, unless it has to wait until it may be asked for.
-func (c *Core) requestNow(w *desiredReplica) {
-	if w.state != awaitingRequest || w.removed {
+func (c *Core) requestNow(replica *desiredReplica) {
+	if replica.state != awaitingRequest || replica.removed {
 		return
 	}
-	wait := w.spec.Wait
+	wait := replica.spec.Wait
 	if wait == 0 {
-		wait = c.settings.Classes[w.class].Wait
+		wait = c.settings.Classes[replica.class].Wait
 	}
-	if len(w.spec.Preferences) > 0 && !w.preferencesDropped {
-		wait = min(wait/4, c.settings.Module.Classes[w.class].LatencyObjective+attempt.MinRequestTime) // the rest is for an ask without
+	if len(replica.spec.Preferences) > 0 && !replica.preferencesDropped {
+		wait = min(wait/4, c.settings.Module.Classes[replica.class].LatencyObjective+attempt.MinRequestTime) // the rest is for an ask without
 	}
-	wait = min(wait, w.retrier.Deadline-c.now)
-	if w.blocked = c.mustWait(w, &wait); w.blocked {
-		c.blockedReplicas[w.taskKey] = w
+	wait = min(wait, replica.retrier.Deadline-c.now)
+	if replica.blocked = c.mustWait(replica, &wait); replica.blocked {
+		c.blockedReplicas[replica.taskKey] = replica
 		return
 	}
 	if wait <= 0 {
 		return
 	}
-	k := c.newRequest(w)
-	k.Deadline = c.now + wait
-	k.task.Timeout = wait
-	w.request, w.state = k, requesting
-	w.retrier.Requests++
+	request := c.newRequest(replica)
+	request.Deadline = c.now + wait
+	request.task.Timeout = wait
+	replica.request, replica.state = request, requesting
+	replica.retrier.Requests++
 	c.status.PlacementRequests++
-	c.addTimer(&timer{at: k.Deadline, kind: timerRequestDeadline, request: k})
-	c.notifyModule(forkhead.PlacementRequest{Task: k.task})
+	c.addTimer(&timer{at: request.Deadline, kind: timerRequestDeadline, request: request})
+	c.notifyModule(forkhead.PlacementRequest{Task: request.task})
 }
 
 // mustWait says whether a task may not be asked for yet, because an attempt of an earlier ask, or
 // of an earlier life of this placer, may run. It shortens an ask that must end before the hosts
 // forget its key.
-func (c *Core) mustWait(w *desiredReplica, wait *time.Duration) bool {
-	r := c.attemptRules(w.class)
-	if r.MustWaitForHosts(c.allHostsReported(), c.now >= c.hostReportDeadline()) || w.recovered && !c.allHostsReported() && c.now < c.hostReportDeadline() {
+func (c *Core) mustWait(replica *desiredReplica, wait *time.Duration) bool {
+	r := c.attemptRules(replica.class)
+	if r.MustWaitForHosts(c.allHostsReported(), c.now >= c.hostReportDeadline()) || replica.recovered && !c.allHostsReported() && c.now < c.hostReportDeadline() {
 		// Guards against starting again what an earlier life had started: hosts say what they run.
-		w.requestTimerSeq++
-		c.addTimer(&timer{at: min(c.hostReportDeadline(), c.now+attempt.MinRequestTime), kind: timerRequest, replica: w, number: w.requestTimerSeq})
+		replica.requestTimerSeq++
+		c.addTimer(&timer{at: min(c.hostReportDeadline(), c.now+attempt.MinRequestTime), kind: timerRequest, replica: replica, number: replica.requestTimerSeq})
 		return true
 	}
 	first := c.now
-	for t := range c.unknownAttempts[w.taskKey] {
-		first = min(first, t.request.Attempts[t.number].ChosenAt)
+	for a := range c.unknownAttempts[replica.taskKey] {
+		first = min(first, a.request.Attempts[a.number].ChosenAt)
 	}
-	most, ok := r.MayRequest(c.now, len(c.unknownAttempts[w.taskKey]), first)
+	most, ok := r.MayRequest(c.now, len(c.unknownAttempts[replica.taskKey]), first)
 	if most > 0 {
 		*wait = min(*wait, most)
 	}
@@ -145,10 +145,10 @@
 
 // repeatIsHarmful says whether an attempt of another ask that may run forbids to send one of this ask now.
 // Guards against what turns up after the ask began: a host that tells late what it runs.
-func (c *Core) repeatIsHarmful(k *placementRequest) bool {
-	for t := range c.unknownAttempts[k.replica.taskKey] {
-		if t.request != k && (k.Rules.Effect == forkhead.Unsafe ||
-			k.Rules.Effect == forkhead.Keyed && c.now >= t.request.Attempts[t.number].ChosenAt+k.Rules.DedupWindow) {
+func (c *Core) repeatIsHarmful(request *placementRequest) bool {
+	for a := range c.unknownAttempts[request.replica.taskKey] {
+		if a.request != request && (request.Rules.Effect == forkhead.Unsafe ||
+			request.Rules.Effect == forkhead.Keyed && c.now >= a.request.Attempts[a.number].ChosenAt+request.Rules.DedupWindow) {
 			return true
 		}
 	}
@@ -175,245 +175,245 @@
 
 // unblock lets a task be asked for that waited until it might.
 func (c *Core) unblock(key uint64) {
-	if w := c.blockedReplicas[key]; w != nil {
+	if replica := c.blockedReplicas[key]; replica != nil {
 		delete(c.blockedReplicas, key)
-		if w.blocked && w.state == awaitingRequest && !w.removed {
-			c.requestNow(w)
+		if replica.blocked && replica.state == awaitingRequest && !replica.removed {
+			c.requestNow(replica)
 		}
 	}
 }
 
 // handleUnplaced follows an ask that was refused or failed.
-func (c *Core) handleUnplaced(w *desiredReplica, refuse bool, retryAfter time.Duration) {
-	w.rejected = refuse
-	reason, hopeless := c.explain(w)
-	w.reason = reason
-	if w.removed || w.removing {
+func (c *Core) handleUnplaced(replica *desiredReplica, refuse bool, retryAfter time.Duration) {
+	replica.rejected = refuse
+	reason, hopeless := c.explain(replica)
+	replica.reason = reason
+	if replica.removed || replica.removing {
 		return
 	}
-	if hopeless && w.placements == 0 {
-		c.giveUp(w)
+	if hopeless && replica.placements == 0 {
+		c.giveUp(replica)
 		return
 	}
 	cause := retrypolicy.Rejected
 	if !refuse {
 		cause = retrypolicy.Failed
 	}
-	if len(w.spec.Preferences) > 0 && !w.preferencesDropped {
-		w.preferencesDropped = true
+	if len(replica.spec.Preferences) > 0 && !replica.preferencesDropped {
+		replica.preferencesDropped = true
 		cause = retrypolicy.Migrated
 	}
-	c.retry(w, cause, retryAfter, 0)
+	c.retry(replica, cause, retryAfter, 0)
 }
 
 // retry asks for a task once more after a while, or gives it up.
-func (c *Core) retry(w *desiredReplica, cause retrypolicy.Cause, advice, least time.Duration) {
-	r := c.attemptRules(w.class)
-	harm := len(c.unknownAttempts[w.taskKey]) > 0 && !r.RetryIsHarmless()
+func (c *Core) retry(replica *desiredReplica, cause retrypolicy.Cause, advice, least time.Duration) {
+	r := c.attemptRules(replica.class)
+	harm := len(c.unknownAttempts[replica.taskKey]) > 0 && !r.RetryIsHarmless()
 	event := retrypolicy.Event{Cause: cause, RepeatMayHarm: harm, RetryAfter: advice, MinWait: least}
-	at, ok := w.retrier.NextRetry(c.now, event, c.retryPolicy, c.rng.Float64())
-	if !ok && w.pending == nil && w.placements > 0 {
+	at, ok := replica.retrier.NextRetry(c.now, event, c.retryPolicy, c.rng.Float64())
+	if !ok && replica.pending == nil && replica.placements > 0 {
 		// It was placed once and its outcome is told: its project wants it back for good.
-		w.retrier.Begin(c.now + noDeadline)
+		replica.retrier.Begin(c.now + noDeadline)
 		at, ok = c.now+c.retryPolicy.MaxBackoff, true
 	}
 	if !ok {
-		if w.retrier.Deadline > c.now && (w.blocked || harm) {
+		if replica.retrier.Deadline > c.now && (replica.blocked || harm) {
 			// Until its fate is known, or its owner's time is over.
-			w.state, w.blocked = awaitingRequest, true
-			c.blockedReplicas[w.taskKey] = w
+			replica.state, replica.blocked = awaitingRequest, true
+			c.blockedReplicas[replica.taskKey] = replica
 			return
 		}
-		c.giveUp(w)
+		c.giveUp(replica)
 		return
 	}
-	c.requestAt(w, at)
+	c.requestAt(replica, at)
 }
 
 const noDeadline = 10 * 365 * 24 * time.Hour
 
 // handleOwnerTimeout ends the wait of an owner whose time is over.
-func (c *Core) handleOwnerTimeout(w *desiredReplica) {
-	if w.state == finished || w.removed {
+func (c *Core) handleOwnerTimeout(replica *desiredReplica) {
+	if replica.state == finished || replica.removed {
 		return
 	}
-	if w.state == placed {
-		if w.nextSpec != nil { // the old copy has not ended: nothing was offered for the new one
-			c.reportOutcome(w, OutcomeRejected, nil, "its earlier copy on "+w.attempt.host.name+" has not ended")
-			w.nextSpec, w.removing = nil, true
-			c.reportUpdateResult(w, false)
+	if replica.state == placed {
+		if replica.nextSpec != nil { // the old copy has not ended: nothing was offered for the new one
+			c.reportOutcome(replica, OutcomeRejected, nil, "its earlier copy on "+replica.attempt.host.name+" has not ended")
+			replica.nextSpec, replica.removing = nil, true
+			c.reportUpdateResult(replica, false)
 		}
 		return
 	}
-	if w.pending == nil {
+	if replica.pending == nil {
 		return
 	}
-	if w.state == requesting {
+	if replica.state == requesting {
 		return // the ask ends by now too, and with it the wait
 	}
-	if w.reason == "" {
-		w.reason, _ = c.explain(w)
+	if replica.reason == "" {
+		replica.reason, _ = c.explain(replica)
 	}
-	c.giveUp(w)
+	c.giveUp(replica)
 }
 
 // giveUp tells the outcome of a task that was not placed.
-func (c *Core) giveUp(w *desiredReplica) {
-	r := c.attemptRules(w.class)
+func (c *Core) giveUp(replica *desiredReplica) {
+	r := c.attemptRules(replica.class)
 	word := OutcomeRejected
-	if !r.RejectionIsHarmless(w.rejected, w.offerCount > 0, len(c.unknownAttempts[w.taskKey])) {
+	if !r.RejectionIsHarmless(replica.rejected, replica.offerCount > 0, len(c.unknownAttempts[replica.taskKey])) {
 		word = OutcomeFailed
 	}
-	if len(c.unknownAttempts[w.taskKey]) > 0 && !r.RetryIsHarmless() {
+	if len(c.unknownAttempts[replica.taskKey]) > 0 && !r.RetryIsHarmless() {
 		var names []string
-		for t := range c.unknownAttempts[w.taskKey] {
-			names = append(names, t.host.name)
+		for a := range c.unknownAttempts[replica.taskKey] {
+			names = append(names, a.host.name)
 		}
 		slices.Sort(names)
-		w.reason = "an attempt at " + strings.Join(names, ", ") + " may have run, and nothing was heard of it since"
+		replica.reason = "an attempt at " + strings.Join(names, ", ") + " may have run, and nothing was heard of it since"
 	}
-	c.reportOutcome(w, word, nil, w.reason)
-	w.service.failureReason = w.reason
-	c.removeReplica(w)
+	c.reportOutcome(replica, word, nil, replica.reason)
+	replica.service.failureReason = replica.reason
+	c.removeReplica(replica)
 }
 
 // handleBound follows a task's placement.
-func (c *Core) handleBound(w *desiredReplica, t *taskAttempt) {
-	if w.removed || w.removing {
-		c.sendFrame(t.host, hostproto.Stop{Ref: t.ref, Grace: w.stopGrace()})
-		w.state, w.attempt, w.request = placed, t, nil
+func (c *Core) handleBound(replica *desiredReplica, a *taskAttempt) {
+	if replica.removed || replica.removing {
+		c.sendFrame(a.host, hostproto.Stop{Ref: a.ref, Grace: replica.stopGrace()})
+		replica.state, replica.attempt, replica.request = placed, a, nil
 		return
 	}
-	w.state, w.attempt, w.request = placed, t, nil
-	w.retrier.Placed()
-	w.recovered = false
-	w.placements++
-	c.reportOutcome(w, OutcomePlaced, t.host, "")
-	c.replacePredecessor(w)
-	if m := w.spec.Update.Monitor; w.updating && m > 0 {
-		w.monitorTimerSeq++
-		c.addTimer(&timer{at: c.now + m, kind: timerMonitorEnd, replica: w, number: w.monitorTimerSeq})
+	replica.state, replica.attempt, replica.request = placed, a, nil
+	replica.retrier.Placed()
+	replica.recovered = false
+	replica.placements++
+	c.reportOutcome(replica, OutcomePlaced, a.host, "")
+	c.replacePredecessor(replica)
+	if m := replica.spec.Update.Monitor; replica.updating && m > 0 {
+		replica.monitorTimerSeq++
+		c.addTimer(&timer{at: c.now + m, kind: timerMonitorEnd, replica: replica, number: replica.monitorTimerSeq})
 	} else {
-		c.reportUpdateResult(w, true)
+		c.reportUpdateResult(replica, true)
 	}
-	c.startDependents(w.service)
+	c.startDependents(replica.service)
 }
 
 // handleLost follows the loss of a placed task.
-func (c *Core) handleLost(w *desiredReplica, t *taskAttempt, cause retrypolicy.Cause) {
-	if w.attempt != t {
+func (c *Core) handleLost(replica *desiredReplica, a *taskAttempt, cause retrypolicy.Cause) {
+	if replica.attempt != a {
 		return
 	}
-	w.attempt, w.stopRequested = nil, false
-	if w.nextSpec == nil {
-		w.monitorTimerSeq++
-		c.reportUpdateResult(w, false)
+	replica.attempt, replica.stopRequested = nil, false
+	if replica.nextSpec == nil {
+		replica.monitorTimerSeq++
+		c.reportUpdateResult(replica, false)
 	}
 	switch {
-	case w.removed || w.removing:
-		c.removeReplica(w)
-	case w.nextSpec != nil:
-		c.finishReplacement(w)
-	case c.replaceIfQueued(w):
-	case w.spec == nil || w.service.specLost:
-		c.removeReplica(w) // nobody knows any more what it was made of
-	case w.placements >= c.settings.Owner.Lives:
-		c.log("task %s was placed %d times and is given up", w.name, w.placements)
-		c.persistFinished(w)
-		c.removeReplica(w)
+	case replica.removed || replica.removing:
+		c.removeReplica(replica)
+	case replica.nextSpec != nil:
+		c.finishReplacement(replica)
+	case c.replaceIfQueued(replica):
+	case replica.spec == nil || replica.service.specLost:
+		c.removeReplica(replica) // nobody knows any more what it was made of
+	case replica.placements >= c.settings.Owner.Lives:
+		c.log("task %s was placed %d times and is given up", replica.name, replica.placements)
+		c.persistFinished(replica)
+		c.removeReplica(replica)
 	default:
-		w.retrier.Begin(c.now + noDeadline)
-		w.failureCounts = nil
-		c.retry(w, cause, 0, 0)
+		replica.retrier.Begin(c.now + noDeadline)
+		replica.failureCounts = nil
+		c.retry(replica, cause, 0, 0)
 	}
 }
 
 // handleEnded follows the end of a placed task that its host told.
-func (c *Core) handleEnded(w *desiredReplica, t *taskAttempt, d attemptDetail) {
-	if w.attempt != t {
+func (c *Core) handleEnded(replica *desiredReplica, a *taskAttempt, d attemptDetail) {
+	if replica.attempt != a {
 		return
 	}
 	switch {
-	case w.removing, w.nextSpec != nil, w.spec == nil, w.service.specLost:
-		c.handleLost(w, t, retrypolicy.Ended)
+	case replica.removing, replica.nextSpec != nil, replica.spec == nil, replica.service.specLost:
+		c.handleLost(replica, a, retrypolicy.Ended)
 		return
-	case d.result == forkhead.Withdrawn || t.migrating:
-		c.handleLost(w, t, retrypolicy.Migrated)
+	case d.result == forkhead.Withdrawn || a.migrating:
+		c.handleLost(replica, a, retrypolicy.Migrated)
 		return
 	case d.result == forkhead.Reset:
 		cause := retrypolicy.Evicted
 		if d.reason == forkhead.Dismissed {
 			cause = retrypolicy.Lost
 		}
-		c.handleLost(w, t, cause)
+		c.handleLost(replica, a, cause)
 		return
 	}
-	if w.attempt = nil; c.replaceIfQueued(w) {
+	if replica.attempt = nil; c.replaceIfQueued(replica) {
 		return
 	}
 	well := d.result == forkhead.OK
-	r := &w.spec.Restart
-	want := r.When == servicespec.Always && !w.spec.Mode.Job() || r.When != servicespec.Never && !well
+	r := &replica.spec.Restart
+	want := r.When == servicespec.Always && !replica.spec.Mode.Job() || r.When != servicespec.Never && !well
 	if r.Most > 0 && want {
 		if r.Window > 0 {
-			w.restartTimes = slices.DeleteFunc(w.restartTimes, func(at time.Duration) bool { return at <= c.now-r.Window })
+			replica.restartTimes = slices.DeleteFunc(replica.restartTimes, func(at time.Duration) bool { return at <= c.now-r.Window })
 		}
-		if want = len(w.restartTimes) < r.Most; want {
-			w.restartTimes = append(w.restartTimes, c.now)
+		if want = len(replica.restartTimes) < r.Most; want {
+			replica.restartTimes = append(replica.restartTimes, c.now)
 		}
 	}
 	if !want {
-		w.state, w.succeeded = finished, well
-		c.persistFinished(w)
-		c.startDependents(w.service)
+		replica.state, replica.succeeded = finished, well
+		c.persistFinished(replica)
+		c.startDependents(replica.service)
 		return
 	}
-	w.monitorTimerSeq++
-	c.reportUpdateResult(w, well)
-	w.retrier.Begin(c.now + noDeadline)
-	c.retry(w, retrypolicy.Ended, 0, r.Delay)
+	replica.monitorTimerSeq++
+	c.reportUpdateResult(replica, well)
+	replica.retrier.Begin(c.now + noDeadline)
+	c.retry(replica, retrypolicy.Ended, 0, r.Delay)
 }
 
 // reportOutcome tells the one reportOutcome that is owed for a task, if one is.
-func (c *Core) reportOutcome(w *desiredReplica, word string, h *host, reason string) {
-	if w.pending == nil {
+func (c *Core) reportOutcome(replica *desiredReplica, word string, h *host, reason string) {
+	if replica.pending == nil {
 		return
 	}
-	cl := w.pending
-	w.pending = nil
+	cl := replica.pending
+	replica.pending = nil
 	o := Outcome{
-		Service: w.service.name, Replica: w.number, Outcome: word, Reason: reason, Attempts: w.offerCount,
+		Service: replica.service.name, Replica: replica.number, Outcome: word, Reason: reason, Attempts: replica.offerCount,
 		TookMS: (c.now - cl.since).Milliseconds(),
 	}
 	if h != nil {
 		o.Host, o.Zone, o.Rack = h.name, h.entry.Zone, h.entry.Rack
 	}
-	w.offerCount = 0
+	replica.offerCount = 0
 	c.status.Outcomes[word]++
-	cl.submission.addOutcome(c, w, o)
+	cl.submission.addOutcome(c, replica, o)
 }
 
 // removeReplica takes a wish out of its project. What may still run of it is stopped when it shows.
-func (c *Core) removeReplica(w *desiredReplica) {
-	if w.removed {
+func (c *Core) removeReplica(replica *desiredReplica) {
+	if replica.removed {
 		return
 	}
-	if w.pending != nil {
-		c.reportOutcome(w, OutcomeRejected, nil, "a later submission has taken its place")
+	if replica.pending != nil {
+		c.reportOutcome(replica, OutcomeRejected, nil, "a later submission has taken its place")
 	}
-	w.removed = true
-	if c.blockedReplicas[w.taskKey] == w {
-		delete(c.blockedReplicas, w.taskKey)
+	replica.removed = true
+	if c.blockedReplicas[replica.taskKey] == replica {
+		delete(c.blockedReplicas, replica.taskKey)
 	}
-	w.requestTimerSeq++
-	w.deadlineTimerSeq++
+	replica.requestTimerSeq++
+	replica.deadlineTimerSeq++
 	c.replicaCount--
-	svc := w.service
-	if svc.replicas[w.number] == w {
-		delete(svc.replicas, w.number)
+	svc := replica.service
+	if svc.replicas[replica.number] == replica {
+		delete(svc.replicas, replica.number)
 	}
-	c.reportUpdateResult(w, false)
-	w.state = finished
+	c.reportUpdateResult(replica, false)
+	replica.state = finished
 	c.startDependents(svc)
 	c.pruneService(svc)
 }
--- a/internal/scheduler/core/updates.go
+++ b/internal/scheduler/core/updates.go
@@ -23,91 +23,91 @@
 		c.addTimer(&timer{at: at, kind: timerUpdate, service: svc})
 	}
 	for ; n > 0 && len(svc.updateQueue) > 0; n-- {
-		w := svc.updateQueue[0]
+		replica := svc.updateQueue[0]
 		svc.updateQueue = svc.updateQueue[1:]
 		u.Begin()
-		c.beginReplacement(w, svc.spec)
+		c.beginReplacement(replica, svc.spec)
 	}
 }
 
 // beginReplacement begins to beginReplacement a running task by one of another make.
-func (c *Core) beginReplacement(w *desiredReplica, spec *servicespec.Service) {
-	if w.removed {
-		c.reportUpdateResult(w, false)
+func (c *Core) beginReplacement(replica *desiredReplica, spec *servicespec.Service) {
+	if replica.removed {
+		c.reportUpdateResult(replica, false)
 		return
 	}
-	if w.state != placed {
+	if replica.state != placed {
 		// It was lost or has ended meanwhile: it comes back as what it is to be.
-		w.updating = true
-		c.cancelRequest(w)
-		c.setSpec(w, spec)
-		c.startRequesting(w)
+		replica.updating = true
+		c.cancelRequest(replica)
+		c.setSpec(replica, spec)
+		c.startRequesting(replica)
 		return
 	}
-	w.updating = true
-	w.service.previousSpecs[w] = w.spec
+	replica.updating = true
+	replica.service.previousSpecs[replica] = replica.spec
 	// Two copies of what must never run twice are not started side by side, whatever the order.
-	if !spec.Update.StartFirst || c.attemptRules(w.class).Effect == forkhead.Unsafe {
-		w.nextSpec = spec
-		c.awaitOldCopyEnd(w)
-		c.stopPlaced(w)
+	if !spec.Update.StartFirst || c.attemptRules(replica.class).Effect == forkhead.Unsafe {
+		replica.nextSpec = spec
+		c.awaitOldCopyEnd(replica)
+		c.stopPlaced(replica)
 		return
 	}
-	twin := c.newReplica(w.service, w.number, spec)
-	twin.pending, w.pending = w.pending, nil
-	twin.predecessor, w.successor = w, twin
-	twin.updating, w.updating = true, false
+	twin := c.newReplica(replica.service, replica.number, spec)
+	twin.pending, replica.pending = replica.pending, nil
+	twin.predecessor, replica.successor = replica, twin
+	twin.updating, replica.updating = true, false
 	c.startRequesting(twin)
 }
 
 // replaceIfQueued begins the replacement of a task that ended, or was lost, while it waited in the queue
 // of its service's update. Guards against one that comes back as its old make, and tells that as
 // the outcome of the new.
-func (c *Core) replaceIfQueued(w *desiredReplica) bool {
-	i := slices.Index(w.service.updateQueue, w)
-	if i < 0 || w.service.update == nil {
+func (c *Core) replaceIfQueued(replica *desiredReplica) bool {
+	i := slices.Index(replica.service.updateQueue, replica)
+	if i < 0 || replica.service.update == nil {
 		return false
 	}
-	w.service.updateQueue = slices.Delete(w.service.updateQueue, i, i+1)
-	w.service.update.Begin()
-	w.state = awaitingRequest
-	c.beginReplacement(w, w.service.spec)
+	replica.service.updateQueue = slices.Delete(replica.service.updateQueue, i, i+1)
+	replica.service.update.Begin()
+	replica.state = awaitingRequest
+	c.beginReplacement(replica, replica.service.spec)
 	return true
 }
 
 // awaitOldCopyEnd bounds the wait for a task's earlier copy to end: its host may be out of reach.
-func (c *Core) awaitOldCopyEnd(w *desiredReplica) {
-	patience := w.nextSpec.Patience
+func (c *Core) awaitOldCopyEnd(replica *desiredReplica) {
+	patience := replica.nextSpec.Patience
 	if patience == 0 {
-		patience = c.settings.Classes[c.classIndex(w.nextSpec)].Patience
+		patience = c.settings.Classes[c.classIndex(replica.nextSpec)].Patience
 	}
-	w.retrier.Deadline = c.now + patience
-	w.deadlineTimerSeq++
-	c.addTimer(&timer{at: w.retrier.Deadline, kind: timerOwnerDeadline, replica: w, number: w.deadlineTimerSeq})
+	replica.retrier.Deadline = c.now + patience
+	replica.deadlineTimerSeq++
+	c.addTimer(&timer{at: replica.retrier.Deadline, kind: timerOwnerDeadline, replica: replica, number: replica.deadlineTimerSeq})
 }
 
 // finishReplacement follows the end of the old copy: the new one is asked for.
-func (c *Core) finishReplacement(w *desiredReplica) {
-	spec := w.nextSpec
-	w.nextSpec = nil
-	c.setSpec(w, spec)
-	c.startRequesting(w)
+func (c *Core) finishReplacement(replica *desiredReplica) {
+	spec := replica.nextSpec
+	replica.nextSpec = nil
+	c.setSpec(replica, spec)
+	c.startRequesting(replica)
 }
 
 // setSpec makes a wish one for a task of another make.
-func (c *Core) setSpec(w *desiredReplica, spec *servicespec.Service) {
-	w.spec, w.fingerprint = spec, spec.Fingerprint()
-	w.class, w.tenant = c.classIndex(spec), settings.Index(c.settings.Tenants, spec.Tenant)
+func (c *Core) setSpec(replica *desiredReplica, spec *servicespec.Service) {
+	replica.spec, replica.fingerprint = spec, spec.Fingerprint()
+	replica.class, replica.tenant = c.classIndex(spec), settings.Index(c.settings.Tenants, spec.Tenant)
 }
 
 // replacePredecessor lets a copy that was started first take the place of the one that it replaces.
-func (c *Core) replacePredecessor(w *desiredReplica) {
-	old := w.predecessor
+func (c *Core) replacePredecessor(replica *desiredReplica) {
+	old := replica.predecessor
 	if old == nil {
 		return
 	}
-	w.predecessor, old.successor = nil, nil
-	w.service.replicas[w.number] = w
+	replica.predecessor, old.successor = nil, nil
+	replica.service.replicas[replica.number] = replica
 	old.removing = true
 	if old.state == placed && old.attempt != nil {
 		c.stopPlaced(old)
@@ -118,18 +118,18 @@
 }
 
 // reportUpdateResult takes the news that a task under update is placed and has stood its time, or has not.
-func (c *Core) reportUpdateResult(w *desiredReplica, well bool) {
-	if !well && w.predecessor != nil {
-		w.predecessor.successor, w.predecessor = nil, nil
+func (c *Core) reportUpdateResult(replica *desiredReplica, well bool) {
+	if !well && replica.predecessor != nil {
+		replica.predecessor.successor, replica.predecessor = nil, nil
 	}
-	svc := w.service
-	if !w.updating || svc.update == nil {
+	svc := replica.service
+	if !replica.updating || svc.update == nil {
 		return
 	}
-	w.updating = false
+	replica.updating = false
 	svc.update.Done(c.now, well)
 	if well {
-		svc.updated = append(svc.updated, w)
+		svc.updated = append(svc.updated, replica)
 	}
 	switch svc.update.Status() {
 	case rollingupdate.Paused, rollingupdate.RollingBack:
@@ -152,13 +152,13 @@
 // rollBack puts back what an update has replaced, all at once.
 func (c *Core) rollBack(svc *service) {
 	c.log("update of %s/%s failed and is rolled back", svc.project.name, svc.name)
-	for _, w := range svc.updated {
-		old := svc.previousSpecs[w]
-		if old == nil || w.removed || w.state != placed {
+	for _, replica := range svc.updated {
+		old := svc.previousSpecs[replica]
+		if old == nil || replica.removed || replica.state != placed {
 			continue
 		}
-		w.nextSpec = old
-		c.stopPlaced(w)
+		replica.nextSpec = old
+		c.stopPlaced(replica)
 	}
 	svc.updated = nil
 }
