--- a/attempts.go
+++ b/attempts.go
@@ -22,7 +22,7 @@
 	return c.Effect == Safe || c.Effect == Keyed && c.DedupDomain == AnyDomain
 }
 
-// mayAttempt says whether any further attempt is allowed by the class's effect.
+// mayAttempt says whether the class's effect allows a further attempt.
 func (p *Placer) mayAttempt(t *task) bool {
 	class := &p.settings.Classes[t.Class]
 	if t.firstMayRun == nil || class.Effect == Safe {
@@ -150,7 +150,7 @@
 // migrateIfPoorlyServed stops a task that gets little where another machine would serve it well: one for
 // each note, and notes come about once a second. It guards against tasks stuck on a machine that is slow,
 // crowded or misjudged; it may hurt where service was about to come back. Each placer migrates by its part
-// of what the machine holds: else all that have a task there would migrate one each.
+// of what is requested there: else all that have a task on the machine would migrate one each.
 func (p *Placer) migrateIfPoorlyServed(a *attempt, level float64) {
 	if level >= migrateBelow || a.task.pending {
 		return
--- a/bookkeeping.go
+++ b/bookkeeping.go
@@ -40,7 +40,7 @@
 	return len(t.attempts) > 0 && !t.attempts[len(t.attempts)-1].ended
 }
 
-// forgetIfDone drops a task that is owed nothing once its last attempt has ended.
+// forgetIfDone drops a task whose final answer is given and whose last attempt has ended.
 func (p *Placer) forgetIfDone(t *task) {
 	if !t.pending && !p.hasAttemptInFlight(t) {
 		delete(p.tasks, t.ID)
@@ -78,8 +78,9 @@
 	m.reservedCores -= t.Cores
 	m.reservedMemory -= t.Memory
 	m.availableStale = true
-	rest := slices.DeleteFunc(p.services[t.Service], func(other *attempt) bool { return a == other })
-	if p.services[t.Service] = rest; len(rest) == 0 {
+	remaining := slices.DeleteFunc(p.services[t.Service], func(other *attempt) bool { return a == other })
+	p.services[t.Service] = remaining
+	if len(remaining) == 0 {
 		delete(p.services, t.Service)
 	}
 	if a.bound {
@@ -92,7 +93,7 @@
 
 // erroredOn says whether an attempt of the task ended in an error on the machine: another one is tried
 // first. It guards against a machine that returns errors and, since they leave its capacity available,
-// draws one attempt after the other.
+// gets one attempt after the other.
 func (t *task) erroredOn(m *machine) bool {
 	for _, a := range t.attempts {
 		if a.errored && a.machine == m {
@@ -113,19 +114,21 @@
 	}
 }
 
-// addPeerChange keeps a change that another placer made, as long as the list may not show it.
+// addPeerChange stores a change by another placer for as long as the list may not show it.
 func (m *machine) addPeerChange(change capacityChange) {
 	m.cacheProgram(change.program)
 	m.peerChanges = slices.DeleteFunc(m.peerChanges, func(old capacityChange) bool {
 		return old.at < change.at-changeHistory
 	})
-	if m.peerChanges = append(m.peerChanges, change); len(m.peerChanges) > maxPeerChanges {
+	m.peerChanges = append(m.peerChanges, change)
+	if len(m.peerChanges) > maxPeerChanges {
 		m.peerChanges = m.peerChanges[1:]
 	}
 	m.availableStale = true
 }
 
-// changesSince is what the tasks we know of request on the machine now, less what they did at a time.
+// changesSince is what the tasks we know of request on the machine now, less what they requested at that
+// time.
 func (m *machine) changesSince(at time.Duration) (cores, memory float64) {
 	for _, a := range m.attempts {
 		if a.sentAt > at && (a.bound || !a.ended) {
@@ -143,15 +146,16 @@
 	return cores, memory
 }
 
-// cacheProgram takes the program to be on the machine from now on, until newer ones displace it.
+// cacheProgram notes the program as cached on the machine, until newer ones displace it.
 func (m *machine) cacheProgram(program uint32) {
 	m.cachedPrograms = slices.DeleteFunc(m.cachedPrograms, func(other uint32) bool { return other == program })
-	if m.cachedPrograms = append(m.cachedPrograms, program); len(m.cachedPrograms) > maxCachedPrograms {
+	m.cachedPrograms = append(m.cachedPrograms, program)
+	if len(m.cachedPrograms) > maxCachedPrograms {
 		m.cachedPrograms = m.cachedPrograms[1:]
 	}
 }
 
-// hasProgram says whether the machine has the service's program, as far as our own tasks and gossip tell.
+// hasProgram says whether the machine has the service's program, as far as our own tasks and gossip show.
 func (p *Placer) hasProgram(m *machine, service uint64) bool {
 	for _, a := range p.services[service] {
 		if a.machine == m {
@@ -168,7 +172,7 @@
 	}
 }
 
-// insertCandidate keeps the candidates in the order of the service's hash.
+// insertCandidate adds a candidate; they are in the order of their hashes with the service.
 func (p *Placer) insertCandidate(m *machine, service uint64) {
 	at := len(p.candidates)
 	for at > 0 && m.rank(service) < p.candidates[at-1].rank(service) {
@@ -201,7 +205,7 @@
 		case m.removedAt == 0:
 			m.removedAt = p.now
 		case p.now > m.removedAt+removedRetention && !m.hasLiveAttempt():
-			delete(p.machines, id) // guards against ever new machines that fill the memory
+			delete(p.machines, id) // or machines that come and go would fill the memory
 		}
 	}
 	for _, pool := range p.pools {
--- a/capacity.go
+++ b/capacity.go
@@ -7,14 +7,14 @@
 
 // Tuned values of the capacity estimate.
 const (
-	changeHistory      = 10 * time.Second       // ended attempts are kept for a list that lags further behind
+	changeHistory      = 10 * time.Second       // ended attempts count this long, for a list that lags
 	initialLag         = 2                      // the place in viewLags to begin with: a second
 	lagErrorDecay      = 0.98                   // the errors of the lags fade by this at each observation
-	rejectionLifetime  = 4 * time.Second        // what a rejection tells of capacity holds this long at most
+	rejectionLifetime  = 4 * time.Second        // what a rejection shows is used this long at most
 	rejectedSizeMargin = 0.99                   // of the rejected size: the same size does not fit again
 	queueFullBackoff   = 300 * time.Millisecond // a machine with a full queue gets nothing for this long
 	memorySaturation   = 0.88                   // memory in use above this share slows a machine, then evicts
-	// What tasks use of what they request, until notes tell; it weighs as much as so many cores or
+	// What tasks use of what they request, until notes show it; it weighs as much as so many cores or
 	// memory units, and earlier notes fade by the decay at each one.
 	initialUsage, initialUsageWeight, usageDecay = 0.8, 20, 0.998
 	// A note of less than the full service level derates its machine by a step, up to the maximum; it is
@@ -22,13 +22,13 @@
 	fullServiceLevel          = 0.9
 	deratingStep, maxDerating = 0.06, 0.4
 	deratingRecovery          = 90 * time.Second
-	// Programs that a machine is taken to keep after the last task of a service. Too many costs nothing:
-	// where the program is gone after all, a start is as slow as anywhere else.
+	// Programs that a machine is taken to cache after the last task of a service. Too many cost nothing:
+	// where the program is not cached after all, a start is as slow as anywhere else.
 	maxCachedPrograms = 16
 	// Gossip about capacity is sent while the start and end of a task together cost less than this share
-	// of the result: among few placers. Among more, what each one tells changes little.
+	// of the result: among few placers. Among more, what each one sends changes little.
 	maxGossipCost  = 0.005
-	maxPeerChanges = 500 // kept for a machine; more are a flood
+	maxPeerChanges = 500 // remembered for a machine; more are a flood
 )
 
 // viewLags are the candidates for how far the list lags behind.
@@ -133,7 +133,7 @@
 		t.Memory <= memory+machineType.Memory*(maxMemory-1)
 }
 
-// availableByPreemption is what is available and what our tasks of lower priority hold on the machine.
+// availableByPreemption is what is available and what our tasks of lower priority request on the machine.
 func (p *Placer) availableByPreemption(t *task, m *machine) (cores, memory float64) {
 	cores, memory = p.available(m)
 	priority := p.settings.Classes[t.Class].Priority
@@ -147,7 +147,8 @@
 
 // recordServiceLevel takes in the share of full service that a task gets.
 func (p *Placer) recordServiceLevel(a *attempt, level float64) {
-	if m := a.machine; level < fullServiceLevel {
+	if level < fullServiceLevel {
+		m := a.machine
 		m.derating, m.deratedAt = min(1-m.deratingFactor(p.now)+deratingStep, maxDerating), p.now
 		p.migrateIfPoorlyServed(a, level)
 	}
@@ -176,7 +177,7 @@
 	return p.settings.Placers == 1 || p.settings.MayGossip && cost <= maxGossipCost
 }
 
-// handleGossip takes a message: until the list knows, it counts like our own changes. It guards against
+// handleGossip takes in a message: until the list shows them, changes count like our own. It guards against
 // placers that all see the same capacity and fill it at once. A lost message costs a rejection, or hides
 // some capacity until the list is newer.
 func (p *Placer) handleGossip(message []byte) {
--- a/dispatch.go
+++ b/dispatch.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// handle dispatches an event to the decision it asks for.
+// handle dispatches an event by its type.
 func (p *Placer) handle(event Event) {
 	switch event := event.(type) {
 	case ListUpdate:
@@ -28,7 +28,7 @@
 	}
 }
 
-// handleCancel drops a task whose owner waits no longer: nothing more is owed.
+// handleCancel drops a task whose owner waits no longer: no answer is due any more.
 func (p *Placer) handleCancel(id TaskID) {
 	if t := p.tasks[id]; t != nil {
 		t.pending = false
@@ -45,13 +45,14 @@
 	p.tasks[t.ID] = t
 	a := p.startAttempt(t, p.machine(event.Machine))
 	a.bound = true
-	// The list has it already. Guards against counting what ran before this incarnation a second time, as
-	// reserved since the list was made: all machines then looked full for the first seconds.
+	// The list shows it already. This guards against counting what ran before this incarnation a second time,
+	// as reserved since the list was made: all machines would look full for the first seconds.
 	a.sentAt = p.now - changeHistory
 	p.markRunning(a)
 }
 
-// handleNote takes in what is reported of a running task. Amounts that are no figure are ignored.
+// handleNote takes in what is reported of a running task. Amounts that are negative, infinite or NaN are
+// ignored.
 func (p *Placer) handleNote(event Note) {
 	a := p.activeAttempt(event.Task, event.Attempt)
 	if a == nil || !(event.Amount >= 0) || math.IsInf(event.Amount, 0) {
--- a/doc.go
+++ b/doc.go
@@ -3,8 +3,8 @@
 //
 // The package is pure: a Placer takes events and the time and returns actions,
 // and does no input or output of its own. The interface is in settings.go,
-// model.go, events.go and actions.go. The policy, every decision and every tuned value, is
-// in the files that deploy/balancer.toml lists under its key policy:
+// model.go, events.go and actions.go. The policy, every decision and every tuned
+// value, is in the files that deploy/balancer.toml lists under its key policy:
 //
 //   - placer.go: the order of work in a step
 //   - machinelist.go: the list of machines, how it is polled, and standby
@@ -16,9 +16,11 @@
 //   - attempts.go: attempts, their outcomes and migrations
 //   - outliers.go: outlier detection and health checks
 //
-// State.go and bookkeeping.go hold the state and keep its counts; they decide
-// nothing.
+// The other files decide nothing: state.go and bookkeeping.go have the state and
+// its counts, dispatch.go and timers.go hand events to the policy, gossip.go
+// encodes messages between placers, hash.go has the hashes that all placers
+// share, and validate.go checks settings and requests.
 //
 // The mechanism is ordered size-interval task assignment; docs/design.md says
-// what was kept of it and what was changed.
+// what is taken from it and what differs.
 package forkhead
--- a/events.go
+++ b/events.go
@@ -10,7 +10,7 @@
 
 // The modes of a list.
 const (
-	ListCached   ListMode = iota // complete, as this placer last held it
+	ListCached   ListMode = iota // complete, as this placer last stored it
 	ListSnapshot                 // complete
 	ListDelta                    // changed entries only
 	ListFailed                   // a poll failed or the watch broke
@@ -25,12 +25,12 @@
 	}
 	// PlacementRequest brings a task to place.
 	PlacementRequest struct{ Task Task }
-	// HandedOver brings a task that already runs; its attempt 0 is its bind.
+	// HandedOver brings a task that already runs; its attempt 0 is bound.
 	HandedOver struct {
 		Task    Task
 		Machine MachineID
 	}
-	// Bound says that an attempt holds its task.
+	// Bound says that a machine has bound the task of an attempt.
 	Bound struct {
 		Task    TaskID
 		Attempt int
@@ -53,7 +53,7 @@
 		Result  Result
 		Reason  RejectReason
 		Took    time.Duration // since the offer
-		Final   bool          // nothing more is owed
+		Final   bool          // no answer to the request is due any more
 		Report  *LoadReport   // nil: none
 	}
 	// RequestCanceled says that nobody waits for a request any more.
--- a/intervals.go
+++ b/intervals.go
@@ -5,10 +5,10 @@
 // Tuned values of size intervals and groups.
 const (
 	machinesPerGroup = 3 // still leaves a choice when one machine is full and one drains
-	// Two intervals at least, so that large tasks keep a group of their own; few at most, and two where
+	// Two intervals at least, so that large tasks have a group of their own; few at most, and two where
 	// placers are many: those whose thresholds differ a little still mean the same group.
 	minIntervals, maxIntervals = 2, 4
-	// Sizes are forgotten by the count of later ones, so that a placer that sees few tasks keeps them.
+	// Sizes are forgotten by the count of later ones, so that a placer that sees few tasks has data too.
 	sizeHistory = 1000
 	meanWeight  = 30   // the configured mean weighs as much as so many observed tasks of mean size
 	minSize     = 1e-9 // a size of 0 counts as this where it divides, in cores or memory units
@@ -60,9 +60,10 @@
 	for i, pool := range p.pools {
 		total += float64(len(pool.order)) * p.settings.MachineTypes[i].Cores
 	}
-	rest := unitInterval(hash64(t.Service^saltMachineType)) * total
+	remaining := unitInterval(hash64(t.Service^saltMachineType)) * total
 	for i, pool := range p.pools {
-		if rest -= float64(len(pool.order)) * p.settings.MachineTypes[i].Cores; rest < 0 {
+		remaining -= float64(len(pool.order)) * p.settings.MachineTypes[i].Cores
+		if remaining < 0 {
 			return i
 		}
 	}
--- a/machinelist.go
+++ b/machinelist.go
@@ -11,11 +11,11 @@
 const (
 	minPollBackoff          = 300 * time.Millisecond // after a failed poll, doubled at each further one
 	maxPollBackoffDoublings = 8
-	pollFailuresToLog       = 5 // so many failed polls in a row are worth a page
-	// The list is one service, which takes a few dozen polls a second: polls are spread over this a placer.
+	pollFailuresToLog       = 5 // so many failed polls in a row are logged for whoever is on call
+	// The list service takes a few dozen polls a second from all placers: each adds this to their spread.
 	pollSpreadPerPlacer = 20 * time.Millisecond
-	removedRetention    = time.Minute // a removed machine that holds nothing of ours is forgotten after this
-	// Machines go on standby where the others, filled up to this share, hold all that is requested.
+	removedRetention    = time.Minute // a removed machine without tasks of ours is forgotten after this
+	// Machines go on standby where all that is requested fits on the others, filled up to this share.
 	standbyUtilization = 0.85
 	standbySpares      = 1 // so many more than those stay in use
 )
@@ -75,7 +75,8 @@
 func (p *Placer) handlePollFailure() {
 	backoff := minPollBackoff << min(p.listPolling.failures, maxPollBackoffDoublings)
 	p.schedulePoll(min(p.jitter(backoff+p.pollSpread()), p.settings.MaxPollInterval))
-	if p.listPolling.failures++; p.listPolling.failures == pollFailuresToLog {
+	p.listPolling.failures++
+	if p.listPolling.failures == pollFailuresToLog {
 		p.emit(Log{Message: "polling the machine list keeps failing; the last one stays in use"})
 	}
 }
@@ -87,15 +88,15 @@
 	}
 	m := p.machine(entry.ID)
 	if entry.StartedAt > m.StartedAt || m.State == Removed {
-		// It has restarted: what its last incarnation did says nothing. Guards against shutting out a
-		// machine that was found dead, left the list and came back; a wrong list costs one failed offer.
+		// It has restarted: what was known of its last incarnation is void. Guards against excluding a
+		// machine that was unreachable, left the list and came back; a wrong list costs one failed offer.
 		m.cachedPrograms, m.probing, m.failures, m.suspectUntil = nil, false, 0, 0
 	}
 	if m.listedAt > 0 && entry.StartedAt == m.StartedAt {
 		p.learnViewLag(m, entry.AvailableCores-m.AvailableCores)
 	}
-	moved := m.Type != entry.Type || (m.State == Removed) != (entry.State == Removed)
-	p.membershipChanged = p.membershipChanged || moved
+	poolChanged := m.Type != entry.Type || (m.State == Removed) != (entry.State == Removed)
+	p.membershipChanged = p.membershipChanged || poolChanged
 	m.Machine = entry
 	m.listedAt, m.availableStale = p.now, true
 	if !p.settings.ListReportsAvailable {
@@ -105,11 +106,11 @@
 	}
 }
 
-// updateStandby puts machines of a pool on standby where the others hold all that is requested with room
-// to spare: they get nothing new while that is so, and are free of tasks in time. Machines in use beyond
-// need have a cost. Those that started last stay in use, as a fleet that is replaced loses its oldest
-// first, then the fullest. It acts where few placers tell each other what they reserve. It may hurt where
-// many tasks come at once: one that finds no capacity or only long queues elsewhere still goes there.
+// updateStandby puts machines of a pool on standby where the others have capacity for all that is requested
+// and more: they get nothing new while that is so, and are free of tasks in time. Machines in use beyond
+// need have a cost. Those that started last stay in use, since a replacement of all machines takes the
+// oldest first, then the fullest. It acts where placers are few and gossip about what they reserve. It may
+// hurt where many tasks come at once: one that finds no capacity or long queues elsewhere still goes there.
 func (p *Placer) updateStandby(pool *pool) {
 	if p.settings.Costs.SurplusMachine == 0 || !p.seesPeerChanges() {
 		return
@@ -117,7 +118,8 @@
 	var ready []*machine
 	cores, memory := 0.0, 0.0
 	for _, m := range pool.order {
-		if m.standby = false; m.State == Ready {
+		m.standby = false
+		if m.State == Ready {
 			availableCores, availableMemory := p.available(m)
 			machineType := p.settings.MachineTypes[m.Type]
 			cores, memory = cores+machineType.Cores-availableCores, memory+machineType.Memory-availableMemory
--- a/model.go
+++ b/model.go
@@ -16,10 +16,10 @@
 	Class             int
 	Tenant            int
 	Timeout           time.Duration // until its owner gives this request up
-	RemainingLifetime time.Duration // how long it will still run, roughly; 0 if not known
+	RemainingLifetime time.Duration // how long it will still run, an estimate; 0 if not known
 	Cores             float64
 	Memory            float64
-	Resubmitted       bool         // an earlier request for it came before
+	Resubmitted       bool         // this is not the first request for it
 	RequiredLabels    uint64       // labels that its machine must carry, one a bit; 0: none
 	SpreadLimits      SpreadLimits // of its service, beside that of its class
 }
--- a/outliers.go
+++ b/outliers.go
@@ -10,9 +10,9 @@
 	maxSuspectDoublings = 8
 )
 
-// reportOutlier counts an unanswered attempt of the class against a machine that answers otherwise, and
-// tells the others, who see too few tasks to find out alone. It guards against machines that fail at one
-// class for whatever reason, and may hurt where starts are slow for a while.
+// reportOutlier counts a failed attempt of the class against a machine that answers otherwise, and gossips
+// it to the other placers, which see too few tasks to find out alone. It guards against machines that fail
+// at one class for whatever reason, and may hurt where starts are slow for a while.
 func (p *Placer) reportOutlier(m *machine, class int) {
 	p.recordOutlierFailure(m, class)
 	cost := float64(p.settings.Placers-1) * outlierMessageFraction * p.settings.Costs.Gossip
@@ -23,8 +23,8 @@
 }
 
 // reportErroredMachines counts against a machine that it returned an error for a task that another machine
-// has taken. A task that errs wherever it comes says nothing of machines, and whoever sends such tasks
-// shuts none of them out.
+// has bound. A task that gets errors everywhere says nothing about machines, so a client that sends such
+// tasks gets none ejected.
 func (p *Placer) reportErroredMachines(t *task) {
 	for _, a := range t.attempts {
 		if a.errored {
@@ -46,7 +46,7 @@
 	outlier.failedAt = p.now
 }
 
-// isEjected says whether tasks of the class are kept off the machine for now.
+// isEjected says whether the machine gets no tasks of the class for now.
 func (p *Placer) isEjected(m *machine, class int) bool {
 	return m.outliers != nil && p.now < m.outliers[class].ejectedUntil
 }
--- a/placer.go
+++ b/placer.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Step takes the events of one moment in order and returns what to do, in order. Now is the time since
-// an epoch that all placers share, and never goes back.
+// Step takes the events of one moment in order and returns what to do, in order. The time
+// counts from an epoch that all placers share and never goes back.
 func (p *Placer) Step(now time.Duration, events []Event) []Action {
 	p.now, p.actions = now, nil
 	if !p.listPolling.started {
@@ -27,7 +27,7 @@
 	return p.actions
 }
 
-// orderEvents puts lists and handed-over tasks before the other events of a moment and timers behind:
+// orderEvents puts lists and handed-over tasks before the other events of a moment and timers after them:
 // no offer then relies on older knowledge than the moment has, and a placer that was paused reads the
 // answers that came meanwhile before it takes their attempts for overdue.
 func orderEvents(events []Event) []Event {
--- a/queue.go
+++ b/queue.go
@@ -12,7 +12,7 @@
 	deadlineMargin     = 5 * time.Millisecond  // a task is answered so long before its owner gives up
 	// A start in time is worth about as much as the half of a task's run that is left on average.
 	timelyWeight  = 1.5
-	minQuotaTasks = 4 // a placer's part of a quota is so many mean tasks at least: fewer come by chance
+	minQuotaTasks = 4 // a placer's part of a quota is at least so many mean tasks: fewer come by chance
 )
 
 func (p *Placer) handleRequest(request Task) {
--- a/selection.go
+++ b/selection.go
@@ -1,14 +1,12 @@
 package forkhead
 
-import (
-	"time"
-)
+import "time"
 
 // Tuned values of the choice of a machine.
 const (
 	numberOfChoices = 2           // a service's program then stays present on two machines
 	maxStarting     = 3           // more of our own tasks that start on a machine delay each other
-	lotterySlot     = time.Second // a draw for a machine's capacity holds this long: about the list's lag
+	lotterySlot     = time.Second // a draw for a machine's capacity is valid this long: about the list's lag
 )
 
 // selectionPass is what a machine must offer to be selected.
@@ -81,7 +79,7 @@
 
 // selectInGroup takes the tightest fit of a few machines of the group that have capacity, or of all that
 // hold the service's program if any do. The few go by the service's hash, so that all placers bring one
-// program to the same machines. Where placers are many and the list lags too far behind to tell the fit,
+// program to the same machines. Where placers are many and the list lags too far behind to show the fit,
 // the first by the hash is taken.
 func (p *Placer) selectInGroup(t *task, group []*machine, pass selectionPass) *machine {
 	p.candidates = p.candidates[:0]
--- a/settings.go
+++ b/settings.go
@@ -21,7 +21,7 @@
 
 	BoundWhenRunning      bool // Bound comes when the task runs, not when it is accepted
 	ServiceAffinity       bool // the tasks of one service come to one placer
-	Preemption            bool // machines preempt lower priorities to make room
+	Preemption            bool // machines preempt lower priorities for higher ones
 	NotesReportUsage      bool // notes report what a task uses
 	NotesReportPressure   bool // notes report poor service and short memory
 	ListReportsAvailable  bool // list entries carry available cores and memory
@@ -45,9 +45,9 @@
 
 	SlowStartDuration    time.Duration // a fresh machine has warmed up after this at the latest
 	SlowStartWindow      time.Duration // the window over which offers to a machine in slow start count
-	SlowStartMaxOffers   float64       // offers that such a machine bears in a window, from all placers
+	SlowStartMaxOffers   float64       // offers that such a machine can take in a window, from all placers
 	SlowStartInitialPace float64       // the share of its pace that a fresh machine has at least
-	SlowStartOverload    float64       // offered more than this multiple of its pace it fails
+	SlowStartOverload    float64       // it fails when it is offered more than this multiple of its pace
 
 	OverQuotaWeight float64 // weight of a task beyond its tenant's quota, relative to one within it
 	Costs           Costs
@@ -91,7 +91,7 @@
 	AnyDomain     Domain = iota // all machines; as a spread: no limit
 	MachineDomain               // one machine
 	CellDomain                  // one cell (rack)
-	ZoneDomain                  // one zone (room)
+	ZoneDomain                  // one zone
 )
 
 // Class is a class of tasks.
@@ -102,7 +102,7 @@
 	LatencyObjective    time.Duration // a first start within this earns its full weight
 	Weight              float64       // priority weight: of a second of full service at mean size
 	LateWeight          float64       // share of a start's weight after the latency objective
-	StartWeight         float64       // seconds of service that a first start in time is worth
+	StartWeight         float64       // of a first start in time, in seconds of full service
 	Priority            int           // higher ones preempt lower ones
 	MachineType         int           // the machine type it needs, or -1
 	SpreadDomain        Domain        // where the tasks of one service are limited
@@ -113,6 +113,6 @@
 
 // Tenant is a customer with a quota.
 type Tenant struct {
-	Quota      float64
+	Quota      float64 // share of the cluster that it has paid for
 	QuotaCores float64 // cores requested within its quota, at all placers
 }
--- a/slowstart.go
+++ b/slowstart.go
@@ -1,7 +1,7 @@
 package forkhead
 
 // Tuned values of slow start. With more slots in a window, a slot holds no offer. A window touches one
-// slot more than it holds, and the offers of another are left for placers that have not heard of the start.
+// slot more than it holds, and the offers of another are left for placers that learn of the start late.
 const (
 	slowStartSlots  = 3
 	slowStartShares = slowStartSlots + 2
@@ -13,7 +13,7 @@
 }
 
 // withinSlowStartBudget keeps the offers of all placers to a machine that is warming up within what it
-// always bears. Each placer has its share where that is an offer or more, else its turns. What an earlier
+// can always take. Each placer has its share where that is an offer or more, else its turns. What an earlier
 // incarnation of this placer sent is not known, so the first window sends nothing.
 func (p *Placer) withinSlowStartBudget(m *machine) bool {
 	if !p.inSlowStart(m) {
@@ -33,8 +33,8 @@
 }
 
 // hasSlowStartTurn cuts time into slots and gives a few placers one offer each in a slot, others in the
-// next: all can tell by number, machine and time, without a message. It may hurt where clocks differ by
-// more than a slot.
+// next: each computes them from number, machine and time, without messages. It may hurt where clocks
+// differ by more than a slot.
 func (p *Placer) hasSlowStartTurn(m *machine) bool {
 	window, maxOffers := p.settings.SlowStartWindow, p.settings.SlowStartMaxOffers
 	slot, takers := window/slowStartSlots, uint64(maxOffers/slowStartShares)
--- a/state.go
+++ b/state.go
@@ -21,7 +21,7 @@
 	services map[uint64][]*attempt // live attempts of each service
 
 	reservedCores map[int]float64 // requested by our live attempts of each tenant
-	queue         []*task         // no machine yet
+	queue         []*task         // to be offered; ended ones are dropped in placeQueued
 	candidates    []*machine      // buffer of selectInGroup
 
 	retryTimerSet     bool // the queue's timer is set
@@ -34,14 +34,14 @@
 	listPolling         pollState
 	viewLag             lagEstimator
 	slowestStart        time.Duration    // from offer to bind, of the slowest twentieth
-	outlierGossipBudget float64          // what gossip about outliers may cost yet, in tasks
+	outlierGossipBudget float64          // what gossip about outliers may still cost, in the unit of Costs times tasks
 	pendingGossip       []capacityChange // of this step
 }
 
-// lagEstimator learns under which lag changes of the list match our own binds and ends best.
+// lagEstimator learns by which lag the changes that the list shows match our own binds and ends best.
 type lagEstimator struct {
-	errors [len(viewLags)]float64
-	best   int
+	errors [len(viewLags)]float64 // in cores, decayed
+	best   int                    // index of the lag with the least error
 }
 
 // pool is the machines of one type and the sizes of the tasks that were requested of them.
@@ -126,9 +126,9 @@
 type task struct {
 	Task
 	deadline     time.Duration
-	pool         int
+	pool         int // index of its machine type's pool
 	attempts     []*attempt
-	pending      bool          // a final answer is owed
+	pending      bool          // a final answer is due
 	backoffUntil time.Duration // rejected, not to be offered before
 	firstMayRun  *attempt      // the first attempt that may have run
 }
@@ -137,11 +137,11 @@
 type attempt struct {
 	task         *task
 	machine      *machine
-	number       int
+	number       int // among those of the task, from 0
 	sentAt       time.Duration
 	endedAt      time.Duration
-	bound        bool
-	running      bool
+	bound        bool // its machine has bound the task
+	running      bool // the task runs
 	ended        bool
 	unresponsive bool // counted as one that its machine leaves unanswered
 	errored      bool // its machine returned an error
