--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -48,8 +48,8 @@
 	if _, err := os.Stat(path); err != nil {
 		return unreadable(err, "what serve --store keeps")
 	}
-	counts, bad := map[string]int{}, 0
-	err := store.ForEach(path, func(bucket, key string, value []byte) error {
+	counts, bad := map[durable.Bucket]int{}, 0
+	err := store.ForEach(path, func(bucket durable.Bucket, key string, value []byte) error {
 		counts[bucket]++
 		text, version, err := durable.DecodeValue(value)
 		if err != nil {
--- a/internal/scheduler/durable/golden_test.go
+++ b/internal/scheduler/durable/golden_test.go
@@ -18,7 +18,7 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // checkGolden compares text with testdata/name.
 func checkGolden(t *testing.T, name string, text []byte) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// exampleNotes are one of each kind, with every field set.
-func exampleNotes() []durable.Record {
+// exampleRecords returns one of each type, with every field set.
+func exampleRecords() []durable.Record {
 	pos := diagnostic.Pos{File: "a.yaml", Line: 3, Col: 5}
 	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
 	return []durable.Record{
@@ -83,18 +83,18 @@
 	}
 }
 
-// Every kind of note comes to the same changes of the same keys, with the same sealed bytes.
-func TestChangesGolden(t *testing.T) {
+// Every type of record has the same changes of the same keys, with the same bytes.
+func TestRecordChangesGolden(t *testing.T) {
 	var b bytes.Buffer
-	for _, n := range exampleNotes() {
-		fmt.Fprintf(&b, "waited for: %v\n", durable.MustBeDurableFirst(n))
-		for _, c := range durable.Changes(n) {
-			switch {
-			case c.All:
+	for _, r := range exampleRecords() {
+		fmt.Fprintf(&b, "waited for: %v\n", r.MustBeDurableFirst())
+		for _, c := range r.Changes() {
+			switch c.Kind {
+			case durable.DeletePrefix:
 				fmt.Fprintf(&b, "\tdrop all %s %s\n", c.Bucket, c.Key)
-			case c.Value == nil:
+			case durable.Delete:
 				fmt.Fprintf(&b, "\tdrop %s %s\n", c.Bucket, c.Key)
-			default:
+			case durable.Put:
 				fmt.Fprintf(&b, "\tput %s %s %s %s\n", c.Bucket, c.Key, hex.EncodeToString(c.Value[:5]), c.Value[5:])
 			}
 		}
@@ -102,8 +102,8 @@
 	checkGolden(t, "changes.txt", b.Bytes())
 }
 
-// A stored description and list hold these words as numbers.
-func TestStoredNumbers(t *testing.T) {
+// Stored specifications and lists hold these words as numbers.
+func TestStoredEnumsKeepNumbers(t *testing.T) {
 	for name, c := range map[string]struct{ got, want uint8 }{
 		"replicated":     {uint8(servicespec.Replicated), 0},
 		"global":         {uint8(servicespec.Global), 1},
--- a/internal/server/store/golden_test.go
+++ b/internal/server/store/golden_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"forkhead/internal/parse/servicespec"
 	"forkhead/internal/parse/settings"
 	"forkhead/internal/protocol/hostproto"
 	"forkhead/internal/scheduler/core"
@@ -21,13 +22,13 @@
 
 // testdata/placer.db was written by `forkhead serve --config testdata/settings.sexp --store placer.db`, which was killed
 // after it had placed two projects and removed one of them. A store that an earlier build wrote must stay readable, so the
-// file is never written anew; -update writes only what is expected of it.
+// file is never rewritten; -update writes only what is expected of it.
 const (
 	goldenStore    = "testdata/placer.db"
 	goldenSettings = "testdata/settings.sexp"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // checkGolden compares text with testdata/name.
 func checkGolden(t *testing.T, name string, text []byte) {
@@ -61,11 +62,11 @@
 	return path
 }
 
-// dump writes each key of a file with its sealed value's version and text.
+// dump writes each key of a file with the version and text of its value.
 func dump(t *testing.T, path string) []byte {
 	t.Helper()
 	var b bytes.Buffer
-	if err := store.ForEach(path, func(bucket, key string, value []byte) error {
+	if err := store.ForEach(path, func(bucket durable.Bucket, key string, value []byte) error {
 		text, version, err := durable.DecodeValue(value)
 		fmt.Fprintf(&b, "%s\t%s\t%d\t%s\n", bucket, key, version, text)
 		return err
@@ -77,20 +78,20 @@
 
 func openCopy(t *testing.T, path string) *durable.Snapshot {
 	t.Helper()
-	s, kept, err := store.Open(store.Options{Path: path})
+	s, snapshot, err := store.Open(store.Options{Path: path})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.QuarantinedAs != "" || len(kept.Unreadable) > 0 {
-		t.Fatalf("set aside as %q, unreadable: %v", s.QuarantinedAs, kept.Unreadable)
+	if s.QuarantinedAs != "" || len(snapshot.Unreadable) > 0 {
+		t.Fatalf("quarantined as %q, unreadable: %v", s.QuarantinedAs, snapshot.Unreadable)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return kept
+	return snapshot
 }
 
-// The keys and values are the same before and after the file was opened, which writes it anew.
+// The keys and values are the same before and after the file was opened, which rewrites it.
 func TestStoreReadsGoldenFile(t *testing.T) {
 	path := copyOfGoldenStore(t)
 	checkGolden(t, "placer.dump", dump(t, path))
@@ -98,45 +99,44 @@
 	checkGolden(t, "placer.dump", dump(t, path))
 }
 
-// What is read from the file and noted once more is stored under the same keys with the same bytes.
-func TestStoreWritesGoldenValues(t *testing.T) {
-	path := copyOfGoldenStore(t)
-	kept := openCopy(t, path)
-	again := filepath.Join(t.TempDir(), "again.db")
-	s, _, err := store.Open(store.Options{Path: again})
-	if err != nil {
-		t.Fatal(err)
-	}
-	notes := []durable.Record{durable.IncarnationStarted{Epoch: kept.Epoch}, durable.HostListReceived{List: kept.HostList}}
-	for _, f := range kept.Submissions {
-		var project durable.Project
-		for _, p := range kept.Projects {
-			if p.SubmissionID == f.ID {
-				project = p
-			}
-		}
-		if project.Specification == nil {
-			notes = append(notes, durable.SubmissionAccepted{Submission: f.Submission}) // its project was removed
-		} else {
-			notes = append(notes, durable.SubmissionAccepted{Submission: f.Submission, Specification: project.Specification})
-		}
-		for n, text := range f.Outcomes {
+// recordsOf returns the records that a snapshot came of.
+func recordsOf(t *testing.T, snapshot *durable.Snapshot) []durable.Record {
+	t.Helper()
+	specifications := map[string]*servicespec.Description{} // by submission; none where the project was removed
+	for _, p := range snapshot.Projects {
+		specifications[p.SubmissionID] = p.Specification
+	}
+	records := []durable.Record{durable.IncarnationStarted{Epoch: snapshot.Epoch}, durable.HostListReceived{List: snapshot.HostList}}
+	for _, s := range snapshot.Submissions {
+		records = append(records, durable.SubmissionAccepted{Submission: s.Submission, Specification: specifications[s.ID]})
+		for index, text := range s.Outcomes {
 			var o core.Outcome
 			if err := json.Unmarshal(text, &o); err != nil {
 				t.Fatal(err)
 			}
-			notes = append(notes, durable.OutcomeReported{SubmissionID: f.ID, Index: n, Outcome: text, Task: durable.Task{
-				Project: f.Project, Service: o.Service, Replica: o.Replica, Outcome: o.Outcome,
+			records = append(records, durable.OutcomeReported{SubmissionID: s.ID, Index: index, Outcome: text, Task: durable.Task{
+				Project: s.Project, Service: o.Service, Replica: o.Replica, Outcome: o.Outcome,
 			}})
 		}
 	}
-	for name, at := range kept.Tombstones {
-		notes = append(notes, durable.ProjectRemoved{Project: name, At: at})
+	for name, at := range snapshot.Tombstones {
+		records = append(records, durable.ProjectRemoved{Project: name, At: at})
+	}
+	for _, a := range snapshot.Attempts {
+		records = append(records, durable.AttemptOffered{Attempt: a})
 	}
-	for _, a := range kept.Attempts {
-		notes = append(notes, durable.AttemptOffered{Attempt: a})
+	return records
+}
+
+// What is read from the file and committed once more is stored under the same keys with the same bytes.
+func TestStoreWritesGoldenValues(t *testing.T) {
+	snapshot := openCopy(t, copyOfGoldenStore(t))
+	again := filepath.Join(t.TempDir(), "again.db")
+	s, _, err := store.Open(store.Options{Path: again})
+	if err != nil {
+		t.Fatal(err)
 	}
-	if err := s.Commit(notes); err != nil {
+	if err := s.Commit(recordsOf(t, snapshot)); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
@@ -145,17 +145,17 @@
 	checkGolden(t, "placer.dump", dump(t, again))
 }
 
-// hostEpoch is that of the attempts in the file: their hosts live on.
+// hostEpoch is the hosts' epoch of the attempts in the file: the hosts have not restarted since.
 const hostEpoch = 1796191483153710
 
-// hosts answer a placer as hosts would that run whatever they are asked about or offered, and note both.
-type hosts struct {
+// fakeHosts answer a placer as hosts that run whatever they are asked about or offered, and log both.
+type fakeHosts struct {
 	t       *testing.T
-	seen    []string
+	log     []string
 	answers []core.Input // to the outputs of the last step
 }
 
-func (h *hosts) carry(outputs []core.Output) {
+func (h *fakeHosts) execute(outputs []core.Output) {
 	h.answers = nil
 	for _, out := range outputs {
 		switch out := out.(type) {
@@ -173,7 +173,7 @@
 	}
 }
 
-func (h *hosts) answer(host string, f hostproto.Frame) (answers []hostproto.Frame) {
+func (h *fakeHosts) answer(host string, f hostproto.Frame) (answers []hostproto.Frame) {
 	switch f := f.(type) {
 	case hostproto.Hello:
 		return []hostproto.Frame{hostproto.Welcome{Version: hostproto.Version, Host: host, Epoch: hostEpoch}}
@@ -181,12 +181,12 @@
 		return []hostproto.Frame{hostproto.Probed{ID: f.ID}}
 	case hostproto.Query:
 		for _, ref := range f.Refs {
-			h.seen = append(h.seen, fmt.Sprintf("asks %s about attempt %d of task %d of epoch %d", host, ref.Attempt, ref.Task, ref.Epoch))
+			h.log = append(h.log, fmt.Sprintf("asks %s about attempt %d of task %d of epoch %d", host, ref.Attempt, ref.Task, ref.Epoch))
 			answers = append(answers, hostproto.Accepted{Ref: ref}, hostproto.Running{Ref: ref})
 		}
 	case hostproto.Offer:
 		s := &f.Spec
-		h.seen = append(h.seen, fmt.Sprintf(
+		h.log = append(h.log, fmt.Sprintf(
 			"offers %s: key %016x, service %016x, fingerprint %016x, class %s, %d thousandths of a core, %d MiB, life %v, %s",
 			s.Name, s.Key, s.Service, s.Fingerprint, s.Class, s.Cores, s.Memory, s.Life, f.Payload))
 		answers = append(answers, hostproto.Accepted{Ref: f.Ref}, hostproto.Running{Ref: f.Ref})
@@ -196,19 +196,19 @@
 	return answers
 }
 
-func (h *hosts) status(placer *core.Core, when string) {
+func (h *fakeHosts) logStatus(placer *core.Core, when string) {
 	h.t.Helper()
 	line, err := json.Marshal(placer.Status())
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.seen = append(h.seen, when+" "+string(line))
+	h.log = append(h.log, when+" "+string(line))
 }
 
-// A placer that begins with the file holds the same tasks and submissions: it asks the hosts about the unsafe tasks, which
+// A placer that starts with the file has the same tasks and submissions: it asks the hosts about the unsafe tasks, which
 // it does not offer again, and offers the safe ones, which nobody has named, under the same identities.
 func TestPlacerRestoresGoldenFile(t *testing.T) {
-	kept := openCopy(t, copyOfGoldenStore(t))
+	snapshot := openCopy(t, copyOfGoldenStore(t))
 	text, err := os.ReadFile(goldenSettings)
 	if err != nil {
 		t.Fatal(err)
@@ -217,28 +217,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	placer, err := core.New(core.Config{Settings: set.For(0), Seed: 1, Epoch: kept.Epoch + 1, Durable: true})
+	placer, err := core.New(core.Config{Settings: set.For(0), Seed: 1, Epoch: snapshot.Epoch + 1, Durable: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &hosts{t: t}
-	now := kept.HostList.ReceivedAt + 10*time.Second
-	h.carry(placer.Step(now, core.Restore{Snapshot: kept}))
-	h.status(placer, "restored")
-	restored := len(h.seen)
+	h := &fakeHosts{t: t}
+	now := snapshot.HostList.ReceivedAt + 10*time.Second
+	h.execute(placer.Step(now, core.Restore{Snapshot: snapshot}))
+	h.logStatus(placer, "restored")
+	restored := len(h.log)
 	for range 500 {
 		now += 10 * time.Millisecond
-		h.carry(placer.Step(now, h.answers...))
+		h.execute(placer.Step(now, h.answers...))
 	}
-	slices.Sort(h.seen[restored:])
-	h.status(placer, "5s later")
-	for _, f := range kept.Submissions {
+	slices.Sort(h.log[restored:])
+	h.logStatus(placer, "5s later")
+	for _, f := range snapshot.Submissions {
 		list, complete, known := placer.Outcomes(f.ID, 0)
 		line, err := json.Marshal(list)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.seen = append(h.seen, fmt.Sprintf("submission %s, complete %v, known %v: %s", f.ID, complete, known, line))
+		h.log = append(h.log, fmt.Sprintf("submission %s, complete %v, known %v: %s", f.ID, complete, known, line))
 	}
-	checkGolden(t, "restored.txt", []byte(strings.Join(h.seen, "\n")+"\n"))
+	checkGolden(t, "restored.txt", []byte(strings.Join(h.log, "\n")+"\n"))
 }
--- a/internal/verify/simulation/durable.go
+++ b/internal/verify/simulation/durable.go
@@ -8,6 +8,7 @@
 
 	"forkhead/internal/protocol/hostproto"
 	"forkhead/internal/scheduler/core"
+	"forkhead/internal/scheduler/durable"
 )
 
 // Crashes counts where the placer of a durable life died.
@@ -154,7 +155,7 @@
 	if s.Running() != 0 {
 		t.Fatalf("%d tasks run on", s.Running())
 	}
-	if left := s.Disk.Values["attempts"]; len(left) != 0 {
+	if left := s.Disk.Values[durable.AttemptsBucket]; len(left) != 0 {
 		var keys []string
 		for k, v := range left {
 			keys = append(keys, k+" "+string(v[5:]))
--- a/internal/verify/simulation/sim.go
+++ b/internal/verify/simulation/sim.go
@@ -56,15 +56,15 @@
 
 // Disk is what a placer's notes have come to.
 type Disk struct {
-	Values  map[string]map[string][]byte // by bucket and key
-	lazy    []durable.Change             // noted and not yet written
+	Values  map[durable.Bucket]map[string][]byte // by bucket and key
+	lazy    []durable.Change                     // noted and not yet written
 	Commits int
 }
 
 // NewDisk returns an empty one.
 func NewDisk() *Disk {
-	d := &Disk{Values: map[string]map[string][]byte{}}
-	for _, b := range durable.Buckets {
+	d := &Disk{Values: map[durable.Bucket]map[string][]byte{}}
+	for _, b := range durable.Buckets() {
 		d.Values[b] = map[string][]byte{}
 	}
 	return d
@@ -74,20 +74,20 @@
 func (d *Disk) Keep(notes []durable.Record) {
 	wait := false
 	for _, n := range notes {
-		wait = wait || durable.MustBeDurableFirst(n)
-		d.lazy = append(d.lazy, durable.Changes(n)...)
+		wait = wait || n.MustBeDurableFirst()
+		d.lazy = append(d.lazy, n.Changes()...)
 	}
 	if !wait {
 		return
 	}
 	d.Commits++
 	for _, c := range d.lazy {
-		switch {
-		case c.All:
+		switch c.Kind {
+		case durable.DeletePrefix:
 			maps.DeleteFunc(d.Values[c.Bucket], func(k string, _ []byte) bool { return strings.HasPrefix(k, c.Key) })
-		case c.Value == nil:
+		case durable.Delete:
 			delete(d.Values[c.Bucket], c.Key)
-		default:
+		case durable.Put:
 			d.Values[c.Bucket][c.Key] = c.Value
 		}
 	}
@@ -97,7 +97,7 @@
 // Kept reads what was made durable; what was not is lost.
 func (d *Disk) Kept() *durable.Snapshot {
 	d.lazy = nil
-	var l durable.Loader
+	l := durable.NewLoader()
 	for bucket, values := range d.Values {
 		for key, v := range values {
 			l.Add(bucket, key, v)
