--- a/internal/protocol/platform/golden_test.go
+++ b/internal/protocol/platform/golden_test.go
@@ -74,8 +74,8 @@
 	return fmt.Sprint(v.Int())
 }
 
-// The types and causes of messages are these words and numbers.
-func TestMessageGoldenWords(t *testing.T) {
+// What the package names stands on the wire as these words and numbers.
+func TestWireWordsGolden(t *testing.T) {
 	got := fmt.Sprint(
 		[]MessageType{TypeRequest, TypeProgress, TypeBound, TypeRelease, TypeAck, TypeProbe, TypeProbeResult, TypeNote, TypeMigrate},
 		[]Cause{CauseOK, CauseMigrated, CauseRejected, CauseReset, CauseBusy, CauseFailed, CauseNotSent},
@@ -84,6 +84,25 @@
 	if want := "[new wait up down ack hb hb_ok tell shift] [16 31 34 41 42 47 102] [in_service terminating terminated] 16384 256 1048576"; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
+	got = fmt.Sprint(
+		[]Cause{CauseUnhealthy, CauseHealthy, NoCause},
+		[]FieldName{
+			FieldClass, FieldTimeout, FieldTenant, FieldTaskKey, FieldIdempotencyKey, FieldExtras, FieldLifetime, FieldRetryAfter,
+			FieldNote, FieldValue, FieldLoad,
+		},
+		[]Extra{ExtraCores, ExtraMemory, ExtraService, ExtraResubmitted, ExtraHost},
+		[]Note{NoteRunning, NoteCoresUsed, NoteMemoryUsed, NoteServiceLevel, NoteMemoryPressure},
+		[]RejectReason{
+			ReasonInsufficientCores, ReasonInsufficientMemory, ReasonQueueFull, ReasonUnsuitable, ReasonEvicted, ReasonPreempted,
+			ReasonDismissed,
+		},
+		[]LoadField{LoadAvailableCores, LoadAvailableMemory, LoadQueue, LoadUtilization},
+	)
+	want := "[0 1 -1] [class left tenant key idem extras hint wait note value load] [cores memory service again at] " +
+		"[running use_cpu use_ram health ram_high] [lack_cpu lack_ram backlog unfit killed displaced dismissed] [x0 x1 queue util]"
+	if got != want {
+		t.Errorf("got %s, want %s", got, want)
+	}
 }
 
 // testdata/messages.jsonl holds messages as they cross, one of each type. Each is read with all its parts, and what is
@@ -121,7 +140,7 @@
 }
 
 // testdata/changelog.sse is a stream of the change log.
-func TestChangeLogGolden(t *testing.T) {
+func TestWatchEventsGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "changelog.sse"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/protocol/platform/lines.go
+++ b/internal/protocol/platform/lines.go
@@ -13,9 +13,9 @@
 	partial []byte // the line that has not ended
 }
 
-// Feed takes bytes as they come and calls line for each complete line, without its line feed and a carriage return before
-// it; what line gets is valid until it returns. It stops at the first error of line, which it returns, and at a line that
-// is too long, with ErrLineTooLong; the stream cannot be read on after that.
+// Feed takes bytes as they come and calls line for each complete line, without its line feed and a carriage return
+// before it; what line gets is valid until it returns. It stops at the first error of line, which it returns, and at a
+// line that is too long, with ErrLineTooLong; the stream cannot be read on after that.
 func (s *LineSplitter) Feed(p []byte, line func([]byte) error) error {
 	for {
 		end := bytes.IndexByte(p, '\n')
--- a/internal/protocol/platform/message.go
+++ b/internal/protocol/platform/message.go
@@ -74,7 +74,8 @@
 		return false
 	}
 	for _, c := range []byte(s) {
-		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F') {
+		digit := c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
+		if !digit {
 			return false
 		}
 	}
--- /dev/null
+++ b/internal/protocol/platform/message_test.go
@@ -0,0 +1,50 @@
+package platform
+
+import (
+	"bytes"
+	"testing"
+)
+
+func TestDecodeKeepsParts(t *testing.T) {
+	line := `{"t":"new","ref":"9b1f03aa5c7e2d41","f":{"class":"batch","left":1500,"key":"\ud800"},"c":34,"d":"a\r\n\udc00` + "\xff" + `"}`
+	m, err := Decode([]byte(line))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if text, _ := m.Text("left"); m.Type != TypeRequest || m.Ref != "9b1f03aa5c7e2d41" || m.Cause != 34 || text != "1500" {
+		t.Errorf("decoded %+v", m)
+	}
+	if want := `"a\r\n\udc00` + "\xff" + `"`; string(m.Description) != want || string(m.Fields["key"]) != `"\ud800"` {
+		t.Errorf("description %q, want %q as it came", m.Description, want)
+	}
+	out := Append(nil, m.Type, m.Ref, m.Cause, m.Description, Field{"class", m.Fields["class"]}, Field{"left", m.Fields["left"]}, Field{"key", m.Fields["key"]})
+	if string(out) != line+"\n" {
+		t.Errorf("written as %q", out)
+	}
+	for _, bad := range []string{
+		"", "{", "[1]", "null", `{"t":1,"ref":"9b1f03aa5c7e2d41"}`, `{"ref":"9b1f03aa5c7e2d41"}`, `{"t":"new"}`,
+		`{"t":"new","ref":"9b1f03aa5c7e2d4"}`, `{"t":"new","ref":"9b1f03aa5c7e2d4g"}`, `{"t":"new","ref":"9b1f03aa5c7e2d41","f":[]}`,
+		`{"t":"new","ref":"9b1f03aa5c7e2d41","f":{"a":null}}`, `{"t":"new","ref":"9b1f03aa5c7e2d41","f":{"a":{}}}`,
+		`{"t":"down","ref":"9b1f03aa5c7e2d41","c":-1}`, `{"t":"down","ref":"9b1f03aa5c7e2d41","c":1.5}`,
+		`{"t":"down","ref":"9b1f03aa5c7e2d41","c":"34"}`, `{"t":"new","ref":"9b1f03aa5c7e2d41","d":7}`, `{"T":"new","REF":"9b1f03aa5c7e2d41"}`,
+		`{"t":"new","ref":"9b1f03aa5c7e2d41"} {}`,
+	} {
+		if _, err := Decode([]byte(bad)); err == nil {
+			t.Errorf("%s is read", bad)
+		}
+	}
+}
+
+func FuzzDecodeAppend(f *testing.F) {
+	f.Add([]byte(`{"t":"up","ref":"9b1f03aa5c7e2d41","f":{"load":"x0:1"},"d":"x"}`))
+	f.Fuzz(func(t *testing.T, line []byte) {
+		m, err := Decode(line)
+		if err != nil || bytes.IndexByte(line, '\n') >= 0 {
+			return
+		}
+		again, err := Decode(bytes.TrimSuffix(Append(nil, TypeRequest, m.Ref, m.Cause, m.Description), []byte("\n")))
+		if err != nil || again.Ref != m.Ref || again.Cause != m.Cause || !bytes.Equal(again.Description, m.Description) {
+			t.Fatalf("%q comes back as %+v, %v", line, again, err)
+		}
+	})
+}
--- a/internal/protocol/platform/sequence.go
+++ b/internal/protocol/platform/sequence.go
@@ -1,7 +1,7 @@
 package platform
 
-// maxHeldEvents bounds the events that are held back until it shows whether the sequence was restarted.
-const maxHeldEvents = 1024
+// maxPostponedEvents bounds the events that are held back until it shows whether the sequence was restarted.
+const maxPostponedEvents = 1024
 
 // EventVerdict says what to do with an event of the change log.
 type EventVerdict int
@@ -13,41 +13,41 @@
 	Resubscribe                     // events between are missing: open the stream again behind Last
 )
 
-// Sequence keeps the events of the change log in order by their numbers: each is applied once, and a gap is asked for once
-// more.
+// Sequence keeps the events of the change log in order by their numbers: each is applied once, and a gap is asked for
+// once more.
 //
-// A log whose sequence was restarted answers the next subscription with a snapshot under a number that was applied before;
-// so does a log that repeats everything. Such events are held back. If they come up to the number that was subscribed
-// behind, they are a repetition; if the stream goes idle before, the sequence was restarted. A snapshot under an old number
-// at any other moment is outdated.
+// A log whose sequence was restarted answers the next subscription with a snapshot under a number that was applied
+// before; so does a log that repeats everything. Such events are held back. If they come up to the number that was
+// subscribed behind, they are a repetition; if the stream goes idle before, the sequence was restarted. A snapshot
+// under an old number at any other moment is outdated.
 //
 // The zero value expects number 1. It is not safe for use by several goroutines at once.
 type Sequence struct {
 	Last        uint64       // number of the last event that was applied
 	askedFor    uint64       // the missing number that the stream was last opened again for; 0: none
 	streamFresh bool         // nothing has come on the stream
-	held        []WatchEvent // held back: a snapshot and the events that follow it without a gap
+	postponed   []WatchEvent // held back: a snapshot and the events that follow it without a gap
 }
 
 // StreamOpened begins a stream that was subscribed to behind Last.
-func (s *Sequence) StreamOpened() { s.streamFresh, s.held = true, nil }
+func (s *Sequence) StreamOpened() { s.streamFresh, s.postponed = true, nil }
 
-// Next says what to do with an event. A gap that is still there once the stream was opened again is taken to be one of the
-// numbers and not of events.
+// Next says what to do with an event. A gap that is still there once the stream was opened again is taken to be one of
+// the numbers and not of events.
 func (s *Sequence) Next(event WatchEvent) EventVerdict {
 	streamFresh := s.streamFresh
 	s.streamFresh = false
-	if n := len(s.held); n > 0 {
-		if event.Seq == s.held[n-1].Seq+1 && event.Seq < s.Last && n < maxHeldEvents {
-			s.held = append(s.held, event)
+	if n := len(s.postponed); n > 0 {
+		if event.Seq == s.postponed[n-1].Seq+1 && event.Seq < s.Last && n < maxPostponedEvents {
+			s.postponed = append(s.postponed, event)
 			return SkipEvent
 		}
-		s.held = nil
+		s.postponed = nil
 	}
 	next := s.Last + 1
 	switch {
 	case streamFresh && event.IsSnapshot() && event.Seq < s.Last:
-		s.held = []WatchEvent{event}
+		s.postponed = []WatchEvent{event}
 		return SkipEvent
 	case event.Seq <= s.Last:
 		return SkipEvent
@@ -59,11 +59,11 @@
 	return ApplyEvent
 }
 
-// StreamIdle means that the log has nothing more for now. It returns the events of a restarted sequence, which are to be
-// applied in their order; usually there are none.
+// StreamIdle means that the log has nothing more for now. It returns the events of a restarted sequence, which are to
+// be applied in their order; usually there are none.
 func (s *Sequence) StreamIdle() []WatchEvent {
-	restarted := s.held
-	s.held = nil
+	restarted := s.postponed
+	s.postponed = nil
 	if len(restarted) > 0 {
 		s.Last, s.askedFor = restarted[len(restarted)-1].Seq, 0
 	}
--- /dev/null
+++ b/internal/protocol/platform/sequence_test.go
@@ -0,0 +1,62 @@
+package platform
+
+import (
+	"slices"
+	"testing"
+)
+
+// Each number is applied once; a gap is asked for once, and then taken to be one of the numbers.
+func TestSequenceAppliesEachEventOnce(t *testing.T) {
+	s := Sequence{Last: 3}
+	for i, c := range []struct {
+		seq  uint64
+		want EventVerdict
+	}{
+		{3, SkipEvent}, {4, ApplyEvent}, {4, SkipEvent}, {7, Resubscribe}, // the stream is opened again:
+		{5, ApplyEvent}, {6, ApplyEvent}, {7, ApplyEvent}, {9, Resubscribe}, // and again, and it is a gap of numbers only:
+		{9, ApplyEvent}, {10, ApplyEvent}, {12, Resubscribe},
+	} {
+		if got := s.Next(WatchEvent{Seq: c.seq}); got != c.want {
+			t.Errorf("%d: the verdict on %d is %v, want %v", i, c.seq, got, c.want)
+		}
+	}
+}
+
+// What a log repeats is skipped, a restarted sequence is applied once the stream is idle, and a snapshot under an old number
+// in the middle of a stream is skipped.
+func TestSequenceRestarts(t *testing.T) {
+	ev := func(seq uint64, snapshot bool) WatchEvent {
+		return WatchEvent{Seq: seq, Endpoints: &EndpointList{Snapshot: snapshot}}
+	}
+	for name, c := range map[string]struct {
+		events    []WatchEvent
+		applied   []uint64 // at once
+		restarted []uint64 // when the stream is idle
+		last      uint64
+	}{
+		"repeated":                      {[]WatchEvent{ev(1, true), ev(2, false), ev(3, false), ev(4, false), ev(5, false), ev(6, false)}, []uint64{6}, nil, 6},
+		"repeated, the newest at once":  {[]WatchEvent{ev(4, true), ev(5, true), ev(6, false)}, []uint64{6}, nil, 6},
+		"restarted":                     {[]WatchEvent{ev(1, true), ev(2, false)}, nil, []uint64{1, 2}, 2},
+		"an old snapshot in the middle": {[]WatchEvent{ev(6, false), ev(2, true), ev(3, false), ev(7, false)}, []uint64{6, 7}, nil, 7},
+		"no snapshot":                   {[]WatchEvent{ev(1, false), ev(2, false)}, nil, nil, 5},
+		"a snapshot over a gap":         {[]WatchEvent{ev(9, true), ev(10, false)}, []uint64{9, 10}, nil, 10},
+	} {
+		s := Sequence{Last: 5}
+		s.StreamOpened()
+		var applied, restarted []uint64
+		for _, ch := range c.events {
+			switch s.Next(ch) {
+			case Resubscribe:
+				t.Errorf("%s: %d is asked for again", name, ch.Seq)
+			case ApplyEvent:
+				applied = append(applied, ch.Seq)
+			}
+		}
+		for _, ch := range s.StreamIdle() {
+			restarted = append(restarted, ch.Seq)
+		}
+		if !slices.Equal(applied, c.applied) || !slices.Equal(restarted, c.restarted) || s.Last != c.last {
+			t.Errorf("%s: applied %v, restarted %v, last %d; want %v, %v, %d", name, applied, restarted, s.Last, c.applied, c.restarted, c.last)
+		}
+	}
+}
--- a/internal/protocol/platform/sse.go
+++ b/internal/protocol/platform/sse.go
@@ -29,8 +29,8 @@
 	OnComment func()
 }
 
-// Feed takes bytes as they come and calls handle for each complete event, which handle may keep. After an error, which is
-// ErrEventTooLarge, the stream cannot be read on.
+// Feed takes bytes as they come and calls handle for each complete event, which handle may keep. After an error, which
+// is ErrEventTooLarge, the stream cannot be read on.
 func (e *EventReader) Feed(p []byte, handle func(ServerSentEvent)) error {
 	for _, b := range p {
 		if e.afterReturn && b == '\n' {
