--- /dev/null
+++ b/internal/scheduler/invariant/invariant_test.go
@@ -0,0 +1,44 @@
+package invariant
+
+import (
+	"testing"
+	"time"
+
+	"forkhead"
+	"forkhead/internal/scheduler/attempt"
+)
+
+func TestCheckAnswer(t *testing.T) {
+	unsafe := attempt.Rules{MaxAttempts: 2, Effect: forkhead.Unsafe}
+	for name, c := range map[string]struct {
+		inputs []attempt.Input // of the only attempt
+		reject bool
+		want   Rule // RuleCount: none
+	}{
+		"failed, unknown":      {[]attempt.Input{attempt.OfferWritten, attempt.ConnectionLost}, false, RuleCount},
+		"rejected by the host": {[]attempt.Input{attempt.OfferWritten, attempt.Rejected}, true, RuleCount},
+		"rejected, unknown":    {[]attempt.Input{attempt.OfferWritten, attempt.ConnectionLost}, true, NoRepeat},
+		"in flight":            {[]attempt.Input{attempt.OfferWritten}, false, OneAnswer},
+		"placed":               {[]attempt.Input{attempt.OfferWritten, attempt.Accepted}, false, OneAnswer},
+	} {
+		r := attempt.Request{Rules: unsafe, Deadline: time.Minute}
+		number := r.AddOffer(0, 1)
+		for _, in := range c.inputs {
+			r.Handle(number, in)
+		}
+		checkViolation(t, name, CheckAnswer(&r, c.reject), c.want)
+	}
+}
+
+// checkViolation fails the test unless a violation is of a rule; RuleCount stands for none.
+func checkViolation(t *testing.T, name string, v *Violation, want Rule) {
+	t.Helper()
+	switch {
+	case want == RuleCount && v != nil:
+		t.Errorf("%s: %v", name, v)
+	case want != RuleCount && v == nil:
+		t.Errorf("%s: no violation, want one of %v", name, want)
+	case want != RuleCount && v.Rule != want:
+		t.Errorf("%s: %v, want a violation of %v", name, v, want)
+	}
+}
--- /dev/null
+++ b/internal/scheduler/invariant/offer.go
@@ -0,0 +1,108 @@
+package invariant
+
+import (
+	"errors"
+	"fmt"
+	"iter"
+	"time"
+
+	"forkhead"
+	"forkhead/internal/scheduler/attempt"
+)
+
+// Offer is an offer of a task to a host, to be checked, and what the check goes by.
+type Offer struct {
+	Request      *attempt.Request
+	Task         *forkhead.Task
+	Class        *forkhead.Class
+	To           *Host
+	DrainGrace   time.Duration                 // for so long after a drain offers may still be sent
+	HostByID     func(id attempt.HostID) *Host // any host that the request has been offered to; nil if it is not known
+	ServiceHosts iter.Seq[*Host]               // the hosts of all live attempts of the service at this placer
+}
+
+// CheckOffer returns the first violation of sending an offer now, or nil.
+func CheckOffer(now time.Duration, o *Offer) *Violation {
+	if v := o.checkRequest(now); v != nil {
+		return v
+	}
+	if DrainGraceExpired(now, o.To.State, o.To.DrainingSince, o.DrainGrace) {
+		reason := fmt.Sprintf("told %v ago that the host drains or is gone", now-o.To.DrainingSince)
+		return &Violation{Rule: Drain, Reason: reason}
+	}
+	if v := o.checkFit(); v != nil {
+		return v
+	}
+	return CheckSpread(o)
+}
+
+// checkRequest checks what follows from the request and its earlier attempts.
+func (o *Offer) checkRequest(now time.Duration) *Violation {
+	err := o.Request.MayOffer(now, o.To.ID, o.sameDomain)
+	switch {
+	case err == nil:
+		return nil
+	case errors.Is(err, attempt.ErrAnswered),
+		errors.Is(err, attempt.ErrDeadlinePassed),
+		errors.Is(err, attempt.ErrAttemptsExhausted):
+		return &Violation{Rule: OneAnswer, Reason: err.Error()}
+	}
+	return &Violation{Rule: NoRepeat, Reason: err.Error()}
+}
+
+// sameDomain is SameDomain by host IDs; a host that is not known shares no domain.
+func (o *Offer) sameDomain(level forkhead.Domain, x, y attempt.HostID) bool {
+	hostX, hostY := o.HostByID(x), o.HostByID(y)
+	return hostX != nil && hostY != nil && SameDomain(level, hostX, hostY)
+}
+
+// checkFit checks whether the host can run the task, whatever its load.
+func (o *Offer) checkFit() *Violation {
+	if o.Class.MachineType >= 0 && o.Class.MachineType != o.To.MachineType {
+		return &Violation{Rule: Fit, Reason: "the host is of another kind than the class needs"}
+	}
+	if missing := o.Task.RequiredLabels &^ o.To.Labels; missing != 0 {
+		return &Violation{Rule: Fit, Reason: "the host does not meet the task's constraints"}
+	}
+	return nil
+}
+
+// CheckSpread returns the violation of the spread limits that the offer would bring about, or nil. It is checked when the
+// host is chosen, and again when an offer that waited for its connection can be written: tasks that an earlier
+// incarnation of the placer left running may have been reported meanwhile.
+func CheckSpread(o *Offer) *Violation {
+	for level, limit := range o.spreadLimits() {
+		if limit == 0 || forkhead.Domain(level) == forkhead.AnyDomain {
+			continue
+		}
+		if n := o.countInDomain(forkhead.Domain(level)) + 1; n > limit {
+			reason := fmt.Sprintf("it would be number %d of its service in one place that takes %d", n, limit)
+			return &Violation{Rule: Spread, Reason: reason}
+		}
+	}
+	return nil
+}
+
+// spreadLimits returns the stricter of the task's and its class's limits for each level of the topology; 0 is none.
+func (o *Offer) spreadLimits() forkhead.SpreadLimits {
+	limits := o.Task.SpreadLimits
+	level := o.Class.SpreadDomain
+	if level == forkhead.AnyDomain {
+		return limits
+	}
+	if limits[level] == 0 || o.Class.MaxPerDomain < limits[level] {
+		limits[level] = o.Class.MaxPerDomain
+	}
+	return limits
+}
+
+// countInDomain returns the number of live attempts of the service in the domain of the offer's host.
+func (o *Offer) countInDomain(level forkhead.Domain) int {
+	n := 0
+	for host := range o.ServiceHosts {
+		if SameDomain(level, host, o.To) {
+			n++
+		}
+	}
+	return n
+}
