--- a/internal/scheduler/core/hosts.go
+++ b/internal/scheduler/core/hosts.go
@@ -108,10 +108,10 @@
 		if h == nil {
 			h = &host{name: entry.Name, attempts: map[hostproto.Ref]*taskAttempt{}, probesSentAt: map[uint32]time.Duration{}}
 			c.hosts[entry.Name] = h
-			n, renamed := c.hostIDs.Add(entry.Name)
+			n, renumbered := c.hostIDs.Add(entry.Name)
 			h.id = forkhead.MachineID(n)
-			for name, old := range renamed {
-				gone = append(gone, c.renumberHost(name, forkhead.MachineID(old))...)
+			for _, r := range renumbered {
+				gone = append(gone, c.renumberHost(r.Name, forkhead.MachineID(r.Old))...)
 			}
 			c.hostsByID[h.id] = h
 		}
--- a/internal/scheduler/core/restore.go
+++ b/internal/scheduler/core/restore.go
@@ -183,10 +183,10 @@
 		h = &host{name: a.Host, attempts: map[hostproto.Ref]*taskAttempt{}, probesSentAt: map[uint32]time.Duration{}, restored: true}
 		h.connection.Address = a.Address
 		c.hosts[a.Host] = h
-		n, renamed := c.hostIDs.Add(a.Host)
+		n, renumbered := c.hostIDs.Add(a.Host)
 		h.id = forkhead.MachineID(n)
-		for name, old := range renamed {
-			c.renumberHost(name, forkhead.MachineID(old))
+		for _, r := range renumbered {
+			c.renumberHost(r.Name, forkhead.MachineID(r.Old))
 		}
 		c.hostsByID[h.id] = h
 	}
--- a/internal/scheduler/ids/ids.go
+++ b/internal/scheduler/ids/ids.go
@@ -1,17 +1,18 @@
-// Package ids gives hosts, which have names, the 32-bit numbers that the module knows them by.
-// The number is a hash of the name, so that all placers use the same without a word between
-// them. Names whose hashes collide get others, which depend on the names alone.
+// Package ids gives hosts, which have names, the 32-bit numbers that the module knows them by. A number is a hash of the
+// name, so that all placers use the same one without a message between them. Names whose hashes collide get others, which
+// depend on the names alone.
 package ids
 
 import (
 	"encoding/binary"
 	"hash/fnv"
+	"slices"
 )
 
-// Hash is a hash of a name with a salt.
+// Hash returns a hash of a name with a salt.
 type Hash func(name string, salt uint32) uint32
 
-// FNV is the hash in use: FNV-1a of the salt and the name, never 0.
+// FNV returns the FNV-1a hash of the salt and the name, never 0. It is the hash in use; tests take one that collides more.
 func FNV(name string, salt uint32) uint32 {
 	h := fnv.New32a()
 	h.Write(binary.LittleEndian.AppendUint32(nil, salt))
@@ -19,70 +20,80 @@
 	return max(h.Sum32(), 1)
 }
 
-// Table maps names to numbers and back.
+// Table maps names to numbers. It never forgets a name.
 type Table struct {
-	hash   Hash
-	number map[string]uint32
-	salt   map[string]uint32
-	name   map[uint32]string
-	burnt  map[uint32]bool // numbers that two names have hashed to: neither keeps them
+	hash     Hash
+	numbers  map[string]uint32
+	salts    map[string]uint32 // of the present number; a name without an entry has salt 0
+	names    map[uint32]string // by the present number
+	collided map[uint32]bool   // numbers that two names have hashed to: neither has them
 }
 
 // NewTable returns an empty table.
 func NewTable(hash Hash) *Table {
 	return &Table{
-		hash: hash, number: map[string]uint32{}, salt: map[string]uint32{}, name: map[uint32]string{},
-		burnt: map[uint32]bool{},
+		hash: hash, numbers: map[string]uint32{}, salts: map[string]uint32{}, names: map[uint32]string{},
+		collided: map[uint32]bool{},
 	}
 }
 
-// Add gives a name its number. renamed lists names that lost theirs to a collision and have
-// another now, with the old number; the caller tells the module that the old one is gone.
+// Renumbered is a name that lost its number to a collision and has another now.
+type Renumbered struct {
+	Name string
+	Old  uint32 // the number that it had
+}
+
+// Add returns the number of a name, which it gives the name unless it has one. renumbered lists the other names that lost
+// theirs to a collision, in the order in which they did; the caller notifies the module that the old numbers are gone.
 //
-// Where two names hash to one number, both move on to the hash with the next salt, whichever
-// came first: so the outcome depends on which names there are, not on the order in which a
-// placer heard of them.
-func (t *Table) Add(name string) (number uint32, renamed map[string]uint32) {
-	if n, ok := t.number[name]; ok {
+// Where two names hash to one number, both move on to the hash with the next salt, whichever came first. So the outcome
+// depends on which names there are, not on the order in which a placer learned of them.
+func (t *Table) Add(name string) (number uint32, renumbered []Renumbered) {
+	if n, ok := t.numbers[name]; ok {
 		return n, nil
 	}
-	work := []string{name}
-	for len(work) > 0 {
-		w := work[len(work)-1]
-		work = work[:len(work)-1]
-		n := t.hash(w, t.salt[w])
-		for t.burnt[n] {
-			t.salt[w]++
-			n = t.hash(w, t.salt[w])
-		}
-		other, taken := t.name[n]
+	pending := []string{name}
+	for len(pending) > 0 {
+		last := len(pending) - 1
+		next := pending[last]
+		pending = pending[:last]
+
+		n := t.candidate(next)
+		other, taken := t.names[n]
 		if !taken {
-			t.number[w], t.name[n] = n, w
+			t.numbers[next], t.names[n] = n, next
 			continue
 		}
-		t.burnt[n] = true
-		delete(t.name, n)
-		delete(t.number, other)
-		t.salt[other]++
-		t.salt[w]++
-		if other != name {
-			if renamed == nil {
-				renamed = map[string]uint32{}
-			}
-			if _, already := renamed[other]; !already {
-				renamed[other] = n
-			}
+		t.collide(n, other, next)
+		pending = append(pending, other, next)
+		if other != name && !slices.ContainsFunc(renumbered, func(r Renumbered) bool { return r.Name == other }) {
+			renumbered = append(renumbered, Renumbered{Name: other, Old: n})
 		}
-		work = append(work, other, w)
 	}
-	return t.number[name], renamed
+	return t.numbers[name], renumbered
 }
 
-// Number returns the number of a name.
-func (t *Table) Number(name string) (uint32, bool) {
-	n, ok := t.number[name]
-	return n, ok
+// candidate returns the first hash of a name, from its salt on, that is not known to collide, and keeps the salt.
+func (t *Table) candidate(name string) uint32 {
+	n := t.hash(name, t.salts[name])
+	for t.collided[n] {
+		t.salts[name]++
+		n = t.hash(name, t.salts[name])
+	}
+	return n
+}
+
+// collide takes a number from the name that has it, and moves that name and the one that hashed to it to their next salts.
+func (t *Table) collide(number uint32, holder, newcomer string) {
+	t.collided[number] = true
+	delete(t.names, number)
+	delete(t.numbers, holder)
+	t.salts[holder]++
+	t.salts[newcomer]++
 }
 
-// Name returns the name of a number, or "".
-func (t *Table) Name(number uint32) string { return t.name[number] }
+// Number returns the number of a name; ok is false where the name was never added.
+func (t *Table) Number(name string) (number uint32, ok bool) {
+	number, ok = t.numbers[name]
+	return number, ok
+}
