--- a/internal/emulator/consul/server.go
+++ b/internal/emulator/consul/server.go
@@ -20,7 +20,7 @@
 // Server is a Store behind HTTP on loopback.
 type Server struct {
 	clock *clock.Clock
-	log   *recorder.Log
+	log   *recorder.Recorder
 	http  *http.Server
 	ln    net.Listener
 
@@ -35,7 +35,7 @@
 const poll = 10 * time.Millisecond
 
 // Serve starts a catalogue at an address. log may be nil.
-func Serve(address string, p Policy, c *clock.Clock, log *recorder.Log) (*Server, error) {
+func Serve(address string, p Policy, c *clock.Clock, log *recorder.Recorder) (*Server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
--- a/internal/emulator/host/hostd.go
+++ b/internal/emulator/host/hostd.go
@@ -37,7 +37,7 @@
 	Cold      bool // its first life has just begun, too
 	Clock     *clock.Clock
 	Engine    *netio.Engine
-	Log       *recorder.Log
+	Log       *recorder.Recorder
 }
 
 const (
--- a/internal/emulator/host/hostd_test.go
+++ b/internal/emulator/host/hostd_test.go
@@ -15,7 +15,7 @@
 	"forkhead/internal/server/recorder"
 )
 
-func start(t *testing.T) (*Server, *recorder.Log) {
+func start(t *testing.T) (*Server, *recorder.Recorder) {
 	t.Helper()
 	engine, err := netio.New("test", 1)
 	if err != nil {
--- a/internal/server/listwatch/listwatch.go
+++ b/internal/server/listwatch/listwatch.go
@@ -1,5 +1,4 @@
-// Package listwatch follows the list of hosts by blocking queries against a catalogue that
-// speaks Consul's HTTP API.
+// Package listwatch follows the list of hosts by blocking queries of Consul's HTTP API.
 package listwatch
 
 import (
@@ -14,110 +13,142 @@
 	"time"
 
 	"forkhead/internal/protocol/consul"
-	"forkhead/internal/scheduler/core"
 )
 
-// Config says whom to ask and how.
+// Config says what is watched and how.
 type Config struct {
-	Address string        // HOST:PORT
-	Service string        // under which hosts are registered
-	Wait    time.Duration // longest a query is held
-	Timeout time.Duration // beyond Wait; then it has failed
-	Pace    time.Duration // least time between two queries
-	Agent   string        // User-Agent
+	Address     string        // of Consul, HOST:PORT
+	Service     string        // under which hosts are registered
+	MaxWait     time.Duration // how long Consul may hold a query until something changes
+	Timeout     time.Duration // of a query, beyond the time that Consul may hold it
+	MinInterval time.Duration // from the start of a query to that of the next
+	UserAgent   string
 }
 
-// Watch is one subscription: it ends with the first failure, or when it is stopped.
+// Watch is one subscription to the list. It ends with the first query that fails, or by Stop.
 type Watch struct {
+	cfg    Config
+	client *http.Client
+	onList func(hosts []consul.Host, skipped []string)
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 }
 
-// Start begins to ask. list is called with each list; failed is called once if a query fails.
-// Both are called on the watch's goroutine.
-func Start(cfg Config, list func(hosts []core.HostEntry, skipped []string), failed func(error)) *Watch {
+// Start starts a watch on a goroutine of its own, which calls the functions. onList is called with each list that differs from
+// the one before; skipped says of each host that is left out why it cannot be used. onFailure is called once, with the error
+// of the query that ended the watch, and not after Stop.
+func Start(cfg Config, onList func(hosts []consul.Host, skipped []string), onFailure func(error)) *Watch {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &Watch{cancel: cancel}
-	w.done.Add(1)
-	go func() {
-		defer w.done.Done()
-		client := &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}}
-		defer client.CloseIdleConnections()
-		index := uint64(0)
-		for ctx.Err() == nil {
-			began := time.Now()
-			hosts, skipped, next, err := ask(ctx, client, &cfg, index)
-			if ctx.Err() != nil {
-				return
-			}
-			if err != nil {
-				failed(err)
-				return
-			}
-			// By the API's own advice: an index that goes back starts over, and 0 would not block.
-			if next < index {
-				next = 0
-			}
-			if next != index || index == 0 {
-				list(hosts, skipped)
-			}
-			index = next
-			pause := time.NewTimer(max(cfg.Pace-time.Since(began), 0))
-			select {
-			case <-ctx.Done():
-				pause.Stop()
-				return
-			case <-pause.C:
-			}
+	w := &Watch{
+		cfg:    cfg,
+		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}},
+		onList: onList,
+		cancel: cancel,
+	}
+	w.done.Go(func() {
+		defer w.client.CloseIdleConnections()
+		if err := w.follow(ctx); ctx.Err() == nil {
+			onFailure(err)
 		}
-	}()
+	})
 	return w
 }
 
-// Stop ends the watch and waits for its goroutine.
+// Stop ends the watch and waits for its goroutine. It must not be called by the functions that were given to Start.
 func (w *Watch) Stop() {
 	w.cancel()
 	w.done.Wait()
 }
 
-var errSize = errors.New("the catalogue's answer is longer than 64 MiB")
+// follow queries the list until a query fails or ctx is canceled, and returns the error.
+func (w *Watch) follow(ctx context.Context) error {
+	index := uint64(0) // of the list that was read last
+	for {
+		started := time.Now()
+		answer, err := w.query(ctx, index)
+		if err != nil {
+			return err
+		}
+		next := answer.index
+		if next < index {
+			next = 0 // Consul's documentation asks for this: it has restarted, and a query by an old index may never return
+		}
+		if next != index || index == 0 {
+			w.onList(answer.hosts, answer.skipped)
+		}
+		index = next
+		if err := sleep(ctx, w.cfg.MinInterval-time.Since(started)); err != nil {
+			return err
+		}
+	}
+}
 
-func ask(ctx context.Context, client *http.Client, cfg *Config, index uint64) ([]core.HostEntry, []string, uint64, error) {
-	limit := cfg.Timeout
-	query := url.Values{}
+// sleep returns after d, or with an error when ctx is canceled.
+func sleep(ctx context.Context, d time.Duration) error {
+	timer := time.NewTimer(max(d, 0))
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-timer.C:
+		return nil
+	}
+}
+
+// answer is Consul's answer to a query.
+type answer struct {
+	hosts   []consul.Host
+	skipped []string // entries that cannot be used
+	index   uint64   // of the list; the next query waits until it is another
+}
+
+// query asks for the list. If index is not 0, the answer is held until the list has another index, at most for MaxWait.
+func (w *Watch) query(ctx context.Context, index uint64) (*answer, error) {
+	timeout := w.cfg.Timeout
+	parameters := url.Values{}
 	if index > 0 {
-		// A blocking query may be held for Wait and a sixteenth, by the API.
-		limit += cfg.Wait + cfg.Wait/16
-		query.Set("index", strconv.FormatUint(index, 10))
-		query.Set("wait", strconv.FormatInt(cfg.Wait.Milliseconds(), 10)+"ms")
+		timeout += w.cfg.MaxWait + w.cfg.MaxWait/16 // Consul adds up to a sixteenth, so that clients don't return all at once
+		parameters.Set("index", strconv.FormatUint(index, 10))
+		parameters.Set("wait", strconv.FormatInt(w.cfg.MaxWait.Milliseconds(), 10)+"ms")
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	at := "http://" + cfg.Address + "/v1/health/service/" + url.PathEscape(cfg.Service) + "?" + query.Encode()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, at, nil)
+	address := "http://" + w.cfg.Address + "/v1/health/service/" + url.PathEscape(w.cfg.Service) + "?" + parameters.Encode()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
-		return nil, nil, 0, err
+		return nil, err
 	}
-	req.Header.Set("User-Agent", cfg.Agent)
-	resp, err := client.Do(req)
+	request.Header.Set("User-Agent", w.cfg.UserAgent)
+	response, err := w.client.Do(request)
 	if err != nil {
-		return nil, nil, 0, err
+		return nil, err
 	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		return nil, nil, 0, fmt.Errorf("the catalogue answers %s", resp.Status)
+	defer func() { _ = response.Body.Close() }() // it was only read
+	return readAnswer(response)
+}
+
+// errTooLong is the error of an answer that has more than consul.MostBytes.
+var errTooLong = errors.New("consul's answer is longer than 64 MiB")
+
+func readAnswer(response *http.Response) (*answer, error) {
+	if response.StatusCode != http.StatusOK {
+		return nil, fmt.Errorf("consul answered %s", response.Status)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, consul.MostBytes+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, consul.MostBytes+1))
 	if err != nil {
-		return nil, nil, 0, err
+		return nil, err
 	}
 	if len(body) > consul.MostBytes {
-		return nil, nil, 0, errSize
+		return nil, errTooLong
 	}
-	next, err := strconv.ParseUint(resp.Header.Get("X-Consul-Index"), 10, 64)
+	header := response.Header.Get("X-Consul-Index")
+	index, err := strconv.ParseUint(header, 10, 64)
 	if err != nil {
-		return nil, nil, 0, fmt.Errorf("the catalogue's answer has no usable X-Consul-Index: %q", resp.Header.Get("X-Consul-Index"))
+		return nil, fmt.Errorf("consul's answer has no usable X-Consul-Index: %q", header)
 	}
 	hosts, skipped, err := consul.Decode(body)
-	return hosts, skipped, next, err
+	if err != nil {
+		return nil, err
+	}
+	return &answer{hosts: hosts, skipped: skipped, index: index}, nil
 }
--- a/internal/server/listwatch/listwatch_test.go
+++ b/internal/server/listwatch/listwatch_test.go
@@ -1,7 +1,7 @@
 package listwatch_test
 
 import (
-	"fmt"
+	"io"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -12,28 +12,33 @@
 	"forkhead"
 	consulemulator "forkhead/internal/emulator/consul"
 	"forkhead/internal/protocol/consul"
-	"forkhead/internal/scheduler/core"
 	"forkhead/internal/server/clock"
 	"forkhead/internal/server/listwatch"
 )
 
-func entry(name string, free float64) consul.Registration {
-	r, err := consul.Registered(&core.HostEntry{Name: name, Address: "127.0.0.1:9", Kind: "k", Zone: "z", Rack: "r", FreeCores: free, Started: time.Hour}, "hosts")
+func registration(name string, free float64) consul.Registration {
+	r, err := consul.Registered(&consul.Host{
+		Name: name, Address: "127.0.0.1:9", Kind: "k", Zone: "z", Rack: "r", FreeCores: free, Started: time.Hour,
+	}, "hosts")
 	if err != nil {
 		panic(err)
 	}
 	return r
 }
 
-func watch(t *testing.T, address string, wait time.Duration) (lists chan []core.HostEntry, failed chan error) {
-	lists, failed = make(chan []core.HostEntry, 100), make(chan error, 1)
-	w := listwatch.Start(listwatch.Config{Address: address, Service: "hosts", Wait: wait, Timeout: time.Second, Pace: 5 * time.Millisecond},
-		func(h []core.HostEntry, _ []string) { lists <- h }, func(err error) { failed <- err })
+// startWatch starts a watch that ends with the test. It sends each list, and the error that ended the watch.
+func startWatch(t *testing.T, address string, maxWait time.Duration) (lists chan []consul.Host, failed chan error) {
+	t.Helper()
+	lists, failed = make(chan []consul.Host, 100), make(chan error, 1)
+	cfg := listwatch.Config{
+		Address: address, Service: "hosts", MaxWait: maxWait, Timeout: time.Second, MinInterval: 5 * time.Millisecond,
+	}
+	w := listwatch.Start(cfg, func(hosts []consul.Host, _ []string) { lists <- hosts }, func(err error) { failed <- err })
 	t.Cleanup(w.Stop)
 	return lists, failed
 }
 
-func next(t *testing.T, lists chan []core.HostEntry) []core.HostEntry {
+func nextList(t *testing.T, lists chan []consul.Host) []consul.Host {
 	t.Helper()
 	select {
 	case l := <-lists:
@@ -44,43 +49,46 @@
 	}
 }
 
-// Against the stand-in: a change is told by the query that blocks, drains and departures are
-// told, and an outage ends the watch.
-func TestFollows(t *testing.T) {
+// Against the emulator: the query that blocks returns with a change, drains and departures among them, and an outage ends the
+// watch.
+func TestWatchFollowsChanges(t *testing.T) {
 	s, err := consulemulator.Serve("127.0.0.1:0", consulemulator.Policy{Critical: time.Hour, Deregister: time.Hour}, clock.New(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Stop()
 	with := func(f func(st *consulemulator.Store, now time.Duration)) { s.With(f) }
-	with(func(st *consulemulator.Store, now time.Duration) { st.Register(now, entry("a", 5)) })
-	lists, failed := watch(t, s.Address(), 10*time.Second)
-	if l := next(t, lists); len(l) != 1 || l[0].FreeCores != 5 || l[0].Started != time.Hour || l[0].State != forkhead.Ready {
+	with(func(st *consulemulator.Store, now time.Duration) { st.Register(now, registration("a", 5)) })
+	lists, failed := startWatch(t, s.Address(), 10*time.Second)
+	if l := nextList(t, lists); len(l) != 1 || l[0].FreeCores != 5 || l[0].Started != time.Hour || l[0].State != forkhead.Ready {
 		t.Fatalf("%+v", l)
 	}
-	with(func(st *consulemulator.Store, now time.Duration) { st.Register(now, entry("b", 7)) })
-	if l := next(t, lists); len(l) != 2 {
+	with(func(st *consulemulator.Store, now time.Duration) { st.Register(now, registration("b", 7)) })
+	if l := nextList(t, lists); len(l) != 2 {
 		t.Fatalf("%+v", l)
 	}
 	with(func(st *consulemulator.Store, now time.Duration) { st.Maintain(now, "a", true) })
-	if l := next(t, lists); l[0].State != forkhead.Draining {
+	if l := nextList(t, lists); l[0].State != forkhead.Draining {
 		t.Fatalf("%+v", l)
 	}
 	with(func(st *consulemulator.Store, now time.Duration) { st.Deregister(now, "a") })
-	if l := next(t, lists); len(l) != 1 || l[0].Name != "b" {
+	if l := nextList(t, lists); len(l) != 1 || l[0].Name != "b" {
 		t.Fatalf("%+v", l)
 	}
 	s.Outage(true)
 	select {
-	case <-failed:
+	case err := <-failed:
+		if err == nil {
+			t.Fatal("an outage ends the watch without an error")
+		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("an outage is not told")
+		t.Fatal("an outage does not end the watch")
 	}
 }
 
-// An index that goes back starts over instead of blocking for good, and answers that cannot be
-// used end the watch with the reason.
-func TestOddAnswers(t *testing.T) {
+// After an index that goes back, the watch asks without one instead of blocking for good; an answer without an index ends the
+// watch with the reason.
+func TestWatchHandlesUnusualIndexes(t *testing.T) {
 	var calls atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); n {
@@ -94,32 +102,53 @@
 			}
 			w.Header().Set("X-Consul-Index", "3")
 		}
-		fmt.Fprint(w, "[]")
+		if _, err := io.WriteString(w, "[]"); err != nil {
+			t.Error(err)
+		}
 	}))
 	defer srv.Close()
-	lists, failed := watch(t, strings.TrimPrefix(srv.URL, "http://"), time.Second)
+	lists, failed := startWatch(t, strings.TrimPrefix(srv.URL, "http://"), time.Second)
 	for range 3 {
-		next(t, lists)
+		nextList(t, lists)
 	}
 	if err := <-failed; !strings.Contains(err.Error(), "X-Consul-Index") {
 		t.Fatal(err)
 	}
 }
 
-func TestDecode(t *testing.T) {
-	hosts, skipped, err := consul.Decode([]byte(`[
-	  {"Node":{"Node":"a","Address":"127.0.0.1","Meta":{"kind":"k","label-disk":"ssd"}},"Service":{"Port":1,"Meta":{"free-cores":"NaN","started":"-5"}},"Checks":[{"Status":"warning"}]},
-	  {"Node":{"Node":"b","Address":"127.0.0.1","Meta":{"kind":"k"}},"Service":{"Port":70000}},
-	  {"Node":{"Node":"c","Address":"127.0.0.1"},"Service":{"Port":1}},
-	  {"Node":{"Address":"127.0.0.1","Meta":{"kind":"k"}},"Service":{"Port":1}},
-	  {"Node":{"Node":"d","Meta":{"kind":"k"}},"Service":{"Port":1}}]`))
-	if err != nil || len(hosts) != 1 || len(skipped) != 4 {
-		t.Fatalf("%+v, %q, %v", hosts, skipped, err)
-	}
-	if h := hosts[0]; h.FreeCores != 0 || h.Started != 0 || h.State != forkhead.Ready || h.Attributes["label.disk"] != "ssd" {
-		t.Fatalf("%+v", h)
-	}
-	if _, _, err := consul.Decode([]byte(`{"a":`)); err == nil {
-		t.Fatal("half an answer is read")
+// An answer that cannot be used ends the watch with the reason.
+func TestWatchEndsWithUnusableAnswer(t *testing.T) {
+	for name, c := range map[string]struct {
+		status    int
+		index     string
+		body      string
+		wantError string
+	}{
+		"status":   {http.StatusInternalServerError, "1", "[]", "500"},
+		"no index": {http.StatusOK, "", "[]", "X-Consul-Index"},
+		"index":    {http.StatusOK, "-1", "[]", "X-Consul-Index"},
+		"body":     {http.StatusOK, "1", "[{", "JSON"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				w.Header().Set("X-Consul-Index", c.index)
+				w.WriteHeader(c.status)
+				if _, err := io.WriteString(w, c.body); err != nil {
+					t.Error(err)
+				}
+			}))
+			defer srv.Close()
+			lists, failed := startWatch(t, strings.TrimPrefix(srv.URL, "http://"), time.Second)
+			select {
+			case err := <-failed:
+				if !strings.Contains(err.Error(), c.wantError) {
+					t.Errorf("failed with %q, which does not mention %q", err, c.wantError)
+				}
+			case hosts := <-lists:
+				t.Errorf("read as %+v", hosts)
+			case <-time.After(5 * time.Second):
+				t.Error("the watch goes on")
+			}
+		})
 	}
 }
--- a/internal/server/placer/placerd.go
+++ b/internal/server/placer/placerd.go
@@ -396,8 +396,8 @@
 	}
 	cat := s.set.Catalogue
 	cfg := listwatch.Config{
-		Address: cat.Address, Service: cat.Service, Wait: cat.Wait, Timeout: cat.Timeout, Pace: cat.Pace,
-		Agent: fmt.Sprintf("forkhead-placer/%d", s.set.Module.Self),
+		Address: cat.Address, Service: cat.Service, MaxWait: cat.Wait, Timeout: cat.Timeout, MinInterval: cat.Pace,
+		UserAgent: fmt.Sprintf("forkhead-placer/%d", s.set.Module.Self),
 	}
 	var w *listwatch.Watch
 	w = listwatch.Start(cfg, func(hosts []core.HostEntry, skipped []string) {
--- a/internal/server/recorder/recorder.go
+++ b/internal/server/recorder/recorder.go
@@ -1,41 +1,43 @@
-// Package recorder gathers the record of a run from the goroutines that see its traffic.
+// Package recorder collects the captured traffic of a run from the goroutines that see it.
 package recorder
 
 import (
+	"slices"
 	"sync"
 
 	"forkhead/internal/protocol/capture"
 )
 
-// Log gathers events. A nil Log takes none.
-type Log struct {
-	mu     sync.Mutex
-	events []capture.Event
-	most   int
-	full   bool
+// Recorder holds captured events up to a bound. It is safe for concurrent use; a nil Recorder takes no events.
+type Recorder struct {
+	maxEvents int
+
+	mu        sync.Mutex
+	events    []capture.Event
+	truncated bool // an event was dropped since the bound was reached
 }
 
-// New returns a log of at most so many events.
-func New(most int) *Log { return &Log{most: most} }
+// New returns a recorder that holds at most maxEvents events.
+func New(maxEvents int) *Recorder { return &Recorder{maxEvents: maxEvents} }
 
-// Add takes an event. A log that is full takes no more, and says so by Full: a record with a
-// hole proves nothing.
-func (l *Log) Add(e capture.Event) {
-	if l == nil {
+// Add records an event. Once the bound is reached, events are dropped, which Events reports.
+func (r *Recorder) Add(e capture.Event) {
+	if r == nil {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.events) >= l.most {
-		l.full = true
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.events) >= r.maxEvents {
+		r.truncated = true
 		return
 	}
-	l.events = append(l.events, e)
+	r.events = append(r.events, e)
 }
 
-// Events returns what has been gathered, and whether all of it was.
-func (l *Log) Events() (events []capture.Event, whole bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return append([]capture.Event(nil), l.events...), !l.full
+// Events returns a copy of the recorded events, in the order in which they were added, and whether they are all that were
+// added: a capture with a gap proves nothing.
+func (r *Recorder) Events() (events []capture.Event, complete bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.events), !r.truncated
 }
--- a/internal/verify/chaos/badday.go
+++ b/internal/verify/chaos/badday.go
@@ -71,7 +71,7 @@
 	opt    Options
 	s      *scenario.Script
 	c      *testcluster.Scene
-	log    *recorder.Log
+	log    *recorder.Recorder
 	start  time.Time
 	wait   sync.WaitGroup
 	ctx    context.Context
--- a/internal/verify/testcluster/scene.go
+++ b/internal/verify/testcluster/scene.go
@@ -36,7 +36,7 @@
 	Script    *scenario.Script
 	Settings  *settings.Settings
 	Clock     *clock.Clock
-	Log       *recorder.Log
+	Log       *recorder.Recorder
 	Catalogue *consulemulator.Server
 	Hosts     []*Host
 	Loss      atomic.Uint64 // of messages between placers, in thousandths
@@ -70,7 +70,7 @@
 
 // Start brings everything up. logs may be nil: nothing is recorded then. keep: the tapes of placers'
 // lives are kept.
-func Start(s *scenario.Script, logs *recorder.Log, log zerolog.Logger, breaker Breaker, keep bool) (*Scene, error) {
+func Start(s *scenario.Script, logs *recorder.Recorder, log zerolog.Logger, breaker Breaker, keep bool) (*Scene, error) {
 	c := &Scene{Script: s, Clock: clock.New(), Log: logs, Keep: keep, log: log, breaker: breaker}
 	var err error
 	if c.engine, err = netio.New("hosts", 2); err != nil {
