--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -65,7 +65,7 @@
 			c := clock.New()
 			cfg := placer.Config{Settings: s.For(self), Clock: c, Log: a.log, Seed: uint64(c.Now())}
 			if keep != "" {
-				if cfg.Store, cfg.SavedState, err = store.Open(store.Options{Path: keep}); err != nil {
+				if cfg.Store, cfg.Snapshot, err = store.Open(store.Options{Path: keep}); err != nil {
 					return err
 				}
 				defer cfg.Store.Close()
--- a/internal/server/placer/golden_test.go
+++ b/internal/server/placer/golden_test.go
@@ -18,7 +18,7 @@
 	"forkhead/internal/scheduler/core"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // checkGolden compares text with testdata/name.
 func checkGolden(t *testing.T, name string, text []byte) {
@@ -38,18 +38,25 @@
 	}
 }
 
-// Responses that tell of a problem have these heads and bodies.
-func TestProblemsGolden(t *testing.T) {
+// Responses with a problem have these heads and bodies.
+func TestProblemResponseGolden(t *testing.T) {
 	pos := diagnostic.Pos{File: "a.yaml", Line: 3, Col: 5}
 	var b bytes.Buffer
-	for _, p := range [][]byte{
-		problem(nil, Problem{Title: "No such resource", Status: 404, Detail: "/x"}, 0, false),
-		problem([]http1.Field{{Name: "allow", Value: "GET"}}, Problem{Title: "Method not allowed", Status: 405}, 0, true),
-		problem(nil, Problem{Title: "Stopping", Status: 503}, 1500*time.Millisecond, false),
-		problem(nil, InvalidSpecProblem(errors.Join(diagnostic.Wantf(pos, "image", "unknown"), diagnostic.Errorf(pos, "twice"))), 0, false),
-		problem(nil, impossible([]string{"a", "b"}), 0, false),
+	for _, c := range []struct {
+		response   problemResponse
+		closeAfter bool
+	}{
+		{problemResponse{Problem: Problem{Title: "No such resource", Status: 404, Detail: "/x"}}, false},
+		{problemResponse{
+			Problem: Problem{Title: "Method not allowed", Status: 405}, header: []http1.Field{{Name: "allow", Value: "GET"}},
+		}, true},
+		{problemResponse{Problem: Problem{Title: "Stopping", Status: 503}, retryAfter: 1500 * time.Millisecond}, false},
+		{problemResponse{
+			Problem: InvalidSpecProblem(errors.Join(diagnostic.Wantf(pos, "image", "unknown"), diagnostic.Errorf(pos, "twice"))),
+		}, false},
+		{problemResponse{Problem: infeasibleProblem([]string{"a", "b"})}, false},
 	} {
-		b.Write(bytes.ReplaceAll(p, []byte("\r"), nil))
+		b.Write(bytes.ReplaceAll(c.response.encode(c.closeAfter), []byte("\r"), nil))
 	}
 	checkGolden(t, "problems.txt", b.Bytes())
 }
--- /dev/null
+++ b/internal/server/placer/gossip.go
@@ -0,0 +1,82 @@
+package placer
+
+import (
+	"encoding/binary"
+	"errors"
+	"net"
+
+	"forkhead"
+	"forkhead/internal/parse/settings"
+)
+
+// A datagram is the sender's number, as a little-endian integer, and the message.
+const (
+	gossipHeaderSize = 2   // bytes
+	maxDatagramSize  = 512 // bytes, with the header
+)
+
+// gossipSocket exchanges datagrams with the other placers. Any message may be lost. The loop sends, a goroutine of the
+// Server's receives; the fields do not change after listenGossip.
+type gossipSocket struct {
+	self   int
+	socket net.PacketConn
+	peers  []net.Addr          // all placers, by number
+	drop   func(from int) bool // nil: nothing is dropped
+}
+
+// listenGossip opens the socket and resolves the addresses of all placers.
+func listenGossip(set *settings.Settings, drop func(from int) bool) (*gossipSocket, error) {
+	g := &gossipSocket{self: set.Module.Self, drop: drop}
+	for _, p := range set.Placers {
+		addr, err := net.ResolveUDPAddr("udp", p.Tell)
+		if err != nil {
+			return nil, err
+		}
+		g.peers = append(g.peers, addr)
+	}
+	var err error
+	g.socket, err = net.ListenPacket("udp", set.Placers[g.self].Tell)
+	return g, err
+}
+
+// send sends a message to a placer by its number, or to all others for forkhead.AllPlacers. A message over the limit is
+// not sent.
+func (g *gossipSocket) send(to int, message []byte) {
+	if gossipHeaderSize+len(message) > maxDatagramSize {
+		return
+	}
+	datagram := binary.LittleEndian.AppendUint16(nil, uint16(g.self))
+	datagram = append(datagram, message...)
+	for number, addr := range g.peers {
+		if number != g.self && (to == forkhead.AllPlacers || to == number) {
+			_, _ = g.socket.WriteTo(datagram, addr) // may be lost
+		}
+	}
+}
+
+// receive calls deliver with each message of another placer until the socket is closed. deliver may keep the message.
+func (g *gossipSocket) receive(deliver func(from int, message []byte)) {
+	buffer := make([]byte, maxDatagramSize+1) // a datagram over the limit shows by its length
+	for {
+		n, sender, err := g.socket.ReadFrom(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil || n <= gossipHeaderSize || n > maxDatagramSize {
+			continue
+		}
+		from := int(binary.LittleEndian.Uint16(buffer))
+		if !g.isPeer(from, sender) || g.drop != nil && g.drop(from) {
+			continue
+		}
+		deliver(from, append([]byte(nil), buffer[gossipHeaderSize:n]...))
+	}
+}
+
+// isPeer reports whether a datagram with this number comes from the address that the settings give that other placer.
+func (g *gossipSocket) isPeer(number int, sender net.Addr) bool {
+	return number < len(g.peers) && number != g.self && sender.String() == g.peers[number].String()
+}
+
+// close closes the socket, which ends receive.
+func (g *gossipSocket) close() { _ = g.socket.Close() }
--- /dev/null
+++ b/internal/server/placer/http_server_test.go
@@ -0,0 +1,130 @@
+package placer_test
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"forkhead/internal/server/placer"
+)
+
+func TestServerProblems(t *testing.T) {
+	_, address := startPlacer(t, "(limits (body 4096) (per-submit 50))")
+	for name, c := range map[string]struct {
+		contentType, key, body string
+		status                 int
+		want                   string
+	}{
+		"unreadable":     {"application/yaml", "", "a: [", 422, `"line":1`},
+		"unknown":        {"application/yaml", "", "services:\n  a: {imgae: x}", 422, `"file":"compose.yaml","line":2,"column":7`},
+		"too many tasks": {"application/yaml", "", webSpec(51), 413, "at most 50"},
+		"too long":       {"application/yaml", "", strings.Repeat("#", 5000), 413, "4096"},
+		"media type":     {"image/png", "", "x", 415, placer.EnvelopeMediaType},
+		"bad envelope":   {placer.EnvelopeMediaType, "", `{"fils":[]}`, 400, "unknown field"},
+		"empty envelope": {placer.EnvelopeMediaType, "", `{}`, 422, "there is nothing in it"},
+		"long key":       {"application/yaml", strings.Repeat("k", 300), webSpec(1), 400, "at most 200"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			resp := send(t, newSubmission(t, address, c.key, c.contentType, c.body))
+			body, err := io.ReadAll(resp.Body)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := resp.Header.Get("Content-Type"); got != "application/problem+json" {
+				t.Errorf("Content-Type %q", got)
+			}
+			if resp.StatusCode != c.status || !bytes.Contains(body, []byte(c.want)) {
+				t.Errorf("%s %s; want %d with %s", resp.Status, body, c.status, c.want)
+			}
+		})
+	}
+	for _, c := range []struct {
+		method, path string
+		status       int
+	}{
+		{"GET", "/v1/submissions", 405},
+		{"PUT", "/v1/projects/x", 405},
+		{"GET", "/", 404},
+		{"GET", "/v1/submissions/none", 404},
+		{"DELETE", "/v1/projects/none", 404},
+		{"GET", "/v1/status", 200},
+	} {
+		t.Run(c.method+" "+c.path, func(t *testing.T) {
+			if resp := send(t, newRequest(t, c.method, address, c.path, nil)); resp.StatusCode != c.status {
+				t.Errorf("%s; want %d", resp.Status, c.status)
+			}
+		})
+	}
+}
+
+// Requests sent ahead on one connection are answered one after another, in order.
+func TestServerAnswersPipelinedRequestsInOrder(t *testing.T) {
+	_, address := startPlacer(t, "")
+	c := dial(t, address)
+	body := webSpec(2)
+	submission := fmt.Sprintf("POST /v1/submissions HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	status := "GET /v1/status HTTP/1.1\r\nHost: a\r\n\r\n"
+	write(t, c, "%s", submission+status+submission+"GET /none HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
+	r := bufio.NewReader(c)
+	for i, want := range []int{200, 200, 200, 404} {
+		resp, err := http.ReadResponse(r, nil)
+		if err != nil {
+			t.Fatalf("response %d: %v", i, err)
+		}
+		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.StatusCode != want {
+			t.Fatalf("response %d: %s, %v", i, resp.Status, err)
+		}
+	}
+	if _, err := r.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Fatalf("the connection is not closed: %v", err)
+	}
+}
+
+func TestServerSendsContinue(t *testing.T) {
+	_, address := startPlacer(t, "")
+	c := dial(t, address)
+	body := webSpec(1)
+	write(t, c, "POST /v1/submissions HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", len(body))
+	r := bufio.NewReader(c)
+	if line, err := r.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 100 ") {
+		t.Fatalf("%q, %v", line, err)
+	}
+	_, _ = r.ReadString('\n')
+	write(t, c, "%s", body)
+	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 {
+		t.Fatalf("%v, %v", resp, err)
+	}
+}
+
+// A request that the parser rejects is answered and the connection closed; so are bytes of another protocol.
+func TestServerRejectsMalformedRequests(t *testing.T) {
+	_, address := startPlacer(t, "")
+	for _, text := range []string{"GET / HTTP/1.1\nHost: a\n\n", "\x16\x03\x01\x02\x00\x01\r\n\r\n", "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n"} {
+		c := dial(t, address)
+		write(t, c, "%s", text)
+		all, err := io.ReadAll(c)
+		if err != nil || !bytes.HasPrefix(all, []byte("HTTP/1.1 400 ")) || !bytes.Contains(all, []byte("problem+json")) {
+			t.Errorf("%q: %q, %v", text, all, err)
+		}
+	}
+}
+
+func TestServerLimitsConnections(t *testing.T) {
+	_, address := startPlacer(t, "(limits (connections 2))")
+	for range 2 {
+		dial(t, address)
+	}
+	time.Sleep(50 * time.Millisecond)
+	c := dial(t, address)
+	write(t, c, "GET /v1/status HTTP/1.1\r\nHost: a\r\n\r\n")
+	all, _ := io.ReadAll(c) // the connection may be reset behind the answer
+	if !bytes.HasPrefix(all, []byte("HTTP/1.1 503 ")) || !bytes.Contains(bytes.ToLower(all), []byte("retry-after: 1")) {
+		t.Fatalf("%q", all)
+	}
+}
--- /dev/null
+++ b/internal/server/placer/machine_list.go
@@ -0,0 +1,45 @@
+package placer
+
+import (
+	"fmt"
+
+	"forkhead"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/server/listwatch"
+)
+
+// watchMachineList starts to watch the machine list, unless that is being done. The watch lasts until a poll fails; the
+// core then asks for another one.
+func (s *Server) watchMachineList() {
+	if s.watch != nil {
+		return
+	}
+	discovery := &s.settings.Catalogue
+	cfg := listwatch.Config{
+		Address: discovery.Address, Service: discovery.Service,
+		MaxWait: discovery.Wait, Timeout: discovery.Timeout, MinInterval: discovery.Pace,
+		UserAgent: fmt.Sprintf("forkhead-placer/%d", s.settings.Module.Self),
+	}
+	s.watch = listwatch.Start(cfg, func(machines []core.HostEntry, unusable []string) {
+		s.loop.PostBlocking(func() { s.machineListReceived(machines, unusable) })
+	}, func(err error) {
+		s.loop.Post(func() { s.machineListFailed(err) })
+	})
+}
+
+// machineListReceived hands a complete list to the core and to the feasibility checks. It runs on the loop.
+func (s *Server) machineListReceived(machines []core.HostEntry, unusable []string) {
+	if len(unusable) > 0 {
+		s.log.Warn().Strs("entries", unusable).Msg("unusable entries in the machine list")
+	}
+	s.addInput(core.HostListReceived{Mode: forkhead.ListSnapshot, Hosts: machines})
+	s.http.feasibility.setMachines(machines)
+}
+
+// machineListFailed tells the core that its watch has ended with a failed poll. It runs on the loop.
+func (s *Server) machineListFailed(err error) {
+	s.watch.Stop() // its goroutine is ending by itself
+	s.watch = nil
+	s.log.Debug().Err(err).Str("address", s.settings.Catalogue.Address).Msg("poll of the machine list failed")
+	s.addInput(core.HostListReceived{Mode: forkhead.ListFailed})
+}
--- /dev/null
+++ b/internal/server/placer/problems.go
@@ -0,0 +1,97 @@
+package placer
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"forkhead/internal/parse/diagnostic"
+	"forkhead/internal/protocol/http1"
+)
+
+// Types of problems that a client may tell apart by them. All others have about:blank and are told apart by their status.
+const (
+	invalidSpecType = "urn:forkhead:bad-description"
+	infeasibleType  = "urn:forkhead:impossible"
+	otherType       = "about:blank"
+)
+
+// Problem is the body of a response with an error, by RFC 9457.
+type Problem struct {
+	Type   string      `json:"type"` // "": about:blank
+	Title  string      `json:"title"`
+	Status int         `json:"status"`
+	Detail string      `json:"detail,omitempty"`
+	Errors []SpecError `json:"errors,omitempty"`
+
+	Conflict []string `json:"conflict,omitempty"` // requirements that cannot be met together
+}
+
+// SpecError is one error of a service specification and its position.
+type SpecError struct {
+	File   string `json:"file"`
+	Line   int    `json:"line,omitempty"`   // from 1; 0: of the whole file
+	Column int    `json:"column,omitempty"` // from 1
+	Detail string `json:"detail"`
+	Want   string `json:"want,omitempty"` // what would be right
+}
+
+// InvalidSpecProblem returns the Problem of a parser's error, which may be several joined.
+func InvalidSpecProblem(err error) Problem {
+	return Problem{
+		Type: invalidSpecType, Title: "The description cannot be used", Status: http.StatusUnprocessableEntity, Detail: err.Error(),
+		Errors: appendSpecErrors(nil, err),
+	}
+}
+
+// appendSpecErrors appends the errors with a position among those that are joined in err.
+func appendSpecErrors(list []SpecError, err error) []SpecError {
+	if joined, ok := err.(interface{ Unwrap() []error }); ok {
+		for _, e := range joined.Unwrap() {
+			list = appendSpecErrors(list, e)
+		}
+		return list
+	}
+	if e := diagnostic.First(err); e != nil {
+		list = append(list, SpecError{File: e.Pos.File, Line: e.Pos.Line, Column: e.Pos.Col, Detail: e.What, Want: e.Want})
+	}
+	return list
+}
+
+// infeasibleProblem returns the Problem of a specification that cannot be placed whole.
+func infeasibleProblem(conflict []string) Problem {
+	return Problem{
+		Type: infeasibleType, Title: "No placement exists", Status: http.StatusUnprocessableEntity,
+		Detail:   "these cannot be met together, and could without any one of them: " + strings.Join(conflict, "; "),
+		Conflict: conflict,
+	}
+}
+
+// problemResponse is a response with a Problem.
+type problemResponse struct {
+	Problem
+	header     []http1.Field // beside those of every problem
+	retryAfter time.Duration // rounded up to seconds; 0: not told
+}
+
+// encode returns the bytes of the response. closeAfter tells the client that the connection ends with it.
+func (p problemResponse) encode(closeAfter bool) []byte {
+	if p.Type == "" {
+		p.Type = otherType
+	}
+	header := append(p.header, http1.Field{Name: "content-type", Value: "application/problem+json"})
+	if p.retryAfter > 0 {
+		seconds := int64((p.retryAfter + time.Second - 1) / time.Second)
+		header = append(header, http1.Field{Name: "retry-after", Value: strconv.FormatInt(seconds, 10)})
+	}
+	return jsonResponse(p.Status, header, p.Problem, closeAfter)
+}
+
+// jsonResponse returns a response whose body is a value as one line of JSON. The value must be one that can be encoded.
+func jsonResponse(status int, header []http1.Field, value any, closeAfter bool) []byte {
+	body, _ := json.Marshal(value)
+	body = append(body, '\n')
+	return append(http1.AppendHead(nil, status, header, len(body), closeAfter), body...)
+}
--- /dev/null
+++ b/internal/server/placer/server_test.go
@@ -0,0 +1,88 @@
+package placer_test
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"forkhead/internal/server/placer"
+	"forkhead/internal/server/store"
+	"forkhead/internal/verify/scenario"
+)
+
+// Shutdown lets open requests end and takes nothing new.
+func TestServerShutdown(t *testing.T) {
+	cluster, address := startPlacer(t, "")
+	done := make(chan int)
+	req := newSubmission(t, address, "", "application/yaml", webSpec(200))
+	go func() {
+		resp, err := http.DefaultClient.Do(req)
+		if err != nil {
+			done <- -1
+			return
+		}
+		defer func() { _ = resp.Body.Close() }()
+		done <- len(readOutcomes(t, resp.Body))
+	}()
+	for cluster.Placer(0).Status().Offers == 0 {
+		time.Sleep(time.Millisecond)
+	}
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+	defer cancel()
+	cluster.Placer(0).Shutdown(ctx)
+	if n := <-done; n != 200 {
+		t.Fatalf("%d outcomes of 200", n)
+	}
+	if _, err := net.Dial("tcp", address); err == nil {
+		t.Fatal("the HTTP server still listens")
+	}
+}
+
+// A placer whose store fails reports that once, takes no submission and steps on without any further output.
+func TestServerStopsAnsweringWhenStoreFails(t *testing.T) {
+	script, err := scenario.Read("test", []byte(`(badday (settings (forkhead (placer (zone a) (http "127.0.0.1:0") (tell "127.0.0.1:0"))
+	  (kind k (cores 64) (memory 256GiB)) (class web (effect safe)))) (hosts 1 (kind k) (zone a)))`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	full, saved, err := store.Open(store.Options{Path: filepath.Join(t.TempDir(), "placer.db"), MaxBytes: 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = full.Close() })
+	p, err := placer.Start(placer.Config{Settings: script.Settings.For(0), Log: zerolog.Nop(), Store: full, Snapshot: saved})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(p.Close)
+
+	c := dial(t, p.Address())
+	body := webSpec(1)
+	write(t, c, "POST /v1/submissions HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	select {
+	case err := <-p.Failed():
+		if !errors.Is(err, store.ErrFull) {
+			t.Errorf("failed with %v; want %v", err, store.ErrFull)
+		}
+	case <-time.After(10 * time.Second):
+		t.Fatal("the store's error is not reported")
+	}
+	p.Status() // the loop still runs
+	p.Close()
+	if answer, _ := io.ReadAll(c); bytes.HasPrefix(answer, []byte("HTTP/1.1 200 ")) {
+		t.Errorf("answered %q after the store had failed", answer)
+	}
+	select {
+	case err := <-p.Failed():
+		t.Errorf("failed again with %v", err)
+	default:
+	}
+}
--- a/internal/verify/testcluster/scene.go
+++ b/internal/verify/testcluster/scene.go
@@ -199,7 +199,7 @@
 		if err != nil {
 			return err
 		}
-		cfg.Store, cfg.SavedState = st, kept
+		cfg.Store, cfg.Snapshot = st, kept
 		cfg.Epoch = max(cfg.Epoch, kept.Epoch+1)
 		c.stores[i] = st
 	}
