--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -120,7 +120,7 @@
 					name, rack := fmt.Sprintf("%s%d", g.Prefix, i), fmt.Sprintf("%s-r%d", g.Zone, i%g.Racks)
 					h, err := host.Start(host.Config{
 						Host: testcluster.HostConfig(s, g, name, rack), Listen: net.JoinHostPort(address, "0"), Catalogue: catalogue,
-						Service: s.Settings.Catalogue.Service, Refresh: s.Host.Refresh, Seed: uint64(gi*10_000 + i), Cold: g.Cold, Clock: c, Engine: engine,
+						Service: s.Settings.ServiceDiscovery.Service, Refresh: s.Host.Refresh, Seed: uint64(gi*10_000 + i), Cold: g.Cold, Clock: c, Engine: engine,
 					})
 					if err != nil {
 						return err
--- a/internal/parse/settings/settings.go
+++ b/internal/parse/settings/settings.go
@@ -28,12 +28,12 @@
 
 	DefaultClass int
 
-	Placers   []Placer
-	Catalogue Catalogue
-	Owner     Owner
-	Links     Links
-	Limits    Limits
-	Saved     Saved
+	Placers          []Placer
+	ServiceDiscovery ServiceDiscovery
+	Owner            Owner
+	Links            Links
+	Limits           Limits
+	Saved            Saved
 }
 
 // Saved says what a list of hosts kept on disk is worth to a placer that starts.
@@ -56,8 +56,8 @@
 	Tell string // UDP address for messages between placers
 }
 
-// Catalogue says where the list of hosts comes from.
-type Catalogue struct {
+// ServiceDiscovery says where the list of hosts comes from.
+type ServiceDiscovery struct {
 	Address string
 	Service string        // name under which hosts are registered
 	Wait    time.Duration // longest a blocking query is held
@@ -181,7 +181,7 @@
 		},
 	}
 	r.s.DefaultClass = 0
-	r.s.Catalogue = Catalogue{
+	r.s.ServiceDiscovery = ServiceDiscovery{
 		Address: "127.0.0.1:8500", Service: "forkhead-host", Wait: 10 * time.Second, Timeout: 2 * time.Second,
 		Pace: 200 * time.Millisecond,
 	}
@@ -267,11 +267,11 @@
 			"old":   sexp.Duration(&r.s.Saved.Old, 0, 365*24*time.Hour),
 		}),
 		"catalogue": r.group(map[string]sexp.Field{
-			"address": r.address(&r.s.Catalogue.Address),
-			"service": sexp.Text(&r.s.Catalogue.Service),
-			"wait":    sexp.Duration(&r.s.Catalogue.Wait, 10*time.Millisecond, 10*time.Minute),
-			"timeout": sexp.Duration(&r.s.Catalogue.Timeout, 10*time.Millisecond, 10*time.Minute),
-			"pace":    sexp.Duration(&r.s.Catalogue.Pace, time.Millisecond, time.Minute),
+			"address": r.address(&r.s.ServiceDiscovery.Address),
+			"service": sexp.Text(&r.s.ServiceDiscovery.Service),
+			"wait":    sexp.Duration(&r.s.ServiceDiscovery.Wait, 10*time.Millisecond, 10*time.Minute),
+			"timeout": sexp.Duration(&r.s.ServiceDiscovery.Timeout, 10*time.Millisecond, 10*time.Minute),
+			"pace":    sexp.Duration(&r.s.ServiceDiscovery.Pace, time.Millisecond, time.Minute),
 		}),
 		"limits": r.group(map[string]sexp.Field{
 			"body":        sexp.Int(&r.s.Limits.Body, 1024, 64<<20),
--- a/internal/server/placer/machine_list.go
+++ b/internal/server/placer/machine_list.go
@@ -14,7 +14,7 @@
 	if s.watch != nil {
 		return
 	}
-	discovery := &s.settings.Catalogue
+	discovery := &s.settings.ServiceDiscovery
 	cfg := listwatch.Config{
 		Address: discovery.Address, Service: discovery.Service,
 		MaxWait: discovery.Wait, Timeout: discovery.Timeout, MinInterval: discovery.Pace,
@@ -40,6 +40,6 @@
 func (s *Server) machineListFailed(err error) {
 	s.watch.Stop() // its goroutine is ending by itself
 	s.watch = nil
-	s.log.Debug().Err(err).Str("address", s.settings.Catalogue.Address).Msg("poll of the machine list failed")
+	s.log.Debug().Err(err).Str("address", s.settings.ServiceDiscovery.Address).Msg("poll of the machine list failed")
 	s.addInput(core.HostListReceived{Mode: forkhead.ListFailed})
 }
--- a/internal/verify/testcluster/scene.go
+++ b/internal/verify/testcluster/scene.go
@@ -91,7 +91,7 @@
 
 func (c *Scene) start() error {
 	set := *c.Script.Settings
-	set.Catalogue.Address = c.Catalogue.Address()
+	set.ServiceDiscovery.Address = c.Catalogue.Address()
 	set.Placers = append([]settings.Placer(nil), set.Placers...)
 	for i := range set.Placers {
 		// All is in this process: any free port will do, and two scenes can stand side by side.
@@ -169,8 +169,8 @@
 		return err
 	}
 	h, err := host.Start(host.Config{
-		Host: HostConfig(c.Script, g, name, rack), Listen: address, Catalogue: c.Settings.Catalogue.Address,
-		Service: c.Settings.Catalogue.Service, Refresh: c.Script.Host.Refresh, Seed: uint64(c.Script.Seed)<<16 + uint64(len(c.Hosts)),
+		Host: HostConfig(c.Script, g, name, rack), Listen: address, Catalogue: c.Settings.ServiceDiscovery.Address,
+		Service: c.Settings.ServiceDiscovery.Service, Refresh: c.Script.Host.Refresh, Seed: uint64(c.Script.Seed)<<16 + uint64(len(c.Hosts)),
 		Cold: g.Cold, Clock: c.Clock, Engine: c.engine, Log: c.Log,
 	})
 	if err != nil {
