--- a/internal/scheduler/rollingupdate/rollingupdate.go
+++ b/internal/scheduler/rollingupdate/rollingupdate.go
@@ -1,5 +1,5 @@
-// Package rollingupdate decides how a changed service replaces its tasks: how many at a time, when the
-// next ones go, and what follows when some fail. It is pure and knows tasks by their count only.
+// Package rollingupdate decides how a changed service replaces its tasks: how many at a time, when the next ones are
+// replaced, and what follows when replacements fail. It is pure and knows tasks by their number only.
 package rollingupdate
 
 import (
@@ -8,94 +8,100 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// Status is what an update comes to.
+// Status is what an update has come to.
 type Status uint8
 
-// The verdicts.
+// The statuses. All but InProgress are final.
 const (
-	InProgress Status = iota // more is to be done, or under way
-	Paused                    // stopped for good: the rest keeps what it has
-	RollingBack                  // what was replaced is to be put back
-	Complete
+	InProgress  Status = iota // tasks are still to be replaced, or being replaced
+	Paused                    // stopped for good: tasks that were not replaced stay as they are
+	RollingBack               // the caller puts back the tasks that were replaced
+	Complete                  // every replacement has ended
 )
 
-// Update is one update of one service.
+// Update is one update of one service. Times are those of the caller's clock.
 type Update struct {
-	by      servicespec.Update
-	total   int
-	begun   int
-	busy    int
-	good    int
-	failed  int
+	policy  servicespec.Update
+	total   int // tasks of the update
+	started int // replacements begun
+	running int // replacements begun and not ended
+	done    int // replacements that succeeded
+	failed  int // replacements that failed
 	nextAt  time.Duration
-	verdict Status
+	status  Status
 }
 
-// New returns an update of so many tasks.
-func New(by servicespec.Update, total int) *Update {
-	u := &Update{by: by, total: total}
-	u.judge()
+// New returns an update of a number of tasks by the policy of their service's specification.
+func New(policy servicespec.Update, total int) *Update {
+	u := &Update{policy: policy, total: total}
+	u.updateStatus()
 	return u
 }
 
 // Status returns what the update has come to.
-func (u *Update) Status() Status { return u.verdict }
+func (u *Update) Status() Status { return u.status }
 
-// Failed is the number of tasks whose replacement failed.
+// Failed returns the number of tasks whose replacement failed.
 func (u *Update) Failed() int { return u.failed }
 
-// Next says how many tasks may be replaced now, and if none, when to ask again (0: when a task
-// is done).
+// Next returns how many replacements may begin now. If none may since the delay between batches runs, at is its end; else
+// at is 0.
 func (u *Update) Next(now time.Duration) (n int, at time.Duration) {
-	if u.verdict != InProgress {
+	if u.status != InProgress {
 		return 0, 0
 	}
 	if now < u.nextAt {
 		return 0, u.nextAt
 	}
-	n = u.total - u.begun
-	if u.by.Parallel > 0 {
-		n = min(n, u.by.Parallel-u.busy)
+	n = u.total - u.started
+	if u.policy.Parallel > 0 {
+		n = min(n, u.policy.Parallel-u.running)
 	}
 	return max(n, 0), 0
 }
 
-// Begin notes that the replacement of one task has begun.
+// Begin counts the replacement of one task as begun.
 func (u *Update) Begin() {
-	u.begun++
-	u.busy++
+	u.started++
+	u.running++
 }
 
-// Done notes how the replacement of one task ended. A batch's delay runs from its last end.
-func (u *Update) Done(now time.Duration, well bool) {
-	u.busy--
-	if well {
-		u.good++
+// Done counts the replacement of one task as ended. The delay of a batch runs from its last end.
+func (u *Update) Done(now time.Duration, succeeded bool) {
+	u.running--
+	if succeeded {
+		u.done++
 	} else {
 		u.failed++
 	}
-	if u.by.Delay > 0 {
-		u.nextAt = now + u.by.Delay
+	if u.policy.Delay > 0 {
+		u.nextAt = now + u.policy.Delay
 	}
-	u.judge()
+	u.updateStatus()
 }
 
-func (u *Update) judge() {
-	if u.verdict != InProgress {
+// updateStatus sets the status by the counts, unless it is final. Where too many replacements have failed, a policy that
+// continues lets the update run to its end.
+func (u *Update) updateStatus() {
+	if u.status != InProgress {
 		return
 	}
-	// By the specification the ratio is of the tasks of the update; more than it ends the update.
-	if u.failed > 0 && float64(u.failed) > u.by.MaxFailed*float64(u.total) {
-		switch u.by.OnTrouble {
+	if u.hasFailedTooOften() {
+		switch u.policy.OnTrouble {
 		case servicespec.Pause:
-			u.verdict = Paused
+			u.status = Paused
 			return
 		case servicespec.Rollback:
-			u.verdict = RollingBack
+			u.status = RollingBack
 			return
 		}
 	}
-	if u.good+u.failed == u.total {
-		u.verdict = Complete
+	if u.done+u.failed == u.total {
+		u.status = Complete
 	}
 }
+
+// hasFailedTooOften reports whether more than the permitted share of all tasks of the update have failed.
+func (u *Update) hasFailedTooOften() bool {
+	return u.failed > 0 && float64(u.failed) > u.policy.MaxFailed*float64(u.total)
+}
