--- a/internal/scheduler/timerqueue/timerqueue.go
+++ b/internal/scheduler/timerqueue/timerqueue.go
@@ -1,5 +1,5 @@
-// Package timerqueue keeps what is to be done at what time, for cores that are stepped: the earliest first, and of one moment
-// what was set first.
+// Package timerqueue has a priority queue of timers, for cores that are stepped: the earliest comes first, and of one time
+// the one that was added first.
 package timerqueue
 
 import (
@@ -7,65 +7,65 @@
 	"time"
 )
 
-// Queue is such a list; the zero value is an empty one.
+// Queue is a queue of timers, each with a value; the zero value is empty. It is not safe for concurrent use.
 type Queue[T any] struct {
-	items items[T]
-	set   uint64 // how many were set so far
+	timers timerHeap[T]
+	added  uint64 // timers added so far, which orders those of one time
 }
 
-// Add notes what is to be done at a time.
-func (a *Queue[T]) Add(at time.Duration, what T) {
-	a.set++
-	heap.Push(&a.items, item[T]{at, a.set, what})
+// Add adds a timer that is due at a time.
+func (q *Queue[T]) Add(at time.Duration, value T) {
+	q.added++
+	heap.Push(&q.timers, timer[T]{at: at, seq: q.added, value: value})
 }
 
-// Len is how many are set.
-func (a *Queue[T]) Len() int { return len(a.items) }
+// Len returns the number of timers.
+func (q *Queue[T]) Len() int { return len(q.timers) }
 
-// Next returns when the first is due; ok is false where none is set.
-func (a *Queue[T]) Next() (at time.Duration, ok bool) {
-	if len(a.items) == 0 {
+// Next returns when the first timer is due; ok is false when the queue is empty.
+func (q *Queue[T]) Next() (at time.Duration, ok bool) {
+	if len(q.timers) == 0 {
 		return 0, false
 	}
-	return a.items[0].at, true
+	return q.timers[0].at, true
 }
 
-// PopDue takes off the first if it is due at a time.
-func (a *Queue[T]) PopDue(now time.Duration) (what T, ok bool) {
-	if at, some := a.Next(); !some || at > now {
-		return what, false
+// PopDue removes the first timer and returns its value, if it is due by now; else ok is false.
+func (q *Queue[T]) PopDue(now time.Duration) (value T, ok bool) {
+	if at, pending := q.Next(); !pending || at > now {
+		return value, false
 	}
-	return heap.Pop(&a.items).(item[T]).what, true
+	return heap.Pop(&q.timers).(timer[T]).value, true
 }
 
-type item[T any] struct {
-	at   time.Duration
-	seq  uint64
-	what T
+type timer[T any] struct {
+	at    time.Duration
+	seq   uint64
+	value T
 }
 
-// items is for container/heap.
-type items[T any] []item[T]
+// timerHeap implements heap.Interface.
+type timerHeap[T any] []timer[T]
 
-// Len is how many there are.
-func (h items[T]) Len() int { return len(h) }
+// Len returns the number of timers.
+func (h timerHeap[T]) Len() int { return len(h) }
 
-// Less orders by time, then by the order of setting.
-func (h items[T]) Less(i, j int) bool {
+// Less orders by time, then by the order of adding.
+func (h timerHeap[T]) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
 
-// Swap exchanges two.
-func (h items[T]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+// Swap exchanges two timers.
+func (h timerHeap[T]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push adds one.
-func (h *items[T]) Push(x any) { *h = append(*h, x.(item[T])) }
+// Push appends a timer.
+func (h *timerHeap[T]) Push(x any) { *h = append(*h, x.(timer[T])) }
 
-// Pop takes the last.
-func (h *items[T]) Pop() any {
+// Pop removes the last timer and returns it.
+func (h *timerHeap[T]) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = item[T]{} // so that it can be collected
+	old[len(old)-1] = timer[T]{} // so that its value can be collected
 	*h = old[:len(old)-1]
 	return last
 }
--- a/internal/scheduler/timerqueue/timerqueue_test.go
+++ b/internal/scheduler/timerqueue/timerqueue_test.go
@@ -6,23 +6,25 @@
 	"time"
 )
 
-func TestOrder(t *testing.T) {
-	var a Queue[string]
-	for _, s := range []struct {
-		at   time.Duration
-		what string
+func TestQueuePopDueOrder(t *testing.T) {
+	var q Queue[string]
+	if _, ok := q.Next(); ok {
+		t.Error("an empty queue has a next timer")
+	}
+	for _, timer := range []struct {
+		at    time.Duration
+		value string
 	}{{3, "d"}, {1, "a"}, {2, "b"}, {2, "c"}, {9, "late"}} {
-		a.Add(s.at, s.what)
+		q.Add(timer.at, timer.value)
 	}
 	var got []string
-	for {
-		what, ok := a.PopDue(3)
-		if !ok {
-			break
-		}
-		got = append(got, what)
+	for value, ok := q.PopDue(3); ok; value, ok = q.PopDue(3) {
+		got = append(got, value)
+	}
+	if want := []string{"a", "b", "c", "d"}; !slices.Equal(got, want) {
+		t.Errorf("due by 3: %q, want %q", got, want)
 	}
-	if at, ok := a.Next(); !slices.Equal(got, []string{"a", "b", "c", "d"}) || !ok || at != 9 || a.Len() != 1 {
-		t.Errorf("due by 3: %q; then %v, %v, %d left", got, at, ok, a.Len())
+	if at, ok := q.Next(); !ok || at != 9 || q.Len() != 1 {
+		t.Errorf("then %v, %v, %d left; want 9, true, 1", at, ok, q.Len())
 	}
 }
