--- a/internal/server/eventloop/eventloop.go
+++ b/internal/server/eventloop/eventloop.go
@@ -1,5 +1,5 @@
-// Package eventloop runs a pure core on one goroutine: jobs come from any goroutine, and the core is
-// stepped after each batch of them and when its next timer is due.
+// Package eventloop runs a pure core on one goroutine: jobs come from any goroutine, and the core is stepped after each
+// batch of them and when its next timer is due.
 package eventloop
 
 import (
@@ -9,78 +9,92 @@
 	"forkhead/internal/server/clock"
 )
 
-// A loop that is called on so late for a timer stood still, and so did those that bring it jobs: it lets them bring what
-// has come meanwhile, in rounds, before the timers that are due. It guards against a stall of our own that is taken for
-// the silence of others.
+// A loop that runs so late for a timer was stalled, and so were those that post jobs to it: it lets them post what has
+// come meanwhile, in rounds, before it steps the timers that are due. It guards against a stall of our own that is taken
+// for the silence of others.
 const (
-	lateAfter   = 50 * time.Millisecond
-	catchUp     = time.Millisecond
-	catchUpMost = 10
+	stalledAfter     = 50 * time.Millisecond
+	catchUpPause     = time.Millisecond
+	maxCatchUpRounds = 10
 )
 
-// Step is called on the loop's goroutine after a batch of jobs, or when the time that it last
-// returned has come. It returns when it wants to be called next; ok is false for not at all.
+// Step steps the core. It is called on the loop's goroutine after a batch of jobs, or when the time that it last
+// returned has come. Times are those of the loop's clock. It returns when it wants to be called next; ok is false if only
+// after further jobs.
 type Step func(now time.Duration) (next time.Duration, ok bool)
 
-// Loop is one such goroutine.
+// Loop is one goroutine that runs jobs and steps. Start starts it, and Stop ends it and waits for it; both are called by
+// the loop's owner, each once. The other methods may be called from any goroutine.
 type Loop struct {
-	clock *clock.Clock
-	step  Step
-	most  int
-
-	mu    sync.Mutex
-	space *sync.Cond
-	jobs  []func()
-	ended bool
-	wake  chan struct{}
-	done  chan struct{}
+	clock     *clock.Clock
+	step      Step
+	maxQueued int // jobs beyond which PostBlocking waits
+
+	wake chan struct{} // holds a token when there is something to do
+	done chan struct{} // closed when the goroutine ends
+
+	mu      sync.Mutex
+	space   *sync.Cond // on mu: jobs were taken, or stopped was set
+	jobs    []func()   // queued, in their order
+	stopped bool
 }
 
-// New returns a loop that Start sets going. Producers that wait are held back while most jobs
-// are queued.
-func New(c *clock.Clock, most int, step Step) *Loop {
-	l := &Loop{clock: c, step: step, most: most, wake: make(chan struct{}, 1), done: make(chan struct{})}
+// New returns a loop that Start starts. PostBlocking waits while maxQueued jobs or more are queued.
+func New(c *clock.Clock, maxQueued int, step Step) *Loop {
+	l := &Loop{clock: c, step: step, maxQueued: maxQueued, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	l.space = sync.NewCond(&l.mu)
 	return l
 }
 
-// Start sets the loop going, once.
+// Start starts the loop's goroutine.
 func (l *Loop) Start() { go l.run() }
 
 // Post queues a job without waiting: for what the loop itself causes, and what is bounded elsewhere.
-// A job queued after Stop is dropped, and false returned.
+// A job posted after Stop is dropped, and false returned.
 func (l *Loop) Post(job func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.put(job)
+	return l.enqueue(job)
 }
 
-// PostBlocking queues a job, and first waits until there is space. It must not be called from a job.
+// PostBlocking queues a job like Post, and first waits until there is space or the loop is stopped. It must not be called
+// from a job, which would wait for itself.
 func (l *Loop) PostBlocking(job func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for len(l.jobs) >= l.most && !l.ended {
+	for len(l.jobs) >= l.maxQueued && !l.stopped {
 		l.space.Wait()
 	}
-	return l.put(job)
+	return l.enqueue(job)
 }
 
-func (l *Loop) put(job func()) bool {
-	if l.ended {
+// enqueue is called with mu held.
+func (l *Loop) enqueue(job func()) bool {
+	if l.stopped {
 		return false
 	}
 	l.jobs = append(l.jobs, job)
+	l.wakeUp()
+	return true
+}
+
+// wakeUp makes the loop look at its queue; it doesn't wait.
+func (l *Loop) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
-	return true
 }
 
-// Call runs a job on the loop and waits for it. It returns false if the loop has ended.
+// Call runs a job on the loop and waits for it. It returns false if the loop is stopped; a job that was in hand then may
+// have run. It must not be called from a job.
 func (l *Loop) Call(job func()) bool {
 	ran := make(chan struct{})
-	if !l.Post(func() { job(); close(ran) }) {
+	posted := l.Post(func() {
+		job()
+		close(ran)
+	})
+	if !posted {
 		return false
 	}
 	select {
@@ -91,36 +105,33 @@
 	}
 }
 
-// Stop ends the loop after the job in hand and waits for it. Queued jobs are dropped.
+// Stop ends the loop after the job in hand and waits for its goroutine. Queued jobs are dropped. It must not be called
+// from a job, nor on a loop that was not started.
 func (l *Loop) Stop() {
 	l.mu.Lock()
-	l.ended = true
+	l.stopped = true
 	l.jobs = nil
 	l.space.Broadcast()
 	l.mu.Unlock()
-	select {
-	case l.wake <- struct{}{}:
-	default:
-	}
+	l.wakeUp()
 	<-l.done
 }
 
+// run is the loop's goroutine.
 func (l *Loop) run() {
 	defer close(l.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	next, ok := time.Duration(0), false
+	next, timed := time.Duration(0), false
 	for {
-		ran, ended := l.runJobs()
-		late := ok && l.clock.Now() > next+lateAfter
-		for round := 0; late && !ended && (ran > 0 || round == 0) && round < catchUpMost; round++ {
-			time.Sleep(catchUp)
-			ran, ended = l.runJobs()
+		ran, stopped := l.runJobs()
+		if !stopped && timed && l.clock.Now() > next+stalledAfter {
+			stopped = l.catchUp(ran)
 		}
-		if ended {
+		if stopped {
 			return
 		}
-		if next, ok = l.step(l.clock.Now()); !ok {
+		if next, timed = l.step(l.clock.Now()); !timed {
 			<-l.wake
 			continue
 		}
@@ -132,14 +143,25 @@
 	}
 }
 
-// runJobs runs what is queued and returns how many jobs that were.
-func (l *Loop) runJobs() (ran int, ended bool) {
+// catchUp lets producers post until a round brings no job; ran is how many jobs the last one brought.
+func (l *Loop) catchUp(ran int) (stopped bool) {
+	for round := 0; (ran > 0 || round == 0) && round < maxCatchUpRounds; round++ {
+		time.Sleep(catchUpPause)
+		if ran, stopped = l.runJobs(); stopped {
+			return true
+		}
+	}
+	return false
+}
+
+// runJobs runs what is queued and returns how many jobs that were, or that the loop is stopped.
+func (l *Loop) runJobs() (ran int, stopped bool) {
 	l.mu.Lock()
-	jobs, ended := l.jobs, l.ended
+	jobs, stopped := l.jobs, l.stopped
 	l.jobs = nil
 	l.space.Broadcast()
 	l.mu.Unlock()
-	if ended {
+	if stopped {
 		return 0, true
 	}
 	for _, job := range jobs {
--- a/internal/server/eventloop/eventloop_test.go
+++ b/internal/server/eventloop/eventloop_test.go
@@ -10,7 +10,7 @@
 )
 
 // Jobs run in order on one goroutine; the step follows them, and comes again when its time is due.
-func TestOrderAndTimer(t *testing.T) {
+func TestLoopRunsJobsInOrderAndTimers(t *testing.T) {
 	c := clock.New()
 	steps := make(chan time.Duration, 1000)
 	wants := c.Now() + 30*time.Millisecond
@@ -43,7 +43,7 @@
 }
 
 // A full queue holds producers back, and Stop lets them go.
-func TestBackpressure(t *testing.T) {
+func TestLoopHoldsProducersBack(t *testing.T) {
 	l := New(clock.New(), 5, func(time.Duration) (time.Duration, bool) { return 0, false })
 	l.Start()
 	gate := make(chan struct{})
@@ -75,7 +75,7 @@
 }
 
 // A loop that stood still past a timer takes what was held back meanwhile before the timer is due.
-func TestProducersCatchUpBeforeALateTimer(t *testing.T) {
+func TestLoopCatchesUpBeforeLateTimer(t *testing.T) {
 	got := 0
 	stepped := make(chan int, 1)
 	c := clock.New()
