--- a/internal/server/clock/clock.go
+++ b/internal/server/clock/clock.go
@@ -1,23 +1,23 @@
-// Package clock gives shells the time that cores go by.
+// Package clock gives the shells the time that their cores go by.
 package clock
 
 import "time"
 
-// Clock counts time since the Unix epoch, by the wall clock at its start and by the monotonic
-// clock since: it never goes back, whatever is done to the wall clock.
+// Clock counts time since the Unix epoch, by the wall clock at its start and by the monotonic clock since: it never goes
+// back, whatever is done to the wall clock. It may be used by several goroutines at once.
 type Clock struct {
-	base  time.Duration
-	start time.Time
+	startedAt time.Duration // since the Unix epoch, by the wall clock
+	start     time.Time     // the same moment, by the monotonic clock
 }
 
 // New returns a clock that starts now.
 func New() *Clock {
 	now := time.Now()
-	return &Clock{base: time.Duration(now.UnixNano()), start: now}
+	return &Clock{startedAt: time.Duration(now.UnixNano()), start: now}
 }
 
 // Now returns the time since the Unix epoch.
-func (c *Clock) Now() time.Duration { return c.base + time.Since(c.start) }
+func (c *Clock) Now() time.Duration { return c.startedAt + time.Since(c.start) }
 
-// Until returns how long it is until a time, at least 0.
+// Until returns how long it is until a time since the Unix epoch: 0 if that is over.
 func (c *Clock) Until(t time.Duration) time.Duration { return max(t-c.Now(), 0) }
