--- a/internal/server/netio/conn.go
+++ b/internal/server/netio/conn.go
@@ -73,6 +73,9 @@
 	return err == nil && n > 0
 }
 
+// RemoteAddress is the peer's address, host:port.
+func (c *Conn) RemoteAddress() string { return c.raw.RemoteAddr().String() }
+
 // PendingBytes is how many bytes wait in this process to be written.
 func (c *Conn) PendingBytes() int { return int(c.pending.Load()) }
 
