--- a/internal/server/placer/hosts.go
+++ b/internal/server/placer/hosts.go
@@ -12,9 +12,10 @@
 // hostConn is one connection to a host, from its dial on. It is the handler of its netio.Conn, and the current one of its
 // host as long as Server.hosts holds it; events of any other are ignored.
 type hostConn struct {
-	server *Server
-	host   string
-	number uint32 // as the core counts the connections of the host
+	server  *Server
+	host    string
+	address string // HOST:PORT
+	number  uint32 // as the core counts the connections of the host
 
 	decoder hostproto.Decoder // of the poller's goroutine
 
@@ -26,7 +27,7 @@
 
 // dialHost starts to connect to a host. The core gets HostConnected or HostDisconnected.
 func (s *Server) dialHost(o core.DialHost) {
-	h := &hostConn{server: s, host: o.Host, number: o.Conn}
+	h := &hostConn{server: s, host: o.Host, address: o.Address, number: o.Conn}
 	s.hosts[o.Host] = h
 	s.engine.Dial(o.Address, s.settings.Links.Connect, maxHostWriteBuffer, h, func(c *netio.Conn, err error) {
 		s.loop.Post(func() { h.dialed(c, err) })
@@ -114,7 +115,7 @@
 			h.server.addInput(core.FrameReceived{Host: h.host, Conn: h.number, Frame: f})
 		}
 		if err != nil {
-			h.server.log.Warn().Str("host", h.host).Uint32("connection", h.number).Str("address", c.RemoteAddress()).Err(err).
+			h.server.log.Warn().Str("host", h.host).Uint32("connection", h.number).Str("address", h.address).Err(err).
 				Msg("invalid frame, connection closed")
 			_ = c.Write(hostproto.Append(nil, hostproto.Bye{Text: err.Error()}))
 			c.CloseWith(err)
