--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -42,111 +42,140 @@
 	}
 }
 
-// The built program serves at BALANCER_LISTEN, lives through SIGHUP with a file that cannot be used and with one that can,
-// follows the new change log, and ends with 0 on SIGTERM.
-func TestNodeSignals(t *testing.T) {
+// nodeProcess is the built program as the platform runs it, with a configuration file and a listener for each address of
+// the endpoint list's watch.
+type nodeProcess struct {
+	process    *exec.Cmd
+	configFile string
+	address    string // where it listens
+	watches    [2]net.Listener
+}
+
+// startNode builds and starts the program with settings and the first watch.
+func startNode(t *testing.T, settings string) *nodeProcess {
+	t.Helper()
 	dir := t.TempDir()
 	program := filepath.Join(dir, "forkhead")
 	if text, err := exec.Command("go", "build", "-o", program, "forkhead/cmd/forkhead").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, text)
 	}
-	settings, err := os.ReadFile("../server/platform/testdata/settings.json")
-	if err != nil {
-		t.Fatal(err)
+	n := &nodeProcess{configFile: filepath.Join(dir, "config.json")}
+	for i := range n.watches {
+		n.watches[i] = listenLoopback(t)
+		t.Cleanup(func() { _ = n.watches[i].Close() })
 	}
-	logs := [2]net.Listener{}
-	for i := range logs {
-		if logs[i], err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-			t.Fatal(err)
-		}
-		defer logs[i].Close()
+	unused := listenLoopback(t)
+	n.address = unused.Addr().String()
+	_ = unused.Close()
+	n.writeConfig(t, n.watches[0], settings)
+	n.process = exec.Command(program, "node", "--log", "info")
+	n.process.Env = append(os.Environ(), "BALANCER_CONFIG="+n.configFile, "BALANCER_LISTEN="+n.address)
+	n.process.Stderr = os.Stderr
+	if err := n.process.Start(); err != nil {
+		t.Fatal(err)
 	}
-	file := filepath.Join(dir, "config.json")
-	write := func(log net.Listener, settings string) {
-		text, err := json.Marshal(map[string]any{
-			"listen": "127.0.0.1:1", "changelog": log.Addr().String(), "settings": json.RawMessage(settings), "limits": map[string]any{"cores": 0.5, "memory_mb": 64, "sockets": 256},
-			"known": json.RawMessage(`{"seq":7,"results":[{"seq":7,"fleet":{"whole":true,"hosts":[{"host":"s-00000001","dial":"127.0.0.1:1","site":"z","class":"std","health":"in_service","free":[4,4]}]}}]}`),
-		})
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(file, text, 0o600); err != nil {
-			t.Fatal(err)
-		}
+	t.Cleanup(func() { _ = n.process.Process.Kill() })
+	return n
+}
+
+func listenLoopback(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
 	}
-	write(logs[0], string(settings))
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	return listener
+}
+
+// writeConfig writes a configuration whose list was watched up to event 7.
+func (n *nodeProcess) writeConfig(t *testing.T, watch net.Listener, settings string) {
+	t.Helper()
+	text, err := json.Marshal(map[string]any{
+		"listen": "127.0.0.1:1", "changelog": watch.Addr().String(), "settings": json.RawMessage(settings), "limits": map[string]any{"cores": 0.5, "memory_mb": 64, "sockets": 256},
+		"known": json.RawMessage(`{"seq":7,"results":[{"seq":7,"fleet":{"whole":true,"hosts":[{"host":"s-00000001","dial":"127.0.0.1:1","site":"z","class":"std","health":"in_service","free":[4,4]}]}}]}`),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	listen := free.Addr().String()
-	_ = free.Close()
-	c := exec.Command(program, "node", "--log", "info")
-	c.Env = append(os.Environ(), "BALANCER_CONFIG="+file, "BALANCER_LISTEN="+listen)
-	c.Stderr = os.Stderr
-	if err := c.Start(); err != nil {
+	if err := os.WriteFile(n.configFile, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// signal sends a signal.
+func (n *nodeProcess) signal(s os.Signal) { _ = n.process.Process.Signal(s) }
+
+// awaitPoll waits until a watch is polled behind event 7. The connection stays open and silent.
+func (n *nodeProcess) awaitPoll(t *testing.T, watch net.Listener) {
+	t.Helper()
+	_ = watch.(*net.TCPListener).SetDeadline(time.Now().Add(30 * time.Second))
+	conn, err := watch.Accept()
+	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Process.Kill() }()
-	asked := func(log net.Listener) {
-		t.Helper()
-		_ = log.(*net.TCPListener).SetDeadline(time.Now().Add(30 * time.Second))
-		conn, err := log.Accept()
+	r := bufio.NewReader(conn)
+	for {
+		line, err := r.ReadString('\n')
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := bufio.NewReader(conn)
-		for {
-			line, err := r.ReadString('\n')
-			if err != nil {
-				t.Fatal(err)
-			}
-			if strings.TrimSpace(line) == "Last-Event-Id: 7" {
-				return // the connection stays open and silent
-			}
+		if strings.TrimSpace(line) == "Last-Event-Id: 7" {
+			return
 		}
 	}
-	well := func() {
-		t.Helper()
-		for end := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatal("no test is passed")
-			}
-			conn, err := net.Dial("tcp", listen)
-			if err != nil {
-				continue
-			}
-			fmt.Fprintln(conn, `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`)
-			line, _ := bufio.NewReader(conn).ReadString('\n')
-			_ = conn.Close()
-			if strings.Contains(line, `"hb_ok"`) && strings.Contains(line, `"c":1`) {
-				return
-			}
+}
+
+// awaitHealthy waits until the placer answers a probe.
+func (n *nodeProcess) awaitHealthy(t *testing.T) {
+	t.Helper()
+	for end := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("no probe is passed")
+		}
+		conn, err := net.Dial("tcp", n.address)
+		if err != nil {
+			continue
 		}
+		_, _ = fmt.Fprintln(conn, `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`) // a failure shows in the answer
+		line, _ := bufio.NewReader(conn).ReadString('\n')
+		_ = conn.Close()
+		if strings.Contains(line, `"hb_ok"`) && strings.Contains(line, `"c":1`) {
+			return
+		}
+	}
+}
+
+// The built program serves at BALANCER_LISTEN, goes on after SIGHUP with a file that cannot be used and with one that can,
+// follows the new watch, and ends with 0 on SIGTERM.
+func TestNodeSignals(t *testing.T) {
+	settings, err := os.ReadFile("../server/platform/testdata/settings.json")
+	if err != nil {
+		t.Fatal(err)
 	}
-	asked(logs[0])
-	well()
-	if err := os.WriteFile(file, []byte("{"), 0o600); err != nil {
+	n := startNode(t, string(settings))
+	n.awaitPoll(t, n.watches[0])
+	n.awaitHealthy(t)
+	if err := os.WriteFile(n.configFile, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_ = c.Process.Signal(syscall.SIGHUP)
-	well()
-	write(logs[1], `{"balancers":0}`) // the address is good, the settings are not: the old configuration stays
-	_ = c.Process.Signal(syscall.SIGHUP)
-	well()
-	_ = logs[1].(*net.TCPListener).SetDeadline(time.Now().Add(300 * time.Millisecond))
-	if conn, err := logs[1].Accept(); err == nil {
-		conn.Close()
-		t.Error("a configuration that cannot be used is gone by")
+	n.signal(syscall.SIGHUP)
+	n.awaitHealthy(t)
+	n.writeConfig(t, n.watches[1], `{"balancers":0}`) // the address is good, the settings are not: the old configuration stays
+	n.signal(syscall.SIGHUP)
+	n.awaitHealthy(t)
+	_ = n.watches[1].(*net.TCPListener).SetDeadline(time.Now().Add(300 * time.Millisecond))
+	if conn, err := n.watches[1].Accept(); err == nil {
+		_ = conn.Close()
+		t.Error("a configuration that cannot be used is followed")
 	}
-	write(logs[1], string(settings))
-	_ = c.Process.Signal(syscall.SIGHUP)
-	asked(logs[1])
-	well()
-	_ = c.Process.Signal(syscall.SIGTERM)
-	_ = c.Process.Signal(syscall.SIGHUP) // and what comes behind it changes nothing
-	_ = c.Process.Signal(syscall.SIGTERM)
-	if err := c.Wait(); err != nil {
+	n.writeConfig(t, n.watches[1], string(settings))
+	n.signal(syscall.SIGHUP)
+	n.awaitPoll(t, n.watches[1])
+	n.awaitHealthy(t)
+	n.signal(syscall.SIGTERM)
+	n.signal(syscall.SIGHUP) // and what comes behind it changes nothing
+	n.signal(syscall.SIGTERM)
+	if err := n.process.Wait(); err != nil {
 		t.Errorf("it ends with %v", err)
 	}
 }
--- /dev/null
+++ b/internal/server/platform/hosts_test.go
@@ -0,0 +1,151 @@
+package platform
+
+import (
+	"bufio"
+	"net"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"forkhead/internal/protocol/platform"
+)
+
+// slowHost is a host whose machine takes few bytes and that reads nothing until read is closed.
+type slowHost struct {
+	listener net.Listener
+	read     chan struct{}
+	lines    chan string // what it then reads
+}
+
+func newSlowHost(t *testing.T) *slowHost {
+	t.Helper()
+	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+		return c.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
+	}}
+	listener, err := small.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	h := &slowHost{listener: listener, read: make(chan struct{}), lines: make(chan string, 1000)}
+	go func() {
+		for {
+			c, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go h.serve(c)
+		}
+	}()
+	return h
+}
+
+func (h *slowHost) serve(c net.Conn) {
+	<-h.read
+	r := bufio.NewReader(c)
+	for {
+		line, err := r.ReadString('\n')
+		if err != nil {
+			return
+		}
+		h.lines <- line
+	}
+}
+
+// offersWithin counts the offers that the host reads within a time.
+func (h *slowHost) offersWithin(d time.Duration) (count int) {
+	end := time.After(d)
+	for {
+		select {
+		case line := <-h.lines:
+			if strings.Contains(line, `"t":"new"`) {
+				count++
+			}
+		case <-end:
+			return count
+		}
+	}
+}
+
+// hostConnectionCounts returns how many connections to hosts are made, and how many of them have unsent bytes.
+func hostConnectionCounts(s *Server) (open, unsent int) {
+	s.loop.Call(func() {
+		for _, c := range s.hosts.open {
+			if c.stream == nil {
+				continue
+			}
+			open++
+			if c.stream.HasUnsent() {
+				unsent++
+			}
+		}
+	})
+	return open, unsent
+}
+
+// A host that does not read gets no offer of an owner that has left meanwhile.
+func TestHostConnectionsResetUnsentOffers(t *testing.T) {
+	h := newSlowHost(t)
+	s := startWithHost(t, &testHost{listener: h.listener})
+	o := newTestOwner(t, s.Address())
+	// The host's machine takes less unread than most offers: the rest of each waits in this process or its machine.
+	for n := range 100 {
+		send(o.conn, `{"t":"new","ref":"%016x","f":{"class":"keyed","left":"60000","tenant":"acme","key":"%016x","idem":"k%d","extras":"cores:0.001;memory:0.001;service:%016x"},"d":"%s"}`+"\n",
+			0xd000+n, n, n, n, strings.Repeat("x", 12<<10))
+	}
+	open, unsent := 0, 0
+	eventually(t, "an offer that waits", func() bool {
+		time.Sleep(100 * time.Millisecond)
+		open, unsent = hostConnectionCounts(s)
+		return unsent > 0
+	})
+	_ = o.conn.Close()
+	eventually(t, "the placer sees that it is closed", func() bool { return openOwners(s) == 0 })
+	time.Sleep(100 * time.Millisecond)
+	close(h.read)
+	if begun := h.offersWithin(time.Second); begun > open-unsent {
+		t.Errorf("%d offers begin after their owner has left; of %d connections %d had taken theirs", begun, open, open-unsent)
+	}
+}
+
+// serveUntilPeerCloses binds what is offered on a connection, sends nothing else, and when the placer closes its side, idle,
+// reports on a later connection than the first that the task has ended.
+func serveUntilPeerCloses(c net.Conn, ref string, isFirst bool) {
+	defer func() { _ = c.Close() }()
+	r := bufio.NewReader(c)
+	for {
+		line, err := r.ReadString('\n')
+		if err != nil {
+			break
+		}
+		if strings.Contains(line, `"t":"new"`) {
+			send(c, `{"t":"up","ref":"%s","f":{},"d":"y"}`+"\n", ref)
+		}
+	}
+	if !isFirst { // a connection that was made to see whether the host is up: the placer closes it
+		send(c, `{"t":"down","ref":"%s","f":{},"c":16}`+"\n", ref)
+	}
+}
+
+// What a host sends of a task as the placer closes that connection, idle, is received.
+func TestHostConnectionsReleaseCrossesHalfClose(t *testing.T) {
+	const ref = "00000000000000a0"
+	listener := listenLoopback(t)
+	go func() {
+		for isFirst := true; ; isFirst = false {
+			c, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go serveUntilPeerCloses(c, ref, isFirst)
+		}
+	}()
+	s := startWithHost(t, &testHost{listener: listener})
+	o := newTestOwner(t, s.Address())
+	o.request(ref, 5000)
+	eventually(t, "the release", func() bool {
+		got := o.answersTo(ref)
+		return len(got) == 2 && got[1].Type == platform.TypeRelease && got[1].Cause == platform.CauseOK
+	})
+}
--- /dev/null
+++ b/internal/server/platform/testenv_test.go
@@ -0,0 +1,360 @@
+package platform
+
+import (
+	"bufio"
+	_ "embed"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"forkhead/internal/protocol/platform"
+)
+
+// eventuallyTimeout is more than anything that a test waits for takes on a busy machine.
+const eventuallyTimeout = 20 * time.Second
+
+// eventually waits until a condition holds.
+func eventually(t *testing.T, what string, holds func() bool) {
+	t.Helper()
+	for end := time.Now().Add(eventuallyTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("%s does not come about", what)
+		}
+	}
+}
+
+// send writes to a connection. An error is no failure: the placer may have closed the connection, which the test sees by
+// what comes or doesn't.
+func send(to io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(to, format, args...) }
+
+// listenLoopback returns a listener that is closed with the test.
+func listenLoopback(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener
+}
+
+// dialLoopback returns a connection that is closed with the test.
+func dialLoopback(t *testing.T, address string) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	return conn
+}
+
+// testHost is a scripted host: it answers offers, some of them badly, and notes what it was sent.
+type testHost struct {
+	listener  net.Listener
+	faultRate float64 // share of offers whose answer is spoilt or that are reset
+
+	mu         sync.Mutex
+	random     *rand.Rand
+	offerCount map[string]int // by ref
+	offerTimes []time.Time
+	conns      map[net.Conn]bool
+}
+
+// newTestHost starts a host.
+func newTestHost(t *testing.T, faultRate float64, seed uint64) *testHost {
+	t.Helper()
+	h := &testHost{
+		listener: listenLoopback(t), faultRate: faultRate, random: rand.New(rand.NewPCG(seed, 1)), offerCount: map[string]int{},
+		conns: map[net.Conn]bool{},
+	}
+	go func() {
+		for {
+			c, err := h.listener.Accept()
+			if err != nil {
+				return
+			}
+			h.mu.Lock()
+			h.conns[c] = true
+			h.mu.Unlock()
+			go h.serve(c)
+		}
+	}()
+	t.Cleanup(h.kill)
+	return h
+}
+
+// kill closes the listener and resets all connections, as a process that dies does.
+func (h *testHost) kill() {
+	_ = h.listener.Close()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for c := range h.conns {
+		_ = c.(*net.TCPConn).SetLinger(0)
+		_ = c.Close()
+	}
+}
+
+// offers returns how many offers came.
+func (h *testHost) offers() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	sum := 0
+	for _, count := range h.offerCount {
+		sum += count
+	}
+	return sum
+}
+
+func (h *testHost) serve(c net.Conn) {
+	defer func() { _ = c.Close() }()
+	r := bufio.NewReader(c)
+	for {
+		line, err := r.ReadBytes('\n')
+		if err != nil {
+			return
+		}
+		m, err := platform.Decode(line[:len(line)-1])
+		if err != nil {
+			return
+		}
+		switch m.Type {
+		case platform.TypeProbe:
+			send(c, `{"t":"hb_ok","ref":"%s","f":{"load":"x0:4;x1:9"},"c":1}`+"\n", m.Ref)
+		case platform.TypeRelease:
+			send(c, `{"t":"down","ref":"%s","f":{},"c":31}`+"\n", m.Ref)
+		case platform.TypeRequest:
+			if !h.answerOffer(c, m.Ref) {
+				return
+			}
+		}
+	}
+}
+
+// answerOffer answers an offer, well or badly. It returns false when the connection is to be reset instead.
+func (h *testHost) answerOffer(c net.Conn, ref string) bool {
+	h.mu.Lock()
+	roll, fault := h.random.Float64(), h.random.IntN(5)
+	h.offerCount[ref]++
+	h.offerTimes = append(h.offerTimes, time.Now())
+	h.mu.Unlock()
+	bound := string(platform.Append(nil, platform.TypeBound, ref, platform.NoCause, []byte(`"of the host"`)))
+	if roll >= h.faultRate {
+		send(c, `%s{"t":"tell","ref":"%s","f":{"note":"running"}}`+"\n", bound, ref)
+		return true
+	}
+	switch fault {
+	case 0:
+		_ = c.(*net.TCPConn).SetLinger(0)
+		return false
+	case 1:
+		send(c, "\x00\xff not a message\n")
+	case 2:
+		send(c, "%s", bound[:len(bound)/2]) // and no more
+	case 3:
+		send(c, "%s", strings.Repeat("x", 2*platform.MaxLineSize))
+	case 4:
+		send(c, `{"t":"up","ref":"00000000000000ff","f":{},"d":"whose?"}`+"\n%s%s", bound, bound)
+	}
+	return true
+}
+
+// testWatch serves a watch with the events of a list, and comments.
+type testWatch struct {
+	mu     sync.Mutex
+	events []string
+	polls  []string      // Last-Event-ID of each
+	broken chan struct{} // closed: the streams break off in the middle of an event
+}
+
+// newTestWatch returns a watch that is not served yet.
+func newTestWatch(events ...string) *testWatch {
+	return &testWatch{events: events, broken: make(chan struct{})}
+}
+
+// ServeHTTP serves one poll.
+func (l *testWatch) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	l.mu.Lock()
+	l.polls = append(l.polls, r.Header.Get("Last-Event-ID"))
+	broken := l.broken
+	l.mu.Unlock()
+	sent := 0
+	_, _ = fmt.Sscan(r.Header.Get("Last-Event-ID"), &sent)
+	for {
+		l.mu.Lock()
+		for ; sent < len(l.events); sent++ {
+			send(w, "id: %d\ndata: %s\n\n", sent+1, l.events[sent])
+		}
+		l.mu.Unlock()
+		send(w, ":\n\n")
+		w.(http.Flusher).Flush()
+		select {
+		case <-broken:
+			send(w, "id: 99\ndata: {\"se") // in the middle of an event
+			w.(http.Flusher).Flush()
+			panic(http.ErrAbortHandler)
+		case <-r.Context().Done():
+			return
+		case <-time.After(10 * time.Millisecond):
+		}
+	}
+}
+
+// breakStreams breaks off the streams that are open.
+func (l *testWatch) breakStreams() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	close(l.broken)
+	l.broken = make(chan struct{})
+}
+
+// pollCount returns how often the watch was polled.
+func (l *testWatch) pollCount() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.polls)
+}
+
+// serve returns the address of the watch.
+func (l *testWatch) serve(t *testing.T) string {
+	t.Helper()
+	listener := listenLoopback(t)
+	server := &http.Server{Handler: l}
+	go func() { _ = server.Serve(listener) }()
+	t.Cleanup(func() { _ = server.Close() })
+	return listener.Addr().String()
+}
+
+// endpointOf returns an entry of the endpoint list.
+func endpointOf(number int, h *testHost, state platform.EndpointState) string {
+	return fmt.Sprintf(`{"host":"s-%08x","dial":"%s","site":"z","class":"std","block":%d,"health":"%s","born_ms":0,"free":[400,400]}`,
+		number, h.listener.Addr(), number, state)
+}
+
+// endpointEvent returns a watch event with entries of the endpoint list.
+func endpointEvent(seq int, snapshot bool, endpoints ...string) string {
+	return fmt.Sprintf(`{"seq":%d,"fleet":{"seq":%d,"whole":%v,"hosts":[%s]}}`, seq, seq, snapshot, strings.Join(endpoints, ","))
+}
+
+//go:embed testdata/settings.json
+var testSettings string
+
+// startServer starts a placer whose initial list is the watch's first event.
+func startServer(t *testing.T, watch *testWatch) (*Server, *platform.Config) {
+	t.Helper()
+	var first platform.WatchEvent
+	if err := json.Unmarshal([]byte(watch.events[0]), &first); err != nil {
+		t.Fatal(err)
+	}
+	cfg := &platform.Config{Listen: "127.0.0.1:0", Seed: "1", WatchAddress: watch.serve(t), Settings: json.RawMessage(testSettings)}
+	cfg.Initial.Seq, cfg.Initial.Events = 1, []platform.WatchEvent{first}
+	cfg.Limits.Sockets = 256
+	return startConfig(t, cfg), cfg
+}
+
+// startConfig starts a placer with a configuration.
+func startConfig(t *testing.T, cfg *platform.Config) *Server {
+	t.Helper()
+	s, err := Start(Options{Config: cfg, Log: zerolog.Nop()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(s.Close)
+	return s
+}
+
+// startWithHost starts a placer with one host.
+func startWithHost(t *testing.T, h *testHost) *Server {
+	t.Helper()
+	s, _ := startServer(t, newTestWatch(endpointEvent(1, true, endpointOf(1, h, platform.InService))))
+	return s
+}
+
+// stall holds the event loop until the function that it returns is called, as a process that gets no processor stands still.
+func stall(t *testing.T, s *Server) (resume func()) {
+	t.Helper()
+	stalled, gate := make(chan struct{}), make(chan struct{})
+	s.loop.Post(func() { close(stalled); <-gate })
+	<-stalled
+	return func() { close(gate) }
+}
+
+// fillJobQueue has the event loop's producers wait for space.
+func fillJobQueue(s *Server) {
+	for range maxQueuedJobs {
+		s.loop.Post(func() {})
+	}
+}
+
+// openOwners returns how many connections of owners the core has.
+func openOwners(s *Server) (count int) {
+	s.loop.Call(func() { count = len(s.owners.open) })
+	return count
+}
+
+// testOwner is a connection of an owner; it keeps the answers to each request.
+type testOwner struct {
+	conn net.Conn
+	done chan struct{} // closed when nothing more comes
+
+	mu      sync.Mutex
+	answers map[string][]platform.Message // by ref
+}
+
+// newTestOwner connects an owner.
+func newTestOwner(t *testing.T, address string) *testOwner {
+	t.Helper()
+	o := &testOwner{conn: dialLoopback(t, address), answers: map[string][]platform.Message{}, done: make(chan struct{})}
+	go func() {
+		defer close(o.done)
+		r := bufio.NewReader(o.conn)
+		for {
+			line, err := r.ReadBytes('\n')
+			if err != nil {
+				return
+			}
+			if m, err := platform.Decode(line[:len(line)-1]); err == nil {
+				o.mu.Lock()
+				o.answers[m.Ref] = append(o.answers[m.Ref], m)
+				o.mu.Unlock()
+			}
+		}
+	}()
+	return o
+}
+
+// request sends a placement request that waits for so many milliseconds.
+func (o *testOwner) request(ref string, timeoutMS int) {
+	send(o.conn, `{"t":"new","ref":"%s","f":{"class":"keyed","left":"%d","tenant":"acme","key":"%s","idem":"%s","extras":"cores:1;memory:1;service:%s"},"d":"of the owner"}`+"\n",
+		ref, timeoutMS, ref, ref, ref)
+}
+
+// answersTo returns what came for a request.
+func (o *testOwner) answersTo(ref string) []platform.Message {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return append([]platform.Message(nil), o.answers[ref]...)
+}
+
+// awaitAnswer waits until one answer to a request has come.
+func (o *testOwner) awaitAnswer(t *testing.T, ref string) {
+	t.Helper()
+	eventually(t, "an answer to "+ref, func() bool { return len(o.answersTo(ref)) == 1 })
+}
+
+// probe waits until a probe of the owner's is answered: the placer knows its connection.
+func (o *testOwner) probe(t *testing.T) {
+	t.Helper()
+	const ref = "00000000000000ee"
+	send(o.conn, `{"t":"hb","ref":"%s","f":{},"c":0}`+"\n", ref)
+	eventually(t, "the answer to a probe", func() bool { return len(o.answersTo(ref)) > 0 })
+}
--- a/internal/server/platform/watch_test.go
+++ b/internal/server/platform/watch_test.go
@@ -1,9 +1,7 @@
 package platform
 
 import (
-	"context"
 	"fmt"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"sync"
@@ -16,227 +14,183 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// A log that tells something all the time is asked again when it goes without an event for longer, ever more rarely; one
-// whose events are rare is not.
-func TestPace(t *testing.T) {
-	var p eventIntervals
-	now := time.Unix(1000, 0)
-	if p.nextTimeout() != 0 {
-		t.Error("it is impatient before it knows the pace")
-	}
-	for range 40 {
-		now = now.Add(300 * time.Millisecond)
-		p.add(now)
-	}
-	if got := []time.Duration{p.nextTimeout(), p.nextTimeout(), p.nextTimeout()}; got[0] != minEventTimeout || got[1] != 2*minEventTimeout || got[2] != 4*minEventTimeout {
-		t.Errorf("it waits %v", got)
-	}
-	for range 10 {
-		if p.nextTimeout() > maxEventTimeout {
-			t.Error("it waits for too long")
-		}
-	}
-	now = now.Add(3 * time.Second)
-	if p.add(now); p.nextTimeout() != 6*time.Second {
-		t.Error("a longer gap does not count")
-	}
-	now = now.Add(time.Minute)
-	if p.add(now); p.nextTimeout() != 0 {
-		t.Error("a log with rare events is asked again")
-	}
+// watchStream is one poll, as the server of a watch sees it.
+type watchStream struct {
+	response http.ResponseWriter
+	last     string          // Last-Event-ID
+	done     <-chan struct{} // closed when the watcher has left
 }
 
-// A watch that fires late, as its process stood still, gives as long again; one that is reset as it fires does not fire.
-func TestWatch(t *testing.T) {
-	var fired atomic.Int64
-	w := newIdleTimer(time.Hour, func() { fired.Add(1) })
-	defer w.stop()
-	w.mu.Lock()
-	w.timeout, w.due = 30*time.Millisecond, time.Now().Add(-time.Second) // due a second ago: a stall
-	w.timer.Reset(0)
-	w.mu.Unlock()
-	time.Sleep(10 * time.Millisecond)
-	if fired.Load() != 0 {
-		t.Error("a stall of our own is taken for silence")
-	}
-	for end := time.Now().Add(20 * time.Second); fired.Load() == 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("silence is not noticed any more")
+// send writes to the stream at once.
+func (s watchStream) send(format string, args ...any) {
+	send(s.response, format, args...)
+	s.response.(http.Flusher).Flush()
+}
+
+// sendComments sends comments until the watcher leaves.
+func (s watchStream) sendComments() {
+	for {
+		s.send(":\n\n")
+		select {
+		case <-s.done:
+			return
+		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	quiet := newIdleTimer(0, func() { t.Error("a watch that rests fires") })
-	quiet.reset(time.Hour)
-	quiet.reset(0)
-	quiet.stop()
 }
 
-// scripted is a change log whose calls are served by one function each, in turn; the last serves all later ones.
-func scripted(t *testing.T, calls ...func(say func(format string, args ...any), last string, done <-chan struct{})) string {
+// scriptedWatch serves a watch whose polls are served by one function each, in turn; the last serves all later ones.
+func scriptedWatch(t *testing.T, polls ...func(watchStream)) (address string) {
 	t.Helper()
 	var mu sync.Mutex
 	n := 0
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		call := calls[min(n, len(calls)-1)]
+		poll := polls[min(n, len(polls)-1)]
 		n++
 		mu.Unlock()
-		call(func(format string, args ...any) {
-			fmt.Fprintf(w, format, args...)
-			w.(http.Flusher).Flush()
-		}, r.Header.Get("Last-Event-ID"), r.Context().Done())
+		poll(watchStream{response: w, last: r.Header.Get("Last-Event-ID"), done: r.Context().Done()})
 	}))
-	t.Cleanup(srv.Close)
-	return srv.Listener.Addr().String()
+	t.Cleanup(server.Close)
+	return server.Listener.Addr().String()
 }
 
-func event(seq int, whole bool) string {
-	return fmt.Sprintf("id: %d\ndata: {\"seq\":%d,\"fleet\":{\"whole\":%v,\"hosts\":[]}}\n\n", seq, seq, whole)
+// emptyEvent returns an event, as it is sent, without entries of the list.
+func emptyEvent(seq int, snapshot bool) string {
+	return fmt.Sprintf("id: %d\ndata: {\"seq\":%d,\"fleet\":{\"whole\":%v,\"hosts\":[]}}\n\n", seq, seq, snapshot)
 }
 
-type heard struct {
-	seq  uint64
-	anew bool
+// delivery is an event as the watcher delivers it.
+type delivery struct {
+	seq       uint64
+	restarted bool
 }
 
-// listen follows a log from a number and returns what it tells.
-func listen(t *testing.T, address string, last uint64) (*watcher, chan heard) {
+// startTestWatcher watches a list behind an event and returns what it delivers.
+func startTestWatcher(t *testing.T, address string, last uint64) (*watcher, chan delivery) {
 	t.Helper()
-	all := make(chan heard, 1000)
-	ctx, cancel := context.WithCancel(context.Background())
-	c := startWatch(ctx, watchConfig{address: address, last: last, connectTimeout: time.Second, log: zerolog.Nop(), deliver: func(ch platform.WatchEvent, anew bool) {
-		all <- heard{ch.Seq, anew}
-	}})
-	t.Cleanup(func() { cancel(); c.wait() })
-	return c, all
+	deliveries := make(chan delivery, 1000)
+	w := startWatch(t.Context(), watchConfig{
+		address: address, last: last, connectTimeout: time.Second, log: zerolog.Nop(),
+		deliver: func(event platform.WatchEvent, restarted bool) { deliveries <- delivery{event.Seq, restarted} },
+	})
+	t.Cleanup(w.wait)
+	return w, deliveries
 }
 
-func wants(t *testing.T, all chan heard, want ...heard) {
+// expect checks the next deliveries.
+func expect(t *testing.T, deliveries chan delivery, want ...delivery) {
 	t.Helper()
 	for _, w := range want {
 		select {
-		case got := <-all:
+		case got := <-deliveries:
 			if got != w {
-				t.Fatalf("heard %+v, want %+v", got, w)
+				t.Fatalf("delivered %+v, want %+v", got, w)
 			}
-		case <-time.After(20 * time.Second):
-			t.Fatalf("%+v is not heard", w)
+		case <-time.After(eventuallyTimeout):
+			t.Fatalf("%+v is not delivered", w)
 		}
 	}
 }
 
-func comments(say func(string, ...any), done <-chan struct{}) {
-	for {
-		say(":\n\n")
-		select {
-		case <-done:
-			return
-		case <-time.After(20 * time.Millisecond):
-		}
-	}
-}
-
-// A log that goes on with comments and tells no event any more is asked again.
-func TestLogThatOnlyComments(t *testing.T) {
-	address := scripted(t,
-		func(say func(string, ...any), _ string, done <-chan struct{}) {
+// A watch that goes on with comments and brings no event any more is polled again.
+func TestWatcherPollsAgainAWatchThatOnlyComments(t *testing.T) {
+	address := scriptedWatch(t,
+		func(s watchStream) {
 			for seq := 1; seq <= 20; seq++ {
-				say("%s", event(seq, seq == 1))
+				s.send("%s", emptyEvent(seq, seq == 1))
 				time.Sleep(10 * time.Millisecond)
 			}
-			comments(say, done)
+			s.sendComments()
 		},
-		func(say func(string, ...any), last string, done <-chan struct{}) {
-			if last == "20" {
-				say("%s", event(21, false))
+		func(s watchStream) {
+			if s.last == "20" {
+				s.send("%s", emptyEvent(21, false))
 			}
-			comments(say, done)
+			s.sendComments()
 		})
-	_, all := listen(t, address, 0)
+	_, deliveries := startTestWatcher(t, address, 0)
 	for seq := range 21 {
-		wants(t, all, heard{uint64(seq + 1), false})
+		expect(t, deliveries, delivery{uint64(seq + 1), false})
 	}
 }
 
-// A log whose numbers begin anew is believed, and goes on from there; one that tells all again is not.
-func TestNumbersBeginAnew(t *testing.T) {
-	again := func(say func(string, ...any), _ string, _ <-chan struct{}) {
+// A watch whose numbers begin again is believed, and goes on from there; one that sends all events again is not.
+func TestWatcherRestartedSequence(t *testing.T) {
+	again := func(s watchStream) {
 		for seq := 1; seq <= 8; seq++ {
-			say("%s", event(seq, seq == 1))
+			s.send("%s", emptyEvent(seq, seq == 1))
 		}
 	}
-	anew := func(say func(string, ...any), _ string, done <-chan struct{}) {
-		say("%s%s", event(1, true), event(2, false))
-		say(":\n\n")
-		say("%s%s", event(3, false), event(1, true)) // and an old list behind it
-		say("%s", event(4, false))
-		comments(say, done)
+	restarted := func(s watchStream) {
+		s.send("%s%s", emptyEvent(1, true), emptyEvent(2, false))
+		s.send(":\n\n")
+		s.send("%s%s", emptyEvent(3, false), emptyEvent(1, true)) // and an old snapshot behind it
+		s.send("%s", emptyEvent(4, false))
+		s.sendComments()
 	}
-	_, all := listen(t, scripted(t, again, anew), 7)
-	wants(t, all, heard{8, false}, heard{1, true}, heard{2, false}, heard{3, false}, heard{4, false})
+	_, deliveries := startTestWatcher(t, scriptedWatch(t, again, restarted), 7)
+	expect(t, deliveries, delivery{8, false}, delivery{1, true}, delivery{2, false}, delivery{3, false}, delivery{4, false})
 }
 
-// An address that is moved to while the old one breaks off in the middle of an event, or goes on telling, is asked behind
-// the last event that counts, and what the old one tells after that does not count.
-func TestMoveCrossesTheOldAddress(t *testing.T) {
-	for _, cut := range []bool{true, false} {
-		said, moved := make(chan struct{}), make(chan struct{})
-		old := scripted(t,
-			func(say func(string, ...any), _ string, done <-chan struct{}) {
-				say("%s", event(1, true))
-				say("id: 2\nda")
-				close(said)
-				<-moved
-				if cut {
+// A new address, while the old one breaks off in the middle of an event or goes on sending, is polled behind the last event
+// that counts, and what the old one sends after that does not count.
+func TestWatcherChangeOfAddress(t *testing.T) {
+	for _, breaksOff := range []bool{true, false} {
+		sent, changed := make(chan struct{}), make(chan struct{})
+		oldAddress := scriptedWatch(t,
+			func(s watchStream) {
+				s.send("%s", emptyEvent(1, true))
+				s.send("id: 2\nda")
+				close(sent)
+				<-changed
+				if breaksOff {
 					panic(http.ErrAbortHandler)
 				}
-				say("ta: {\"seq\":2}\n\n%s", event(3, false))
-				<-done
+				s.send("ta: {\"seq\":2}\n\n%s", emptyEvent(3, false))
+				<-s.done
 			},
-			func(say func(string, ...any), _ string, done <-chan struct{}) { <-done })
-		var asked atomic.Value
-		fresh := scripted(t, func(say func(string, ...any), last string, done <-chan struct{}) {
-			asked.CompareAndSwap(nil, last)
-			say("%s%s%s", event(1, true), event(2, false), event(3, false))
-			comments(say, done)
+			func(s watchStream) { <-s.done })
+		var polledBehind atomic.Value
+		newAddress := scriptedWatch(t, func(s watchStream) {
+			polledBehind.CompareAndSwap(nil, s.last)
+			s.send("%s%s%s", emptyEvent(1, true), emptyEvent(2, false), emptyEvent(3, false))
+			s.sendComments()
 		})
-		c, all := listen(t, old, 0)
-		wants(t, all, heard{1, false})
-		<-said
-		c.setAddress(fresh)
-		close(moved)
-		wants(t, all, heard{2, false}, heard{3, false})
-		if asked.Load() != "1" {
-			t.Errorf("the new address is asked behind %v", asked.Load())
+		w, deliveries := startTestWatcher(t, oldAddress, 0)
+		expect(t, deliveries, delivery{1, false})
+		<-sent
+		w.setAddress(newAddress)
+		close(changed)
+		expect(t, deliveries, delivery{2, false}, delivery{3, false})
+		if polledBehind.Load() != "1" {
+			t.Errorf("the new address is polled behind %v", polledBehind.Load())
 		}
 		select {
-		case more := <-all:
+		case more := <-deliveries:
 			t.Errorf("%+v counts twice", more)
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 }
 
-// A log that takes the connection and never answers, and one that is out of reach, cost no more than a rest between calls.
-func TestLogOutOfReach(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	var calls atomic.Int64
+// A watch that takes the connection and never answers costs no more than a poll for each idle timeout.
+func TestWatcherUnresponsiveAddress(t *testing.T) {
+	listener := listenLoopback(t)
+	var polls atomic.Int64
 	go func() {
 		for {
-			c, err := ln.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			calls.Add(1)
-			defer c.Close()
+			polls.Add(1)
+			defer func() { _ = c.Close() }()
 		}
 	}()
-	listen(t, ln.Addr().String(), 0)
-	until(t, "a second call", func() bool { return calls.Load() >= 2 })
-	if n := calls.Load(); n > 3 {
-		t.Errorf("%d calls in the time of two silences", n)
+	startTestWatcher(t, listener.Addr().String(), 0)
+	eventually(t, "a second poll", func() bool { return polls.Load() >= 2 })
+	if n := polls.Load(); n > 3 {
+		t.Errorf("%d polls in the time of two idle timeouts", n)
 	}
 }
