--- a/internal/scheduler/platform/api.go
+++ b/internal/scheduler/platform/api.go
@@ -1,7 +1,3 @@
-// Package platform is the core of a placer on the users' platform: it owns requests, attempts, standing tasks and the
-// connections that carry them, turns what crosses the sockets into the module's events and the module's actions into
-// messages. Every ruling is the module's; the core keeps the protocol and its bounds. It is pure: inputs and time in,
-// outputs out.
 package platform
 
 import (
@@ -12,97 +8,79 @@
 	"forkhead/internal/scheduler/moduledriver"
 )
 
+// OwnerID numbers a connection of an owner. The shell chooses it and uses none twice.
+type OwnerID uint64
+
+// ConnectionID numbers a connection to a host. The core chooses it, from 1 on, and uses none twice.
+type ConnectionID uint64
+
 // Config is what a core runs with.
 type Config struct {
-	Settings                  forkhead.Settings
-	Names                     WireNames
-	IdleTimeout               time.Duration // hosts close connections that are idle for so long; 0: never
-	Seed                      uint64
-	InitialEvents             []platform.WatchEvent // the change log up to the start
-	MaxOwnerConnections       int                   // most connections of owners
-	ProtectedOwnerConnections int                   // and how many of them do not make room for connections to hosts; 0: none makes room
-	MaxHostConnections        int                   // most connections to hosts
-	MaxConnections            int                   // most connections of both kinds; 0: Owners and Links together
-	// Decide stands in the module's place, for tests; nil: the module.
+	Settings forkhead.Settings
+	Names    WireNames
+	// IdleTimeout is how long hosts leave idle connections open; 0: for ever.
+	IdleTimeout time.Duration
+	Seed        uint64
+	// InitialEvents are the events of the endpoint list up to the start.
+	InitialEvents []platform.WatchEvent
+
+	// MaxOwnerConnections and MaxHostConnections bound the connections of owners and to hosts, and MaxConnections both
+	// together; 0: their sum.
+	MaxOwnerConnections int
+	MaxHostConnections  int
+	MaxConnections      int
+	// ProtectedOwnerConnections is how many connections of owners make no room for connections to hosts; 0: none makes
+	// room.
+	ProtectedOwnerConnections int
+
+	// Decide takes the module's place, for tests; nil: the module decides.
 	Decide moduledriver.Decide
 }
 
-// WireNames are those of the settings' lists, in their order.
+// WireNames are the names by which messages refer to entries of the settings' lists, in the order of these lists.
 type WireNames struct {
 	Classes, Tenants, Zones, MachineTypes []string
 }
 
-// Bounds of the core. What each does when it is met is said where it is used.
-const (
-	maxOpenRequests          = 8192                  // requests without an answer, of all owners
-	maxOpenRequestsPerOwner  = 2048                  // and of one connection
-	maxMalformedRequests     = 64                    // lines of one connection that were turned down as malformed
-	maxConnectionsPerHost    = 8                     // connections to one host
-	maxAttemptsPerConnection = 32                    // attempts out on one connection
-	maxRemembered            = 4096                  // attempts remembered after they were given up, and releases of unknown tasks
-	maxUnlistedHosts         = 1024                  // hosts that hold tasks by their owners' word and that the list does not have yet
-	maxHalfClosed            = 4                     // connections to hosts that are being closed, beyond the room for others
-	halfClosedTimeout        = time.Second           // and are read for so long at most
-	maxUndelivered           = 1024                  // messages that wait for a connection of owners
-	overtakenAfter           = 50 * time.Millisecond // an answer to a later offer by so much shows that a connection is dead
-	ownerLineTimeout         = 2 * time.Second
-	firstMessageTimeout      = 2 * time.Second
-	probeTimeout             = 250 * time.Millisecond
-	probeRetryAfter          = 120 * time.Millisecond // a probe that is not answered is sent again on another connection
-	minRedialBackoff         = 100 * time.Millisecond // between connections that were refused or not made
-	maxRedialBackoff         = time.Second
-	unresponsiveAfter        = time.Second                               // a host with standing tasks that has said nothing for so long is called on, and again
-	lostAfter                = undeliveredTimeout - 500*time.Millisecond // and is lost after this, where no connection to it could be made since
-	lastDialBeforeLoss       = 500 * time.Millisecond
-	removedGrace             = 500 * time.Millisecond
-	stopTimeout              = time.Second             // a release that the host does not answer counts as heard
-	undeliveredTimeout       = 8 * time.Second         // the protocol: what is over and could not be told is released within this time of its end
-	forgetHostAfter          = 30 * time.Second        // a host that is gone and holds nothing is forgotten
-	unlistedTimeout          = 2500 * time.Millisecond // a host that an owner names may come to the list so late; bad clients get their answer in 3 s
-	reconcileInterval        = 50 * time.Millisecond
-	maxRequestWait           = 60 * 24 * time.Hour // the longest that an owner may say it waits
-	listenAfterShutdown      = 800 * time.Millisecond
-	minShutdownDuration      = 1200 * time.Millisecond
-)
-
-// Input is something that happened on the sockets.
+// Input is something that has happened on the sockets.
 type Input interface{ input() }
 
 // The inputs.
 type (
-	// OwnerConnected is a new connection of an owner.
-	OwnerConnected struct{ Owner uint64 }
-	// OwnerData is bytes from an owner; the core does not keep them.
+	// OwnerConnected says that an owner has connected.
+	OwnerConnected struct{ Owner OwnerID }
+	// OwnerData brings bytes of an owner, which the core does not keep.
 	OwnerData struct {
-		Owner uint64
+		Owner OwnerID
 		Data  []byte
 	}
-	// OwnerDisconnected is the end of an owner's connection that the core has not closed.
-	OwnerDisconnected struct{ Owner uint64 }
-	// HostConnected says that a connection to a host is made.
-	HostConnected struct{ Connection uint64 }
-	// DialFailed says that it is not made; Refused proves that nothing listens there, and Ours that this process could
-	// not try: it says nothing of the host.
+	// OwnerDisconnected says that an owner's connection has ended that the core has not closed.
+	OwnerDisconnected struct{ Owner OwnerID }
+	// HostConnected says that a DialHost has succeeded.
+	HostConnected struct{ Connection ConnectionID }
+	// DialFailed says that a DialHost has failed. Refused proves that nothing listens there. Local means that this process
+	// could not try, which says nothing about the host.
 	DialFailed struct {
-		Connection uint64
+		Connection ConnectionID
 		Refused    bool
 		Local      bool
 	}
-	// HostData is bytes from a host.
+	// HostData brings bytes of a host, which the core does not keep.
 	HostData struct {
-		Connection uint64
+		Connection ConnectionID
 		Data       []byte
 	}
-	// HostDisconnected is the end of a host's connection that the core has not closed.
-	HostDisconnected struct{ Connection uint64 }
-	// WatchEventReceived is an event of the change log; Anew says that its numbers begin anew with this one, a whole list.
+	// HostDisconnected says that a connection to a host has ended that the core has not closed.
+	HostDisconnected struct{ Connection ConnectionID }
+	// WatchEventReceived brings an event of the endpoint list. SequenceRestarted says that the numbers of events begin
+	// again with this one, a snapshot.
 	WatchEventReceived struct {
 		Event             platform.WatchEvent
 		SequenceRestarted bool
 	}
-	// GossipReceived is a message of another placer.
+	// GossipReceived brings a message of another placer.
 	GossipReceived struct {
-		From int
+		From int // its number in the settings
 		Data []byte
 	}
 	// ShutdownRequested says that this placer is to end.
@@ -120,41 +98,41 @@
 func (GossipReceived) input()     {}
 func (ShutdownRequested) input()  {}
 
-// Output is something to do.
+// Output is something that the shell is to do.
 type Output interface{ output() }
 
-// The outputs, to be carried out in their order.
+// The outputs, to be executed in their order. Log, in log.go, is one of them.
 type (
-	// SendToOwner writes a line to an owner.
+	// SendToOwner sends a line to an owner.
 	SendToOwner struct {
-		Owner uint64
+		Owner OwnerID
 		Line  []byte
 	}
-	// CloseOwnerConnection closes an owner's connection after what was written to it.
-	CloseOwnerConnection struct{ Owner uint64 }
-	// DialHost makes a connection to a host.
+	// CloseOwnerConnection closes an owner's connection after what was sent on it.
+	CloseOwnerConnection struct{ Owner OwnerID }
+	// DialHost connects to a host; HostConnected or DialFailed follows.
 	DialHost struct {
-		Connection uint64
+		Connection ConnectionID
 		Address    string
 	}
-	// SendToHost writes a line to a host. One that gives up an attempt resets the connection where it cannot leave at once.
+	// SendToHost sends a line to a host. One that abandons an attempt resets the connection if it cannot be sent at once.
 	SendToHost struct {
-		Connection uint64
+		Connection ConnectionID
 		Line       []byte
 		Abandons   bool
 	}
-	// CloseHostConnection closes a host's connection, or stops making it.
-	CloseHostConnection struct{ Connection uint64 }
-	// HalfCloseHostConnection writes nothing more to a host and reads on until it closes.
-	HalfCloseHostConnection struct{ Connection uint64 }
-	// SendGossip sends a message to another placer or to forkhead.Everyone.
+	// CloseHostConnection closes a connection to a host, or ends its dialing.
+	CloseHostConnection struct{ Connection ConnectionID }
+	// HalfCloseHostConnection sends nothing more to a host and reads on until it closes the connection.
+	HalfCloseHostConnection struct{ Connection ConnectionID }
+	// SendGossip sends a message to another placer or to forkhead.AllPlacers. It may be lost.
 	SendGossip struct {
 		To   int
 		Data []byte
 	}
-	// CloseListener closes the listener.
+	// CloseListener stops accepting connections of owners.
 	CloseListener struct{}
-	// ShutdownComplete says that nothing is owed any more: the process may end.
+	// ShutdownComplete says that nobody is owed anything any more: the process may end. It may come more than once.
 	ShutdownComplete struct{}
 )
 
--- /dev/null
+++ b/internal/scheduler/platform/attempt.go
@@ -0,0 +1,225 @@
+package platform
+
+import (
+	"iter"
+	"slices"
+	"time"
+
+	"forkhead"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/invariant"
+)
+
+// taskAttempt is an attempt to place a task on a host, from the module's Offer to its outcome.
+type taskAttempt struct {
+	request      *request
+	number       int // among the attempts of its request
+	host         *host
+	connection   *hostConnection // that its offer is queued for, or in flight on; nil: neither
+	sentAt       time.Duration   // when the offer was sent; before that, when it was made
+	hasNotes     bool            // the host sent notes on it: it runs the task, even if it has not answered
+	stopSent     bool            // the host was told to stop the task
+	stopDeadline time.Duration   // the task counts as stopped then, even if the host does not answer
+}
+
+// attemptKey is what hosts know an attempt by. Attempts of one request on one host share it.
+type attemptKey struct {
+	host forkhead.MachineID
+	ref  requestRef
+}
+
+func (a *taskAttempt) key() attemptKey      { return attemptKey{a.host.id, a.request.ref} }
+func (a *taskAttempt) phase() attempt.Phase { return a.request.lifecycle.Attempts[a.number].Phase }
+func (a *taskAttempt) isPlaced() bool       { return a.phase() == attempt.Placed }
+func (a *taskAttempt) isInFlight() bool     { return a.phase() == attempt.InFlight }
+
+// offer executes the module's Offer where that is legal; else the attempt's outcome is that it was not sent.
+func (c *Core) offer(action forkhead.Offer) {
+	r := c.requests[action.Task]
+	if r == nil {
+		c.logViolation(messageUnknownTask, taskAttr(action.Task))
+		return
+	}
+	h := c.hosts[action.Machine]
+	if r.phase != requestOpen || h == nil || h.address == "" {
+		c.skipOffer(r, action.Machine)
+		return
+	}
+	if violation := c.checkOffer(r, h); violation != nil {
+		c.logViolation(messageOfferVetoed, taskAttr(r.id), hostAttr(h.name), errorAttr(violation))
+		c.skipOffer(r, action.Machine)
+		return
+	}
+	a := c.startAttempt(r, h)
+	if action.Timeout > 0 && action.Timeout < r.timeLeft(c.now) {
+		c.addDeadline(c.now+action.Timeout, r.id)
+	}
+	c.assignConnection(a)
+}
+
+// checkOffer returns the invariant that an offer of a request to a host would violate; nil: none.
+func (c *Core) checkOffer(r *request, h *host) *invariant.Violation {
+	return invariant.CheckOffer(c.now, &invariant.Offer{
+		Request: &r.lifecycle, Task: &r.task, Class: r.class, To: h.forInvariants(), DrainGrace: c.settings.DrainGrace,
+		HostByID:     c.hostForInvariants,
+		ServiceHosts: c.serviceHosts(r.task.Service, nil),
+	})
+}
+
+func (c *Core) hostForInvariants(id attempt.HostID) *invariant.Host {
+	if h := c.hosts[forkhead.MachineID(id)]; h != nil {
+		return h.forInvariants()
+	}
+	return nil
+}
+
+// exceedsSpread says whether sending an offer now would violate a spread limit.
+func (c *Core) exceedsSpread(a *taskAttempt) bool {
+	r := a.request
+	return invariant.CheckSpread(&invariant.Offer{
+		Task: &r.task, Class: r.class, To: a.host.forInvariants(), ServiceHosts: c.serviceHosts(r.task.Service, a),
+	}) != nil
+}
+
+// serviceHosts runs over the hosts of a service's live attempts except one, each once per attempt.
+func (c *Core) serviceHosts(service uint64, except *taskAttempt) iter.Seq[*invariant.Host] {
+	return func(yield func(*invariant.Host) bool) {
+		for _, a := range c.attemptsByService[service] {
+			if a != except && !yield(a.host.forInvariants()) {
+				return
+			}
+		}
+	}
+}
+
+// skipOffer counts an attempt that was never started, so that numbers stay in step with the module's.
+func (c *Core) skipOffer(r *request, machine forkhead.MachineID) {
+	r.lifecycle.AddUnsent(c.now, attempt.HostID(machine))
+	r.attempts = append(r.attempts, nil)
+	c.notifyModule(forkhead.Outcome{
+		Task: r.id, Attempt: len(r.attempts) - 1, Machine: machine, Result: forkhead.NotSent, Final: r.phase != requestOpen,
+	})
+}
+
+func (c *Core) startAttempt(r *request, h *host) *taskAttempt {
+	a := &taskAttempt{request: r, number: r.lifecycle.AddOffer(c.now, attempt.HostID(h.id)), host: h, sentAt: c.now}
+	c.addAttempt(a)
+	return a
+}
+
+// addAttempt lists a live attempt with its request, its host and its service.
+func (c *Core) addAttempt(a *taskAttempt) {
+	r := a.request
+	r.attempts = append(r.attempts, a)
+	a.host.attempts[r.ref] = a
+	c.attemptsByService[r.task.Service] = append(c.attemptsByService[r.task.Service], a)
+}
+
+// removeAttempt takes a live attempt off the lists of its host and its service.
+func (c *Core) removeAttempt(a *taskAttempt) {
+	r := a.request
+	if a.host.attempts[r.ref] == a {
+		delete(a.host.attempts, r.ref)
+	}
+	live := slices.DeleteFunc(c.attemptsByService[r.task.Service], func(other *taskAttempt) bool { return other == a })
+	if len(live) == 0 {
+		delete(c.attemptsByService, r.task.Service)
+	} else {
+		c.attemptsByService[r.task.Service] = live
+	}
+}
+
+// sendOffer sends the offer of an attempt on its connection, which is open. One that has become wrong while it was
+// queued is not sent.
+func (c *Core) sendOffer(a *taskAttempt) {
+	r := a.request
+	if !c.mayStillSend(a) {
+		c.endAttempt(a, attemptEnd{input: attempt.Abandoned, result: forkhead.NotSent, final: r.phase != requestOpen})
+		return
+	}
+	a.sentAt = c.now
+	a.connection.inFlight++
+	a.connection.lastSentAt = c.now
+	r.lifecycle.Handle(a.number, attempt.OfferWritten)
+	c.emit(SendToHost{Connection: a.connection.id, Line: offerMessage(r, r.timeLeft(c.now))})
+}
+
+// mayStillSend says whether an offer that was queued may be sent: meanwhile its owner may have left, its host may drain,
+// and tasks of its service may have been handed over.
+func (c *Core) mayStillSend(a *taskAttempt) bool {
+	r := a.request
+	return r.phase == requestOpen && r.lifecycle.MayWrite(c.now, a.number) == nil && !c.exceedsSpread(a) &&
+		!invariant.DrainGraceExpired(c.now, a.host.entry.State, a.host.drainingSince, c.settings.DrainGrace)
+}
+
+// attemptEnd is how an attempt ends.
+type attemptEnd struct {
+	input  attempt.Input // of the attempt's state machine
+	result forkhead.Result
+	reason forkhead.RejectReason
+	final  bool                 // the request is answered: the module has nothing to decide
+	report *forkhead.LoadReport // of the host; nil: it sent none
+}
+
+// endAttempt ends a live attempt and notifies the module of its outcome.
+func (c *Core) endAttempt(a *taskAttempt, end attemptEnd) {
+	if !a.phase().IsLive() {
+		return
+	}
+	r := a.request
+	a.leaveConnection()
+	r.lifecycle.Handle(a.number, end.input)
+	c.removeAttempt(a)
+	c.notifyModule(forkhead.Outcome{
+		Task: r.id, Attempt: a.number, Machine: a.host.id, Result: end.result, Reason: end.reason,
+		Took: c.now - a.sentAt, Final: end.final, Report: end.report,
+	})
+	if r.phase != requestOpen {
+		c.finished = append(c.finished, r)
+	}
+}
+
+// leaveConnection takes an attempt off its connection: it is neither in flight nor queued there any more.
+func (a *taskAttempt) leaveConnection() {
+	conn := a.connection
+	if conn == nil {
+		return
+	}
+	a.connection = nil
+	if a.isInFlight() {
+		conn.inFlight--
+		return
+	}
+	conn.queued = slices.DeleteFunc(conn.queued, func(other *taskAttempt) bool { return other == a })
+}
+
+// withdrawNumbered executes the module's Withdraw.
+func (c *Core) withdrawNumbered(action forkhead.Withdraw) {
+	r := c.requests[action.Task]
+	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) {
+		return
+	}
+	c.withdraw(r.attempts[action.Attempt], forkhead.Withdrawn, r.phase != requestOpen)
+}
+
+// withdraw stops waiting for the outcome of an attempt, if it has none yet: what its host answers later counts for
+// nothing. a may be nil.
+func (c *Core) withdraw(a *taskAttempt, result forkhead.Result, final bool) {
+	if a == nil || !a.phase().IsInFlight() {
+		return
+	}
+	if a.isInFlight() {
+		if a.connection != nil && c.settings.MayWithdraw {
+			c.emit(SendToHost{Connection: a.connection.id, Line: stopMessage(a.request.ref), Abandons: true})
+		}
+		c.abandoned.add(a.key())
+	}
+	c.endAttempt(a, attemptEnd{input: attempt.Abandoned, result: result, final: final})
+}
+
+// withdrawAll withdraws whatever attempts of a request have no outcome yet.
+func (c *Core) withdrawAll(r *request, result forkhead.Result, final bool) {
+	for _, a := range r.attempts {
+		c.withdraw(a, result, final)
+	}
+}
--- a/internal/scheduler/platform/bench_test.go
+++ b/internal/scheduler/platform/bench_test.go
@@ -21,7 +21,7 @@
 	next   func(ev forkhead.Event) []forkhead.Action
 	out    []Output // of the last step
 	seq    uint64
-	owners uint64
+	owners OwnerID
 }
 
 func hostInfo(n int, state platform.EndpointState) platform.Endpoint {
@@ -91,13 +91,13 @@
 }
 
 // owner opens a connection of an owner.
-func (w *world) owner() uint64 {
+func (w *world) owner() OwnerID {
 	w.owners++
 	w.step(OwnerConnected{w.owners})
 	return w.owners
 }
 
-func (w *world) say(owner uint64, line string) []Output {
+func (w *world) say(owner OwnerID, line string) []Output {
 	return w.step(OwnerData{owner, []byte(line + "\n")})
 }
 
@@ -120,7 +120,7 @@
 // refuse fails the connections to host 1 that are being made.
 func (w *world) refuse(refused bool) {
 	for _, l := range slices.Clone(w.c.hosts[1].connections) {
-		if !l.open {
+		if l.state == connectionDialing {
 			w.step(DialFailed{Connection: l.id, Refused: refused})
 		}
 	}
@@ -190,7 +190,7 @@
 )
 
 // placed brings a task to stand on host 1 and returns its owner and link.
-func (w *world) placed(ref string) (owner, link uint64) {
+func (w *world) placed(ref string) (owner OwnerID, link ConnectionID) {
 	w.t.Helper()
 	owner = w.owner()
 	w.say(owner, setUp(ref, "keyed", ""))
--- a/internal/scheduler/platform/crossings_test.go
+++ b/internal/scheduler/platform/crossings_test.go
@@ -154,27 +154,41 @@
 	full := `{"t":"down","ref":"` + ref1 + `","f":{},"c":34}` + "\n"
 	leave := `{"t":"down","ref":"` + ref1 + `","f":{},"c":16}` + "\n"
 	for name, c := range map[string]struct {
-		in    func(o, link uint64) []Input
+		in    func(o OwnerID, link ConnectionID) []Input
 		late  bool // at the deadline
 		owner string
 		host  string
 	}{
-		"answer, deadline":  {func(o, link uint64) []Input { return []Input{HostData{link, []byte(up)}} }, true, "up", ""},
-		"refusal, deadline": {func(o, link uint64) []Input { return []Input{HostData{link, []byte(full)}} }, true, "down 34", "ack"},
-		"refusal, end":      {func(o, link uint64) []Input { return []Input{HostData{link, []byte(full)}, HostDisconnected{link}} }, false, "down 34", "ack"},
-		"end, refusal":      {func(o, link uint64) []Input { return []Input{HostDisconnected{link}, HostData{link, []byte(full)}} }, false, "down 47", ""},
-		"answer, end":       {func(o, link uint64) []Input { return []Input{HostData{link, []byte(up)}, HostDisconnected{link}} }, false, "up", ""},
-		"answer, give-up":   {func(o, link uint64) []Input { return []Input{HostData{link, []byte(up)}, OwnerData{o, []byte(leave)}} }, false, "up ack", "down 16"},
-		"give-up, answer":   {func(o, link uint64) []Input { return []Input{OwnerData{o, []byte(leave)}, HostData{link, []byte(up)}} }, false, "ack", "down 16 down 16"},
-		"give-up, refusal": {func(o, link uint64) []Input {
+		"answer, deadline":  {func(o OwnerID, link ConnectionID) []Input { return []Input{HostData{link, []byte(up)}} }, true, "up", ""},
+		"refusal, deadline": {func(o OwnerID, link ConnectionID) []Input { return []Input{HostData{link, []byte(full)}} }, true, "down 34", "ack"},
+		"refusal, end": {func(o OwnerID, link ConnectionID) []Input {
+			return []Input{HostData{link, []byte(full)}, HostDisconnected{link}}
+		}, false, "down 34", "ack"},
+		"end, refusal": {func(o OwnerID, link ConnectionID) []Input {
+			return []Input{HostDisconnected{link}, HostData{link, []byte(full)}}
+		}, false, "down 47", ""},
+		"answer, end": {func(o OwnerID, link ConnectionID) []Input {
+			return []Input{HostData{link, []byte(up)}, HostDisconnected{link}}
+		}, false, "up", ""},
+		"answer, give-up": {func(o OwnerID, link ConnectionID) []Input {
+			return []Input{HostData{link, []byte(up)}, OwnerData{o, []byte(leave)}}
+		}, false, "up ack", "down 16"},
+		"give-up, answer": {func(o OwnerID, link ConnectionID) []Input {
+			return []Input{OwnerData{o, []byte(leave)}, HostData{link, []byte(up)}}
+		}, false, "ack", "down 16 down 16"},
+		"give-up, refusal": {func(o OwnerID, link ConnectionID) []Input {
 			return []Input{OwnerData{o, []byte(leave)}, HostData{link, []byte(full)}}
 		}, false, "ack", "down 16 ack"},
-		"refusal, give-up": {func(o, link uint64) []Input {
+		"refusal, give-up": {func(o OwnerID, link ConnectionID) []Input {
 			return []Input{HostData{link, []byte(full)}, OwnerData{o, []byte(leave)}}
 		}, false, "ack", "ack"},
-		"two answers":          {func(o, link uint64) []Input { return []Input{HostData{link, []byte(up + up)}} }, false, "up", ""},
-		"answer, end of owner": {func(o, link uint64) []Input { return []Input{HostData{link, []byte(up)}, OwnerDisconnected{o}} }, false, "up", ""},
-		"end of owner, answer": {func(o, link uint64) []Input { return []Input{OwnerDisconnected{o}, HostData{link, []byte(up)}} }, false, "", "down 16 down 16"},
+		"two answers": {func(o OwnerID, link ConnectionID) []Input { return []Input{HostData{link, []byte(up + up)}} }, false, "up", ""},
+		"answer, end of owner": {func(o OwnerID, link ConnectionID) []Input {
+			return []Input{HostData{link, []byte(up)}, OwnerDisconnected{o}}
+		}, false, "up", ""},
+		"end of owner, answer": {func(o OwnerID, link ConnectionID) []Input {
+			return []Input{OwnerDisconnected{o}, HostData{link, []byte(up)}}
+		}, false, "", "down 16 down 16"},
 	} {
 		w := newWorld(t, nil)
 		o := w.owner()
@@ -244,7 +258,7 @@
 	w := newWorld(t, nil)
 	o, _ := w.placed(ref1)
 	second := w.owner()
-	for _, by := range []uint64{o, second} {
+	for _, by := range []OwnerID{o, second} {
 		if w.want(lines[SendToOwner](w.say(by, hold(ref1, 1)))); w.c.owners[by] == nil || w.c.requestsByRef[ref1].owner != by {
 			t.Fatal("its owner is closed, or its release would go elsewhere")
 		}
--- /dev/null
+++ b/internal/scheduler/platform/decode.go
@@ -0,0 +1,166 @@
+package platform
+
+import (
+	"hash/fnv"
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"forkhead"
+	"forkhead/internal/protocol/platform"
+)
+
+// decodedRequest is what a placement request, or a hand-over, says of its task.
+type decodedRequest struct {
+	ref    requestRef
+	task   forkhead.Task
+	host   string // name of the host that runs the task already; "": none does
+	digest uint64 // equal for messages that say the same
+}
+
+// isHandOver says whether a host runs the task already.
+func (d *decodedRequest) isHandOver() bool { return d.host != "" }
+
+// requestDecoder reads one part of a request; false: that is malformed. Parts are read in order: a later one may rest on
+// an earlier one.
+type requestDecoder func(c *Core, m *platform.Message, into *decodedRequest) bool
+
+var requestDecoders = []requestDecoder{
+	(*Core).decodeClass, (*Core).decodeTenant, (*Core).decodeKeys, (*Core).decodeExtras, (*Core).decodeTimeout, (*Core).decodeLifetime,
+}
+
+// decodeRequest reads a request; false: it is malformed.
+func (c *Core) decodeRequest(m *platform.Message) (*decodedRequest, bool) {
+	if m.Description == nil {
+		return nil, false
+	}
+	decoded := &decodedRequest{ref: requestRef(m.Ref)}
+	for _, decode := range requestDecoders {
+		if !decode(c, m, decoded) {
+			return nil, false
+		}
+	}
+	decoded.digest = requestDigest(m)
+	return decoded, true
+}
+
+func (c *Core) decodeClass(m *platform.Message, into *decodedRequest) bool {
+	name, _ := m.Text(platform.FieldClass)
+	into.task.Class = slices.Index(c.config.Names.Classes, name)
+	return into.task.Class >= 0
+}
+
+func (c *Core) decodeTenant(m *platform.Message, into *decodedRequest) bool {
+	if len(c.config.Names.Tenants) == 0 {
+		return true
+	}
+	name, _ := m.Text(platform.FieldTenant)
+	into.task.Tenant = slices.Index(c.config.Names.Tenants, name)
+	return into.task.Tenant >= 0
+}
+
+// decodeKeys reads the identity of the task, and that a keyed class comes with an idempotency key.
+func (c *Core) decodeKeys(m *platform.Message, into *decodedRequest) (ok bool) {
+	key, _ := m.Text(platform.FieldTaskKey)
+	if into.task.Key, ok = parseHex(key); !ok {
+		return false
+	}
+	idempotencyKey, _ := m.Text(platform.FieldIdempotencyKey)
+	return idempotencyKey != "" || c.settings.Classes[into.task.Class].Effect != forkhead.Keyed
+}
+
+// extraDecoders read the parts of FieldExtras; false: that is malformed. Parts that are not named here mean nothing.
+var extraDecoders = map[platform.Extra]func(value string, into *decodedRequest) bool{
+	platform.ExtraCores: func(value string, into *decodedRequest) (ok bool) {
+		into.task.Cores, ok = parseNumber(value)
+		return ok
+	},
+	platform.ExtraMemory: func(value string, into *decodedRequest) (ok bool) {
+		into.task.Memory, ok = parseNumber(value)
+		return ok
+	},
+	platform.ExtraService: func(value string, into *decodedRequest) (ok bool) {
+		into.task.Service, ok = parseHex(value)
+		return ok
+	},
+	platform.ExtraResubmitted: func(value string, into *decodedRequest) bool {
+		into.task.Resubmitted = value != "0"
+		return true
+	},
+	platform.ExtraHost: func(value string, into *decodedRequest) bool {
+		into.host = value
+		return value != ""
+	},
+}
+
+// decodeExtras reads the list of FieldExtras, in which no name may come twice.
+func (c *Core) decodeExtras(m *platform.Message, into *decodedRequest) bool {
+	extras, _ := m.Text(platform.FieldExtras)
+	seen := map[platform.Extra]bool{}
+	for part := range strings.SplitSeq(extras, ";") {
+		name, value, _ := strings.Cut(part, ":")
+		extra := platform.Extra(name)
+		if seen[extra] {
+			return false
+		}
+		seen[extra] = true
+		if decode := extraDecoders[extra]; decode != nil && !decode(value, into) {
+			return false
+		}
+	}
+	return seen[platform.ExtraCores] && seen[platform.ExtraMemory] && seen[platform.ExtraService]
+}
+
+// decodeTimeout reads how long the owner waits for the answer. A hand-over, which has none, may leave it out.
+func (c *Core) decodeTimeout(m *platform.Message, into *decodedRequest) bool {
+	text, given := m.Text(platform.FieldTimeout)
+	if !given && into.isHandOver() {
+		return true
+	}
+	millis, ok := parseNumber(text)
+	if !ok || millis < 1 || millis > float64(maxRequestTimeout/time.Millisecond) {
+		return false
+	}
+	into.task.Timeout = millisDuration(millis)
+	return true
+}
+
+// decodeLifetime reads how long the task is expected to run, if that is known.
+func (c *Core) decodeLifetime(m *platform.Message, into *decodedRequest) bool {
+	text, _ := m.Text(platform.FieldLifetime)
+	if millis, ok := parseNumber(text); ok && millis <= maxLifetimeMillis {
+		into.task.RemainingLifetime = millisDuration(millis)
+	}
+	return true
+}
+
+// requestDigest is equal for requests that ask for the same, however long their owners wait.
+func requestDigest(m *platform.Message) uint64 {
+	digest := fnv.New64a()
+	digest.Write(m.Description)
+	for _, name := range []platform.FieldName{
+		platform.FieldClass, platform.FieldTenant, platform.FieldTaskKey, platform.FieldIdempotencyKey, platform.FieldExtras,
+	} {
+		digest.Write([]byte{0})
+		digest.Write(m.Fields[name])
+	}
+	return digest.Sum64()
+}
+
+// parseHex reads a number of at most 16 hex digits.
+func parseHex(text string) (number uint64, ok bool) {
+	number, err := strconv.ParseUint(text, 16, 64)
+	return number, err == nil && len(text) <= 16
+}
+
+// parseNumber reads a finite number from 0.
+func parseNumber(text string) (number float64, ok bool) {
+	number, err := strconv.ParseFloat(text, 64)
+	return number, err == nil && number >= 0 && number <= math.MaxFloat32
+}
+
+func millisDuration(millis float64) time.Duration {
+	return time.Duration(millis * float64(time.Millisecond))
+}
--- /dev/null
+++ b/internal/scheduler/platform/endpoints.go
@@ -0,0 +1,160 @@
+package platform
+
+import (
+	"slices"
+	"time"
+
+	"forkhead"
+	"forkhead/internal/protocol/platform"
+)
+
+// loadInitialList gives the module the endpoint list that the configuration holds.
+func (c *Core) loadInitialList() {
+	for _, event := range c.config.InitialEvents {
+		c.listSequence = max(c.listSequence, event.Seq)
+		if event.Endpoints != nil {
+			c.applyList(event.Endpoints)
+		}
+	}
+	c.config.InitialEvents = nil
+	var machines []forkhead.Machine
+	for _, h := range c.hostsInOrder() {
+		machines = append(machines, h.entry)
+	}
+	c.notifyModule(forkhead.ListUpdate{Mode: forkhead.ListCached, Machines: machines})
+}
+
+// handleWatchEvent applies an event of the endpoint list, once.
+func (c *Core) handleWatchEvent(input WatchEventReceived) {
+	event := &input.Event
+	if event.Seq <= c.listSequence && !input.SequenceRestarted {
+		return
+	}
+	c.listSequence = event.Seq
+	if event.Endpoints == nil {
+		return
+	}
+	mode := forkhead.ListDelta
+	if event.IsSnapshot() {
+		mode = forkhead.ListSnapshot
+	}
+	c.notifyModule(forkhead.ListUpdate{Mode: mode, Machines: c.applyList(event.Endpoints)})
+}
+
+// applyList applies a snapshot or a delta of the endpoint list and returns its entries for the module.
+func (c *Core) applyList(list *platform.EndpointList) []forkhead.Machine {
+	var entries []forkhead.Machine
+	listed := map[forkhead.MachineID]bool{}
+	for i := range list.Hosts {
+		endpoint := &list.Hosts[i]
+		entry, ok := c.decodeEndpoint(endpoint)
+		if !ok {
+			c.logInfo(messageUnusableEndpoint, hostAttr(endpoint.Name))
+			continue
+		}
+		listed[entry.ID] = true
+		h := c.hosts[entry.ID]
+		if h == nil {
+			h = newHost(entry.ID, endpoint.Name)
+			c.addHost(h)
+		}
+		c.updateHost(h, entry, endpoint.Address)
+		entries = append(entries, entry)
+	}
+	if list.Snapshot {
+		c.removeMissing(listed)
+	}
+	return entries
+}
+
+// removeMissing marks the hosts as removed that a snapshot does not have any more.
+func (c *Core) removeMissing(listed map[forkhead.MachineID]bool) {
+	for _, h := range c.hostsInOrder() {
+		if !listed[h.id] && h.entry.State != forkhead.Removed && h.unlistedSince == 0 {
+			entry := h.entry
+			entry.State = forkhead.Removed
+			c.updateHost(h, entry, h.address)
+		}
+	}
+}
+
+// machineStates are the states of machines by their names on the wire.
+var machineStates = map[platform.EndpointState]forkhead.MachineState{
+	platform.InService:   forkhead.Ready,
+	platform.Terminating: forkhead.Draining,
+	platform.Terminated:  forkhead.Removed,
+}
+
+// decodeEndpoint translates an entry of the endpoint list. ok is false if it cannot be used: its name has no number, or
+// the settings have neither its state nor its type nor its zone. Of a removed host the last two do not matter.
+func (c *Core) decodeEndpoint(endpoint *platform.Endpoint) (entry forkhead.Machine, ok bool) {
+	number, numbered := platform.HostNumber(endpoint.Name)
+	state, known := machineStates[endpoint.State]
+	machineType := slices.Index(c.config.Names.MachineTypes, endpoint.MachineType)
+	zone := c.zoneIndex(endpoint.Zone)
+	if !numbered || !known || (machineType < 0 || zone < 0) && state != forkhead.Removed {
+		return entry, false
+	}
+	entry = forkhead.Machine{
+		ID: forkhead.MachineID(number), State: state, Type: max(machineType, 0), Zone: max(zone, 0), Cell: endpoint.Cell,
+		StartedAt: millisDuration(endpoint.StartedAtMS),
+	}
+	if len(endpoint.Available) >= 2 {
+		entry.AvailableCores, entry.AvailableMemory = endpoint.Available[0], endpoint.Available[1]
+	}
+	return entry, true
+}
+
+// zoneIndex is the place of a zone in the settings; -1: they don't have it. Where there is only one, every host is in it.
+func (c *Core) zoneIndex(name string) int {
+	if len(c.config.Names.Zones) == 1 {
+		return 0
+	}
+	return slices.Index(c.config.Names.Zones, name)
+}
+
+// updateHost applies what the endpoint list has of a host now.
+func (c *Core) updateHost(h *host, entry forkhead.Machine, address string) {
+	if h.unlistedSince > 0 {
+		h.unlistedSince = 0
+		c.unlistedHosts--
+	}
+	if entry.State != forkhead.Ready && (h.entry.State == forkhead.Ready || h.drainingSince == 0) {
+		h.drainingSince = c.now
+	}
+	if entry.State == forkhead.Removed && h.entry.State != forkhead.Removed {
+		h.removedAt = c.now
+	}
+	if entry.StartedAt > h.entry.StartedAt && h.address != "" {
+		c.handleHostRestart(h, entry.StartedAt)
+	}
+	if entry.State == forkhead.Removed || address != "" && address != h.address {
+		c.leaveAddress(h, entry.State)
+	}
+	if address != "" {
+		h.address = address
+	}
+	h.setEntry(entry)
+}
+
+// handleHostRestart ends the tasks of a host's earlier incarnation.
+func (c *Core) handleHostRestart(h *host, startedAt time.Duration) {
+	ended := h.attemptsWhere(func(a *taskAttempt) bool { return a.isPlaced() && a.sentAt < startedAt })
+	for _, a := range ended {
+		c.finishTask(a, platform.CauseReset, attemptEnd{})
+	}
+	h.redialBackoff, h.redialAt, h.refusedDials = 0, 0, 0
+}
+
+// leaveAddress closes the connections to a host that has another address now, or is removed: a removed one may still
+// answer what is in flight.
+func (c *Core) leaveAddress(h *host, state forkhead.MachineState) {
+	for _, conn := range slices.Clone(h.connections) {
+		switch {
+		case conn.isIdle():
+			c.halfClose(conn)
+		case state != forkhead.Removed:
+			c.closeConnection(conn)
+		}
+	}
+}
--- a/internal/scheduler/platform/golden_test.go
+++ b/internal/scheduler/platform/golden_test.go
@@ -104,7 +104,7 @@
 	s.out = nil
 }
 
-func (s *transcript) ownerSays(owner uint64, line string) {
+func (s *transcript) ownerSays(owner OwnerID, line string) {
 	fmt.Fprintf(&s.b, "owner %d: %s\n", owner, line)
 	s.say(owner, line)
 	s.did()
@@ -114,7 +114,7 @@
 	}
 }
 
-func (s *transcript) connects(link uint64) {
+func (s *transcript) connects(link ConnectionID) {
 	fmt.Fprintf(&s.b, "connection %d is made\n", link)
 	s.step(HostConnected{link})
 	s.did()
@@ -144,7 +144,7 @@
 }
 
 // taskIsPlaced follows a task that is placed, noted and ends.
-func (s *transcript) taskIsPlaced(o uint64) {
+func (s *transcript) taskIsPlaced(o OwnerID) {
 	s.rule = offerAtHost1
 	s.ownerSays(o, goldenSetUp(1, ";again:1"))
 	s.connects(1)
@@ -158,7 +158,7 @@
 }
 
 // hostTurnsDown goes through each way in which a host turns a task down.
-func (s *transcript) hostTurnsDown(o uint64) {
+func (s *transcript) hostTurnsDown(o OwnerID) {
 	for i, rest := range []string{
 		`"f":{"note":"lack_cpu"},"c":34`, `"f":{"note":"lack_ram"},"c":34`, `"f":{"note":"backlog"},"c":34`, `"f":{"note":"unfit"},"c":34`, `"f":{},"c":42`,
 		`"f":{},"c":47`, `"f":{},"c":102`,
@@ -170,7 +170,7 @@
 }
 
 // moduleActs has the module refuse, fail, stop, probe and send a message.
-func (s *transcript) moduleActs(o uint64) {
+func (s *transcript) moduleActs(o OwnerID) {
 	s.rule = func(id forkhead.TaskID) []forkhead.Action {
 		return []forkhead.Action{forkhead.Reject{Task: id, RetryAfter: 1500 * time.Millisecond}}
 	}
@@ -189,7 +189,7 @@
 }
 
 // ownerComesAgain brings a task that stands at a host, and lines that cannot be read.
-func (s *transcript) ownerComesAgain(o uint64) {
+func (s *transcript) ownerComesAgain(o OwnerID) {
 	s.rule = offerAtHost1
 	s.ownerSays(o, goldenSetUp(13, ";at:s-00000001"))
 	s.ownerSays(o, `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`)
--- /dev/null
+++ b/internal/scheduler/platform/handover.go
@@ -0,0 +1,86 @@
+package platform
+
+import (
+	"log/slog"
+	"slices"
+
+	"forkhead"
+	"forkhead/internal/protocol/platform"
+	"forkhead/internal/scheduler/attempt"
+)
+
+// handleHandOver takes over a task that a host runs already. One that has ended, by what its host or the endpoint list has
+// reported, is released at once. A host that is not listed is waited for, as the list may be late.
+func (c *Core) handleHandOver(owner *ownerConnection, decoded *decodedRequest) {
+	h := c.handOverHost(decoded.host)
+	if h == nil {
+		c.rejectMalformed(owner, decoded.ref)
+		return
+	}
+	owner.sentValid = true
+	if cause, ended := c.endBeforeHandOver(h, decoded.ref); ended {
+		c.releaseHandedOver(owner, decoded.ref, cause)
+		return
+	}
+	c.logSecondHandOver(h, decoded)
+	c.takeOver(owner, h, decoded)
+}
+
+// handOverHost is the host by a name; nil: no such host can run a task.
+func (c *Core) handOverHost(name string) *host {
+	number, ok := platform.HostNumber(name)
+	if !ok {
+		return nil
+	}
+	id := forkhead.MachineID(number)
+	h := c.hosts[id]
+	if h == nil {
+		return c.addUnlistedHost(id, name)
+	}
+	if h.name != name { // another name with the same number
+		return nil
+	}
+	return h
+}
+
+// endBeforeHandOver is the cause of a task's end if that has come before its hand-over. It guards against a task that is
+// taken for running for ever, as its host reports the end once.
+func (c *Core) endBeforeHandOver(h *host, ref requestRef) (cause platform.Cause, ended bool) {
+	if h.entry.State == forkhead.Removed && c.now > h.removedAt+removedGrace {
+		return platform.CauseReset, true
+	}
+	for _, cause := range []platform.Cause{platform.CauseOK, platform.CauseReset, platform.CauseMigrated} {
+		if c.reportedEnds.contains(reportedEnd{attemptKey{h.id, ref}, cause}) {
+			return cause, true
+		}
+	}
+	return platform.NoCause, false
+}
+
+// releaseHandedOver releases a task that has ended before its hand-over, unless its owner knows.
+func (c *Core) releaseHandedOver(owner *ownerConnection, ref requestRef, cause platform.Cause) {
+	c.undelivered = slices.DeleteFunc(c.undelivered, func(m undeliveredMessage) bool { return m.ref == ref })
+	if cause != platform.CauseMigrated {
+		c.emit(SendToOwner{owner.id, releaseMessage(ref, cause)})
+	}
+}
+
+// logSecondHandOver logs that a task is handed over that the host runs under another ref.
+func (c *Core) logSecondHandOver(h *host, decoded *decodedRequest) {
+	running := h.attemptsWhere(func(a *taskAttempt) bool { return a.isPlaced() && a.request.task.Key == decoded.task.Key })
+	for _, a := range running {
+		c.logInfo(messageSecondHandOver, taskKeyAttr(decoded.task.Key), hostAttr(h.name), refAttr(decoded.ref),
+			slog.String(keyPlacedRef, string(a.request.ref)))
+	}
+}
+
+// takeOver adds a task that a host runs already.
+func (c *Core) takeOver(owner *ownerConnection, h *host, decoded *decodedRequest) {
+	r := c.newRequest(owner, decoded)
+	r.phase = requestPlaced
+	r.lifecycle.Answer = attempt.AnsweredPlaced
+	r.lifecycle.Attempts = []attempt.Attempt{{Host: attempt.HostID(h.id), Phase: attempt.Placed, ChosenAt: c.now}}
+	c.addAttempt(&taskAttempt{request: r, host: h, sentAt: c.now})
+	c.countPlaced(r)
+	c.notifyModule(forkhead.HandedOver{Task: r.task, Machine: h.id})
+}
--- a/internal/scheduler/platform/log.go
+++ b/internal/scheduler/platform/log.go
@@ -31,7 +31,7 @@
 	reasonRefusesConnections = "it refuses connections"
 	reasonUnresponsive       = "it sends nothing and accepts no connection"
 	reasonNotListed          = "the endpoint list does not have it"
-	reasonGone               = "the endpoint list says that it is gone"
+	reasonRemoved            = "the endpoint list says that it is gone"
 )
 
 // Keys of the attributes.
@@ -75,10 +75,10 @@
 	c.emit(Log{Level: slog.LevelError, Message: message, Attributes: attributes, InvariantViolation: true})
 }
 
-func hostAttr(name string) slog.Attr         { return slog.String(keyHost, name) }
-func taskAttr(id forkhead.TaskID) slog.Attr  { return slog.Uint64(keyTask, uint64(id)) }
-func taskKeyAttr(key uint64) slog.Attr       { return slog.String(keyTaskKey, fmt.Sprintf("%016x", key)) }
-func refAttr(ref string) slog.Attr           { return slog.String(keyRef, ref) }
-func connectionAttr(number uint64) slog.Attr { return slog.Uint64(keyConnection, number) }
-func reasonAttr(reason string) slog.Attr     { return slog.String(keyReason, reason) }
-func errorAttr(err error) slog.Attr          { return slog.Any(keyError, err) }
+func hostAttr(name string) slog.Attr           { return slog.String(keyHost, name) }
+func taskAttr(id forkhead.TaskID) slog.Attr    { return slog.Uint64(keyTask, uint64(id)) }
+func taskKeyAttr(key uint64) slog.Attr         { return slog.String(keyTaskKey, fmt.Sprintf("%016x", key)) }
+func refAttr(ref requestRef) slog.Attr         { return slog.String(keyRef, string(ref)) }
+func connectionAttr(id ConnectionID) slog.Attr { return slog.Uint64(keyConnection, uint64(id)) }
+func reasonAttr(reason string) slog.Attr       { return slog.String(keyReason, reason) }
+func errorAttr(err error) slog.Attr            { return slog.Any(keyError, err) }
--- a/internal/scheduler/platform/node_test.go
+++ b/internal/scheduler/platform/node_test.go
@@ -44,8 +44,8 @@
 
 // Each way in which an attempt ends is one outcome, with its code.
 func TestOutcomes(t *testing.T) {
-	release := func(cause int, f string) func(*world, uint64) {
-		return func(w *world, link uint64) {
+	release := func(cause int, f string) func(*world, ConnectionID) {
+		return func(w *world, link ConnectionID) {
 			w.step(HostData{link, []byte(fmt.Sprintf(`{"t":"down","ref":"%s","f":{%s},"c":%d}`+"\n", ref1, f, cause))})
 		}
 	}
@@ -56,7 +56,7 @@
 	)
 	for name, c := range map[string]struct {
 		when   int
-		do     func(w *world, link uint64)
+		do     func(w *world, link ConnectionID)
 		result forkhead.Result
 		final  bool
 		reason forkhead.RejectReason
@@ -66,31 +66,31 @@
 		"moot":            {out, release(102, ""), forkhead.NotSent, false, 0},
 		"reset":           {out, release(41, ""), forkhead.Reset, false, 0},
 		"another cause":   {out, release(7, ""), forkhead.Reset, false, 0},
-		"connection ends": {out, func(w *world, link uint64) { w.step(HostDisconnected{link}) }, forkhead.Reset, false, 0},
-		"unreadable":      {out, func(w *world, link uint64) { w.step(HostData{link, []byte("{]\n")}) }, forkhead.Reset, false, 0},
-		"no end": {out, func(w *world, link uint64) {
+		"connection ends": {out, func(w *world, link ConnectionID) { w.step(HostDisconnected{link}) }, forkhead.Reset, false, 0},
+		"unreadable":      {out, func(w *world, link ConnectionID) { w.step(HostData{link, []byte("{]\n")}) }, forkhead.Reset, false, 0},
+		"no end": {out, func(w *world, link ConnectionID) {
 			w.step(HostData{link, []byte(strings.Repeat("a", platform.MaxLineSize+1))})
 		}, forkhead.Reset, false, 0},
-		"half a line":   {out, func(w *world, link uint64) { w.step(HostData{link, []byte("{")}); w.pass(400 * time.Millisecond) }, forkhead.Reset, false, 0},
-		"deadline":      {out, func(w *world, link uint64) { w.pass(1500 * time.Millisecond) }, forkhead.TimedOut, false, 0},
-		"owner leaves":  {out, func(w *world, link uint64) { w.say(1, `{"t":"down","ref":"`+ref1+`","f":{},"c":16}`) }, forkhead.Withdrawn, true, 0},
-		"owner is gone": {out, func(w *world, link uint64) { w.step(OwnerDisconnected{1}) }, forkhead.Withdrawn, true, 0},
-		"not connected": {early, func(w *world, link uint64) { w.step(DialFailed{Connection: link, Refused: true}) }, forkhead.ConnectFailed, false, 0},
+		"half a line":   {out, func(w *world, link ConnectionID) { w.step(HostData{link, []byte("{")}); w.pass(400 * time.Millisecond) }, forkhead.Reset, false, 0},
+		"deadline":      {out, func(w *world, link ConnectionID) { w.pass(1500 * time.Millisecond) }, forkhead.TimedOut, false, 0},
+		"owner leaves":  {out, func(w *world, link ConnectionID) { w.say(1, `{"t":"down","ref":"`+ref1+`","f":{},"c":16}`) }, forkhead.Withdrawn, true, 0},
+		"owner is gone": {out, func(w *world, link ConnectionID) { w.step(OwnerDisconnected{1}) }, forkhead.Withdrawn, true, 0},
+		"not connected": {early, func(w *world, link ConnectionID) { w.step(DialFailed{Connection: link, Refused: true}) }, forkhead.ConnectFailed, false, 0},
 		"ok":            {stands, release(16, ""), forkhead.OK, true, 0},
 		"cut":           {stands, release(41, `"note":"killed"`), forkhead.Reset, true, forkhead.Evicted},
 		"ended":         {stands, release(31, ""), forkhead.Withdrawn, true, 0},
-		"its host dies": {stands, func(w *world, link uint64) {
+		"its host dies": {stands, func(w *world, link ConnectionID) {
 			w.step(HostDisconnected{link})
 			for range 8 {
 				w.pass(60 * time.Millisecond)
 				w.refuse(true)
 			}
 		}, forkhead.Reset, true, 0},
-		"its host is gone by the list": {stands, func(w *world, link uint64) {
+		"its host is gone by the list": {stands, func(w *world, link ConnectionID) {
 			w.step(WatchEventReceived{Event: platform.WatchEvent{Seq: 2, Endpoints: &platform.EndpointList{Hosts: []platform.Endpoint{hostInfo(1, platform.Terminated)}}}})
 			w.pass(time.Second)
 		}, forkhead.Reset, true, 0},
-		"its host is up anew": {stands, func(w *world, link uint64) {
+		"its host is up anew": {stands, func(w *world, link ConnectionID) {
 			info := hostInfo(1, platform.InService)
 			info.StartedAtMS = float64((w.now + time.Second).Milliseconds())
 			w.step(WatchEventReceived{Event: platform.WatchEvent{Seq: 2, Endpoints: &platform.EndpointList{Hosts: []platform.Endpoint{info}}}})
@@ -345,7 +345,7 @@
 	silent, half := w.owner(), w.owner()
 	w.step(OwnerData{half, []byte(`{"t":`)})
 	usual, _ := w.placed(ref1)
-	closed := map[uint64]bool{}
+	closed := map[OwnerID]bool{}
 	for range 60 {
 		w.now += 50 * time.Millisecond
 		for _, c := range only[CloseOwnerConnection](w.step()) {
@@ -364,7 +364,7 @@
 	w.say(busy, setUp(ref1, "keyed", ""))
 	idle := w.owner()
 	w.say(idle, `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`)
-	var gone []uint64
+	var gone []OwnerID
 	for range 8 {
 		w.now += time.Millisecond
 		w.owner()
@@ -450,7 +450,7 @@
 	test := lines[SendToHost](w.out)[0]
 	w.pass(150 * time.Millisecond)
 	for _, l := range w.c.hosts[1].connections {
-		if !l.open {
+		if l.state == connectionDialing {
 			w.step(HostConnected{l.id})
 		}
 	}
--- /dev/null
+++ b/internal/scheduler/platform/probe.go
@@ -0,0 +1,103 @@
+package platform
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"forkhead"
+)
+
+// probe is a probe of a host that the module asked for. It may be sent on two connections: one may be dead.
+type probe struct {
+	startedAt   time.Duration
+	retryAt     time.Duration // when it is sent on another connection; 0: it is not
+	refs        []requestRef
+	connections []*hostConnection // that it was sent on
+}
+
+// startProbe executes the module's Probe, unless one is under way.
+func (c *Core) startProbe(machine forkhead.MachineID) {
+	h := c.hosts[machine]
+	if h == nil || h.probe != nil {
+		return
+	}
+	h.probe = &probe{startedAt: c.now, retryAt: c.now + probeRetryAfter}
+	c.sendProbeOnNextConnection(h)
+}
+
+// reconcileProbe ends the probe of a host when it has timed out, or sends it again.
+func (c *Core) reconcileProbe(h *host) {
+	p := h.probe
+	switch {
+	case p == nil:
+	case c.now >= p.startedAt+probeTimeout:
+		c.finishProbe(h, forkhead.TimedOut, nil)
+	case p.retryAt > 0 && c.now >= p.retryAt:
+		p.retryAt = 0
+		c.sendProbeOnNextConnection(h)
+	}
+}
+
+// sendProbeOnNextConnection sends a probe on a connection that has not carried it: the least busy open one, else one that
+// is being dialed, else a new one.
+func (c *Core) sendProbeOnNextConnection(h *host) {
+	if conn := h.leastBusyWithoutProbe(); conn != nil {
+		c.sendProbe(conn)
+		return
+	}
+	for _, conn := range h.connections {
+		if conn.state == connectionDialing {
+			conn.probeQueued = true
+			return
+		}
+	}
+	if h.address == "" {
+		return
+	}
+	if conn := c.dial(h, purposeMessages); conn != nil {
+		conn.probeQueued = true
+	}
+}
+
+func (h *host) leastBusyWithoutProbe() *hostConnection {
+	var best *hostConnection
+	for _, conn := range h.connections {
+		if conn.state == connectionOpen && !slices.Contains(h.probe.connections, conn) && (best == nil || conn.inFlight < best.inFlight) {
+			best = conn
+		}
+	}
+	return best
+}
+
+// sendProbe sends the probe of a host on a connection, if it has not ended meanwhile.
+func (c *Core) sendProbe(conn *hostConnection) {
+	p := conn.host.probe
+	if p == nil {
+		return
+	}
+	p.refs = append(p.refs, c.sendProbeMessage(conn))
+	p.connections = append(p.connections, conn)
+}
+
+// probeRefPrefix marks the refs of probes, for whoever reads a trace.
+const probeRefPrefix = 0x7e57 << 48
+
+// sendProbeMessage sends a probe under a new ref. Its connection is not idle then, even if nobody waits for the result.
+func (c *Core) sendProbeMessage(conn *hostConnection) requestRef {
+	c.lastProbe++
+	ref := requestRef(fmt.Sprintf("%016x", probeRefPrefix|c.lastProbe))
+	conn.lastSentAt = c.now
+	c.emit(SendToHost{Connection: conn.id, Line: probeMessage(ref)})
+	return ref
+}
+
+// finishProbe ends the probe of a host and notifies the module of its result.
+func (c *Core) finishProbe(h *host, result forkhead.Result, report *forkhead.LoadReport) {
+	took := c.now - h.probe.startedAt
+	h.probe = nil
+	for _, conn := range h.connections {
+		conn.probeQueued = false
+	}
+	c.notifyModule(forkhead.Probed{Machine: h.id, Result: result, Took: took, Report: report})
+}
--- /dev/null
+++ b/internal/scheduler/platform/recent.go
@@ -0,0 +1,34 @@
+package platform
+
+// recent is a set of the values that were added last, up to a fixed number.
+type recent[K comparable] struct {
+	ring   []K
+	oldest int
+	counts map[K]int // how often a value is in the ring
+}
+
+func newRecent[K comparable](capacity int) recent[K] {
+	return recent[K]{ring: make([]K, 0, capacity), counts: map[K]int{}}
+}
+
+// add adds a value; a full set forgets the oldest one.
+func (r *recent[K]) add(value K) {
+	if len(r.ring) < cap(r.ring) {
+		r.ring = append(r.ring, value)
+	} else {
+		r.forget(r.ring[r.oldest])
+		r.ring[r.oldest] = value
+		r.oldest = (r.oldest + 1) % len(r.ring)
+	}
+	r.counts[value]++
+}
+
+func (r *recent[K]) forget(value K) {
+	if r.counts[value] == 1 {
+		delete(r.counts, value)
+	} else {
+		r.counts[value]--
+	}
+}
+
+func (r *recent[K]) contains(value K) bool { return r.counts[value] > 0 }
--- a/internal/scheduler/platform/room_test.go
+++ b/internal/scheduler/platform/room_test.go
@@ -101,7 +101,7 @@
 		}
 		out := slices.Clone(w.say(usual, strings.Replace(setUp(ref, "keyed", ""), "b4d65521", fmt.Sprintf("%08x", i), 1)))
 		offered(append(out, w.dials()...))
-		if w.c.requestsByRef[ref] == nil || w.c.requestsByRef[ref].phase != requestPlaced {
+		if w.c.requestsByRef[requestRef(ref)] == nil || w.c.requestsByRef[requestRef(ref)].phase != requestPlaced {
 			t.Fatalf("task %d is not placed: %q", i, lines[SendToOwner](w.out))
 		}
 		check()
@@ -109,10 +109,10 @@
 	for i := range hosts {
 		placed(i)
 	}
-	called := map[uint64]bool{}
+	called := map[forkhead.MachineID]bool{}
 	w.live(10*time.Second, func(d DialHost) Input {
 		if l := w.c.connections[d.Connection]; l != nil {
-			called[uint64(l.host.number)] = true
+			called[l.host.id] = true
 		}
 		return made(d)
 	}, check)
--- /dev/null
+++ b/internal/scheduler/platform/unresponsive.go
@@ -0,0 +1,93 @@
+package platform
+
+import (
+	"slices"
+	"time"
+
+	"forkhead"
+)
+
+// reconcileListing loses and forgets a host that the endpoint list has not got, or says is removed. It returns whether the
+// host is in service or drains.
+func (c *Core) reconcileListing(h *host) (listed bool) {
+	switch {
+	case h.unlistedSince > 0:
+		c.expireUnlisted(h)
+		return false
+	case h.entry.State == forkhead.Removed:
+		c.expireRemoved(h)
+		return false
+	}
+	return true
+}
+
+// addUnlistedHost adds a host that an owner names before the endpoint list does; nil: there are too many.
+func (c *Core) addUnlistedHost(id forkhead.MachineID, name string) *host {
+	if c.unlistedHosts >= maxUnlistedHosts {
+		return nil
+	}
+	c.unlistedHosts++
+	h := newHost(id, name)
+	h.unlistedSince = c.now
+	h.setEntry(forkhead.Machine{ID: id, State: forkhead.Draining, Zone: -1, Cell: -1})
+	c.addHost(h)
+	return h
+}
+
+// expireUnlisted loses the tasks of a host that is not listed in time, and forgets it once it has none.
+func (c *Core) expireUnlisted(h *host) {
+	if c.now > h.unlistedSince+unlistedTimeout {
+		c.loseTasks(h, reasonNotListed)
+	}
+	if len(h.attempts) == 0 {
+		c.unlistedHosts--
+		c.forgetHost(h)
+	}
+}
+
+// expireRemoved loses the tasks of a removed host once it had time to report their ends, and forgets it later.
+func (c *Core) expireRemoved(h *host) {
+	if c.now <= h.removedAt+removedGrace {
+		return
+	}
+	c.loseTasks(h, reasonRemoved)
+	if c.now > h.removedAt+forgetHostAfter && len(h.attempts) == 0 && len(h.connections) == 0 {
+		c.forgetHost(h)
+	}
+}
+
+// reconcileResponsiveness dials a host with placed tasks that sends nothing or has no connection, to see whether it is
+// still there, and loses its tasks if it has accepted no connection for too long.
+func (c *Core) reconcileResponsiveness(h *host) {
+	if !h.hasPlacedTasks() || h.address == "" {
+		return
+	}
+	if h.lastReceivedAt == 0 {
+		h.lastReceivedAt = c.now
+	}
+	switch unresponsiveFor := c.now - h.lastReceivedAt; {
+	case h.isLost(unresponsiveFor):
+		c.loseTasks(h, reasonUnresponsive)
+		for _, conn := range slices.Clone(h.connections) {
+			c.closeConnection(conn)
+		}
+	case h.isDialing():
+	case c.now < h.redialAt && !h.needsLastDial(unresponsiveFor):
+	case h.leastBusyConnection() == nil:
+		c.dial(h, purposeMessages)
+	case unresponsiveFor > unresponsiveAfter:
+		c.dial(h, purposeReachability)
+	}
+}
+
+// isLost says whether a host has sent nothing for too long and no connection to it could be made meanwhile. A dial that
+// is under way is awaited a little longer.
+func (h *host) isLost(unresponsiveFor time.Duration) bool {
+	return unresponsiveFor > lostAfter && h.dialFailedAt > h.lastReceivedAt+unresponsiveAfter &&
+		(!h.isDialing() || unresponsiveFor > lostAfter+lastDialBeforeLoss/2)
+}
+
+// needsLastDial says whether a host is about to be lost and has not been dialed since: it is then, whatever its backoff.
+func (h *host) needsLastDial(unresponsiveFor time.Duration) bool {
+	return unresponsiveFor > lostAfter-lastDialBeforeLoss && h.dialFailedAt < h.lastReceivedAt+lostAfter-lastDialBeforeLoss
+}
--- a/internal/server/platform/connection.go
+++ b/internal/server/platform/connection.go
@@ -15,7 +15,6 @@
 // connection is a connection of an owner or to a host, with the bytes that the core's current step has for it. Its fields
 // belong to the event loop's goroutine, except for lingering.
 type connection struct {
-	id        uint64      // the core's number of it
 	stream    *netio.Conn // nil: it is being dialed
 	output    []byte      // not yet handed to stream
 	queued    bool        // it is in the write queue
--- a/internal/server/platform/hosts.go
+++ b/internal/server/platform/hosts.go
@@ -20,18 +20,19 @@
 	lingerer       *lingerer
 	engine         *netio.Engine
 	connectTimeout time.Duration
-	open           map[uint64]*hostConnection // by id, those being dialed included; of the event loop
+	open           map[platformcore.ConnectionID]*hostConnection // by id, those being dialed included; of the event loop
 }
 
 // hostConnection is a connection to a host and the handler of its events, which come on goroutines of the engine.
 type hostConnection struct {
 	connection
+	id    platformcore.ConnectionID
 	hosts *hostConnections
 }
 
 // dial makes a connection on a goroutine of the engine, which waits for it.
 func (h *hostConnections) dial(o platformcore.DialHost) {
-	c := &hostConnection{connection: connection{id: o.Connection}, hosts: h}
+	c := &hostConnection{id: o.Connection, hosts: h}
 	h.open[c.id] = c
 	h.engine.Dial(o.Address, h.connectTimeout, maxHostUnsentBytes, c, func(stream *netio.Conn, err error) {
 		h.inputs.loop.Post(func() { c.dialed(stream, err) })
@@ -82,7 +83,7 @@
 }
 
 // halfClose writes nothing more to a host and reads on until it closes.
-func (h *hostConnections) halfClose(id uint64) {
+func (h *hostConnections) halfClose(id platformcore.ConnectionID) {
 	if c := h.open[id]; c != nil && c.stream != nil {
 		c.flush()
 		c.stream.CloseWrite()
@@ -90,7 +91,7 @@
 }
 
 // close closes a connection after what was written to it, or stops dialing it.
-func (h *hostConnections) close(id uint64) {
+func (h *hostConnections) close(id platformcore.ConnectionID) {
 	c := h.open[id]
 	if c == nil {
 		return
--- a/internal/server/platform/owners.go
+++ b/internal/server/platform/owners.go
@@ -26,13 +26,14 @@
 	lingerer *lingerer
 	slots    connectionSlots
 	lastID   atomic.Uint64
-	listener *netio.Listener             // set before the event loop starts
-	open     map[uint64]*ownerConnection // by id; of the event loop
+	listener *netio.Listener                           // set before the event loop starts
+	open     map[platformcore.OwnerID]*ownerConnection // by id; of the event loop
 }
 
 // ownerConnection is a connection of an owner and the handler of its events, which come on goroutines of the engine.
 type ownerConnection struct {
 	connection
+	id     platformcore.OwnerID
 	owners *ownerConnections
 	slot   *connectionSlot
 }
@@ -55,7 +56,7 @@
 	if slot == nil {
 		return nil
 	}
-	c := &ownerConnection{connection: connection{id: o.lastID.Add(1), stream: stream}, owners: o, slot: slot}
+	c := &ownerConnection{connection: connection{stream: stream}, id: platformcore.OwnerID(o.lastID.Add(1)), owners: o, slot: slot}
 	accepted := o.inputs.loop.PostBlocking(func() {
 		if !stream.IsClosed() {
 			o.open[c.id] = c
@@ -73,14 +74,14 @@
 func (o *ownerConnections) closeListener() { o.listener.Drain(acceptIdle, acceptDrainTimeout) }
 
 // send writes a line to an owner.
-func (o *ownerConnections) send(id uint64, line []byte) {
+func (o *ownerConnections) send(id platformcore.OwnerID, line []byte) {
 	if c := o.open[id]; c != nil {
 		o.writes.write(&c.connection, line)
 	}
 }
 
 // close closes an owner's connection after what was written to it.
-func (o *ownerConnections) close(id uint64) {
+func (o *ownerConnections) close(id platformcore.OwnerID) {
 	c := o.open[id]
 	if c == nil {
 		return
--- a/internal/server/platform/owners_test.go
+++ b/internal/server/platform/owners_test.go
@@ -74,7 +74,7 @@
 	conn = dialLoopback(t, s.Address())
 	eventually(t, "the connection is accepted", func() bool {
 		s.loop.Call(func() {
-			c := s.owners.open[before+1]
+			c := s.owners.open[platformcore.OwnerID(before+1)]
 			if c == nil {
 				return
 			}
--- a/internal/server/platform/server.go
+++ b/internal/server/platform/server.go
@@ -112,11 +112,11 @@
 	s.inputs = &inputQueue{loop: s.loop}
 	s.owners = &ownerConnections{
 		inputs: s.inputs, writes: s.writes, lingerer: s.lingerer, slots: newConnectionSlots(maxOwners + acceptReserve),
-		open: map[uint64]*ownerConnection{},
+		open: map[platformcore.OwnerID]*ownerConnection{},
 	}
 	s.hosts = &hostConnections{
 		inputs: s.inputs, writes: s.writes, lingerer: s.lingerer, engine: engine, connectTimeout: connectTimeout,
-		open: map[uint64]*hostConnection{},
+		open: map[platformcore.ConnectionID]*hostConnection{},
 	}
 	return s
 }
--- a/internal/verify/platformsim/ends.go
+++ b/internal/verify/platformsim/ends.go
@@ -60,7 +60,7 @@
 // owner is a connection of an owner to a placer.
 type owner struct {
 	p    *placer
-	id   uint64
+	id   platformcore.OwnerID
 	life int
 	open bool
 	busy time.Duration
@@ -96,8 +96,8 @@
 	life   int
 	core   *platformcore.Core
 	wake   time.Duration
-	owners map[uint64]*owner
-	links  map[uint64]*conn
+	owners map[platformcore.OwnerID]*owner
+	links  map[platformcore.ConnectionID]*conn
 	heard  time.Duration
 	deaf   time.Duration
 	told   map[uint32]told // of hosts
@@ -134,7 +134,7 @@
 		return
 	}
 	p.life++
-	p.owners, p.links, p.told = map[uint64]*owner{}, map[uint64]*conn{}, map[uint32]told{}
+	p.owners, p.links, p.told = map[platformcore.OwnerID]*owner{}, map[platformcore.ConnectionID]*conn{}, map[uint32]told{}
 	set := p.w.Settings
 	set.Placers, set.Self = p.w.Placers, p.n
 	room := max(p.w.Room, 8)
@@ -214,11 +214,11 @@
 
 // owner returns one of a few connections, which it opens.
 func (p *placer) owner() *owner {
-	id := uint64(1 + p.w.rng.IntN(4))
+	id := platformcore.OwnerID(1 + p.w.rng.IntN(4))
 	if o := p.owners[id]; o != nil && o.open {
 		return o
 	}
-	o := &owner{p: p, id: uint64(len(p.owners)) + 100*uint64(p.life) + 1000*id, life: p.life, open: true}
+	o := &owner{p: p, id: platformcore.OwnerID(len(p.owners)) + 100*platformcore.OwnerID(p.life) + 1000*id, life: p.life, open: true}
 	p.owners[id], p.owners[o.id] = o, o
 	p.in(p.life, &o.busy, func() { p.step(platformcore.OwnerConnected{Owner: o.id}) })
 	return o
--- a/internal/verify/platformsim/hosts.go
+++ b/internal/verify/platformsim/hosts.go
@@ -96,7 +96,7 @@
 // conn is a connection of a placer to a host.
 type conn struct {
 	p         *placer
-	id        uint64
+	id        platformcore.ConnectionID
 	life      int // of the placer
 	host      *host
 	at        int // life of the host
--- a/internal/verify/platformsim/orders.go
+++ b/internal/verify/platformsim/orders.go
@@ -137,14 +137,14 @@
 	case "hand-over":
 		p.step(platformcore.OwnerData{Owner: 1, Data: []byte(a.line(";at:" + a.standing().host.name()))})
 	case "made":
-		c := p.links[uint64(n)]
+		c := p.links[platformcore.ConnectionID(n)]
 		c.made = true
 		p.step(platformcore.HostConnected{Connection: c.id})
 	case "refused":
-		delete(p.links, uint64(n))
-		p.step(platformcore.DialFailed{Connection: uint64(n), Refused: true})
+		delete(p.links, platformcore.ConnectionID(n))
+		p.step(platformcore.DialFailed{Connection: platformcore.ConnectionID(n), Refused: true})
 	case "gone":
-		p.links[uint64(n)].ended()
+		p.links[platformcore.ConnectionID(n)].ended()
 	case "up":
 		t := a.attempts[n]
 		t.stands = true
