--- /dev/null
+++ b/internal/server/platform/config_test.go
@@ -0,0 +1,64 @@
+package platform
+
+import (
+	"encoding/json"
+	"errors"
+	"strings"
+	"testing"
+
+	"forkhead/internal/protocol/platform"
+)
+
+// What cannot be used of a configuration is a ConfigError that names the key.
+func TestCheckConfigNamesTheKey(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(*platform.Config)
+		want   string // empty: it can be used
+	}{
+		{"good", func(*platform.Config) {}, ""},
+		{"settings", func(cfg *platform.Config) { cfg.Settings = json.RawMessage(`{}`) }, "configuration: settings"},
+		{"peer", func(cfg *platform.Config) { cfg.Peers = []string{"127.0.0.1:1", "x"} }, "configuration: peers[1]: "},
+		{"watch", func(cfg *platform.Config) { cfg.WatchAddress = "x" }, "configuration: changelog: "},
+		{"listen", func(cfg *platform.Config) { cfg.Listen = "x" }, "configuration: listen: "},
+		{"gossip", func(cfg *platform.Config) { cfg.PeerListen = "x" }, "configuration: peer_listen: "},
+		{"broadcast", func(cfg *platform.Config) { cfg.PeersBroadcast = "x" }, "configuration: peers_all: "},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := &platform.Config{Listen: "127.0.0.1:0", WatchAddress: "127.0.0.1:1", Settings: json.RawMessage(testSettings)}
+			c.change(cfg)
+			err := CheckConfig(cfg)
+			if c.want == "" {
+				if err != nil {
+					t.Error(err)
+				}
+				return
+			}
+			if !errors.As(err, &ConfigError{}) || !strings.HasPrefix(err.Error(), c.want) {
+				t.Errorf("the error is %v, want a ConfigError that begins with %q", err, c.want)
+			}
+		})
+	}
+}
+
+// Descriptors are divided so that owners and hosts each keep some, however few there are.
+func TestCoreConfigDividesDescriptors(t *testing.T) {
+	for _, c := range []struct{ descriptors, owners, protected, hosts, both int }{
+		{0, 666, 341, 651, 992},
+		{256, 154, 85, 139, 224},
+		{64, 26, 20, 12, 32},
+		{10, 10, 3, 5, 8},
+	} {
+		cfg := &platform.Config{Settings: json.RawMessage(testSettings)}
+		cfg.Limits.Sockets = c.descriptors
+		info, settings, err := readSettings(cfg)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got := coreConfig(cfg, info, settings)
+		if got.MaxOwnerConnections != c.owners || got.ProtectedOwnerConnections != c.protected || got.MaxHostConnections != c.hosts || got.MaxConnections != c.both {
+			t.Errorf("%d descriptors: owners %d, protected %d, hosts %d, both %d; want %+v", c.descriptors,
+				got.MaxOwnerConnections, got.ProtectedOwnerConnections, got.MaxHostConnections, got.MaxConnections, c)
+		}
+	}
+}
--- a/internal/server/platform/eventinterval.go
+++ b/internal/server/platform/eventinterval.go
@@ -4,7 +4,7 @@
 
 // Bounds of the wait for the next event.
 const (
-	minEventTimeout  = 2 * time.Second // the platform counts a silent watch's events as told after 4 s
+	minEventTimeout  = 2 * time.Second // the platform counts the events of a silent watch as delivered after 4 s
 	maxEventTimeout  = time.Minute
 	maxEventInterval = 10 * time.Second // a watch with longer intervals is not polled again
 	maxBackoffShift  = 5                // doublings of the timeout
--- a/internal/server/platform/shutdown_test.go
+++ b/internal/server/platform/shutdown_test.go
@@ -9,7 +9,7 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// Told to shut down, a placer serves what waits in its accept queue and reads a request that comes in pieces to its end.
+// Asked to shut down, a placer serves what waits in its accept queue and reads a request that comes in pieces to its end.
 func TestShutdownAnswersAcceptQueueAndPartialRequest(t *testing.T) {
 	s := startWithHost(t, newTestHost(t, 0, 1))
 	pieces := newTestOwner(t, s.Address())
@@ -20,7 +20,7 @@
 	time.Sleep(750 * time.Millisecond)
 	resume := stall(t, s)
 	fillJobQueue(s)
-	var late []*testOwner // all but one wait in the accept queue as the listener is told to close
+	var late []*testOwner // all but one wait in the accept queue as the listener is to close
 	for i := range 20 {
 		o := newTestOwner(t, s.Address())
 		o.request(fmt.Sprintf("%016x", 0xb700+i), 3000)
@@ -46,7 +46,7 @@
 	<-s.ShutdownComplete()
 }
 
-// Told to shut down, a placer stays until a slow reader has its answers, and not for ever.
+// Asked to shut down, a placer stays until a slow reader has its answers, and not for ever.
 func TestShutdownWaitsForSlowReaders(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		s := startWithHost(t, newTestHost(t, 0, 1))
