--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -225,7 +225,7 @@
 				}
 			}
 			out := a.outcomes()
-			client := client.Client{Address: to, Key: key, Tries: tries, Pause: 500 * time.Millisecond}
+			client := client.Client{Address: to, IdempotencyKey: key, MaxSends: tries, Backoff: 500 * time.Millisecond}
 			if err := client.Submit(cmd.Context(), e, out.add); err != nil {
 				return a.refusal(err)
 			}
@@ -241,7 +241,7 @@
 
 // refusal tells a placer's answer as what it is: bad input, a no, or trouble.
 func (a *app) refusal(err error) error {
-	var r *client.Refusal
+	var r *client.RejectionError
 	if !errors.As(err, &r) {
 		return err
 	}
@@ -251,7 +251,7 @@
 		return errNo
 	case len(r.Errors) > 0 || r.Status == 400 || r.Status == 415 || r.Status == 422:
 		return badInput(err)
-	case r.Busy() || r.Status == 413:
+	case r.Retryable() || r.Status == 413:
 		fmt.Fprintln(a.errs, err)
 		return errNo
 	}
--- a/internal/verify/chaos/badday.go
+++ b/internal/verify/chaos/badday.go
@@ -250,21 +250,21 @@
 	current := ""
 	began := p.c.Clock.Now()
 	sub := client.Client{
-		Address: p.c.Settings.Placers[placerIndex].HTTP, HTTP: httpClient, Key: fmt.Sprintf("%s-%d", name, generation), Tries: 40, Pause: 250 * time.Millisecond,
-		Taken: func(id string) {
+		Address: p.c.Settings.Placers[placerIndex].HTTP, HTTPClient: httpClient, IdempotencyKey: fmt.Sprintf("%s-%d", name, generation), MaxSends: 40, Backoff: 250 * time.Millisecond,
+		OnAccepted: func(id string) {
 			if current != "" {
 				p.resent.Add(1)
 			}
 			current = id
 			p.log.Add(capture.Event{At: p.c.Clock.Now(), What: capture.Submit, Placer: placerIndex, Submission: id, Count: pr.tasks, Within: patience})
 		},
-		Broken: func(id string) {
+		OnBrokenStream: func(id string) {
 			cutting = false
 			p.log.Add(capture.Event{At: p.c.Clock.Now(), What: capture.Cut, Submission: id})
 		},
 	}
 	// Each life of a placer tells outcomes of its own: all that are read are recorded.
-	sub.Line = func(o core.Outcome) {
+	sub.OnOutcome = func(o core.Outcome) {
 		p.log.Add(capture.Event{
 			At: p.c.Clock.Now(), What: capture.Outcome, Placer: placerIndex, Submission: current,
 			Name: fmt.Sprintf("%s/%d", o.Service, o.Replica), Result: o.Outcome, Took: time.Duration(o.TookMS) * time.Millisecond,
