--- /dev/null
+++ b/internal/scheduler/core/attempts.go
@@ -0,0 +1,270 @@
+package core
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"forkhead"
+	"forkhead/internal/protocol/hostproto"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/durable"
+	"forkhead/internal/scheduler/retrypolicy"
+)
+
+// taskAttempt is one attempt of a request: the offer of its task to one host. Its phase is kept by package attempt.
+type taskAttempt struct {
+	request       *placementRequest
+	number        int // in the request
+	host          *host
+	machineID     forkhead.MachineID // as the module named it: the host's may have changed since
+	ref           hostproto.Ref      // names the attempt to the host
+	hostEpoch     uint64             // the host's incarnation to which it was sent
+	conn          uint32             // the connection on which it was sent
+	running       bool               // the module was notified that the task runs
+	persisted     bool               // a later incarnation of this placer knows of it
+	waitedForConn bool               // it was not sent at once
+	migrating     bool               // stopped by the module, to be placed elsewhere
+}
+
+func (a *taskAttempt) phase() attempt.Phase { return a.request.Attempts[a.number].Phase }
+
+// chosenAt is when the module chose the host.
+func (a *taskAttempt) chosenAt() time.Duration { return a.request.Attempts[a.number].ChosenAt }
+
+// attemptsByService are live attempts by the key of their service, in the order in which they became live.
+type attemptsByService map[uint64][]*taskAttempt
+
+func (m attemptsByService) add(a *taskAttempt) {
+	service := a.request.task.Service
+	m[service] = append(m[service], a)
+}
+
+func (m attemptsByService) remove(a *taskAttempt) {
+	service := a.request.task.Service
+	remaining := slices.DeleteFunc(m[service], func(other *taskAttempt) bool { return other == a })
+	if len(remaining) == 0 {
+		delete(m, service)
+		return
+	}
+	m[service] = remaining
+}
+
+// attemptsByTask are attempts by the key of their task, in no order.
+type attemptsByTask map[uint64]map[*taskAttempt]bool
+
+func (m attemptsByTask) add(a *taskAttempt) {
+	key := a.request.replica.taskKey
+	if m[key] == nil {
+		m[key] = map[*taskAttempt]bool{}
+	}
+	m[key][a] = true
+}
+
+func (m attemptsByTask) remove(a *taskAttempt) {
+	key := a.request.replica.taskKey
+	delete(m[key], a)
+	if len(m[key]) == 0 {
+		delete(m, key)
+	}
+}
+
+// indexAttempt adds a new attempt to the tables that have it until it is settled.
+func (c *Core) indexAttempt(a *taskAttempt) {
+	a.host.attempts[a.ref] = a
+	c.attemptsByRef[a.ref] = a
+	if a.phase().IsLive() {
+		c.liveAttempts.add(a)
+	}
+}
+
+// attemptDetail is what a host reports beside an input to an attempt. The zero value is nothing.
+type attemptDetail struct {
+	result forkhead.Result
+	reason forkhead.RejectReason
+	report *forkhead.LoadReport
+}
+
+func toAttemptDetail(f hostproto.Ended) attemptDetail {
+	d := attemptDetail{report: toLoadReport(f.Report)}
+	switch f.Result {
+	case hostproto.Done:
+		d.result = forkhead.OK
+	case hostproto.Failed, hostproto.Forgotten:
+		d.result = forkhead.Errored
+	case hostproto.Evicted:
+		d.result, d.reason = forkhead.Reset, forkhead.Evicted
+	case hostproto.PushedOut:
+		d.result, d.reason = forkhead.Reset, forkhead.Preempted
+	case hostproto.SentAway:
+		d.result, d.reason = forkhead.Reset, forkhead.Dismissed
+	case hostproto.Stopped, hostproto.Called:
+		d.result = forkhead.Withdrawn
+	}
+	return d
+}
+
+// attemptChange is an input to an attempt with the phases before and after it.
+type attemptChange struct {
+	input         attempt.Input
+	detail        attemptDetail
+	before, after attempt.Phase
+}
+
+// wasPlaced says whether the attempt was placed before the change: an end of it is final.
+func (ch *attemptChange) wasPlaced() bool {
+	return ch.before == attempt.Placed || ch.before == attempt.Unreachable
+}
+
+// handleAttempt hands an input to an attempt, updates the tables for its new phase, and applies the effect that package
+// attempt rules.
+func (c *Core) handleAttempt(a *taskAttempt, in attempt.Input, d attemptDetail) {
+	change := attemptChange{input: in, detail: d, before: a.phase()}
+	effect := a.request.Handle(a.number, in)
+	change.after = a.phase()
+	c.updateAttemptTables(a, &change)
+	c.applyAttemptEffect(a, effect, &change)
+	c.forgetIfDone(a.request)
+}
+
+func (c *Core) updateAttemptTables(a *taskAttempt, ch *attemptChange) {
+	switch before, after := ch.before.IsLive(), ch.after.IsLive(); {
+	case before && !after:
+		c.liveAttempts.remove(a)
+	case !before && after:
+		c.liveAttempts.add(a)
+	}
+	if ch.after.IsSettled() && !ch.before.IsSettled() {
+		delete(a.host.attempts, a.ref)
+		delete(c.attemptsByRef, a.ref)
+		if a.persisted {
+			c.persist(durable.AttemptResolved{Ref: a.ref})
+		}
+	}
+	switch before, after := ch.before == attempt.Unknown, ch.after == attempt.Unknown; {
+	case !before && after:
+		c.unknownAttempts.add(a)
+	case before && !after:
+		c.unknownAttempts.remove(a)
+	}
+	if (ch.before == attempt.Placed) != (ch.after == attempt.Placed) {
+		c.updateNearLabels()
+	}
+}
+
+func (c *Core) applyAttemptEffect(a *taskAttempt, effect attempt.Effect, ch *attemptChange) {
+	r := a.request.replica
+	switch effect {
+	case attempt.ReportBound:
+		c.reportBound(a)
+	case attempt.ReportRejected:
+		c.reportRejected(a, ch)
+	case attempt.ReportConnectFailed:
+		r.countFailure(noConnection)
+		c.reportAttempt(a, ch, forkhead.Outcome{Result: forkhead.ConnectFailed})
+	case attempt.ReportWithdrawn:
+		c.reportWithdrawn(a, ch)
+	case attempt.ReportLost:
+		c.reportLost(a, ch)
+	case attempt.ReportEnded:
+		c.reportEnded(a, ch)
+	case attempt.ReportSettled:
+		c.unblock(r.taskKey)
+	case attempt.Orphaned:
+		c.handleOrphan(a)
+	case attempt.Reconnected:
+		if r.removing || r.stopRequested {
+			c.sendStop(a)
+		}
+	case attempt.ProtocolViolation:
+		c.closeForViolation(a.host, fmt.Sprintf("%v for an attempt that is %v", ch.input, ch.before))
+	}
+}
+
+// reportAttempt notifies the module of an outcome, of which Result, Reason and Final are given.
+func (c *Core) reportAttempt(a *taskAttempt, ch *attemptChange, outcome forkhead.Outcome) {
+	outcome.Task, outcome.Attempt, outcome.Machine = a.request.id, a.number, a.machineID
+	outcome.Took = c.now - a.chosenAt()
+	outcome.Report = ch.detail.report
+	c.notifyModule(outcome)
+}
+
+func (c *Core) reportBound(a *taskAttempt) {
+	request := a.request
+	took := c.now - a.chosenAt()
+	c.notifyModule(forkhead.Bound{Task: request.id, Attempt: a.number, Machine: a.machineID, Took: took})
+	a.running = c.settings.Module.BoundWhenRunning
+	c.handleBound(request.replica, a)
+}
+
+func (c *Core) reportRejected(a *taskAttempt, ch *attemptChange) {
+	reason := ch.detail.reason
+	if reason == forkhead.NoReason {
+		reason = forkhead.Unsuitable
+	}
+	a.request.replica.countFailure(rejectionFailure(reason))
+	c.reportAttempt(a, ch, forkhead.Outcome{Result: forkhead.Rejected, Reason: reason})
+}
+
+func (c *Core) reportWithdrawn(a *taskAttempt, ch *attemptChange) {
+	if ch.before == attempt.InFlight && a.host.usable() && a.conn == a.host.connection.Conn {
+		c.sendFrame(a.host, hostproto.Withdraw{Ref: a.ref})
+	}
+	result := forkhead.Withdrawn
+	if ch.detail.result != forkhead.OK {
+		result = ch.detail.result
+	}
+	a.request.replica.countFailure(noAnswerInTime)
+	c.reportAttempt(a, ch, forkhead.Outcome{Result: result})
+}
+
+func (c *Core) reportLost(a *taskAttempt, ch *attemptChange) {
+	c.reportAttempt(a, ch, forkhead.Outcome{Result: forkhead.Reset, Final: ch.wasPlaced()})
+	if !ch.wasPlaced() {
+		a.request.replica.countFailure(replyBrokeOff)
+		return
+	}
+	c.status.Lost++
+	c.handleLost(a.request.replica, a, retrypolicy.Lost)
+}
+
+func (c *Core) reportEnded(a *taskAttempt, ch *attemptChange) {
+	d := ch.detail
+	c.reportAttempt(a, ch, forkhead.Outcome{Result: d.result, Reason: d.reason, Final: ch.wasPlaced()})
+	if !ch.wasPlaced() {
+		a.request.replica.countFailure(startFailed)
+		return
+	}
+	c.handleEnded(a.request.replica, a, d)
+}
+
+// sendStop asks the host of an attempt to end its task.
+func (c *Core) sendStop(a *taskAttempt) {
+	c.sendFrame(a.host, hostproto.Stop{Ref: a.ref, Grace: a.request.replica.stopGrace()})
+}
+
+// attemptFailure is why an attempt came to nothing, in the words of an outcome's reason.
+type attemptFailure string
+
+const (
+	noConnection      attemptFailure = "no connection"
+	noAnswerInTime    attemptFailure = "no answer in time"
+	replyBrokeOff     attemptFailure = "the reply broke off"
+	startFailed       attemptFailure = "the start failed"
+	insufficientCores attemptFailure = "no cores"
+	insufficientMem   attemptFailure = "no memory"
+	queueFull         attemptFailure = "its line of offers was full"
+	notSuitable       attemptFailure = "not here"
+)
+
+func rejectionFailure(reason forkhead.RejectReason) attemptFailure {
+	switch reason {
+	case forkhead.InsufficientCores:
+		return insufficientCores
+	case forkhead.InsufficientMemory:
+		return insufficientMem
+	case forkhead.QueueFull:
+		return queueFull
+	}
+	return notSuitable
+}
--- /dev/null
+++ b/internal/scheduler/core/dependencies.go
@@ -0,0 +1,99 @@
+package core
+
+import "forkhead/internal/parse/servicespec"
+
+// startIfReady starts a replica whose service's dependencies are met, or gives it up if they cannot be.
+func (c *Core) startIfReady(r *desiredReplica) {
+	if r.state != awaitingDependencies || r.removed {
+		return
+	}
+	met, failure := dependencyState(r.service)
+	if failure != "" {
+		r.rejected, r.reason = true, failure
+		if r.service.failureReason == "" {
+			r.service.failureReason = failure
+		}
+		c.giveUp(r)
+		return
+	}
+	if met {
+		c.startRequesting(r)
+	}
+}
+
+// startDependents starts the replicas that waited for a service, where that is as far as they need it.
+func (c *Core) startDependents(svc *service) {
+	p := svc.project
+	for _, other := range p.sortedServices() {
+		if !p.has(other) || !other.dependsOn(svc) {
+			continue
+		}
+		for _, r := range other.sortedReplicas() {
+			c.startIfReady(r)
+		}
+	}
+}
+
+// hasDependents says whether another service waits for this one, so that its fate has to be known.
+func hasDependents(svc *service) bool {
+	for _, other := range svc.project.services {
+		if other != svc && len(other.replicas) > 0 && other.dependsOn(svc) {
+			return true
+		}
+	}
+	return false
+}
+
+func (s *service) dependsOn(other *service) bool {
+	if s.spec == nil {
+		return false
+	}
+	for _, dependency := range s.spec.DependsOn {
+		if dependency.Service == other.name {
+			return true
+		}
+	}
+	return false
+}
+
+// dependencyState says whether a service's dependencies are met, or why they never will be; "": they may be.
+func dependencyState(svc *service) (met bool, failure string) {
+	if svc.spec == nil {
+		return true, ""
+	}
+	met = true
+	for _, dependency := range svc.spec.DependsOn {
+		other := svc.project.services[dependency.Service]
+		otherMet, failure := true, ", which is not here"
+		if other != nil {
+			otherMet, failure = other.reached(dependency.When)
+		}
+		if failure == "" {
+			met = met && otherMet
+		} else if !dependency.Optional {
+			return false, "it depends on " + dependency.Service + failure
+		}
+	}
+	return met, ""
+}
+
+// reached says whether a service is as far as a condition asks, or why it never will be; "": it may be.
+func (s *service) reached(condition servicespec.Condition) (met bool, failure string) {
+	if s.failureReason != "" {
+		return false, ", which was not placed"
+	}
+	met = true
+	for _, r := range s.replicas {
+		switch r.state {
+		case finished:
+			if !r.succeeded {
+				return false, ", which has failed"
+			}
+		case placed:
+			met = met && condition != servicespec.Completed
+		default:
+			met = false
+		}
+	}
+	return met, ""
+}
--- a/internal/scheduler/core/explain.go
+++ b/internal/scheduler/core/explain.go
@@ -11,103 +11,132 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// ---- What is told of a task that does not get placed.
+// explain says why a replica cannot be placed, from what this placer sees and what hosts said. hopeless says that no host
+// of any machine type could ever take it.
+func (c *Core) explain(r *desiredReplica) (reason string, hopeless bool) {
+	if !c.fitsMachineType(r) {
+		where := "any kind of host"
+		if machineType := c.moduleClass(r).MachineType; machineType >= 0 {
+			where = c.settings.Kinds[machineType]
+		}
+		return fmt.Sprintf("%g cores and %.4g GiB are more than %s has", r.spec.Cores, r.spec.Memory, where), true
+	}
+	if reason := c.explainByHosts(r); reason != "" {
+		return reason, false
+	}
+	if len(r.failureCounts) > 0 {
+		return "hosts did not take it: " + failuresText(r.failureCounts), false
+	}
+	return "no host that fits had room", false
+}
 
-// explain says why a task cannot be placed, from what this placer sees and what hosts said.
-// hopeless says that no host of any kind could ever take it.
-func (c *Core) explain(replica *desiredReplica) (reason string, hopeless bool) {
-	m := &c.settings.Module
-	class := &m.Classes[replica.class]
-	fits := false
-	for i, k := range m.MachineTypes {
+func (c *Core) moduleClass(r *desiredReplica) *forkhead.Class {
+	return &c.settings.Module.Classes[r.class]
+}
+
+// fitsMachineType says whether an empty host of any machine type that the replica's class allows could take it.
+func (c *Core) fitsMachineType(r *desiredReplica) bool {
+	m, class := &c.settings.Module, c.moduleClass(r)
+	for i, machineType := range m.MachineTypes {
 		if class.MachineType >= 0 && class.MachineType != i {
 			continue
 		}
-		if replica.spec.Cores <= k.Cores*m.CoresOvercommit && replica.spec.Memory <= k.Memory*m.MemoryOvercommit {
-			fits = true
+		if r.spec.Cores <= machineType.Cores*m.CoresOvercommit && r.spec.Memory <= machineType.Memory*m.MemoryOvercommit {
+			return true
 		}
 	}
-	if !fits {
-		where := "any kind of host"
-		if class.MachineType >= 0 {
-			where = c.settings.Kinds[class.MachineType]
-		}
-		return fmt.Sprintf("%g cores and %.4g GiB are more than %s has", replica.spec.Cores, replica.spec.Memory, where), true
-	}
-	var ready, kind, labelled, free int
+	return false
+}
+
+// explainByHosts says what rules out every host that this placer sees; "": nothing does.
+func (c *Core) explainByHosts(r *desiredReplica) string {
+	class := c.moduleClass(r)
+	var ready, ofType, labeled int
 	for _, h := range c.hosts {
 		if h.state() != forkhead.Ready {
 			continue
 		}
 		ready++
-		if class.MachineType >= 0 && class.MachineType != h.machineType {
+		if !hasMachineType(class, h) {
 			continue
 		}
-		kind++
-		if replica.service.requiredLabels&^h.labels != 0 {
+		ofType++
+		if !h.hasLabels(r.service.requiredLabels) {
 			continue
 		}
-		labelled++
-		if c.reachedSpreadLimit(replica, h) == "" {
-			free++
+		labeled++
+		if c.reachedSpreadLimit(r, h) == "" {
+			return ""
 		}
 	}
 	switch {
 	case ready == 0:
-		return "no host is ready", false
-	case kind == 0:
-		return "no host of kind " + c.settings.Kinds[class.MachineType] + " is ready", false
-	case labelled == 0:
-		var parts []string
-		for _, con := range replica.spec.Constraints {
-			parts = append(parts, con.String())
-		}
-		for _, n := range replica.spec.Near {
-			parts = append(parts, "near "+n.Service+" in one "+n.Place)
-		}
-		return "no ready host meets " + strings.Join(parts, ", "), false
-	case free == 0:
-		for _, h := range c.sortedHosts() {
-			if h.state() == forkhead.Ready && replica.service.requiredLabels&^h.labels == 0 && (class.MachineType < 0 || class.MachineType == h.machineType) {
-				return "spread: " + c.reachedSpreadLimit(replica, h) + ", and all that fit are at it", false
-			}
-		}
+		return "no host is ready"
+	case ofType == 0:
+		return "no host of kind " + c.settings.Kinds[class.MachineType] + " is ready"
+	case labeled == 0:
+		return "no ready host meets " + constraintsText(r)
 	}
-	if len(replica.failureCounts) > 0 {
-		var parts []string
-		for _, why := range slices.Sorted(maps.Keys(replica.failureCounts)) {
-			parts = append(parts, fmt.Sprintf("%s (%d)", why, replica.failureCounts[why]))
+	return "spread: " + c.firstReachedSpreadLimit(r) + ", and all that fit are at it"
+}
+
+// firstReachedSpreadLimit is the limit that keeps the service's next task off the first host that would fit.
+func (c *Core) firstReachedSpreadLimit(r *desiredReplica) string {
+	for _, h := range c.sortedHosts() {
+		if h.state() == forkhead.Ready && hasMachineType(c.moduleClass(r), h) && h.hasLabels(r.service.requiredLabels) {
+			return c.reachedSpreadLimit(r, h)
 		}
-		return "hosts did not take it: " + strings.Join(parts, ", "), false
 	}
-	return "no host that fits had room", false
+	return ""
 }
 
-// reachedSpreadLimit says which limit keeps the service's next task off a host, or "".
-func (c *Core) reachedSpreadLimit(replica *desiredReplica, h *host) string {
-	class := &c.settings.Module.Classes[replica.class]
-	var most forkhead.SpreadLimits
-	for _, l := range replica.spec.Limits {
-		tightenLimit(&most, spreadDomains[l.Place], l.Most)
+func constraintsText(r *desiredReplica) string {
+	var parts []string
+	for _, constraint := range r.spec.Constraints {
+		parts = append(parts, constraint.String())
 	}
-	if class.SpreadDomain != forkhead.AnyDomain {
-		tightenLimit(&most, class.SpreadDomain, class.MaxPerDomain)
+	for _, near := range r.spec.Near {
+		parts = append(parts, "near "+near.Service+" in one "+near.Place)
 	}
-	at := h.forInvariants()
-	for place := forkhead.MachineDomain; place <= forkhead.ZoneDomain; place++ {
-		if most[place] == 0 {
-			continue
-		}
-		n := 0
-		for _, a := range c.liveAttempts[replica.service.key] {
-			if invariant.SameDomain(place, a.host.forInvariants(), at) {
-				n++
-			}
-		}
-		if n >= most[place] {
-			word := [...]string{"", "host", "rack", "zone"}[place]
-			return "at most " + strconv.Itoa(most[place]) + " of the service in one " + word
+	return strings.Join(parts, ", ")
+}
+
+func failuresText(counts map[attemptFailure]int) string {
+	var parts []string
+	for _, failure := range slices.Sorted(maps.Keys(counts)) {
+		parts = append(parts, fmt.Sprintf("%s (%d)", failure, counts[failure]))
+	}
+	return strings.Join(parts, ", ")
+}
+
+// domainWords are the domains as an outcome's reason has them.
+var domainWords = map[forkhead.Domain]string{
+	forkhead.MachineDomain: "host", forkhead.CellDomain: "rack", forkhead.ZoneDomain: "zone",
+}
+
+// reachedSpreadLimit says which limit keeps the service's next task off a host, or "".
+func (c *Core) reachedSpreadLimit(r *desiredReplica, h *host) string {
+	limits := statedSpreadLimits(r)
+	if class := c.moduleClass(r); class.SpreadDomain != forkhead.AnyDomain {
+		tightenLimit(&limits, class.SpreadDomain, class.MaxPerDomain)
+	}
+	for domain := forkhead.MachineDomain; domain <= forkhead.ZoneDomain; domain++ {
+		maxTasks := limits[domain]
+		if maxTasks != 0 && c.countInDomain(r.service, domain, h) >= maxTasks {
+			return "at most " + strconv.Itoa(maxTasks) + " of the service in one " + domainWords[domain]
 		}
 	}
 	return ""
 }
+
+// countInDomain returns the number of a service's live attempts in a host's domain.
+func (c *Core) countInDomain(svc *service, domain forkhead.Domain, h *host) int {
+	n := 0
+	this := h.forInvariants()
+	for _, a := range c.liveAttempts[svc.key] {
+		if invariant.SameDomain(domain, a.host.forInvariants(), this) {
+			n++
+		}
+	}
+	return n
+}
--- /dev/null
+++ b/internal/scheduler/core/hostconns.go
@@ -0,0 +1,243 @@
+package core
+
+import (
+	"time"
+
+	"forkhead"
+	"forkhead/internal/protocol/hostproto"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/hostconn"
+)
+
+// handleConnection hands an input to a host's connection and executes what follows from it.
+func (c *Core) handleConnection(h *host, in hostconn.Input) {
+	out := h.connection.Handle(in, c.connPolicy, c.rng.Float64())
+	if out.CloseConn {
+		c.emit(CloseHostConnection{Host: h.name, Conn: out.ConnToClose})
+	}
+	if out.StaleIncarnation {
+		c.log("host %s answered with an earlier life; the connection is closed", h.name)
+	}
+	if out.AttemptsDisconnected {
+		c.handleDisconnect(h)
+	}
+	if out.HostRestarted {
+		c.handleHostRestart(h)
+	}
+	if out.Dial {
+		c.emit(DialHost{Host: h.name, Address: h.connection.Address, Conn: h.connection.Conn})
+	}
+	if out.SendHello {
+		c.sendFrame(h, hostproto.Hello{
+			Version: hostproto.Version, Placer: uint16(c.settings.Module.Self), Epoch: c.epoch, Conn: h.connection.Conn,
+		})
+	}
+	if out.RetryAfter > 0 {
+		c.addTimer(&timer{at: c.now + out.RetryAfter, kind: timerReconnect, host: h})
+	}
+	if out.ConnectTimeoutAfter > 0 {
+		c.addHostTimer(h, timerHostConnectTimeout, out.ConnectTimeoutAfter, uint64(h.connection.Conn))
+	}
+}
+
+func (c *Core) addHostTimer(h *host, kind timerKind, after time.Duration, number uint64) {
+	c.addTimer(&timer{at: c.now + after, kind: kind, host: h, number: number})
+}
+
+func (c *Core) sendFrame(h *host, f hostproto.Frame) {
+	c.emit(SendToHost{Host: h.name, Conn: h.connection.Conn, Frame: f})
+}
+
+// handleDisconnect hands the end of a host's connection on to all that depended on it.
+func (c *Core) handleDisconnect(h *host) {
+	h.synced, h.heldRefs = false, nil
+	for _, a := range h.sortedAttempts() {
+		c.handleAttempt(a, attempt.ConnectionLost, attemptDetail{})
+	}
+	c.failProbes(h)
+	h.lostTimerSeq++
+	c.addHostTimer(h, timerHostLost, c.settings.Links.LostAfter, h.lostTimerSeq)
+	c.settleIfGone(h)
+}
+
+// handleHostRestart settles the attempts of a host's earlier incarnations.
+func (c *Core) handleHostRestart(h *host) {
+	for _, a := range h.sortedAttempts() {
+		if a.hostEpoch < h.connection.Epoch && a.phase() != attempt.Waiting {
+			c.handleAttempt(a, attempt.HostRestarted, attemptDetail{})
+		}
+	}
+}
+
+// expireUnreachable gives up what was placed on a host that has been unreachable for long, where a second start is
+// harmless. All else waits until its fate is known.
+func (c *Core) expireUnreachable(h *host, timerNumber uint64) {
+	if timerNumber != h.lostTimerSeq || h.usable() {
+		return
+	}
+	for _, a := range h.sortedAttempts() {
+		if a.phase() == attempt.Unreachable && a.request.Rules.ExpiresWhenUnreachable() {
+			c.handleAttempt(a, attempt.Expired, attemptDetail{})
+		}
+	}
+}
+
+// closeForViolation closes the connection of a host that breaks the protocol.
+func (c *Core) closeForViolation(h *host, violation string) {
+	c.log("host %s: %s; the connection is closed", h.name, violation)
+	c.closeConnection(h)
+}
+
+func (c *Core) closeConnection(h *host) {
+	conn := h.connection.Conn
+	c.emit(CloseHostConnection{Host: h.name, Conn: conn})
+	c.handleConnection(h, hostconn.Input{Kind: hostconn.Disconnected, Conn: conn})
+}
+
+// handleWelcome takes a host's answer to Hello. What the host has of this placer follows in Holds frames.
+func (c *Core) handleWelcome(h *host, welcome hostproto.Welcome) {
+	if welcome.Version != hostproto.Version || welcome.Host != h.name {
+		// Guards against an address that another host has by now.
+		c.closeForViolation(h, "it is "+welcome.Host+", or speaks another version")
+		return
+	}
+	if h.connection.State != hostconn.Handshaking {
+		c.closeForViolation(h, "a second Welcome")
+		return
+	}
+	c.handleConnection(h, hostconn.Input{Kind: hostconn.Welcomed, Conn: h.connection.Conn, Epoch: welcome.Epoch})
+	if h.connection.State != hostconn.Up {
+		return
+	}
+	h.lostTimerSeq++
+	h.expectedHeld, h.heldRefs = int(welcome.Count), map[hostproto.Ref]bool{}
+	c.addHostTimer(h, timerLiveness, c.settings.Links.LostAfter/2, uint64(h.connection.Conn))
+	c.handleDrain(h, welcome.Draining)
+	if h.expectedHeld == 0 {
+		c.completeSync(h)
+	}
+}
+
+// handleHolds takes a part of what a host has of this placer.
+func (c *Core) handleHolds(h *host, f hostproto.Holds) {
+	if h.synced || len(f.Held) > h.expectedHeld {
+		c.closeForViolation(h, "more held tasks than it announced")
+		return
+	}
+	h.expectedHeld -= len(f.Held)
+	for i := range f.Held {
+		c.handleHeld(h, &f.Held[i])
+	}
+	if h.expectedHeld == 0 {
+		c.completeSync(h)
+	}
+}
+
+func (c *Core) handleHeld(h *host, held *hostproto.Held) {
+	h.heldRefs[held.Ref] = true
+	switch a := h.attempts[held.Ref]; {
+	case a != nil && held.Phase == hostproto.InLine:
+		c.sendFrame(h, hostproto.Withdraw{Ref: held.Ref}) // it was given up when the connection broke
+	case a != nil && held.Phase == hostproto.Starting:
+		c.handleAttempt(a, attempt.ListedByHost, attemptDetail{})
+	case a != nil:
+		c.handleRunning(a, attempt.ListedByHost)
+	case held.Ref.Epoch < c.epoch:
+		c.handleInherited(h, held)
+	case held.Ref.Epoch == c.epoch:
+		c.sendFrame(h, hostproto.Stop{Ref: held.Ref}) // its request is long over
+	}
+}
+
+// completeSync follows the last of a host's Holds: what it did not name is asked about, and what waited for the
+// connection is sent.
+func (c *Core) completeSync(h *host) {
+	h.synced, h.everSynced = true, true
+	if h.stale {
+		h.stale, h.drainingSince = false, 0
+		c.notifyHostChanged(h)
+	}
+	var missing []hostproto.Ref
+	for _, a := range h.sortedAttempts() {
+		switch phase := a.phase(); {
+		case phase == attempt.Waiting:
+			c.sendOffer(a)
+		case phase == attempt.Placed && a.request.replica.stopRequested:
+			// Guards against a stop that was requested while its host was still naming what it holds.
+			c.sendStop(a)
+		case !phase.IsSettled() && !h.heldRefs[a.ref] && a.hostEpoch == h.connection.Epoch && a.conn != h.connection.Conn:
+			missing = append(missing, a.ref)
+		}
+	}
+	h.heldRefs = nil
+	c.sendQueries(h, missing)
+	if h.probeWanted {
+		h.probeWanted = false
+		c.sendProbe(h)
+	}
+}
+
+func (c *Core) sendQueries(h *host, refs []hostproto.Ref) {
+	for len(refs) > 0 {
+		n := min(len(refs), hostproto.MostRefs)
+		c.sendFrame(h, hostproto.Query{Refs: refs[:n]})
+		refs = refs[n:]
+	}
+}
+
+// checkLiveness makes sure that an idle connection is not a dead one: a host that sends nothing for half of LostAfter is
+// probed, and one that sends nothing for all of it counts as gone. Guards against hosts that vanish without a reset.
+func (c *Core) checkLiveness(h *host, conn uint32) {
+	if conn != h.connection.Conn || h.connection.State != hostconn.Up {
+		return
+	}
+	idle, lostAfter := c.now-h.lastFrameAt, c.settings.Links.LostAfter
+	if idle >= lostAfter {
+		c.log("host %s has said nothing for %v; the connection is closed", h.name, idle.Round(time.Millisecond))
+		c.closeConnection(h)
+		return
+	}
+	if idle >= lostAfter/2 {
+		c.sendFrame(h, hostproto.Probe{ID: 0})
+	}
+	c.addHostTimer(h, timerLiveness, max(lostAfter/4, time.Millisecond), uint64(conn))
+}
+
+// probeHost probes a host on the module's behalf; h is nil if the host is not known.
+func (c *Core) probeHost(h *host, id forkhead.MachineID) {
+	switch {
+	case h == nil || h.connection.State == hostconn.Down:
+		c.notifyModule(forkhead.Probed{Machine: id, Result: forkhead.ConnectFailed})
+	case !h.usable():
+		h.probeWanted = true // answered by the connection, or by its failure
+	default:
+		c.sendProbe(h)
+	}
+}
+
+func (c *Core) sendProbe(h *host) {
+	h.lastProbeID = max(h.lastProbeID+1, 1) // 0 is that of checkLiveness
+	h.probesSentAt[h.lastProbeID] = c.now
+	c.sendFrame(h, hostproto.Probe{ID: h.lastProbeID})
+	c.addHostTimer(h, timerProbeTimeout, c.settings.Links.Probe, uint64(h.lastProbeID))
+}
+
+func (c *Core) handleProbeTimeout(h *host, id uint32) {
+	if sentAt, ok := h.probesSentAt[id]; ok {
+		delete(h.probesSentAt, id)
+		c.notifyModule(forkhead.Probed{Machine: h.id, Result: forkhead.TimedOut, Took: c.now - sentAt})
+	}
+}
+
+// failProbes answers all probes of a host whose connection has ended.
+func (c *Core) failProbes(h *host) {
+	unanswered := len(h.probesSentAt)
+	if h.probeWanted {
+		unanswered++
+	}
+	clear(h.probesSentAt)
+	h.probeWanted = false
+	for range unanswered {
+		c.notifyModule(forkhead.Probed{Machine: h.id, Result: forkhead.ConnectFailed})
+	}
+}
--- a/internal/scheduler/core/labels.go
+++ b/internal/scheduler/core/labels.go
@@ -10,153 +10,194 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// ---- Labels: each constraint in use is one bit.
-
-// labelTable numbers the constraints of the tasks that are held.
+// labelTable gives each placement constraint in use a bit: a task names the bits that it needs, a machine those that it
+// meets.
 type labelTable struct {
-	maxLabels  int
-	rows  [64]*labelRow
-	index map[string]int
-	nearCount  int // rows that change with what is placed
+	maxLabels int            // at most len(rows)
+	rows      [64]*labelRow  // by bit; nil: free
+	index     map[string]int // the constraints' bits, by their text
+	nearCount int            // constraints in use that change with what is placed
 }
 
+// labelRow is a constraint in use.
 type labelRow struct {
-	constraint  servicespec.Constraint
-	users int
-}
-
-// labelsOf returns the bits of the constraints that a host meets now.
-func (c *Core) labelsOf(h *host) uint64 {
-	bits := uint64(0)
-	for i, row := range c.labels.rows {
-		if row == nil {
-			continue
-		}
-		good := false
-		if place, ok := nearDomains[row.constraint.Attribute]; ok {
-			good = c.isNear(h, place, row.constraint.Value)
-		} else {
-			good = meets(&h.entry, &row.constraint)
-		}
-		if good {
-			bits |= 1 << i
-		}
-	}
-	return bits
+	constraint servicespec.Constraint
+	users      int // services
 }
 
-// nearDomains are the attributes that are met where another service has a task.
+// nearDomains are the attributes that are met wherever another service has a task in the same domain.
 var nearDomains = map[servicespec.Attribute]forkhead.Domain{
 	"near.machine": forkhead.MachineDomain, "near.rack": forkhead.CellDomain, "near.zone": forkhead.ZoneDomain,
 }
 
-// nearConstraints makes constraints of what a service has to be beside. The value is the other's
-// number, which is the same in every submission.
-func nearConstraints(project string, d *servicespec.Description, s *servicespec.Service) (out []servicespec.Constraint) {
-	for _, n := range s.Near {
-		tenant := ""
-		if other := d.Service(n.Service); other != nil {
-			tenant = other.Tenant
-		}
-		key := servicespec.ServiceKey(tenant, project, n.Service)
-		out = append(out, servicespec.Constraint{Attribute: servicespec.Attribute("near." + n.Place), Value: strconv.FormatUint(key, 10), Pos: n.Pos})
+// add returns the bit of a constraint and whether the constraint had none before. ok is false if no bit is free.
+func (t *labelTable) add(constraint servicespec.Constraint) (bit int, added, ok bool) {
+	name := constraint.String()
+	if bit, known := t.index[name]; known {
+		return bit, false, true
+	}
+	bit = slices.Index(t.rows[:t.maxLabels], nil)
+	if bit < 0 {
+		return 0, false, false
 	}
-	return out
+	t.rows[bit] = &labelRow{constraint: constraint}
+	t.index[name] = bit
+	if _, near := nearDomains[constraint.Attribute]; near {
+		t.nearCount++
+	}
+	return bit, true, true
 }
 
-// isNear says whether a task of a service is placed in the host's place.
-func (c *Core) isNear(h *host, place forkhead.Domain, service string) bool {
-	key, err := strconv.ParseUint(service, 10, 64)
-	if err != nil {
-		return false
+// release ends one use of a bit, and frees it with the last.
+func (t *labelTable) release(bit int) {
+	row := t.rows[bit]
+	row.users--
+	if row.users > 0 {
+		return
 	}
-	for _, a := range c.liveAttempts[key] {
-		if a.phase() == attempt.Placed && invariant.SameDomain(place, a.host.forInvariants(), h.forInvariants()) {
-			return true
+	delete(t.index, row.constraint.String())
+	if _, near := nearDomains[row.constraint.Attribute]; near {
+		t.nearCount--
+	}
+	t.rows[bit] = nil
+}
+
+// releaseAll ends one use of each bit of a set.
+func (t *labelTable) releaseAll(bits uint64) {
+	for bit := range t.rows {
+		if bits&(1<<bit) != 0 {
+			t.release(bit)
 		}
 	}
-	return false
 }
 
-func meets(e *HostEntry, c *servicespec.Constraint) bool {
-	return (e.Attributes[c.Attribute] == c.Value) != c.Not
+// inUse returns the number of constraints in use.
+func (t *labelTable) inUse() int {
+	n := 0
+	for _, row := range t.rows {
+		if row != nil {
+			n++
+		}
+	}
+	return n
 }
 
-// take returns the bits of constraints and counts their users. ok is false if there are more
-// than the table holds; then nothing is counted.
+// takeLabels returns the bits of constraints and counts one use of each. ok is false if there are more constraints than
+// the table holds; then nothing is counted.
 func (c *Core) takeLabels(constraints []servicespec.Constraint) (bits uint64, ok bool) {
-	if len(constraints) == 0 {
-		return 0, true
-	}
-	l := &c.labels
-	if l.index == nil {
-		l.index = map[string]int{}
-	}
-	fresh := false
-	var taken []int
-	for _, con := range constraints {
-		name := con.String()
-		i, known := l.index[name]
-		if !known {
-			i = slices.Index(l.rows[:l.maxLabels], nil)
-			if i < 0 {
-				for _, j := range taken {
-					c.dropLabel(j)
-				}
-				return 0, false
-			}
-			l.rows[i] = &labelRow{constraint: con}
-			if _, near := nearDomains[con.Attribute]; near {
-				l.nearCount++
-			}
-			l.index[name] = i
-			fresh = true
+	anyAdded := false
+	for _, constraint := range constraints {
+		bit, added, ok := c.labels.add(constraint)
+		if !ok {
+			c.labels.releaseAll(bits)
+			return 0, false
 		}
-		if bits&(1<<i) != 0 {
+		anyAdded = anyAdded || added
+		if bits&(1<<bit) != 0 {
 			continue // the same constraint twice
 		}
-		l.rows[i].users++
-		taken = append(taken, i)
-		bits |= 1 << i
+		c.labels.rows[bit].users++
+		bits |= 1 << bit
 	}
-	if fresh {
+	if anyAdded {
 		c.updateHostLabels()
 	}
 	return bits, true
 }
 
-// dropLabels ends one use of each bit.
-func (c *Core) dropLabels(bits uint64) {
-	for i := range c.labels.rows {
-		if bits&(1<<i) != 0 {
-			c.dropLabel(i)
+// takeServiceLabels returns the bits of the constraints of each service of a description, in their order. ok is false if
+// they are more than the table holds; then nothing is counted.
+func (c *Core) takeServiceLabels(p *project, d *servicespec.Description) (bits []uint64, ok bool) {
+	bits = make([]uint64, len(d.Services))
+	for i := range d.Services {
+		spec := &d.Services[i]
+		constraints := append(slices.Clone(spec.Constraints), nearConstraints(p.name, d, spec)...)
+		taken, ok := c.takeLabels(constraints)
+		if !ok {
+			for _, b := range bits[:i] {
+				c.labels.releaseAll(b)
+			}
+			return nil, false
 		}
+		bits[i] = taken
 	}
+	return bits, true
 }
 
-func (c *Core) dropLabel(i int) {
-	row := c.labels.rows[i]
-	if row.users--; row.users == 0 {
-		delete(c.labels.index, row.constraint.String())
-		if _, near := nearDomains[row.constraint.Attribute]; near {
-			c.labels.nearCount--
+// nearConstraints returns a constraint for each service that a service has to be near to. Its value is the other
+// service's key, which is the same in every submission.
+func nearConstraints(project string, d *servicespec.Description, s *servicespec.Service) []servicespec.Constraint {
+	var constraints []servicespec.Constraint
+	for _, near := range s.Near {
+		tenant := ""
+		if other := d.Service(near.Service); other != nil {
+			tenant = other.Tenant
+		}
+		key := servicespec.ServiceKey(tenant, project, near.Service)
+		constraints = append(constraints, servicespec.Constraint{
+			Attribute: servicespec.Attribute("near." + near.Place), Value: strconv.FormatUint(key, 10), Pos: near.Pos,
+		})
+	}
+	return constraints
+}
+
+// labelsOf returns the bits of the constraints that a host meets now.
+func (c *Core) labelsOf(h *host) uint64 {
+	bits := uint64(0)
+	for bit, row := range c.labels.rows {
+		if row != nil && c.meets(h, &row.constraint) {
+			bits |= 1 << bit
 		}
-		c.labels.rows[i] = nil
 	}
+	return bits
+}
+
+func (c *Core) meets(h *host, constraint *servicespec.Constraint) bool {
+	if domain, ok := nearDomains[constraint.Attribute]; ok {
+		return c.hasServiceNear(h, domain, constraint.Value)
+	}
+	return entryMeets(&h.entry, constraint)
 }
 
-// updateHostLabels tells the module of hosts that meet a constraint which nobody had asked for before.
+func entryMeets(e *HostEntry, constraint *servicespec.Constraint) bool {
+	return (e.Attributes[constraint.Attribute] == constraint.Value) != constraint.Not
+}
+
+// hasServiceNear says whether a task of a service, given by its key in decimal, is placed in a host's domain.
+func (c *Core) hasServiceNear(h *host, domain forkhead.Domain, serviceKey string) bool {
+	key, err := strconv.ParseUint(serviceKey, 10, 64)
+	if err != nil {
+		return false
+	}
+	for _, a := range c.liveAttempts[key] {
+		if a.phase() == attempt.Placed && invariant.SameDomain(domain, a.host.forInvariants(), h.forInvariants()) {
+			return true
+		}
+	}
+	return false
+}
+
+// updateHostLabels notifies the module of the hosts that meet other constraints than before.
 func (c *Core) updateHostLabels() {
 	var changed []forkhead.Machine
 	for _, h := range c.sortedHosts() {
-		if bits := c.labelsOf(h); bits != h.labels {
-			h.labels = bits
-			if h.listed {
-				changed = append(changed, h.forModule())
-			}
+		bits := c.labelsOf(h)
+		if bits == h.labels {
+			continue
+		}
+		h.labels = bits
+		if h.listed {
+			changed = append(changed, h.forModule())
 		}
 	}
 	if len(changed) > 0 {
 		c.notifyModule(forkhead.ListUpdate{Mode: forkhead.ListDelta, Machines: changed})
 	}
 }
+
+// updateNearLabels is updateHostLabels after a change of what is placed, for services that have to be near others.
+func (c *Core) updateNearLabels() {
+	if c.labels.nearCount > 0 {
+		c.updateHostLabels()
+	}
+}
--- /dev/null
+++ b/internal/scheduler/core/offers.go
@@ -0,0 +1,174 @@
+package core
+
+import (
+	"iter"
+	"time"
+
+	"forkhead"
+	"forkhead/internal/protocol/hostproto"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/hostconn"
+	"forkhead/internal/scheduler/invariant"
+)
+
+// executeOffer makes an attempt of an Offer of the module, unless that would break an invariant.
+func (c *Core) executeOffer(action forkhead.Offer) {
+	if request := c.canceledRequests[action.Task]; request != nil {
+		// The module decided before it was notified that nobody waits any more: that is no fault of its.
+		c.reportNotSent(request, action, true)
+		return
+	}
+	request, h := c.requests[action.Task], c.hostsByID[action.Machine]
+	if request == nil || h == nil {
+		violation := &invariant.Violation{Rule: invariant.OneAnswer, Reason: "no such ask or host"}
+		c.reportVeto(violation, "offer of task %d to machine %d", action.Task, action.Machine)
+		return
+	}
+	if c.repeatIsHarmful(request) {
+		c.reportNotSent(request, action, false)
+		return
+	}
+	if v := c.checkOffer(request, h); v != nil {
+		c.reportVeto(v, "offer of %s to %s", request.replica.name, h.name)
+		c.reportNotSent(request, action, false)
+		return
+	}
+	a := c.addAttempt(request, h, action)
+	switch {
+	case h.usable():
+		c.sendOffer(a)
+	case h.connection.State == hostconn.Down:
+		c.handleAttempt(a, attempt.ConnectionLost, attemptDetail{})
+	default:
+		a.waitedForConn = true
+		c.addTimer(&timer{at: c.now + c.settings.Module.ConnectTimeout, kind: timerAttemptConnectTimeout, attempt: a})
+	}
+}
+
+// checkOffer returns the invariant that an offer of a request to a host would break, or nil.
+func (c *Core) checkOffer(request *placementRequest, h *host) *invariant.Violation {
+	return invariant.CheckOffer(c.now, &invariant.Offer{
+		Request:    &request.Request,
+		Task:       &request.task,
+		Class:      &c.settings.Module.Classes[request.task.Class],
+		To:         h.forInvariants(),
+		DrainGrace: c.settings.Module.DrainGrace,
+		HostByID: func(id attempt.HostID) *invariant.Host {
+			for _, a := range request.attempts { // its host may have left the list, and the table
+				if a != nil && a.machineID == forkhead.MachineID(id) {
+					return a.host.forInvariants()
+				}
+			}
+			if h := c.hostsByID[forkhead.MachineID(id)]; h != nil {
+				return h.forInvariants()
+			}
+			return nil
+		},
+		ServiceHosts: c.otherLiveHosts(request.task.Service, nil),
+	})
+}
+
+// breaksSpread says whether an attempt would exceed a spread limit of its service now.
+func (c *Core) breaksSpread(a *taskAttempt) bool {
+	task := &a.request.task
+	return invariant.CheckSpread(&invariant.Offer{
+		Task:         task,
+		Class:        &c.settings.Module.Classes[task.Class],
+		To:           a.host.forInvariants(),
+		ServiceHosts: c.otherLiveHosts(task.Service, a),
+	}) != nil
+}
+
+// otherLiveHosts are the hosts of a service's live attempts but one; nil: of all.
+func (c *Core) otherLiveHosts(service uint64, except *taskAttempt) iter.Seq[*invariant.Host] {
+	return func(yield func(*invariant.Host) bool) {
+		for _, a := range c.liveAttempts[service] {
+			if a != except && !yield(a.host.forInvariants()) {
+				return
+			}
+		}
+	}
+}
+
+// addAttempt adds an attempt for an offer, which waits to be sent.
+func (c *Core) addAttempt(request *placementRequest, h *host, action forkhead.Offer) *taskAttempt {
+	number := request.AddOffer(c.now, attempt.HostID(h.id))
+	a := &taskAttempt{
+		request:   request,
+		number:    number,
+		host:      h,
+		machineID: action.Machine,
+		ref:       hostproto.Ref{Epoch: c.epoch, Task: uint32(request.id), Attempt: uint8(number)},
+	}
+	request.attempts = append(request.attempts, a)
+	c.indexAttempt(a)
+	c.status.Offers++
+	request.replica.offerCount++
+	if action.Timeout > 0 {
+		c.addTimer(&timer{at: c.now + action.Timeout, kind: timerAttemptTimeout, attempt: a})
+	}
+	return a
+}
+
+// reportNotSent notifies the module that an offer was not sent. It takes up a number of an attempt, as in the module.
+func (c *Core) reportNotSent(request *placementRequest, action forkhead.Offer, final bool) {
+	number := request.AddUnsent(c.now, attempt.HostID(action.Machine))
+	request.attempts = append(request.attempts, nil)
+	c.notifyModule(forkhead.Outcome{
+		Task: action.Task, Attempt: number, Machine: action.Machine, Result: forkhead.NotSent, Final: final,
+	})
+}
+
+// sendOffer sends the offer of an attempt to its host, which is usable, if it still may be sent.
+func (c *Core) sendOffer(a *taskAttempt) {
+	if !c.mayStillSend(a) {
+		c.handleAttempt(a, attempt.ConnectionLost, attemptDetail{})
+		return
+	}
+	a.hostEpoch, a.conn = a.host.connection.Epoch, a.host.connection.Conn
+	c.handleAttempt(a, attempt.OfferWritten, attemptDetail{})
+	c.persistAttempt(a)
+	c.sendFrame(a.host, c.offerFrame(a))
+}
+
+// mayStillSend judges an attempt again when it can be sent: much may have changed while it waited for its connection.
+func (c *Core) mayStillSend(a *taskAttempt) bool {
+	h := a.host
+	// Guards against a drain that was told between choosing and sending, and a wait that was too long.
+	if invariant.DrainGraceExpired(c.now, h.state(), h.drainingSince, c.settings.Module.DrainGrace) {
+		return false
+	}
+	if a.request.MayWrite(c.now, a.number) != nil || c.repeatIsHarmful(a.request) {
+		return false
+	}
+	// Guards against tasks of an earlier incarnation that turned up while this one waited: they count against the spread,
+	// and the choice was made without them. And against a host that greets as draining: it may have said so before it was
+	// forgotten.
+	return !a.waitedForConn || !h.reportsDraining && !c.breaksSpread(a)
+}
+
+func (c *Core) offerFrame(a *taskAttempt) hostproto.Offer {
+	request, r := a.request, a.request.replica
+	return hostproto.Offer{
+		Ref:     a.ref,
+		Wait:    max(request.Deadline-c.now, time.Millisecond),
+		Payload: r.spec.Payload,
+		Spec: hostproto.Spec{
+			Key:         r.taskKey,
+			Service:     request.task.Service,
+			Fingerprint: r.fingerprint,
+			Name:        r.name,
+			Class:       c.settings.Classes[r.class].Name,
+			Tenant:      r.spec.Tenant,
+			Effect:      uint8(request.Rules.Effect),
+			Priority:    uint8(c.settings.Module.Classes[r.class].Priority),
+			Cores:       toMillicores(request.task.Cores),
+			Memory:      toMebibytes(request.task.Memory),
+			Life:        request.task.RemainingLifetime,
+		},
+	}
+}
+
+func toMillicores(cores float64) uint32 { return uint32(cores*1000 + 0.5) }
+
+func toMebibytes(gibibytes float64) uint32 { return uint32(gibibytes*1024 + 0.5) }
--- a/internal/scheduler/core/saved_test.go
+++ b/internal/scheduler/core/saved_test.go
@@ -67,7 +67,7 @@
 	s.List()
 	s.Run(time.Second)
 	if s.Core.Status().HostsReady == 0 {
-		t.Fatal("a list from the catalogue is not taken")
+		t.Fatal("a list from the catalog is not taken")
 	}
 	s.Clean()
 }
--- /dev/null
+++ b/internal/scheduler/core/submissions.go
@@ -0,0 +1,288 @@
+package core
+
+import (
+	"encoding/json"
+	"fmt"
+	"strconv"
+	"time"
+
+	"forkhead"
+	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/scheduler/durable"
+)
+
+// HTTP status codes of Rejected. A core does not import net/http.
+const (
+	statusNotFound              = 404
+	statusRequestEntityTooLarge = 413
+	statusUnprocessableEntity   = 422
+	statusTooManyRequests       = 429
+	statusServiceUnavailable    = 503
+)
+
+// busyRetryAfter is what a client is advised to wait when a limit is reached.
+const busyRetryAfter = time.Second
+
+// submission is an accepted Submit with the outcomes that are owed to it.
+type submission struct {
+	id             string
+	idempotencyKey string // or ""
+	bodyHash       uint64
+	totalOutcomes  int
+	acceptedAt     time.Duration
+	outcomes       []Outcome // at most totalOutcomes
+	completedAt    time.Duration
+}
+
+func (s *submission) isComplete() bool { return len(s.outcomes) >= s.totalOutcomes }
+
+// pendingOutcome is an outcome that is owed to a submission.
+type pendingOutcome struct {
+	submission *submission
+	since      time.Duration
+}
+
+// handleSubmit accepts a submission, unless a limit forbids it, and brings its project to the description.
+func (c *Core) handleSubmit(in Submit) {
+	earlier, rejected := c.findDuplicate(in)
+	if rejected != nil {
+		c.reject(in.Request, rejected)
+		return
+	}
+	if earlier != nil {
+		c.emit(Accepted{Request: in.Request, Submission: earlier.id, Duplicate: true})
+		return
+	}
+	tasks := c.countTasks(in.Description)
+	if rejected := c.makeRoom(tasks); rejected != nil {
+		c.reject(in.Request, rejected)
+		return
+	}
+	s := c.newSubmission(in, tasks)
+	p := c.projectFor(in.Description, s)
+	labels, ok := c.takeServiceLabels(p, in.Description)
+	if !ok {
+		c.reject(in.Request, newRejection(statusServiceUnavailable, "Too many constraints",
+			"more than %d different placement constraints are in use", c.settings.Limits.Label))
+		return
+	}
+	c.projects[p.name] = p
+	delete(c.removedProjects, p.name)
+	c.addSubmission(s)
+	c.persist(durable.SubmissionAccepted{
+		Specification: in.Description,
+		Submission: durable.Submission{
+			ID:             s.id,
+			IdempotencyKey: s.idempotencyKey,
+			BodyHash:       s.bodyHash,
+			TotalOutcomes:  s.totalOutcomes,
+			AcceptedAt:     s.acceptedAt,
+			Project:        p.name,
+		},
+	})
+	c.emit(Accepted{Request: in.Request, Submission: s.id})
+	if s.isComplete() { // it has no tasks
+		c.noteComplete(s)
+		c.emit(OutcomesAdded{Submission: s.id})
+	}
+	c.applyDescription(p, in.Description, s, labels)
+}
+
+func (c *Core) reject(request uint64, rejected *Rejected) {
+	rejected.Request = request
+	c.emit(*rejected)
+}
+
+// newRejection returns a rejection; one that a limit causes advises when to try again.
+func newRejection(status int, title, format string, args ...any) *Rejected {
+	r := &Rejected{Status: status, Title: title, Detail: fmt.Sprintf(format, args...)}
+	if status == statusTooManyRequests || status == statusServiceUnavailable {
+		r.RetryAfter = busyRetryAfter
+	}
+	return r
+}
+
+// findDuplicate returns the submission that came before under the same Idempotency-Key, if one did.
+func (c *Core) findDuplicate(in Submit) (*submission, *Rejected) {
+	if in.IdempotencyKey == "" {
+		return nil, nil
+	}
+	earlier := c.submissionsByKey[in.IdempotencyKey]
+	if earlier != nil && earlier.bodyHash != in.BodyHash {
+		return nil, newRejection(statusUnprocessableEntity, "Idempotency-Key is taken", "the key came before with another body")
+	}
+	return earlier, nil
+}
+
+// countTasks returns the number of tasks of a description. It sets the replicas of services with a task for each host.
+func (c *Core) countTasks(d *servicespec.Description) int {
+	tasks := d.Tasks()
+	for i := range d.Services {
+		if spec := &d.Services[i]; spec.Mode.Each() {
+			spec.Replicas = c.countSuitableHosts(spec)
+			tasks += spec.Replicas
+		}
+	}
+	return tasks
+}
+
+// makeRoom returns a rejection if a submission of so many tasks exceeds a limit. It forgets the oldest complete submission
+// where that lets the new one in.
+func (c *Core) makeRoom(tasks int) *Rejected {
+	limits := &c.settings.Limits
+	if tasks > limits.PerSubmit {
+		return newRejection(statusRequestEntityTooLarge, "Too many tasks",
+			"the description asks for %d tasks, at most %d are taken at once", tasks, limits.PerSubmit)
+	}
+	if c.replicaCount+tasks > limits.Tasks {
+		return newRejection(statusServiceUnavailable, "Full",
+			"this placer holds %d tasks of at most %d", c.replicaCount, limits.Tasks)
+	}
+	if len(c.submissions) < limits.Submissions {
+		return nil
+	}
+	if len(c.completeSubmissions) == 0 {
+		return newRejection(statusTooManyRequests, "Too many submissions",
+			"%d submissions are under way", len(c.submissions))
+	}
+	c.forgetOldestSubmission()
+	return nil
+}
+
+// newSubmission numbers a submission. It isn't added to the tables.
+func (c *Core) newSubmission(in Submit, tasks int) *submission {
+	c.lastSubmission++
+	return &submission{
+		id:             strconv.FormatUint(c.epoch, 36) + "-" + strconv.FormatUint(c.lastSubmission, 36),
+		idempotencyKey: in.IdempotencyKey,
+		bodyHash:       in.BodyHash,
+		totalOutcomes:  tasks,
+		acceptedAt:     c.now,
+	}
+}
+
+func (c *Core) addSubmission(s *submission) {
+	c.submissions[s.id] = s
+	if s.idempotencyKey != "" {
+		c.submissionsByKey[s.idempotencyKey] = s
+	}
+}
+
+// noteComplete queues a complete submission to be forgotten.
+func (c *Core) noteComplete(s *submission) {
+	s.completedAt = c.now
+	c.completeSubmissions = append(c.completeSubmissions, s)
+}
+
+func (c *Core) addSubmissionExpiry() {
+	c.addTimer(&timer{at: c.now + c.settings.Limits.Keep, kind: timerSubmissionExpiry})
+}
+
+// expireSubmissions forgets the submissions that have been complete for as long as they are kept.
+func (c *Core) expireSubmissions() {
+	for len(c.completeSubmissions) > 0 && c.completeSubmissions[0].completedAt+c.settings.Limits.Keep <= c.now {
+		c.forgetOldestSubmission()
+	}
+}
+
+// forgetOldestSubmission forgets the submission that has been complete for longest.
+func (c *Core) forgetOldestSubmission() {
+	s := c.completeSubmissions[0]
+	c.completeSubmissions = c.completeSubmissions[1:]
+	delete(c.submissions, s.id)
+	c.persist(durable.SubmissionExpired{SubmissionID: s.id})
+	if c.submissionsByKey[s.idempotencyKey] == s {
+		delete(c.submissionsByKey, s.idempotencyKey)
+	}
+}
+
+// Outcomes returns the outcomes of a submission from number from on (the first is 0), whether all its tasks have one, and
+// whether the submission is known.
+func (c *Core) Outcomes(id string, from int) (list []Outcome, complete, known bool) {
+	s := c.submissions[id]
+	if s == nil {
+		return nil, false, false
+	}
+	return s.outcomes[min(max(from, 0), len(s.outcomes)):], s.isComplete(), true
+}
+
+// reportOutcome adds the outcome that is owed for a replica to its submission. It does nothing if none is owed. h is where
+// the replica was placed, or nil.
+func (c *Core) reportOutcome(r *desiredReplica, outcome string, h *host, reason string) {
+	pending := r.pending
+	if pending == nil {
+		return
+	}
+	r.pending = nil
+	o := Outcome{
+		Service:  r.service.name,
+		Replica:  r.number,
+		Outcome:  outcome,
+		Reason:   reason,
+		Attempts: r.offerCount,
+		TookMS:   (c.now - pending.since).Milliseconds(),
+	}
+	if h != nil {
+		o.Host, o.Zone, o.Rack = h.name, h.entry.Zone, h.entry.Rack
+	}
+	r.offerCount = 0
+	c.status.Outcomes[outcome]++
+	c.addOutcome(pending.submission, r, o)
+}
+
+// supersedeOutcome reports the outcome that is owed for a replica, if one is: the next goes to a later submission.
+func (c *Core) supersedeOutcome(r *desiredReplica) {
+	c.reportOutcome(r, OutcomeRejected, nil, "a later submission has taken its place")
+}
+
+func (c *Core) addOutcome(s *submission, r *desiredReplica, o Outcome) {
+	c.persistOutcome(s, r, o)
+	s.outcomes = append(s.outcomes, o)
+	if s.isComplete() {
+		c.noteComplete(s)
+		c.addSubmissionExpiry()
+	}
+	c.emit(OutcomesAdded{Submission: s.id})
+}
+
+func (c *Core) persistOutcome(s *submission, r *desiredReplica, o Outcome) {
+	if !c.durable {
+		return
+	}
+	text, err := json.Marshal(o)
+	if err != nil {
+		c.reportDefect("an outcome has no form to be kept in: %v", err)
+	}
+	c.persist(durable.OutcomeReported{
+		SubmissionID: s.id,
+		Index:        len(s.outcomes),
+		Outcome:      text,
+		Task:         r.durableTask(o.Outcome, o.Outcome != OutcomePlaced),
+	})
+}
+
+// countSuitableHosts returns the number of ready hosts that a service with a task for each host may use.
+func (c *Core) countSuitableHosts(spec *servicespec.Service) int {
+	class := &c.settings.Module.Classes[c.classIndex(spec)]
+	n := 0
+	for _, h := range c.hosts {
+		if h.state() == forkhead.Ready && hasMachineType(class, h) && meetsAll(&h.entry, spec.Constraints) {
+			n++
+		}
+	}
+	return n
+}
+
+// hasMachineType says whether tasks of a class may run on a host's machine type.
+func hasMachineType(class *forkhead.Class, h *host) bool {
+	return class.MachineType < 0 || class.MachineType == h.machineType
+}
+
+func meetsAll(e *HostEntry, constraints []servicespec.Constraint) bool {
+	for i := range constraints {
+		if !entryMeets(e, &constraints[i]) {
+			return false
+		}
+	}
+	return true
+}
