--- a/internal/scheduler/platform/golden_test.go
+++ b/internal/scheduler/platform/golden_test.go
@@ -77,60 +77,60 @@
 	return fmt.Sprint(v.Int())
 }
 
-// transcript writes what crosses a world's sockets and what its module is told, without any name of Go's.
+// transcript writes what crosses a core's sockets and what its module gets, without any name of Go's.
 type transcript struct {
-	*world
-	b    bytes.Buffer
-	rule func(id forkhead.TaskID) []forkhead.Action // the module's answer to a request
+	*testCore
+	text     bytes.Buffer
+	decideOn func(id forkhead.TaskID) []forkhead.Action // the module's answer to a request
 }
 
-func (s *transcript) did() {
-	for _, ev := range s.seen {
-		fmt.Fprintf(&s.b, "\tmodule is told %s\n", values(reflect.ValueOf(ev)))
+func (s *transcript) record() {
+	for _, ev := range s.events {
+		fmt.Fprintf(&s.text, "\tmodule is told %s\n", values(reflect.ValueOf(ev)))
 	}
-	s.seen = nil
-	for _, out := range s.out {
+	s.events = nil
+	for _, out := range s.outputs {
 		switch out := out.(type) {
 		case SendToOwner:
-			fmt.Fprintf(&s.b, "\tto owner %d: %s", out.Owner, out.Line)
+			fmt.Fprintf(&s.text, "\tto owner %d: %s", out.Owner, out.Line)
 		case SendToHost:
-			fmt.Fprintf(&s.b, "\tto host on connection %d: %s", out.Connection, out.Line)
+			fmt.Fprintf(&s.text, "\tto host on connection %d: %s", out.Connection, out.Line)
 		case SendGossip:
-			fmt.Fprintf(&s.b, "\tto placer %d: %q\n", out.To, out.Data)
+			fmt.Fprintf(&s.text, "\tto placer %d: %q\n", out.To, out.Data)
 		case DialHost:
-			fmt.Fprintf(&s.b, "\tconnection %d to %s\n", out.Connection, out.Address)
+			fmt.Fprintf(&s.text, "\tconnection %d to %s\n", out.Connection, out.Address)
 		}
 	}
-	s.out = nil
+	s.outputs = nil
 }
 
-func (s *transcript) ownerSays(owner OwnerID, line string) {
-	fmt.Fprintf(&s.b, "owner %d: %s\n", owner, line)
-	s.say(owner, line)
-	s.did()
-	for out := s.c.Step(s.now); len(out) > 0; out = nil {
-		s.out = out
-		s.did()
+func (s *transcript) ownerSends(owner OwnerID, line string) {
+	fmt.Fprintf(&s.text, "owner %d: %s\n", owner, line)
+	s.send(owner, line)
+	s.record()
+	for out := s.core.Step(s.now); len(out) > 0; out = nil {
+		s.outputs = out
+		s.record()
 	}
 }
 
-func (s *transcript) connects(link ConnectionID) {
-	fmt.Fprintf(&s.b, "connection %d is made\n", link)
-	s.step(HostConnected{link})
-	s.did()
+func (s *transcript) connect(conn ConnectionID) {
+	fmt.Fprintf(&s.text, "connection %d is made\n", conn)
+	s.step(HostConnected{conn})
+	s.record()
 }
 
-// hostSays is said on connection 1.
-func (s *transcript) hostSays(line string) {
-	fmt.Fprintf(&s.b, "host on connection 1: %s\n", line)
+// hostSends sends a line of a host on connection 1.
+func (s *transcript) hostSends(line string) {
+	fmt.Fprintf(&s.text, "host on connection 1: %s\n", line)
 	s.step(HostData{1, []byte(line + "\n")})
-	s.did()
+	s.record()
 }
 
 func goldenRef(n int) string { return fmt.Sprintf("9b1f03aa5c7e2d%02x", n) }
 
-// goldenSetUp is the set-up of task n; more goes into its extras.
-func goldenSetUp(n int, more string) string {
+// goldenRequest is the request of task n; more goes into its extras.
+func goldenRequest(n int, more string) string {
 	return fmt.Sprintf(`{"t":"new","ref":"%s","f":{"class":"keyed","left":"1500","tenant":"acme","key":"7f3a9c21e0b4d6%02x","idem":"%02x",`+
 		`"hint":"4000","extras":"cores:1.5;memory:2;service:00000000b4d65521%s","other":7},"d":"a\ud800\r\nb"}`, goldenRef(n), n, n, more)
 }
@@ -143,89 +143,89 @@
 	return []forkhead.Action{forkhead.Offer{Task: id, Machine: 1}}
 }
 
-// taskIsPlaced follows a task that is placed, noted and ends.
-func (s *transcript) taskIsPlaced(o OwnerID) {
-	s.rule = offerAtHost1
-	s.ownerSays(o, goldenSetUp(1, ";again:1"))
-	s.connects(1)
-	s.hostSays(goldenLine("wait", 1, `"f":{}`))
-	s.hostSays(goldenLine("up", 1, `"f":{"load":"x0:1;x1:2;queue:3;util:0.5"},"d":"from the host"`))
+// placeTask follows a task that is placed, gets notes and ends.
+func (s *transcript) placeTask(o OwnerID) {
+	s.decideOn = offerAtHost1
+	s.ownerSends(o, goldenRequest(1, ";again:1"))
+	s.connect(1)
+	s.hostSends(goldenLine("wait", 1, `"f":{}`))
+	s.hostSends(goldenLine("up", 1, `"f":{"load":"x0:1;x1:2;queue:3;util:0.5"},"d":"from the host"`))
 	for _, note := range []string{"running", "use_cpu", "use_ram", "health", "ram_high"} {
-		s.hostSays(goldenLine("tell", 1, `"f":{"note":"`+note+`","value":"0.5"}`))
+		s.hostSends(goldenLine("tell", 1, `"f":{"note":"`+note+`","value":"0.5"}`))
 	}
-	s.hostSays(goldenLine("down", 1, `"f":{"note":"killed","load":"x0:4"},"c":41`))
-	s.ownerSays(o, goldenLine("ack", 1, `"f":{}`))
+	s.hostSends(goldenLine("down", 1, `"f":{"note":"killed","load":"x0:4"},"c":41`))
+	s.ownerSends(o, goldenLine("ack", 1, `"f":{}`))
 }
 
-// hostTurnsDown goes through each way in which a host turns a task down.
-func (s *transcript) hostTurnsDown(o OwnerID) {
+// hostRejects goes through each way in which a host rejects a task.
+func (s *transcript) hostRejects(o OwnerID) {
 	for i, rest := range []string{
 		`"f":{"note":"lack_cpu"},"c":34`, `"f":{"note":"lack_ram"},"c":34`, `"f":{"note":"backlog"},"c":34`, `"f":{"note":"unfit"},"c":34`, `"f":{},"c":42`,
 		`"f":{},"c":47`, `"f":{},"c":102`,
 	} {
-		s.ownerSays(o, goldenSetUp(2+i, ""))
-		s.hostSays(goldenLine("down", 2+i, rest))
-		s.ownerSays(o, goldenLine("down", 2+i, `"f":{},"c":16`))
+		s.ownerSends(o, goldenRequest(2+i, ""))
+		s.hostSends(goldenLine("down", 2+i, rest))
+		s.ownerSends(o, goldenLine("down", 2+i, `"f":{},"c":16`))
 	}
 }
 
-// moduleActs has the module refuse, fail, stop, probe and send a message.
-func (s *transcript) moduleActs(o OwnerID) {
-	s.rule = func(id forkhead.TaskID) []forkhead.Action {
+// actModule has the module reject, fail, stop, probe and send a message.
+func (s *transcript) actModule(o OwnerID) {
+	s.decideOn = func(id forkhead.TaskID) []forkhead.Action {
 		return []forkhead.Action{forkhead.Reject{Task: id, RetryAfter: 1500 * time.Millisecond}}
 	}
-	s.ownerSays(o, goldenSetUp(9, ""))
-	s.rule = func(id forkhead.TaskID) []forkhead.Action { return []forkhead.Action{forkhead.Fail{Task: id}} }
-	s.ownerSays(o, goldenSetUp(10, ""))
-	s.rule = func(id forkhead.TaskID) []forkhead.Action {
+	s.ownerSends(o, goldenRequest(9, ""))
+	s.decideOn = func(id forkhead.TaskID) []forkhead.Action { return []forkhead.Action{forkhead.Fail{Task: id}} }
+	s.ownerSends(o, goldenRequest(10, ""))
+	s.decideOn = func(id forkhead.TaskID) []forkhead.Action {
 		return []forkhead.Action{
 			forkhead.Offer{Task: id, Machine: 1}, forkhead.Probe{Machine: 1}, forkhead.Gossip{To: forkhead.AllPlacers, Data: []byte("data")},
 		}
 	}
-	s.ownerSays(o, goldenSetUp(11, ""))
-	s.hostSays(goldenLine("up", 11, `"f":{},"d":"x"`))
-	s.rule = func(forkhead.TaskID) []forkhead.Action { return []forkhead.Action{forkhead.Stop{Task: 11}} }
-	s.ownerSays(o, goldenSetUp(12, ""))
+	s.ownerSends(o, goldenRequest(11, ""))
+	s.hostSends(goldenLine("up", 11, `"f":{},"d":"x"`))
+	s.decideOn = func(forkhead.TaskID) []forkhead.Action { return []forkhead.Action{forkhead.Stop{Task: 11}} }
+	s.ownerSends(o, goldenRequest(12, ""))
 }
 
-// ownerComesAgain brings a task that stands at a host, and lines that cannot be read.
-func (s *transcript) ownerComesAgain(o OwnerID) {
-	s.rule = offerAtHost1
-	s.ownerSays(o, goldenSetUp(13, ";at:s-00000001"))
-	s.ownerSays(o, `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`)
-	s.ownerSays(o, goldenLine("new", 14, `"f":{"class":"unheard-of"},"d":"x"`))
-	s.ownerSays(o, `{`)
+// ownerReturns hands over a task that runs at a host, and sends lines that cannot be read.
+func (s *transcript) ownerReturns(o OwnerID) {
+	s.decideOn = offerAtHost1
+	s.ownerSends(o, goldenRequest(13, ";at:s-00000001"))
+	s.ownerSends(o, `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`)
+	s.ownerSends(o, goldenLine("new", 14, `"f":{"class":"unheard-of"},"d":"x"`))
+	s.ownerSends(o, `{`)
 }
 
-// otherSources brings a message of another placer and events of the change log.
+// otherSources brings a message of another placer and events of the endpoint list.
 func (s *transcript) otherSources() {
-	fmt.Fprintln(&s.b, "placer 1 sends data")
+	fmt.Fprintln(&s.text, "placer 1 sends data")
 	s.step(GossipReceived{From: 1, Data: []byte("data")})
-	s.did()
+	s.record()
 	for i, state := range []platform.EndpointState{platform.Terminating, platform.InService, platform.Terminated} {
-		fmt.Fprintln(&s.b, "host 2 is", state)
-		s.step(WatchEventReceived{Event: platform.WatchEvent{Seq: uint64(i + 2), Endpoints: &platform.EndpointList{Hosts: []platform.Endpoint{hostInfo(2, state)}}}})
-		s.did()
+		fmt.Fprintln(&s.text, "host 2 is", state)
+		s.step(WatchEventReceived{Event: platform.WatchEvent{Seq: uint64(i + 2), Endpoints: &platform.EndpointList{Hosts: []platform.Endpoint{endpoint(2, state)}}}})
+		s.record()
 	}
 }
 
-// The lines between owners, this placer and hosts are the same, and so is what the module is told by them: their types,
-// fields, words and causes.
-func TestLinesGolden(t *testing.T) {
-	w := newWorld(t, nil)
-	s := &transcript{world: w}
-	s.did()
-	w.next = func(ev forkhead.Event) []forkhead.Action {
+// The lines between owners, this placer and hosts are the same, and so is what the module gets by them: their types,
+// fields, names and causes.
+func TestCoreGoldenTranscript(t *testing.T) {
+	w := newTestCore(t, nil)
+	s := &transcript{testCore: w}
+	s.record()
+	w.decide = func(ev forkhead.Event) []forkhead.Action {
 		if a, ok := ev.(forkhead.PlacementRequest); ok {
-			return s.rule(a.Task.ID)
+			return s.decideOn(a.Task.ID)
 		}
 		return nil
 	}
-	o := w.owner()
-	s.taskIsPlaced(o)
-	s.hostTurnsDown(o)
-	s.moduleActs(o)
-	s.ownerComesAgain(o)
+	o := w.connectOwner()
+	s.placeTask(o)
+	s.hostRejects(o)
+	s.actModule(o)
+	s.ownerReturns(o)
 	s.otherSources()
-	checkGolden(t, "lines.txt", s.b.Bytes())
+	checkGolden(t, "lines.txt", s.text.Bytes())
 }
--- /dev/null
+++ b/internal/scheduler/platform/probe_test.go
@@ -0,0 +1,43 @@
+package platform
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"forkhead"
+)
+
+// A probe that a dead connection does not answer is sent on another one before it fails.
+func TestCoreRetriesProbeOnAnotherConnection(t *testing.T) {
+	w := newTestCore(t, nil)
+	w.decide = func(ev forkhead.Event) []forkhead.Action {
+		if _, ok := ev.(forkhead.Received); ok {
+			return []forkhead.Action{forkhead.Probe{Machine: 1}}
+		}
+		return nil
+	}
+	w.step(GossipReceived{1, nil})
+	w.connectDialed()
+	first := sentLines[SendToHost](w.outputs)[0]
+	w.advance(150 * time.Millisecond)
+	for _, conn := range w.core.hosts[1].connections {
+		if conn.state == connectionDialing {
+			w.step(HostConnected{conn.id})
+		}
+	}
+	again := sentLines[SendToHost](w.outputs)
+	if len(again) != 1 || again[0] == first {
+		t.Fatalf("the probe is not sent again: %q", again)
+	}
+	ref := strings.Fields(again[0])[1]
+	w.step(fromHost(w.core.hosts[1].connections[1].id, `{"t":"hb_ok","ref":"`+ref+`","f":{"load":"x0:2"},"c":1}`))
+	if got := takeEvents[forkhead.Probed](w); len(got) != 1 || got[0].Result != forkhead.OK || got[0].Report.AvailableCores != 2 {
+		t.Errorf("probed %+v", got)
+	}
+	w.step(GossipReceived{1, nil})
+	w.advance(300 * time.Millisecond)
+	if got := takeEvents[forkhead.Probed](w); len(got) != 1 || got[0].Result != forkhead.TimedOut {
+		t.Errorf("probed %+v", got)
+	}
+}
