--- a/internal/scheduler/core/explain.go
+++ b/internal/scheduler/core/explain.go
@@ -109,8 +109,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// domainWords are the domains as an outcome's reason has them.
-var domainWords = map[forkhead.Domain]string{
+// domainNames are the domains as an outcome's reason has them.
+var domainNames = map[forkhead.Domain]string{
 	forkhead.MachineDomain: "host", forkhead.CellDomain: "rack", forkhead.ZoneDomain: "zone",
 }
 
@@ -123,7 +123,7 @@
 	for domain := forkhead.MachineDomain; domain <= forkhead.ZoneDomain; domain++ {
 		maxTasks := limits[domain]
 		if maxTasks != 0 && c.countInDomain(r.service, domain, h) >= maxTasks {
-			return "at most " + strconv.Itoa(maxTasks) + " of the service in one " + domainWords[domain]
+			return "at most " + strconv.Itoa(maxTasks) + " of the service in one " + domainNames[domain]
 		}
 	}
 	return ""
--- a/internal/scheduler/core/hostconns.go
+++ b/internal/scheduler/core/hostconns.go
@@ -50,14 +50,14 @@
 
 // handleDisconnect hands the end of a host's connection on to all that depended on it.
 func (c *Core) handleDisconnect(h *host) {
-	h.synced, h.heldRefs = false, nil
+	h.synced, h.reportedRefs = false, nil
 	for _, a := range h.sortedAttempts() {
 		c.handleAttempt(a, attempt.ConnectionLost, attemptDetail{})
 	}
 	c.failProbes(h)
 	h.lostTimerSeq++
 	c.addHostTimer(h, timerHostLost, c.settings.Links.LostAfter, h.lostTimerSeq)
-	c.settleIfGone(h)
+	c.settleIfUnreachable(h)
 }
 
 // handleHostRestart settles the attempts of a host's earlier incarnations.
@@ -110,42 +110,42 @@
 		return
 	}
 	h.lostTimerSeq++
-	h.expectedHeld, h.heldRefs = int(welcome.Count), map[hostproto.Ref]bool{}
+	h.unreportedTasks, h.reportedRefs = int(welcome.Count), map[hostproto.Ref]bool{}
 	c.addHostTimer(h, timerLiveness, c.settings.Links.LostAfter/2, uint64(h.connection.Conn))
 	c.handleDrain(h, welcome.Draining)
-	if h.expectedHeld == 0 {
+	if h.unreportedTasks == 0 {
 		c.completeSync(h)
 	}
 }
 
 // handleHolds takes a part of what a host has of this placer.
 func (c *Core) handleHolds(h *host, f hostproto.Holds) {
-	if h.synced || len(f.Held) > h.expectedHeld {
+	if h.synced || len(f.Held) > h.unreportedTasks {
 		c.closeForViolation(h, "more held tasks than it announced")
 		return
 	}
-	h.expectedHeld -= len(f.Held)
+	h.unreportedTasks -= len(f.Held)
 	for i := range f.Held {
-		c.handleHeld(h, &f.Held[i])
+		c.handleReportedTask(h, &f.Held[i])
 	}
-	if h.expectedHeld == 0 {
+	if h.unreportedTasks == 0 {
 		c.completeSync(h)
 	}
 }
 
-func (c *Core) handleHeld(h *host, held *hostproto.Held) {
-	h.heldRefs[held.Ref] = true
-	switch a := h.attempts[held.Ref]; {
-	case a != nil && held.Phase == hostproto.InLine:
-		c.sendFrame(h, hostproto.Withdraw{Ref: held.Ref}) // it was given up when the connection broke
-	case a != nil && held.Phase == hostproto.Starting:
+func (c *Core) handleReportedTask(h *host, reported *hostproto.Held) {
+	h.reportedRefs[reported.Ref] = true
+	switch a := h.attempts[reported.Ref]; {
+	case a != nil && reported.Phase == hostproto.InLine:
+		c.sendFrame(h, hostproto.Withdraw{Ref: reported.Ref}) // it was given up when the connection broke
+	case a != nil && reported.Phase == hostproto.Starting:
 		c.handleAttempt(a, attempt.ListedByHost, attemptDetail{})
 	case a != nil:
 		c.handleRunning(a, attempt.ListedByHost)
-	case held.Ref.Epoch < c.epoch:
-		c.handleInherited(h, held)
-	case held.Ref.Epoch == c.epoch:
-		c.sendFrame(h, hostproto.Stop{Ref: held.Ref}) // its request is long over
+	case reported.Ref.Epoch < c.epoch:
+		c.handleInherited(h, reported)
+	case reported.Ref.Epoch == c.epoch:
+		c.sendFrame(h, hostproto.Stop{Ref: reported.Ref}) // its request is long over
 	}
 }
 
@@ -165,11 +165,11 @@
 		case phase == attempt.Placed && a.request.replica.stopRequested:
 			// Guards against a stop that was requested while its host was still naming what it holds.
 			c.sendStop(a)
-		case !phase.IsSettled() && !h.heldRefs[a.ref] && a.hostEpoch == h.connection.Epoch && a.conn != h.connection.Conn:
+		case !phase.IsSettled() && !h.reportedRefs[a.ref] && a.hostEpoch == h.connection.Epoch && a.conn != h.connection.Conn:
 			missing = append(missing, a.ref)
 		}
 	}
-	h.heldRefs = nil
+	h.reportedRefs = nil
 	c.sendQueries(h, missing)
 	if h.probeWanted {
 		h.probeWanted = false
--- /dev/null
+++ b/internal/scheduler/core/hostconns_test.go
@@ -0,0 +1,95 @@
+package core_test
+
+import (
+	"testing"
+	"time"
+
+	"forkhead/internal/emulator/hostmodel"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/verify/simulation"
+)
+
+// Hosts that die in the middle of a start, or after it and before they say so: safe tasks go
+// elsewhere, and each gets one outcome.
+func TestCoreRetriesSafeTasksOfDeadHosts(t *testing.T) {
+	for name, point := range map[string]hostmodel.Point{"mid look": hostmodel.MidLook, "mid start": hostmodel.MidStart, "after bind": hostmodel.AfterBind} {
+		t.Run(name, func(t *testing.T) {
+			s := simulation.New(t, simulation.Settings(t, ""), 6)
+			for _, h := range s.Names[:3] {
+				s.Hosts[h].Life.DieAt(point)
+			}
+			out := s.Await(s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 12}}}"), 20*time.Second)
+			if simulation.Count(out, core.OutcomePlaced) != 12 {
+				t.Fatalf("outcomes: %+v", out)
+			}
+			s.Clean()
+		})
+	}
+}
+
+// A host that falls silent without a reset is noticed; harmless tasks go elsewhere, and when it comes back what it still
+// runs is stopped.
+func TestCoreReplacesSafeTasksOfUnresponsiveHost(t *testing.T) {
+	s := simulation.New(t, simulation.Settings(t, ""), 4)
+	out := s.Await(s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 4}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}"), 5*time.Second)
+	victim := out["web/1"].Host
+	s.Hosts[victim].Mute = true
+	s.Run(8 * time.Second)
+	unsafe := 0
+	for _, o := range s.Offers {
+		if o.Offer.Spec.Class == "ledger" {
+			unsafe++
+		}
+	}
+	if unsafe != 4 {
+		t.Fatalf("%d offers of four unsafe tasks", unsafe)
+	}
+	s.Hosts[victim].Mute = false
+	s.Run(8 * time.Second)
+	running := s.Running()
+	if running != 8 {
+		t.Fatalf("%d tasks run, want 8", running)
+	}
+	s.Clean()
+}
+
+// A host reports that it drains while offers are in flight and while a retry waits: nothing new reaches it after the
+// grace.
+func TestCoreSendsNothingToDrainingHostAfterTheGrace(t *testing.T) {
+	s := simulation.New(t, simulation.Settings(t, ""), 3)
+	s.Delay = 20 * time.Millisecond
+	s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 20}}}")
+	s.Run(25 * time.Millisecond)
+	told := s.Now
+	s.HostOut("h1", s.Hosts["h1"].Life.Drain(s.Now, true, false))
+	s.Run(10 * time.Second)
+	for _, o := range s.Offers {
+		if o.Host == "h1" && o.At > told+s.Delay+s.Settings.Module.DrainGrace {
+			t.Fatalf("an offer to h1 %v after it drains", o.At-told)
+		}
+	}
+	s.Clean()
+}
+
+// A host that flaps under one name with a new epoch each time: no task has two outcomes, none is
+// lost, and the tables are empty once the project is gone.
+func TestCoreForgetsEverythingAfterFlappingHost(t *testing.T) {
+	s := simulation.New(t, simulation.Settings(t, ""), 4)
+	id := s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 30}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}")
+	for range 10 {
+		s.Run(300 * time.Millisecond)
+		s.Kill("h1")
+		s.Run(150 * time.Millisecond)
+		s.Revive("h1", false)
+	}
+	if out := s.Await(id, 30*time.Second); len(out) != 34 {
+		t.Fatalf("%d outcomes", len(out))
+	}
+	s.Run(10 * time.Second)
+	s.Step(core.RemoveProject{Request: 2, Project: "p"})
+	s.Run(5 * time.Second)
+	if held := s.Core.TableSizes(); held != (core.TableSizes{Hosts: held.Hosts}) {
+		t.Fatalf("left over: %+v", held)
+	}
+	s.Clean()
+}
--- a/internal/scheduler/core/hostlist.go
+++ b/internal/scheduler/core/hostlist.go
@@ -43,7 +43,7 @@
 		}
 	}
 	c.notifyModule(update)
-	c.forgetGoneHosts()
+	c.forgetUnusedHosts()
 	if list.Mode == forkhead.ListSnapshot {
 		c.persistHostList(list.Hosts)
 	}
@@ -68,9 +68,9 @@
 		}
 		h := c.hosts[entry.Name]
 		if h == nil {
-			var gone []forkhead.Machine
-			h, gone = c.addHost(entry.Name)
-			renumbered = append(renumbered, gone...)
+			var others []forkhead.Machine
+			h, others = c.addHost(entry.Name)
+			renumbered = append(renumbered, others...)
 		}
 		if inList[h] {
 			c.log("the list names host %s twice; the first entry counts", entry.Name)
@@ -100,18 +100,18 @@
 func (c *Core) delistHost(h *host, mode forkhead.ListMode) {
 	if h.restored && mode == forkhead.ListSnapshot {
 		h.restored = false
-		c.settleIfGone(h)
+		c.settleIfUnreachable(h)
 	}
 	if h.listed {
 		h.listed = false
 		c.handleConnection(h, hostconn.Input{Kind: hostconn.Delisted})
-		c.settleIfGone(h)
+		c.settleIfUnreachable(h)
 	}
 }
 
-// settleIfGone settles the attempts at a host that has left the list and is out of reach: being taken off the list is the
+// settleIfUnreachable settles the attempts at a host that has left the list and is out of reach: being taken off the list is the
 // operator's word that it is gone.
-func (c *Core) settleIfGone(h *host) {
+func (c *Core) settleIfUnreachable(h *host) {
 	if h.listed || h.connection.State != hostconn.Down {
 		return
 	}
--- /dev/null
+++ b/internal/scheduler/core/hostlist_test.go
@@ -0,0 +1,47 @@
+package core_test
+
+import (
+	"testing"
+	"time"
+
+	"forkhead/internal/emulator/hostmodel"
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/verify/simulation"
+)
+
+// The list fails and comes back; the module polls again, and tasks wait meanwhile.
+func TestCoreWaitsWhileTheHostListFails(t *testing.T) {
+	s := simulation.New(t, simulation.Settings(t, ""), 0)
+	s.ListUp = false
+	s.List()
+	for i := range 3 {
+		s.AddHost(hostmodel.Default("late"+string(rune('a'+i)), "small", "a", "r", 8, 16))
+	}
+	id := s.Submit("", "services: {w: {}}")
+	s.Run(time.Second)
+	s.ListUp = true
+	if out := s.Await(id, 10*time.Second); simulation.Count(out, core.OutcomePlaced) != 1 {
+		t.Fatalf("outcomes: %+v", out)
+	}
+	s.Clean()
+}
+
+// Two hosts whose names hash to one number are told apart.
+func TestCoreRenumbersCollidingHosts(t *testing.T) {
+	hash := func(name string, salt uint32) uint32 {
+		if salt == 0 && (name == "h0" || name == "h1") {
+			return 42
+		}
+		return uint32(name[1]) + salt*1000
+	}
+	s := simulation.New(t, simulation.Settings(t, ""), 4, func(c *core.Config) { c.Hash = hash })
+	out := s.Await(s.Submit("", "services: {w: {deploy: {mode: global}}}"), 5*time.Second)
+	hosts := map[string]bool{}
+	for _, o := range out {
+		hosts[o.Host] = true
+	}
+	if len(hosts) != 4 {
+		t.Fatalf("placed at %v", hosts)
+	}
+	s.Clean()
+}
--- a/internal/scheduler/core/hosts.go
+++ b/internal/scheduler/core/hosts.go
@@ -29,13 +29,13 @@
 	reportsDraining bool          // by its own report, whatever the list says
 	drainingSince   time.Duration // when this placer was told that it drains or is gone
 
-	connection   hostconn.Connection
-	synced       bool                   // it has sent all that it has of this placer, on this connection
-	everSynced   bool                   // or on an earlier one
-	expectedHeld int                    // tasks that it still has to name before it is synced
-	heldRefs     map[hostproto.Ref]bool // those that it has named
-	lastFrameAt  time.Duration
-	lostTimerSeq uint64 // number of the timerHostLost that counts
+	connection      hostconn.Connection
+	synced          bool                   // it has sent all that it has of this placer, on this connection
+	everSynced      bool                   // or on an earlier one
+	unreportedTasks int                    // tasks that it still has to name before it is synced
+	reportedRefs    map[hostproto.Ref]bool // those that it has named
+	lastFrameAt     time.Duration
+	lostTimerSeq    uint64 // number of the timerHostLost that counts
 
 	attempts     map[hostproto.Ref]*taskAttempt // that are not settled
 	probesSentAt map[uint32]time.Duration       // unanswered probes of the module, by number
@@ -136,16 +136,16 @@
 	}
 	id, _ := c.hostIDs.Number(name)
 	delete(c.hostsByID, oldID)
-	gone := h.forModule()
-	gone.ID, gone.State = oldID, forkhead.Removed
+	removed := h.forModule()
+	removed.ID, removed.State = oldID, forkhead.Removed
 	h.id = forkhead.MachineID(id)
 	c.hostsByID[h.id] = h
 	c.log("two hosts have one number, %d; %s is %d from now on", oldID, name, id)
-	return []forkhead.Machine{gone}
+	return []forkhead.Machine{removed}
 }
 
-// forgetGoneHosts forgets the hosts that are not listed, not connected, and have nothing of this placer.
-func (c *Core) forgetGoneHosts() {
+// forgetUnusedHosts forgets the hosts that are not listed, not connected, and have nothing of this placer.
+func (c *Core) forgetUnusedHosts() {
 	for name, h := range c.hosts {
 		if !h.listed && h.connection.State == hostconn.Down && len(h.attempts) == 0 {
 			delete(c.hosts, name)
--- a/internal/scheduler/core/orphans.go
+++ b/internal/scheduler/core/orphans.go
@@ -94,32 +94,32 @@
 }
 
 // handleInherited settles a task that a host has had since an earlier incarnation of this placer.
-func (c *Core) handleInherited(h *host, held *hostproto.Held) {
-	class, known := c.settings.Class(held.Spec.Class)
-	name, err := parseTaskName(held.Spec.Name)
+func (c *Core) handleInherited(h *host, reported *hostproto.Held) {
+	class, known := c.settings.Class(reported.Spec.Class)
+	name, err := parseTaskName(reported.Spec.Name)
 	switch {
 	case !known || errors.Is(err, errNameParts):
-		c.log("host %s runs %q, of a class or name unknown here; it is left alone", h.name, held.Spec.Name)
+		c.log("host %s runs %q, of a class or name unknown here; it is left alone", h.name, reported.Spec.Name)
 		return
 	case err != nil:
-		c.log("host %s runs %q, which has no number; it is left alone", h.name, held.Spec.Name)
+		c.log("host %s runs %q, which has no number; it is left alone", h.name, reported.Spec.Name)
 		return
 	}
 	if c.projects[name.project] == nil && c.removedProjects[name.project] {
-		c.sendFrame(h, hostproto.Stop{Ref: held.Ref}) // its project was removed before the earlier incarnation ended
+		c.sendFrame(h, hostproto.Stop{Ref: reported.Ref}) // its project was removed before the earlier incarnation ended
 		return
 	}
-	task := runningTask{host: h, ref: held.Ref, hostEpoch: h.connection.Epoch, conn: h.connection.Conn, rules: c.attemptRules(class)}
-	svc := c.inheritedService(name, held.Spec.Service)
+	task := runningTask{host: h, ref: reported.Ref, hostEpoch: h.connection.Epoch, conn: h.connection.Conn, rules: c.attemptRules(class)}
+	svc := c.inheritedService(name, reported.Spec.Service)
 	switch r := svc.replicas[name.replica]; {
 	case r != nil && svc.specLost:
-		c.stopInherited(r, h, held)
+		c.stopInherited(r, h, reported)
 	case r != nil:
-		c.settleInherited(r, held, task)
+		c.settleInherited(r, reported, task)
 	case svc.specLost:
-		c.adopt(c.newInheritedReplica(svc, name, held, class), task)
+		c.adopt(c.newInheritedReplica(svc, name, reported, class), task)
 	default:
-		c.sendFrame(h, hostproto.Stop{Ref: held.Ref}) // the description that is known has no such task
+		c.sendFrame(h, hostproto.Stop{Ref: reported.Ref}) // the description that is known has no such task
 	}
 }
 
@@ -140,18 +140,18 @@
 }
 
 // settleInherited adopts a running task for its replica, or stops it.
-func (c *Core) settleInherited(r *desiredReplica, held *hostproto.Held, task runningTask) {
+func (c *Core) settleInherited(r *desiredReplica, reported *hostproto.Held, task runningTask) {
 	h := task.host
-	if r.taskKey|1 != held.Spec.Key|1 { // the lowest bit is that of the generation
-		c.sendFrame(h, hostproto.Stop{Ref: held.Ref})
+	if r.taskKey|1 != reported.Spec.Key|1 { // the lowest bit is that of the generation
+		c.sendFrame(h, hostproto.Stop{Ref: reported.Ref})
 		return
 	}
 	wanted := (r.state == awaitingRequest || r.state == awaitingDependencies || r.state == requesting) && !r.removing
 	if !attempt.ShouldAdopt(wanted, r.hasAttemptInFlight()) {
-		c.stopInherited(r, h, held)
+		c.stopInherited(r, h, reported)
 		return
 	}
-	same := r.fingerprint == held.Spec.Fingerprint
+	same := r.fingerprint == reported.Spec.Fingerprint
 	c.adopt(r, task)
 	if !same {
 		c.log("%s runs on %s as an earlier make; submit the project again to replace it", r.name, h.name)
@@ -159,8 +159,8 @@
 }
 
 // newInheritedReplica adds a replica for a running task whose description is lost: what the host knows of the task stands for it.
-func (c *Core) newInheritedReplica(svc *service, name taskName, held *hostproto.Held, class int) *desiredReplica {
-	spec := &held.Spec
+func (c *Core) newInheritedReplica(svc *service, name taskName, reported *hostproto.Held, class int) *desiredReplica {
+	spec := &reported.Spec
 	r := &desiredReplica{
 		service: svc,
 		number:  name.replica,
@@ -186,12 +186,12 @@
 // stopInherited stops what a host has had since an earlier incarnation and its replica does not need. Until the host says
 // that it is over it may run, whether the Stop arrives or not: what must not run twice is not begun before. Guards against
 // a Stop that is lost with its connection, found by the simulation.
-func (c *Core) stopInherited(r *desiredReplica, h *host, held *hostproto.Held) {
+func (c *Core) stopInherited(r *desiredReplica, h *host, reported *hostproto.Held) {
 	// It began nobody knows when: nothing is left of the window in which hosts remember its key.
 	chosenAt := c.now - c.attemptRules(r.class).DedupWindow
-	task := runningTask{host: h, ref: held.Ref, hostEpoch: h.connection.Epoch, conn: h.connection.Conn}
+	task := runningTask{host: h, ref: reported.Ref, hostEpoch: h.connection.Epoch, conn: h.connection.Conn}
 	c.addUnknownAttempt(r, task, chosenAt)
-	c.sendFrame(h, hostproto.Stop{Ref: held.Ref})
+	c.sendFrame(h, hostproto.Stop{Ref: reported.Ref})
 }
 
 // addUnknownAttempt adds an attempt that an earlier incarnation made: until its host says what became of it, it may run.
--- a/internal/scheduler/core/saved_test.go
+++ b/internal/scheduler/core/restore_test.go
@@ -10,9 +10,9 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// back runs a durable placer until it has a list, then kills it with discovery silent, lets time pass, and begins another
-// life. h0 has left meanwhile.
-func back(t *testing.T, away time.Duration) *simulation.Sim {
+// restartWithoutDiscovery runs a durable placer until it has a list, then kills it with discovery silent, lets time pass,
+// and begins another incarnation. h0 has left meanwhile.
+func restartWithoutDiscovery(t *testing.T, away time.Duration) *simulation.Sim {
 	t.Helper()
 	s := simulation.NewDurable(t, simulation.Settings(t, "(saved-list (fresh 10s) (old 1h))"), 4)
 	s.Run(3 * time.Second)
@@ -35,14 +35,14 @@
 
 // A placer that comes back while discovery is silent places by the list that was kept, and sends nothing to the host that is
 // gone; whether the list is young or old, and where a clock was set back.
-func TestStartsWithoutDiscovery(t *testing.T) {
+func TestCorePlacesByTheSavedHostList(t *testing.T) {
 	for name, away := range map[string]time.Duration{"young": time.Second, "old": 30 * time.Minute, "of the future": -30 * time.Minute} {
-		t.Run(name, func(t *testing.T) { startsAlone(t, away) })
+		t.Run(name, func(t *testing.T) { testPlacesBySavedList(t, away) })
 	}
 }
 
-func startsAlone(t *testing.T, away time.Duration) {
-	s := back(t, away)
+func testPlacesBySavedList(t *testing.T, away time.Duration) {
+	s := restartWithoutDiscovery(t, away)
 	out := s.Await(s.Submit("k2", "name: second\nservices: {a: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}"), 20*time.Second)
 	if simulation.Count(out, core.OutcomePlaced) != 4 {
 		t.Errorf("%+v", out)
@@ -55,9 +55,9 @@
 	s.Clean()
 }
 
-// Old entries count only once their host has greeted; a list that is too old is refused, with how old it is.
-func TestOldListIsRefused(t *testing.T) {
-	s := back(t, 2*time.Hour)
+// Old entries count only once their host has greeted; a list that is too old is ignored, with how old it is.
+func TestCoreIgnoresTooOldHostList(t *testing.T) {
+	s := restartWithoutDiscovery(t, 2*time.Hour)
 	s.Run(2 * time.Second)
 	if st := s.Core.Status(); st.HostsReady != 0 || !strings.Contains(strings.Join(s.Logs, "\n"), "the list of hosts that was kept is 2h0m") {
 		t.Fatalf("%d hosts are ready; logs %v", st.HostsReady, s.Logs)
@@ -73,7 +73,7 @@
 }
 
 // A description, its outcomes and its key outlive the placer; what was removed stays removed, and is stopped where it shows.
-func TestNothingForgotten(t *testing.T) {
+func TestCoreRestoresProjectsAndOutcomes(t *testing.T) {
 	s := simulation.NewDurable(t, simulation.Settings(t, ""), 4)
 	text := "name: p\nservices: {a: {x-forkhead: {class: ledger}, deploy: {replicas: 2}}}"
 	id := s.Submit("key", text)
--- a/internal/scheduler/core/submissions.go
+++ b/internal/scheduler/core/submissions.go
@@ -54,7 +54,7 @@
 		return
 	}
 	tasks := c.countTasks(in.Description)
-	if rejected := c.makeRoom(tasks); rejected != nil {
+	if rejected := c.admit(tasks); rejected != nil {
 		c.reject(in.Request, rejected)
 		return
 	}
@@ -126,9 +126,9 @@
 	return tasks
 }
 
-// makeRoom returns a rejection if a submission of so many tasks exceeds a limit. It forgets the oldest complete submission
+// admit returns a rejection if a submission of so many tasks exceeds a limit. It forgets the oldest complete submission
 // where that lets the new one in.
-func (c *Core) makeRoom(tasks int) *Rejected {
+func (c *Core) admit(tasks int) *Rejected {
 	limits := &c.settings.Limits
 	if tasks > limits.PerSubmit {
 		return newRejection(statusRequestEntityTooLarge, "Too many tasks",
--- /dev/null
+++ b/internal/scheduler/core/updates_test.go
@@ -0,0 +1,62 @@
+package core_test
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"forkhead/internal/scheduler/core"
+	"forkhead/internal/verify/simulation"
+)
+
+// A project that is submitted again keeps what has not changed, replaces what has, one at a
+// time, and stops what it no longer has.
+func TestCoreUpdatesOneTaskAtATime(t *testing.T) {
+	for _, order := range []string{"stop-first", "start-first"} {
+		t.Run(order, func(t *testing.T) {
+			s := simulation.New(t, simulation.Settings(t, ""), 6)
+			text := func(image string, n string) string {
+				return "name: p\nservices:\n  web: {image: " + image + ", deploy: {replicas: " + n + ", update_config: {parallelism: 1, delay: 500ms, order: " + order + "}}}\n  old: {image: old}"
+			}
+			s.Await(s.Submit("", text("web:1", "3")), 5*time.Second)
+			start := s.Now
+			out := s.Await(s.Submit("", strings.Replace(text("web:2", "3"), "\n  old: {image: old}", "", 1)), 20*time.Second)
+			if simulation.Count(out, core.OutcomePlaced) != 3 || len(out) != 3 {
+				t.Fatalf("outcomes: %+v", out)
+			}
+			if took := s.Now - start; took < time.Second {
+				t.Fatalf("three tasks one at a time with 500ms between took %v", took)
+			}
+			s.Run(2 * time.Second)
+			running := s.Running()
+			if running != 3 {
+				t.Fatalf("%d run, want 3", running)
+			}
+			out = s.Await(s.Submit("", strings.Replace(text("web:2", "3"), "\n  old: {image: old}", "", 1)), 5*time.Second)
+			for _, o := range out {
+				if o.Reason != "it runs already" {
+					t.Fatalf("unchanged, and yet %+v", o)
+				}
+			}
+			s.Clean()
+		})
+	}
+}
+
+// An update whose first tasks cannot be placed is stopped; what was not yet replaced runs on.
+func TestCorePausesFailingUpdate(t *testing.T) {
+	s := simulation.New(t, simulation.Settings(t, ""), 2)
+	text := func(cpus string) string {
+		return "name: p\nservices: {web: {x-forkhead: {patience: 2s}, deploy: {replicas: 3, resources: {reservations: {cpus: '" + cpus + "'}}, update_config: {parallelism: 1}}}}"
+	}
+	s.Await(s.Submit("", text("1")), 5*time.Second)
+	out := s.Await(s.Submit("", text("40")), 20*time.Second)
+	if simulation.Count(out, core.OutcomeRejected) != 3 {
+		t.Fatalf("outcomes: %+v", out)
+	}
+	running := s.Running()
+	if running != 2 {
+		t.Fatalf("%d run, want the two that were not replaced", running)
+	}
+	s.Clean()
+}
