--- a/internal/server/placer/golden_test.go
+++ b/internal/server/placer/golden_test.go
@@ -61,7 +61,7 @@
 	checkGolden(t, "problems.txt", b.Bytes())
 }
 
-// A submission of several files has these keys, and what the front answers these.
+// A submission of several files has these keys, and what the HTTP server answers these.
 func TestBodiesGolden(t *testing.T) {
 	envelope := Envelope{
 		Files: []compose.File{{Name: "a.yaml", Text: "services: {}"}}, Others: []compose.File{{Name: "b.env", Text: "A=1"}},
--- a/internal/server/placer/hosts.go
+++ b/internal/server/placer/hosts.go
@@ -12,10 +12,9 @@
 // hostConn is one connection to a host, from its dial on. It is the handler of its netio.Conn, and the current one of its
 // host as long as Server.hosts holds it; events of any other are ignored.
 type hostConn struct {
-	server  *Server
-	host    string
-	address string // HOST:PORT
-	number  uint32 // as the core counts the connections of the host
+	server *Server
+	host   string
+	number uint32 // as the core counts the connections of the host
 
 	decoder hostproto.Decoder // of the poller's goroutine
 
@@ -27,7 +26,7 @@
 
 // dialHost starts to connect to a host. The core gets HostConnected or HostDisconnected.
 func (s *Server) dialHost(o core.DialHost) {
-	h := &hostConn{server: s, host: o.Host, address: o.Address, number: o.Conn}
+	h := &hostConn{server: s, host: o.Host, number: o.Conn}
 	s.hosts[o.Host] = h
 	s.engine.Dial(o.Address, s.settings.Links.Connect, maxHostWriteBuffer, h, func(c *netio.Conn, err error) {
 		s.loop.Post(func() { h.dialed(c, err) })
@@ -54,8 +53,8 @@
 // isCurrent reports whether this is the connection of its host that the core knows. It runs on the loop.
 func (h *hostConn) isCurrent() bool { return h.server.hosts[h.host] == h }
 
-// hostConn returns a connection by its number, or nil if the host has another one by now or none.
-func (s *Server) hostConn(host string, number uint32) *hostConn {
+// findHostConn returns a connection by its number, or nil if the host has another one by now or none.
+func (s *Server) findHostConn(host string, number uint32) *hostConn {
 	h := s.hosts[host]
 	if h == nil || h.number != number {
 		return nil
@@ -65,7 +64,7 @@
 
 // closeHost closes a connection for the core, which expects no answer.
 func (s *Server) closeHost(o core.CloseHostConnection) {
-	h := s.hostConn(o.Host, o.Conn)
+	h := s.findHostConn(o.Host, o.Conn)
 	if h == nil {
 		return
 	}
@@ -77,7 +76,7 @@
 
 // sendToHost buffers a frame until the end of the step.
 func (s *Server) sendToHost(o core.SendToHost) {
-	h := s.hostConn(o.Host, o.Conn)
+	h := s.findHostConn(o.Host, o.Conn)
 	if h == nil || h.conn == nil {
 		return
 	}
@@ -115,7 +114,7 @@
 			h.server.addInput(core.FrameReceived{Host: h.host, Conn: h.number, Frame: f})
 		}
 		if err != nil {
-			h.server.log.Warn().Str("host", h.host).Uint32("connection", h.number).Str("address", h.address).Err(err).
+			h.server.log.Warn().Str("host", h.host).Uint32("connection", h.number).Str("address", c.RemoteAddress()).Err(err).
 				Msg("invalid frame, connection closed")
 			_ = c.Write(hostproto.Append(nil, hostproto.Bye{Text: err.Error()}))
 			c.CloseWith(err)
