--- a/internal/cli/describe.go
+++ b/internal/cli/describe.go
@@ -150,12 +150,12 @@
 type outcomes struct {
 	app    *app
 	table  *tabwriter.Writer
-	counts map[string]int
+	counts map[core.OutcomeKind]int
 	err    error
 }
 
 func (a *app) outcomes() *outcomes {
-	o := &outcomes{app: a, counts: map[string]int{}}
+	o := &outcomes{app: a, counts: map[core.OutcomeKind]int{}}
 	if a.output == "text" {
 		o.table = tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
 		fmt.Fprintln(o.table, "SERVICE\tREPLICA\tOUTCOME\tHOST\tZONE\tRACK\tATTEMPTS\tTOOK\tREASON")
--- a/internal/scheduler/core/api.go
+++ b/internal/scheduler/core/api.go
@@ -143,42 +143,45 @@
 
 // Outcome is the one outcome that a submission gets for a task. Its JSON form is what clients read and what is persisted.
 type Outcome struct {
-	Service  string `json:"service"`
-	Replica  int    `json:"replica"` // from 1
-	Outcome  string `json:"outcome"` // OutcomePlaced, OutcomeRejected or OutcomeFailed
-	Host     string `json:"host"`    // "" unless the task was placed; likewise Zone and Rack
-	Zone     string `json:"zone"`
-	Rack     string `json:"rack"`
-	Reason   string `json:"reason"`
-	Attempts int    `json:"attempts"` // offers to hosts, over all placement requests
-	TookMS   int64  `json:"took_ms"`  // milliseconds since the submission was accepted
+	Service  string      `json:"service"`
+	Replica  int         `json:"replica"` // from 1
+	Outcome  OutcomeKind `json:"outcome"`
+	Host     string      `json:"host"` // "" unless the task was placed; likewise Zone and Rack
+	Zone     string      `json:"zone"`
+	Rack     string      `json:"rack"`
+	Reason   string      `json:"reason"`
+	Attempts int         `json:"attempts"` // offers to hosts, over all placement requests
+	TookMS   int64       `json:"took_ms"`  // milliseconds since the submission was accepted
 }
 
-// The values of Outcome.Outcome.
+// OutcomeKind is what became of a task. Its text is what clients read and what is persisted.
+type OutcomeKind string
+
+// The kinds of outcome.
 const (
-	OutcomePlaced   = "placed"
-	OutcomeRejected = "refused" // the task never ran: submitting it again is harmless
-	OutcomeFailed   = "failed"  // the task may have run
+	OutcomePlaced   OutcomeKind = "placed"
+	OutcomeRejected OutcomeKind = "refused" // the task never ran: submitting it again is harmless
+	OutcomeFailed   OutcomeKind = "failed"  // the task may have run
 )
 
 // Status is what a placer holds now, and what it has counted since it started.
 type Status struct {
-	Placer            int               `json:"placer"`
-	Epoch             uint64            `json:"epoch"`
-	Hosts             int               `json:"hosts"`       // in the list
-	HostsUp           int               `json:"hosts_up"`    // connected and greeted
-	HostsReady        int               `json:"hosts_ready"` // neither draining nor gone
-	Tasks             int               `json:"tasks"`
-	TasksPlaced       int               `json:"tasks_placed"`
-	TasksWaiting      int               `json:"tasks_waiting"`
-	AttemptsUnknown   int               `json:"attempts_unknown"` // they may have run, and their hosts haven't said
-	Submissions       int               `json:"submissions"`
-	PlacementRequests uint64            `json:"asks"`
-	Offers            uint64            `json:"offers"`
-	Outcomes          map[string]uint64 `json:"outcomes"` // by the values of Outcome.Outcome
-	Lost              uint64            `json:"lost"`     // placed tasks whose hosts were lost
-	Migrated          uint64            `json:"moved"`    // placed tasks that the module stopped
-	Vetoes            uint64            `json:"vetoes"`   // actions of the module that would have broken an invariant
-	VetoesByRule      map[string]uint64 `json:"vetoes_by_rule"`
-	Defects           uint64            `json:"defects"` // faults of this program that it found by itself
+	Placer            int                    `json:"placer"`
+	Epoch             uint64                 `json:"epoch"`
+	Hosts             int                    `json:"hosts"`       // in the list
+	HostsUp           int                    `json:"hosts_up"`    // connected and greeted
+	HostsReady        int                    `json:"hosts_ready"` // neither draining nor gone
+	Tasks             int                    `json:"tasks"`
+	TasksPlaced       int                    `json:"tasks_placed"`
+	TasksWaiting      int                    `json:"tasks_waiting"`
+	AttemptsUnknown   int                    `json:"attempts_unknown"` // they may have run, and their hosts haven't said
+	Submissions       int                    `json:"submissions"`
+	PlacementRequests uint64                 `json:"asks"`
+	Offers            uint64                 `json:"offers"`
+	Outcomes          map[OutcomeKind]uint64 `json:"outcomes"`
+	Lost              uint64                 `json:"lost"`   // placed tasks whose hosts were lost
+	Migrated          uint64                 `json:"moved"`  // placed tasks that the module stopped
+	Vetoes            uint64                 `json:"vetoes"` // actions of the module that would have broken an invariant
+	VetoesByRule      map[string]uint64      `json:"vetoes_by_rule"`
+	Defects           uint64                 `json:"defects"` // faults of this program that it found by itself
 }
--- a/internal/scheduler/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -121,7 +121,7 @@
 		submissions:      map[string]*submission{},
 		submissionsByKey: map[string]*submission{},
 
-		status: Status{Placer: set.Module.Self, Epoch: cfg.Epoch, Outcomes: map[string]uint64{}, VetoesByRule: map[string]uint64{}},
+		status: Status{Placer: set.Module.Self, Epoch: cfg.Epoch, Outcomes: map[OutcomeKind]uint64{}, VetoesByRule: map[string]uint64{}},
 	}, nil
 }
 
--- a/internal/scheduler/core/replicas.go
+++ b/internal/scheduler/core/replicas.go
@@ -153,9 +153,9 @@
 func (c *Core) giveUp(r *desiredReplica) {
 	rules := c.attemptRules(r.class)
 	unknown := c.unknownAttempts[r.taskKey]
-	outcome := OutcomeRejected
+	kind := OutcomeRejected
 	if !rules.RejectionIsHarmless(r.rejected, r.offerCount > 0, len(unknown)) {
-		outcome = OutcomeFailed
+		kind = OutcomeFailed
 	}
 	if len(unknown) > 0 && !rules.RetryIsHarmless() {
 		var names []string
@@ -165,7 +165,7 @@
 		slices.Sort(names)
 		r.reason = "an attempt at " + strings.Join(names, ", ") + " may have run, and nothing was heard of it since"
 	}
-	c.reportOutcome(r, outcome, nil, r.reason)
+	c.reportOutcome(r, kind, nil, r.reason)
 	r.service.failureReason = r.reason
 	c.removeReplica(r)
 }
--- a/internal/scheduler/core/restore.go
+++ b/internal/scheduler/core/restore.go
@@ -20,19 +20,19 @@
 }
 
 // durableTask is what is persisted of a replica.
-func (r *desiredReplica) durableTask(outcome string, isFinished bool) durable.Task {
+func (r *desiredReplica) durableTask(kind OutcomeKind, isFinished bool) durable.Task {
 	return durable.Task{
-		Project: r.service.project.name, Service: r.service.name, Replica: r.number, Outcome: outcome, Finished: isFinished,
+		Project: r.service.project.name, Service: r.service.name, Replica: r.number, Outcome: string(kind), Finished: isFinished,
 	}
 }
 
 // persistFinished records that a replica has ended for good.
 func (c *Core) persistFinished(r *desiredReplica) {
-	outcome := OutcomeFailed
+	kind := OutcomeFailed
 	if r.succeeded {
-		outcome = OutcomePlaced
+		kind = OutcomePlaced
 	}
-	c.persist(durable.TaskFinished{Task: r.durableTask(outcome, true)})
+	c.persist(durable.TaskFinished{Task: r.durableTask(kind, true)})
 }
 
 // persistAttempt records an attempt that must not be made twice. A safe one is not recorded: to make it again does no
@@ -153,7 +153,7 @@
 		p.services[spec.Name] = svc
 		for number := 1; number <= spec.Replicas; number++ {
 			task, reported := tasks[taskName{project: p.name, service: spec.Name, replica: number}]
-			if reported && task.Finished && task.Outcome != OutcomePlaced {
+			if reported && task.Finished && OutcomeKind(task.Outcome) != OutcomePlaced {
 				svc.failureReason = "was not placed"
 				continue
 			}
--- a/internal/scheduler/core/submissions.go
+++ b/internal/scheduler/core/submissions.go
@@ -208,7 +208,7 @@
 
 // reportOutcome adds the outcome that is owed for a replica to its submission. It does nothing if none is owed. h is where
 // the replica was placed, or nil.
-func (c *Core) reportOutcome(r *desiredReplica, outcome string, h *host, reason string) {
+func (c *Core) reportOutcome(r *desiredReplica, kind OutcomeKind, h *host, reason string) {
 	pending := r.pending
 	if pending == nil {
 		return
@@ -217,7 +217,7 @@
 	o := Outcome{
 		Service:  r.service.name,
 		Replica:  r.number,
-		Outcome:  outcome,
+		Outcome:  kind,
 		Reason:   reason,
 		Attempts: r.offerCount,
 		TookMS:   (c.now - pending.since).Milliseconds(),
@@ -226,7 +226,7 @@
 		o.Host, o.Zone, o.Rack = h.name, h.entry.Zone, h.entry.Rack
 	}
 	r.offerCount = 0
-	c.status.Outcomes[outcome]++
+	c.status.Outcomes[kind]++
 	c.addOutcome(pending.submission, r, o)
 }
 
--- a/internal/server/placer/golden_test.go
+++ b/internal/server/placer/golden_test.go
@@ -72,7 +72,7 @@
 	}
 	status := core.Status{
 		Placer: 1, Epoch: 2, Hosts: 3, HostsUp: 4, HostsReady: 5, Tasks: 6, TasksPlaced: 7, TasksWaiting: 8, AttemptsUnknown: 9, Submissions: 10, PlacementRequests: 11, Offers: 12,
-		Outcomes: map[string]uint64{core.OutcomePlaced: 13, core.OutcomeRejected: 14, core.OutcomeFailed: 15}, Lost: 16, Migrated: 17, Vetoes: 18,
+		Outcomes: map[core.OutcomeKind]uint64{core.OutcomePlaced: 13, core.OutcomeRejected: 14, core.OutcomeFailed: 15}, Lost: 16, Migrated: 17, Vetoes: 18,
 		VetoesByRule: map[string]uint64{"drain": 19}, Defects: 20,
 	}
 	var b bytes.Buffer
--- a/internal/server/store/golden_test.go
+++ b/internal/server/store/golden_test.go
@@ -115,7 +115,7 @@
 				t.Fatal(err)
 			}
 			records = append(records, durable.OutcomeReported{SubmissionID: s.ID, Index: index, Outcome: text, Task: durable.Task{
-				Project: s.Project, Service: o.Service, Replica: o.Replica, Outcome: o.Outcome,
+				Project: s.Project, Service: o.Service, Replica: o.Replica, Outcome: string(o.Outcome),
 			}})
 		}
 	}
--- a/internal/verify/chaos/badday.go
+++ b/internal/verify/chaos/badday.go
@@ -163,8 +163,8 @@
 	for rule := invariant.OneAnswer; rule <= invariant.Spread; rule++ {
 		r.Rules[rule.String()] = v.Counts[rule]
 	}
-	for _, word := range []string{core.OutcomePlaced, core.OutcomeRejected, core.OutcomeFailed} {
-		r.Outcomes[word] += 0
+	for _, kind := range []core.OutcomeKind{core.OutcomePlaced, core.OutcomeRejected, core.OutcomeFailed} {
+		r.Outcomes[string(kind)] += 0
 	}
 	return r, nil
 }
@@ -267,7 +267,7 @@
 	sub.OnOutcome = func(o core.Outcome) {
 		p.log.Add(capture.Event{
 			At: p.c.Clock.Now(), What: capture.Outcome, Placer: placerIndex, Submission: current,
-			Name: fmt.Sprintf("%s/%d", o.Service, o.Replica), Result: o.Outcome, Took: time.Duration(o.TookMS) * time.Millisecond,
+			Name: fmt.Sprintf("%s/%d", o.Service, o.Replica), Result: string(o.Outcome), Took: time.Duration(o.TookMS) * time.Millisecond,
 		})
 	}
 	e := &placer.Envelope{Project: name, Files: []compose.File{{Name: name + ".yaml", Text: pr.text}}}
--- a/internal/verify/rules/golden_test.go
+++ b/internal/verify/rules/golden_test.go
@@ -47,8 +47,8 @@
 	facts := FactsOf(s.Settings, float64(s.Host.Starts)/s.Host.Start.Seconds())
 	facts.Durable = s.Durable
 	v := Check(events, facts)
-	for _, word := range []string{core.OutcomePlaced, core.OutcomeRejected, core.OutcomeFailed} {
-		v.Outcomes[word] += 0 // the kept result names all of them
+	for _, kind := range []core.OutcomeKind{core.OutcomePlaced, core.OutcomeRejected, core.OutcomeFailed} {
+		v.Outcomes[string(kind)] += 0 // the kept result names all of them
 	}
 	return v
 }
--- a/internal/verify/simulation/durable.go
+++ b/internal/verify/simulation/durable.go
@@ -28,7 +28,7 @@
 type followed struct {
 	id    string
 	tasks int
-	told  map[string]string
+	told  map[string]core.OutcomeKind
 }
 
 // PlayDurable plays a life whose placer is killed again and again, at each point of a step that notes something and while
@@ -100,7 +100,7 @@
 			taken := len(s.Taken)
 			s.Step(core.Submit{Request: 1, IdempotencyKey: fmt.Sprintf("k%d", n), BodyHash: 1, Description: s.Parse(text)})
 			if len(s.Taken) > taken {
-				subs = append(subs, &followed{s.Taken[taken].Submission, tasks, map[string]string{}})
+				subs = append(subs, &followed{s.Taken[taken].Submission, tasks, map[string]core.OutcomeKind{}})
 			}
 		case 3:
 			s.Cut(name)
--- a/internal/verify/simulation/sim.go
+++ b/internal/verify/simulation/sim.go
@@ -574,11 +574,11 @@
 	return n
 }
 
-// Count counts the outcomes of a word.
-func Count(out map[string]core.Outcome, word string) int {
+// Count counts the outcomes of a kind.
+func Count(out map[string]core.Outcome, kind core.OutcomeKind) int {
 	n := 0
 	for _, o := range out {
-		if o.Outcome == word {
+		if o.Outcome == kind {
 			n++
 		}
 	}
