--- a/internal/server/platform/owners_test.go
+++ b/internal/server/platform/owners_test.go
@@ -102,3 +102,24 @@
 		t.Errorf("%d bytes of %d came, then %v", n, written, err)
 	}
 }
+
+// Connections that wait in the accept queue when the listener is to close are accepted.
+func TestOwnerConnectionsCloseListenerTakesTheAcceptQueue(t *testing.T) {
+	s := startWithHost(t, newTestHost(t, 0, 1))
+	var taken []*connectionSlot
+	for range cap(s.owners.slots) {
+		taken = append(taken, s.owners.slots.acquire(t.Context()))
+	}
+	var owners []*testOwner // the first waits for a slot, the others behind it
+	for range 5 {
+		owners = append(owners, newTestOwner(t, s.Address()))
+	}
+	time.Sleep(50 * time.Millisecond) // the first is accepted
+	s.loop.Call(func() { s.execute(platformcore.CloseListener{}) })
+	for _, slot := range taken {
+		slot.release()
+	}
+	for _, o := range owners {
+		o.probe(t)
+	}
+}
--- a/internal/server/platform/shutdown_test.go
+++ b/internal/server/platform/shutdown_test.go
@@ -67,3 +67,39 @@
 		<-s.ShutdownComplete()
 	}
 }
+
+// A shutdown is complete when the core has shut down and owners have everything, or at the flush timeout.
+func TestShutdownFlushTimeout(t *testing.T) {
+	isComplete := func(s *shutdown) bool {
+		select {
+		case <-s.complete:
+			return true
+		default:
+			return false
+		}
+	}
+	flushed, unsent := func() bool { return true }, func() bool { return false }
+	const start = time.Hour
+	early := newShutdown()
+	early.update(start, flushed)
+	if isComplete(early) {
+		t.Error("it is complete before the core has shut down")
+	}
+	early.coreComplete(start)
+	early.update(start, flushed)
+	early.update(start, flushed) // which must not close the channel again
+	if !isComplete(early) {
+		t.Error("it is not complete though owners have everything")
+	}
+	late := newShutdown()
+	late.coreComplete(start)
+	late.coreComplete(start + time.Second) // which must not put it off
+	late.update(start+flushTimeout-1, unsent)
+	if isComplete(late) {
+		t.Error("it is complete before the flush timeout")
+	}
+	late.update(start+flushTimeout, unsent)
+	if !isComplete(late) {
+		t.Error("it is not complete at the flush timeout")
+	}
+}
--- a/internal/server/platform/watch_test.go
+++ b/internal/server/platform/watch_test.go
@@ -136,7 +136,9 @@
 // A new address, while the old one breaks off in the middle of an event or goes on sending, is polled behind the last event
 // that counts, and what the old one sends after that does not count.
 func TestWatcherChangeOfAddress(t *testing.T) {
-	for _, breaksOff := range []bool{true, false} {
+	const rounds = 10 // which of the two comes first is not the test's to choose
+	for round := range 2 * rounds {
+		breaksOff := round%2 == 0
 		sent, changed := make(chan struct{}), make(chan struct{})
 		oldAddress := scriptedWatch(t,
 			func(s watchStream) {
