--- a/internal/scheduler/platform/api.go
+++ b/internal/scheduler/platform/api.go
@@ -29,8 +29,8 @@
 	MaxOwnerConnections int
 	MaxHostConnections  int
 	MaxConnections      int
-	// ProtectedOwnerConnections is how many connections of owners make no room for connections to hosts; 0: none makes
-	// room.
+	// ProtectedOwnerConnections is how many connections of owners are never closed in favor of connections to hosts; 0: all
+	// that there may be.
 	ProtectedOwnerConnections int
 
 	// Decide takes the module's place, for tests; nil: the module decides.
@@ -59,7 +59,7 @@
 	// HostConnected says that a DialHost has succeeded.
 	HostConnected struct{ Connection ConnectionID }
 	// DialFailed says that a DialHost has failed. Refused proves that nothing listens there. Local means that this process
-	// could not try, which says nothing about the host.
+	// could not try, which shows nothing about the host.
 	DialFailed struct {
 		Connection ConnectionID
 		Refused    bool
@@ -132,7 +132,7 @@
 	}
 	// CloseListener stops accepting connections of owners.
 	CloseListener struct{}
-	// ShutdownComplete says that nobody is owed anything any more: the process may end. It may come more than once.
+	// ShutdownComplete says that nobody waits for an answer any more: the process may end. It may come more than once.
 	ShutdownComplete struct{}
 )
 
--- a/internal/scheduler/platform/attempt.go
+++ b/internal/scheduler/platform/attempt.go
@@ -51,7 +51,7 @@
 		return
 	}
 	a := c.startAttempt(r, h)
-	if action.Timeout > 0 && action.Timeout < r.timeLeft(c.now) {
+	if action.Timeout > 0 && action.Timeout < r.untilDeadline(c.now) {
 		c.addDeadline(c.now+action.Timeout, r.id)
 	}
 	c.assignConnection(a)
@@ -141,7 +141,7 @@
 	a.connection.inFlight++
 	a.connection.lastSentAt = c.now
 	r.lifecycle.Handle(a.number, attempt.OfferWritten)
-	c.emit(SendToHost{Connection: a.connection.id, Line: offerMessage(r, r.timeLeft(c.now))})
+	c.emit(SendToHost{Connection: a.connection.id, Line: offerMessage(r, r.untilDeadline(c.now))})
 }
 
 // mayStillSend says whether an offer that was queued may be sent: meanwhile its owner may have left, its host may drain,
@@ -167,7 +167,7 @@
 		return
 	}
 	r := a.request
-	a.leaveConnection()
+	a.detach()
 	r.lifecycle.Handle(a.number, end.input)
 	c.removeAttempt(a)
 	c.notifyModule(forkhead.Outcome{
@@ -179,8 +179,8 @@
 	}
 }
 
-// leaveConnection takes an attempt off its connection: it is neither in flight nor queued there any more.
-func (a *taskAttempt) leaveConnection() {
+// detach takes an attempt off its connection: it is neither in flight nor queued there any more.
+func (a *taskAttempt) detach() {
 	conn := a.connection
 	if conn == nil {
 		return
--- a/internal/scheduler/platform/connection.go
+++ b/internal/scheduler/platform/connection.go
@@ -34,7 +34,7 @@
 	state          connectionState
 	purpose        connectionPurpose
 	halfClosedAt   time.Duration
-	lines          lineReader
+	reader         lineReader
 	lastReceivedAt time.Duration
 	lastSentAt     time.Duration  // an offer or a probe, or it was dialed or connected
 	inFlight       int            // offers sent and not answered
@@ -55,7 +55,7 @@
 	return len(conn.host.connections) == 1 && conn.host.hasPlacedTasks()
 }
 
-// isEvictedBefore says whether an idle connection is closed before another one to make room: those that are not needed
+// isEvictedBefore says whether an idle connection is closed before another one to free a slot: those that are not needed
 // go first, then those that have not been used for longer.
 func (conn *hostConnection) isEvictedBefore(other *hostConnection) bool {
 	if needed := conn.isNeeded(); needed != other.isNeeded() {
@@ -108,9 +108,9 @@
 
 // ---- Dialing.
 
-// dial dials a host; nil: there is no room for a further connection.
+// dial dials a host; nil: all connection slots are taken.
 func (c *Core) dial(h *host, purpose connectionPurpose) *hostConnection {
-	if !c.makeRoomForHost(h) {
+	if !c.acquireHostSlot(h) {
 		return nil
 	}
 	c.lastConnection++
@@ -191,8 +191,8 @@
 	h := conn.host
 	switch {
 	case refused && h.leastBusyConnection() != nil:
-		// The machine answers, and its process holds our connections: it drains, or accepts no more. Guards against giving
-		// up the tasks of a host that only refuses new connections.
+		// The machine answers, and its process holds our connections: it drains, or accepts no more. Guards against losing
+		// the tasks of a host that only refuses new connections.
 		h.lastReceivedAt = c.now
 	case refused:
 		h.refusedDials++
@@ -213,17 +213,17 @@
 	}
 }
 
-// ---- Room for connections.
+// ---- Connection slots.
 
-// usedHostConnections is how many connections to hosts count against the room: all but a few that are half-closed.
+// usedHostConnections is how many connections to hosts take a slot: all but a few that are half-closed.
 func (c *Core) usedHostConnections() int {
 	return len(c.connections) - min(len(c.halfClosed), maxHalfClosed)
 }
 
-// makeRoomForHost makes room for one more connection to a host: an idle one to another host is evicted, else one of the
-// owners beyond those that are protected. It guards against descriptors that run out: neither hosts nor owners nor the
+// acquireHostSlot frees a slot for one more connection to a host, if need be: an idle one to another host is evicted, else
+// one of the owners beyond those that are protected. It guards against descriptors that run out: neither hosts nor owners nor the
 // endpoint list could then be reached any more.
-func (c *Core) makeRoomForHost(h *host) bool {
+func (c *Core) acquireHostSlot(h *host) bool {
 	used := c.usedHostConnections()
 	if used < c.config.MaxHostConnections && used+len(c.owners) < c.config.MaxConnections {
 		return true
--- a/internal/scheduler/platform/doc.go
+++ b/internal/scheduler/platform/doc.go
@@ -6,13 +6,14 @@
 // It reads no clock, opens no socket and starts no goroutine, and is not safe for concurrent use.
 //
 //	api.go, limits.go, log.go    configuration, inputs, outputs; bounds; log lines
-//	core.go, reconcile.go        one step; what only time brings, shutdown included
+//	core.go, reconcile.go        one step; what only time brings
+//	shutdown.go                  the end of the placer
 //	request.go, attempt.go       placement requests and the attempts to place them
 //	placed.go                    the end of placed tasks: by owner, module or host, and by a host's loss
 //	host.go, endpoints.go        hosts, and the endpoint list that names them
 //	connection.go                connections to hosts: capacity, dialing, loss
 //	hostmessages.go, probe.go    what hosts send; probes of hosts
-//	unresponsive.go              hosts that send nothing, are gone or were never listed
+//	unresponsive.go              hosts that send nothing, are removed or were never listed
 //	owner.go, ownermessages.go   connections of owners; what they send
 //	decode.go, handover.go       placement requests read from messages; tasks that run already
 //	messages.go, undelivered.go  what is sent; what no owner's connection could take yet
--- a/internal/scheduler/platform/endpoints.go
+++ b/internal/scheduler/platform/endpoints.go
@@ -129,7 +129,7 @@
 		c.handleHostRestart(h, entry.StartedAt)
 	}
 	if entry.State == forkhead.Removed || address != "" && address != h.address {
-		c.leaveAddress(h, entry.State)
+		c.closeOutdatedConnections(h, entry.State)
 	}
 	if address != "" {
 		h.address = address
@@ -146,9 +146,9 @@
 	h.redialBackoff, h.redialAt, h.refusedDials = 0, 0, 0
 }
 
-// leaveAddress closes the connections to a host that has another address now, or is removed: a removed one may still
+// closeOutdatedConnections closes the connections to a host that has another address now, or is removed: a removed one may still
 // answer what is in flight.
-func (c *Core) leaveAddress(h *host, state forkhead.MachineState) {
+func (c *Core) closeOutdatedConnections(h *host, state forkhead.MachineState) {
 	for _, conn := range slices.Clone(h.connections) {
 		switch {
 		case conn.isIdle():
--- a/internal/scheduler/platform/hostmessages.go
+++ b/internal/scheduler/platform/hostmessages.go
@@ -21,7 +21,7 @@
 		return
 	}
 	conn.lastReceivedAt, conn.host.lastReceivedAt = c.now, c.now
-	err := conn.lines.feed(c.now, input.Data, func(line []byte) error {
+	err := conn.reader.feed(c.now, input.Data, func(line []byte) error {
 		m, err := platform.Decode(line)
 		if err != nil {
 			return err
@@ -89,7 +89,7 @@
 func (c *Core) bind(a *taskAttempt, description []byte) {
 	r := a.request
 	c.closeOvertaken(a)
-	a.leaveConnection()
+	a.detach()
 	if r.phase != requestOpen {
 		return
 	}
--- a/internal/scheduler/platform/limits.go
+++ b/internal/scheduler/platform/limits.go
@@ -36,7 +36,7 @@
 	maxConnectionsPerHost int = 8
 	// maxAttemptsPerConnection bounds the attempts in flight and queued on one connection. A further one fails.
 	maxAttemptsPerConnection int = 32
-	// maxHalfClosed is how many half-closed connections do not count against the room for others.
+	// maxHalfClosed is how many half-closed connections take no slot of others.
 	maxHalfClosed int = 4
 	// halfClosedTimeout is how long a half-closed connection is read at most.
 	halfClosedTimeout = time.Second
@@ -58,7 +58,7 @@
 	probeRetryAfter = 120 * time.Millisecond
 	// unresponsiveAfter is how long a host with placed tasks may send nothing before it is dialed, and dialed again.
 	unresponsiveAfter = time.Second
-	// lostAfter is when such a host is lost, if no connection to it could be made: in time to tell the owners.
+	// lostAfter is when such a host is lost, if no connection to it could be made: in time to release its tasks to their owners.
 	lostAfter = undeliveredTimeout - 500*time.Millisecond
 	// lastDialBeforeLoss is how long before its loss a host is dialed once more, whatever its backoff.
 	lastDialBeforeLoss = 500 * time.Millisecond
@@ -68,7 +68,7 @@
 	forgetHostAfter = 30 * time.Second
 	// maxUnlistedHosts bounds the hosts that are known by their owners' messages alone.
 	maxUnlistedHosts int = 1024
-	// unlistedTimeout is how long such a host may take to be listed: misbehaving clients are owed an answer in 3 s.
+	// unlistedTimeout is how long such a host may take to be listed: misbehaving clients must have an answer in 3 s.
 	unlistedTimeout = 2500 * time.Millisecond
 	// stopTimeout is how long a host's answer to the stop of a task is awaited; then the task counts as stopped.
 	stopTimeout = time.Second
--- /dev/null
+++ b/internal/scheduler/platform/log_test.go
@@ -0,0 +1,62 @@
+package platform
+
+import (
+	"errors"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"log/slog"
+	"os"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// logTexts are the constants of log.go whose name begins with a prefix, by their name.
+func logTexts(t *testing.T, prefix string) map[string]string {
+	t.Helper()
+	file, err := parser.ParseFile(token.NewFileSet(), "log.go", nil, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	texts := map[string]string{}
+	ast.Inspect(file, func(node ast.Node) bool {
+		spec, ok := node.(*ast.ValueSpec)
+		if !ok || !strings.HasPrefix(spec.Names[0].Name, prefix) {
+			return true
+		}
+		text, err := strconv.Unquote(spec.Values[0].(*ast.BasicLit).Value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		texts[spec.Names[0].Name] = text
+		return true
+	})
+	return texts
+}
+
+// Whoever is on call finds every message, reason and key in the operators' page.
+func TestLogTextsAreInTheOperatorsPage(t *testing.T) {
+	page, err := os.ReadFile("../../../docs/ops/node.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for prefix, quote := range map[string]string{"message": "`", "reason": `"`, "key": "`"} {
+		texts := logTexts(t, prefix)
+		if len(texts) == 0 {
+			t.Errorf("log.go has no constants %s...", prefix)
+		}
+		for name, text := range texts {
+			if !strings.Contains(string(page), quote+text+quote) {
+				t.Errorf("the page lacks %s: %s%s%s", name, quote, text, quote)
+			}
+		}
+	}
+}
+
+func TestLogStringHasMessageAndAttributes(t *testing.T) {
+	line := Log{Message: "offer vetoed", Attributes: []slog.Attr{taskAttr(7), hostAttr("s-1"), errorAttr(errors.New("fit: no"))}}
+	if got, want := line.String(), "offer vetoed task=7 host=s-1 error=fit: no"; got != want {
+		t.Errorf("%q, want %q", got, want)
+	}
+}
--- a/internal/scheduler/platform/messages.go
+++ b/internal/scheduler/platform/messages.go
@@ -54,9 +54,9 @@
 	return platform.Append(nil, platform.TypeProbeResult, string(ref), cause, nil)
 }
 
-// offerMessage offers a request to a host, with the time that is left until the request's deadline, 1 ms at least.
-func offerMessage(r *request, left time.Duration) []byte {
-	timeout := millisField(platform.FieldTimeout, max(left.Milliseconds(), 1))
+// offerMessage offers a request to a host, with the remaining time until its deadline, 1 ms at least.
+func offerMessage(r *request, remaining time.Duration) []byte {
+	timeout := millisField(platform.FieldTimeout, max(remaining.Milliseconds(), 1))
 	fields := append(r.hostFields[:len(r.hostFields):len(r.hostFields)], timeout)
 	return platform.Append(nil, platform.TypeRequest, string(r.ref), platform.NoCause, r.description, fields...)
 }
--- a/internal/scheduler/platform/owner.go
+++ b/internal/scheduler/platform/owner.go
@@ -12,7 +12,7 @@
 // ownerConnection is a connection of an owner.
 type ownerConnection struct {
 	id           OwnerID
-	lines        lineReader
+	reader       lineReader
 	acceptedAt   time.Duration
 	lastUsedAt   time.Duration // when it last sent a message that can be read
 	sentValid    bool          // it has sent a message that makes sense
@@ -49,24 +49,24 @@
 	return len(o.openRequests) == 0 && o.rank() < ownerWithPlacedNow
 }
 
-// isEvictedBefore says whether a connection is closed before another one to make room.
+// isEvictedBefore says whether a connection is closed before another one to free a slot.
 func (o *ownerConnection) isEvictedBefore(other *ownerConnection) bool {
 	return cmp.Or(cmp.Compare(o.rank(), other.rank()), cmp.Compare(o.lastUsedAt, other.lastUsedAt), cmp.Compare(o.id, other.id)) < 0
 }
 
-// ownerConnected accepts a connection of an owner, or closes it where there is no room for it.
+// ownerConnected accepts a connection of an owner, or closes it where all connection slots are taken.
 func (c *Core) ownerConnected(id OwnerID) {
-	if !c.makeRoomForOwner() {
+	if !c.acquireOwnerSlot() {
 		c.emit(CloseOwnerConnection{id})
 		return
 	}
 	c.owners[id] = &ownerConnection{id: id, acceptedAt: c.now, lastUsedAt: c.now, openRequests: map[*request]struct{}{}}
 }
 
-// makeRoomForOwner makes room for one more connection of an owner: an idle one to a host is evicted if there are not too
-// many owners, else one of the owners, by its rank. It guards against usual owners that are pushed out by hundreds who
+// acquireOwnerSlot frees a slot for one more connection of an owner, if need be: an idle one to a host is evicted if there
+// are not too many owners, else one of the owners, by its rank. It guards against usual owners that are pushed out by hundreds who
 // request once and stay: what became of their tasks could then be sent nowhere.
-func (c *Core) makeRoomForOwner() bool {
+func (c *Core) acquireOwnerSlot() bool {
 	if len(c.owners) < c.config.MaxOwnerConnections {
 		if len(c.owners)+c.usedHostConnections() < c.config.MaxConnections {
 			return true
@@ -138,15 +138,15 @@
 }
 
 func (o *ownerConnection) isLate(now time.Duration) bool {
-	return o.lines.isStuck(now, ownerLineTimeout) ||
+	return o.reader.isStuck(now, ownerLineTimeout) ||
 		!o.sentValid && len(o.openRequests) == 0 && now > o.acceptedAt+firstMessageTimeout
 }
 
-// hasPartialRequest says whether an owner that has sent something valid is in the middle of a message: it is owed an
-// answer once that is complete.
+// hasPartialRequest says whether an owner that has sent something valid is in the middle of a message: it must be
+// answered once that is complete.
 func (c *Core) hasPartialRequest() bool {
 	for _, owner := range c.owners {
-		if owner.sentValid && owner.lines.isPartial() {
+		if owner.sentValid && owner.reader.isPartial() {
 			return true
 		}
 	}
--- a/internal/scheduler/platform/ownermessages.go
+++ b/internal/scheduler/platform/ownermessages.go
@@ -7,7 +7,7 @@
 	if owner == nil {
 		return
 	}
-	err := owner.lines.feed(c.now, input.Data, func(line []byte) error {
+	err := owner.reader.feed(c.now, input.Data, func(line []byte) error {
 		if c.owners[owner.id] == owner && len(line) > 0 { // an earlier line may have closed it
 			c.handleOwnerLine(owner, line)
 		}
@@ -106,8 +106,8 @@
 func (c *Core) handleKnownRef(owner *ownerConnection, r *request, decoded *decodedRequest) {
 	switch {
 	case decoded.isHandOver() && r.task.Key == decoded.task.Key && r.phase != requestOver:
-		// It names a task that runs here already, or that is being placed: nothing is owed but its release, on this
-		// connection. Guards against releasing a task that runs, as the hand-over differs from the request that it was
+		// It names a task that runs here already, or that is being placed: nothing is answered, and its release will be
+		// sent on this connection. Guards against releasing a task that runs, as the hand-over differs from the request that it was
 		// placed by.
 		owner.sentValid = true
 		if r.phase == requestPlaced {
--- a/internal/scheduler/platform/placed.go
+++ b/internal/scheduler/platform/placed.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// expireStops ends tasks whose host has not answered in time that they are stopped, or could not be told at all.
+// expireStops ends tasks whose host has not confirmed in time that they are stopped, or could not be told to stop them.
 func (c *Core) expireStops(h *host) {
 	expired := h.attemptsWhere(func(a *taskAttempt) bool {
 		return a.request.phase == requestEnding &&
@@ -81,7 +81,7 @@
 	cause = endCause(cause)
 	end.input, end.result, end.final = attempt.Ended, taskResult(r.phase, cause), true
 	c.uncountPlaced(r)
-	// A hand-over that comes after this end is owed nothing, unless its owner could not be told.
+	// To a hand-over that comes after this end nothing is sent, unless the release could not be delivered.
 	known := reportedEnd{a.key(), platform.CauseMigrated}
 	if r.phase == requestPlaced && cause != platform.CauseMigrated && !c.notifyOwner(r, releaseMessage(r.ref, cause)) {
 		known.cause = cause
--- a/internal/scheduler/platform/reconcile.go
+++ b/internal/scheduler/platform/reconcile.go
@@ -1,9 +1,6 @@
 package platform
 
-import (
-	"slices"
-	"time"
-)
+import "slices"
 
 // reconcile does what only time brings: it closes connections, ends what has timed out and moves a shutdown on.
 func (c *Core) reconcile() {
@@ -21,8 +18,10 @@
 		c.reconcileConnection(conn)
 	}
 	c.reconcileProbe(h)
-	c.expireStops(h)
-	if c.reconcileListing(h) {
+	if len(h.attempts) > 0 { // few hosts of a long list have any, and a loop over an empty map is not free
+		c.expireStops(h)
+	}
+	if c.reconcileListing(h) && len(h.attempts) > 0 {
 		c.reconcileResponsiveness(h)
 	}
 }
@@ -39,7 +38,7 @@
 // reconcileConnection closes a connection to a host on which a message has not ended, or that has been idle for too long.
 func (c *Core) reconcileConnection(conn *hostConnection) {
 	switch {
-	case conn.lines.isStuck(c.now, hostLineTimeout):
+	case conn.reader.isStuck(c.now, hostLineTimeout):
 		c.closeFaultyConnection(conn, reasonPartialLine)
 	case conn.isIdle() && c.config.IdleTimeout > 0 && c.now > conn.lastUsedAt()+c.config.IdleTimeout*3/5:
 		c.closeIdle(conn)
@@ -62,39 +61,3 @@
 		c.dial(h, purposeReplacement)
 	}
 }
-
-// shutdown is how far the end of this placer has come.
-type shutdown struct {
-	requestedAt    time.Duration // 0: not requested
-	listenerClosed bool
-}
-
-func (s *shutdown) request(now time.Duration) {
-	if s.requestedAt == 0 {
-		s.requestedAt = now
-	}
-}
-
-// refusesRequests says whether requests are rejected, as this placer will not be there to answer.
-func (s *shutdown) refusesRequests(now time.Duration) bool {
-	return s.requestedAt > 0 && now > s.requestedAt+listenAfterShutdown
-}
-
-// reconcileShutdown closes the listener some time after a shutdown was requested, and completes it when no request is open
-// and no owner is in the middle of sending one.
-func (c *Core) reconcileShutdown() {
-	s := &c.shutdown
-	if s.requestedAt == 0 {
-		return
-	}
-	if !s.listenerClosed && c.now >= s.requestedAt+listenAfterShutdown {
-		s.listenerClosed = true
-		c.emit(CloseListener{})
-	}
-	if !s.listenerClosed || c.unanswered > 0 || c.now < s.requestedAt+minShutdownDuration {
-		return
-	}
-	if !c.hasPartialRequest() || c.now >= s.requestedAt+minShutdownDuration+ownerLineTimeout {
-		c.emit(ShutdownComplete{})
-	}
-}
--- a/internal/scheduler/platform/request.go
+++ b/internal/scheduler/platform/request.go
@@ -15,7 +15,7 @@
 const (
 	requestOpen   requestPhase = iota // the answer to its owner
 	requestPlaced                     // the end of its task, which a host runs
-	requestEnding                     // the host's word that the task is stopped, as its owner or the module wants
+	requestEnding                     // its host's confirmation that the task is stopped, as its owner or the module wants
 	requestOver                       // nothing: it can be forgotten once none of its attempts is in flight
 )
 
@@ -78,7 +78,7 @@
 // the request can be failed.
 func (c *Core) prepareAnswer(r *request, answer attempt.Answer) bool {
 	if !c.settings.MayWithdraw {
-		// An attempt that may not be withdrawn is in flight until its owner gives up, which is when the module answers:
+		// An attempt that may not be withdrawn is in flight until its owner stops waiting, which is when the module answers:
 		// nothing more is awaited, and its host is sent nothing.
 		c.withdrawAll(r, forkhead.Withdrawn, true)
 	}
@@ -162,7 +162,7 @@
 // isBusy says whether a further request of an owner must be rejected.
 func (c *Core) isBusy(owner *ownerConnection) bool {
 	return c.unanswered >= maxOpenRequests || len(owner.openRequests) >= maxOpenRequestsPerOwner ||
-		c.shutdown.refusesRequests(c.now)
+		c.shutdown.rejectsRequests(c.now)
 }
 
 // openRequest opens a request and gives it to the module.
@@ -189,5 +189,5 @@
 	return fields
 }
 
-// timeLeft is the time until the deadline of the request.
-func (r *request) timeLeft(now time.Duration) time.Duration { return r.lifecycle.Deadline - now }
+// untilDeadline is the time until the deadline of the request.
+func (r *request) untilDeadline(now time.Duration) time.Duration { return r.lifecycle.Deadline - now }
--- a/internal/scheduler/platform/undelivered.go
+++ b/internal/scheduler/platform/undelivered.go
@@ -17,7 +17,7 @@
 		c.emit(SendToOwner{r.owner, line})
 		return true
 	}
-	if owner := c.mostUsedOwner(); owner != nil {
+	if owner := c.ownerWithMostTasks(); owner != nil {
 		c.emit(SendToOwner{owner.id, line})
 		return true
 	}
@@ -27,18 +27,18 @@
 	return false
 }
 
-// mostUsedOwner is the connection that most tasks were placed for, of those that sent nothing malformed; nil: none were.
-func (c *Core) mostUsedOwner() *ownerConnection {
-	var most *ownerConnection
+// ownerWithMostTasks is the connection that most tasks were placed for, of those that sent nothing malformed; nil: none were.
+func (c *Core) ownerWithMostTasks() *ownerConnection {
+	var best *ownerConnection
 	for _, owner := range c.owners {
 		if owner.placedTotal == 0 || owner.malformed > 0 {
 			continue
 		}
-		if most == nil || owner.placedTotal > most.placedTotal || owner.placedTotal == most.placedTotal && owner.id < most.id {
-			most = owner
+		if best == nil || owner.placedTotal > best.placedTotal || owner.placedTotal == best.placedTotal && owner.id < best.id {
+			best = owner
 		}
 	}
-	return most
+	return best
 }
 
 // deliverTo sends a connection what no other could take.
--- a/internal/scheduler/platform/unresponsive.go
+++ b/internal/scheduler/platform/unresponsive.go
@@ -7,7 +7,7 @@
 	"forkhead"
 )
 
-// reconcileListing loses and forgets a host that the endpoint list has not got, or says is removed. It returns whether the
+// reconcileListing loses the tasks of a host that the endpoint list does not have, or has as removed, and forgets it. It returns whether the
 // host is in service or drains.
 func (c *Core) reconcileListing(h *host) (listed bool) {
 	switch {
