--- a/internal/scheduler/core/attempts.go
+++ b/internal/scheduler/core/attempts.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// indexAttempt adds a new attempt to the tables that have it until it is settled.
-func (c *Core) indexAttempt(a *taskAttempt) {
+// addAttempt adds a new attempt to the tables that have it until it is settled.
+func (c *Core) addAttempt(a *taskAttempt) {
 	a.host.attempts[a.ref] = a
 	c.attemptsByRef[a.ref] = a
 	if a.phase().IsLive() {
--- a/internal/scheduler/core/hosts.go
+++ b/internal/scheduler/core/hosts.go
@@ -59,6 +59,11 @@
 
 func (h *host) hasLabels(labels uint64) bool { return labels&^h.labels == 0 }
 
+// hasMachineType says whether tasks of a class may run on a host's machine type.
+func hasMachineType(class *forkhead.Class, h *host) bool {
+	return class.MachineType < 0 || class.MachineType == h.machineType
+}
+
 // forInvariants is the host as package invariant sees it.
 func (h *host) forInvariants() *invariant.Host {
 	return &invariant.Host{
--- a/internal/scheduler/core/labels.go
+++ b/internal/scheduler/core/labels.go
@@ -163,6 +163,16 @@
 	return (e.Attributes[constraint.Attribute] == constraint.Value) != constraint.Not
 }
 
+// meetsAll says whether a host of the list meets constraints, none of which is about what is near it.
+func meetsAll(e *HostEntry, constraints []servicespec.Constraint) bool {
+	for i := range constraints {
+		if !entryMeets(e, &constraints[i]) {
+			return false
+		}
+	}
+	return true
+}
+
 // hasServiceNear says whether a task of a service, given by its key in decimal, is placed in a host's domain.
 func (c *Core) hasServiceNear(h *host, domain forkhead.Domain, serviceKey string) bool {
 	key, err := strconv.ParseUint(serviceKey, 10, 64)
@@ -201,3 +211,15 @@
 		c.updateHostLabels()
 	}
 }
+
+// countSuitableHosts returns the number of ready hosts that a service with a task for each host may use.
+func (c *Core) countSuitableHosts(spec *servicespec.Service) int {
+	class := &c.settings.Module.Classes[c.classIndex(spec)]
+	n := 0
+	for _, h := range c.hosts {
+		if h.state() == forkhead.Ready && hasMachineType(class, h) && meetsAll(&h.entry, spec.Constraints) {
+			n++
+		}
+	}
+	return n
+}
--- a/internal/scheduler/core/offers.go
+++ b/internal/scheduler/core/offers.go
@@ -33,7 +33,7 @@
 		c.reportNotSent(request, action, false)
 		return
 	}
-	a := c.addAttempt(request, h, action)
+	a := c.startAttempt(request, h, action)
 	switch {
 	case h.usable():
 		c.sendOffer(a)
@@ -64,23 +64,23 @@
 			}
 			return nil
 		},
-		ServiceHosts: c.otherLiveHosts(request.task.Service, nil),
+		ServiceHosts: c.serviceHosts(request.task.Service, nil),
 	})
 }
 
-// breaksSpread says whether an attempt would exceed a spread limit of its service now.
-func (c *Core) breaksSpread(a *taskAttempt) bool {
+// exceedsSpread says whether an attempt would exceed a spread limit of its service now.
+func (c *Core) exceedsSpread(a *taskAttempt) bool {
 	task := &a.request.task
 	return invariant.CheckSpread(&invariant.Offer{
 		Task:         task,
 		Class:        &c.settings.Module.Classes[task.Class],
 		To:           a.host.forInvariants(),
-		ServiceHosts: c.otherLiveHosts(task.Service, a),
+		ServiceHosts: c.serviceHosts(task.Service, a),
 	}) != nil
 }
 
-// otherLiveHosts are the hosts of a service's live attempts but one; nil: of all.
-func (c *Core) otherLiveHosts(service uint64, except *taskAttempt) iter.Seq[*invariant.Host] {
+// serviceHosts are the hosts of a service's live attempts but one; nil: of all.
+func (c *Core) serviceHosts(service uint64, except *taskAttempt) iter.Seq[*invariant.Host] {
 	return func(yield func(*invariant.Host) bool) {
 		for _, a := range c.liveAttempts[service] {
 			if a != except && !yield(a.host.forInvariants()) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// addAttempt adds an attempt for an offer, which waits to be sent.
-func (c *Core) addAttempt(request *placementRequest, h *host, action forkhead.Offer) *taskAttempt {
+// startAttempt adds an attempt for an offer, which waits to be sent.
+func (c *Core) startAttempt(request *placementRequest, h *host, action forkhead.Offer) *taskAttempt {
 	number := request.AddOffer(c.now, attempt.HostID(h.id))
 	a := &taskAttempt{
 		request:   request,
@@ -101,7 +101,7 @@
 		ref:       hostproto.Ref{Epoch: c.epoch, Task: uint32(request.id), Attempt: uint8(number)},
 	}
 	request.attempts = append(request.attempts, a)
-	c.indexAttempt(a)
+	c.addAttempt(a)
 	c.status.Offers++
 	request.replica.offerCount++
 	if action.Timeout > 0 {
@@ -144,7 +144,7 @@
 	// Guards against tasks of an earlier incarnation that turned up while this one waited: they count against the spread,
 	// and the choice was made without them. And against a host that greets as draining: it may have said so before it was
 	// forgotten.
-	return !a.waitedForConn || !h.reportsDraining && !c.breaksSpread(a)
+	return !a.waitedForConn || !h.reportsDraining && !c.exceedsSpread(a)
 }
 
 func (c *Core) offerFrame(a *taskAttempt) hostproto.Offer {
--- a/internal/scheduler/core/orphans.go
+++ b/internal/scheduler/core/orphans.go
@@ -57,7 +57,7 @@
 		running:   true,
 	}
 	request.attempts = []*taskAttempt{a}
-	c.indexAttempt(a)
+	c.addAttempt(a)
 	c.updateNearLabels()
 	c.persistAttempt(a)
 	c.notifyModule(forkhead.HandedOver{Task: request.task, Machine: task.host.id})
@@ -204,7 +204,7 @@
 		request: request, host: task.host, machineID: task.host.id, ref: task.ref, hostEpoch: task.hostEpoch, conn: task.conn,
 	}
 	request.attempts = []*taskAttempt{a}
-	c.indexAttempt(a)
+	c.addAttempt(a)
 	c.unknownAttempts.add(a)
 	return a
 }
--- a/internal/scheduler/core/requests.go
+++ b/internal/scheduler/core/requests.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// newRequest adds a request for a replica. The module isn't notified of it, and it has no deadline.
+// newRequest adds a request for a replica. The module is not notified of it, and it has no deadline.
 func (c *Core) newRequest(r *desiredReplica) *placementRequest {
 	request := &placementRequest{id: c.newTaskID(), replica: r}
 	request.Rules = c.attemptRules(r.class)
@@ -173,7 +173,7 @@
 	}
 }
 
-// withdrawAttempt gives up an attempt by a Withdraw of the module. One that doesn't exist was vetoed.
+// withdrawAttempt gives up an attempt by a Withdraw of the module. One that does not exist was vetoed.
 func (c *Core) withdrawAttempt(id forkhead.TaskID, number int) {
 	request := c.requests[id]
 	if request == nil || number < 0 || number >= len(request.attempts) || request.attempts[number] == nil {
--- a/internal/scheduler/core/submissions.go
+++ b/internal/scheduler/core/submissions.go
@@ -6,7 +6,6 @@
 	"strconv"
 	"time"
 
-	"forkhead"
 	"forkhead/internal/parse/servicespec"
 	"forkhead/internal/scheduler/durable"
 )
@@ -260,29 +259,3 @@
 		Task:         r.durableTask(o.Outcome, o.Outcome != OutcomePlaced),
 	})
 }
-
-// countSuitableHosts returns the number of ready hosts that a service with a task for each host may use.
-func (c *Core) countSuitableHosts(spec *servicespec.Service) int {
-	class := &c.settings.Module.Classes[c.classIndex(spec)]
-	n := 0
-	for _, h := range c.hosts {
-		if h.state() == forkhead.Ready && hasMachineType(class, h) && meetsAll(&h.entry, spec.Constraints) {
-			n++
-		}
-	}
-	return n
-}
-
-// hasMachineType says whether tasks of a class may run on a host's machine type.
-func hasMachineType(class *forkhead.Class, h *host) bool {
-	return class.MachineType < 0 || class.MachineType == h.machineType
-}
-
-func meetsAll(e *HostEntry, constraints []servicespec.Constraint) bool {
-	for i := range constraints {
-		if !entryMeets(e, &constraints[i]) {
-			return false
-		}
-	}
-	return true
-}
