--- a/internal/scheduler/platform/connection.go
+++ b/internal/scheduler/platform/connection.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"log/slog"
 	"slices"
 	"time"
 
@@ -208,7 +209,7 @@
 	if conn.probeQueued && h.probe != nil {
 		c.finishProbe(h, forkhead.ConnectFailed, nil)
 	}
-	if h.refusedDials >= 2 && (h.entry.State == forkhead.Ready || c.now > h.lastReceivedAt+lostAfter) {
+	if h.refusedDials >= lostAfterRefusals && (h.entry.State == forkhead.Ready || c.now > h.lastReceivedAt+lostAfter) {
 		c.loseTasks(h, reasonRefusesConnections)
 	}
 }
@@ -221,8 +222,8 @@
 }
 
 // acquireHostSlot frees a slot for one more connection to a host, if need be: an idle one to another host is evicted, else
-// one of the owners beyond those that are protected. It guards against descriptors that run out: neither hosts nor owners nor the
-// endpoint list could then be reached any more.
+// one of the owners beyond those that are protected. It guards against descriptors that run out: neither hosts nor owners
+// nor the endpoint list could then be reached any more.
 func (c *Core) acquireHostSlot(h *host) bool {
 	used := c.usedHostConnections()
 	if used < c.config.MaxHostConnections && used+len(c.owners) < c.config.MaxConnections {
@@ -288,8 +289,9 @@
 }
 
 // closeFaultyConnection closes a connection that cannot be used any further, and logs why.
-func (c *Core) closeFaultyConnection(conn *hostConnection, reason string) {
-	c.logInfo(messageConnectionClosed, hostAttr(conn.host.name), connectionAttr(conn.id), reasonAttr(reason))
+func (c *Core) closeFaultyConnection(conn *hostConnection, reason logReason, details ...slog.Attr) {
+	attributes := append([]slog.Attr{hostAttr(conn.host.name), connectionAttr(conn.id), reasonAttr(reason)}, details...)
+	c.logInfo(messageConnectionClosed, attributes...)
 	c.closeConnection(conn)
 }
 
--- a/internal/scheduler/platform/decode.go
+++ b/internal/scheduler/platform/decode.go
@@ -28,7 +28,12 @@
 type requestDecoder func(c *Core, m *platform.Message, into *decodedRequest) bool
 
 var requestDecoders = []requestDecoder{
-	(*Core).decodeClass, (*Core).decodeTenant, (*Core).decodeKeys, (*Core).decodeExtras, (*Core).decodeTimeout, (*Core).decodeLifetime,
+	(*Core).decodeClass,
+	(*Core).decodeTenant,
+	(*Core).decodeKeys,
+	(*Core).decodeExtras,
+	(*Core).decodeTimeout,
+	(*Core).decodeLifetime,
 }
 
 // decodeRequest reads a request; false: it is malformed.
--- a/internal/scheduler/platform/endpoints.go
+++ b/internal/scheduler/platform/endpoints.go
@@ -146,8 +146,8 @@
 	h.redialBackoff, h.redialAt, h.refusedDials = 0, 0, 0
 }
 
-// closeOutdatedConnections closes the connections to a host that has another address now, or is removed: a removed one may still
-// answer what is in flight.
+// closeOutdatedConnections closes the connections to a host that has another address now, or is removed: a removed one may
+// still answer what is in flight.
 func (c *Core) closeOutdatedConnections(h *host, state forkhead.MachineState) {
 	for _, conn := range slices.Clone(h.connections) {
 		switch {
--- a/internal/scheduler/platform/hostmessages.go
+++ b/internal/scheduler/platform/hostmessages.go
@@ -33,8 +33,7 @@
 		return nil
 	})
 	if err != nil && c.connections[conn.id] == conn { // else a message has closed it
-		c.logInfo(messageConnectionClosed, hostAttr(conn.host.name), connectionAttr(conn.id), reasonAttr(reasonUnreadable), errorAttr(err))
-		c.closeConnection(conn)
+		c.closeFaultyConnection(conn, reasonUnreadable, errorAttr(err))
 	}
 }
 
--- a/internal/scheduler/platform/limits.go
+++ b/internal/scheduler/platform/limits.go
@@ -60,6 +60,8 @@
 	unresponsiveAfter = time.Second
 	// lostAfter is when such a host is lost, if no connection to it could be made: in time to release its tasks to their owners.
 	lostAfter = undeliveredTimeout - 500*time.Millisecond
+	// lostAfterRefusals is how many refused dials in a row, with no connection open, show that a host's process has died.
+	lostAfterRefusals int = 2
 	// lastDialBeforeLoss is how long before its loss a host is dialed once more, whatever its backoff.
 	lastDialBeforeLoss = 500 * time.Millisecond
 	// removedGrace is how long hosts that the list removes may still report the ends of their tasks.
--- a/internal/scheduler/platform/log.go
+++ b/internal/scheduler/platform/log.go
@@ -23,15 +23,18 @@
 	messageModuleInterrupted = "module interrupted"
 )
 
-// Reasons why a connection was closed, or the tasks of a host are taken for lost. They are constant too.
+// logReason says why something was done.
+type logReason string
+
+// Why a connection is closed, or the tasks of a host are taken for lost. They are constant too.
 const (
-	reasonUnreadable         = "a message cannot be read"
-	reasonPartialLine        = "a message did not end"
-	reasonOvertaken          = "later offers are answered and its own are not"
-	reasonRefusesConnections = "it refuses connections"
-	reasonUnresponsive       = "it sends nothing and accepts no connection"
-	reasonNotListed          = "the endpoint list does not have it"
-	reasonRemoved            = "the endpoint list says that it is gone"
+	reasonUnreadable         logReason = "a message cannot be read"
+	reasonPartialLine        logReason = "a message did not end"
+	reasonOvertaken          logReason = "later offers are answered and its own are not"
+	reasonRefusesConnections logReason = "it refuses connections"
+	reasonUnresponsive       logReason = "it sends nothing and accepts no connection"
+	reasonNotListed          logReason = "the endpoint list does not have it"
+	reasonRemoved            logReason = "the endpoint list has it as removed"
 )
 
 // Keys of the attributes.
@@ -80,5 +83,5 @@
 func taskKeyAttr(key uint64) slog.Attr         { return slog.String(keyTaskKey, fmt.Sprintf("%016x", key)) }
 func refAttr(ref requestRef) slog.Attr         { return slog.String(keyRef, string(ref)) }
 func connectionAttr(id ConnectionID) slog.Attr { return slog.Uint64(keyConnection, uint64(id)) }
-func reasonAttr(reason string) slog.Attr       { return slog.String(keyReason, reason) }
+func reasonAttr(reason logReason) slog.Attr    { return slog.String(keyReason, string(reason)) }
 func errorAttr(err error) slog.Attr            { return slog.Any(keyError, err) }
--- a/internal/scheduler/platform/placed.go
+++ b/internal/scheduler/platform/placed.go
@@ -111,7 +111,7 @@
 }
 
 // loseTasks ends the placed tasks of a host that cannot run them any more.
-func (c *Core) loseTasks(h *host, reason string) {
+func (c *Core) loseTasks(h *host, reason logReason) {
 	lost := h.attemptsWhere((*taskAttempt).isPlaced)
 	for _, a := range lost {
 		c.finishTask(a, platform.CauseReset, attemptEnd{})
--- a/internal/scheduler/platform/reconcile.go
+++ b/internal/scheduler/platform/reconcile.go
@@ -1,6 +1,9 @@
 package platform
 
-import "slices"
+import (
+	"slices"
+	"time"
+)
 
 // reconcile does what only time brings: it closes connections, ends what has timed out and moves a shutdown on.
 func (c *Core) reconcile() {
@@ -40,11 +43,15 @@
 	switch {
 	case conn.reader.isStuck(c.now, hostLineTimeout):
 		c.closeFaultyConnection(conn, reasonPartialLine)
-	case conn.isIdle() && c.config.IdleTimeout > 0 && c.now > conn.lastUsedAt()+c.config.IdleTimeout*3/5:
+	case conn.isIdle() && c.config.IdleTimeout > 0 && c.now > conn.lastUsedAt()+c.idleTimeout():
 		c.closeIdle(conn)
 	}
 }
 
+// idleTimeout is how long a connection to a host may be idle: well below the time after which its host closes it, as an
+// offer that crosses that close may have run.
+func (c *Core) idleTimeout() time.Duration { return c.config.IdleTimeout * 3 / 5 }
+
 // closeIdle closes an idle connection before its host does. One that the ends of tasks are reported on is kept alive
 // instead, or replaced.
 func (c *Core) closeIdle(conn *hostConnection) {
--- a/internal/scheduler/platform/request.go
+++ b/internal/scheduler/platform/request.go
@@ -51,6 +51,36 @@
 	return r
 }
 
+// isBusy says whether a further request of an owner must be rejected.
+func (c *Core) isBusy(owner *ownerConnection) bool {
+	return c.unanswered >= maxOpenRequests || len(owner.openRequests) >= maxOpenRequestsPerOwner ||
+		c.shutdown.rejectsRequests(c.now)
+}
+
+// openRequest opens a request and gives it to the module.
+func (c *Core) openRequest(owner *ownerConnection, decoded *decodedRequest, m *platform.Message) {
+	r := c.newRequest(owner, decoded)
+	r.description = m.Description
+	r.hostFields = forwardedFields(m, r.class.Effect)
+	c.unanswered++
+	owner.openRequests[r] = struct{}{}
+	c.addDeadline(r.lifecycle.Deadline, r.id)
+	c.notifyModule(forkhead.PlacementRequest{Task: r.task})
+}
+
+// forwardedFields are those of an owner's request that hosts get, as they came.
+func forwardedFields(m *platform.Message, effect forkhead.Effect) []platform.Field {
+	names := []platform.FieldName{platform.FieldClass, platform.FieldTaskKey}
+	if effect == forkhead.Keyed {
+		names = append(names, platform.FieldIdempotencyKey)
+	}
+	fields := make([]platform.Field, len(names))
+	for i, name := range names {
+		fields[i] = platform.Field{Name: name, Raw: m.Fields[name]}
+	}
+	return fields
+}
+
 // reject executes the module's Reject.
 func (c *Core) reject(action forkhead.Reject) {
 	r := c.requests[action.Task]
@@ -159,35 +189,5 @@
 	c.finished = c.finished[:0]
 }
 
-// isBusy says whether a further request of an owner must be rejected.
-func (c *Core) isBusy(owner *ownerConnection) bool {
-	return c.unanswered >= maxOpenRequests || len(owner.openRequests) >= maxOpenRequestsPerOwner ||
-		c.shutdown.rejectsRequests(c.now)
-}
-
-// openRequest opens a request and gives it to the module.
-func (c *Core) openRequest(owner *ownerConnection, decoded *decodedRequest, m *platform.Message) {
-	r := c.newRequest(owner, decoded)
-	r.description = m.Description
-	r.hostFields = forwardedFields(m, r.class.Effect)
-	c.unanswered++
-	owner.openRequests[r] = struct{}{}
-	c.addDeadline(r.lifecycle.Deadline, r.id)
-	c.notifyModule(forkhead.PlacementRequest{Task: r.task})
-}
-
-// forwardedFields are those of an owner's request that hosts get, as they came.
-func forwardedFields(m *platform.Message, effect forkhead.Effect) []platform.Field {
-	names := []platform.FieldName{platform.FieldClass, platform.FieldTaskKey}
-	if effect == forkhead.Keyed {
-		names = append(names, platform.FieldIdempotencyKey)
-	}
-	fields := make([]platform.Field, len(names))
-	for i, name := range names {
-		fields[i] = platform.Field{Name: name, Raw: m.Fields[name]}
-	}
-	return fields
-}
-
 // untilDeadline is the time until the deadline of the request.
 func (r *request) untilDeadline(now time.Duration) time.Duration { return r.lifecycle.Deadline - now }
