--- a/internal/scheduler/core/requests.go
+++ b/internal/scheduler/core/requests.go
@@ -20,11 +20,11 @@
 // attemptRules are what a class and the settings allow.
 func (c *Core) attemptRules(class int) attempt.Rules {
 	m := &c.settings.Module
-	settings := &m.Classes[class]
+	classSettings := &m.Classes[class]
 	return attempt.Rules{
-		Effect:      settings.Effect,
-		DedupDomain: settings.DedupDomain,
-		DedupWindow: settings.DedupWindow,
+		Effect:      classSettings.Effect,
+		DedupDomain: classSettings.DedupDomain,
+		DedupWindow: classSettings.DedupWindow,
 		MaxAttempts: m.MaxAttempts,
 		Parallel:    m.ParallelAttempts,
 	}
