--- a/internal/scheduler/platform/connection_test.go
+++ b/internal/scheduler/platform/connection_test.go
@@ -166,3 +166,29 @@
 		}
 	}
 }
+
+// A connection that is replaced stays open until the new one is.
+func TestCoreKeepsConnectionUntilItsReplacementIsOpen(t *testing.T) {
+	w := newTestCore(t, func(config *Config) { config.Settings.MayProbe = false })
+	_, old := w.placeTask()
+	tick := func() []Output {
+		w.now += reconcileInterval
+		w.core.hosts[1].lastReceivedAt = w.now // else it is dialed as unresponsive
+		return w.step()
+	}
+	var dials []DialHost
+	for end := w.now + w.core.config.IdleTimeout; len(dials) == 0; {
+		if dials = ofType[DialHost](tick()); w.now > end {
+			t.Fatal("no replacement is dialed")
+		}
+	}
+	for range 3 {
+		if closed := ofType[HalfCloseHostConnection](tick()); len(closed) > 0 {
+			t.Fatalf("%v is closed while its replacement is being dialed", closed)
+		}
+	}
+	closed := ofType[HalfCloseHostConnection](w.step(HostConnected{dials[0].Connection}))
+	if len(closed) != 1 || closed[0].Connection != old {
+		t.Errorf("half-closed %v, want %d", closed, old)
+	}
+}
--- a/internal/scheduler/platform/owner_test.go
+++ b/internal/scheduler/platform/owner_test.go
@@ -48,6 +48,18 @@
 	}
 }
 
+// Where a task runs for each connection of the owners, none is evicted: the new one is closed.
+func TestCoreClosesOwnerWhereAllOthersAreInUse(t *testing.T) {
+	w := newTestCore(t, nil)
+	for i := range 8 {
+		w.send(w.connectOwner(), handOverLine(fmt.Sprintf("%016x", i+1), 1))
+	}
+	id := w.connectOwner()
+	if closed := ofType[CloseOwnerConnection](w.outputs); len(closed) != 1 || closed[0].Owner != id {
+		t.Errorf("closed %v, want the new one, %d", closed, id)
+	}
+}
+
 // A usual owner, whose task runs, is not evicted for hundreds that request once and stay, and is sent its end.
 func TestCoreKeepsOwnerWithPlacedTask(t *testing.T) {
 	w := newTestCore(t, nil)
--- a/internal/scheduler/platform/placed_test.go
+++ b/internal/scheduler/platform/placed_test.go
@@ -47,6 +47,7 @@
 	next := w.connectOwner()
 	w.wantLines(sentLines[SendToOwner](w.send(next, ownerProbe)), "hb_ok 0000000000000001 1")
 	w.wantLines(sentLines[SendToOwner](w.send(next, requestLine(ref2, "keyed", ";at:s-00000001"))), "down "+ref1+" 16")
+	w.wantLines(sentLines[SendToOwner](w.send(next, handOverLine(ref3, 1)))) // it is sent once
 }
 
 // A task that its owner ends while no connection to its host is open is ended on the next one.
--- a/internal/scheduler/platform/request_test.go
+++ b/internal/scheduler/platform/request_test.go
@@ -98,6 +98,19 @@
 	w.wantLines(sentLines[SendToHost](w.step(fromHost(conn, boundLine(ref1)))), "down "+ref1+" 16")
 }
 
+// A request that the module leaves open fails at its deadline, which is logged as a violation of an invariant.
+func TestCoreFailsRequestThatTheModuleLeavesOpen(t *testing.T) {
+	w := newTestCore(t, nil)
+	w.decide = nil
+	w.send(w.connectOwner(), requestLine(ref1, "keyed", ""))
+	w.now += 1500 * time.Millisecond
+	out := w.step()
+	w.wantLines(sentLines[SendToOwner](out), "down "+ref1+" 47")
+	if logged := ofType[Log](out); len(logged) != 1 || !logged[0].InvariantViolation || logged[0].Message != messageNoAnswer {
+		t.Errorf("logged %v, want a violation %q", logged, messageNoAnswer)
+	}
+}
+
 // Malformed input is rejected or its connection closed, and never reaches the module; the open request beside it stays.
 func TestCoreRejectsMalformedInput(t *testing.T) {
 	good := requestLine(ref1, "keyed", "")
@@ -116,9 +129,11 @@
 		"class":          {strings.Replace(good, `"keyed"`, `"kept"`, 1), false},
 		"tenant":         {strings.Replace(good, "acme", "nobody", 1), false},
 		"left below 0":   {strings.Replace(good, `"1500"`, `"-5"`, 1), false},
+		"left below 1":   {strings.Replace(good, `"1500"`, `"0.5"`, 1), false},
 		"left too large": {strings.Replace(good, `"1500"`, `"99999999999999999999999"`, 1), false},
 		"left no number": {strings.Replace(good, `"1500"`, `"soon"`, 1), false},
 		"cores":          {strings.Replace(good, "cores:1", "cores:nan", 1), false},
+		"cores twice":    {strings.Replace(good, "cores:1", "cores:1;cores:1", 1), false},
 		"memory":         {strings.Replace(good, "memory:2", "memory:1e99", 1), false},
 		"no service":     {strings.Replace(good, "service", "servant", 1), false},
 		"no idem":        {strings.Replace(good, `"idem":"aa",`, "", 1), false},
--- a/internal/scheduler/platform/testcore_test.go
+++ b/internal/scheduler/platform/testcore_test.go
@@ -194,6 +194,7 @@
 const (
 	ref1 = "9b1f03aa5c7e2d41"
 	ref2 = "9b1f03aa5c7e2d42"
+	ref3 = "9b1f03aa5c7e2d43"
 )
 
 // placeTask places the task of ref1 on host 1 and returns the connections of its owner and to its host.
