--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -4,33 +4,14 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/hex"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the golden files anew")
 
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
+	"forkhead/internal/goldentest"
+)
 
 // testdata/batches.hex is the life of one placer, with one of each event of the wire; the replies, one a line, are the same
 // to the byte. That fixes the translation both ways and what the module decides there: a change of a decision changes the
@@ -54,5 +35,5 @@
 		fmt.Fprintln(&b, hex.EncodeToString(replies[:n]))
 		replies = replies[n:]
 	}
-	checkGolden(t, "replies.hex", b.Bytes())
+	goldentest.Check(t, "replies.hex", b.Bytes())
 }
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -1,35 +1,15 @@
 package cli
 
 import (
-	"bytes"
-	"flag"
 	"os"
 	"path/filepath"
 	"regexp"
 	"slices"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the golden files anew")
 
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name, text string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal([]byte(text), want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
+	"forkhead/internal/goldentest"
+)
 
 // goldenRun runs the command line, wants the exit code and nothing on standard error, and returns standard output.
 func goldenRun(t *testing.T, want int, args ...string) string {
@@ -44,10 +24,10 @@
 // The store of an earlier build is verified and dumped byte for byte.
 func TestStoreCommandGolden(t *testing.T) {
 	const file = "../server/store/testdata/placer.db"
-	checkGolden(t, "store-verify.txt", goldenRun(t, exitOK, "store", "verify", file))
-	checkGolden(t, "store-verify.jsonl", goldenRun(t, exitOK, "store", "verify", file, "--output", "json"))
-	checkGolden(t, "store-dump.txt", goldenRun(t, exitOK, "store", "dump", file))
-	checkGolden(t, "store-dump.jsonl", goldenRun(t, exitOK, "store", "dump", file, "--output", "json"))
+	goldentest.Check(t, "store-verify.txt", goldenRun(t, exitOK, "store", "verify", file))
+	goldentest.Check(t, "store-verify.jsonl", goldenRun(t, exitOK, "store", "verify", file, "--output", "json"))
+	goldentest.Check(t, "store-dump.txt", goldenRun(t, exitOK, "store", "dump", file))
+	goldentest.Check(t, "store-dump.jsonl", goldenRun(t, exitOK, "store", "dump", file, "--output", "json"))
 }
 
 // A copy without free space holds the same.
@@ -58,15 +38,15 @@
 	if got, want := regexp.MustCompile(`\d+`).ReplaceAllString(out, "N"), `{"after":N,"before":N}`+"\n"; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
-	checkGolden(t, "store-dump.jsonl", goldenRun(t, exitOK, "store", "dump", compact, "--output", "json"))
+	goldentest.Check(t, "store-dump.jsonl", goldenRun(t, exitOK, "store", "dump", compact, "--output", "json"))
 }
 
 // Tapes of an earlier build replay to the same verdict.
 func TestReplayCommandGolden(t *testing.T) {
 	for _, name := range []string{"placer-0-life-2", "placer-1-life-1"} {
 		file := "../verify/replay/testdata/" + name + ".tape"
-		checkGolden(t, "replay-"+name+".jsonl", goldenRun(t, exitOK, "badday", "--replay", file, "--output", "json"))
-		checkGolden(t, "replay-"+name+".txt", goldenRun(t, exitOK, "badday", "--replay", file))
+		goldentest.Check(t, "replay-"+name+".jsonl", goldenRun(t, exitOK, "badday", "--replay", file, "--output", "json"))
+		goldentest.Check(t, "replay-"+name+".txt", goldenRun(t, exitOK, "badday", "--replay", file))
 	}
 }
 
@@ -93,35 +73,35 @@
 
 func TestCheckCommandGolden(t *testing.T) {
 	const settings = "../parse/settings/testdata/"
-	checkGolden(t, "check.jsonl", goldenRun(t, exitOK, "check", settings+"all.sexp", examples+"calendar.compose.yaml", "--output", "json"))
-	checkGolden(t, "check.txt", goldenRun(t, exitOK, "check", settings+"all.sexp", examples+"calendar.compose.yaml"))
+	goldentest.Check(t, "check.jsonl", goldenRun(t, exitOK, "check", settings+"all.sexp", examples+"calendar.compose.yaml", "--output", "json"))
+	goldentest.Check(t, "check.txt", goldenRun(t, exitOK, "check", settings+"all.sexp", examples+"calendar.compose.yaml"))
 	code, out, errs := run("check", examples+"broken.compose.yaml", "--output", "json")
 	if code != exitInput || out != "" {
 		t.Errorf("exit %d, %s", code, out)
 	}
-	checkGolden(t, "check-broken.txt", errs)
+	goldentest.Check(t, "check-broken.txt", errs)
 }
 
 func TestPlanCommandGolden(t *testing.T) {
 	plan := func(name string, code int, args ...string) {
 		t.Helper()
 		args = append([]string{"plan", "--hosts", examples + "hosts.json"}, args...)
-		checkGolden(t, "plan-"+name+".txt", goldenRun(t, code, args...))
-		checkGolden(t, "plan-"+name+".jsonl", masked(goldenRun(t, code, append(args, "--output", "json")...), false, "nodes"))
+		goldentest.Check(t, "plan-"+name+".txt", goldenRun(t, code, args...))
+		goldentest.Check(t, "plan-"+name+".jsonl", masked(goldenRun(t, code, append(args, "--output", "json")...), false, "nodes"))
 	}
 	plan("calendar", exitOK, examples+"calendar.compose.yaml")
 	plan("running", exitOK, "--running", "testdata/running.json", "--move", "2", "--home", "south", "--cross", "9", examples+"calendar.compose.yaml")
 	plan("impossible", exitNo, examples+"impossible.compose.yaml")
 	plan("shares", exitOK, "--shares", "--config", "../parse/settings/testdata/all.sexp")
-	checkGolden(t, "plan-selfcheck.jsonl", goldenRun(t, exitOK, "plan", "--selfcheck", "5", "--output", "json"))
+	goldentest.Check(t, "plan-selfcheck.jsonl", goldenRun(t, exitOK, "plan", "--selfcheck", "5", "--output", "json"))
 }
 
 func TestExploreCommandGolden(t *testing.T) {
 	const varying = `states_per_second`
-	checkGolden(t, "explore.jsonl", masked(goldenRun(t, exitOK, "explore", "--tasks", "1", "--hosts", "1", "--output", "json"), false, varying, "mib"))
-	checkGolden(t, "explore-plant.jsonl", masked(goldenRun(t, exitNo, "explore", "--plant", "double-send", "--output", "json"), false, varying, "mib"))
-	checkGolden(t, "explore-plants.jsonl", masked(goldenRun(t, exitOK, "explore", "--list-plants", "--output", "json"), false, "what"))
-	checkGolden(t, "explore-lives.jsonl", goldenRun(t, exitOK, "explore", "--lives", "1", "--output", "json"))
+	goldentest.Check(t, "explore.jsonl", masked(goldenRun(t, exitOK, "explore", "--tasks", "1", "--hosts", "1", "--output", "json"), false, varying, "mib"))
+	goldentest.Check(t, "explore-plant.jsonl", masked(goldenRun(t, exitNo, "explore", "--plant", "double-send", "--output", "json"), false, varying, "mib"))
+	goldentest.Check(t, "explore-plants.jsonl", masked(goldenRun(t, exitOK, "explore", "--list-plants", "--output", "json"), false, "what"))
+	goldentest.Check(t, "explore-lives.jsonl", goldenRun(t, exitOK, "explore", "--lives", "1", "--output", "json"))
 }
 
 // A trace is written as an earlier build did, and an earlier build's is replayed through the core.
@@ -133,14 +113,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, kept, string(text))
+	goldentest.Check(t, kept, string(text))
 	out := goldenRun(t, exitOK, "explore", "--replay", filepath.Join("testdata", kept), "--output", "json")
-	checkGolden(t, "explore-replay.jsonl", regexp.MustCompile(`placer logs: [^"]*`).ReplaceAllString(out, "placer logs: *"))
+	goldentest.Check(t, "explore-replay.jsonl", regexp.MustCompile(`placer logs: [^"]*`).ReplaceAllString(out, "placer logs: *"))
 }
 
 func TestTryCommandGolden(t *testing.T) {
 	out := goldenRun(t, exitOK, "try", examples+"calendar.compose.yaml", "--output", "json")
-	checkGolden(t, "try.jsonl", sortedOnce(masked(out, false, "host", "zone", "rack", "attempts", "took_ms")))
+	goldentest.Check(t, "try.jsonl", sortedOnce(masked(out, false, "host", "zone", "rack", "attempts", "took_ms")))
 }
 
 // A short day on sockets whose placer is built to tell an outcome twice: the lines of its breaches and its result, and what
@@ -153,7 +133,7 @@
 		t.Fatal(err)
 	}
 	out := goldenRun(t, exitNo, "badday", script, "--record-on-breach", dir, "--output", "json")
-	checkGolden(t, "badday.jsonl", sortedOnce(masked(out, true)))
+	goldentest.Check(t, "badday.jsonl", sortedOnce(masked(out, true)))
 
 	var kept []string
 	files, err := os.ReadDir(filepath.Join(dir, "seed-3"))
@@ -172,5 +152,5 @@
 	}
 	// Breaches are as many as the machine was fast: one stands for all.
 	text := regexp.MustCompile(`(?s)(\{[^{}]*\}),\n    \{.*?\n  \]`).ReplaceAllString(masked(string(verdict), true), "$1\n  ]")
-	checkGolden(t, "badday-verdict.json", text)
+	goldentest.Check(t, "badday-verdict.json", text)
 }
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -28,6 +28,7 @@
 	"verify":     {".", "parse", "protocol", "scheduler", "planning", "server", "client", "emulator"},
 	"cli":        {".", "parse", "protocol", "scheduler", "planning", "server", "client", "emulator", "verify"},
 	"simadapter": {"."},
+	"goldentest": {}, // for tests
 }
 
 // pure names the layers and packages that hold no socket, clock, goroutine or global.
--- a/internal/parse/compose/golden_test.go
+++ b/internal/parse/compose/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -10,27 +9,9 @@
 	"slices"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the golden files anew")
 
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
+	"forkhead/internal/goldentest"
+)
 
 // values writes a value with all that it holds, in the order of its fields and without any name of Go's, so that it is the
 // same after a renaming. A number is written as such even where its type has words for it.
@@ -92,5 +73,5 @@
 	for i := range reflect.ValueOf(*d).NumField() {
 		fmt.Fprintln(&b, strings.ReplaceAll(values(reflect.ValueOf(*d).Field(i)), ") (", ")\n\t("))
 	}
-	checkGolden(t, "all.values", b.Bytes())
+	goldentest.Check(t, "all.values", b.Bytes())
 }
--- a/internal/parse/platformconfig/golden_test.go
+++ b/internal/parse/platformconfig/golden_test.go
@@ -1,8 +1,6 @@
 package platformconfig
 
 import (
-	"bytes"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -10,27 +8,9 @@
 	"slices"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the golden files anew")
 
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
+	"forkhead/internal/goldentest"
+)
 
 // values writes a value with all that it holds, in the order of its fields and without any name of Go's, so that it is the
 // same after a renaming. A number is written as such even where its type has words for it.
@@ -97,12 +77,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "all.parsed", []byte(lines(reflect.ValueOf(*in))))
+	goldentest.Check(t, "all.parsed", []byte(lines(reflect.ValueOf(*in))))
 	s, err := Settings(in)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "all.settings", []byte(lines(reflect.ValueOf(s))))
+	goldentest.Check(t, "all.settings", []byte(lines(reflect.ValueOf(s))))
 }
 
 // The fields of a load report have these words.
--- a/internal/parse/settings/golden_test.go
+++ b/internal/parse/settings/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -10,27 +9,9 @@
 	"slices"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the golden files anew")
 
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
+	"forkhead/internal/goldentest"
+)
 
 // values writes a value with all that it holds, in the order of its fields and without any name of Go's, so that it is the
 // same after a renaming. A number is written as such even where its type has words for it.
@@ -100,13 +81,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		checkGolden(t, name+".values", lines(reflect.ValueOf(*s.For(0))))
+		goldentest.Check(t, name+".values", lines(reflect.ValueOf(*s.For(0))))
 	}
 	s, err := Read("default settings", Default)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "default.values", lines(reflect.ValueOf(*s.For(1))))
+	goldentest.Check(t, "default.values", lines(reflect.ValueOf(*s.For(1))))
 }
 
 // testdata/faults.sexp has a fault of each kind; all are told, with their places and what is wanted.
@@ -119,5 +100,5 @@
 	if _, err = Read("faults.sexp", text); err == nil {
 		t.Fatal("no fault is found")
 	}
-	checkGolden(t, "faults.txt", []byte(err.Error()+"\n"))
+	goldentest.Check(t, "faults.txt", []byte(err.Error()+"\n"))
 }
--- a/internal/protocol/capture/golden_test.go
+++ b/internal/protocol/capture/golden_test.go
@@ -2,36 +2,16 @@
 
 import (
 	"bytes"
-	"flag"
 	"os"
 	"path/filepath"
 	"reflect"
 	"testing"
 	"time"
 
+	"forkhead/internal/goldentest"
 	"forkhead/internal/protocol/hostproto"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
-
 // Every event is a line with these keys: one with all fields, one of each word, and what the frames of the hosts' protocol
 // come to.
 func TestEventsGolden(t *testing.T) {
@@ -67,7 +47,7 @@
 	if err := Write(&b, events); err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "events.jsonl", b.Bytes())
+	goldentest.Check(t, "events.jsonl", b.Bytes())
 
 	kept, err := os.ReadFile(filepath.Join("testdata", "events.jsonl"))
 	if err != nil {
--- a/internal/protocol/consul/golden_test.go
+++ b/internal/protocol/consul/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -13,29 +12,10 @@
 	"testing"
 	"time"
 
+	"forkhead/internal/goldentest"
 	"forkhead/internal/parse/servicespec"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
-
 // values writes a value with all that it holds, in the order of its fields and without any name of Go's, so that it is the
 // same after a renaming. A number is written as such even where its type has words for it.
 func values(v reflect.Value) string {
@@ -94,7 +74,7 @@
 	for _, why := range skipped {
 		fmt.Fprintln(&b, "skipped:", why)
 	}
-	checkGolden(t, "service.decoded", b.Bytes())
+	goldentest.Check(t, "service.decoded", b.Bytes())
 
 	// The emulated catalogue writes what it reads.
 	var entries []Entry
@@ -105,7 +85,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "service.written.json", append(again, '\n'))
+	goldentest.Check(t, "service.written.json", append(again, '\n'))
 }
 
 // Requests to the catalogue have these bodies.
@@ -125,5 +105,5 @@
 	if err := enc.Encode(Deregistration{Node: "north-1", ServiceID: "forkhead-host"}); err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "requests.jsonl", b.Bytes())
+	goldentest.Check(t, "requests.jsonl", b.Bytes())
 }
--- a/internal/protocol/hostproto/golden_test.go
+++ b/internal/protocol/hostproto/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/hex"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -12,27 +11,9 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-)
-
-var update = flag.Bool("update", false, "write the golden files anew")
 
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
+	"forkhead/internal/goldentest"
+)
 
 // exampleFrames are one of each kind with every field set, and those whose optional parts are left out.
 func exampleFrames() []Frame {
@@ -81,7 +62,7 @@
 	for _, f := range exampleFrames() {
 		fmt.Fprintln(&b, hex.EncodeToString(Append(nil, f)))
 	}
-	checkGolden(t, "frames.hex", b.Bytes())
+	goldentest.Check(t, "frames.hex", b.Bytes())
 
 	kept, err := os.ReadFile(filepath.Join("testdata", "frames.hex"))
 	if err != nil {
--- a/internal/protocol/platform/golden_test.go
+++ b/internal/protocol/platform/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"cmp"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -11,27 +10,9 @@
 	"slices"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the golden files anew")
 
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
+	"forkhead/internal/goldentest"
+)
 
 // values writes a value with all that it holds, in the order of its fields and without any name of Go's, so that it is the
 // same after a renaming. A number is written as such even where its type has words for it.
@@ -130,7 +111,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "messages.decoded", decoded.Bytes())
+	goldentest.Check(t, "messages.decoded", decoded.Bytes())
 	if !bytes.Equal(written.Bytes(), text) {
 		t.Errorf("written as\n%s\nwant\n%s", written.Bytes(), text)
 	}
@@ -157,7 +138,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "changelog.decoded", b.Bytes())
+	goldentest.Check(t, "changelog.decoded", b.Bytes())
 }
 
 // testdata/config.json is a configuration with every key.
@@ -170,5 +151,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "config.decoded", []byte(fmt.Sprintln(values(reflect.ValueOf(c)))+fmt.Sprintln(c.SeedNumber())))
+	goldentest.Check(t, "config.decoded", []byte(fmt.Sprintln(values(reflect.ValueOf(c)))+fmt.Sprintln(c.SeedNumber())))
 }
--- a/internal/scheduler/durable/golden_test.go
+++ b/internal/scheduler/durable/golden_test.go
@@ -3,14 +3,12 @@
 import (
 	"bytes"
 	"encoding/hex"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"testing"
 	"time"
 
 	"forkhead"
+	"forkhead/internal/goldentest"
 	"forkhead/internal/parse/diagnostic"
 	"forkhead/internal/parse/servicespec"
 	"forkhead/internal/protocol/consul"
@@ -18,26 +16,6 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files")
-
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
-
 // exampleRecords returns one of each type, with every field set.
 func exampleRecords() []durable.Record {
 	pos := diagnostic.Pos{File: "a.yaml", Line: 3, Col: 5}
@@ -99,7 +77,7 @@
 			}
 		}
 	}
-	checkGolden(t, "changes.txt", b.Bytes())
+	goldentest.Check(t, "changes.txt", b.Bytes())
 }
 
 // Stored specifications and lists hold these words as numbers.
--- a/internal/scheduler/platform/golden_test.go
+++ b/internal/scheduler/platform/golden_test.go
@@ -2,10 +2,7 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"reflect"
 	"slices"
 	"strings"
@@ -13,29 +10,10 @@
 	"time"
 
 	"forkhead"
+	"forkhead/internal/goldentest"
 	"forkhead/internal/protocol/platform"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
-
 // values writes a value with all that it holds, in the order of its fields and without any name of Go's, so that it is the
 // same after a renaming. A number is written as such even where its type has words for it.
 func values(v reflect.Value) string {
@@ -227,5 +205,5 @@
 	s.actModule(o)
 	s.ownerReturns(o)
 	s.otherSources()
-	checkGolden(t, "lines.txt", s.text.Bytes())
+	goldentest.Check(t, "lines.txt", s.text.Bytes())
 }
--- a/internal/server/placer/golden_test.go
+++ b/internal/server/placer/golden_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -12,32 +11,13 @@
 	"testing"
 	"time"
 
+	"forkhead/internal/goldentest"
 	"forkhead/internal/parse/compose"
 	"forkhead/internal/parse/diagnostic"
 	"forkhead/internal/protocol/http1"
 	"forkhead/internal/scheduler/core"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files")
-
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
-
 // Responses with a problem have these heads and bodies.
 func TestProblemResponseGolden(t *testing.T) {
 	pos := diagnostic.Pos{File: "a.yaml", Line: 3, Col: 5}
@@ -58,7 +38,7 @@
 	} {
 		b.Write(bytes.ReplaceAll(c.response.encode(c.closeAfter), []byte("\r"), nil))
 	}
-	checkGolden(t, "problems.txt", b.Bytes())
+	goldentest.Check(t, "problems.txt", b.Bytes())
 }
 
 // A submission of several files has these keys, and what the HTTP server answers these.
@@ -83,7 +63,7 @@
 			t.Fatal(err)
 		}
 	}
-	checkGolden(t, "bodies.jsonl", b.Bytes())
+	goldentest.Check(t, "bodies.jsonl", b.Bytes())
 
 	kept, err := os.ReadFile(filepath.Join("testdata", "bodies.jsonl"))
 	if err != nil {
--- a/internal/server/store/golden_test.go
+++ b/internal/server/store/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -12,6 +11,7 @@
 	"testing"
 	"time"
 
+	"forkhead/internal/goldentest"
 	"forkhead/internal/parse/servicespec"
 	"forkhead/internal/parse/settings"
 	"forkhead/internal/protocol/hostproto"
@@ -28,26 +28,6 @@
 	goldenSettings = "testdata/settings.sexp"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files")
-
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
-
 // copyOfGoldenStore returns the path of a copy, which Open may write to.
 func copyOfGoldenStore(t *testing.T) string {
 	t.Helper()
@@ -94,9 +74,9 @@
 // The keys and values are the same before and after the file was opened, which rewrites it.
 func TestStoreReadsGoldenFile(t *testing.T) {
 	path := copyOfGoldenStore(t)
-	checkGolden(t, "placer.dump", dump(t, path))
+	goldentest.Check(t, "placer.dump", dump(t, path))
 	openCopy(t, path)
-	checkGolden(t, "placer.dump", dump(t, path))
+	goldentest.Check(t, "placer.dump", dump(t, path))
 }
 
 // recordsOf returns the records that a snapshot came of.
@@ -142,7 +122,7 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "placer.dump", dump(t, again))
+	goldentest.Check(t, "placer.dump", dump(t, again))
 }
 
 // hostEpoch is the hosts' epoch of the attempts in the file: the hosts have not restarted since.
@@ -240,5 +220,5 @@
 		}
 		h.log = append(h.log, fmt.Sprintf("submission %s, complete %v, known %v: %s", f.ID, complete, known, line))
 	}
-	checkGolden(t, "restored.txt", []byte(strings.Join(h.log, "\n")+"\n"))
+	goldentest.Check(t, "restored.txt", []byte(strings.Join(h.log, "\n")+"\n"))
 }
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/hex"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -11,27 +10,9 @@
 	"slices"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the golden files anew")
 
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
+	"forkhead/internal/goldentest"
+)
 
 // values writes a value with all that it holds, in the order of its fields and without any name of Go's, so that it is the
 // same after a renaming. A number is written as such even where its type has words for it.
@@ -89,7 +70,7 @@
 	for _, ev := range batch.Events {
 		fmt.Fprintln(&b, values(reflect.ValueOf(ev)))
 	}
-	checkGolden(t, "events.decoded", b.Bytes())
+	goldentest.Check(t, "events.decoded", b.Bytes())
 }
 
 // Each action has these bytes, a record a line.
@@ -119,5 +100,5 @@
 		}
 		fmt.Fprintln(&b, hex.EncodeToString(out.Bytes()))
 	}
-	checkGolden(t, "actions.hex", b.Bytes())
+	goldentest.Check(t, "actions.hex", b.Bytes())
 }
--- a/internal/verify/chaos/golden_test.go
+++ b/internal/verify/chaos/golden_test.go
@@ -3,34 +3,12 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
-	"path/filepath"
 	"testing"
 
+	"forkhead/internal/goldentest"
 	"forkhead/internal/verify/rules"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
-
 // What is written of a day, of each play of many and of all of them has these keys; Totals come from results as they are
 // written.
 func TestResultsGolden(t *testing.T) {
@@ -54,5 +32,5 @@
 			t.Fatal(err)
 		}
 	}
-	checkGolden(t, "results.jsonl", b.Bytes())
+	goldentest.Check(t, "results.jsonl", b.Bytes())
 }
--- a/internal/verify/replay/golden_test.go
+++ b/internal/verify/replay/golden_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -13,6 +12,7 @@
 	"time"
 
 	"forkhead"
+	"forkhead/internal/goldentest"
 	"forkhead/internal/parse/diagnostic"
 	"forkhead/internal/parse/servicespec"
 	"forkhead/internal/protocol/capture"
@@ -27,26 +27,6 @@
 // an earlier build wrote must replay. -update writes only what is expected of them.
 var goldenTapes = []string{"placer-0-life-2", "placer-1-life-1"}
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
-
 // An earlier build's tapes replay without a difference, and show the same traffic.
 func TestReplayGoldenTapes(t *testing.T) {
 	for _, name := range goldenTapes {
@@ -71,7 +51,7 @@
 			if err := capture.Write(&events, p.Events); err != nil {
 				t.Fatal(err)
 			}
-			checkGolden(t, name+".jsonl", events.Bytes())
+			goldentest.Check(t, name+".jsonl", events.Bytes())
 		})
 	}
 }
@@ -111,7 +91,7 @@
 	} {
 		fmt.Fprintln(&b, replay.Line(out))
 	}
-	checkGolden(t, "lines.txt", b.Bytes())
+	goldentest.Check(t, "lines.txt", b.Bytes())
 }
 
 func exampleSpec() hostproto.Spec {
@@ -195,7 +175,7 @@
 // name it does not know. The tape is written only where it is missing.
 func TestTapeGoldenInputs(t *testing.T) {
 	path := filepath.Join("testdata", "inputs.tape")
-	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) && *update {
+	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) && goldentest.Updating() {
 		w := replay.NewWriter(replay.Head{File: "day", Script: []byte(day), Seed: 5, Epoch: 9, Durable: true}, 1<<20)
 		for i, in := range exampleInputs() {
 			if err := w.Add(&replay.Step{Now: time.Hour, Due: time.Minute, In: []core.Input{in}, Out: []string{fmt.Sprint(i)}}); err != nil {
--- a/internal/verify/scenario/golden_test.go
+++ b/internal/verify/scenario/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -10,27 +9,9 @@
 	"slices"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the golden files anew")
 
-// checkGolden compares text with testdata/name.
-func checkGolden(t *testing.T, name string, text []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(text, want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
-	}
-}
+	"forkhead/internal/goldentest"
+)
 
 // values writes a value with all that it holds, in the order of its fields and without any name of Go's, so that it is the
 // same after a renaming. A number is written as such even where its type has words for it.
@@ -94,11 +75,11 @@
 		for i := range reflect.ValueOf(*s).NumField() {
 			fmt.Fprintln(&b, strings.ReplaceAll(values(reflect.ValueOf(*s).Field(i)), ") (", ")\n\t("))
 		}
-		checkGolden(t, name+".values", b.Bytes())
+		goldentest.Check(t, name+".values", b.Bytes())
 	}
 }
 
 // The words of troubles and planted breaches are these.
 func TestWordsGolden(t *testing.T) {
-	checkGolden(t, "words.txt", []byte(fmt.Sprintln(Kinds, Plants)))
+	goldentest.Check(t, "words.txt", []byte(fmt.Sprintln(Kinds, Plants)))
 }
