--- a/capacity.go
+++ b/capacity.go
@@ -97,7 +97,7 @@
 
 // hasCapacity says whether the machine has capacity for the task: as much as it accepts where the pass
 // overcommits, else as much as leaves its tasks well served.
-func (p *Placer) hasCapacity(t *task, m *machine, pass selectionPass) bool {
+func (p *Placer) hasCapacity(t *task, m *machine, pass *selectionPass) bool {
 	if p.now < m.backoffUntil || m.starting >= pass.maxStarting {
 		return false
 	}
--- a/selection.go
+++ b/selection.go
@@ -35,18 +35,19 @@
 // selectMachine tries each pass in the pool of the task and then in the others, if its class allows them.
 func (p *Placer) selectMachine(t *task, passes []selectionPass) *machine {
 	class := &p.settings.Classes[t.Class]
-	for _, pass := range passes {
+	for i := range passes {
+		pass := &passes[i]
 		if pass.preempt && (!p.settings.Preemption || class.Priority == 0) {
 			continue
 		}
 		if m := p.selectInPool(t, t.pool, pass); m != nil {
 			return m
 		}
-		for i := range p.pools {
-			if i == t.pool || class.MachineType >= 0 {
+		for machineType := range p.pools {
+			if machineType == t.pool || class.MachineType >= 0 {
 				continue
 			}
-			if m := p.selectInPool(t, i, pass); m != nil {
+			if m := p.selectInPool(t, machineType, pass); m != nil {
 				return m
 			}
 		}
@@ -55,7 +56,7 @@
 }
 
 // selectInPool looks in the group that owns the task's size first and then in ever farther ones.
-func (p *Placer) selectInPool(t *task, machineType int, pass selectionPass) *machine {
+func (p *Placer) selectInPool(t *task, machineType int, pass *selectionPass) *machine {
 	pool := p.pools[machineType]
 	groups := p.intervalCount(pool)
 	if groups == 0 {
@@ -81,7 +82,7 @@
 // hold the service's program if any do. The few go by the service's hash, so that all placers bring one
 // program to the same machines. Where placers are many and the list lags too far behind to show the fit,
 // the first by the hash is taken.
-func (p *Placer) selectInGroup(t *task, group []*machine, pass selectionPass) *machine {
+func (p *Placer) selectInGroup(t *task, group []*machine, pass *selectionPass) *machine {
 	p.candidates = p.candidates[:0]
 	programOnly, choices := pass.programCached, numberOfChoices
 	if !p.seesPeerChanges() {
@@ -107,7 +108,7 @@
 }
 
 // passes says whether the machine can take the task in this pass.
-func (p *Placer) passes(t *task, m *machine, pass selectionPass) bool {
+func (p *Placer) passes(t *task, m *machine, pass *selectionPass) bool {
 	inUse := !m.standby || pass.standby
 	return inUse && p.isEligible(t, m) && p.hasCapacity(t, m, pass) && p.winsLottery(t, m)
 }
--- a/selection_test.go
+++ b/selection_test.go
@@ -37,7 +37,7 @@
 	machines[1].AvailableCores, machines[1].AvailableMemory = 4, 8
 	h := newHarness(t, testSettings(), machines)
 	group := h.placer.pools[0].order
-	got := h.placer.selectInGroup(&task{Task: h.newTask(0, 7)}, group, selectionPass{maxStarting: 1})
+	got := h.placer.selectInGroup(&task{Task: h.newTask(0, 7)}, group, &selectionPass{maxStarting: 1})
 	if got == nil || got.ID != 2 {
 		t.Errorf("selected %+v, want the fuller machine 2", got)
 	}
--- a/state.go
+++ b/state.go
@@ -86,30 +86,21 @@
 
 // machine is what a placer knows of a machine.
 type machine struct {
-	Machine                // the latest list entry
-	listedAt time.Duration // when it came
-	hash     uint64        // of its id
+	Machine                 // the latest list entry
+	derating  float64       // the share taken off what it is given at deratedAt
+	deratedAt time.Duration // when its tasks were last served poorly
+	hash      uint64        // of its id
+	listedAt  time.Duration // when the latest list entry came
 
 	// Our tasks there, and those of other placers.
-	attempts        []*attempt // live, and ended within changeHistory
-	starting        int        // our attempts whose task does not run yet
-	reservedCores   float64    // requested by our live attempts
+	reservedCores   float64 // requested by our live attempts
 	reservedMemory  float64
+	attempts        []*attempt       // live, and ended within changeHistory
+	starting        int              // our attempts whose task does not run yet
 	peerChanges     []capacityChange // at most maxPeerChanges
 	cachedPrograms  []uint32         // taken to be there beside our tasks, the latest last; at most maxCachedPrograms
 	slowStartOffers []time.Duration  // when ours were sent
 
-	// The estimate of what is available there.
-	availableCores  float64 // what available last returned
-	availableMemory float64
-	availableAt     time.Duration
-	availableStale  bool
-	rejectedAt      time.Duration // when a rejection showed that less is available than listed
-	unlistedCores   float64       // by how much
-	unlistedMemory  float64
-	derating        float64 // the share taken off what it is given at deratedAt
-	deratedAt       time.Duration
-
 	// Its health.
 	failures     int // probes and connections in a row
 	suspectUntil time.Duration
@@ -117,6 +108,16 @@
 	answeredAt   time.Duration
 	outliers     []outlierState // by class; nil until one fails
 
+	// The estimate of what is available there.
+	rejectedAt      time.Duration // when a rejection showed that less is available than listed
+	unlistedCores   float64       // by how much
+	unlistedMemory  float64
+	availableCores  float64 // what available last returned
+	availableMemory float64
+	availableAt     time.Duration
+	availableStale  bool
+
+	// Whether it is used.
 	backoffUntil time.Duration // its queue of offers was full, or a task was migrated away
 	standby      bool          // nothing new while others have capacity
 	removedAt    time.Duration // when rebuildPools found it removed from the list; 0: it is listed
