--- a/internal/lint_test.go
+++ b/internal/lint_test.go
@@ -26,8 +26,8 @@
 	Formatters struct{ Exclusions exclusions }
 }
 
-// maxUnfinished is the most packages that the list may name: as many as when the linter came. It goes down with the list, never up.
-const maxUnfinished = 45
+// maxUnfinished is the most packages that the list may name: as many as are left. It goes down with the list, never up.
+const maxUnfinished = 28
 
 // unfinished matches an entry of the list: the files of one folder, not of those below it.
 var unfinished = regexp.MustCompile(`^\^((?:[a-z0-9]+/)*)\[\^/\]\+\$$`)
--- a/internal/scheduler/core/attempts.go
+++ b/internal/scheduler/core/attempts.go
@@ -2,13 +2,13 @@
 
 import (
 	"fmt"
-	"slices"
 	"time"
 
 	"forkhead"
 	"forkhead/internal/protocol/hostproto"
 	"forkhead/internal/scheduler/attempt"
 	"forkhead/internal/scheduler/durable"
+	"forkhead/internal/scheduler/invariant"
 	"forkhead/internal/scheduler/retrypolicy"
 )
 
@@ -32,23 +32,11 @@
 // chosenAt is when the module chose the host.
 func (a *taskAttempt) chosenAt() time.Duration { return a.request.Attempts[a.number].ChosenAt }
 
-// attemptsByService are live attempts by the key of their service, in the order in which they became live.
-type attemptsByService map[uint64][]*taskAttempt
+// service is the key of the attempt's service.
+func (a *taskAttempt) service() uint64 { return a.request.task.Service }
 
-func (m attemptsByService) add(a *taskAttempt) {
-	service := a.request.task.Service
-	m[service] = append(m[service], a)
-}
-
-func (m attemptsByService) remove(a *taskAttempt) {
-	service := a.request.task.Service
-	remaining := slices.DeleteFunc(m[service], func(other *taskAttempt) bool { return other == a })
-	if len(remaining) == 0 {
-		delete(m, service)
-		return
-	}
-	m[service] = remaining
-}
+// InvariantHost returns the attempt's host, as the invariants see it.
+func (a *taskAttempt) InvariantHost() *invariant.Host { return a.host.forInvariants() }
 
 // attemptsByTask are attempts by the key of their task, in no order.
 type attemptsByTask map[uint64]map[*taskAttempt]bool
@@ -74,7 +62,7 @@
 	a.host.attempts[a.ref] = a
 	c.attemptsByRef[a.ref] = a
 	if a.phase().IsLive() {
-		c.liveAttempts.add(a)
+		c.liveAttempts.Add(a.service(), a)
 	}
 }
 
@@ -130,9 +118,9 @@
 func (c *Core) updateAttemptTables(a *taskAttempt, ch *attemptChange) {
 	switch before, after := ch.before.IsLive(), ch.after.IsLive(); {
 	case before && !after:
-		c.liveAttempts.remove(a)
+		c.liveAttempts.Remove(a.service(), a)
 	case !before && after:
-		c.liveAttempts.add(a)
+		c.liveAttempts.Add(a.service(), a)
 	}
 	if ch.after.IsSettled() && !ch.before.IsSettled() {
 		delete(a.host.attempts, a.ref)
--- a/internal/scheduler/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -51,12 +51,12 @@
 	hostListPersistedAt time.Duration // 0: not yet
 
 	lastTaskID       uint32
-	requests         map[forkhead.TaskID]*placementRequest // open, or with attempts that are not settled
-	canceledRequests map[forkhead.TaskID]*placementRequest // canceled in this step: the module may not know yet
-	attemptsByRef    map[hostproto.Ref]*taskAttempt        // not settled
-	liveAttempts     attemptsByService                     // those that count against the spread
-	unknownAttempts  attemptsByTask                        // those of which nobody knows what became
-	blockedReplicas  map[uint64]*desiredReplica            // by task key: they wait until its unknown attempts are settled
+	requests         map[forkhead.TaskID]*placementRequest   // open, or with attempts that are not settled
+	canceledRequests map[forkhead.TaskID]*placementRequest   // canceled in this step: the module may not know yet
+	attemptsByRef    map[hostproto.Ref]*taskAttempt          // not settled
+	liveAttempts     invariant.ServiceAttempts[*taskAttempt] // those that count against the spread
+	unknownAttempts  attemptsByTask                          // those of which nobody knows what became
+	blockedReplicas  map[uint64]*desiredReplica              // by task key: they wait until its unknown attempts are settled
 
 	projects        map[string]*project
 	removedProjects map[string]bool // removed in an earlier incarnation
@@ -112,7 +112,7 @@
 		requests:         map[forkhead.TaskID]*placementRequest{},
 		canceledRequests: map[forkhead.TaskID]*placementRequest{},
 		attemptsByRef:    map[hostproto.Ref]*taskAttempt{},
-		liveAttempts:     attemptsByService{},
+		liveAttempts:     invariant.ServiceAttempts[*taskAttempt]{},
 		unknownAttempts:  attemptsByTask{},
 		blockedReplicas:  map[uint64]*desiredReplica{},
 
--- a/internal/scheduler/core/offers.go
+++ b/internal/scheduler/core/offers.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"iter"
 	"time"
 
 	"forkhead"
@@ -64,7 +63,7 @@
 			}
 			return nil
 		},
-		ServiceHosts: c.serviceHosts(request.task.Service, nil),
+		ServiceHosts: c.liveAttempts.Hosts(request.task.Service, nil),
 	})
 }
 
@@ -75,21 +74,10 @@
 		Task:         task,
 		Class:        &c.settings.Module.Classes[task.Class],
 		To:           a.host.forInvariants(),
-		ServiceHosts: c.serviceHosts(task.Service, a),
+		ServiceHosts: c.liveAttempts.Hosts(task.Service, a),
 	}) != nil
 }
 
-// serviceHosts are the hosts of a service's live attempts but one; nil: of all.
-func (c *Core) serviceHosts(service uint64, except *taskAttempt) iter.Seq[*invariant.Host] {
-	return func(yield func(*invariant.Host) bool) {
-		for _, a := range c.liveAttempts[service] {
-			if a != except && !yield(a.host.forInvariants()) {
-				return
-			}
-		}
-	}
-}
-
 // startAttempt adds an attempt for an offer, which waits to be sent.
 func (c *Core) startAttempt(request *placementRequest, h *host, action forkhead.Offer) *taskAttempt {
 	number := request.AddOffer(c.now, attempt.HostID(h.id))
--- a/internal/scheduler/core/timers.go
+++ b/internal/scheduler/core/timers.go
@@ -44,17 +44,14 @@
 
 // handleDueTimers handles the timers that are due but for the deadlines of requests, which it returns in order.
 func (c *Core) handleDueTimers() (requestDeadlines []*timer) {
-	for {
-		t, due := c.timers.PopDue(c.now)
-		if !due {
-			return requestDeadlines
-		}
+	for t := range c.timers.Due(c.now) {
 		if t.kind == timerRequestDeadline {
 			requestDeadlines = append(requestDeadlines, t)
 			continue
 		}
 		c.handleTimer(t)
 	}
+	return requestDeadlines
 }
 
 func (c *Core) handleTimer(t *timer) {
--- a/internal/scheduler/platform/attempt.go
+++ b/internal/scheduler/platform/attempt.go
@@ -1,7 +1,6 @@
 package platform
 
 import (
-	"iter"
 	"slices"
 	"time"
 
@@ -62,7 +61,7 @@
 	return invariant.CheckOffer(c.now, &invariant.Offer{
 		Request: &r.lifecycle, Task: &r.task, Class: r.class, To: h.forInvariants(), DrainGrace: c.settings.DrainGrace,
 		HostByID:     c.hostForInvariants,
-		ServiceHosts: c.serviceHosts(r.task.Service, nil),
+		ServiceHosts: c.attemptsByService.Hosts(r.task.Service, nil),
 	})
 }
 
@@ -77,20 +76,12 @@
 func (c *Core) exceedsSpread(a *taskAttempt) bool {
 	r := a.request
 	return invariant.CheckSpread(&invariant.Offer{
-		Task: &r.task, Class: r.class, To: a.host.forInvariants(), ServiceHosts: c.serviceHosts(r.task.Service, a),
+		Task: &r.task, Class: r.class, To: a.host.forInvariants(), ServiceHosts: c.attemptsByService.Hosts(r.task.Service, a),
 	}) != nil
 }
 
-// serviceHosts runs over the hosts of a service's live attempts except one, each once per attempt.
-func (c *Core) serviceHosts(service uint64, except *taskAttempt) iter.Seq[*invariant.Host] {
-	return func(yield func(*invariant.Host) bool) {
-		for _, a := range c.attemptsByService[service] {
-			if a != except && !yield(a.host.forInvariants()) {
-				return
-			}
-		}
-	}
-}
+// InvariantHost returns the attempt's host, as the invariants see it.
+func (a *taskAttempt) InvariantHost() *invariant.Host { return a.host.forInvariants() }
 
 // skipOffer counts an attempt that was never started, so that numbers stay in step with the module's.
 func (c *Core) skipOffer(r *request, machine forkhead.MachineID) {
@@ -112,7 +103,7 @@
 	r := a.request
 	r.attempts = append(r.attempts, a)
 	a.host.attempts[r.ref] = a
-	c.attemptsByService[r.task.Service] = append(c.attemptsByService[r.task.Service], a)
+	c.attemptsByService.Add(r.task.Service, a)
 }
 
 // removeAttempt takes a live attempt off the lists of its host and its service.
@@ -121,12 +112,7 @@
 	if a.host.attempts[r.ref] == a {
 		delete(a.host.attempts, r.ref)
 	}
-	live := slices.DeleteFunc(c.attemptsByService[r.task.Service], func(other *taskAttempt) bool { return other == a })
-	if len(live) == 0 {
-		delete(c.attemptsByService, r.task.Service)
-	} else {
-		c.attemptsByService[r.task.Service] = live
-	}
+	c.attemptsByService.Remove(r.task.Service, a)
 }
 
 // sendOffer sends the offer of an attempt on its connection, which is open. One that has become wrong while it was
--- a/internal/scheduler/platform/core.go
+++ b/internal/scheduler/platform/core.go
@@ -6,6 +6,7 @@
 
 	"forkhead"
 	"forkhead/internal/protocol/platform"
+	"forkhead/internal/scheduler/invariant"
 	"forkhead/internal/scheduler/moduledriver"
 	"forkhead/internal/scheduler/timerqueue"
 )
@@ -26,12 +27,12 @@
 	lastTask          forkhead.TaskID
 	requests          map[forkhead.TaskID]*request
 	requestsByRef     map[requestRef]*request
-	unanswered        int                       // how many requests are open
-	attemptsByService map[uint64][]*taskAttempt // those that are live
-	possibleOrphans   []possibleOrphan          // of the current step
-	finished          []*request                // of the current step: they may be forgotten at its end
-	abandoned         recent[attemptKey]        // attempts whose outcome is no longer awaited, though they may run
-	reportedEnds      recent[reportedEnd]       // ends of tasks that are not known here, or not any more
+	unanswered        int                                     // how many requests are open
+	attemptsByService invariant.ServiceAttempts[*taskAttempt] // those that are live
+	possibleOrphans   []possibleOrphan                        // of the current step
+	finished          []*request                              // of the current step: they may be forgotten at its end
+	abandoned         recent[attemptKey]                      // attempts whose outcome is no longer awaited, though they may run
+	reportedEnds      recent[reportedEnd]                     // ends of tasks that are not known here, or not any more
 
 	owners      map[OwnerID]*ownerConnection
 	undelivered []undeliveredMessage // oldest first
@@ -65,7 +66,7 @@
 		module:            module,
 		requests:          map[forkhead.TaskID]*request{},
 		requestsByRef:     map[requestRef]*request{},
-		attemptsByService: map[uint64][]*taskAttempt{},
+		attemptsByService: invariant.ServiceAttempts[*taskAttempt]{},
 		abandoned:         newRecent[attemptKey](maxRemembered),
 		reportedEnds:      newRecent[reportedEnd](maxRemembered),
 		owners:            map[OwnerID]*ownerConnection{},
@@ -149,11 +150,7 @@
 }
 
 func (c *Core) fireTimers() {
-	for {
-		t, due := c.timers.PopDue(c.now)
-		if !due {
-			return
-		}
+	for t := range c.timers.Due(c.now) {
 		switch t.kind {
 		case deadlineTimer:
 			c.expireAttempts(forkhead.TaskID(t.id))
--- a/internal/scheduler/timerqueue/timerqueue.go
+++ b/internal/scheduler/timerqueue/timerqueue.go
@@ -4,6 +4,7 @@
 
 import (
 	"container/heap"
+	"iter"
 	"time"
 )
 
@@ -38,6 +39,19 @@
 	return heap.Pop(&q.timers).(timer[T]).value, true
 }
 
+// Due removes the timers that are due by a time, one after the other, and yields their values. Those that are added
+// meanwhile are yielded too, where they are due.
+func (q *Queue[T]) Due(now time.Duration) iter.Seq[T] {
+	return func(yield func(T) bool) {
+		for {
+			value, due := q.PopDue(now)
+			if !due || !yield(value) {
+				return
+			}
+		}
+	}
+}
+
 type timer[T any] struct {
 	at    time.Duration
 	seq   uint64
--- a/internal/scheduler/timerqueue/timerqueue_test.go
+++ b/internal/scheduler/timerqueue/timerqueue_test.go
@@ -28,3 +28,23 @@
 		t.Errorf("then %v, %v, %d left; want 9, true, 1", at, ok, q.Len())
 	}
 }
+
+func TestQueueDueYieldsWhatIsAddedMeanwhile(t *testing.T) {
+	var q Queue[string]
+	q.Add(1, "first")
+	q.Add(2, "second")
+	q.Add(9, "later")
+	var got []string
+	for value := range q.Due(3) {
+		if value == "first" {
+			q.Add(3, "added")
+		}
+		got = append(got, value)
+	}
+	if want := []string{"first", "second", "added"}; !slices.Equal(got, want) {
+		t.Errorf("got %v, want %v", got, want)
+	}
+	if q.Len() != 1 {
+		t.Errorf("%d timers are left, want 1", q.Len())
+	}
+}
