--- a/gossip.go
+++ b/gossip.go
@@ -78,6 +78,6 @@
 	return uint16(int16(min(max(math.Round(amount*amountScale), math.MinInt16), math.MaxInt16)))
 }
 
-func decodeAmount(word []byte) float64 {
-	return float64(int16(binary.LittleEndian.Uint16(word))) / amountScale
+func decodeAmount(encoded []byte) float64 {
+	return float64(int16(binary.LittleEndian.Uint16(encoded))) / amountScale
 }
--- a/internal/parse/platformconfig/settings.go
+++ b/internal/parse/platformconfig/settings.go
@@ -44,7 +44,7 @@
 		ConnectTimeout: Duration(in.Caps.ConnectTimeout), AnswerSlack: Duration(in.Rules.AnswerSlack),
 		DrainGrace: Duration(in.Rules.StopSendingWithin), MaxPollInterval: Duration(in.Rules.MustAskIn),
 		SlowStartDuration: Duration(in.Rules.Cold), SlowStartWindow: Duration(in.Rules.Fall), SlowStartMaxOffers: f.ColdSends,
-		SlowStartInitialPace: in.Rules.ColdFrom, SlowStartOverload: in.Rules.FallMultiple,
+		SlowStartInitialRate: in.Rules.ColdFrom, SlowStartOverload: in.Rules.FallMultiple,
 		OverQuotaWeight: in.OverShareWorth,
 		Costs: forkhead.Costs{
 			SurplusMachine: in.Deductions.Fleet, Migration: in.Deductions.Moves, EvictionMigrations: f.EvictCounts,
--- a/internal/parse/settings/settings.go
+++ b/internal/parse/settings/settings.go
@@ -174,7 +174,7 @@
 		MaxAttempts: 4, MayWithdraw: true, MayProbe: true, MayGossip: true,
 		OwnerBackoff: 3 * time.Second, MaxRetryAfter: 3 * time.Second, ConnectTimeout: 250 * time.Millisecond,
 		AnswerSlack: 10 * time.Millisecond, DrainGrace: 250 * time.Millisecond, MaxPollInterval: 10 * time.Second,
-		SlowStartDuration: 10 * time.Second, SlowStartWindow: time.Second, SlowStartMaxOffers: 20, SlowStartInitialPace: 0.2, SlowStartOverload: 4,
+		SlowStartDuration: 10 * time.Second, SlowStartWindow: time.Second, SlowStartMaxOffers: 20, SlowStartInitialRate: 0.2, SlowStartOverload: 4,
 		OverQuotaWeight: 0.2,
 		Costs: forkhead.Costs{
 			SurplusMachine: 0.15, Migration: 0.05, EvictionMigrations: 2, Rejection: 0.02, WastedWork: 0.05, Probe: 0.003, Gossip: 0.01, ListEntries: 0.004,
@@ -231,7 +231,7 @@
 			"for":      sexp.Duration(&m.SlowStartDuration, 0, time.Hour),
 			"window":   sexp.Duration(&m.SlowStartWindow, 0, time.Minute),
 			"offers":   sexp.Number(&m.SlowStartMaxOffers, 0, 1e6),
-			"from":     sexp.Number(&m.SlowStartInitialPace, 0, 1),
+			"from":     sexp.Number(&m.SlowStartInitialRate, 0, 1),
 			"multiple": sexp.Number(&m.SlowStartOverload, 0, 1000),
 		}),
 		"over-share-worth": sexp.Number(&m.OverQuotaWeight, 0, 1),
--- a/internal/scheduler/platform/undelivered.go
+++ b/internal/scheduler/platform/undelivered.go
@@ -17,7 +17,7 @@
 		c.emit(SendToOwner{r.owner, line})
 		return true
 	}
-	if owner := c.ownerWithMostTasks(); owner != nil {
+	if owner := c.busiestOwner(); owner != nil {
 		c.emit(SendToOwner{owner.id, line})
 		return true
 	}
@@ -27,8 +27,8 @@
 	return false
 }
 
-// ownerWithMostTasks is the connection that most tasks were placed for, of those that sent nothing malformed; nil: none were.
-func (c *Core) ownerWithMostTasks() *ownerConnection {
+// busiestOwner is the connection that most tasks were placed for, of those that sent nothing malformed; nil: none were.
+func (c *Core) busiestOwner() *ownerConnection {
 	var best *ownerConnection
 	for _, owner := range c.owners {
 		if owner.placedTotal == 0 || owner.malformed > 0 {
--- a/internal/verify/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -48,7 +48,7 @@
 	m := &s.Module
 	f := Facts{
 		Classes: map[string]Class{}, Parallel: m.ParallelAttempts, Running: m.BoundWhenRunning, Grace: m.DrainGrace, LostAfter: s.Links.LostAfter,
-		OwnerWait: m.OwnerBackoff, ColdFor: m.SlowStartDuration, ColdFrom: m.SlowStartInitialPace, ColdWindow: m.SlowStartWindow, ColdOffers: m.SlowStartMaxOffers,
+		OwnerWait: m.OwnerBackoff, ColdFor: m.SlowStartDuration, ColdFrom: m.SlowStartInitialRate, ColdWindow: m.SlowStartWindow, ColdOffers: m.SlowStartMaxOffers,
 		ColdPace: pace, Multiple: m.SlowStartOverload, Transit: 200 * time.Millisecond, Late: time.Second,
 	}
 	for i, c := range m.Classes {
--- a/internal/verify/testcluster/scene.go
+++ b/internal/verify/testcluster/scene.go
@@ -159,7 +159,7 @@
 	h := &s.Host
 	cfg.Look, cfg.Line, cfg.Starts, cfg.Start, cfg.Absent, cfg.Keep = h.Look, h.Line, h.Starts, h.Start, h.Absent, h.Keep
 	cfg.Use, cfg.Swing, cfg.Notes = h.Use, h.Swing, h.Notes
-	cfg.ColdFor, cfg.ColdFrom, cfg.ColdWindow, cfg.ColdOffers, cfg.Multiple = m.SlowStartDuration, m.SlowStartInitialPace, m.SlowStartWindow, m.SlowStartMaxOffers, m.SlowStartOverload
+	cfg.ColdFor, cfg.ColdFrom, cfg.ColdWindow, cfg.ColdOffers, cfg.Multiple = m.SlowStartDuration, m.SlowStartInitialRate, m.SlowStartWindow, m.SlowStartMaxOffers, m.SlowStartOverload
 	return cfg
 }
 
--- a/settings.go
+++ b/settings.go
@@ -46,7 +46,7 @@
 	SlowStartDuration    time.Duration // a fresh machine has warmed up after this at the latest
 	SlowStartWindow      time.Duration // the window over which offers to a machine in slow start count
 	SlowStartMaxOffers   float64       // offers that such a machine can take in a window, from all placers
-	SlowStartInitialPace float64       // the share of its pace that a fresh machine has at least
+	SlowStartInitialRate float64       // the share of its full rate that a fresh machine has at least
 	SlowStartOverload    float64       // it fails when it is offered more than this multiple of its pace
 
 	OverQuotaWeight float64 // weight of a task beyond its tenant's quota, relative to one within it
