--- a/actions.go
+++ b/actions.go
@@ -14,12 +14,12 @@
 	Offer struct {
 		Task    TaskID
 		Machine MachineID
-		Timeout time.Duration // 0: until the owner gives up
+		Timeout time.Duration // 0: until the owner gives up; this module sets no other
 	}
 	// Reject ends a request and says that trying again is harmless.
 	Reject struct {
 		Task       TaskID
-		RetryAfter time.Duration
+		RetryAfter time.Duration // 0: not said; this module sets no other
 	}
 	// Fail ends a request and promises nothing.
 	Fail struct{ Task TaskID }
--- a/attempts.go
+++ b/attempts.go
@@ -6,10 +6,10 @@
 const (
 	attemptTimeout = 700 * time.Millisecond // an attempt unanswered for this long gets its machine probed
 	probeBackoff   = 3 * attemptTimeout     // where placers are many, one that answered since is not probed
-	// A slow start is one of twenty: a start that takes longer than the estimate raises it by one part in
-	// slowestStartRise, any other lowers it by one in slowestStartFall.
-	initialSlowestStart                = 1500 * time.Millisecond
-	slowestStartRise, slowestStartFall = 5, 100
+	// The estimate of the 95th percentile of the time from offer to bind: a start that takes longer raises
+	// it by one part in startTimeP95Rise, any other lowers it by one in startTimeP95Fall.
+	initialStartTimeP95                = 1500 * time.Millisecond
+	startTimeP95Rise, startTimeP95Fall = 5, 100
 	unresponsiveStarts                 = 2 // a start that takes so many times as long will not come
 	// A task that gets less service than this is migrated where one of the first passes finds a machine.
 	migrateBelow, migrationPasses = 0.5, 3
@@ -53,10 +53,10 @@
 	}
 	a.bound, a.machine.availableStale = true, true
 	a.task.pending = false
-	if event.Took > p.slowestStart {
-		p.slowestStart += p.slowestStart / slowestStartRise
+	if event.Took > p.startTimeP95 {
+		p.startTimeP95 += p.startTimeP95 / startTimeP95Rise
 	} else {
-		p.slowestStart -= p.slowestStart / slowestStartFall
+		p.startTimeP95 -= p.startTimeP95 / startTimeP95Fall
 	}
 	p.clearOutlier(a.machine, a.task.Class)
 	p.markHealthy(a.machine)
@@ -131,7 +131,7 @@
 		return
 	}
 	m := a.machine
-	overdueAt := a.sentAt + unresponsiveStarts*max(attemptTimeout, p.slowestStart)
+	overdueAt := a.sentAt + unresponsiveStarts*max(attemptTimeout, p.startTimeP95)
 	unresponsive := m.answeredAt > a.sentAt && p.now >= overdueAt
 	if unresponsive && !a.unresponsive {
 		a.unresponsive = true
@@ -150,7 +150,8 @@
 // migrateIfPoorlyServed stops a task that gets little where another machine would serve it well: one for
 // each note, and notes come about once a second. It guards against tasks stuck on a machine that is slow,
 // crowded or misjudged; it may hurt where service was about to come back. Each placer migrates by its part
-// of what is requested there: else all that have a task on the machine would migrate one each.
+// of what is requested there: else all that have a task on the machine would migrate one each. The cooldown
+// keeps the machine itself out of the search for another one, and holds whether or not there is one.
 func (p *Placer) migrateIfPoorlyServed(a *attempt, level float64) {
 	if level >= migrateBelow || a.task.pending {
 		return
--- a/bookkeeping.go
+++ b/bookkeeping.go
@@ -229,3 +229,17 @@
 	}
 	return true
 }
+
+// add counts a task of the size, in cores, and decays what was counted before.
+func (h *sizeHistogram) add(size float64) {
+	for i := range h.load {
+		h.load[i] *= 1 - 1./sizeHistory
+	}
+	h.load[sizeBucket(size)] += size
+	h.total = h.total*(1-1./sizeHistory) + size
+}
+
+// learn adds what a task uses and what it requested, and fades earlier notes.
+func (u *usageRatio) learn(used, requested float64) {
+	u.used, u.requested = u.used*usageDecay+used, u.requested*usageDecay+requested
+}
--- a/capacity.go
+++ b/capacity.go
@@ -37,8 +37,8 @@
 	2 * time.Second, 3 * time.Second, 4500 * time.Millisecond, 7 * time.Second,
 }
 
-// available is what the list shows as not requested, with our own binds and ends since then and with what
-// a rejection has shown. It is never more than our own tasks alone leave.
+// available is what the list shows as not requested, with our own and gossiped changes since then and
+// with what a rejection has shown. It is never more than our own tasks alone leave.
 func (p *Placer) available(m *machine) (cores, memory float64) {
 	if !m.availableStale && p.now < m.availableAt+queueRetryInterval {
 		return m.availableCores, m.availableMemory
@@ -83,11 +83,11 @@
 	}
 	switch reason {
 	case InsufficientCores:
-		accepted := cores + machineType.Cores*(p.settings.CoresOvercommit-1)
-		m.unlistedCores += max(0, accepted-a.task.Cores*rejectedSizeMargin)
+		wouldAccept := cores + machineType.Cores*(p.settings.CoresOvercommit-1)
+		m.unlistedCores += max(0, wouldAccept-a.task.Cores*rejectedSizeMargin)
 	case InsufficientMemory:
-		accepted := memory + machineType.Memory*(p.settings.MemoryOvercommit-1)
-		m.unlistedMemory += max(0, accepted-a.task.Memory*rejectedSizeMargin)
+		wouldAccept := memory + machineType.Memory*(p.settings.MemoryOvercommit-1)
+		m.unlistedMemory += max(0, wouldAccept-a.task.Memory*rejectedSizeMargin)
 	default:
 		m.backoffUntil = p.now + queueFullBackoff
 		return
@@ -95,8 +95,8 @@
 	m.rejectedAt, m.availableStale = p.now, true
 }
 
-// hasCapacity says whether the machine has capacity for the task: as much as it accepts where the pass
-// overcommits, else as much as leaves its tasks well served.
+// hasCapacity says whether the machine has capacity for the task: where the pass overcommits, as much as it
+// accepts and half serves the task's class, else as much as leaves its tasks well served.
 func (p *Placer) hasCapacity(t *task, m *machine, pass *selectionPass) bool {
 	if p.now < m.backoffUntil || m.starting >= pass.maxStarting {
 		return false
@@ -165,10 +165,6 @@
 	return (u.used + initialUsage*initialUsageWeight) / (u.requested + initialUsageWeight)
 }
 
-func (u *usageRatio) learn(used, requested float64) {
-	u.used, u.requested = u.used*usageDecay+used, u.requested*usageDecay+requested
-}
-
 // seesPeerChanges says whether the list and gossip leave little that other placers reserved unseen. Gossip
 // is sent where its cost is small, whatever the number of placers: both it and the reading of it grow with
 // them.
--- a/intervals.go
+++ b/intervals.go
@@ -14,15 +14,6 @@
 	minSize     = 1e-9 // a size of 0 counts as this where it divides, in cores or memory units
 )
 
-// add counts a task of the size, in cores, and decays what was counted before.
-func (h *sizeHistogram) add(size float64) {
-	for i := range h.load {
-		h.load[i] *= 1 - 1./sizeHistory
-	}
-	h.load[sizeBucket(size)] += size
-	h.total = h.total*(1-1./sizeHistory) + size
-}
-
 // loadPosition is where a task stands in the cumulative load, from 0 to 1 (eta in the paper): interval
 // i of n is [i/n, (i+1)/n). The service's hash spreads a size over the load that this size has, so that
 // a threshold inside it splits it in the right shares. The configured mean, which splits in half without
--- a/machinelist.go
+++ b/machinelist.go
@@ -14,7 +14,7 @@
 	pollFailuresToLog       = 5 // so many failed polls in a row are logged for whoever is on call
 	// The list service takes a few dozen polls a second from all placers: each adds this to their spread.
 	pollSpreadPerPlacer = 20 * time.Millisecond
-	removedRetention    = time.Minute // a removed machine without tasks of ours is forgotten after this
+	removedRetention    = time.Minute // then a removed machine is forgotten, at the next change of members
 	// Machines go on standby where all that is requested fits on the others, filled up to this share.
 	standbyUtilization = 0.85
 	standbySpares      = 1 // so many more than those stay in use
@@ -88,7 +88,7 @@
 	}
 	m := p.machine(entry.ID)
 	if entry.StartedAt > m.StartedAt || m.State == Removed {
-		// It has restarted: what was known of its last incarnation is void. Guards against excluding a
+		// It has restarted: its programs are gone and its failed checks are void. Guards against excluding a
 		// machine that was unreachable, left the list and came back; a wrong list costs one failed offer.
 		m.cachedPrograms, m.probing, m.failures, m.suspectUntil = nil, false, 0, 0
 	}
@@ -102,7 +102,7 @@
 	if !p.settings.ListReportsAvailable {
 		machineType := p.settings.MachineTypes[m.Type]
 		m.AvailableCores, m.AvailableMemory = machineType.Cores, machineType.Memory
-		m.listedAt = -changeHistory
+		m.listedAt = neverListed
 	}
 }
 
--- a/outliers.go
+++ b/outliers.go
@@ -4,7 +4,8 @@
 
 // Tuned values of outlier detection and health checks.
 const (
-	ejectionTime        = 10 * time.Second       // at most, for a class: the length of a short fault
+	maxEjectionTime     = 10 * time.Second       // for a class: the length of a short fault
+	outlierWindow       = maxEjectionTime        // two failures of a class within this eject a machine
 	minSuspectTime      = 500 * time.Millisecond // after a failed probe or connection, doubled at each one
 	maxSuspectTime      = 4 * time.Second
 	maxSuspectDoublings = 8
@@ -33,15 +34,15 @@
 	}
 }
 
-// recordOutlierFailure ejects the machine for the class for a while at the second failure with no start
-// between, ours or others'; jitter lets few placers try it first.
+// recordOutlierFailure ejects the machine for the class for a while at the second failure within
+// outlierWindow with no start between, ours or others'; jitter lets few placers try it first.
 func (p *Placer) recordOutlierFailure(m *machine, class int) {
 	if m.outliers == nil {
 		m.outliers = make([]outlierState, len(p.settings.Classes))
 	}
 	outlier := &m.outliers[class]
-	if outlier.failedAt > 0 && p.now < outlier.failedAt+ejectionTime {
-		outlier.ejectedUntil = p.now + p.jitter(ejectionTime)
+	if outlier.failedAt > 0 && p.now < outlier.failedAt+outlierWindow {
+		outlier.ejectedUntil = p.now + p.jitter(maxEjectionTime)
 	}
 	outlier.failedAt = p.now
 }
--- a/outliers_test.go
+++ b/outliers_test.go
@@ -15,7 +15,7 @@
 		h.singleOffer(actions)
 		h.now += time.Millisecond
 		h.step(Probed{Machine: 1, Result: OK})
-		h.now += 2*initialSlowestStart + attemptTimeout
+		h.now += 2*initialStartTimeP95 + attemptTimeout
 		actions = h.step(TimerFired{Timer: timerNumber(timerAttempt, uint32(id))})
 		all = append(all, actions...)
 		h.step(Outcome{Task: id, Machine: 1, Result: Withdrawn, Final: true})
@@ -41,7 +41,7 @@
 	if _, actions := h.request(1, 4); len(actionsOf[Offer](actions)) != 1 {
 		t.Fatalf("the other class is not offered either: %v", formatActions(actions))
 	}
-	h.now += ejectionTime
+	h.now += maxEjectionTime
 	_, actions := h.request(0, 5)
 	if h.step(TimerFired{Timer: timerNumber(timerRetry, 0)}); len(h.placer.queue) > 0 {
 		t.Fatalf("the machine stays ejected for good: %v", formatActions(actions))
--- a/placer.go
+++ b/placer.go
@@ -9,8 +9,8 @@
 // counts from an epoch that all placers share and never goes back.
 func (p *Placer) Step(now time.Duration, events []Event) []Action {
 	p.now, p.actions = now, nil
-	if !p.listPolling.started {
-		p.listPolling.started, p.startedAt = true, now
+	if !p.started {
+		p.started, p.startedAt = true, now
 		p.schedulePoll(p.pollSpread() * time.Duration(p.settings.Self) / time.Duration(p.settings.Placers))
 	}
 	for _, event := range orderEvents(events) {
--- a/selection.go
+++ b/selection.go
@@ -15,7 +15,7 @@
 	standby       bool // it may be on standby
 	maxStarting   int  // fewer than so many of our tasks are starting there
 	preempt       bool // capacity counts what tasks of lower priority hold, which the machine preempts
-	overcommit    bool // capacity as far as the machine accepts, not only as far as it serves well
+	overcommit    bool // capacity up to half service, not only as far as the machine serves well
 }
 
 // selectionPasses are tried in turn, each over all groups from the task's own outwards. Starts cost
@@ -84,31 +84,31 @@
 // the first by the hash is taken.
 func (p *Placer) selectInGroup(t *task, group []*machine, pass *selectionPass) *machine {
 	p.candidates = p.candidates[:0]
-	programOnly, choices := pass.programCached, numberOfChoices
+	requireProgram, choices := pass.programCached, numberOfChoices
 	if !p.seesPeerChanges() {
 		choices = 1
 	}
 	for _, m := range group {
-		if !p.passes(t, m, pass) {
+		if !p.admits(t, m, pass) {
 			continue
 		}
 		hasProgram := p.hasProgram(m, t.Service)
-		if hasProgram && !programOnly {
-			programOnly, p.candidates = true, p.candidates[:0]
+		if hasProgram && !requireProgram {
+			requireProgram, p.candidates = true, p.candidates[:0]
 		}
-		if programOnly && !hasProgram {
+		if requireProgram && !hasProgram {
 			continue
 		}
 		p.insertCandidate(m, t.Service)
-		if !programOnly || choices == 1 {
+		if !requireProgram || choices == 1 {
 			p.candidates = p.candidates[:min(len(p.candidates), choices)]
 		}
 	}
 	return p.tightestFit(t, p.candidates)
 }
 
-// passes says whether the machine can take the task in this pass.
-func (p *Placer) passes(t *task, m *machine, pass *selectionPass) bool {
+// admits says whether the machine can take the task in this pass.
+func (p *Placer) admits(t *task, m *machine, pass *selectionPass) bool {
 	inUse := !m.standby || pass.standby
 	return inUse && p.isEligible(t, m) && p.hasCapacity(t, m, pass) && p.winsLottery(t, m)
 }
--- a/settings.go
+++ b/settings.go
@@ -4,6 +4,11 @@
 
 // Settings are what a placer is configured with when it starts. Amounts of cores are in cores, amounts of
 // memory in the units of the machine types.
+//
+// The module does not read MeanMemory, ServiceAffinity, the Notes and Reports flags but ReportsCountRequested,
+// ParallelAttempts, OwnerBackoff, MaxRetryAfter, ConnectTimeout, AnswerSlack, DrainGrace,
+// SlowStartInitialRate, SlowStartOverload, the costs but SurplusMachine and Gossip, nor LateWeight and
+// StartWeight of a class and Quota of a tenant: a core does, or nobody.
 type Settings struct {
 	Placers int // placers that share the machines, this one included; at least 1
 	Self    int // the number of this placer among them, from 0
--- a/slowstart.go
+++ b/slowstart.go
@@ -1,7 +1,8 @@
 package forkhead
 
-// Tuned values of slow start. With more slots in a window, a slot holds no offer. A window touches one
-// slot more than it holds, and the offers of another are left for placers that learn of the start late.
+// Tuned values of slow start. With more slots in a window, a slot holds no offer. A slot takes one part in
+// slowStartShares of the maximum: a window touches one slot more than it holds, and one part is left for
+// placers that learn of the start late. So no window has more offers than the maximum.
 const (
 	slowStartSlots  = 3
 	slowStartShares = slowStartSlots + 2
--- a/state.go
+++ b/state.go
@@ -7,12 +7,16 @@
 	"time"
 )
 
+// neverListed as the time of a list entry is so long ago that all our attempts count as not shown in it.
+const neverListed = -changeHistory
+
 // Placer makes the decisions of one placer. It is not safe for concurrent use.
 type Placer struct {
 	settings  Settings
 	rng       *rand.Rand
 	now       time.Duration
-	startedAt time.Duration // the first Step of this incarnation
+	started   bool          // the first step has been made
+	startedAt time.Duration // when
 	actions   []Action      // of this step
 
 	machines map[MachineID]*machine
@@ -33,7 +37,7 @@
 	memoryUsage         usageRatio
 	listPolling         pollState
 	viewLag             lagEstimator
-	slowestStart        time.Duration    // from offer to bind, of the slowest twentieth
+	startTimeP95        time.Duration    // from offer to bind, of the slowest twentieth
 	outlierGossipBudget float64          // what gossip about outliers may still cost, in the unit of Costs times tasks
 	pendingGossip       []capacityChange // of this step
 }
@@ -78,7 +82,6 @@
 
 // pollState is the state of polling the list, where it is not watched.
 type pollState struct {
-	started       bool
 	awaitingReply bool
 	failures      int    // in a row
 	currentTimer  uint32 // the number of the one timer that counts
@@ -95,7 +98,7 @@
 	// Our tasks there, and those of other placers.
 	reservedCores   float64 // requested by our live attempts
 	reservedMemory  float64
-	attempts        []*attempt       // live, and ended within changeHistory
+	attempts        []*attempt       // live, and bound ones that ended within changeHistory
 	starting        int              // our attempts whose task does not run yet
 	peerChanges     []capacityChange // at most maxPeerChanges
 	cachedPrograms  []uint32         // taken to be there beside our tasks, the latest last; at most maxCachedPrograms
@@ -118,7 +121,7 @@
 	availableStale  bool
 
 	// Whether it is used.
-	backoffUntil time.Duration // its queue of offers was full, or a task was migrated away
+	backoffUntil time.Duration // its queue of offers was full, or it serves a task poorly
 	standby      bool          // nothing new while others have capacity
 	removedAt    time.Duration // when rebuildPools found it removed from the list; 0: it is listed
 }
@@ -166,7 +169,7 @@
 		services:      map[uint64][]*attempt{},
 		reservedCores: map[int]float64{},
 
-		slowestStart: initialSlowestStart,
+		startTimeP95: initialStartTimeP95,
 		viewLag:      lagEstimator{best: initialLag},
 	}
 	p.saturationThreshold = settings.Classes[0].SaturationThreshold
