--- a/internal/server/platform/slots_test.go
+++ b/internal/server/platform/acceptslots_test.go
@@ -6,8 +6,8 @@
 )
 
 // A slot is free again once it is released, and only once; a wait for one ends with its context.
-func TestConnectionSlotsBoundAndRelease(t *testing.T) {
-	slots := newConnectionSlots(2)
+func TestAcceptSlotsBoundAndRelease(t *testing.T) {
+	slots := newAcceptSlots(2)
 	first, second := slots.acquire(t.Context()), slots.acquire(t.Context())
 	if first == nil || second == nil {
 		t.Fatal("a free slot is not acquired")
--- a/internal/server/platform/config.go
+++ b/internal/server/platform/config.go
@@ -11,10 +11,12 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
+// The descriptors of the process: its limit is reservedDescriptors + acceptReserve + the core's MaxConnections.
 const (
 	defaultDescriptors  = 1024 // where the configuration sets no limit
-	reservedDescriptors = 24   // for all but the connections of owners and to hosts
-	minConnections      = 16   // of both kinds together, however low the limit is
+	reservedDescriptors = 24   // for all but connections, and for those that are half-closed or linger beyond the core's slots
+	acceptReserve       = 8    // for accepted connections that the core has not seen yet
+	minConnections      = 16   // of both kinds together, before acceptReserve is taken off, however low the limit is
 )
 
 // ConfigError means that the configuration cannot be used.
@@ -70,16 +72,16 @@
 	return info, settings, nil
 }
 
-// coreConfig returns what the core runs with. Usual owners hold a third of the descriptors at most; what they and others
-// leave is for hosts, and the other way round.
-func coreConfig(cfg *platform.Config, info *platformconfig.Info, settings forkhead.Settings) platformcore.Config {
+// newCoreConfig returns what the core runs with. A third of the descriptors is kept for owners, who may hold two thirds of
+// the connections; hosts may hold all but that third.
+func newCoreConfig(cfg *platform.Config, info *platformconfig.Info, settings forkhead.Settings) platformcore.Config {
 	descriptors := cfg.Limits.Sockets
 	if descriptors == 0 {
 		descriptors = defaultDescriptors
 	}
 	connections := max(descriptors-reservedDescriptors, minConnections)
 	protected := min(descriptors/3, connections/2)
-	core := platformcore.Config{
+	config := platformcore.Config{
 		Settings:                  settings,
 		Names:                     platformcore.WireNames{Zones: info.Zones, MachineTypes: info.Kinds},
 		IdleTimeout:               platformconfig.Duration(info.Caps.ConnIdle),
@@ -91,10 +93,10 @@
 		MaxConnections:            connections - acceptReserve,
 	}
 	for i := range info.Classes {
-		core.Names.Classes = append(core.Names.Classes, info.Classes[i].Name)
+		config.Names.Classes = append(config.Names.Classes, info.Classes[i].Name)
 	}
 	for i := range info.Tenants {
-		core.Names.Tenants = append(core.Names.Tenants, info.Tenants[i].Name)
+		config.Names.Tenants = append(config.Names.Tenants, info.Tenants[i].Name)
 	}
-	return core
+	return config
 }
--- a/internal/server/platform/config_test.go
+++ b/internal/server/platform/config_test.go
@@ -55,7 +55,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got := coreConfig(cfg, info, settings)
+		got := newCoreConfig(cfg, info, settings)
 		if got.MaxOwnerConnections != c.owners || got.ProtectedOwnerConnections != c.protected || got.MaxHostConnections != c.hosts || got.MaxConnections != c.both {
 			t.Errorf("%d descriptors: owners %d, protected %d, hosts %d, both %d; want %+v", c.descriptors,
 				got.MaxOwnerConnections, got.ProtectedOwnerConnections, got.MaxHostConnections, got.MaxConnections, c)
--- a/internal/server/platform/owners.go
+++ b/internal/server/platform/owners.go
@@ -12,7 +12,6 @@
 
 const (
 	maxOwnerUnsentBytes = 256 << 10 // that an owner leaves unread before its connection is closed
-	acceptReserve       = 8         // slots for accepted connections that the core has not seen yet
 
 	// The accept queue is taken as empty when no connection has come for acceptIdle, and left after acceptDrainTimeout.
 	acceptIdle         = 20 * time.Millisecond
@@ -24,7 +23,7 @@
 	inputs   *inputQueue
 	writes   *writeQueue // of the event loop
 	lingerer *lingerer
-	slots    connectionSlots
+	slots    acceptSlots
 	lastID   atomic.Uint64
 	listener *netio.Listener                           // set before the event loop starts
 	open     map[platformcore.OwnerID]*ownerConnection // by id; of the event loop
@@ -35,7 +34,7 @@
 	connection
 	id     platformcore.OwnerID
 	owners *ownerConnections
-	slot   *connectionSlot
+	slot   *acceptSlot
 }
 
 // listen accepts connections on a goroutine of the engine, which waits for it. accept gives up when ctx ends.
--- a/internal/server/platform/owners_test.go
+++ b/internal/server/platform/owners_test.go
@@ -106,7 +106,7 @@
 // Connections that wait in the accept queue when the listener is to close are accepted.
 func TestOwnerConnectionsCloseListenerTakesTheAcceptQueue(t *testing.T) {
 	s := startWithHost(t, newTestHost(t, 0, 1))
-	var taken []*connectionSlot
+	var taken []*acceptSlot
 	for range cap(s.owners.slots) {
 		taken = append(taken, s.owners.slots.acquire(t.Context()))
 	}
--- a/internal/server/platform/server.go
+++ b/internal/server/platform/server.go
@@ -54,7 +54,7 @@
 	lingerer *lingerer
 	shutdown *shutdown
 
-	cancel    context.CancelFunc // ends the watch and the wait for a connection slot
+	cancel    context.CancelFunc // ends the watch and the wait for an accept slot
 	closeOnce sync.Once
 }
 
@@ -68,8 +68,8 @@
 	if err != nil {
 		return nil, err
 	}
-	limits := coreConfig(cfg, info, settings)
-	core, err := platformcore.New(limits)
+	coreConfig := newCoreConfig(cfg, info, settings)
+	core, err := platformcore.New(coreConfig)
 	if err != nil {
 		return nil, ConfigError{err}
 	}
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("start the connection engine: %w", err)
 	}
-	s := newServer(options, core, engine, limits.MaxOwnerConnections, settings.ConnectTimeout)
+	s := newServer(options, core, engine, coreConfig.MaxOwnerConnections, settings.ConnectTimeout)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	if s.gossip, err = openGossip(cfg, info.Me, s.inputs); err != nil {
@@ -111,7 +111,7 @@
 	s.loop = eventloop.New(s.clock, maxQueuedJobs, s.step)
 	s.inputs = &inputQueue{loop: s.loop}
 	s.owners = &ownerConnections{
-		inputs: s.inputs, writes: s.writes, lingerer: s.lingerer, slots: newConnectionSlots(maxOwners + acceptReserve),
+		inputs: s.inputs, writes: s.writes, lingerer: s.lingerer, slots: newAcceptSlots(maxOwners + acceptReserve),
 		open: map[platformcore.OwnerID]*ownerConnection{},
 	}
 	s.hosts = &hostConnections{
