--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -272,12 +272,12 @@
 	if p == nil || len(values) == 0 {
 		return nil
 	}
-	r := platformconfig.NoReport()
+	r := platformconfig.EmptyReport()
 	for i, name := range p.reportFields {
 		if i >= len(values) {
 			break
 		}
-		platformconfig.Tell(r, name, float64(values[i]))
+		platformconfig.SetReported(r, name, float64(values[i]))
 	}
 	return r
 }
--- a/internal/parse/platformconfig/golden_test.go
+++ b/internal/parse/platformconfig/golden_test.go
@@ -87,10 +87,10 @@
 
 // The fields of a load report have these words.
 func TestReportGoldenWords(t *testing.T) {
-	r := NoReport()
+	r := EmptyReport()
 	got := values(reflect.ValueOf(r))
 	for i, word := range []string{"x0", "x1", "backlog", "utilization", "unheard-of"} {
-		Tell(r, word, float64(i)+0.5)
+		SetReported(r, word, float64(i)+0.5)
 		got += " " + values(reflect.ValueOf(r))
 	}
 	want := "(NaN NaN NaN NaN) (0.5 NaN NaN NaN) (0.5 1.5 NaN NaN) (0.5 1.5 2.5 NaN) (0.5 1.5 2.5 3.5) (0.5 1.5 2.5 3.5)"
--- a/internal/scheduler/platform/attempt.go
+++ b/internal/scheduler/platform/attempt.go
@@ -32,8 +32,8 @@
 func (a *taskAttempt) isPlaced() bool       { return a.phase() == attempt.Placed }
 func (a *taskAttempt) isInFlight() bool     { return a.phase() == attempt.InFlight }
 
-// offer executes the module's Offer where that is legal; else the attempt's outcome is that it was not sent.
-func (c *Core) offer(action forkhead.Offer) {
+// executeOffer executes the module's Offer where that is legal; else the attempt's outcome is that it was not sent.
+func (c *Core) executeOffer(action forkhead.Offer) {
 	r := c.requests[action.Task]
 	if r == nil {
 		c.logViolation(messageUnknownTask, taskAttr(action.Task))
@@ -179,8 +179,8 @@
 	conn.queued = slices.DeleteFunc(conn.queued, func(other *taskAttempt) bool { return other == a })
 }
 
-// withdrawNumbered executes the module's Withdraw.
-func (c *Core) withdrawNumbered(action forkhead.Withdraw) {
+// executeWithdraw executes the module's Withdraw.
+func (c *Core) executeWithdraw(action forkhead.Withdraw) {
 	r := c.requests[action.Task]
 	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) {
 		return
--- a/internal/scheduler/platform/bench_test.go
+++ b/internal/scheduler/platform/bench_test.go
@@ -36,7 +36,7 @@
 	for b.Loop() {
 		w.now += reconcileInterval
 		for _, h := range w.core.hosts {
-			h.lastReceivedAt = w.now
+			h.lastSeenAliveAt = w.now
 		}
 		w.step()
 	}
--- a/internal/scheduler/platform/connection.go
+++ b/internal/scheduler/platform/connection.go
@@ -129,9 +129,9 @@
 	}
 	h := conn.host
 	conn.state, conn.lastSentAt, conn.lastReceivedAt = connectionOpen, c.now, c.now
-	h.lastReceivedAt, h.redialBackoff, h.refusedDials = c.now, 0, 0
+	h.lastSeenAliveAt, h.redialBackoff, h.refusedDials = c.now, 0, 0
 	c.sendQueued(conn)
-	c.stopUnstopped(h)
+	c.sendDeferredStops(h)
 	c.closeSuperseded(conn)
 }
 
@@ -148,11 +148,11 @@
 	}
 }
 
-// stopUnstopped stops tasks that were to end while no connection was open. Guards against a task that its owner has ended
-// and that runs on.
-func (c *Core) stopUnstopped(h *host) {
+// sendDeferredStops sends the stops of tasks that were to end while no connection was open. Guards against a task that its
+// owner has ended and that runs on.
+func (c *Core) sendDeferredStops(h *host) {
 	for _, a := range h.attemptsWhere(func(a *taskAttempt) bool { return a.request.phase == requestEnding && !a.stopSent }) {
-		c.stopTask(a)
+		c.sendOrDeferStop(a)
 	}
 }
 
@@ -194,11 +194,11 @@
 	case refused && h.leastBusyConnection() != nil:
 		// The machine answers, and its process holds our connections: it drains, or accepts no more. Guards against losing
 		// the tasks of a host that only refuses new connections.
-		h.lastReceivedAt = c.now
+		h.lastSeenAliveAt = c.now
 	case refused:
 		h.refusedDials++
 	}
-	h.dialFailedAt = c.now
+	h.lastDialFailedAt = c.now
 	h.redialBackoff = min(max(2*h.redialBackoff, minRedialBackoff), maxRedialBackoff)
 	h.redialAt = c.now + h.redialBackoff
 	c.removeConnection(conn)
@@ -209,14 +209,15 @@
 	if conn.probeQueued && h.probe != nil {
 		c.finishProbe(h, forkhead.ConnectFailed, nil)
 	}
-	if h.refusedDials >= lostAfterRefusals && (h.entry.State == forkhead.Ready || c.now > h.lastReceivedAt+lostAfter) {
+	if h.refusedDials >= lostAfterRefusals && (h.entry.State == forkhead.Ready || c.now > h.lastSeenAliveAt+lostAfter) {
 		c.loseTasks(h, reasonRefusesConnections)
 	}
 }
 
 // ---- Connection slots.
 
-// usedHostConnections is how many connections to hosts take a slot: all but a few that are half-closed.
+// usedHostConnections is how many connections to hosts take a slot: all but a few that are half-closed, whose descriptors
+// come out of those that the shell reserves.
 func (c *Core) usedHostConnections() int {
 	return len(c.connections) - min(len(c.halfClosed), maxHalfClosed)
 }
@@ -277,7 +278,8 @@
 	c.emit(HalfCloseHostConnection{conn.id})
 }
 
-// isFull says whether all descriptors for connections are taken, those of half-closed ones included.
+// isFull says whether all descriptors for connections are taken, those of half-closed ones included, which
+// usedHostConnections leaves out.
 func (c *Core) isFull() bool {
 	return len(c.connections)+len(c.owners) >= c.config.MaxConnections || len(c.connections) >= c.config.MaxHostConnections
 }
--- a/internal/scheduler/platform/connection_test.go
+++ b/internal/scheduler/platform/connection_test.go
@@ -152,7 +152,7 @@
 				}
 			}
 			if open := w.core.hosts[1].leastBusyConnection(); open != nil && w.now%(500*time.Millisecond) < 10*time.Millisecond { // its host sends something
-				open.host.lastReceivedAt = w.now
+				open.host.lastSeenAliveAt = w.now
 			}
 			if len(w.core.hosts[1].connections) == 0 {
 				t.Fatal("no connection is left to a host with tasks")
@@ -173,7 +173,7 @@
 	_, old := w.placeTask()
 	tick := func() []Output {
 		w.now += reconcileInterval
-		w.core.hosts[1].lastReceivedAt = w.now // else it is dialed as unresponsive
+		w.core.hosts[1].lastSeenAliveAt = w.now // else it is dialed as unresponsive
 		return w.step()
 	}
 	var dials []DialHost
--- a/internal/scheduler/platform/core.go
+++ b/internal/scheduler/platform/core.go
@@ -56,7 +56,8 @@
 	if config.MaxConnections == 0 {
 		config.MaxConnections = config.MaxOwnerConnections + config.MaxHostConnections
 	}
-	module, err := moduledriver.New(config.Settings, config.Seed, config.Decide, 0)
+	const maxRounds = 0 // no limit: what ends a step is that no timer of the module is due in the step that sets it
+	module, err := moduledriver.New(config.Settings, config.Seed, config.Decide, maxRounds)
 	if err != nil {
 		return nil, err
 	}
@@ -132,16 +133,18 @@
 	}
 }
 
-// timer is one of the module, or the time by which attempts of a task must have an outcome.
+// timer is one of the module, or the time by which attempts of a request must have an outcome.
 type timer struct {
 	kind timerKind
-	id   uint64 // of the module's timer, or of the task
+	id   uint64 // of the module's timer, or of the request
 }
 
 type timerKind uint8
 
 const (
 	moduleTimer timerKind = iota
+	// deadlineTimer is for the deadline of a request and for the timeout of one of its attempts: handleDeadline finds out by
+	// the clock which of them has come, as a late step may meet both at once.
 	deadlineTimer
 )
 
@@ -153,7 +156,7 @@
 	for t := range c.timers.Due(c.now) {
 		switch t.kind {
 		case deadlineTimer:
-			c.expireAttempts(forkhead.TaskID(t.id))
+			c.handleDeadline(forkhead.TaskID(t.id))
 		case moduleTimer:
 			c.notifyModule(forkhead.TimerFired{Timer: t.id})
 		}
@@ -176,20 +179,20 @@
 func (c *Core) execute(action forkhead.Action) {
 	switch action := action.(type) {
 	case forkhead.Offer:
-		c.offer(action)
+		c.executeOffer(action)
 	case forkhead.Reject:
-		c.reject(action)
+		c.executeReject(action)
 	case forkhead.Fail:
-		c.fail(action.Task)
+		c.failRequest(action.Task)
 	case forkhead.Withdraw:
-		c.withdrawNumbered(action)
+		c.executeWithdraw(action)
 	case forkhead.Stop:
-		c.migrate(action.Task)
+		c.executeStop(action.Task)
 	case forkhead.SetTimer:
 		// A microsecond ahead at least: guards against a step that never ends.
 		c.timers.Add(max(action.At, c.now+time.Microsecond), timer{kind: moduleTimer, id: action.Timer})
 	case forkhead.Probe:
-		c.startProbe(action.Machine)
+		c.executeProbe(action.Machine)
 	case forkhead.Gossip:
 		c.sendGossip(action)
 	case forkhead.Subscribe: // the endpoint list is always watched
--- a/internal/scheduler/platform/handover.go
+++ b/internal/scheduler/platform/handover.go
@@ -60,7 +60,7 @@
 // releaseHandedOver releases a task that has ended before its hand-over, unless its owner knows.
 func (c *Core) releaseHandedOver(owner *ownerConnection, ref requestRef, cause platform.Cause) {
 	c.undelivered = slices.DeleteFunc(c.undelivered, func(m undeliveredMessage) bool { return m.ref == ref })
-	if cause != platform.CauseMigrated {
+	if cause != causeOwnerKnows {
 		c.emit(SendToOwner{owner.id, releaseMessage(ref, cause)})
 	}
 }
--- a/internal/scheduler/platform/host.go
+++ b/internal/scheduler/platform/host.go
@@ -26,11 +26,11 @@
 	connections []*hostConnection           // dialing or open
 	probe       *probe                      // nil: none is under way
 
-	lastReceivedAt time.Duration // when it last sent something or accepted a connection
-	dialFailedAt   time.Duration // when it last did not; failures for want of descriptors here don't count
-	redialAt       time.Duration // it is not dialed for its own sake before
-	redialBackoff  time.Duration // doubles with each dial that fails
-	refusedDials   int           // in a row, without an open connection
+	lastSeenAliveAt  time.Duration // when it last sent something, or accepted a connection, or refused one beside an open one
+	lastDialFailedAt time.Duration // the last dial that failed; failures for want of descriptors here don't count
+	redialAt         time.Duration // it is not dialed for its own sake before
+	redialBackoff    time.Duration // doubles with each dial that fails
+	refusedDials     int           // in a row, without an open connection
 }
 
 func newHost(id forkhead.MachineID, name string) *host {
--- a/internal/scheduler/platform/hostmessages.go
+++ b/internal/scheduler/platform/hostmessages.go
@@ -20,7 +20,7 @@
 	if conn == nil {
 		return
 	}
-	conn.lastReceivedAt, conn.host.lastReceivedAt = c.now, c.now
+	conn.lastReceivedAt, conn.host.lastSeenAliveAt = c.now, c.now
 	err := conn.reader.feed(c.now, input.Data, func(line []byte) error {
 		m, err := platform.Decode(line)
 		if err != nil {
@@ -89,7 +89,7 @@
 	r := a.request
 	c.closeOvertaken(a)
 	a.detach()
-	if r.phase != requestOpen {
+	if r.phase != requestOpen { // cannot be: a closed request has none in flight, as the module makes one attempt at a time
 		return
 	}
 	r.lifecycle.Handle(a.number, attempt.Accepted)
@@ -224,8 +224,8 @@
 	c.notifyModule(forkhead.Note{Task: a.request.id, Attempt: a.number, Machine: a.host.id, Kind: kind, Amount: amount})
 }
 
-// settingsNames are the names that the settings give to values of a load report, where the protocol has other ones.
-var settingsNames = map[platform.LoadField]string{
+// loadFieldSettingsNames are the names that the settings give to values of a load report, where the protocol has other ones.
+var loadFieldSettingsNames = map[platform.LoadField]string{
 	platform.LoadQueue:       "backlog",
 	platform.LoadUtilization: "utilization",
 }
@@ -236,17 +236,17 @@
 	if text == "" {
 		return nil
 	}
-	report := platformconfig.NoReport()
+	report := platformconfig.EmptyReport()
 	for part := range strings.SplitSeq(text, ";") {
 		name, text, _ := strings.Cut(part, ":")
 		value, err := strconv.ParseFloat(text, 64)
 		if err != nil {
 			continue
 		}
-		if other, ok := settingsNames[platform.LoadField(name)]; ok {
+		if other, ok := loadFieldSettingsNames[platform.LoadField(name)]; ok {
 			name = other
 		}
-		platformconfig.Tell(report, name, value)
+		platformconfig.SetReported(report, name, value)
 	}
 	return report
 }
--- a/internal/scheduler/platform/log.go
+++ b/internal/scheduler/platform/log.go
@@ -20,7 +20,7 @@
 	messageAnswerVetoed      = "answer vetoed"
 	messageNoAnswer          = "no answer at the deadline of a task"
 	messageOversizedGossip   = "oversized gossip message dropped"
-	messageModuleInterrupted = "module interrupted"
+	messageModuleInterrupted = "module interrupted" // not logged at present: New sets the module's driver no limit
 )
 
 // logReason says why something was done.
--- a/internal/scheduler/platform/owner.go
+++ b/internal/scheduler/platform/owner.go
@@ -95,12 +95,12 @@
 	return first
 }
 
-// closeOwner closes a connection. Its open requests, of which there should be none, fail first.
+// closeOwner closes a connection. Its open requests fail first.
 func (c *Core) closeOwner(owner *ownerConnection) {
 	for _, r := range owner.requestsInOrder() {
 		c.notifyModule(forkhead.RequestCanceled{Task: r.id})
 		c.withdrawAll(r, forkhead.Withdrawn, true)
-		c.fail(r.id)
+		c.failRequest(r.id)
 	}
 	delete(c.owners, owner.id)
 	c.emit(CloseOwnerConnection{owner.id})
--- a/internal/scheduler/platform/ownermessages.go
+++ b/internal/scheduler/platform/ownermessages.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// handleOwnerRelease handles the cancellation of an open request, or the end of a placed task by its owner, on whatever
-// connection it comes.
+// handleOwnerRelease handles the end of a placed task by its owner, on whatever connection it comes, or the cancellation of
+// an open request, only on the request's own connection; elsewhere that is acked and nothing more.
 func (c *Core) handleOwnerRelease(owner *ownerConnection, ref requestRef) {
 	c.emit(SendToOwner{owner.id, ackMessage(ref)})
 	r := c.requestsByRef[ref]
@@ -68,7 +68,7 @@
 			c.closeOwner(owner)
 		}
 	case r.phase != requestOpen:
-		c.endTask(r)
+		c.beginStop(r)
 	case r.owner == owner.id:
 		c.cancelRequest(r)
 	}
@@ -129,7 +129,7 @@
 		c.movePlaced(r, owner)
 		return
 	}
-	if before := c.owners[r.owner]; before != nil {
+	if before := c.owners[r.owner]; before != nil { // always: a connection that ends takes its open requests along
 		delete(before.openRequests, r)
 		owner.openRequests[r] = struct{}{}
 	}
--- a/internal/scheduler/platform/placed.go
+++ b/internal/scheduler/platform/placed.go
@@ -8,12 +8,17 @@
 	"forkhead/internal/scheduler/attempt"
 )
 
-// reportedEnd is the end of a task as its host has reported it: CauseOK, CauseMigrated or CauseReset.
+// reportedEnd is what is remembered of the end of a task: CauseOK, CauseReset or CauseMigrated, as its host has reported it,
+// or causeOwnerKnows.
 type reportedEnd struct {
 	attemptKey
 	cause platform.Cause
 }
 
+// causeOwnerKnows is remembered of a task whose owner knows that it has ended: to a hand-over that comes after its end
+// nothing is sent, as after a migration that the host has reported.
+const causeOwnerKnows = platform.CauseMigrated
+
 // possibleOrphan is an attempt whose answer was lost with its connection: its host may run the task.
 type possibleOrphan struct {
 	host *host
@@ -36,26 +41,28 @@
 	c.emit(SendToHost{Connection: conn.id, Line: stopMessage(ref)})
 }
 
-// migrate executes the module's Stop: the task ends, and its owner requests it again.
-func (c *Core) migrate(id forkhead.TaskID) {
+// executeStop executes the module's Stop: the task ends, and its owner requests it again.
+func (c *Core) executeStop(id forkhead.TaskID) {
 	if r := c.requests[id]; r != nil && r.phase == requestPlaced {
 		c.notifyOwner(r, migrateMessage(r.ref))
-		c.endTask(r)
+		c.beginStop(r)
 	}
 }
 
-// endTask stops a placed task at its host. The host's answer, or its silence until the deadline, makes the outcome.
-func (c *Core) endTask(r *request) {
+// beginStop begins to stop a placed task at its host. The host's answer, or its silence until the stop's deadline, ends it:
+// finishTask then makes the outcome.
+func (c *Core) beginStop(r *request) {
 	a := r.placedAttempt()
 	if a == nil || r.phase != requestPlaced {
 		return
 	}
 	r.phase = requestEnding
-	c.stopTask(a)
+	c.sendOrDeferStop(a)
 }
 
-// stopTask tells a host to stop a task, if a connection is open; if not, hostConnected tells it on the next one.
-func (c *Core) stopTask(a *taskAttempt) {
+// sendOrDeferStop sends the stop of a task to its host, if a connection is open; if not, sendDeferredStops does on the next
+// one.
+func (c *Core) sendOrDeferStop(a *taskAttempt) {
 	a.stopDeadline = c.now + stopTimeout
 	if conn := a.host.leastBusyConnection(); conn != nil {
 		a.stopSent = true
@@ -81,12 +88,11 @@
 	cause = endCause(cause)
 	end.input, end.result, end.final = attempt.Ended, taskResult(r.phase, cause), true
 	c.uncountPlaced(r)
-	// To a hand-over that comes after this end nothing is sent, unless the release could not be delivered.
-	known := reportedEnd{a.key(), platform.CauseMigrated}
+	remembered := reportedEnd{a.key(), causeOwnerKnows}
 	if r.phase == requestPlaced && cause != platform.CauseMigrated && !c.notifyOwner(r, releaseMessage(r.ref, cause)) {
-		known.cause = cause
+		remembered.cause = cause // the release could not be delivered
 	}
-	c.reportedEnds.add(known)
+	c.reportedEnds.add(remembered)
 	r.phase = requestOver
 	c.endAttempt(a, end)
 }
--- a/internal/scheduler/platform/probe.go
+++ b/internal/scheduler/platform/probe.go
@@ -16,8 +16,8 @@
 	connections []*hostConnection // that it was sent on
 }
 
-// startProbe executes the module's Probe, unless one is under way.
-func (c *Core) startProbe(machine forkhead.MachineID) {
+// executeProbe executes the module's Probe, unless one is under way.
+func (c *Core) executeProbe(machine forkhead.MachineID) {
 	h := c.hosts[machine]
 	if h == nil || h.probe != nil {
 		return
--- a/internal/scheduler/platform/reconcile.go
+++ b/internal/scheduler/platform/reconcile.go
@@ -24,7 +24,7 @@
 	if len(h.attempts) > 0 { // few hosts of a long list have any, and a loop over an empty map is not free
 		c.expireStops(h)
 	}
-	if c.reconcileListing(h) && len(h.attempts) > 0 {
+	if c.expireUnlessListed(h) && len(h.attempts) > 0 {
 		c.reconcileResponsiveness(h)
 	}
 }
--- a/internal/scheduler/platform/request.go
+++ b/internal/scheduler/platform/request.go
@@ -81,32 +81,32 @@
 	return fields
 }
 
-// reject executes the module's Reject.
-func (c *Core) reject(action forkhead.Reject) {
+// executeReject executes the module's Reject.
+func (c *Core) executeReject(action forkhead.Reject) {
 	r := c.requests[action.Task]
 	if r == nil || r.phase != requestOpen {
 		return
 	}
-	if !c.prepareAnswer(r, attempt.AnsweredRejected) {
+	if !c.checkAnswerOrWithdraw(r, attempt.AnsweredRejected) {
 		c.answer(r, attempt.AnsweredFailed, releaseMessage(r.ref, platform.CauseFailed))
 		return
 	}
 	c.answer(r, attempt.AnsweredRejected, rejectMessage(r.ref, action.RetryAfter))
 }
 
-// fail answers an open request without any promise about what ran.
-func (c *Core) fail(id forkhead.TaskID) {
+// failRequest executes the module's Fail: it answers an open request without any promise about what ran.
+func (c *Core) failRequest(id forkhead.TaskID) {
 	r := c.requests[id]
 	if r == nil || r.phase != requestOpen {
 		return
 	}
-	c.prepareAnswer(r, attempt.AnsweredFailed) // even if it is not legal yet: then it is once nothing is in flight
+	c.checkAnswerOrWithdraw(r, attempt.AnsweredFailed) // even if it is not legal yet: then it is once nothing is in flight
 	c.answer(r, attempt.AnsweredFailed, releaseMessage(r.ref, platform.CauseFailed))
 }
 
-// prepareAnswer says whether an open request may have this answer now. If not, it withdraws whatever is in flight, so that
-// the request can be failed.
-func (c *Core) prepareAnswer(r *request, answer attempt.Answer) bool {
+// checkAnswerOrWithdraw says whether an open request may have this answer now. If not, it logs the violation and withdraws
+// whatever is in flight, so that the request can be failed.
+func (c *Core) checkAnswerOrWithdraw(r *request, answer attempt.Answer) bool {
 	if !c.settings.MayWithdraw {
 		// An attempt that may not be withdrawn is in flight until its owner stops waiting, which is when the module answers:
 		// nothing more is awaited, and its host is sent nothing.
@@ -145,13 +145,13 @@
 func (c *Core) cancelRequest(r *request) {
 	c.notifyModule(forkhead.RequestCanceled{Task: r.id})
 	c.closeRequest(r, requestOver)
-	r.lifecycle.Finish(false)
+	r.lifecycle.Finish(false) // its lifecycle has no end of its own for a canceled request: it counts as AnsweredFailed
 	c.withdrawAll(r, forkhead.Withdrawn, true)
 }
 
-// expireAttempts ends the attempts of an open request at an attempt's timeout, or at the request's deadline. The module
+// handleDeadline ends all attempts of an open request at the timeout of one of them, or at the request's deadline. The module
 // answers by the deadline; if it does not, the request fails.
-func (c *Core) expireAttempts(id forkhead.TaskID) {
+func (c *Core) handleDeadline(id forkhead.TaskID) {
 	r := c.requests[id]
 	if r == nil || r.phase != requestOpen {
 		return
@@ -161,7 +161,7 @@
 	if r.phase == requestOpen && c.now >= r.lifecycle.Deadline {
 		c.logViolation(messageNoAnswer, taskAttr(id))
 		c.notifyModule(forkhead.RequestCanceled{Task: id})
-		c.fail(id)
+		c.failRequest(id)
 	}
 }
 
--- a/internal/scheduler/platform/unresponsive.go
+++ b/internal/scheduler/platform/unresponsive.go
@@ -7,9 +7,9 @@
 	"forkhead"
 )
 
-// reconcileListing loses the tasks of a host that the endpoint list does not have, or has as removed, and forgets it. It returns whether the
-// host is in service or drains.
-func (c *Core) reconcileListing(h *host) (listed bool) {
+// expireUnlessListed loses in time the tasks of a host that the endpoint list does not have, or has as removed, and forgets
+// it. It returns whether the host is in service or drains.
+func (c *Core) expireUnlessListed(h *host) (listed bool) {
 	switch {
 	case h.unlistedSince > 0:
 		c.expireUnlisted(h)
@@ -62,10 +62,10 @@
 	if !h.hasPlacedTasks() || h.address == "" {
 		return
 	}
-	if h.lastReceivedAt == 0 {
-		h.lastReceivedAt = c.now
+	if h.lastSeenAliveAt == 0 { // never heard of: its silence is counted from now
+		h.lastSeenAliveAt = c.now
 	}
-	switch unresponsiveFor := c.now - h.lastReceivedAt; {
+	switch unresponsiveFor := c.now - h.lastSeenAliveAt; {
 	case h.isLost(unresponsiveFor):
 		c.loseTasks(h, reasonUnresponsive)
 		for _, conn := range slices.Clone(h.connections) {
@@ -80,14 +80,14 @@
 	}
 }
 
-// isLost says whether a host has sent nothing for too long and no connection to it could be made meanwhile. A dial that
+// isLost says whether a host has not been seen alive for too long and no connection to it could be made meanwhile. A dial that
 // is under way is awaited a little longer.
 func (h *host) isLost(unresponsiveFor time.Duration) bool {
-	return unresponsiveFor > lostAfter && h.dialFailedAt > h.lastReceivedAt+unresponsiveAfter &&
+	return unresponsiveFor > lostAfter && h.lastDialFailedAt > h.lastSeenAliveAt+unresponsiveAfter &&
 		(!h.isDialing() || unresponsiveFor > lostAfter+lastDialBeforeLoss/2)
 }
 
 // needsLastDial says whether a host is about to be lost and has not been dialed since: it is then, whatever its backoff.
 func (h *host) needsLastDial(unresponsiveFor time.Duration) bool {
-	return unresponsiveFor > lostAfter-lastDialBeforeLoss && h.dialFailedAt < h.lastReceivedAt+lostAfter-lastDialBeforeLoss
+	return unresponsiveFor > lostAfter-lastDialBeforeLoss && h.lastDialFailedAt < h.lastSeenAliveAt+lostAfter-lastDialBeforeLoss
 }
