--- a/internal/scheduler/attempt/request.go
+++ b/internal/scheduler/attempt/request.go
@@ -1,7 +1,3 @@
-// Package attempt has the states of a placement request and of its attempts. A request is one arrival of a task at the
-// module; an attempt is one offer of the task to one host. What may be sent, and how a request may be answered, follows
-// from these states alone. The package is pure: no clock, no socket. The scheduler's cores and the model checker both
-// run on it.
 package attempt
 
 import (
@@ -76,7 +72,7 @@
 	if len(r.Attempts) >= r.Rules.MaxAttempts {
 		return ErrAttemptsExhausted
 	}
-	first := true // hosts remember a key from the first attempt that may have run
+	isOldest := true // of those that may have run: hosts remember a key from the oldest
 	for i := range r.Attempts {
 		earlier := &r.Attempts[i]
 		if earlier.Phase.IsInFlight() && !r.Rules.Parallel {
@@ -88,10 +84,10 @@
 		if err := r.Rules.mayRepeat(earlier, to, same); err != nil {
 			return err
 		}
-		if first && r.Rules.isForgotten(now, earlier) {
+		if isOldest && r.Rules.isForgotten(now, earlier) {
 			return ErrDedupWindowPassed
 		}
-		first = false
+		isOldest = false
 	}
 	return nil
 }
@@ -108,7 +104,7 @@
 		if i == number || !earlier.Phase.MayHaveRun() {
 			continue
 		}
-		// Hosts remember a key from the first attempt that may have run.
+		// Hosts remember a key from the oldest attempt that may have run.
 		if r.Rules.isForgotten(now, earlier) {
 			return ErrDedupWindowPassed
 		}
--- a/internal/scheduler/core/api.go
+++ b/internal/scheduler/core/api.go
@@ -1,7 +1,3 @@
-// Package core holds the decisions and the state of the service's placer. It turns what its shell receives (host lists,
-// frames of hosts, submissions, gossip, time) into events for the module, checks the module's actions against the
-// invariants and turns them into outputs for the shell. It is pure: it has no socket, clock, goroutine or global, and
-// the same inputs at the same times give the same outputs in the same order.
 package core
 
 import (
--- a/internal/scheduler/core/attempts.go
+++ b/internal/scheduler/core/attempts.go
@@ -182,7 +182,7 @@
 	took := c.now - a.chosenAt()
 	c.notifyModule(forkhead.Bound{Task: request.id, Attempt: a.number, Machine: a.machineID, Took: took})
 	a.running = c.settings.Module.BoundWhenRunning
-	c.handleBound(request.replica, a)
+	c.handleReplicaPlaced(request.replica, a)
 }
 
 func (c *Core) reportRejected(a *taskAttempt, ch *attemptChange) {
@@ -195,7 +195,7 @@
 }
 
 func (c *Core) reportWithdrawn(a *taskAttempt, ch *attemptChange) {
-	if ch.before == attempt.InFlight && a.host.usable() && a.conn == a.host.connection.Conn {
+	if ch.before == attempt.InFlight && a.host.isConnectedAndSynced() && a.conn == a.host.connection.Conn {
 		c.sendFrame(a.host, hostproto.Withdraw{Ref: a.ref})
 	}
 	result := forkhead.Withdrawn
@@ -213,7 +213,7 @@
 		return
 	}
 	c.status.Lost++
-	c.handleLost(a.request.replica, a, retrypolicy.Lost)
+	c.handleReplicaLost(a.request.replica, a, retrypolicy.Lost)
 }
 
 func (c *Core) reportEnded(a *taskAttempt, ch *attemptChange) {
@@ -223,7 +223,7 @@
 		a.request.replica.countFailure(startFailed)
 		return
 	}
-	c.handleEnded(a.request.replica, a, d)
+	c.handleReplicaEnded(a.request.replica, a, d)
 }
 
 // sendStop asks the host of an attempt to end its task.
--- a/internal/scheduler/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -128,13 +128,13 @@
 // Step handles the inputs of one moment and the timers that are due by then. It returns the outputs in the order in which
 // they are to be executed. A now before the last one counts as the last one: the clock may have been set back.
 func (c *Core) Step(now time.Duration, inputs ...Input) []Output {
-	first := c.now == 0
+	starting := c.isStarting()
 	c.now, c.outputs = max(now, c.now), nil
 	for _, in := range inputs {
 		c.handleInput(in)
 	}
 	requestDeadlines := c.handleDueTimers()
-	c.runModule(first)
+	c.runModule(starting)
 	// After the module's own timers of this moment, so that the module of a placer that stood still can end its requests
 	// before they count as left open.
 	for _, t := range requestDeadlines {
@@ -145,6 +145,10 @@
 	return c.outputs
 }
 
+// isStarting says whether no step was later than time 0. Until one is, each step lets the module decide even without
+// events, so that it begins to poll.
+func (c *Core) isStarting() bool { return c.now == 0 }
+
 // Next returns when the core has to be stepped next even without an input; ok is false if it needn't be.
 func (c *Core) Next() (at time.Duration, ok bool) { return c.timers.Next() }
 
--- a/internal/scheduler/core/hostconns.go
+++ b/internal/scheduler/core/hostconns.go
@@ -72,7 +72,7 @@
 // expireUnreachable gives up what was placed on a host that has been unreachable for long, where a second start is
 // harmless. All else waits until its fate is known.
 func (c *Core) expireUnreachable(h *host, timerNumber uint64) {
-	if timerNumber != h.lostTimerSeq || h.usable() {
+	if timerNumber != h.lostTimerSeq || h.isConnectedAndSynced() {
 		return
 	}
 	for _, a := range h.sortedAttempts() {
@@ -208,7 +208,7 @@
 	switch {
 	case h == nil || h.connection.State == hostconn.Down:
 		c.notifyModule(forkhead.Probed{Machine: id, Result: forkhead.ConnectFailed})
-	case !h.usable():
+	case !h.isConnectedAndSynced():
 		h.probeWanted = true // answered by the connection, or by its failure
 	default:
 		c.sendProbe(h)
--- a/internal/scheduler/core/hosts.go
+++ b/internal/scheduler/core/hosts.go
@@ -54,8 +54,8 @@
 	return h.entry.State
 }
 
-// usable says whether frames may be sent to the host.
-func (h *host) usable() bool { return h.connection.State == hostconn.Up && h.synced }
+// isConnectedAndSynced says whether offers may be sent to the host. Hello, Query and Stop may be sent before.
+func (h *host) isConnectedAndSynced() bool { return h.connection.State == hostconn.Up && h.synced }
 
 func (h *host) hasLabels(labels uint64) bool { return labels&^h.labels == 0 }
 
--- a/internal/scheduler/core/offers.go
+++ b/internal/scheduler/core/offers.go
@@ -19,6 +19,7 @@
 	}
 	request, h := c.requests[action.Task], c.hostsByID[action.Machine]
 	if request == nil || h == nil {
+		// The module is not notified, even if only the host is unknown: it takes the attempt for one in flight.
 		violation := &invariant.Violation{Rule: invariant.OneAnswer, Reason: "no such ask or host"}
 		c.reportVeto(violation, "offer of task %d to machine %d", action.Task, action.Machine)
 		return
@@ -34,7 +35,7 @@
 	}
 	a := c.startAttempt(request, h, action)
 	switch {
-	case h.usable():
+	case h.isConnectedAndSynced():
 		c.sendOffer(a)
 	case h.connection.State == hostconn.Down:
 		c.handleAttempt(a, attempt.ConnectionLost, attemptDetail{})
@@ -107,7 +108,7 @@
 	})
 }
 
-// sendOffer sends the offer of an attempt to its host, which is usable, if it still may be sent.
+// sendOffer sends the offer of an attempt to its host, which is connected and synced, if it still may be sent.
 func (c *Core) sendOffer(a *taskAttempt) {
 	if !c.mayStillSend(a) {
 		c.handleAttempt(a, attempt.ConnectionLost, attemptDetail{})
--- a/internal/scheduler/core/orphans.go
+++ b/internal/scheduler/core/orphans.go
@@ -61,7 +61,7 @@
 	c.updateNearLabels()
 	c.persistAttempt(a)
 	c.notifyModule(forkhead.HandedOver{Task: request.task, Machine: task.host.id})
-	c.handleBound(r, a)
+	c.handleReplicaPlaced(r, a)
 }
 
 // taskName is the name of a task as hosts have it: PROJECT/SERVICE/REPLICA.
--- a/internal/scheduler/core/replicas.go
+++ b/internal/scheduler/core/replicas.go
@@ -170,8 +170,8 @@
 	c.removeReplica(r)
 }
 
-// handleBound follows a replica's placement.
-func (c *Core) handleBound(r *desiredReplica, a *taskAttempt) {
+// handleReplicaPlaced follows a replica's placement.
+func (c *Core) handleReplicaPlaced(r *desiredReplica, a *taskAttempt) {
 	r.state, r.attempt, r.request = placed, a, nil
 	if r.removed || r.removing {
 		c.sendStop(a)
@@ -191,8 +191,8 @@
 	c.startDependents(r.service)
 }
 
-// handleLost follows the end of a placed replica that its task did not bring about by itself.
-func (c *Core) handleLost(r *desiredReplica, a *taskAttempt, cause retrypolicy.Cause) {
+// handleReplicaLost follows the end of a placed replica that its task did not bring about by itself.
+func (c *Core) handleReplicaLost(r *desiredReplica, a *taskAttempt, cause retrypolicy.Cause) {
 	if r.attempt != a {
 		return
 	}
@@ -220,13 +220,13 @@
 	}
 }
 
-// handleEnded follows the end of a placed replica that its host reported.
-func (c *Core) handleEnded(r *desiredReplica, a *taskAttempt, d attemptDetail) {
+// handleReplicaEnded follows the end of a placed replica that its host reported.
+func (c *Core) handleReplicaEnded(r *desiredReplica, a *taskAttempt, d attemptDetail) {
 	if r.attempt != a {
 		return
 	}
 	if cause, lost := lossCause(r, a, d); lost {
-		c.handleLost(r, a, cause)
+		c.handleReplicaLost(r, a, cause)
 		return
 	}
 	r.attempt = nil
@@ -299,7 +299,7 @@
 // stopPlaced stops a placed replica for its project's sake. If its host is out of reach it is stopped once that is back.
 func (c *Core) stopPlaced(r *desiredReplica) {
 	r.stopRequested = true
-	if a := r.attempt; a.phase() == attempt.Placed && a.host.usable() {
+	if a := r.attempt; a.phase() == attempt.Placed && a.host.isConnectedAndSynced() {
 		c.sendStop(a)
 	}
 }
--- a/internal/scheduler/core/requests.go
+++ b/internal/scheduler/core/requests.go
@@ -189,7 +189,7 @@
 		return
 	}
 	for _, a := range request.attempts {
-		if a != nil && a.phase() == attempt.Placed && !a.migrating && a.host.usable() {
+		if a != nil && a.phase() == attempt.Placed && !a.migrating && a.host.isConnectedAndSynced() {
 			a.migrating = true
 			c.status.Migrated++
 			c.sendStop(a)
--- a/internal/scheduler/core/status.go
+++ b/internal/scheduler/core/status.go
@@ -16,7 +16,7 @@
 		if h.listed {
 			s.Hosts++
 		}
-		if h.usable() {
+		if h.isConnectedAndSynced() {
 			s.HostsUp++
 		}
 		if h.state() == forkhead.Ready {
--- a/internal/scheduler/core/submissions.go
+++ b/internal/scheduler/core/submissions.go
@@ -80,7 +80,9 @@
 		},
 	})
 	c.emit(Accepted{Request: in.Request, Submission: s.id})
-	if s.isComplete() { // it has no tasks
+	if s.isComplete() {
+		// It has no tasks. It gets no expiry timer of its own: it is forgotten with the next submission that expires, or when
+		// there are too many.
 		c.noteComplete(s)
 		c.emit(OutcomesAdded{Submission: s.id})
 	}
--- a/internal/scheduler/moduledriver/moduledriver.go
+++ b/internal/scheduler/moduledriver/moduledriver.go
@@ -13,18 +13,21 @@
 // are dropped.
 var ErrTooManyRounds = errors.New("the module was asked too often at one moment")
 
+// NoRoundLimit as the maxRounds of New lets a step ask the module until it causes no more events.
+const NoRoundLimit = 0
+
 // Decide takes the events of one moment in order and returns the module's actions in order.
 type Decide func(now time.Duration, events []forkhead.Event) []forkhead.Action
 
 // Driver holds the events that the module has not seen yet. It is not safe for concurrent use.
 type Driver struct {
 	decide    Decide
-	maxRounds int
+	maxRounds int // or NoRoundLimit
 	events    []forkhead.Event
 }
 
 // New returns a driver of a new module, or an error that names the setting that it cannot use. A decide that is not
-// nil takes the module's place, for tests. A step asks the module at most maxRounds times; 0: there is no limit.
+// nil takes the module's place, for tests. A step asks the module at most maxRounds times, or NoRoundLimit.
 func New(settings forkhead.Settings, seed uint64, decide Decide, maxRounds int) (*Driver, error) {
 	if decide == nil {
 		module, err := forkhead.New(settings, seed)
@@ -43,7 +46,7 @@
 // executed in order. It returns ErrTooManyRounds when the limit of rounds is reached.
 func (d *Driver) Run(now time.Duration, execute func(forkhead.Action)) error {
 	for round := 0; len(d.events) > 0; round++ {
-		if d.maxRounds > 0 && round >= d.maxRounds {
+		if d.maxRounds != NoRoundLimit && round >= d.maxRounds {
 			d.events = nil
 			return ErrTooManyRounds
 		}
--- a/internal/scheduler/platform/core.go
+++ b/internal/scheduler/platform/core.go
@@ -56,8 +56,8 @@
 	if config.MaxConnections == 0 {
 		config.MaxConnections = config.MaxOwnerConnections + config.MaxHostConnections
 	}
-	const maxRounds = 0 // no limit: what ends a step is that no timer of the module is due in the step that sets it
-	module, err := moduledriver.New(config.Settings, config.Seed, config.Decide, maxRounds)
+	// What ends a step is that no timer of the module is due in the step that sets it.
+	module, err := moduledriver.New(config.Settings, config.Seed, config.Decide, moduledriver.NoRoundLimit)
 	if err != nil {
 		return nil, err
 	}
