--- a/internal/scheduler/core/offers.go
+++ b/internal/scheduler/core/offers.go
@@ -48,11 +48,9 @@
 // checkOffer returns the invariant that an offer of a request to a host would break, or nil.
 func (c *Core) checkOffer(request *placementRequest, h *host) *invariant.Violation {
 	return invariant.CheckOffer(c.now, &invariant.Offer{
-		Request:    &request.Request,
-		Task:       &request.task,
-		Class:      &c.settings.Module.Classes[request.task.Class],
-		To:         h.forInvariants(),
-		DrainGrace: c.settings.Module.DrainGrace,
+		SpreadCheck: c.spreadCheck(&request.task, h, nil),
+		Request:     &request.Request,
+		DrainGrace:  c.settings.Module.DrainGrace,
 		HostByID: func(id attempt.HostID) *invariant.Host {
 			for _, a := range request.attempts { // its host may have left the list, and the table
 				if a != nil && a.machineID == forkhead.MachineID(id) {
@@ -64,19 +62,24 @@
 			}
 			return nil
 		},
-		ServiceHosts: c.liveAttempts.Hosts(request.task.Service, nil),
 	})
 }
 
-// exceedsSpread says whether an attempt would exceed a spread limit of its service now.
-func (c *Core) exceedsSpread(a *taskAttempt) bool {
-	task := &a.request.task
-	return invariant.CheckSpread(&invariant.Offer{
+// spreadCheck is an offer of a task to a host, for the check against the spread limits. The attempt that is being sent,
+// if there is one already, does not count against them.
+func (c *Core) spreadCheck(task *forkhead.Task, h *host, sending *taskAttempt) invariant.SpreadCheck {
+	return invariant.SpreadCheck{
 		Task:         task,
 		Class:        &c.settings.Module.Classes[task.Class],
-		To:           a.host.forInvariants(),
-		ServiceHosts: c.liveAttempts.Hosts(task.Service, a),
-	}) != nil
+		To:           h.forInvariants(),
+		ServiceHosts: c.liveAttempts.Hosts(task.Service, sending),
+	}
+}
+
+// exceedsSpread says whether an attempt would exceed a spread limit of its service now.
+func (c *Core) exceedsSpread(a *taskAttempt) bool {
+	check := c.spreadCheck(&a.request.task, a.host, a)
+	return invariant.CheckSpread(&check) != nil
 }
 
 // startAttempt adds an attempt for an offer, which waits to be sent.
--- a/internal/scheduler/invariant/offer.go
+++ b/internal/scheduler/invariant/offer.go
@@ -10,15 +10,20 @@
 	"forkhead/internal/scheduler/attempt"
 )
 
-// Offer is an offer of a task to a host, to be checked, and what the check goes by.
-type Offer struct {
-	Request      *attempt.Request
+// SpreadCheck is an offer of a task to a host, and what CheckSpread goes by.
+type SpreadCheck struct {
 	Task         *forkhead.Task
 	Class        *forkhead.Class
 	To           *Host
-	DrainGrace   time.Duration                 // for so long after a drain offers may still be sent
-	HostByID     func(id attempt.HostID) *Host // any host that the request has been offered to; nil if it is not known
-	ServiceHosts iter.Seq[*Host]               // the hosts of all live attempts of the service at this placer
+	ServiceHosts iter.Seq[*Host] // the hosts of the other live attempts of the service at this placer
+}
+
+// Offer is an offer of a task to a host, and what CheckOffer goes by.
+type Offer struct {
+	SpreadCheck
+	Request    *attempt.Request
+	DrainGrace time.Duration                 // for so long after a drain offers may still be sent
+	HostByID   func(id attempt.HostID) *Host // any host that the request has been offered to; nil if it is not known
 }
 
 // CheckOffer returns the first violation of sending an offer now, or nil.
@@ -33,7 +38,7 @@
 	if v := o.checkFit(); v != nil {
 		return v
 	}
-	return CheckSpread(o)
+	return CheckSpread(&o.SpreadCheck)
 }
 
 // checkRequest checks what follows from the request and its earlier attempts.
@@ -70,12 +75,12 @@
 // CheckSpread returns the violation of the spread limits that the offer would bring about, or nil. It is checked when the
 // host is chosen, and again when an offer that waited for its connection can be written: tasks that an earlier
 // incarnation of the placer left running may have been reported meanwhile.
-func CheckSpread(o *Offer) *Violation {
-	for level, limit := range o.spreadLimits() {
+func CheckSpread(s *SpreadCheck) *Violation {
+	for level, limit := range s.spreadLimits() {
 		if limit == 0 || forkhead.Domain(level) == forkhead.AnyDomain {
 			continue
 		}
-		if n := o.countInDomain(forkhead.Domain(level)) + 1; n > limit {
+		if n := s.countInDomain(forkhead.Domain(level)) + 1; n > limit {
 			reason := fmt.Sprintf("it would be number %d of its service in one place that takes %d", n, limit)
 			return &Violation{Rule: Spread, Reason: reason}
 		}
@@ -84,23 +89,24 @@
 }
 
 // spreadLimits returns the stricter of the task's and its class's limits for each level of the topology; 0 is none.
-func (o *Offer) spreadLimits() forkhead.SpreadLimits {
-	limits := o.Task.SpreadLimits
-	level := o.Class.SpreadDomain
+// That holds for a class's MaxPerDomain of 0 too, which the module reads as "never"; the parsers of both programs refuse it.
+func (s *SpreadCheck) spreadLimits() forkhead.SpreadLimits {
+	limits := s.Task.SpreadLimits
+	level := s.Class.SpreadDomain
 	if level == forkhead.AnyDomain {
 		return limits
 	}
-	if limits[level] == 0 || o.Class.MaxPerDomain < limits[level] {
-		limits[level] = o.Class.MaxPerDomain
+	if limits[level] == 0 || s.Class.MaxPerDomain < limits[level] {
+		limits[level] = s.Class.MaxPerDomain
 	}
 	return limits
 }
 
 // countInDomain returns the number of live attempts of the service in the domain of the offer's host.
-func (o *Offer) countInDomain(level forkhead.Domain) int {
+func (s *SpreadCheck) countInDomain(level forkhead.Domain) int {
 	n := 0
-	for host := range o.ServiceHosts {
-		if SameDomain(level, host, o.To) {
+	for host := range s.ServiceHosts {
+		if SameDomain(level, host, s.To) {
 			n++
 		}
 	}
--- a/internal/scheduler/invariant/offer_test.go
+++ b/internal/scheduler/invariant/offer_test.go
@@ -20,10 +20,13 @@
 		{ID: 3, State: forkhead.Ready, Cell: 2, Zone: 1},
 	}
 	return &Offer{
+		SpreadCheck: SpreadCheck{
+			Task:         &forkhead.Task{RequiredLabels: 0b01},
+			Class:        &forkhead.Class{MachineType: -1, SpreadDomain: forkhead.AnyDomain},
+			To:           hosts[0],
+			ServiceHosts: slices.Values(hosts[1:]),
+		},
 		Request:    &attempt.Request{Deadline: 2 * now, Rules: attempt.Rules{Effect: forkhead.Unsafe, MaxAttempts: 2}},
-		Task:       &forkhead.Task{RequiredLabels: 0b01},
-		Class:      &forkhead.Class{MachineType: -1, SpreadDomain: forkhead.AnyDomain},
-		To:         hosts[0],
 		DrainGrace: time.Second,
 		HostByID: func(id attempt.HostID) *Host {
 			if i := slices.IndexFunc(hosts, func(h *Host) bool { return h.ID == id }); i >= 0 {
@@ -31,7 +34,6 @@
 			}
 			return nil
 		},
-		ServiceHosts: slices.Values(hosts[1:]),
 	}
 }
 
@@ -95,6 +97,6 @@
 	} {
 		o := offer()
 		o.Task.SpreadLimits, o.Class.SpreadDomain, o.Class.MaxPerDomain = c.task, c.level, c.limit
-		checkViolation(t, name, CheckSpread(o), c.want)
+		checkViolation(t, name, CheckSpread(&o.SpreadCheck), c.want)
 	}
 }
--- a/internal/scheduler/invariant/serviceattempts.go
+++ b/internal/scheduler/invariant/serviceattempts.go
@@ -31,7 +31,7 @@
 	s[service] = remaining
 }
 
-// Hosts yields the hosts of a service's live attempts but one, each once per attempt, for Offer.ServiceHosts. The zero
+// Hosts yields the hosts of a service's live attempts but one, each once per attempt, for SpreadCheck.ServiceHosts. The zero
 // value of except leaves none out.
 func (s ServiceAttempts[A]) Hosts(service uint64, except A) iter.Seq[*Host] {
 	return func(yield func(*Host) bool) {
--- a/internal/scheduler/platform/attempt.go
+++ b/internal/scheduler/platform/attempt.go
@@ -59,12 +59,24 @@
 // checkOffer returns the invariant that an offer of a request to a host would violate; nil: none.
 func (c *Core) checkOffer(r *request, h *host) *invariant.Violation {
 	return invariant.CheckOffer(c.now, &invariant.Offer{
-		Request: &r.lifecycle, Task: &r.task, Class: r.class, To: h.forInvariants(), DrainGrace: c.settings.DrainGrace,
-		HostByID:     c.hostForInvariants,
-		ServiceHosts: c.attemptsByService.Hosts(r.task.Service, nil),
+		SpreadCheck: c.spreadCheck(r, h, nil),
+		Request:     &r.lifecycle,
+		DrainGrace:  c.settings.DrainGrace,
+		HostByID:    c.hostForInvariants,
 	})
 }
 
+// spreadCheck is an offer of a request to a host, for the check against the spread limits. The attempt that is being
+// sent, if there is one already, does not count against them.
+func (c *Core) spreadCheck(r *request, h *host, sending *taskAttempt) invariant.SpreadCheck {
+	return invariant.SpreadCheck{
+		Task:         &r.task,
+		Class:        r.class,
+		To:           h.forInvariants(),
+		ServiceHosts: c.attemptsByService.Hosts(r.task.Service, sending),
+	}
+}
+
 func (c *Core) hostForInvariants(id attempt.HostID) *invariant.Host {
 	if h := c.hosts[forkhead.MachineID(id)]; h != nil {
 		return h.forInvariants()
@@ -74,10 +86,8 @@
 
 // exceedsSpread says whether sending an offer now would violate a spread limit.
 func (c *Core) exceedsSpread(a *taskAttempt) bool {
-	r := a.request
-	return invariant.CheckSpread(&invariant.Offer{
-		Task: &r.task, Class: r.class, To: a.host.forInvariants(), ServiceHosts: c.attemptsByService.Hosts(r.task.Service, a),
-	}) != nil
+	check := c.spreadCheck(a.request, a.host, a)
+	return invariant.CheckSpread(&check) != nil
 }
 
 // InvariantHost returns the attempt's host, as the invariants see it.
