--- a/internal/scheduler/core/hosts.go
+++ b/internal/scheduler/core/hosts.go
@@ -54,8 +54,8 @@
 	return h.entry.State
 }
 
-// isConnectedAndSynced says whether offers may be sent to the host. Before that it is sent Hello, and what settles the tasks
-// that it reports: Query, Withdraw and Stop.
+// isConnectedAndSynced says whether offers may be sent to the host. Before that it is sent Hello, what settles the
+// tasks that it reports (Query, Withdraw, Stop), and the Probe of checkLiveness.
 func (h *host) isConnectedAndSynced() bool { return h.connection.State == hostconn.Up && h.synced }
 
 func (h *host) hasLabels(labels uint64) bool { return labels&^h.labels == 0 }
