--- a/internal/protocol/platform/golden_test.go
+++ b/internal/protocol/platform/golden_test.go
@@ -8,53 +8,11 @@
 	"path/filepath"
 	"reflect"
 	"slices"
-	"strings"
 	"testing"
 
 	"forkhead/internal/goldentest"
 )
 
-// values writes a value with all that it holds, in the order of its fields and without any name of Go's, so that it is the
-// same after a renaming. A number is written as such even where its type has words for it.
-func values(v reflect.Value) string {
-	var parts []string
-	switch v.Kind() {
-	case reflect.Pointer, reflect.Interface:
-		if v.IsNil() {
-			return "nil"
-		}
-		return values(v.Elem())
-	case reflect.Struct:
-		for i := range v.NumField() {
-			parts = append(parts, values(v.Field(i)))
-		}
-		return "(" + strings.Join(parts, " ") + ")"
-	case reflect.Slice, reflect.Array:
-		if v.Type().Elem().Kind() == reflect.Uint8 && v.Kind() == reflect.Slice {
-			return fmt.Sprintf("%q", v.Bytes())
-		}
-		for i := range v.Len() {
-			parts = append(parts, values(v.Index(i)))
-		}
-		return "[" + strings.Join(parts, " ") + "]"
-	case reflect.Map:
-		for _, key := range v.MapKeys() {
-			parts = append(parts, values(key)+":"+values(v.MapIndex(key)))
-		}
-		slices.Sort(parts)
-		return "{" + strings.Join(parts, " ") + "}"
-	case reflect.String:
-		return fmt.Sprintf("%q", v.String())
-	case reflect.Bool:
-		return fmt.Sprint(v.Bool())
-	case reflect.Float32, reflect.Float64:
-		return fmt.Sprint(v.Float())
-	case reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64, reflect.Uint:
-		return fmt.Sprint(v.Uint())
-	}
-	return fmt.Sprint(v.Int())
-}
-
 // What the package names stands on the wire as these words and numbers.
 func TestWireWordsGolden(t *testing.T) {
 	got := fmt.Sprint(
@@ -100,7 +58,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintln(&decoded, values(reflect.ValueOf(m)))
+		fmt.Fprintln(&decoded, goldentest.Values(reflect.ValueOf(m)))
 		var fields []Field
 		for name, raw := range m.Fields {
 			fields = append(fields, Field{name, raw})
@@ -134,7 +92,7 @@
 			fmt.Fprintln(&b, "error:", err)
 			return
 		}
-		fmt.Fprintln(&b, values(reflect.ValueOf(c)))
+		fmt.Fprintln(&b, goldentest.Values(reflect.ValueOf(c)))
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -151,5 +109,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Check(t, "config.decoded", []byte(fmt.Sprintln(values(reflect.ValueOf(c)))+fmt.Sprintln(c.SeedNumber())))
+	goldentest.Check(t, "config.decoded", []byte(fmt.Sprintln(goldentest.Values(reflect.ValueOf(c)))+fmt.Sprintln(c.SeedNumber())))
 }
--- a/internal/scheduler/platform/golden_test.go
+++ b/internal/scheduler/platform/golden_test.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"fmt"
 	"reflect"
-	"slices"
-	"strings"
 	"testing"
 	"time"
 
@@ -14,47 +12,6 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// values writes a value with all that it holds, in the order of its fields and without any name of Go's, so that it is the
-// same after a renaming. A number is written as such even where its type has words for it.
-func values(v reflect.Value) string {
-	var parts []string
-	switch v.Kind() {
-	case reflect.Pointer, reflect.Interface:
-		if v.IsNil() {
-			return "nil"
-		}
-		return values(v.Elem())
-	case reflect.Struct:
-		for i := range v.NumField() {
-			parts = append(parts, values(v.Field(i)))
-		}
-		return "(" + strings.Join(parts, " ") + ")"
-	case reflect.Slice, reflect.Array:
-		if v.Type().Elem().Kind() == reflect.Uint8 && v.Kind() == reflect.Slice {
-			return fmt.Sprintf("%q", v.Bytes())
-		}
-		for i := range v.Len() {
-			parts = append(parts, values(v.Index(i)))
-		}
-		return "[" + strings.Join(parts, " ") + "]"
-	case reflect.Map:
-		for _, key := range v.MapKeys() {
-			parts = append(parts, values(key)+":"+values(v.MapIndex(key)))
-		}
-		slices.Sort(parts)
-		return "{" + strings.Join(parts, " ") + "}"
-	case reflect.String:
-		return fmt.Sprintf("%q", v.String())
-	case reflect.Bool:
-		return fmt.Sprint(v.Bool())
-	case reflect.Float32, reflect.Float64:
-		return fmt.Sprint(v.Float())
-	case reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64, reflect.Uint:
-		return fmt.Sprint(v.Uint())
-	}
-	return fmt.Sprint(v.Int())
-}
-
 // transcript writes what crosses a core's sockets and what its module gets, without any name of Go's.
 type transcript struct {
 	*testCore
@@ -64,7 +21,7 @@
 
 func (s *transcript) record() {
 	for _, ev := range s.events {
-		fmt.Fprintf(&s.text, "\tmodule is told %s\n", values(reflect.ValueOf(ev)))
+		fmt.Fprintf(&s.text, "\tmodule is told %s\n", goldentest.Values(reflect.ValueOf(ev)))
 	}
 	s.events = nil
 	for _, out := range s.outputs {
