--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"forkhead/internal/scheduler/core"
+	"forkhead/internal/server/clock"
 	"forkhead/internal/server/placer"
 )
 
@@ -72,7 +73,7 @@
 		if err == nil || ctx.Err() != nil || !retryable(err) || sends >= c.MaxSends {
 			return err
 		}
-		if err := sleep(ctx, c.backoffAfter(err)); err != nil {
+		if err := clock.Sleep(ctx, c.backoffAfter(err)); err != nil {
 			return err
 		}
 	}
@@ -101,18 +102,6 @@
 	return backoff
 }
 
-// sleep returns after d, or with ctx's error when ctx is done.
-func sleep(ctx context.Context, d time.Duration) error {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-timer.C:
-		return nil
-	}
-}
-
 // send sends a submission once and reads the reply to its end.
 func (c *Client) send(ctx context.Context, key string, body []byte, deliver func(core.Outcome)) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Address+"/v1/submissions", bytes.NewReader(body))
--- a/internal/server/clock/clock_test.go
+++ b/internal/server/clock/clock_test.go
@@ -1,6 +1,8 @@
 package clock
 
 import (
+	"context"
+	"errors"
 	"testing"
 	"time"
 )
@@ -23,3 +25,14 @@
 		t.Errorf("a time an hour later is %v away", wait)
 	}
 }
+
+func TestSleepEndsWithTheTimeOrTheContext(t *testing.T) {
+	if err := Sleep(t.Context(), -time.Second); err != nil {
+		t.Errorf("a duration below 0: %v, want nil", err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	if err := Sleep(ctx, time.Hour); !errors.Is(err, context.Canceled) {
+		t.Errorf("a canceled context: %v, want %v", err, context.Canceled)
+	}
+}
--- a/internal/server/listwatch/listwatch.go
+++ b/internal/server/listwatch/listwatch.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"forkhead/internal/protocol/consul"
+	"forkhead/internal/server/clock"
 )
 
 // Config says what is watched and how.
@@ -77,24 +78,12 @@
 			w.onList(answer.hosts, answer.skipped)
 		}
 		index = next
-		if err := sleep(ctx, w.cfg.MinInterval-time.Since(started)); err != nil {
+		if err := clock.Sleep(ctx, w.cfg.MinInterval-time.Since(started)); err != nil {
 			return err
 		}
 	}
 }
 
-// sleep returns after d, or with an error when ctx is canceled.
-func sleep(ctx context.Context, d time.Duration) error {
-	timer := time.NewTimer(max(d, 0))
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-timer.C:
-		return nil
-	}
-}
-
 // answer is Consul's answer to a query.
 type answer struct {
 	hosts   []consul.Host
--- a/internal/server/platform/watch.go
+++ b/internal/server/platform/watch.go
@@ -14,6 +14,7 @@
 	"github.com/rs/zerolog"
 
 	"forkhead/internal/protocol/platform"
+	"forkhead/internal/server/clock"
 )
 
 const (
@@ -98,17 +99,9 @@
 		default:
 			backoff = min(2*backoff, maxPollBackoff)
 		}
-		sleep(ctx, backoff)
-	}
-}
-
-// sleep waits for d, or until ctx ends.
-func sleep(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
+		if err := clock.Sleep(ctx, backoff); err != nil {
+			return
+		}
 	}
 }
 
