--- a/internal/cli/badday.go
+++ b/internal/cli/chaos.go
@@ -8,14 +8,11 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"strconv"
 	"time"
 
 	"github.com/spf13/cobra"
 
 	"forkhead/internal/protocol/capture"
-	"forkhead/internal/scheduler/core"
-	"forkhead/internal/scheduler/invariant"
 	"forkhead/internal/verify/chaos"
 	"forkhead/internal/verify/replay"
 	"forkhead/internal/verify/rules"
@@ -155,91 +152,3 @@
 	}
 	return nil
 }
-
-// repeat plays a day many times.
-func (a *app) repeat(ctx context.Context, name string, s *scenario.Script, f *baddayFlags) error {
-	self, err := os.Executable()
-	if err != nil {
-		return err
-	}
-	r := chaos.Repeat{
-		Times: f.times, Parallel: f.parallel, Seed: s.Seed, Busy: f.busy, Stop: f.stop,
-		Command: func(seed int) []string {
-			words := []string{self, "badday", "--output", "json", "--log", "error", "--seed", strconv.Itoa(seed)}
-			if f.onBreach != "" {
-				words = append(words, "--record-on-breach", f.onBreach)
-			}
-			if name != "" {
-				words = append(words, name)
-			}
-			return words
-		},
-		Done: func(p chaos.Played) {
-			if a.output == "json" {
-				_ = a.json(p)
-			} else {
-				fmt.Fprintf(a.out, "seed %d: exit %d, %d breaches told %s\n", p.Seed, p.Code, len(p.Breach), p.Error)
-			}
-		},
-	}
-	t := r.Run(ctx)
-	if a.output == "json" {
-		err = a.json(t)
-	} else {
-		_, err = fmt.Fprintf(a.out, "%d plays, %d broken, %d not played to the end; %d tasks, %d offers; %d breaches, %d vetoes, %d defects\n",
-			t.Plays, t.Broken, t.Failed, t.Tasks, t.Offers, t.Breaches, t.Vetoes, t.Defects)
-	}
-	switch {
-	case err != nil:
-		return err
-	case t.Broken > 0:
-		return errNo
-	case t.Failed > 0 || ctx.Err() != nil:
-		return fmt.Errorf("%d of %d plays were not played to the end", t.Failed+f.times-t.Plays, f.times)
-	}
-	return nil
-}
-
-// replayTape plays a tape and tells whether the core said the same, and what rules it broke.
-func (a *app) replayTape(name string) error {
-	text, err := file(name, "a tape that badday --record-on-breach has kept")
-	if err != nil {
-		return err
-	}
-	var places []capture.Event
-	p, err := replay.Play(bytes.NewReader(text), func(s *replay.Step, _ []core.Output) { places = append(places, replay.Places(s.In)...) })
-	if err != nil {
-		return badInput(fmt.Errorf("%s: %w", name, err))
-	}
-	host := p.Script.Host
-	v := rules.Check(append(places, p.Events...), rules.FactsOf(p.Script.Settings, float64(host.Starts)/host.Start.Seconds()))
-	counts := map[string]int{}
-	for rule := invariant.OneAnswer; rule <= invariant.Spread; rule++ {
-		counts[rule.String()] = v.Counts[rule]
-	}
-	if a.output == "json" {
-		if err := a.breaches(&v); err != nil {
-			return err
-		}
-		if err := a.json(map[string]any{"replay": p, "placer": p.Head.Placer, "epoch": p.Head.Epoch, "rules": counts}); err != nil {
-			return err
-		}
-	} else {
-		fmt.Fprintf(a.out, "placer %d: %d steps, %d offers, %d vetoes, %d defects\n", p.Head.Placer, p.Steps, p.Offers, p.Vetoes, p.Defects)
-		if p.Cut {
-			fmt.Fprintln(a.out, "the tape ends in the middle of a step")
-		}
-		if d := p.Diverged; d != nil {
-			fmt.Fprintf(a.out, "step %d parts from the tape:\n  tape: %s\n  now:  %s\n", d.Step, d.Want, d.Got)
-		} else {
-			fmt.Fprintln(a.out, "the core said the same at every step")
-		}
-		for _, b := range v.Breaches {
-			fmt.Fprintf(a.out, "  %v: %s\n", b.Rule, b.Text)
-		}
-	}
-	if p.Diverged != nil || !v.OK() {
-		return errNo
-	}
-	return nil
-}
