--- a/internal/cli/catalog.go
+++ b/internal/cli/catalog.go
@@ -25,7 +25,7 @@
 		},
 	}
 	c.Flags().StringVar(&listen, "listen", "127.0.0.1:8500", "address to listen at")
-	c.Flags().DurationVar(&p.Critical, "critical", 2*time.Second, "a host that has not registered for so long is critical")
-	c.Flags().DurationVar(&p.Deregister, "deregister", 6*time.Second, "and is dropped after this")
+	c.Flags().DurationVar(&p.CriticalAfter, "critical", 2*time.Second, "a host that has not registered for so long is critical")
+	c.Flags().DurationVar(&p.DeregisterAfter, "deregister", 6*time.Second, "and is dropped after this")
 	return c
 }
--- a/internal/emulator/consul/server.go
+++ b/internal/emulator/consul/server.go
@@ -75,8 +75,8 @@
 	f(s.store, s.clock.Now())
 }
 
-// Outage makes every call fail, or ends that.
-func (s *Server) Outage(on bool) {
+// SetOutage makes every call fail, or ends that.
+func (s *Server) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outage = on
@@ -154,7 +154,7 @@
 	if s.log == nil || err != nil || !strings.HasPrefix(agent, "forkhead-placer/") {
 		return
 	}
-	e := capture.Event{At: s.clock.Now(), What: capture.Told, Placer: n}
+	e := capture.Event{At: s.clock.Now(), Type: capture.ListDelivered, Placer: n}
 	for i := range entries {
 		critical := false
 		for _, c := range entries[i].Checks {
@@ -216,5 +216,5 @@
 		http.Error(w, "Must provide enable and node", http.StatusBadRequest)
 		return
 	}
-	s.With(func(st *Store, now time.Duration) { st.Maintain(now, r.URL.Query().Get("node"), on) })
+	s.With(func(st *Store, now time.Duration) { st.SetMaintenance(now, r.URL.Query().Get("node"), on) })
 }
--- a/internal/emulator/consul/store.go
+++ b/internal/emulator/consul/store.go
@@ -12,8 +12,8 @@
 
 // Policy says when a host that no longer registers is taken for dead.
 type Policy struct {
-	Critical   time.Duration // its check is critical after this
-	Deregister time.Duration // and it is dropped after this
+	CriticalAfter   time.Duration // its check is critical after this
+	DeregisterAfter time.Duration // and it is dropped after this
 }
 
 // Store is the catalogue's state. It is pure: time comes in.
@@ -67,19 +67,19 @@
 	}
 }
 
-// Maintain puts a host into maintenance, or takes it out.
-func (s *Store) Maintain(now time.Duration, name string, on bool) {
+// SetMaintenance puts a host into maintenance, or takes it out.
+func (s *Store) SetMaintenance(now time.Duration, name string, on bool) {
 	if n := s.nodes[name]; n != nil && n.maintenance != on {
 		n.maintenance = on
 		s.changed(now)
 	}
 }
 
-// Lag makes answers late by so much.
-func (s *Store) Lag(d time.Duration) { s.lag = d }
+// SetLag makes answers late by so much.
+func (s *Store) SetLag(d time.Duration) { s.lag = d }
 
-// Freeze makes all answers the present one, until it is taken back.
-func (s *Store) Freeze(now time.Duration, on bool) {
+// SetFrozen makes all answers the present one, until it is taken back.
+func (s *Store) SetFrozen(now time.Duration, on bool) {
 	if s.frozen = nil; on {
 		v := s.view(now)
 		s.frozen = &v
@@ -91,10 +91,10 @@
 	changed := false
 	for name, n := range s.nodes {
 		switch quiet := now - n.seen; {
-		case quiet >= s.policy.Deregister:
+		case quiet >= s.policy.DeregisterAfter:
 			delete(s.nodes, name)
 			changed = true
-		case quiet >= s.policy.Critical && !n.critical:
+		case quiet >= s.policy.CriticalAfter && !n.critical:
 			n.critical = true
 			changed = true
 		}
@@ -123,7 +123,7 @@
 			e.Checks[0].Status = "critical"
 		}
 		if n.maintenance {
-			e.Checks = append(e.Checks, consul.Check{Node: name, CheckID: consul.Maintenance, Name: "Node Maintenance Mode", Status: "critical"})
+			e.Checks = append(e.Checks, consul.Check{Node: name, CheckID: consul.NodeMaintenanceCheckID, Name: "Node Maintenance Mode", Status: "critical"})
 		}
 		v.entries = append(v.entries, e)
 	}
--- a/internal/emulator/host/hostd.go
+++ b/internal/emulator/host/hostd.go
@@ -140,7 +140,7 @@
 func (s *Server) Look() (up, fell bool, running int) {
 	s.loop.Call(func() {
 		if s.life != nil {
-			up, fell, running = true, s.life.Fell(), s.life.Running()
+			up, fell, running = true, s.life.Overloaded(), s.life.BoundCount()
 		}
 	})
 	return up, fell, running
@@ -215,7 +215,7 @@
 	// Epochs grow over restarts of this process too: they hold the time.
 	s.life = hostmodel.New(s.cfg.Host, uint64(now.Microseconds())+s.num, s.cfg.Seed+s.num, now, cold)
 	s.deaf, s.reg = false, now
-	s.log(capture.Event{What: capture.HostUp, Cold: cold, Zone: s.cfg.Host.Zone, Rack: s.cfg.Host.Rack})
+	s.log(capture.Event{Type: capture.HostUp, WarmingUp: cold, Zone: s.cfg.Host.Zone, Rack: s.cfg.Host.Rack})
 	return nil
 }
 
@@ -224,10 +224,10 @@
 	if s.life == nil {
 		return
 	}
-	if s.life.Fell() {
-		s.log(capture.Event{What: capture.Fell})
+	if s.life.Overloaded() {
+		s.log(capture.Event{Type: capture.Overloaded})
 	}
-	s.log(capture.Event{What: capture.HostDown})
+	s.log(capture.Event{Type: capture.HostDown})
 	s.life = nil
 }
 
@@ -267,7 +267,7 @@
 		s.conns[h.id] = h
 		h.life = s.life
 		if s.life != nil && !s.deaf {
-			s.carry(s.life.Opened(s.cfg.Clock.Now(), h.id))
+			s.carry(s.life.ConnectionOpened(s.cfg.Clock.Now(), h.id))
 		}
 	}) {
 		return nil
@@ -288,7 +288,7 @@
 			h.s.frame(h, f, at)
 		}
 		if err != nil && h.s.life != nil {
-			h.s.carry(h.s.life.Bad(h.s.cfg.Clock.Now(), h.id, err.Error()))
+			h.s.carry(h.s.life.ReceiveMalformed(h.s.cfg.Clock.Now(), h.id, err.Error()))
 		}
 	})
 }
@@ -303,10 +303,10 @@
 		delete(s.conns, h.id)
 		delete(s.mute, h)
 		if h.placer >= 0 {
-			s.log(capture.Event{What: capture.Gone, Placer: h.placer, PlacerEpoch: h.epoch, Conn: uint64(h.id)})
+			s.log(capture.Event{Type: capture.Disconnected, Placer: h.placer, PlacerEpoch: h.epoch, Conn: uint64(h.id)})
 		}
 		if s.life != nil {
-			s.carry(s.life.Closed(s.cfg.Clock.Now(), h.id))
+			s.carry(s.life.ConnectionClosed(s.cfg.Clock.Now(), h.id))
 		}
 	})
 }
@@ -322,7 +322,7 @@
 		h.placer, h.epoch = int(hello.Placer), hello.Epoch
 	}
 	s.note(h, f, at)
-	s.carry(s.life.Frame(s.cfg.Clock.Now(), h.id, f))
+	s.carry(s.life.ReceiveFrame(s.cfg.Clock.Now(), h.id, f))
 }
 
 // note records a frame that came to the host or leaves it.
@@ -334,7 +334,7 @@
 	if s.life != nil {
 		e.Epoch = s.life.Epoch()
 	}
-	for _, e := range capture.Frame(e, f) {
+	for _, e := range capture.FrameEvents(e, f) {
 		s.cfg.Log.Add(e)
 	}
 }
@@ -414,13 +414,13 @@
 func (s *Server) entry() core.HostEntry {
 	cfg := &s.cfg.Host
 	e := core.HostEntry{
-		Name: cfg.Name, Address: s.addr, Kind: cfg.Kind, Zone: cfg.Zone, Rack: cfg.Rack, Started: s.life.Started(),
+		Name: cfg.Name, Address: s.addr, Kind: cfg.MachineType, Zone: cfg.Zone, Rack: cfg.Rack, Started: s.life.Started(),
 		Attributes: map[servicespec.Attribute]string{},
 	}
 	for k, v := range cfg.Labels {
 		e.Attributes[servicespec.Attribute("label."+k)] = v
 	}
-	e.FreeCores, e.FreeMemory = s.life.Free()
+	e.FreeCores, e.FreeMemory = s.life.Available()
 	return e
 }
 
@@ -453,7 +453,7 @@
 }
 
 func (s *Server) put(e *core.HostEntry) error {
-	reg, err := consul.Registered(e, s.cfg.Service)
+	reg, err := consul.NewRegistration(e, s.cfg.Service)
 	if err != nil {
 		return err
 	}
--- a/internal/emulator/host/hostd_test.go
+++ b/internal/emulator/host/hostd_test.go
@@ -23,7 +23,7 @@
 	}
 	log := recorder.New(1000)
 	s, err := Start(Config{
-		Host: hostmodel.Default("h", "k", "z", "r", 8, 8), Listen: "127.0.0.1:0", Clock: clock.New(), Engine: engine, Log: log,
+		Host: hostmodel.DefaultConfig("h", "k", "z", "r", 8, 8), Listen: "127.0.0.1:0", Clock: clock.New(), Engine: engine, Log: log,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 	})
 	events, _ := log.Events()
 	for _, e := range events {
-		if e.What == capture.Offer {
+		if e.Type == capture.Offer {
 			t.Fatalf("recorded: %+v", e)
 		}
 	}
@@ -155,7 +155,7 @@
 	events, _ := log.Events()
 	ups, downs := 0, 0
 	for _, e := range events {
-		switch e.What {
+		switch e.Type {
 		case capture.HostUp:
 			ups++
 		case capture.HostDown:
--- a/internal/emulator/hostmodel/standin.go
+++ b/internal/emulator/hostmodel/host.go
@@ -15,38 +15,38 @@
 
 // Config is what a host is.
 type Config struct {
-	Name, Kind, Zone, Rack string
-	Labels                 map[string]string
-
-	Cores, Memory             float64 // Memory in GiB
-	AcceptCores, AcceptMemory float64 // accepts asks up to these multiples
-
-	Look   time.Duration // one offer is looked at for so long
-	Line   int           // offers that may wait to be looked at
-	Starts int           // tasks that start at a time
-	Start  time.Duration // a start where the service's program is present
-	Absent float64       // times that, where it is not
-	Keep   int           // programs kept after the last task of a service
-
-	ColdFor    time.Duration // a fresh host is warm after this
-	ColdFrom   float64       // the share of its pace that it begins with
-	ColdWindow time.Duration
-	ColdOffers float64 // offers that a cold host bears in a window
-	Multiple   float64 // offered more than this multiple of its pace in a window it falls over
-
-	Use     float64       // mean share of what is asked that tasks use
-	Swing   float64       // and how far it swings
-	Notes   time.Duration // between notes of a task
-	PushOut bool          // lower priorities make room for higher ones
+	Name, MachineType, Zone, Rack string
+	Labels                        map[string]string
+
+	Cores, Memory                     float64 // Memory in GiB
+	CoresOvercommit, MemoryOvercommit float64 // accepts asks up to these multiples
+
+	DecisionTime        time.Duration // one offer is looked at for so long
+	MaxQueued           int           // offers that may wait to be looked at
+	MaxStarting         int           // tasks that start at a time
+	StartTime           time.Duration // a start where the service's program is present
+	UncachedStartFactor float64       // times that, where it is not
+	MaxCachedPrograms   int           // programs kept after the last task of a service
+
+	SlowStartDuration    time.Duration // a fresh host is warm after this
+	SlowStartInitialRate float64       // the share of its pace that it begins with
+	SlowStartWindow      time.Duration
+	SlowStartMaxOffers   float64 // offers that a cold host bears in a window
+	SlowStartOverload    float64 // offered more than this multiple of its pace in a window it falls over
+
+	MeanUsage    float64       // mean share of what is asked that tasks use
+	UsageSwing   float64       // and how far it swings
+	NoteInterval time.Duration // between notes of a task
+	Preemption   bool          // lower priorities make room for higher ones
 }
 
-// Default fills in what a plain host does.
-func Default(name, kind, zone, rack string, cores, memory float64) Config {
+// DefaultConfig fills in what a plain host does.
+func DefaultConfig(name, kind, zone, rack string, cores, memory float64) Config {
 	return Config{
-		Name: name, Kind: kind, Zone: zone, Rack: rack, Cores: cores, Memory: memory, AcceptCores: 1, AcceptMemory: 1,
-		Look: 2 * time.Millisecond, Line: 50, Starts: 4, Start: 20 * time.Millisecond, Absent: 5, Keep: 8,
-		ColdFor: 6 * time.Second, ColdFrom: 0.25, ColdWindow: time.Second, ColdOffers: 24, Multiple: 4,
-		Use: 0.7, Swing: 0.15, Notes: time.Second, PushOut: true,
+		Name: name, MachineType: kind, Zone: zone, Rack: rack, Cores: cores, Memory: memory, CoresOvercommit: 1, MemoryOvercommit: 1,
+		DecisionTime: 2 * time.Millisecond, MaxQueued: 50, MaxStarting: 4, StartTime: 20 * time.Millisecond, UncachedStartFactor: 5, MaxCachedPrograms: 8,
+		SlowStartDuration: 6 * time.Second, SlowStartInitialRate: 0.25, SlowStartWindow: time.Second, SlowStartMaxOffers: 24, SlowStartOverload: 4,
+		MeanUsage: 0.7, UsageSwing: 0.15, NoteInterval: time.Second, Preemption: true,
 	}
 }
 
@@ -59,15 +59,15 @@
 	Frame hostproto.Frame // nil: close the connection
 }
 
-// Point is a moment at which a host can be told to die.
-type Point uint8
+// CrashPoint is a moment at which a host can be told to die.
+type CrashPoint uint8
 
 // The points.
 const (
-	Nowhere   Point = iota
-	MidLook         // while it looks at an offer
-	MidStart        // while a task starts
-	AfterBind       // once a task runs, before it says so
+	NoCrash        CrashPoint = iota
+	DuringDecision            // while it looks at an offer
+	DuringStart               // while a task starts
+	AfterBind                 // once a task runs, before it says so
 )
 
 // mostOver bounds what is remembered of attempts that are over.
@@ -99,7 +99,7 @@
 	drains   bool
 	dead     bool
 	fell     bool // it was pushed over: it stays down
-	dieAt    Point
+	dieAt    CrashPoint
 	pausedTo time.Duration
 	queued   []func()
 	slow     float64
@@ -154,42 +154,42 @@
 // Started is when this life began, or 0 if long ago.
 func (h *Host) Started() time.Duration { return h.started }
 
-// Dead says whether this life is over, and Fell whether the host was pushed over.
+// Dead says whether this life is over.
 func (h *Host) Dead() bool { return h.dead }
 
-// Fell says whether the host fell over from what it was offered while cold.
-func (h *Host) Fell() bool { return h.fell }
+// Overloaded says whether the host fell over from what it was offered while cold.
+func (h *Host) Overloaded() bool { return h.fell }
 
-// Drains says whether the host drains.
-func (h *Host) Drains() bool { return h.drains }
+// Draining says whether the host drains.
+func (h *Host) Draining() bool { return h.drains }
 
-// Free returns the cores and memory that nothing has asked for.
-func (h *Host) Free() (cores, memory float64) {
+// Available returns the cores and memory that nothing has asked for.
+func (h *Host) Available() (cores, memory float64) {
 	cores, memory = h.cfg.Cores, h.cfg.Memory
 	for _, t := range h.tasks {
-		if t.phase != hostproto.InLine {
+		if t.phase != hostproto.PhaseQueued {
 			cores, memory = cores-t.cores(), memory-t.memory()
 		}
 	}
 	return cores, memory
 }
 
-// Running counts the tasks that the host holds.
-func (h *Host) Running() int {
+// BoundCount counts the tasks that the host holds.
+func (h *Host) BoundCount() int {
 	n := 0
 	for _, t := range h.tasks {
-		if t.phase != hostproto.InLine {
+		if t.phase != hostproto.PhaseQueued {
 			n++
 		}
 	}
 	return n
 }
 
-// Holding lists the tasks that the host holds.
-func (h *Host) Holding() []hostproto.Spec {
+// BoundSpecs lists the tasks that the host holds.
+func (h *Host) BoundSpecs() []hostproto.Spec {
 	var out []hostproto.Spec
 	for _, t := range h.sorted() {
-		if t.phase != hostproto.InLine {
+		if t.phase != hostproto.PhaseQueued {
 			out = append(out, t.spec)
 		}
 	}
@@ -206,18 +206,18 @@
 	return h.out
 }
 
-// Opened takes a new connection.
-func (h *Host) Opened(now time.Duration, id ConnID) []Output {
+// ConnectionOpened takes a new connection.
+func (h *Host) ConnectionOpened(now time.Duration, id ConnID) []Output {
 	return h.take(now, func() { h.conns[id] = &peer{id: id} })
 }
 
-// Closed takes the end of a connection.
-func (h *Host) Closed(now time.Duration, id ConnID) []Output {
+// ConnectionClosed takes the end of a connection.
+func (h *Host) ConnectionClosed(now time.Duration, id ConnID) []Output {
 	return h.take(now, func() { h.closed(id) })
 }
 
-// Frame takes a frame that came on a connection.
-func (h *Host) Frame(now time.Duration, id ConnID, f hostproto.Frame) []Output {
+// ReceiveFrame takes a frame that came on a connection.
+func (h *Host) ReceiveFrame(now time.Duration, id ConnID, f hostproto.Frame) []Output {
 	return h.take(now, func() {
 		if p := h.conns[id]; p != nil {
 			h.frame(p, f)
@@ -225,8 +225,8 @@
 	})
 }
 
-// Bad takes the news that what came on a connection could not be read.
-func (h *Host) Bad(now time.Duration, id ConnID, why string) []Output {
+// ReceiveMalformed takes the news that what came on a connection could not be read.
+func (h *Host) ReceiveMalformed(now time.Duration, id ConnID, why string) []Output {
 	return h.take(now, func() {
 		if p := h.conns[id]; p != nil {
 			h.bye(p, why)
@@ -263,9 +263,9 @@
 	if h.dead {
 		return
 	}
-	t := &task{ref: f.Ref, placer: p.placer, spec: f.Spec, until: h.now + f.Wait, bias: h.rng.NormFloat64() * h.cfg.Swing / 2}
-	if len(h.line) >= h.cfg.Line {
-		h.refuse(t, hostproto.LineFull)
+	t := &task{ref: f.Ref, placer: p.placer, spec: f.Spec, until: h.now + f.Wait, bias: h.rng.NormFloat64() * h.cfg.UsageSwing / 2}
+	if len(h.line) >= h.cfg.MaxQueued {
+		h.refuse(t, hostproto.QueueFull)
 		return
 	}
 	h.tasks[t.ref] = t
@@ -275,7 +275,9 @@
 	}
 }
 
-func (h *Host) lookTime() time.Duration { return time.Duration(float64(h.cfg.Look) * h.slowness()) }
+func (h *Host) lookTime() time.Duration {
+	return time.Duration(float64(h.cfg.DecisionTime) * h.slowness())
+}
 
 func (h *Host) slowness() float64 {
 	if h.now < h.slowTo {
@@ -289,23 +291,23 @@
 	if !h.cold() {
 		return
 	}
-	h.offers = slices.DeleteFunc(append(h.offers, h.now), func(at time.Duration) bool { return at <= h.now-h.cfg.ColdWindow })
-	pace := float64(h.cfg.Starts) / h.cfg.Start.Seconds() * h.pace()
-	bears := max(h.cfg.ColdOffers, h.cfg.Multiple*pace*h.cfg.ColdWindow.Seconds())
+	h.offers = slices.DeleteFunc(append(h.offers, h.now), func(at time.Duration) bool { return at <= h.now-h.cfg.SlowStartWindow })
+	pace := float64(h.cfg.MaxStarting) / h.cfg.StartTime.Seconds() * h.pace()
+	bears := max(h.cfg.SlowStartMaxOffers, h.cfg.SlowStartOverload*pace*h.cfg.SlowStartWindow.Seconds())
 	if float64(len(h.offers)) > bears {
 		h.fell = true
-		h.Die()
+		h.Crash()
 	}
 }
 
-func (h *Host) cold() bool { return h.started > 0 && h.now < h.started+h.cfg.ColdFor }
+func (h *Host) cold() bool { return h.started > 0 && h.now < h.started+h.cfg.SlowStartDuration }
 
 // pace is the share of its pace that the host has: it grows evenly until it is warm.
 func (h *Host) pace() float64 {
 	if !h.cold() {
 		return 1
 	}
-	return h.cfg.ColdFrom + (1-h.cfg.ColdFrom)*float64(h.now-h.started)/float64(h.cfg.ColdFor)
+	return h.cfg.SlowStartInitialRate + (1-h.cfg.SlowStartInitialRate)*float64(h.now-h.started)/float64(h.cfg.SlowStartDuration)
 }
 
 func (h *Host) refuse(t *task, why hostproto.Reason) {
@@ -328,7 +330,7 @@
 
 // looked decides about the offer that has been looked at.
 func (h *Host) looked() {
-	if h.dies(MidLook) {
+	if h.dies(DuringDecision) {
 		return
 	}
 	t := h.line[0]
@@ -341,7 +343,7 @@
 		return
 	}
 	_, say := hostsession.Transition(h.state(t.ref), hostsession.Accept)
-	t.phase = hostproto.Starting
+	t.phase = hostproto.PhaseStarting
 	h.starts = append(h.starts, t)
 	h.reply(t.placer, t.ref, say, nil)
 	h.begin()
@@ -349,15 +351,15 @@
 
 func (h *Host) judge(t *task) hostproto.Reason {
 	if h.drains || h.now > t.until || h.now < h.refuses[t.spec.Class] {
-		return hostproto.NotHere
+		return hostproto.Unsuitable
 	}
 	for _, o := range h.tasks {
-		if o != t && o.phase != hostproto.InLine && o.spec.Key == t.spec.Key {
-			return hostproto.NotHere // a copy stands
+		if o != t && o.phase != hostproto.PhaseQueued && o.spec.Key == t.spec.Key {
+			return hostproto.Unsuitable // a copy stands
 		}
 	}
 	why := h.room(t)
-	if why == hostproto.NoReason || !h.cfg.PushOut || t.spec.Priority == 0 {
+	if why == hostproto.NoReason || !h.cfg.Preemption || t.spec.Priority == 0 {
 		return why
 	}
 	var out []*task
@@ -366,7 +368,7 @@
 		if cores >= t.cores() && memory >= t.memory() {
 			break
 		}
-		if o.phase == hostproto.Runs && o.spec.Priority < t.spec.Priority {
+		if o.phase == hostproto.PhaseRunning && o.spec.Priority < t.spec.Priority {
 			out = append(out, o)
 			cores, memory = cores+o.cores(), memory+o.memory()
 		}
@@ -375,24 +377,24 @@
 		return why
 	}
 	for _, o := range out {
-		h.end(o, hostproto.PushedOut)
+		h.end(o, hostproto.Preempted)
 	}
 	return hostproto.NoReason
 }
 
 // space is the room up to which asks are accepted.
 func (h *Host) space() (cores, memory float64) {
-	cores, memory = h.Free()
-	return cores + h.cfg.Cores*(h.cfg.AcceptCores-1), memory + h.cfg.Memory*(h.cfg.AcceptMemory-1)
+	cores, memory = h.Available()
+	return cores + h.cfg.Cores*(h.cfg.CoresOvercommit-1), memory + h.cfg.Memory*(h.cfg.MemoryOvercommit-1)
 }
 
 func (h *Host) room(t *task) hostproto.Reason {
 	cores, memory := h.space()
 	switch {
 	case t.cores() > cores+1e-9:
-		return hostproto.NoCores
+		return hostproto.InsufficientCores
 	case t.memory() > memory+1e-9:
-		return hostproto.NoMemory
+		return hostproto.InsufficientMemory
 	}
 	return hostproto.NoReason
 }
@@ -408,7 +410,7 @@
 	switch {
 	case t != nil && to == hostsession.Canceled:
 		h.dropLine(func(o *task) bool { return o == t })
-		f := hostproto.Ended{Ref: ref, Result: hostproto.Called, Report: h.report()}
+		f := hostproto.Ended{Ref: ref, Result: hostproto.Canceled, Report: h.report()}
 		h.remember(t, f)
 		h.reply(t.placer, ref, say, f)
 	case t != nil && to == hostsession.Ended:
@@ -431,11 +433,11 @@
 	}
 	for _, t := range h.tasks {
 		switch t.phase {
-		case hostproto.Starting:
+		case hostproto.PhaseStarting:
 			if t.ready > 0 {
 				next = min(next, t.ready)
 			}
-		case hostproto.Runs:
+		case hostproto.PhaseRunning:
 			if t.endsAt > 0 {
 				next = min(next, t.endsAt)
 			}
@@ -493,11 +495,11 @@
 			continue
 		}
 		switch {
-		case t.phase == hostproto.Starting && t.ready > 0 && t.ready <= h.now:
+		case t.phase == hostproto.PhaseStarting && t.ready > 0 && t.ready <= h.now:
 			h.runs(t)
-		case t.phase == hostproto.Runs && t.endsAt > 0 && t.endsAt <= h.now:
+		case t.phase == hostproto.PhaseRunning && t.endsAt > 0 && t.endsAt <= h.now:
 			h.end(t, hostproto.Done)
-		case t.phase == hostproto.Runs && t.nextAt > 0 && t.nextAt <= h.now:
+		case t.phase == hostproto.PhaseRunning && t.nextAt > 0 && t.nextAt <= h.now:
 			h.notes(t)
 		}
 	}
--- a/internal/emulator/hostmodel/standin_test.go
+++ b/internal/emulator/hostmodel/host_test.go
@@ -9,8 +9,8 @@
 
 func greeted(t *testing.T, cfg Config) *Host {
 	h := New(cfg, 1, 1, time.Hour, false)
-	h.Opened(time.Hour, 1)
-	out := h.Frame(time.Hour, 1, hostproto.Hello{Version: 1, Epoch: 1, Conn: 1})
+	h.ConnectionOpened(time.Hour, 1)
+	out := h.ReceiveFrame(time.Hour, 1, hostproto.Hello{Version: 1, Epoch: 1, Conn: 1})
 	if len(out) != 1 {
 		t.Fatalf("greeted with %v", out)
 	}
@@ -50,30 +50,30 @@
 }
 
 func TestRoomAndPushOut(t *testing.T) {
-	h := greeted(t, Default("h", "k", "z", "r", 4, 8))
+	h := greeted(t, DefaultConfig("h", "k", "z", "r", 4, 8))
 	for i, o := range []hostproto.Offer{offer(1, 3, 0), offer(2, 3, 0), offer(3, 3, 1)} {
-		h.Frame(time.Hour+time.Duration(i)*200*time.Millisecond, 1, o)
+		h.ReceiveFrame(time.Hour+time.Duration(i)*200*time.Millisecond, 1, o)
 		all(h, time.Hour+time.Duration(i)*200*time.Millisecond, time.Hour+time.Duration(i+1)*200*time.Millisecond-1)
 	}
-	if free, _ := h.Free(); free != 1 || h.Running() != 1 || h.tasks[hostproto.Ref{Epoch: 1, Task: 3}] == nil {
-		t.Fatalf("%g cores free, %d run", free, h.Running())
+	if free, _ := h.Available(); free != 1 || h.BoundCount() != 1 || h.tasks[hostproto.Ref{Epoch: 1, Task: 3}] == nil {
+		t.Fatalf("%g cores free, %d run", free, h.BoundCount())
 	}
 	if _, ok := h.over[hostproto.Ref{Epoch: 1, Task: 2}].(hostproto.Refused); !ok {
 		t.Fatal("the second was not refused")
 	}
-	if e, ok := h.over[hostproto.Ref{Epoch: 1, Task: 1}].(hostproto.Ended); !ok || e.Result != hostproto.PushedOut {
+	if e, ok := h.over[hostproto.Ref{Epoch: 1, Task: 1}].(hostproto.Ended); !ok || e.Result != hostproto.Preempted {
 		t.Fatal("the first was not pushed out")
 	}
 }
 
 func TestLineAndStarts(t *testing.T) {
-	cfg := Default("h", "k", "z", "r", 100, 100)
-	cfg.Line, cfg.Starts = 5, 2
+	cfg := DefaultConfig("h", "k", "z", "r", 100, 100)
+	cfg.MaxQueued, cfg.MaxStarting = 5, 2
 	h := greeted(t, cfg)
 	refused := 0
 	for n := range uint32(8) {
-		for _, o := range h.Frame(time.Hour, 1, offer(n+1, 1, 0)) {
-			if r, ok := o.Frame.(hostproto.Refused); ok && r.Reason == hostproto.LineFull {
+		for _, o := range h.ReceiveFrame(time.Hour, 1, offer(n+1, 1, 0)) {
+			if r, ok := o.Frame.(hostproto.Refused); ok && r.Reason == hostproto.QueueFull {
 				refused++
 			}
 		}
@@ -93,48 +93,48 @@
 
 // A new connection of a placer ends the older one, whose offers in line never run.
 func TestReconnect(t *testing.T) {
-	h := greeted(t, Default("h", "k", "z", "r", 8, 8))
-	h.Frame(time.Hour, 1, offer(1, 1, 0))
-	h.Opened(time.Hour, 2)
-	out := h.Frame(time.Hour, 2, hostproto.Hello{Version: 1, Epoch: 1, Conn: 2})
+	h := greeted(t, DefaultConfig("h", "k", "z", "r", 8, 8))
+	h.ReceiveFrame(time.Hour, 1, offer(1, 1, 0))
+	h.ConnectionOpened(time.Hour, 2)
+	out := h.ReceiveFrame(time.Hour, 2, hostproto.Hello{Version: 1, Epoch: 1, Conn: 2})
 	if len(out) != 2 || out[0].Conn != 1 || out[0].Frame != nil {
 		t.Fatalf("the older connection is not closed first: %+v", out)
 	}
-	out = h.Frame(time.Hour, 2, hostproto.Query{Refs: []hostproto.Ref{{Epoch: 1, Task: 1}, {Epoch: 1, Task: 9}}})
+	out = h.ReceiveFrame(time.Hour, 2, hostproto.Query{Refs: []hostproto.Ref{{Epoch: 1, Task: 1}, {Epoch: 1, Task: 9}}})
 	for _, o := range out {
-		if r, ok := o.Frame.(hostproto.Refused); !ok || r.Reason != hostproto.NotHere {
+		if r, ok := o.Frame.(hostproto.Refused); !ok || r.Reason != hostproto.Unsuitable {
 			t.Fatalf("asked about what never ran: %+v", o.Frame)
 		}
 	}
-	h.Opened(time.Hour, 3)
-	out = h.Frame(time.Hour, 3, hostproto.Hello{Version: 1, Epoch: 0, Conn: 9})
+	h.ConnectionOpened(time.Hour, 3)
+	out = h.ReceiveFrame(time.Hour, 3, hostproto.Hello{Version: 1, Epoch: 0, Conn: 9})
 	if _, ok := out[0].Frame.(hostproto.Bye); !ok {
 		t.Fatalf("an earlier life of the placer is greeted: %+v", out)
 	}
 }
 
 func TestFallsOver(t *testing.T) {
-	cfg := Default("h", "k", "z", "r", 1000, 1000)
-	cfg.ColdOffers, cfg.Multiple, cfg.Line = 10, 0.001, 1000
+	cfg := DefaultConfig("h", "k", "z", "r", 1000, 1000)
+	cfg.SlowStartMaxOffers, cfg.SlowStartOverload, cfg.MaxQueued = 10, 0.001, 1000
 	h := New(cfg, 1, 1, time.Hour, true)
-	h.Opened(time.Hour, 1)
-	h.Frame(time.Hour, 1, hostproto.Hello{Version: 1, Epoch: 1, Conn: 1})
+	h.ConnectionOpened(time.Hour, 1)
+	h.ReceiveFrame(time.Hour, 1, hostproto.Hello{Version: 1, Epoch: 1, Conn: 1})
 	for n := range uint32(10) {
-		h.Frame(time.Hour, 1, offer(n+1, 1, 0))
+		h.ReceiveFrame(time.Hour, 1, offer(n+1, 1, 0))
 	}
 	if h.Dead() {
 		t.Fatal("fell at what it always bears")
 	}
-	h.Frame(time.Hour, 1, offer(11, 1, 0))
-	if !h.Dead() || !h.Fell() {
+	h.ReceiveFrame(time.Hour, 1, offer(11, 1, 0))
+	if !h.Dead() || !h.Overloaded() {
 		t.Fatal("bears more than it says")
 	}
 }
 
 func TestPauseAndDie(t *testing.T) {
-	h := greeted(t, Default("h", "k", "z", "r", 8, 8))
+	h := greeted(t, DefaultConfig("h", "k", "z", "r", 8, 8))
 	h.Pause(time.Hour, 300*time.Millisecond)
-	if out := h.Frame(time.Hour+time.Millisecond, 1, hostproto.Probe{ID: 5}); len(out) != 0 {
+	if out := h.ReceiveFrame(time.Hour+time.Millisecond, 1, hostproto.Probe{ID: 5}); len(out) != 0 {
 		t.Fatalf("answers while it stands still: %v", out)
 	}
 	if out := all(h, time.Hour, time.Hour+299*time.Millisecond); len(out) != 0 {
@@ -143,8 +143,8 @@
 	if out := all(h, time.Hour+300*time.Millisecond, time.Hour+302*time.Millisecond); len(out) != 1 {
 		t.Fatalf("after the pause: %v", out)
 	}
-	h.DieAt(AfterBind)
-	h.Frame(time.Hour+400*time.Millisecond, 1, offer(1, 1, 0))
+	h.CrashAt(AfterBind)
+	h.ReceiveFrame(time.Hour+400*time.Millisecond, 1, offer(1, 1, 0))
 	if _, _, running, _ := kinds(all(h, time.Hour+400*time.Millisecond, time.Hour+time.Second)); running != 0 || !h.Dead() {
 		t.Fatal("says that the task runs before it dies")
 	}
--- a/internal/emulator/hostmodel/sessions.go
+++ b/internal/emulator/hostmodel/sessions.go
@@ -123,8 +123,8 @@
 	})
 	for len(held) > 0 {
 		n, size := 0, 16
-		for n < len(held) && (n == 0 || size+hostproto.SpecSize(&held[n].Spec) < hostproto.MostHeld-1024) {
-			size += hostproto.SpecSize(&held[n].Spec)
+		for n < len(held) && (n == 0 || size+hostproto.HeldSize(&held[n].Spec) < hostproto.MaxHoldsSize-1024) {
+			size += hostproto.HeldSize(&held[n].Spec)
 			n++
 		}
 		h.send(p, hostproto.Holds{Held: held[:n]})
@@ -152,7 +152,7 @@
 	case hostproto.Refused:
 		return hostsession.Rejected
 	case hostproto.Ended:
-		if f.Result == hostproto.Called {
+		if f.Result == hostproto.Canceled {
 			return hostsession.Canceled
 		}
 		return hostsession.Ended
@@ -173,7 +173,7 @@
 			over = h.over[ref]
 		}
 		if over == nil {
-			over = hostproto.Refused{Ref: ref, Reason: hostproto.NotHere}
+			over = hostproto.Refused{Ref: ref, Reason: hostproto.Unsuitable}
 		}
 		h.say(placer, over)
 	}
--- a/internal/emulator/hostmodel/work.go
+++ b/internal/emulator/hostmodel/work.go
@@ -14,18 +14,18 @@
 // begin lets as many tasks start as may.
 func (h *Host) begin() {
 	for i, t := range h.starts {
-		if i >= h.cfg.Starts {
+		if i >= h.cfg.MaxStarting {
 			return
 		}
 		if t.ready > 0 {
 			continue
 		}
-		if h.dies(MidStart) {
+		if h.dies(DuringStart) {
 			return
 		}
-		work := float64(h.cfg.Start)
+		work := float64(h.cfg.StartTime)
 		if !h.present(t.spec.Service) {
-			work *= h.cfg.Absent
+			work *= h.cfg.UncachedStartFactor
 		}
 		t.begun = h.now
 		t.ready = h.now + max(time.Duration(work*h.slowness()/h.pace()), 1)
@@ -38,7 +38,7 @@
 // present says whether the host has a service's program.
 func (h *Host) present(service uint64) bool {
 	for _, t := range h.tasks {
-		if t.phase == hostproto.Runs && t.spec.Service == service {
+		if t.phase == hostproto.PhaseRunning && t.spec.Service == service {
 			return true
 		}
 	}
@@ -48,12 +48,12 @@
 func (h *Host) runs(t *task) {
 	_, say := hostsession.Transition(h.state(t.ref), hostsession.Start)
 	h.starts = slices.DeleteFunc(h.starts, func(o *task) bool { return o == t })
-	t.phase = hostproto.Runs
+	t.phase = hostproto.PhaseRunning
 	if t.spec.Life > 0 {
 		t.endsAt = h.now + t.spec.Life
 	}
-	if h.cfg.Notes > 0 {
-		t.nextAt = h.now + time.Duration((0.5+h.rng.Float64())*float64(h.cfg.Notes))
+	if h.cfg.NoteInterval > 0 {
+		t.nextAt = h.now + time.Duration((0.5+h.rng.Float64())*float64(h.cfg.NoteInterval))
 	}
 	if h.dies(AfterBind) {
 		return
@@ -68,9 +68,9 @@
 	f := hostproto.Ended{Ref: t.ref, Result: how}
 	_, say := hostsession.Transition(h.state(t.ref), hostsession.Finish)
 	h.remember(t, f)
-	if !h.present(t.spec.Service) && h.cfg.Keep > 0 {
+	if !h.present(t.spec.Service) && h.cfg.MaxCachedPrograms > 0 {
 		h.kept = append(h.kept, t.spec.Service)
-		if len(h.kept) > h.cfg.Keep {
+		if len(h.kept) > h.cfg.MaxCachedPrograms {
 			h.kept = h.kept[1:]
 		}
 	}
@@ -81,14 +81,14 @@
 
 // use is what a running task uses now of cores and memory.
 func (h *Host) use(t *task) (cores, memory float64) {
-	swing := h.cfg.Swing * math.Sin(2*math.Pi*(h.now.Seconds()/20+float64(t.spec.Key%97)/97))
-	share := max(h.cfg.Use+t.bias+swing, 0.05)
+	swing := h.cfg.UsageSwing * math.Sin(2*math.Pi*(h.now.Seconds()/20+float64(t.spec.Key%97)/97))
+	share := max(h.cfg.MeanUsage+t.bias+swing, 0.05)
 	return t.cores() * share, t.memory() * min(share, 1)
 }
 
 func (h *Host) used() (cores, memory float64) {
 	for _, t := range h.tasks {
-		if t.phase == hostproto.Runs {
+		if t.phase == hostproto.PhaseRunning {
 			c, m := h.use(t)
 			cores, memory = cores+c, memory+m
 		}
@@ -97,7 +97,7 @@
 }
 
 func (h *Host) notes(t *task) {
-	t.nextAt = h.now + h.cfg.Notes
+	t.nextAt = h.now + h.cfg.NoteInterval
 	cores, memory := h.use(t)
 	allCores, allMemory := h.used()
 	served := min(1, h.cfg.Cores/max(allCores, 1e-9)) / h.slowness()
@@ -115,7 +115,7 @@
 func (h *Host) evict() {
 	var worst *task
 	for _, t := range h.sorted() {
-		if t.phase == hostproto.Runs && (worst == nil || t.spec.Priority < worst.spec.Priority ||
+		if t.phase == hostproto.PhaseRunning && (worst == nil || t.spec.Priority < worst.spec.Priority ||
 			t.spec.Priority == worst.spec.Priority && t.begun > worst.begun) {
 			worst = t
 		}
@@ -126,7 +126,7 @@
 }
 
 func (h *Host) report() *hostproto.Report {
-	cores, memory := h.Free()
+	cores, memory := h.Available()
 	used, _ := h.used()
 	return &hostproto.Report{
 		Cores: float32(cores), Memory: float32(memory), Queue: float32(len(h.line) + len(h.starts)), Util: float32(used / h.cfg.Cores),
--- a/internal/planning/plan/plan_test.go
+++ b/internal/planning/plan/plan_test.go
@@ -106,8 +106,8 @@
 		if i%3 == 2 {
 			kind, c, m = "large", 32, 64
 		}
-		cfg := hostmodel.Default(fmt.Sprint("n", i), kind, "a", fmt.Sprint("r", i/4), c, m)
-		cfg.Swing, cfg.Notes, cfg.Use = 0, 0, 0.7
+		cfg := hostmodel.DefaultConfig(fmt.Sprint("n", i), kind, "a", fmt.Sprint("r", i/4), c, m)
+		cfg.UsageSwing, cfg.NoteInterval, cfg.MeanUsage = 0, 0, 0.7
 		s.AddHost(cfg)
 		q.Hosts = append(q.Hosts, Host{ID: cfg.Name, Kind: kind, Zone: "a", Rack: cfg.Rack, Cores: c, Memory: m, Cost: 1})
 		cores += c
--- a/internal/protocol/capture/golden_test.go
+++ b/internal/protocol/capture/golden_test.go
@@ -16,15 +16,15 @@
 // come to.
 func TestEventsGolden(t *testing.T) {
 	events := []Event{{
-		At: 1, What: Offer, Near: true, Host: "h", Epoch: 2, Zone: "z", Rack: "r", Cold: true, Placer: 3, PlacerEpoch: 4, Conn: 5, RefEpoch: 6,
-		Task: 7, Attempt: 8, Key: 9, Service: 10, Name: "p/s/1", Class: "c", Result: "done", On: true, Ready: []string{"a"},
+		At: 1, Type: Offer, AtPlacer: true, Host: "h", Epoch: 2, Zone: "z", Rack: "r", WarmingUp: true, Placer: 3, PlacerEpoch: 4, Conn: 5, RefEpoch: 6,
+		Task: 7, Attempt: 8, Key: 9, Service: 10, Name: "p/s/1", Class: "c", Result: "done", HostDraining: true, Ready: []string{"a"},
 		Draining: []string{"b"}, Submission: "s", Count: 11, Within: time.Second, Took: time.Minute,
 	}}
-	for _, what := range []What{
-		HostUp, HostDown, Fell, Hello, Gone, Offer, Withdraw, Stop, Refused, Accepted, Running, Ended, Drain, Told, Submit, Outcome, PlacerUp,
-		Killed, Cut, Welcome, Held, Late,
+	for _, what := range []EventType{
+		HostUp, HostDown, Overloaded, Hello, Disconnected, Offer, Withdraw, Stop, Refused, Accepted, Running, Ended, Drain, ListDelivered, Submit, Outcome, PlacerUp,
+		PlacerDown, ClientDisconnected, Welcome, Holds, LateStep,
 	} {
-		events = append(events, Event{What: what})
+		events = append(events, Event{Type: what})
 	}
 	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
 	spec := hostproto.Spec{Key: 4, Service: 5, Name: "p/s/1", Class: "c"}
@@ -33,15 +33,15 @@
 		hostproto.Query{}, hostproto.Welcome{Epoch: 1, Draining: true}, hostproto.Refused{Ref: ref}, hostproto.Accepted{Ref: ref},
 		hostproto.Running{Ref: ref}, hostproto.Drain{On: true}, hostproto.Bye{}, hostproto.Note{}, hostproto.Probed{},
 		hostproto.Holds{Held: []hostproto.Held{
-			{Ref: ref, Phase: hostproto.InLine, Spec: spec}, {Ref: ref, Phase: hostproto.Starting, Spec: spec}, {Ref: ref, Phase: hostproto.Runs, Spec: spec},
+			{Ref: ref, Phase: hostproto.PhaseQueued, Spec: spec}, {Ref: ref, Phase: hostproto.PhaseStarting, Spec: spec}, {Ref: ref, Phase: hostproto.PhaseRunning, Spec: spec},
 		}},
 		hostproto.Ended{Ref: ref, Result: hostproto.Done}, hostproto.Ended{Ref: ref, Result: hostproto.Failed},
-		hostproto.Ended{Ref: ref, Result: hostproto.Evicted}, hostproto.Ended{Ref: ref, Result: hostproto.PushedOut},
-		hostproto.Ended{Ref: ref, Result: hostproto.SentAway}, hostproto.Ended{Ref: ref, Result: hostproto.Stopped},
-		hostproto.Ended{Ref: ref, Result: hostproto.Called}, hostproto.Ended{Ref: ref, Result: hostproto.Forgotten},
+		hostproto.Ended{Ref: ref, Result: hostproto.Evicted}, hostproto.Ended{Ref: ref, Result: hostproto.Preempted},
+		hostproto.Ended{Ref: ref, Result: hostproto.Dismissed}, hostproto.Ended{Ref: ref, Result: hostproto.Stopped},
+		hostproto.Ended{Ref: ref, Result: hostproto.Canceled}, hostproto.Ended{Ref: ref, Result: hostproto.Forgotten},
 	}
 	for _, f := range frames {
-		events = append(events, Frame(Event{Host: "h", Placer: 1}, f)...)
+		events = append(events, FrameEvents(Event{Host: "h", Placer: 1}, f)...)
 	}
 	var b bytes.Buffer
 	if err := Write(&b, events); err != nil {
--- a/internal/protocol/consul/catalogue.go
+++ b/internal/protocol/consul/consul.go
@@ -86,25 +86,25 @@
 // Keys of the metadata. Those of the node say what the machine is, those of the service what is
 // free, late. Labels for placement constraints are node metadata with LabelPrefix.
 const (
-	MetaKind       = "kind"
-	MetaZone       = "zone"
-	MetaRack       = "rack"
-	MetaOS         = "os"
-	MetaArch       = "arch"
-	LabelPrefix    = "label-"
-	MetaStarted    = "started"     // microseconds since the Unix epoch
-	MetaFreeCores  = "free-cores"  // may be below 0
-	MetaFreeMemory = "free-memory" // GiB
+	MetaMachineType = "kind"
+	MetaZone        = "zone"
+	MetaRack        = "rack"
+	MetaOS          = "os"
+	MetaArch        = "arch"
+	LabelPrefix     = "label-"
+	MetaStarted     = "started"     // microseconds since the Unix epoch
+	MetaFreeCores   = "free-cores"  // may be below 0
+	MetaFreeMemory  = "free-memory" // GiB
 )
 
-// Maintenance is how the ids of Consul's maintenance checks begin.
-const Maintenance = "_node_maintenance"
+// NodeMaintenanceCheckID is the id of the check by which Consul puts a node into maintenance.
+const NodeMaintenanceCheckID = "_node_maintenance"
 
-// ServiceMaintenance is how those of one service begin.
-const ServiceMaintenance = "_service_maintenance:"
+// ServiceMaintenancePrefix begins the ids of the checks that put one service into maintenance.
+const ServiceMaintenancePrefix = "_service_maintenance:"
 
-// MostBytes bounds an answer that is read.
-const MostBytes = 64 << 20
+// MaxAnswerSize bounds an answer that is read.
+const MaxAnswerSize = 64 << 20
 
 // Decode reads an answer. Hosts that are not usable (no name, no address, no kind) are left out
 // and told of in skipped.
@@ -128,7 +128,7 @@
 
 func host(e *Entry) (Host, string) {
 	h := Host{
-		Name: e.Node.Node, Kind: e.Node.Meta[MetaKind], Zone: e.Node.Meta[MetaZone], Rack: e.Node.Meta[MetaRack],
+		Name: e.Node.Node, Kind: e.Node.Meta[MetaMachineType], Zone: e.Node.Meta[MetaZone], Rack: e.Node.Meta[MetaRack],
 		State: state(e.Checks),
 	}
 	address := e.Service.Address
@@ -141,7 +141,7 @@
 	case address == "" || e.Service.Port < 1 || e.Service.Port > 65535:
 		return h, h.Name + ": no address and port"
 	case h.Kind == "":
-		return h, h.Name + ": node metadata has no " + MetaKind
+		return h, h.Name + ": node metadata has no " + MetaMachineType
 	}
 	if h.Zone == "" {
 		h.Zone = e.Node.Datacenter
@@ -183,13 +183,13 @@
 	return forkhead.Ready
 }
 
-// Registered makes the registration of a host.
-func Registered(h *Host, service string) (Registration, error) {
+// NewRegistration makes the registration of a host.
+func NewRegistration(h *Host, service string) (Registration, error) {
 	address, n, err := hostport.Split(h.Address)
 	if err != nil {
 		return Registration{}, err
 	}
-	meta := map[string]string{MetaKind: h.Kind, MetaZone: h.Zone, MetaRack: h.Rack, MetaOS: "linux", MetaArch: "amd64"}
+	meta := map[string]string{MetaMachineType: h.Kind, MetaZone: h.Zone, MetaRack: h.Rack, MetaOS: "linux", MetaArch: "amd64"}
 	for k, v := range h.Attributes {
 		if label, ok := strings.CutPrefix(string(k), "label."); ok {
 			meta[LabelPrefix+label] = v
--- a/internal/protocol/consul/golden_test.go
+++ b/internal/protocol/consul/golden_test.go
@@ -47,7 +47,7 @@
 
 // Requests to the catalogue have these bodies.
 func TestRegistrationGolden(t *testing.T) {
-	r, err := Registered(&Host{
+	r, err := NewRegistration(&Host{
 		Name: "north-1", Address: "10.1.0.1:7000", Kind: "std-28", Zone: "north", Rack: "r1", Started: 1500 * time.Microsecond,
 		FreeCores: 1.25, FreeMemory: -2.5, Attributes: map[servicespec.Attribute]string{"label.disk": "ssd", "os": "linux"},
 	}, "forkhead-host")
--- a/internal/protocol/hostproto/hostproto.go
+++ b/internal/protocol/hostproto/hostproto.go
@@ -16,11 +16,11 @@
 
 // Limits of a frame.
 const (
-	MostFrame   = 64 << 10 // bytes behind the length field
-	MostText    = 1 << 10  // bytes of a name or an error
-	MostPayload = 48 << 10 // bytes of a task's payload
-	MostRefs    = 1000     // refs in one Query
-	MostHeld    = 64 << 10 // bytes of one Holds frame
+	MaxFrameSize   = 64 << 10 // bytes behind the length field
+	MaxTextSize    = 1 << 10  // bytes of a name or an error
+	MaxPayloadSize = 48 << 10 // bytes of a task's payload
+	MaxQueryRefs   = 1000     // refs in one Query
+	MaxHoldsSize   = 64 << 10 // bytes of one Holds frame
 )
 
 // Ref names an attempt: the life of the placer that made it, the ask and the attempt's number.
@@ -50,9 +50,9 @@
 
 // The phases.
 const (
-	InLine   Phase = iota // not looked at
-	Starting              // accepted
-	Runs
+	PhaseQueued   Phase = iota // not looked at
+	PhaseStarting              // accepted
+	PhaseRunning
 )
 
 // Result says how an attempt ended.
@@ -63,10 +63,10 @@
 	Done      Result = iota // ended well
 	Failed                  // ended with an error
 	Evicted                 // memory ran out
-	PushedOut               // for a higher priority
-	SentAway                // the host drains
+	Preempted               // for a higher priority
+	Dismissed               // the host drains
 	Stopped                 // by the placer
-	Called                  // withdrawn before it was accepted: it never ran
+	Canceled                // withdrawn before it was accepted: it never ran
 	Forgotten               // the host no longer knows: it may have run
 )
 
@@ -76,10 +76,10 @@
 // The reasons.
 const (
 	NoReason Reason = iota
-	NoCores
-	NoMemory
-	LineFull
-	NotHere
+	InsufficientCores
+	InsufficientMemory
+	QueueFull
+	Unsuitable
 )
 
 // Report is a host's load. Values that are not told are NaN.
@@ -256,10 +256,10 @@
 	case Drain:
 		e.bool(f.On)
 	case Bye:
-		e.text(f.Text[:min(len(f.Text), MostText)])
+		e.text(f.Text[:min(len(f.Text), MaxTextSize)])
 	}
 	n := len(e.b) - at - 4
-	if n > MostFrame {
+	if n > MaxFrameSize {
 		panic(fmt.Sprintf("hostproto: a %T of %d bytes", f, n))
 	}
 	binary.LittleEndian.PutUint32(e.b[at:], uint32(n))
@@ -287,7 +287,7 @@
 }
 
 func (e *encoder) text(s string) {
-	if len(s) > MostText {
+	if len(s) > MaxTextSize {
 		panic("hostproto: a text over its limit")
 	}
 	e.u16(uint16(len(s)))
@@ -295,7 +295,7 @@
 }
 
 func (e *encoder) bytes(p []byte) {
-	if len(p) > MostPayload {
+	if len(p) > MaxPayloadSize {
 		panic("hostproto: a payload over its limit")
 	}
 	e.u16(uint16(len(p)))
@@ -332,16 +332,16 @@
 	}
 }
 
-// SpecSize is an upper bound of what a Held takes in a Holds frame.
-func SpecSize(s *Spec) int { return 80 + len(s.Name) + len(s.Class) + len(s.Tenant) }
+// HeldSize is an upper bound of what a Held takes in a Holds frame.
+func HeldSize(s *Spec) int { return 80 + len(s.Name) + len(s.Class) + len(s.Tenant) }
 
 // Faults of a stream. After any of them the connection is of no more use.
 var (
-	ErrTooLong   = errors.New("a frame is longer than allowed")
-	ErrTruncated = errors.New("a frame ends before its fields do")
-	ErrTrailing  = errors.New("a frame goes on behind its fields")
-	ErrCode      = errors.New("a frame has an unknown code")
-	ErrValue     = errors.New("a field has a value that is not allowed")
+	ErrFrameTooLong  = errors.New("a frame is longer than allowed")
+	ErrTruncated     = errors.New("a frame ends before its fields do")
+	ErrTrailingBytes = errors.New("a frame goes on behind its fields")
+	ErrUnknownCode   = errors.New("a frame has an unknown code")
+	ErrInvalidValue  = errors.New("a field has a value that is not allowed")
 )
 
 // Decoder cuts a stream into frames. Its buffer never holds more than one frame.
@@ -403,8 +403,8 @@
 
 func frameLength(p []byte) (int, error) {
 	n := binary.LittleEndian.Uint32(p)
-	if n > MostFrame {
-		return 0, fmt.Errorf("%w: %d bytes, at most %d", ErrTooLong, n, MostFrame)
+	if n > MaxFrameSize {
+		return 0, fmt.Errorf("%w: %d bytes, at most %d", ErrFrameTooLong, n, MaxFrameSize)
 	}
 	if n < 1 {
 		return 0, ErrTruncated
@@ -440,8 +440,8 @@
 		f = Probe{d.u32()}
 	case 6:
 		n := int(d.u16())
-		if n > MostRefs || n*13 > len(d.b) {
-			return nil, fmt.Errorf("%w: a query of %d", ErrValue, n)
+		if n > MaxQueryRefs || n*13 > len(d.b) {
+			return nil, fmt.Errorf("%w: a query of %d", ErrInvalidValue, n)
 		}
 		refs := make([]Ref, n)
 		for i := range refs {
@@ -453,15 +453,15 @@
 	case 33:
 		n := int(d.u16())
 		if n*60 > len(d.b) { // less than the least that a Held takes
-			return nil, fmt.Errorf("%w: %d held in %d bytes", ErrValue, n, len(d.b))
+			return nil, fmt.Errorf("%w: %d held in %d bytes", ErrInvalidValue, n, len(d.b))
 		}
 		held := make([]Held, n)
 		for i := range held {
-			held[i] = Held{d.ref(), Phase(d.most(uint8(Runs))), d.ms(), d.spec()}
+			held[i] = Held{d.ref(), Phase(d.most(uint8(PhaseRunning))), d.ms(), d.spec()}
 		}
 		f = Holds{held}
 	case 34:
-		f = Refused{d.ref(), Reason(d.most(uint8(NotHere))), d.report()}
+		f = Refused{d.ref(), Reason(d.most(uint8(Unsuitable))), d.report()}
 	case 35:
 		f = Accepted{d.ref()}
 	case 36:
@@ -477,13 +477,13 @@
 	case 41:
 		f = Bye{d.text()}
 	default:
-		return nil, fmt.Errorf("%w: %d", ErrCode, p[0])
+		return nil, fmt.Errorf("%w: %d", ErrUnknownCode, p[0])
 	}
 	if d.err != nil {
 		return nil, fmt.Errorf("%w (code %d)", d.err, p[0])
 	}
 	if len(d.b) > 0 {
-		return nil, fmt.Errorf("%w (code %d)", ErrTrailing, p[0])
+		return nil, fmt.Errorf("%w (code %d)", ErrTrailingBytes, p[0])
 	}
 	return f, nil
 }
@@ -517,7 +517,7 @@
 func (d *reader) most(n uint8) uint8 {
 	v := d.u8()
 	if v > n && d.err == nil {
-		d.err = ErrValue
+		d.err = ErrInvalidValue
 	}
 	return v
 }
@@ -526,8 +526,8 @@
 
 func (d *reader) text() string {
 	n := int(d.u16())
-	if n > MostText && d.err == nil {
-		d.err = ErrValue
+	if n > MaxTextSize && d.err == nil {
+		d.err = ErrInvalidValue
 		return ""
 	}
 	if n > len(d.b) {
@@ -539,8 +539,8 @@
 
 func (d *reader) bytes() []byte {
 	n := int(d.u16())
-	if n > MostPayload && d.err == nil {
-		d.err = ErrValue
+	if n > MaxPayloadSize && d.err == nil {
+		d.err = ErrInvalidValue
 		return nil
 	}
 	if n > len(d.b) {
--- a/internal/protocol/hostproto/hostproto_test.go
+++ b/internal/protocol/hostproto/hostproto_test.go
@@ -20,7 +20,7 @@
 func drawSpec(t *rapid.T) Spec {
 	return Spec{
 		Key: rapid.Uint64().Draw(t, "key"), Service: rapid.Uint64().Draw(t, "service"),
-		Name: rapid.StringN(0, 100, MostText).Draw(t, "name"), Class: rapid.StringN(0, 20, 80).Draw(t, "class"),
+		Name: rapid.StringN(0, 100, MaxTextSize).Draw(t, "name"), Class: rapid.StringN(0, 20, 80).Draw(t, "class"),
 		Effect: rapid.Uint8Range(0, 2).Draw(t, "effect"), Cores: rapid.Uint32().Draw(t, "cores"), Life: ms(t, "life"),
 	}
 }
@@ -110,15 +110,15 @@
 		stream []byte
 		want   error
 	}{
-		"too long":         {[]byte{0xff, 0xff, 0xff, 0x7f, 1}, ErrTooLong},
+		"too long":         {[]byte{0xff, 0xff, 0xff, 0x7f, 1}, ErrFrameTooLong},
 		"empty":            {[]byte{0, 0, 0, 0, 1}, ErrTruncated},
-		"unknown code":     {[]byte{1, 0, 0, 0, 99}, ErrCode},
+		"unknown code":     {[]byte{1, 0, 0, 0, 99}, ErrUnknownCode},
 		"truncated":        {[]byte{3, 0, 0, 0, 2, 1, 1}, ErrTruncated},
-		"trailing":         {[]byte{6, 0, 0, 0, 5, 1, 1, 1, 1, 9}, ErrTrailing},
-		"truth value of 7": {[]byte{2, 0, 0, 0, 40, 7}, ErrValue},
-		"many refs":        {append([]byte{3, 0, 0, 0, 6}, 0xff, 0xff), ErrValue},
-		"many held":        {append([]byte{3, 0, 0, 0, 33}, 0xff, 0xff), ErrValue},
-		"after a good one": {append(append([]byte{}, good...), 1, 0, 0, 0, 99), ErrCode},
+		"trailing":         {[]byte{6, 0, 0, 0, 5, 1, 1, 1, 1, 9}, ErrTrailingBytes},
+		"truth value of 7": {[]byte{2, 0, 0, 0, 40, 7}, ErrInvalidValue},
+		"many refs":        {append([]byte{3, 0, 0, 0, 6}, 0xff, 0xff), ErrInvalidValue},
+		"many held":        {append([]byte{3, 0, 0, 0, 33}, 0xff, 0xff), ErrInvalidValue},
+		"after a good one": {append(append([]byte{}, good...), 1, 0, 0, 0, 99), ErrUnknownCode},
 	} {
 		var d Decoder
 		err := d.Feed(c.stream, func(Frame) error { return nil })
@@ -134,7 +134,7 @@
 func FuzzDecode(f *testing.F) {
 	f.Add(Append(nil, Hello{1, 2, 3, 4}))
 	f.Add(Append(nil, Offer{Ref: Ref{1, 2, 3}, Spec: Spec{Name: "a/b/1"}, Payload: []byte("{}")}))
-	f.Add(Append(nil, Holds{[]Held{{Phase: Runs, Spec: Spec{Name: "x"}}}}))
+	f.Add(Append(nil, Holds{[]Held{{Phase: PhaseRunning, Spec: Spec{Name: "x"}}}}))
 	f.Add([]byte{0xff, 0xff, 0, 0, 33})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var d Decoder
@@ -146,7 +146,7 @@
 			_ = again
 			return nil
 		})
-		if len(d.rest) > MostFrame+4 {
+		if len(d.rest) > MaxFrameSize+4 {
 			t.Fatalf("%d bytes kept", len(d.rest))
 		}
 	})
--- a/internal/protocol/http1/http1.go
+++ b/internal/protocol/http1/http1.go
@@ -75,7 +75,7 @@
 )
 
 // Parser reads requests of one connection. After a complete request it takes no more until
-// Next; what comes meanwhile is kept, up to MostAhead bytes.
+// Next; what comes meanwhile is kept, up to MaxPipelinedBytes.
 type Parser struct {
 	lim    Limits
 	state  state
@@ -89,8 +89,8 @@
 	expect bool
 }
 
-// MostAhead is how many bytes a client may send ahead of the response.
-const MostAhead = 64 << 10
+// MaxPipelinedBytes is how many bytes a client may send ahead of the response.
+const MaxPipelinedBytes = 64 << 10
 
 // NewParser returns a parser with limits.
 func NewParser(lim Limits) *Parser { return &Parser{lim: lim} }
@@ -103,8 +103,8 @@
 	}
 	p.buf = append(p.buf, data...)
 	if p.state == atDone {
-		if len(p.buf) > MostAhead {
-			return nil, p.fail(refuse(400, "more than %d bytes ahead of the response", MostAhead))
+		if len(p.buf) > MaxPipelinedBytes {
+			return nil, p.fail(refuse(400, "more than %d bytes ahead of the response", MaxPipelinedBytes))
 		}
 		return nil, nil
 	}
@@ -142,8 +142,8 @@
 			return nil, p.fail(err)
 		}
 		if p.state == atDone {
-			if len(p.buf) > MostAhead {
-				return nil, p.fail(refuse(400, "more than %d bytes ahead of the response", MostAhead))
+			if len(p.buf) > MaxPipelinedBytes {
+				return nil, p.fail(refuse(400, "more than %d bytes ahead of the response", MaxPipelinedBytes))
 			}
 			return p.req, nil
 		}
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -125,7 +125,7 @@
 			break
 		}
 	}
-	if err == nil || len(p.buf) > MostAhead {
+	if err == nil || len(p.buf) > MaxPipelinedBytes {
 		t.Fatalf("%d bytes kept, %v", len(p.buf), err)
 	}
 }
--- a/internal/scheduler/core/attempts.go
+++ b/internal/scheduler/core/attempts.go
@@ -82,11 +82,11 @@
 		d.result = forkhead.Errored
 	case hostproto.Evicted:
 		d.result, d.reason = forkhead.Reset, forkhead.Evicted
-	case hostproto.PushedOut:
+	case hostproto.Preempted:
 		d.result, d.reason = forkhead.Reset, forkhead.Preempted
-	case hostproto.SentAway:
+	case hostproto.Dismissed:
 		d.result, d.reason = forkhead.Reset, forkhead.Dismissed
-	case hostproto.Stopped, hostproto.Called:
+	case hostproto.Stopped, hostproto.Canceled:
 		d.result = forkhead.Withdrawn
 	}
 	return d
--- a/internal/scheduler/core/frames.go
+++ b/internal/scheduler/core/frames.go
@@ -93,7 +93,7 @@
 		return
 	}
 	in := attempt.Ended
-	if f.Result == hostproto.Called {
+	if f.Result == hostproto.Canceled {
 		in = attempt.Rejected // withdrawn before it started
 	}
 	c.handleAttempt(a, in, toAttemptDetail(f))
--- a/internal/scheduler/core/hostconns.go
+++ b/internal/scheduler/core/hostconns.go
@@ -136,9 +136,9 @@
 func (c *Core) handleReportedTask(h *host, reported *hostproto.Held) {
 	h.reportedRefs[reported.Ref] = true
 	switch a := h.attempts[reported.Ref]; {
-	case a != nil && reported.Phase == hostproto.InLine:
+	case a != nil && reported.Phase == hostproto.PhaseQueued:
 		c.sendFrame(h, hostproto.Withdraw{Ref: reported.Ref}) // it was given up when the connection broke
-	case a != nil && reported.Phase == hostproto.Starting:
+	case a != nil && reported.Phase == hostproto.PhaseStarting:
 		c.handleAttempt(a, attempt.ListedByHost, attemptDetail{})
 	case a != nil:
 		c.handleRunning(a, attempt.ListedByHost)
@@ -179,7 +179,7 @@
 
 func (c *Core) sendQueries(h *host, refs []hostproto.Ref) {
 	for len(refs) > 0 {
-		n := min(len(refs), hostproto.MostRefs)
+		n := min(len(refs), hostproto.MaxQueryRefs)
 		c.sendFrame(h, hostproto.Query{Refs: refs[:n]})
 		refs = refs[n:]
 	}
--- a/internal/scheduler/core/hostconns_test.go
+++ b/internal/scheduler/core/hostconns_test.go
@@ -12,11 +12,11 @@
 // Hosts that die in the middle of a start, or after it and before they say so: safe tasks go
 // elsewhere, and each gets one outcome.
 func TestCoreRetriesSafeTasksOfDeadHosts(t *testing.T) {
-	for name, point := range map[string]hostmodel.Point{"mid look": hostmodel.MidLook, "mid start": hostmodel.MidStart, "after bind": hostmodel.AfterBind} {
+	for name, point := range map[string]hostmodel.CrashPoint{"mid look": hostmodel.DuringDecision, "mid start": hostmodel.DuringStart, "after bind": hostmodel.AfterBind} {
 		t.Run(name, func(t *testing.T) {
 			s := simulation.New(t, simulation.Settings(t, ""), 6)
 			for _, h := range s.Names[:3] {
-				s.Hosts[h].Life.DieAt(point)
+				s.Hosts[h].Life.CrashAt(point)
 			}
 			out := s.Await(s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 12}}}"), 20*time.Second)
 			if simulation.Count(out, core.OutcomePlaced) != 12 {
--- a/internal/scheduler/core/hostlist.go
+++ b/internal/scheduler/core/hostlist.go
@@ -63,7 +63,7 @@
 	inList = map[*host]bool{}
 	for _, entry := range list.Hosts {
 		machineType := settings.Index(c.settings.Kinds, entry.Kind)
-		if machineType < 0 || entry.Name == "" || len(entry.Name) > hostproto.MostText {
+		if machineType < 0 || entry.Name == "" || len(entry.Name) > hostproto.MaxTextSize {
 			continue // a host of a type that the settings do not know is never offered anything
 		}
 		h := c.hosts[entry.Name]
--- a/internal/scheduler/core/hostlist_test.go
+++ b/internal/scheduler/core/hostlist_test.go
@@ -15,7 +15,7 @@
 	s.ListUp = false
 	s.List()
 	for i := range 3 {
-		s.AddHost(hostmodel.Default("late"+string(rune('a'+i)), "small", "a", "r", 8, 16))
+		s.AddHost(hostmodel.DefaultConfig("late"+string(rune('a'+i)), "small", "a", "r", 8, 16))
 	}
 	id := s.Submit("", "services: {w: {}}")
 	s.Run(time.Second)
--- a/internal/scheduler/core/requests_test.go
+++ b/internal/scheduler/core/requests_test.go
@@ -54,7 +54,7 @@
 func TestCoreHoldsUnsafeTaskUntilItsAttemptIsSettled(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	for _, h := range s.Names {
-		s.Hosts[h].Life.DieAt(hostmodel.AfterBind)
+		s.Hosts[h].Life.CrashAt(hostmodel.AfterBind)
 	}
 	id := s.Submit("", "name: p\nservices: {l: {x-forkhead: {class: ledger}}}")
 	s.Run(5 * time.Second)
@@ -63,7 +63,7 @@
 	}
 	first := s.Offers[0].Host
 	for _, h := range s.Names {
-		s.Hosts[h].Life.DieAt(hostmodel.Nowhere)
+		s.Hosts[h].Life.CrashAt(hostmodel.NoCrash)
 	}
 	s.Revive(first, true)
 	out := s.Await(id, 15*time.Second)
@@ -78,7 +78,7 @@
 func TestCoreSettlesReplyAfterDeadline(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 2)
 	for _, h := range s.Names {
-		s.Hosts[h].Life.Slow(s.Now, 10*time.Second, 30) // starts take 3 s, asks 2 s
+		s.Hosts[h].Life.SlowDown(s.Now, 10*time.Second, 30) // starts take 3 s, asks 2 s
 	}
 	out := s.Await(s.Submit("", "name: p\nservices: {l: {x-forkhead: {class: ledger, patience: 9s}}}"), 20*time.Second)
 	if len(out) != 1 {
--- a/internal/server/listwatch/listwatch_test.go
+++ b/internal/server/listwatch/listwatch_test.go
@@ -17,7 +17,7 @@
 )
 
 func registration(name string, free float64) consul.Registration {
-	r, err := consul.Registered(&consul.Host{
+	r, err := consul.NewRegistration(&consul.Host{
 		Name: name, Address: "127.0.0.1:9", Kind: "k", Zone: "z", Rack: "r", FreeCores: free, Started: time.Hour,
 	}, "hosts")
 	if err != nil {
@@ -52,7 +52,7 @@
 // Against the emulator: the query that blocks returns with a change, drains and departures among them, and an outage ends the
 // watch.
 func TestWatchFollowsChanges(t *testing.T) {
-	s, err := consulemulator.Serve("127.0.0.1:0", consulemulator.Policy{Critical: time.Hour, Deregister: time.Hour}, clock.New(), nil)
+	s, err := consulemulator.Serve("127.0.0.1:0", consulemulator.Policy{CriticalAfter: time.Hour, DeregisterAfter: time.Hour}, clock.New(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 	if l := nextList(t, lists); len(l) != 2 {
 		t.Fatalf("%+v", l)
 	}
-	with(func(st *consulemulator.Store, now time.Duration) { st.Maintain(now, "a", true) })
+	with(func(st *consulemulator.Store, now time.Duration) { st.SetMaintenance(now, "a", true) })
 	if l := nextList(t, lists); l[0].State != forkhead.Draining {
 		t.Fatalf("%+v", l)
 	}
@@ -75,7 +75,7 @@
 	if l := nextList(t, lists); len(l) != 1 || l[0].Name != "b" {
 		t.Fatalf("%+v", l)
 	}
-	s.Outage(true)
+	s.SetOutage(true)
 	select {
 	case err := <-failed:
 		if err == nil {
--- a/internal/verify/chaos/badday.go
+++ b/internal/verify/chaos/badday.go
@@ -256,17 +256,17 @@
 				p.resent.Add(1)
 			}
 			current = id
-			p.log.Add(capture.Event{At: p.c.Clock.Now(), What: capture.Submit, Placer: placerIndex, Submission: id, Count: pr.tasks, Within: patience})
+			p.log.Add(capture.Event{At: p.c.Clock.Now(), Type: capture.Submit, Placer: placerIndex, Submission: id, Count: pr.tasks, Within: patience})
 		},
 		OnBrokenStream: func(id string) {
 			cutting = false
-			p.log.Add(capture.Event{At: p.c.Clock.Now(), What: capture.Cut, Submission: id})
+			p.log.Add(capture.Event{At: p.c.Clock.Now(), Type: capture.ClientDisconnected, Submission: id})
 		},
 	}
 	// Each life of a placer tells outcomes of its own: all that are read are recorded.
 	sub.OnOutcome = func(o core.Outcome) {
 		p.log.Add(capture.Event{
-			At: p.c.Clock.Now(), What: capture.Outcome, Placer: placerIndex, Submission: current,
+			At: p.c.Clock.Now(), Type: capture.Outcome, Placer: placerIndex, Submission: current,
 			Name: fmt.Sprintf("%s/%d", o.Service, o.Replica), Result: string(o.Outcome), Took: time.Duration(o.TookMS) * time.Millisecond,
 		})
 	}
--- a/internal/verify/chaos/troubles.go
+++ b/internal/verify/chaos/troubles.go
@@ -74,22 +74,22 @@
 	case scenario.ReportLate:
 		// Reports are as late as registrations: hosts say what is free so much less often.
 		p.c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) {
-			st.Lag(time.Duration(t.Factor * float64(p.s.Catalogue.Lag)))
+			st.SetLag(time.Duration(t.Factor * float64(p.s.Catalogue.Lag)))
 		})
 		p.sleep(t.For)
-		p.c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) { st.Lag(p.s.Catalogue.Lag) })
+		p.c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) { st.SetLag(p.s.Catalogue.Lag) })
 	case scenario.DiscoveryStale:
-		p.c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) { st.Lag(t.Delay) })
+		p.c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) { st.SetLag(t.Delay) })
 		p.sleep(t.For)
-		p.c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) { st.Lag(p.s.Catalogue.Lag) })
+		p.c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) { st.SetLag(p.s.Catalogue.Lag) })
 	case scenario.ListOutage:
-		p.c.Catalogue.Outage(true)
+		p.c.Catalogue.SetOutage(true)
 		p.sleep(t.For)
-		p.c.Catalogue.Outage(false)
+		p.c.Catalogue.SetOutage(false)
 	case scenario.ListFrozen:
-		p.c.Catalogue.With(func(st *consulemulator.Store, now time.Duration) { st.Freeze(now, true) })
+		p.c.Catalogue.With(func(st *consulemulator.Store, now time.Duration) { st.SetFrozen(now, true) })
 		p.sleep(t.For)
-		p.c.Catalogue.With(func(st *consulemulator.Store, now time.Duration) { st.Freeze(now, false) })
+		p.c.Catalogue.With(func(st *consulemulator.Store, now time.Duration) { st.SetFrozen(now, false) })
 	case scenario.Shrink:
 		for _, h := range hosts {
 			p.drain(h, true)
@@ -102,7 +102,7 @@
 			p.sleep(t.Delay)
 			h.Kill()
 			p.sleep(t.Delay / 2)
-			p.c.Catalogue.With(func(st *consulemulator.Store, now time.Duration) { st.Maintain(now, h.Name(), false) })
+			p.c.Catalogue.With(func(st *consulemulator.Store, now time.Duration) { st.SetMaintenance(now, h.Name(), false) })
 			p.revive([]*testcluster.Host{h})
 		}
 	case scenario.HotKey, scenario.Ageing:
@@ -112,7 +112,7 @@
 		}
 		for i := range steps {
 			factor := 1 + (t.Factor-1)*float64(i+1)/float64(steps)
-			with(func(h *hostmodel.Host, now time.Duration) { h.Slow(now, t.For, factor) })
+			with(func(h *hostmodel.Host, now time.Duration) { h.SlowDown(now, t.For, factor) })
 			p.sleep(t.For / time.Duration(steps))
 		}
 		if t.Kind == scenario.Ageing {
@@ -158,17 +158,17 @@
 	case scenario.Reconnect:
 		p.reconnect(&t, rng)
 	case scenario.ClassFail:
-		with(func(h *hostmodel.Host, now time.Duration) { h.Mute(now, t.For, t.Class) })
+		with(func(h *hostmodel.Host, now time.Duration) { h.SuppressStarts(now, t.For, t.Class) })
 	case scenario.Refuse:
-		with(func(h *hostmodel.Host, now time.Duration) { h.Refuse(now, t.For, t.Class) })
+		with(func(h *hostmodel.Host, now time.Duration) { h.RejectClass(now, t.For, t.Class) })
 	case scenario.DieMidStart, scenario.DieAfterBind:
-		at := hostmodel.MidStart
+		at := hostmodel.DuringStart
 		if t.Kind == scenario.DieAfterBind {
 			at = hostmodel.AfterBind
 		}
-		with(func(h *hostmodel.Host, _ time.Duration) { h.DieAt(at) })
+		with(func(h *hostmodel.Host, _ time.Duration) { h.CrashAt(at) })
 		p.sleep(t.For)
-		with(func(h *hostmodel.Host, _ time.Duration) { h.DieAt(hostmodel.Nowhere) })
+		with(func(h *hostmodel.Host, _ time.Duration) { h.CrashAt(hostmodel.NoCrash) })
 		p.revive(hosts)
 	case scenario.PlacerStall:
 		p.repeat(&t, func() {
@@ -224,7 +224,7 @@
 
 // drain makes a host drain by its own word and by the catalogue's.
 func (p *player) drain(h *testcluster.Host, sendAway bool) {
-	p.c.Catalogue.With(func(st *consulemulator.Store, now time.Duration) { st.Maintain(now, h.Name(), true) })
+	p.c.Catalogue.With(func(st *consulemulator.Store, now time.Duration) { st.SetMaintenance(now, h.Name(), true) })
 	h.With(func(host *hostmodel.Host, now time.Duration) []hostmodel.Output {
 		return host.Drain(now, true, sendAway)
 	})
--- a/internal/verify/modelcheck/replay.go
+++ b/internal/verify/modelcheck/replay.go
@@ -225,7 +225,7 @@
 }
 
 func frameName(f hostproto.Frame) string {
-	if e, ok := f.(hostproto.Ended); ok && e.Result == hostproto.Called {
+	if e, ok := f.(hostproto.Ended); ok && e.Result == hostproto.Canceled {
 		return "Ended(called)"
 	}
 	return strings.TrimPrefix(fmt.Sprintf("%T", f), "hostproto.")
@@ -465,13 +465,13 @@
 	j.state = to
 	switch say {
 	case hostsession.SendRejected:
-		r.say(h, hostproto.Refused{Ref: ref, Reason: hostproto.NotHere})
+		r.say(h, hostproto.Refused{Ref: ref, Reason: hostproto.Unsuitable})
 	case hostsession.SendRunning:
 		r.say(h, hostproto.Running{Ref: ref})
 	case hostsession.SendEnded:
 		r.say(h, hostproto.Ended{Ref: ref, Result: hostproto.Stopped})
 	case hostsession.SendCanceled:
-		r.say(h, hostproto.Ended{Ref: ref, Result: hostproto.Called})
+		r.say(h, hostproto.Ended{Ref: ref, Result: hostproto.Canceled})
 	}
 }
 
@@ -521,9 +521,9 @@
 	var held []hostproto.Held
 	for ref, j := range h.jobs {
 		if j.state.HoldsCapacity() {
-			phase := hostproto.Starting
+			phase := hostproto.PhaseStarting
 			if j.state == hostsession.Running {
-				phase = hostproto.Runs
+				phase = hostproto.PhaseRunning
 			}
 			held = append(held, hostproto.Held{Ref: ref, Phase: phase, Spec: j.spec})
 		}
--- a/internal/verify/replay/golden_test.go
+++ b/internal/verify/replay/golden_test.go
@@ -159,8 +159,8 @@
 	report := &hostproto.Report{Cores: 1, Memory: 2, Queue: 3, Util: 0.5}
 	return []hostproto.Frame{
 		hostproto.Welcome{Version: 1, Host: "h", Epoch: 2, Started: time.Minute, Draining: true, Count: 1},
-		hostproto.Holds{Held: []hostproto.Held{{Ref: ref, Phase: hostproto.Runs, Left: time.Second, Spec: exampleSpec()}}},
-		hostproto.Refused{Ref: ref, Reason: hostproto.NoCores, Report: report},
+		hostproto.Holds{Held: []hostproto.Held{{Ref: ref, Phase: hostproto.PhaseRunning, Left: time.Second, Spec: exampleSpec()}}},
+		hostproto.Refused{Ref: ref, Reason: hostproto.InsufficientCores, Report: report},
 		hostproto.Accepted{Ref: ref},
 		hostproto.Running{Ref: ref},
 		hostproto.Note{Ref: ref, Kind: 1, Amount: 0.5},
--- a/internal/verify/replay/tape.go
+++ b/internal/verify/replay/tape.go
@@ -146,7 +146,7 @@
 	if err != nil {
 		return nil, err
 	}
-	base := capture.Event{Near: true, Placer: p.Head.Placer, PlacerEpoch: p.Head.Epoch}
+	base := capture.Event{AtPlacer: true, Placer: p.Head.Placer, PlacerEpoch: p.Head.Epoch}
 	for ; ; p.Steps++ {
 		var recorded recordedStep
 		switch err := dec.Decode(&recorded); {
@@ -198,7 +198,7 @@
 	var events []capture.Event
 	if due > 0 && now > due+late {
 		e := base
-		e.What, e.Within = capture.Late, now-due
+		e.Type, e.Within = capture.LateStep, now-due
 		events = append(events, e)
 	}
 	for _, in := range in {
@@ -206,15 +206,15 @@
 		switch in := in.(type) {
 		case core.FrameReceived:
 			e.Host, e.Conn = in.Host, uint64(in.Conn)
-			events = append(events, capture.Frame(e, in.Frame)...)
+			events = append(events, capture.FrameEvents(e, in.Frame)...)
 		case core.HostDisconnected:
-			e.What, e.Host, e.Conn = capture.Gone, in.Host, uint64(in.Conn)
+			e.Type, e.Host, e.Conn = capture.Disconnected, in.Host, uint64(in.Conn)
 			events = append(events, e)
 		case core.HostListReceived:
 			if in.Mode == forkhead.ListFailed {
 				continue
 			}
-			e.What = capture.Told
+			e.Type = capture.ListDelivered
 			for i := range in.Hosts {
 				if h := &in.Hosts[i]; h.State == forkhead.Ready {
 					e.Ready = append(e.Ready, h.Name)
@@ -230,12 +230,12 @@
 		switch out := out.(type) {
 		case core.SendToHost:
 			e.Host, e.Conn = out.Host, uint64(out.Conn)
-			events = append(events, capture.Frame(e, out.Frame)...)
+			events = append(events, capture.FrameEvents(e, out.Frame)...)
 		case core.CloseHostConnection:
-			e.What, e.Host, e.Conn = capture.Gone, out.Host, uint64(out.Conn)
+			e.Type, e.Host, e.Conn = capture.Disconnected, out.Host, uint64(out.Conn)
 			events = append(events, e)
 		case core.Accepted:
-			e.What, e.Submission = capture.Submit, out.Submission
+			e.Type, e.Submission = capture.Submit, out.Submission
 			events = append(events, e)
 		}
 	}
@@ -249,7 +249,7 @@
 		if l, ok := in.(core.HostListReceived); ok {
 			for i := range l.Hosts {
 				h := &l.Hosts[i]
-				events = append(events, capture.Event{What: capture.HostUp, Host: h.Name, Zone: h.Zone, Rack: h.Rack})
+				events = append(events, capture.Event{Type: capture.HostUp, Host: h.Name, Zone: h.Zone, Rack: h.Rack})
 			}
 		}
 	}
--- a/internal/verify/rules/near.go
+++ b/internal/verify/rules/near.go
@@ -100,7 +100,7 @@
 
 // drain takes the host's own word, by Drain or Welcome, on whether it drains.
 func (h *nearHost) drain(e *capture.Event) {
-	if !e.On {
+	if !e.HostDraining {
 		h.drains = -1
 	} else if h.drains < 0 {
 		h.drains = e.At
@@ -114,8 +114,8 @@
 	}
 	r := nearRef(refOf(e))
 	s := n.seats[r]
-	switch e.What {
-	case capture.Held, capture.Accepted, capture.Running, capture.Refused, capture.Ended, capture.Drain:
+	switch e.Type {
+	case capture.Holds, capture.Accepted, capture.Running, capture.Refused, capture.Ended, capture.Drain:
 		if h := n.host(e.Host); !h.up || e.Conn != h.conn {
 			return // before Welcome, or of a connection that is over: a host that is not known says it
 		}
@@ -124,8 +124,8 @@
 			return
 		}
 	}
-	switch e.What {
-	case capture.Told:
+	switch e.Type {
+	case capture.ListDelivered:
 		n.told(e)
 	case capture.Hello:
 		n.host(e.Host).conn = e.Conn
@@ -138,11 +138,11 @@
 				s.stand = isOver // its host's life has ended
 			}
 		}
-	case capture.Gone:
+	case capture.Disconnected:
 		n.gone(e)
 	case capture.Drain:
 		n.host(e.Host).drain(e)
-	case capture.Held:
+	case capture.Holds:
 		if e.Result == "in-line" {
 			return
 		}
@@ -153,7 +153,7 @@
 		s.hostLife = n.host(e.Host).life
 		n.bound(s)
 	case capture.Accepted, capture.Running:
-		if s != nil && (e.What == capture.Running || !n.c.f.Running) {
+		if s != nil && (e.Type == capture.Running || !n.c.f.Running) {
 			n.bound(s)
 		}
 	case capture.Refused:
--- a/internal/verify/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -146,7 +146,7 @@
 	slices.SortStableFunc(c.events, func(a, b capture.Event) int { return cmp.Compare(a.At, b.At) })
 	far := c.events[:0:0]
 	for i := range c.events {
-		if c.events[i].Near {
+		if c.events[i].AtPlacer {
 			c.ours = append(c.ours, c.events[i])
 		} else {
 			far = append(far, c.events[i])
@@ -183,7 +183,7 @@
 	}
 	for i := range c.events {
 		e := &c.events[i]
-		switch e.What {
+		switch e.Type {
 		case capture.HostUp:
 			c.v.Lives++
 			c.places[e.Host] = place{e.Zone, e.Rack}
@@ -193,13 +193,13 @@
 				first(&t.died, e.At)
 			}
 			open[e.Host] = nil
-		case capture.Held:
+		case capture.Holds:
 			c.held[refOf(e)] = append(c.held[refOf(e)], *e)
 		case capture.PlacerUp:
 			c.ups[e.Placer] = append(c.ups[e.Placer], e.At)
-		case capture.Killed:
+		case capture.PlacerDown:
 			c.deaths[e.Placer] = append(c.deaths[e.Placer], *e)
-		case capture.Gone:
+		case capture.Disconnected:
 			for _, t := range open[e.Host] {
 				if t.conn == e.Conn {
 					first(&t.gone, e.At)
@@ -220,7 +220,7 @@
 			if t == nil {
 				continue
 			}
-			switch e.What {
+			switch e.Type {
 			case capture.Withdraw:
 				first(&t.withdraw, e.At)
 				continue
@@ -229,7 +229,7 @@
 				first(&t.never, e.At)
 			case capture.Accepted, capture.Running:
 				first(&t.accepted, e.At)
-				if e.What == capture.Running || !c.f.Running {
+				if e.Type == capture.Running || !c.f.Running {
 					first(&t.bound, e.At)
 				}
 			case capture.Ended:
@@ -282,7 +282,7 @@
 		e := &c.events[i]
 		end = e.At
 		s := subs[e.Submission]
-		switch e.What {
+		switch e.Type {
 		case capture.Submit:
 			if s != nil {
 				s.again = e.At
@@ -292,7 +292,7 @@
 			subs[e.Submission] = s
 			order = append(order, s)
 			c.v.Tasks += e.Count
-		case capture.Cut:
+		case capture.ClientDisconnected:
 			if s != nil {
 				s.cut = e.At
 			}
@@ -301,7 +301,7 @@
 	slept, stood := c.nearAnswers(subs)
 	for i := range c.events {
 		e := &c.events[i]
-		if e.What != capture.Outcome {
+		if e.Type != capture.Outcome {
 			continue
 		}
 		s := subs[e.Submission]
@@ -394,12 +394,12 @@
 	var all [][2]time.Duration
 	for i := range c.ours {
 		e := &c.ours[i]
-		switch e.What {
+		switch e.Type {
 		case capture.Submit:
 			if s := subs[e.Submission]; s != nil && s.near == 0 {
 				s.near = e.At
 			}
-		case capture.Late:
+		case capture.LateStep:
 			late[e.Placer] = append(late[e.Placer], [2]time.Duration{e.At - e.Within, e.At})
 			all = append(all, [2]time.Duration{e.At - e.Within, e.At})
 		}
@@ -506,8 +506,8 @@
 	drains := map[pair]time.Duration{}   // by the host's own word, since
 	for i := range c.events {
 		e := &c.events[i]
-		switch e.What {
-		case capture.Told:
+		switch e.Type {
+		case capture.ListDelivered:
 			ready := map[string]bool{}
 			for _, h := range e.Ready {
 				ready[h] = true
@@ -530,7 +530,7 @@
 			}
 		case capture.Drain, capture.Welcome:
 			p := pair{e.Placer, e.Host}
-			if e.On {
+			if e.HostDraining {
 				if _, known := drains[p]; !known {
 					drains[p] = e.At
 				}
@@ -570,16 +570,16 @@
 	recent := map[string][]time.Duration{}
 	for i := range c.events {
 		e := &c.events[i]
-		switch e.What {
+		switch e.Type {
 		case capture.HostUp:
 			up[e.Host] = *e
 			recent[e.Host] = nil
-		case capture.Fell:
+		case capture.Overloaded:
 			c.breach(invariant.SlowStart, e.At, "host %s fell over while cold", e.Host)
 		case capture.Offer:
 			u, ok := up[e.Host]
 			age := e.At - u.At
-			if !ok || !u.Cold || age >= c.f.ColdFor {
+			if !ok || !u.WarmingUp || age >= c.f.ColdFor {
 				continue
 			}
 			keep := slices.DeleteFunc(append(recent[e.Host], e.At), func(at time.Duration) bool { return at <= e.At-c.f.ColdWindow })
--- a/internal/verify/simulation/lives.go
+++ b/internal/verify/simulation/lives.go
@@ -121,7 +121,7 @@
 			h.Listed = !h.Listed || !h.Life.Dead() // only what is dead leaves the list
 			s.List()
 		case 13:
-			s.Hosts[name].Life.Mute(s.Now, 2*time.Second, "web")
+			s.Hosts[name].Life.SuppressStarts(s.Now, 2*time.Second, "web")
 		}
 		for range rng.IntN(20) {
 			s.Run(time.Duration(rng.IntN(40)) * time.Millisecond)
@@ -183,7 +183,7 @@
 		if h.Life.Dead() {
 			continue
 		}
-		for _, spec := range h.Life.Holding() {
+		for _, spec := range h.Life.BoundSpecs() {
 			if spec.Class != "ledger" && spec.Class != "books" {
 				continue
 			}
--- a/internal/verify/simulation/sim.go
+++ b/internal/verify/simulation/sim.go
@@ -184,7 +184,7 @@
 		if i%2 == 1 {
 			kind, cores, memory = "large", 32, 64
 		}
-		s.AddHost(hostmodel.Default(fmt.Sprintf("h%d", i), kind, "a", fmt.Sprintf("r%d", i/2), cores, memory))
+		s.AddHost(hostmodel.DefaultConfig(fmt.Sprintf("h%d", i), kind, "a", fmt.Sprintf("r%d", i/2), cores, memory))
 	}
 	s.startCore(change...)
 	s.Run(200 * time.Millisecond)
@@ -216,7 +216,7 @@
 	for name, h := range s.Hosts {
 		h.gen++
 		for conn := range h.conns {
-			s.HostOut(name, h.Life.Closed(s.Now, s.conn(h, conn)))
+			s.HostOut(name, h.Life.ConnectionClosed(s.Now, s.conn(h, conn)))
 		}
 		h.conns = map[uint32]bool{}
 	}
@@ -246,7 +246,7 @@
 	}
 	c := s.Core
 	out := c.Step(s.Now, in...)
-	base := capture.Event{Near: true, Placer: s.Settings.Module.Self, PlacerEpoch: s.Epoch}
+	base := capture.Event{AtPlacer: true, Placer: s.Settings.Module.Self, PlacerEpoch: s.Epoch}
 	var notes []durable.Record
 	leaves := out[:0:0]
 	for _, o := range out {
@@ -296,7 +296,7 @@
 	events := make([]capture.Event, 0, len(s.Names)+len(s.Record))
 	for _, name := range s.Names {
 		cfg := &s.Hosts[name].Config
-		events = append(events, capture.Event{What: capture.HostUp, Host: name, Zone: cfg.Zone, Rack: cfg.Rack})
+		events = append(events, capture.Event{Type: capture.HostUp, Host: name, Zone: cfg.Zone, Rack: cfg.Rack})
 	}
 	return rules.Check(append(events, s.Record...), rules.FactsOf(s.Settings, 0))
 }
@@ -319,7 +319,7 @@
 				return
 			}
 			h.conns[o.Conn] = true
-			s.HostOut(o.Host, h.Life.Opened(s.Now, s.conn(h, o.Conn)))
+			s.HostOut(o.Host, h.Life.ConnectionOpened(s.Now, s.conn(h, o.Conn)))
 			s.Step(core.HostConnected{Host: o.Host, Conn: o.Conn})
 		}))
 	case core.CloseHostConnection:
@@ -327,7 +327,7 @@
 		if h.conns[o.Conn] {
 			delete(h.conns, o.Conn)
 			id := s.conn(h, o.Conn)
-			s.After(s.Delay, func() { s.HostOut(o.Host, h.Life.Closed(s.Now, id)) })
+			s.After(s.Delay, func() { s.HostOut(o.Host, h.Life.ConnectionClosed(s.Now, id)) })
 		}
 	case core.SendToHost:
 		h := s.Hosts[o.Host]
@@ -340,7 +340,7 @@
 			if !h.conns[o.Conn] || h.Mute || gen != h.gen || s.ToHost != nil && !s.ToHost(o.Host, f) {
 				return
 			}
-			s.HostOut(o.Host, h.Life.Frame(s.Now, id, f))
+			s.HostOut(o.Host, h.Life.ReceiveFrame(s.Now, id, f))
 		})
 	case core.Subscribe:
 		s.subs = true
@@ -421,13 +421,13 @@
 	h := s.Hosts[name]
 	for conn := range h.conns {
 		id := s.conn(h, conn)
-		s.HostOut(name, h.Life.Closed(s.Now, id))
+		s.HostOut(name, h.Life.ConnectionClosed(s.Now, id))
 	}
 	s.resetConns(name)
 }
 
 func (s *Sim) Kill(name string) {
-	s.Hosts[name].Life.Die()
+	s.Hosts[name].Life.Crash()
 	s.resetConns(name)
 }
 
@@ -456,11 +456,11 @@
 		if !h.Listed {
 			continue
 		}
-		cores, memory := h.Life.Free()
+		cores, memory := h.Life.Available()
 		l.Hosts = append(l.Hosts, core.HostEntry{
-			Name: name, Address: "addr-" + name, Kind: h.Config.Kind, Zone: h.Config.Zone, Rack: h.Config.Rack, State: h.State,
+			Name: name, Address: "addr-" + name, Kind: h.Config.MachineType, Zone: h.Config.Zone, Rack: h.Config.Rack, State: h.State,
 			Started: h.Life.Started(), FreeCores: cores, FreeMemory: memory,
-			Attributes: map[servicespec.Attribute]string{"hostname": name, "label.rack": h.Config.Rack, "label.kind": h.Config.Kind},
+			Attributes: map[servicespec.Attribute]string{"hostname": name, "label.rack": h.Config.Rack, "label.kind": h.Config.MachineType},
 		})
 	}
 	s.Step(l)
@@ -569,7 +569,7 @@
 func (s *Sim) Running() int {
 	n := 0
 	for _, h := range s.Hosts {
-		n += h.Life.Running()
+		n += h.Life.BoundCount()
 	}
 	return n
 }
--- a/internal/verify/testcluster/scene.go
+++ b/internal/verify/testcluster/scene.go
@@ -76,12 +76,12 @@
 	if c.engine, err = netio.New("hosts", 2); err != nil {
 		return nil, err
 	}
-	c.Catalogue, err = consulemulator.Serve("127.0.0.1:0", consulemulator.Policy{Critical: s.Catalogue.Critical, Deregister: s.Catalogue.Deregister}, c.Clock, logs)
+	c.Catalogue, err = consulemulator.Serve("127.0.0.1:0", consulemulator.Policy{CriticalAfter: s.Catalogue.Critical, DeregisterAfter: s.Catalogue.Deregister}, c.Clock, logs)
 	if err != nil {
 		c.engine.Stop()
 		return nil, err
 	}
-	c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) { st.Lag(s.Catalogue.Lag) })
+	c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) { st.SetLag(s.Catalogue.Lag) })
 	if err := c.start(); err != nil {
 		c.Stop()
 		return nil, err
@@ -153,13 +153,13 @@
 func HostConfig(s *scenario.Script, g *scenario.Group, name, rack string) hostmodel.Config {
 	kind := s.Settings.Module.MachineTypes[settings.Index(s.Settings.Kinds, g.Kind)]
 	m := &s.Settings.Module
-	cfg := hostmodel.Default(name, g.Kind, g.Zone, rack, kind.Cores, kind.Memory)
+	cfg := hostmodel.DefaultConfig(name, g.Kind, g.Zone, rack, kind.Cores, kind.Memory)
 	cfg.Labels = g.Labels
-	cfg.AcceptCores, cfg.AcceptMemory, cfg.PushOut = m.CoresOvercommit, m.MemoryOvercommit, m.Preemption
+	cfg.CoresOvercommit, cfg.MemoryOvercommit, cfg.Preemption = m.CoresOvercommit, m.MemoryOvercommit, m.Preemption
 	h := &s.Host
-	cfg.Look, cfg.Line, cfg.Starts, cfg.Start, cfg.Absent, cfg.Keep = h.Look, h.Line, h.Starts, h.Start, h.Absent, h.Keep
-	cfg.Use, cfg.Swing, cfg.Notes = h.Use, h.Swing, h.Notes
-	cfg.ColdFor, cfg.ColdFrom, cfg.ColdWindow, cfg.ColdOffers, cfg.Multiple = m.SlowStartDuration, m.SlowStartInitialRate, m.SlowStartWindow, m.SlowStartMaxOffers, m.SlowStartOverload
+	cfg.DecisionTime, cfg.MaxQueued, cfg.MaxStarting, cfg.StartTime, cfg.UncachedStartFactor, cfg.MaxCachedPrograms = h.Look, h.Line, h.Starts, h.Start, h.Absent, h.Keep
+	cfg.MeanUsage, cfg.UsageSwing, cfg.NoteInterval = h.Use, h.Swing, h.Notes
+	cfg.SlowStartDuration, cfg.SlowStartInitialRate, cfg.SlowStartWindow, cfg.SlowStartMaxOffers, cfg.SlowStartOverload = m.SlowStartDuration, m.SlowStartInitialRate, m.SlowStartWindow, m.SlowStartMaxOffers, m.SlowStartOverload
 	return cfg
 }
 
@@ -220,7 +220,7 @@
 	if err != nil {
 		return fmt.Errorf("placer %d: %w", i, err)
 	}
-	c.Log.Add(capture.Event{At: c.Clock.Now(), What: capture.PlacerUp, Placer: i, PlacerEpoch: p.Epoch()})
+	c.Log.Add(capture.Event{At: c.Clock.Now(), Type: capture.PlacerUp, Placer: i, PlacerEpoch: p.Epoch()})
 	c.placers[i].Store(p)
 	return nil
 }
@@ -236,7 +236,7 @@
 
 // tap notes what crosses a placer's own sockets, and keeps its tape where Keep says so.
 func (c *Scene) tap(placer int, seed, epoch uint64) func(now, due time.Duration, in []core.Input, out []core.Output) {
-	base := capture.Event{Near: true, Placer: placer, PlacerEpoch: epoch}
+	base := capture.Event{AtPlacer: true, Placer: placer, PlacerEpoch: epoch}
 	var w *replay.Writer
 	if c.Keep {
 		w = replay.NewWriter(replay.Head{Durable: c.Script.Durable, File: c.Script.File, Script: c.Script.Text, Placer: placer, Seed: seed, Epoch: epoch}, MostTape)
@@ -282,7 +282,7 @@
 		c.Commits.Add(uint64(st.Commits))
 		c.stores[i] = nil
 	}
-	c.Log.Add(capture.Event{At: c.Clock.Now(), What: capture.Killed, Placer: i, PlacerEpoch: p.Epoch()})
+	c.Log.Add(capture.Event{At: c.Clock.Now(), Type: capture.PlacerDown, Placer: i, PlacerEpoch: p.Epoch()})
 }
 
 // keep adds a life's counts to those of lives that are over.
