--- a/internal/cli/chaos.go
+++ b/internal/cli/chaos.go
@@ -71,9 +71,9 @@
 	return c
 }
 
-func (a *app) playDay(ctx context.Context, s *scenario.Script, f *baddayFlags) error {
+func (a *app) playDay(ctx context.Context, s *scenario.Scenario, f *baddayFlags) error {
 	start := time.Now()
-	r, err := chaos.Play(ctx, s, chaos.Options{Log: a.log, Keep: f.onBreach != "", Begun: func(t scenario.Trouble) {
+	r, err := chaos.Run(ctx, s, chaos.Options{Log: a.log, RecordSteps: f.onBreach != "", OnFault: func(t scenario.Fault) {
 		if a.output == "text" {
 			fmt.Fprintf(a.errs, "%5.1f s  %s\n", time.Since(start).Seconds(), t.Kind)
 		}
@@ -86,7 +86,7 @@
 	}
 	if f.keep != "" {
 		var b bytes.Buffer
-		if err := capture.Write(&b, r.Record); err != nil {
+		if err := capture.Write(&b, r.Captured); err != nil {
 			return err
 		}
 		if err := os.WriteFile(f.keep, b.Bytes(), 0o600); err != nil {
@@ -124,13 +124,13 @@
 }
 
 // keepDay writes all of a day that broke a rule: what is needed to see it again.
-func keepDay(folder string, s *scenario.Script, r *chaos.Result) error {
+func keepDay(folder string, s *scenario.Scenario, r *chaos.Result) error {
 	dir := filepath.Join(folder, fmt.Sprintf("seed-%d", s.Seed))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return badInput(err)
 	}
 	var events bytes.Buffer
-	if err := capture.Write(&events, r.Record); err != nil {
+	if err := capture.Write(&events, r.Captured); err != nil {
 		return err
 	}
 	verdict, err := json.MarshalIndent(map[string]any{"result": r, "breaches": r.Verdict.Breaches}, "", "  ")
@@ -138,12 +138,12 @@
 		return err
 	}
 	files := map[string][]byte{"script.sexp": s.Text, "record.jsonl": events.Bytes(), "verdict.json": verdict}
-	for _, l := range r.Tapes {
+	for _, l := range r.Recordings {
 		text, err := l.Bytes()
 		if err != nil && !errors.Is(err, replay.ErrFull) {
 			return fmt.Errorf("tape of placer %d: %w", l.Placer, err)
 		}
-		files[fmt.Sprintf("placer-%d-life-%d.tape", l.Placer, l.Life)] = text
+		files[fmt.Sprintf("placer-%d-life-%d.tape", l.Placer, l.Incarnation)] = text
 	}
 	for name, text := range files {
 		if err := os.WriteFile(filepath.Join(dir, name), text, 0o600); err != nil {
--- a/internal/cli/chaos_repeat.go
+++ b/internal/cli/chaos_repeat.go
@@ -11,13 +11,13 @@
 )
 
 // repeat plays a day many times.
-func (a *app) repeat(ctx context.Context, name string, s *scenario.Script, f *baddayFlags) error {
+func (a *app) repeat(ctx context.Context, name string, s *scenario.Scenario, f *baddayFlags) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	r := chaos.Repeat{
-		Times: f.times, Parallel: f.parallel, Seed: s.Seed, Busy: f.busy, Stop: f.stop,
+		Runs: f.times, Parallel: f.parallel, Seed: s.Seed, BusyLoops: f.busy, MaxStop: f.stop,
 		Command: func(seed int) []string {
 			words := []string{self, "badday", "--output", "json", "--log", "error", "--seed", strconv.Itoa(seed)}
 			if f.onBreach != "" {
@@ -28,11 +28,11 @@
 			}
 			return words
 		},
-		Done: func(p chaos.Played) {
+		OnDone: func(p chaos.ProcessResult) {
 			if a.output == "json" {
 				_ = a.json(p)
 			} else {
-				fmt.Fprintf(a.out, "seed %d: exit %d, %d breaches told %s\n", p.Seed, p.Code, len(p.Breach), p.Error)
+				fmt.Fprintf(a.out, "seed %d: exit %d, %d breaches told %s\n", p.Seed, p.ExitCode, len(p.Breaches), p.Error)
 			}
 		},
 	}
@@ -41,7 +41,7 @@
 		err = a.json(t)
 	} else {
 		_, err = fmt.Fprintf(a.out, "%d plays, %d broken, %d not played to the end; %d tasks, %d offers; %d breaches, %d vetoes, %d defects\n",
-			t.Plays, t.Broken, t.Failed, t.Tasks, t.Offers, t.Breaches, t.Vetoes, t.Defects)
+			t.Runs, t.Broken, t.Failed, t.Tasks, t.Offers, t.Breaches, t.Vetoes, t.Defects)
 	}
 	switch {
 	case err != nil:
@@ -49,7 +49,7 @@
 	case t.Broken > 0:
 		return errNo
 	case t.Failed > 0 || ctx.Err() != nil:
-		return fmt.Errorf("%d of %d plays were not played to the end", t.Failed+f.times-t.Plays, f.times)
+		return fmt.Errorf("%d of %d plays were not played to the end", t.Failed+f.times-t.Runs, f.times)
 	}
 	return nil
 }
--- a/internal/cli/host.go
+++ b/internal/cli/host.go
@@ -18,7 +18,7 @@
 	c := &cobra.Command{
 		Use: "host", Short: "run the stand-in hosts of a script", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := readScript(scriptFile, scenario.Calm)
+			s, err := readScript(scriptFile, scenario.FaultFree)
 			if err != nil {
 				return err
 			}
@@ -32,13 +32,13 @@
 			}
 			defer engine.Stop()
 			c := clock.New()
-			for gi := range s.Hosts {
-				g := &s.Hosts[gi]
+			for gi := range s.HostGroups {
+				g := &s.HostGroups[gi]
 				for i := range g.Count {
 					name, rack := fmt.Sprintf("%s%d", g.Prefix, i), fmt.Sprintf("%s-r%d", g.Zone, i%g.Racks)
 					h, err := host.Start(host.Config{
-						Host: testcluster.HostConfig(s, g, name, rack), Listen: net.JoinHostPort(address, "0"), Catalogue: catalogue,
-						Service: s.Settings.ServiceDiscovery.Service, Refresh: s.Host.Refresh, Seed: uint64(gi*10_000 + i), Cold: g.Cold, Clock: c, Engine: engine,
+						Host: testcluster.HostConfig(s, g, name, rack), Listen: net.JoinHostPort(address, "0"), CatalogAddress: catalogue,
+						Service: s.Settings.ServiceDiscovery.Service, RegistrationInterval: s.Host.RegistrationInterval, Seed: uint64(gi*10_000 + i), WarmingUp: g.WarmingUp, Clock: c, Engine: engine,
 					})
 					if err != nil {
 						return err
--- a/internal/cli/input.go
+++ b/internal/cli/input.go
@@ -17,7 +17,7 @@
 	return settings.Read(name, text)
 }
 
-func readScript(name string, preset []byte) (*scenario.Script, error) {
+func readScript(name string, preset []byte) (*scenario.Scenario, error) {
 	if name == "" {
 		return scenario.Read("built-in script", preset)
 	}
--- a/internal/cli/try.go
+++ b/internal/cli/try.go
@@ -16,7 +16,7 @@
 	c := &cobra.Command{
 		Use: "try FILE...", Short: "place a description on stand-in hosts, all in this process", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, names []string) error {
-			s, err := readScript(scriptFile, scenario.Calm)
+			s, err := readScript(scriptFile, scenario.FaultFree)
 			if err != nil {
 				return err
 			}
@@ -29,12 +29,12 @@
 				return err
 			}
 			named(e, d, names[0])
-			sc, err := testcluster.Start(s, nil, a.log, nil, false)
+			sc, err := testcluster.Start(s, testcluster.Options{Log: a.log})
 			if err != nil {
 				return err
 			}
 			defer sc.Stop()
-			if err := sc.Ready(10 * time.Second); err != nil {
+			if err := sc.WaitReady(10 * time.Second); err != nil {
 				return err
 			}
 			for _, n := range d.Notes {
--- a/internal/emulator/host/hostd.go
+++ b/internal/emulator/host/server.go
@@ -28,16 +28,16 @@
 
 // Config is where a host lives.
 type Config struct {
-	Host      hostmodel.Config
-	Listen    string // ADDRESS:PORT; port 0: any
-	Catalogue string // "": it registers nowhere
-	Service   string
-	Refresh   time.Duration // between registrations
-	Seed      uint64
-	Cold      bool // its first life has just begun, too
-	Clock     *clock.Clock
-	Engine    *netio.Engine
-	Log       *recorder.Recorder
+	Host                 hostmodel.Config
+	Listen               string // ADDRESS:PORT; port 0: any
+	CatalogAddress       string // "": it registers nowhere
+	Service              string
+	RegistrationInterval time.Duration // between registrations
+	Seed                 uint64
+	WarmingUp            bool // its first life has just begun, too
+	Clock                *clock.Clock
+	Engine               *netio.Engine
+	Recorder             *recorder.Recorder
 }
 
 const (
@@ -84,8 +84,8 @@
 
 // Start brings a host up.
 func Start(cfg Config) (*Server, error) {
-	if cfg.Refresh <= 0 {
-		cfg.Refresh = 500 * time.Millisecond
+	if cfg.RegistrationInterval <= 0 {
+		cfg.RegistrationInterval = 500 * time.Millisecond
 	}
 	s := &Server{
 		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), conns: map[hostmodel.ConnID]*conn{}, mute: map[*conn]bool{},
@@ -95,7 +95,7 @@
 	s.loop = eventloop.New(cfg.Clock, mostJobs, s.step)
 	s.loop.Start()
 	var err error
-	s.loop.Call(func() { err = s.up(cfg.Cold) })
+	s.loop.Call(func() { err = s.up(cfg.WarmingUp) })
 	if err != nil {
 		s.loop.Stop()
 		return nil, err
@@ -136,8 +136,8 @@
 	})
 }
 
-// Look returns how the host stands.
-func (s *Server) Look() (up, fell bool, running int) {
+// Status returns how the host stands.
+func (s *Server) Status() (up, fell bool, running int) {
 	s.loop.Call(func() {
 		if s.life != nil {
 			up, fell, running = true, s.life.Overloaded(), s.life.BoundCount()
@@ -160,8 +160,8 @@
 	})
 }
 
-// Revive begins a new life.
-func (s *Server) Revive(cold bool) error {
+// Restart begins a new life.
+func (s *Server) Restart(cold bool) error {
 	var err error
 	s.loop.Call(func() {
 		if s.life != nil {
@@ -173,27 +173,33 @@
 	return err
 }
 
-// Cut resets the connections of a placer, or of all for -1. Half leaves them open and deaf.
-func (s *Server) Cut(placer int, half bool) {
+// ResetConnections resets the connections of a placer, or of all placers for -1.
+func (s *Server) ResetConnections(placer int) {
+	s.eachConnection(placer, func(c *conn) { c.c.Reset() })
+}
+
+// MuteConnections leaves the connections of a placer, or of all placers for -1, open and half-dead: frames on them are
+// neither read nor written from then on.
+func (s *Server) MuteConnections(placer int) {
+	s.eachConnection(placer, func(c *conn) { s.mute[c] = true })
+}
+
+// eachConnection calls do on the event loop for each connection of a placer, or of all placers for -1.
+func (s *Server) eachConnection(placer int, do func(c *conn)) {
 	s.loop.Call(func() {
 		for _, c := range s.conns {
-			if placer >= 0 && c.placer != placer {
-				continue
-			}
-			if half {
-				s.mute[c] = true
-			} else {
-				c.c.Reset()
+			if placer < 0 || c.placer == placer {
+				do(c)
 			}
 		}
 	})
 }
 
-// Late makes frames leave so much later.
-func (s *Server) Late(d time.Duration) { s.loop.Call(func() { s.out = d }) }
+// DelayFrames makes frames leave so much later.
+func (s *Server) DelayFrames(d time.Duration) { s.loop.Call(func() { s.out = d }) }
 
-// Tear cuts the next frame that leaves in the middle and closes its connection.
-func (s *Server) Tear() { s.loop.Call(func() { s.torn = true }) }
+// TruncateNextFrame cuts the next frame that leaves in the middle and closes its connection.
+func (s *Server) TruncateNextFrame() { s.loop.Call(func() { s.torn = true }) }
 
 // up begins a life.
 func (s *Server) up(cold bool) error {
@@ -247,14 +253,14 @@
 }
 
 func (s *Server) log(e capture.Event) {
-	if s.cfg.Log == nil {
+	if s.cfg.Recorder == nil {
 		return
 	}
 	e.At, e.Host = s.cfg.Clock.Now(), s.cfg.Host.Name
 	if s.life != nil {
 		e.Epoch = s.life.Epoch()
 	}
-	s.cfg.Log.Add(e)
+	s.cfg.Recorder.Add(e)
 }
 
 // ---- Connections.
@@ -327,7 +333,7 @@
 
 // note records a frame that came to the host or leaves it.
 func (s *Server) note(h *conn, f hostproto.Frame, at time.Duration) {
-	if s.cfg.Log == nil {
+	if s.cfg.Recorder == nil {
 		return
 	}
 	e := capture.Event{At: at, Host: s.cfg.Host.Name, Placer: h.placer, PlacerEpoch: h.epoch, Conn: uint64(h.id)}
@@ -335,7 +341,7 @@
 		e.Epoch = s.life.Epoch()
 	}
 	for _, e := range capture.FrameEvents(e, f) {
-		s.cfg.Log.Add(e)
+		s.cfg.Recorder.Add(e)
 	}
 }
 
@@ -351,7 +357,7 @@
 		return 0, false
 	}
 	if now >= s.reg {
-		s.reg = now + time.Duration(float64(s.cfg.Refresh)*(0.8+0.4*s.rng.Float64()))
+		s.reg = now + time.Duration(float64(s.cfg.RegistrationInterval)*(0.8+0.4*s.rng.Float64()))
 		s.announce()
 	}
 	next := s.reg
@@ -426,7 +432,7 @@
 
 // announce hands the registrar the newest entry; one that it has not sent yet is replaced.
 func (s *Server) announce() {
-	if s.cfg.Catalogue == "" {
+	if s.cfg.CatalogAddress == "" {
 		return
 	}
 	select {
@@ -463,7 +469,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+s.cfg.Catalogue+"/v1/catalog/register", bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+s.cfg.CatalogAddress+"/v1/catalog/register", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
--- a/internal/emulator/host/hostd_test.go
+++ b/internal/emulator/host/server_test.go
@@ -23,7 +23,7 @@
 	}
 	log := recorder.New(1000)
 	s, err := Start(Config{
-		Host: hostmodel.DefaultConfig("h", "k", "z", "r", 8, 8), Listen: "127.0.0.1:0", Clock: clock.New(), Engine: engine, Log: log,
+		Host: hostmodel.DefaultConfig("h", "k", "z", "r", 8, 8), Listen: "127.0.0.1:0", Clock: clock.New(), Engine: engine, Recorder: log,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -59,14 +59,14 @@
 
 // A frame that was read before its host died and comes to its turn in the next life is nobody's: the
 // record must not hold it as an offer of that life, which no event would ever end.
-func TestFrameOfAnEarlierLife(t *testing.T) {
+func TestServerIgnoresFrameOfEarlierIncarnation(t *testing.T) {
 	s, log := start(t)
 	h := &conn{s: s, id: 77, placer: 1, epoch: 1}
 	s.loop.Call(func() {
 		h.life = s.life
 		s.ends()
 	})
-	if err := s.Revive(false); err != nil {
+	if err := s.Restart(false); err != nil {
 		t.Fatal(err)
 	}
 	s.loop.Call(func() {
@@ -83,7 +83,7 @@
 }
 
 // Each broken stream gets one Bye that says why, and its connection is closed; the host goes on.
-func TestBadStreams(t *testing.T) {
+func TestServerClosesInvalidStreams(t *testing.T) {
 	s, _ := start(t)
 	// Each Hello has a later connection number: the end of the connection before may reach the host after it, and an equal
 	// number would then be refused.
@@ -131,7 +131,7 @@
 }
 
 // A host that is killed and revived listens at the same address under a later epoch.
-func TestLives(t *testing.T) {
+func TestServerRestartsUnderLaterEpoch(t *testing.T) {
 	s, log := start(t)
 	hello := hostproto.Append(nil, hostproto.Hello{Version: hostproto.Version, Epoch: 1, Conn: 1})
 	first, _ := talk(t, s, hello, 100*time.Millisecond)
@@ -140,7 +140,7 @@
 		c.Close()
 		t.Fatal("a dead host listens")
 	}
-	if err := s.Revive(true); err != nil {
+	if err := s.Restart(true); err != nil {
 		t.Fatal(err)
 	}
 	second, _ := talk(t, s, hello, 100*time.Millisecond)
--- a/internal/server/placer/helpers_test.go
+++ b/internal/server/placer/helpers_test.go
@@ -19,7 +19,7 @@
 )
 
 // startPlacer starts one placer with four hosts and returns it with the address of its HTTP server.
-func startPlacer(t testing.TB, limits string) (*testcluster.Scene, string) {
+func startPlacer(t testing.TB, limits string) (*testcluster.Cluster, string) {
 	t.Helper()
 	//nolint:misspell // keys of scripts keep their spelling
 	text := `(badday (settings (forkhead (placer (zone a))
@@ -29,12 +29,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cluster, err := testcluster.Start(script, nil, zerolog.Nop(), nil, false)
+	cluster, err := testcluster.Start(script, testcluster.Options{Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(cluster.Stop)
-	if err := cluster.Ready(10 * time.Second); err != nil {
+	if err := cluster.WaitReady(10 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	return cluster, cluster.Settings.Placers[0].HTTP
--- a/internal/verify/chaos/rogue.go
+++ b/internal/verify/chaos/bugs.go
@@ -63,12 +63,12 @@
 }
 
 // plant breaks a rule.
-func (p *player) plant(what scenario.Plant) error {
+func (p *player) plant(what scenario.InjectedBug) error {
 	g := &rogue{conns: map[string]net.Conn{}}
 	defer g.close()
 	hosts := p.c.Hosts
 	switch what {
-	case scenario.PlantRepeat:
+	case scenario.BugRepeatedOffer:
 		class := p.classWith(func(i int) bool { return p.s.Settings.Module.Classes[i].Effect == forkhead.Unsafe })
 		for _, h := range hosts[:2] {
 			if err := g.offer(h, class, 77, 78); err != nil {
@@ -76,7 +76,7 @@
 			}
 			p.sleep(500 * time.Millisecond)
 		}
-	case scenario.PlantSpread:
+	case scenario.BugSpreadExceeded:
 		class := p.classWith(func(i int) bool { return p.s.Settings.Module.Classes[i].SpreadDomain != forkhead.AnyDomain })
 		i, _ := p.s.Settings.Class(class)
 		for n := range p.s.Settings.Module.Classes[i].MaxPerDomain + 1 {
@@ -84,7 +84,7 @@
 				return err
 			}
 		}
-	case scenario.PlantDrain:
+	case scenario.BugOfferWhileDraining:
 		if _, err := g.dial(hosts[0]); err != nil {
 			return err
 		}
@@ -94,9 +94,9 @@
 		if err := g.offer(hosts[0], p.s.Settings.Classes[0].Name, 5, 6); err != nil {
 			return err
 		}
-	case scenario.PlantCold:
+	case scenario.BugSlowStartOverload:
 		hosts[0].Kill()
-		if err := hosts[0].Revive(true); err != nil {
+		if err := hosts[0].Restart(true); err != nil {
 			return err
 		}
 		for n := range 5000 {
@@ -104,7 +104,7 @@
 				break // it has fallen
 			}
 		}
-	case scenario.PlantAnswer:
+	case scenario.BugTwoOutcomes:
 		p.twice.Store(true)
 	}
 	p.sleep(500 * time.Millisecond)
--- a/internal/verify/chaos/troubles.go
+++ b/internal/verify/chaos/faults.go
@@ -14,7 +14,7 @@
 )
 
 // victims draws the hosts that a trouble strikes.
-func (p *player) victims(t *scenario.Trouble, rng *rand.Rand) []*testcluster.Host {
+func (p *player) victims(t *scenario.Fault, rng *rand.Rand) []*testcluster.Host {
 	var from []*testcluster.Host
 	for _, h := range p.c.Hosts {
 		if (t.Zone == "" || h.Group.Zone == t.Zone) && (t.Rack == "" || h.Rack == t.Rack) {
@@ -22,15 +22,15 @@
 		}
 	}
 	rng.Shuffle(len(from), func(i, j int) { from[i], from[j] = from[j], from[i] })
-	n := max(int(t.Hosts*float64(len(p.c.Hosts))+0.5), 1)
+	n := max(int(t.HostShare*float64(len(p.c.Hosts))+0.5), 1)
 	return from[:min(n, len(from))]
 }
 
 // repeat calls do every so often until the trouble is over.
-func (p *player) repeat(t *scenario.Trouble, do func()) {
-	for end := time.Now().Add(t.For); time.Now().Before(end); {
+func (p *player) repeat(t *scenario.Fault, do func()) {
+	for end := time.Now().Add(t.Duration); time.Now().Before(end); {
 		do()
-		if !p.sleep(t.Every) {
+		if !p.sleep(t.Interval) {
 			return
 		}
 	}
@@ -39,14 +39,14 @@
 // revive brings hosts back, cold.
 func (p *player) revive(hosts []*testcluster.Host) {
 	for _, h := range hosts {
-		if err := h.Revive(true); err != nil {
+		if err := h.Restart(true); err != nil {
 			p.opt.Log.Error().Err(err).Msg("a host does not come back")
 		}
 	}
 }
 
 // trouble plays one trouble to its end.
-func (p *player) trouble(t scenario.Trouble, rng *rand.Rand) {
+func (p *player) trouble(t scenario.Fault, rng *rand.Rand) {
 	hosts := p.victims(&t, rng)
 	with := func(do func(h *hostmodel.Host, now time.Duration)) {
 		for _, h := range hosts {
@@ -61,39 +61,39 @@
 		for _, h := range hosts {
 			h.Kill()
 		}
-		p.sleep(t.For)
+		p.sleep(t.Duration)
 		p.revive(hosts)
 	case scenario.Vanish:
 		for _, h := range hosts {
 			h.Vanish()
 		}
-		p.sleep(t.For)
+		p.sleep(t.Duration)
 		p.revive(hosts)
-	case scenario.Pauses:
+	case scenario.HostPauses:
 		p.repeat(&t, func() { with(func(h *hostmodel.Host, now time.Duration) { h.Pause(now, t.Delay) }) })
-	case scenario.ReportLate:
+	case scenario.LateReports:
 		// Reports are as late as registrations: hosts say what is free so much less often.
-		p.c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) {
-			st.SetLag(time.Duration(t.Factor * float64(p.s.Catalogue.Lag)))
+		p.c.Catalog.With(func(st *consulemulator.Store, _ time.Duration) {
+			st.SetLag(time.Duration(t.Factor * float64(p.s.Catalog.Lag)))
 		})
-		p.sleep(t.For)
-		p.c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) { st.SetLag(p.s.Catalogue.Lag) })
-	case scenario.DiscoveryStale:
-		p.c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) { st.SetLag(t.Delay) })
-		p.sleep(t.For)
-		p.c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) { st.SetLag(p.s.Catalogue.Lag) })
+		p.sleep(t.Duration)
+		p.c.Catalog.With(func(st *consulemulator.Store, _ time.Duration) { st.SetLag(p.s.Catalog.Lag) })
+	case scenario.StaleDiscovery:
+		p.c.Catalog.With(func(st *consulemulator.Store, _ time.Duration) { st.SetLag(t.Delay) })
+		p.sleep(t.Duration)
+		p.c.Catalog.With(func(st *consulemulator.Store, _ time.Duration) { st.SetLag(p.s.Catalog.Lag) })
 	case scenario.ListOutage:
-		p.c.Catalogue.SetOutage(true)
-		p.sleep(t.For)
-		p.c.Catalogue.SetOutage(false)
+		p.c.Catalog.SetOutage(true)
+		p.sleep(t.Duration)
+		p.c.Catalog.SetOutage(false)
 	case scenario.ListFrozen:
-		p.c.Catalogue.With(func(st *consulemulator.Store, now time.Duration) { st.SetFrozen(now, true) })
-		p.sleep(t.For)
-		p.c.Catalogue.With(func(st *consulemulator.Store, now time.Duration) { st.SetFrozen(now, false) })
+		p.c.Catalog.With(func(st *consulemulator.Store, now time.Duration) { st.SetFrozen(now, true) })
+		p.sleep(t.Duration)
+		p.c.Catalog.With(func(st *consulemulator.Store, now time.Duration) { st.SetFrozen(now, false) })
 	case scenario.Shrink:
 		for _, h := range hosts {
 			p.drain(h, true)
-			p.sleep(t.For / time.Duration(len(hosts)))
+			p.sleep(t.Duration / time.Duration(len(hosts)))
 			h.Kill()
 		}
 	case scenario.Deploy:
@@ -102,28 +102,28 @@
 			p.sleep(t.Delay)
 			h.Kill()
 			p.sleep(t.Delay / 2)
-			p.c.Catalogue.With(func(st *consulemulator.Store, now time.Duration) { st.SetMaintenance(now, h.Name(), false) })
+			p.c.Catalog.With(func(st *consulemulator.Store, now time.Duration) { st.SetMaintenance(now, h.Name(), false) })
 			p.revive([]*testcluster.Host{h})
 		}
-	case scenario.HotKey, scenario.Ageing:
+	case scenario.HotKey, scenario.HostDegradation:
 		steps := 1
-		if t.Kind == scenario.Ageing {
+		if t.Kind == scenario.HostDegradation {
 			steps = 4
 		}
 		for i := range steps {
 			factor := 1 + (t.Factor-1)*float64(i+1)/float64(steps)
-			with(func(h *hostmodel.Host, now time.Duration) { h.SlowDown(now, t.For, factor) })
-			p.sleep(t.For / time.Duration(steps))
+			with(func(h *hostmodel.Host, now time.Duration) { h.SlowDown(now, t.Duration, factor) })
+			p.sleep(t.Duration / time.Duration(steps))
 		}
-		if t.Kind == scenario.Ageing {
+		if t.Kind == scenario.HostDegradation {
 			for _, h := range hosts {
 				h.Kill()
 			}
-			p.sleep(t.Every)
+			p.sleep(t.Interval)
 			p.revive(hosts)
 		}
 	case scenario.ZoneLoss:
-		t.Hosts = 1
+		t.HostShare = 1
 		hosts = p.victims(&t, rng)
 		var placers []int
 		for i, pl := range p.s.Settings.Placers {
@@ -137,11 +137,11 @@
 		for _, i := range placers {
 			p.c.KillPlacer(i)
 		}
-		p.sleep(t.For)
+		p.sleep(t.Duration)
 		p.revive(hosts)
 		p.startPlacers(placers)
 	case scenario.MassRestart:
-		t.Hosts = 1
+		t.HostShare = 1
 		if t.Rack == "" {
 			t.Rack = t.Zone + "-r0"
 		}
@@ -149,30 +149,30 @@
 		for _, h := range hosts {
 			h.Kill()
 		}
-		p.sleep(t.For)
+		p.sleep(t.Duration)
 		p.revive(hosts)
 	case scenario.Burst:
 		p.burst.Store(uint64(1000 * t.Factor))
-		p.sleep(t.For)
+		p.sleep(t.Duration)
 		p.burst.Store(1000)
 	case scenario.Reconnect:
 		p.reconnect(&t, rng)
-	case scenario.ClassFail:
-		with(func(h *hostmodel.Host, now time.Duration) { h.SuppressStarts(now, t.For, t.Class) })
-	case scenario.Refuse:
-		with(func(h *hostmodel.Host, now time.Duration) { h.RejectClass(now, t.For, t.Class) })
+	case scenario.ClassUnanswered:
+		with(func(h *hostmodel.Host, now time.Duration) { h.SuppressStarts(now, t.Duration, t.Class) })
+	case scenario.ClassRejected:
+		with(func(h *hostmodel.Host, now time.Duration) { h.RejectClass(now, t.Duration, t.Class) })
 	case scenario.DieMidStart, scenario.DieAfterBind:
 		at := hostmodel.DuringStart
 		if t.Kind == scenario.DieAfterBind {
 			at = hostmodel.AfterBind
 		}
 		with(func(h *hostmodel.Host, _ time.Duration) { h.CrashAt(at) })
-		p.sleep(t.For)
+		p.sleep(t.Duration)
 		with(func(h *hostmodel.Host, _ time.Duration) { h.CrashAt(hostmodel.NoCrash) })
 		p.revive(hosts)
 	case scenario.PlacerStall:
 		p.repeat(&t, func() {
-			for i := range p.c.Placers() {
+			for i := range p.c.PlacerCount() {
 				if pl := p.c.Placer(i); pl != nil && (t.Placer < 0 || t.Placer == i) {
 					pl.InjectStall(t.Delay)
 				}
@@ -181,50 +181,50 @@
 	case scenario.PlacerKill:
 		i := max(t.Placer, 0)
 		p.c.KillPlacer(i)
-		p.sleep(t.For)
+		p.sleep(t.Duration)
 		p.startPlacers([]int{i})
-	case scenario.Cut:
+	case scenario.ConnectionResets:
 		p.repeat(&t, func() {
 			for _, h := range hosts {
-				h.Cut(t.Placer, false)
+				h.ResetConnections(t.Placer)
 			}
 		})
-	case scenario.HalfOpen:
+	case scenario.HalfOpenConnections:
 		for _, h := range hosts {
-			h.Cut(t.Placer, true)
+			h.MuteConnections(t.Placer)
 		}
-	case scenario.Tear:
+	case scenario.TruncatedFrames:
 		p.repeat(&t, func() {
 			for _, h := range hosts {
-				h.Tear()
+				h.TruncateNextFrame()
 			}
 		})
-	case scenario.LateFrames:
+	case scenario.DelayedFrames:
 		for _, h := range hosts {
-			h.Late(t.Delay)
+			h.DelayFrames(t.Delay)
 		}
-		p.sleep(t.For)
+		p.sleep(t.Duration)
 		for _, h := range hosts {
-			h.Late(0)
+			h.DelayFrames(0)
 		}
-	case scenario.TellLoss:
-		p.c.Loss.Store(uint64(1000 * min(t.Factor, 1)))
-		p.sleep(t.For)
-		p.c.Loss.Store(0)
-	case scenario.ClientCut:
+	case scenario.GossipLoss:
+		p.c.GossipLossPerMille.Store(uint64(1000 * min(t.Factor, 1)))
+		p.sleep(t.Duration)
+		p.c.GossipLossPerMille.Store(0)
+	case scenario.ClientDisconnects:
 		p.cut.Store(true)
-		p.sleep(t.For)
+		p.sleep(t.Duration)
 		p.cut.Store(false)
 	case scenario.SlowReader:
 		p.slow.Store(true)
-		p.sleep(t.For)
+		p.sleep(t.Duration)
 		p.slow.Store(false)
 	}
 }
 
 // drain makes a host drain by its own word and by the catalogue's.
 func (p *player) drain(h *testcluster.Host, sendAway bool) {
-	p.c.Catalogue.With(func(st *consulemulator.Store, now time.Duration) { st.SetMaintenance(now, h.Name(), true) })
+	p.c.Catalog.With(func(st *consulemulator.Store, now time.Duration) { st.SetMaintenance(now, h.Name(), true) })
 	h.With(func(host *hostmodel.Host, now time.Duration) []hostmodel.Output {
 		return host.Drain(now, true, sendAway)
 	})
@@ -239,7 +239,7 @@
 }
 
 // reconnect lets owners end some of the projects that live and ask for all of each again.
-func (p *player) reconnect(t *scenario.Trouble, rng *rand.Rand) {
+func (p *player) reconnect(t *scenario.Fault, rng *rand.Rand) {
 	p.live.Lock()
 	var names []string
 	for name := range p.live.v {
--- a/internal/verify/chaos/repeat.go
+++ b/internal/verify/chaos/repeat.go
@@ -19,27 +19,27 @@
 
 // Repeat says how a day is played again and again, each time in a process of its own.
 type Repeat struct {
-	Times    int
-	Parallel int           // at once
-	Seed     int           // of the first; each has the next
-	Busy     int           // loops that do nothing but keep a processor busy
-	Stop     time.Duration // each play is stopped for up to so long about once a second; 0: not
-	Command  func(seed int) []string
-	Done     func(Played)
+	Runs      int
+	Parallel  int           // at once
+	Seed      int           // of the first; each has the next
+	BusyLoops int           // loops that do nothing but keep a processor busy
+	MaxStop   time.Duration // each play is stopped for up to so long about once a second; 0: not
+	Command   func(seed int) []string
+	OnDone    func(ProcessResult)
 }
 
-// Played is what one of the plays came to.
-type Played struct {
-	Seed   int             `json:"seed"`
-	Code   int             `json:"code"` // of its process
-	Result json.RawMessage `json:"result,omitempty"`
-	Breach []string        `json:"breaches,omitempty"`
-	Error  string          `json:"error,omitempty"`
+// ProcessResult is the result of one of the runs.
+type ProcessResult struct {
+	Seed     int             `json:"seed"`
+	ExitCode int             `json:"code"` // of its process
+	Result   json.RawMessage `json:"result,omitempty"`
+	Breaches []string        `json:"breaches,omitempty"`
+	Error    string          `json:"error,omitempty"`
 }
 
 // Totals are those of all plays.
 type Totals struct {
-	Plays    int `json:"plays"`
+	Runs     int `json:"plays"`
 	Broken   int `json:"broken"` // a rule or a veto
 	Failed   int `json:"failed"` // not played to the end
 	Tasks    int `json:"tasks"`
@@ -53,7 +53,7 @@
 func (r *Repeat) Run(ctx context.Context) Totals {
 	ctx, cancel := context.WithCancel(ctx)
 	var spinning sync.WaitGroup
-	for range r.Busy {
+	for range r.BusyLoops {
 		spinning.Add(1)
 		go spin(ctx, &spinning)
 	}
@@ -61,15 +61,15 @@
 	var mu sync.Mutex
 	var total Totals
 	var plays sync.WaitGroup
-	for range max(min(r.Parallel, r.Times), 1) {
+	for range max(min(r.Parallel, r.Runs), 1) {
 		plays.Add(1)
 		go func() {
 			defer plays.Done()
-			for i := next.Add(1) - 1; i < int64(r.Times) && ctx.Err() == nil; i = next.Add(1) - 1 {
+			for i := next.Add(1) - 1; i < int64(r.Runs) && ctx.Err() == nil; i = next.Add(1) - 1 {
 				p := r.play(ctx, r.Seed+int(i))
 				mu.Lock()
 				total.add(p)
-				r.Done(p)
+				r.OnDone(p)
 				mu.Unlock()
 			}
 		}()
@@ -80,14 +80,14 @@
 	return total
 }
 
-func (t *Totals) add(p Played) {
-	t.Plays++
+func (t *Totals) add(p ProcessResult) {
+	t.Runs++
 	var r Result
 	if err := json.Unmarshal(p.Result, &r); err != nil || p.Error != "" {
 		t.Failed++
 		return
 	}
-	if p.Code != 0 {
+	if p.ExitCode != 0 {
 		t.Broken++
 	}
 	t.Tasks, t.Offers, t.Vetoes, t.Defects = t.Tasks+r.Tasks, t.Offers+r.Offers, t.Vetoes+int(r.Vetoes), t.Defects+int(r.Defects)
@@ -112,8 +112,8 @@
 // mostLine bounds a line of a play's output, in bytes.
 const mostLine = 1 << 20
 
-func (r *Repeat) play(ctx context.Context, seed int) Played {
-	p := Played{Seed: seed}
+func (r *Repeat) play(ctx context.Context, seed int) ProcessResult {
+	p := ProcessResult{Seed: seed}
 	words := r.Command(seed)
 	cmd := exec.CommandContext(ctx, words[0], words[1:]...)
 	var errs bytes.Buffer
@@ -123,23 +123,23 @@
 		err = cmd.Start()
 	}
 	if err != nil {
-		p.Code, p.Error = -1, err.Error()
+		p.ExitCode, p.Error = -1, err.Error()
 		return p
 	}
 	ended := make(chan struct{})
 	var halting sync.WaitGroup
-	if r.Stop > 0 {
+	if r.MaxStop > 0 {
 		halting.Add(1)
 		go func() {
 			defer halting.Done()
-			halt(cmd, rand.New(rand.NewPCG(uint64(seed), 5)), r.Stop, ended)
+			halt(cmd, rand.New(rand.NewPCG(uint64(seed), 5)), r.MaxStop, ended)
 		}()
 	}
 	scan := bufio.NewScanner(out)
 	scan.Buffer(nil, mostLine)
 	for scan.Scan() {
 		if line := scan.Text(); strings.Contains(line, `"breach":`) {
-			p.Breach = append(p.Breach, line)
+			p.Breaches = append(p.Breaches, line)
 		} else {
 			p.Result = append(json.RawMessage(nil), line...)
 		}
@@ -152,9 +152,9 @@
 	case scan.Err() != nil:
 		p.Error = scan.Err().Error()
 	case errors.As(err, &exit) && exit.ExitCode() == 3:
-		p.Code = 3
+		p.ExitCode = 3
 	case err != nil:
-		p.Code, p.Error = -1, fmt.Sprintf("%v: %s", err, errs.Bytes())
+		p.ExitCode, p.Error = -1, fmt.Sprintf("%v: %s", err, errs.Bytes())
 	}
 	return p
 }
--- a/internal/verify/chaos/repeat_test.go
+++ b/internal/verify/chaos/repeat_test.go
@@ -9,10 +9,10 @@
 )
 
 // Plays that break a rule, that fail and that hang are told apart, and the totals are their sum.
-func TestRepeat(t *testing.T) {
-	var told []Played
+func TestRepeatCountsRuns(t *testing.T) {
+	var told []ProcessResult
 	r := Repeat{
-		Times: 4, Parallel: 2, Seed: 10, Busy: 1, Stop: time.Millisecond,
+		Runs: 4, Parallel: 2, Seed: 10, BusyLoops: 1, MaxStop: time.Millisecond,
 		Command: func(seed int) []string {
 			result := `{"rules":{"spread":%d},"tasks":5,"offers":7,"vetoes":1}`
 			text := map[int]string{
@@ -23,14 +23,14 @@
 			}
 			return []string{"sh", "-c", text[seed]}
 		},
-		Done: func(p Played) { told = append(told, p) },
+		OnDone: func(p ProcessResult) { told = append(told, p) },
 	}
-	want := Totals{Plays: 4, Broken: 1, Failed: 2, Tasks: 10, Offers: 14, Vetoes: 2, Breaches: 2}
+	want := Totals{Runs: 4, Broken: 1, Failed: 2, Tasks: 10, Offers: 14, Vetoes: 2, Breaches: 2}
 	if got := r.Run(context.Background()); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	for _, p := range told {
-		if p.Seed == 12 && !strings.Contains(p.Error, "trouble") || p.Seed == 11 && len(p.Breach) != 1 {
+		if p.Seed == 12 && !strings.Contains(p.Error, "trouble") || p.Seed == 11 && len(p.Breaches) != 1 {
 			t.Errorf("%+v", p)
 		}
 	}
--- a/internal/verify/chaos/badday.go
+++ b/internal/verify/chaos/run.go
@@ -33,35 +33,35 @@
 
 // Options say how a day is played.
 type Options struct {
-	Log     zerolog.Logger
-	Breaker testcluster.Breaker // a module that is built to break rules, for tests
-	Begun   func(trouble scenario.Trouble)
-	Keep    bool // the tapes of placers' lives, for Result.Tapes
+	Log         zerolog.Logger
+	NewModule   testcluster.ModuleFactory // a module that is built to break rules, for tests
+	OnFault     func(trouble scenario.Fault)
+	RecordSteps bool // the steps of the placers' cores are recorded, for Result.Recordings
 }
 
 // Result is what a day came to.
 type Result struct {
-	Rules       map[string]int     `json:"rules"` // breaches
-	Vetoes      uint64             `json:"vetoes"`
-	Defects     uint64             `json:"defects"`
-	Tasks       int                `json:"tasks"`
-	Outcomes    map[string]int     `json:"outcomes"`
-	Submissions int                `json:"submissions"`
-	TurnedAway  int                `json:"turned_away"` // submissions that no placer took
-	Resent      int                `json:"resent"`      // sent again after a lost reply
-	Offers      int                `json:"offers"`      // frames that reached hosts
-	Refused     int                `json:"refused"`     // of them by the hosts
-	HostLives   int                `json:"host_lives"`
-	Troubles    int                `json:"troubles"`
-	Events      int                `json:"events"`
-	P50MS       float64            `json:"p50_ms"` // from submission to a placed outcome
-	P99MS       float64            `json:"p99_ms"`
-	Seconds     float64            `json:"seconds"`
-	Accounts    rules.Accounts     `json:"accounts"`          // their sum is the tasks
-	Commits     uint64             `json:"commits,omitempty"` // fsyncs of placers' stores
-	Record      []capture.Event    `json:"-"`
-	Tapes       []testcluster.Life `json:"-"`
-	Verdict     rules.Verdict      `json:"-"`
+	Rules               map[string]int          `json:"rules"` // breaches
+	Vetoes              uint64                  `json:"vetoes"`
+	Defects             uint64                  `json:"defects"`
+	Tasks               int                     `json:"tasks"`
+	Outcomes            map[string]int          `json:"outcomes"`
+	Submissions         int                     `json:"submissions"`
+	RejectedSubmissions int                     `json:"turned_away"` // submissions that no placer took
+	ResentSubmissions   int                     `json:"resent"`      // sent again after a lost reply
+	Offers              int                     `json:"offers"`      // frames that reached hosts
+	RejectedOffers      int                     `json:"refused"`     // of them by the hosts
+	HostIncarnations    int                     `json:"host_lives"`
+	Faults              int                     `json:"troubles"`
+	Events              int                     `json:"events"`
+	P50MS               float64                 `json:"p50_ms"` // from submission to a placed outcome
+	P99MS               float64                 `json:"p99_ms"`
+	Seconds             float64                 `json:"seconds"`
+	Accounts            rules.Accounts          `json:"accounts"`          // their sum is the tasks
+	StoreCommits        uint64                  `json:"commits,omitempty"` // fsyncs of placers' stores
+	Captured            []capture.Event         `json:"-"`
+	Recordings          []testcluster.Recording `json:"-"`
+	Verdict             rules.Verdict           `json:"-"`
 }
 
 // OK says whether no rule was broken and nothing was vetoed.
@@ -69,8 +69,8 @@
 
 type player struct {
 	opt    Options
-	s      *scenario.Script
-	c      *testcluster.Scene
+	s      *scenario.Scenario
+	c      *testcluster.Cluster
 	log    *recorder.Recorder
 	start  time.Time
 	wait   sync.WaitGroup
@@ -98,10 +98,10 @@
 	tasks  int
 }
 
-// Play plays a day to its end.
-func Play(ctx context.Context, s *scenario.Script, opt Options) (*Result, error) {
+// Run runs a scenario to its end.
+func Run(ctx context.Context, s *scenario.Scenario, opt Options) (*Result, error) {
 	log := recorder.New(mostEvents)
-	c, err := testcluster.Start(s, log, opt.Log, opt.Breaker, opt.Keep)
+	c, err := testcluster.Start(s, testcluster.Options{Log: opt.Log, Recorder: log, NewModule: opt.NewModule, RecordSteps: opt.RecordSteps})
 	if err != nil {
 		return nil, err
 	}
@@ -111,30 +111,30 @@
 			c.Stop()
 		}
 	}()
-	if err := c.Ready(10 * time.Second); err != nil {
+	if err := c.WaitReady(10 * time.Second); err != nil {
 		return nil, err
 	}
 	p := &player{opt: opt, s: s, c: c, log: log, start: time.Now(), ctx: ctx}
 	p.burst.Store(1000)
 	p.tracks.v = hdrhistogram.New(1, 120_000_000, 3)
 	p.live.v = map[string]project{}
-	for i := range s.Load {
+	for i := range s.Loads {
 		p.wait.Add(1)
-		go p.drive(s.Load[i], uint64(i))
+		go p.drive(s.Loads[i], uint64(i))
 	}
-	for i, t := range s.Troubles {
+	for i, t := range s.Faults {
 		p.wait.Add(1)
 		go func() {
 			defer p.wait.Done()
 			if p.sleep(time.Until(p.start.Add(t.At))) {
-				if opt.Begun != nil {
-					opt.Begun(t)
+				if opt.OnFault != nil {
+					opt.OnFault(t)
 				}
 				p.trouble(t, rand.New(rand.NewPCG(uint64(s.Seed), uint64(i))))
 			}
 		}()
 	}
-	for _, what := range s.Plants {
+	for _, what := range s.InjectedBugs {
 		if err := p.plant(what); err != nil {
 			return nil, fmt.Errorf("planting %s: %w", what, err)
 		}
@@ -150,14 +150,14 @@
 	if !whole {
 		return nil, fmt.Errorf("the day has more than %d events: a record with a hole proves nothing", mostEvents)
 	}
-	pace := float64(s.Host.Starts) / s.Host.Start.Seconds()
+	pace := float64(s.Host.MaxStarting) / s.Host.StartTime.Seconds()
 	facts := rules.FactsOf(s.Settings, pace)
 	facts.Durable = s.Durable
 	v := rules.Check(events, facts)
 	r := &Result{
 		Rules: map[string]int{}, Vetoes: vetoes, Defects: defects, Tasks: v.Tasks, Outcomes: v.Outcomes, Submissions: int(p.subs.Load()),
-		TurnedAway: int(p.away.Load()), Resent: int(p.resent.Load()), Offers: v.Offers, Refused: v.Refused, HostLives: v.Lives,
-		Accounts: v.Accounts, Commits: c.Commits.Load(), Tapes: c.Tapes(), Troubles: len(s.Troubles), Events: len(events), Seconds: time.Since(p.start).Seconds(), Record: events, Verdict: v,
+		RejectedSubmissions: int(p.away.Load()), ResentSubmissions: int(p.resent.Load()), Offers: v.Offers, RejectedOffers: v.Refused, HostIncarnations: v.Lives,
+		Accounts: v.Accounts, StoreCommits: c.StoreCommits.Load(), Recordings: c.Recordings(), Faults: len(s.Faults), Events: len(events), Seconds: time.Since(p.start).Seconds(), Captured: events, Verdict: v,
 		P50MS: float64(p.tracks.v.ValueAtQuantile(50)) / 1000, P99MS: float64(p.tracks.v.ValueAtQuantile(99)) / 1000,
 	}
 	for rule := invariant.OneAnswer; rule <= invariant.Spread; rule++ {
@@ -197,7 +197,7 @@
 		}
 		text, tasks := describe(rng, &l)
 		name := fmt.Sprintf("%s-%d", l.Name, i)
-		placer := rng.IntN(p.c.Placers())
+		placer := rng.IntN(p.c.PlacerCount())
 		p.wait.Add(1)
 		go func() {
 			defer p.wait.Done()
@@ -211,7 +211,7 @@
 // describe writes a Compose description of one service.
 func describe(rng *rand.Rand, l *scenario.Load) (text string, tasks int) {
 	tasks = l.Replicas[0] + rng.IntN(l.Replicas[1]-l.Replicas[0]+1)
-	life := l.Life[0] + time.Duration(rng.Float64()*float64(l.Life[1]-l.Life[0]))
+	life := l.TaskDuration[0] + time.Duration(rng.Float64()*float64(l.TaskDuration[1]-l.TaskDuration[0]))
 	tenant := ""
 	if l.Tenant != "" {
 		tenant = ", tenant: " + l.Tenant
@@ -286,7 +286,7 @@
 	p.live.Lock()
 	p.live.v[name] = pr
 	p.live.Unlock()
-	time.AfterFunc(pr.load.Life[0], func() {
+	time.AfterFunc(pr.load.TaskDuration[0], func() {
 		p.live.Lock()
 		delete(p.live.v, name)
 		p.live.Unlock()
@@ -332,9 +332,9 @@
 // Write tells a result for people.
 func (r *Result) Write(w io.Writer) {
 	fmt.Fprintf(w, "%d tasks in %d submissions: %d placed, %d refused, %d failed; %d submissions turned away, %d sent again\n",
-		r.Tasks, r.Submissions, r.Outcomes["placed"], r.Outcomes["refused"], r.Outcomes["failed"], r.TurnedAway, r.Resent)
+		r.Tasks, r.Submissions, r.Outcomes["placed"], r.Outcomes["refused"], r.Outcomes["failed"], r.RejectedSubmissions, r.ResentSubmissions)
 	fmt.Fprintf(w, "%d offers reached hosts, %d refused there; %d lives of hosts; %d troubles; %d events in %.0f s\n",
-		r.Offers, r.Refused, r.HostLives, r.Troubles, r.Events, r.Seconds)
+		r.Offers, r.RejectedOffers, r.HostIncarnations, r.Faults, r.Events, r.Seconds)
 	fmt.Fprintf(w, "placed after %.1f ms (median), %.1f ms (99 in 100)\n", r.P50MS, r.P99MS)
 	a := &r.Accounts
 	fmt.Fprintf(w, "of the tasks %d were told an outcome, %d lost their placer before it was due, %d were cut off and not asked for again, "+
--- a/internal/verify/chaos/badday_test.go
+++ b/internal/verify/chaos/run_test.go
@@ -24,12 +24,12 @@
     (half-open (at 4s) (hosts 0.2))))`
 
 // A breach of each rule, planted by a placer that is built to make it, is caught on the traffic.
-func TestPlants(t *testing.T) {
-	rule := map[scenario.Plant]invariant.Rule{
-		scenario.PlantAnswer: invariant.OneAnswer, scenario.PlantRepeat: invariant.NoRepeat, scenario.PlantDrain: invariant.Drain,
-		scenario.PlantCold: invariant.SlowStart, scenario.PlantSpread: invariant.Spread,
+func TestInjectedBugsAreCaught(t *testing.T) {
+	rule := map[scenario.InjectedBug]invariant.Rule{
+		scenario.BugTwoOutcomes: invariant.OneAnswer, scenario.BugRepeatedOffer: invariant.NoRepeat, scenario.BugOfferWhileDraining: invariant.Drain,
+		scenario.BugSlowStartOverload: invariant.SlowStart, scenario.BugSpreadExceeded: invariant.Spread,
 	}
-	for _, plant := range scenario.Plants {
+	for _, plant := range scenario.InjectedBugs {
 		t.Run(string(plant), func(t *testing.T) {
 			t.Parallel()
 			s, err := scenario.Read("test", []byte(`(badday (length 2s) (settle 2s) (hosts 3 (kind std-28) (zone north))
@@ -37,7 +37,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, err := Play(context.Background(), s, Options{Log: zerolog.Nop()})
+			r, err := Run(context.Background(), s, Options{Log: zerolog.Nop()})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -57,14 +57,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	opt.Log = zerolog.Nop()
-	r, err := Play(ctx, s, opt)
+	r, err := Run(ctx, s, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func TestShortDay(t *testing.T) {
+func TestRunShortScenario(t *testing.T) {
 	r := play(t, Options{})
 	if !r.OK() || r.Defects > 0 {
 		t.Fatalf("vetoes %d, defects %d, breaches %v", r.Vetoes, r.Defects, r.Verdict.Breaches)
@@ -106,7 +106,7 @@
 			return out
 		}
 	}
-	r := play(t, Options{Breaker: breaker})
+	r := play(t, Options{NewModule: breaker})
 	if r.Vetoes == 0 {
 		t.Fatal("no veto of a module that breaks rules")
 	}
--- a/internal/verify/replay/tape.go
+++ b/internal/verify/replay/tape.go
@@ -109,15 +109,15 @@
 
 // Replay is what came of playing a tape.
 type Replay struct {
-	Head     Head             `json:"-"`
-	Script   *scenario.Script `json:"-"`
-	Steps    int              `json:"steps"`
-	Offers   int              `json:"offers"`
-	Vetoes   uint64           `json:"vetoes"`
-	Defects  uint64           `json:"defects"`
-	Cut      bool             `json:"cut"` // the tape ends in the middle of a step: its placer was killed, or the file torn
-	Diverged *Divergence      `json:"diverged,omitempty"`
-	Events   []capture.Event  `json:"-"` // what crossed the placer's sockets, for the rules
+	Head     Head               `json:"-"`
+	Script   *scenario.Scenario `json:"-"`
+	Steps    int                `json:"steps"`
+	Offers   int                `json:"offers"`
+	Vetoes   uint64             `json:"vetoes"`
+	Defects  uint64             `json:"defects"`
+	Cut      bool               `json:"cut"` // the tape ends in the middle of a step: its placer was killed, or the file torn
+	Diverged *Divergence        `json:"diverged,omitempty"`
+	Events   []capture.Event    `json:"-"` // what crossed the placer's sockets, for the rules
 }
 
 // Play reads a tape and steps the core through it. Each step is also shown to look, if that is
--- a/internal/verify/rules/golden_test.go
+++ b/internal/verify/rules/golden_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	facts := FactsOf(s.Settings, float64(s.Host.Starts)/s.Host.Start.Seconds())
+	facts := FactsOf(s.Settings, float64(s.Host.MaxStarting)/s.Host.StartTime.Seconds())
 	facts.Durable = s.Durable
 	v := Check(events, facts)
 	for _, kind := range []core.OutcomeKind{core.OutcomePlaced, core.OutcomeRejected, core.OutcomeFailed} {
--- a/internal/verify/scenario/golden_test.go
+++ b/internal/verify/scenario/golden_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, text := range map[string][]byte{"all": all, "badday": Default, "recovery": Recovery, "calm": Calm} {
+	for name, text := range map[string][]byte{"all": all, "badday": Default, "recovery": Recovery, "calm": FaultFree} {
 		s, err := Read(name, text)
 		if err != nil {
 			t.Fatal(err)
@@ -39,5 +39,5 @@
 
 // The words of troubles and planted breaches are these.
 func TestWordsGolden(t *testing.T) {
-	goldentest.Check(t, "words.txt", []byte(fmt.Sprintln(Kinds, Plants)))
+	goldentest.Check(t, "words.txt", []byte(fmt.Sprintln(FaultKinds, InjectedBugs)))
 }
--- a/internal/verify/scenario/script_test.go
+++ b/internal/verify/scenario/scenario_test.go
@@ -8,16 +8,16 @@
 	"forkhead/internal/parse/settings"
 )
 
-func TestBuiltIn(t *testing.T) {
+func TestBuiltInScenarios(t *testing.T) {
 	s, err := Read("badday", Default)
 	if err != nil {
 		t.Fatal(err)
 	}
-	seen := map[Kind]bool{}
-	for _, tr := range s.Troubles {
+	seen := map[FaultKind]bool{}
+	for _, tr := range s.Faults {
 		seen[tr.Kind] = true
 	}
-	for _, k := range Kinds {
+	for _, k := range FaultKinds {
 		if !seen[k] {
 			t.Errorf("the bad day that CI plays lacks %s", k)
 		}
@@ -26,13 +26,13 @@
 		t.Errorf("%d placers", len(s.Settings.Placers))
 	}
 	n := 0
-	for _, g := range s.Hosts {
+	for _, g := range s.HostGroups {
 		n += g.Count
 	}
 	if n < 12 {
 		t.Errorf("%d hosts", n)
 	}
-	if _, err := Read("calm", Calm); err != nil {
+	if _, err := Read("calm", FaultFree); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := settings.Read("default", settings.Default); err != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestErrors(t *testing.T) {
+func TestReadErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"(fleet)":                          "f:1:1: the file holds something else; want one (badday ...)",
 		"(badday":                          "f:1:1: this ( is never closed",
--- a/internal/verify/testcluster/scene.go
+++ b/internal/verify/testcluster/cluster.go
@@ -31,57 +31,68 @@
 	"forkhead/internal/verify/scenario"
 )
 
-// Scene is a running service.
-type Scene struct {
-	Script    *scenario.Script
-	Settings  *settings.Settings
-	Clock     *clock.Clock
-	Log       *recorder.Recorder
-	Catalogue *consulemulator.Server
-	Hosts     []*Host
-	Loss      atomic.Uint64 // of messages between placers, in thousandths
-	Commits   atomic.Uint64 // fsyncs of stores that are closed
-	Keep      bool          // the tapes of placers' lives are kept
+// Cluster is a running service.
+type Cluster struct {
+	Scenario           *scenario.Scenario
+	Settings           *settings.Settings
+	Clock              *clock.Clock
+	Recorder           *recorder.Recorder
+	Catalog            *consulemulator.Server
+	Hosts              []*Host
+	GossipLossPerMille atomic.Uint64 // of messages between placers, in thousandths
+	StoreCommits       atomic.Uint64 // fsyncs of stores that are closed
 
-	log      zerolog.Logger
-	engine   *netio.Engine
-	placers  []atomic.Pointer[placer.Server]
-	vetoes   atomic.Uint64 // of lives that are over
-	defects  atomic.Uint64
-	offers   atomic.Uint64
-	lives    []int
-	mu       sync.Mutex // over tapes
-	starting sync.Mutex // over lives of placers
-	tapes    []Life
-	folder   string // of the stores
-	stores   []*store.Store
-	breaker  Breaker
+	log          zerolog.Logger
+	engine       *netio.Engine
+	placers      []atomic.Pointer[placer.Server]
+	vetoes       atomic.Uint64 // of lives that are over
+	defects      atomic.Uint64
+	offers       atomic.Uint64
+	incarnations []int
+	mu           sync.Mutex // over tapes
+	starting     sync.Mutex // over lives of placers
+	recordings   []Recording
+	folder       string // of the stores
+	stores       []*store.Store
+	newModule    ModuleFactory
+	recordSteps  bool
 }
 
-// Breaker stands in a placer's module's place, to prove that what it does is caught.
-type Breaker func(set forkhead.Settings) func(now time.Duration, events []forkhead.Event) []forkhead.Action
+// ModuleFactory returns the Step function of a module that takes the real one's place, to show that what it does wrong is
+// caught.
+type ModuleFactory func(set forkhead.Settings) func(now time.Duration, events []forkhead.Event) []forkhead.Action
 
 // Host is one host of the scene.
 type Host struct {
 	*host.Server
-	Group *scenario.Group
+	Group *scenario.HostGroup
 	Rack  string
 }
 
-// Start brings everything up. logs may be nil: nothing is recorded then. keep: the tapes of placers'
-// lives are kept.
-func Start(s *scenario.Script, logs *recorder.Recorder, log zerolog.Logger, breaker Breaker, keep bool) (*Scene, error) {
-	c := &Scene{Script: s, Clock: clock.New(), Log: logs, Keep: keep, log: log, breaker: breaker}
+// Options says how a cluster is run, beside what its scenario says.
+type Options struct {
+	Log         zerolog.Logger     // of the placers
+	Recorder    *recorder.Recorder // takes the traffic of hosts and placers; nil: none
+	NewModule   ModuleFactory      // nil: the real module
+	RecordSteps bool               // the steps of the placers' cores are recorded, for Cluster.Recordings
+}
+
+// Start starts a scenario's catalog, hosts and placers.
+func Start(s *scenario.Scenario, opt Options) (*Cluster, error) {
+	c := &Cluster{
+		Scenario: s, Clock: clock.New(), Recorder: opt.Recorder,
+		recordSteps: opt.RecordSteps, log: opt.Log, newModule: opt.NewModule,
+	}
 	var err error
 	if c.engine, err = netio.New("hosts", 2); err != nil {
 		return nil, err
 	}
-	c.Catalogue, err = consulemulator.Serve("127.0.0.1:0", consulemulator.Policy{CriticalAfter: s.Catalogue.Critical, DeregisterAfter: s.Catalogue.Deregister}, c.Clock, logs)
+	c.Catalog, err = consulemulator.Serve("127.0.0.1:0", consulemulator.Policy{CriticalAfter: s.Catalog.CriticalAfter, DeregisterAfter: s.Catalog.DeregisterAfter}, c.Clock, opt.Recorder)
 	if err != nil {
 		c.engine.Stop()
 		return nil, err
 	}
-	c.Catalogue.With(func(st *consulemulator.Store, _ time.Duration) { st.SetLag(s.Catalogue.Lag) })
+	c.Catalog.With(func(st *consulemulator.Store, _ time.Duration) { st.SetLag(s.Catalog.Lag) })
 	if err := c.start(); err != nil {
 		c.Stop()
 		return nil, err
@@ -89,9 +100,9 @@
 	return c, nil
 }
 
-func (c *Scene) start() error {
-	set := *c.Script.Settings
-	set.ServiceDiscovery.Address = c.Catalogue.Address()
+func (c *Cluster) start() error {
+	set := *c.Scenario.Settings
+	set.ServiceDiscovery.Address = c.Catalog.Address()
 	set.Placers = append([]settings.Placer(nil), set.Placers...)
 	for i := range set.Placers {
 		// All is in this process: any free port will do, and two scenes can stand side by side.
@@ -106,16 +117,16 @@
 	}
 	c.Settings = &set
 	c.placers = make([]atomic.Pointer[placer.Server], len(set.Placers))
-	c.lives = make([]int, len(set.Placers))
+	c.incarnations = make([]int, len(set.Placers))
 	c.stores = make([]*store.Store, len(set.Placers))
-	if c.Script.Durable {
+	if c.Scenario.Durable {
 		var err error
 		if c.folder, err = os.MkdirTemp("", "forkhead-scene-"); err != nil {
 			return err
 		}
 	}
-	for gi := range c.Script.Hosts {
-		g := &c.Script.Hosts[gi]
+	for gi := range c.Scenario.HostGroups {
+		g := &c.Scenario.HostGroups[gi]
 		for i := range g.Count {
 			if err := c.addHost(g, fmt.Sprintf("%s%d", g.Prefix, i), fmt.Sprintf("%s-r%d", g.Zone, i%g.Racks)); err != nil {
 				return err
@@ -150,28 +161,28 @@
 }
 
 // HostConfig is what a host of a group is.
-func HostConfig(s *scenario.Script, g *scenario.Group, name, rack string) hostmodel.Config {
-	kind := s.Settings.Module.MachineTypes[settings.Index(s.Settings.Kinds, g.Kind)]
+func HostConfig(s *scenario.Scenario, g *scenario.HostGroup, name, rack string) hostmodel.Config {
+	kind := s.Settings.Module.MachineTypes[settings.Index(s.Settings.Kinds, g.MachineType)]
 	m := &s.Settings.Module
-	cfg := hostmodel.DefaultConfig(name, g.Kind, g.Zone, rack, kind.Cores, kind.Memory)
+	cfg := hostmodel.DefaultConfig(name, g.MachineType, g.Zone, rack, kind.Cores, kind.Memory)
 	cfg.Labels = g.Labels
 	cfg.CoresOvercommit, cfg.MemoryOvercommit, cfg.Preemption = m.CoresOvercommit, m.MemoryOvercommit, m.Preemption
 	h := &s.Host
-	cfg.DecisionTime, cfg.MaxQueued, cfg.MaxStarting, cfg.StartTime, cfg.UncachedStartFactor, cfg.MaxCachedPrograms = h.Look, h.Line, h.Starts, h.Start, h.Absent, h.Keep
-	cfg.MeanUsage, cfg.UsageSwing, cfg.NoteInterval = h.Use, h.Swing, h.Notes
+	cfg.DecisionTime, cfg.MaxQueued, cfg.MaxStarting, cfg.StartTime, cfg.UncachedStartFactor, cfg.MaxCachedPrograms = h.DecisionTime, h.MaxQueued, h.MaxStarting, h.StartTime, h.UncachedStartFactor, h.MaxCachedPrograms
+	cfg.MeanUsage, cfg.UsageSwing, cfg.NoteInterval = h.MeanUsage, h.UsageSwing, h.NoteInterval
 	cfg.SlowStartDuration, cfg.SlowStartInitialRate, cfg.SlowStartWindow, cfg.SlowStartMaxOffers, cfg.SlowStartOverload = m.SlowStartDuration, m.SlowStartInitialRate, m.SlowStartWindow, m.SlowStartMaxOffers, m.SlowStartOverload
 	return cfg
 }
 
-func (c *Scene) addHost(g *scenario.Group, name, rack string) error {
+func (c *Cluster) addHost(g *scenario.HostGroup, name, rack string) error {
 	address, err := free("tcp")
 	if err != nil {
 		return err
 	}
 	h, err := host.Start(host.Config{
-		Host: HostConfig(c.Script, g, name, rack), Listen: address, Catalogue: c.Settings.ServiceDiscovery.Address,
-		Service: c.Settings.ServiceDiscovery.Service, Refresh: c.Script.Host.Refresh, Seed: uint64(c.Script.Seed)<<16 + uint64(len(c.Hosts)),
-		Cold: g.Cold, Clock: c.Clock, Engine: c.engine, Log: c.Log,
+		Host: HostConfig(c.Scenario, g, name, rack), Listen: address, CatalogAddress: c.Settings.ServiceDiscovery.Address,
+		Service: c.Settings.ServiceDiscovery.Service, RegistrationInterval: c.Scenario.Host.RegistrationInterval, Seed: uint64(c.Scenario.Seed)<<16 + uint64(len(c.Hosts)),
+		WarmingUp: g.WarmingUp, Clock: c.Clock, Engine: c.engine, Recorder: c.Recorder,
 	})
 	if err != nil {
 		return err
@@ -181,20 +192,20 @@
 }
 
 // StartPlacer begins a life of a placer.
-func (c *Scene) StartPlacer(i int) error {
+func (c *Cluster) StartPlacer(i int) error {
 	c.starting.Lock()
 	defer c.starting.Unlock()
 	if c.placers[i].Load() != nil {
 		return nil // it lives: of two troubles that overlapped only one had killed it
 	}
 	set := c.Settings.For(i)
-	c.lives[i]++
+	c.incarnations[i]++
 	cfg := placer.Config{
-		Settings: set, Clock: c.Clock, Log: c.log, Seed: uint64(c.Script.Seed)<<8 + uint64(i) + uint64(c.lives[i])<<32,
+		Settings: set, Clock: c.Clock, Log: c.log, Seed: uint64(c.Scenario.Seed)<<8 + uint64(i) + uint64(c.incarnations[i])<<32,
 		Epoch:      uint64(c.Clock.Now().Microseconds()),
-		DropGossip: func(int) bool { return rand.Uint64N(1000) < c.Loss.Load() },
+		DropGossip: func(int) bool { return rand.Uint64N(1000) < c.GossipLossPerMille.Load() },
 	}
-	if c.Script.Durable {
+	if c.Scenario.Durable {
 		st, kept, err := store.Open(store.Options{Path: filepath.Join(c.folder, fmt.Sprintf("placer-%d.db", i))})
 		if err != nil {
 			return err
@@ -203,11 +214,11 @@
 		cfg.Epoch = max(cfg.Epoch, kept.Epoch+1)
 		c.stores[i] = st
 	}
-	if c.Log != nil {
+	if c.Recorder != nil {
 		cfg.OnStep = c.tap(i, cfg.Seed, cfg.Epoch)
 	}
-	if c.breaker != nil {
-		cfg.Decide = c.breaker(set.Module)
+	if c.newModule != nil {
+		cfg.Decide = c.newModule(set.Module)
 	}
 	var p *placer.Server
 	var err error
@@ -220,33 +231,33 @@
 	if err != nil {
 		return fmt.Errorf("placer %d: %w", i, err)
 	}
-	c.Log.Add(capture.Event{At: c.Clock.Now(), Type: capture.PlacerUp, Placer: i, PlacerEpoch: p.Epoch()})
+	c.Recorder.Add(capture.Event{At: c.Clock.Now(), Type: capture.PlacerUp, Placer: i, PlacerEpoch: p.Epoch()})
 	c.placers[i].Store(p)
 	return nil
 }
 
-// MostTape bounds the tape of one life of a placer, in bytes as it is kept.
-const MostTape = 64 << 20
+// maxRecordingBytes bounds the recorded steps of one incarnation of a placer, compressed.
+const maxRecordingBytes = 64 << 20
 
-// Life is the tape of one life of a placer.
-type Life struct {
-	Placer, Life int // Life counts from 1
+// Recording holds the recorded steps of one incarnation of a placer.
+type Recording struct {
+	Placer, Incarnation int // Incarnation counts from 1
 	*replay.Writer
 }
 
 // tap notes what crosses a placer's own sockets, and keeps its tape where Keep says so.
-func (c *Scene) tap(placer int, seed, epoch uint64) func(now, due time.Duration, in []core.Input, out []core.Output) {
+func (c *Cluster) tap(placer int, seed, epoch uint64) func(now, due time.Duration, in []core.Input, out []core.Output) {
 	base := capture.Event{AtPlacer: true, Placer: placer, PlacerEpoch: epoch}
 	var w *replay.Writer
-	if c.Keep {
-		w = replay.NewWriter(replay.Head{Durable: c.Script.Durable, File: c.Script.File, Script: c.Script.Text, Placer: placer, Seed: seed, Epoch: epoch}, MostTape)
+	if c.recordSteps {
+		w = replay.NewWriter(replay.Head{Durable: c.Scenario.Durable, File: c.Scenario.File, Script: c.Scenario.Text, Placer: placer, Seed: seed, Epoch: epoch}, maxRecordingBytes)
 		c.mu.Lock()
-		c.tapes = append(c.tapes, Life{Placer: placer, Life: c.lives[placer], Writer: w})
+		c.recordings = append(c.recordings, Recording{Placer: placer, Incarnation: c.incarnations[placer], Writer: w})
 		c.mu.Unlock()
 	}
 	return func(now, due time.Duration, in []core.Input, out []core.Output) {
 		for _, e := range replay.Events(base, now, due, in, out) {
-			c.Log.Add(e)
+			c.Recorder.Add(e)
 		}
 		if w != nil {
 			// A tape that is cut short says so when it is ended.
@@ -255,17 +266,17 @@
 	}
 }
 
-// Tapes returns the tapes that were kept. The placers must have stopped.
-func (c *Scene) Tapes() []Life { return c.tapes }
+// Recordings returns the recorded steps of the placers. All placers must have stopped.
+func (c *Cluster) Recordings() []Recording { return c.recordings }
 
 // Placer returns a placer, or nil while it is down.
-func (c *Scene) Placer(i int) *placer.Server { return c.placers[i].Load() }
+func (c *Cluster) Placer(i int) *placer.Server { return c.placers[i].Load() }
 
-// Placers is how many there are.
-func (c *Scene) Placers() int { return len(c.placers) }
+// PlacerCount is how many there are.
+func (c *Cluster) PlacerCount() int { return len(c.placers) }
 
 // KillPlacer ends a placer's life as kill -9 would.
-func (c *Scene) KillPlacer(i int) {
+func (c *Cluster) KillPlacer(i int) {
 	c.starting.Lock()
 	defer c.starting.Unlock()
 	p := c.placers[i].Swap(nil)
@@ -279,14 +290,14 @@
 		if err := st.CloseWithoutFlush(); err != nil {
 			c.log.Error().Err(err).Msg("a store does not close")
 		}
-		c.Commits.Add(uint64(st.Commits))
+		c.StoreCommits.Add(uint64(st.Commits))
 		c.stores[i] = nil
 	}
-	c.Log.Add(capture.Event{At: c.Clock.Now(), Type: capture.PlacerDown, Placer: i, PlacerEpoch: p.Epoch()})
+	c.Recorder.Add(capture.Event{At: c.Clock.Now(), Type: capture.PlacerDown, Placer: i, PlacerEpoch: p.Epoch()})
 }
 
 // keep adds a life's counts to those of lives that are over.
-func (c *Scene) keep(p *placer.Server) {
+func (c *Cluster) keep(p *placer.Server) {
 	st := p.Status()
 	c.vetoes.Add(st.Vetoes)
 	c.defects.Add(st.Defects)
@@ -294,7 +305,7 @@
 }
 
 // Totals counts vetoes, defects and offers over all lives of all placers.
-func (c *Scene) Totals() (vetoes, defects, offers uint64) {
+func (c *Cluster) Totals() (vetoes, defects, offers uint64) {
 	vetoes, defects, offers = c.vetoes.Load(), c.defects.Load(), c.offers.Load()
 	for i := range c.placers {
 		if p := c.placers[i].Load(); p != nil {
@@ -305,8 +316,8 @@
 	return vetoes, defects, offers
 }
 
-// Ready waits until every placer has a connection to every host that is up.
-func (c *Scene) Ready(most time.Duration) error {
+// WaitReady waits until every placer has a connection to every host that is up.
+func (c *Cluster) WaitReady(most time.Duration) error {
 	for end := time.Now().Add(most); ; time.Sleep(5 * time.Millisecond) {
 		good := true
 		for i := range c.placers {
@@ -325,7 +336,7 @@
 }
 
 // Stop takes everything down.
-func (c *Scene) Stop() {
+func (c *Cluster) Stop() {
 	for i := range c.placers {
 		if p := c.placers[i].Swap(nil); p != nil {
 			p.Close()
@@ -335,7 +346,7 @@
 			if err := st.Close(); err != nil {
 				c.log.Error().Err(err).Msg("a store does not close")
 			}
-			c.Commits.Add(uint64(st.Commits))
+			c.StoreCommits.Add(uint64(st.Commits))
 		}
 	}
 	if c.folder != "" {
@@ -344,6 +355,6 @@
 	for _, h := range c.Hosts {
 		h.Stop()
 	}
-	c.Catalogue.Stop()
+	c.Catalog.Stop()
 	c.engine.Stop()
 }
--- a/internal/verify/testcluster/path_test.go
+++ b/internal/verify/testcluster/path_test.go
@@ -41,12 +41,12 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	sc, err := testcluster.Start(s, nil, zerolog.Nop(), nil, false)
+	sc, err := testcluster.Start(s, testcluster.Options{Log: zerolog.Nop()})
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer sc.Stop()
-	if err := sc.Ready(20 * time.Second); err != nil {
+	if err := sc.WaitReady(20 * time.Second); err != nil {
 		b.Fatal(err)
 	}
 	at := "http://" + sc.Settings.Placers[0].HTTP + "/v1/submissions"
