--- a/internal/cli/chaos_replay.go
+++ b/internal/cli/chaos_replay.go
@@ -23,7 +23,7 @@
 		return badInput(fmt.Errorf("%s: %w", name, err))
 	}
 	host := p.Script.Host
-	v := rules.Check(append(places, p.Events...), rules.FactsOf(p.Script.Settings, float64(host.MaxStarting)/host.StartTime.Seconds()))
+	v := rules.Check(append(places, p.Events...), rules.ConfigFromSettings(p.Script.Settings, float64(host.MaxStarting)/host.StartTime.Seconds()))
 	counts := map[string]int{}
 	for rule := invariant.OneAnswer; rule <= invariant.Spread; rule++ {
 		counts[rule.String()] = v.Counts[rule]
--- a/internal/parse/compose/compose_test.go
+++ b/internal/parse/compose/compose_test.go
@@ -241,7 +241,7 @@
 }
 
 // The page and the parser go by one table.
-func TestTableOnPage(t *testing.T) { doccheck.Holds(t, "docs/compose.md", Table()) }
+func TestTableOnPage(t *testing.T) { doccheck.Contains(t, "docs/compose.md", Table()) }
 
 func FuzzParse(f *testing.F) {
 	f.Add("services: {a: {image: '${A:-b}', deploy: {replicas: 2}}}")
--- a/internal/scheduler/statetable/statetable_test.go
+++ b/internal/scheduler/statetable/statetable_test.go
@@ -17,7 +17,7 @@
 		"hostconn":    hostconn.Table,
 		"hostsession": hostsession.Table,
 	} {
-		t.Run(name, func(t *testing.T) { doccheck.Holds(t, "docs/design/attempts.md", table()) })
+		t.Run(name, func(t *testing.T) { doccheck.Contains(t, "docs/design/attempts.md", table()) })
 	}
 }
 
--- a/internal/verify/chaos/golden_test.go
+++ b/internal/verify/chaos/golden_test.go
@@ -15,7 +15,7 @@
 	result := Result{
 		Rules: map[string]int{"drain": 1}, Vetoes: 2, Defects: 3, Tasks: 4, Outcomes: map[string]int{"placed": 5}, Submissions: 6, RejectedSubmissions: 7,
 		ResentSubmissions: 8, Offers: 9, RejectedOffers: 10, HostIncarnations: 11, Faults: 12, Events: 13, P50MS: 14.5, P99MS: 15.5, Seconds: 16.5, StoreCommits: 17,
-		Accounts: rules.Accounts{Told: 18, Dead: 19, Cut: 20, NotDue: 21, Forgotten: 22},
+		Accounts: rules.Accounts{Answered: 18, PlacerDied: 19, Disconnected: 20, NotDue: 21, Unanswered: 22},
 	}
 	text, err := json.Marshal(&result)
 	if err != nil {
--- a/internal/verify/chaos/run.go
+++ b/internal/verify/chaos/run.go
@@ -151,12 +151,12 @@
 		return nil, fmt.Errorf("the day has more than %d events: a record with a hole proves nothing", mostEvents)
 	}
 	pace := float64(s.Host.MaxStarting) / s.Host.StartTime.Seconds()
-	facts := rules.FactsOf(s.Settings, pace)
+	facts := rules.ConfigFromSettings(s.Settings, pace)
 	facts.Durable = s.Durable
 	v := rules.Check(events, facts)
 	r := &Result{
 		Rules: map[string]int{}, Vetoes: vetoes, Defects: defects, Tasks: v.Tasks, Outcomes: v.Outcomes, Submissions: int(p.subs.Load()),
-		RejectedSubmissions: int(p.away.Load()), ResentSubmissions: int(p.resent.Load()), Offers: v.Offers, RejectedOffers: v.Refused, HostIncarnations: v.Lives,
+		RejectedSubmissions: int(p.away.Load()), ResentSubmissions: int(p.resent.Load()), Offers: v.Offers, RejectedOffers: v.Rejected, HostIncarnations: v.HostIncarnations,
 		Accounts: v.Accounts, StoreCommits: c.StoreCommits.Load(), Recordings: c.Recordings(), Faults: len(s.Faults), Events: len(events), Seconds: time.Since(p.start).Seconds(), Captured: events, Verdict: v,
 		P50MS: float64(p.tracks.v.ValueAtQuantile(50)) / 1000, P99MS: float64(p.tracks.v.ValueAtQuantile(99)) / 1000,
 	}
@@ -338,7 +338,7 @@
 	fmt.Fprintf(w, "placed after %.1f ms (median), %.1f ms (99 in 100)\n", r.P50MS, r.P99MS)
 	a := &r.Accounts
 	fmt.Fprintf(w, "of the tasks %d were told an outcome, %d lost their placer before it was due, %d were cut off and not asked for again, "+
-		"%d were not due yet, %d forgotten\n", a.Told, a.Dead, a.Cut, a.NotDue, a.Forgotten)
+		"%d were not due yet, %d forgotten\n", a.Answered, a.PlacerDied, a.Disconnected, a.NotDue, a.Unanswered)
 	for rule := invariant.OneAnswer; rule <= invariant.Spread; rule++ {
 		fmt.Fprintf(w, "rule %-10s %d breaches\n", rule, r.Rules[rule.String()])
 	}
--- a/internal/verify/doccheck/page.go
+++ b/internal/verify/doccheck/doccheck.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Holds fails the test unless a page, named from the repository's root, holds each of the texts.
-func Holds(t testing.TB, name string, texts ...string) {
+// Contains fails the test unless a page, named from the repository's root, holds each of the texts.
+func Contains(t testing.TB, name string, texts ...string) {
 	t.Helper()
 	root, err := os.Getwd()
 	for ; err == nil; root = filepath.Dir(root) {
--- a/internal/verify/modelcheck/explore_test.go
+++ b/internal/verify/modelcheck/explore_test.go
@@ -92,10 +92,10 @@
 // The page says what is searched for in the words of the code.
 func TestPropertiesOnPage(t *testing.T) {
 	for _, p := range Properties {
-		doccheck.Holds(t, "docs/design/attempts.md", "| "+p.Name+" | "+p.Text+" |")
+		doccheck.Contains(t, "docs/design/attempts.md", "| "+p.Name+" | "+p.Text+" |")
 	}
 	for _, p := range Plants {
-		doccheck.Holds(t, "docs/design/attempts.md", "`"+p.Name+"`")
+		doccheck.Contains(t, "docs/design/attempts.md", "`"+p.Name+"`")
 	}
 }
 
--- a/internal/verify/rules/golden_test.go
+++ b/internal/verify/rules/golden_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	facts := FactsOf(s.Settings, float64(s.Host.MaxStarting)/s.Host.StartTime.Seconds())
+	facts := ConfigFromSettings(s.Settings, float64(s.Host.MaxStarting)/s.Host.StartTime.Seconds())
 	facts.Durable = s.Durable
 	v := Check(events, facts)
 	for _, kind := range []core.OutcomeKind{core.OutcomePlaced, core.OutcomeRejected, core.OutcomeFailed} {
@@ -92,8 +92,8 @@
 		"tasks":      {v.Tasks, want.Result["tasks"]},
 		"outcomes":   {v.Outcomes, want.Result["outcomes"]},
 		"offers":     {v.Offers, want.Result["offers"]},
-		"refused":    {v.Refused, want.Result["refused"]},
-		"host_lives": {v.Lives, want.Result["host_lives"]},
+		"refused":    {v.Rejected, want.Result["refused"]},
+		"host_lives": {v.HostIncarnations, want.Result["host_lives"]},
 		"accounts":   {v.Accounts, want.Result["accounts"]},
 	} {
 		got, err := json.Marshal(c.got)
--- a/internal/verify/rules/near.go
+++ b/internal/verify/rules/placerview.go
@@ -153,7 +153,7 @@
 		s.hostLife = n.host(e.Host).life
 		n.bound(s)
 	case capture.Accepted, capture.Running:
-		if s != nil && (e.Type == capture.Running || !n.c.f.Running) {
+		if s != nil && (e.Type == capture.Running || !n.c.f.BoundWhenRunning) {
 			n.bound(s)
 		}
 	case capture.Refused:
@@ -279,7 +279,7 @@
 	}
 	h := n.host(e.Host)
 	for _, since := range []time.Duration{h.away, h.drains} {
-		if since >= 0 && e.At > since+c.f.Grace {
+		if since >= 0 && e.At > since+c.f.DrainGrace {
 			c.breach(invariant.Drain, e.At, "placer %d sent %s to %s %v after it had read that the host drains or is gone",
 				e.Placer, e.Name, e.Host, (e.At - since).Round(time.Millisecond))
 		}
@@ -289,7 +289,7 @@
 		if o == s || o.stand == neverRan || o.stand == isOver {
 			continue
 		}
-		if o.stand == isOut && !c.f.Parallel {
+		if o.stand == isOut && !c.f.ParallelAttempts {
 			c.breach(invariant.NoRepeat, e.At, "placer %d sent %s to %s while its attempt at %s was out", e.Placer, e.Name, e.Host, o.ref.host)
 			continue
 		}
@@ -299,25 +299,25 @@
 		switch {
 		case class.Effect == forkhead.Unsafe:
 			c.breach(invariant.NoRepeat, e.At, "placer %d sent %s, unsafe, to %s while its attempt at %s may have run", e.Placer, e.Name, e.Host, o.ref.host)
-		case class.Effect == forkhead.Keyed && !c.same(class.Group, o.ref.host, e.Host):
+		case class.Effect == forkhead.Keyed && !c.same(class.DedupDomain, o.ref.host, e.Host):
 			c.breach(invariant.NoRepeat, e.At, "placer %d sent %s, keyed, to %s, outside the group of %s where it may have run", e.Placer, e.Name, e.Host, o.ref.host)
 		}
 	}
-	if class.Effect == forkhead.Keyed && first >= 0 && e.At > first+class.Window {
+	if class.Effect == forkhead.Keyed && first >= 0 && e.At > first+class.DedupWindow {
 		c.breach(invariant.NoRepeat, e.At, "placer %d sent %s, keyed, to %s %v after it may have run", e.Placer, e.Name, e.Host, e.At-first)
 	}
-	if class.Spread == forkhead.AnyDomain {
+	if class.SpreadDomain == forkhead.AnyDomain {
 		return
 	}
 	count := 0
 	for _, o := range n.bySvc[s.service] {
-		if c.same(class.Spread, o.ref.host, e.Host) && n.counts(o, e.At) {
+		if c.same(class.SpreadDomain, o.ref.host, e.Host) && n.counts(o, e.At) {
 			count++
 		}
 	}
-	if count > class.Most {
+	if count > class.MaxPerDomain {
 		c.breach(invariant.Spread, e.At, "placer %d sent %s to %s as number %d of its service in one %v, of at most %d",
-			e.Placer, e.Name, e.Host, count, placeNames[class.Spread], class.Most)
+			e.Placer, e.Name, e.Host, count, placeNames[class.SpreadDomain], class.MaxPerDomain)
 	}
 }
 
--- a/internal/verify/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -15,44 +15,44 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// Facts are the figures of the rules.
-type Facts struct {
-	Classes    map[string]Class
-	Durable    bool          // placers keep what they have taken over their death: it excuses nothing
-	Parallel   bool          // two attempts of one ask may be out
-	Running    bool          // a task is bound when it runs, not when it is accepted
-	Grace      time.Duration // of a drain
-	LostAfter  time.Duration // a placer counts tasks of a host that is out of reach for so long
-	OwnerWait  time.Duration // after a placer's death, until its tasks may come again
-	ColdFor    time.Duration
-	ColdFrom   float64
-	ColdWindow time.Duration
-	ColdOffers float64 // in a window, always borne
-	ColdPace   float64 // starts a second of a warm host
-	Multiple   float64
-	Transit    time.Duration // the record's own error: what is sent at one end is noted at another by then
-	Late       time.Duration // and an outcome is read by its client
+// Config are the figures of the rules.
+type Config struct {
+	Classes              map[string]Class
+	Durable              bool          // placers keep what they have taken over their death: it excuses nothing
+	ParallelAttempts     bool          // two attempts of one ask may be out
+	BoundWhenRunning     bool          // a task is bound when it runs, not when it is accepted
+	DrainGrace           time.Duration // of a drain
+	LostAfter            time.Duration // a placer counts tasks of a host that is out of reach for so long
+	OwnerBackoff         time.Duration // after a placer's death, until its tasks may come again
+	SlowStartDuration    time.Duration
+	SlowStartInitialRate float64
+	SlowStartWindow      time.Duration
+	SlowStartMaxOffers   float64 // in a window, always borne
+	WarmStartRate        float64 // starts a second of a warm host
+	SlowStartOverload    float64
+	MaxTransit           time.Duration // the record's own error: what is sent at one end is noted at another by then
+	MaxOutcomeDelay      time.Duration // and an outcome is read by its client
 }
 
 // Class is what the rules need of a class.
 type Class struct {
-	Effect forkhead.Effect
-	Group  forkhead.Domain
-	Window time.Duration
-	Spread forkhead.Domain
-	Most   int
+	Effect       forkhead.Effect
+	DedupDomain  forkhead.Domain
+	DedupWindow  time.Duration
+	SpreadDomain forkhead.Domain
+	MaxPerDomain int
 }
 
-// FactsOf takes the figures from settings. pace is a warm host's starts a second.
-func FactsOf(s *settings.Settings, pace float64) Facts {
+// ConfigFromSettings takes the figures from settings. pace is a warm host's starts a second.
+func ConfigFromSettings(s *settings.Settings, pace float64) Config {
 	m := &s.Module
-	f := Facts{
-		Classes: map[string]Class{}, Parallel: m.ParallelAttempts, Running: m.BoundWhenRunning, Grace: m.DrainGrace, LostAfter: s.Links.LostAfter,
-		OwnerWait: m.OwnerBackoff, ColdFor: m.SlowStartDuration, ColdFrom: m.SlowStartInitialRate, ColdWindow: m.SlowStartWindow, ColdOffers: m.SlowStartMaxOffers,
-		ColdPace: pace, Multiple: m.SlowStartOverload, Transit: 200 * time.Millisecond, Late: time.Second,
+	f := Config{
+		Classes: map[string]Class{}, ParallelAttempts: m.ParallelAttempts, BoundWhenRunning: m.BoundWhenRunning, DrainGrace: m.DrainGrace, LostAfter: s.Links.LostAfter,
+		OwnerBackoff: m.OwnerBackoff, SlowStartDuration: m.SlowStartDuration, SlowStartInitialRate: m.SlowStartInitialRate, SlowStartWindow: m.SlowStartWindow, SlowStartMaxOffers: m.SlowStartMaxOffers,
+		WarmStartRate: pace, SlowStartOverload: m.SlowStartOverload, MaxTransit: 200 * time.Millisecond, MaxOutcomeDelay: time.Second,
 	}
 	for i, c := range m.Classes {
-		f.Classes[s.Classes[i].Name] = Class{Effect: c.Effect, Group: c.DedupDomain, Window: c.DedupWindow, Spread: c.SpreadDomain, Most: c.MaxPerDomain}
+		f.Classes[s.Classes[i].Name] = Class{Effect: c.Effect, DedupDomain: c.DedupDomain, DedupWindow: c.DedupWindow, SpreadDomain: c.SpreadDomain, MaxPerDomain: c.MaxPerDomain}
 	}
 	return f
 }
@@ -66,14 +66,14 @@
 
 // Verdict is what the record says.
 type Verdict struct {
-	Counts   [invariant.RuleCount]int
-	Breaches []Breach // the first of them
-	Tasks    int      // tasks of which an outcome was owed
-	Accounts Accounts
-	Outcomes map[string]int
-	Offers   int
-	Refused  int
-	Lives    int // of hosts
+	Counts           [invariant.RuleCount]int
+	Breaches         []Breach // the first of them
+	Tasks            int      // tasks of which an outcome was owed
+	Accounts         Accounts
+	Outcomes         map[string]int
+	Offers           int
+	Rejected         int
+	HostIncarnations int // of hosts
 }
 
 const mostBreaches = 50
@@ -122,7 +122,7 @@
 }
 
 type checker struct {
-	f      Facts
+	f      Config
 	v      Verdict
 	events []capture.Event
 	ours   []capture.Event // noted at placers' own ends
@@ -137,7 +137,7 @@
 }
 
 // Check judges a record.
-func Check(events []capture.Event, f Facts) Verdict {
+func Check(events []capture.Event, f Config) Verdict {
 	c := &checker{
 		f: f, events: slices.Clone(events), places: map[string]place{}, tries: map[ref]*try{}, byKey: map[uint64][]*try{},
 		bySvc: map[uint64][]*try{}, held: map[ref][]capture.Event{}, deaths: map[int][]capture.Event{}, ups: map[int][]time.Duration{},
@@ -185,7 +185,7 @@
 		e := &c.events[i]
 		switch e.Type {
 		case capture.HostUp:
-			c.v.Lives++
+			c.v.HostIncarnations++
 			c.places[e.Host] = place{e.Zone, e.Rack}
 			open[e.Host] = map[ref]*try{}
 		case capture.HostDown:
@@ -225,11 +225,11 @@
 				first(&t.withdraw, e.At)
 				continue
 			case capture.Refused:
-				c.v.Refused++
+				c.v.Rejected++
 				first(&t.never, e.At)
 			case capture.Accepted, capture.Running:
 				first(&t.accepted, e.At)
-				if e.Type == capture.Running || !c.f.Running {
+				if e.Type == capture.Running || !c.f.BoundWhenRunning {
 					first(&t.bound, e.At)
 				}
 			case capture.Ended:
@@ -263,15 +263,17 @@
 
 // Accounts say what became of each task that was submitted. Their sum is the tasks.
 type Accounts struct {
-	Told      int `json:"told"`        // its client read an outcome
-	Dead      int `json:"placer_dead"` // its placer died before the outcome was due
-	Cut       int `json:"cut"`         // its client's stream broke and the client did not ask again
-	NotDue    int `json:"not_due"`     // the record ends before the outcome was due
-	Forgotten int `json:"forgotten"`   // none of these: a breach
+	Answered     int `json:"told"`        // its client read an outcome
+	PlacerDied   int `json:"placer_dead"` // its placer died before the outcome was due
+	Disconnected int `json:"cut"`         // its client's stream broke and the client did not ask again
+	NotDue       int `json:"not_due"`     // the record ends before the outcome was due
+	Unanswered   int `json:"forgotten"`   // none of these: a breach
 }
 
 // Sum is the tasks that are accounted for.
-func (a *Accounts) Sum() int { return a.Told + a.Dead + a.Cut + a.NotDue + a.Forgotten }
+func (a *Accounts) Sum() int {
+	return a.Answered + a.PlacerDied + a.Disconnected + a.NotDue + a.Unanswered
+}
 
 // answers checks that each task of each submission was told exactly one outcome, in time.
 func (c *checker) answers() {
@@ -329,7 +331,7 @@
 			since = max(since, s.near+e.Took)
 		}
 		// A process that stood still meanwhile carried nothing: for how long, its placers' late steps say.
-		if late := e.At - since; late > c.f.Late && late-stood(since, e.At) > c.f.Late && !cut {
+		if late := e.At - since; late > c.f.MaxOutcomeDelay && late-stood(since, e.At) > c.f.MaxOutcomeDelay && !cut {
 			c.breach(invariant.OneAnswer, e.At, "%s of submission %s was told %v after its owner gave up", e.Name, e.Submission, late.Round(time.Millisecond))
 		}
 		// By the placer's clock there is no way to be late but a step that ran late.
@@ -339,7 +341,7 @@
 	}
 	for _, s := range order {
 		missing := s.count - len(s.told)
-		c.v.Accounts.Told += min(s.count, len(s.told))
+		c.v.Accounts.Answered += min(s.count, len(s.told))
 		if missing < 0 {
 			c.breach(invariant.OneAnswer, end, "submission %s of %d tasks was told %d outcomes", s.name, s.count, len(s.told))
 			continue
@@ -354,13 +356,13 @@
 		case dead:
 			// What a placer held when it was killed is its client's to send again. A death after the
 			// outcome was due excuses nothing.
-			c.v.Accounts.Dead += missing
+			c.v.Accounts.PlacerDied += missing
 		case s.cut > s.again:
-			c.v.Accounts.Cut += missing
-		case end <= due+c.f.Late:
+			c.v.Accounts.Disconnected += missing
+		case end <= due+c.f.MaxOutcomeDelay:
 			c.v.Accounts.NotDue += missing
 		default:
-			c.v.Accounts.Forgotten += missing
+			c.v.Accounts.Unanswered += missing
 			c.breach(invariant.OneAnswer, end, "%d of %d tasks of submission %s were never told an outcome", missing, s.count, s.name)
 		}
 	}
@@ -430,7 +432,7 @@
 			c.breach(invariant.NoRepeat, t.at, "%s is of class %q, which is unknown", t.name, t.class)
 			continue
 		}
-		slack := t.at + c.f.Transit
+		slack := t.at + c.f.MaxTransit
 		var first *try
 		for _, o := range c.byKey[t.key] {
 			if o == t || o.at > t.at || o.at == t.at && o.attempt >= t.attempt {
@@ -446,7 +448,7 @@
 				continue // judged by what its placer knew
 			}
 			// Out: unanswered on a connection that stands, and not withdrawn.
-			if !c.f.Parallel && !by(o.answered, t.at) && !by(o.withdraw, slack) && !by(o.gone, slack) && o.placer == t.placer {
+			if !c.f.ParallelAttempts && !by(o.answered, t.at) && !by(o.withdraw, slack) && !by(o.gone, slack) && o.placer == t.placer {
 				c.breach(invariant.NoRepeat, t.at, "%s was offered to %s while its attempt at %s was out", t.name, t.host, o.host)
 				continue
 			}
@@ -457,9 +459,9 @@
 			case forkhead.Unsafe:
 				c.breach(invariant.NoRepeat, t.at, "%s, unsafe, was offered to %s while its attempt at %s may have run", t.name, t.host, o.host)
 			case forkhead.Keyed:
-				if !c.same(class.Group, o.host, t.host) {
+				if !c.same(class.DedupDomain, o.host, t.host) {
 					c.breach(invariant.NoRepeat, t.at, "%s, keyed, was offered to %s, outside the group of %s where it may have run", t.name, t.host, o.host)
-				} else if t.at > first.at+class.Window+c.f.Transit {
+				} else if t.at > first.at+class.DedupWindow+c.f.MaxTransit {
 					c.breach(invariant.NoRepeat, t.at, "%s, keyed, was offered to %s %v after it may have run at %s", t.name, t.host, t.at-first.at, first.host)
 				}
 			}
@@ -473,7 +475,7 @@
 	for _, d := range c.deaths[o.placer] {
 		// A host on a stalled machine may read an offer when its placer is dead already: the life that
 		// sent it counts, not the moment at which it was read.
-		if (d.At >= o.at || d.PlacerEpoch != 0 && d.PlacerEpoch == o.placerEpoch) && d.At+c.f.OwnerWait <= t.at+c.f.Transit {
+		if (d.At >= o.at || d.PlacerEpoch != 0 && d.PlacerEpoch == o.placerEpoch) && d.At+c.f.OwnerBackoff <= t.at+c.f.MaxTransit {
 			return true
 		}
 	}
@@ -553,7 +555,7 @@
 		case capture.Offer:
 			p := pair{e.Placer, e.Host}
 			for _, since := range []map[pair]time.Duration{notReady, drains} {
-				if at, ok := since[p]; ok && e.At > at+c.f.Grace+c.f.Transit && !c.tries[refOf(e)].near {
+				if at, ok := since[p]; ok && e.At > at+c.f.DrainGrace+c.f.MaxTransit && !c.tries[refOf(e)].near {
 					c.breach(invariant.Drain, e.At, "placer %d offered %s to %s %v after it was told that the host drains or is gone",
 						e.Placer, e.Name, e.Host, (e.At - at).Round(time.Millisecond))
 				}
@@ -579,14 +581,14 @@
 		case capture.Offer:
 			u, ok := up[e.Host]
 			age := e.At - u.At
-			if !ok || !u.WarmingUp || age >= c.f.ColdFor {
+			if !ok || !u.WarmingUp || age >= c.f.SlowStartDuration {
 				continue
 			}
-			keep := slices.DeleteFunc(append(recent[e.Host], e.At), func(at time.Duration) bool { return at <= e.At-c.f.ColdWindow })
+			keep := slices.DeleteFunc(append(recent[e.Host], e.At), func(at time.Duration) bool { return at <= e.At-c.f.SlowStartWindow })
 			recent[e.Host] = keep
-			pace := c.f.ColdPace * (c.f.ColdFrom + (1-c.f.ColdFrom)*float64(age)/float64(c.f.ColdFor))
-			if bears := max(c.f.ColdOffers, c.f.Multiple*pace*c.f.ColdWindow.Seconds()); float64(len(keep)) > bears {
-				c.breach(invariant.SlowStart, e.At, "host %s, up for %v, was offered %d tasks within %v; it bears %.0f", e.Host, age.Round(time.Millisecond), len(keep), c.f.ColdWindow, bears)
+			pace := c.f.WarmStartRate * (c.f.SlowStartInitialRate + (1-c.f.SlowStartInitialRate)*float64(age)/float64(c.f.SlowStartDuration))
+			if bears := max(c.f.SlowStartMaxOffers, c.f.SlowStartOverload*pace*c.f.SlowStartWindow.Seconds()); float64(len(keep)) > bears {
+				c.breach(invariant.SlowStart, e.At, "host %s, up for %v, was offered %d tasks within %v; it bears %.0f", e.Host, age.Round(time.Millisecond), len(keep), c.f.SlowStartWindow, bears)
 			}
 		}
 	}
@@ -598,20 +600,20 @@
 func (c *checker) spread() {
 	for _, t := range c.order {
 		class := c.f.Classes[t.class]
-		if class.Spread == forkhead.AnyDomain || t.near {
+		if class.SpreadDomain == forkhead.AnyDomain || t.near {
 			continue
 		}
 		n := 1
 		for _, o := range c.bySvc[t.service] {
-			if o == t || o.placer != t.placer || o.at > t.at || !c.same(class.Spread, o.host, t.host) {
+			if o == t || o.placer != t.placer || o.at > t.at || !c.same(class.SpreadDomain, o.host, t.host) {
 				continue
 			}
 			if c.counts(o, t) {
 				n++
 			}
 		}
-		if n > class.Most {
-			c.breach(invariant.Spread, t.at, "%s was offered to %s as number %d of its service in one %v, of at most %d", t.name, t.host, n, placeNames[class.Spread], class.Most)
+		if n > class.MaxPerDomain {
+			c.breach(invariant.Spread, t.at, "%s was offered to %s as number %d of its service in one %v, of at most %d", t.name, t.host, n, placeNames[class.SpreadDomain], class.MaxPerDomain)
 		}
 	}
 }
@@ -620,7 +622,7 @@
 
 // counts says whether the placer of t still has the attempt o when it offers t.
 func (c *checker) counts(o, t *try) bool {
-	slack := t.at + c.f.Transit
+	slack := t.at + c.f.MaxTransit
 	if by(o.never, slack) || by(o.over, slack) || by(o.died, slack) || by(o.withdraw, slack) {
 		return false
 	}
@@ -628,7 +630,7 @@
 		if by(o.gone, slack) {
 			// An attempt whose reply broke off is answered (reset) and counts no more; so is one whose
 			// word that it is bound was still on its way. A bound one counts until it is lost.
-			told := by(o.bound, o.gone-c.f.Transit)
+			told := by(o.bound, o.gone-c.f.MaxTransit)
 			return told && !by(o.gone+c.f.LostAfter, slack)
 		}
 		return true
@@ -637,7 +639,7 @@
 	// was there to be told is not named, and its end is told to nobody: to count it for ever was a
 	// false breach of this checker.
 	for _, h := range c.held[o.ref] {
-		if h.Placer == t.placer && h.PlacerEpoch == t.epoch && h.At+c.f.Transit <= t.at {
+		if h.Placer == t.placer && h.PlacerEpoch == t.epoch && h.At+c.f.MaxTransit <= t.at {
 			return true
 		}
 	}
--- a/internal/verify/rules/rules_test.go
+++ b/internal/verify/rules/rules_test.go
@@ -9,15 +9,15 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-func facts() Facts {
-	return Facts{
+func facts() Config {
+	return Config{
 		Classes: map[string]Class{
-			"safe": {}, "unsafe": {Effect: forkhead.Unsafe}, "spread": {Spread: forkhead.CellDomain, Most: 1},
-			"keyed":  {Effect: forkhead.Keyed, Window: 5 * time.Second},
-			"racked": {Effect: forkhead.Keyed, Group: forkhead.CellDomain, Window: 5 * time.Second},
+			"safe": {}, "unsafe": {Effect: forkhead.Unsafe}, "spread": {SpreadDomain: forkhead.CellDomain, MaxPerDomain: 1},
+			"keyed":  {Effect: forkhead.Keyed, DedupWindow: 5 * time.Second},
+			"racked": {Effect: forkhead.Keyed, DedupDomain: forkhead.CellDomain, DedupWindow: 5 * time.Second},
 		},
-		Grace: 250 * time.Millisecond, LostAfter: 2 * time.Second, OwnerWait: 3 * time.Second, ColdFor: 5 * time.Second, ColdFrom: 0.2,
-		ColdWindow: time.Second, ColdOffers: 3, ColdPace: 1, Multiple: 2, Transit: 100 * time.Millisecond, Late: time.Second,
+		DrainGrace: 250 * time.Millisecond, LostAfter: 2 * time.Second, OwnerBackoff: 3 * time.Second, SlowStartDuration: 5 * time.Second, SlowStartInitialRate: 0.2,
+		SlowStartWindow: time.Second, SlowStartMaxOffers: 3, WarmStartRate: 1, SlowStartOverload: 2, MaxTransit: 100 * time.Millisecond, MaxOutcomeDelay: time.Second,
 	}
 }
 
@@ -134,15 +134,15 @@
 		events []capture.Event
 		want   Accounts
 	}{
-		"died before it was due": {[]capture.Event{submit("s", 1), told("s", ms), kill(time.Second, 1), end}, Accounts{Told: 1, Dead: 1}},
-		"died when it was over":  {[]capture.Event{submit("s", 1), told("s", ms), kill(1011*ms, 1), end}, Accounts{Told: 1, Forgotten: 1}},
-		"another placer's death": {[]capture.Event{submit("s", 1), told("s", ms), kill(50*ms, 2), end}, Accounts{Told: 1, Forgotten: 1}},
-		"cut off, not asked for": {[]capture.Event{submit("cut", 1), told("cut", ms), cut, end}, Accounts{Told: 1, Cut: 1}},
-		"cut off, and asked for": {[]capture.Event{submit("cut", 1), told("cut", ms), cut, {At: 40 * ms, Type: capture.Submit, Submission: "cut"}, end}, Accounts{Told: 1, Forgotten: 1}},
-		"not due yet":            {[]capture.Event{submit("s", 1), told("s", ms)}, Accounts{Told: 1, NotDue: 1}},
+		"died before it was due": {[]capture.Event{submit("s", 1), told("s", ms), kill(time.Second, 1), end}, Accounts{Answered: 1, PlacerDied: 1}},
+		"died when it was over":  {[]capture.Event{submit("s", 1), told("s", ms), kill(1011*ms, 1), end}, Accounts{Answered: 1, Unanswered: 1}},
+		"another placer's death": {[]capture.Event{submit("s", 1), told("s", ms), kill(50*ms, 2), end}, Accounts{Answered: 1, Unanswered: 1}},
+		"cut off, not asked for": {[]capture.Event{submit("cut", 1), told("cut", ms), cut, end}, Accounts{Answered: 1, Disconnected: 1}},
+		"cut off, and asked for": {[]capture.Event{submit("cut", 1), told("cut", ms), cut, {At: 40 * ms, Type: capture.Submit, Submission: "cut"}, end}, Accounts{Answered: 1, Unanswered: 1}},
+		"not due yet":            {[]capture.Event{submit("s", 1), told("s", ms)}, Accounts{Answered: 1, NotDue: 1}},
 	} {
 		v := Check(c.events, facts())
-		if v.Accounts != c.want || v.Accounts.Sum() != v.Tasks || (v.Counts[invariant.OneAnswer] > 0) != (c.want.Forgotten > 0) {
+		if v.Accounts != c.want || v.Accounts.Sum() != v.Tasks || (v.Counts[invariant.OneAnswer] > 0) != (c.want.Unanswered > 0) {
 			t.Errorf("%s: %+v, want %+v; %v", name, v.Accounts, c.want, v.Breaches)
 		}
 	}
--- a/internal/verify/simulation/sim.go
+++ b/internal/verify/simulation/sim.go
@@ -298,7 +298,7 @@
 		cfg := &s.Hosts[name].Config
 		events = append(events, capture.Event{Type: capture.HostUp, Host: name, Zone: cfg.Zone, Rack: cfg.Rack})
 	}
-	return rules.Check(append(events, s.Record...), rules.FactsOf(s.Settings, 0))
+	return rules.Check(append(events, s.Record...), rules.ConfigFromSettings(s.Settings, 0))
 }
 
 func (s *Sim) carry(c *core.Core, o core.Output) {
