--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			q := &plan.Question{Settings: s, Move: move, Home: home, Cross: cross}
+			q := &plan.Problem{Settings: s, MigrationCost: move, HomeZone: home, OutsideHomeCost: cross}
 			text, err := file(hosts, `the fleet as {"hosts":[{"id":...}]}`)
 			if err != nil {
 				return err
@@ -61,7 +61,7 @@
 			if err != nil {
 				return err
 			}
-			q.What = []*servicespec.Description{d}
+			q.Specs = []*servicespec.Description{d}
 			end := time.Now().Add(limit)
 			p, err := plan.Solve(q, solver.Options{Stop: func() bool { return time.Now().After(end) || cmd.Context().Err() != nil }})
 			if err != nil {
@@ -97,14 +97,14 @@
 		if err := w.Flush(); err != nil {
 			return err
 		}
-		for _, m := range p.Moves {
+		for _, m := range p.Migrations {
 			fmt.Fprintf(a.out, "move %s/%d from %s to %s\n", m.Service, m.Replica, m.From, m.To)
 		}
 		gap := 0.0
 		if p.Cost > 0 {
-			gap = float64(p.Cost-p.Bound) / float64(p.Cost) * 100
+			gap = float64(p.Cost-p.LowerBound) / float64(p.Cost) * 100
 		}
-		fmt.Fprintf(a.out, "%d hosts in use, cost %d, bound %d, gap %.2f%%, proven: %v\n", p.Hosts, p.Cost, p.Bound, gap, p.Optimal)
+		fmt.Fprintf(a.out, "%d hosts in use, cost %d, bound %d, gap %.2f%%, proven: %v\n", p.HostsInUse, p.Cost, p.LowerBound, gap, p.Optimal)
 	} else if p.Optimal {
 		fmt.Fprintf(a.out, "no placement exists. These cannot be met together, and could without any one of them:\n  %s\n", strings.Join(p.Conflict, "\n  "))
 	} else {
--- a/internal/planning/plan/plan.go
+++ b/internal/planning/plan/plan.go
@@ -20,16 +20,16 @@
 
 // Host is a host of a plan.
 type Host struct {
-	ID     string                           `json:"id"`
-	Kind   string                           `json:"kind"`
-	Zone   string                           `json:"zone"`
-	Rack   string                           `json:"rack"`
-	Cores  float64                          `json:"cores"`
-	Memory float64                          `json:"memory"` // GiB
-	Cost   int64                            `json:"cost"`
-	State  string                           `json:"state"` // ready (or ""), cold, draining, gone
-	Labels map[string]string                `json:"labels"`
-	Attrs  map[servicespec.Attribute]string `json:"-"`
+	ID          string                           `json:"id"`
+	MachineType string                           `json:"kind"`
+	Zone        string                           `json:"zone"`
+	Rack        string                           `json:"rack"`
+	Cores       float64                          `json:"cores"`
+	Memory      float64                          `json:"memory"` // GiB
+	Cost        int64                            `json:"cost"`
+	State       string                           `json:"state"` // ready (or ""), cold, draining, gone
+	Labels      map[string]string                `json:"labels"`
+	Attributes  map[servicespec.Attribute]string `json:"-"`
 }
 
 // Running is a task that runs.
@@ -51,16 +51,16 @@
 	Feasible    bool         `json:"feasible"`
 	Optimal     bool         `json:"optimal"`
 	Cost        int64        `json:"cost"`
-	Bound       int64        `json:"bound"`
+	LowerBound  int64        `json:"bound"`
 	Assignments []Assignment `json:"assignments"`
-	Moves       []Move       `json:"moves,omitempty"`
+	Migrations  []Migration  `json:"moves,omitempty"`
 	Conflict    []string     `json:"conflict"`
-	Hosts       int          `json:"hosts_in_use"`
+	HostsInUse  int          `json:"hosts_in_use"`
 	Nodes       int          `json:"nodes"`
 }
 
-// Move is a running task that the plan has elsewhere.
-type Move struct {
+// Migration is a running task that the plan has elsewhere.
+type Migration struct {
 	Service string `json:"service"`
 	Replica int    `json:"replica"`
 	From    string `json:"from"`
@@ -114,11 +114,11 @@
 			errs.Add(diagnostic.Wantf(pos, "ready, cold, draining or gone", "host %s has state %q", h.ID, h.State))
 		}
 		seen[h.ID] = true
-		h.Attrs = map[servicespec.Attribute]string{
-			"id": h.ID, "hostname": h.ID, "role": "worker", "label.kind": h.Kind, "label.zone": h.Zone, "label.rack": h.Rack,
+		h.Attributes = map[servicespec.Attribute]string{
+			"id": h.ID, "hostname": h.ID, "role": "worker", "label.kind": h.MachineType, "label.zone": h.Zone, "label.rack": h.Rack,
 		}
 		for k, v := range h.Labels {
-			h.Attrs[servicespec.Attribute("label."+k)] = v
+			h.Attributes[servicespec.Attribute("label."+k)] = v
 		}
 	}
 	if large > 1 {
@@ -136,15 +136,15 @@
 	return in.Running, err
 }
 
-// Question is a fleet, descriptions and what runs.
-type Question struct {
-	Settings *settings.Settings
-	Hosts    []Host
-	What     []*servicespec.Description
-	Running  []Running
-	Move     int64  // cost of a move
-	Home     string // a zone; "": none
-	Cross    int64  // cost of a task outside it
+// Problem is a fleet, descriptions and what runs.
+type Problem struct {
+	Settings        *settings.Settings
+	Hosts           []Host
+	Specs           []*servicespec.Description
+	Running         []Running
+	MigrationCost   int64  // cost of a move
+	HomeZone        string // a zone; "": none
+	OutsideHomeCost int64  // cost of a task outside it
 }
 
 // item is a service of the question.
@@ -158,21 +158,21 @@
 
 // Instance makes the solver's question. Amounts of tasks are rounded up and of hosts down, to
 // thousandths of a core and MiB, so that what fits there fits.
-func (q *Question) instance() (*solver.Instance, []item, error) {
-	in := &solver.Instance{Move: q.Move}
+func (q *Problem) instance() (*solver.Instance, []item, error) {
+	in := &solver.Instance{MigrationCost: q.MigrationCost}
 	at := map[string]int{}
 	m := &q.Settings.Module
 	for i, h := range q.Hosts {
 		at[h.ID] = i
 		in.Hosts = append(in.Hosts, solver.Host{
-			ID: h.ID, Zone: h.Zone, Rack: h.Rack, Cost: h.Cost, Closed: h.State == "draining" || h.State == "gone",
+			ID: h.ID, Zone: h.Zone, Rack: h.Rack, Cost: h.Cost, Unschedulable: h.State == "draining" || h.State == "gone",
 			Cores: int64(math.Floor(h.Cores*m.CoresOvercommit*1000 + 1e-6)), Memory: int64(math.Floor(h.Memory*m.MemoryOvercommit*1024 + 1e-6)),
 		})
 	}
-	in.Home, in.Cross = q.Home, q.Cross
+	in.HomeZone, in.OutsideHomeCost = q.HomeZone, q.OutsideHomeCost
 	var items []item
 	first := 0 // of the services of the description in hand
-	for _, d := range q.What {
+	for _, d := range q.Specs {
 		first = len(items)
 		for si := range d.Services {
 			spec := &d.Services[si]
@@ -192,18 +192,18 @@
 			may, all := make([]bool, len(q.Hosts)), true
 			for hi := range q.Hosts {
 				h := &q.Hosts[hi]
-				may[hi] = it.kind == "" || h.Kind == it.kind
+				may[hi] = it.kind == "" || h.MachineType == it.kind
 				for ci := range spec.Constraints {
 					c := &spec.Constraints[ci]
-					may[hi] = may[hi] && (h.Attrs[c.Attribute] == c.Value) != c.Not
+					may[hi] = may[hi] && (h.Attributes[c.Attribute] == c.Value) != c.Not
 				}
 				all = all && may[hi]
-				if may[hi] && !in.Hosts[hi].Closed {
+				if may[hi] && !in.Hosts[hi].Unschedulable {
 					fits++
 				}
 			}
 			if !all {
-				s.May = may
+				s.Allowed = may
 			}
 			if spec.Mode.Each() {
 				s.Count = fits
@@ -211,7 +211,7 @@
 			for _, n := range spec.Near {
 				for oi := range d.Services {
 					if d.Services[oi].Name == n.Service {
-						s.Near = append(s.Near, solver.Near{Service: first + oi, Place: nearPlaces[n.Place]})
+						s.Affinities = append(s.Affinities, solver.Affinity{Service: first + oi, Domain: nearPlaces[n.Place]})
 					}
 				}
 			}
@@ -222,7 +222,7 @@
 				limit(&s, [...]string{"", "machine", "rack", "zone"}[it.class.SpreadDomain], it.class.MaxPerDomain)
 			}
 			if q.Running != nil {
-				s.Runs = make([]int, len(q.Hosts))
+				s.Running = make([]int, len(q.Hosts))
 			}
 			for _, r := range q.Running {
 				if r.Service != spec.Name {
@@ -234,7 +234,7 @@
 				}
 				if r.Replica >= 1 && r.Replica <= s.Count {
 					it.runs[r.Replica] = hi
-					s.Runs[hi]++
+					s.Running[hi]++
 				}
 			}
 			in.Services, items = append(in.Services, s), append(items, it)
@@ -243,17 +243,17 @@
 	return in, items, nil
 }
 
-var nearPlaces = map[string]solver.Place{"machine": solver.OnHost, "rack": solver.InRack, "zone": solver.InZone}
+var nearPlaces = map[string]solver.Domain{"machine": solver.HostDomain, "rack": solver.RackDomain, "zone": solver.ZoneDomain}
 
 func limit(s *solver.Service, place string, most int) {
-	to := map[string]*int{"machine": &s.Machine, "rack": &s.Rack, "zone": &s.Zone}[place]
+	to := map[string]*int{"machine": &s.MaxPerHost, "rack": &s.MaxPerRack, "zone": &s.MaxPerZone}[place]
 	if *to == 0 || most < *to {
 		*to = most
 	}
 }
 
 // Solve answers a question.
-func Solve(q *Question, opt solver.Options) (*Plan, error) {
+func Solve(q *Problem, opt solver.Options) (*Plan, error) {
 	in, items, err := q.instance()
 	if err != nil {
 		return nil, err
@@ -262,11 +262,11 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Plan{Feasible: a.Feasible, Optimal: a.Optimal, Cost: a.Cost, Bound: a.Bound, Assignments: []Assignment{}, Conflict: []string{}, Nodes: a.Nodes}
+	p := &Plan{Feasible: a.Feasible, Optimal: a.Optimal, Cost: a.Cost, LowerBound: a.LowerBound, Assignments: []Assignment{}, Conflict: []string{}, Nodes: a.Nodes}
 	if !a.Feasible {
-		p.Cost, p.Bound = 0, 0
+		p.Cost, p.LowerBound = 0, 0
 		if a.Optimal {
-			parts, _ := solver.Conflict(in, opt)
+			parts, _ := solver.FindConflict(in, opt)
 			p.Conflict = q.words(in, items, parts)
 		}
 		return p, nil
@@ -279,12 +279,12 @@
 	for si, it := range items {
 		p.assign(q, &it, a.Counts[si], used)
 	}
-	p.Hosts = len(used)
+	p.HostsInUse = len(used)
 	return p, nil
 }
 
 // assign gives the replicas of a service their hosts: those that run where the plan has one stay.
-func (p *Plan) assign(q *Question, it *item, counts []int, used map[int]bool) {
+func (p *Plan) assign(q *Problem, it *item, counts []int, used map[int]bool) {
 	left := slices.Clone(counts)
 	n := 0
 	for hi, c := range counts {
@@ -310,7 +310,7 @@
 			where[r] = next
 			left[next]--
 			if from, ok := it.runs[r]; ok {
-				p.Moves = append(p.Moves, Move{it.name, r, q.Hosts[from].ID, q.Hosts[next].ID})
+				p.Migrations = append(p.Migrations, Migration{it.name, r, q.Hosts[from].ID, q.Hosts[next].ID})
 			}
 		}
 		p.Assignments = append(p.Assignments, Assignment{it.name, r, q.Hosts[where[r]].ID})
@@ -318,17 +318,17 @@
 }
 
 // words tells a conflict in the descriptions' terms.
-func (q *Question) words(in *solver.Instance, items []item, parts []solver.Part) []string {
+func (q *Problem) words(in *solver.Instance, items []item, parts []solver.Requirement) []string {
 	out := []string{}
 	var open, cores, memory int64
 	for _, h := range in.Hosts {
-		if !h.Closed {
+		if !h.Unschedulable {
 			open, cores, memory = open+1, cores+h.Cores, memory+h.Memory
 		}
 	}
 	for _, p := range parts {
-		if p.Service < 0 {
-			if p.What == "cores" {
+		if p.Service == solver.FleetWide {
+			if p.Kind == solver.RequireCores {
 				out = append(out, fmt.Sprintf("the cores of the %d hosts that are open (%.4g in all)", open, float64(cores)/1000))
 			} else {
 				out = append(out, fmt.Sprintf("the memory of the %d hosts that are open (%.4g GiB in all)", open, float64(memory)/1024))
@@ -337,19 +337,19 @@
 		}
 		s, it := &in.Services[p.Service], &items[p.Service]
 		pos := it.spec.Pos
-		switch p.What {
-		case "tasks":
+		switch p.Kind {
+		case solver.RequireTasks:
 			out = append(out, fmt.Sprintf("%s: service %s asks for %d tasks of %.4g cores and %.4g GiB", pos, s.Name, s.Count, float64(s.Cores)/1000, float64(s.Memory)/1024))
-		case "machine":
-			out = append(out, fmt.Sprintf("%s: at most %d of %s on one host", q.limitPos(it, "machine"), s.Machine, s.Name))
-		case "rack":
-			out = append(out, fmt.Sprintf("%s: at most %d of %s in one rack", q.limitPos(it, "rack"), s.Rack, s.Name))
-		case "zone":
-			out = append(out, fmt.Sprintf("%s: at most %d of %s in one zone", q.limitPos(it, "zone"), s.Zone, s.Name))
-		case "near":
+		case solver.RequireMaxPerHost:
+			out = append(out, fmt.Sprintf("%s: at most %d of %s on one host", q.limitPos(it, "machine"), s.MaxPerHost, s.Name))
+		case solver.RequireMaxPerRack:
+			out = append(out, fmt.Sprintf("%s: at most %d of %s in one rack", q.limitPos(it, "rack"), s.MaxPerRack, s.Name))
+		case solver.RequireMaxPerZone:
+			out = append(out, fmt.Sprintf("%s: at most %d of %s in one zone", q.limitPos(it, "zone"), s.MaxPerZone, s.Name))
+		case solver.RequireAffinity:
 			n := it.spec.Near[0]
 			out = append(out, fmt.Sprintf("%s: %s has to be near %s, in one %s", n.Pos, s.Name, n.Service, n.Place))
-		case "may":
+		case solver.RequireAllowedHosts:
 			var why []string
 			if it.kind != "" {
 				why = append(why, "kind "+it.kind)
@@ -365,7 +365,7 @@
 }
 
 // limitPos is where a limit stands: in the description, or with its service where its class says it.
-func (q *Question) limitPos(it *item, place string) diagnostic.Pos {
+func (q *Problem) limitPos(it *item, place string) diagnostic.Pos {
 	for _, l := range it.spec.Limits {
 		if l.Place == place {
 			return l.Pos
--- a/internal/planning/plan/plan_test.go
+++ b/internal/planning/plan/plan_test.go
@@ -15,7 +15,7 @@
 	"forkhead/internal/verify/simulation"
 )
 
-func question(t testing.TB, hosts string) *Question {
+func question(t testing.TB, hosts string) *Problem {
 	t.Helper()
 	s, err := settings.Read("s", []byte(`(forkhead (kind k (cores 4) (memory 8GiB)) (kind big (cores 8) (memory 16GiB))
 	  (class c) (class b (kind big)) (class r (spread rack 2)))`))
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Question{Settings: s, Hosts: h, Move: 1}
+	return &Problem{Settings: s, Hosts: h, MigrationCost: 1}
 }
 
 const fleet = `{"hosts":[{"id":"a","kind":"k","rack":"r","cores":4,"memory":8,"cost":4},{"id":"b","kind":"k","rack":"r","cores":4,"memory":8,"cost":4},
@@ -38,15 +38,15 @@
 
 func TestPlan(t *testing.T) {
 	q := question(t, fleet)
-	q.What = []*servicespec.Description{{Services: []servicespec.Service{service("x", "c", 4, 2), service("y", "b", 1, 1)}}}
+	q.Specs = []*servicespec.Description{{Services: []servicespec.Service{service("x", "c", 4, 2), service("y", "b", 1, 1)}}}
 	p, err := Solve(q, solver.Options{})
-	if err != nil || !p.Feasible || p.Cost != 9+4 || p.Hosts != 2 || len(p.Assignments) != 5 {
+	if err != nil || !p.Feasible || p.Cost != 9+4 || p.HostsInUse != 2 || len(p.Assignments) != 5 {
 		t.Fatalf("%+v, %v", p, err)
 	}
 	// What runs where the plan would as well have it stays; what has to go is told as a move.
 	q.Running = []Running{{"x", 1, "a"}, {"x", 2, "b"}, {"y", 1, "d"}}
 	p, err = Solve(q, solver.Options{})
-	if err != nil || len(p.Moves) != 2 || p.Moves[1] != (Move{"y", 1, "d", "c"}) {
+	if err != nil || len(p.Migrations) != 2 || p.Migrations[1] != (Migration{"y", 1, "d", "c"}) {
 		t.Fatalf("%+v, %v", p, err)
 	}
 }
@@ -65,7 +65,7 @@
 			[]string{"x asks for 1", "x runs only on hosts with label.disk == tape"}},
 	} {
 		q := question(t, fleet)
-		q.What = []*servicespec.Description{{Services: c.what}}
+		q.Specs = []*servicespec.Description{{Services: c.what}}
 		p, err := Solve(q, solver.Options{})
 		if err != nil || p.Feasible || !p.Optimal || len(p.Conflict) != len(c.want) {
 			t.Errorf("%s: %+v, %v", name, p, err)
@@ -99,7 +99,7 @@
 func distance(t testing.TB, hosts int, load float64, seed uint64) (used, best, unplaced int) {
 	set := simulation.Settings(t, "")
 	s := simulation.New(t, set, 0)
-	q := &Question{Settings: set}
+	q := &Problem{Settings: set}
 	cores := 0.0
 	for i := range hosts {
 		kind, c, m := "small", 8., 16.
@@ -109,7 +109,7 @@
 		cfg := hostmodel.DefaultConfig(fmt.Sprint("n", i), kind, "a", fmt.Sprint("r", i/4), c, m)
 		cfg.UsageSwing, cfg.NoteInterval, cfg.MeanUsage = 0, 0, 0.7
 		s.AddHost(cfg)
-		q.Hosts = append(q.Hosts, Host{ID: cfg.Name, Kind: kind, Zone: "a", Rack: cfg.Rack, Cores: c, Memory: m, Cost: 1})
+		q.Hosts = append(q.Hosts, Host{ID: cfg.Name, MachineType: kind, Zone: "a", Rack: cfg.Rack, Cores: c, Memory: m, Cost: 1})
 		cores += c
 	}
 	s.List()
@@ -134,13 +134,13 @@
 			unplaced++
 		}
 	}
-	q.What = []*servicespec.Description{s.Parse(text)}
+	q.Specs = []*servicespec.Description{s.Parse(text)}
 	end := time.Now().Add(5 * time.Second)
 	p, err := Solve(q, solver.Options{Stop: func() bool { return time.Now().After(end) }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return len(on), p.Hosts, unplaced
+	return len(on), p.HostsInUse, unplaced
 }
 
 // BenchmarkDistance tells how far the module's placements are from the least hosts in use.
--- a/internal/planning/solver/bounds.go
+++ b/internal/planning/solver/bounds.go
@@ -11,7 +11,7 @@
 	for hi, h := range s.in.Hosts {
 		// Room that not even the smallest task of what is left fits into is waste: this decides
 		// instances that are exactly at capacity.
-		if !h.Closed && s.free[hi] >= s.leastC[from] && s.freeMem[hi] >= s.leastM[from] {
+		if !h.Unschedulable && s.free[hi] >= s.leastC[from] && s.freeMem[hi] >= s.leastM[from] {
 			cores, memory = cores+s.free[hi], memory+s.freeMem[hi]
 		}
 	}
@@ -26,7 +26,7 @@
 		if k == from {
 			need -= placed
 		}
-		if s.opt.Flaw == "propagation" && k > from {
+		if s.opt.InjectedBug == BugInPropagation && k > from {
 			need++
 		}
 		if !s.reach(k, need) {
@@ -43,7 +43,7 @@
 		return true
 	}
 	v := &s.svc[k]
-	if v.Rack == 0 && v.Zone == 0 {
+	if v.MaxPerRack == 0 && v.MaxPerZone == 0 {
 		for hi := range s.in.Hosts {
 			if need -= s.room(k, hi); need <= 0 {
 				return true
@@ -70,8 +70,8 @@
 		}
 	} else {
 		for r, n := range racks {
-			if v.Rack > 0 {
-				n = min(n, v.Rack-s.racks[k][r])
+			if v.MaxPerRack > 0 {
+				n = min(n, v.MaxPerRack-s.racks[k][r])
 			}
 			if seen[r] {
 				zones[zoneOfRack[r]] += n
@@ -79,8 +79,8 @@
 		}
 	}
 	for z, n := range zones {
-		if v.Zone > 0 {
-			n = min(n, v.Zone-s.zones[k][z])
+		if v.MaxPerZone > 0 {
+			n = min(n, v.MaxPerZone-s.zones[k][z])
 		}
 		if need -= n; need <= 0 {
 			return true
@@ -99,7 +99,7 @@
 	for g := range s.groups {
 		extra = max(extra, s.need(&s.groups[g], from, placed))
 	}
-	if s.opt.Flaw == "bound" {
+	if s.opt.InjectedBug == BugInBound {
 		if extra > 0 {
 			extra++
 		}
@@ -130,7 +130,7 @@
 		needC, needM = needC+n*s.svc[k].Cores, needM+n*s.svc[k].Memory
 	}
 	for hi, h := range s.in.Hosts {
-		if g.in[hi] && !h.Closed && (s.held[hi] > 0 || h.Used) {
+		if g.in[hi] && !h.Unschedulable && (s.held[hi] > 0 || h.InUse) {
 			needC, needM = needC-s.free[hi], needM-s.freeMem[hi]
 		}
 	}
@@ -155,7 +155,7 @@
 	total := int64(0)
 	for _, hi := range g.byCost[k] {
 		h := &s.in.Hosts[hi]
-		if h.Closed || h.Used || s.held[hi] > 0 {
+		if h.Unschedulable || h.InUse || s.held[hi] > 0 {
 			continue
 		}
 		v := gain(h)
@@ -199,13 +199,13 @@
 
 func (s *search) better(k, a, b int) int {
 	use := func(hi int) int {
-		if s.held[hi] > 0 || s.in.Hosts[hi].Used {
+		if s.held[hi] > 0 || s.in.Hosts[hi].InUse {
 			return 0
 		}
 		return 1
 	}
 	stay := func(hi int) int {
-		if v := &s.svc[k]; v.Runs != nil && s.counts[k][hi] < v.Runs[hi] {
+		if v := &s.svc[k]; v.Running != nil && s.counts[k][hi] < v.Running[hi] {
 			return 0
 		}
 		return 1
--- a/internal/planning/solver/conflict.go
+++ b/internal/planning/solver/conflict.go
@@ -2,88 +2,125 @@
 
 import "slices"
 
-// Part is something that an instance asks for and that can be left out to see whether an answer
-// exists without it.
-type Part struct {
-	Service int    // by place; -1: of the hosts
-	What    string // tasks, machine, rack, zone, may, near, cores, memory
+// RequirementKind says what a Requirement asks for.
+type RequirementKind string
+
+// The kinds of requirements. RequireCores and RequireMemory are of the whole fleet, the others of one service.
+const (
+	RequireTasks        RequirementKind = "tasks"    // Service.Count
+	RequireMaxPerHost   RequirementKind = "machine"  // Service.MaxPerHost
+	RequireMaxPerRack   RequirementKind = "rack"     // Service.MaxPerRack
+	RequireMaxPerZone   RequirementKind = "zone"     // Service.MaxPerZone
+	RequireAllowedHosts RequirementKind = "allowed"  // Service.Allowed
+	RequireAffinity     RequirementKind = "affinity" // Service.Affinities
+	RequireCores        RequirementKind = "cores"    // Host.Cores
+	RequireMemory       RequirementKind = "memory"   // Host.Memory
+)
+
+// FleetWide as the service of a Requirement means the hosts of the fleet.
+const FleetWide = -1
+
+// Requirement is something that an instance asks for and that can be left out to see whether a placement exists
+// without it.
+type Requirement struct {
+	Service int // index into Instance.Services, or FleetWide
+	Kind    RequirementKind
 }
 
-// Conflict returns a set of parts that together cannot be met, of which none can be left out: a
-// deletion-minimal one. ok is false if the instance was not proven to have no answer, or the budget
-// of nodes did not suffice to make the set minimal.
-func Conflict(in *Instance, opt Options) (parts []Part, ok bool) {
-	without := map[Part]bool{}
-	none := func() bool {
-		a, err := Solve(in.without(without), opt)
-		return err == nil && a.Optimal && !a.Feasible
+// FindConflict returns an irreducible infeasible subset of an instance's requirements: together they cannot be met, and
+// without any one of them they could. It is found by a deletion filter, which solves the instance once for each
+// requirement. ok is false if the instance was not proven infeasible, or if there was no time to reduce the subset.
+func FindConflict(in *Instance, opt Options) (conflict []Requirement, ok bool) {
+	removed := map[Requirement]bool{}
+	infeasible := func() bool {
+		result, err := Solve(in.without(removed), opt)
+		return err == nil && result.Optimal && !result.Feasible
 	}
-	if !none() {
+	if !infeasible() {
 		return nil, false
 	}
-	var all []Part
-	for i := range in.Services { // whole services first: they take their limits with them
-		all = append(all, Part{i, "tasks"})
-	}
-	all = append(all, Part{-1, "memory"}, Part{-1, "cores"})
-	for i, s := range in.Services {
-		for _, l := range []struct {
-			on   bool
-			what string
-		}{{s.Machine > 0, "machine"}, {s.Rack > 0, "rack"}, {s.Zone > 0, "zone"}, {s.May != nil, "may"}, {len(s.Near) > 0, "near"}} {
-			if l.on {
-				all = append(all, Part{i, l.what})
-			}
-		}
-	}
-	for _, p := range all {
-		if p.Service >= 0 && without[Part{p.Service, "tasks"}] {
+	for _, r := range in.requirements() {
+		if r.Service != FleetWide && removed[Requirement{r.Service, RequireTasks}] {
 			continue // it went with its service
 		}
-		without[p] = true
-		if !none() {
-			without[p] = false
-			parts = append(parts, p)
+		removed[r] = true
+		if !infeasible() {
+			removed[r] = false
+			conflict = append(conflict, r)
+		}
+	}
+	return conflict, true
+}
+
+// requirements lists all that can be left out of an instance, whole services first: they take their limits with them.
+func (in *Instance) requirements() []Requirement {
+	var all []Requirement
+	for i := range in.Services {
+		all = append(all, Requirement{i, RequireTasks})
+	}
+	all = append(all, Requirement{FleetWide, RequireMemory}, Requirement{FleetWide, RequireCores})
+	for i := range in.Services {
+		s := &in.Services[i]
+		for _, limit := range []struct {
+			isSet bool
+			kind  RequirementKind
+		}{
+			{s.MaxPerHost > 0, RequireMaxPerHost},
+			{s.MaxPerRack > 0, RequireMaxPerRack},
+			{s.MaxPerZone > 0, RequireMaxPerZone},
+			{s.Allowed != nil, RequireAllowedHosts},
+			{len(s.Affinities) > 0, RequireAffinity},
+		} {
+			if limit.isSet {
+				all = append(all, Requirement{i, limit.kind})
+			}
 		}
 	}
-	return parts, true
+	return all
 }
 
-// without returns the instance with some parts left out.
-func (in *Instance) without(parts map[Part]bool) *Instance {
+// without returns a copy of the instance with some requirements left out. Nothing in it has a cost, since only whether a
+// placement exists matters.
+func (in *Instance) without(removed map[Requirement]bool) *Instance {
 	out := &Instance{Hosts: slices.Clone(in.Hosts), Services: slices.Clone(in.Services)}
 	for i := range out.Services {
-		s := &out.Services[i]
-		s.Runs = nil
-		if parts[Part{i, "tasks"}] {
-			s.Count = 0
-		}
-		if parts[Part{i, "machine"}] {
-			s.Machine = 0
-		}
-		if parts[Part{i, "rack"}] {
-			s.Rack = 0
-		}
-		if parts[Part{i, "zone"}] {
-			s.Zone = 0
-		}
-		if parts[Part{i, "may"}] {
-			s.May = nil
-		}
-		if parts[Part{i, "near"}] {
-			s.Near = nil
-		}
-		// Who was near a service that is left out is near nothing of it.
-		s.Near = slices.DeleteFunc(slices.Clone(s.Near), func(n Near) bool { return parts[Part{n.Service, "tasks"}] })
-		if parts[Part{-1, "cores"}] {
-			s.Cores = 0
-		}
-		if parts[Part{-1, "memory"}] {
-			s.Memory = 0
-		}
+		out.Services[i].relax(i, removed)
 	}
 	for i := range out.Hosts {
-		out.Hosts[i].Cost = 0 // only whether there is an answer matters
+		out.Hosts[i].Cost = 0
 	}
 	return out
 }
+
+// relax leaves the removed requirements out of the service of an index.
+func (s *Service) relax(index int, removed map[Requirement]bool) {
+	s.Running = nil
+	if removed[Requirement{index, RequireTasks}] {
+		s.Count = 0
+	}
+	if removed[Requirement{index, RequireMaxPerHost}] {
+		s.MaxPerHost = 0
+	}
+	if removed[Requirement{index, RequireMaxPerRack}] {
+		s.MaxPerRack = 0
+	}
+	if removed[Requirement{index, RequireMaxPerZone}] {
+		s.MaxPerZone = 0
+	}
+	if removed[Requirement{index, RequireAllowedHosts}] {
+		s.Allowed = nil
+	}
+	if removed[Requirement{index, RequireAffinity}] {
+		s.Affinities = nil
+	}
+	// An affinity to a service that is left out goes with that service.
+	s.Affinities = slices.DeleteFunc(slices.Clone(s.Affinities), func(a Affinity) bool {
+		return removed[Requirement{a.Service, RequireTasks}]
+	})
+	if removed[Requirement{FleetWide, RequireCores}] {
+		s.Cores = 0
+	}
+	if removed[Requirement{FleetWide, RequireMemory}] {
+		s.Memory = 0
+	}
+}
--- a/internal/planning/solver/solve.go
+++ b/internal/planning/solver/solver.go
@@ -18,19 +18,28 @@
 
 // Options bound a search.
 type Options struct {
-	Nodes int         // 0: 50 million
-	Stop  func() bool // asked now and then; true: answer with what there is
-	// Flaw plants a bug, to show that the comparison with brute force finds it: "bound" or "propagation".
-	Flaw string
+	MaxNodes int         // 0: 50 million
+	Stop     func() bool // asked now and then; true: answer with what there is
+	// InjectedBug is for tests that show that a comparison with another solver finds bugs.
+	InjectedBug InjectedBug
 }
 
+// InjectedBug is a bug that Solve can be told to have.
+type InjectedBug string
+
+// The bugs.
+const (
+	BugInBound       InjectedBug = "bound"       // the lower bound is too high
+	BugInPropagation InjectedBug = "propagation" // the check of what is still possible counts tasks too many
+)
+
 // Solve answers an instance. The error is for an instance that cannot be read.
-func Solve(in *Instance, opt Options) (*Answer, error) {
+func Solve(in *Instance, opt Options) (*Result, error) {
 	if err := in.Validate(); err != nil {
 		return nil, err
 	}
-	if opt.Nodes == 0 {
-		opt.Nodes = 50_000_000
+	if opt.MaxNodes == 0 {
+		opt.MaxNodes = 50_000_000
 	}
 	own := *in
 	own.Hosts = slices.Clone(in.Hosts)
@@ -42,16 +51,16 @@
 			s.descend(0, 0, 0)
 		}
 	}
-	a := &Answer{Nodes: s.nodes, Bound: root}
+	a := &Result{Nodes: s.nodes, LowerBound: root}
 	if s.best != nil {
 		a.Feasible, a.Cost, a.Counts = true, s.bestCost, s.inOrder(s.best)
 	}
 	switch {
 	case !s.stopped:
 		a.Optimal = true
-		a.Bound = a.Cost
-	case a.Feasible && a.Bound >= a.Cost:
-		a.Optimal, a.Bound = true, a.Cost
+		a.LowerBound = a.Cost
+	case a.Feasible && a.LowerBound >= a.Cost:
+		a.Optimal, a.LowerBound = true, a.Cost
 	}
 	return a, nil
 }
@@ -98,7 +107,7 @@
 	allowed := func(v *Service) int {
 		k := 0
 		for hi := range in.Hosts {
-			if !in.Hosts[hi].Closed && (v.May == nil || v.May[hi]) {
+			if !in.Hosts[hi].Unschedulable && (v.Allowed == nil || v.Allowed[hi]) {
 				k++
 			}
 		}
@@ -131,11 +140,11 @@
 	}
 	for _, i := range s.order {
 		v := in.Services[i]
-		s.places = s.places || v.Rack > 0 || v.Zone > 0 || len(v.Near) > 0 || in.Home != ""
-		v.Near = slices.Clone(v.Near)
-		for n := range v.Near {
-			v.Near[n].Service = at[v.Near[n].Service]
-			s.beside = s.beside || v.Near[n].Place == OnHost
+		s.places = s.places || v.MaxPerRack > 0 || v.MaxPerZone > 0 || len(v.Affinities) > 0 || in.HomeZone != ""
+		v.Affinities = slices.Clone(v.Affinities)
+		for n := range v.Affinities {
+			v.Affinities[n].Service = at[v.Affinities[n].Service]
+			s.beside = s.beside || v.Affinities[n].Domain == HostDomain
 		}
 		s.svc = append(s.svc, v)
 		s.counts = append(s.counts, make([]int, n))
@@ -181,7 +190,7 @@
 	}
 	sets := [][]bool{all}
 	for k := range s.svc {
-		may := s.svc[k].May
+		may := s.svc[k].Allowed
 		if may != nil && !slices.ContainsFunc(sets, func(o []bool) bool { return slices.Equal(o, may) }) && len(sets) < 16 {
 			sets = append(sets, may)
 		}
@@ -196,7 +205,7 @@
 		for k := range s.svc {
 			member := true
 			for hi := range set {
-				if !set[hi] && (s.svc[k].May == nil || s.svc[k].May[hi]) {
+				if !set[hi] && (s.svc[k].Allowed == nil || s.svc[k].Allowed[hi]) {
 					member = false
 					break
 				}
@@ -234,15 +243,15 @@
 func (s *search) classes() {
 	seen := map[string]int{}
 	for hi, h := range s.in.Hosts {
-		key := fmt.Sprint(h.Cores, h.Memory, h.Cost, h.Closed, h.Used)
+		key := fmt.Sprint(h.Cores, h.Memory, h.Cost, h.Unschedulable, h.InUse)
 		if s.places {
 			key += fmt.Sprintf(" %q %q", h.Rack, h.Zone)
 		}
 		for i := range s.svc {
 			v := &s.svc[i]
-			may, runs := v.May == nil || v.May[hi], 0
-			if v.Runs != nil {
-				runs = v.Runs[hi]
+			may, runs := v.Allowed == nil || v.Allowed[hi], 0
+			if v.Running != nil {
+				runs = v.Running[hi]
 			}
 			key += fmt.Sprint(" ", may, runs)
 		}
@@ -264,7 +273,7 @@
 // room is how many more tasks of a service a host takes, by itself.
 func (s *search) room(k, hi int) int {
 	v, h := &s.svc[k], &s.in.Hosts[hi]
-	if h.Closed || v.May != nil && !v.May[hi] {
+	if h.Unschedulable || v.Allowed != nil && !v.Allowed[hi] {
 		return 0
 	}
 	n := v.Count
@@ -274,16 +283,16 @@
 	if v.Memory > 0 {
 		n = min(n, int(min(s.freeMem[hi]/v.Memory, int64(v.Count))))
 	}
-	if v.Machine > 0 {
-		n = min(n, v.Machine-s.counts[k][hi])
+	if v.MaxPerHost > 0 {
+		n = min(n, v.MaxPerHost-s.counts[k][hi])
 	}
-	if v.Rack > 0 {
-		n = min(n, v.Rack-s.racks[k][s.rackOf[hi]])
+	if v.MaxPerRack > 0 {
+		n = min(n, v.MaxPerRack-s.racks[k][s.rackOf[hi]])
 	}
-	if v.Zone > 0 {
-		n = min(n, v.Zone-s.zones[k][s.zoneOf[hi]])
+	if v.MaxPerZone > 0 {
+		n = min(n, v.MaxPerZone-s.zones[k][s.zoneOf[hi]])
 	}
-	for _, near := range v.Near {
+	for _, near := range v.Affinities {
 		// Only once the other is all placed is it known where; until then anywhere may do.
 		if near.Service < s.placing && !s.hasNear(near, hi) {
 			return 0
@@ -292,11 +301,11 @@
 	return max(n, 0)
 }
 
-func (s *search) hasNear(n Near, hi int) bool {
-	switch n.Place {
-	case InRack:
+func (s *search) hasNear(n Affinity, hi int) bool {
+	switch n.Domain {
+	case RackDomain:
 		return s.racks[n.Service][s.rackOf[hi]] > 0
-	case InZone:
+	case ZoneDomain:
 		return s.zones[n.Service][s.zoneOf[hi]] > 0
 	}
 	return s.counts[n.Service][hi] > 0
@@ -311,19 +320,19 @@
 	s.freeMem[hi] -= int64(by) * v.Memory
 	before := s.held[hi]
 	s.held[hi] += by
-	if !s.in.Hosts[hi].Used {
+	if !s.in.Hosts[hi].InUse {
 		if before == 0 && s.held[hi] > 0 {
 			s.cost += s.in.Hosts[hi].Cost
 		} else if before > 0 && s.held[hi] == 0 {
 			s.cost -= s.in.Hosts[hi].Cost
 		}
 	}
-	if s.in.Home != "" && s.in.Hosts[hi].Zone != s.in.Home {
-		s.cost += s.in.Cross * int64(by)
+	if s.in.HomeZone != "" && s.in.Hosts[hi].Zone != s.in.HomeZone {
+		s.cost += s.in.OutsideHomeCost * int64(by)
 	}
-	if v.Runs != nil {
+	if v.Running != nil {
 		now, was := s.counts[k][hi], s.counts[k][hi]-by
-		s.cost += s.in.Move * int64(max(now-v.Runs[hi], 0)-max(was-v.Runs[hi], 0))
+		s.cost += s.in.MigrationCost * int64(max(now-v.Running[hi], 0)-max(was-v.Running[hi], 0))
 	}
 }
 
@@ -381,14 +390,14 @@
 
 // nears says whether any service has to be near another.
 func (s *search) nears() bool {
-	return slices.ContainsFunc(s.svc, func(v Service) bool { return len(v.Near) > 0 })
+	return slices.ContainsFunc(s.svc, func(v Service) bool { return len(v.Affinities) > 0 })
 }
 
 // nearKept says whether all tasks are beside those that they have to be near to: emptying a host
 // may have taken those away.
 func (s *search) nearKept() bool {
 	for k := range s.svc {
-		for _, n := range s.svc[k].Near {
+		for _, n := range s.svc[k].Affinities {
 			for hi, c := range s.counts[k] {
 				if c > 0 && !s.hasNear(n, hi) {
 					return false
@@ -427,7 +436,7 @@
 		again = false
 		for hi := range s.in.Hosts {
 			h := &s.in.Hosts[hi]
-			if s.held[hi] == 0 || h.Used || h.Cost == 0 {
+			if s.held[hi] == 0 || h.InUse || h.Cost == 0 {
 				continue
 			}
 			before := s.cost
@@ -438,9 +447,9 @@
 					s.put(k, hi, -n)
 				}
 			}
-			h.Closed = true
+			h.Unschedulable = true
 			good := s.fill(order) && s.cost < before && s.nearKept()
-			h.Closed = false
+			h.Unschedulable = false
 			if good {
 				again = true
 				continue
@@ -480,7 +489,7 @@
 		s.keep()
 		return
 	}
-	if s.nodes++; s.nodes >= s.opt.Nodes || s.nodes%1024 == 0 && s.opt.Stop != nil && s.opt.Stop() {
+	if s.nodes++; s.nodes >= s.opt.MaxNodes || s.nodes%1024 == 0 && s.opt.Stop != nil && s.opt.Stop() {
 		s.stopped = true
 		return
 	}
--- a/internal/planning/solver/solve_test.go
+++ b/internal/planning/solver/solver_test.go
@@ -14,7 +14,7 @@
 
 func TestHardCases(t *testing.T) {
 	closed := hosts(3, 4, 4, 1)
-	closed[0].Closed, closed[1].Closed = true, true
+	closed[0].Unschedulable, closed[1].Unschedulable = true, true
 	dear := hosts(4, 4, 4, 1) // the cheap rack holds all by room, and only two by its limit
 	dear[2].Cost, dear[3].Cost = 9, 9
 	for name, c := range map[string]struct {
@@ -29,12 +29,12 @@
 		"exactly at capacity":          {Instance{Hosts: hosts(3, 4, 6, 2), Services: []Service{{Count: 6, Cores: 2, Memory: 3}}}, true, 6},
 		"one more than capacity":       {Instance{Hosts: hosts(3, 4, 6, 2), Services: []Service{{Count: 7, Cores: 2, Memory: 3}}}, false, 0},
 		"fits by sums, not by parts":   {Instance{Hosts: hosts(3, 4, 9, 1), Services: []Service{{Count: 4, Cores: 3}}}, false, 0},
-		"the cheapest breaks a rack":   {Instance{Hosts: dear, Services: []Service{{Count: 4, Cores: 2, Rack: 2}}}, true, 1 + 9},
+		"the cheapest breaks a rack":   {Instance{Hosts: dear, Services: []Service{{Count: 4, Cores: 2, MaxPerRack: 2}}}, true, 1 + 9},
 		"drained hosts":                {Instance{Hosts: closed, Services: []Service{{Count: 2, Cores: 2}}}, true, 1},
 		"drained hosts, too much":      {Instance{Hosts: closed, Services: []Service{{Count: 3, Cores: 2}}}, false, 0},
 		"equal hosts by the dozen":     {Instance{Hosts: hosts(24, 4, 4, 1), Services: []Service{{Count: 36, Cores: 2, Memory: 2}}}, true, 18},
-		"moves cost more than a host":  {Instance{Hosts: hosts(2, 4, 4, 1), Move: 5, Services: []Service{{Count: 2, Cores: 1, Runs: []int{1, 1}}}}, true, 2},
-		"a host costs more than moves": {Instance{Hosts: hosts(2, 4, 4, 9), Move: 5, Services: []Service{{Count: 2, Cores: 1, Runs: []int{1, 1}}}}, true, 14},
+		"moves cost more than a host":  {Instance{Hosts: hosts(2, 4, 4, 1), MigrationCost: 5, Services: []Service{{Count: 2, Cores: 1, Running: []int{1, 1}}}}, true, 2},
+		"a host costs more than moves": {Instance{Hosts: hosts(2, 4, 4, 9), MigrationCost: 5, Services: []Service{{Count: 2, Cores: 1, Running: []int{1, 1}}}}, true, 14},
 	} {
 		a, err := Solve(&c.in, Options{})
 		if err != nil {
@@ -56,8 +56,8 @@
 	for i := range int64(30) {
 		in.Services = append(in.Services, Service{Count: 1, Cores: 301 + 7*i, Memory: 401 - 5*i})
 	}
-	a, err := Solve(&in, Options{Nodes: 2000})
-	if err != nil || !a.Feasible || a.Bound > a.Cost || a.Nodes > 2000 {
+	a, err := Solve(&in, Options{MaxNodes: 2000})
+	if err != nil || !a.Feasible || a.LowerBound > a.Cost || a.Nodes > 2000 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	if err := Check(&in, a.Counts, a.Cost); err != nil {
@@ -68,7 +68,7 @@
 func TestBadInstances(t *testing.T) {
 	for _, in := range []Instance{
 		{Hosts: []Host{{Cores: -1}}}, {Hosts: []Host{{Cost: 1 << 50}}}, {Services: []Service{{Count: -1}}},
-		{Hosts: hosts(2, 1, 1, 1), Services: []Service{{May: []bool{true}}}}, {Services: []Service{{Cores: 1 << 50}}},
+		{Hosts: hosts(2, 1, 1, 1), Services: []Service{{Allowed: []bool{true}}}}, {Services: []Service{{Cores: 1 << 50}}},
 	} {
 		if _, err := Solve(&in, Options{}); err == nil {
 			t.Errorf("%+v is taken", in)
@@ -80,19 +80,19 @@
 func TestConflict(t *testing.T) {
 	in := Instance{Hosts: hosts(4, 4, 8, 1), Services: []Service{
 		{Name: "idle", Count: 1, Cores: 1},
-		{Name: "spread", Count: 5, Cores: 1, Rack: 2, Machine: 3},
+		{Name: "spread", Count: 5, Cores: 1, MaxPerRack: 2, MaxPerHost: 3},
 	}}
-	parts, ok := Conflict(&in, Options{})
-	if want := []Part{{1, "tasks"}, {1, "rack"}}; !ok || !reflect.DeepEqual(parts, want) {
+	parts, ok := FindConflict(&in, Options{})
+	if want := []Requirement{{1, RequireTasks}, {1, RequireMaxPerRack}}; !ok || !reflect.DeepEqual(parts, want) {
 		t.Fatalf("%v, %v", parts, ok)
 	}
 	in = Instance{Hosts: hosts(2, 4, 8, 1), Services: []Service{{Count: 1, Cores: 3}, {Count: 2, Cores: 3, Memory: 1}}}
-	parts, ok = Conflict(&in, Options{})
-	if want := []Part{{0, "tasks"}, {1, "tasks"}, {-1, "cores"}}; !ok || !reflect.DeepEqual(parts, want) {
+	parts, ok = FindConflict(&in, Options{})
+	if want := []Requirement{{0, RequireTasks}, {1, RequireTasks}, {FleetWide, RequireCores}}; !ok || !reflect.DeepEqual(parts, want) {
 		t.Fatalf("%v, %v", parts, ok)
 	}
 	in.Services[1].Count = 1
-	if _, ok := Conflict(&in, Options{}); ok {
+	if _, ok := FindConflict(&in, Options{}); ok {
 		t.Fatal("a conflict where there is an answer")
 	}
 }
--- a/internal/server/placer/feasibility.go
+++ b/internal/server/placer/feasibility.go
@@ -59,8 +59,8 @@
 			state = "gone"
 		}
 		machines = append(machines, plan.Host{
-			ID: entry.Name, Kind: entry.Kind, Zone: entry.Zone, Rack: entry.Rack, Cores: machineType.Cores, Memory: machineType.Memory,
-			State: state, Attrs: entry.Attributes,
+			ID: entry.Name, MachineType: entry.Kind, Zone: entry.Zone, Rack: entry.Rack, Cores: machineType.Cores, Memory: machineType.Memory,
+			State: state, Attributes: entry.Attributes,
 		})
 	}
 	f.machines.Store(&machines)
@@ -76,7 +76,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, feasibilityCheckTimeout)
 	defer cancel()
-	question := &plan.Question{Settings: f.settings, Hosts: *machines, What: []*servicespec.Description{spec}}
+	question := &plan.Problem{Settings: f.settings, Hosts: *machines, Specs: []*servicespec.Description{spec}}
 	result, err := plan.Solve(question, solver.Options{Stop: func() bool { return ctx.Err() != nil }})
 	if err != nil || result.Feasible || !result.Optimal {
 		return nil
--- a/internal/verify/bruteforce/solvecheck.go
+++ b/internal/verify/bruteforce/bruteforce.go
@@ -9,8 +9,8 @@
 	"forkhead/internal/planning/solver"
 )
 
-// Brute answers a small instance by trying everything. cost is -1 if there is no answer.
-func Brute(in *solver.Instance) (cost int64) {
+// MinCost answers a small instance by trying everything. cost is -1 if there is no answer.
+func MinCost(in *solver.Instance) (cost int64) {
 	type one struct{ service, host int }
 	var tasks []one
 	for si, s := range in.Services {
@@ -51,8 +51,8 @@
 	good := true
 	each(func(si, hi int) {
 		s, h := in.Services[si], in.Hosts[hi]
-		good = good && !h.Closed && (s.May == nil || s.May[hi])
-		if cores[hi] == 0 && memory[hi] == 0 && !h.Used {
+		good = good && !h.Unschedulable && (s.Allowed == nil || s.Allowed[hi])
+		if cores[hi] == 0 && memory[hi] == 0 && !h.InUse {
 			if _, seen := cores[hi]; !seen {
 				total += h.Cost
 			}
@@ -63,15 +63,15 @@
 		byRack[at{si, h.Rack}]++
 		byZone[at{si, h.Zone}]++
 		good = good && cores[hi] <= h.Cores && memory[hi] <= h.Memory &&
-			(s.Machine == 0 || byHost[[2]int{si, hi}] <= s.Machine) &&
-			(s.Rack == 0 || byRack[at{si, h.Rack}] <= s.Rack) && (s.Zone == 0 || byZone[at{si, h.Zone}] <= s.Zone)
+			(s.MaxPerHost == 0 || byHost[[2]int{si, hi}] <= s.MaxPerHost) &&
+			(s.MaxPerRack == 0 || byRack[at{si, h.Rack}] <= s.MaxPerRack) && (s.MaxPerZone == 0 || byZone[at{si, h.Zone}] <= s.MaxPerZone)
 	})
 	for key := range byHost {
-		for _, near := range in.Services[key[0]].Near {
+		for _, near := range in.Services[key[0]].Affinities {
 			found := false
 			for other := range byHost {
 				x, y := in.Hosts[other[1]], in.Hosts[key[1]]
-				found = found || other[0] == near.Service && (other[1] == key[1] || near.Place == solver.InRack && x.Rack == y.Rack || near.Place == solver.InZone && x.Zone == y.Zone)
+				found = found || other[0] == near.Service && (other[1] == key[1] || near.Domain == solver.RackDomain && x.Rack == y.Rack || near.Domain == solver.ZoneDomain && x.Zone == y.Zone)
 			}
 			good = good && found
 		}
@@ -80,25 +80,25 @@
 		return 0, false
 	}
 	for key, n := range byHost {
-		if in.Home != "" && in.Hosts[key[1]].Zone != in.Home {
-			total += in.Cross * int64(n)
+		if in.HomeZone != "" && in.Hosts[key[1]].Zone != in.HomeZone {
+			total += in.OutsideHomeCost * int64(n)
 		}
 	}
 	for key, n := range byHost {
-		if runs := in.Services[key[0]].Runs; runs != nil && n > runs[key[1]] {
-			total += in.Move * int64(n-runs[key[1]])
+		if runs := in.Services[key[0]].Running; runs != nil && n > runs[key[1]] {
+			total += in.MigrationCost * int64(n-runs[key[1]])
 		}
 	}
 	return total, true
 }
 
-// Random draws a small instance: up to four hosts and six tasks, often just at capacity.
-func Random(rng *rand.Rand) *solver.Instance {
-	in := &solver.Instance{Move: rng.Int64N(4)}
+// RandomInstance draws a small instance: up to four hosts and six tasks, often just at capacity.
+func RandomInstance(rng *rand.Rand) *solver.Instance {
+	in := &solver.Instance{MigrationCost: rng.Int64N(4)}
 	for i := range rng.IntN(5) {
 		h := solver.Host{
 			ID: fmt.Sprint("h", i), Rack: fmt.Sprint("r", rng.IntN(2)), Cores: 1 + rng.Int64N(8), Memory: 1 + rng.Int64N(8),
-			Cost: rng.Int64N(6), Closed: rng.IntN(12) == 0, Used: rng.IntN(8) == 0,
+			Cost: rng.Int64N(6), Unschedulable: rng.IntN(12) == 0, InUse: rng.IntN(8) == 0,
 		}
 		h.Zone = []string{"z0", "z1"}[rng.IntN(2)]
 		if i > 0 && rng.IntN(2) == 0 { // hosts that are alike
@@ -111,28 +111,28 @@
 	for i := 0; left > 0; i++ {
 		s := solver.Service{Name: fmt.Sprint("s", i), Count: 1 + rng.IntN(left), Cores: rng.Int64N(5), Memory: rng.Int64N(5)}
 		left -= s.Count
-		for _, to := range []*int{&s.Machine, &s.Rack, &s.Zone} {
+		for _, to := range []*int{&s.MaxPerHost, &s.MaxPerRack, &s.MaxPerZone} {
 			if rng.IntN(3) == 0 {
 				*to = 1 + rng.IntN(3)
 			}
 		}
 		if rng.IntN(3) == 0 {
 			for range in.Hosts {
-				s.May = append(s.May, rng.IntN(3) > 0)
+				s.Allowed = append(s.Allowed, rng.IntN(3) > 0)
 			}
 		}
 		if rng.IntN(3) == 0 {
 			for range in.Hosts {
-				s.Runs = append(s.Runs, rng.IntN(2))
+				s.Running = append(s.Running, rng.IntN(2))
 			}
 		}
 		if i > 0 && rng.IntN(4) == 0 {
-			s.Near = []solver.Near{{Service: rng.IntN(i), Place: solver.Place(rng.IntN(3))}}
+			s.Affinities = []solver.Affinity{{Service: rng.IntN(i), Domain: solver.Domain(rng.IntN(3))}}
 		}
 		in.Services = append(in.Services, s)
 	}
 	if rng.IntN(3) == 0 {
-		in.Home, in.Cross = "z0", rng.Int64N(3)
+		in.HomeZone, in.OutsideHomeCost = "z0", rng.Int64N(3)
 	}
 	return in
 }
@@ -142,12 +142,12 @@
 func Compare(seed uint64, n int, opt solver.Options) (feasible int, err error) {
 	for i := range n {
 		rng := rand.New(rand.NewPCG(seed+uint64(i), 12))
-		in := Random(rng)
+		in := RandomInstance(rng)
 		a, err := solver.Solve(in, opt)
 		if err != nil {
 			return feasible, fmt.Errorf("instance %d: %w", seed+uint64(i), err)
 		}
-		want := Brute(in)
+		want := MinCost(in)
 		switch {
 		case !a.Optimal:
 			return feasible, fmt.Errorf("instance %d: not proven", seed+uint64(i))
@@ -166,9 +166,9 @@
 	return feasible, nil
 }
 
-// Live draws an instance of about so many hosts and tasks as a fleet has them: two kinds of host,
+// FleetInstance draws an instance of about so many hosts and tasks as a fleet has them: two kinds of host,
 // racks of four, services of one to six tasks, some with limits in racks, a fifth on large hosts only.
-func Live(rng *rand.Rand, hosts, tasks int) *solver.Instance {
+func FleetInstance(rng *rand.Rand, hosts, tasks int) *solver.Instance {
 	in := &solver.Instance{}
 	large := make([]bool, hosts)
 	for i := range hosts {
@@ -184,20 +184,20 @@
 		s := solver.Service{Name: fmt.Sprint("s", i), Count: min(1+rng.IntN(6), tasks), Cores: 250 * (1 + rng.Int64N(24)), Memory: 512 * (1 + rng.Int64N(24))}
 		tasks -= s.Count
 		if rng.IntN(5) == 0 {
-			s.May = large
+			s.Allowed = large
 			s.Cores *= 2
 		}
 		if rng.IntN(3) == 0 {
-			s.Rack = 2
+			s.MaxPerRack = 2
 		}
 		in.Services = append(in.Services, s)
 	}
 	return in
 }
 
-// Triplets is bin packing of the kind that is hard for bounds by sums: three tasks fill each host
+// TripletInstance is bin packing of the kind that is hard for bounds by sums: three tasks fill each host
 // exactly, and every other arrangement wastes some.
-func Triplets(rng *rand.Rand, hosts int) *solver.Instance {
+func TripletInstance(rng *rand.Rand, hosts int) *solver.Instance {
 	in := &solver.Instance{}
 	for i := range hosts {
 		in.Hosts = append(in.Hosts, solver.Host{ID: fmt.Sprint("h", i), Rack: fmt.Sprint("r", i), Zone: "z", Cores: 1000, Memory: 1000, Cost: 1})
--- a/internal/verify/bruteforce/solvecheck_test.go
+++ b/internal/verify/bruteforce/bruteforce_test.go
@@ -17,11 +17,11 @@
 	}
 }
 
-// A bug in the bound and one in propagation are caught by the comparison.
-func TestPlantedFlaws(t *testing.T) {
-	for _, flaw := range []string{"bound", "propagation"} {
-		if _, err := Compare(1, 20_000, solver.Options{Flaw: flaw}); err == nil {
-			t.Errorf("a flaw in the %s is not caught", flaw)
+// A bug in the bound and one in propagation are found by the comparison.
+func TestInjectedBugsAreFound(t *testing.T) {
+	for _, bug := range []solver.InjectedBug{solver.BugInBound, solver.BugInPropagation} {
+		if _, err := Compare(1, 20_000, solver.Options{InjectedBug: bug}); err == nil {
+			t.Errorf("a bug in the %s is not found", bug)
 		}
 	}
 }
--- a/internal/verify/bruteforce/pseudo_test.go
+++ b/internal/verify/bruteforce/pseudoboolean_test.go
@@ -28,7 +28,7 @@
 			var any []int
 			for h, host := range in.Hosts {
 				x := fresh()
-				if host.Closed || s.May != nil && !s.May[h] {
+				if host.Unschedulable || s.Allowed != nil && !s.Allowed[h] {
 					constrs = append(constrs, gophersat.PropClause(-x))
 				}
 				any = append(any, x)
@@ -45,13 +45,13 @@
 			}
 		}
 		for _, lits := range onHost {
-			bound(lits, s.Machine)
+			bound(lits, s.MaxPerHost)
 		}
 		for _, lits := range inRack {
-			bound(lits, s.Rack)
+			bound(lits, s.MaxPerRack)
 		}
 		for _, lits := range inZone {
-			bound(lits, s.Zone)
+			bound(lits, s.MaxPerZone)
 		}
 	}
 	for h, host := range in.Hosts {
@@ -86,17 +86,17 @@
 	for i := range 6 + rng.IntN(3) {
 		in.Hosts = append(in.Hosts, solver.Host{
 			ID: fmt.Sprint("h", i), Rack: fmt.Sprint("r", i/2), Zone: fmt.Sprint("z", i/4), Cores: 4 + rng.Int64N(6), Memory: 4 + rng.Int64N(6), Cost: 1 + rng.Int64N(5),
-			Closed: rng.IntN(10) == 0,
+			Unschedulable: rng.IntN(10) == 0,
 		})
 	}
 	for left := 10 + rng.IntN(5); left > 0; {
 		s := solver.Service{Name: fmt.Sprint("s", left), Count: min(1+rng.IntN(4), left), Cores: 1 + rng.Int64N(4), Memory: 1 + rng.Int64N(4)}
 		if rng.IntN(2) == 0 {
-			s.Rack = 1 + rng.IntN(2)
+			s.MaxPerRack = 1 + rng.IntN(2)
 		}
 		if rng.IntN(4) == 0 {
 			for range in.Hosts {
-				s.May = append(s.May, rng.IntN(4) > 0)
+				s.Allowed = append(s.Allowed, rng.IntN(4) > 0)
 			}
 		}
 		left -= s.Count
