--- a/internal/cli/catalog.go
+++ b/internal/cli/catalog.go
@@ -1,6 +1,7 @@
 package cli
 
 import (
+	"context"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -9,23 +10,33 @@
 	"forkhead/internal/server/clock"
 )
 
-func (a *app) catalogueCommand() *cobra.Command {
-	var listen string
-	var p consulemulator.Policy
+// catalogFlags are the flags of the emulated catalog.
+type catalogFlags struct {
+	listen string
+	policy consulemulator.Policy
+}
+
+func (a *app) catalogCommand() *cobra.Command {
+	var f catalogFlags
 	c := &cobra.Command{
-		Use: "catalogue", Short: "run the stand-in catalogue of hosts", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := consulemulator.Serve(listen, p, clock.New(), nil)
-			if err != nil {
-				return err
-			}
-			<-cmd.Context().Done()
-			s.Stop()
-			return nil
-		},
+		Use:   "catalogue", //nolint:misspell // the command's name, which users type
+		Short: "run the emulated service catalog of hosts (Consul's HTTP API)", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error { return runCatalog(cmd.Context(), &f) },
 	}
-	c.Flags().StringVar(&listen, "listen", "127.0.0.1:8500", "address to listen at")
-	c.Flags().DurationVar(&p.CriticalAfter, "critical", 2*time.Second, "a host that has not registered for so long is critical")
-	c.Flags().DurationVar(&p.DeregisterAfter, "deregister", 6*time.Second, "and is dropped after this")
+	flags := c.Flags()
+	flags.StringVar(&f.listen, "listen", "127.0.0.1:8500", "address to listen at")
+	flags.DurationVar(&f.policy.CriticalAfter, "critical", 2*time.Second, "a host that has not registered for so long is critical")
+	flags.DurationVar(&f.policy.DeregisterAfter, "deregister", 6*time.Second, "a host that has not registered for so long is removed")
 	return c
 }
+
+// runCatalog serves the catalog until ctx ends.
+func runCatalog(ctx context.Context, f *catalogFlags) error {
+	s, err := consulemulator.Serve(f.listen, f.policy, clock.New(), nil)
+	if err != nil {
+		return err
+	}
+	<-ctx.Done()
+	s.Stop()
+	return nil
+}
--- a/internal/cli/chaos.go
+++ b/internal/cli/chaos.go
@@ -19,63 +19,85 @@
 	"forkhead/internal/verify/scenario"
 )
 
-type baddayFlags struct {
-	keep, onBreach, replay string
-	seed, times, parallel  int
-	busy                   int
-	stop                   time.Duration
+// recoveryScenario is the argument that stands for the built-in scenario of restarts.
+const recoveryScenario = "recovery"
+
+// Permissions of what chaos keeps: captured traffic is for its user alone.
+const (
+	captureFileMode   = 0o600
+	captureFolderMode = 0o700
+)
+
+// chaosFlags are the flags of chaos.
+type chaosFlags struct {
+	captureFile   string // to write the traffic to; "": none
+	breachFolder  string // for all of a run that broke a rule; "": none
+	replayFile    string // recording to replay instead of a run
+	seed          int
+	times         int // runs, each in a process of its own; 0: one, in this process
+	parallel      int
+	busyLoops     int
+	maxStop       time.Duration
+	seedIsGiven   bool
+	scenarioGiven string // the argument, or ""
 }
 
-func (a *app) baddayCommand() *cobra.Command {
-	var f baddayFlags
+func (a *app) chaosCommand() *cobra.Command {
+	var f chaosFlags
 	c := &cobra.Command{
-		Use: "badday [SCRIPT | recovery]", Short: "play a bad day on loopback and check the rules on its traffic", Args: cobra.MaximumNArgs(1),
-		Long: "badday plays a script: a fleet on loopback sockets, clients with load, and troubles at their times. The five\n" +
-			"rules are then checked on what crossed the sockets. --repeat plays it again and again, each time with the next\n" +
-			"seed and in a process of its own; --replay steps a placer's core once more through what one of its lives was\n" +
-			"given, and checks that it says the same.",
+		Use: "chaos [SCENARIO | recovery]", Aliases: []string{"badday"},
+		Short: "run a chaos test on loopback and check the rules on its traffic", Args: cobra.MaximumNArgs(1),
+		Long: "chaos runs a scenario: hosts and placers on loopback sockets, clients with load, and faults at their times. The\n" +
+			"five rules are then checked on the captured traffic. --repeat runs it many times, each with the next seed and\n" +
+			"in a process of its own; --replay steps a placer's core once more through the recorded inputs of one of its\n" +
+			"incarnations, and checks that its outputs are the same.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			name := ""
 			if len(args) > 0 {
-				name = args[0]
-			}
-			if f.replay != "" {
-				return a.replayTape(f.replay)
-			}
-			from, preset := name, scenario.Default
-			if name == "recovery" {
-				from, preset = "", scenario.Recovery
-			}
-			s, err := readScript(from, preset)
-			if err != nil {
-				return err
-			}
-			if cmd.Flags().Changed("seed") {
-				s.Seed = f.seed
+				f.scenarioGiven = args[0]
 			}
-			if f.times > 0 {
-				return a.repeat(cmd.Context(), name, s, &f)
-			}
-			return a.playDay(cmd.Context(), s, &f)
+			f.seedIsGiven = cmd.Flags().Changed("seed")
+			return a.chaos(cmd.Context(), &f)
 		},
 	}
-	fl := c.Flags()
-	fl.StringVar(&f.keep, "record", "", "file to keep the record of the traffic in, as JSON lines")
-	fl.StringVar(&f.onBreach, "record-on-breach", "", "folder to keep the record and each placer's tape in, of a day that breaks a rule")
-	fl.StringVar(&f.replay, "replay", "", "tape of a placer's life to play again, off the sockets")
-	fl.IntVar(&f.seed, "seed", 0, "seed of the day (default: the script's)")
-	fl.IntVar(&f.times, "repeat", 0, "play so many days, with this seed and those after it")
-	fl.IntVar(&f.parallel, "parallel", 1, "with --repeat: so many at once")
-	fl.IntVar(&f.busy, "busy", 0, "with --repeat: so many loops beside them that keep processors busy")
-	fl.DurationVar(&f.stop, "stop", 0, "with --repeat: stop each play for up to so long, about once a second")
+	flags := c.Flags()
+	flags.StringVar(&f.captureFile, "record", "", "file to write the captured traffic to, as JSON lines")
+	flags.StringVar(&f.breachFolder, "record-on-breach", "", "folder for the captured traffic and each placer's recording, of a run that breaks a rule")
+	flags.StringVar(&f.replayFile, "replay", "", "recording of a placer's incarnation to replay, without sockets")
+	flags.IntVar(&f.seed, "seed", 0, "seed of the run (default: the scenario's)")
+	flags.IntVar(&f.times, "repeat", 0, "run so many times, with this seed and those after it")
+	flags.IntVar(&f.parallel, "parallel", 1, "with --repeat: so many runs at once")
+	flags.IntVar(&f.busyLoops, "busy", 0, "with --repeat: so many loops beside them that keep processors busy")
+	flags.DurationVar(&f.maxStop, "stop", 0, "with --repeat: stop each run for up to so long, about once a second")
 	return c
 }
 
-func (a *app) playDay(ctx context.Context, s *scenario.Scenario, f *baddayFlags) error {
+func (a *app) chaos(ctx context.Context, f *chaosFlags) error {
+	if f.replayFile != "" {
+		return a.replayRecording(f.replayFile)
+	}
+	name, builtIn := f.scenarioGiven, scenario.Default
+	if name == recoveryScenario {
+		name, builtIn = "", scenario.Recovery
+	}
+	s, err := readScenario(name, builtIn)
+	if err != nil {
+		return err
+	}
+	if f.seedIsGiven {
+		s.Seed = f.seed
+	}
+	if f.times > 0 {
+		return a.repeatChaos(ctx, s, f)
+	}
+	return a.runChaos(ctx, s, f)
+}
+
+// runChaos runs a scenario once; it returns errNo if a rule was broken or an action vetoed.
+func (a *app) runChaos(ctx context.Context, s *scenario.Scenario, f *chaosFlags) error {
 	start := time.Now()
-	r, err := chaos.Run(ctx, s, chaos.Options{Log: a.log, RecordSteps: f.onBreach != "", OnFault: func(t scenario.Fault) {
-		if a.output == "text" {
-			fmt.Fprintf(a.errs, "%5.1f s  %s\n", time.Since(start).Seconds(), t.Kind)
+	r, err := chaos.Run(ctx, s, chaos.Options{Log: a.log, RecordSteps: f.breachFolder != "", OnFault: func(fault scenario.Fault) {
+		if !a.wantsJSON() {
+			a.warnf("%5.1f s  %s\n", time.Since(start).Seconds(), fault.Kind)
 		}
 	}})
 	if errors.Is(err, context.Canceled) {
@@ -84,25 +106,21 @@
 	if err != nil {
 		return err
 	}
-	if f.keep != "" {
-		var b bytes.Buffer
-		if err := capture.Write(&b, r.Captured); err != nil {
+	if f.captureFile != "" {
+		if err := writeCapture(f.captureFile, r.Captured); err != nil {
 			return err
 		}
-		if err := os.WriteFile(f.keep, b.Bytes(), 0o600); err != nil {
-			return badInput(err)
-		}
 	}
-	if !r.OK() && f.onBreach != "" {
-		if err := keepDay(f.onBreach, s, r); err != nil {
+	if !r.OK() && f.breachFolder != "" {
+		if err := writeRun(f.breachFolder, s, r); err != nil {
 			return err
 		}
 	}
-	if a.output == "json" {
-		if err := a.breaches(&r.Verdict); err != nil {
+	if a.wantsJSON() {
+		if err := a.writeBreaches(&r.Verdict); err != nil {
 			return err
 		}
-		if err := a.json(r); err != nil {
+		if err := a.writeJSON(r); err != nil {
 			return err
 		}
 	} else {
@@ -114,39 +132,60 @@
 	return nil
 }
 
-func (a *app) breaches(v *rules.Verdict) error {
+// breachLine is the line of a broken rule.
+type breachLine struct {
+	At   time.Duration `json:"at"`
+	Rule string        `json:"breach"`
+	Text string        `json:"text"`
+}
+
+func (a *app) writeBreaches(v *rules.Verdict) error {
 	for _, b := range v.Breaches {
-		if err := a.json(map[string]any{"breach": b.Rule.String(), "at": b.At, "text": b.Text}); err != nil {
+		if err := a.writeJSON(breachLine{At: b.At, Rule: b.Rule.String(), Text: b.Text}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// keepDay writes all of a day that broke a rule: what is needed to see it again.
-func keepDay(folder string, s *scenario.Scenario, r *chaos.Result) error {
-	dir := filepath.Join(folder, fmt.Sprintf("seed-%d", s.Seed))
-	if err := os.MkdirAll(dir, 0o700); err != nil {
+func writeCapture(name string, events []capture.Event) error {
+	var text bytes.Buffer
+	if err := capture.Write(&text, events); err != nil {
+		return err
+	}
+	return badInput(os.WriteFile(name, text.Bytes(), captureFileMode))
+}
+
+// runVerdict is the file of a run that broke a rule: its result and each breach.
+type runVerdict struct {
+	Breaches []rules.Breach `json:"breaches"`
+	Result   *chaos.Result  `json:"result"`
+}
+
+// writeRun writes all of a run into a folder of its own below folder: its scenario, its traffic, its verdict, and the
+// recording of each placer's incarnation, which --replay reads.
+func writeRun(folder string, s *scenario.Scenario, r *chaos.Result) error {
+	folder = filepath.Join(folder, fmt.Sprintf("seed-%d", s.Seed))
+	if err := os.MkdirAll(folder, captureFolderMode); err != nil {
 		return badInput(err)
 	}
-	var events bytes.Buffer
-	if err := capture.Write(&events, r.Captured); err != nil {
+	if err := writeCapture(filepath.Join(folder, "record.jsonl"), r.Captured); err != nil {
 		return err
 	}
-	verdict, err := json.MarshalIndent(map[string]any{"result": r, "breaches": r.Verdict.Breaches}, "", "  ")
+	verdict, err := json.MarshalIndent(runVerdict{Breaches: r.Verdict.Breaches, Result: r}, "", "  ")
 	if err != nil {
 		return err
 	}
-	files := map[string][]byte{"script.sexp": s.Text, "record.jsonl": events.Bytes(), "verdict.json": verdict}
-	for _, l := range r.Recordings {
-		text, err := l.Bytes()
-		if err != nil && !errors.Is(err, replay.ErrFull) {
-			return fmt.Errorf("tape of placer %d: %w", l.Placer, err)
+	files := map[string][]byte{"script.sexp": s.Text, "verdict.json": verdict}
+	for _, recording := range r.Recordings {
+		text, err := recording.Bytes()
+		if err != nil && !errors.Is(err, replay.ErrFull) { // a full recording replays up to where it ends
+			return fmt.Errorf("tape of placer %d: %w", recording.Placer, err)
 		}
-		files[fmt.Sprintf("placer-%d-life-%d.tape", l.Placer, l.Incarnation)] = text
+		files[fmt.Sprintf("placer-%d-life-%d.tape", recording.Placer, recording.Incarnation)] = text
 	}
 	for name, text := range files {
-		if err := os.WriteFile(filepath.Join(dir, name), text, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(folder, name), text, captureFileMode); err != nil {
 			return badInput(err)
 		}
 	}
--- a/internal/cli/chaos_repeat.go
+++ b/internal/cli/chaos_repeat.go
@@ -10,46 +10,55 @@
 	"forkhead/internal/verify/scenario"
 )
 
-// repeat plays a day many times.
-func (a *app) repeat(ctx context.Context, name string, s *scenario.Scenario, f *baddayFlags) error {
-	self, err := os.Executable()
+// repeatChaos runs a scenario many times, each in a process of its own.
+func (a *app) repeatChaos(ctx context.Context, s *scenario.Scenario, f *chaosFlags) error {
+	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	r := chaos.Repeat{
-		Runs: f.times, Parallel: f.parallel, Seed: s.Seed, BusyLoops: f.busy, MaxStop: f.stop,
-		Command: func(seed int) []string {
-			words := []string{self, "badday", "--output", "json", "--log", "error", "--seed", strconv.Itoa(seed)}
-			if f.onBreach != "" {
-				words = append(words, "--record-on-breach", f.onBreach)
-			}
-			if name != "" {
-				words = append(words, name)
-			}
-			return words
-		},
-		OnDone: func(p chaos.ProcessResult) {
-			if a.output == "json" {
-				_ = a.json(p)
-			} else {
-				fmt.Fprintf(a.out, "seed %d: exit %d, %d breaches told %s\n", p.Seed, p.ExitCode, len(p.Breaches), p.Error)
-			}
-		},
-	}
-	t := r.Run(ctx)
-	if a.output == "json" {
-		err = a.json(t)
-	} else {
-		_, err = fmt.Fprintf(a.out, "%d plays, %d broken, %d not played to the end; %d tasks, %d offers; %d breaches, %d vetoes, %d defects\n",
-			t.Runs, t.Broken, t.Failed, t.Tasks, t.Offers, t.Breaches, t.Vetoes, t.Defects)
+		Runs: f.times, Parallel: f.parallel, Seed: s.Seed, BusyLoops: f.busyLoops, MaxStop: f.maxStop,
+		Command: func(seed int) []string { return f.runCommand(program, seed) },
+		OnDone:  a.writeRepeatedRun,
 	}
-	switch {
-	case err != nil:
+	totals := r.Run(ctx)
+	if err := a.writeRepeatTotals(totals); err != nil {
 		return err
-	case t.Broken > 0:
+	}
+	switch {
+	case totals.Broken > 0:
 		return errNo
-	case t.Failed > 0 || ctx.Err() != nil:
-		return fmt.Errorf("%d of %d plays were not played to the end", t.Failed+f.times-t.Runs, f.times)
+	case totals.Failed > 0 || ctx.Err() != nil:
+		return fmt.Errorf("%d of %d plays were not played to the end", totals.Failed+f.times-totals.Runs, f.times)
 	}
 	return nil
 }
+
+// runCommand is the command line of one run.
+func (f *chaosFlags) runCommand(program string, seed int) []string {
+	command := []string{program, "chaos", "--output", formatJSON, "--log", "error", "--seed", strconv.Itoa(seed)}
+	if f.breachFolder != "" {
+		command = append(command, "--record-on-breach", f.breachFolder)
+	}
+	if f.scenarioGiven != "" {
+		command = append(command, f.scenarioGiven)
+	}
+	return command
+}
+
+func (a *app) writeRepeatedRun(run chaos.ProcessResult) {
+	if a.wantsJSON() {
+		_ = a.writeJSON(run) // the totals, which come last, report that standard output cannot be written
+		return
+	}
+	a.printf("seed %d: exit %d, %d breaches told %s\n", run.Seed, run.ExitCode, len(run.Breaches), run.Error)
+}
+
+func (a *app) writeRepeatTotals(t chaos.Totals) error {
+	if a.wantsJSON() {
+		return a.writeJSON(t)
+	}
+	_, err := fmt.Fprintf(a.out, "%d plays, %d broken, %d not played to the end; %d tasks, %d offers; %d breaches, %d vetoes, %d defects\n",
+		t.Runs, t.Broken, t.Failed, t.Tasks, t.Offers, t.Breaches, t.Vetoes, t.Defects)
+	return err
+}
--- a/internal/cli/chaos_replay.go
+++ b/internal/cli/chaos_replay.go
@@ -11,46 +11,64 @@
 	"forkhead/internal/verify/rules"
 )
 
-// replayTape plays a tape and tells whether the core said the same, and what rules it broke.
-func (a *app) replayTape(name string) error {
-	text, err := file(name, "a tape that badday --record-on-breach has kept")
+// replayResult is the line of a replayed recording.
+type replayResult struct {
+	Epoch  uint64         `json:"epoch"`
+	Placer int            `json:"placer"`
+	Replay *replay.Replay `json:"replay"`
+	Rules  map[string]int `json:"rules"` // breaches a rule
+}
+
+// replayRecording steps a placer's core through a recording. It returns errNo if the core's outputs differ from the recorded
+// ones, or if what it sent and received breaks a rule.
+func (a *app) replayRecording(name string) error {
+	text, err := readFile(name, "a tape that badday --record-on-breach has kept")
 	if err != nil {
 		return err
 	}
 	var places []capture.Event
-	p, err := replay.Play(bytes.NewReader(text), func(s *replay.Step, _ []core.Output) { places = append(places, replay.Places(s.In)...) })
+	r, err := replay.Play(bytes.NewReader(text), func(s *replay.Step, _ []core.Output) { places = append(places, replay.Places(s.In)...) })
 	if err != nil {
 		return badInput(fmt.Errorf("%s: %w", name, err))
 	}
-	host := p.Script.Host
-	v := rules.Check(append(places, p.Events...), rules.ConfigFromSettings(p.Script.Settings, float64(host.MaxStarting)/host.StartTime.Seconds()))
-	counts := map[string]int{}
-	for rule := invariant.OneAnswer; rule <= invariant.Spread; rule++ {
-		counts[rule.String()] = v.Counts[rule]
-	}
-	if a.output == "json" {
-		if err := a.breaches(&v); err != nil {
-			return err
-		}
-		if err := a.json(map[string]any{"replay": p, "placer": p.Head.Placer, "epoch": p.Head.Epoch, "rules": counts}); err != nil {
+	host := r.Script.Host
+	config := rules.ConfigFromSettings(r.Script.Settings, float64(host.MaxStarting)/host.StartTime.Seconds())
+	verdict := rules.Check(append(places, r.Events...), config)
+	if a.wantsJSON() {
+		if err := a.writeReplayJSON(r, &verdict); err != nil {
 			return err
 		}
 	} else {
-		fmt.Fprintf(a.out, "placer %d: %d steps, %d offers, %d vetoes, %d defects\n", p.Head.Placer, p.Steps, p.Offers, p.Vetoes, p.Defects)
-		if p.Cut {
-			fmt.Fprintln(a.out, "the tape ends in the middle of a step")
-		}
-		if d := p.Diverged; d != nil {
-			fmt.Fprintf(a.out, "step %d parts from the tape:\n  tape: %s\n  now:  %s\n", d.Step, d.Want, d.Got)
-		} else {
-			fmt.Fprintln(a.out, "the core said the same at every step")
-		}
-		for _, b := range v.Breaches {
-			fmt.Fprintf(a.out, "  %v: %s\n", b.Rule, b.Text)
-		}
+		a.printReplay(r, &verdict)
 	}
-	if p.Diverged != nil || !v.OK() {
+	if r.Diverged != nil || !verdict.OK() {
 		return errNo
 	}
 	return nil
 }
+
+func (a *app) writeReplayJSON(r *replay.Replay, verdict *rules.Verdict) error {
+	if err := a.writeBreaches(verdict); err != nil {
+		return err
+	}
+	counts := map[string]int{}
+	for rule := invariant.OneAnswer; rule <= invariant.Spread; rule++ {
+		counts[rule.String()] = verdict.Counts[rule]
+	}
+	return a.writeJSON(replayResult{Epoch: r.Head.Epoch, Placer: r.Head.Placer, Replay: r, Rules: counts})
+}
+
+func (a *app) printReplay(r *replay.Replay, verdict *rules.Verdict) {
+	a.printf("placer %d: %d steps, %d offers, %d vetoes, %d defects\n", r.Head.Placer, r.Steps, r.Offers, r.Vetoes, r.Defects)
+	if r.Cut {
+		a.println("the tape ends in the middle of a step")
+	}
+	if d := r.Diverged; d != nil {
+		a.printf("step %d parts from the tape:\n  tape: %s\n  now:  %s\n", d.Step, d.Want, d.Got)
+	} else {
+		a.println("the core said the same at every step")
+	}
+	for _, b := range verdict.Breaches {
+		a.printf("  %v: %s\n", b.Rule, b.Text)
+	}
+}
--- a/internal/cli/explore.go
+++ b/internal/cli/explore.go
@@ -1,107 +1,143 @@
 package cli
 
 import (
+	"context"
 	"fmt"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
 
 	"forkhead"
 	"forkhead/internal/verify/modelcheck"
 )
 
-var effects = map[string]forkhead.Effect{"safe": forkhead.Safe, "keyed": forkhead.Keyed, "unsafe": forkhead.Unsafe}
+// exploreFlags are the flags of explore.
+type exploreFlags struct {
+	search     modelcheck.Config
+	effect     string
+	traceFile  string // to write a violation to; "": none
+	replayFile string // trace to replay instead of a search
+	listBugs   bool   // list the injectable bugs instead
+	runs       int    // number of simulated runs instead of a search; 0: search
+	firstSeed  uint64 // of these runs
+}
+
+// allEffects as the value of --effect stands for each of effectNames, one after another.
+const allEffects = "all"
+
+// effectNames are the names of the effects, by their value.
+var effectNames = [...]string{forkhead.Safe: "safe", forkhead.Keyed: "keyed", forkhead.Unsafe: "unsafe"}
 
 func (a *app) exploreCommand() *cobra.Command {
-	var cfg modelcheck.Config
-	var effect, trace, replay string
-	var list bool
-	var lives int
-	var from uint64
+	var f exploreFlags
 	c := &cobra.Command{
-		Use: "explore", Short: "search all states of attempts, connections and hosts, exhaustively", Args: cobra.NoArgs,
-		Long: "explore searches every order of events of a small service, over the machines that placers and hosts\n" +
-			"run on, with faults, timers that fire at any time, and every legal action in the module's place.",
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if list {
-				return a.plants()
-			}
-			if replay != "" {
-				return a.replay(replay)
-			}
-			if lives > 0 {
-				return a.lives(cmd.Context(), from, lives)
-			}
-			names := []string{effect}
-			if effect == "all" {
-				names = []string{"safe", "keyed", "unsafe"}
-			} else if _, ok := effects[effect]; !ok {
-				return badInput(fmt.Errorf("--effect is %q, want safe, keyed, unsafe or all", effect))
-			}
-			if p, ok := modelcheck.FindPlant(cfg.Plant); cfg.Plant != "" && !ok {
-				return badInput(fmt.Errorf("no plant is named %q; see --list-plants", cfg.Plant))
-			} else if ok && !cmd.Flags().Changed("effect") {
-				for name, e := range effects {
-					if e == p.Effect {
-						names = []string{name}
-					}
-				}
-				cfg.Cycles = cfg.Cycles || p.Property == "liveness"
-				// Enough for it to show, unless told otherwise.
-				for name, to := range map[string]*int{"faults": &cfg.Faults, "tasks": &cfg.Tasks, "asks": &cfg.Asks, "hosts": &cfg.Hosts, "spread": &cfg.Spread} {
-					if !cmd.Flags().Changed(name) {
-						*to = map[string]int{"faults": p.Faults, "tasks": 1 + p.Spread, "asks": 2, "hosts": 3 - p.Faults, "spread": p.Spread}[name]
-					}
-				}
-			}
-			found := false
-			for _, name := range names {
-				bad, err := a.search(cfg, name, trace)
-				if err != nil {
-					return err
-				}
-				found = found || bad
-			}
-			if found {
-				return errNo
-			}
-			return nil
-		},
+		Use: "explore", Short: "model-check attempts, connections and hosts: search all their states", Args: cobra.NoArgs,
+		Long: "explore searches every order of events of a small service over the state machines that placers and hosts run\n" +
+			"on: with faults, with timers that fire at any time, and with every legal action in place of the policy's\n" +
+			"choice. --replay plays a violation's trace through the placer's real core; --lives runs deterministic\n" +
+			"simulations of the real core with the real policy instead.",
+		RunE: func(cmd *cobra.Command, _ []string) error { return a.explore(cmd.Context(), &f, cmd.Flags()) },
 	}
-	f := c.Flags()
-	f.IntVar(&cfg.Tasks, "tasks", 2, "tasks, 1 to 3")
-	f.IntVar(&cfg.Hosts, "hosts", 2, "hosts, 1 or 2")
-	f.IntVar(&cfg.Asks, "asks", 1, "asks of a task in one life of the placer")
-	f.IntVar(&cfg.Attempts, "attempts", 2, "attempts of a task, 1 to 3")
-	f.IntVar(&cfg.Faults, "faults", 1, "connections cut, hosts that die or drain, crashes of the placer, all together")
-	f.BoolVar(&cfg.Ends, "ends", false, "tasks may end by themselves")
-	f.BoolVar(&cfg.Cycles, "cycles", false, "look for fair steps that lead round in a circle, too (more memory)")
-	f.IntVar(&cfg.Spread, "spread", 0, "all tasks are of one service, of which a host may have so many; 0: no limit")
-	f.IntVar(&cfg.Workers, "workers", 0, "goroutines (default: one a processor)")
-	f.IntVar(&cfg.MostStates, "most", 0, "stop behind so many states (default: 100 million, about 8 GiB)")
-	f.StringVar(&cfg.Plant, "plant", "", "a bug to plant")
-	f.StringVar(&effect, "effect", "unsafe", "the tasks' class: safe, keyed, unsafe or all, one after another")
-	f.StringVar(&trace, "trace", "", "file to write a violation's trace to")
-	f.StringVar(&replay, "replay", "", "play the trace in such a file through the placer's real core")
-	f.IntVar(&lives, "lives", 0, "instead of the search, play so many random lives of the real core with the real module")
-	f.Uint64Var(&from, "from", 0, "seed of the first of them; with --lives 1 a life is played again")
-	f.BoolVar(&list, "list-plants", false, "list the bugs that can be planted")
+	flags := c.Flags()
+	flags.IntVar(&f.search.Tasks, "tasks", 2, "tasks, 1 to 3")
+	flags.IntVar(&f.search.Hosts, "hosts", 2, "hosts, 1 or 2")
+	flags.IntVar(&f.search.Asks, "asks", 1, "placement requests of a task in one incarnation of the placer")
+	flags.IntVar(&f.search.Attempts, "attempts", 2, "attempts of a task, 1 to 3")
+	flags.IntVar(&f.search.Faults, "faults", 1, "faults in all: connections cut, hosts that die or drain, crashes of the placer")
+	flags.BoolVar(&f.search.Ends, "ends", false, "tasks may end by themselves")
+	flags.BoolVar(&f.search.Cycles, "cycles", false, "also search for cycles of fair steps (takes more memory)")
+	flags.IntVar(&f.search.Spread, "spread", 0, "spread limit: all tasks are of one service, of which a host may have so many; 0: no limit")
+	flags.IntVar(&f.search.Workers, "workers", 0, "goroutines (default: one a processor)")
+	flags.IntVar(&f.search.MostStates, "most", 0, "stop after so many states (default: 100 million, about 8 GiB)")
+	flags.StringVar(&f.search.Plant, "plant", "", "name of a bug to inject; sets the other flags to what shows it, unless they are given")
+	flags.StringVar(&f.effect, "effect", "unsafe", "effect of a repeated start of the tasks: safe, keyed, unsafe, or all, one after another")
+	flags.StringVar(&f.traceFile, "trace", "", "file to write a violation's trace to")
+	flags.StringVar(&f.replayFile, "replay", "", "trace to replay through the placer's real core")
+	flags.IntVar(&f.runs, "lives", 0, "instead of the search, simulate so many random runs of the real core with the real policy")
+	flags.Uint64Var(&f.firstSeed, "from", 0, "seed of the first run; --lives 1 repeats a run")
+	flags.BoolVar(&f.listBugs, "list-plants", false, "list the bugs that can be injected")
 	return c
 }
 
-func (a *app) plants() error {
-	if a.output == "json" {
+func (a *app) explore(ctx context.Context, f *exploreFlags, given *pflag.FlagSet) error {
+	switch {
+	case f.listBugs:
+		return a.listInjectableBugs()
+	case f.replayFile != "":
+		return a.replayTrace(f.replayFile)
+	case f.runs > 0:
+		return a.simulate(ctx, f.firstSeed, f.runs)
+	}
+	effects, err := f.effects()
+	if err != nil {
+		return err
+	}
+	if f.search.Plant != "" {
+		bug, ok := modelcheck.FindPlant(f.search.Plant)
+		if !ok {
+			return badInput(fmt.Errorf("no plant is named %q; see --list-plants", f.search.Plant))
+		}
+		if !given.Changed("effect") {
+			effects = []forkhead.Effect{bug.Effect}
+			f.showBug(bug, given)
+		}
+	}
+	return a.searchEach(f, effects)
+}
+
+// effects returns the effects that --effect stands for.
+func (f *exploreFlags) effects() ([]forkhead.Effect, error) {
+	var effects []forkhead.Effect
+	for effect, name := range effectNames {
+		if f.effect == name || f.effect == allEffects {
+			effects = append(effects, forkhead.Effect(effect))
+		}
+	}
+	if len(effects) == 0 {
+		return nil, badInput(fmt.Errorf("--effect is %q, want safe, keyed, unsafe or all", f.effect))
+	}
+	return effects, nil
+}
+
+// showBug bounds the search so that it is large enough for the bug to show, except where a flag was given.
+func (f *exploreFlags) showBug(bug *modelcheck.Plant, given *pflag.FlagSet) {
+	f.search.Cycles = f.search.Cycles || bug.Property == "liveness"
+	for _, bound := range []struct {
+		flag   string
+		value  *int
+		enough int
+	}{
+		{"faults", &f.search.Faults, bug.Faults},
+		{"tasks", &f.search.Tasks, 1 + bug.Spread},
+		{"asks", &f.search.Asks, 2},
+		{"hosts", &f.search.Hosts, 3 - bug.Faults},
+		{"spread", &f.search.Spread, bug.Spread},
+	} {
+		if !given.Changed(bound.flag) {
+			*bound.value = bound.enough
+		}
+	}
+}
+
+// injectableBug is a line of explore --list-plants.
+type injectableBug struct {
+	Name     string `json:"plant"`
+	Property string `json:"property"` // that it breaks
+	What     string `json:"what"`
+}
+
+func (a *app) listInjectableBugs() error {
+	if a.wantsJSON() {
 		for _, p := range modelcheck.Plants {
-			if err := a.json(map[string]string{"plant": p.Name, "what": p.What, "property": p.Property}); err != nil {
+			if err := a.writeJSON(injectableBug{Name: p.Name, Property: p.Property, What: p.What}); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "PLANT\tBREAKS\tWHAT")
+	t := newTable(a.out, 0, "PLANT\tBREAKS\tWHAT")
 	for _, p := range modelcheck.Plants {
-		fmt.Fprintf(w, "%s\t%s\t%s\n", p.Name, p.Property, p.What)
+		t.printf("%s\t%s\t%s\n", p.Name, p.Property, p.What)
 	}
-	return w.Flush()
+	return t.flush()
 }
--- a/internal/cli/explore_replay.go
+++ b/internal/cli/explore_replay.go
@@ -8,41 +8,55 @@
 	"forkhead/internal/verify/modelcheck"
 )
 
-// replay plays a trace through the real core.
-func (a *app) replay(name string) error {
-	text, err := file(name, "a trace that explore has written")
+// replayTrace replays a violation's trace through the placer's real core. It returns errNo if an unsafe task was held twice.
+func (a *app) replayTrace(name string) error {
+	trace, err := readTrace(name)
 	if err != nil {
 		return err
 	}
-	var t modelcheck.Trace
-	if err := json.Unmarshal(text, &t); err != nil {
-		return badInput(fmt.Errorf("%s: not a trace: %w", name, err))
-	}
-	if t.Config.Tasks < 1 || t.Config.Tasks > 3 || t.Config.Hosts < 1 || t.Config.Hosts > 2 || t.Config.Effect > forkhead.Unsafe {
-		return badInput(fmt.Errorf("%s: not a trace of 1 to 3 tasks and 1 or 2 hosts", name))
-	}
-	r, err := modelcheck.Replay(&t)
+	r, err := modelcheck.Replay(trace)
 	if err != nil {
 		return err
 	}
-	if a.output == "json" {
-		if err := a.json(r); err != nil {
+	if a.wantsJSON() {
+		if err := a.writeJSON(r); err != nil {
 			return err
 		}
 	} else {
-		for i, s := range r.Steps {
-			fmt.Fprintf(a.out, "%3d  %s\n", i+1, s.What)
-			for _, did := range s.Did {
-				fmt.Fprintf(a.out, "       %s\n", did)
-			}
-		}
-		fmt.Fprintf(a.out, "%d vetoes, %d offers written, %d starts, held twice: %v\n", r.Vetoes, r.Offers, r.Starts, r.Twice)
-		if r.Parted != "" {
-			fmt.Fprintf(a.out, "the core parts from the trace at %s\n", r.Parted)
-		}
+		a.printReplayedTrace(r)
 	}
-	if r.Twice && t.Config.Effect == forkhead.Unsafe {
+	if r.Twice && trace.Config.Effect == forkhead.Unsafe {
 		return errNo
 	}
 	return nil
 }
+
+// readTrace reads a trace and checks that its bounds are those of a search.
+func readTrace(name string) (*modelcheck.Trace, error) {
+	text, err := readFile(name, "a trace that explore has written")
+	if err != nil {
+		return nil, err
+	}
+	var trace modelcheck.Trace
+	if err := json.Unmarshal(text, &trace); err != nil {
+		return nil, badInput(fmt.Errorf("%s: not a trace: %w", name, err))
+	}
+	cfg := &trace.Config
+	if cfg.Tasks < 1 || cfg.Tasks > 3 || cfg.Hosts < 1 || cfg.Hosts > 2 || cfg.Effect > forkhead.Unsafe {
+		return nil, badInput(fmt.Errorf("%s: not a trace of 1 to 3 tasks and 1 or 2 hosts", name))
+	}
+	return &trace, nil
+}
+
+func (a *app) printReplayedTrace(r *modelcheck.Replayed) {
+	for i, step := range r.Steps {
+		a.printf("%3d  %s\n", i+1, step.What)
+		for _, did := range step.Did {
+			a.printf("       %s\n", did)
+		}
+	}
+	a.printf("%d vetoes, %d offers written, %d starts, held twice: %v\n", r.Vetoes, r.Offers, r.Starts, r.Twice)
+	if r.Parted != "" {
+		a.printf("the core parts from the trace at %s\n", r.Parted)
+	}
+}
--- a/internal/cli/explore_search.go
+++ b/internal/cli/explore_search.go
@@ -7,16 +7,20 @@
 	"strings"
 	"time"
 
+	"forkhead"
 	"forkhead/internal/verify/modelcheck"
 )
 
-// exploration is what is written of a search.
-type exploration struct {
+// progressInterval is the least time between two lines of a search's progress.
+const progressInterval = 2 * time.Second
+
+// searchResult is the line of a search.
+type searchResult struct {
 	Effect     string                 `json:"effect"`
 	Tasks      int                    `json:"tasks"`
 	Hosts      int                    `json:"hosts"`
 	Faults     int                    `json:"faults"`
-	Plant      string                 `json:"plant,omitempty"`
+	Bug        string                 `json:"plant,omitempty"`
 	States     int                    `json:"states"`
 	Steps      int                    `json:"steps"`
 	Ends       int                    `json:"ends"`
@@ -27,60 +31,99 @@
 	Violations []modelcheck.Violation `json:"violations"`
 }
 
-// search runs one search and tells of it; it returns whether a property was broken.
-func (a *app) search(cfg modelcheck.Config, effect, trace string) (bool, error) {
-	cfg.Effect = effects[effect]
-	last := time.Now()
-	cfg.Progress = func(states, depth int) {
-		if time.Since(last) > 2*time.Second {
-			last = time.Now()
-			fmt.Fprintf(a.errs, "%d states, depth %d\n", states, depth)
+// searchEach searches once an effect; it returns errNo if a property was violated.
+func (a *app) searchEach(f *exploreFlags, effects []forkhead.Effect) error {
+	violated := false
+	for _, effect := range effects {
+		cfg := f.search
+		cfg.Effect = effect
+		violations, err := a.search(cfg, f.traceFile)
+		if err != nil {
+			return err
 		}
+		violated = violated || violations > 0
+	}
+	if violated {
+		return errNo
 	}
+	return nil
+}
+
+// search runs one search and writes its result; it returns the number of violations. The trace of the first one goes to
+// traceFile, unless that is "".
+func (a *app) search(cfg modelcheck.Config, traceFile string) (violations int, err error) {
+	cfg.Progress = a.reportProgress()
 	r, err := modelcheck.Run(cfg)
 	if err != nil {
-		return false, badInput(err)
+		return 0, badInput(err)
+	}
+	if traceFile != "" && len(r.Violations) > 0 {
+		if err := writeTrace(traceFile, modelcheck.Trace{Config: cfg, Violation: r.Violations[0]}); err != nil {
+			return 0, err
+		}
 	}
-	e := exploration{
-		Effect: effect, Tasks: cfg.Tasks, Hosts: cfg.Hosts, Faults: cfg.Faults, Plant: cfg.Plant, States: r.States, Steps: r.Steps,
-		Ends: r.Ends, Depth: r.Depth, PerSecond: int(float64(r.States) / r.Took.Seconds()), MiB: r.Bytes >> 20,
+	result := searchResult{
+		Effect: effectNames[cfg.Effect], Tasks: cfg.Tasks, Hosts: cfg.Hosts, Faults: cfg.Faults, Bug: cfg.Plant,
+		States: r.States, Steps: r.Steps, Ends: r.Ends, Depth: r.Depth,
+		PerSecond: int(float64(r.States) / r.Took.Seconds()), MiB: r.Bytes >> 20,
 		Complete: r.Complete, Violations: r.Violations,
 	}
-	if trace != "" && len(r.Violations) > 0 {
-		text, err := json.MarshalIndent(modelcheck.Trace{Config: cfg, Violation: r.Violations[0]}, "", "  ")
-		if err != nil {
-			return false, err
-		}
-		if err := os.WriteFile(trace, append(text, '\n'), 0o644); err != nil {
-			return false, badInput(err)
+	if a.wantsJSON() {
+		return len(r.Violations), a.writeJSON(result)
+	}
+	a.printSearch(&result)
+	return len(r.Violations), nil
+}
+
+// reportProgress returns a function that writes a search's progress to standard error, at most once each progressInterval.
+func (a *app) reportProgress() func(states, depth int) {
+	last := time.Now()
+	return func(states, depth int) {
+		if time.Since(last) > progressInterval {
+			last = time.Now()
+			a.warnf("%d states, depth %d\n", states, depth)
 		}
 	}
-	if a.output == "json" {
-		return len(r.Violations) > 0, a.json(e)
+}
+
+func writeTrace(name string, trace modelcheck.Trace) error {
+	text, err := json.MarshalIndent(trace, "", "  ")
+	if err != nil {
+		return err
 	}
-	fmt.Fprintf(a.out, "%d tasks, %d hosts, %s, %d faults: %d states, %d steps, depth %d, %d ends, %d states/s, %d MiB, complete: %v\n",
-		e.Tasks, e.Hosts, effect, e.Faults, e.States, e.Steps, e.Depth, e.Ends, e.PerSecond, e.MiB, e.Complete)
+	return badInput(os.WriteFile(name, append(text, '\n'), 0o644))
+}
+
+func (a *app) printSearch(r *searchResult) {
+	a.printf("%d tasks, %d hosts, %s, %d faults: %d states, %d steps, depth %d, %d ends, %d states/s, %d MiB, complete: %v\n",
+		r.Tasks, r.Hosts, r.Effect, r.Faults, r.States, r.Steps, r.Depth, r.Ends, r.PerSecond, r.MiB, r.Complete)
 	if len(r.Violations) == 0 {
 		for _, p := range modelcheck.Properties {
-			fmt.Fprintf(a.out, "  holds  %-14s %s\n", p.Name, p.Text)
+			a.printf("  holds  %-14s %s\n", p.Name, p.Text)
 		}
-		return false, nil
+		return
 	}
 	for _, v := range r.Violations {
-		fmt.Fprintf(a.out, "BROKEN %s: %s\n%s", v.Property, v.Why, chart(v.Trace))
+		a.printf("BROKEN %s: %s\n%s", v.Property, v.Why, sequenceChart(v.Trace))
 	}
-	return true, nil
 }
 
-// chart lays a trace out by who does what: the placer on the left, hosts on the right.
-func chart(trace []string) string {
-	out := fmt.Sprintf("  %3s  %-46s| %s\n", "", "placer, owner, module", "hosts, network")
+// sequenceChart lays a trace out by who acts: the placer on the left, hosts and the network on the right.
+func sequenceChart(trace []string) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "  %3s  %-46s| %s\n", "", "placer, owner, module", "hosts, network")
 	for i, line := range trace {
 		left, right := line, ""
-		if strings.HasPrefix(line, "host ") || strings.HasPrefix(line, "the connection") || strings.Contains(line, "runs on host") || strings.Contains(line, "ends on host") {
+		if isOutsidePlacer(line) {
 			left, right = "", line
 		}
-		out += fmt.Sprintf("  %3d  %-46s| %s\n", i+1, left, right)
+		fmt.Fprintf(&b, "  %3d  %-46s| %s\n", i+1, left, right)
 	}
-	return out
+	return b.String()
+}
+
+// isOutsidePlacer reports whether a step of a trace happens at a host or on the network.
+func isOutsidePlacer(line string) bool {
+	return strings.HasPrefix(line, "host ") || strings.HasPrefix(line, "the connection") ||
+		strings.Contains(line, "runs on host") || strings.Contains(line, "ends on host")
 }
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -41,12 +41,13 @@
 	goldentest.Check(t, "store-dump.jsonl", goldenRun(t, exitOK, "store", "dump", compact, "--output", "json"))
 }
 
-// Tapes of an earlier build replay to the same verdict.
+// Recordings of an earlier build replay to the same verdict.
 func TestReplayCommandGolden(t *testing.T) {
 	for _, name := range []string{"placer-0-life-2", "placer-1-life-1"} {
 		file := "../verify/replay/testdata/" + name + ".tape"
-		goldentest.Check(t, "replay-"+name+".jsonl", goldenRun(t, exitOK, "badday", "--replay", file, "--output", "json"))
-		goldentest.Check(t, "replay-"+name+".txt", goldenRun(t, exitOK, "badday", "--replay", file))
+		goldentest.Check(t, "replay-"+name+".jsonl", goldenRun(t, exitOK, "chaos", "--replay", file, "--output", "json"))
+		goldentest.Check(t, "replay-"+name+".txt", goldenRun(t, exitOK, "chaos", "--replay", file))
+		goldentest.Check(t, "replay-"+name+".txt", goldenRun(t, exitOK, "badday", "--replay", file)) // the command's earlier name
 	}
 }
 
@@ -123,17 +124,17 @@
 	goldentest.Check(t, "try.jsonl", sortedOnce(masked(out, false, "host", "zone", "rack", "attempts", "took_ms")))
 }
 
-// A short day on sockets whose placer is built to tell an outcome twice: the lines of its breaches and its result, and what
-// is kept of it.
-func TestBaddayCommandGolden(t *testing.T) {
+// A short run on sockets whose placer is built to report an outcome twice: the lines of its breaches and its result, and
+// the files that are written of it.
+func TestChaosCommandGolden(t *testing.T) {
 	dir := t.TempDir()
 	script := filepath.Join(dir, "day.sexp")
 	if err := os.WriteFile(script, []byte(`(badday (seed 3) (length 500ms) (settle 500ms) (hosts 2 (kind std-28) (zone north))
 		(load web (class web) (rate 20) (replicas 1 1)) (plant one-answer))`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out := goldenRun(t, exitNo, "badday", script, "--record-on-breach", dir, "--output", "json")
-	goldentest.Check(t, "badday.jsonl", sortedOnce(masked(out, true)))
+	out := goldenRun(t, exitNo, "chaos", script, "--record-on-breach", dir, "--output", "json")
+	goldentest.Check(t, "chaos.jsonl", sortedOnce(masked(out, true)))
 
 	var kept []string
 	files, err := os.ReadDir(filepath.Join(dir, "seed-3"))
@@ -152,5 +153,5 @@
 	}
 	// Breaches are as many as the machine was fast: one stands for all.
 	text := regexp.MustCompile(`(?s)(\{[^{}]*\}),\n    \{.*?\n  \]`).ReplaceAllString(masked(string(verdict), true), "$1\n  ]")
-	goldentest.Check(t, "badday-verdict.json", text)
+	goldentest.Check(t, "chaos-verdict.json", text)
 }
--- a/internal/cli/host.go
+++ b/internal/cli/host.go
@@ -1,6 +1,7 @@
 package cli
 
 import (
+	"context"
 	"fmt"
 	"net"
 
@@ -13,46 +14,72 @@
 	"forkhead/internal/verify/testcluster"
 )
 
+const (
+	// hostPollers is the number of goroutines that read the sockets of all hosts.
+	hostPollers = 2
+
+	// groupSeeds is the distance between the first seeds of two groups of hosts, more than a group has hosts.
+	groupSeeds = 10_000
+)
+
+// hostFlags are the flags of host.
+type hostFlags struct {
+	scenarioFile string
+	catalog      string // address of Consul's API
+	listen       string
+}
+
 func (a *app) hostCommand() *cobra.Command {
-	var scriptFile, catalogue, listen string
+	var f hostFlags
 	c := &cobra.Command{
-		Use: "host", Short: "run the stand-in hosts of a script", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := readScript(scriptFile, scenario.FaultFree)
-			if err != nil {
-				return err
-			}
-			address, _, err := net.SplitHostPort(listen)
-			if err != nil {
-				return badInput(fmt.Errorf("--listen: %w", err))
-			}
-			engine, err := netio.New("hosts", 2)
+		Use: "host", Short: "run the emulated hosts of a scenario", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error { return a.runHosts(cmd.Context(), &f) },
+	}
+	flags := c.Flags()
+	flags.StringVar(&f.scenarioFile, "script", "", "scenario whose hosts are run (default: the hosts of try)")
+	flags.StringVar(&f.catalog, "catalogue", "127.0.0.1:8500", "address of the service catalog where the hosts register") //nolint:misspell // the flag's name
+	flags.StringVar(&f.listen, "listen", "127.0.0.1:0", "address to listen at; each host takes a port of its own")
+	return c
+}
+
+// runHosts runs all hosts of a scenario until ctx ends.
+func (a *app) runHosts(ctx context.Context, f *hostFlags) error {
+	s, err := readScenario(f.scenarioFile, scenario.FaultFree)
+	if err != nil {
+		return err
+	}
+	address, _, err := net.SplitHostPort(f.listen)
+	if err != nil {
+		return badInput(fmt.Errorf("--listen: %w", err))
+	}
+	engine, err := netio.New("hosts", hostPollers)
+	if err != nil {
+		return err
+	}
+	defer engine.Stop()
+	c := clock.New()
+	for gi := range s.HostGroups {
+		g := &s.HostGroups[gi]
+		for i := range g.Count {
+			name, rack := fmt.Sprintf("%s%d", g.Prefix, i), fmt.Sprintf("%s-r%d", g.Zone, i%g.Racks)
+			h, err := host.Start(host.Config{
+				Host:                 testcluster.HostConfig(s, g, name, rack),
+				Listen:               net.JoinHostPort(address, "0"),
+				CatalogAddress:       f.catalog,
+				Service:              s.Settings.ServiceDiscovery.Service,
+				RegistrationInterval: s.Host.RegistrationInterval,
+				Seed:                 uint64(gi*groupSeeds + i),
+				WarmingUp:            g.WarmingUp,
+				Clock:                c,
+				Engine:               engine,
+			})
 			if err != nil {
 				return err
 			}
-			defer engine.Stop()
-			c := clock.New()
-			for gi := range s.HostGroups {
-				g := &s.HostGroups[gi]
-				for i := range g.Count {
-					name, rack := fmt.Sprintf("%s%d", g.Prefix, i), fmt.Sprintf("%s-r%d", g.Zone, i%g.Racks)
-					h, err := host.Start(host.Config{
-						Host: testcluster.HostConfig(s, g, name, rack), Listen: net.JoinHostPort(address, "0"), CatalogAddress: catalogue,
-						Service: s.Settings.ServiceDiscovery.Service, RegistrationInterval: s.Host.RegistrationInterval, Seed: uint64(gi*10_000 + i), WarmingUp: g.WarmingUp, Clock: c, Engine: engine,
-					})
-					if err != nil {
-						return err
-					}
-					defer h.Stop()
-					a.log.Info().Str("host", name).Str("address", h.Address()).Msg("the host is up")
-				}
-			}
-			<-cmd.Context().Done()
-			return nil
-		},
+			defer h.Stop()
+			a.log.Info().Str("host", name).Str("address", h.Address()).Msg("the host is up")
+		}
 	}
-	c.Flags().StringVar(&scriptFile, "script", "", "script whose hosts are run (default: the fleet of try)")
-	c.Flags().StringVar(&catalogue, "catalogue", "127.0.0.1:8500", "where the hosts register")
-	c.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address to listen at; each host takes a port of its own")
-	return c
+	<-ctx.Done()
+	return nil
 }
--- a/internal/cli/input.go
+++ b/internal/cli/input.go
@@ -1,27 +1,45 @@
 package cli
 
 import (
+	"fmt"
+	"os"
+
 	"forkhead/internal/parse/settings"
 	"forkhead/internal/verify/scenario"
 )
 
-// readSettings reads a file of settings; "" stands for the default ones.
+// readFile reads a file of the user's. want says what should be in it; the error of a file that cannot be read repeats it.
+func readFile(name, want string) ([]byte, error) {
+	text, err := os.ReadFile(name)
+	if err != nil {
+		return nil, unreadable(err, want)
+	}
+	return text, nil
+}
+
+// unreadable is the error of a file that cannot be read.
+func unreadable(err error, want string) error {
+	return badInput(fmt.Errorf("%w; want a file that can be read, with %s", err, want))
+}
+
+// readSettings reads a file of settings; an empty name stands for the built-in ones.
 func readSettings(name string) (*settings.Settings, error) {
 	if name == "" {
 		return settings.Read("default settings", settings.Default)
 	}
-	text, err := file(name, "settings: (forkhead ...)")
+	text, err := readFile(name, "settings: (forkhead ...)")
 	if err != nil {
 		return nil, err
 	}
 	return settings.Read(name, text)
 }
 
-func readScript(name string, preset []byte) (*scenario.Scenario, error) {
+// readScenario reads a file of a scenario; an empty name stands for the built-in one.
+func readScenario(name string, builtIn []byte) (*scenario.Scenario, error) {
 	if name == "" {
-		return scenario.Read("built-in script", preset)
+		return scenario.Read("built-in script", builtIn)
 	}
-	text, err := file(name, "a script: (badday ...)")
+	text, err := readFile(name, "a script: (badday ...)")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cli/outcomes.go
+++ b/internal/cli/outcomes.go
@@ -1,60 +1,59 @@
 package cli
 
 import (
-	"fmt"
-	"text/tabwriter"
-
 	"forkhead/internal/scheduler/core"
 )
 
-// outcomes writes outcomes as they come, and counts.
-type outcomes struct {
+// outcomeWriter writes the outcomes of tasks and counts them: as JSON as they come, as text in a table at the end.
+type outcomeWriter struct {
 	app    *app
-	table  *tabwriter.Writer
+	table  *table // nil: JSON
 	counts map[core.OutcomeKind]int
-	err    error
+	err    error // the first failure to write JSON
 }
 
-func (a *app) outcomes() *outcomes {
-	o := &outcomes{app: a, counts: map[core.OutcomeKind]int{}}
-	if a.output == "text" {
-		o.table = tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
-		fmt.Fprintln(o.table, "SERVICE\tREPLICA\tOUTCOME\tHOST\tZONE\tRACK\tATTEMPTS\tTOOK\tREASON")
+func (a *app) newOutcomeWriter() *outcomeWriter {
+	w := &outcomeWriter{app: a, counts: map[core.OutcomeKind]int{}}
+	if !a.wantsJSON() {
+		w.table = newTable(a.out, 0, "SERVICE\tREPLICA\tOUTCOME\tHOST\tZONE\tRACK\tATTEMPTS\tTOOK\tREASON")
 	}
-	return o
+	return w
 }
 
-func (o *outcomes) add(out core.Outcome) {
-	o.counts[out.Outcome]++
-	if o.table == nil {
-		if err := o.app.json(out); err != nil && o.err == nil {
-			o.err = err
+// add writes an outcome.
+func (w *outcomeWriter) add(o core.Outcome) {
+	w.counts[o.Outcome]++
+	if w.table == nil {
+		if err := w.app.writeJSON(o); err != nil && w.err == nil {
+			w.err = err
 		}
 		return
 	}
-	fmt.Fprintf(o.table, "%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d ms\t%s\n", out.Service, out.Replica, out.Outcome,
-		dash(out.Host), dash(out.Zone), dash(out.Rack), out.Attempts, out.TookMS, out.Reason)
+	w.table.printf("%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d ms\t%s\n", o.Service, o.Replica, o.Outcome,
+		orDash(o.Host), orDash(o.Zone), orDash(o.Rack), o.Attempts, o.TookMS, o.Reason)
 }
 
-func dash(s string) string {
+// orDash returns s, or a dash for a column that would be empty.
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-// end closes the table; it returns errNo if any task was not placed.
-func (o *outcomes) end() error {
-	if o.table != nil {
-		if err := o.table.Flush(); err != nil {
+// finish writes the table; it returns errNo if any task was not placed.
+func (w *outcomeWriter) finish() error {
+	rejected, failed := w.counts[core.OutcomeRejected], w.counts[core.OutcomeFailed]
+	if w.table != nil {
+		if err := w.table.flush(); err != nil {
 			return err
 		}
-		fmt.Fprintf(o.app.out, "%d placed, %d refused, %d failed\n", o.counts[core.OutcomePlaced], o.counts[core.OutcomeRejected], o.counts[core.OutcomeFailed])
+		w.app.printf("%d placed, %d refused, %d failed\n", w.counts[core.OutcomePlaced], rejected, failed)
 	}
-	if o.err != nil {
-		return o.err
+	if w.err != nil {
+		return w.err
 	}
-	if o.counts[core.OutcomeRejected]+o.counts[core.OutcomeFailed] > 0 {
+	if rejected+failed > 0 {
 		return errNo
 	}
 	return nil
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -1,117 +1,168 @@
 package cli
 
 import (
-	"fmt"
+	"context"
+	"errors"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
 
 	"forkhead/internal/parse/servicespec"
+	"forkhead/internal/parse/settings"
 	"forkhead/internal/planning/plan"
 	"forkhead/internal/planning/solver"
 )
 
+// noPlacementFormat reports a conflict, whose parts stand a line each.
+const noPlacementFormat = "no placement exists. These cannot be met together, and could without any one of them:\n  %s\n"
+
+// planFlags are the flags of plan.
+type planFlags struct {
+	specification   specificationFlags
+	settingsFile    string
+	hostsFile       string
+	runningFile     string // "": nothing runs
+	limit           time.Duration
+	migrationCost   int64
+	homeZone        string // "": none
+	outsideHomeCost int64  // of a task outside homeZone
+	quotas          bool   // print quotas instead
+	selfcheck       int    // check the solver on so many instances instead; 0: plan
+}
+
 func (a *app) planCommand() *cobra.Command {
-	var pf projectFlags
-	var hosts, running, config string
-	var limit time.Duration
-	var move, cross int64
-	var home string
-	var selfcheck int
-	var parts bool
+	var f planFlags
 	c := &cobra.Command{
-		Use: "plan --hosts HOSTS FILE...", Short: "work out placements ahead, or what conflicts where there are none", Args: cobra.ArbitraryArgs,
-		RunE: func(cmd *cobra.Command, names []string) error {
-			if selfcheck > 0 {
-				return a.selfcheck(selfcheck)
-			}
-			if hosts == "" || len(names) == 0 && !parts {
-				return badInput(fmt.Errorf("plan wants --hosts HOSTS and at least one FILE or --shares, or --selfcheck N"))
-			}
-			s, err := readSettings(config)
-			if err != nil {
-				return err
-			}
-			q := &plan.Problem{Settings: s, MigrationCost: move, HomeZone: home, OutsideHomeCost: cross}
-			text, err := file(hosts, `the fleet as {"hosts":[{"id":...}]}`)
-			if err != nil {
-				return err
-			}
-			if q.Hosts, err = plan.ReadHosts(hosts, text); err != nil {
-				return badInput(err)
-			}
-			if parts {
-				return a.shares(s, q.Hosts)
-			}
-			if running != "" {
-				if text, err = file(running, `what runs as {"running":[{"service":...}]}`); err != nil {
-					return err
-				}
-				if q.Running, err = plan.ReadRunning(running, text); err != nil {
-					return badInput(err)
-				}
-			}
-			e, err := pf.envelope(names)
-			if err != nil {
-				return err
-			}
-			d, err := parse(e, s)
-			if err != nil {
-				return err
-			}
-			q.Specs = []*servicespec.Description{d}
-			end := time.Now().Add(limit)
-			p, err := plan.Solve(q, solver.Options{Stop: func() bool { return time.Now().After(end) || cmd.Context().Err() != nil }})
-			if err != nil {
-				return badInput(err)
-			}
-			return a.tellPlan(p)
-		},
-	}
-	pf.add(c.Flags())
-	c.Flags().StringVar(&hosts, "hosts", "", `the fleet: {"hosts":[{"id","kind","zone","rack","cores","memory","cost","state"}]}`)
-	c.Flags().StringVar(&running, "running", "", `what runs: {"running":[{"service","replica","host"}]}; moves are then told and cost`)
-	c.Flags().StringVar(&config, "config", "", "settings whose classes and tenants descriptions may name (default: built-in ones)")
-	c.Flags().DurationVar(&limit, "limit", 10*time.Second, "answer after this with what there is")
-	c.Flags().Int64Var(&move, "move", 1, "cost of a move, in the hosts' unit")
-	c.Flags().StringVar(&home, "home", "", "a zone that tasks should be in")
-	c.Flags().Int64Var(&cross, "cross", 1, "cost of each task outside --home")
-	c.Flags().BoolVar(&parts, "shares", false, "print each tenant's part of the fleet's cores at each placer, by the settings' shares")
-	c.Flags().IntVar(&selfcheck, "selfcheck", 0, "compare the solver with brute force on so many random instances")
+		Use: "plan --hosts HOSTS FILE...", Short: "compute an optimal placement ahead of time, or what conflicts if there is none", Args: cobra.ArbitraryArgs,
+		RunE: func(cmd *cobra.Command, names []string) error { return a.plan(cmd.Context(), &f, names) },
+	}
+	f.specification.add(c.Flags())
+	flags := c.Flags()
+	flags.StringVar(&f.hostsFile, "hosts", "", `hosts: {"hosts":[{"id","kind","zone","rack","cores","memory","cost","state"}]}`)
+	flags.StringVar(&f.runningFile, "running", "", `running tasks: {"running":[{"service","replica","host"}]}; migrations are then listed and cost`)
+	flags.StringVar(&f.settingsFile, "config", "", settingsFlagUsage)
+	flags.DurationVar(&f.limit, "limit", 10*time.Second, "time after which the best plan found so far is the answer")
+	flags.Int64Var(&f.migrationCost, "move", 1, "cost of a migration, in the unit of the hosts' costs")
+	flags.StringVar(&f.homeZone, "home", "", "zone that tasks should be in")
+	flags.Int64Var(&f.outsideHomeCost, "cross", 1, "cost of each task outside --home")
+	flags.BoolVar(&f.quotas, "shares", false, "print each tenant's quota of the hosts' cores at each placer instead, by the settings' shares")
+	flags.IntVar(&f.selfcheck, "selfcheck", 0, "compare the solver with brute force on so many random instances instead")
 	return c
 }
 
-func (a *app) tellPlan(p *plan.Plan) error {
-	if a.output == "json" {
-		if err := a.json(p); err != nil {
-			return err
-		}
-	} else if p.Feasible {
-		w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
-		fmt.Fprintln(w, "SERVICE\tREPLICA\tHOST")
-		for _, as := range p.Assignments {
-			fmt.Fprintf(w, "%s\t%d\t%s\n", as.Service, as.Replica, as.Host)
-		}
-		if err := w.Flush(); err != nil {
-			return err
-		}
-		for _, m := range p.Migrations {
-			fmt.Fprintf(a.out, "move %s/%d from %s to %s\n", m.Service, m.Replica, m.From, m.To)
-		}
-		gap := 0.0
-		if p.Cost > 0 {
-			gap = float64(p.Cost-p.LowerBound) / float64(p.Cost) * 100
+func (a *app) plan(ctx context.Context, f *planFlags, names []string) error {
+	if f.selfcheck > 0 {
+		return a.selfcheck(f.selfcheck)
+	}
+	if f.hostsFile == "" || len(names) == 0 && !f.quotas {
+		return badInput(errors.New("plan wants --hosts HOSTS and at least one FILE or --shares, or --selfcheck N"))
+	}
+	s, err := readSettings(f.settingsFile)
+	if err != nil {
+		return err
+	}
+	hosts, err := readHosts(f.hostsFile)
+	if err != nil {
+		return err
+	}
+	if f.quotas {
+		return a.printQuotas(s, hosts)
+	}
+	problem, err := f.problem(s, hosts, names)
+	if err != nil {
+		return err
+	}
+	end := time.Now().Add(f.limit)
+	p, err := plan.Solve(problem, solver.Options{Stop: func() bool { return time.Now().After(end) || ctx.Err() != nil }})
+	if err != nil {
+		return badInput(err)
+	}
+	return a.printPlan(p)
+}
+
+func readHosts(name string) ([]plan.Host, error) {
+	text, err := readFile(name, `the fleet as {"hosts":[{"id":...}]}`)
+	if err != nil {
+		return nil, err
+	}
+	hosts, err := plan.ReadHosts(name, text)
+	return hosts, badInput(err)
+}
+
+func readRunning(name string) ([]plan.Running, error) {
+	text, err := readFile(name, `what runs as {"running":[{"service":...}]}`)
+	if err != nil {
+		return nil, err
+	}
+	running, err := plan.ReadRunning(name, text)
+	return running, badInput(err)
+}
+
+// problem gathers what is to be placed, where, and what it costs.
+func (f *planFlags) problem(s *settings.Settings, hosts []plan.Host, names []string) (*plan.Problem, error) {
+	q := &plan.Problem{Settings: s, Hosts: hosts, MigrationCost: f.migrationCost, HomeZone: f.homeZone, OutsideHomeCost: f.outsideHomeCost}
+	if f.runningFile != "" {
+		var err error
+		if q.Running, err = readRunning(f.runningFile); err != nil {
+			return nil, err
 		}
-		fmt.Fprintf(a.out, "%d hosts in use, cost %d, bound %d, gap %.2f%%, proven: %v\n", p.HostsInUse, p.Cost, p.LowerBound, gap, p.Optimal)
-	} else if p.Optimal {
-		fmt.Fprintf(a.out, "no placement exists. These cannot be met together, and could without any one of them:\n  %s\n", strings.Join(p.Conflict, "\n  "))
-	} else {
-		fmt.Fprintln(a.out, "undecided: no placement was found and none was ruled out within the limit")
+	}
+	envelope, err := f.specification.envelope(names)
+	if err != nil {
+		return nil, err
+	}
+	description, err := parseSpecification(envelope, s)
+	if err != nil {
+		return nil, err
+	}
+	q.Specs = []*servicespec.Description{description}
+	return q, nil
+}
+
+// printPlan writes a plan; it returns errNo if the plan has no placement.
+func (a *app) printPlan(p *plan.Plan) error {
+	write := a.writePlanText
+	if a.wantsJSON() {
+		write = func(p *plan.Plan) error { return a.writeJSON(p) }
+	}
+	if err := write(p); err != nil {
+		return err
 	}
 	if !p.Feasible {
 		return errNo
 	}
 	return nil
 }
+
+func (a *app) writePlanText(p *plan.Plan) error {
+	switch {
+	case p.Feasible:
+		return a.writePlacement(p)
+	case p.Optimal:
+		a.printf(noPlacementFormat, strings.Join(p.Conflict, "\n  "))
+	default:
+		a.println("undecided: no placement was found and none was ruled out within the limit")
+	}
+	return nil
+}
+
+// writePlacement writes where each task goes, what migrates, the cost, and how far below it the optimum may be.
+func (a *app) writePlacement(p *plan.Plan) error {
+	t := newTable(a.out, 0, "SERVICE\tREPLICA\tHOST")
+	for _, assignment := range p.Assignments {
+		t.printf("%s\t%d\t%s\n", assignment.Service, assignment.Replica, assignment.Host)
+	}
+	if err := t.flush(); err != nil {
+		return err
+	}
+	for _, m := range p.Migrations {
+		a.printf("move %s/%d from %s to %s\n", m.Service, m.Replica, m.From, m.To)
+	}
+	gap := 0.0 // percent
+	if p.Cost > 0 {
+		gap = float64(p.Cost-p.LowerBound) / float64(p.Cost) * 100
+	}
+	a.printf("%d hosts in use, cost %d, bound %d, gap %.2f%%, proven: %v\n", p.HostsInUse, p.Cost, p.LowerBound, gap, p.Optimal)
+	return nil
+}
--- a/internal/cli/plan_quotas.go
+++ b/internal/cli/plan_quotas.go
@@ -10,48 +10,82 @@
 	"forkhead/internal/planning/quota"
 )
 
-// shares tells each tenant's part at each placer. Each placer of the settings has the same weight.
-func (a *app) shares(s *settings.Settings, hosts []plan.Host) error {
-	total := 0.0
-	for i := range hosts {
-		if h := &hosts[i]; h.State == "" || h.State == "ready" || h.State == "cold" {
-			total += h.Cores
-		}
-	}
+const (
+	millicores = 1000 // of a core: quotas are whole numbers of them
+	shareUnits = 1e6  // of the whole cluster: shares are given to quota.NewTable as whole numbers of them
+)
+
+// tenantQuota is a line of what a tenant gets at a placer.
+type tenantQuota struct {
+	Cores  float64 `json:"cores"`
+	Placer int     `json:"placer"`
+	Tenant string  `json:"tenant"`
+}
+
+// quotaTotal is the line of all hosts.
+type quotaTotal struct {
+	Cores float64 `json:"cores"`
+	Free  float64 `json:"free"` // in no tenant's quota
+}
+
+// printQuotas writes each tenant's quota at each placer. All placers of the settings have the same weight.
+func (a *app) printQuotas(s *settings.Settings, hosts []plan.Host) error {
+	total := usableCores(hosts)
 	var tenants []quota.Tenant
 	for i, name := range s.Tenants {
-		tenants = append(tenants, quota.Tenant{Name: name, Quota: uint64(s.Module.Tenants[i].Quota*1e6 + 0.5)})
+		tenants = append(tenants, quota.Tenant{Name: name, Quota: uint64(s.Module.Tenants[i].Quota*shareUnits + 0.5)})
 	}
 	var placers []quota.Allocation
 	for i, p := range s.Placers {
 		placers = append(placers, quota.Allocation{Name: fmt.Sprintf("%d (%s)", i, p.Zone), Weight: 1})
 	}
-	t, err := quota.NewTable(int64(total*1000+0.5), tenants, placers, nil)
+	quotas, err := quota.NewTable(int64(total*millicores+0.5), tenants, placers, nil)
 	if err != nil {
 		return badInput(err)
 	}
-	if a.output == "json" {
-		for i, name := range t.Tenants {
-			for j := range t.Placers {
-				if err := a.json(map[string]any{"tenant": name, "placer": j, "cores": float64(t.Amounts[i][j]) / 1000}); err != nil {
-					return err
-				}
+	if a.wantsJSON() {
+		return a.writeQuotasJSON(quotas, total)
+	}
+	return a.writeQuotasText(quotas, total)
+}
+
+// usableCores adds up the cores of hosts that take tasks.
+func usableCores(hosts []plan.Host) float64 {
+	total := 0.0
+	for i := range hosts {
+		if h := &hosts[i]; h.State == "" || h.State == "ready" || h.State == "cold" {
+			total += h.Cores
+		}
+	}
+	return total
+}
+
+func (a *app) writeQuotasJSON(quotas *quota.Table, total float64) error {
+	for i, tenant := range quotas.Tenants {
+		for j := range quotas.Placers {
+			if err := a.writeJSON(tenantQuota{Cores: cores(quotas.Amounts[i][j]), Placer: j, Tenant: tenant}); err != nil {
+				return err
 			}
 		}
-		return a.json(map[string]any{"cores": total, "free": float64(t.Unassigned) / 1000})
-	}
-	w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "TENANT\tPLACER "+strings.Join(t.Placers, "\tPLACER ")+"\t")
-	for i, name := range t.Tenants {
-		fmt.Fprint(w, name)
-		for _, part := range t.Amounts[i] {
-			fmt.Fprintf(w, "\t%.3f", float64(part)/1000)
+	}
+	return a.writeJSON(quotaTotal{Cores: total, Free: cores(quotas.Unassigned)})
+}
+
+func (a *app) writeQuotasText(quotas *quota.Table, total float64) error {
+	t := newTable(a.out, tabwriter.AlignRight, "TENANT\tPLACER "+strings.Join(quotas.Placers, "\tPLACER ")+"\t")
+	for i, tenant := range quotas.Tenants {
+		t.printf("%s", tenant)
+		for _, part := range quotas.Amounts[i] {
+			t.printf("\t%.3f", cores(part))
 		}
-		fmt.Fprintln(w, "\t")
+		t.printf("\t\n")
 	}
-	if err := w.Flush(); err != nil {
+	if err := t.flush(); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(a.out, "%.3f cores in all, %.3f of them nobody's\n", total, float64(t.Unassigned)/1000)
+	_, err := fmt.Fprintf(a.out, "%.3f cores in all, %.3f of them nobody's\n", total, cores(quotas.Unassigned))
 	return err
 }
+
+// cores returns a whole number of millicores in cores.
+func cores(n int64) float64 { return float64(n) / millicores }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -12,49 +12,60 @@
 	"forkhead/internal/server/store"
 )
 
+// serveFlags are the flags of serve.
+type serveFlags struct {
+	settingsFile string
+	storeFile    string // "": nothing is stored
+	self         int    // index of the placer in the settings
+	grace        time.Duration
+}
+
 func (a *app) serveCommand() *cobra.Command {
-	var config, keep string
-	var self int
-	var grace time.Duration
+	var f serveFlags
 	c := &cobra.Command{
 		Use: "serve", Short: "run a placer", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := readSettings(config)
-			if err != nil {
-				return err
-			}
-			if self < 0 || self >= len(s.Placers) {
-				return badInput(fmt.Errorf("--self is %d, and the settings name placers 0 to %d", self, len(s.Placers)-1))
-			}
-			c := clock.New()
-			cfg := placer.Config{Settings: s.For(self), Clock: c, Log: a.log, Seed: uint64(c.Now())}
-			if keep != "" {
-				if cfg.Store, cfg.Snapshot, err = store.Open(store.Options{Path: keep}); err != nil {
-					return err
-				}
-				defer cfg.Store.Close()
-			}
-			p, err := placer.Start(cfg)
-			if err != nil {
-				return err
-			}
-			a.log.WithLevel(a.log.GetLevel()).Int("placer", self).Str("http", p.Address()).Msg("the placer serves")
-			select {
-			case err := <-p.Failed():
-				p.Close()
-				return err
-			case <-cmd.Context().Done():
-			}
-			// The command's context is done already.
-			ctx, cancel := context.WithTimeout(context.WithoutCancel(cmd.Context()), grace)
-			defer cancel()
-			p.Shutdown(ctx)
-			return nil
-		},
+		RunE: func(cmd *cobra.Command, _ []string) error { return a.serve(cmd.Context(), &f) },
 	}
-	c.Flags().StringVar(&keep, "store", "", "file to keep in what must not be forgotten (default: nothing is kept)")
-	c.Flags().StringVar(&config, "config", "", "file of settings (default: built-in ones)")
-	c.Flags().IntVar(&self, "self", 0, "which placer of the settings this is")
-	c.Flags().DurationVar(&grace, "grace", 5*time.Second, "how long what is under way may still take at a stop")
+	flags := c.Flags()
+	flags.StringVar(&f.storeFile, "store", "", "file for the state that survives a restart (default: nothing is stored)")
+	flags.StringVar(&f.settingsFile, "config", "", "file of settings (default: built-in ones)")
+	flags.IntVar(&f.self, "self", 0, "index of this placer in the settings, from 0")
+	flags.DurationVar(&f.grace, "grace", 5*time.Second, "time for work in progress to finish at shutdown")
 	return c
 }
+
+// serve runs a placer until ctx ends or the placer fails.
+func (a *app) serve(ctx context.Context, f *serveFlags) error {
+	s, err := readSettings(f.settingsFile)
+	if err != nil {
+		return err
+	}
+	if f.self < 0 || f.self >= len(s.Placers) {
+		return badInput(fmt.Errorf("--self is %d, and the settings name placers 0 to %d", f.self, len(s.Placers)-1))
+	}
+	c := clock.New()
+	cfg := placer.Config{Settings: s.For(f.self), Clock: c, Log: a.log, Seed: uint64(c.Now())}
+	if f.storeFile != "" {
+		if cfg.Store, cfg.Snapshot, err = store.Open(store.Options{Path: f.storeFile}); err != nil {
+			return err
+		}
+		defer func() { _ = cfg.Store.Close() }()
+	}
+	p, err := placer.Start(cfg)
+	if err != nil {
+		return err
+	}
+	// The address is logged at whatever level was asked for.
+	a.log.WithLevel(a.log.GetLevel()).Int("placer", f.self).Str("http", p.Address()).Msg("the placer serves")
+	select {
+	case err := <-p.Failed():
+		p.Close()
+		return err
+	case <-ctx.Done():
+	}
+	// The command's context has ended: the shutdown needs one that has not.
+	shutdown, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.grace)
+	defer cancel()
+	p.Shutdown(shutdown)
+	return nil
+}
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -10,75 +10,131 @@
 	"forkhead/internal/server/store"
 )
 
+// storeContent says what a store's file should hold, for the error of one that cannot be read.
+const storeContent = "what serve --store keeps"
+
+// storedValue is the line of a value in store dump.
+type storedValue struct {
+	Bucket  durable.Bucket `json:"bucket"`
+	Key     string         `json:"key"`
+	Value   string         `json:"value"`
+	Version int            `json:"version"`
+}
+
+// storeCounts is the line of store verify.
+type storeCounts struct {
+	Bad  int                    `json:"bad"` // values that cannot be decoded
+	Keys map[durable.Bucket]int `json:"keys"`
+}
+
+// compactedSizes is the line of store compact, in bytes.
+type compactedSizes struct {
+	After  int64 `json:"after"`
+	Before int64 `json:"before"`
+}
+
 func (a *app) storeCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use: "store", Short: "look at what a placer keeps, while the placer is down",
-		Long: "store reads the file of serve --store. The placer that keeps it must be down. verify reads every page and every\n" +
-			"value; dump writes each key with its value; compact writes a copy without the space that is free.",
+		Use: "store", Short: "verify, dump or compact a placer's store while the placer is down",
+		Long: "store reads the file of serve --store. The placer that writes it must be down. verify reads every page and every\n" +
+			"value; dump writes each key with its value; compact writes a copy without the free space.",
 	}
 	c.AddCommand(
-		&cobra.Command{Use: "verify FILE", Short: "check every page and every value", Args: cobra.ExactArgs(1),
-			RunE: func(_ *cobra.Command, args []string) error { return a.readStore(args[0], false) }},
-		&cobra.Command{Use: "dump FILE", Short: "write each key with its value", Args: cobra.ExactArgs(1),
-			RunE: func(_ *cobra.Command, args []string) error { return a.readStore(args[0], true) }},
-		&cobra.Command{Use: "compact FILE COPY", Short: "write a copy without the space that is free", Args: cobra.ExactArgs(2),
-			RunE: func(_ *cobra.Command, args []string) error {
-				if _, err := os.Stat(args[0]); err != nil {
-					return unreadable(err, "what serve --store keeps")
-				}
-				if _, err := os.Stat(args[1]); err == nil {
-					return badInput(fmt.Errorf("%s exists; want a name that is free", args[1]))
-				}
-				before, after, err := store.Compact(args[0], args[1])
-				if err != nil {
-					return err
-				}
-				if a.output == "json" {
-					return a.json(map[string]int64{"before": before, "after": after})
-				}
-				_, err = fmt.Fprintf(a.out, "%d bytes before, %d in the copy\n", before, after)
-				return err
-			}},
+		&cobra.Command{
+			Use: "verify FILE", Short: "check every page and every value", Args: cobra.ExactArgs(1),
+			RunE: func(_ *cobra.Command, args []string) error { return a.verifyStore(args[0]) },
+		},
+		&cobra.Command{
+			Use: "dump FILE", Short: "write each key with its value", Args: cobra.ExactArgs(1),
+			RunE: func(_ *cobra.Command, args []string) error { return a.dumpStore(args[0]) },
+		},
+		&cobra.Command{
+			Use: "compact FILE COPY", Short: "write a copy without the free space", Args: cobra.ExactArgs(2),
+			RunE: func(_ *cobra.Command, args []string) error { return a.compactStore(args[0], args[1]) },
+		},
 	)
 	return c
 }
 
-// readStore goes through a file. Exit 3: something in it does not hold.
-func (a *app) readStore(path string, dump bool) error {
+// verifyStore reads a whole store and writes how many values it holds. It returns errNo if anything cannot be read.
+func (a *app) verifyStore(path string) error {
+	counts, err := a.readStore(path, func(storedValue) error { return nil })
+	if err != nil {
+		return err
+	}
+	if a.wantsJSON() {
+		err = a.writeJSON(counts)
+	} else {
+		_, err = fmt.Fprintf(a.out, "%v, %d that do not hold\n", counts.Keys, counts.Bad)
+	}
+	if err != nil {
+		return err
+	}
+	return counts.answer()
+}
+
+// dumpStore writes all values of a store. It returns errNo if anything cannot be read.
+func (a *app) dumpStore(path string) error {
+	counts, err := a.readStore(path, func(v storedValue) error {
+		if a.wantsJSON() {
+			return a.writeJSON(v)
+		}
+		_, err := fmt.Fprintf(a.out, "%s\t%s\t%s\n", v.Bucket, v.Key, v.Value)
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	return counts.answer()
+}
+
+// readStore visits each value of a store that can be decoded, reports the others on standard error, and counts both. It
+// returns errNo if the file cannot be read to its end.
+func (a *app) readStore(path string, visit func(storedValue) error) (storeCounts, error) {
+	counts := storeCounts{Keys: map[durable.Bucket]int{}}
 	if _, err := os.Stat(path); err != nil {
-		return unreadable(err, "what serve --store keeps")
+		return counts, unreadable(err, storeContent)
 	}
-	counts, bad := map[durable.Bucket]int{}, 0
 	err := store.ForEach(path, func(bucket durable.Bucket, key string, value []byte) error {
-		counts[bucket]++
+		counts.Keys[bucket]++
 		text, version, err := durable.DecodeValue(value)
 		if err != nil {
-			bad++
-			fmt.Fprintf(a.errs, "%s: %s %q: %v\n", path, bucket, key, err)
-			return nil
-		}
-		switch {
-		case !dump:
+			counts.Bad++
+			a.warnf("%s: %s %q: %v\n", path, bucket, key, err)
 			return nil
-		case a.output == "json":
-			return a.json(map[string]any{"bucket": bucket, "key": key, "version": version, "value": string(text)})
 		}
-		_, err = fmt.Fprintf(a.out, "%s\t%s\t%s\n", bucket, key, text)
-		return err
+		return visit(storedValue{Bucket: bucket, Key: key, Value: string(text), Version: version})
 	})
 	if err != nil {
-		fmt.Fprintln(a.errs, err)
+		a.warnln(err)
+		return counts, errNo
+	}
+	return counts, nil
+}
+
+// answer is errNo if a value cannot be decoded.
+func (c storeCounts) answer() error {
+	if c.Bad > 0 {
 		return errNo
 	}
-	if !dump {
-		if a.output == "json" {
-			err = a.json(map[string]any{"keys": counts, "bad": bad})
-		} else {
-			_, err = fmt.Fprintf(a.out, "%v, %d that do not hold\n", counts, bad)
-		}
+	return nil
+}
+
+// compactStore copies a store into a new file and writes the sizes of both.
+func (a *app) compactStore(path, copied string) error {
+	if _, err := os.Stat(path); err != nil {
+		return unreadable(err, storeContent)
 	}
-	if err == nil && bad > 0 {
-		return errNo
+	if _, err := os.Stat(copied); err == nil {
+		return badInput(fmt.Errorf("%s exists; want a name that is free", copied))
+	}
+	before, after, err := store.Compact(path, copied)
+	if err != nil {
+		return err
+	}
+	if a.wantsJSON() {
+		return a.writeJSON(compactedSizes{After: after, Before: before})
 	}
+	_, err = fmt.Fprintf(a.out, "%d bytes before, %d in the copy\n", before, after)
 	return err
 }
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -1,66 +1,86 @@
 package cli
 
 import (
+	"context"
 	"errors"
-	"fmt"
+	"net/http"
 	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
 
 	"forkhead/internal/client"
+	"forkhead/internal/server/placer"
 )
 
+// sendBackoff is the wait before a submission is sent again.
+const sendBackoff = 500 * time.Millisecond
+
+// submitFlags are the flags of submit.
+type submitFlags struct {
+	specification specificationFlags
+	address       string
+	key           string // "": a random one
+	maxSends      int
+}
+
 func (a *app) submitCommand() *cobra.Command {
-	var pf projectFlags
-	var to, key string
-	var tries int
+	var f submitFlags
 	c := &cobra.Command{
-		Use: "submit FILE...", Short: "submit a description to a placer and follow its tasks", Args: cobra.MinimumNArgs(1),
-		RunE: func(cmd *cobra.Command, names []string) error {
-			e, err := pf.envelope(names)
-			if err != nil {
-				return err
-			}
-			// Classes and tenants are the placer's to know: only the name is looked for here.
-			if e.Project == "" && !strings.Contains(e.Files[0].Text, "name:") {
-				s, err := readSettings("")
-				if err != nil {
-					return err
-				}
-				if d, err := parse(e, s); err == nil {
-					named(e, d, names[0])
-				}
-			}
-			out := a.outcomes()
-			client := client.Client{Address: to, IdempotencyKey: key, MaxSends: tries, Backoff: 500 * time.Millisecond}
-			if err := client.Submit(cmd.Context(), e, out.add); err != nil {
-				return a.refusal(err)
-			}
-			return out.end()
-		},
+		Use: "submit FILE...", Short: "submit a service specification to a placer and follow its tasks", Args: cobra.MinimumNArgs(1),
+		RunE: func(cmd *cobra.Command, names []string) error { return a.submit(cmd.Context(), &f, names) },
 	}
-	pf.add(c.Flags())
-	c.Flags().StringVar(&to, "to", "127.0.0.1:7070", "the placer's front")
-	c.Flags().StringVar(&key, "key", "", "Idempotency-Key (default: a random one)")
-	c.Flags().IntVar(&tries, "tries", 5, "how often the submission is sent where the reply is lost or the placer is busy")
+	f.specification.add(c.Flags())
+	flags := c.Flags()
+	flags.StringVar(&f.address, "to", "127.0.0.1:7070", "address of the placer's HTTP API")
+	flags.StringVar(&f.key, "key", "", "Idempotency-Key (default: a random one)")
+	flags.IntVar(&f.maxSends, "tries", 5, "how often at most the submission is sent when the reply is lost or the placer is busy")
 	return c
 }
 
-// refusal tells a placer's answer as what it is: bad input, a no, or trouble.
-func (a *app) refusal(err error) error {
+// submit sends the files to a placer and follows the tasks to their outcomes.
+func (a *app) submit(ctx context.Context, f *submitFlags, names []string) error {
+	envelope, err := f.specification.envelope(names)
+	if err != nil {
+		return err
+	}
+	// Only the placer knows its classes and tenants: here the files are parsed for the project's name alone, and errors are
+	// left for the placer to report.
+	if envelope.Project == "" && !strings.Contains(envelope.Files[0].Text, "name:") {
+		s, err := readSettings("")
+		if err != nil {
+			return err
+		}
+		if description, err := parseSpecification(envelope, s); err == nil {
+			nameProject(envelope, description, names[0])
+		}
+	}
+	return a.submitAndFollow(ctx, &client.Client{Address: f.address, IdempotencyKey: f.key, MaxSends: f.maxSends, Backoff: sendBackoff}, envelope)
+}
+
+// submitAndFollow submits an envelope and writes each outcome as it comes. It returns errNo if any task was not placed.
+func (a *app) submitAndFollow(ctx context.Context, c *client.Client, envelope *placer.Envelope) error {
+	outcomes := a.newOutcomeWriter()
+	if err := c.Submit(ctx, envelope, outcomes.add); err != nil {
+		return a.submissionError(err)
+	}
+	return outcomes.finish()
+}
+
+// submissionError sorts a submission that failed into bad input, an answer of no, which it prints, and a failure.
+func (a *app) submissionError(err error) error {
 	var r *client.RejectionError
 	if !errors.As(err, &r) {
 		return err
 	}
 	switch {
 	case len(r.Conflict) > 0:
-		fmt.Fprintf(a.errs, "no placement exists. These cannot be met together, and could without any one of them:\n  %s\n", strings.Join(r.Conflict, "\n  "))
+		a.warnf(noPlacementFormat, strings.Join(r.Conflict, "\n  "))
 		return errNo
-	case len(r.Errors) > 0 || r.Status == 400 || r.Status == 415 || r.Status == 422:
+	case len(r.Errors) > 0, r.Status == http.StatusBadRequest, r.Status == http.StatusUnsupportedMediaType, r.Status == http.StatusUnprocessableEntity:
 		return badInput(err)
-	case r.Retryable() || r.Status == 413:
-		fmt.Fprintln(a.errs, err)
+	case r.Retryable(), r.Status == http.StatusRequestEntityTooLarge:
+		a.warnln(err)
 		return errNo
 	}
 	return err
--- a/internal/cli/try.go
+++ b/internal/cli/try.go
@@ -1,6 +1,7 @@
 package cli
 
 import (
+	"context"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -10,45 +11,48 @@
 	"forkhead/internal/verify/testcluster"
 )
 
+// readyTimeout bounds the wait until the placers of a test cluster know its hosts.
+const readyTimeout = 10 * time.Second
+
 func (a *app) tryCommand() *cobra.Command {
-	var pf projectFlags
-	var scriptFile string
+	var spec specificationFlags
+	var scenarioFile string
 	c := &cobra.Command{
-		Use: "try FILE...", Short: "place a description on stand-in hosts, all in this process", Args: cobra.MinimumNArgs(1),
+		Use: "try FILE...", Short: "place a service specification on emulated hosts, all in this process", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, names []string) error {
-			s, err := readScript(scriptFile, scenario.FaultFree)
-			if err != nil {
-				return err
-			}
-			e, err := pf.envelope(names)
-			if err != nil {
-				return err
-			}
-			d, err := parse(e, s.Settings)
-			if err != nil {
-				return err
-			}
-			named(e, d, names[0])
-			sc, err := testcluster.Start(s, testcluster.Options{Log: a.log})
-			if err != nil {
-				return err
-			}
-			defer sc.Stop()
-			if err := sc.WaitReady(10 * time.Second); err != nil {
-				return err
-			}
-			for _, n := range d.Notes {
-				a.log.Warn().Str("at", n.Pos.String()).Msg(n.Text)
-			}
-			out := a.outcomes()
-			client := client.Client{Address: sc.Settings.Placers[0].HTTP}
-			if err := client.Submit(cmd.Context(), e, out.add); err != nil {
-				return a.refusal(err)
-			}
-			return out.end()
+			return a.try(cmd.Context(), &spec, scenarioFile, names)
 		},
 	}
-	pf.add(c.Flags())
-	c.Flags().StringVar(&scriptFile, "script", "", "script whose fleet is used (default: a calm one of ten hosts)")
+	spec.add(c.Flags())
+	c.Flags().StringVar(&scenarioFile, "script", "", "scenario whose hosts and placers are used (default: a built-in one of ten hosts)")
 	return c
 }
+
+// try starts the cluster of a scenario, submits the files to its first placer and follows the tasks to their outcomes.
+func (a *app) try(ctx context.Context, spec *specificationFlags, scenarioFile string, names []string) error {
+	s, err := readScenario(scenarioFile, scenario.FaultFree)
+	if err != nil {
+		return err
+	}
+	envelope, err := spec.envelope(names)
+	if err != nil {
+		return err
+	}
+	description, err := parseSpecification(envelope, s.Settings)
+	if err != nil {
+		return err
+	}
+	nameProject(envelope, description, names[0])
+	cluster, err := testcluster.Start(s, testcluster.Options{Log: a.log})
+	if err != nil {
+		return err
+	}
+	defer cluster.Stop()
+	if err := cluster.WaitReady(readyTimeout); err != nil {
+		return err
+	}
+	for _, n := range description.Notes {
+		a.log.Warn().Str("at", n.Pos.String()).Msg(n.Text)
+	}
+	return a.submitAndFollow(ctx, &client.Client{Address: cluster.Settings.Placers[0].HTTP}, envelope)
+}
