--- /dev/null
+++ b/internal/protocol/http1/parser_test.go
@@ -0,0 +1,226 @@
+package http1
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// pieces cuts a stream into pieces of n bytes.
+func pieces(stream string, n int) (out []string) {
+	for len(stream) > n {
+		out, stream = append(out, stream[:n]), stream[n:]
+	}
+	return append(out, stream)
+}
+
+// feed gives the pieces of a stream to a parser and returns all requests, or the error of the first malformed one.
+func feed(pieces []string) (out []*Request, err error) {
+	p := NewParser(Limits{Line: 200, Headers: 400, Fields: 6, Body: 100})
+	take := func(r *Request, e error) {
+		for r != nil && e == nil {
+			out = append(out, r)
+			r, e = p.Next()
+		}
+		err = e
+	}
+	for _, piece := range pieces {
+		if err == nil {
+			take(p.Feed([]byte(piece)))
+		}
+	}
+	return out, err
+}
+
+const get = "GET /a?x=1 HTTP/1.1\r\nHost: a\r\n\r\n"
+
+const postHead = "POST /a HTTP/1.1\r\nHost: a\r\n"
+
+// validStreams are streams with the requests that they hold, each as METHOD PATH BODY.
+var validStreams = map[string]struct {
+	stream string
+	want   []string
+}{
+	"plain":       {get, []string{"GET /a "}},
+	"pipelined":   {get + "POST /b HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nxyz" + get, []string{"GET /a ", "POST /b xyz", "GET /a "}},
+	"chunked":     {"POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: Chunked\r\n\r\n3;a=b\r\nabc\r\n0A\r\n0123456789\r\n0\r\nX: y\r\n\r\n" + get, []string{"POST /c abc0123456789", "GET /a "}},
+	"blank line":  {"\r\n" + get, []string{"GET /a "}},
+	"1.0":         {"GET /o HTTP/1.0\r\n\r\n", []string{"GET /o "}},
+	"no body":     {"POST /e HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n" + get, []string{"POST /e ", "GET /a "}},
+	"escaped":     {"GET /a%20b HTTP/1.1\r\nHost: a\r\n\r\n", []string{"GET /a b "}},
+	"value space": {"GET /v HTTP/1.1\r\nHost: \t a \t\r\n\r\n", []string{"GET /v "}},
+}
+
+// invalidStreams are streams with the status with which their first request is rejected.
+var invalidStreams = map[string]struct {
+	stream string
+	status int
+}{
+	"folded":             {"GET / HTTP/1.1\r\nHost: a\r\nX: 1\r\n 2\r\n\r\n", 400},
+	"two lengths":        {postHead + "Content-Length: 1\r\nContent-Length: 1\r\n\r\nx", 400},
+	"length list":        {postHead + "Content-Length: 1, 1\r\n\r\nx", 400},
+	"length and chunked": {postHead + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
+	"two codings":        {postHead + "Transfer-Encoding: gzip, chunked\r\n\r\n", 501},
+	"signed length":      {postHead + "Content-Length: +1\r\n\r\nx", 400},
+	"negative length":    {postHead + "Content-Length: -1\r\n\r\nx", 400},
+	"huge length":        {postHead + "Content-Length: 99999999999999999999\r\n\r\n", 400},
+	"length over limit":  {postHead + "Content-Length: 101\r\n\r\n", 413},
+	"chunks over limit":  {postHead + "Transfer-Encoding: chunked\r\n\r\n50\r\n" + strings.Repeat("x", 80) + "\r\n50\r\n", 413},
+	"chunk size":         {postHead + "Transfer-Encoding: chunked\r\n\r\n0x1\r\n", 400},
+	"chunk size space":   {postHead + "Transfer-Encoding: chunked\r\n\r\n 1\r\n", 400},
+	"chunk size long":    {postHead + "Transfer-Encoding: chunked\r\n\r\n111111111\r\n", 400},
+	"chunk end":          {postHead + "Transfer-Encoding: chunked\r\n\r\n1\r\nxy\r\n", 400},
+	"bare LF":            {"GET / HTTP/1.1\nHost: a\n\n", 400},
+	"bare CR":            {"GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n", 400},
+	"bare CR, open":      {"GET / HTTP/1.1\r\nHost: a\rX", 400},
+	"space before colon": {"GET / HTTP/1.1\r\nHost : a\r\n\r\n", 400},
+	"no colon":           {"GET / HTTP/1.1\r\nHost\r\n\r\n", 400},
+	"NUL":                {"GET / HTTP/1.1\r\nHost: a\r\nX: \x00\r\n\r\n", 400},
+	"no host":            {"GET / HTTP/1.1\r\n\r\n", 400},
+	"two hosts":          {"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400},
+	"tabs in line":       {"GET\t/ HTTP/1.1\r\n\r\n", 400},
+	"two spaces":         {"GET  / HTTP/1.1\r\n\r\n", 400},
+	"absolute":           {"GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n", 400},
+	"double slash":       {"GET //a HTTP/1.1\r\nHost: a\r\n\r\n", 400},
+	"version":            {"GET / HTTP/2.0\r\nHost: a\r\n\r\n", 505},
+	"no version":         {"GET /\r\n\r\n", 400},
+	"long line":          {"GET /" + strings.Repeat("a", 300), 414},
+	"huge headers":       {"GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("a", 500), 431},
+	"many fields":        {"GET / HTTP/1.1\r\nHost: a\r\n" + strings.Repeat("X: a\r\n", 8), 431},
+	"many blank lines":   {"\r\n\r\n" + get, 400},
+	"expectation":        {postHead + "Expect: tea\r\n\r\n", 417},
+	"chunked in 1.0":     {"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
+	"tls":                {"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n", 400},
+}
+
+func TestParserAcceptsValidStreams(t *testing.T) {
+	for name, c := range validStreams {
+		for _, n := range []int{1, 2, 7, 1000} {
+			got, err := feed(pieces(c.stream, n))
+			if err != nil {
+				t.Errorf("%s by %d: %v", name, n, err)
+				continue
+			}
+			var lines []string
+			for _, r := range got {
+				lines = append(lines, r.Method+" "+r.Path+" "+string(r.Body))
+			}
+			if strings.Join(lines, "|") != strings.Join(c.want, "|") {
+				t.Errorf("%s by %d: %q, want %q", name, n, lines, c.want)
+			}
+		}
+	}
+}
+
+func TestParserRejectsInvalidStreams(t *testing.T) {
+	for name, c := range invalidStreams {
+		for _, n := range []int{1, 1000} {
+			got, err := feed(pieces(c.stream, n))
+			var e *Error
+			if !errors.As(err, &e) || e.Status != c.status || len(got) > 0 {
+				t.Errorf("%s by %d: %v and %d requests, want status %d", name, n, err, len(got), c.status)
+			}
+		}
+	}
+}
+
+// A stream has the same requests, and is or is not rejected, wherever it is cut.
+func TestParserIgnoresSplits(t *testing.T) {
+	streams := map[string]string{}
+	for name, c := range validStreams {
+		streams[name] = c.stream
+	}
+	for name, c := range invalidStreams {
+		streams[name] = c.stream
+	}
+	for name, stream := range streams {
+		want, wantErr := feed([]string{stream})
+		check := func(pieces []string) {
+			got, err := feed(pieces)
+			if diff := cmp.Diff(want, got); diff != "" || (err == nil) != (wantErr == nil) {
+				t.Errorf("%s as %q: error %v, uncut %v; requests: %s", name, pieces, err, wantErr, diff)
+			}
+		}
+		check(pieces(stream, 1))
+		for first := range stream {
+			check([]string{stream[:first], stream[first:]})
+			check([]string{stream[:first], stream[first : first+1], stream[first+1:]})
+		}
+	}
+}
+
+// What is sent ahead of the response is bounded.
+func TestParserBoundsPipelinedBytes(t *testing.T) {
+	p := NewParser(DefaultLimits(100))
+	if r, err := p.Feed([]byte(get)); r == nil || err != nil {
+		t.Fatal(err)
+	}
+	var err error
+	for range 1000 {
+		if _, err = p.Feed(make([]byte, 1000)); err != nil {
+			break
+		}
+	}
+	if err == nil || len(p.unread) > MaxPipelinedBytes {
+		t.Fatalf("%d bytes buffered, %v", len(p.unread), err)
+	}
+}
+
+// A peer that reads a size up to its first space sees another chunk than one that reads on.
+func TestParserRejectsSpaceInChunkSize(t *testing.T) {
+	for _, size := range []string{"3 ", "3\t;a=b", "3 ;a=b", " 3"} {
+		ours, err := feed(pieces("POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"+size+"\r\nabc\r\n0\r\n\r\n", 13))
+		if len(ours) > 0 || err == nil {
+			t.Errorf("a chunk's size of %q: %d requests, %v", size, len(ours), err)
+		}
+	}
+}
+
+// Whatever is accepted here, net/http reads the same way: nothing can be smuggled between them.
+func FuzzAgainstNetHTTP(f *testing.F) {
+	f.Add(get)
+	f.Add("POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n0\r\nX: y\r\n\r\n")
+	f.Add("POST /b HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nxyz" + get)
+	f.Add("POST /b HTTP/1.0\r\nContent-Length: 3\r\nConnection: close, x\r\n\r\nxyz")
+	f.Add("POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0   ;00\r\n\r\n")
+	f.Fuzz(func(t *testing.T, stream string) {
+		ours, _ := feed(pieces(stream, 13))
+		theirs := bufio.NewReader(strings.NewReader(stream))
+		for _, r := range ours {
+			if lead, _ := theirs.Peek(2); string(lead) == "\r\n" {
+				_, _ = theirs.Discard(2) // one empty line is passed over, by RFC 9112, 2.2
+			}
+			q, err := http.ReadRequest(theirs)
+			if err != nil {
+				t.Fatalf("accepted here, %v there", err)
+			}
+			body, err := io.ReadAll(q.Body)
+			if err != nil {
+				t.Fatalf("body accepted here, %v there", err)
+			}
+			if q.Method != r.Method || q.URL.Path != r.Path || !bytes.Equal(body, r.Body) {
+				t.Fatalf("%s %s %q here, %s %s %q there", r.Method, r.Path, r.Body, q.Method, q.URL.Path, body)
+			}
+		}
+	})
+}
+
+func BenchmarkParse(b *testing.B) {
+	p := NewParser(DefaultLimits(1 << 20))
+	req := []byte("POST /v1/submissions HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\nIdempotency-Key: x\r\n\r\n0123456789")
+	b.ReportAllocs()
+	for b.Loop() {
+		if r, err := p.Feed(req); r == nil || err != nil {
+			b.Fatal(err)
+		}
+		if _, err := p.Next(); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
