--- a/internal/verify/rules/placerview.go
+++ b/internal/verify/rules/placerview.go
@@ -1,334 +1,220 @@
 package rules
 
-import (
-	"time"
+import "forkhead/internal/protocol/capture"
 
-	"forkhead"
-	"forkhead/internal/protocol/capture"
-	"forkhead/internal/scheduler/invariant"
-)
+// phaseQueued is the phase of an attempt that a host holds while it hasn't started it.
+const phaseQueued = "in-line"
 
-// What follows judges a placer's life by its own sockets: what it had read, and what it had sent,
-// before each offer. That is exact: nothing here has a slack, and what a stalled machine delays
-// between two ends cannot pass for a breach, or hide one. It is a reading of the traffic by the
-// terms of the rules, and knows nothing of the placer's own tables.
+// placerView is what one incarnation of a placer had read and written at its own sockets by some time. It is a reading of
+// the traffic by the terms of the rules, and knows nothing of the placer's own tables.
+type placerView struct {
+	boundWhenRunning bool
 
-type standing uint8
+	hosts   map[string]*hostView
+	listed  map[string]bool // hosts of the last endpoint list
+	notices *drainNotices
 
-const (
-	isOut    standing = iota // sent and unanswered
-	mayRun                   // given up: called off, cut off, or counted as lost
-	isBound                  // the host said that the task is placed
-	isSilent                 // and its connection has ended since
-	neverRan
-	isOver
-)
-
-// seat is an attempt as its placer's sockets show it.
-type seat struct {
-	ref      ref // without the host's life
-	key      uint64
-	service  uint64
-	class    string
-	sent     time.Duration
-	hostLife uint64
-	stand    standing
-	lost     time.Duration // its connection ended, while bound
-	back     int           // the step's event at which it turned up again; a Stop may follow
+	attempts  map[attemptID]*sentAttempt // the last of each ID
+	byKey     map[uint64][]*sentAttempt
+	byService map[uint64][]*sentAttempt
 }
 
-type nearHost struct {
-	conn   uint64
-	up     bool
-	life   uint64
-	listed bool
-	known  bool          // it was listed once
-	away   time.Duration // not ready by the list, since; -1: ready
-	drains time.Duration // by its own word, since; -1: it does not
+// hostView is the last connection to a host.
+type hostView struct {
+	connection  uint64
+	established bool   // from Welcome until it ends
+	epoch       uint64 // of the host's incarnation, by Welcome
 }
 
-type lifeOf struct {
-	placer int
-	epoch  uint64
+func newPlacerView(boundWhenRunning bool) *placerView {
+	return &placerView{
+		boundWhenRunning: boundWhenRunning,
+		hosts:            map[string]*hostView{},
+		listed:           map[string]bool{},
+		notices:          newDrainNotices(),
+		attempts:         map[attemptID]*sentAttempt{},
+		byKey:            map[uint64][]*sentAttempt{},
+		byService:        map[uint64][]*sentAttempt{},
+	}
 }
 
-type reading struct {
-	c     *checker
-	hosts map[string]*nearHost
-	seats map[ref]*seat
-	byKey map[uint64][]*seat
-	bySvc map[uint64][]*seat
-	step  int // number of the step in hand
-	at    time.Duration
+// hasSent reports whether the placer noted that it sent an attempt, or that a host reported it.
+func (v *placerView) hasSent(id attemptID) bool { return v.attempts[id.atPlacer()] != nil }
+
+// atPlacer is the ID of an attempt at the placer's end, which may not know the host's incarnation.
+func (id attemptID) atPlacer() attemptID {
+	id.hostEpoch = 0
+	return id
 }
 
-// near goes through what placers noted at their own ends.
-func (c *checker) near() {
-	lives := map[lifeOf]*reading{}
-	for i := range c.ours {
-		e := &c.ours[i]
-		id := lifeOf{e.Placer, e.PlacerEpoch}
-		n := lives[id]
-		if n == nil {
-			n = &reading{c: c, hosts: map[string]*nearHost{}, seats: map[ref]*seat{}, byKey: map[uint64][]*seat{}, bySvc: map[uint64][]*seat{}}
-			lives[id] = n
-		}
-		n.take(e)
-	}
-	// Each offer that a host saw of such a life is one that its placer noted: the totals add up, and
-	// no offer escapes the reading above.
-	for _, t := range c.order {
-		if n := lives[lifeOf{t.placer, t.placerEpoch}]; n != nil {
-			if n.seats[nearRef(t.ref)] == nil {
-				c.breach(invariant.OneAnswer, t.at, "%s came to %s, and placer %d did not note that it sent it", t.name, t.host, t.placer)
-			}
-			t.near = true
+// apply takes what was read from or written to a socket.
+func (v *placerView) apply(e *capture.Event) {
+	switch e.Type {
+	case capture.ListDelivered:
+		v.onList(e)
+	case capture.Hello:
+		v.host(e.Host).connection = e.Conn
+	case capture.Welcome:
+		v.onWelcome(e)
+	case capture.Disconnected:
+		v.onDisconnected(e)
+	case capture.Offer:
+		v.onOffer(e)
+	case capture.Withdraw, capture.Stop:
+		v.onSent(e)
+	case capture.Drain, capture.Holds, capture.Accepted, capture.Running, capture.Refused, capture.Ended:
+		// Before Welcome, and on a connection that is over, the sender is not known.
+		if v.isEstablished(e) {
+			v.onReceived(e)
 		}
 	}
 }
 
-func nearRef(r ref) ref { r.life = 0; return r }
-
-func (n *reading) host(name string) *nearHost {
-	h := n.hosts[name]
+func (v *placerView) host(name string) *hostView {
+	h := v.hosts[name]
 	if h == nil {
-		h = &nearHost{away: -1, drains: -1}
-		n.hosts[name] = h
+		h = &hostView{}
+		v.hosts[name] = h
 	}
 	return h
 }
 
-// drain takes the host's own word, by Drain or Welcome, on whether it drains.
-func (h *nearHost) drain(e *capture.Event) {
-	if !e.HostDraining {
-		h.drains = -1
-	} else if h.drains < 0 {
-		h.drains = e.At
-	}
+// isEstablished reports whether an event is of the connection that is established to its host.
+func (v *placerView) isEstablished(e *capture.Event) bool {
+	h := v.host(e.Host)
+	return h.established && e.Conn == h.connection
 }
 
-func (n *reading) take(e *capture.Event) {
-	if e.At != n.at {
-		n.step++
-		n.at = e.At
-	}
-	r := nearRef(refOf(e))
-	s := n.seats[r]
-	switch e.Type {
-	case capture.Holds, capture.Accepted, capture.Running, capture.Refused, capture.Ended, capture.Drain:
-		if h := n.host(e.Host); !h.up || e.Conn != h.conn {
-			return // before Welcome, or of a connection that is over: a host that is not known says it
-		}
-	case capture.Welcome:
-		if h := n.host(e.Host); e.Conn != h.conn || e.Epoch < h.life {
-			return
+// onList takes an endpoint list. A host that has left it and is unreachable is gone, by the operator's word: its
+// attempts are over.
+func (v *placerView) onList(e *capture.Event) {
+	before := v.listed
+	v.listed = map[string]bool{}
+	for _, hosts := range [][]string{e.Ready, e.Draining} {
+		for _, name := range hosts {
+			v.listed[name] = true
 		}
 	}
-	switch e.Type {
-	case capture.ListDelivered:
-		n.told(e)
-	case capture.Hello:
-		n.host(e.Host).conn = e.Conn
-	case capture.Welcome:
-		h := n.host(e.Host)
-		h.up, h.life = true, e.Epoch
-		h.drain(e)
-		for _, s := range n.seats {
-			if s.ref.host == e.Host && s.hostLife < e.Epoch && s.stand != neverRan {
-				s.stand = isOver // its host's life has ended
-			}
-		}
-	case capture.Disconnected:
-		n.gone(e)
-	case capture.Drain:
-		n.host(e.Host).drain(e)
-	case capture.Holds:
-		if e.Result == "in-line" {
-			return
-		}
-		if s == nil {
-			s = n.add(e, r)
-			s.stand = mayRun
-		}
-		s.hostLife = n.host(e.Host).life
-		n.bound(s)
-	case capture.Accepted, capture.Running:
-		if s != nil && (e.Type == capture.Running || !n.c.f.BoundWhenRunning) {
-			n.bound(s)
-		}
-	case capture.Refused:
-		if s != nil && (s.stand == isBound || s.stand == isSilent) {
-			s.stand = isOver
-		} else if s != nil && s.stand != isOver {
-			s.stand = neverRan
-		}
-	case capture.Ended:
-		if s != nil && e.Result == "called" && (s.stand == isOut || s.stand == mayRun) {
-			s.stand = neverRan
-		} else if s != nil && s.stand != neverRan {
-			s.stand = isOver
-		}
-	case capture.Withdraw:
-		if s != nil && s.stand == isOut {
-			s.stand = mayRun
-		}
-	case capture.Stop:
-		// One that turned up again and is not wanted. All others count until their host says that
-		// they are over.
-		if s != nil && s.stand == isBound && s.back == n.step {
-			s.stand = mayRun
-		}
-	case capture.Offer:
-		s = n.add(e, r)
-		n.offered(e, s)
-		if h := n.host(e.Host); !h.up || e.Conn != h.conn {
-			// Its connection has ended in the same step, and is noted among what had come: it went out
-			// before. Guards against an offer that nothing would ever end.
-			s.stand = mayRun
+	v.notices.listDelivered(e)
+	for name := range before {
+		if !v.listed[name] {
+			v.endIfRemoved(name)
 		}
 	}
 }
 
-func (n *reading) add(e *capture.Event, r ref) *seat {
-	s := &seat{ref: r, key: e.Key, service: e.Service, class: e.Class, sent: e.At, hostLife: n.host(e.Host).life}
-	n.seats[r] = s
-	n.byKey[s.key] = append(n.byKey[s.key], s)
-	n.bySvc[s.service] = append(n.bySvc[s.service], s)
-	return s
-}
-
-func (n *reading) bound(s *seat) {
-	switch s.stand {
-	case mayRun:
-		s.back = n.step
-		s.stand = isBound
-	case isOut, isSilent:
-		s.stand = isBound
+// endIfRemoved ends the attempts at a host that is unreachable and has left the endpoint list.
+func (v *placerView) endIfRemoved(name string) {
+	if v.host(name).established || v.listed[name] || !v.notices.known[name] {
+		return
+	}
+	for _, a := range v.attempts {
+		if a.host == name {
+			a.onHostEnded()
+		}
 	}
 }
 
-// gone takes the end of a connection: what was out on it is unknown, what was placed is silent.
-func (n *reading) gone(e *capture.Event) {
-	h := n.host(e.Host)
-	if e.Conn != h.conn {
+// onWelcome takes a host's answer to Hello. A new incarnation of the host has nothing of the earlier ones.
+func (v *placerView) onWelcome(e *capture.Event) {
+	h := v.host(e.Host)
+	if e.Conn != h.connection || e.Epoch < h.epoch {
 		return
 	}
-	h.up = false
-	for _, s := range n.seats {
-		if s.ref.host != e.Host {
-			continue
-		}
-		switch s.stand {
-		case isOut:
-			s.stand = mayRun
-		case isBound:
-			s.stand, s.lost = isSilent, e.At
-		case isSilent:
-			s.lost = e.At
+	h.established, h.epoch = true, e.Epoch
+	v.notices.hostNotified(e)
+	for _, a := range v.attempts {
+		if a.host == e.Host && a.hostEpoch < e.Epoch {
+			a.onHostEnded()
 		}
 	}
-	n.departed(e.Host, h)
 }
 
-// departed ends what a host had that is out of reach and off the list: the operator's word that it
-// is gone.
-func (n *reading) departed(name string, h *nearHost) {
-	if h.up || h.listed || !h.known {
+// onDisconnected takes the end of a connection: what awaited its answer on it may run, what was placed is unreachable.
+func (v *placerView) onDisconnected(e *capture.Event) {
+	h := v.host(e.Host)
+	if e.Conn != h.connection {
 		return
 	}
-	for _, s := range n.seats {
-		if s.ref.host == name && s.stand != neverRan {
-			s.stand = isOver
+	h.established = false
+	for _, a := range v.attempts {
+		if a.host == e.Host {
+			a.onDisconnected(e.At)
 		}
 	}
+	v.endIfRemoved(e.Host)
 }
 
-func (n *reading) told(e *capture.Event) {
-	ready := map[string]bool{}
-	listed := map[string]bool{}
-	for _, name := range e.Ready {
-		ready[name], listed[name] = true, true
-		h := n.host(name)
-		h.listed, h.known, h.away = true, true, -1
-	}
-	for _, name := range e.Draining {
-		listed[name] = true
-		h := n.host(name)
-		h.listed, h.known = true, true
+// onOffer takes an offer that the placer sent.
+func (v *placerView) onOffer(e *capture.Event) {
+	a := v.add(e)
+	if !v.isEstablished(e) {
+		// The connection ended in the step that wrote the offer, and what a step reads is noted first. Nothing else would ever
+		// end it.
+		a.onWithdrawn()
 	}
-	for name, h := range n.hosts {
-		if !h.known || ready[name] {
-			continue
-		}
-		if h.away < 0 {
-			h.away = e.At
-		}
-		if h.listed && !listed[name] {
-			h.listed = false
-			n.departed(name, h)
-		}
+}
+
+// onSent takes another message that the placer sent on an attempt.
+func (v *placerView) onSent(e *capture.Event) {
+	a := v.attempts[attemptIDOf(e).atPlacer()]
+	switch {
+	case a == nil:
+	case e.Type == capture.Withdraw:
+		a.onWithdrawn()
+	case e.Type == capture.Stop:
+		a.onStop(e.At)
 	}
 }
 
-// offered judges an offer by what its placer knew when it sent it.
-func (n *reading) offered(e *capture.Event, s *seat) {
-	c := n.c
-	class, ok := c.f.Classes[s.class]
-	if !ok {
-		return // said of the host's end
+// onReceived takes a message of a host on its established connection.
+func (v *placerView) onReceived(e *capture.Event) {
+	switch e.Type {
+	case capture.Drain:
+		v.notices.hostNotified(e)
+		return
+	case capture.Holds:
+		v.onHeld(e)
+		return
 	}
-	h := n.host(e.Host)
-	for _, since := range []time.Duration{h.away, h.drains} {
-		if since >= 0 && e.At > since+c.f.DrainGrace {
-			c.breach(invariant.Drain, e.At, "placer %d sent %s to %s %v after it had read that the host drains or is gone",
-				e.Placer, e.Name, e.Host, (e.At - since).Round(time.Millisecond))
-		}
+	a := v.attempts[attemptIDOf(e).atPlacer()]
+	if a == nil {
+		return
 	}
-	first := time.Duration(-1)
-	for _, o := range n.byKey[s.key] {
-		if o == s || o.stand == neverRan || o.stand == isOver {
-			continue
-		}
-		if o.stand == isOut && !c.f.ParallelAttempts {
-			c.breach(invariant.NoRepeat, e.At, "placer %d sent %s to %s while its attempt at %s was out", e.Placer, e.Name, e.Host, o.ref.host)
-			continue
-		}
-		if first < 0 || o.sent < first {
-			first = o.sent
-		}
-		switch {
-		case class.Effect == forkhead.Unsafe:
-			c.breach(invariant.NoRepeat, e.At, "placer %d sent %s, unsafe, to %s while its attempt at %s may have run", e.Placer, e.Name, e.Host, o.ref.host)
-		case class.Effect == forkhead.Keyed && !c.same(class.DedupDomain, o.ref.host, e.Host):
-			c.breach(invariant.NoRepeat, e.At, "placer %d sent %s, keyed, to %s, outside the group of %s where it may have run", e.Placer, e.Name, e.Host, o.ref.host)
+	switch e.Type {
+	case capture.Accepted:
+		if !v.boundWhenRunning {
+			a.onBound(e.At)
 		}
+	case capture.Running:
+		a.onBound(e.At)
+	case capture.Refused:
+		a.onRejected()
+	case capture.Ended:
+		a.onEnded(e.Result)
 	}
-	if class.Effect == forkhead.Keyed && first >= 0 && e.At > first+class.DedupWindow {
-		c.breach(invariant.NoRepeat, e.At, "placer %d sent %s, keyed, to %s %v after it may have run", e.Placer, e.Name, e.Host, e.At-first)
-	}
-	if class.SpreadDomain == forkhead.AnyDomain {
+}
+
+// onHeld takes an attempt that a host reported in the handshake.
+func (v *placerView) onHeld(e *capture.Event) {
+	if e.Result == phaseQueued {
 		return
 	}
-	count := 0
-	for _, o := range n.bySvc[s.service] {
-		if c.same(class.SpreadDomain, o.ref.host, e.Host) && n.counts(o, e.At) {
-			count++
-		}
-	}
-	if count > class.MaxPerDomain {
-		c.breach(invariant.Spread, e.At, "placer %d sent %s to %s as number %d of its service in one %v, of at most %d",
-			e.Placer, e.Name, e.Host, count, placeNames[class.SpreadDomain], class.MaxPerDomain)
+	a := v.attempts[attemptIDOf(e).atPlacer()]
+	if a == nil { // of an earlier incarnation
+		a = v.add(e)
+		a.state = mayRun
 	}
+	a.hostEpoch = v.host(e.Host).epoch
+	a.onBound(e.At)
 }
 
-// counts says whether the placer has placed the attempt, or is placing it.
-func (n *reading) counts(s *seat, now time.Duration) bool {
-	switch s.stand {
-	case isOut, isBound:
-		return true
-	case isSilent:
-		// Only what may be started again without harm is given up by time alone.
-		return n.c.f.Classes[s.class].Effect != forkhead.Safe || now < s.lost+n.c.f.LostAfter
-	}
-	return false
+// add adds an attempt that awaits its answer.
+func (v *placerView) add(e *capture.Event) *sentAttempt {
+	id := attemptIDOf(e).atPlacer()
+	a := &sentAttempt{host: e.Host, hostEpoch: v.host(e.Host).epoch, class: e.Class, sentAt: e.At}
+	v.attempts[id] = a
+	v.byKey[e.Key] = append(v.byKey[e.Key], a)
+	v.byService[e.Service] = append(v.byService[e.Service], a)
+	return a
 }
--- a/internal/verify/rules/rules_test.go
+++ b/internal/verify/rules/rules_test.go
@@ -97,15 +97,21 @@
 		"two out":                        {[]capture.Event{near(10*ms, capture.Offer, "a", "safe", 1, 1, 0), near(11*ms, capture.Offer, "b", "safe", 1, 1, 1), near(12*ms, capture.Withdraw, "a", "", 1, 1, 0)}, invariant.NoRepeat},
 		"keyed at its window":            {[]capture.Event{near(10*ms, capture.Offer, "a", "keyed", 1, 1, 0), near(11*ms, capture.Disconnected, "a", "", 0, 0, 0), near(5010*ms, capture.Offer, "c", "keyed", 1, 1, 1)}, none},
 		"keyed a moment behind it":       {[]capture.Event{near(10*ms, capture.Offer, "a", "keyed", 1, 1, 0), near(11*ms, capture.Disconnected, "a", "", 0, 0, 0), near(5011*ms, capture.Offer, "c", "keyed", 1, 1, 1)}, invariant.NoRepeat},
-		"unsafe, off an older connection": {[]capture.Event{near(10*ms, capture.Offer, "a", "unsafe", 1, 1, 0), near(11*ms, capture.Disconnected, "a", "", 0, 0, 0), near(12*ms, capture.Refused, "a", "", 1, 1, 0),
-			near(13*ms, capture.Offer, "b", "unsafe", 1, 2, 0)}, invariant.NoRepeat},
-		"out on a connection that ends in the same step": {[]capture.Event{near(10*ms, capture.Disconnected, "a", "", 0, 0, 0), near(10*ms, capture.Offer, "a", "safe", 1, 1, 0),
-			near(10*ms, capture.Offer, "b", "safe", 1, 1, 1)}, none},
+		"unsafe, off an older connection": {[]capture.Event{
+			near(10*ms, capture.Offer, "a", "unsafe", 1, 1, 0), near(11*ms, capture.Disconnected, "a", "", 0, 0, 0), near(12*ms, capture.Refused, "a", "", 1, 1, 0),
+			near(13*ms, capture.Offer, "b", "unsafe", 1, 2, 0),
+		}, invariant.NoRepeat},
+		"out on a connection that ends in the same step": {[]capture.Event{
+			near(10*ms, capture.Disconnected, "a", "", 0, 0, 0), near(10*ms, capture.Offer, "a", "safe", 1, 1, 0),
+			near(10*ms, capture.Offer, "b", "safe", 1, 1, 1),
+		}, none},
 		"at the end of the grace":   {[]capture.Event{drained, near(350*ms, capture.Offer, "a", "safe", 1, 1, 0)}, none},
 		"a moment after the grace":  {[]capture.Event{drained, near(351*ms, capture.Offer, "a", "safe", 1, 1, 0)}, invariant.Drain},
 		"a moment after, by a word": {[]capture.Event{word, near(351*ms, capture.Offer, "a", "safe", 1, 1, 0)}, invariant.Drain},
-		"an offer that is not noted": {[]capture.Event{near(10*ms, capture.Offer, "a", "safe", 1, 1, 0), frame(11*ms, capture.Offer, "a", "safe", 1, 1, 0),
-			frame(12*ms, capture.Offer, "b", "safe", 2, 2, 0)}, invariant.OneAnswer},
+		"an offer that is not noted": {[]capture.Event{
+			near(10*ms, capture.Offer, "a", "safe", 1, 1, 0), frame(11*ms, capture.Offer, "a", "safe", 1, 1, 0),
+			frame(12*ms, capture.Offer, "b", "safe", 2, 2, 0),
+		}, invariant.OneAnswer},
 	} {
 		events := append(append(fleet(), listed), append(append(opened(3*ms, "a"), opened(3*ms, "b")...), opened(3*ms, "c")...)...)
 		v := Check(append(events, c.events...), facts())
@@ -218,12 +224,18 @@
 		"after the grace, by its word":          {[]capture.Event{{At: 10 * ms, Type: capture.Drain, Host: "a", HostDraining: true}, frame(500*ms, capture.Offer, "a", "safe", 1, 1, 0)}, invariant.Drain},
 		"ready again":                           {[]capture.Event{told(5*ms, "a"), told(10 * ms), told(400*ms, "a"), frame(500*ms, capture.Offer, "a", "safe", 1, 1, 0)}, none},
 		"cold, within its budget":               {[]capture.Event{up(5*ms, "a", "r1", true), frame(10*ms, capture.Offer, "a", "safe", 1, 1, 0), frame(20*ms, capture.Offer, "a", "safe", 2, 2, 0), frame(30*ms, capture.Offer, "a", "safe", 3, 3, 0)}, none},
-		"cold, over its budget": {[]capture.Event{up(5*ms, "a", "r1", true), frame(10*ms, capture.Offer, "a", "safe", 1, 1, 0), frame(20*ms, capture.Offer, "a", "safe", 2, 2, 0),
-			frame(30*ms, capture.Offer, "a", "safe", 3, 3, 0), frame(40*ms, capture.Offer, "a", "safe", 4, 4, 0)}, invariant.SlowStart},
-		"two in one rack, the reply broke off": {[]capture.Event{frame(10*ms, capture.Offer, "a", "spread", 1, 1, 0), frame(20*ms, capture.Accepted, "a", "", 1, 1, 0),
-			frame(30*ms, capture.Disconnected, "a", "", 0, 0, 0), frame(500*ms, capture.Offer, "b", "spread", 1, 1, 1)}, none},
-		"two in one rack, bound and cut off": {[]capture.Event{frame(10*ms, capture.Offer, "a", "spread", 1, 1, 0), frame(20*ms, capture.Running, "a", "", 1, 1, 0),
-			frame(300*ms, capture.Disconnected, "a", "", 0, 0, 0), frame(900*ms, capture.Offer, "b", "spread", 2, 2, 0)}, invariant.Spread},
+		"cold, over its budget": {[]capture.Event{
+			up(5*ms, "a", "r1", true), frame(10*ms, capture.Offer, "a", "safe", 1, 1, 0), frame(20*ms, capture.Offer, "a", "safe", 2, 2, 0),
+			frame(30*ms, capture.Offer, "a", "safe", 3, 3, 0), frame(40*ms, capture.Offer, "a", "safe", 4, 4, 0),
+		}, invariant.SlowStart},
+		"two in one rack, the reply broke off": {[]capture.Event{
+			frame(10*ms, capture.Offer, "a", "spread", 1, 1, 0), frame(20*ms, capture.Accepted, "a", "", 1, 1, 0),
+			frame(30*ms, capture.Disconnected, "a", "", 0, 0, 0), frame(500*ms, capture.Offer, "b", "spread", 1, 1, 1),
+		}, none},
+		"two in one rack, bound and cut off": {[]capture.Event{
+			frame(10*ms, capture.Offer, "a", "spread", 1, 1, 0), frame(20*ms, capture.Running, "a", "", 1, 1, 0),
+			frame(300*ms, capture.Disconnected, "a", "", 0, 0, 0), frame(900*ms, capture.Offer, "b", "spread", 2, 2, 0),
+		}, invariant.Spread},
 		"fell":                     {[]capture.Event{{At: 10 * ms, Type: capture.Overloaded, Host: "a"}}, invariant.SlowStart},
 		"two racks":                {[]capture.Event{frame(10*ms, capture.Offer, "a", "spread", 1, 1, 0), frame(20*ms, capture.Accepted, "a", "", 1, 1, 0), frame(500*ms, capture.Offer, "c", "spread", 2, 2, 0)}, none},
 		"two in one rack":          {[]capture.Event{frame(10*ms, capture.Offer, "a", "spread", 1, 1, 0), frame(20*ms, capture.Accepted, "a", "", 1, 1, 0), frame(500*ms, capture.Offer, "b", "spread", 2, 2, 0)}, invariant.Spread},
