--- a/internal/planning/plan/plan.go
+++ b/internal/planning/plan/plan.go
@@ -182,7 +182,7 @@
 			}
 			it := item{name: spec.Name, spec: spec, class: &m.Classes[class], runs: map[int]int{}}
 			s := solver.Service{
-				Name: spec.Name, Count: spec.Replicas, Where: spec.Pos.String(),
+				Name: spec.Name, Count: spec.Replicas,
 				Cores: int64(math.Ceil(spec.Cores*1000 - 1e-6)), Memory: int64(math.Ceil(spec.Memory*1024 - 1e-6)),
 			}
 			if it.class.MachineType >= 0 {
--- /dev/null
+++ b/internal/planning/solver/branch.go
@@ -0,0 +1,128 @@
+package solver
+
+import (
+	"cmp"
+	"slices"
+)
+
+// stopPollInterval is how many nodes lie between two calls of Options.Stop.
+const stopPollInterval = 1024
+
+// branch searches the subtree below the current node: placed tasks of a service are placed, and all tasks of those before
+// it. Since a service's tasks are interchangeable, its next one goes to firstHost or a later host.
+func (s *search) branch(service, placed, firstHost int) {
+	for service < len(s.services) && placed == s.services[service].Count {
+		service, placed, firstHost = service+1, 0, 0
+	}
+	defer func(previous int) { s.current = previous }(s.current)
+	s.current = service
+	if service == len(s.services) {
+		s.updateIncumbent()
+		return
+	}
+	s.nodes++
+	if s.limitReached() {
+		s.stopped = true
+		return
+	}
+	if s.canPrune(service, placed) {
+		return
+	}
+	for _, host := range s.candidates(service, firstHost) {
+		s.add(service, host, 1)
+		s.branch(service, placed+1, host)
+		s.add(service, host, -1)
+		if s.stopped {
+			return
+		}
+	}
+}
+
+// limitReached reports whether Options end the search at this node.
+func (s *search) limitReached() bool {
+	return s.nodes >= s.opt.MaxNodes || s.nodes%stopPollInterval == 0 && s.stopRequested()
+}
+
+func (s *search) stopRequested() bool { return s.opt.Stop != nil && s.opt.Stop() }
+
+// canPrune reports whether the subtree below the current node has no placement that is better than the incumbent.
+func (s *search) canPrune(service, placed int) bool {
+	if s.incumbent != nil && s.lowerBound(service, placed) >= s.incumbentCost {
+		return true
+	}
+	return !s.canComplete(service, placed)
+}
+
+// candidates returns the hosts from firstHost on that can take a task of a service, the most promising first. Of hosts
+// that are interchangeable it returns one.
+func (s *search) candidates(service, firstHost int) []int {
+	hosts := make([]int, 0, len(s.in.Hosts)-firstHost)
+	for host := firstHost; host < len(s.in.Hosts); host++ {
+		if s.capacity(service, host) == 0 {
+			continue
+		}
+		if !slices.ContainsFunc(hosts, func(other int) bool { return s.interchangeable(service, other, host) }) {
+			hosts = append(hosts, host)
+		}
+	}
+	slices.SortStableFunc(hosts, func(a, b int) int { return s.compareCandidates(service, a, b) })
+	return hosts
+}
+
+// interchangeable reports whether it makes no difference which of two hosts gets a task of a service.
+func (s *search) interchangeable(service, a, b int) bool {
+	if s.hasHostAffinity && s.hostTasks[a] > 0 {
+		return false
+	}
+	return s.hostClass[a] == s.hostClass[b] && s.freeCores[a] == s.freeCores[b] && s.freeMemory[a] == s.freeMemory[b] &&
+		s.counts[service][a] == s.counts[service][b] && (s.hostTasks[a] > 0) == (s.hostTasks[b] > 0)
+}
+
+// compareCandidates orders hosts for a task of a service: first where one of the service runs already, then hosts in use,
+// the fullest first, then unused hosts, the cheapest for their cores first.
+func (s *search) compareCandidates(service, a, b int) int {
+	aInUse, bInUse := s.inUse(a), s.inUse(b)
+	if c := cmp.Or(
+		compareTrueFirst(s.hasUnplacedRunning(service, a), s.hasUnplacedRunning(service, b)),
+		compareTrueFirst(aInUse, bInUse),
+	); c != 0 {
+		return c
+	}
+	if aInUse {
+		return cmp.Or(cmp.Compare(s.freeFraction(a), s.freeFraction(b)), cmp.Compare(a, b))
+	}
+	return cmp.Or(cmp.Compare(costPerCore(&s.in.Hosts[a]), costPerCore(&s.in.Hosts[b])), cmp.Compare(a, b))
+}
+
+func compareTrueFirst(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return -1
+	default:
+		return 1
+	}
+}
+
+// hasUnplacedRunning reports whether a host runs more tasks of a service than are placed on it, so that the next one
+// there is no migration.
+func (s *search) hasUnplacedRunning(service, host int) bool {
+	running := s.services[service].Running
+	return running != nil && s.counts[service][host] < running[host]
+}
+
+// freeFraction is the part of a host's cores that is free plus that of its memory. It is a float, since only the order of
+// branching depends on it.
+func (s *search) freeFraction(host int) float64 {
+	h := &s.in.Hosts[host]
+	return float64(s.freeCores[host])/float64(max(h.Cores, 1)) + float64(s.freeMemory[host])/float64(max(h.Memory, 1))
+}
+
+// costPerCore is a float, since only the order of branching depends on it.
+func costPerCore(h *Host) float64 {
+	if h.Cores <= 0 {
+		return 1e300 // after all others
+	}
+	return float64(h.Cost) / float64(h.Cores)
+}
--- a/internal/planning/solver/instance.go
+++ b/internal/planning/solver/instance.go
@@ -1,207 +1,155 @@
 package solver
 
 import (
+	"errors"
 	"fmt"
 )
 
-// Host is a host of an instance. Amounts are in thousandths of a core and in MiB.
+// Bounds of an instance. They keep sums and weighted sums of amounts far from overflow.
+const (
+	maxAmount int64 = 1 << 40 // cores, memory and costs
+	maxTasks  int   = 1 << 20 // of one service
+)
+
+// Host is a host of an instance.
 type Host struct {
 	ID            string
 	Zone          string
 	Rack          string
-	Cores         int64
-	Memory        int64
+	Cores         int64 // thousandths of a core
+	Memory        int64 // MiB
 	Cost          int64 // of using it at all
-	Unschedulable bool  // takes nothing new: it drains, or is gone
-	InUse         bool  // it is in use by what is not part of the instance
+	Unschedulable bool  // it accepts no tasks: it drains, or is gone
+	InUse         bool  // it runs something that is not part of the instance, so using it costs nothing
 }
 
-// Service is some tasks that are alike.
+// Service is a number of identical tasks.
 type Service struct {
 	Name       string
-	Count      int
-	Cores      int64 // of each task
-	Memory     int64
-	Allowed    []bool     // by host; nil: any
-	MaxPerHost int        // most on one host; 0: no limit
-	MaxPerRack int        // most in one rack
-	MaxPerZone int        // most in one zone
-	Affinities []Affinity // services that it has to be beside
-	Running    []int      // tasks of it that run on each host now; nil: none
-	Why        string     // what May comes from, for a conflict
-	Where      string     // FILE:LINE:COL
+	Count      int    // of tasks
+	Cores      int64  // of each task, thousandths of a core
+	Memory     int64  // of each task, MiB
+	Allowed    []bool // hosts that it may use, by host; nil: all
+	MaxPerHost int    // tasks; 0: no limit
+	MaxPerRack int
+	MaxPerZone int
+	Affinities []Affinity
+	Running    []int // tasks that run already, by host; nil: none, and migrations cost nothing
 }
 
-// Affinity keeps a service's tasks to places where another service has one.
+// Affinity keeps a service's tasks to domains where another service has a task.
 type Affinity struct {
-	Service int
+	Service int // index into Instance.Services
 	Domain  Domain
 }
 
-// Domain is a sort of place.
+// Domain is a level of the topology.
 type Domain uint8
 
-// The places.
+// The domains.
 const (
 	HostDomain Domain = iota
 	RackDomain
 	ZoneDomain
 )
 
-// Instance is a question.
+// Instance is a fleet and the services to be placed on it.
 type Instance struct {
 	Hosts           []Host
 	Services        []Service
-	MigrationCost   int64  // cost of each task that is not where one of its service runs
-	HomeZone        string // a zone; "": none
-	OutsideHomeCost int64  // cost of each task outside it
+	MigrationCost   int64  // of each task beyond those of its service that run on its host
+	HomeZone        string // "": none
+	OutsideHomeCost int64  // of each task outside HomeZone
 }
 
-// sameDomain says whether two hosts are in one place.
-func (in *Instance) sameDomain(p Domain, a, b int) bool {
-	switch p {
+// sameDomain reports whether two hosts are in one domain of a level.
+func (in *Instance) sameDomain(level Domain, a, b int) bool {
+	switch level {
 	case RackDomain:
 		return in.Hosts[a].Rack == in.Hosts[b].Rack
 	case ZoneDomain:
 		return in.Hosts[a].Zone == in.Hosts[b].Zone
+	default:
+		return a == b
 	}
-	return a == b
 }
 
-// Result is what was found.
-type Result struct {
-	Feasible   bool
-	Optimal    bool // proven: Cost is Bound; or proven that there is none
-	Cost       int64
-	LowerBound int64
-	Counts     [][]int // by service, by host
-	Nodes      int
-}
-
-// Validate refuses an instance that cannot be read.
+// Validate returns an error for an instance that is malformed. One that no placement satisfies is not malformed.
 func (in *Instance) Validate() error {
-	for i, h := range in.Hosts {
-		if h.Cores < 0 || h.Memory < 0 || h.Cost < 0 || h.Cores > 1<<40 || h.Memory > 1<<40 || h.Cost > 1<<40 {
-			return fmt.Errorf("host %d, %s: amounts are 0 to 2^40", i, h.ID)
+	for i := range in.Hosts {
+		if err := in.validateHost(i); err != nil {
+			return err
 		}
 	}
-	for i, s := range in.Services {
-		switch {
-		case s.Count < 0 || s.Cores < 0 || s.Memory < 0 || s.MaxPerHost < 0 || s.MaxPerRack < 0 || s.MaxPerZone < 0:
-			return fmt.Errorf("service %d, %s: amounts are not below 0", i, s.Name)
-		case s.Cores > 1<<40 || s.Memory > 1<<40 || s.Count > 1<<20:
-			return fmt.Errorf("service %d, %s: amounts are too large", i, s.Name)
-		case s.Allowed != nil && len(s.Allowed) != len(in.Hosts), s.Running != nil && len(s.Running) != len(in.Hosts):
-			return fmt.Errorf("service %d, %s: lists by host have another length than the hosts", i, s.Name)
+	for i := range in.Services {
+		if err := in.validateService(i); err != nil {
+			return err
 		}
-		for _, n := range s.Affinities {
-			if n.Service < 0 || n.Service >= len(in.Services) || n.Domain > ZoneDomain {
-				return fmt.Errorf("service %d, %s: it is near service %d, which is not here", i, s.Name, n.Service)
-			}
+		if err := in.validateAffinities(i); err != nil {
+			return err
 		}
 	}
-	if in.OutsideHomeCost < 0 || in.MigrationCost < 0 || in.OutsideHomeCost > 1<<40 || in.MigrationCost > 1<<40 {
-		return fmt.Errorf("moves and crossings cost 0 to 2^40")
+	if !validAmount(in.OutsideHomeCost) || !validAmount(in.MigrationCost) {
+		return errors.New("moves and crossings cost 0 to 2^40")
+	}
+	if in.affinityDepths() == nil {
+		return errors.New("services are near each other in a circle")
+	}
+	return nil
+}
+
+func validAmount(amount int64) bool { return amount >= 0 && amount <= maxAmount }
+
+func (in *Instance) validateHost(index int) error {
+	h := &in.Hosts[index]
+	if !validAmount(h.Cores) || !validAmount(h.Memory) || !validAmount(h.Cost) {
+		return fmt.Errorf("host %d, %s: amounts are 0 to 2^40", index, h.ID)
+	}
+	return nil
+}
+
+func (in *Instance) validateService(index int) error {
+	s := &in.Services[index]
+	if s.Count < 0 || s.Cores < 0 || s.Memory < 0 || s.MaxPerHost < 0 || s.MaxPerRack < 0 || s.MaxPerZone < 0 {
+		return fmt.Errorf("service %d, %s: amounts are not below 0", index, s.Name)
+	}
+	if s.Cores > maxAmount || s.Memory > maxAmount || s.Count > maxTasks {
+		return fmt.Errorf("service %d, %s: amounts are too large", index, s.Name)
 	}
-	if in.depth() == nil {
-		return fmt.Errorf("services are near each other in a circle")
+	if s.Allowed != nil && len(s.Allowed) != len(in.Hosts) || s.Running != nil && len(s.Running) != len(in.Hosts) {
+		return fmt.Errorf("service %d, %s: lists by host have another length than the hosts", index, s.Name)
+	}
+	return nil
+}
+
+func (in *Instance) validateAffinities(index int) error {
+	s := &in.Services[index]
+	for _, a := range s.Affinities {
+		if a.Service < 0 || a.Service >= len(in.Services) || a.Domain > ZoneDomain {
+			return fmt.Errorf("service %d, %s: it is near service %d, which is not here", index, s.Name, a.Service)
+		}
 	}
 	return nil
 }
 
-// depth is how far each service is from one that is near nothing; nil if they go round.
-func (in *Instance) depth() []int {
-	out := make([]int, len(in.Services))
+// affinityDepths returns, for each service, the length of the longest chain of affinities that begins with it; nil if
+// there is a cycle.
+func (in *Instance) affinityDepths() []int {
+	depths := make([]int, len(in.Services))
 	for round := 0; ; round++ {
 		changed := false
-		for i, s := range in.Services {
-			for _, n := range s.Affinities {
-				if d := out[n.Service] + 1; d > out[i] {
-					out[i], changed = d, true
+		for i := range in.Services {
+			for _, a := range in.Services[i].Affinities {
+				if depth := depths[a.Service] + 1; depth > depths[i] {
+					depths[i], changed = depth, true
 				}
 			}
 		}
 		if !changed {
-			return out
+			return depths
 		}
 		if round > len(in.Services) {
 			return nil
 		}
 	}
 }
-
-// Check holds an answer against its instance: a certificate of a few lines, with none of the
-// solver's code.
-func Check(in *Instance, counts [][]int, cost int64) error {
-	total := int64(0)
-	used := make([]bool, len(in.Hosts))
-	cores, memory := make([]int64, len(in.Hosts)), make([]int64, len(in.Hosts))
-	if len(counts) != len(in.Services) {
-		return fmt.Errorf("%d rows for %d services", len(counts), len(in.Services))
-	}
-	for si, s := range in.Services {
-		n := 0
-		racks, zones := map[string]int{}, map[string]int{}
-		for hi, k := range counts[si] {
-			h := in.Hosts[hi]
-			switch {
-			case k < 0:
-				return fmt.Errorf("%s: %d tasks on %s", s.Name, k, h.ID)
-			case k == 0:
-				continue
-			case h.Unschedulable:
-				return fmt.Errorf("%s on %s, which takes nothing new", s.Name, h.ID)
-			case s.Allowed != nil && !s.Allowed[hi]:
-				return fmt.Errorf("%s on %s, which it may not use", s.Name, h.ID)
-			case s.MaxPerHost > 0 && k > s.MaxPerHost:
-				return fmt.Errorf("%s: %d on %s, at most %d", s.Name, k, h.ID, s.MaxPerHost)
-			}
-			for _, near := range s.Affinities {
-				found := false
-				for o, c := range counts[near.Service] {
-					found = found || c > 0 && in.sameDomain(near.Domain, o, hi)
-				}
-				if !found {
-					return fmt.Errorf("%s on %s, and no %s beside it", s.Name, h.ID, in.Services[near.Service].Name)
-				}
-			}
-			if in.HomeZone != "" && h.Zone != in.HomeZone {
-				total += in.OutsideHomeCost * int64(k)
-			}
-			n += k
-			racks[h.Rack] += k
-			zones[h.Zone] += k
-			cores[hi] += int64(k) * s.Cores
-			memory[hi] += int64(k) * s.Memory
-			used[hi] = true
-			if s.Running != nil {
-				total += in.MigrationCost * int64(max(k-s.Running[hi], 0))
-			}
-		}
-		if n != s.Count {
-			return fmt.Errorf("%s: %d of %d tasks", s.Name, n, s.Count)
-		}
-		for rack, k := range racks {
-			if s.MaxPerRack > 0 && k > s.MaxPerRack {
-				return fmt.Errorf("%s: %d in rack %s, at most %d", s.Name, k, rack, s.MaxPerRack)
-			}
-		}
-		for zone, k := range zones {
-			if s.MaxPerZone > 0 && k > s.MaxPerZone {
-				return fmt.Errorf("%s: %d in zone %s, at most %d", s.Name, k, zone, s.MaxPerZone)
-			}
-		}
-	}
-	for hi, h := range in.Hosts {
-		if cores[hi] > h.Cores || memory[hi] > h.Memory {
-			return fmt.Errorf("%s holds %d of %d thousandths of a core and %d of %d MiB", h.ID, cores[hi], h.Cores, memory[hi], h.Memory)
-		}
-		if used[hi] && !h.InUse {
-			total += h.Cost
-		}
-	}
-	if total != cost {
-		return fmt.Errorf("the cost is %d, not %d", total, cost)
-	}
-	return nil
-}
--- /dev/null
+++ b/internal/planning/solver/search.go
@@ -0,0 +1,213 @@
+package solver
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+)
+
+// search is the state of one branch and bound. Services are named by their position in the branching order, hosts by
+// their index in the instance. It is not safe for concurrent use.
+type search struct {
+	in  *Instance
+	opt Options
+
+	// The services in branching order. What others have an affinity to goes first, then what is hard to place.
+	order    []int     // by position, the index into in.Services
+	services []Service // their affinities name positions
+
+	// The fleet. None of this changes during a search.
+	rackOf         []int // by host
+	zoneOf         []int // by host
+	zoneOfRack     []int
+	racksSpanZones bool  // some rack has hosts in two zones
+	hostClass      []int // by host: hosts of one class are interchangeable while they hold the same
+	groups         []hostGroup
+	coreWeight     int64 // with these weights, the largest host has about as much of cores as of memory
+	memoryWeight   int64
+
+	// The demand of the services from a position on; one entry more than services.
+	demandCores  []int64
+	demandMemory []int64
+	minCores     []int64 // of the smallest of those tasks
+	minMemory    []int64
+
+	hasHostAffinity bool // some service has to be on the very host of another
+
+	// The partial placement at the current node.
+	freeCores  []int64 // by host
+	freeMemory []int64
+	hostTasks  []int   // by host, of all services
+	counts     [][]int // by service, by host
+	rackCounts [][]int // by service, by rack
+	zoneCounts [][]int // by service, by zone
+	cost       int64
+	current    int // the service that is being placed; those before it are placed whole
+
+	// The incumbent: the placement of least cost so far. nil: none yet.
+	incumbent     [][]int
+	incumbentCost int64
+
+	nodes   int
+	stopped bool // by Options, before the search was complete
+}
+
+func newSearch(in *Instance, opt Options) *search {
+	s := &search{in: in, opt: opt}
+	maxCores, maxMemory := int64(1), int64(1)
+	for i := range in.Hosts {
+		maxCores, maxMemory = max(maxCores, in.Hosts[i].Cores), max(maxMemory, in.Hosts[i].Memory)
+	}
+	s.coreWeight, s.memoryWeight = max(1<<20/maxCores, 1), max(1<<20/maxMemory, 1)
+	s.order = branchingOrder(in, maxCores, maxMemory)
+	s.initServices()
+	s.initTopology()
+	s.initDemand()
+	s.initHostClasses()
+	s.initGroups()
+	s.initPlacement()
+	return s
+}
+
+// branchingOrder sorts services: those without affinities first, then large tasks, then few allowed hosts.
+func branchingOrder(in *Instance, maxCores, maxMemory int64) []int {
+	order := make([]int, len(in.Services))
+	for i := range order {
+		order[i] = i
+	}
+	depths := in.affinityDepths()
+	size := func(s *Service) int64 { return max(s.Cores*1000/maxCores, s.Memory*1000/maxMemory) }
+	slices.SortStableFunc(order, func(a, b int) int {
+		x, y := &in.Services[a], &in.Services[b]
+		return cmp.Or(
+			cmp.Compare(depths[a], depths[b]),
+			cmp.Compare(size(y), size(x)),
+			cmp.Compare(in.allowedHosts(x), in.allowedHosts(y)),
+		)
+	})
+	return order
+}
+
+// allowedHosts returns the number of hosts that a service may use.
+func (in *Instance) allowedHosts(s *Service) int {
+	n := 0
+	for host := range in.Hosts {
+		if !in.Hosts[host].Unschedulable && s.allows(host) {
+			n++
+		}
+	}
+	return n
+}
+
+func (s *Service) allows(host int) bool { return s.Allowed == nil || s.Allowed[host] }
+
+// initServices copies the services in branching order, with their affinities renamed to positions.
+func (s *search) initServices() {
+	position := make([]int, len(s.order)) // by index into in.Services
+	for k, index := range s.order {
+		position[index] = k
+	}
+	for _, index := range s.order {
+		service := s.in.Services[index]
+		service.Affinities = slices.Clone(service.Affinities)
+		for i := range service.Affinities {
+			a := &service.Affinities[i]
+			a.Service = position[a.Service]
+			s.hasHostAffinity = s.hasHostAffinity || a.Domain == HostDomain
+		}
+		s.services = append(s.services, service)
+	}
+}
+
+// initTopology numbers racks and zones.
+func (s *search) initTopology() {
+	racks, zones := map[string]int{}, map[string]int{}
+	for i := range s.in.Hosts {
+		rack, zone := number(racks, s.in.Hosts[i].Rack), number(zones, s.in.Hosts[i].Zone)
+		s.rackOf, s.zoneOf = append(s.rackOf, rack), append(s.zoneOf, zone)
+		if rack == len(s.zoneOfRack) {
+			s.zoneOfRack = append(s.zoneOfRack, zone)
+		}
+		s.racksSpanZones = s.racksSpanZones || s.zoneOfRack[rack] != zone
+	}
+	for range s.services {
+		s.rackCounts = append(s.rackCounts, make([]int, len(racks)))
+		s.zoneCounts = append(s.zoneCounts, make([]int, len(zones)))
+	}
+}
+
+// number returns the number of a name, which is the next one if it has none yet.
+func number(numbers map[string]int, name string) int {
+	n, ok := numbers[name]
+	if !ok {
+		n = len(numbers)
+		numbers[name] = n
+	}
+	return n
+}
+
+// initDemand sums the demand of the services from each position on.
+func (s *search) initDemand() {
+	n := len(s.services)
+	s.demandCores, s.demandMemory = make([]int64, n+1), make([]int64, n+1)
+	s.minCores, s.minMemory = make([]int64, n+1), make([]int64, n+1)
+	const noTask = 1 << 62 // above any amount
+	s.minCores[n], s.minMemory[n] = noTask, noTask
+	for k := n - 1; k >= 0; k-- {
+		service := &s.services[k]
+		s.demandCores[k] = s.demandCores[k+1] + int64(service.Count)*service.Cores
+		s.demandMemory[k] = s.demandMemory[k+1] + int64(service.Count)*service.Memory
+		s.minCores[k], s.minMemory[k] = s.minCores[k+1], s.minMemory[k+1]
+		if service.Count > 0 {
+			s.minCores[k], s.minMemory[k] = min(s.minCores[k], service.Cores), min(s.minMemory[k], service.Memory)
+		}
+	}
+}
+
+// initHostClasses finds hosts that no service can tell apart.
+func (s *search) initHostClasses() {
+	topologyMatters := s.topologyMatters()
+	classes := map[string]int{}
+	for host := range s.in.Hosts {
+		h := &s.in.Hosts[host]
+		key := fmt.Sprint(h.Cores, h.Memory, h.Cost, h.Unschedulable, h.InUse)
+		if topologyMatters {
+			key += fmt.Sprintf(" %q %q", h.Rack, h.Zone)
+		}
+		for k := range s.services {
+			running := 0
+			if s.services[k].Running != nil {
+				running = s.services[k].Running[host]
+			}
+			key += fmt.Sprint(" ", s.services[k].allows(host), running)
+		}
+		s.hostClass = append(s.hostClass, number(classes, key))
+	}
+}
+
+// topologyMatters reports whether anything in the instance depends on racks or zones.
+func (s *search) topologyMatters() bool {
+	return s.in.HomeZone != "" || slices.ContainsFunc(s.services, func(service Service) bool {
+		return service.MaxPerRack > 0 || service.MaxPerZone > 0 || len(service.Affinities) > 0
+	})
+}
+
+// initPlacement makes the empty placement.
+func (s *search) initPlacement() {
+	for i := range s.in.Hosts {
+		s.freeCores, s.freeMemory = append(s.freeCores, s.in.Hosts[i].Cores), append(s.freeMemory, s.in.Hosts[i].Memory)
+	}
+	s.hostTasks = make([]int, len(s.in.Hosts))
+	for range s.services {
+		s.counts = append(s.counts, make([]int, len(s.in.Hosts)))
+	}
+}
+
+// inInstanceOrder returns rows by position as rows by index into in.Services.
+func (s *search) inInstanceOrder(counts [][]int) [][]int {
+	rows := make([][]int, len(counts))
+	for k, index := range s.order {
+		rows[index] = counts[k]
+	}
+	return rows
+}
