--- a/internal/planning/plan/plan_test.go
+++ b/internal/planning/plan/plan_test.go
@@ -15,7 +15,9 @@
 	"forkhead/internal/verify/simulation"
 )
 
-func question(t testing.TB, hosts string) *Problem {
+// newProblem returns a problem with these hosts, as JSON, and a class without limits (c), one of big hosts (b) and one with a
+// spread limit (r).
+func newProblem(t testing.TB, hosts string) *Problem {
 	t.Helper()
 	s, err := settings.Read("s", []byte(`(forkhead (kind k (cores 4) (memory 8GiB)) (kind big (cores 8) (memory 16GiB))
 	  (class c) (class b (kind big)) (class r (spread rack 2)))`))
@@ -32,54 +34,60 @@
 const fleet = `{"hosts":[{"id":"a","kind":"k","rack":"r","cores":4,"memory":8,"cost":4},{"id":"b","kind":"k","rack":"r","cores":4,"memory":8,"cost":4},
   {"id":"c","kind":"big","rack":"s","cores":8,"memory":16,"cost":9,"labels":{"disk":"ssd"}},{"id":"d","kind":"big","rack":"s","cores":8,"memory":16,"cost":9,"state":"draining"}]}`
 
-func service(name, class string, n int, cores float64) servicespec.Service {
+// newService returns a service of n tasks.
+func newService(name, class string, n int, cores float64) servicespec.Service {
 	return servicespec.Service{Name: name, Class: class, Replicas: n, Cores: cores, Memory: 1}
 }
 
-func TestPlan(t *testing.T) {
-	q := question(t, fleet)
-	q.Specs = []*servicespec.Description{{Services: []servicespec.Service{service("x", "c", 4, 2), service("y", "b", 1, 1)}}}
-	p, err := Solve(q, solver.Options{})
-	if err != nil || !p.Feasible || p.Cost != 9+4 || p.HostsInUse != 2 || len(p.Assignments) != 5 {
-		t.Fatalf("%+v, %v", p, err)
+// A plan has each task, keeps what runs where it may stay, and lists what has to migrate.
+func TestSolve(t *testing.T) {
+	problem := newProblem(t, fleet)
+	problem.Specs = []*servicespec.Description{{Services: []servicespec.Service{newService("x", "c", 4, 2), newService("y", "b", 1, 1)}}}
+	plan, err := Solve(problem, solver.Options{})
+	if err != nil || !plan.Feasible || plan.Cost != 9+4 || plan.HostsInUse != 2 || len(plan.Assignments) != 5 {
+		t.Fatalf("%+v, %v", plan, err)
 	}
-	// What runs where the plan would as well have it stays; what has to go is told as a move.
-	q.Running = []Running{{"x", 1, "a"}, {"x", 2, "b"}, {"y", 1, "d"}}
-	p, err = Solve(q, solver.Options{})
-	if err != nil || len(p.Migrations) != 2 || p.Migrations[1] != (Migration{"y", 1, "d", "c"}) {
-		t.Fatalf("%+v, %v", p, err)
+	// Replica 1 of x stays, replica 2 may; y has to leave a draining host.
+	problem.Running = []Running{{"x", 1, "a"}, {"x", 2, "b"}, {"y", 1, "d"}}
+	plan, err = Solve(problem, solver.Options{})
+	if err != nil || len(plan.Migrations) != 2 || plan.Migrations[1] != (Migration{"y", 1, "d", "c"}) {
+		t.Fatalf("%+v, %v", plan, err)
 	}
 }
 
-func TestConflictWords(t *testing.T) {
+func TestSolveDescribesConflicts(t *testing.T) {
 	for name, c := range map[string]struct {
-		what []servicespec.Service
-		want []string
+		services []servicespec.Service
+		want     []string
 	}{
-		"too large":   {[]servicespec.Service{service("x", "c", 1, 9)}, []string{"x asks for 1 tasks of 9 cores", "the cores of the 3 hosts"}},
-		"kind drains": {[]servicespec.Service{service("x", "b", 3, 3)}, []string{"x asks for 3", "the cores of the 3 hosts", "x runs only on hosts with kind big"}},
-		"rack":        {[]servicespec.Service{service("ok", "c", 1, 1), service("x", "r", 5, 1)}, []string{"x asks for 5", "at most 2 of x in one rack"}},
-		"near": {[]servicespec.Service{service("x", "b", 1, 4), {Name: "y", Class: "c", Replicas: 2, Cores: 4, Memory: 1, Near: []servicespec.Near{{Service: "x", Place: "machine"}}}},
-			[]string{"x asks for 1", "y asks for 2", "the cores of the 3 hosts", "y has to be near x, in one machine"}},
-		"no such label": {[]servicespec.Service{{Name: "x", Replicas: 1, Cores: 1, Constraints: []servicespec.Constraint{{Attribute: "label.disk", Value: "tape"}}}},
-			[]string{"x asks for 1", "x runs only on hosts with label.disk == tape"}},
+		"too large":   {[]servicespec.Service{newService("x", "c", 1, 9)}, []string{"x asks for 1 tasks of 9 cores", "the cores of the 3 hosts"}},
+		"kind drains": {[]servicespec.Service{newService("x", "b", 3, 3)}, []string{"x asks for 3", "the cores of the 3 hosts", "x runs only on hosts with kind big"}},
+		"rack":        {[]servicespec.Service{newService("ok", "c", 1, 1), newService("x", "r", 5, 1)}, []string{"x asks for 5", "at most 2 of x in one rack"}},
+		"near": {
+			[]servicespec.Service{newService("x", "b", 1, 4), {Name: "y", Class: "c", Replicas: 2, Cores: 4, Memory: 1, Near: []servicespec.Near{{Service: "x", Place: "machine"}}}},
+			[]string{"x asks for 1", "y asks for 2", "the cores of the 3 hosts", "y has to be near x, in one machine"},
+		},
+		"no such label": {
+			[]servicespec.Service{{Name: "x", Replicas: 1, Cores: 1, Constraints: []servicespec.Constraint{{Attribute: "label.disk", Value: "tape"}}}},
+			[]string{"x asks for 1", "x runs only on hosts with label.disk == tape"},
+		},
 	} {
-		q := question(t, fleet)
-		q.Specs = []*servicespec.Description{{Services: c.what}}
-		p, err := Solve(q, solver.Options{})
-		if err != nil || p.Feasible || !p.Optimal || len(p.Conflict) != len(c.want) {
-			t.Errorf("%s: %+v, %v", name, p, err)
+		problem := newProblem(t, fleet)
+		problem.Specs = []*servicespec.Description{{Services: c.services}}
+		plan, err := Solve(problem, solver.Options{})
+		if err != nil || plan.Feasible || !plan.Optimal || len(plan.Conflict) != len(c.want) {
+			t.Errorf("%s: %+v, %v", name, plan, err)
 			continue
 		}
 		for i, want := range c.want {
-			if !strings.Contains(p.Conflict[i], want) && !strings.Contains(strings.Join(p.Conflict, "\n"), want) {
-				t.Errorf("%s: %q lacks %q", name, p.Conflict, want)
+			if !strings.Contains(plan.Conflict[i], want) && !strings.Contains(strings.Join(plan.Conflict, "\n"), want) {
+				t.Errorf("%s: %q lacks %q", name, plan.Conflict, want)
 			}
 		}
 	}
 }
 
-func TestBadHosts(t *testing.T) {
+func TestReadHostsRejectsMalformedHosts(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"hosts":[{"id":"a"},{"id":"a"}]}`:                                                   "want an id of its own",
 		`{"hosts":[{"id":"a","cores":-1}]}`:                                                   "want 0 to 10^6",
@@ -94,9 +102,9 @@
 	}
 }
 
-// distance places services on a fleet through the real core and module, and asks the solver for the
-// best that could be.
-func distance(t testing.TB, hosts int, load float64, seed uint64) (used, best, unplaced int) {
+// measureDistance places services on a fleet by the real core and module, and by the solver. It returns the hosts that each
+// uses, and how many tasks the module did not place.
+func measureDistance(t testing.TB, hosts int, load float64, seed uint64) (used, best, unplaced int) {
 	set := simulation.Settings(t, "")
 	s := simulation.New(t, set, 0)
 	q := &Problem{Settings: set}
@@ -143,7 +151,7 @@
 	return len(on), p.HostsInUse, unplaced
 }
 
-// BenchmarkDistance tells how far the module's placements are from the least hosts in use.
+// BenchmarkDistance reports how many hosts the module's placements use, and the fewest that could do.
 // go test ./internal/planning/plan -run xxx -bench Distance -benchtime 1x
 func BenchmarkDistance(b *testing.B) {
 	for _, hosts := range []int{12, 40, 130} {
@@ -151,7 +159,7 @@
 			b.Run(fmt.Sprintf("hosts=%d/load=%.2f", hosts, load), func(b *testing.B) {
 				var used, best, unplaced int
 				for b.Loop() {
-					used, best, unplaced = distance(b, hosts, load, 1)
+					used, best, unplaced = measureDistance(b, hosts, load, 1)
 				}
 				b.ReportMetric(float64(used), "hosts")
 				b.ReportMetric(float64(best), "least")
