--- a/internal/verify/rules/golden_test.go
+++ b/internal/verify/rules/golden_test.go
@@ -15,7 +15,7 @@
 	"forkhead/internal/verify/scenario"
 )
 
-// goldenRecord returns a day that `forkhead badday testdata/script.sexp --record-on-breach` has kept.
+// goldenRecord returns the capture that `forkhead badday testdata/script.sexp --record-on-breach` of an earlier build has stored.
 func goldenRecord(t *testing.T) []byte {
 	t.Helper()
 	packed, err := os.ReadFile(filepath.Join("testdata", "record.jsonl.gz"))
@@ -33,27 +33,27 @@
 	return text
 }
 
-// goldenVerdict judges a record by the figures of testdata/script.sexp.
+// goldenVerdict judges a capture by the figures of testdata/script.sexp.
 func goldenVerdict(t *testing.T, events []capture.Event) Verdict {
 	t.Helper()
-	day, err := os.ReadFile(filepath.Join("testdata", "script.sexp"))
+	script, err := os.ReadFile(filepath.Join("testdata", "script.sexp"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := scenario.Read("script.sexp", day)
+	s, err := scenario.Read("script.sexp", script)
 	if err != nil {
 		t.Fatal(err)
 	}
-	facts := ConfigFromSettings(s.Settings, float64(s.Host.MaxStarting)/s.Host.StartTime.Seconds())
-	facts.Durable = s.Durable
-	v := Check(events, facts)
+	config := ConfigFromSettings(s.Settings, float64(s.Host.MaxStarting)/s.Host.StartTime.Seconds())
+	config.Durable = s.Durable
+	v := Check(events, config)
 	for _, kind := range []core.OutcomeKind{core.OutcomePlaced, core.OutcomeRejected, core.OutcomeFailed} {
 		v.Outcomes[string(kind)] += 0 // the kept result names all of them
 	}
 	return v
 }
 
-// The record of an earlier build's day is read, is written as it was, and comes to the verdict that was kept with it.
+// The capture of an earlier build is read, is written as it was, and comes to the verdict that was stored with it.
 func TestCheckGoldenRecord(t *testing.T) {
 	text := goldenRecord(t)
 	events, err := capture.Read(bytes.NewReader(text))
--- /dev/null
+++ b/internal/verify/rules/helpers_test.go
@@ -0,0 +1,125 @@
+package rules
+
+import (
+	"testing"
+	"time"
+
+	"forkhead"
+	"forkhead/internal/protocol/capture"
+	"forkhead/internal/scheduler/invariant"
+)
+
+const ms = time.Millisecond
+
+// noBreach is the rule of a case that breaks none.
+const noBreach = invariant.RuleCount
+
+// ruleCase is a trace that breaks one rule, or none.
+type ruleCase struct {
+	name   string
+	events []capture.Event
+	rule   invariant.Rule
+}
+
+// checkCases checks each case after the events of its surroundings: the rule that it breaks is found, and no other.
+func checkCases(t *testing.T, surroundings []capture.Event, cases []ruleCase) {
+	t.Helper()
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			v := Check(append(surroundings[:len(surroundings):len(surroundings)], c.events...), testConfig())
+			for rule := invariant.Rule(0); rule < invariant.RuleCount; rule++ {
+				if want := rule == c.rule; (v.Counts[rule] > 0) != want {
+					t.Errorf("%d breaches of %v: %v", v.Counts[rule], rule, v.Breaches)
+				}
+			}
+		})
+	}
+}
+
+func testConfig() Config {
+	return Config{
+		Classes: map[string]Class{
+			"safe":   {},
+			"unsafe": {Effect: forkhead.Unsafe},
+			"spread": {SpreadDomain: forkhead.CellDomain, MaxPerDomain: 1},
+			"keyed":  {Effect: forkhead.Keyed, DedupWindow: 5 * time.Second},
+			"racked": {Effect: forkhead.Keyed, DedupDomain: forkhead.CellDomain, DedupWindow: 5 * time.Second},
+		},
+		DrainGrace:           250 * time.Millisecond,
+		LostAfter:            2 * time.Second,
+		OwnerBackoff:         3 * time.Second,
+		SlowStartDuration:    5 * time.Second,
+		SlowStartInitialRate: 0.2,
+		SlowStartWindow:      time.Second,
+		SlowStartMaxOffers:   3,
+		SlowStartOverload:    2,
+		WarmStartRate:        1,
+		MaxTransit:           100 * time.Millisecond,
+		MaxOutcomeDelay:      time.Second,
+	}
+}
+
+// testHosts are hosts a and b in one rack and c in another.
+func testHosts() []capture.Event {
+	return []capture.Event{hostUp(1, "a", "r1"), hostUp(1, "b", "r1"), hostUp(1, "c", "r2")}
+}
+
+// testPlacer is a placer that has read the endpoint list of testHosts and is connected to each of them.
+func testPlacer() []capture.Event {
+	list := listDelivered(2*ms, "a", "b", "c")
+	list.PlacerEpoch = 1
+	events := atPlacer(list)
+	for _, host := range []string{"a", "b", "c"} {
+		events = append(events, atPlacer(
+			message(3*ms, capture.Hello, host, 0),
+			message(3*ms, capture.Welcome, host, 0),
+		)...)
+	}
+	return events
+}
+
+func hostUp(at time.Duration, host, rack string) capture.Event {
+	return capture.Event{At: at, Type: capture.HostUp, Host: host, Epoch: 1, Rack: rack}
+}
+
+func listDelivered(at time.Duration, ready ...string) capture.Event {
+	return capture.Event{At: at, Type: capture.ListDelivered, Ready: ready}
+}
+
+// message is a message between placer 0 and a host on the only connection between them, or the end of that; about the first
+// attempt of a request if its number isn't 0.
+func message(at time.Duration, kind capture.EventType, host string, request uint32) capture.Event {
+	return capture.Event{
+		At: at, Type: kind, Host: host, Epoch: 1, Conn: 1, PlacerEpoch: 1,
+		RefEpoch: 1, Task: request, Key: uint64(request), Service: 9, Name: "p/s/1",
+	}
+}
+
+// offer is the first attempt of a request for a task of the only service. The task's key is the request's number.
+func offer(at time.Duration, host, class string, request uint32) capture.Event {
+	e := message(at, capture.Offer, host, request)
+	e.Class = class
+	return e
+}
+
+// retry is the second attempt of request 1.
+func retry(at time.Duration, host, class string) capture.Event {
+	e := offer(at, host, class, 1)
+	e.Attempt = 1
+	return e
+}
+
+// resubmitted is the first attempt of another request for the task of request 1, which is unsafe, at host b.
+func resubmitted(at time.Duration) capture.Event {
+	e := offer(at, "b", "unsafe", 2)
+	e.Key = 1
+	return e
+}
+
+// atPlacer notes events at the placer's own sockets.
+func atPlacer(events ...capture.Event) []capture.Event {
+	for i := range events {
+		events[i].AtPlacer = true
+	}
+	return events
+}
--- a/internal/verify/rules/slowstart.go
+++ b/internal/verify/rules/slowstart.go
@@ -39,7 +39,8 @@
 		return
 	}
 	window := c.config.SlowStartWindow
-	host.offeredAt = slices.DeleteFunc(append(host.offeredAt, offer.At), func(at time.Duration) bool { return at <= offer.At-window })
+	beforeWindow := func(at time.Duration) bool { return at <= offer.At-window }
+	host.offeredAt = slices.DeleteFunc(append(host.offeredAt, offer.At), beforeWindow)
 	if count, limit := len(host.offeredAt), c.slowStartLimit(age); float64(count) > limit {
 		c.breach(invariant.SlowStart, offer.At, "host %s, up for %v, was offered %d tasks within %v; it bears %.0f",
 			offer.Host, age.Round(time.Millisecond), count, window, limit)
