--- a/internal/protocol/consul/golden_test.go
+++ b/internal/protocol/consul/golden_test.go
@@ -28,12 +28,12 @@
 	for i := range hosts {
 		fmt.Fprintln(&b, goldentest.Values(reflect.ValueOf(hosts[i])))
 	}
-	for _, why := range skipped {
-		fmt.Fprintln(&b, "skipped:", why)
+	for _, message := range skipped {
+		fmt.Fprintln(&b, "skipped:", message)
 	}
 	goldentest.Check(t, "service.decoded", b.Bytes())
 
-	// The emulated catalogue writes what it reads.
+	// The emulator writes what it reads.
 	var entries []Entry
 	if err := json.Unmarshal(text, &entries); err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 	goldentest.Check(t, "service.written.json", append(again, '\n'))
 }
 
-// Requests to the catalogue have these bodies.
+// Requests to Consul have these bodies.
 func TestRegistrationGolden(t *testing.T) {
 	r, err := NewRegistration(&Host{
 		Name: "north-1", Address: "10.1.0.1:7000", Kind: "std-28", Zone: "north", Rack: "r1", Started: 1500 * time.Microsecond,
