--- a/internal/emulator/consul/server.go
+++ b/internal/emulator/consul/server.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -17,204 +18,233 @@
 	"forkhead/internal/server/recorder"
 )
 
-// Server is a Store behind HTTP on loopback.
+// Server is a Store behind HTTP on loopback. Its methods are safe for concurrent use.
 type Server struct {
-	clock *clock.Clock
-	log   *recorder.Recorder
-	http  *http.Server
-	ln    net.Listener
+	clock    *clock.Clock
+	log      *recorder.Recorder // may be nil
+	http     *http.Server
+	listener net.Listener
 
 	mu     sync.Mutex
 	store  *Store
 	outage bool
-	stop   chan struct{}
-	wait   sync.WaitGroup
+
+	stop    chan struct{} // closed by Stop
+	running sync.WaitGroup
 }
 
-// poll is how often held queries and dead hosts are looked at.
-const poll = 10 * time.Millisecond
+// pollInterval is how often blocking queries and the policy are looked at.
+const pollInterval = 10 * time.Millisecond
+
+// Bounds of a request to the server.
+const (
+	maxHeaderBytes = 16 << 10
+	maxBodyBytes   = 1 << 20
+	headerTimeout  = 5 * time.Second
+)
+
+// A blocking query waits for defaultWait, Consul's own, where it asks for no time or for more than maxWait.
+const (
+	defaultWait = 5 * time.Minute
+	maxWait     = 10 * time.Minute
+)
+
+// placerAgent begins the user agent of placers; their number follows.
+const placerAgent = "forkhead-placer/"
 
-// Serve starts a catalogue at an address. log may be nil.
+// errOutage is the error of every call during an outage, as Consul says it.
+var errOutage = errors.New("no cluster leader")
+
+// Serve starts a server at an address. log may be nil.
 func Serve(address string, p Policy, c *clock.Clock, log *recorder.Recorder) (*Server, error) {
-	ln, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{clock: c, log: log, ln: ln, store: NewStore(p), stop: make(chan struct{})}
+	s := &Server{clock: c, log: log, listener: listener, store: NewStore(p), stop: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/health/service/{service}", s.health)
 	mux.HandleFunc("PUT /v1/catalog/register", s.register)
 	mux.HandleFunc("PUT /v1/catalog/deregister", s.deregister)
 	mux.HandleFunc("PUT /v1/agent/maintenance", s.maintenance)
-	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 16 << 10}
-	s.wait.Add(2)
-	go func() { defer s.wait.Done(); _ = s.http.Serve(ln) }()
-	go func() {
-		defer s.wait.Done()
-		tick := time.NewTicker(poll)
-		defer tick.Stop()
-		for {
-			select {
-			case <-s.stop:
-				return
-			case <-tick.C:
-				s.With(func(st *Store, now time.Duration) { st.Tick(now) })
-			}
-		}
-	}()
+	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes}
+	s.running.Go(func() { _ = s.http.Serve(listener) })
+	s.running.Go(s.applyPolicy)
 	return s, nil
 }
 
-// Address is where the catalogue listens.
-func (s *Server) Address() string { return s.ln.Addr().String() }
+// applyPolicy ticks the store until Stop.
+func (s *Server) applyPolicy() {
+	tick := time.NewTicker(pollInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-s.stop:
+			return
+		case <-tick.C:
+			s.With(func(st *Store, now time.Duration) { st.Tick(now) })
+		}
+	}
+}
+
+// Address returns where the server listens.
+func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// With gives a function the store.
+// With calls a function with the store and the time. The function must not keep the store.
 func (s *Server) With(f func(st *Store, now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.store, s.clock.Now())
 }
 
-// SetOutage makes every call fail, or ends that.
+// SetOutage makes every call of the catalog fail, or ends that.
 func (s *Server) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outage = on
 }
 
-// Stop ends the server.
+// Stop ends the server and waits for its goroutines.
 func (s *Server) Stop() {
 	close(s.stop)
 	_ = s.http.Close()
-	s.wait.Wait()
+	s.running.Wait()
 }
 
-func (s *Server) down() bool {
+// rejectOutage answers a call that comes during an outage, and reports whether it has.
+func (s *Server) rejectOutage(w http.ResponseWriter) bool {
 	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.outage
+	outage := s.outage
+	s.mu.Unlock()
+	if outage {
+		http.Error(w, errOutage.Error(), http.StatusInternalServerError)
+	}
+	return outage
 }
 
-// errDown is told in the words that Consul uses.
-var errDown = errors.New("no cluster leader")
-
+// health is /v1/health/service/:service. With an index it is a blocking query: it is answered when the list has another
+// index, or after the wait.
 func (s *Server) health(w http.ResponseWriter, r *http.Request) {
 	index, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
-	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
-	if err != nil || wait <= 0 || wait > 10*time.Minute {
-		wait = 5 * time.Minute
-	}
-	deadline := time.NewTimer(wait)
+	deadline := time.NewTimer(parseWait(r.URL.Query().Get("wait")))
 	defer deadline.Stop()
-	tick := time.NewTicker(poll)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
-		if s.down() {
-			http.Error(w, errDown.Error(), http.StatusInternalServerError)
+		if s.rejectOutage(w) {
 			return
 		}
 		var entries []consul.Entry
-		var at uint64
-		s.With(func(st *Store, now time.Duration) { entries, at = st.Health(now, r.PathValue("service")) })
-		timeout := false
-		if index > 0 && at == index {
-			select {
-			case <-tick.C:
-				continue
-			case <-s.stop:
-				return
-			case <-r.Context().Done():
-				return
-			case <-deadline.C:
-				timeout = true
-			}
-		}
-		if entries == nil {
-			entries = []consul.Entry{}
-		}
-		body, err := json.Marshal(entries)
-		if err != nil {
-			http.Error(w, err.Error(), http.StatusInternalServerError)
+		var current uint64
+		s.With(func(st *Store, now time.Duration) { entries, current = st.Health(now, r.PathValue("service")) })
+		if index == 0 || current != index {
+			s.recordDelivery(r.UserAgent(), entries)
+			writeEntries(w, current, entries)
 			return
 		}
-		if !timeout {
-			s.told(r.UserAgent(), entries)
+		select {
+		case <-tick.C:
+		case <-s.stop:
+			return
+		case <-r.Context().Done():
+			return
+		case <-deadline.C:
+			writeEntries(w, current, entries)
+			return
 		}
-		w.Header().Set("Content-Type", "application/json")
-		w.Header().Set("X-Consul-Index", strconv.FormatUint(at, 10))
-		_, _ = w.Write(body)
+	}
+}
+
+func parseWait(text string) time.Duration {
+	wait, err := time.ParseDuration(text)
+	if err != nil || wait <= 0 || wait > maxWait {
+		return defaultWait
+	}
+	return wait
+}
+
+func writeEntries(w http.ResponseWriter, index uint64, entries []consul.Entry) {
+	if entries == nil {
+		entries = []consul.Entry{} // [] in JSON
+	}
+	body, err := json.Marshal(entries)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
+	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
+	_, _ = w.Write(body)
 }
 
-// told records what a placer is told, if the one that asks is one. It is recorded when the
-// answer leaves: the placer cannot know it earlier.
-func (s *Server) told(agent string, entries []consul.Entry) {
-	n, err := strconv.Atoi(strings.TrimPrefix(agent, "forkhead-placer/"))
-	if s.log == nil || err != nil || !strings.HasPrefix(agent, "forkhead-placer/") {
+// recordDelivery records the list that a placer is about to be sent: it cannot know it earlier. Answers to others are
+// not recorded.
+func (s *Server) recordDelivery(agent string, entries []consul.Entry) {
+	number, isPlacer := strings.CutPrefix(agent, placerAgent)
+	placer, err := strconv.Atoi(number)
+	if s.log == nil || !isPlacer || err != nil {
 		return
 	}
-	e := capture.Event{At: s.clock.Now(), Type: capture.ListDelivered, Placer: n}
+	event := capture.Event{At: s.clock.Now(), Type: capture.ListDelivered, Placer: placer}
 	for i := range entries {
-		critical := false
-		for _, c := range entries[i].Checks {
-			critical = critical || c.Status == "critical"
-		}
-		if critical {
-			e.Draining = append(e.Draining, entries[i].Node.Node)
+		name := entries[i].Node.Node
+		if slices.ContainsFunc(entries[i].Checks, func(c consul.Check) bool { return c.Status == consul.StatusCritical }) {
+			event.Draining = append(event.Draining, name)
 		} else {
-			e.Ready = append(e.Ready, entries[i].Node.Node)
+			event.Ready = append(event.Ready, name)
 		}
 	}
-	s.log.Add(e)
-}
-
-func decode[T any](w http.ResponseWriter, r *http.Request) (T, bool) {
-	var v T
-	if err := json.NewDecoder(io.LimitReader(r.Body, 1<<20)).Decode(&v); err != nil {
-		http.Error(w, "Request decode failed: "+err.Error(), http.StatusBadRequest)
-		return v, false
-	}
-	return v, true
+	s.log.Add(event)
 }
 
+// register is /v1/catalog/register.
 func (s *Server) register(w http.ResponseWriter, r *http.Request) {
-	if s.down() {
-		http.Error(w, errDown.Error(), http.StatusInternalServerError)
+	if s.rejectOutage(w) {
 		return
 	}
-	reg, ok := decode[consul.Registration](w, r)
+	registration, ok := readBody[consul.Registration](w, r)
 	if !ok {
 		return
 	}
-	if reg.Node == "" || reg.Address == "" || reg.Service == nil {
+	if registration.Node == "" || registration.Address == "" || registration.Service == nil {
 		http.Error(w, "Must provide node, address and service", http.StatusBadRequest)
 		return
 	}
-	s.With(func(st *Store, now time.Duration) { st.Register(now, reg) })
+	s.With(func(st *Store, now time.Duration) { st.Register(now, registration) })
 	_, _ = io.WriteString(w, "true")
 }
 
+// deregister is /v1/catalog/deregister.
 func (s *Server) deregister(w http.ResponseWriter, r *http.Request) {
-	if s.down() {
-		http.Error(w, errDown.Error(), http.StatusInternalServerError)
+	if s.rejectOutage(w) {
 		return
 	}
-	dereg, ok := decode[consul.Deregistration](w, r)
+	deregistration, ok := readBody[consul.Deregistration](w, r)
 	if !ok {
 		return
 	}
-	s.With(func(st *Store, now time.Duration) { st.Deregister(now, dereg.Node) })
+	s.With(func(st *Store, now time.Duration) { st.Deregister(now, deregistration.Node) })
 	_, _ = io.WriteString(w, "true")
 }
 
-// maintenance is /v1/agent/maintenance, with the node's name in the query: there is one
-// stand-in for all agents.
+// maintenance is /v1/agent/maintenance. The query names the node: there is one emulator for the agents of all nodes. It
+// works during an outage: an agent needs no leader for it.
 func (s *Server) maintenance(w http.ResponseWriter, r *http.Request) {
-	on, err := strconv.ParseBool(r.URL.Query().Get("enable"))
-	if err != nil || r.URL.Query().Get("node") == "" {
+	query := r.URL.Query()
+	on, err := strconv.ParseBool(query.Get("enable"))
+	if err != nil || query.Get("node") == "" {
 		http.Error(w, "Must provide enable and node", http.StatusBadRequest)
 		return
 	}
-	s.With(func(st *Store, now time.Duration) { st.SetMaintenance(now, r.URL.Query().Get("node"), on) })
+	s.With(func(st *Store, now time.Duration) { st.SetMaintenance(now, query.Get("node"), on) })
+}
+
+// readBody reads the body of a request, or answers that it is malformed.
+func readBody[T any](w http.ResponseWriter, r *http.Request) (T, bool) {
+	var v T
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&v); err != nil {
+		http.Error(w, "Request decode failed: "+err.Error(), http.StatusBadRequest)
+		return v, false
+	}
+	return v, true
 }
--- a/internal/emulator/consul/store.go
+++ b/internal/emulator/consul/store.go
@@ -1,10 +1,8 @@
-// Package consul is a stand-in for a service catalogue: as much of Consul's HTTP API as hosts
-// and placers use, with lag, outage and stale answers on command.
 package consul
 
 import (
+	"maps"
 	"slices"
-	"strings"
 	"time"
 
 	"forkhead/internal/protocol/consul"
@@ -12,146 +10,152 @@
 
 // Policy says when a host that no longer registers is taken for dead.
 type Policy struct {
-	CriticalAfter   time.Duration // its check is critical after this
-	DeregisterAfter time.Duration // and it is dropped after this
+	CriticalAfter   time.Duration // its check is critical after this time
+	DeregisterAfter time.Duration // and it is dropped after this time
 }
 
-// Store is the catalogue's state. It is pure: time comes in.
+// Store is the state of the emulated Consul. It is pure: time comes in. It is for one goroutine at a time.
 type Store struct {
-	policy Policy
-	index  uint64
-	nodes  map[string]*node
-	past   []version // what was listed, and from when
-	lag    time.Duration
-	frozen *version // stale answers: always this one
+	policy  Policy
+	index   uint64 // of the latest version
+	nodes   map[string]*node
+	history []version // the versions of the last historyWindow, the latest last; never empty
+	lag     time.Duration
+	frozen  *version // nil, or what every answer is
 }
 
+// node is a registered host.
 type node struct {
-	reg         consul.Registration
-	seen        time.Duration
-	critical    bool
-	maintenance bool
+	registration consul.Registration
+	registeredAt time.Duration // last
+	critical     bool
+	maintenance  bool
 }
 
+// version is the list of hosts as it was from a moment on.
 type version struct {
-	at      time.Duration
+	since   time.Duration
 	index   uint64
 	entries []consul.Entry
 }
 
-const keepPast = 2 * time.Minute
+// historyWindow is how long versions are kept for answers with a lag.
+const historyWindow = 2 * time.Minute
 
-// NewStore returns an empty catalogue.
+// NewStore returns a store without hosts.
 func NewStore(p Policy) *Store {
-	s := &Store{policy: p, nodes: map[string]*node{}, index: 1}
-	s.past = []version{{index: 1}}
-	return s
+	return &Store{policy: p, nodes: map[string]*node{}, index: 1, history: []version{{index: 1}}}
 }
 
-// Register takes a registration, new or repeated.
+// Register adds a host, or renews its registration.
 func (s *Store) Register(now time.Duration, r consul.Registration) {
 	n := s.nodes[r.Node]
 	if n == nil {
 		n = &node{}
 		s.nodes[r.Node] = n
 	}
-	n.reg, n.seen, n.critical = r, now, false
-	s.changed(now)
+	n.registration, n.registeredAt, n.critical = r, now, false
+	s.addVersion(now)
 }
 
 // Deregister drops a host.
 func (s *Store) Deregister(now time.Duration, name string) {
 	if s.nodes[name] != nil {
 		delete(s.nodes, name)
-		s.changed(now)
+		s.addVersion(now)
 	}
 }
 
-// SetMaintenance puts a host into maintenance, or takes it out.
+// SetMaintenance puts a host into maintenance, or ends that.
 func (s *Store) SetMaintenance(now time.Duration, name string, on bool) {
 	if n := s.nodes[name]; n != nil && n.maintenance != on {
 		n.maintenance = on
-		s.changed(now)
+		s.addVersion(now)
 	}
 }
 
-// SetLag makes answers late by so much.
+// SetLag makes answers late by so much, up to historyWindow.
 func (s *Store) SetLag(d time.Duration) { s.lag = d }
 
-// SetFrozen makes all answers the present one, until it is taken back.
+// SetFrozen makes every answer the present one, or ends that.
 func (s *Store) SetFrozen(now time.Duration, on bool) {
-	if s.frozen = nil; on {
-		v := s.view(now)
+	s.frozen = nil
+	if on {
+		v := s.versionAt(now)
 		s.frozen = &v
 	}
 }
 
-// Tick looks for hosts that no longer register.
+// Tick applies the policy to hosts that no longer register.
 func (s *Store) Tick(now time.Duration) {
 	changed := false
 	for name, n := range s.nodes {
-		switch quiet := now - n.seen; {
-		case quiet >= s.policy.DeregisterAfter:
+		switch age := now - n.registeredAt; {
+		case age >= s.policy.DeregisterAfter:
 			delete(s.nodes, name)
 			changed = true
-		case quiet >= s.policy.CriticalAfter && !n.critical:
+		case age >= s.policy.CriticalAfter && !n.critical:
 			n.critical = true
 			changed = true
 		}
 	}
 	if changed {
-		s.changed(now)
+		s.addVersion(now)
 	}
 }
 
-func (s *Store) changed(now time.Duration) {
-	s.index++
-	v := version{at: now, index: s.index}
-	names := make([]string, 0, len(s.nodes))
-	for name := range s.nodes {
-		names = append(names, name)
-	}
-	slices.SortFunc(names, strings.Compare)
-	for _, name := range names {
-		n := s.nodes[name]
-		e := consul.Entry{
-			Node:    consul.Node{ID: n.reg.ID, Node: name, Address: n.reg.Address, Datacenter: "dc1", Meta: n.reg.NodeMeta},
-			Service: *n.reg.Service,
-			Checks:  []consul.Check{{Node: name, CheckID: "serfHealth", Name: "Serf Health Status", Status: "passing"}},
-		}
-		if n.critical {
-			e.Checks[0].Status = "critical"
-		}
-		if n.maintenance {
-			e.Checks = append(e.Checks, consul.Check{Node: name, CheckID: consul.NodeMaintenanceCheckID, Name: "Node Maintenance Mode", Status: "critical"})
+// Health answers /v1/health/service/:service as of now: the entries, sorted by name, and their index.
+func (s *Store) Health(now time.Duration, service string) (entries []consul.Entry, index uint64) {
+	v := s.versionAt(now)
+	for _, e := range v.entries {
+		if e.Service.Service == service {
+			entries = append(entries, e)
 		}
-		v.entries = append(v.entries, e)
 	}
-	s.past = append(s.past, v)
-	for len(s.past) > 1 && s.past[1].at < now-keepPast {
-		s.past = s.past[1:]
+	return entries, v.index
+}
+
+// addVersion makes the present state the latest version.
+func (s *Store) addVersion(now time.Duration) {
+	s.index++
+	v := version{since: now, index: s.index}
+	for _, name := range slices.Sorted(maps.Keys(s.nodes)) {
+		v.entries = append(v.entries, s.nodes[name].entry(name))
+	}
+	s.history = append(s.history, v)
+	for len(s.history) > 1 && s.history[1].since < now-historyWindow {
+		s.history = s.history[1:]
 	}
 }
 
-func (s *Store) view(now time.Duration) version {
-	if s.frozen != nil {
-		return *s.frozen
+func (n *node) entry(name string) consul.Entry {
+	health := consul.Check{Node: name, CheckID: consul.HealthCheckID, Name: consul.HealthCheckName, Status: consul.StatusPassing}
+	if n.critical {
+		health.Status = consul.StatusCritical
 	}
-	for i := len(s.past) - 1; i > 0; i-- {
-		if s.past[i].at <= now-s.lag {
-			return s.past[i]
-		}
+	checks := []consul.Check{health}
+	if n.maintenance {
+		checks = append(checks, consul.Check{
+			Node: name, CheckID: consul.NodeMaintenanceCheckID, Name: "Node Maintenance Mode", Status: consul.StatusCritical,
+		})
+	}
+	r := &n.registration
+	return consul.Entry{
+		Node:    consul.Node{ID: r.ID, Node: name, Address: r.Address, Datacenter: "dc1", Meta: r.NodeMeta},
+		Service: *r.Service,
+		Checks:  checks,
 	}
-	return s.past[0]
 }
 
-// Health answers /v1/health/service/:service as of now: the entries and their index.
-func (s *Store) Health(now time.Duration, service string) (entries []consul.Entry, index uint64) {
-	v := s.view(now)
-	for _, e := range v.entries {
-		if e.Service.Service == service {
-			entries = append(entries, e)
+// versionAt returns the version that is answered now.
+func (s *Store) versionAt(now time.Duration) version {
+	if s.frozen != nil {
+		return *s.frozen
+	}
+	for _, v := range slices.Backward(s.history[1:]) {
+		if v.since <= now-s.lag {
+			return v
 		}
 	}
-	return entries, v.index
+	return s.history[0]
 }
