--- a/internal/protocol/capture/frames.go
+++ b/internal/protocol/capture/frames.go
@@ -2,61 +2,67 @@
 
 import "forkhead/internal/protocol/hostproto"
 
-// FrameEvents adds what a frame between a placer and a host says to an event that names its ends, and
-// returns it; a frame of which no rule speaks comes to none, and Holds to one for each attempt.
-// Both ends note frames by it, so that they can be held against each other.
+// FrameEvents returns the events of a frame between a placer and a host: each is e, which names the two and the time, with
+// what the frame says. Holds is one event for each attempt, and a frame that no rule is about is none. Both ends record
+// their frames by it, so that the two records can be compared.
 func FrameEvents(e Event, f hostproto.Frame) []Event {
 	switch f := f.(type) {
 	case hostproto.Hello:
 		e.Type = Hello
 	case hostproto.Offer:
-		e.Type = Offer
-		e.of(f.Ref, &f.Spec)
+		e.setAttempt(Offer, f.Ref)
+		e.setSpec(&f.Spec)
 	case hostproto.Withdraw:
-		e.Type = Withdraw
-		e.of(f.Ref, nil)
+		e.setAttempt(Withdraw, f.Ref)
 	case hostproto.Stop:
-		e.Type = Stop
-		e.of(f.Ref, nil)
+		e.setAttempt(Stop, f.Ref)
 	case hostproto.Refused:
-		e.Type = Refused
-		e.of(f.Ref, nil)
+		e.setAttempt(Refused, f.Ref)
 	case hostproto.Accepted:
-		e.Type = Accepted
-		e.of(f.Ref, nil)
+		e.setAttempt(Accepted, f.Ref)
 	case hostproto.Running:
-		e.Type = Running
-		e.of(f.Ref, nil)
+		e.setAttempt(Running, f.Ref)
 	case hostproto.Ended:
-		e.Type, e.Result = Ended, results[f.Result]
-		e.of(f.Ref, nil)
+		e.setAttempt(Ended, f.Ref)
+		e.Result = resultNames[f.Result]
 	case hostproto.Drain:
 		e.Type, e.HostDraining = Drain, f.On
 	case hostproto.Welcome:
 		e.Type, e.Epoch, e.HostDraining = Welcome, f.Epoch, f.Draining
 	case hostproto.Holds:
-		out := make([]Event, len(f.Held))
-		for i := range f.Held {
-			h := &f.Held[i]
-			out[i] = e
-			out[i].Type, out[i].Result = Holds, phases[h.Phase]
-			out[i].of(h.Ref, &h.Spec)
-		}
-		return out
+		return holdsEvents(e, f.Held)
 	default:
 		return nil
 	}
 	return []Event{e}
 }
 
+func holdsEvents(e Event, held []hostproto.Held) []Event {
+	events := make([]Event, len(held))
+	for i := range held {
+		events[i] = e
+		events[i].setAttempt(Holds, held[i].Ref)
+		events[i].setSpec(&held[i].Spec)
+		events[i].Result = phaseNames[held[i].Phase]
+	}
+	return events
+}
+
+// Values of Event.Result in captures, for each hostproto.Result and each hostproto.Phase.
 var (
-	results = [...]string{"done", "failed", "evicted", "pushed-out", "sent-away", "stopped", "called", "forgotten"}
-	phases  = [...]string{"in-line", "starting", "running"}
+	resultNames = [...]string{
+		hostproto.Done: "done", hostproto.Failed: "failed", hostproto.Evicted: "evicted", hostproto.Preempted: "pushed-out",
+		hostproto.Dismissed: "sent-away", hostproto.Stopped: "stopped", hostproto.Canceled: "called", hostproto.Forgotten: "forgotten",
+	}
+	phaseNames = [...]string{
+		hostproto.PhaseQueued: "in-line", hostproto.PhaseStarting: "starting", hostproto.PhaseRunning: "running",
+	}
 )
 
-func (e *Event) of(r hostproto.Ref, s *hostproto.Spec) {
-	e.RefEpoch, e.Task, e.Attempt = r.Epoch, r.Task, r.Attempt
-	if s != nil {
-		e.Key, e.Service, e.Name, e.Class = s.Key, s.Service, s.Name, s.Class
-	}
+func (e *Event) setAttempt(t EventType, ref hostproto.Ref) {
+	e.Type, e.RefEpoch, e.Task, e.Attempt = t, ref.Epoch, ref.Task, ref.Attempt
+}
+
+func (e *Event) setSpec(s *hostproto.Spec) {
+	e.Key, e.Service, e.Name, e.Class = s.Key, s.Service, s.Name, s.Class
 }
--- a/internal/protocol/capture/golden_test.go
+++ b/internal/protocol/capture/golden_test.go
@@ -12,7 +12,7 @@
 	"forkhead/internal/protocol/hostproto"
 )
 
-// Every event is a line with these keys: one with all fields, one of each word, and what the frames of the hosts' protocol
+// Every event is a line with these keys: one with all fields, one of each type, and what the frames of the hosts' protocol
 // come to.
 func TestEventsGolden(t *testing.T) {
 	events := []Event{{
@@ -20,25 +20,35 @@
 		Task: 7, Attempt: 8, Key: 9, Service: 10, Name: "p/s/1", Class: "c", Result: "done", HostDraining: true, Ready: []string{"a"},
 		Draining: []string{"b"}, Submission: "s", Count: 11, Within: time.Second, Took: time.Minute,
 	}}
-	for _, what := range []EventType{
+	for _, eventType := range []EventType{
 		HostUp, HostDown, Overloaded, Hello, Disconnected, Offer, Withdraw, Stop, Refused, Accepted, Running, Ended, Drain, ListDelivered, Submit, Outcome, PlacerUp,
 		PlacerDown, ClientDisconnected, Welcome, Holds, LateStep,
 	} {
-		events = append(events, Event{Type: what})
+		events = append(events, Event{Type: eventType})
 	}
 	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
 	spec := hostproto.Spec{Key: 4, Service: 5, Name: "p/s/1", Class: "c"}
 	frames := []hostproto.Frame{
-		hostproto.Hello{}, hostproto.Offer{Ref: ref, Spec: spec}, hostproto.Withdraw{Ref: ref}, hostproto.Stop{Ref: ref}, hostproto.Probe{},
-		hostproto.Query{}, hostproto.Welcome{Epoch: 1, Draining: true}, hostproto.Refused{Ref: ref}, hostproto.Accepted{Ref: ref},
-		hostproto.Running{Ref: ref}, hostproto.Drain{On: true}, hostproto.Bye{}, hostproto.Note{}, hostproto.Probed{},
+		hostproto.Hello{},
+		hostproto.Offer{Ref: ref, Spec: spec},
+		hostproto.Withdraw{Ref: ref},
+		hostproto.Stop{Ref: ref},
+		hostproto.Probe{},
+		hostproto.Query{},
+		hostproto.Welcome{Epoch: 1, Draining: true},
+		hostproto.Refused{Ref: ref},
+		hostproto.Accepted{Ref: ref},
+		hostproto.Running{Ref: ref},
+		hostproto.Drain{On: true},
+		hostproto.Bye{},
+		hostproto.Note{},
+		hostproto.Probed{},
 		hostproto.Holds{Held: []hostproto.Held{
 			{Ref: ref, Phase: hostproto.PhaseQueued, Spec: spec}, {Ref: ref, Phase: hostproto.PhaseStarting, Spec: spec}, {Ref: ref, Phase: hostproto.PhaseRunning, Spec: spec},
 		}},
-		hostproto.Ended{Ref: ref, Result: hostproto.Done}, hostproto.Ended{Ref: ref, Result: hostproto.Failed},
-		hostproto.Ended{Ref: ref, Result: hostproto.Evicted}, hostproto.Ended{Ref: ref, Result: hostproto.Preempted},
-		hostproto.Ended{Ref: ref, Result: hostproto.Dismissed}, hostproto.Ended{Ref: ref, Result: hostproto.Stopped},
-		hostproto.Ended{Ref: ref, Result: hostproto.Canceled}, hostproto.Ended{Ref: ref, Result: hostproto.Forgotten},
+	}
+	for result := hostproto.Done; result <= hostproto.Forgotten; result++ {
+		frames = append(frames, hostproto.Ended{Ref: ref, Result: result})
 	}
 	for _, f := range frames {
 		events = append(events, FrameEvents(Event{Host: "h", Placer: 1}, f)...)
@@ -49,11 +59,11 @@
 	}
 	goldentest.Check(t, "events.jsonl", b.Bytes())
 
-	kept, err := os.ReadFile(filepath.Join("testdata", "events.jsonl"))
+	golden, err := os.ReadFile(filepath.Join("testdata", "events.jsonl"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := Read(bytes.NewReader(kept))
+	got, err := Read(bytes.NewReader(golden))
 	if err != nil {
 		t.Fatal(err)
 	}
