--- a/internal/cli/chaos.go
+++ b/internal/cli/chaos.go
@@ -124,7 +124,7 @@
 			return err
 		}
 	} else {
-		r.Write(a.out)
+		fmt.Fprint(a.out, r.Summary())
 	}
 	if !r.OK() {
 		return errNo
--- a/internal/verify/chaos/bugs.go
+++ b/internal/verify/chaos/bugs.go
@@ -2,131 +2,124 @@
 
 import (
 	"bytes"
-	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"time"
 
 	"forkhead"
 	"forkhead/internal/emulator/hostmodel"
-	"forkhead/internal/protocol/hostproto"
 	"forkhead/internal/verify/scenario"
-	"forkhead/internal/verify/testcluster"
 )
 
-// A rogue is a placer that is built to break a rule: it speaks the host protocol by itself, with
-// no module and no guard. A script plants one to show that the checker, which sees only the
-// traffic, catches it.
-type rogue struct {
-	n     uint32
-	conns map[string]net.Conn
-}
+const (
+	bugSettleTime      = 500 * time.Millisecond // for the last frames to reach the hosts
+	helloSettleTime    = 100 * time.Millisecond // for the Hello to reach a host
+	repeatedOfferPause = 500 * time.Millisecond // between two offers of one task
+	drainMargin        = 500 * time.Millisecond // beyond the grace of a draining host
+	floodOffers        = 5000                   // to a fresh host
+)
 
-// roguePlacer is the number that it greets with: no real placer of a script has it.
-const roguePlacer = 4000
+// The tasks that a misbehaving placer offers.
+var (
+	repeatedTask   = offeredTask{key: 77, service: 78}
+	drainTask      = offeredTask{key: 5, service: 6}
+	firstFloodTask = offeredTask{key: 1000, service: 7}
+	firstSpread    = offeredTask{key: 100, service: 99}
+)
 
-func (g *rogue) dial(h *testcluster.Host) (net.Conn, error) {
-	if c := g.conns[h.Name()]; c != nil {
-		return c, nil
-	}
-	c, err := net.DialTimeout("tcp", h.Address(), time.Second)
-	if err != nil {
-		return nil, err
-	}
-	g.conns[h.Name()] = c
-	go func() { _, _ = io.Copy(io.Discard, c) }()
-	_, err = c.Write(hostproto.Append(nil, hostproto.Hello{Version: hostproto.Version, Placer: roguePlacer, Epoch: 1, Conn: 1}))
-	return c, err
+// bugInjectors holds what each injected bug does.
+var bugInjectors = map[scenario.InjectedBug]func(*runner, *misbehavingPlacer) error{
+	scenario.BugTwoOutcomes:        (*runner).reportTwoOutcomes,
+	scenario.BugRepeatedOffer:      (*runner).repeatUnsafeOffer,
+	scenario.BugOfferWhileDraining: (*runner).offerToDrainingHost,
+	scenario.BugSlowStartOverload:  (*runner).overloadFreshHost,
+	scenario.BugSpreadExceeded:     (*runner).exceedSpreadLimit,
 }
 
-// offer sends an offer; tasks with one key are one task.
-func (g *rogue) offer(h *testcluster.Host, class string, key, service uint64) error {
-	c, err := g.dial(h)
-	if err != nil {
+// injectBug breaks a rule on the sockets, to show that the checker catches it.
+func (r *runner) injectBug(bug scenario.InjectedBug) error {
+	p := newMisbehavingPlacer()
+	defer p.close()
+	if err := bugInjectors[bug](r, p); err != nil {
 		return err
 	}
-	g.n++
-	_, err = c.Write(hostproto.Append(nil, hostproto.Offer{
-		Ref: hostproto.Ref{Epoch: 1, Task: g.n}, Wait: 5 * time.Second, Spec: hostproto.Spec{
-			Key: key, Service: service, Name: fmt.Sprintf("rogue/%s/%d", class, g.n), Class: class, Cores: 10, Memory: 10,
-			Life: 10 * time.Second,
-		},
-	}))
-	return err
+	r.sleep(bugSettleTime)
+	return nil
 }
 
-func (g *rogue) close() {
-	for _, c := range g.conns {
-		_ = c.Close()
-	}
+// reportTwoOutcomes lets clients see two outcomes of a task.
+func (r *runner) reportTwoOutcomes(*misbehavingPlacer) error {
+	r.duplicateOutcomes.Store(true)
+	return nil
 }
 
-// plant breaks a rule.
-func (p *player) plant(what scenario.InjectedBug) error {
-	g := &rogue{conns: map[string]net.Conn{}}
-	defer g.close()
-	hosts := p.c.Hosts
-	switch what {
-	case scenario.BugRepeatedOffer:
-		class := p.classWith(func(i int) bool { return p.s.Settings.Module.Classes[i].Effect == forkhead.Unsafe })
-		for _, h := range hosts[:2] {
-			if err := g.offer(h, class, 77, 78); err != nil {
-				return err
-			}
-			p.sleep(500 * time.Millisecond)
-		}
-	case scenario.BugSpreadExceeded:
-		class := p.classWith(func(i int) bool { return p.s.Settings.Module.Classes[i].SpreadDomain != forkhead.AnyDomain })
-		i, _ := p.s.Settings.Class(class)
-		for n := range p.s.Settings.Module.Classes[i].MaxPerDomain + 1 {
-			if err := g.offer(hosts[0], class, uint64(100+n), 99); err != nil {
-				return err
-			}
-		}
-	case scenario.BugOfferWhileDraining:
-		if _, err := g.dial(hosts[0]); err != nil {
+// repeatUnsafeOffer offers a task whose starts must not be repeated to two hosts.
+func (r *runner) repeatUnsafeOffer(p *misbehavingPlacer) error {
+	class, _ := r.findClass(func(c *forkhead.Class) bool { return c.Effect == forkhead.Unsafe })
+	for _, h := range r.cluster.Hosts[:2] {
+		if err := p.offer(h, class, repeatedTask); err != nil {
 			return err
 		}
-		p.sleep(100 * time.Millisecond)
-		hosts[0].With(func(h *hostmodel.Host, now time.Duration) []hostmodel.Output { return h.Drain(now, true, false) })
-		p.sleep(p.s.Settings.Module.DrainGrace + 500*time.Millisecond)
-		if err := g.offer(hosts[0], p.s.Settings.Classes[0].Name, 5, 6); err != nil {
-			return err
+		r.sleep(repeatedOfferPause)
+	}
+	return nil
+}
+
+// offerToDrainingHost offers to a host that has drained for longer than the grace.
+func (r *runner) offerToDrainingHost(p *misbehavingPlacer) error {
+	host := r.cluster.Hosts[0]
+	if _, err := p.connect(host); err != nil {
+		return err
+	}
+	r.sleep(helloSettleTime)
+	host.With(func(h *hostmodel.Host, now time.Duration) []hostmodel.Output { return h.Drain(now, true, false) })
+	r.sleep(r.scenario.Settings.Module.DrainGrace + drainMargin)
+	return p.offer(host, r.scenario.Settings.Classes[0].Name, drainTask)
+}
+
+// overloadFreshHost offers more to a host that has just started than it bears.
+func (r *runner) overloadFreshHost(p *misbehavingPlacer) error {
+	host := r.cluster.Hosts[0]
+	host.Kill()
+	if err := host.Restart(true); err != nil {
+		return err
+	}
+	for n := range floodOffers {
+		if err := p.offer(host, r.scenario.Settings.Classes[0].Name, firstFloodTask.plus(n)); err != nil {
+			break // the host has been overloaded and is down
 		}
-	case scenario.BugSlowStartOverload:
-		hosts[0].Kill()
-		if err := hosts[0].Restart(true); err != nil {
+	}
+	return nil
+}
+
+// exceedSpreadLimit offers one host a task more than a class may have in its domain.
+func (r *runner) exceedSpreadLimit(p *misbehavingPlacer) error {
+	class, i := r.findClass(func(c *forkhead.Class) bool { return c.SpreadDomain != forkhead.AnyDomain })
+	for n := range r.scenario.Settings.Module.Classes[i].MaxPerDomain + 1 {
+		if err := p.offer(r.cluster.Hosts[0], class, firstSpread.plus(n)); err != nil {
 			return err
 		}
-		for n := range 5000 {
-			if err := g.offer(hosts[0], p.s.Settings.Classes[0].Name, uint64(1000+n), 7); err != nil {
-				break // it has fallen
-			}
-		}
-	case scenario.BugTwoOutcomes:
-		p.twice.Store(true)
 	}
-	p.sleep(500 * time.Millisecond)
 	return nil
 }
 
-// classWith returns the first class of the settings that a plant can use.
-func (p *player) classWith(good func(i int) bool) string {
-	for i, c := range p.s.Settings.Classes {
-		if good(i) {
-			return c.Name
+// findClass returns the name and the index of the first class that is suitable, or else of the first one.
+func (r *runner) findClass(suitable func(c *forkhead.Class) bool) (name string, index int) {
+	set := r.scenario.Settings
+	for i, c := range set.Classes {
+		if suitable(&set.Module.Classes[i]) {
+			return c.Name, i
 		}
 	}
-	return p.s.Settings.Classes[0].Name
+	return set.Classes[0].Name, 0
 }
 
-// twiceOver repeats the first line of a stream of outcomes with another word: what a front that
-// tells two outcomes of one task would send.
-type twiceOver struct{ http.RoundTripper }
+// duplicatingTransport repeats the first outcome of each response as a failure, like a server that reports two outcomes of
+// one task.
+type duplicatingTransport struct{ http.RoundTripper }
 
-// RoundTrip tampers with the body.
-func (t twiceOver) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip reads the whole response and appends the changed outcome.
+func (t duplicatingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := t.RoundTripper.RoundTrip(r)
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return resp, err
@@ -137,7 +130,7 @@
 		return nil, err
 	}
 	line, _, _ := bytes.Cut(body, []byte("\n"))
-	again := bytes.Replace(line, []byte(`"outcome":"placed"`), []byte(`"outcome":"failed"`), 1)
-	resp.Body = io.NopCloser(io.MultiReader(bytes.NewReader(body), bytes.NewReader(append(again, '\n'))))
+	failed := bytes.Replace(line, []byte(`"outcome":"placed"`), []byte(`"outcome":"failed"`), 1)
+	resp.Body = io.NopCloser(io.MultiReader(bytes.NewReader(body), bytes.NewReader(append(failed, '\n'))))
 	return resp, nil
 }
--- a/internal/verify/chaos/faults.go
+++ b/internal/verify/chaos/faults.go
@@ -1,272 +1,101 @@
 package chaos
 
 import (
-	"context"
-	"fmt"
 	"math/rand/v2"
-	"net/http"
 	"time"
 
-	consulemulator "forkhead/internal/emulator/consul"
 	"forkhead/internal/emulator/hostmodel"
 	"forkhead/internal/verify/scenario"
 	"forkhead/internal/verify/testcluster"
 )
 
-// victims draws the hosts that a trouble strikes.
-func (p *player) victims(t *scenario.Fault, rng *rand.Rand) []*testcluster.Host {
-	var from []*testcluster.Host
-	for _, h := range p.c.Hosts {
-		if (t.Zone == "" || h.Group.Zone == t.Zone) && (t.Rack == "" || h.Rack == t.Rack) {
-			from = append(from, h)
-		}
-	}
-	rng.Shuffle(len(from), func(i, j int) { from[i], from[j] = from[j], from[i] })
-	n := max(int(t.HostShare*float64(len(p.c.Hosts))+0.5), 1)
-	return from[:min(n, len(from))]
+// activeFault is a fault of the scenario while it is injected.
+type activeFault struct {
+	scenario.Fault
+	rng   *rand.Rand
+	hosts []*testcluster.Host // drawn for it, in the order in which they are struck
 }
 
-// repeat calls do every so often until the trouble is over.
-func (p *player) repeat(t *scenario.Fault, do func()) {
-	for end := time.Now().Add(t.Duration); time.Now().Before(end); {
-		do()
-		if !p.sleep(t.Interval) {
-			return
-		}
-	}
+// injectors holds the method for each kind of fault. Each injects the fault and returns when it is over and undone as far
+// as it can be. A canceled run ends the waits in between, not the undoing.
+var injectors = map[scenario.FaultKind]func(*runner, *activeFault){
+	scenario.Crash:           (*runner).crashHosts,
+	scenario.Vanish:          (*runner).silenceHosts,
+	scenario.MassRestart:     (*runner).restartRack,
+	scenario.DieMidStart:     (*runner).crashDuringStart,
+	scenario.DieAfterBind:    (*runner).crashAfterBind,
+	scenario.HostPauses:      (*runner).pauseHosts,
+	scenario.HotKey:          (*runner).slowHosts,
+	scenario.HostDegradation: (*runner).degradeHosts,
+	scenario.ClassUnanswered: (*runner).suppressStarts,
+	scenario.ClassRejected:   (*runner).rejectClass,
+	scenario.Shrink:          (*runner).removeHosts,
+	scenario.Deploy:          (*runner).replaceHosts,
+
+	scenario.ConnectionResets:    (*runner).resetConnections,
+	scenario.HalfOpenConnections: (*runner).muteConnections,
+	scenario.TruncatedFrames:     (*runner).truncateFrames,
+	scenario.DelayedFrames:       (*runner).delayFrames,
+
+	scenario.LateReports:    (*runner).delayReports,
+	scenario.StaleDiscovery: (*runner).delayDiscovery,
+	scenario.ListOutage:     (*runner).stopCatalog,
+	scenario.ListFrozen:     (*runner).freezeCatalog,
+
+	scenario.ZoneLoss:    (*runner).loseZone,
+	scenario.PlacerStall: (*runner).stallPlacers,
+	scenario.PlacerKill:  (*runner).killPlacer,
+	scenario.GossipLoss:  (*runner).dropGossip,
+
+	scenario.Burst:             (*runner).raiseLoad,
+	scenario.Reconnect:         (*runner).resubmitProjects,
+	scenario.ClientDisconnects: (*runner).breakStreams,
+	scenario.SlowReader:        (*runner).slowReading,
 }
 
-// revive brings hosts back, cold.
-func (p *player) revive(hosts []*testcluster.Host) {
-	for _, h := range hosts {
-		if err := h.Restart(true); err != nil {
-			p.opt.Log.Error().Err(err).Msg("a host does not come back")
-		}
-	}
+// injectFault injects a fault and returns when it is over. All random draws come from rng: first those of the hosts.
+func (r *runner) injectFault(fault scenario.Fault, rng *rand.Rand) {
+	f := &activeFault{Fault: fault, rng: rng}
+	f.drawHosts(r.cluster.Hosts)
+	injectors[fault.Kind](r, f)
 }
 
-// trouble plays one trouble to its end.
-func (p *player) trouble(t scenario.Fault, rng *rand.Rand) {
-	hosts := p.victims(&t, rng)
-	with := func(do func(h *hostmodel.Host, now time.Duration)) {
-		for _, h := range hosts {
-			h.With(func(host *hostmodel.Host, now time.Duration) []hostmodel.Output {
-				do(host, now)
-				return nil
-			})
-		}
-	}
-	switch t.Kind {
-	case scenario.Crash:
-		for _, h := range hosts {
-			h.Kill()
-		}
-		p.sleep(t.Duration)
-		p.revive(hosts)
-	case scenario.Vanish:
-		for _, h := range hosts {
-			h.Vanish()
-		}
-		p.sleep(t.Duration)
-		p.revive(hosts)
-	case scenario.HostPauses:
-		p.repeat(&t, func() { with(func(h *hostmodel.Host, now time.Duration) { h.Pause(now, t.Delay) }) })
-	case scenario.LateReports:
-		// Reports are as late as registrations: hosts say what is free so much less often.
-		p.c.Catalog.With(func(st *consulemulator.Store, _ time.Duration) {
-			st.SetLag(time.Duration(t.Factor * float64(p.s.Catalog.Lag)))
-		})
-		p.sleep(t.Duration)
-		p.c.Catalog.With(func(st *consulemulator.Store, _ time.Duration) { st.SetLag(p.s.Catalog.Lag) })
-	case scenario.StaleDiscovery:
-		p.c.Catalog.With(func(st *consulemulator.Store, _ time.Duration) { st.SetLag(t.Delay) })
-		p.sleep(t.Duration)
-		p.c.Catalog.With(func(st *consulemulator.Store, _ time.Duration) { st.SetLag(p.s.Catalog.Lag) })
-	case scenario.ListOutage:
-		p.c.Catalog.SetOutage(true)
-		p.sleep(t.Duration)
-		p.c.Catalog.SetOutage(false)
-	case scenario.ListFrozen:
-		p.c.Catalog.With(func(st *consulemulator.Store, now time.Duration) { st.SetFrozen(now, true) })
-		p.sleep(t.Duration)
-		p.c.Catalog.With(func(st *consulemulator.Store, now time.Duration) { st.SetFrozen(now, false) })
-	case scenario.Shrink:
-		for _, h := range hosts {
-			p.drain(h, true)
-			p.sleep(t.Duration / time.Duration(len(hosts)))
-			h.Kill()
-		}
-	case scenario.Deploy:
-		for _, h := range hosts {
-			p.drain(h, rng.IntN(2) == 0)
-			p.sleep(t.Delay)
-			h.Kill()
-			p.sleep(t.Delay / 2)
-			p.c.Catalog.With(func(st *consulemulator.Store, now time.Duration) { st.SetMaintenance(now, h.Name(), false) })
-			p.revive([]*testcluster.Host{h})
-		}
-	case scenario.HotKey, scenario.HostDegradation:
-		steps := 1
-		if t.Kind == scenario.HostDegradation {
-			steps = 4
-		}
-		for i := range steps {
-			factor := 1 + (t.Factor-1)*float64(i+1)/float64(steps)
-			with(func(h *hostmodel.Host, now time.Duration) { h.SlowDown(now, t.Duration, factor) })
-			p.sleep(t.Duration / time.Duration(steps))
+// drawHosts draws the fault's share of all hosts, at least one, from those in its zone and rack.
+func (f *activeFault) drawHosts(all []*testcluster.Host) {
+	var candidates []*testcluster.Host
+	for _, h := range all {
+		if (f.Zone == "" || h.Group.Zone == f.Zone) && (f.Rack == "" || h.Rack == f.Rack) {
+			candidates = append(candidates, h)
 		}
-		if t.Kind == scenario.HostDegradation {
-			for _, h := range hosts {
-				h.Kill()
-			}
-			p.sleep(t.Interval)
-			p.revive(hosts)
-		}
-	case scenario.ZoneLoss:
-		t.HostShare = 1
-		hosts = p.victims(&t, rng)
-		var placers []int
-		for i, pl := range p.s.Settings.Placers {
-			if pl.Zone == t.Zone {
-				placers = append(placers, i)
-			}
-		}
-		for _, h := range hosts {
-			h.Vanish()
-		}
-		for _, i := range placers {
-			p.c.KillPlacer(i)
-		}
-		p.sleep(t.Duration)
-		p.revive(hosts)
-		p.startPlacers(placers)
-	case scenario.MassRestart:
-		t.HostShare = 1
-		if t.Rack == "" {
-			t.Rack = t.Zone + "-r0"
-		}
-		hosts = p.victims(&t, rng)
-		for _, h := range hosts {
-			h.Kill()
-		}
-		p.sleep(t.Duration)
-		p.revive(hosts)
-	case scenario.Burst:
-		p.burst.Store(uint64(1000 * t.Factor))
-		p.sleep(t.Duration)
-		p.burst.Store(1000)
-	case scenario.Reconnect:
-		p.reconnect(&t, rng)
-	case scenario.ClassUnanswered:
-		with(func(h *hostmodel.Host, now time.Duration) { h.SuppressStarts(now, t.Duration, t.Class) })
-	case scenario.ClassRejected:
-		with(func(h *hostmodel.Host, now time.Duration) { h.RejectClass(now, t.Duration, t.Class) })
-	case scenario.DieMidStart, scenario.DieAfterBind:
-		at := hostmodel.DuringStart
-		if t.Kind == scenario.DieAfterBind {
-			at = hostmodel.AfterBind
-		}
-		with(func(h *hostmodel.Host, _ time.Duration) { h.CrashAt(at) })
-		p.sleep(t.Duration)
-		with(func(h *hostmodel.Host, _ time.Duration) { h.CrashAt(hostmodel.NoCrash) })
-		p.revive(hosts)
-	case scenario.PlacerStall:
-		p.repeat(&t, func() {
-			for i := range p.c.PlacerCount() {
-				if pl := p.c.Placer(i); pl != nil && (t.Placer < 0 || t.Placer == i) {
-					pl.InjectStall(t.Delay)
-				}
-			}
-		})
-	case scenario.PlacerKill:
-		i := max(t.Placer, 0)
-		p.c.KillPlacer(i)
-		p.sleep(t.Duration)
-		p.startPlacers([]int{i})
-	case scenario.ConnectionResets:
-		p.repeat(&t, func() {
-			for _, h := range hosts {
-				h.ResetConnections(t.Placer)
-			}
-		})
-	case scenario.HalfOpenConnections:
-		for _, h := range hosts {
-			h.MuteConnections(t.Placer)
-		}
-	case scenario.TruncatedFrames:
-		p.repeat(&t, func() {
-			for _, h := range hosts {
-				h.TruncateNextFrame()
-			}
-		})
-	case scenario.DelayedFrames:
-		for _, h := range hosts {
-			h.DelayFrames(t.Delay)
-		}
-		p.sleep(t.Duration)
-		for _, h := range hosts {
-			h.DelayFrames(0)
-		}
-	case scenario.GossipLoss:
-		p.c.GossipLossPerMille.Store(uint64(1000 * min(t.Factor, 1)))
-		p.sleep(t.Duration)
-		p.c.GossipLossPerMille.Store(0)
-	case scenario.ClientDisconnects:
-		p.cut.Store(true)
-		p.sleep(t.Duration)
-		p.cut.Store(false)
-	case scenario.SlowReader:
-		p.slow.Store(true)
-		p.sleep(t.Duration)
-		p.slow.Store(false)
 	}
+	f.rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	count := max(int(f.HostShare*float64(len(all))+0.5), 1)
+	f.hosts = candidates[:min(count, len(candidates))]
 }
 
-// drain makes a host drain by its own word and by the catalogue's.
-func (p *player) drain(h *testcluster.Host, sendAway bool) {
-	p.c.Catalog.With(func(st *consulemulator.Store, now time.Duration) { st.SetMaintenance(now, h.Name(), true) })
-	h.With(func(host *hostmodel.Host, now time.Duration) []hostmodel.Output {
-		return host.Drain(now, true, sendAway)
-	})
+// during sets a condition for the duration of a fault.
+func (r *runner) during(f *activeFault, set func(on bool)) {
+	set(true)
+	r.sleep(f.Duration)
+	set(false)
 }
 
-func (p *player) startPlacers(which []int) {
-	for _, i := range which {
-		if err := p.c.StartPlacer(i); err != nil {
-			p.opt.Log.Error().Err(err).Msg("a placer does not come back")
+// repeat calls do at the fault's interval until the fault is over.
+func (r *runner) repeat(f *activeFault, do func()) {
+	for end := time.Now().Add(f.Duration); time.Now().Before(end); {
+		do()
+		if !r.sleep(f.Interval) {
+			return
 		}
 	}
 }
 
-// reconnect lets owners end some of the projects that live and ask for all of each again.
-func (p *player) reconnect(t *scenario.Fault, rng *rand.Rand) {
-	p.live.Lock()
-	var names []string
-	for name := range p.live.v {
-		names = append(names, name)
-	}
-	picked := map[string]project{}
-	for _, name := range names {
-		if rng.Float64() < t.Factor {
-			picked[name] = p.live.v[name]
-		}
-	}
-	p.live.Unlock()
-	client := &http.Client{Timeout: 5 * time.Second}
-	defer client.CloseIdleConnections()
-	for name, pr := range picked {
-		ctx, cancel := context.WithTimeout(p.ctx, 5*time.Second)
-		at := fmt.Sprintf("http://%s/v1/projects/%s", p.c.Settings.Placers[pr.placer].HTTP, name)
-		if req, err := http.NewRequestWithContext(ctx, http.MethodDelete, at, nil); err == nil {
-			if resp, err := client.Do(req); err == nil {
-				_ = resp.Body.Close()
-			}
-		}
-		cancel()
-		p.wait.Add(1)
-		go func() {
-			defer p.wait.Done()
-			p.submit(pr.placer, name, pr, 1)
-		}()
+// eachHost calls do on the event loop of each of the fault's hosts that is up.
+func (f *activeFault) eachHost(do func(h *hostmodel.Host, now time.Duration)) {
+	for _, h := range f.hosts {
+		h.With(func(model *hostmodel.Host, now time.Duration) []hostmodel.Output {
+			do(model, now)
+			return nil
+		})
 	}
 }
--- /dev/null
+++ b/internal/verify/chaos/faults_network.go
@@ -0,0 +1,70 @@
+package chaos
+
+import (
+	"time"
+
+	consulemulator "forkhead/internal/emulator/consul"
+)
+
+// Faults of connections to hosts.
+
+func (r *runner) resetConnections(f *activeFault) {
+	r.repeat(f, func() {
+		for _, h := range f.hosts {
+			h.ResetConnections(f.Placer)
+		}
+	})
+}
+
+// muteConnections leaves connections half-open: nobody reads or answers at the hosts' end. Only a new connection ends it.
+func (r *runner) muteConnections(f *activeFault) {
+	for _, h := range f.hosts {
+		h.MuteConnections(f.Placer)
+	}
+}
+
+func (r *runner) truncateFrames(f *activeFault) {
+	r.repeat(f, func() {
+		for _, h := range f.hosts {
+			h.TruncateNextFrame()
+		}
+	})
+}
+
+func (r *runner) delayFrames(f *activeFault) {
+	for _, h := range f.hosts {
+		h.DelayFrames(f.Delay)
+	}
+	r.sleep(f.Duration)
+	for _, h := range f.hosts {
+		h.DelayFrames(0)
+	}
+}
+
+// Faults of service discovery.
+
+// delayReports delays registrations, and with them what hosts report as available.
+func (r *runner) delayReports(f *activeFault) {
+	r.lagCatalog(f, time.Duration(f.Factor*float64(r.scenario.Catalog.Lag)))
+}
+
+func (r *runner) delayDiscovery(f *activeFault) { r.lagCatalog(f, f.Delay) }
+
+// lagCatalog lets the endpoint list lag more than usual behind the hosts.
+func (r *runner) lagCatalog(f *activeFault, lag time.Duration) {
+	r.setCatalogLag(lag)
+	r.sleep(f.Duration)
+	r.setCatalogLag(r.scenario.Catalog.Lag)
+}
+
+func (r *runner) setCatalogLag(lag time.Duration) {
+	r.cluster.Catalog.With(func(st *consulemulator.Store, _ time.Duration) { st.SetLag(lag) })
+}
+
+func (r *runner) stopCatalog(f *activeFault) { r.during(f, r.cluster.Catalog.SetOutage) }
+
+func (r *runner) freezeCatalog(f *activeFault) {
+	r.during(f, func(on bool) {
+		r.cluster.Catalog.With(func(st *consulemulator.Store, now time.Duration) { st.SetFrozen(now, on) })
+	})
+}
--- a/internal/verify/chaos/golden_test.go
+++ b/internal/verify/chaos/golden_test.go
@@ -9,8 +9,8 @@
 	"forkhead/internal/verify/rules"
 )
 
-// What is written of a day, of each play of many and of all of them has these keys; Totals come from results as they are
-// written.
+// The results of one run, of a run in a process and of all runs have these JSON keys; Totals are summed up from results as
+// they are written.
 func TestResultsGolden(t *testing.T) {
 	result := Result{
 		Rules: map[string]int{"drain": 1}, Vetoes: 2, Defects: 3, Tasks: 4, Outcomes: map[string]int{"placed": 5}, Submissions: 6, RejectedSubmissions: 7,
@@ -21,13 +21,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	played := ProcessResult{Seed: 1, ExitCode: 3, Result: text, Breaches: []string{`{"breach":"drain"}`}, Error: "killed"}
+	process := ProcessResult{Seed: 1, ExitCode: 3, Result: text, Breaches: []string{`{"breach":"drain"}`}, Error: "killed"}
 	var total Totals
 	total.add(ProcessResult{Seed: 1, ExitCode: 3, Result: text})
 	total.add(ProcessResult{Seed: 2, ExitCode: 1, Error: "killed"})
 	var b bytes.Buffer
 	enc := json.NewEncoder(&b)
-	for _, v := range []any{&result, &Result{}, played, ProcessResult{}, total} {
+	for _, v := range []any{&result, &Result{}, process, ProcessResult{}, total} {
 		if err := enc.Encode(v); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/verify/chaos/repeat_test.go
+++ b/internal/verify/chaos/repeat_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Plays that break a rule, that fail and that hang are told apart, and the totals are their sum.
+// Runs that break a rule, that fail and that are killed are counted apart, and the totals are the sum of the others.
 func TestRepeatCountsRuns(t *testing.T) {
-	var told []ProcessResult
+	var results []ProcessResult
 	r := Repeat{
 		Runs: 4, Parallel: 2, Seed: 10, BusyLoops: 1, MaxStop: time.Millisecond,
 		Command: func(seed int) []string {
@@ -23,13 +23,13 @@
 			}
 			return []string{"sh", "-c", text[seed]}
 		},
-		OnDone: func(p ProcessResult) { told = append(told, p) },
+		OnDone: func(p ProcessResult) { results = append(results, p) },
 	}
 	want := Totals{Runs: 4, Broken: 1, Failed: 2, Tasks: 10, Offers: 14, Vetoes: 2, Breaches: 2}
 	if got := r.Run(context.Background()); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	for _, p := range told {
+	for _, p := range results {
 		if p.Seed == 12 && !strings.Contains(p.Error, "trouble") || p.Seed == 11 && len(p.Breaches) != 1 {
 			t.Errorf("%+v", p)
 		}
--- a/internal/verify/chaos/run_test.go
+++ b/internal/verify/chaos/run_test.go
@@ -13,7 +13,8 @@
 	"forkhead/internal/verify/scenario"
 )
 
-const day = `(badday (seed 3) (length 5s) (settle 8s)
+// shortScenario has faults of hosts, placers, connections and clients.
+const shortScenario = `(badday (seed 3) (length 5s) (settle 8s)
   (hosts 3 (kind std-28) (zone north) (racks 2) (prefix n-))
   (hosts 2 (kind large-56) (zone south) (racks 1) (prefix s-))
   (load web (class web) (rate 10) (replicas 1 4) (life 500ms 2s))
@@ -23,17 +24,17 @@
     (slow-reader (at 2s) (for 1s)) (placer-kill (at 2500ms) (for 300ms) (placer 0)) (tear (at 3s) (for 1s) (hosts 1))
     (half-open (at 4s) (hosts 0.2))))`
 
-// A breach of each rule, planted by a placer that is built to make it, is caught on the traffic.
+// A breach of each rule, made on purpose on the sockets, is caught in the captured traffic.
 func TestInjectedBugsAreCaught(t *testing.T) {
 	rule := map[scenario.InjectedBug]invariant.Rule{
 		scenario.BugTwoOutcomes: invariant.OneAnswer, scenario.BugRepeatedOffer: invariant.NoRepeat, scenario.BugOfferWhileDraining: invariant.Drain,
 		scenario.BugSlowStartOverload: invariant.SlowStart, scenario.BugSpreadExceeded: invariant.Spread,
 	}
-	for _, plant := range scenario.InjectedBugs {
-		t.Run(string(plant), func(t *testing.T) {
+	for _, bug := range scenario.InjectedBugs {
+		t.Run(string(bug), func(t *testing.T) {
 			t.Parallel()
 			s, err := scenario.Read("test", []byte(`(badday (length 2s) (settle 2s) (hosts 3 (kind std-28) (zone north))
-			  (load web (class web) (rate 10)) (plant `+string(plant)+`))`))
+			  (load web (class web) (rate 10)) (plant `+string(bug)+`))`))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -41,16 +42,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.OK() || r.Verdict.Counts[rule[plant]] == 0 {
+			if r.OK() || r.Verdict.Counts[rule[bug]] == 0 {
 				t.Fatalf("not caught: %v", r.Rules)
 			}
 		})
 	}
 }
 
-func play(t *testing.T, opt Options) *Result {
+// runShort runs shortScenario.
+func runShort(t *testing.T, opt Options) *Result {
 	t.Helper()
-	s, err := scenario.Read("test", []byte(day))
+	s, err := scenario.Read("test", []byte(shortScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +67,7 @@
 }
 
 func TestRunShortScenario(t *testing.T) {
-	r := play(t, Options{})
+	r := runShort(t, Options{})
 	if !r.OK() || r.Defects > 0 {
 		t.Fatalf("vetoes %d, defects %d, breaches %v", r.Vetoes, r.Defects, r.Verdict.Breaches)
 	}
@@ -74,11 +76,10 @@
 	}
 }
 
-// A module that is built to break the rules: it offers tasks twice at once and to hosts that are
-// gone, repeats unsafe ones, and answers twice. The guard lets none of it onto the sockets, and
-// counts it.
+// A module that breaks the rules offers tasks twice at once and to hosts that are gone, repeats unsafe ones, and answers
+// twice. The invariant checks let none of it onto the sockets, and count it.
 func TestBrokenModuleIsVetoed(t *testing.T) {
-	breaker := func(set forkhead.Settings) func(time.Duration, []forkhead.Event) []forkhead.Action {
+	newModule := func(set forkhead.Settings) func(time.Duration, []forkhead.Event) []forkhead.Action {
 		module, err := forkhead.New(set, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -106,7 +107,7 @@
 			return out
 		}
 	}
-	r := play(t, Options{NewModule: breaker})
+	r := runShort(t, Options{NewModule: newModule})
 	if r.Vetoes == 0 {
 		t.Fatal("no veto of a module that breaks rules")
 	}
