--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,5 +1,5 @@
-// Package emulator is the layer of what stands in for the systems around a placer: hosts and Consul. Package hostmodel, a
-// host's behavior, is pure; host and consul are servers.
+// Package emulator is the layer of the emulators of what is around a placer: hosts and Consul. Package hostmodel, the
+// behavior of a host, is pure; host and consul are servers.
 //
 // It may import parse, protocol, scheduler and server.
 package emulator
--- a/internal/emulator/hostmodel/faults.go
+++ b/internal/emulator/hostmodel/faults.go
@@ -6,49 +6,70 @@
 	"forkhead/internal/protocol/hostproto"
 )
 
-// ---- Faults.
+// CrashPoint is a moment at which a host can be made to crash.
+type CrashPoint uint8
 
-// Crash ends this life at once.
+// The points.
+const (
+	NoCrash        CrashPoint = iota
+	DuringDecision            // while it decides about an offer
+	DuringStart               // while a task starts
+	AfterBind                 // when a task runs, before its placer is told
+)
+
+// Crash ends this incarnation at once.
 func (h *Host) Crash() { h.dead, h.out = true, nil }
 
-// CrashAt makes the host die at the next such point.
-func (h *Host) CrashAt(p CrashPoint) { h.dieAt = p }
+// CrashAt makes the host crash when it next comes to a point; NoCrash takes that back.
+func (h *Host) CrashAt(p CrashPoint) { h.crashPoint = p }
 
 // Hang makes the host do nothing more, with its connections open.
-func (h *Host) Hang() { h.hang = true }
+func (h *Host) Hang() { h.hung = true }
 
-// Pause makes the host stand still for a while.
-func (h *Host) Pause(now, d time.Duration) { h.pausedTo = max(h.pausedTo, now+d) }
+// Pause makes the host do nothing for a while. What comes meanwhile is handled after it.
+func (h *Host) Pause(now, d time.Duration) { h.pausedUntil = max(h.pausedUntil, now+d) }
 
-// SlowDown makes starts and service take so many times as long for a while.
-func (h *Host) SlowDown(now, d time.Duration, factor float64) { h.slow, h.slowTo = factor, now+d }
+// SlowDown makes decisions, starts and service take so many times as long for a while.
+func (h *Host) SlowDown(now, d time.Duration, factor float64) {
+	h.slowFactor, h.slowUntil = factor, now+d
+}
 
-// RejectClass makes the host turn a class away for a while.
-func (h *Host) RejectClass(now, d time.Duration, class string) { h.refuses[class] = now + d }
+// RejectClass makes the host reject the offers of a class for a while.
+func (h *Host) RejectClass(now, d time.Duration, class string) { h.rejectUntil[class] = now + d }
 
-// SuppressStarts makes starts of a class not come for a while.
-func (h *Host) SuppressStarts(now, d time.Duration, class string) { h.mutes[class] = now + d }
+// SuppressStarts makes starts of a class that begin in a while never end.
+func (h *Host) SuppressStarts(now, d time.Duration, class string) { h.suppressUntil[class] = now + d }
 
-// Drain makes the host drain, or no more.
-func (h *Host) Drain(now time.Duration, on, sendAway bool) []Output {
-	return h.take(now, func() {
-		h.drains = on
-		for _, p := range h.sortedPeers() {
-			h.send(p, hostproto.Drain{On: on})
+// Drain makes the host drain, or no longer, and returns what it does. dismiss says that it ends its running tasks.
+func (h *Host) Drain(now time.Duration, on, dismiss bool) []Output {
+	return h.handle(now, func() {
+		h.draining = on
+		for _, s := range h.sortedSessions() {
+			h.send(s, hostproto.Drain{On: on})
+		}
+		if !on || !dismiss {
+			return
 		}
-		if on && sendAway {
-			for _, t := range h.sorted() {
-				if t.phase == hostproto.PhaseRunning {
-					h.end(t, hostproto.Dismissed)
-				}
+		for _, t := range h.sortedTasks() {
+			if t.phase == hostproto.PhaseRunning {
+				h.end(t, hostproto.Dismissed)
 			}
 		}
 	})
 }
 
-func (h *Host) dies(p CrashPoint) bool {
-	if h.dieAt == p {
+// crashesAt crashes the host if it has been told to at this point, and reports whether it is dead.
+func (h *Host) crashesAt(p CrashPoint) bool {
+	if h.crashPoint == p {
 		h.Crash()
 	}
 	return h.dead
 }
+
+// slowdown returns how many times as long as usual everything takes now.
+func (h *Host) slowdown() float64 {
+	if h.now < h.slowUntil {
+		return h.slowFactor
+	}
+	return 1
+}
--- /dev/null
+++ b/internal/emulator/hostmodel/offers.go
@@ -0,0 +1,206 @@
+package hostmodel
+
+import (
+	"slices"
+	"time"
+
+	"forkhead/internal/protocol/hostproto"
+	"forkhead/internal/scheduler/hostsession"
+)
+
+// handleOffer queues an offer. One that the host has seen before changes nothing.
+func (h *Host) handleOffer(s *session, f hostproto.Offer) {
+	if h.state(f.Ref) != hostsession.Absent {
+		return
+	}
+	h.countOffer()
+	if h.dead {
+		return
+	}
+	t := &task{
+		ref: f.Ref, placer: s.placer, spec: f.Spec, offerDeadline: h.now + f.Wait,
+		usageBias: h.rng.NormFloat64() * h.cfg.UsageSwing / 2,
+	}
+	if len(h.queue) >= h.cfg.MaxQueued {
+		h.reject(t, hostproto.QueueFull)
+		return
+	}
+	h.tasks[t.ref] = t
+	h.queue = append(h.queue, t)
+	if len(h.queue) == 1 {
+		h.scheduleDecision()
+	}
+}
+
+// scheduleDecision begins the decision about the first offer of the queue.
+func (h *Host) scheduleDecision() {
+	h.decisionAt = h.now + time.Duration(float64(h.cfg.DecisionTime)*h.slowdown())
+}
+
+// dropQueued forgets offers in the queue: they never run. Their placer learns of it when it queries them.
+func (h *Host) dropQueued(matches func(*task) bool) {
+	dropsFirst := len(h.queue) > 0 && matches(h.queue[0])
+	h.queue = slices.DeleteFunc(h.queue, func(t *task) bool {
+		if matches(t) {
+			delete(h.tasks, t.ref)
+			return true
+		}
+		return false
+	})
+	if dropsFirst {
+		h.scheduleDecision()
+	}
+}
+
+// decide accepts or rejects the first offer of the queue.
+func (h *Host) decide() {
+	if h.crashesAt(DuringDecision) {
+		return
+	}
+	t := h.queue[0]
+	h.queue = h.queue[1:]
+	if len(h.queue) > 0 {
+		h.scheduleDecision()
+	}
+	if reason := h.judge(t); reason != hostproto.NoReason {
+		h.reject(t, reason)
+		return
+	}
+	_, reply := hostsession.Transition(h.state(t.ref), hostsession.Accept)
+	t.phase = hostproto.PhaseStarting
+	h.starting = append(h.starting, t)
+	h.sendReply(t.placer, t.ref, reply, nil)
+	h.beginStarts()
+}
+
+// judge returns why an offer is rejected, or NoReason. It may end tasks to make room for the offer.
+func (h *Host) judge(t *task) hostproto.Reason {
+	if h.draining || h.now > t.offerDeadline || h.now < h.rejectUntil[t.spec.Class] || h.hasCopy(t) {
+		return hostproto.Unsuitable
+	}
+	reason := h.checkCapacity(t)
+	if reason != hostproto.NoReason && h.preemptFor(t) {
+		return hostproto.NoReason
+	}
+	return reason
+}
+
+// hasCopy reports whether the host has accepted another attempt of the same task.
+func (h *Host) hasCopy(t *task) bool {
+	for _, other := range h.tasks {
+		if other != t && other.phase != hostproto.PhaseQueued && other.spec.Key == t.spec.Key {
+			return true
+		}
+	}
+	return false
+}
+
+// capacity returns the cores and the memory up to which offers are accepted now.
+func (h *Host) capacity() (cores, memory float64) {
+	cores, memory = h.Available()
+	return cores + h.cfg.Cores*(h.cfg.CoresOvercommit-1), memory + h.cfg.Memory*(h.cfg.MemoryOvercommit-1)
+}
+
+// checkCapacity returns what a task lacks, or NoReason.
+func (h *Host) checkCapacity(t *task) hostproto.Reason {
+	const rounding = 1e-9 // what sums of cores and of memory may be off
+	cores, memory := h.capacity()
+	switch {
+	case t.cores() > cores+rounding:
+		return hostproto.InsufficientCores
+	case t.memory() > memory+rounding:
+		return hostproto.InsufficientMemory
+	}
+	return hostproto.NoReason
+}
+
+// preemptFor ends running tasks of a lower priority, if that makes room for a task, and reports whether it does.
+func (h *Host) preemptFor(t *task) bool {
+	if !h.cfg.Preemption || t.spec.Priority == 0 {
+		return false
+	}
+	var victims []*task
+	cores, memory := h.capacity()
+	for _, other := range h.sortedTasks() {
+		if cores >= t.cores() && memory >= t.memory() {
+			break
+		}
+		if other.phase == hostproto.PhaseRunning && other.spec.Priority < t.spec.Priority {
+			victims = append(victims, other)
+			cores, memory = cores+other.cores(), memory+other.memory()
+		}
+	}
+	if cores < t.cores() || memory < t.memory() {
+		return false
+	}
+	for _, victim := range victims {
+		h.end(victim, hostproto.Preempted)
+	}
+	return true
+}
+
+func (h *Host) reject(t *task, reason hostproto.Reason) {
+	f := hostproto.Refused{Ref: t.ref, Reason: reason, Report: h.loadReport()}
+	_, reply := hostsession.Transition(hostsession.Queued, hostsession.Reject)
+	h.settle(t, f)
+	h.sendReply(t.placer, t.ref, reply, f)
+}
+
+// revoke handles a Withdraw or a Stop by the state machine of the attempt: a queued offer never runs; a start may have
+// done something, so it is ended and not undone; what runs goes on unless it is stopped.
+func (h *Host) revoke(s *session, ref hostproto.Ref, input hostsession.Input) {
+	t := h.tasks[ref]
+	if t != nil && t.placer != s.placer {
+		return
+	}
+	next, reply := hostsession.Transition(h.state(ref), input)
+	switch {
+	case t != nil && next == hostsession.Canceled:
+		h.dropQueued(func(other *task) bool { return other == t })
+		f := hostproto.Ended{Ref: ref, Result: hostproto.Canceled, Report: h.loadReport()}
+		h.settle(t, f)
+		h.sendReply(t.placer, ref, reply, f)
+	case t != nil && next == hostsession.Ended:
+		h.end(t, hostproto.Stopped)
+	default:
+		h.sendReply(s.placer, ref, reply, nil)
+	}
+}
+
+// settle records how an attempt ended, for queries of its placer.
+func (h *Host) settle(t *task, f hostproto.Frame) {
+	delete(h.tasks, t.ref)
+	h.settled[t.ref] = f
+	h.settledOrder = append(h.settledOrder, t.ref)
+	if len(h.settledOrder) > maxSettled {
+		delete(h.settled, h.settledOrder[0])
+		h.settledOrder = h.settledOrder[1:]
+		h.settledForgotten = true
+	}
+}
+
+// countOffer crashes a host that warms up when it gets more offers than it bears.
+func (h *Host) countOffer() {
+	if !h.warmingUp() {
+		return
+	}
+	h.recentOffers = append(h.recentOffers, h.now)
+	h.recentOffers = slices.DeleteFunc(h.recentOffers, func(at time.Duration) bool { return at <= h.now-h.cfg.SlowStartWindow })
+	startsPerSecond := float64(h.cfg.MaxStarting) / h.cfg.StartTime.Seconds() * h.startRate()
+	limit := max(h.cfg.SlowStartMaxOffers, h.cfg.SlowStartOverload*startsPerSecond*h.cfg.SlowStartWindow.Seconds())
+	if float64(len(h.recentOffers)) > limit {
+		h.overloaded = true
+		h.Crash()
+	}
+}
+
+func (h *Host) warmingUp() bool { return h.started > 0 && h.now < h.started+h.cfg.SlowStartDuration }
+
+// startRate returns the share of its usual rate at which the host starts tasks.
+func (h *Host) startRate() float64 {
+	if !h.warmingUp() {
+		return 1
+	}
+	initial := h.cfg.SlowStartInitialRate
+	return initial + (1-initial)*float64(h.now-h.started)/float64(h.cfg.SlowStartDuration)
+}
--- a/internal/emulator/hostmodel/sessions.go
+++ b/internal/emulator/hostmodel/sessions.go
@@ -10,145 +10,178 @@
 	"forkhead/internal/scheduler/hostsession"
 )
 
-// ---- Sessions.
+func (h *Host) send(s *session, f hostproto.Frame) {
+	h.out = append(h.out, Output{Conn: s.id, Frame: f})
+}
 
-func (h *Host) send(p *peer, f hostproto.Frame) {
-	h.out = append(h.out, Output{Conn: p.id, Frame: f})
+// sendToPlacer sends a frame about a task to its placer. One that is not connected queries the task when it is again.
+func (h *Host) sendToPlacer(placer uint16, f hostproto.Frame) {
+	if s := h.sessions[placer]; s != nil {
+		h.send(s, f)
+	}
 }
 
-// say sends a frame about a task to its placer, if that is connected. If it is not, the placer
-// asks when it comes back.
-func (h *Host) say(placer uint16, f hostproto.Frame) {
-	if p := h.peers[placer]; p != nil {
-		h.send(p, f)
+// sendReply sends what the state machine of an attempt replies. end is the frame of an attempt that ends now, or nil; one
+// that is over is answered as it ended.
+func (h *Host) sendReply(placer uint16, ref hostproto.Ref, reply hostsession.Reply, end hostproto.Frame) {
+	switch reply {
+	case hostsession.SendAccepted:
+		h.sendToPlacer(placer, hostproto.Accepted{Ref: ref})
+	case hostsession.SendRunning:
+		h.sendToPlacer(placer, hostproto.Running{Ref: ref})
+	case hostsession.SendRejected, hostsession.SendEnded, hostsession.SendCanceled:
+		if end == nil {
+			end = h.settled[ref]
+		}
+		if end == nil {
+			end = hostproto.Refused{Ref: ref, Reason: hostproto.Unsuitable}
+		}
+		h.sendToPlacer(placer, end)
 	}
 }
 
-func (h *Host) bye(p *peer, why string) {
-	h.send(p, hostproto.Bye{Text: why})
-	h.out = append(h.out, Output{Conn: p.id})
-	h.closed(p.id)
+// closeConnection closes a connection from this end.
+func (h *Host) closeConnection(id ConnID) {
+	h.out = append(h.out, Output{Conn: id})
+	h.endSession(id)
 }
 
-func (h *Host) closed(id ConnID) {
-	p := h.conns[id]
-	delete(h.conns, id)
-	if p == nil || h.peers[p.placer] != p {
-		return
-	}
-	delete(h.peers, p.placer)
-	// Offers that were not looked at never run: their placer learns so when it asks.
-	h.dropLine(func(t *task) bool { return t.placer == p.placer })
+// sendBye closes a connection and tells its placer the reason.
+func (h *Host) sendBye(s *session, reason string) {
+	h.send(s, hostproto.Bye{Text: reason})
+	h.closeConnection(s.id)
 }
 
-func (h *Host) dropLine(which func(*task) bool) {
-	first := len(h.line) > 0 && which(h.line[0])
-	h.line = slices.DeleteFunc(h.line, func(t *task) bool {
-		if which(t) {
-			delete(h.tasks, t.ref)
-			return true
-		}
-		return false
-	})
-	if first {
-		h.lookEnd = h.now + h.lookTime()
+// endSession forgets a connection that is closed, and the offers in the queue of its placer.
+func (h *Host) endSession(id ConnID) {
+	s := h.conns[id]
+	delete(h.conns, id)
+	if s == nil || h.sessions[s.placer] != s {
+		return
 	}
+	delete(h.sessions, s.placer)
+	h.dropQueued(func(t *task) bool { return t.placer == s.placer })
 }
 
-func (h *Host) frame(p *peer, f hostproto.Frame) {
+func (h *Host) handleFrame(s *session, f hostproto.Frame) {
 	if hello, ok := f.(hostproto.Hello); ok {
-		h.hello(p, hello)
+		h.handleHello(s, hello)
 		return
 	}
-	if !p.ready {
-		h.bye(p, "a frame before Hello")
+	if !s.established {
+		h.sendBye(s, "a frame before Hello")
 		return
 	}
 	switch f := f.(type) {
 	case hostproto.Offer:
-		h.offer(p, f)
+		h.handleOffer(s, f)
 	case hostproto.Withdraw:
-		h.called(p, f.Ref, hostsession.Withdraw)
+		h.revoke(s, f.Ref, hostsession.Withdraw)
 	case hostproto.Stop:
-		h.called(p, f.Ref, hostsession.Stop)
+		h.revoke(s, f.Ref, hostsession.Stop)
 	case hostproto.Probe:
-		h.send(p, hostproto.Probed{ID: f.ID, Report: h.report()})
+		h.send(s, hostproto.Probed{ID: f.ID, Report: h.loadReport()})
 	case hostproto.Query:
-		h.query(p, f.Refs)
+		h.handleQuery(s, f.Refs)
 	case hostproto.Bye:
-		h.out = append(h.out, Output{Conn: p.id})
-		h.closed(p.id)
+		h.closeConnection(s.id)
 	default:
-		h.bye(p, "a frame that only hosts send")
+		h.sendBye(s, "a frame that only hosts send")
 	}
 }
 
-func (h *Host) hello(p *peer, f hostproto.Hello) {
+// handleHello establishes a session, unless a later one of its placer is known, and closes the placer's older connection.
+func (h *Host) handleHello(s *session, f hostproto.Hello) {
 	switch {
 	case f.Version != hostproto.Version:
-		h.bye(p, "this host speaks version 1")
+		h.sendBye(s, "this host speaks version 1")
 		return
-	case p.ready:
-		h.bye(p, "a second Hello")
+	case s.established:
+		h.sendBye(s, "a second Hello")
 		return
 	}
-	old := h.peers[f.Placer]
-	last := hostsession.Session{Epoch: h.life[f.Placer]}
-	if old != nil {
-		last.Conn, last.Connected = old.conn, true
+	older := h.sessions[f.Placer]
+	last := hostsession.Session{Epoch: h.placerEpochs[f.Placer]}
+	if older != nil {
+		last.Conn, last.Connected = older.conn, true
 	}
 	if hostsession.CheckHello(last, f.Epoch, f.Conn) == hostsession.HelloStale {
-		h.bye(p, "a later life or connection of this placer is known")
+		h.sendBye(s, "a later life or connection of this placer is known")
 		return
 	}
-	if old != nil {
-		// Guards against frames that still stand in the buffers of the older connection.
-		h.out = append(h.out, Output{Conn: old.id})
-		h.closed(old.id)
-	}
-	p.placer, p.epoch, p.conn, p.ready = f.Placer, f.Epoch, f.Conn, true
-	h.peers[f.Placer], h.life[f.Placer] = p, f.Epoch
-	var held []hostproto.Held
-	for _, t := range h.sorted() {
-		if t.placer == f.Placer {
-			left := time.Duration(0)
-			if t.endsAt > 0 {
-				left = max(t.endsAt-h.now, time.Millisecond)
-			}
-			held = append(held, hostproto.Held{Ref: t.ref, Phase: t.phase, Left: left, Spec: t.spec})
-		}
+	if older != nil {
+		h.closeConnection(older.id) // frames of it may still be in buffers: they must not count any more
 	}
-	h.send(p, hostproto.Welcome{
-		Version: hostproto.Version, Host: h.cfg.Name, Epoch: h.epoch, Started: h.started, Draining: h.drains, Count: uint32(len(held)),
+	s.established, s.placer, s.conn = true, f.Placer, f.Conn
+	h.sessions[f.Placer], h.placerEpochs[f.Placer] = s, f.Epoch
+	h.sendWelcome(s)
+}
+
+// sendWelcome sends Welcome and the attempts of the session's placer, in as many Holds as it takes.
+func (h *Host) sendWelcome(s *session) {
+	attempts := h.attemptsOf(s.placer)
+	h.send(s, hostproto.Welcome{
+		Version: hostproto.Version, Host: h.cfg.Name, Epoch: h.epoch, Started: h.started, Draining: h.draining, Count: uint32(len(attempts)),
 	})
-	for len(held) > 0 {
-		n, size := 0, 16
-		for n < len(held) && (n == 0 || size+hostproto.HeldSize(&held[n].Spec) < hostproto.MaxHoldsSize-1024) {
-			size += hostproto.HeldSize(&held[n].Spec)
-			n++
+	for len(attempts) > 0 {
+		n := countFitting(attempts)
+		h.send(s, hostproto.Holds{Held: attempts[:n]})
+		attempts = attempts[n:]
+	}
+}
+
+// attemptsOf returns the attempts of a placer, in their order.
+func (h *Host) attemptsOf(placer uint16) []hostproto.Held {
+	var attempts []hostproto.Held
+	for _, t := range h.sortedTasks() {
+		if t.placer != placer {
+			continue
+		}
+		left := time.Duration(0)
+		if t.endsAt > 0 {
+			left = max(t.endsAt-h.now, time.Millisecond)
 		}
-		h.send(p, hostproto.Holds{Held: held[:n]})
-		held = held[n:]
+		attempts = append(attempts, hostproto.Held{Ref: t.ref, Phase: t.phase, Left: left, Spec: t.spec})
 	}
+	return attempts
+}
+
+// countFitting returns how many of the first attempts one Holds takes; it is at least 1.
+func countFitting(attempts []hostproto.Held) int {
+	const (
+		header = 16
+		limit  = hostproto.MaxHoldsSize - 1024 // well below the bound
+	)
+	n, size := 0, header
+	for n < len(attempts) && (n == 0 || size+hostproto.HeldSize(&attempts[n].Spec) < limit) {
+		size += hostproto.HeldSize(&attempts[n].Spec)
+		n++
+	}
+	return n
 }
 
-func (h *Host) query(p *peer, refs []hostproto.Ref) {
+func (h *Host) handleQuery(s *session, refs []hostproto.Ref) {
 	for _, ref := range refs {
-		if h.lost && h.tasks[ref] == nil && h.over[ref] == nil {
-			h.send(p, hostproto.Ended{Ref: ref, Result: hostproto.Forgotten})
+		if h.settledForgotten && h.tasks[ref] == nil && h.settled[ref] == nil {
+			h.send(s, hostproto.Ended{Ref: ref, Result: hostproto.Forgotten})
 			continue
 		}
-		_, say := hostsession.Transition(h.state(ref), hostsession.Query)
-		h.reply(p.placer, ref, say, nil)
+		_, reply := hostsession.Transition(h.state(ref), hostsession.Query)
+		h.sendReply(s.placer, ref, reply, nil)
 	}
 }
 
-// state is where the host's machine has an attempt.
+// phaseStates are the states of attempts that are not over.
+var phaseStates = [...]hostsession.State{
+	hostproto.PhaseQueued: hostsession.Queued, hostproto.PhaseStarting: hostsession.Starting, hostproto.PhaseRunning: hostsession.Running,
+}
+
+// state returns the state of an attempt.
 func (h *Host) state(ref hostproto.Ref) hostsession.State {
 	if t := h.tasks[ref]; t != nil {
-		return [...]hostsession.State{hostsession.Queued, hostsession.Starting, hostsession.Running}[t.phase]
+		return phaseStates[t.phase]
 	}
-	switch f := h.over[ref].(type) {
+	switch f := h.settled[ref].(type) {
 	case hostproto.Refused:
 		return hostsession.Rejected
 	case hostproto.Ended:
@@ -160,37 +193,9 @@
 	return hostsession.Absent
 }
 
-// reply sends the frame that the machine says. over is the frame of an attempt that ends now; one
-// that had ended is told again as it was.
-func (h *Host) reply(placer uint16, ref hostproto.Ref, say hostsession.Reply, over hostproto.Frame) {
-	switch say {
-	case hostsession.SendAccepted:
-		h.say(placer, hostproto.Accepted{Ref: ref})
-	case hostsession.SendRunning:
-		h.say(placer, hostproto.Running{Ref: ref})
-	case hostsession.SendRejected, hostsession.SendEnded, hostsession.SendCanceled:
-		if over == nil {
-			over = h.over[ref]
-		}
-		if over == nil {
-			over = hostproto.Refused{Ref: ref, Reason: hostproto.Unsuitable}
-		}
-		h.say(placer, over)
-	}
-}
-
-func (h *Host) sortedPeers() []*peer {
-	out := slices.Collect(maps.Values(h.peers))
-	slices.SortFunc(out, func(a, b *peer) int { return cmp.Compare(a.placer, b.placer) })
-	return out
-}
-
-// sorted returns the tasks in a fixed order: maps have none.
-func (h *Host) sorted() []*task {
-	out := slices.Collect(maps.Values(h.tasks))
-	slices.SortFunc(out, func(a, b *task) int {
-		return cmp.Or(cmp.Compare(a.ref.Epoch, b.ref.Epoch), cmp.Compare(a.ref.Task, b.ref.Task),
-			cmp.Compare(a.ref.Attempt, b.ref.Attempt), cmp.Compare(a.placer, b.placer))
-	})
-	return out
+// sortedSessions returns the established sessions in the order of their placers' numbers.
+func (h *Host) sortedSessions() []*session {
+	sessions := slices.Collect(maps.Values(h.sessions))
+	slices.SortFunc(sessions, func(a, b *session) int { return cmp.Compare(a.placer, b.placer) })
+	return sessions
 }
--- a/internal/protocol/capture/frames.go
+++ b/internal/protocol/capture/frames.go
@@ -37,13 +37,13 @@
 	return []Event{e}
 }
 
-func holdsEvents(e Event, held []hostproto.Held) []Event {
-	events := make([]Event, len(held))
-	for i := range held {
+func holdsEvents(e Event, attempts []hostproto.Held) []Event {
+	events := make([]Event, len(attempts))
+	for i := range attempts {
 		events[i] = e
-		events[i].setAttempt(Holds, held[i].Ref)
-		events[i].setSpec(&held[i].Spec)
-		events[i].Result = phaseNames[held[i].Phase]
+		events[i].setAttempt(Holds, attempts[i].Ref)
+		events[i].setSpec(&attempts[i].Spec)
+		events[i].Result = phaseNames[attempts[i].Phase]
 	}
 	return events
 }
