--- a/internal/emulator/hostmodel/faults.go
+++ b/internal/emulator/hostmodel/faults.go
@@ -14,7 +14,7 @@
 	NoCrash        CrashPoint = iota
 	DuringDecision            // while it decides about an offer
 	DuringStart               // while a task starts
-	AfterBind                 // when a task runs, before its placer is told
+	AfterBind                 // when a task runs, before it is reported
 )
 
 // Crash ends this incarnation at once.
@@ -58,7 +58,7 @@
 	})
 }
 
-// crashesAt crashes the host if it has been told to at this point, and reports whether it is dead.
+// crashesAt crashes the host if it is to crash at this point, and reports whether it is dead.
 func (h *Host) crashesAt(p CrashPoint) bool {
 	if h.crashPoint == p {
 		h.Crash()
--- a/internal/emulator/hostmodel/host_test.go
+++ b/internal/emulator/hostmodel/host_test.go
@@ -66,16 +66,16 @@
 	cfg := DefaultConfig("h", "k", "z", "r", 100, 100)
 	cfg.MaxQueued, cfg.MaxStarting = 5, 2
 	h := newConnectedHost(t, cfg)
-	refused := 0
+	rejected := 0
 	for n := range uint32(8) {
 		for _, o := range h.ReceiveFrame(time.Hour, 1, offer(n+1, 1, 0)) {
 			if r, ok := o.Frame.(hostproto.Refused); ok && r.Reason == hostproto.QueueFull {
-				refused++
+				rejected++
 			}
 		}
 	}
-	if refused != 3 {
-		t.Fatalf("%d rejected at the full queue, want 3", refused)
+	if rejected != 3 {
+		t.Fatalf("%d rejected at the full queue, want 3", rejected)
 	}
 	frames := runUntil(h, time.Hour, time.Hour+110*time.Millisecond)
 	accepted, running := countFrames(frames)
--- a/internal/protocol/capture/golden_test.go
+++ b/internal/protocol/capture/golden_test.go
@@ -21,8 +21,8 @@
 		Draining: []string{"b"}, Submission: "s", Count: 11, Within: time.Second, Took: time.Minute,
 	}}
 	for _, eventType := range []EventType{
-		HostUp, HostDown, Overloaded, Hello, Disconnected, Offer, Withdraw, Stop, Refused, Accepted, Running, Ended, Drain, ListDelivered, Submit, Outcome, PlacerUp,
-		PlacerDown, ClientDisconnected, Welcome, Holds, LateStep,
+		HostUp, HostDown, Overloaded, Hello, Disconnected, Offer, Withdraw, Stop, Refused, Accepted, Running, Ended, Drain,
+		ListDelivered, Submit, Outcome, PlacerUp, PlacerDown, ClientDisconnected, Welcome, Holds, LateStep,
 	} {
 		events = append(events, Event{Type: eventType})
 	}
@@ -44,7 +44,9 @@
 		hostproto.Note{},
 		hostproto.Probed{},
 		hostproto.Holds{Held: []hostproto.Held{
-			{Ref: ref, Phase: hostproto.PhaseQueued, Spec: spec}, {Ref: ref, Phase: hostproto.PhaseStarting, Spec: spec}, {Ref: ref, Phase: hostproto.PhaseRunning, Spec: spec},
+			{Ref: ref, Phase: hostproto.PhaseQueued, Spec: spec},
+			{Ref: ref, Phase: hostproto.PhaseStarting, Spec: spec},
+			{Ref: ref, Phase: hostproto.PhaseRunning, Spec: spec},
 		}},
 	}
 	for result := hostproto.Done; result <= hostproto.Forgotten; result++ {
--- a/internal/protocol/hostproto/golden_test.go
+++ b/internal/protocol/hostproto/golden_test.go
@@ -32,7 +32,11 @@
 		Probe{ID: 0x11121314},
 		Query{Refs: []Ref{ref, {Epoch: 1, Task: 2, Attempt: 3}}},
 		Welcome{Version: Version, Host: "north-1", Epoch: 0x0102030405060708, Started: 1500 * time.Microsecond, Draining: true, Count: 2},
-		Holds{Held: []Held{{Ref: ref, Phase: PhaseQueued, Spec: spec}, {Ref: ref, Phase: PhaseStarting, Spec: spec}, {Ref: ref, Phase: PhaseRunning, Left: time.Minute, Spec: spec}}},
+		Holds{Held: []Held{
+			{Ref: ref, Phase: PhaseQueued, Spec: spec},
+			{Ref: ref, Phase: PhaseStarting, Spec: spec},
+			{Ref: ref, Phase: PhaseRunning, Left: time.Minute, Spec: spec},
+		}},
 		Refused{Ref: ref, Reason: NoReason},
 		Refused{Ref: ref, Reason: InsufficientCores, Report: report},
 		Refused{Ref: ref, Reason: InsufficientMemory},
--- a/internal/protocol/http1/parser_test.go
+++ b/internal/protocol/http1/parser_test.go
@@ -107,12 +107,12 @@
 				t.Errorf("%s by %d: %v", name, n, err)
 				continue
 			}
-			var lines []string
+			var requests []string
 			for _, r := range got {
-				lines = append(lines, r.Method+" "+r.Path+" "+string(r.Body))
+				requests = append(requests, r.Method+" "+r.Path+" "+string(r.Body))
 			}
-			if strings.Join(lines, "|") != strings.Join(c.want, "|") {
-				t.Errorf("%s by %d: %q, want %q", name, n, lines, c.want)
+			if strings.Join(requests, "|") != strings.Join(c.want, "|") {
+				t.Errorf("%s by %d: %q, want %q", name, n, requests, c.want)
 			}
 		}
 	}
