--- a/internal/verify/bruteforce/benchmark_test.go
+++ b/internal/verify/bruteforce/benchmark_test.go
@@ -9,43 +9,93 @@
 	"forkhead/internal/planning/solver"
 )
 
-// BenchmarkSizes tells time and gap of instances of a fleet's size and of triplets, stopped after
-// five seconds. go test ./internal/verify/bruteforce -run xxx -bench Sizes -benchtime 1x
+// BenchmarkSizes reports the time, the gap between cost and lower bound, and the nodes of instances of a fleet's size and of
+// triplets; a search is stopped after five seconds.
+// go test ./internal/verify/bruteforce -run xxx -bench Sizes -benchtime 1x
 func BenchmarkSizes(b *testing.B) {
-	for _, size := range [][2]int{{10, 30}, {40, 120}, {130, 400}} {
-		for seed := range 3 {
-			b.Run(fmt.Sprintf("%dx%d/%d", size[0], size[1], seed), func(b *testing.B) {
-				one(b, FleetInstance(rand.New(rand.NewPCG(uint64(seed), 5)), size[0], size[1]))
+	for _, size := range []struct{ hosts, tasks int }{{10, 30}, {40, 120}, {130, 400}} {
+		for seed := range uint64(3) {
+			b.Run(fmt.Sprintf("%dx%d/%d", size.hosts, size.tasks, seed), func(b *testing.B) {
+				benchmarkInstance(b, fleetInstance(rand.New(rand.NewPCG(seed, 5)), size.hosts, size.tasks))
 			})
 		}
 	}
 	for _, hosts := range []int{4, 6, 8} {
 		b.Run(fmt.Sprintf("triplets/%d", hosts), func(b *testing.B) {
-			one(b, TripletInstance(rand.New(rand.NewPCG(1, 6)), hosts))
+			benchmarkInstance(b, tripletInstance(rand.New(rand.NewPCG(1, 6)), hosts))
 		})
 	}
 }
 
-func one(b *testing.B, in *solver.Instance) {
-	var a *solver.Result
+func benchmarkInstance(b *testing.B, in *solver.Instance) {
+	var result *solver.Result
 	for b.Loop() {
 		end := time.Now().Add(5 * time.Second)
 		var err error
-		a, err = solver.Solve(in, solver.Options{Stop: func() bool { return time.Now().After(end) }})
+		result, err = solver.Solve(in, solver.Options{Stop: func() bool { return time.Now().After(end) }})
 		if err != nil {
 			b.Fatal(err)
 		}
-		if a.Feasible {
-			if err := solver.Check(in, a.Counts, a.Cost); err != nil {
+		if result.Feasible {
+			if err := solver.Check(in, result.Counts, result.Cost); err != nil {
 				b.Fatal(err)
 			}
 		}
 	}
 	gap := 100.0
-	if a.Feasible && a.Cost > 0 {
-		gap = float64(a.Cost-a.LowerBound) / float64(a.Cost) * 100
+	if result.Feasible && result.Cost > 0 {
+		gap = float64(result.Cost-result.LowerBound) / float64(result.Cost) * 100
 	}
 	b.ReportMetric(gap, "gap-%")
-	b.ReportMetric(float64(a.Nodes), "nodes")
-	b.ReportMetric(float64(a.Cost), "cost")
+	b.ReportMetric(float64(result.Nodes), "nodes")
+	b.ReportMetric(float64(result.Cost), "cost")
+}
+
+// fleetInstance draws an instance like those of a fleet: two machine types, racks of four, services of one to six tasks, a
+// third of them with a limit by rack, a fifth on large hosts only.
+func fleetInstance(rng *rand.Rand, hosts, tasks int) *solver.Instance {
+	in := &solver.Instance{}
+	large := make([]bool, hosts)
+	for i := range hosts {
+		h := solver.Host{
+			ID: fmt.Sprint("h", i), Rack: fmt.Sprint("r", i/4), Zone: fmt.Sprint("z", i*3/hosts), Cores: 28_000, Memory: 64 << 10, Cost: 28,
+		}
+		if large[i] = i%3 == 2; large[i] {
+			h.Cores, h.Memory, h.Cost = 56_000, 128<<10, 56
+		}
+		in.Hosts = append(in.Hosts, h)
+	}
+	for i := 0; tasks > 0; i++ {
+		s := solver.Service{
+			Name: fmt.Sprint("s", i), Count: min(1+rng.IntN(6), tasks),
+			Cores: 250 * (1 + rng.Int64N(24)), Memory: 512 * (1 + rng.Int64N(24)),
+		}
+		tasks -= s.Count
+		if rng.IntN(5) == 0 {
+			s.Allowed = large
+			s.Cores *= 2
+		}
+		if rng.IntN(3) == 0 {
+			s.MaxPerRack = 2
+		}
+		in.Services = append(in.Services, s)
+	}
+	return in
+}
+
+// tripletInstance is bin packing of the kind that is hard for bounds by sums: three tasks fill each host exactly, and every
+// other arrangement wastes some.
+func tripletInstance(rng *rand.Rand, hosts int) *solver.Instance {
+	in := &solver.Instance{}
+	for i := range hosts {
+		in.Hosts = append(in.Hosts, solver.Host{
+			ID: fmt.Sprint("h", i), Rack: fmt.Sprint("r", i), Zone: "z", Cores: 1000, Memory: 1000, Cost: 1,
+		})
+		first := 380 + rng.Int64N(111)
+		second := 250 + rng.Int64N(max((1000-first)/2-250, 1))
+		for k, cores := range []int64{first, second, 1000 - first - second} {
+			in.Services = append(in.Services, solver.Service{Name: fmt.Sprint("s", i, k), Count: 1, Cores: cores, Memory: 1})
+		}
+	}
+	return in
 }
--- a/internal/verify/bruteforce/bruteforce.go
+++ b/internal/verify/bruteforce/bruteforce.go
@@ -1,211 +1,178 @@
-// Package bruteforce holds the solver against brute force that shares no code with it: it walks
-// through every assignment of tasks to hosts of a small instance, one task after another.
+// Package bruteforce compares the solver with brute force that shares no code with it: every assignment of the tasks of a
+// small instance to hosts is tried.
 package bruteforce
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 
 	"forkhead/internal/planning/solver"
 )
 
-// MinCost answers a small instance by trying everything. cost is -1 if there is no answer.
-func MinCost(in *solver.Instance) (cost int64) {
-	type one struct{ service, host int }
-	var tasks []one
-	for si, s := range in.Services {
-		for range s.Count {
-			tasks = append(tasks, one{si, -1})
-		}
-	}
-	best := int64(-1)
-	var walk func(i int)
-	walk = func(i int) {
-		if i == len(tasks) {
-			if c, ok := price(in, func(yield func(service, host int)) {
-				for _, t := range tasks {
-					yield(t.service, t.host)
-				}
-			}); ok && (best < 0 || c < best) {
-				best = c
-			}
-			return
+// Compare draws n instances, seeded by seed and the numbers after it, and solves each with the solver and by brute force. It
+// returns how many had a placement. Its error names the first instance on which the two differ, which the solver did not
+// finish, or whose placement solver.Check rejects.
+func Compare(seed uint64, n int, opt solver.Options) (feasible int, err error) {
+	for i := range n {
+		number := seed + uint64(i)
+		in := RandomInstance(rand.New(rand.NewPCG(number, 12)))
+		isFeasible, err := compareOne(in, opt)
+		if isFeasible {
+			feasible++
 		}
-		for h := range in.Hosts {
-			tasks[i].host = h
-			walk(i + 1)
+		if err != nil {
+			return feasible, fmt.Errorf("instance %d: %w", number, err)
 		}
 	}
-	walk(0)
-	return best
+	return feasible, nil
 }
 
-// price is the cost of a whole assignment, if it keeps every limit.
-func price(in *solver.Instance, each func(yield func(service, host int))) (int64, bool) {
-	type at struct {
-		service int
-		place   string
+// compareOne reports whether both found a placement, and an error where they differ.
+func compareOne(in *solver.Instance, opt solver.Options) (feasible bool, err error) {
+	result, err := solver.Solve(in, opt)
+	if err != nil {
+		return false, err
 	}
-	cores, memory, total := map[int]int64{}, map[int]int64{}, int64(0)
-	byHost, byRack, byZone := map[[2]int]int{}, map[at]int{}, map[at]int{}
-	good := true
-	each(func(si, hi int) {
-		s, h := in.Services[si], in.Hosts[hi]
-		good = good && !h.Unschedulable && (s.Allowed == nil || s.Allowed[hi])
-		if cores[hi] == 0 && memory[hi] == 0 && !h.InUse {
-			if _, seen := cores[hi]; !seen {
-				total += h.Cost
-			}
-		}
-		cores[hi] += s.Cores
-		memory[hi] += s.Memory
-		byHost[[2]int{si, hi}]++
-		byRack[at{si, h.Rack}]++
-		byZone[at{si, h.Zone}]++
-		good = good && cores[hi] <= h.Cores && memory[hi] <= h.Memory &&
-			(s.MaxPerHost == 0 || byHost[[2]int{si, hi}] <= s.MaxPerHost) &&
-			(s.MaxPerRack == 0 || byRack[at{si, h.Rack}] <= s.MaxPerRack) && (s.MaxPerZone == 0 || byZone[at{si, h.Zone}] <= s.MaxPerZone)
-	})
-	for key := range byHost {
-		for _, near := range in.Services[key[0]].Affinities {
-			found := false
-			for other := range byHost {
-				x, y := in.Hosts[other[1]], in.Hosts[key[1]]
-				found = found || other[0] == near.Service && (other[1] == key[1] || near.Domain == solver.RackDomain && x.Rack == y.Rack || near.Domain == solver.ZoneDomain && x.Zone == y.Zone)
-			}
-			good = good && found
-		}
+	want := MinCost(in)
+	switch {
+	case !result.Optimal:
+		return false, errors.New("not proven")
+	case result.Feasible != (want >= 0):
+		return false, fmt.Errorf("feasible %v, brute force finds %d: %+v", result.Feasible, want, in)
+	case !result.Feasible:
+		return false, nil
+	case result.Cost != want:
+		return false, fmt.Errorf("cost %d, brute force finds %d: %+v", result.Cost, want, in)
 	}
-	if !good {
-		return 0, false
+	return true, solver.Check(in, result.Counts, result.Cost)
+}
+
+// MinCost returns the least cost of a placement, or -1 if there is none. Its time grows with the number of hosts to the power
+// of the number of tasks.
+func MinCost(in *solver.Instance) int64 {
+	var tasks []int // the service of each task
+	p := placement{in: in}
+	for service := range in.Services {
+		for range in.Services[service].Count {
+			tasks = append(tasks, service)
+		}
+		p.counts = append(p.counts, make([]int, len(in.Hosts)))
 	}
-	for key, n := range byHost {
-		if in.HomeZone != "" && in.Hosts[key[1]].Zone != in.HomeZone {
-			total += in.OutsideHomeCost * int64(n)
+	best := int64(-1)
+	var placeFrom func(task int)
+	placeFrom = func(task int) {
+		if task == len(tasks) {
+			if cost := p.cost(); (best < 0 || cost < best) && p.isValid() {
+				best = cost
+			}
+			return
 		}
-	}
-	for key, n := range byHost {
-		if runs := in.Services[key[0]].Running; runs != nil && n > runs[key[1]] {
-			total += in.MigrationCost * int64(n-runs[key[1]])
+		row := p.counts[tasks[task]]
+		for host := range row {
+			row[host]++
+			placeFrom(task + 1)
+			row[host]--
 		}
 	}
-	return total, true
+	placeFrom(0)
+	return best
 }
 
-// RandomInstance draws a small instance: up to four hosts and six tasks, often just at capacity.
-func RandomInstance(rng *rand.Rand) *solver.Instance {
-	in := &solver.Instance{MigrationCost: rng.Int64N(4)}
-	for i := range rng.IntN(5) {
-		h := solver.Host{
-			ID: fmt.Sprint("h", i), Rack: fmt.Sprint("r", rng.IntN(2)), Cores: 1 + rng.Int64N(8), Memory: 1 + rng.Int64N(8),
-			Cost: rng.Int64N(6), Unschedulable: rng.IntN(12) == 0, InUse: rng.IntN(8) == 0,
-		}
-		h.Zone = []string{"z0", "z1"}[rng.IntN(2)]
-		if i > 0 && rng.IntN(2) == 0 { // hosts that are alike
-			h = in.Hosts[i-1]
-			h.ID = fmt.Sprint("h", i)
-		}
-		in.Hosts = append(in.Hosts, h)
-	}
-	left := rng.IntN(7)
-	for i := 0; left > 0; i++ {
-		s := solver.Service{Name: fmt.Sprint("s", i), Count: 1 + rng.IntN(left), Cores: rng.Int64N(5), Memory: rng.Int64N(5)}
-		left -= s.Count
-		for _, to := range []*int{&s.MaxPerHost, &s.MaxPerRack, &s.MaxPerZone} {
-			if rng.IntN(3) == 0 {
-				*to = 1 + rng.IntN(3)
-			}
-		}
-		if rng.IntN(3) == 0 {
-			for range in.Hosts {
-				s.Allowed = append(s.Allowed, rng.IntN(3) > 0)
+// placement is a complete assignment of tasks to hosts.
+type placement struct {
+	in     *solver.Instance
+	counts [][]int // tasks by service, by host
+}
+
+// isValid reports whether a placement satisfies its instance.
+func (p *placement) isValid() bool {
+	for host := range p.in.Hosts {
+		if !p.fits(host) {
+			return false
+		}
+		for service := range p.in.Services {
+			if p.counts[service][host] == 0 {
+				continue
 			}
-		}
-		if rng.IntN(3) == 0 {
-			for range in.Hosts {
-				s.Running = append(s.Running, rng.IntN(2))
+			if !p.isAllowed(service, host) || !p.isSpread(service, host) || !p.isNearOthers(service, host) {
+				return false
 			}
 		}
-		if i > 0 && rng.IntN(4) == 0 {
-			s.Affinities = []solver.Affinity{{Service: rng.IntN(i), Domain: solver.Domain(rng.IntN(3))}}
-		}
-		in.Services = append(in.Services, s)
 	}
-	if rng.IntN(3) == 0 {
-		in.HomeZone, in.OutsideHomeCost = "z0", rng.Int64N(3)
-	}
-	return in
+	return true
 }
 
-// Compare draws instances from a seed on and returns the first that solver and brute force do not
-// agree on, or nil; and how many of them have an answer.
-func Compare(seed uint64, n int, opt solver.Options) (feasible int, err error) {
-	for i := range n {
-		rng := rand.New(rand.NewPCG(seed+uint64(i), 12))
-		in := RandomInstance(rng)
-		a, err := solver.Solve(in, opt)
-		if err != nil {
-			return feasible, fmt.Errorf("instance %d: %w", seed+uint64(i), err)
-		}
-		want := MinCost(in)
-		switch {
-		case !a.Optimal:
-			return feasible, fmt.Errorf("instance %d: not proven", seed+uint64(i))
-		case a.Feasible != (want >= 0):
-			return feasible, fmt.Errorf("instance %d: feasible %v, brute force finds %d: %+v", seed+uint64(i), a.Feasible, want, in)
-		case a.Feasible && a.Cost != want:
-			return feasible, fmt.Errorf("instance %d: cost %d, brute force finds %d: %+v", seed+uint64(i), a.Cost, want, in)
-		}
-		if a.Feasible {
-			feasible++
-			if err := solver.Check(in, a.Counts, a.Cost); err != nil {
-				return feasible, fmt.Errorf("instance %d: %w", seed+uint64(i), err)
-			}
-		}
+// fits reports whether a host has the cores and memory of its tasks.
+func (p *placement) fits(host int) bool {
+	h := &p.in.Hosts[host]
+	cores, memory := h.Cores, h.Memory
+	for service := range p.in.Services {
+		n := int64(p.counts[service][host])
+		cores -= n * p.in.Services[service].Cores
+		memory -= n * p.in.Services[service].Memory
 	}
-	return feasible, nil
+	return cores >= 0 && memory >= 0
 }
 
-// FleetInstance draws an instance of about so many hosts and tasks as a fleet has them: two kinds of host,
-// racks of four, services of one to six tasks, some with limits in racks, a fifth on large hosts only.
-func FleetInstance(rng *rand.Rand, hosts, tasks int) *solver.Instance {
-	in := &solver.Instance{}
-	large := make([]bool, hosts)
-	for i := range hosts {
-		h := solver.Host{
-			ID: fmt.Sprint("h", i), Rack: fmt.Sprint("r", i/4), Zone: fmt.Sprint("z", i*3/hosts), Cores: 28_000, Memory: 64 << 10, Cost: 28,
-		}
-		if large[i] = i%3 == 2; large[i] {
-			h.Cores, h.Memory, h.Cost = 56_000, 128<<10, 56
+// isAllowed reports whether a service may use a host.
+func (p *placement) isAllowed(service, host int) bool {
+	allowed := p.in.Services[service].Allowed
+	return !p.in.Hosts[host].Unschedulable && (allowed == nil || allowed[host])
+}
+
+// isSpread reports whether no domain of a host has more tasks of a service than its limit.
+func (p *placement) isSpread(service, host int) bool {
+	s := &p.in.Services[service]
+	return withinLimit(p.tasksInDomain(service, solver.HostDomain, host), s.MaxPerHost) &&
+		withinLimit(p.tasksInDomain(service, solver.RackDomain, host), s.MaxPerRack) &&
+		withinLimit(p.tasksInDomain(service, solver.ZoneDomain, host), s.MaxPerZone)
+}
+
+func withinLimit(n, limit int) bool { return limit == 0 || n <= limit }
+
+// isNearOthers reports whether the affinities of a service hold on a host.
+func (p *placement) isNearOthers(service, host int) bool {
+	for _, affinity := range p.in.Services[service].Affinities {
+		if p.tasksInDomain(affinity.Service, affinity.Domain, host) == 0 {
+			return false
 		}
-		in.Hosts = append(in.Hosts, h)
 	}
-	for i := 0; tasks > 0; i++ {
-		s := solver.Service{Name: fmt.Sprint("s", i), Count: min(1+rng.IntN(6), tasks), Cores: 250 * (1 + rng.Int64N(24)), Memory: 512 * (1 + rng.Int64N(24))}
-		tasks -= s.Count
-		if rng.IntN(5) == 0 {
-			s.Allowed = large
-			s.Cores *= 2
-		}
-		if rng.IntN(3) == 0 {
-			s.MaxPerRack = 2
+	return true
+}
+
+// tasksInDomain counts the tasks of a service in a domain of a host.
+func (p *placement) tasksInDomain(service int, domain solver.Domain, host int) int {
+	n := 0
+	h := &p.in.Hosts[host]
+	for other, count := range p.counts[service] {
+		o := &p.in.Hosts[other]
+		if other == host || domain == solver.RackDomain && o.Rack == h.Rack || domain == solver.ZoneDomain && o.Zone == h.Zone {
+			n += count
 		}
-		in.Services = append(in.Services, s)
 	}
-	return in
+	return n
 }
 
-// TripletInstance is bin packing of the kind that is hard for bounds by sums: three tasks fill each host
-// exactly, and every other arrangement wastes some.
-func TripletInstance(rng *rand.Rand, hosts int) *solver.Instance {
-	in := &solver.Instance{}
-	for i := range hosts {
-		in.Hosts = append(in.Hosts, solver.Host{ID: fmt.Sprint("h", i), Rack: fmt.Sprint("r", i), Zone: "z", Cores: 1000, Memory: 1000, Cost: 1})
-		a := 380 + rng.Int64N(111)
-		b := 250 + rng.Int64N(max((1000-a)/2-250, 1))
-		for k, size := range []int64{a, b, 1000 - a - b} {
-			in.Services = append(in.Services, solver.Service{Name: fmt.Sprint("s", i, k), Count: 1, Cores: size, Memory: 1})
+// cost returns what a placement costs, valid or not.
+func (p *placement) cost() int64 {
+	total := int64(0)
+	for host := range p.in.Hosts {
+		h := &p.in.Hosts[host]
+		tasks := 0
+		for service := range p.in.Services {
+			n := p.counts[service][host]
+			tasks += n
+			if running := p.in.Services[service].Running; running != nil {
+				total += p.in.MigrationCost * int64(max(n-running[host], 0))
+			}
+		}
+		if p.in.HomeZone != "" && h.Zone != p.in.HomeZone {
+			total += p.in.OutsideHomeCost * int64(tasks)
+		}
+		if tasks > 0 && !h.InUse {
+			total += h.Cost
 		}
 	}
-	return in
+	return total
 }
--- a/internal/verify/bruteforce/bruteforce_test.go
+++ b/internal/verify/bruteforce/bruteforce_test.go
@@ -6,8 +6,8 @@
 	"forkhead/internal/planning/solver"
 )
 
-func TestAgainstBruteForce(t *testing.T) {
-	n := 3000
+func TestSolverAgreesWithBruteForce(t *testing.T) {
+	const n = 3000
 	feasible, err := Compare(1, n, solver.Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -17,7 +17,6 @@
 	}
 }
 
-// A bug in the bound and one in propagation are found by the comparison.
 func TestInjectedBugsAreFound(t *testing.T) {
 	for _, bug := range []solver.InjectedBug{solver.BugInBound, solver.BugInPropagation} {
 		if _, err := Compare(1, 20_000, solver.Options{InjectedBug: bug}); err == nil {
--- a/internal/verify/bruteforce/pseudoboolean_test.go
+++ b/internal/verify/bruteforce/pseudoboolean_test.go
@@ -10,78 +10,105 @@
 	"forkhead/internal/planning/solver"
 )
 
-// pseudo answers an instance by a pseudo-Boolean solver from elsewhere, as an independent check at
-// sizes that brute force does not reach: a variable for each task and host, one for each host in use.
-func pseudo(in *solver.Instance) int64 {
-	var constrs []gophersat.PBConstr
-	next := 0
-	fresh := func() int { next++; return next }
-	use := make([]int, len(in.Hosts))
-	for h := range use {
-		use[h] = fresh()
+// encoder writes an instance as a problem of a pseudo-Boolean solver from elsewhere, which checks ours at sizes that brute
+// force does not reach. A variable says that a task is on a host, or that a host is in use.
+type encoder struct {
+	in          *solver.Instance
+	variables   int // how many there are; they are numbered from 1
+	constraints []gophersat.PBConstr
+	inUse       []int          // variable by host
+	tasks       [][]taskOnHost // by host: all variables that say that a task is on it
+}
+
+// taskOnHost is the variable of a task and a host, with what the task requests.
+type taskOnHost struct {
+	variable      int
+	cores, memory int64
+}
+
+// pseudoBooleanCost returns the least cost of a placement, or -1 if there is none. It knows no affinities, no costs but those
+// of hosts, and takes no host as in use before.
+func pseudoBooleanCost(in *solver.Instance) int64 {
+	e := &encoder{in: in, tasks: make([][]taskOnHost, len(in.Hosts))}
+	for range in.Hosts {
+		e.inUse = append(e.inUse, e.newVariable())
 	}
-	byHost := make([][]int, len(in.Hosts)) // literals, with their amounts
-	cores, memory := make([][]int, len(in.Hosts)), make([][]int, len(in.Hosts))
-	for _, s := range in.Services {
-		onHost, inRack, inZone := make([][]int, len(in.Hosts)), map[string][]int{}, map[string][]int{}
-		for range s.Count {
-			var any []int
-			for h, host := range in.Hosts {
-				x := fresh()
-				if host.Unschedulable || s.Allowed != nil && !s.Allowed[h] {
-					constrs = append(constrs, gophersat.PropClause(-x))
-				}
-				any = append(any, x)
-				constrs = append(constrs, gophersat.PropClause(-x, use[h]))
-				byHost[h], cores[h], memory[h] = append(byHost[h], x), append(cores[h], int(s.Cores)), append(memory[h], int(s.Memory))
-				onHost[h] = append(onHost[h], x)
-				inRack[host.Rack], inZone[host.Zone] = append(inRack[host.Rack], x), append(inZone[host.Zone], x)
-			}
-			constrs = append(constrs, gophersat.AtLeast(any, 1), gophersat.AtMost(any, 1))
-		}
-		bound := func(lits []int, most int) {
-			if most > 0 && len(lits) > most {
-				constrs = append(constrs, gophersat.AtMost(lits, most))
+	for i := range in.Services {
+		e.encodeService(&in.Services[i])
+	}
+	for host := range in.Hosts {
+		e.encodeCapacity(host, func(t taskOnHost) int64 { return t.cores }, in.Hosts[host].Cores)
+		e.encodeCapacity(host, func(t taskOnHost) int64 { return t.memory }, in.Hosts[host].Memory)
+	}
+	problem := gophersat.ParsePBConstrs(e.constraints)
+	var literals []gophersat.Lit
+	var costs []int
+	for host := range in.Hosts {
+		literals = append(literals, gophersat.IntToLit(int32(e.inUse[host])))
+		costs = append(costs, int(in.Hosts[host].Cost))
+	}
+	problem.SetCostFunc(literals, costs)
+	return int64(gophersat.New(problem).Minimize())
+}
+
+func (e *encoder) newVariable() int {
+	e.variables++
+	return e.variables
+}
+
+func (e *encoder) add(constraints ...gophersat.PBConstr) {
+	e.constraints = append(e.constraints, constraints...)
+}
+
+// encodeService places each task of a service on one host that is then in use, within the service's limits.
+func (e *encoder) encodeService(s *solver.Service) {
+	byHost, byRack, byZone := map[string][]int{}, map[string][]int{}, map[string][]int{}
+	for range s.Count {
+		var onAnyHost []int
+		for host := range e.in.Hosts {
+			h := &e.in.Hosts[host]
+			onHost := e.newVariable()
+			if h.Unschedulable || s.Allowed != nil && !s.Allowed[host] {
+				e.add(gophersat.PropClause(-onHost))
 			}
+			e.add(gophersat.PropClause(-onHost, e.inUse[host]))
+			onAnyHost = append(onAnyHost, onHost)
+			e.tasks[host] = append(e.tasks[host], taskOnHost{onHost, s.Cores, s.Memory})
+			byHost[h.ID] = append(byHost[h.ID], onHost)
+			byRack[h.Rack] = append(byRack[h.Rack], onHost)
+			byZone[h.Zone] = append(byZone[h.Zone], onHost)
 		}
-		for _, lits := range onHost {
-			bound(lits, s.MaxPerHost)
-		}
-		for _, lits := range inRack {
-			bound(lits, s.MaxPerRack)
-		}
-		for _, lits := range inZone {
-			bound(lits, s.MaxPerZone)
+		e.add(gophersat.AtLeast(onAnyHost, 1), gophersat.AtMost(onAnyHost, 1))
+	}
+	e.encodeLimit(byHost, s.MaxPerHost)
+	e.encodeLimit(byRack, s.MaxPerRack)
+	e.encodeLimit(byZone, s.MaxPerZone)
+}
+
+// encodeLimit bounds the tasks of a service in each domain; 0 is no limit.
+func (e *encoder) encodeLimit(byDomain map[string][]int, limit int) {
+	for _, variables := range byDomain {
+		if limit > 0 && len(variables) > limit {
+			e.add(gophersat.AtMost(variables, limit))
 		}
 	}
-	for h, host := range in.Hosts {
-		for _, res := range []struct {
-			amounts []int
-			most    int64
-		}{{cores[h], host.Cores}, {memory[h], host.Memory}} {
-			var lits, weights []int
-			for i, w := range res.amounts {
-				if w > 0 {
-					lits, weights = append(lits, byHost[h][i]), append(weights, w)
-				}
-			}
-			if len(lits) > 0 {
-				constrs = append(constrs, gophersat.LtEq(lits, weights, int(res.most)))
-			}
+}
+
+// encodeCapacity bounds the sum of an amount of the tasks on a host.
+func (e *encoder) encodeCapacity(host int, amountOf func(taskOnHost) int64, capacity int64) {
+	var variables, amounts []int
+	for _, t := range e.tasks[host] {
+		if amount := amountOf(t); amount > 0 {
+			variables, amounts = append(variables, t.variable), append(amounts, int(amount))
 		}
 	}
-	problem := gophersat.ParsePBConstrs(constrs)
-	var lits []gophersat.Lit
-	var weights []int
-	for h, host := range in.Hosts {
-		lits, weights = append(lits, gophersat.IntToLit(int32(use[h]))), append(weights, int(host.Cost))
+	if len(variables) > 0 {
+		e.add(gophersat.LtEq(variables, amounts, int(capacity)))
 	}
-	problem.SetCostFunc(lits, weights)
-	return int64(gophersat.New(problem).Minimize())
 }
 
-// medium draws an instance beyond brute force: six to eight hosts, ten to fourteen tasks.
-func medium(rng *rand.Rand) *solver.Instance {
+// mediumInstance draws an instance beyond brute force: six to eight hosts, ten to fourteen tasks.
+func mediumInstance(rng *rand.Rand) *solver.Instance {
 	in := &solver.Instance{}
 	for i := range 6 + rng.IntN(3) {
 		in.Hosts = append(in.Hosts, solver.Host{
@@ -89,8 +116,8 @@
 			Unschedulable: rng.IntN(10) == 0,
 		})
 	}
-	for left := 10 + rng.IntN(5); left > 0; {
-		s := solver.Service{Name: fmt.Sprint("s", left), Count: min(1+rng.IntN(4), left), Cores: 1 + rng.Int64N(4), Memory: 1 + rng.Int64N(4)}
+	for remaining := 10 + rng.IntN(5); remaining > 0; {
+		s := solver.Service{Name: fmt.Sprint("s", remaining), Count: min(1+rng.IntN(4), remaining), Cores: 1 + rng.Int64N(4), Memory: 1 + rng.Int64N(4)}
 		if rng.IntN(2) == 0 {
 			s.MaxPerRack = 1 + rng.IntN(2)
 		}
@@ -99,26 +126,26 @@
 				s.Allowed = append(s.Allowed, rng.IntN(4) > 0)
 			}
 		}
-		left -= s.Count
+		remaining -= s.Count
 		in.Services = append(in.Services, s)
 	}
 	return in
 }
 
-func TestAgainstPseudoBoolean(t *testing.T) {
+func TestSolverAgreesWithPseudoBooleanSolver(t *testing.T) {
 	feasible := 0
 	const n = 14
 	for seed := range uint64(n) {
-		in := medium(rand.New(rand.NewPCG(seed, 31)))
-		a, err := solver.Solve(in, solver.Options{})
-		if err != nil || !a.Optimal {
-			t.Fatalf("instance %d: %+v, %v", seed, a, err)
+		in := mediumInstance(rand.New(rand.NewPCG(seed, 31)))
+		result, err := solver.Solve(in, solver.Options{})
+		if err != nil || !result.Optimal {
+			t.Fatalf("instance %d: %+v, %v", seed, result, err)
 		}
-		want := pseudo(in)
-		if a.Feasible != (want >= 0) || a.Feasible && a.Cost != want {
-			t.Fatalf("instance %d: feasible %v at %d, the other solver says %d: %+v", seed, a.Feasible, a.Cost, want, in)
+		want := pseudoBooleanCost(in)
+		if result.Feasible != (want >= 0) || result.Feasible && result.Cost != want {
+			t.Fatalf("instance %d: feasible %v at %d, the other solver says %d: %+v", seed, result.Feasible, result.Cost, want, in)
 		}
-		if a.Feasible {
+		if result.Feasible {
 			feasible++
 		}
 	}
