--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -101,7 +101,7 @@
 		if err != nil {
 			return err
 		}
-		s, err := platformconfig.Settings(info)
+		s, err := platformconfig.ModuleSettings(info)
 		if err != nil {
 			return err
 		}
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -61,7 +61,7 @@
 		}
 		switch head(name, text) {
 		case settingsHead:
-			_, err = settings.Read(name, text)
+			_, err = settings.Parse(name, text)
 		case scenarioHead:
 			_, err = scenario.Read(name, text)
 		default:
--- a/internal/cli/input.go
+++ b/internal/cli/input.go
@@ -25,13 +25,13 @@
 // readSettings reads a file of settings; an empty name stands for the built-in ones.
 func readSettings(name string) (*settings.Settings, error) {
 	if name == "" {
-		return settings.Read("default settings", settings.Default)
+		return settings.Parse("default settings", settings.Default)
 	}
 	text, err := readFile(name, "settings: (forkhead ...)")
 	if err != nil {
 		return nil, err
 	}
-	return settings.Read(name, text)
+	return settings.Parse(name, text)
 }
 
 // readScenario reads a file of a scenario; an empty name stands for the built-in one.
--- a/internal/cli/specification.go
+++ b/internal/cli/specification.go
@@ -78,8 +78,8 @@
 		}
 		return nil // the parser reports it where the file is referred to
 	}
-	if len(text) > compose.MostBytes {
-		return badInput(fmt.Errorf("%s: %d bytes, at most %d are read", name, len(text), compose.MostBytes))
+	if len(text) > compose.MaxBytes {
+		return badInput(fmt.Errorf("%s: %d bytes, at most %d are read", name, len(text), compose.MaxBytes))
 	}
 	f := compose.File{Name: name, Text: string(text)}
 	*into = append(*into, f)
--- a/internal/cli/try.go
+++ b/internal/cli/try.go
@@ -54,5 +54,5 @@
 	for _, n := range description.Notes {
 		a.log.Warn().Str("at", n.Pos.String()).Msg(n.Text)
 	}
-	return a.submitAndFollow(ctx, &client.Client{Address: cluster.Settings.Placers[0].HTTP}, envelope)
+	return a.submitAndFollow(ctx, &client.Client{Address: cluster.Settings.Placers[0].HTTPAddress}, envelope)
 }
--- a/internal/parse/compose/compose.go
+++ b/internal/parse/compose/compose.go
@@ -36,7 +36,7 @@
 	for _, f := range append(append([]File{}, in.Files...), in.Others...) {
 		size += len(f.Text)
 	}
-	if size > MostBytes || len(in.Files)+len(in.Others) > mostFiles {
+	if size > MaxBytes || len(in.Files)+len(in.Others) > mostFiles {
 		return nil, diagnostic.Wantf(diagnostic.Pos{File: "submission"}, "at most 4 MiB in 64 files", "%d bytes in %d files", size, len(in.Files)+len(in.Others))
 	}
 	if in.Project != "" && !projectName.MatchString(in.Project) {
--- a/internal/parse/compose/compose_test.go
+++ b/internal/parse/compose/compose_test.go
@@ -58,16 +58,16 @@
 	}, Services: []servicespec.Service{
 		{
 			Name: "batch", Class: "batch", Tenant: "courts", Replicas: 4, Cores: 6, Memory: 0.5, LimitCores: 8, LimitMemory: 2,
-			Life: 30 * time.Second, Wait: 2 * time.Second, Patience: time.Minute,
+			ExpectedRuntime: 30 * time.Second, RequestTimeout: 2 * time.Second, PlacementTimeout: time.Minute,
 			Constraints: []servicespec.Constraint{
 				{Attribute: "os", Value: "linux"}, {Attribute: "arch", Value: "arm64"},
 				{Attribute: "label.disk", Value: "ssd"}, {Attribute: "hostname", Not: true, Value: "h9"},
 			},
-			Preferences: []servicespec.Attribute{"zone"},
-			Limits:      []servicespec.Limit{{Place: "rack", Most: 2}, {Place: "machine", Most: 1}},
-			Restart:     servicespec.Restart{When: servicespec.OnFailure, Delay: 5 * time.Second, Most: 3, Window: 2 * time.Minute},
+			Preferences:  []servicespec.Attribute{"zone"},
+			SpreadLimits: []servicespec.SpreadLimit{{Domain: "rack", MaxTasks: 2}, {Domain: "machine", MaxTasks: 1}},
+			Restart:      servicespec.Restart{When: servicespec.OnFailure, Delay: 5 * time.Second, MaxRestarts: 3, Window: 2 * time.Minute},
 			Update: servicespec.Update{
-				Parallel: 2, Delay: 10 * time.Second, OnTrouble: servicespec.Rollback, Monitor: 5 * time.Second, MaxFailed: 0.5, StartFirst: true,
+				Parallel: 2, Delay: 10 * time.Second, FailureAction: servicespec.Rollback, Monitor: 5 * time.Second, MaxFailureRatio: 0.5, StartFirst: true,
 			},
 			DependsOn: []servicespec.Dependency{{Service: "db", When: servicespec.Healthy, Restart: true}},
 			Labels:    map[string]string{"a": "1", "b": ""}, StopGrace: 90 * time.Second,
--- a/internal/parse/compose/decode.go
+++ b/internal/parse/compose/decode.go
@@ -103,7 +103,7 @@
 	d.known(tree, topIndex, "", "the file")
 	d.own = d.extension(tree, "the file")
 	if w := d.own.get("whole"); w != nil {
-		d.out.Whole = d.boolean(w, "whole")
+		d.out.AllOrNothing = d.boolean(w, "whole")
 	}
 	d.out.Name = d.in.Project
 	if n := d.of(tree.get("name"), scalar, "name"); n != nil && d.out.Name == "" {
@@ -181,7 +181,7 @@
 func (d *decoder) service(name string, pos diagnostic.Pos, v *value, inactive map[string]bool) servicespec.Service {
 	s := servicespec.Service{
 		Name: name, Pos: pos, Replicas: 1,
-		Update: servicespec.Update{Parallel: 1, OnTrouble: servicespec.Pause},
+		Update: servicespec.Update{Parallel: 1, FailureAction: servicespec.Pause},
 	}
 	d.known(v, serviceIndex, "", "service "+strconv.Quote(name))
 	d.owned(&s, d.own)
@@ -233,7 +233,7 @@
 	for _, f := range []struct {
 		key string
 		to  *time.Duration
-	}{{"life", &s.Life}, {"wait", &s.Wait}, {"patience", &s.Patience}} {
+	}{{"life", &s.ExpectedRuntime}, {"wait", &s.RequestTimeout}, {"patience", &s.PlacementTimeout}} {
 		if v := own.get(f.key); v != nil {
 			*f.to = d.duration(v, f.key, time.Millisecond, 365*24*time.Hour)
 		}
@@ -247,7 +247,7 @@
 				d.want(place.pos, "machine, rack or zone", "near %s is %q", name, place.text)
 			default:
 				pos := near.keyPos[name]
-				s.Near = append(s.Near, servicespec.Near{Service: name, Place: place.text, Pos: pos})
+				s.Near = append(s.Near, servicespec.Near{Service: name, Domain: place.text, Pos: pos})
 			}
 		}
 	}
@@ -256,10 +256,10 @@
 		return
 	}
 	d.only(spread, "spread", "machine", "rack", "zone")
-	s.Limits = nil
+	s.SpreadLimits = nil
 	for _, place := range spread.keys {
 		if n, ok := d.integer(spread.fields[place], place, 1, mostReplicas); ok {
-			s.Limits = append(s.Limits, servicespec.Limit{Place: place, Most: n, Pos: spread.keyPos[place]})
+			s.SpreadLimits = append(s.SpreadLimits, servicespec.SpreadLimit{Domain: place, MaxTasks: n, Pos: spread.keyPos[place]})
 		}
 	}
 }
@@ -278,7 +278,7 @@
 		d.want(deps.pos, "a list of names", "depends_on holds something else")
 		return
 	}
-	conditions := map[string]servicespec.Condition{
+	conditions := map[string]servicespec.DependencyCondition{
 		"service_started": servicespec.Started, "service_healthy": servicespec.Healthy,
 		"service_completed_successfully": servicespec.Completed,
 	}
--- a/internal/parse/compose/deploy.go
+++ b/internal/parse/compose/deploy.go
@@ -82,7 +82,7 @@
 		if n, ok := d.integer(replicas, "replicas", 0, mostReplicas); ok {
 			s.Replicas = n
 		}
-		if s.Mode.Each() {
+		if s.Mode.PerHost() {
 			d.fail(replicas.pos, "replicas and mode %s exclude each other", deploy.get("mode").text)
 		}
 	}
@@ -95,11 +95,11 @@
 			s.Replicas = n
 		}
 	}
-	if c := v.get("container_name"); c != nil && (s.Replicas > 1 || s.Mode.Each()) {
+	if c := v.get("container_name"); c != nil && (s.Replicas > 1 || s.Mode.PerHost()) {
 		d.fail(c.pos, "container_name allows one task, and service %q asks for more", s.Name)
 	}
-	if s.Mode.Each() {
-		s.Limits = append(s.Limits, servicespec.Limit{Place: "machine", Most: 1, Pos: deploy.get("mode").pos})
+	if s.Mode.PerHost() {
+		s.SpreadLimits = append(s.SpreadLimits, servicespec.SpreadLimit{Domain: "machine", MaxTasks: 1, Pos: deploy.get("mode").pos})
 	}
 }
 
@@ -147,7 +147,7 @@
 	}
 	if n := p.get("max_replicas_per_node"); n != nil {
 		if most, ok := d.integer(n, "max_replicas_per_node", 0, mostReplicas); ok && most > 0 {
-			s.Limits = append(s.Limits, servicespec.Limit{Place: "machine", Most: most, Pos: n.pos})
+			s.SpreadLimits = append(s.SpreadLimits, servicespec.SpreadLimit{Domain: "machine", MaxTasks: most, Pos: n.pos})
 		}
 	}
 }
@@ -196,7 +196,7 @@
 			continue
 		}
 		if m := p.get("mode"); m != nil && m.text == "host" && p.get("published") != nil {
-			s.Limits = append(s.Limits, servicespec.Limit{Place: "machine", Most: 1, Pos: p.pos})
+			s.SpreadLimits = append(s.SpreadLimits, servicespec.SpreadLimit{Domain: "machine", MaxTasks: 1, Pos: p.pos})
 			return
 		}
 	}
@@ -223,7 +223,7 @@
 			if err != nil || n < 0 || word != "on-failure" {
 				d.want(r.pos, "on-failure:N", "restart %q", r.text)
 			}
-			s.Restart.Most = n
+			s.Restart.MaxRestarts = n
 		}
 	}
 	p := d.of(deploy.get("restart_policy"), mapping, "restart_policy")
@@ -232,7 +232,7 @@
 	}
 	d.only(p, "restart_policy", "condition", "delay", "max_attempts", "window")
 	if c := d.of(p.get("condition"), scalar, "condition"); c != nil {
-		when, ok := map[string]servicespec.When{
+		when, ok := map[string]servicespec.RestartCondition{
 			"any": servicespec.Always, "on-failure": servicespec.OnFailure, "none": servicespec.Never,
 		}[c.text]
 		if !ok {
@@ -244,7 +244,7 @@
 		s.Restart.Delay = d.duration(x, "delay", 0, 24*time.Hour)
 	}
 	if x := p.get("max_attempts"); x != nil {
-		s.Restart.Most, _ = d.integer(x, "max_attempts", 0, 1e6)
+		s.Restart.MaxRestarts, _ = d.integer(x, "max_attempts", 0, 1e6)
 	}
 	if x := p.get("window"); x != nil {
 		s.Restart.Window = d.duration(x, "window", 0, 24*time.Hour)
@@ -270,16 +270,16 @@
 		s.Update.Monitor = d.duration(x, "monitor", 0, 24*time.Hour)
 	}
 	if x := u.get("max_failure_ratio"); x != nil {
-		s.Update.MaxFailed = d.number(x, "max_failure_ratio", 0, 1)
+		s.Update.MaxFailureRatio = d.number(x, "max_failure_ratio", 0, 1)
 	}
 	if x := d.of(u.get("failure_action"), scalar, "failure_action"); x != nil {
-		action, ok := map[string]servicespec.OnTrouble{
+		action, ok := map[string]servicespec.FailureAction{
 			"pause": servicespec.Pause, "continue": servicespec.Continue, "rollback": servicespec.Rollback,
 		}[x.text]
 		if !ok {
 			d.want(x.pos, "pause, continue or rollback", "failure_action %q", x.text)
 		}
-		s.Update.OnTrouble = action
+		s.Update.FailureAction = action
 	}
 	if x := d.of(u.get("order"), scalar, "order"); x != nil {
 		if x.text != "stop-first" && x.text != "start-first" {
--- a/internal/parse/compose/tree.go
+++ b/internal/parse/compose/tree.go
@@ -12,7 +12,7 @@
 
 // Limits of one submission's files.
 const (
-	MostBytes   = 4 << 20 // in all files
+	MaxBytes    = 4 << 20 // in all files
 	mostNodes   = 50_000  // after aliases and merge keys are expanded
 	mostDepth   = 64
 	mostFiles   = 64
--- a/internal/parse/diagnostic/source.go
+++ b/internal/parse/diagnostic/diagnostic.go
@@ -24,14 +24,14 @@
 
 // Error says what is wrong at a place, and what would be right where that can be said.
 type Error struct {
-	Pos  Pos
-	What string
-	Want string
+	Pos     Pos
+	Message string
+	Want    string
 }
 
 // Error gives the form that compilers use: FILE:LINE:COL: what; want what would be right.
 func (e *Error) Error() string {
-	text := e.Pos.String() + ": " + e.What
+	text := e.Pos.String() + ": " + e.Message
 	if e.Want != "" {
 		text += "; want " + e.Want
 	}
@@ -40,16 +40,16 @@
 
 // Errorf makes an Error without a remedy.
 func Errorf(p Pos, format string, args ...any) *Error {
-	return &Error{Pos: p, What: fmt.Sprintf(format, args...)}
+	return &Error{Pos: p, Message: fmt.Sprintf(format, args...)}
 }
 
 // Wantf makes an Error whose remedy is want.
 func Wantf(p Pos, want, format string, args ...any) *Error {
-	return &Error{Pos: p, What: fmt.Sprintf(format, args...), Want: want}
+	return &Error{Pos: p, Message: fmt.Sprintf(format, args...), Want: want}
 }
 
-// Most is how many errors a List keeps: a broken file is told about, not drowned in.
-const Most = 20
+// MaxErrors is how many errors a List keeps: a broken file is told about, not drowned in.
+const MaxErrors = 20
 
 // List gathers the errors of one file.
 type List struct {
@@ -62,7 +62,7 @@
 	if err == nil {
 		return
 	}
-	if len(l.errs) >= Most {
+	if len(l.errs) >= MaxErrors {
 		l.dropped++
 		return
 	}
--- a/internal/parse/platformconfig/golden_test.go
+++ b/internal/parse/platformconfig/golden_test.go
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	goldentest.Check(t, "all.parsed", []byte(lines(reflect.ValueOf(*in))))
-	s, err := Settings(in)
+	s, err := ModuleSettings(in)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/parse/platformconfig/settings.go
+++ b/internal/parse/platformconfig/settings.go
@@ -25,41 +25,41 @@
 // Milliseconds is the other way.
 func Milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Settings translates for the module, or says which part it cannot use.
-func Settings(in *Info) (forkhead.Settings, error) {
+// ModuleSettings translates for the module, or says which part it cannot use.
+func ModuleSettings(in *Info) (forkhead.Settings, error) {
 	f := in.FamilyInfo
 	s := forkhead.Settings{
-		Placers: in.Balancers, Self: in.Me, Zone: in.Zone,
-		MeanCores: f.UnitCores, MeanMemory: f.MeanMemory,
-		CoresOvercommit: f.AcceptsCores, MemoryOvercommit: f.MemBooking,
-		BoundWhenRunning: f.SaysYes == "running", ServiceAffinity: f.Sticks, Preemption: f.Displaces,
-		NotesReportUsage: f.SaysUse, NotesReportPressure: f.PressureNotes, ListReportsAvailable: f.ListsFree,
+		Placers: in.Placers, Self: in.Self, Zone: in.Zone,
+		MeanCores: f.MeanCores, MeanMemory: f.MeanMemory,
+		CoresOvercommit: f.CoresOvercommit, MemoryOvercommit: f.MemoryOvercommit,
+		BoundWhenRunning: f.BoundWhen == "running", ServiceAffinity: f.ServiceAffinity, Preemption: f.Preemption,
+		NotesReportUsage: f.NotesReportUsage, NotesReportPressure: f.NotesReportPressure, ListReportsAvailable: f.ListReportsAvailable,
 		ListWatched:           in.Discovery == "automatic",
 		ReportsInOutcomes:     in.LoadInfo.How == "answers",
 		ReportsInProbes:       in.LoadInfo.How == "probe" || in.LoadInfo.How == "answers",
 		ReportsCountRequested: f.ReportCounts == "asked",
-		MaxAttempts:           in.Caps.MaxAttempts, ParallelAttempts: in.Caps.ParallelTries,
-		MayWithdraw: in.Caps.Cancel, MayProbe: in.Caps.Probing, MayGossip: in.Caps.Peers,
-		OwnerBackoff: Duration(f.OwnerWait), MaxRetryAfter: Duration(in.Caps.MaxRetryAfter),
+		MaxAttempts:           in.Caps.MaxAttempts, ParallelAttempts: in.Caps.ParallelAttempts,
+		MayWithdraw: in.Caps.MayWithdraw, MayProbe: in.Caps.MayProbe, MayGossip: in.Caps.MayGossip,
+		OwnerBackoff: Duration(f.OwnerBackoff), MaxRetryAfter: Duration(in.Caps.MaxRetryAfter),
 		ConnectTimeout: Duration(in.Caps.ConnectTimeout), AnswerSlack: Duration(in.Rules.AnswerSlack),
-		DrainGrace: Duration(in.Rules.StopSendingWithin), MaxPollInterval: Duration(in.Rules.MustAskIn),
-		SlowStartDuration: Duration(in.Rules.Cold), SlowStartWindow: Duration(in.Rules.Fall), SlowStartMaxOffers: f.ColdSends,
-		SlowStartInitialRate: in.Rules.ColdFrom, SlowStartOverload: in.Rules.FallMultiple,
-		OverQuotaWeight: in.OverShareWorth,
+		DrainGrace: Duration(in.Rules.DrainGrace), MaxPollInterval: Duration(in.Rules.MaxPollInterval),
+		SlowStartDuration: Duration(in.Rules.SlowStartDuration), SlowStartWindow: Duration(in.Rules.SlowStartWindow), SlowStartMaxOffers: f.SlowStartMaxOffers,
+		SlowStartInitialRate: in.Rules.SlowStartInitialRate, SlowStartOverload: in.Rules.SlowStartOverload,
+		OverQuotaWeight: in.OverQuotaWeight,
 		Costs: forkhead.Costs{
-			SurplusMachine: in.Deductions.Fleet, Migration: in.Deductions.Moves, EvictionMigrations: f.EvictCounts,
-			Rejection: f.RefusalFee, RemoteZone: in.Deductions.CrossZone, WastedWork: in.Deductions.Waste,
-			Probe: in.Deductions.Probe, Gossip: in.Deductions.Peer, ListEntries: in.Deductions.Discovery,
+			SurplusMachine: in.Costs.SurplusMachine, Migration: in.Costs.Migration, EvictionMigrations: f.EvictionMigrations,
+			Rejection: f.RejectionCost, RemoteZone: in.Costs.RemoteZone, WastedWork: in.Costs.WastedWork,
+			Probe: in.Costs.Probe, Gossip: in.Costs.Gossip, ListEntries: in.Costs.ListEntries,
 		},
 	}
-	if len(f.KindCores) != len(f.MemoryByKind) {
-		return s, fmt.Errorf("settings: %d kinds have cores, %d memory", len(f.KindCores), len(f.MemoryByKind))
+	if len(f.MachineCores) != len(f.MachineMemory) {
+		return s, fmt.Errorf("settings: %d kinds have cores, %d memory", len(f.MachineCores), len(f.MachineMemory))
 	}
-	for i, cores := range f.KindCores {
-		s.MachineTypes = append(s.MachineTypes, forkhead.MachineType{Cores: cores, Memory: f.MemoryByKind[i]})
+	for i, cores := range f.MachineCores {
+		s.MachineTypes = append(s.MachineTypes, forkhead.MachineType{Cores: cores, Memory: f.MachineMemory[i]})
 	}
 	for i, t := range in.Tenants {
-		tenant := forkhead.Tenant{Quota: t.Share}
+		tenant := forkhead.Tenant{Quota: t.Quota}
 		if i < len(f.TenantQuotaCores) {
 			tenant.QuotaCores = f.TenantQuotaCores[i]
 		}
@@ -71,8 +71,8 @@
 func classes(s *forkhead.Settings, in *Info) error {
 	f := in.FamilyInfo
 	for _, n := range []int{
-		len(f.ClassMost), len(f.ClassPriority), len(f.ClassSpread), len(f.EasyUntil), len(f.ClassFade),
-		len(f.KindByClass), len(f.PromptStartS),
+		len(f.MaxPerDomain), len(f.Priority), len(f.SpreadDomain), len(f.SaturationThreshold), len(f.DegradationRange),
+		len(f.MachineTypeByClass), len(f.StartWeight),
 	} {
 		if n != len(in.Classes) {
 			return fmt.Errorf("settings: a list of familyInfo has %d entries for %d classes", n, len(in.Classes))
@@ -80,18 +80,18 @@
 	}
 	for i, c := range in.Classes {
 		class := forkhead.Class{
-			DedupWindow: Duration(c.MemorySpan), LatencyObjective: Duration(c.Aim), Weight: c.Points, LateWeight: c.LateWorth,
-			StartWeight: f.PromptStartS[i], Priority: f.ClassPriority[i], MachineType: f.KindByClass[i],
-			MaxPerDomain: f.ClassMost[i], SaturationThreshold: f.EasyUntil[i], DegradationRange: f.ClassFade[i],
+			DedupWindow: Duration(c.DedupWindow), LatencyObjective: Duration(c.LatencyObjective), Weight: c.Weight, LateWeight: c.LateWeight,
+			StartWeight: f.StartWeight[i], Priority: f.Priority[i], MachineType: f.MachineTypeByClass[i],
+			MaxPerDomain: f.MaxPerDomain[i], SaturationThreshold: f.SaturationThreshold[i], DegradationRange: f.DegradationRange[i],
 		}
 		var err error
 		if class.Effect, err = lookup("effect", effects, c.Effect); err != nil {
 			return err
 		}
-		if class.DedupDomain, err = lookup("group", places, c.Group); err != nil {
+		if class.DedupDomain, err = lookup("group", places, c.DedupDomain); err != nil {
 			return err
 		}
-		if class.SpreadDomain, err = lookup("classSpread", places, f.ClassSpread[i]); err != nil {
+		if class.SpreadDomain, err = lookup("classSpread", places, f.SpreadDomain[i]); err != nil {
 			return err
 		}
 		s.Classes = append(s.Classes, class)
--- a/internal/parse/servicespec/description.go
+++ b/internal/parse/servicespec/servicespec.go
@@ -14,10 +14,10 @@
 
 // Description is one project.
 type Description struct {
-	Name     string    // of the project; "" if the source names none
-	Services []Service // by name
-	Notes    []Note    // what was read but acts on no placement here
-	Whole    bool      // all of its tasks are to be placed, or none
+	Name         string    // of the project; "" if the source names none
+	Services     []Service // by name
+	Notes        []Note    // what was read but acts on no placement here
+	AllOrNothing bool      `json:"Whole"` // all of its tasks are to be placed, or none
 }
 
 // Note says that an element is carried but not acted on.
@@ -40,34 +40,34 @@
 // Job says whether the tasks are meant to end.
 func (m Mode) Job() bool { return m == ReplicatedJob || m == GlobalJob }
 
-// Each says whether the number of tasks follows the hosts.
-func (m Mode) Each() bool { return m == Global || m == GlobalJob }
+// PerHost says whether the number of tasks follows the hosts.
+func (m Mode) PerHost() bool { return m == Global || m == GlobalJob }
 
 // Service is one service of a project.
 type Service struct {
-	Name        string
-	Pos         diagnostic.Pos
-	Class       string // "": the service's default
-	Tenant      string // "": none
-	Mode        Mode
-	Replicas    int
-	Cores       float64 // cores reserved for each task
-	Memory      float64 // GiB reserved for each task
-	LimitCores  float64 // 0: none
-	LimitMemory float64
-	Life        time.Duration // how long a task runs, roughly; 0: not told
-	Wait        time.Duration // of one ask; 0: the class's
-	Patience    time.Duration // for a task to be placed; 0: the class's
-	Constraints []Constraint
-	Preferences []Attribute // spread evenly over these, as far as it goes
-	Limits      []Limit
-	Near        []Near // services that its tasks have to be beside
-	Restart     Restart
-	Update      Update
-	DependsOn   []Dependency
-	Labels      map[string]string
-	StopGrace   time.Duration // between a stop and the kill; 0: the host's
-	Payload     []byte        // JSON of what only the host acts on
+	Name             string
+	Pos              diagnostic.Pos
+	Class            string // "": the service's default
+	Tenant           string // "": none
+	Mode             Mode
+	Replicas         int
+	Cores            float64 // cores reserved for each task
+	Memory           float64 // GiB reserved for each task
+	LimitCores       float64 // 0: none
+	LimitMemory      float64
+	ExpectedRuntime  time.Duration `json:"Life"`     // how long a task runs, roughly; 0: not told
+	RequestTimeout   time.Duration `json:"Wait"`     // of one ask; 0: the class's
+	PlacementTimeout time.Duration `json:"Patience"` // for a task to be placed; 0: the class's
+	Constraints      []Constraint
+	Preferences      []Attribute   // spread evenly over these, as far as it goes
+	SpreadLimits     []SpreadLimit `json:"Limits"`
+	Near             []Near        // services that its tasks have to be beside
+	Restart          Restart
+	Update           Update
+	DependsOn        []Dependency
+	Labels           map[string]string
+	StopGrace        time.Duration // between a stop and the kill; 0: the host's
+	Payload          []byte        // JSON of what only the host acts on
 }
 
 // Attribute names something of a host: id, hostname, role, os, arch or label.NAME. kind, zone
@@ -91,72 +91,72 @@
 	return string(c.Attribute) + " " + op + " " + c.Value
 }
 
-// Limit is the most tasks of the service in one place: machine, rack or zone.
-type Limit struct {
-	Place string
-	Most  int
-	Pos   diagnostic.Pos
+// SpreadLimit is the most tasks of the service in one place: machine, rack or zone.
+type SpreadLimit struct {
+	Domain   string `json:"Place"`
+	MaxTasks int    `json:"Most"`
+	Pos      diagnostic.Pos
 }
 
 // Near keeps a service's tasks to places where another service of the project has one.
 type Near struct {
 	Service string
-	Place   string // machine, rack or zone
+	Domain  string `json:"Place"` // machine, rack or zone
 	Pos     diagnostic.Pos
 }
 
-// When says when an ended task is started again.
-type When uint8
+// RestartCondition says when an ended task is started again.
+type RestartCondition uint8
 
 // The conditions of a restart.
 const (
-	Always When = iota
+	Always RestartCondition = iota
 	OnFailure
 	Never
 )
 
 // Restart is what follows the end of a task.
 type Restart struct {
-	When   When
-	Delay  time.Duration
-	Most   int           // restarts in Window; 0: no limit
-	Window time.Duration // 0: for good
+	When        RestartCondition
+	Delay       time.Duration
+	MaxRestarts int           `json:"Most"` // restarts in Window; 0: no limit
+	Window      time.Duration // 0: for good
 }
 
-// OnTrouble says what an update does when tasks fail.
-type OnTrouble uint8
+// FailureAction says what an update does when tasks fail.
+type FailureAction uint8
 
 // The answers to a failed update.
 const (
-	Pause OnTrouble = iota
+	Pause FailureAction = iota
 	Continue
 	Rollback
 )
 
 // Update says how a changed service replaces its running tasks.
 type Update struct {
-	Parallel   int // tasks at a time; 0: all
-	Delay      time.Duration
-	OnTrouble  OnTrouble
-	Monitor    time.Duration
-	MaxFailed  float64 // share of tasks that may fail
-	StartFirst bool
+	Parallel        int // tasks at a time; 0: all
+	Delay           time.Duration
+	FailureAction   FailureAction `json:"OnTrouble"`
+	Monitor         time.Duration
+	MaxFailureRatio float64 `json:"MaxFailed"` // share of tasks that may fail
+	StartFirst      bool
 }
 
-// Condition says what a dependency must have reached.
-type Condition uint8
+// DependencyCondition says what a dependency must have reached.
+type DependencyCondition uint8
 
 // The conditions.
 const (
-	Started   Condition = iota // all its tasks are placed
-	Healthy                    // as Started: hosts tell that a task runs, not that it is well
-	Completed                  // all its tasks ended well
+	Started   DependencyCondition = iota // all its tasks are placed
+	Healthy                              // as Started: hosts tell that a task runs, not that it is well
+	Completed                            // all its tasks ended well
 )
 
 // Dependency is a service that goes first.
 type Dependency struct {
 	Service  string
-	When     Condition
+	When     DependencyCondition
 	Optional bool
 	Restart  bool // placed anew when the dependency is
 	Pos      diagnostic.Pos
@@ -223,7 +223,7 @@
 func (d *Description) Tasks() int {
 	n := 0
 	for _, s := range d.Services {
-		if !s.Mode.Each() {
+		if !s.Mode.PerHost() {
 			n += s.Replicas
 		}
 	}
@@ -254,9 +254,9 @@
 	return keys
 }
 
-// Key is the number under which a task is known at every host and placer, the same each time
+// TaskKey is the number under which a task is known at every host and placer, the same each time
 // that its project is submitted.
-func Key(tenant, project, service string, replica int) uint64 {
+func TaskKey(tenant, project, service string, replica int) uint64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%q %q %q %d", tenant, project, service, replica)
 	return max(h.Sum64(), 1)
@@ -264,5 +264,5 @@
 
 // ServiceKey is the number under which a service is known.
 func ServiceKey(tenant, project, service string) uint64 {
-	return Key(tenant, project, service, -1)
+	return TaskKey(tenant, project, service, -1)
 }
--- a/internal/parse/settings/golden_test.go
+++ b/internal/parse/settings/golden_test.go
@@ -27,20 +27,20 @@
 // testdata/all.sexp gives every setting a value of its own, and testdata/least.sexp those that have no default. Each comes
 // to its place among the values, whose order is that of the fields: who puts the fields in another order has to see that
 // the values move with them.
-func TestReadGolden(t *testing.T) {
+func TestParseGolden(t *testing.T) {
 	for _, name := range []string{"all", "least"} {
 		file := filepath.Join("testdata", name+".sexp")
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := Read(file, text)
+		s, err := Parse(file, text)
 		if err != nil {
 			t.Fatal(err)
 		}
 		goldentest.Check(t, name+".values", lines(reflect.ValueOf(*s.For(0))))
 	}
-	s, err := Read("default settings", Default)
+	s, err := Parse("default settings", Default)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err = Read("faults.sexp", text); err == nil {
+	if _, err = Parse("faults.sexp", text); err == nil {
 		t.Fatal("no fault is found")
 	}
 	goldentest.Check(t, "faults.txt", []byte(err.Error()+"\n"))
--- a/internal/parse/settings/settings.go
+++ b/internal/parse/settings/settings.go
@@ -21,66 +21,66 @@
 // Settings are what a placer service is told when it starts. Figures that the module rules by
 // are in Module and are passed on as they stand; Self and Zone are set by For.
 type Settings struct {
-	Module  forkhead.Settings
-	Kinds   []string // names, by place in Module.Kinds
-	Classes []Class  // names and waits, by place in Module.Classes
-	Tenants []string // names, by place in Module.Tenants
+	Module           forkhead.Settings
+	MachineTypeNames []string // names, by place in Module.MachineTypes
+	Classes          []Class  // names and waits, by place in Module.Classes
+	Tenants          []string // names, by place in Module.Tenants
 
 	DefaultClass int
 
 	Placers          []Placer
 	ServiceDiscovery ServiceDiscovery
 	Owner            Owner
-	Links            Links
+	HostConnections  HostConnections
 	Limits           Limits
-	Saved            Saved
+	SavedHostList    SavedHostList
 }
 
-// Saved says what a list of hosts kept on disk is worth to a placer that starts.
-type Saved struct {
-	Fresh time.Duration // as good as one from the catalogue up to this age
-	Old   time.Duration // of no use beyond it; between the two a host counts once it has greeted
+// SavedHostList says what a list of hosts kept on disk is worth to a placer that starts.
+type SavedHostList struct {
+	FreshAge time.Duration // as good as one from the catalogue up to this age
+	MaxAge   time.Duration // of no use beyond it; between the two a host counts once it has greeted
 }
 
 // Class is what the service knows of a class beside what the module does.
 type Class struct {
-	Name     string
-	Wait     time.Duration // an ask is given up after this
-	Patience time.Duration // a task is asked for, again and again, for so long
+	Name             string
+	RequestTimeout   time.Duration // one placement request is given up after this
+	PlacementTimeout time.Duration // a task is requested again and again for so long
 }
 
 // Placer is one placer of the service.
 type Placer struct {
-	Zone string
-	HTTP string // address of its front
-	Tell string // UDP address for messages between placers
+	Zone          string
+	HTTPAddress   string // address of its front
+	GossipAddress string // UDP address for messages between placers
 }
 
 // ServiceDiscovery says where the list of hosts comes from.
 type ServiceDiscovery struct {
-	Address string
-	Service string        // name under which hosts are registered
-	Wait    time.Duration // longest a blocking query is held
-	Timeout time.Duration // beyond Wait; then the query has failed
-	Pace    time.Duration // least time between two queries
+	Address     string
+	Service     string        // name under which hosts are registered
+	MaxWait     time.Duration // longest a blocking query is held
+	Timeout     time.Duration // beyond Wait; then the query has failed
+	MinInterval time.Duration // least time between two queries
 }
 
 // Owner says how a task that was refused, failed, moved or lost is asked for again.
 type Owner struct {
-	First time.Duration // mean wait after the first refusal
-	Most  time.Duration // waits double up to this
-	Soon  time.Duration // mean wait after a move or loss
-	Asks  int           // asks for one outcome
-	Lives int           // times that a placed task is placed anew
+	MinBackoff       time.Duration // mean wait after the first refusal
+	MaxBackoff       time.Duration // waits double up to this
+	MigrationBackoff time.Duration // mean wait after a move or loss
+	MaxRequests      int           // placement requests for one outcome
+	MaxPlacements    int           // how often one task is placed, counting each placement that was lost again
 }
 
-// Links says how connections to hosts are kept.
-type Links struct {
-	Connect   time.Duration // no connection within it: it has failed
-	First     time.Duration // mean wait before the first reconnect
-	Most      time.Duration // waits double up to this
-	LostAfter time.Duration // a host that is gone for so long has lost its tasks, where a repeat is harmless
-	Probe     time.Duration // a probe without an answer for so long has failed
+// HostConnections says how connections to hosts are kept.
+type HostConnections struct {
+	ConnectTimeout time.Duration // no connection within it: it has failed
+	MinBackoff     time.Duration // mean wait before the first reconnect
+	MaxBackoff     time.Duration // waits double up to this
+	LostAfter      time.Duration // a host that is gone for so long has lost its tasks, where a repeat is harmless
+	ProbeTimeout   time.Duration // a probe without an answer for so long has failed
 }
 
 // Limits bound memory and work. What happens at each is in docs/ops/placer.md.
@@ -89,15 +89,15 @@
 	Tasks       int           // tasks that one placer holds
 	PerSubmit   int           // tasks of one submission
 	Submissions int           // submissions remembered
-	Keep        time.Duration // how long a finished submission can be read again
+	Retention   time.Duration // how long a finished submission can be read again
 	Connections int           // to the front
 	Buffer      int           // bytes waiting for one reader
 	Hosts       int           // hosts in the list
-	Label       int           // different placement constraints at once
+	Labels      int           // different placement constraints at once
 }
 
-// Read parses and checks a file of settings. The error lists all faults with their places.
-func Read(file string, text []byte) (*Settings, error) {
+// Parse parses and checks a file of settings. The error lists all faults with their places.
+func Parse(file string, text []byte) (*Settings, error) {
 	nodes, err := sexp.Parse(file, text)
 	if err != nil {
 		return nil, err
@@ -182,18 +182,18 @@
 	}
 	r.s.DefaultClass = 0
 	r.s.ServiceDiscovery = ServiceDiscovery{
-		Address: "127.0.0.1:8500", Service: "forkhead-host", Wait: 10 * time.Second, Timeout: 2 * time.Second,
-		Pace: 200 * time.Millisecond,
+		Address: "127.0.0.1:8500", Service: "forkhead-host", MaxWait: 10 * time.Second, Timeout: 2 * time.Second,
+		MinInterval: 200 * time.Millisecond,
 	}
-	r.s.Owner = Owner{First: time.Second, Most: 15 * time.Second, Soon: 100 * time.Millisecond, Asks: 100, Lives: 1000}
-	r.s.Saved = Saved{Fresh: time.Minute, Old: 24 * time.Hour}
-	r.s.Links = Links{
-		Connect: time.Second, First: 100 * time.Millisecond, Most: 3 * time.Second, LostAfter: 3 * time.Second,
-		Probe: time.Second,
+	r.s.Owner = Owner{MinBackoff: time.Second, MaxBackoff: 15 * time.Second, MigrationBackoff: 100 * time.Millisecond, MaxRequests: 100, MaxPlacements: 1000}
+	r.s.SavedHostList = SavedHostList{FreshAge: time.Minute, MaxAge: 24 * time.Hour}
+	r.s.HostConnections = HostConnections{
+		ConnectTimeout: time.Second, MinBackoff: 100 * time.Millisecond, MaxBackoff: 3 * time.Second, LostAfter: 3 * time.Second,
+		ProbeTimeout: time.Second,
 	}
 	r.s.Limits = Limits{
-		Body: 1 << 20, Tasks: 100_000, PerSubmit: 10_000, Submissions: 10_000, Keep: 10 * time.Minute,
-		Connections: 1000, Buffer: 4 << 20, Hosts: 10_000, Label: 64,
+		Body: 1 << 20, Tasks: 100_000, PerSubmit: 10_000, Submissions: 10_000, Retention: 10 * time.Minute,
+		Connections: 1000, Buffer: 4 << 20, Hosts: 10_000, Labels: 64,
 	}
 }
 
@@ -210,9 +210,9 @@
 		"kind":   r.kind,
 		"class":  r.class,
 		"tenant": r.tenant,
-		"default-class": sexp.One(func(v *sexp.Node) error {
+		"default-class": sexp.SingleValue(func(v *sexp.Node) error {
 			defaultClass = v
-			_, err := v.Word()
+			_, err := v.Text()
 			return err
 		}),
 		"mean-cores":  sexp.Number(&m.MeanCores, 1e-3, 1e4),
@@ -249,40 +249,40 @@
 		"owner": r.group(map[string]sexp.Field{
 			"wait":            sexp.Duration(&m.OwnerBackoff, 0, time.Hour),
 			"max-retry-after": sexp.Duration(&m.MaxRetryAfter, 0, time.Hour),
-			"first":           sexp.Duration(&r.s.Owner.First, time.Millisecond, time.Hour),
-			"most":            sexp.Duration(&r.s.Owner.Most, time.Millisecond, long),
-			"soon":            sexp.Duration(&r.s.Owner.Soon, time.Millisecond, time.Hour),
-			"asks":            sexp.Int(&r.s.Owner.Asks, 1, 1e6),
-			"lives":           sexp.Int(&r.s.Owner.Lives, 1, 1e6),
+			"first":           sexp.Duration(&r.s.Owner.MinBackoff, time.Millisecond, time.Hour),
+			"most":            sexp.Duration(&r.s.Owner.MaxBackoff, time.Millisecond, long),
+			"soon":            sexp.Duration(&r.s.Owner.MigrationBackoff, time.Millisecond, time.Hour),
+			"asks":            sexp.Int(&r.s.Owner.MaxRequests, 1, 1e6),
+			"lives":           sexp.Int(&r.s.Owner.MaxPlacements, 1, 1e6),
 		}),
 		"links": r.group(map[string]sexp.Field{
-			"connect":    sexp.Duration(&r.s.Links.Connect, time.Millisecond, time.Minute),
-			"first":      sexp.Duration(&r.s.Links.First, time.Millisecond, time.Minute),
-			"most":       sexp.Duration(&r.s.Links.Most, time.Millisecond, time.Hour),
-			"lost-after": sexp.Duration(&r.s.Links.LostAfter, 0, time.Hour),
-			"probe":      sexp.Duration(&r.s.Links.Probe, time.Millisecond, time.Minute),
+			"connect":    sexp.Duration(&r.s.HostConnections.ConnectTimeout, time.Millisecond, time.Minute),
+			"first":      sexp.Duration(&r.s.HostConnections.MinBackoff, time.Millisecond, time.Minute),
+			"most":       sexp.Duration(&r.s.HostConnections.MaxBackoff, time.Millisecond, time.Hour),
+			"lost-after": sexp.Duration(&r.s.HostConnections.LostAfter, 0, time.Hour),
+			"probe":      sexp.Duration(&r.s.HostConnections.ProbeTimeout, time.Millisecond, time.Minute),
 		}),
 		"saved-list": r.group(map[string]sexp.Field{
-			"fresh": sexp.Duration(&r.s.Saved.Fresh, 0, 24*time.Hour),
-			"old":   sexp.Duration(&r.s.Saved.Old, 0, 365*24*time.Hour),
+			"fresh": sexp.Duration(&r.s.SavedHostList.FreshAge, 0, 24*time.Hour),
+			"old":   sexp.Duration(&r.s.SavedHostList.MaxAge, 0, 365*24*time.Hour),
 		}),
 		"catalogue": r.group(map[string]sexp.Field{
 			"address": r.address(&r.s.ServiceDiscovery.Address),
 			"service": sexp.Text(&r.s.ServiceDiscovery.Service),
-			"wait":    sexp.Duration(&r.s.ServiceDiscovery.Wait, 10*time.Millisecond, 10*time.Minute),
+			"wait":    sexp.Duration(&r.s.ServiceDiscovery.MaxWait, 10*time.Millisecond, 10*time.Minute),
 			"timeout": sexp.Duration(&r.s.ServiceDiscovery.Timeout, 10*time.Millisecond, 10*time.Minute),
-			"pace":    sexp.Duration(&r.s.ServiceDiscovery.Pace, time.Millisecond, time.Minute),
+			"pace":    sexp.Duration(&r.s.ServiceDiscovery.MinInterval, time.Millisecond, time.Minute),
 		}),
 		"limits": r.group(map[string]sexp.Field{
 			"body":        sexp.Int(&r.s.Limits.Body, 1024, 64<<20),
 			"tasks":       sexp.Int(&r.s.Limits.Tasks, 1, 1e7),
 			"per-submit":  sexp.Int(&r.s.Limits.PerSubmit, 1, 1e6),
 			"submissions": sexp.Int(&r.s.Limits.Submissions, 1, 1e6),
-			"keep":        sexp.Duration(&r.s.Limits.Keep, time.Second, long),
+			"keep":        sexp.Duration(&r.s.Limits.Retention, time.Second, long),
 			"connections": sexp.Int(&r.s.Limits.Connections, 1, 1e6),
 			"buffer":      sexp.Int(&r.s.Limits.Buffer, 4096, 1<<30),
 			"hosts":       sexp.Int(&r.s.Limits.Hosts, 1, 1e6),
-			"labels":      sexp.Int(&r.s.Limits.Label, 1, 64),
+			"labels":      sexp.Int(&r.s.Limits.Labels, 1, 64),
 		}),
 	}, map[string]bool{"placer": true, "kind": true, "class": true, "tenant": true}, r.errs)
 	r.finish(n, defaultClass)
@@ -292,18 +292,18 @@
 func (r *reader) finish(n, defaultClass *sexp.Node) {
 	s := r.s
 	if len(s.Placers) == 0 {
-		s.Placers = []Placer{{Zone: "", HTTP: "127.0.0.1:7070", Tell: "127.0.0.1:7071"}}
+		s.Placers = []Placer{{Zone: "", HTTPAddress: "127.0.0.1:7070", GossipAddress: "127.0.0.1:7071"}}
 	}
-	if len(s.Kinds) == 0 {
+	if len(s.MachineTypeNames) == 0 {
 		r.errs.Add(diagnostic.Wantf(n.Pos, "(kind NAME (cores N) (memory N))", "no kind of host is named"))
 	}
 	if len(s.Classes) == 0 {
 		r.errs.Add(diagnostic.Wantf(n.Pos, "(class NAME ...)", "no class of task is named"))
 	}
 	for _, w := range r.classKinds {
-		kind := Index(s.Kinds, w.name.Atom)
+		kind := Index(s.MachineTypeNames, w.name.Atom)
 		if kind < 0 {
-			r.errs.Add(diagnostic.Wantf(w.name.Pos, strings.Join(s.Kinds, ", "), "kind %q is not named", w.name.Atom))
+			r.errs.Add(diagnostic.Wantf(w.name.Pos, strings.Join(s.MachineTypeNames, ", "), "kind %q is not named", w.name.Atom))
 		}
 		s.Module.Classes[w.class].MachineType = kind
 	}
@@ -320,11 +320,11 @@
 	if s.Module.MeanMemory == 0 {
 		s.Module.MeanMemory = 2
 	}
-	if s.Owner.Most < s.Owner.First {
-		r.errs.Add(diagnostic.Wantf(n.Pos, fmt.Sprintf("at least first, %v", s.Owner.First), "owner: most is %v", s.Owner.Most))
+	if s.Owner.MaxBackoff < s.Owner.MinBackoff {
+		r.errs.Add(diagnostic.Wantf(n.Pos, fmt.Sprintf("at least first, %v", s.Owner.MinBackoff), "owner: most is %v", s.Owner.MaxBackoff))
 	}
-	if s.Links.Most < s.Links.First {
-		r.errs.Add(diagnostic.Wantf(n.Pos, fmt.Sprintf("at least first, %v", s.Links.First), "links: most is %v", s.Links.Most))
+	if s.HostConnections.MaxBackoff < s.HostConnections.MinBackoff {
+		r.errs.Add(diagnostic.Wantf(n.Pos, fmt.Sprintf("at least first, %v", s.HostConnections.MinBackoff), "links: most is %v", s.HostConnections.MaxBackoff))
 	}
 	total := 0.0
 	for _, t := range s.Module.Tenants {
@@ -344,8 +344,8 @@
 }
 
 func (r *reader) address(to *string) sexp.Field {
-	return sexp.One(func(v *sexp.Node) error {
-		word, err := v.Word()
+	return sexp.SingleValue(func(v *sexp.Node) error {
+		word, err := v.Text()
 		if err != nil {
 			return err
 		}
@@ -362,8 +362,8 @@
 
 // memory reads an amount with its unit into units of a gibibyte.
 func (r *reader) memory(to *float64) sexp.Field {
-	return sexp.One(func(v *sexp.Node) error {
-		word, err := v.Word()
+	return sexp.SingleValue(func(v *sexp.Node) error {
+		word, err := v.Text()
 		if err != nil {
 			return err
 		}
@@ -387,8 +387,8 @@
 	p := Placer{}
 	sexp.Fields(n.Args(), map[string]sexp.Field{
 		"zone": sexp.Text(&p.Zone),
-		"http": r.address(&p.HTTP),
-		"tell": r.address(&p.Tell),
+		"http": r.address(&p.HTTPAddress),
+		"tell": r.address(&p.GossipAddress),
 	}, nil, r.errs)
 	if len(r.s.Placers) >= 4096 {
 		return diagnostic.Wantf(n.Pos, "at most 4096", "too many placers")
@@ -413,7 +413,7 @@
 }
 
 func (r *reader) kind(n *sexp.Node) error {
-	name, rest, err := named(n, r.s.Kinds)
+	name, rest, err := named(n, r.s.MachineTypeNames)
 	if err != nil {
 		return err
 	}
@@ -424,7 +424,7 @@
 	if k.Cores == 0 || k.Memory == 0 {
 		r.errs.Add(diagnostic.Wantf(n.Pos, "(cores N) and (memory N)", "kind %q lacks its cores or memory", name))
 	}
-	r.s.Kinds = append(r.s.Kinds, name)
+	r.s.MachineTypeNames = append(r.s.MachineTypeNames, name)
 	r.s.Module.MachineTypes = append(r.s.Module.MachineTypes, k)
 	return nil
 }
@@ -438,7 +438,7 @@
 	if err != nil {
 		return err
 	}
-	c := Class{Name: name, Wait: 5 * time.Second}
+	c := Class{Name: name, RequestTimeout: 5 * time.Second}
 	m := forkhead.Class{
 		DedupWindow: 8 * time.Second, LatencyObjective: time.Second, Weight: 1, LateWeight: 0.1, StartWeight: 10, MachineType: -1,
 		SaturationThreshold: 0.9, DegradationRange: 0.2,
@@ -446,25 +446,25 @@
 	at := len(r.s.Classes)
 	sexp.Fields(rest, map[string]sexp.Field{
 		"effect":      sexp.Choice(&m.Effect, map[string]forkhead.Effect{"safe": forkhead.Safe, "keyed": forkhead.Keyed, "unsafe": forkhead.Unsafe}),
-		"group":       sexp.Choice(&m.DedupDomain, Places),
+		"group":       sexp.Choice(&m.DedupDomain, Domains),
 		"window":      sexp.Duration(&m.DedupWindow, 0, time.Hour),
 		"aim":         sexp.Duration(&m.LatencyObjective, 0, time.Hour),
-		"wait":        sexp.Duration(&c.Wait, time.Millisecond, time.Hour),
-		"patience":    sexp.Duration(&c.Patience, time.Millisecond, long),
+		"wait":        sexp.Duration(&c.RequestTimeout, time.Millisecond, time.Hour),
+		"patience":    sexp.Duration(&c.PlacementTimeout, time.Millisecond, long),
 		"worth":       sexp.Number(&m.Weight, 0, most),
 		"late-worth":  sexp.Number(&m.LateWeight, 0, 1),
 		"start-worth": sexp.Number(&m.StartWeight, 0, most),
 		"priority":    sexp.Int(&m.Priority, 0, 3),
-		"kind": sexp.One(func(v *sexp.Node) error {
+		"kind": sexp.SingleValue(func(v *sexp.Node) error {
 			r.classKinds = append(r.classKinds, wantKind{at, v})
-			_, err := v.Word()
+			_, err := v.Text()
 			return err
 		}),
 		"spread": func(f *sexp.Node) error {
 			if len(f.Args()) != 2 {
 				return diagnostic.Wantf(f.Pos, "(spread machine|rack|zone MOST)", "spread has %d values", len(f.Args()))
 			}
-			if err := sexp.Choice(&m.SpreadDomain, Places)(&sexp.Node{Pos: f.Pos, List: true, Items: f.Items[:2]}); err != nil {
+			if err := sexp.Choice(&m.SpreadDomain, Domains)(&sexp.Node{Pos: f.Pos, List: true, Items: f.Items[:2]}); err != nil {
 				return err
 			}
 			m.MaxPerDomain, err = f.Items[2].Int(1, 1e6)
@@ -473,19 +473,19 @@
 		"calm": sexp.Number(&m.SaturationThreshold, 0.01, 10),
 		"fade": sexp.Number(&m.DegradationRange, 0, 10),
 	}, nil, r.errs)
-	if c.Patience == 0 {
-		c.Patience = 2 * c.Wait
+	if c.PlacementTimeout == 0 {
+		c.PlacementTimeout = 2 * c.RequestTimeout
 	}
-	if c.Patience < c.Wait {
-		r.errs.Add(diagnostic.Wantf(n.Pos, fmt.Sprintf("at least its wait, %v", c.Wait), "class %q: patience is %v", name, c.Patience))
+	if c.PlacementTimeout < c.RequestTimeout {
+		r.errs.Add(diagnostic.Wantf(n.Pos, fmt.Sprintf("at least its wait, %v", c.RequestTimeout), "class %q: patience is %v", name, c.PlacementTimeout))
 	}
 	r.s.Classes = append(r.s.Classes, c)
 	r.s.Module.Classes = append(r.s.Module.Classes, m)
 	return nil
 }
 
-// Places are the words for sets of hosts, in settings and descriptions.
-var Places = map[string]forkhead.Domain{
+// Domains are the words for sets of hosts, in settings and descriptions.
+var Domains = map[string]forkhead.Domain{
 	"anywhere": forkhead.AnyDomain, "machine": forkhead.MachineDomain, "rack": forkhead.CellDomain, "zone": forkhead.ZoneDomain,
 }
 
--- a/internal/parse/settings/settings_test.go
+++ b/internal/parse/settings/settings_test.go
@@ -9,8 +9,8 @@
 
 const base = `(kind k (cores 4) (memory 8GiB)) (class c)`
 
-func TestRead(t *testing.T) {
-	s, err := Read("f", []byte(`(forkhead
+func TestParse(t *testing.T) {
+	s, err := Parse("f", []byte(`(forkhead
 	  (placer (zone a) (http "127.0.0.1:1") (tell "127.0.0.1:2")) (placer (zone b) (http "127.0.0.1:3") (tell "127.0.0.1:4"))
 	  (kind k (cores 4) (memory 512MiB)) (class u (effect unsafe) (spread rack 3) (kind k) (wait 2s))
 	  (tenant t (share 0.5) (cores 9)) (default-class u) (drain-grace 100ms) (limits (tasks 7)) (links (lost-after 5s)))`))
@@ -23,7 +23,7 @@
 		c.MaxPerDomain != 3 || c.MachineType != 0 || m.Tenants[0].QuotaCores != 9 || s.Limits.Tasks != 7 {
 		t.Fatalf("%+v", s)
 	}
-	if s.Classes[0].Patience < s.Classes[0].Wait {
+	if s.Classes[0].PlacementTimeout < s.Classes[0].RequestTimeout {
 		t.Fatal("patience defaults to less than the wait")
 	}
 }
@@ -57,17 +57,17 @@
 		strings.Repeat("(", 100):                                                "nested too deep",
 		"(forkhead \xff)":                                                       "not valid UTF-8",
 	} {
-		if _, err := Read("f", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Parse("f", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v\nwant %s", text, err, want)
 		}
 	}
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzParse(f *testing.F) {
 	f.Add(Default)
 	f.Add([]byte("(forkhead (kind k (cores 1) (memory 1GiB)) (class c (spread rack 2)))"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s, err := Read("f", text)
+		s, err := Parse("f", text)
 		if (s == nil) == (err == nil) {
 			t.Fatal("neither settings nor an error, or both")
 		}
--- a/internal/parse/sexp/sexp.go
+++ b/internal/parse/sexp/sexp.go
@@ -18,9 +18,9 @@
 
 // Limits of one file.
 const (
-	MostBytes = 1 << 20
-	MostDepth = 64
-	MostNodes = 200_000
+	MaxBytes = 1 << 20
+	MaxDepth = 64
+	MaxNodes = 200_000
 )
 
 // Node is an atom or a list.
@@ -51,7 +51,7 @@
 // Parse reads all top-level nodes of a file. It returns a *source.Error at the first fault.
 func Parse(file string, text []byte) ([]*Node, error) {
 	r := &reader{file: file, text: text, line: 1, col: 1}
-	if len(text) > MostBytes {
+	if len(text) > MaxBytes {
 		return nil, diagnostic.Wantf(diagnostic.Pos{File: file}, "at most 1 MiB", "the file has %d bytes", len(text))
 	}
 	if !utf8.Valid(text) {
@@ -73,12 +73,12 @@
 			break
 		}
 		pos := r.pos()
-		if nodes >= MostNodes {
+		if nodes >= MaxNodes {
 			return nil, diagnostic.Wantf(pos, "at most 200000 nodes", "the file holds too much")
 		}
 		switch r.text[r.at] {
 		case '(':
-			if len(stack) >= MostDepth {
+			if len(stack) >= MaxDepth {
 				return nil, diagnostic.Wantf(pos, "at most 64 levels", "lists are nested too deep")
 			}
 			r.next()
@@ -181,8 +181,8 @@
 	return "", diagnostic.Errorf(start, "this string is never closed")
 }
 
-// Word returns the atom, or an error if the node is a list.
-func (n *Node) Word() (string, error) {
+// Text returns the atom, or an error if the node is a list.
+func (n *Node) Text() (string, error) {
 	if n.List {
 		return "", diagnostic.Errorf(n.Pos, "a list stands where a word belongs")
 	}
@@ -191,7 +191,7 @@
 
 // Number reads a finite number from lo to hi.
 func (n *Node) Number(lo, hi float64) (float64, error) {
-	word, err := n.Word()
+	word, err := n.Text()
 	if err != nil {
 		return 0, err
 	}
@@ -206,7 +206,7 @@
 
 // Int reads a whole number from lo to hi.
 func (n *Node) Int(lo, hi int) (int, error) {
-	word, err := n.Word()
+	word, err := n.Text()
 	if err != nil {
 		return 0, err
 	}
@@ -219,7 +219,7 @@
 
 // Duration reads a duration with its unit (Go's form: 250ms, 1.5s, 2m), from lo to hi.
 func (n *Node) Duration(lo, hi time.Duration) (time.Duration, error) {
-	word, err := n.Word()
+	word, err := n.Text()
 	if err != nil {
 		return 0, err
 	}
@@ -232,7 +232,7 @@
 
 // Bool reads yes or no.
 func (n *Node) Bool() (bool, error) {
-	word, err := n.Word()
+	word, err := n.Text()
 	if err != nil {
 		return false, err
 	}
@@ -280,8 +280,8 @@
 	}
 }
 
-// One wraps a reader of a single value as a Field.
-func One(read func(v *Node) error) Field {
+// SingleValue wraps a reader of a single value as a Field.
+func SingleValue(read func(v *Node) error) Field {
 	return func(n *Node) error {
 		if args := n.Args(); len(args) == 1 {
 			return read(args[0])
@@ -292,33 +292,33 @@
 
 // Number is a Field that sets a number from lo to hi.
 func Number(to *float64, lo, hi float64) Field {
-	return One(func(v *Node) error { return set(to, func() (float64, error) { return v.Number(lo, hi) }) })
+	return SingleValue(func(v *Node) error { return set(to, func() (float64, error) { return v.Number(lo, hi) }) })
 }
 
 // Int is a Field that sets a whole number from lo to hi.
 func Int(to *int, lo, hi int) Field {
-	return One(func(v *Node) error { return set(to, func() (int, error) { return v.Int(lo, hi) }) })
+	return SingleValue(func(v *Node) error { return set(to, func() (int, error) { return v.Int(lo, hi) }) })
 }
 
 // Duration is a Field that sets a duration from lo to hi.
 func Duration(to *time.Duration, lo, hi time.Duration) Field {
-	return One(func(v *Node) error { return set(to, func() (time.Duration, error) { return v.Duration(lo, hi) }) })
+	return SingleValue(func(v *Node) error { return set(to, func() (time.Duration, error) { return v.Duration(lo, hi) }) })
 }
 
 // Bool is a Field that sets yes or no.
 func Bool(to *bool) Field {
-	return One(func(v *Node) error { return set(to, v.Bool) })
+	return SingleValue(func(v *Node) error { return set(to, v.Bool) })
 }
 
 // Text is a Field that sets a word or string.
 func Text(to *string) Field {
-	return One(func(v *Node) error { return set(to, v.Word) })
+	return SingleValue(func(v *Node) error { return set(to, v.Text) })
 }
 
 // Choice is a Field that sets one of several words.
 func Choice[T any](to *T, words map[string]T) Field {
-	return One(func(v *Node) error {
-		word, err := v.Word()
+	return SingleValue(func(v *Node) error {
+		word, err := v.Text()
 		if err != nil {
 			return err
 		}
--- a/internal/planning/plan/conflict.go
+++ b/internal/planning/plan/conflict.go
@@ -50,7 +50,7 @@
 		return fmt.Sprintf("%s: at most %d of %s in one zone", s.limitPos("zone"), requested.MaxPerZone, name)
 	case solver.RequireAffinity:
 		near := s.spec.Near[0]
-		return fmt.Sprintf("%s: %s has to be near %s, in one %s", near.Pos, name, near.Service, near.Place)
+		return fmt.Sprintf("%s: %s has to be near %s, in one %s", near.Pos, name, near.Service, near.Domain)
 	case solver.RequireAllowedHosts:
 		return s.describeAllowedHosts()
 	default:
@@ -75,8 +75,8 @@
 
 // limitPos returns the position of a spread limit, or that of the service if the limit is its class's.
 func (s *service) limitPos(domain string) diagnostic.Pos {
-	for _, limit := range s.spec.Limits {
-		if limit.Place == domain {
+	for _, limit := range s.spec.SpreadLimits {
+		if limit.Domain == domain {
 			return limit.Pos
 		}
 	}
--- a/internal/planning/plan/instance.go
+++ b/internal/planning/plan/instance.go
@@ -72,7 +72,7 @@
 	}
 	s := service{spec: spec, class: &p.Settings.Module.Classes[index], running: map[int]int{}}
 	if s.class.MachineType >= 0 {
-		s.machineType = p.Settings.Kinds[s.class.MachineType]
+		s.machineType = p.Settings.MachineTypeNames[s.class.MachineType]
 	}
 	return s
 }
@@ -96,11 +96,11 @@
 	if excluded > 0 {
 		translated.Allowed = allowed
 	}
-	if s.spec.Mode.Each() {
+	if s.spec.Mode.PerHost() {
 		translated.Count = schedulable
 	}
-	for _, limit := range s.spec.Limits {
-		tightenLimit(&translated, domains[limit.Place], limit.Most)
+	for _, limit := range s.spec.SpreadLimits {
+		tightenLimit(&translated, domains[limit.Domain], limit.MaxTasks)
 	}
 	switch s.class.SpreadDomain {
 	case forkhead.MachineDomain:
@@ -154,7 +154,7 @@
 	for _, near := range s.Near {
 		for i := range spec.Services {
 			if spec.Services[i].Name == near.Service {
-				translated = append(translated, solver.Affinity{Service: first + i, Domain: domains[near.Place]})
+				translated = append(translated, solver.Affinity{Service: first + i, Domain: domains[near.Domain]})
 			}
 		}
 	}
--- a/internal/planning/plan/plan_test.go
+++ b/internal/planning/plan/plan_test.go
@@ -19,7 +19,7 @@
 // spread limit (r).
 func newProblem(t testing.TB, hosts string) *Problem {
 	t.Helper()
-	s, err := settings.Read("s", []byte(`(forkhead (kind k (cores 4) (memory 8GiB)) (kind big (cores 8) (memory 16GiB))
+	s, err := settings.Parse("s", []byte(`(forkhead (kind k (cores 4) (memory 8GiB)) (kind big (cores 8) (memory 16GiB))
 	  (class c) (class b (kind big)) (class r (spread rack 2)))`))
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 		"kind drains": {[]servicespec.Service{newService("x", "b", 3, 3)}, []string{"x asks for 3", "the cores of the 3 hosts", "x runs only on hosts with kind big"}},
 		"rack":        {[]servicespec.Service{newService("ok", "c", 1, 1), newService("x", "r", 5, 1)}, []string{"x asks for 5", "at most 2 of x in one rack"}},
 		"near": {
-			[]servicespec.Service{newService("x", "b", 1, 4), {Name: "y", Class: "c", Replicas: 2, Cores: 4, Memory: 1, Near: []servicespec.Near{{Service: "x", Place: "machine"}}}},
+			[]servicespec.Service{newService("x", "b", 1, 4), {Name: "y", Class: "c", Replicas: 2, Cores: 4, Memory: 1, Near: []servicespec.Near{{Service: "x", Domain: "machine"}}}},
 			[]string{"x asks for 1", "y asks for 2", "the cores of the 3 hosts", "y has to be near x, in one machine"},
 		},
 		"no such label": {
--- a/internal/scheduler/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -91,14 +91,14 @@
 		epoch:    cfg.Epoch,
 		durable:  cfg.Durable,
 		retryPolicy: retrypolicy.Policy{
-			MinBackoff:       set.Owner.First,
-			MaxBackoff:       set.Owner.Most,
-			MigrationBackoff: set.Owner.Soon,
+			MinBackoff:       set.Owner.MinBackoff,
+			MaxBackoff:       set.Owner.MaxBackoff,
+			MigrationBackoff: set.Owner.MigrationBackoff,
 			UnsafeBackoff:    set.Module.OwnerBackoff,
 			MaxRetryAfter:    set.Module.MaxRetryAfter,
-			MaxRequests:      set.Owner.Asks,
+			MaxRequests:      set.Owner.MaxRequests,
 		},
-		connPolicy: hostconn.Policy{ConnectTimeout: set.Links.Connect, MinBackoff: set.Links.First, MaxBackoff: set.Links.Most},
+		connPolicy: hostconn.Policy{ConnectTimeout: set.HostConnections.ConnectTimeout, MinBackoff: set.HostConnections.MinBackoff, MaxBackoff: set.HostConnections.MaxBackoff},
 
 		module: module,
 
@@ -107,7 +107,7 @@
 		hostIDs:     ids.NewTable(hash),
 		zoneIndexes: map[string]int{set.Placers[set.Module.Self].Zone: 0},
 		rackIndexes: map[string]int{},
-		labels:      labelTable{maxLabels: set.Limits.Label, index: map[string]int{}},
+		labels:      labelTable{maxLabels: set.Limits.Labels, index: map[string]int{}},
 
 		requests:         map[forkhead.TaskID]*placementRequest{},
 		canceledRequests: map[forkhead.TaskID]*placementRequest{},
--- a/internal/scheduler/core/dependencies.go
+++ b/internal/scheduler/core/dependencies.go
@@ -78,7 +78,7 @@
 }
 
 // reached says whether a service is as far as a condition asks, or why it never will be; "": it may be.
-func (s *service) reached(condition servicespec.Condition) (met bool, failure string) {
+func (s *service) reached(condition servicespec.DependencyCondition) (met bool, failure string) {
 	if s.failureReason != "" {
 		return false, ", which was not placed"
 	}
--- a/internal/scheduler/core/explain.go
+++ b/internal/scheduler/core/explain.go
@@ -17,7 +17,7 @@
 	if !c.fitsMachineType(r) {
 		where := "any kind of host"
 		if machineType := c.moduleClass(r).MachineType; machineType >= 0 {
-			where = c.settings.Kinds[machineType]
+			where = c.settings.MachineTypeNames[machineType]
 		}
 		return fmt.Sprintf("%g cores and %.4g GiB are more than %s has", r.spec.Cores, r.spec.Memory, where), true
 	}
@@ -73,7 +73,7 @@
 	case ready == 0:
 		return "no host is ready"
 	case ofType == 0:
-		return "no host of kind " + c.settings.Kinds[class.MachineType] + " is ready"
+		return "no host of kind " + c.settings.MachineTypeNames[class.MachineType] + " is ready"
 	case labeled == 0:
 		return "no ready host meets " + constraintsText(r)
 	}
@@ -96,7 +96,7 @@
 		parts = append(parts, constraint.String())
 	}
 	for _, near := range r.spec.Near {
-		parts = append(parts, "near "+near.Service+" in one "+near.Place)
+		parts = append(parts, "near "+near.Service+" in one "+near.Domain)
 	}
 	return strings.Join(parts, ", ")
 }
--- a/internal/scheduler/core/hostconns.go
+++ b/internal/scheduler/core/hostconns.go
@@ -56,7 +56,7 @@
 	}
 	c.failProbes(h)
 	h.lostTimerSeq++
-	c.addHostTimer(h, timerHostLost, c.settings.Links.LostAfter, h.lostTimerSeq)
+	c.addHostTimer(h, timerHostLost, c.settings.HostConnections.LostAfter, h.lostTimerSeq)
 	c.settleIfUnreachable(h)
 }
 
@@ -111,7 +111,7 @@
 	}
 	h.lostTimerSeq++
 	h.unreportedTasks, h.reportedRefs = int(welcome.Count), map[hostproto.Ref]bool{}
-	c.addHostTimer(h, timerLiveness, c.settings.Links.LostAfter/2, uint64(h.connection.Conn))
+	c.addHostTimer(h, timerLiveness, c.settings.HostConnections.LostAfter/2, uint64(h.connection.Conn))
 	c.handleDrain(h, welcome.Draining)
 	if h.unreportedTasks == 0 {
 		c.completeSync(h)
@@ -191,7 +191,7 @@
 	if conn != h.connection.Conn || h.connection.State != hostconn.Up {
 		return
 	}
-	idle, lostAfter := c.now-h.lastFrameAt, c.settings.Links.LostAfter
+	idle, lostAfter := c.now-h.lastFrameAt, c.settings.HostConnections.LostAfter
 	if idle >= lostAfter {
 		c.log("host %s has said nothing for %v; the connection is closed", h.name, idle.Round(time.Millisecond))
 		c.closeConnection(h)
@@ -219,7 +219,7 @@
 	h.lastProbeID = max(h.lastProbeID+1, 1) // 0 is that of checkLiveness
 	h.probesSentAt[h.lastProbeID] = c.now
 	c.sendFrame(h, hostproto.Probe{ID: h.lastProbeID})
-	c.addHostTimer(h, timerProbeTimeout, c.settings.Links.Probe, uint64(h.lastProbeID))
+	c.addHostTimer(h, timerProbeTimeout, c.settings.HostConnections.ProbeTimeout, uint64(h.lastProbeID))
 }
 
 func (c *Core) handleProbeTimeout(h *host, id uint32) {
--- a/internal/scheduler/core/labels.go
+++ b/internal/scheduler/core/labels.go
@@ -135,7 +135,7 @@
 		}
 		key := servicespec.ServiceKey(tenant, project, near.Service)
 		constraints = append(constraints, servicespec.Constraint{
-			Attribute: servicespec.Attribute("near." + near.Place), Value: strconv.FormatUint(key, 10), Pos: near.Pos,
+			Attribute: servicespec.Attribute("near." + near.Domain), Value: strconv.FormatUint(key, 10), Pos: near.Pos,
 		})
 	}
 	return constraints
--- a/internal/scheduler/core/orphans.go
+++ b/internal/scheduler/core/orphans.go
@@ -165,7 +165,7 @@
 		service: svc,
 		number:  name.replica,
 		spec: &servicespec.Service{
-			Name: svc.name, Class: spec.Class, Tenant: spec.Tenant, Replicas: 1, Life: spec.Life,
+			Name: svc.name, Class: spec.Class, Tenant: spec.Tenant, Replicas: 1, ExpectedRuntime: spec.Life,
 			Cores: float64(spec.Cores) / 1000, Memory: float64(spec.Memory) / 1024,
 		},
 		class:       class,
@@ -175,7 +175,7 @@
 		name:        spec.Name,
 		state:       awaitingRequest,
 	}
-	if r.taskKey != servicespec.Key(spec.Tenant, name.project, svc.name, name.replica) {
+	if r.taskKey != servicespec.TaskKey(spec.Tenant, name.project, svc.name, name.replica) {
 		r.generation = 1
 	}
 	svc.replicas[name.replica] = r
--- a/internal/scheduler/core/replicas.go
+++ b/internal/scheduler/core/replicas.go
@@ -110,7 +110,7 @@
 // it for a repeat.
 func taskKey(r *desiredReplica) uint64 {
 	svc := r.service
-	return servicespec.Key(r.spec.Tenant, svc.project.name, svc.name, r.number) ^ uint64(r.generation&1)
+	return servicespec.TaskKey(r.spec.Tenant, svc.project.name, svc.name, r.number) ^ uint64(r.generation&1)
 }
 
 // setSpec makes a replica one by another specification. Its key stays.
@@ -209,7 +209,7 @@
 	case c.replaceIfQueued(r):
 	case r.hasSpecLost():
 		c.removeReplica(r)
-	case r.placements >= c.settings.Owner.Lives:
+	case r.placements >= c.settings.Owner.MaxPlacements:
 		c.log("task %s was placed %d times and is given up", r.name, r.placements)
 		c.persistFinished(r)
 		c.removeReplica(r)
@@ -265,13 +265,13 @@
 func (c *Core) takeRestart(r *desiredReplica, succeeded bool) bool {
 	policy := &r.spec.Restart
 	wanted := policy.When == servicespec.Always && !r.spec.Mode.Job() || policy.When != servicespec.Never && !succeeded
-	if !wanted || policy.Most <= 0 {
+	if !wanted || policy.MaxRestarts <= 0 {
 		return wanted
 	}
 	if policy.Window > 0 {
 		r.restartTimes = slices.DeleteFunc(r.restartTimes, func(at time.Duration) bool { return at <= c.now-policy.Window })
 	}
-	if len(r.restartTimes) >= policy.Most {
+	if len(r.restartTimes) >= policy.MaxRestarts {
 		return false
 	}
 	r.restartTimes = append(r.restartTimes, c.now)
--- a/internal/scheduler/core/requesting.go
+++ b/internal/scheduler/core/requesting.go
@@ -13,9 +13,9 @@
 
 // startRequesting starts the wait for an outcome.
 func (c *Core) startRequesting(r *desiredReplica) {
-	patience := r.spec.Patience
+	patience := r.spec.PlacementTimeout
 	if patience == 0 {
-		patience = max(c.settings.Classes[r.class].Patience, r.spec.Wait)
+		patience = max(c.settings.Classes[r.class].PlacementTimeout, r.spec.RequestTimeout)
 	}
 	from := c.now
 	if r.recovered && r.pending != nil {
@@ -79,9 +79,9 @@
 
 // requestWait is how long a request of a replica may take.
 func (c *Core) requestWait(r *desiredReplica) time.Duration {
-	wait := r.spec.Wait
+	wait := r.spec.RequestTimeout
 	if wait == 0 {
-		wait = c.settings.Classes[r.class].Wait
+		wait = c.settings.Classes[r.class].RequestTimeout
 	}
 	if len(r.spec.Preferences) > 0 && !r.preferencesDropped {
 		// The rest is for a request without the preferences.
--- a/internal/scheduler/core/requests.go
+++ b/internal/scheduler/core/requests.go
@@ -40,7 +40,7 @@
 		Service:           r.service.key,
 		Class:             r.class,
 		Tenant:            r.tenant,
-		RemainingLifetime: r.spec.Life,
+		RemainingLifetime: r.spec.ExpectedRuntime,
 		Cores:             r.spec.Cores,
 		Memory:            r.spec.Memory,
 		Resubmitted:       r.retrier.Requests > 0 || r.placements > 0,
@@ -82,8 +82,8 @@
 
 func statedSpreadLimits(r *desiredReplica) forkhead.SpreadLimits {
 	var limits forkhead.SpreadLimits
-	for _, limit := range r.spec.Limits {
-		tightenLimit(&limits, spreadDomains[limit.Place], limit.Most)
+	for _, limit := range r.spec.SpreadLimits {
+		tightenLimit(&limits, spreadDomains[limit.Domain], limit.MaxTasks)
 	}
 	return limits
 }
--- a/internal/scheduler/core/restore.go
+++ b/internal/scheduler/core/restore.go
@@ -97,15 +97,15 @@
 // restarts while discovery is silent does not sit idle, and one that was away for long does not go by what was. A list
 // from the future shows that a clock was set back: how old it is nobody knows, so its hosts have to greet first.
 func (c *Core) restoreHostList(list *durable.HostList) {
-	age, saved := c.now-list.ReceivedAt, c.settings.Saved
+	age, saved := c.now-list.ReceivedAt, c.settings.SavedHostList
 	switch {
 	case len(list.Hosts) == 0:
 		return
-	case age > saved.Old:
-		c.log("the list of hosts that was kept is %v old and is not used; at most %v is", age.Round(time.Second), saved.Old)
+	case age > saved.MaxAge:
+		c.log("the list of hosts that was kept is %v old and is not used; at most %v is", age.Round(time.Second), saved.MaxAge)
 		return
 	}
-	c.handleHostList(HostListReceived{Mode: forkhead.ListCached, Hosts: list.Hosts, Stale: age < 0 || age > saved.Fresh})
+	c.handleHostList(HostListReceived{Mode: forkhead.ListCached, Hosts: list.Hosts, Stale: age < 0 || age > saved.FreshAge})
 }
 
 func (c *Core) restoreSubmission(progress *durable.SubmissionProgress) {
--- a/internal/scheduler/core/submissions.go
+++ b/internal/scheduler/core/submissions.go
@@ -62,7 +62,7 @@
 	labels, ok := c.takeServiceLabels(p, in.Description)
 	if !ok {
 		c.reject(in.Request, newRejection(statusServiceUnavailable, "Too many constraints",
-			"more than %d different placement constraints are in use", c.settings.Limits.Label))
+			"more than %d different placement constraints are in use", c.settings.Limits.Labels))
 		return
 	}
 	c.projects[p.name] = p
@@ -119,7 +119,7 @@
 func (c *Core) countTasks(d *servicespec.Description) int {
 	tasks := d.Tasks()
 	for i := range d.Services {
-		if spec := &d.Services[i]; spec.Mode.Each() {
+		if spec := &d.Services[i]; spec.Mode.PerHost() {
 			spec.Replicas = c.countSuitableHosts(spec)
 			tasks += spec.Replicas
 		}
@@ -176,12 +176,12 @@
 }
 
 func (c *Core) addSubmissionExpiry() {
-	c.addTimer(&timer{at: c.now + c.settings.Limits.Keep, kind: timerSubmissionExpiry})
+	c.addTimer(&timer{at: c.now + c.settings.Limits.Retention, kind: timerSubmissionExpiry})
 }
 
 // expireSubmissions forgets the submissions that have been complete for as long as they are kept.
 func (c *Core) expireSubmissions() {
-	for len(c.completeSubmissions) > 0 && c.completeSubmissions[0].completedAt+c.settings.Limits.Keep <= c.now {
+	for len(c.completeSubmissions) > 0 && c.completeSubmissions[0].completedAt+c.settings.Limits.Retention <= c.now {
 		c.forgetOldestSubmission()
 	}
 }
--- a/internal/scheduler/core/updates.go
+++ b/internal/scheduler/core/updates.go
@@ -79,9 +79,9 @@
 
 // awaitOldCopyEnd bounds the wait for a replica's earlier copy to end: its host may be out of reach.
 func (c *Core) awaitOldCopyEnd(r *desiredReplica) {
-	patience := r.nextSpec.Patience
+	patience := r.nextSpec.PlacementTimeout
 	if patience == 0 {
-		patience = c.settings.Classes[c.classIndex(r.nextSpec)].Patience
+		patience = c.settings.Classes[c.classIndex(r.nextSpec)].PlacementTimeout
 	}
 	r.retrier.Deadline = c.now + patience
 	c.addOwnerDeadline(r)
--- a/internal/scheduler/durable/golden_test.go
+++ b/internal/scheduler/durable/golden_test.go
@@ -24,17 +24,17 @@
 		durable.SubmissionAccepted{
 			Submission: durable.Submission{ID: "s-1", IdempotencyKey: "key", BodyHash: 7, TotalOutcomes: 2, AcceptedAt: time.Hour, Project: "p"},
 			Specification: &servicespec.Description{
-				Name: "p", Whole: true, Notes: []servicespec.Note{{Pos: pos, Text: "not acted on"}},
+				Name: "p", AllOrNothing: true, Notes: []servicespec.Note{{Pos: pos, Text: "not acted on"}},
 				Services: []servicespec.Service{{
 					Name: "web", Pos: pos, Class: "c", Tenant: "t", Mode: servicespec.GlobalJob, Replicas: 2, Cores: 0.5, Memory: 1.5,
-					LimitCores: 1, LimitMemory: 2, Life: time.Minute, Wait: time.Second, Patience: 2 * time.Second,
-					Constraints: []servicespec.Constraint{{Attribute: "label.disk", Not: true, Value: "hdd", Pos: pos}},
-					Preferences: []servicespec.Attribute{"label.rack"},
-					Limits:      []servicespec.Limit{{Place: "rack", Most: 2, Pos: pos}},
-					Near:        []servicespec.Near{{Service: "db", Place: "zone", Pos: pos}},
-					Restart:     servicespec.Restart{When: servicespec.OnFailure, Delay: time.Second, Most: 3, Window: time.Minute},
+					LimitCores: 1, LimitMemory: 2, ExpectedRuntime: time.Minute, RequestTimeout: time.Second, PlacementTimeout: 2 * time.Second,
+					Constraints:  []servicespec.Constraint{{Attribute: "label.disk", Not: true, Value: "hdd", Pos: pos}},
+					Preferences:  []servicespec.Attribute{"label.rack"},
+					SpreadLimits: []servicespec.SpreadLimit{{Domain: "rack", MaxTasks: 2, Pos: pos}},
+					Near:         []servicespec.Near{{Service: "db", Domain: "zone", Pos: pos}},
+					Restart:      servicespec.Restart{When: servicespec.OnFailure, Delay: time.Second, MaxRestarts: 3, Window: time.Minute},
 					Update: servicespec.Update{
-						Parallel: 1, Delay: time.Second, OnTrouble: servicespec.Rollback, Monitor: time.Minute, MaxFailed: 0.25, StartFirst: true,
+						Parallel: 1, Delay: time.Second, FailureAction: servicespec.Rollback, Monitor: time.Minute, MaxFailureRatio: 0.25, StartFirst: true,
 					},
 					DependsOn: []servicespec.Dependency{{Service: "db", When: servicespec.Completed, Optional: true, Restart: true, Pos: pos}},
 					Labels:    map[string]string{"a": "b"}, StopGrace: 5 * time.Second, Payload: []byte(`{"image":"i"}`),
--- a/internal/scheduler/rollingupdate/rollingupdate.go
+++ b/internal/scheduler/rollingupdate/rollingupdate.go
@@ -87,7 +87,7 @@
 		return
 	}
 	if u.hasFailedTooOften() {
-		switch u.policy.OnTrouble {
+		switch u.policy.FailureAction {
 		case servicespec.Pause:
 			u.status = Paused
 			return
@@ -103,5 +103,5 @@
 
 // hasFailedTooOften reports whether more than the permitted share of all tasks of the update have failed.
 func (u *Update) hasFailedTooOften() bool {
-	return u.failed > 0 && float64(u.failed) > u.policy.MaxFailed*float64(u.total)
+	return u.failed > 0 && float64(u.failed) > u.policy.MaxFailureRatio*float64(u.total)
 }
--- a/internal/scheduler/rollingupdate/rollingupdate_test.go
+++ b/internal/scheduler/rollingupdate/rollingupdate_test.go
@@ -9,7 +9,7 @@
 
 func TestUpdateStatus(t *testing.T) {
 	for name, c := range map[string]struct {
-		onTrouble servicespec.OnTrouble
+		onTrouble servicespec.FailureAction
 		maxFailed float64
 		total     int
 		succeeded []bool // of the replacements that have ended
@@ -28,7 +28,7 @@
 		"more than may fail":          {servicespec.Pause, 0.5, 4, []bool{false, false, false}, Paused},
 		"as many as may fail, at end": {servicespec.Rollback, 0.5, 2, []bool{true, false}, Complete},
 	} {
-		u := New(servicespec.Update{OnTrouble: c.onTrouble, MaxFailed: c.maxFailed}, c.total)
+		u := New(servicespec.Update{FailureAction: c.onTrouble, MaxFailureRatio: c.maxFailed}, c.total)
 		failed := 0
 		for _, succeeded := range c.succeeded {
 			u.Begin()
@@ -71,7 +71,7 @@
 }
 
 func TestUpdateNextIsZeroWhenStopped(t *testing.T) {
-	u := New(servicespec.Update{OnTrouble: servicespec.Pause, Delay: time.Second}, 3)
+	u := New(servicespec.Update{FailureAction: servicespec.Pause, Delay: time.Second}, 3)
 	u.Begin()
 	u.Done(0, false)
 	checkNext(t, u, 0, 0, 0)
--- a/internal/server/placer/feasibility.go
+++ b/internal/server/placer/feasibility.go
@@ -49,7 +49,7 @@
 	machines := make([]plan.Host, 0, len(entries))
 	for i := range entries {
 		entry := &entries[i]
-		index := settings.Index(f.settings.Kinds, entry.Kind)
+		index := settings.Index(f.settings.MachineTypeNames, entry.Kind)
 		if index < 0 {
 			continue
 		}
--- a/internal/server/placer/gossip.go
+++ b/internal/server/placer/gossip.go
@@ -28,14 +28,14 @@
 func listenGossip(set *settings.Settings, drop func(from int) bool) (*gossipSocket, error) {
 	g := &gossipSocket{self: set.Module.Self, drop: drop}
 	for _, p := range set.Placers {
-		addr, err := net.ResolveUDPAddr("udp", p.Tell)
+		addr, err := net.ResolveUDPAddr("udp", p.GossipAddress)
 		if err != nil {
 			return nil, err
 		}
 		g.peers = append(g.peers, addr)
 	}
 	var err error
-	g.socket, err = net.ListenPacket("udp", set.Placers[g.self].Tell)
+	g.socket, err = net.ListenPacket("udp", set.Placers[g.self].GossipAddress)
 	return g, err
 }
 
--- a/internal/server/placer/gossip_test.go
+++ b/internal/server/placer/gossip_test.go
@@ -23,7 +23,7 @@
 // newGossipSocket returns placer 0's socket. Placer 1 is the peer; drop is as in Config.DropGossip.
 func newGossipSocket(t *testing.T, peer net.PacketConn, drop func(from int) bool) *gossipSocket {
 	t.Helper()
-	set := &settings.Settings{Placers: []settings.Placer{{Tell: "127.0.0.1:0"}, {Tell: peer.LocalAddr().String()}}}
+	set := &settings.Settings{Placers: []settings.Placer{{GossipAddress: "127.0.0.1:0"}, {GossipAddress: peer.LocalAddr().String()}}}
 	g, err := listenGossip(set, drop)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/server/placer/helpers_test.go
+++ b/internal/server/placer/helpers_test.go
@@ -37,7 +37,7 @@
 	if err := cluster.WaitReady(10 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	return cluster, cluster.Settings.Placers[0].HTTP
+	return cluster, cluster.Settings.Placers[0].HTTPAddress
 }
 
 // webSpec returns a specification of one service, web, that fits.
--- a/internal/server/placer/hosts.go
+++ b/internal/server/placer/hosts.go
@@ -28,7 +28,7 @@
 func (s *Server) dialHost(o core.DialHost) {
 	h := &hostConn{server: s, host: o.Host, number: o.Conn}
 	s.hosts[o.Host] = h
-	s.engine.Dial(o.Address, s.settings.Links.Connect, maxHostWriteBuffer, h, func(c *netio.Conn, err error) {
+	s.engine.Dial(o.Address, s.settings.HostConnections.ConnectTimeout, maxHostWriteBuffer, h, func(c *netio.Conn, err error) {
 		s.loop.Post(func() { h.dialed(c, err) })
 	})
 }
--- a/internal/server/placer/machine_list.go
+++ b/internal/server/placer/machine_list.go
@@ -17,7 +17,7 @@
 	discovery := &s.settings.ServiceDiscovery
 	cfg := listwatch.Config{
 		Address: discovery.Address, Service: discovery.Service,
-		MaxWait: discovery.Wait, Timeout: discovery.Timeout, MinInterval: discovery.Pace,
+		MaxWait: discovery.MaxWait, Timeout: discovery.Timeout, MinInterval: discovery.MinInterval,
 		UserAgent: fmt.Sprintf("forkhead-placer/%d", s.settings.Module.Self),
 	}
 	s.watch = listwatch.Start(cfg, func(machines []core.HostEntry, unusable []string) {
--- a/internal/server/placer/problems.go
+++ b/internal/server/placer/problems.go
@@ -55,7 +55,7 @@
 		return list
 	}
 	if e := diagnostic.First(err); e != nil {
-		list = append(list, SpecError{File: e.Pos.File, Line: e.Pos.Line, Column: e.Pos.Col, Detail: e.What, Want: e.Want})
+		list = append(list, SpecError{File: e.Pos.File, Line: e.Pos.Line, Column: e.Pos.Col, Detail: e.Message, Want: e.Want})
 	}
 	return list
 }
--- a/internal/server/placer/server.go
+++ b/internal/server/placer/server.go
@@ -143,7 +143,7 @@
 			s.loop.PostBlocking(func() { s.addInput(core.GossipReceived{From: from, Data: data}) })
 		})
 	})
-	if err := s.http.listen(s.settings.Placers[self].HTTP); err != nil {
+	if err := s.http.listen(s.settings.Placers[self].HTTPAddress); err != nil {
 		s.Close()
 		return fmt.Errorf("HTTP server: %w", err)
 	}
--- a/internal/server/placer/submissions.go
+++ b/internal/server/placer/submissions.go
@@ -37,7 +37,7 @@
 		c.respondProblem(request, *problem)
 		return
 	}
-	if submission.Description.Whole && c.checkFeasibility(request, submission) {
+	if submission.Description.AllOrNothing && c.checkFeasibility(request, submission) {
 		return
 	}
 	c.handToCore(request, submission)
--- a/internal/server/platform/config.go
+++ b/internal/server/platform/config.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, forkhead.Settings{}, ConfigError{err}
 	}
-	settings, err := platformconfig.Settings(info)
+	settings, err := platformconfig.ModuleSettings(info)
 	if err != nil {
 		return nil, forkhead.Settings{}, ConfigError{err}
 	}
@@ -83,8 +83,8 @@
 	protected := min(descriptors/3, connections/2)
 	config := platformcore.Config{
 		Settings:                  settings,
-		Names:                     platformcore.WireNames{Zones: info.Zones, MachineTypes: info.Kinds},
-		IdleTimeout:               platformconfig.Duration(info.Caps.ConnIdle),
+		Names:                     platformcore.WireNames{Zones: info.Zones, MachineTypes: info.MachineTypeNames},
+		IdleTimeout:               platformconfig.Duration(info.Caps.ConnectionIdleTimeout),
 		Seed:                      cfg.SeedNumber(),
 		InitialEvents:             cfg.Initial.Events,
 		MaxOwnerConnections:       connections * 2 / 3,
--- a/internal/server/platform/server.go
+++ b/internal/server/platform/server.go
@@ -80,7 +80,7 @@
 	s := newServer(options, core, engine, coreConfig.MaxOwnerConnections, settings.ConnectTimeout)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	if s.gossip, err = openGossip(cfg, info.Me, s.inputs); err != nil {
+	if s.gossip, err = openGossip(cfg, info.Self, s.inputs); err != nil {
 		cancel()
 		engine.Stop()
 		return nil, err
--- a/internal/server/store/golden_test.go
+++ b/internal/server/store/golden_test.go
@@ -193,7 +193,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, err := settings.Read(goldenSettings, text)
+	set, err := settings.Parse(goldenSettings, text)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/verify/chaos/faults_clients.go
+++ b/internal/verify/chaos/faults_clients.go
@@ -35,7 +35,7 @@
 func (r *runner) deleteProject(httpClient *http.Client, p project) {
 	ctx, cancel := context.WithTimeout(r.ctx, deleteTimeout)
 	defer cancel()
-	url := fmt.Sprintf("http://%s/v1/projects/%s", r.cluster.Settings.Placers[p.placer].HTTP, p.name)
+	url := fmt.Sprintf("http://%s/v1/projects/%s", r.cluster.Settings.Placers[p.placer].HTTPAddress, p.name)
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, url, nil)
 	if err != nil {
 		return
--- a/internal/verify/chaos/submission.go
+++ b/internal/verify/chaos/submission.go
@@ -46,7 +46,7 @@
 	ctx, cancel := context.WithTimeout(r.ctx, 2*s.timeout+r.scenario.Settle)
 	defer cancel()
 	c := client.Client{
-		Address:        r.cluster.Settings.Placers[p.placer].HTTP,
+		Address:        r.cluster.Settings.Placers[p.placer].HTTPAddress,
 		HTTPClient:     s.httpClient(),
 		IdempotencyKey: fmt.Sprintf("%s-%d", p.name, generation),
 		MaxSends:       maxSends,
@@ -67,7 +67,7 @@
 // placementTimeout returns how long a task of a class is requested.
 func (r *runner) placementTimeout(class string) time.Duration {
 	i, _ := r.scenario.Settings.Class(class) // the scenario has been checked
-	return r.scenario.Settings.Classes[i].Patience
+	return r.scenario.Settings.Classes[i].PlacementTimeout
 }
 
 // httpClient returns a client that opens a connection for each request and misbehaves as the faults of the moment say.
--- a/internal/verify/modelcheck/replay.go
+++ b/internal/verify/modelcheck/replay.go
@@ -89,7 +89,7 @@
 
 // Replay plays a trace through the placer's real core.
 func Replay(t *Trace) (*Replayed, error) {
-	set, err := settings.Read("replay", []byte(replaySettings))
+	set, err := settings.Parse("replay", []byte(replaySettings))
 	if err != nil {
 		return nil, err
 	}
@@ -321,13 +321,13 @@
 	case scan("task %d ends on host %d", &ti, &hi):
 		return r.work(hi, ti, hostsession.Running, hostsession.Finish)
 	case scan("task %d on host %d counts as lost", &ti, &hi):
-		r.advance(r.set.Links.LostAfter + time.Second)
+		r.advance(r.set.HostConnections.LostAfter + time.Second)
 	case scan("hosts forget the key of task %d", &ti):
 		r.advance(r.set.Module.Classes[1].DedupWindow)
 	case scan("task %d is asked for", &ti):
 		return r.ask(ti)
 	case scan("the owner of task %d gives up", &ti):
-		r.advance(r.set.Classes[0].Patience)
+		r.advance(r.set.Classes[0].PlacementTimeout)
 	case scan("module offers task %d to host %d", &ti, &hi):
 		r.act(forkhead.Offer{Task: r.tasks[ti].ask, Machine: forkhead.MachineID(ids.FNV(r.hosts[hi].name, 0))})
 	case scan("module refuses task %d", &ti):
--- a/internal/verify/replay/form.go
+++ b/internal/verify/replay/form.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"forkhead"
-	"forkhead/internal/parse/servicespec"
 	"forkhead/internal/protocol/hostproto"
 	"forkhead/internal/scheduler/core"
 	"forkhead/internal/scheduler/durable"
@@ -56,7 +55,7 @@
 		Request uint64
 		Key     string
 		Body    uint64
-		What    *servicespec.Description
+		What    *recordedSpecification
 	}
 	recordedRemove struct {
 		Request uint64
@@ -83,7 +82,7 @@
 }
 
 func (s recordedSubmit) toCore() core.Input {
-	return core.Submit{Request: s.Request, IdempotencyKey: s.Key, BodyHash: s.Body, Description: s.What}
+	return core.Submit{Request: s.Request, IdempotencyKey: s.Key, BodyHash: s.Body, Description: s.What.specification()}
 }
 
 func (s recordedRemove) toCore() core.Input {
@@ -108,7 +107,7 @@
 	case core.FrameReceived:
 		return recordedFromHost{Host: in.Host, Conn: in.Conn, Frame: in.Frame}
 	case core.Submit:
-		return recordedSubmit{Request: in.Request, Key: in.IdempotencyKey, Body: in.BodyHash, What: in.Description}
+		return recordedSubmit{Request: in.Request, Key: in.IdempotencyKey, Body: in.BodyHash, What: recordSpecification(in.Description)}
 	case core.RemoveProject:
 		return recordedRemove{Request: in.Request, Project: in.Project}
 	case core.Restore:
--- a/internal/verify/replay/golden_test.go
+++ b/internal/verify/replay/golden_test.go
@@ -105,17 +105,17 @@
 	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
 	pos := diagnostic.Pos{File: "a.yaml", Line: 3, Col: 5}
 	what := &servicespec.Description{
-		Name: "p", Whole: true, Notes: []servicespec.Note{{Pos: pos, Text: "not acted on"}},
+		Name: "p", AllOrNothing: true, Notes: []servicespec.Note{{Pos: pos, Text: "not acted on"}},
 		Services: []servicespec.Service{{
 			Name: "web", Pos: pos, Class: "ledger-batch", Tenant: "t", Mode: servicespec.ReplicatedJob, Replicas: 2, Cores: 0.5, Memory: 1.5,
-			LimitCores: 1, LimitMemory: 2, Life: time.Minute, Wait: time.Second, Patience: 2 * time.Second,
-			Constraints: []servicespec.Constraint{{Attribute: "label.disk", Not: true, Value: "hdd", Pos: pos}},
-			Preferences: []servicespec.Attribute{"label.rack"},
-			Limits:      []servicespec.Limit{{Place: "rack", Most: 2, Pos: pos}},
-			Near:        []servicespec.Near{{Service: "db", Place: "zone", Pos: pos}},
-			Restart:     servicespec.Restart{When: servicespec.OnFailure, Delay: time.Second, Most: 3, Window: time.Minute},
+			LimitCores: 1, LimitMemory: 2, ExpectedRuntime: time.Minute, RequestTimeout: time.Second, PlacementTimeout: 2 * time.Second,
+			Constraints:  []servicespec.Constraint{{Attribute: "label.disk", Not: true, Value: "hdd", Pos: pos}},
+			Preferences:  []servicespec.Attribute{"label.rack"},
+			SpreadLimits: []servicespec.SpreadLimit{{Domain: "rack", MaxTasks: 2, Pos: pos}},
+			Near:         []servicespec.Near{{Service: "db", Domain: "zone", Pos: pos}},
+			Restart:      servicespec.Restart{When: servicespec.OnFailure, Delay: time.Second, MaxRestarts: 3, Window: time.Minute},
 			Update: servicespec.Update{
-				Parallel: 1, Delay: time.Second, OnTrouble: servicespec.Rollback, Monitor: time.Minute, MaxFailed: 0.25, StartFirst: true,
+				Parallel: 1, Delay: time.Second, FailureAction: servicespec.Rollback, Monitor: time.Minute, MaxFailureRatio: 0.25, StartFirst: true,
 			},
 			DependsOn: []servicespec.Dependency{{Service: "db", When: servicespec.Completed, Optional: true, Restart: true, Pos: pos}},
 			Labels:    map[string]string{"a": "b"}, StopGrace: 5 * time.Second, Payload: []byte(`{"image":"i"}`),
--- a/internal/verify/replay/snapshot.go
+++ b/internal/verify/replay/snapshot.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"time"
 
-	"forkhead/internal/parse/servicespec"
 	"forkhead/internal/protocol/consul"
 	"forkhead/internal/protocol/hostproto"
 	"forkhead/internal/scheduler/core"
@@ -28,7 +27,7 @@
 
 	recordedProject struct {
 		Submission string
-		What       *servicespec.Description
+		What       *recordedSpecification
 		Tasks      []recordedTask
 	}
 
@@ -117,11 +116,11 @@
 }
 
 func recordProject(p durable.Project) recordedProject {
-	return recordedProject{Submission: p.SubmissionID, What: p.Specification, Tasks: convertAll(p.Tasks, recordTask)}
+	return recordedProject{Submission: p.SubmissionID, What: recordSpecification(p.Specification), Tasks: convertAll(p.Tasks, recordTask)}
 }
 
 func (p recordedProject) project() durable.Project {
-	return durable.Project{SubmissionID: p.Submission, Specification: p.What, Tasks: convertAll(p.Tasks, recordedTask.task)}
+	return durable.Project{SubmissionID: p.Submission, Specification: p.What.specification(), Tasks: convertAll(p.Tasks, recordedTask.task)}
 }
 
 func recordTask(t durable.Task) recordedTask {
--- a/internal/verify/rules/config.go
+++ b/internal/verify/rules/config.go
@@ -64,7 +64,7 @@
 		ParallelAttempts:     m.ParallelAttempts,
 		BoundWhenRunning:     m.BoundWhenRunning,
 		DrainGrace:           m.DrainGrace,
-		LostAfter:            s.Links.LostAfter,
+		LostAfter:            s.HostConnections.LostAfter,
 		OwnerBackoff:         m.OwnerBackoff,
 		SlowStartDuration:    m.SlowStartDuration,
 		SlowStartInitialRate: m.SlowStartInitialRate,
--- a/internal/verify/scenario/scenario.go
+++ b/internal/verify/scenario/scenario.go
@@ -243,7 +243,7 @@
 	var err error
 	switch {
 	case own == nil:
-		s.Settings, err = settings.Read("default settings", settings.Default)
+		s.Settings, err = settings.Parse("default settings", settings.Default)
 	case len(own.Args()) == 1 && own.Args()[0].Head() == "forkhead":
 		s.Settings, err = settings.FromNode(own.Args()[0])
 	default:
@@ -270,8 +270,8 @@
 		r.errs.Add(diagnostic.Wantf(n.Pos, "(hosts COUNT (kind NAME) ...)", "the day has no hosts"))
 	}
 	for _, g := range s.HostGroups {
-		if settings.Index(s.Settings.Kinds, g.MachineType) < 0 {
-			r.errs.Add(diagnostic.Wantf(n.Pos, strings.Join(s.Settings.Kinds, ", "), "hosts of kind %q, which the settings do not name", g.MachineType))
+		if settings.Index(s.Settings.MachineTypeNames, g.MachineType) < 0 {
+			r.errs.Add(diagnostic.Wantf(n.Pos, strings.Join(s.Settings.MachineTypeNames, ", "), "hosts of kind %q, which the settings do not name", g.MachineType))
 		}
 	}
 	for _, l := range s.Loads {
--- a/internal/verify/scenario/scenario_test.go
+++ b/internal/verify/scenario/scenario_test.go
@@ -35,7 +35,7 @@
 	if _, err := Read("calm", FaultFree); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := settings.Read("default", settings.Default); err != nil {
+	if _, err := settings.Parse("default", settings.Default); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/verify/simulation/sim.go
+++ b/internal/verify/simulation/sim.go
@@ -159,7 +159,7 @@
 	if !strings.Contains(extra, "(owner") {
 		text = text[:len(text)-1] + "(owner (first 200ms) (wait 1s)))"
 	}
-	s, err := settings.Read("test", []byte(text))
+	s, err := settings.Parse("test", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/verify/testcluster/cluster.go
+++ b/internal/verify/testcluster/cluster.go
@@ -108,10 +108,10 @@
 		// All is in this process: any free port will do, and two scenes can stand side by side.
 		p := &set.Placers[i]
 		var err error
-		if p.HTTP, err = free("tcp"); err != nil {
+		if p.HTTPAddress, err = free("tcp"); err != nil {
 			return err
 		}
-		if p.Tell, err = free("udp"); err != nil {
+		if p.GossipAddress, err = free("udp"); err != nil {
 			return err
 		}
 	}
@@ -162,7 +162,7 @@
 
 // HostConfig is what a host of a group is.
 func HostConfig(s *scenario.Scenario, g *scenario.HostGroup, name, rack string) hostmodel.Config {
-	kind := s.Settings.Module.MachineTypes[settings.Index(s.Settings.Kinds, g.MachineType)]
+	kind := s.Settings.Module.MachineTypes[settings.Index(s.Settings.MachineTypeNames, g.MachineType)]
 	m := &s.Settings.Module
 	cfg := hostmodel.DefaultConfig(name, g.MachineType, g.Zone, rack, kind.Cores, kind.Memory)
 	cfg.Labels = g.Labels
--- a/internal/verify/testcluster/path_test.go
+++ b/internal/verify/testcluster/path_test.go
@@ -49,7 +49,7 @@
 	if err := sc.WaitReady(20 * time.Second); err != nil {
 		b.Fatal(err)
 	}
-	at := "http://" + sc.Settings.Placers[0].HTTP + "/v1/submissions"
+	at := "http://" + sc.Settings.Placers[0].HTTPAddress + "/v1/submissions"
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clients, DialContext: (&net.Dialer{}).DialContext}}
 	defer client.CloseIdleConnections()
 	body := []byte("services: {w: {image: x, restart: 'no', x-forkhead: {life: 20ms}, deploy: {resources: {reservations: {cpus: '0.1', memory: 10m}}}}}")
