--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -52,7 +52,7 @@
 		"broken scenario":  {[]string{"chaos", write("b.sexp", "(badday (hosts 0 (kind x)))")}, 2, "b.sexp:1:16"},
 		"nobody serves":    {[]string{"submit", good, "--to", "127.0.0.1:1", "--tries", "1"}, 1, "refused"},
 		"explore":          {[]string{"explore", "--tasks", "1", "--output", "json"}, 0, `"complete":true,"violations":[]}`},
-		"explore a plant":  {[]string{"explore", "--plant", "double-send", "--output", "json"}, 3, `"property":"one-out"`},
+		"explore a bug":    {[]string{"explore", "--plant", "double-send", "--output", "json"}, 3, `"property":"one-out"`},
 		"lives":            {[]string{"explore", "--lives", "5", "--output", "json"}, 0, `"failed":[]`},
 		"no trace":         {[]string{"explore", "--replay", good}, 2, "not a trace"},
 		"plan":             {[]string{"plan", "--hosts", "../../examples/hosts.json", "../../examples/calendar.compose.yaml", "--output", "json"}, 0, `"feasible":true,"optimal":true,"cost":78,"bound":78`},
@@ -63,8 +63,8 @@
 		"plan bad hosts":   {[]string{"plan", "--hosts", write("h.json", "{\"hosts\":[\n {\"idd\":1}]}"), good}, 2, `h.json:2:`},
 		"plan bad state":   {[]string{"plan", "--hosts", write("i.json", `{"hosts":[{"id":"a","state":"odd"}]}`), good}, 2, `want ready, cold, draining or gone`},
 		"try impossible":   {[]string{"try", "../../examples/impossible.compose.yaml"}, 3, "at most 2 of calendar-batch in one rack"},
-		"list plants":      {[]string{"explore", "--list-plants"}, 0, "old-connection"},
-		"no such plant":    {[]string{"explore", "--plant", "weeds"}, 2, "no plant is named"},
+		"list bugs":        {[]string{"explore", "--list-plants"}, 0, "old-connection"},
+		"no such bug":      {[]string{"explore", "--plant", "weeds"}, 2, "no plant is named"},
 		"no such effect":   {[]string{"explore", "--effect", "odd"}, 2, "want safe, keyed, unsafe or all"},
 		"too many tasks":   {[]string{"explore", "--tasks", "9"}, 2, "want 1 to 3"},
 		"try a broken one": {[]string{"try", broken}, 2, "broken.yaml:2:7"},
@@ -79,7 +79,7 @@
 	}
 }
 
-// A trace that the search writes can be played through the real core, which vetoes what was planted.
+// A trace that the search writes can be replayed through the real core, which vetoes what the injected bug does.
 func TestTraceAndReplay(t *testing.T) {
 	trace := filepath.Join(t.TempDir(), "trace.json")
 	if code, out, errs := run("explore", "--plant", "double-send", "--trace", trace); code != 3 || !strings.Contains(out, "BROKEN one-out") {
