--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -5,6 +5,7 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
+	"maps"
 	"os"
 	"path"
 	"path/filepath"
@@ -37,13 +38,15 @@
 	"verify/rules", "verify/scenario", "verify/replay",
 }
 
-// forbidden in a pure package: imports, by themselves or with all below them, and names of a package.
+// What is forbidden in a pure package: imports, by themselves or with all below them, and names of a package.
 var (
-	impure = []string{"net", "net/http", "os", "sync", "syscall", "runtime", "unsafe", "github.com/lesismal", "go.etcd.io"}
-	calls  = map[string][]string{
+	impureImports = []string{"net", "net/http", "os", "sync", "syscall", "runtime", "unsafe", "github.com/lesismal", "go.etcd.io"}
+	impureNames   = map[string][]string{
 		"time": {"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "Tick", "NewTimer", "NewTicker"},
-		"math/rand/v2": {"Int", "IntN", "Int32", "Int64", "Int64N", "N", "Uint32", "Uint64", "Uint64N", "Float32", "Float64", "ExpFloat64",
-			"NormFloat64", "Perm", "Shuffle"},
+		"math/rand/v2": {
+			"Int", "IntN", "Int32", "Int64", "Int64N", "N", "Uint32", "Uint64", "Uint64N", "Float32", "Float64", "ExpFloat64",
+			"NormFloat64", "Perm", "Shuffle",
+		},
 		"math/rand": {"Int", "Intn", "Float64", "Perm", "Shuffle", "Seed"},
 	}
 )
@@ -57,51 +60,69 @@
 	if !ok {
 		return ""
 	}
-	w, _, _ := strings.Cut(rest, "/")
-	return w
+	first, _, _ := strings.Cut(rest, "/")
+	return first
 }
 
 func isPure(dir string) bool {
 	return slices.ContainsFunc(pure, func(p string) bool { return dir == p || p != "." && strings.HasPrefix(dir, p+"/") })
 }
 
-// judge says what is wrong with a file of a package, named from internal: "." is the module.
-func judge(dir string, f *ast.File) []string {
+// isImpure reports whether a pure package may not import a path.
+func isImpure(imported string) bool {
+	if imported == "net/url" || imported == "net/netip" { // values, no sockets
+		return false
+	}
+	return slices.ContainsFunc(impureImports, func(i string) bool { return imported == i || strings.HasPrefix(imported, i+"/") })
+}
+
+// importName is the name by which a file uses an import.
+func importName(spec *ast.ImportSpec, imported string) string {
+	if spec.Name != nil {
+		return spec.Name.Name
+	}
+	name := path.Base(imported)
+	if strings.HasPrefix(name, "v") && len(name) == len("v2") {
+		return path.Base(path.Dir(imported))
+	}
+	return name
+}
+
+// violations returns what is wrong with a file of a package, which is named from internal: "." is the module.
+func violations(dir string, file *ast.File) []string {
 	var wrong []string
 	own, _, _ := strings.Cut(dir, "/")
-	names := map[string]string{}
-	for _, im := range f.Imports {
-		p, err := strconv.Unquote(im.Path.Value)
+	imports := map[string]string{} // paths by the names that the file uses
+	for _, spec := range file.Imports {
+		imported, err := strconv.Unquote(spec.Path.Value)
 		if err != nil {
 			return []string{err.Error()}
 		}
-		name := path.Base(p)
-		if strings.HasPrefix(name, "v") && len(name) == 2 {
-			name = path.Base(path.Dir(p))
-		}
-		if im.Name != nil {
-			name = im.Name.Name
-		}
-		names[name] = p
-		if l := layer(p); l != "" && l != own && !slices.Contains(mayImport[own], l) {
-			wrong = append(wrong, fmt.Sprintf("%s imports %s: layer %s may import %v", dir, p, own, mayImport[own]))
+		imports[importName(spec, imported)] = imported
+		if l := layer(imported); l != "" && l != own && !slices.Contains(mayImport[own], l) {
+			wrong = append(wrong, fmt.Sprintf("%s imports %s: layer %s may import %v", dir, imported, own, mayImport[own]))
 		}
-		if isPure(dir) && slices.ContainsFunc(impure, func(i string) bool { return p == i || strings.HasPrefix(p, i+"/") }) &&
-			p != "net/url" && p != "net/netip" {
-			wrong = append(wrong, fmt.Sprintf("%s, which is pure, imports %s", dir, p))
+		if isPure(dir) && isImpure(imported) {
+			wrong = append(wrong, fmt.Sprintf("%s, which is pure, imports %s", dir, imported))
 		}
 	}
-	if !isPure(dir) {
-		return wrong
+	if isPure(dir) {
+		wrong = append(wrong, impurities(dir, file, imports)...)
 	}
-	ast.Inspect(f, func(n ast.Node) bool {
-		switch n := n.(type) {
+	return wrong
+}
+
+// impurities returns what a file of a pure package does that it may not. imports are paths by the names that the file uses.
+func impurities(dir string, file *ast.File, imports map[string]string) []string {
+	var wrong []string
+	ast.Inspect(file, func(node ast.Node) bool {
+		switch node := node.(type) {
 		case *ast.GoStmt:
 			wrong = append(wrong, dir+", which is pure, starts a goroutine")
 		case *ast.SelectorExpr:
-			x, ok := n.X.(*ast.Ident)
-			if ok && x.Obj == nil && slices.Contains(calls[names[x.Name]], n.Sel.Name) {
-				wrong = append(wrong, fmt.Sprintf("%s, which is pure, uses %s.%s", dir, x.Name, n.Sel.Name))
+			name, ok := node.X.(*ast.Ident)
+			if ok && name.Obj == nil && slices.Contains(impureNames[imports[name.Name]], node.Sel.Name) {
+				wrong = append(wrong, fmt.Sprintf("%s, which is pure, uses %s.%s", dir, name.Name, node.Sel.Name))
 			}
 		}
 		return true
@@ -109,17 +130,18 @@
 	return wrong
 }
 
-// The tree is as internal/doc.go says.
-func TestLayers(t *testing.T) {
+// sourceFiles parses the Go files of the repository that are no tests, by their paths from its root.
+func sourceFiles(t *testing.T) map[string]*ast.File {
+	t.Helper()
+	files := map[string]*ast.File{}
 	fset := token.NewFileSet()
-	documented := map[string]bool{}
-	err := filepath.WalkDir("..", func(name string, d os.DirEntry, err error) error {
+	err := filepath.WalkDir("..", func(name string, entry os.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		rel := filepath.ToSlash(strings.TrimPrefix(strings.TrimPrefix(name, ".."), string(filepath.Separator)))
-		if d.IsDir() {
-			if strings.HasPrefix(d.Name(), ".") && name != ".." || rel == "journal" || rel == "bin" {
+		fromRoot := filepath.ToSlash(strings.TrimPrefix(strings.TrimPrefix(name, ".."), string(filepath.Separator)))
+		if entry.IsDir() {
+			if strings.HasPrefix(entry.Name(), ".") && name != ".." || fromRoot == "journal" || fromRoot == "bin" {
 				return filepath.SkipDir
 			}
 			return nil
@@ -127,29 +149,34 @@
 		if !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
 			return nil
 		}
-		f, err := parser.ParseFile(fset, name, nil, parser.ParseComments)
-		if err != nil {
-			return err
-		}
-		dir := path.Dir(rel)
-		documented[dir] = documented[dir] || f.Doc != nil && len(strings.Fields(f.Doc.Text())) > 3
-		switch inner, ok := strings.CutPrefix(dir, "internal/"); {
-		case ok && mayImport[strings.Split(inner, "/")[0]] == nil:
-			t.Errorf("%s is of no layer; want one of those in this test", dir)
-		case ok:
-			for _, w := range judge(inner, f) {
-				t.Error(w)
-			}
-		case dir == ".":
-			for _, w := range judge(".", f) {
-				t.Error(w)
-			}
-		}
-		return nil
+		files[fromRoot], err = parser.ParseFile(fset, name, nil, parser.ParseComments)
+		return err
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
+	return files
+}
+
+// The tree is as internal/doc.go says.
+func TestLayers(t *testing.T) {
+	documented := map[string]bool{}
+	files := sourceFiles(t)
+	for _, name := range slices.Sorted(maps.Keys(files)) {
+		dir, file := path.Dir(name), files[name]
+		documented[dir] = documented[dir] || file.Doc != nil && len(strings.Fields(file.Doc.Text())) > 3
+		fromInternal, isInternal := strings.CutPrefix(dir, "internal/")
+		if !isInternal && dir != "." {
+			continue
+		}
+		if isInternal && mayImport[strings.Split(fromInternal, "/")[0]] == nil {
+			t.Errorf("%s is of no layer; want one of those in this test", dir)
+			continue
+		}
+		for _, wrong := range violations(fromInternal, file) {
+			t.Error(wrong)
+		}
+	}
 	for dir, ok := range documented {
 		if !ok {
 			t.Errorf("package %s has no doc comment", dir)
@@ -163,7 +190,7 @@
 }
 
 // What is forbidden is found.
-func TestPlantedArrows(t *testing.T) {
+func TestViolations(t *testing.T) {
 	for text, c := range map[string]struct{ dir, want string }{
 		`import "forkhead/internal/server/netio"`:                                {"scheduler/core", "layer scheduler may import"},
 		`import "forkhead/internal/verify/rules"`:                                {"server/placer", "layer server may import"},
@@ -185,7 +212,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		wrong := strings.Join(judge(c.dir, f), "; ")
+		wrong := strings.Join(violations(c.dir, f), "; ")
 		if c.want == "" && wrong != "" || !strings.Contains(wrong, c.want) {
 			t.Errorf("%s in %s: %q, want %q", text, c.dir, wrong, c.want)
 		}
--- a/internal/verify/doccheck/doccheck.go
+++ b/internal/verify/doccheck/doccheck.go
@@ -8,25 +8,36 @@
 	"testing"
 )
 
-// Contains fails the test unless a page, named from the repository's root, holds each of the texts.
-func Contains(t testing.TB, name string, texts ...string) {
+// Contains fails the test unless a page contains each of the texts. The page is named by its path from the repository's
+// root, with slashes.
+func Contains(t testing.TB, page string, texts ...string) {
 	t.Helper()
-	root, err := os.Getwd()
-	for ; err == nil; root = filepath.Dir(root) {
-		if _, err := os.Stat(filepath.Join(root, "go.mod")); err == nil {
-			break
-		}
-		if root == filepath.Dir(root) {
-			t.Fatal("no go.mod above the test's folder")
+	content, err := os.ReadFile(filepath.Join(repositoryRoot(t), filepath.FromSlash(page)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range texts {
+		if !strings.Contains(string(content), want) {
+			t.Errorf("%s does not hold:\n%s", page, want)
 		}
 	}
-	text, err := os.ReadFile(filepath.Join(root, filepath.FromSlash(name)))
+}
+
+// repositoryRoot is the nearest folder above the test's that has a go.mod.
+func repositoryRoot(t testing.TB) string {
+	t.Helper()
+	dir, err := os.Getwd()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range texts {
-		if !strings.Contains(string(text), want) {
-			t.Errorf("%s does not hold:\n%s", name, want)
+	for {
+		if _, err := os.Stat(filepath.Join(dir, "go.mod")); err == nil {
+			return dir
+		}
+		parent := filepath.Dir(dir)
+		if parent == dir {
+			t.Fatal("no go.mod above the test's folder")
 		}
+		dir = parent
 	}
 }
