--- a/internal/verify/scenario/default.sexp
+++ b/internal/verify/scenario/default.sexp
@@ -1,5 +1,5 @@
-; The bad day that CI plays: every kind of trouble, three placers, fourteen hosts in two zones.
-; Troubles overlap on purpose. Figures are this project's own.
+; The scenario that CI runs: every kind of fault, three placers, fourteen hosts in two zones.
+; Faults overlap on purpose. Figures are this project's own.
 (badday
   (settings
     (forkhead
--- a/internal/verify/scenario/golden_test.go
+++ b/internal/verify/scenario/golden_test.go
@@ -12,7 +12,7 @@
 	"forkhead/internal/goldentest"
 )
 
-// testdata/all.sexp gives every element of a script a value of its own; it and the built-in scripts come to the same values,
+// testdata/all.sexp gives every element of a scenario a value of its own; it and the built-in scenarios come to the same values,
 // in the order of the fields.
 func TestReadGolden(t *testing.T) {
 	file := filepath.Join("testdata", "all.sexp")
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(s.Text, text) {
-			t.Errorf("%s: the text is not kept", name)
+			t.Errorf("%s: Text is not what was read", name)
 		}
 		s.Text, s.Settings = nil, nil // package settings has a test of its own
 		var b bytes.Buffer
@@ -37,7 +37,7 @@
 	}
 }
 
-// The words of troubles and planted breaches are these.
+// The words of faults and injected bugs are these.
 func TestWordsGolden(t *testing.T) {
 	goldentest.Check(t, "words.txt", []byte(fmt.Sprintln(FaultKinds, InjectedBugs)))
 }
--- a/internal/verify/scenario/recovery.sexp
+++ b/internal/verify/scenario/recovery.sexp
@@ -1,5 +1,5 @@
-; Placers are killed again and again while they place, two of them with discovery silent, and hosts die and come back
-; under them. They keep what they must not forget: a death excuses no missing outcome.
+; Placers are killed again and again while they place, two of them with discovery unresponsive, and hosts die and restart
+; under them. The placers keep stores: a death excuses no missing outcome.
 (badday
   (settings
     (forkhead
--- a/internal/verify/scenario/scenario_test.go
+++ b/internal/verify/scenario/scenario_test.go
@@ -19,7 +19,7 @@
 	}
 	for _, k := range FaultKinds {
 		if !seen[k] {
-			t.Errorf("the bad day that CI plays lacks %s", k)
+			t.Errorf("the scenario that CI runs lacks %s", k)
 		}
 	}
 	if len(s.Settings.Placers) < 3 {
