--- a/internal/cli/explore_simulation.go
+++ b/internal/cli/explore_simulation.go
@@ -49,7 +49,7 @@
 		workers.Go(func() {
 			for i := next.Add(1) - 1; i < int64(n) && ctx.Err() == nil; i = next.Add(1) - 1 {
 				for _, mix := range simulation.Mixes {
-					if err := simulation.Check(mix, firstSeed+uint64(i)); err != nil {
+					if err := simulation.CheckRandom(mix, firstSeed+uint64(i)); err != nil {
 						mu.Lock()
 						failed = append(failed, mix.Name+" "+err.Error())
 						mu.Unlock()
--- a/internal/planning/plan/plan_test.go
+++ b/internal/planning/plan/plan_test.go
@@ -120,8 +120,8 @@
 		q.Hosts = append(q.Hosts, Host{ID: cfg.Name, MachineType: kind, Zone: "a", Rack: cfg.Rack, Cores: c, Memory: m, Cost: 1})
 		cores += c
 	}
-	s.List()
-	s.Run(time.Second)
+	s.SendHostList()
+	s.Advance(time.Second)
 	rng := rand.New(rand.NewPCG(seed, 9))
 	text := "name: p\nservices:\n"
 	left := load * cores
@@ -142,7 +142,7 @@
 			unplaced++
 		}
 	}
-	q.Specs = []*servicespec.Description{s.Parse(text)}
+	q.Specs = []*servicespec.Description{s.ParseCompose(text)}
 	end := time.Now().Add(5 * time.Second)
 	p, err := Solve(q, solver.Options{Stop: func() bool { return time.Now().After(end) }})
 	if err != nil {
--- a/internal/scheduler/core/core_test.go
+++ b/internal/scheduler/core/core_test.go
@@ -42,11 +42,11 @@
 	play := func() (string, int) {
 		s := simulation.New(t, simulation.Settings(t, ""), 5)
 		s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 30}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 5}}}")
-		s.Run(time.Second)
-		s.Kill("h1")
-		s.Run(time.Second)
-		s.Revive("h1", true)
-		s.Run(3 * time.Second)
+		s.Advance(time.Second)
+		s.KillHost("h1")
+		s.Advance(time.Second)
+		s.RestartHost("h1", true)
+		s.Advance(3 * time.Second)
 		text := ""
 		for _, o := range s.Offers {
 			text += o.At.String() + o.Host + o.Offer.Spec.Name + "\n"
--- a/internal/scheduler/core/dependencies_test.go
+++ b/internal/scheduler/core/dependencies_test.go
@@ -39,5 +39,5 @@
 	if o := out["db/1"]; !strings.Contains(o.Reason, "more than any kind of host has") {
 		t.Fatalf("db: %+v", o)
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/hostconns_test.go
+++ b/internal/scheduler/core/hostconns_test.go
@@ -15,14 +15,14 @@
 	for name, point := range map[string]hostmodel.CrashPoint{"mid look": hostmodel.DuringDecision, "mid start": hostmodel.DuringStart, "after bind": hostmodel.AfterBind} {
 		t.Run(name, func(t *testing.T) {
 			s := simulation.New(t, simulation.Settings(t, ""), 6)
-			for _, h := range s.Names[:3] {
-				s.Hosts[h].Life.CrashAt(point)
+			for _, h := range s.HostNames[:3] {
+				s.Hosts[h].Model.CrashAt(point)
 			}
 			out := s.Await(s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 12}}}"), 20*time.Second)
 			if simulation.Count(out, core.OutcomePlaced) != 12 {
 				t.Fatalf("outcomes: %+v", out)
 			}
-			s.Clean()
+			s.RequireNoViolations()
 		})
 	}
 }
@@ -33,8 +33,8 @@
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	out := s.Await(s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 4}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}"), 5*time.Second)
 	victim := out["web/1"].Host
-	s.Hosts[victim].Mute = true
-	s.Run(8 * time.Second)
+	s.Hosts[victim].Blackholed = true
+	s.Advance(8 * time.Second)
 	unsafe := 0
 	for _, o := range s.Offers {
 		if o.Offer.Spec.Class == "ledger" {
@@ -44,13 +44,13 @@
 	if unsafe != 4 {
 		t.Fatalf("%d offers of four unsafe tasks", unsafe)
 	}
-	s.Hosts[victim].Mute = false
-	s.Run(8 * time.Second)
-	running := s.Running()
+	s.Hosts[victim].Blackholed = false
+	s.Advance(8 * time.Second)
+	running := s.RunningTasks()
 	if running != 8 {
 		t.Fatalf("%d tasks run, want 8", running)
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
 
 // A host reports that it drains while offers are in flight and while a retry waits: nothing new reaches it after the
@@ -59,16 +59,16 @@
 	s := simulation.New(t, simulation.Settings(t, ""), 3)
 	s.Delay = 20 * time.Millisecond
 	s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 20}}}")
-	s.Run(25 * time.Millisecond)
+	s.Advance(25 * time.Millisecond)
 	told := s.Now
-	s.HostOut("h1", s.Hosts["h1"].Life.Drain(s.Now, true, false))
-	s.Run(10 * time.Second)
+	s.ExecuteHostOutputs("h1", s.Hosts["h1"].Model.Drain(s.Now, true, false))
+	s.Advance(10 * time.Second)
 	for _, o := range s.Offers {
 		if o.Host == "h1" && o.At > told+s.Delay+s.Settings.Module.DrainGrace {
 			t.Fatalf("an offer to h1 %v after it drains", o.At-told)
 		}
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
 
 // A host that flaps under one name with a new epoch each time: no task has two outcomes, none is
@@ -77,19 +77,19 @@
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	id := s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 30}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}")
 	for range 10 {
-		s.Run(300 * time.Millisecond)
-		s.Kill("h1")
-		s.Run(150 * time.Millisecond)
-		s.Revive("h1", false)
+		s.Advance(300 * time.Millisecond)
+		s.KillHost("h1")
+		s.Advance(150 * time.Millisecond)
+		s.RestartHost("h1", false)
 	}
 	if out := s.Await(id, 30*time.Second); len(out) != 34 {
 		t.Fatalf("%d outcomes", len(out))
 	}
-	s.Run(10 * time.Second)
+	s.Advance(10 * time.Second)
 	s.Step(core.RemoveProject{Request: 2, Project: "p"})
-	s.Run(5 * time.Second)
+	s.Advance(5 * time.Second)
 	if held := s.Core.TableSizes(); held != (core.TableSizes{Hosts: held.Hosts}) {
 		t.Fatalf("left over: %+v", held)
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/hostlist_test.go
+++ b/internal/scheduler/core/hostlist_test.go
@@ -12,18 +12,18 @@
 // The list fails and comes back; the module polls again, and tasks wait meanwhile.
 func TestCoreWaitsWhileTheHostListFails(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 0)
-	s.ListUp = false
-	s.List()
+	s.CatalogUp = false
+	s.SendHostList()
 	for i := range 3 {
 		s.AddHost(hostmodel.DefaultConfig("late"+string(rune('a'+i)), "small", "a", "r", 8, 16))
 	}
 	id := s.Submit("", "services: {w: {}}")
-	s.Run(time.Second)
-	s.ListUp = true
+	s.Advance(time.Second)
+	s.CatalogUp = true
 	if out := s.Await(id, 10*time.Second); simulation.Count(out, core.OutcomePlaced) != 1 {
 		t.Fatalf("outcomes: %+v", out)
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
 
 // Two hosts whose names hash to one number are told apart.
@@ -43,5 +43,5 @@
 	if len(hosts) != 4 {
 		t.Fatalf("placed at %v", hosts)
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/labels_test.go
+++ b/internal/scheduler/core/labels_test.go
@@ -45,11 +45,11 @@
 		t.Fatalf("e: %+v", o)
 	}
 	s.Step(core.RemoveProject{Project: "p"})
-	s.Run(time.Second)
+	s.Advance(time.Second)
 	if n := s.Core.TableSizes().Labels; n != 0 {
 		t.Fatalf("%d labels are still held", n)
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
 
 // A service that has to be near another goes only where that one is, follows it where it is placed
@@ -77,10 +77,10 @@
 		t.Fatalf("far: %+v", o)
 	}
 	// Its host dies for good: db comes up elsewhere, and what comes after it follows.
-	s.Kill(db.Host)
+	s.KillHost(db.Host)
 	s.Hosts[db.Host].Listed = false
-	s.List()
-	s.Run(5 * time.Second)
+	s.SendHostList()
+	s.Advance(5 * time.Second)
 	out = s.Await(s.Submit("", `
 name: p
 services:
@@ -90,5 +90,5 @@
 	if now := out["db/1"]; now.Host == db.Host || out["new/1"].Host != now.Host {
 		t.Fatalf("%+v", out)
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/orphans_test.go
+++ b/internal/scheduler/core/orphans_test.go
@@ -17,7 +17,7 @@
 	s.FromHost = func(host string, f hostproto.Frame) bool {
 		if _, ok := f.(hostproto.Running); ok && lost == "" {
 			lost = host
-			s.After(0, func() { s.Cut(host) })
+			s.After(0, func() { s.ResetConnections(host) })
 			return false
 		}
 		return true
@@ -26,7 +26,7 @@
 	if o := out["l/1"]; o.Outcome != core.OutcomePlaced || o.Host != lost || len(s.Offers) != 1 {
 		t.Fatalf("outcome %+v, %d offers, lost at %s", o, len(s.Offers), lost)
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
 
 // An offer that never arrived is known never to have run once the host is back and asked.
@@ -36,7 +36,7 @@
 	s.ToHost = func(host string, f hostproto.Frame) bool {
 		if _, ok := f.(hostproto.Offer); ok && !lost {
 			lost = true
-			s.After(0, func() { s.Cut(host) })
+			s.After(0, func() { s.ResetConnections(host) })
 			return false
 		}
 		return true
@@ -45,7 +45,7 @@
 	if simulation.Count(out, core.OutcomePlaced) != 1 || len(s.Offers) != 2 {
 		t.Fatalf("outcomes %+v, %d offers", out, len(s.Offers))
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
 
 // A placer that is killed and starts again finds its tasks with the hosts; a client that sends
@@ -54,15 +54,15 @@
 	s := simulation.New(t, simulation.Settings(t, ""), 6)
 	text := "name: p\nservices: {web: {deploy: {replicas: 3}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 3}}}"
 	s.Submit("k", text)
-	s.Run(30 * time.Millisecond) // attempts are out
-	s.Restart()
+	s.Advance(30 * time.Millisecond) // attempts are out
+	s.RestartPlacer()
 	out := s.Await(s.Submit("k", text), 20*time.Second)
 	if simulation.Count(out, core.OutcomePlaced) != 6 {
 		t.Fatalf("outcomes: %+v", out)
 	}
-	s.Run(3 * time.Second)
+	s.Advance(3 * time.Second)
 	keys := map[uint64]int{}
-	running := s.Running()
+	running := s.RunningTasks()
 	for _, o := range s.Offers {
 		if o.Offer.Spec.Class == "ledger" {
 			keys[o.Offer.Spec.Key]++
@@ -76,5 +76,5 @@
 	if running != 6 {
 		t.Fatalf("%d tasks run, want 6", running)
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/projects_test.go
+++ b/internal/scheduler/core/projects_test.go
@@ -26,17 +26,17 @@
 			t.Fatalf("%s is offered %v after the stop of its earlier copy was sent", o.Offer.Spec.Name, o.At-stopped)
 		}
 	}
-	if n := s.Running(); n != 4 {
+	if n := s.RunningTasks(); n != 4 {
 		t.Fatalf("%d run", n)
 	}
 	// With its host out of reach the task is rejected, and nothing is offered.
-	for _, h := range s.Names {
-		s.Hosts[h].Mute = true
+	for _, h := range s.HostNames {
+		s.Hosts[h].Blackholed = true
 	}
 	n := len(s.Offers)
 	s.Step(core.RemoveProject{Request: 3, Project: "p"})
 	if out := s.Await(s.Submit("", text), 60*time.Second); simulation.Count(out, core.OutcomeRejected) != 4 || len(s.Offers) != n {
 		t.Fatalf("outcomes: %+v, %d new offers", out, len(s.Offers)-n)
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/replicas_test.go
+++ b/internal/scheduler/core/replicas_test.go
@@ -16,7 +16,7 @@
   twice: {x-forkhead: {life: 300ms}, deploy: {restart_policy: {max_attempts: 1}}}
   ever: {x-forkhead: {life: 300ms}}
 `), 5*time.Second)
-	s.Run(5 * time.Second)
+	s.Advance(5 * time.Second)
 	n := map[string]int{}
 	for _, o := range s.Offers {
 		n[o.Offer.Spec.Name]++
@@ -24,5 +24,5 @@
 	if n["p/once/1"] != 1 || n["p/twice/1"] != 2 || n["p/ever/1"] < 5 {
 		t.Fatalf("starts: %v", n)
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/requests_test.go
+++ b/internal/scheduler/core/requests_test.go
@@ -24,7 +24,7 @@
 	if o := out["web/1"]; o.Host == "" || o.Rack == "" || o.Attempts < 1 {
 		t.Fatalf("outcome lacks its place: %+v", o)
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
 
 // Two in a rack are allowed, three racks have a large host: six of eight are placed, the rest
@@ -46,48 +46,48 @@
 			t.Fatalf("reason: %q", o.Reason)
 		}
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
 
 // An unsafe task whose host dies before it answered is not sent again before that incarnation
 // of the host is known to be over, and then is.
 func TestCoreHoldsUnsafeTaskUntilItsAttemptIsSettled(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
-	for _, h := range s.Names {
-		s.Hosts[h].Life.CrashAt(hostmodel.AfterBind)
+	for _, h := range s.HostNames {
+		s.Hosts[h].Model.CrashAt(hostmodel.AfterBind)
 	}
 	id := s.Submit("", "name: p\nservices: {l: {x-forkhead: {class: ledger}}}")
-	s.Run(5 * time.Second)
+	s.Advance(5 * time.Second)
 	if len(s.Offers) != 1 {
 		t.Fatalf("%d offers while the first may have run", len(s.Offers))
 	}
 	first := s.Offers[0].Host
-	for _, h := range s.Names {
-		s.Hosts[h].Life.CrashAt(hostmodel.NoCrash)
+	for _, h := range s.HostNames {
+		s.Hosts[h].Model.CrashAt(hostmodel.NoCrash)
 	}
-	s.Revive(first, true)
+	s.RestartHost(first, true)
 	out := s.Await(id, 15*time.Second)
 	if simulation.Count(out, core.OutcomePlaced) != 1 || len(s.Offers) != 2 {
 		t.Fatalf("outcomes %+v after %d offers", out, len(s.Offers))
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
 
 // A reply that comes after the deadline's timer: the request has ended, the host is asked to stop
 // what it started, or its owner takes it; there is one outcome either way.
 func TestCoreSettlesReplyAfterDeadline(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 2)
-	for _, h := range s.Names {
-		s.Hosts[h].Life.SlowDown(s.Now, 10*time.Second, 30) // starts take 3 s, asks 2 s
+	for _, h := range s.HostNames {
+		s.Hosts[h].Model.SlowDown(s.Now, 10*time.Second, 30) // starts take 3 s, asks 2 s
 	}
 	out := s.Await(s.Submit("", "name: p\nservices: {l: {x-forkhead: {class: ledger, patience: 9s}}}"), 20*time.Second)
 	if len(out) != 1 {
 		t.Fatalf("outcomes: %+v", out)
 	}
-	s.Run(5 * time.Second)
-	running := s.Running()
+	s.Advance(5 * time.Second)
+	running := s.RunningTasks()
 	if placed := simulation.Count(out, core.OutcomePlaced); running != placed {
 		t.Fatalf("%d run, %d placed", running, placed)
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/restore_test.go
+++ b/internal/scheduler/core/restore_test.go
@@ -15,21 +15,21 @@
 func restartWithoutDiscovery(t *testing.T, away time.Duration) *simulation.Sim {
 	t.Helper()
 	s := simulation.NewDurable(t, simulation.Settings(t, "(saved-list (fresh 10s) (old 1h))"), 4)
-	s.Run(3 * time.Second)
-	s.List() // noted
+	s.Advance(3 * time.Second)
+	s.SendHostList() // noted
 	s.Submit("k", "name: first\nservices: {a: {x-forkhead: {class: web, life: 1s}, restart: 'no'}}")
-	s.Run(5 * time.Second)
-	s.ListUp = false
-	s.Kill("h0")
+	s.Advance(5 * time.Second)
+	s.CatalogUp = false
+	s.KillHost("h0")
 	if away < 0 { // a clock that was set back, seen from the list
-		list := s.Disk.Kept().HostList
+		list := s.Disk.Snapshot().HostList
 		list.ReceivedAt = s.Now - away
-		s.Disk.Keep([]durable.Record{durable.HostListReceived{List: list}, durable.IncarnationStarted{Epoch: s.Epoch}})
+		s.Disk.Persist([]durable.Record{durable.HostListReceived{List: list}, durable.IncarnationStarted{Epoch: s.Epoch}})
 		away = time.Second
 	}
 	s.Now += away
 	s.Offers = nil
-	s.Restart()
+	s.RestartPlacer()
 	return s
 }
 
@@ -52,24 +52,24 @@
 			t.Errorf("an offer to a host that is gone")
 		}
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
 
 // Old entries count only once their host has greeted; a list that is too old is ignored, with how old it is.
 func TestCoreIgnoresTooOldHostList(t *testing.T) {
 	s := restartWithoutDiscovery(t, 2*time.Hour)
-	s.Run(2 * time.Second)
+	s.Advance(2 * time.Second)
 	if st := s.Core.Status(); st.HostsReady != 0 || !strings.Contains(strings.Join(s.Logs, "\n"), "the list of hosts that was kept is 2h0m") {
 		t.Fatalf("%d hosts are ready; logs %v", st.HostsReady, s.Logs)
 	}
-	s.ListUp = true
-	s.Run(2 * time.Second)
-	s.List()
-	s.Run(time.Second)
+	s.CatalogUp = true
+	s.Advance(2 * time.Second)
+	s.SendHostList()
+	s.Advance(time.Second)
 	if s.Core.Status().HostsReady == 0 {
 		t.Fatal("a list from the catalog is not taken")
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
 
 // A description, its outcomes and its key outlive the placer; what was removed stays removed, and is stopped where it shows.
@@ -80,17 +80,17 @@
 	before := s.Await(id, 5*time.Second)
 	gone := s.Submit("other", "name: q\nservices: {b: {x-forkhead: {class: web}}}")
 	s.Await(gone, 5*time.Second)
-	s.Cut("h0")
-	for _, name := range s.Names {
-		s.Hosts[name].Mute = true // the stop of q does not arrive
+	s.ResetConnections("h0")
+	for _, name := range s.HostNames {
+		s.Hosts[name].Blackholed = true // the stop of q does not arrive
 	}
 	s.Step(core.RemoveProject{Request: 3, Project: "q"})
-	s.Restart()
-	for _, name := range s.Names {
-		s.Hosts[name].Mute = false
+	s.RestartPlacer()
+	for _, name := range s.HostNames {
+		s.Hosts[name].Blackholed = false
 	}
 	s.Offers = nil
-	s.Run(10 * time.Second)
+	s.Advance(10 * time.Second)
 	after := s.Await(id, time.Second)
 	for name, o := range before {
 		if after[name] != o {
@@ -100,8 +100,8 @@
 	if again := s.Submit("key", text); again != id {
 		t.Errorf("the same key made another submission, %s", again)
 	}
-	if len(s.Offers) != 0 || s.Running() != 2 {
-		t.Errorf("%d offers, %d tasks run; want none, and the two that ran before", len(s.Offers), s.Running())
+	if len(s.Offers) != 0 || s.RunningTasks() != 2 {
+		t.Errorf("%d offers, %d tasks run; want none, and the two that ran before", len(s.Offers), s.RunningTasks())
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/updates_test.go
+++ b/internal/scheduler/core/updates_test.go
@@ -27,8 +27,8 @@
 			if took := s.Now - start; took < time.Second {
 				t.Fatalf("three tasks one at a time with 500ms between took %v", took)
 			}
-			s.Run(2 * time.Second)
-			running := s.Running()
+			s.Advance(2 * time.Second)
+			running := s.RunningTasks()
 			if running != 3 {
 				t.Fatalf("%d run, want 3", running)
 			}
@@ -38,7 +38,7 @@
 					t.Fatalf("unchanged, and yet %+v", o)
 				}
 			}
-			s.Clean()
+			s.RequireNoViolations()
 		})
 	}
 }
@@ -54,9 +54,9 @@
 	if simulation.Count(out, core.OutcomeRejected) != 3 {
 		t.Fatalf("outcomes: %+v", out)
 	}
-	running := s.Running()
+	running := s.RunningTasks()
 	if running != 2 {
 		t.Fatalf("%d run, want the two that were not replaced", running)
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
--- a/internal/verify/platformsim/hosts.go
+++ b/internal/verify/platformsim/host.go
@@ -33,12 +33,12 @@
 
 func (h *host) name() string { return fmt.Sprintf("s-%08x", h.n) }
 
-func (h *host) zone() string { return h.w.Names.Zones[h.n%len(h.w.Names.Zones)] }
+func (h *host) zone() string { return h.w.WireNames.Zones[h.n%len(h.w.WireNames.Zones)] }
 
 func (h *host) info(state platform.EndpointState) platform.Endpoint {
 	free := h.w.Settings.MachineTypes[h.kind]
 	return platform.Endpoint{
-		Name: h.name(), Address: fmt.Sprintf("10.0.%d.%d:1", h.n, h.serial), Zone: h.zone(), MachineType: h.w.Names.MachineTypes[h.kind], Cell: h.n / 3,
+		Name: h.name(), Address: fmt.Sprintf("10.0.%d.%d:1", h.n, h.serial), Zone: h.zone(), MachineType: h.w.WireNames.MachineTypes[h.kind], Cell: h.n / 3,
 		State: state, StartedAtMS: float64(h.born.Milliseconds()), Available: []float64{free.Cores, free.Memory},
 	}
 }
--- a/internal/verify/platformsim/orders.go
+++ b/internal/verify/platformsim/orders.go
@@ -10,11 +10,11 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// Orders plays every order of so many events around one task of each class of the settings, with one placer and two hosts:
+// ExploreOrders plays every order of so many events around one task of each class of the settings, with one placer and two hosts:
 // connections made, refused and ended, every word of a host on any attempt, late ones too, the owner's give-up and leaving, a
 // hand-over, a drain, a host's loss and the deadline. It returns how many orders it played and the first breaches, each with
 // its order.
-func Orders(set forkhead.Settings, names platformcore.WireNames, depth int, spoil func() func(platformcore.Output) []platformcore.Output) (played int, breaches []string) {
+func ExploreOrders(set forkhead.Settings, names platformcore.WireNames, depth int, spoil func() func(platformcore.Output) []platformcore.Output) (played int, breaches []string) {
 	for class := range set.Classes {
 		var walk func(order []string)
 		walk = func(order []string) {
@@ -46,10 +46,10 @@
 const orderWait = 1500 * time.Millisecond
 
 func replay(set forkhead.Settings, names platformcore.WireNames, class int, order []string, spoil func() func(platformcore.Output) []platformcore.Output) (*world, *ask) {
-	w := newWorld(Life{Settings: set, Names: names, Placers: 1, Hosts: 2, Room: 40})
+	w := newWorld(Config{Settings: set, WireNames: names, Placers: 1, Hosts: 2, MaxConnections: 40})
 	w.calm, w.manual = true, true
 	if spoil != nil {
-		w.Spoil = spoil()
+		w.InjectFault = spoil()
 	}
 	p := &placer{w: w}
 	w.placers = append(w.placers, p)
--- a/internal/verify/platformsim/orders_test.go
+++ b/internal/verify/platformsim/orders_test.go
@@ -10,9 +10,9 @@
 
 // Every order of four events around one task of each class keeps the rules.
 func TestOrdersKeepTheRules(t *testing.T) {
-	l := one(1)
+	l := busyConfig(1)
 	l.Settings.MaxAttempts = 2
-	played, breaches := Orders(l.Settings, l.Names, 4, nil)
+	played, breaches := ExploreOrders(l.Settings, l.WireNames, 4, nil)
 	for _, b := range breaches {
 		t.Error(b)
 	}
@@ -31,7 +31,7 @@
 		x, ok := o.(platformcore.SendToOwner)
 		return ok && bytes.Contains(x.Line, []byte(`"down"`))
 	}
-	l := one(1)
+	l := busyConfig(1)
 	l.Settings.MaxAttempts = 2
 	for name, c := range map[string]struct {
 		which func(platformcore.Output) bool
@@ -40,7 +40,7 @@
 	}{
 		"an offer twice": {once, 2, "two attempts"}, "an answer never": {final, 0, "one answer"}, "an answer twice": {final, 2, "a second time"},
 	} {
-		_, breaches := Orders(l.Settings, l.Names, 2, func() func(platformcore.Output) []platformcore.Output {
+		_, breaches := ExploreOrders(l.Settings, l.WireNames, 2, func() func(platformcore.Output) []platformcore.Output {
 			return func(o platformcore.Output) []platformcore.Output {
 				if !c.which(o) {
 					return []platformcore.Output{o}
--- a/internal/verify/platformsim/ends.go
+++ b/internal/verify/platformsim/placer.go
@@ -34,11 +34,11 @@
 func (a *ask) line(at string) string {
 	w := a.p.w
 	tenant := ""
-	if n := len(w.Names.Tenants); n > 0 {
-		tenant = fmt.Sprintf(`"tenant":%q,`, w.Names.Tenants[int(a.service)%n])
+	if n := len(w.WireNames.Tenants); n > 0 {
+		tenant = fmt.Sprintf(`"tenant":%q,`, w.WireNames.Tenants[int(a.service)%n])
 	}
 	return fmt.Sprintf(`{"t":"new","ref":"%s","f":{"class":%q,%s"left":"%d","key":"%s","idem":"i%s","extras":"cores:%g;memory:%g;service:%016x%s"},"d":"x"}`+"\n",
-		a.ref, w.Names.Classes[a.class], tenant, a.wait.Milliseconds(), a.ref, a.ref, a.cores, a.cores, a.service, at)
+		a.ref, w.WireNames.Classes[a.class], tenant, a.wait.Milliseconds(), a.ref, a.ref, a.cores, a.cores, a.service, at)
 }
 
 // attempt is one offer as it was written; what its placer has been told of it is noted as it is delivered.
@@ -137,9 +137,9 @@
 	p.owners, p.links, p.told = map[platformcore.OwnerID]*owner{}, map[platformcore.ConnectionID]*conn{}, map[uint32]told{}
 	set := p.w.Settings
 	set.Placers, set.Self = p.w.Placers, p.n
-	room := max(p.w.Room, 8)
+	room := max(p.w.MaxConnections, 8)
 	core, err := platformcore.New(platformcore.Config{
-		Settings: set, Names: p.w.Names, IdleTimeout: p.w.Idle, Seed: p.w.Seed + uint64(p.life), InitialEvents: slices.Clone(p.w.events),
+		Settings: set, Names: p.w.WireNames, IdleTimeout: p.w.IdleTimeout, Seed: p.w.Seed + uint64(p.life), InitialEvents: slices.Clone(p.w.events),
 		MaxOwnerConnections: room * 2 / 3, ProtectedOwnerConnections: room / 3, MaxHostConnections: room - room/3, MaxConnections: room,
 	})
 	if err != nil {
@@ -269,11 +269,11 @@
 	p.w.report.Steps++
 	out := p.core.Step(p.w.now, in...)
 	for _, o := range out {
-		if p.w.Spoil == nil {
+		if p.w.InjectFault == nil {
 			p.carry(o)
 			continue
 		}
-		for _, o := range p.w.Spoil(o) {
+		for _, o := range p.w.InjectFault(o) {
 			p.carry(o)
 		}
 	}
--- a/internal/verify/platformsim/play.go
+++ b/internal/verify/platformsim/run.go
@@ -15,28 +15,28 @@
 	"forkhead/internal/scheduler/timerqueue"
 )
 
-// Life says what is played.
-type Life struct {
-	Settings forkhead.Settings // Placers and Self are filled in
-	Names    platformcore.WireNames
-	Idle     time.Duration
-	Placers  int
-	Hosts    int
-	Tasks    int
-	Room     int     // connections of a placer
-	Faults   float64 // how much goes wrong, from 0 to 1
-	Seed     uint64
-	// Spoil changes what a placer writes to hosts or owners, to see that the judge finds it; nil: nothing.
-	Spoil func(platformcore.Output) []platformcore.Output
+// Config says what is played.
+type Config struct {
+	Settings       forkhead.Settings // Placers and Self are filled in
+	WireNames      platformcore.WireNames
+	IdleTimeout    time.Duration
+	Placers        int
+	Hosts          int
+	Tasks          int
+	MaxConnections int     // connections of a placer
+	Faults         float64 // how much goes wrong, from 0 to 1
+	Seed           uint64
+	// InjectFault changes what a placer writes to hosts or owners, to see that the judge finds it; nil: nothing.
+	InjectFault func(platformcore.Output) []platformcore.Output
 }
 
 // Report is what a life came to.
 type Report struct {
-	Breaches                              []string // the first of them
-	Asks, Placed, Refused, Failed, GaveUp int
-	Offers, HandedOver, Kills, ColdOffers int
-	Lost, Ended                           int
-	Steps                                 int
+	Breaches                                  []string // the first of them
+	Requests, Placed, Refused, Failed, GaveUp int
+	Offers, HandedOver, Kills, ColdOffers     int
+	Lost, Ended                               int
+	Steps                                     int
 }
 
 const (
@@ -47,7 +47,7 @@
 )
 
 type world struct {
-	Life
+	Config
 	rng     *rand.Rand
 	now     time.Duration
 	todo    timerqueue.Queue[func()]
@@ -61,8 +61,8 @@
 	manual  bool // nothing happens by itself
 }
 
-// Play plays a life.
-func Play(life Life) Report {
+// Run plays a life.
+func Run(life Config) Report {
 	w := newWorld(life)
 	for i := range life.Placers {
 		p := &placer{w: w, n: i}
@@ -91,11 +91,11 @@
 }
 
 // newWorld has the hosts, listed, and no placer yet.
-func newWorld(life Life) *world {
-	w := &world{Life: life, rng: rand.New(rand.NewPCG(life.Seed, 5)), now: time.Hour, asks: map[string]*ask{}}
+func newWorld(life Config) *world {
+	w := &world{Config: life, rng: rand.New(rand.NewPCG(life.Seed, 5)), now: time.Hour, asks: map[string]*ask{}}
 	var all []platform.Endpoint
 	for i := range life.Hosts {
-		h := &host{w: w, n: i + 1, life: 1, up: true, ready: true, kind: i % len(life.Names.MachineTypes), held: map[string]*attempt{}}
+		h := &host{w: w, n: i + 1, life: 1, up: true, ready: true, kind: i % len(life.WireNames.MachineTypes), held: map[string]*attempt{}}
 		w.hosts = append(w.hosts, h)
 		all = append(all, h.info(platform.InService))
 	}
@@ -194,7 +194,7 @@
 		wait: time.Duration(200+w.rng.IntN(2500)) * time.Millisecond, cores: []float64{0.25, 0.5, 1, 2}[w.rng.IntN(4)],
 	}
 	w.asks[a.ref] = a
-	w.report.Asks++
+	w.report.Requests++
 	a.owner = p.owner()
 	a.owner.send(a.line(""))
 	if w.odds(8) {
--- a/internal/verify/platformsim/play_test.go
+++ b/internal/verify/platformsim/run_test.go
@@ -14,37 +14,37 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// drawn is a life under settings drawn from what the platform's page allows.
-func drawn(t *rapid.T) Life {
+// drawnConfig is a life under settings drawnConfig from what the platform's page allows.
+func drawnConfig(t *rapid.T) Config {
 	num := func(name string, least, most int) int { return rapid.IntRange(least, most).Draw(t, name) }
 	ms := func(name string, least, most int) time.Duration {
 		return time.Duration(num(name+", ms", least, most)) * time.Millisecond
 	}
 	flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
-	l := Life{
-		Placers: num("placers", 1, 5), Hosts: num("hosts", 1, 12), Tasks: num("tasks", 1, 150), Room: num("room", 12, 200),
+	l := Config{
+		Placers: num("placers", 1, 5), Hosts: num("hosts", 1, 12), Tasks: num("tasks", 1, 150), MaxConnections: num("room", 12, 200),
 		Faults: float64(num("faults, percent", 0, 100)) / 100, Seed: rapid.Uint64().Draw(t, "seed"),
 	}
 	if flag("connections close when idle") {
-		l.Idle = ms("idle", 2000, 60000)
+		l.IdleTimeout = ms("idle", 2000, 60000)
 	}
 	for i := range num("zones", 1, 3) {
-		l.Names.Zones = append(l.Names.Zones, fmt.Sprintf("zone %d: ü/%d", i, i))
+		l.WireNames.Zones = append(l.WireNames.Zones, fmt.Sprintf("zone %d: ü/%d", i, i))
 	}
 	for i := range num("kinds", 1, 2) {
-		l.Names.MachineTypes = append(l.Names.MachineTypes, fmt.Sprintf("kind\"%d", i))
+		l.WireNames.MachineTypes = append(l.WireNames.MachineTypes, fmt.Sprintf("kind\"%d", i))
 		l.Settings.MachineTypes = append(l.Settings.MachineTypes, forkhead.MachineType{Cores: float64(num("cores", 2, 40)), Memory: float64(num("memory", 2, 40))})
 	}
 	for i := range num("tenants", 0, 3) {
-		l.Names.Tenants = append(l.Names.Tenants, fmt.Sprintf("tenant %d", i))
+		l.WireNames.Tenants = append(l.WireNames.Tenants, fmt.Sprintf("tenant %d", i))
 		l.Settings.Tenants = append(l.Settings.Tenants, forkhead.Tenant{Quota: 0.3, QuotaCores: float64(num("quota", 0, 50))})
 	}
 	for i := range num("classes", 1, 4) {
-		l.Names.Classes = append(l.Names.Classes, strings.Repeat("class ", 1+i*4)+fmt.Sprint(i))
+		l.WireNames.Classes = append(l.WireNames.Classes, strings.Repeat("class ", 1+i*4)+fmt.Sprint(i))
 		c := forkhead.Class{
 			Effect:      rapid.SampledFrom([]forkhead.Effect{forkhead.Safe, forkhead.Keyed, forkhead.Unsafe}).Draw(t, "effect"),
 			DedupDomain: rapid.SampledFrom([]forkhead.Domain{forkhead.AnyDomain, forkhead.ZoneDomain, forkhead.CellDomain}).Draw(t, "group"),
-			DedupWindow: ms("window", 200, 8000), LatencyObjective: ms("aim", 50, 2000), Weight: float64(num("worth", 0, 9)), MachineType: num("kind", -1, len(l.Names.MachineTypes)-1),
+			DedupWindow: ms("window", 200, 8000), LatencyObjective: ms("aim", 50, 2000), Weight: float64(num("worth", 0, 9)), MachineType: num("kind", -1, len(l.WireNames.MachineTypes)-1),
 			SaturationThreshold: float64(num("calm, percent", 10, 100)) / 100, DegradationRange: float64(num("fade, percent", 0, 100)) / 100, Priority: num("priority", 0, 3),
 			SpreadDomain: rapid.SampledFrom([]forkhead.Domain{forkhead.AnyDomain, forkhead.MachineDomain, forkhead.CellDomain, forkhead.ZoneDomain}).Draw(t, "spread"),
 			MaxPerDomain: num("most", 1, 4),
@@ -68,9 +68,9 @@
 // Whatever the settings and whatever goes wrong: the five rules hold on what is written, nothing panics, and all that is
 // taken is answered. The lives are the same each time; -rapid.checks plays so many others (TestOtherDrawnSettings).
 func TestDrawnSettingsKeepTheRules(t *testing.T) {
-	lives := rapid.Custom(drawn)
+	lives := rapid.Custom(drawnConfig)
 	for seed := range 150 {
-		for _, b := range Play(lives.Example(seed)).Breaches {
+		for _, b := range Run(lives.Example(seed)).Breaches {
 			t.Errorf("life %d: %s", seed, b)
 		}
 	}
@@ -82,16 +82,16 @@
 		t.Skip("NODELIVES is not set")
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		for _, b := range Play(drawn(t)).Breaches {
+		for _, b := range Run(drawnConfig(t)).Breaches {
 			t.Errorf("%s", b)
 		}
 	})
 }
 
-// one is a life with much going on.
-func one(seed uint64) Life {
-	l := Life{Placers: 3, Hosts: 6, Tasks: 150, Room: 100, Faults: 0.6, Seed: seed}
-	l.Names = platformcore.WireNames{Zones: []string{"a", "b"}, MachineTypes: []string{"std"}, Classes: []string{"safe", "keyed", "unsafe"}}
+// busyConfig is a life with much going on.
+func busyConfig(seed uint64) Config {
+	l := Config{Placers: 3, Hosts: 6, Tasks: 150, MaxConnections: 100, Faults: 0.6, Seed: seed}
+	l.WireNames = platformcore.WireNames{Zones: []string{"a", "b"}, MachineTypes: []string{"std"}, Classes: []string{"safe", "keyed", "unsafe"}}
 	l.Settings = forkhead.Settings{
 		MachineTypes: []forkhead.MachineType{{Cores: 16, Memory: 16}}, MeanCores: 1, MeanMemory: 1, CoresOvercommit: 1, MemoryOvercommit: 1, ListWatched: true,
 		Classes: []forkhead.Class{
@@ -106,14 +106,14 @@
 }
 
 // A life has all that it is for, and is the same each time.
-func TestLifeIsFull(t *testing.T) {
+func TestRunCoversEverything(t *testing.T) {
 	var sum Report
 	for seed := range uint64(20) {
-		r := Play(one(seed))
+		r := Run(busyConfig(seed))
 		for _, b := range r.Breaches {
 			t.Errorf("seed %d: %s", seed, b)
 		}
-		if again := Play(one(seed)); fmt.Sprint(again) != fmt.Sprint(r) {
+		if again := Run(busyConfig(seed)); fmt.Sprint(again) != fmt.Sprint(r) {
 			t.Fatalf("seed %d: %+v, and then %+v", seed, r, again)
 		}
 		sum.Placed, sum.Refused, sum.Failed, sum.GaveUp = sum.Placed+r.Placed, sum.Refused+r.Refused, sum.Failed+r.Failed, sum.GaveUp+r.GaveUp
@@ -171,9 +171,9 @@
 	} {
 		found := false
 		for seed := uint64(0); seed < 30 && !found; seed++ {
-			l := one(seed)
-			l.Spoil = c.spoil()
-			for _, b := range Play(l).Breaches {
+			l := busyConfig(seed)
+			l.InjectFault = c.spoil()
+			for _, b := range Run(l).Breaches {
 				found = found || strings.Contains(b, c.want)
 			}
 		}
--- a/internal/verify/simulation/durable.go
+++ b/internal/verify/simulation/crashes.go
@@ -11,18 +11,8 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// Crashes counts where the placer of a durable life died.
-type Crashes struct{ BeforeNote, BehindNote, HalfCarried, Between, Recovering int }
-
-// CheckDurable plays one durable life and returns what went wrong in it, or nil.
-func CheckDurable(seed uint64) (c Crashes, err error) {
-	defer func() {
-		if f, ok := recover().(failure); ok {
-			err = fmt.Errorf("durable life %d: %s", seed, f.text)
-		}
-	}()
-	return PlayDurable(single{}, seed), nil
-}
+// CrashCounts counts where the placer of a durable life died.
+type CrashCounts struct{ BeforeCommit, AfterCommit, AfterHalfOutputs, BetweenSteps, DuringRecovery int }
 
 // followed is a submission as its client knows it.
 type followed struct {
@@ -31,37 +21,37 @@
 	told  map[string]core.OutcomeKind
 }
 
-// PlayDurable plays a life whose placer is killed again and again, at each point of a step that notes something and while
+// RunDurable plays a life whose placer is killed again and again, at each point of a step that notes something and while
 // it recovers, as hosts die, vanish and come back. It fails t if a submission that was acknowledged is forgotten, if one of
 // its tasks is told no outcome, or another than before, if an unsafe task runs twice side by side, or on a defect.
-func PlayDurable(t TB, seed uint64) (crashes Crashes) {
+func RunDurable(t TB, seed uint64) (crashes CrashCounts) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	s := NewDurable(t, Settings(t, "(owner (first 200ms) (wait 20s))"+Spread.more), 4+rng.IntN(4))
 	s.Delay = time.Duration(1+rng.IntN(20)) * time.Millisecond
 	recovering, stormy := false, true
-	s.CrashAt = func() Crash {
+	s.NextCrash = func() CrashPoint {
 		if !stormy || rng.IntN(25) > 0 && (!recovering || rng.IntN(3) > 0) {
-			return Lives
+			return NoCrash
 		}
 		if recovering {
-			crashes.Recovering++
+			crashes.DuringRecovery++
 		}
 		switch rng.IntN(3) {
 		case 0:
-			crashes.BeforeNote++
-			return BeforeNote
+			crashes.BeforeCommit++
+			return BeforeCommit
 		case 1:
-			crashes.BehindNote++
-			return BehindNote
+			crashes.AfterCommit++
+			return AfterCommit
 		}
-		crashes.HalfCarried++
-		return HalfCarried
+		crashes.AfterHalfOutputs++
+		return AfterHalfOutputs
 	}
 	var subs []*followed
 	look := func() {
 		if s.Crashed() {
 			recovering = true
-			s.Restart()
+			s.RestartPlacer()
 			recovering = false
 			if s.Crashed() {
 				return // again; the next look begins another life
@@ -83,47 +73,47 @@
 				t.Fatalf("submission %s: %d outcomes were told and %d are left", f.id, len(f.told), len(list))
 			}
 		}
-		s.NeverTwice()
+		s.RequireNoDuplicates()
 	}
 	run := func(d time.Duration) {
-		s.Run(d)
+		s.Advance(d)
 		look()
 	}
 	classes := []string{"web", "keyed", "ledger", "ledger", "listing", "books"}
 	for end, n := s.Now+15*time.Second, 0; s.Now < end; {
-		switch name := s.Names[rng.IntN(len(s.Names))]; rng.IntN(10) {
+		switch name := s.HostNames[rng.IntN(len(s.HostNames))]; rng.IntN(10) {
 		case 0, 1, 2:
 			n++
 			tasks := 1 + rng.IntN(4)
 			text := fmt.Sprintf("name: p%d\nservices:\n  a: {x-forkhead: {class: %s, life: %dms}, deploy: {replicas: %d, restart_policy: {condition: on-failure}}}\n",
 				n, classes[rng.IntN(len(classes))], 500+rng.IntN(4000), tasks)
-			taken := len(s.Taken)
-			s.Step(core.Submit{Request: 1, IdempotencyKey: fmt.Sprintf("k%d", n), BodyHash: 1, Description: s.Parse(text)})
-			if len(s.Taken) > taken {
-				subs = append(subs, &followed{s.Taken[taken].Submission, tasks, map[string]core.OutcomeKind{}})
+			taken := len(s.Accepted)
+			s.Step(core.Submit{Request: 1, IdempotencyKey: fmt.Sprintf("k%d", n), BodyHash: 1, Description: s.ParseCompose(text)})
+			if len(s.Accepted) > taken {
+				subs = append(subs, &followed{s.Accepted[taken].Submission, tasks, map[string]core.OutcomeKind{}})
 			}
 		case 3:
-			s.Cut(name)
+			s.ResetConnections(name)
 		case 4:
-			if !s.Hosts[name].Life.Dead() {
-				s.Kill(name)
-				s.After(time.Duration(rng.IntN(2000))*time.Millisecond, func() { s.Revive(name, true) })
+			if !s.Hosts[name].Model.Dead() {
+				s.KillHost(name)
+				s.After(time.Duration(rng.IntN(2000))*time.Millisecond, func() { s.RestartHost(name, true) })
 			}
 		case 5:
-			if h := s.Hosts[name]; !h.Mute {
-				h.Mute = true
+			if h := s.Hosts[name]; !h.Blackholed {
+				h.Blackholed = true
 				s.After(time.Duration(rng.IntN(3000))*time.Millisecond, func() {
-					h.Mute = false
-					s.Cut(name)
+					h.Blackholed = false
+					s.ResetConnections(name)
 				})
 			}
 		case 6:
 			if rng.IntN(3) == 0 {
-				crashes.Between++
-				s.Restart()
+				crashes.BetweenSteps++
+				s.RestartPlacer()
 			}
 		case 7:
-			s.Hosts[name].Life.Pause(s.Now, time.Duration(rng.IntN(800))*time.Millisecond)
+			s.Hosts[name].Model.Pause(s.Now, time.Duration(rng.IntN(800))*time.Millisecond)
 		}
 		look()
 		for range rng.IntN(15) {
@@ -132,14 +122,14 @@
 	}
 	stormy = false
 	s.ToHost, s.FromHost = nil, func(string, hostproto.Frame) bool { return true }
-	for _, name := range s.Names {
-		s.Hosts[name].Mute = false
-		s.Cut(name)
-		if s.Hosts[name].Life.Dead() {
-			s.Revive(name, false)
+	for _, name := range s.HostNames {
+		s.Hosts[name].Blackholed = false
+		s.ResetConnections(name)
+		if s.Hosts[name].Model.Dead() {
+			s.RestartHost(name, false)
 		}
 	}
-	s.List()
+	s.SendHostList()
 	for range 1400 {
 		run(25 * time.Millisecond)
 	}
@@ -151,9 +141,9 @@
 	for i := range 200 {
 		s.Step(core.RemoveProject{Request: 10, Project: fmt.Sprintf("p%d", i)})
 	}
-	s.Run(20 * time.Second)
-	if s.Running() != 0 {
-		t.Fatalf("%d tasks run on", s.Running())
+	s.Advance(20 * time.Second)
+	if s.RunningTasks() != 0 {
+		t.Fatalf("%d tasks run on", s.RunningTasks())
 	}
 	if left := s.Disk.Values[durable.AttemptsBucket]; len(left) != 0 {
 		var keys []string
@@ -163,6 +153,6 @@
 		slices.Sort(keys)
 		t.Fatalf("%d attempts are still noted: %v", len(left), keys)
 	}
-	s.Clean()
+	s.RequireNoViolations()
 	return crashes
 }
--- a/internal/verify/simulation/lives.go
+++ b/internal/verify/simulation/random.go
@@ -12,22 +12,22 @@
 // failure is what a life was ended for.
 type failure struct{ text string }
 
-// single is the TB of one life that is run outside a test.
-type single struct{}
+// panicTB is the TB of one life that is run outside a test.
+type panicTB struct{}
 
-func (single) Helper()                           {}
-func (single) Logf(string, ...any)               {}
-func (single) Fatal(args ...any)                 { panic(failure{fmt.Sprint(args...)}) }
-func (single) Fatalf(format string, args ...any) { panic(failure{fmt.Sprintf(format, args...)}) }
+func (panicTB) Helper()                           {}
+func (panicTB) Logf(string, ...any)               {}
+func (panicTB) Fatal(args ...any)                 { panic(failure{fmt.Sprint(args...)}) }
+func (panicTB) Fatalf(format string, args ...any) { panic(failure{fmt.Sprintf(format, args...)}) }
 
-// Check plays one life and returns what went wrong in it, or nil.
-func Check(mix Mix, seed uint64) (err error) {
+// CheckRandom plays one life and returns what went wrong in it, or nil.
+func CheckRandom(mix Mix, seed uint64) (err error) {
 	defer func() {
 		if f, ok := recover().(failure); ok {
 			err = fmt.Errorf("life %d: %s", seed, f.text)
 		}
 	}()
-	Play(single{}, mix, seed)
+	RunRandom(panicTB{}, mix, seed)
 	return nil
 }
 
@@ -49,19 +49,19 @@
 	Mixes = []Mix{Ordinary, Spread}
 )
 
-// Play plays a life at random: projects come, change and go while hosts die, vanish, drain and
+// RunRandom plays a life at random: projects come, change and go while hosts die, vanish, drain and
 // come back, frames are lost with their connections, and the placer is killed; the real module
 // decides. It fails t on a veto, a defect, two outcomes of a task or none in time, two starts of an
 // unsafe task side by side, a rule broken by what crossed its sockets, or tables that are not empty
 // when all is gone.
-func Play(t TB, mix Mix, seed uint64) {
+func RunRandom(t TB, mix Mix, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	s := New(t, Settings(t, "(owner (first 200ms) (wait 20s)) (cold (for 2s) (window 500ms) (offers 12))"+mix.more), 4+rng.IntN(5))
 	s.Delay = time.Duration(1+rng.IntN(30)) * time.Millisecond
 	lossy := rng.Float64() * 0.02
 	drop := func(host string, _ hostproto.Frame) bool {
 		if rng.Float64() < lossy { // on TCP a frame is lost only with its connection
-			s.After(0, func() { s.Cut(host) })
+			s.After(0, func() { s.ResetConnections(host) })
 			return false
 		}
 		return true
@@ -75,7 +75,7 @@
 	var subs []sub
 	names := 0
 	for end := s.Now + 25*time.Second; s.Now < end; {
-		switch name := s.Names[rng.IntN(len(s.Names))]; rng.IntN(14) {
+		switch name := s.HostNames[rng.IntN(len(s.HostNames))]; rng.IntN(14) {
 		case 0, 1, 2, 3:
 			names++
 			text := fmt.Sprintf("name: p%d\nservices:\n  a: {x-forkhead: {class: %s, life: %dms}, deploy: {replicas: %d, restart_policy: {condition: on-failure}, resources: {reservations: {cpus: '%.1f'}}}}\n",
@@ -90,59 +90,59 @@
 		case 4:
 			s.Step(core.RemoveProject{Request: 9, Project: fmt.Sprintf("p%d", rng.IntN(6))})
 		case 5:
-			s.Cut(name)
+			s.ResetConnections(name)
 		case 6:
-			if !s.Hosts[name].Life.Dead() {
-				s.Kill(name)
-				s.After(time.Duration(rng.IntN(3000))*time.Millisecond, func() { s.Revive(name, true) })
+			if !s.Hosts[name].Model.Dead() {
+				s.KillHost(name)
+				s.After(time.Duration(rng.IntN(3000))*time.Millisecond, func() { s.RestartHost(name, true) })
 			}
 		case 7:
 			h := s.Hosts[name]
-			if !h.Mute {
-				h.Mute = true
+			if !h.Blackholed {
+				h.Blackholed = true
 				s.After(time.Duration(rng.IntN(5000))*time.Millisecond, func() {
-					h.Mute = false
-					s.Cut(name) // what was on its way is lost, and with it the connection
+					h.Blackholed = false
+					s.ResetConnections(name) // what was on its way is lost, and with it the connection
 				})
 			}
 		case 8:
 			on := rng.IntN(2) == 0
-			s.HostOut(name, s.Hosts[name].Life.Drain(s.Now, on, rng.IntN(2) == 0))
+			s.ExecuteHostOutputs(name, s.Hosts[name].Model.Drain(s.Now, on, rng.IntN(2) == 0))
 		case 9:
-			s.Hosts[name].Life.Pause(s.Now, time.Duration(rng.IntN(1500))*time.Millisecond)
+			s.Hosts[name].Model.Pause(s.Now, time.Duration(rng.IntN(1500))*time.Millisecond)
 		case 10:
-			s.List()
+			s.SendHostList()
 		case 11:
 			if rng.IntN(mix.kill) == 0 {
-				s.Restart()
+				s.RestartPlacer()
 			}
 		case 12:
 			h := s.Hosts[name]
-			h.Listed = !h.Listed || !h.Life.Dead() // only what is dead leaves the list
-			s.List()
+			h.Listed = !h.Listed || !h.Model.Dead() // only what is dead leaves the list
+			s.SendHostList()
 		case 13:
-			s.Hosts[name].Life.SuppressStarts(s.Now, 2*time.Second, "web")
+			s.Hosts[name].Model.SuppressStarts(s.Now, 2*time.Second, "web")
 		}
 		for range rng.IntN(20) {
-			s.Run(time.Duration(rng.IntN(40)) * time.Millisecond)
-			s.NeverTwice()
+			s.Advance(time.Duration(rng.IntN(40)) * time.Millisecond)
+			s.RequireNoDuplicates()
 		}
 	}
 	// Peace: all is as it should be again.
 	s.ToHost, s.FromHost = nil, nil
-	for _, name := range s.Names {
+	for _, name := range s.HostNames {
 		h := s.Hosts[name]
-		h.Mute, h.Listed = false, true
-		s.Cut(name)
-		if h.Life.Dead() {
-			s.Revive(name, false)
+		h.Blackholed, h.Listed = false, true
+		s.ResetConnections(name)
+		if h.Model.Dead() {
+			s.RestartHost(name, false)
 		}
-		s.HostOut(name, h.Life.Drain(s.Now, false, false))
+		s.ExecuteHostOutputs(name, h.Model.Drain(s.Now, false, false))
 	}
-	s.List()
+	s.SendHostList()
 	for range 1200 {
-		s.Run(25 * time.Millisecond)
-		s.NeverTwice()
+		s.Advance(25 * time.Millisecond)
+		s.RequireNoDuplicates()
 	}
 	for _, b := range subs {
 		if b.epoch != s.Epoch {
@@ -168,22 +168,22 @@
 	for i := range 7 {
 		s.Step(core.RemoveProject{Request: 10, Project: fmt.Sprintf("p%d", i)})
 	}
-	s.Run(20 * time.Second)
-	if held := s.Core.TableSizes(); held != (core.TableSizes{Hosts: held.Hosts}) || s.Running() != 0 {
-		t.Fatalf("left over: %+v, %d running", held, s.Running())
+	s.Advance(20 * time.Second)
+	if held := s.Core.TableSizes(); held != (core.TableSizes{Hosts: held.Hosts}) || s.RunningTasks() != 0 {
+		t.Fatalf("left over: %+v, %d running", held, s.RunningTasks())
 	}
-	s.Clean()
+	s.RequireNoViolations()
 }
 
-// NeverTwice fails the test if two live hosts hold one unsafe task.
-func (s *Sim) NeverTwice() {
+// RequireNoDuplicates fails the test if two live hosts hold one unsafe task.
+func (s *Sim) RequireNoDuplicates() {
 	held := map[uint64]string{}
-	for _, name := range s.Names {
+	for _, name := range s.HostNames {
 		h := s.Hosts[name]
-		if h.Life.Dead() {
+		if h.Model.Dead() {
 			continue
 		}
-		for _, spec := range h.Life.BoundSpecs() {
+		for _, spec := range h.Model.BoundSpecs() {
 			if spec.Class != "ledger" && spec.Class != "books" {
 				continue
 			}
--- a/internal/verify/simulation/sim.go
+++ b/internal/verify/simulation/simulation.go
@@ -27,31 +27,31 @@
 // Sim runs one placer's core against stand-in hosts on a clock of its own. Frames cross as
 // bytes, each way in order and with a delay; a cut connection loses what is on its way.
 type Sim struct {
-	t        TB
-	Settings *settings.Settings
-	Core     *core.Core
-	Hosts    map[string]*Host
-	Names    []string
-	Now      time.Duration
-	queue    timerqueue.Queue[func()]
-	rng      *rand.Rand
-	Delay    time.Duration // of a frame, each way
-
-	ListUp   bool // the catalogue answers
-	subs     bool // the core has asked for the list
-	Taken    []core.Accepted
-	Rejected []core.Rejected
-	Logs     []string
-	Defects  []string
-	Offers   []Offer
-	ToHost   func(host string, f hostproto.Frame) bool // false: the frame is lost, to the host
-	FromHost func(host string, f hostproto.Frame) bool // and from it
-	Epoch    uint64
-	crashed  bool
-	Durable  bool            // the placer notes what it must not forget, and a new life begins with it
-	Disk     *Disk           // what was made durable
-	CrashAt  func() Crash    // asked at each step that notes something; nil: never
-	Record   []capture.Event // what crossed the placer's own sockets
+	t         TB
+	Settings  *settings.Settings
+	Core      *core.Core
+	Hosts     map[string]*Host
+	HostNames []string
+	Now       time.Duration
+	queue     timerqueue.Queue[func()]
+	rng       *rand.Rand
+	Delay     time.Duration // of a frame, each way
+
+	CatalogUp bool // the catalogue answers
+	subs      bool // the core has asked for the list
+	Accepted  []core.Accepted
+	Rejected  []core.Rejected
+	Logs      []string
+	Defects   []string
+	Offers    []Offer
+	ToHost    func(host string, f hostproto.Frame) bool // false: the frame is lost, to the host
+	FromHost  func(host string, f hostproto.Frame) bool // and from it
+	Epoch     uint64
+	crashed   bool
+	Durable   bool              // the placer notes what it must not forget, and a new life begins with it
+	Disk      *Disk             // what was made durable
+	NextCrash func() CrashPoint // asked at each step that notes something; nil: never
+	Captured  []capture.Event   // what crossed the placer's own sockets
 }
 
 // Disk is what a placer's notes have come to.
@@ -70,8 +70,8 @@
 	return d
 }
 
-// Keep takes the notes of a step, as package store does.
-func (d *Disk) Keep(notes []durable.Record) {
+// Persist takes the notes of a step, as package store does.
+func (d *Disk) Persist(notes []durable.Record) {
 	wait := false
 	for _, n := range notes {
 		wait = wait || n.MustBeDurableFirst()
@@ -94,8 +94,8 @@
 	d.lazy = nil
 }
 
-// Kept reads what was made durable; what was not is lost.
-func (d *Disk) Kept() *durable.Snapshot {
+// Snapshot reads what was made durable; what was not is lost.
+func (d *Disk) Snapshot() *durable.Snapshot {
 	d.lazy = nil
 	l := durable.NewLoader()
 	for bucket, values := range d.Values {
@@ -106,15 +106,15 @@
 	return l.Snapshot()
 }
 
-// Crash says where in a step that notes something the placer dies.
-type Crash uint8
+// CrashPoint says where in a step that notes something the placer dies.
+type CrashPoint uint8
 
 // The places.
 const (
-	Lives       Crash = iota // it does not
-	BeforeNote               // nothing of the step is kept, and nothing leaves
-	BehindNote               // the notes are kept, and nothing leaves
-	HalfCarried              // the notes are kept, and half of what leaves has left
+	NoCrash          CrashPoint = iota // it does not
+	BeforeCommit                       // nothing of the step is kept, and nothing leaves
+	AfterCommit                        // the notes are kept, and nothing leaves
+	AfterHalfOutputs                   // the notes are kept, and half of what leaves has left
 )
 
 // TB is as much of testing.TB as a Sim needs.
@@ -134,14 +134,14 @@
 
 // Host is a stand-in host with its connections.
 type Host struct {
-	Config hostmodel.Config
-	Life   *hostmodel.Host
-	Listed bool
-	State  forkhead.MachineState
-	Mute   bool // no frame gets through either way, without a reset
-	lives  uint64
-	conns  map[uint32]bool
-	gen    int // of connections: those of an earlier life are dead
+	Config     hostmodel.Config
+	Model      *hostmodel.Host
+	Listed     bool
+	State      forkhead.MachineState
+	Blackholed bool // no frame gets through either way, without a reset
+	lives      uint64
+	conns      map[uint32]bool
+	gen        int // of connections: those of an earlier life are dead
 }
 
 // Settings returns small settings with all kinds of classes, and more as text.
@@ -177,7 +177,7 @@
 func begin(t TB, set *settings.Settings, hosts int, durable bool, change ...func(*core.Config)) *Sim {
 	s := &Sim{
 		Durable: durable,
-		t:       t, Settings: set, Hosts: map[string]*Host{}, Now: time.Hour, rng: rand.New(rand.NewPCG(1, 2)), Delay: time.Millisecond, ListUp: true, Epoch: 1,
+		t:       t, Settings: set, Hosts: map[string]*Host{}, Now: time.Hour, rng: rand.New(rand.NewPCG(1, 2)), Delay: time.Millisecond, CatalogUp: true, Epoch: 1,
 	}
 	for i := range hosts {
 		kind, cores, memory := "small", 8., 16.
@@ -187,7 +187,7 @@
 		s.AddHost(hostmodel.DefaultConfig(fmt.Sprintf("h%d", i), kind, "a", fmt.Sprintf("r%d", i/2), cores, memory))
 	}
 	s.startCore(change...)
-	s.Run(200 * time.Millisecond)
+	s.Advance(200 * time.Millisecond)
 	return s
 }
 
@@ -205,18 +205,18 @@
 		if s.Disk == nil {
 			s.Disk = NewDisk()
 		}
-		s.Step(core.Restore{Snapshot: s.Disk.Kept()})
+		s.Step(core.Restore{Snapshot: s.Disk.Snapshot()})
 		return
 	}
 	s.Step()
 }
 
-// Restart kills the placer and starts another life of it.
-func (s *Sim) Restart() {
+// RestartPlacer kills the placer and starts another life of it.
+func (s *Sim) RestartPlacer() {
 	for name, h := range s.Hosts {
 		h.gen++
 		for conn := range h.conns {
-			s.HostOut(name, h.Life.ConnectionClosed(s.Now, s.conn(h, conn)))
+			s.ExecuteHostOutputs(name, h.Model.ConnectionClosed(s.Now, s.conn(h, conn)))
 		}
 		h.conns = map[uint32]bool{}
 	}
@@ -226,9 +226,9 @@
 
 func (s *Sim) AddHost(cfg hostmodel.Config) {
 	h := &Host{Config: cfg, Listed: true, State: forkhead.Ready, lives: 1, conns: map[uint32]bool{}}
-	h.Life = hostmodel.New(cfg, h.lives, 3, s.Now, false)
+	h.Model = hostmodel.New(cfg, h.lives, 3, s.Now, false)
 	s.Hosts[cfg.Name] = h
-	s.Names = append(s.Names, cfg.Name)
+	s.HostNames = append(s.HostNames, cfg.Name)
 }
 
 func (s *Sim) After(d time.Duration, do func()) {
@@ -256,24 +256,24 @@
 			leaves = append(leaves, o)
 		}
 	}
-	crash := Lives
-	if len(notes) > 0 && s.CrashAt != nil {
-		crash = s.CrashAt()
+	crash := NoCrash
+	if len(notes) > 0 && s.NextCrash != nil {
+		crash = s.NextCrash()
 	}
-	if len(notes) > 0 && crash != BeforeNote {
-		s.Disk.Keep(notes)
+	if len(notes) > 0 && crash != BeforeCommit {
+		s.Disk.Persist(notes)
 	}
 	switch crash {
-	case BeforeNote, BehindNote:
+	case BeforeCommit, AfterCommit:
 		leaves = nil
-	case HalfCarried:
+	case AfterHalfOutputs:
 		leaves = leaves[:len(leaves)/2]
 	}
-	s.Record = append(s.Record, replay.Events(base, s.Now, 0, in, leaves)...)
+	s.Captured = append(s.Captured, replay.Events(base, s.Now, 0, in, leaves)...)
 	for _, o := range leaves {
 		s.carry(c, o)
 	}
-	if crash != Lives {
+	if crash != NoCrash {
 		s.crashed = true // the caller's stack may hold the core that died: the next life begins behind it
 		s.Core = s.idle()
 	}
@@ -293,12 +293,12 @@
 
 // Verdict judges what has crossed the placer's sockets by the rules.
 func (s *Sim) Verdict() rules.Verdict {
-	events := make([]capture.Event, 0, len(s.Names)+len(s.Record))
-	for _, name := range s.Names {
+	events := make([]capture.Event, 0, len(s.HostNames)+len(s.Captured))
+	for _, name := range s.HostNames {
 		cfg := &s.Hosts[name].Config
 		events = append(events, capture.Event{Type: capture.HostUp, Host: name, Zone: cfg.Zone, Rack: cfg.Rack})
 	}
-	return rules.Check(append(events, s.Record...), rules.ConfigFromSettings(s.Settings, 0))
+	return rules.Check(append(events, s.Captured...), rules.ConfigFromSettings(s.Settings, 0))
 }
 
 func (s *Sim) carry(c *core.Core, o core.Output) {
@@ -314,12 +314,12 @@
 		h := s.Hosts[o.Host]
 		gen := h.gen
 		s.After(s.Delay, alive(func() {
-			if h.Life.Dead() || h.Mute || gen != h.gen {
+			if h.Model.Dead() || h.Blackholed || gen != h.gen {
 				s.Step(core.HostDisconnected{Host: o.Host, Conn: o.Conn})
 				return
 			}
 			h.conns[o.Conn] = true
-			s.HostOut(o.Host, h.Life.ConnectionOpened(s.Now, s.conn(h, o.Conn)))
+			s.ExecuteHostOutputs(o.Host, h.Model.ConnectionOpened(s.Now, s.conn(h, o.Conn)))
 			s.Step(core.HostConnected{Host: o.Host, Conn: o.Conn})
 		}))
 	case core.CloseHostConnection:
@@ -327,7 +327,7 @@
 		if h.conns[o.Conn] {
 			delete(h.conns, o.Conn)
 			id := s.conn(h, o.Conn)
-			s.After(s.Delay, func() { s.HostOut(o.Host, h.Life.ConnectionClosed(s.Now, id)) })
+			s.After(s.Delay, func() { s.ExecuteHostOutputs(o.Host, h.Model.ConnectionClosed(s.Now, id)) })
 		}
 	case core.SendToHost:
 		h := s.Hosts[o.Host]
@@ -337,16 +337,16 @@
 		f := recode(s.t, o.Frame)
 		id, gen := s.conn(h, o.Conn), h.gen
 		s.After(s.Delay, func() {
-			if !h.conns[o.Conn] || h.Mute || gen != h.gen || s.ToHost != nil && !s.ToHost(o.Host, f) {
+			if !h.conns[o.Conn] || h.Blackholed || gen != h.gen || s.ToHost != nil && !s.ToHost(o.Host, f) {
 				return
 			}
-			s.HostOut(o.Host, h.Life.ReceiveFrame(s.Now, id, f))
+			s.ExecuteHostOutputs(o.Host, h.Model.ReceiveFrame(s.Now, id, f))
 		})
 	case core.Subscribe:
 		s.subs = true
-		s.After(s.Delay, alive(s.List))
+		s.After(s.Delay, alive(s.SendHostList))
 	case core.Accepted:
-		s.Taken = append(s.Taken, o)
+		s.Accepted = append(s.Accepted, o)
 	case core.Rejected:
 		s.Rejected = append(s.Rejected, o)
 	case core.Log:
@@ -366,11 +366,11 @@
 	return out
 }
 
-// HostOut carries what a host did.
-func (s *Sim) HostOut(name string, out []hostmodel.Output) {
+// ExecuteHostOutputs carries what a host did.
+func (s *Sim) ExecuteHostOutputs(name string, out []hostmodel.Output) {
 	h := s.Hosts[name]
 	c := s.Core
-	if h.Life.Dead() {
+	if h.Model.Dead() {
 		s.resetConns(name)
 		return
 	}
@@ -390,7 +390,7 @@
 		}
 		f := recode(s.t, o.Frame)
 		s.After(s.Delay, func() {
-			if s.Core != c || h.Mute || gen != h.gen || !h.conns[conn] || s.FromHost != nil && !s.FromHost(name, f) {
+			if s.Core != c || h.Blackholed || gen != h.gen || !h.conns[conn] || s.FromHost != nil && !s.FromHost(name, f) {
 				return
 			}
 			s.Step(core.FrameReceived{Host: name, Conn: conn, Frame: f})
@@ -416,58 +416,58 @@
 	}
 }
 
-// Cut breaks a host's connections; what is on its way is lost.
-func (s *Sim) Cut(name string) {
+// ResetConnections breaks a host's connections; what is on its way is lost.
+func (s *Sim) ResetConnections(name string) {
 	h := s.Hosts[name]
 	for conn := range h.conns {
 		id := s.conn(h, conn)
-		s.HostOut(name, h.Life.ConnectionClosed(s.Now, id))
+		s.ExecuteHostOutputs(name, h.Model.ConnectionClosed(s.Now, id))
 	}
 	s.resetConns(name)
 }
 
-func (s *Sim) Kill(name string) {
-	s.Hosts[name].Life.Crash()
+func (s *Sim) KillHost(name string) {
+	s.Hosts[name].Model.Crash()
 	s.resetConns(name)
 }
 
-// Revive starts a new life of a host.
-func (s *Sim) Revive(name string, cold bool) {
+// RestartHost starts a new life of a host.
+func (s *Sim) RestartHost(name string, cold bool) {
 	h := s.Hosts[name]
 	h.lives++
-	h.Life = hostmodel.New(h.Config, h.lives, 3, s.Now, cold)
-	s.List()
+	h.Model = hostmodel.New(h.Config, h.lives, 3, s.Now, cold)
+	s.SendHostList()
 }
 
-// List tells the core what the catalogue has.
-func (s *Sim) List() {
+// SendHostList tells the core what the catalogue has.
+func (s *Sim) SendHostList() {
 	if !s.subs {
 		return
 	}
-	if !s.ListUp {
+	if !s.CatalogUp {
 		s.subs = false
 		s.Step(core.HostListReceived{Mode: forkhead.ListFailed})
 		return
 	}
 	var l core.HostListReceived
 	l.Mode = forkhead.ListSnapshot
-	for _, name := range s.Names {
+	for _, name := range s.HostNames {
 		h := s.Hosts[name]
 		if !h.Listed {
 			continue
 		}
-		cores, memory := h.Life.Available()
+		cores, memory := h.Model.Available()
 		l.Hosts = append(l.Hosts, core.HostEntry{
 			Name: name, Address: "addr-" + name, Kind: h.Config.MachineType, Zone: h.Config.Zone, Rack: h.Config.Rack, State: h.State,
-			Started: h.Life.Started(), FreeCores: cores, FreeMemory: memory,
+			Started: h.Model.Started(), FreeCores: cores, FreeMemory: memory,
 			Attributes: map[servicespec.Attribute]string{"hostname": name, "label.rack": h.Config.Rack, "label.kind": h.Config.MachineType},
 		})
 	}
 	s.Step(l)
 }
 
-// Run moves the clock on.
-func (s *Sim) Run(d time.Duration) {
+// Advance moves the clock on.
+func (s *Sim) Advance(d time.Duration) {
 	end := s.Now + d
 	for {
 		next, what := end, ""
@@ -477,8 +477,8 @@
 		if at, ok := s.Core.Next(); ok && at < next {
 			next, what = at, "core"
 		}
-		for _, name := range s.Names {
-			if at, ok := s.Hosts[name].Life.Next(); ok && at < next {
+		for _, name := range s.HostNames {
+			if at, ok := s.Hosts[name].Model.Next(); ok && at < next {
 				next, what = at, name
 			}
 		}
@@ -494,13 +494,13 @@
 		case "core":
 			s.Step()
 		default:
-			s.HostOut(what, s.Hosts[what].Life.Step(s.Now))
+			s.ExecuteHostOutputs(what, s.Hosts[what].Model.Step(s.Now))
 		}
 	}
 }
 
-// Parse reads a Compose text as the front would.
-func (s *Sim) Parse(text string) *servicespec.Description {
+// ParseCompose reads a Compose text as the front would.
+func (s *Sim) ParseCompose(text string) *servicespec.Description {
 	s.t.Helper()
 	var classes []string
 	for _, c := range s.Settings.Classes {
@@ -518,23 +518,23 @@
 // Submit parses a Compose text and gives it to the core.
 func (s *Sim) Submit(key, text string) string {
 	s.t.Helper()
-	d := s.Parse(text)
-	n, r := len(s.Taken), len(s.Rejected)
+	d := s.ParseCompose(text)
+	n, r := len(s.Accepted), len(s.Rejected)
 	s.Step(core.Submit{Request: 1, IdempotencyKey: key, BodyHash: uint64(len(text)), Description: d})
 	if len(s.Rejected) > r {
 		return ""
 	}
-	if len(s.Taken) != n+1 {
+	if len(s.Accepted) != n+1 {
 		s.t.Fatal("the submission was not answered")
 	}
-	return s.Taken[n].Submission
+	return s.Accepted[n].Submission
 }
 
 // Await runs until a submission is complete and returns its outcomes by name.
 func (s *Sim) Await(id string, most time.Duration) map[string]core.Outcome {
 	s.t.Helper()
 	out := map[string]core.Outcome{}
-	for end := s.Now + most; s.Now < end; s.Run(20 * time.Millisecond) {
+	for end := s.Now + most; s.Now < end; s.Advance(20 * time.Millisecond) {
 		if list, complete, _ := s.Core.Outcomes(id, 0); complete {
 			for _, o := range list {
 				name := fmt.Sprintf("%s/%d", o.Service, o.Replica)
@@ -551,8 +551,8 @@
 	return nil
 }
 
-// Clean fails the test if the program did something that it should never do.
-func (s *Sim) Clean() {
+// RequireNoViolations fails the test if the program did something that it should never do.
+func (s *Sim) RequireNoViolations() {
 	s.t.Helper()
 	if len(s.Defects) > 0 {
 		s.t.Fatalf("defects: %v", s.Defects)
@@ -565,11 +565,11 @@
 	}
 }
 
-// Running counts the tasks that hosts hold.
-func (s *Sim) Running() int {
+// RunningTasks counts the tasks that hosts hold.
+func (s *Sim) RunningTasks() int {
 	n := 0
 	for _, h := range s.Hosts {
-		n += h.Life.BoundCount()
+		n += h.Model.BoundCount()
 	}
 	return n
 }
