--- a/internal/verify/rules/answers.go
+++ b/internal/verify/rules/answers.go
@@ -29,7 +29,7 @@
 	disconnectedAt time.Duration // its stream last broke; 0: it didn't
 	receivedAt     time.Duration // its placer had read it, by that placer's clock; 0: not noted
 
-	outcomes map[string]string // what the client has read, by task
+	outcomes map[string]string // what the client has read, by task's name; filled by checkOutcome
 }
 
 func (s *submission) dueAt() time.Duration { return s.submittedAt + s.timeout }
--- a/internal/verify/rules/placerview.go
+++ b/internal/verify/rules/placerview.go
@@ -174,7 +174,7 @@
 		v.notices.hostNotified(e)
 		return
 	case capture.Holds:
-		v.onHeld(e)
+		v.onHolds(e)
 		return
 	}
 	a := v.attempts[attemptIDOf(e).atPlacer()]
@@ -195,8 +195,8 @@
 	}
 }
 
-// onHeld takes an attempt that a host reported in the handshake.
-func (v *placerView) onHeld(e *capture.Event) {
+// onHolds takes an attempt that a host reported in the handshake.
+func (v *placerView) onHolds(e *capture.Event) {
 	if e.Result == phaseQueued {
 		return
 	}
--- a/internal/verify/rules/trace.go
+++ b/internal/verify/rules/trace.go
@@ -60,7 +60,7 @@
 // happened.
 type attempt struct {
 	attemptID
-	sender     incarnation
+	sender     incarnation // that sent the offer
 	connection uint64
 	key        uint64 // of the task
 	service    uint64
@@ -89,7 +89,7 @@
 // happenedBy reports whether something had happened by a time. at is 0 if it never did.
 func happenedBy(at, by time.Duration) bool { return at > 0 && at <= by }
 
-// topology says where hosts stand.
+// topology has each host's location, by its name.
 type topology map[string]location
 
 type location struct{ zone, rack string }
