--- a/internal/cli/chaos.go
+++ b/internal/cli/chaos.go
@@ -124,7 +124,7 @@
 			return err
 		}
 	} else {
-		fmt.Fprint(a.out, r.Summary())
+		a.printf("%s", r.Summary())
 	}
 	if !r.OK() {
 		return errNo
