--- a/internal/emulator/host/server_test.go
+++ b/internal/emulator/host/server_test.go
@@ -1,6 +1,7 @@
 package host
 
 import (
+	"errors"
 	"io"
 	"net"
 	"strings"
@@ -15,7 +16,8 @@
 	"forkhead/internal/server/recorder"
 )
 
-func start(t *testing.T) (*Server, *recorder.Recorder) {
+// startHost starts a host that registers nowhere.
+func startHost(t *testing.T) (*Server, *recorder.Recorder) {
 	t.Helper()
 	engine, err := netio.New("test", 1)
 	if err != nil {
@@ -32,18 +34,18 @@
 	return s, log
 }
 
-// talk writes bytes to the host and returns all frames that come until it closes, or for a while.
-func talk(t *testing.T, s *Server, p []byte, stay time.Duration) (frames []hostproto.Frame, closed bool) {
+// exchange writes bytes to the host and returns the frames that it sends until it closes the connection or the time is over.
+func exchange(t *testing.T, s *Server, p []byte, timeout time.Duration) (frames []hostproto.Frame, closed bool) {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if _, err := c.Write(p); err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetReadDeadline(time.Now().Add(stay))
+	_ = c.SetReadDeadline(time.Now().Add(timeout))
 	var d hostproto.Decoder
 	buf := make([]byte, 4096)
 	for {
@@ -52,39 +54,39 @@
 			t.Fatal(derr)
 		}
 		if err != nil {
-			return frames, err == io.EOF || strings.Contains(err.Error(), "reset")
+			return frames, errors.Is(err, io.EOF) || strings.Contains(err.Error(), "reset")
 		}
 	}
 }
 
-// A frame that was read before its host died and comes to its turn in the next life is nobody's: the
-// record must not hold it as an offer of that life, which no event would ever end.
+// A frame that was read before its host died may come to its turn in the next incarnation. It must not be captured as an
+// offer to that incarnation, which no event would ever end.
 func TestServerIgnoresFrameOfEarlierIncarnation(t *testing.T) {
-	s, log := start(t)
-	h := &conn{s: s, id: 77, placer: 1, epoch: 1}
+	s, log := startHost(t)
+	c := &connection{server: s, id: 77, placer: 1, placerEpoch: 1}
 	s.loop.Call(func() {
-		h.life = s.life
-		s.ends()
+		c.model = s.model
+		s.endIncarnation()
 	})
 	if err := s.Restart(false); err != nil {
 		t.Fatal(err)
 	}
 	s.loop.Call(func() {
-		s.conns[h.id] = h
-		s.frame(h, hostproto.Offer{Ref: hostproto.Ref{Epoch: 1, Task: 1}, Wait: time.Second}, s.cfg.Clock.Now())
-		delete(s.conns, h.id)
+		s.connections[c.id] = c
+		s.receive(c, hostproto.Offer{Ref: hostproto.Ref{Epoch: 1, Task: 1}, Wait: time.Second}, s.cfg.Clock.Now())
+		delete(s.connections, c.id)
 	})
 	events, _ := log.Events()
 	for _, e := range events {
 		if e.Type == capture.Offer {
-			t.Fatalf("recorded: %+v", e)
+			t.Fatalf("captured: %+v", e)
 		}
 	}
 }
 
-// Each broken stream gets one Bye that says why, and its connection is closed; the host goes on.
+// Each broken stream gets one Bye with the reason, and its connection is closed; the host goes on.
 func TestServerClosesInvalidStreams(t *testing.T) {
-	s, _ := start(t)
+	s, _ := startHost(t)
 	// Each Hello has a later connection number: the end of the connection before may reach the host after it, and an equal
 	// number would then be refused.
 	lastConn := uint32(0)
@@ -95,7 +97,7 @@
 	for name, c := range map[string]struct {
 		stream []byte
 		want   string
-		greets bool // a Hello goes before the stream
+		hello  bool // goes before the stream
 	}{
 		"oversized":        {stream: []byte{0xff, 0xff, 0xff, 0xff}, want: "longer than allowed"},
 		"unknown code":     {stream: []byte{1, 0, 0, 0, 77}, want: "unknown code"},
@@ -103,18 +105,18 @@
 		"http":             {stream: []byte("GET / HTTP/1.1\r\n\r\n"), want: "longer than allowed"},
 		"no hello":         {stream: hostproto.Append(nil, hostproto.Probe{ID: 1}), want: "a frame before Hello"},
 		"other version":    {stream: hostproto.Append(nil, hostproto.Hello{Version: 9}), want: "speaks version 1"},
-		"a host's frame":   {stream: hostproto.Append(nil, hostproto.Drain{On: true}), want: "only hosts send", greets: true},
+		"a host's frame":   {stream: hostproto.Append(nil, hostproto.Drain{On: true}), want: "only hosts send", hello: true},
 		"foreign epoch":    {stream: hostproto.Append(nil, hostproto.Hello{Version: hostproto.Version, Epoch: 4, Conn: 9}), want: "a later life"},
-		"good then broken": {stream: []byte{1, 0, 0, 0, 99}, want: "unknown code", greets: true},
+		"good then broken": {stream: []byte{1, 0, 0, 0, 99}, want: "unknown code", hello: true},
 	} {
 		if name == "foreign epoch" {
-			talk(t, s, hello(), 50*time.Millisecond)
+			exchange(t, s, hello(), 50*time.Millisecond)
 		}
 		stream := c.stream
-		if c.greets {
+		if c.hello {
 			stream = append(hello(), stream...)
 		}
-		frames, closed := talk(t, s, stream, 2*time.Second)
+		frames, closed := exchange(t, s, stream, 2*time.Second)
 		byes := 0
 		for _, f := range frames {
 			if b, ok := f.(hostproto.Bye); ok && strings.Contains(b.Text, c.want) {
@@ -125,32 +127,32 @@
 			t.Errorf("%s: %+v, closed %v", name, frames, closed)
 		}
 	}
-	if frames, _ := talk(t, s, hostproto.Append(nil, hostproto.Hello{Version: hostproto.Version, Epoch: 6, Conn: 1}), 100*time.Millisecond); len(frames) != 1 {
+	if frames, _ := exchange(t, s, hostproto.Append(nil, hostproto.Hello{Version: hostproto.Version, Epoch: 6, Conn: 1}), 100*time.Millisecond); len(frames) != 1 {
 		t.Fatalf("the host does not go on: %+v", frames)
 	}
 }
 
-// A host that is killed and revived listens at the same address under a later epoch.
+// A host that is killed and restarted listens at the same address under a later epoch.
 func TestServerRestartsUnderLaterEpoch(t *testing.T) {
-	s, log := start(t)
+	s, log := startHost(t)
 	hello := hostproto.Append(nil, hostproto.Hello{Version: hostproto.Version, Epoch: 1, Conn: 1})
-	first, _ := talk(t, s, hello, 100*time.Millisecond)
+	first, _ := exchange(t, s, hello, 100*time.Millisecond)
 	s.Kill()
 	if c, err := net.Dial("tcp", s.Address()); err == nil {
-		c.Close()
+		_ = c.Close()
 		t.Fatal("a dead host listens")
 	}
 	if err := s.Restart(true); err != nil {
 		t.Fatal(err)
 	}
-	second, _ := talk(t, s, hello, 100*time.Millisecond)
+	second, _ := exchange(t, s, hello, 100*time.Millisecond)
 	a, b := first[0].(hostproto.Welcome), second[0].(hostproto.Welcome)
 	if b.Epoch <= a.Epoch || b.Started == 0 {
 		t.Fatalf("%+v, then %+v", a, b)
 	}
 	s.Vanish()
-	if frames, closed := talk(t, s, hello, 100*time.Millisecond); len(frames) != 0 || closed {
-		t.Fatalf("a host that has vanished says %+v", frames)
+	if frames, closed := exchange(t, s, hello, 100*time.Millisecond); len(frames) != 0 || closed {
+		t.Fatalf("a host that has vanished sends %+v", frames)
 	}
 	events, _ := log.Events()
 	ups, downs := 0, 0
@@ -163,6 +165,6 @@
 		}
 	}
 	if ups != 2 || downs != 2 {
-		t.Fatalf("the record has %d beginnings and %d ends of lives", ups, downs)
+		t.Fatalf("captured %d starts and %d ends of incarnations", ups, downs)
 	}
 }
