--- a/internal/parse/compose/decode.go
+++ b/internal/parse/compose/decode.go
@@ -12,28 +12,24 @@
 )
 
 const (
-	mostServices = 5_000
-	mostReplicas = 100_000
-	mostPayload  = 32 << 10 // bytes of what is passed to the host for one service
+	maxServices = 5_000
+	maxReplicas = 100_000
+	maxPayload  = 32 << 10 // bytes of what is passed to the host for one service
 )
 
 var (
 	serviceName = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,127}$`)
-	projectName = regexp.MustCompile(`^[a-z0-9][a-z0-9_-]{0,127}$`)
 )
 
 // decoder reads a merged tree into a description.
 type decoder struct {
-	in     *Input
-	errs   *diagnostic.List
-	out    *servicespec.Description
-	own    *value // x-forkhead of the top level
-	top    *value
-	reader fileReader
+	in   *Input
+	errs *diagnostic.List
+	out  *servicespec.Description
+	own  *value // x-forkhead of the top level
+	top  *value
 }
 
-type fileReader func(from, name string, pos diagnostic.Pos) (string, []byte, error)
-
 func (d *decoder) fail(pos diagnostic.Pos, format string, args ...any) {
 	d.errs.Add(diagnostic.Errorf(pos, format, args...))
 }
@@ -108,7 +104,7 @@
 	d.out.Name = d.in.Project
 	if n := d.of(tree.get("name"), scalar, "name"); n != nil && d.out.Name == "" {
 		if !projectName.MatchString(n.text) {
-			d.want(n.pos, "lower-case letters, digits, - and _, at most 128", "name %q", n.text)
+			d.want(n.pos, wantProjectName, "name %q", n.text)
 		}
 		d.out.Name = n.text
 	}
@@ -117,7 +113,7 @@
 		d.want(tree.pos, "at least one service", "the file describes no services")
 		return
 	}
-	if len(services.keys) > mostServices {
+	if len(services.keys) > maxServices {
 		d.want(services.pos, "at most 5000", "there are %d services", len(services.keys))
 		return
 	}
@@ -258,7 +254,7 @@
 	d.only(spread, "spread", "machine", "rack", "zone")
 	s.SpreadLimits = nil
 	for _, place := range spread.keys {
-		if n, ok := d.integer(spread.fields[place], place, 1, mostReplicas); ok {
+		if n, ok := d.integer(spread.fields[place], place, 1, maxReplicas); ok {
 			s.SpreadLimits = append(s.SpreadLimits, servicespec.SpreadLimit{Domain: place, MaxTasks: n, Pos: spread.keyPos[place]})
 		}
 	}
--- a/internal/parse/compose/deploy.go
+++ b/internal/parse/compose/deploy.go
@@ -79,7 +79,7 @@
 	}
 	replicas, scale := deploy.get("replicas"), v.get("scale")
 	if replicas != nil {
-		if n, ok := d.integer(replicas, "replicas", 0, mostReplicas); ok {
+		if n, ok := d.integer(replicas, "replicas", 0, maxReplicas); ok {
 			s.Replicas = n
 		}
 		if s.Mode.PerHost() {
@@ -87,7 +87,7 @@
 		}
 	}
 	if scale != nil {
-		n, ok := d.integer(scale, "scale", 0, mostReplicas)
+		n, ok := d.integer(scale, "scale", 0, maxReplicas)
 		if ok && replicas != nil && n != s.Replicas {
 			d.fail(scale.pos, "scale is %d and deploy.replicas %d", n, s.Replicas)
 		}
@@ -146,7 +146,7 @@
 		}
 	}
 	if n := p.get("max_replicas_per_node"); n != nil {
-		if most, ok := d.integer(n, "max_replicas_per_node", 0, mostReplicas); ok && most > 0 {
+		if most, ok := d.integer(n, "max_replicas_per_node", 0, maxReplicas); ok && most > 0 {
 			s.SpreadLimits = append(s.SpreadLimits, servicespec.SpreadLimit{Domain: "machine", MaxTasks: most, Pos: n.pos})
 		}
 	}
@@ -261,7 +261,7 @@
 	}
 	d.only(u, "update_config", "parallelism", "delay", "failure_action", "monitor", "max_failure_ratio", "order")
 	if x := u.get("parallelism"); x != nil {
-		s.Update.Parallel, _ = d.integer(x, "parallelism", 0, mostReplicas)
+		s.Update.Parallel, _ = d.integer(x, "parallelism", 0, maxReplicas)
 	}
 	if x := u.get("delay"); x != nil {
 		s.Update.Delay = d.duration(x, "delay", 0, 24*time.Hour)
--- a/internal/parse/compose/interpolate.go
+++ b/internal/parse/compose/interpolate.go
@@ -6,21 +6,21 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-const mostInterpolated = 1 << 20 // bytes that variables may add up to in all files
+const maxInterpolated = 1 << 20 // bytes that variables may add up to in all files
 
 // interpolator replaces variables in values, as the Compose Specification's chapter on
 // interpolation says: $V, ${V}, ${V:-d}, ${V-d}, ${V:?e}, ${V?e}, ${V:+r}, ${V+r} and $$.
 // Defaults may hold variables themselves.
 type interpolator struct {
-	vars   map[string]string
-	grown  int
-	errs   *diagnostic.List
-	warned map[string]bool
-	notes  func(pos diagnostic.Pos, text string)
+	vars    map[string]string
+	grown   int
+	errs    *diagnostic.List
+	warned  map[string]bool
+	addNote func(pos diagnostic.Pos, text string)
 }
 
-// tree returns the value with its scalars interpolated; keys stay as they are.
-func (in *interpolator) tree(v *value) *value {
+// interpolate returns the value with its scalars interpolated; keys stay as they are.
+func (in *interpolator) interpolate(v *value) *value {
 	if v == nil {
 		return nil
 	}
@@ -34,7 +34,7 @@
 			in.errs.Add(err)
 			return v
 		}
-		if in.grown += len(text); in.grown > mostInterpolated {
+		if in.grown += len(text); in.grown > maxInterpolated {
 			in.errs.Add(diagnostic.Wantf(v.pos, "at most 1 MiB", "the variables unfold to too much"))
 			in.grown = 0
 			return v
@@ -46,14 +46,14 @@
 		c := *v
 		c.items = make([]*value, len(v.items))
 		for i, item := range v.items {
-			c.items[i] = in.tree(item)
+			c.items[i] = in.interpolate(item)
 		}
 		return &c
 	case mapping:
 		c := newMap(v.pos)
 		c.tag = v.tag
 		for _, k := range v.keys {
-			c.set(k, v.keyPos[k], in.tree(v.fields[k]))
+			c.set(k, v.keyPos[k], in.interpolate(v.fields[k]))
 		}
 		return c
 	}
@@ -154,14 +154,14 @@
 		if set {
 			return val, nil
 		}
-		why, err := in.expand(pos, word, depth+1)
+		reason, err := in.expand(pos, word, depth+1)
 		if err != nil {
 			return "", err
 		}
-		if why == "" {
-			why = "it is required"
+		if reason == "" {
+			reason = "it is required"
 		}
-		return "", diagnostic.Errorf(pos, "variable %s is not set: %s", name, why)
+		return "", diagnostic.Errorf(pos, "variable %s is not set: %s", name, reason)
 	case '+':
 		if !set {
 			return "", nil
@@ -175,7 +175,7 @@
 	val, ok := in.vars[name]
 	if !ok && !in.warned[name] {
 		in.warned[name] = true
-		in.notes(pos, "variable "+name+" is not set; the empty string stands for it")
+		in.addNote(pos, "variable "+name+" is not set; the empty string stands for it")
 	}
 	return val
 }
--- a/internal/parse/compose/merge.go
+++ b/internal/parse/compose/merge.go
@@ -1,97 +1,106 @@
 package compose
 
 import (
+	"slices"
 	"strings"
-
-	"forkhead/internal/parse/diagnostic"
 )
 
-// merge lays one tree over another by the specification's chapter on merging: mappings are
-// merged, lists appended, single values replaced; and the exceptions below. path names the
-// place, with * for a service's name.
-func merge(base, over *value, path string) *value {
+// merge lays the tree override over base by the Compose Specification's chapter on merging: mappings are merged, lists
+// appended, single values replaced; mergeRules has the exceptions. path names the place of both, with * for a service's
+// name. The result may share nodes with both trees. nil stands for an absent value.
+func merge(base, override *value, path string) *value {
 	switch {
-	case over == nil:
+	case override == nil:
 		return base
-	case base == nil || over.tag == "!override":
-		return over
-	case over.tag == "!reset":
+	case base == nil || override.tag == tagOverride:
+		return override
+	case override.tag == tagReset:
 		return nil
 	case base.kind == null:
-		return over
-	case over.kind == null:
+		return override
+	case override.kind == null:
 		return base
 	}
-	switch rule := ruleOf(path); {
-	case rule == replace:
-		return over
-	case rule == keyed:
-		return merge(asMap(base), asMap(over), path+".")
-	case rule == unique && base.kind == sequence && over.kind == sequence:
-		return mergeUnique(base, over)
-	}
-	if base.kind != over.kind {
-		return over
+	switch mergeRuleOf(path) {
+	case replaced:
+		return override
+	case keyed:
+		return mergeByKind(asMap(base), asMap(override), path)
+	case unique:
+		if base.kind == sequence && override.kind == sequence {
+			return mergeUnique(base, override)
+		}
 	}
-	switch base.kind {
-	case mapping:
-		v := newMap(over.pos)
-		for _, k := range base.keys {
-			merged := merge(base.fields[k], over.fields[k], join(path, k))
-			if merged != nil {
-				v.set(k, base.keyPos[k], merged)
-			}
+	return mergeByKind(base, override, path)
+}
+
+// mergeByKind merges two values that have no rule of their own.
+func mergeByKind(base, override *value, path string) *value {
+	switch {
+	case base.kind != override.kind:
+		return override
+	case base.kind == mapping:
+		return mergeMappings(base, override, path)
+	case base.kind == sequence:
+		return &value{pos: override.pos, kind: sequence, items: slices.Concat(base.items, override.items)}
+	}
+	return override
+}
+
+func mergeMappings(base, override *value, path string) *value {
+	merged := newMap(override.pos)
+	for _, key := range base.keys {
+		if field := merge(base.fields[key], override.fields[key], joinPath(path, key)); field != nil {
+			merged.set(key, base.keyPos[key], field)
 		}
-		for _, k := range over.keys {
-			if _, ok := base.fields[k]; !ok && over.fields[k].tag != "!reset" {
-				v.set(k, over.keyPos[k], over.fields[k])
-			}
+	}
+	for _, key := range override.keys {
+		if _, ok := base.fields[key]; !ok && override.fields[key].tag != tagReset {
+			merged.set(key, override.keyPos[key], override.fields[key])
 		}
-		return v
-	case sequence:
-		v := &value{pos: over.pos, kind: sequence}
-		v.items = append(append(v.items, base.items...), over.items...)
-		return v
 	}
-	return over
+	return merged
 }
 
-func join(path, key string) string {
-	if path == "services" {
+// joinPath returns the path of a key within the mapping at path.
+func joinPath(path, key string) string {
+	switch path {
+	case "services":
 		return "services.*"
-	}
-	if path == "" {
+	case "":
 		return key
 	}
 	return path + "." + key
 }
 
-type rule uint8
+// mergeRule says how two values at one place are merged.
+type mergeRule uint8
 
 const (
-	usual   rule = iota
-	replace      // the later value stands alone
-	keyed        // a list of K=V is read as a mapping first
-	unique       // entries with one target replace each other
+	byKind   mergeRule = iota // as mergeByKind does
+	replaced                  // the later value stands alone
+	keyed                     // a list of KEY=VALUE is read as a mapping first
+	unique                    // entries with one target replace each other
 )
 
-// rules are the exceptions; all others go by kind.
-var rules = map[string]rule{
-	"command": replace, "entrypoint": replace, "healthcheck.test": replace,
+// mergeRules are the rules of elements of a service; all other values are merged by kind.
+var mergeRules = map[string]mergeRule{
+	"command": replaced, "entrypoint": replaced, "healthcheck.test": replaced,
 	"environment": keyed, "labels": keyed, "annotations": keyed, "extra_hosts": keyed, "sysctls": keyed,
 	"depends_on": keyed, "networks": keyed, "deploy.labels": keyed, "build.args": keyed, "build.labels": keyed,
 	"ports": unique, "volumes": unique, "secrets": unique, "configs": unique, "devices": unique,
 }
 
-func ruleOf(path string) rule {
-	rest, ok := strings.CutPrefix(path, "services.*.")
+func mergeRuleOf(path string) mergeRule {
+	element, ok := strings.CutPrefix(path, "services.*.")
 	if !ok {
-		return usual
+		return byKind
 	}
-	return rules[rest]
+	return mergeRules[element]
 }
 
-// asMap reads a list of K=V, or of plain names, as a mapping.
+// asMap reads a list of KEY=VALUE, or of plain names, as a mapping; a name alone has a value of kind null. It returns the
+// value itself if it is no list, or a list with an entry that is not a single value.
 func asMap(v *value) *value {
 	if v.kind != sequence {
 		return v
@@ -101,48 +110,37 @@
 		if item.kind != scalar {
 			return v
 		}
-		key, val, has := strings.Cut(item.text, "=")
-		c := &value{pos: item.pos}
-		if has {
-			c.kind, c.text = scalar, val
+		key, text, hasValue := strings.Cut(item.text, "=")
+		field := &value{pos: item.pos}
+		if hasValue {
+			field.kind, field.text = scalar, text
 		}
-		m.set(key, item.pos, c)
+		m.set(key, item.pos, field)
 	}
 	return m
 }
 
-// mergeUnique appends lists whose entries are known by their target.
-func mergeUnique(base, over *value) *value {
-	v := &value{pos: over.pos, kind: sequence}
-	at := map[string]int{}
-	for _, item := range append(append([]*value{}, base.items...), over.items...) {
+// mergeUnique appends two lists whose entries are known by their target: a later entry takes the place of an earlier one
+// with the same target.
+func mergeUnique(base, override *value) *value {
+	merged := &value{pos: override.pos, kind: sequence}
+	indexes := map[string]int{} // by target
+	for _, item := range slices.Concat(base.items, override.items) {
 		target := targetOf(item)
-		if i, ok := at[target]; ok {
-			v.items[i] = item
+		if i, ok := indexes[target]; ok {
+			merged.items[i] = item
 			continue
 		}
-		at[target] = len(v.items)
-		v.items = append(v.items, item)
+		indexes[target] = len(merged.items)
+		merged.items = append(merged.items, item)
 	}
-	return v
+	return merged
 }
 
-// targetOf is what a port, volume, device, secret or config is known by inside the task.
+// targetOf returns what a port, volume, device, secret or config is known by inside the task.
 func targetOf(v *value) string {
 	if v.kind == mapping {
-		for _, k := range []string{"target", "source"} {
-			if t := v.get(k); t != nil && t.kind == scalar {
-				proto, published := "", ""
-				if p := v.get("protocol"); p != nil && p.text != "tcp" {
-					proto = "/" + p.text
-				}
-				if p := v.get("published"); p != nil {
-					published = p.text + ":"
-				}
-				return published + t.text + proto
-			}
-		}
-		return ""
+		return targetOfMapping(v)
 	}
 	parts := strings.Split(v.text, ":")
 	switch {
@@ -154,80 +152,22 @@
 	return v.text // a port: [IP:]PUBLISHED:TARGET
 }
 
-// extender resolves extends, each service once.
-type extender struct {
-	files map[string]*value // merged tree of each file
-	load  func(from, file string, pos diagnostic.Pos) (*value, string, error)
-	done  map[string]*value
-}
-
-// service returns a service of a file with all it extends merged in.
-func (e *extender) service(file, name string, pos diagnostic.Pos, open []string) (*value, error) {
-	id := file + "\x00" + name
-	if v, ok := e.done[id]; ok {
-		return v, nil
-	}
-	for _, o := range open {
-		if o == id {
-			names := make([]string, 0, len(open)+1)
-			for _, o := range append(open, id) {
-				_, n, _ := strings.Cut(o, "\x00")
-				names = append(names, n)
-			}
-			return nil, diagnostic.Errorf(pos, "extends goes round: %s", strings.Join(names, " -> "))
-		}
-	}
-	if len(open) >= mostExtends {
-		return nil, diagnostic.Wantf(pos, "at most 32 steps", "extends goes on too long")
-	}
-	v := e.files[file].get("services").get(name)
-	if v == nil {
-		return nil, diagnostic.Errorf(pos, "extends names service %q, which %s does not hold", name, file)
-	}
-	ext := v.get("extends")
-	if ext == nil || v.kind != mapping {
-		e.done[id] = v
-		return v, nil
-	}
-	base, baseFile := "", file
-	switch ext.kind {
-	case scalar:
-		base = ext.text
-	case mapping:
-		for _, k := range ext.keys {
-			if k != "service" && k != "file" {
-				return nil, diagnostic.Wantf(ext.keyPos[k], "service or file", "unknown key %q in extends", k)
-			}
-		}
-		if s := ext.get("service"); s != nil {
-			base = s.text
+// targetOfMapping returns PUBLISHED:TARGET/PROTOCOL of an entry in the long form, each part only where it is given.
+// Without a target the source stands for it; without either the target is "".
+func targetOfMapping(v *value) string {
+	for _, key := range []string{"target", "source"} {
+		target := v.get(key)
+		if target == nil || target.kind != scalar {
+			continue
 		}
-		if f := ext.get("file"); f != nil {
-			tree, at, err := e.load(file, f.text, f.pos)
-			if err != nil {
-				return nil, err
-			}
-			e.files[at], baseFile = tree, at
+		published, protocol := "", ""
+		if p := v.get("published"); p != nil {
+			published = p.text + ":"
 		}
-	}
-	if base == "" {
-		return nil, diagnostic.Wantf(ext.pos, "the name of a service", "extends names none")
-	}
-	b, err := e.service(baseFile, base, ext.pos, append(open[:len(open):len(open)], id))
-	if err != nil {
-		return nil, err
-	}
-	if b.kind != mapping {
-		return nil, diagnostic.Wantf(b.pos, "a mapping", "service %q is %s", base, b.kind)
-	}
-	own := newMap(v.pos)
-	for _, k := range v.keys {
-		if k != "extends" {
-			own.set(k, v.keyPos[k], v.fields[k])
+		if p := v.get("protocol"); p != nil && p.text != "tcp" {
+			protocol = "/" + p.text
 		}
+		return published + target.text + protocol
 	}
-	merged := merge(b, own, "services.*")
-	merged.pos = v.pos
-	e.done[id] = merged
-	return merged, nil
+	return ""
 }
--- a/internal/parse/compose/payload.go
+++ b/internal/parse/compose/payload.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		d.fail(v.pos, "service %q cannot be passed on: %v", s.Name, err)
 	}
-	if len(data) > mostPayload {
+	if len(data) > maxPayload {
 		d.want(v.pos, "at most 32 KiB", "service %q passes %d bytes to its host", s.Name, len(data))
 		return nil
 	}
@@ -143,14 +143,14 @@
 			d.want(e.pos, "a path", "%s has no path", key)
 			continue
 		}
-		file, text, err := d.reader(path.pos.File, path.text, path.pos)
+		file, text, err := d.in.find(path.pos.File, path.text, path.pos)
 		if err != nil {
 			if required {
 				d.errs.Add(err)
 			}
 			continue
 		}
-		for i, line := range strings.Split(string(text), "\n") {
+		for i, line := range strings.Split(text, "\n") {
 			line = strings.TrimSpace(strings.TrimSuffix(line, "\r"))
 			if line == "" || line[0] == '#' {
 				continue
--- /dev/null
+++ b/internal/parse/compose/references.go
@@ -0,0 +1,48 @@
+package compose
+
+import "strings"
+
+// References lists the other files that a file names by extends, env_file and label_file, as written, so that a client can
+// send them along. A file that cannot be parsed names none, and neither does a name that holds a variable.
+func References(f File) []string {
+	budget := maxNodes
+	docs, err := parseYAML(f.Name, []byte(f.Text), &budget)
+	if err != nil {
+		return nil
+	}
+	var names []string
+	for _, doc := range docs {
+		services := doc.get("services")
+		if services == nil || services.kind != mapping {
+			continue
+		}
+		for _, name := range services.keys {
+			names = appendServiceReferences(names, services.fields[name])
+		}
+	}
+	return names
+}
+
+func appendServiceReferences(names []string, service *value) []string {
+	names = appendReference(names, service.get("extends").get("file"))
+	for _, key := range []string{"env_file", "label_file"} {
+		v := service.get(key)
+		if v == nil {
+			continue
+		}
+		names = appendReference(names, v)
+		for _, item := range v.items {
+			names = appendReference(names, item)
+			names = appendReference(names, item.get("path"))
+		}
+	}
+	return names
+}
+
+// appendReference appends the text of v if it is a name as it stands.
+func appendReference(names []string, v *value) []string {
+	if v == nil || v.kind != scalar || v.text == "" || strings.Contains(v.text, "$") {
+		return names
+	}
+	return append(names, v.text)
+}
--- /dev/null
+++ b/internal/parse/compose/value.go
@@ -0,0 +1,62 @@
+package compose
+
+import "forkhead/internal/parse/diagnostic"
+
+// kind is the kind of a value.
+type kind uint8
+
+const (
+	null kind = iota
+	scalar
+	mapping
+	sequence
+)
+
+// String gives the kind as it stands in errors.
+func (k kind) String() string {
+	return [...]string{"nothing", "a single value", "a mapping", "a list"}[k]
+}
+
+// The tags of YAML that the chapter on merging defines.
+const (
+	tagReset    = "!reset"    // removes what earlier files say
+	tagOverride = "!override" // stands alone in place of what earlier files say
+)
+
+// value is a node of a tree whose aliases and merge keys are expanded. Trees are not changed once built, so that merged
+// trees share nodes.
+type value struct {
+	pos    diagnostic.Pos
+	kind   kind
+	text   string // of a scalar
+	plain  bool   // the scalar stood without quotes
+	tag    string // tagReset or tagOverride, else ""
+	items  []*value
+	keys   []string // of a mapping, in the order of the file
+	fields map[string]*value
+	keyPos map[string]diagnostic.Pos
+}
+
+// newMap returns an empty mapping at a position.
+func newMap(pos diagnostic.Pos) *value {
+	return &value{pos: pos, kind: mapping, fields: map[string]*value{}, keyPos: map[string]diagnostic.Pos{}}
+}
+
+// get returns a field of a mapping; nil if there is none, or the value is absent or no mapping.
+func (v *value) get(key string) *value {
+	if v == nil || v.kind != mapping {
+		return nil
+	}
+	return v.fields[key]
+}
+
+// set adds a field to a mapping, or replaces it.
+func (v *value) set(key string, pos diagnostic.Pos, field *value) {
+	if _, ok := v.fields[key]; !ok {
+		v.keys = append(v.keys, key)
+	}
+	v.fields[key], v.keyPos[key] = field, pos
+}
+
+// isEmpty says whether a value is absent or stands without content.
+func (v *value) isEmpty() bool { return v == nil || v.kind == null }
--- a/internal/parse/compose/values.go
+++ b/internal/parse/compose/values.go
@@ -67,7 +67,7 @@
 			return n, true
 		}
 	}
-	d.want(v.pos, "a whole number from "+strconv.Itoa(lo)+" to "+strconv.Itoa(hi), "%s is %s", name, told(v))
+	d.want(v.pos, "a whole number from "+strconv.Itoa(lo)+" to "+strconv.Itoa(hi), "%s is %s", name, describe(v))
 	return 0, false
 }
 
@@ -78,7 +78,7 @@
 			return x
 		}
 	}
-	d.want(v.pos, "a number from "+strconv.FormatFloat(lo, 'g', -1, 64)+" to "+strconv.FormatFloat(hi, 'g', -1, 64), "%s is %s", name, told(v))
+	d.want(v.pos, "a number from "+strconv.FormatFloat(lo, 'g', -1, 64)+" to "+strconv.FormatFloat(hi, 'g', -1, 64), "%s is %s", name, describe(v))
 	return 0
 }
 
@@ -89,7 +89,7 @@
 	case "false", "no", "off":
 		return false
 	}
-	d.want(v.pos, "true or false", "%s is %s", name, told(v))
+	d.want(v.pos, "true or false", "%s is %s", name, describe(v))
 	return false
 }
 
@@ -121,7 +121,7 @@
 			}
 		}
 	}
-	d.want(v.pos, "a duration from "+lo.String()+" to "+hi.String()+", as 1m30s or 500ms", "%s is %s", name, told(v))
+	d.want(v.pos, "a duration from "+lo.String()+" to "+hi.String()+", as 1m30s or 500ms", "%s is %s", name, describe(v))
 	return 0
 }
 
@@ -139,11 +139,12 @@
 			}
 		}
 	}
-	d.want(v.pos, "an amount of bytes, as 512m or 2gb", "%s is %s", name, told(v))
+	d.want(v.pos, "an amount of bytes, as 512m or 2gb", "%s is %s", name, describe(v))
 	return 0
 }
 
-func told(v *value) string {
+// describe gives a value as it stands in errors.
+func describe(v *value) string {
 	if v.kind == scalar {
 		return strconv.Quote(v.text)
 	}
