--- a/internal/parse/compose/compose_test.go
+++ b/internal/parse/compose/compose_test.go
@@ -26,7 +26,7 @@
 	return d
 }
 
-func TestHonoured(t *testing.T) {
+func TestHonored(t *testing.T) {
 	d := read(t, input(`
 name: calendar
 x-forkhead: {tenant: courts}
@@ -60,8 +60,10 @@
 			Name: "batch", Class: "batch", Tenant: "courts", Replicas: 4, Cores: 6, Memory: 0.5, LimitCores: 8, LimitMemory: 2,
 			ExpectedRuntime: 30 * time.Second, RequestTimeout: 2 * time.Second, PlacementTimeout: time.Minute,
 			Constraints: []servicespec.Constraint{
-				{Attribute: "os", Value: "linux"}, {Attribute: "arch", Value: "arm64"},
-				{Attribute: "label.disk", Value: "ssd"}, {Attribute: "hostname", Not: true, Value: "h9"},
+				{Attribute: "os", Value: "linux"},
+				{Attribute: "arch", Value: "arm64"},
+				{Attribute: "label.disk", Value: "ssd"},
+				{Attribute: "hostname", Not: true, Value: "h9"},
 			},
 			Preferences:  []servicespec.Attribute{"zone"},
 			SpreadLimits: []servicespec.SpreadLimit{{Domain: "rack", MaxTasks: 2}, {Domain: "machine", MaxTasks: 1}},
@@ -83,69 +85,78 @@
 	}
 }
 
-// Each case is a file and what it must yield: the error's place and text, or "" for none.
-func TestErrors(t *testing.T) {
-	deep := strings.Repeat("a: {", 80) + strings.Repeat("}", 80)
-	bomb := "a: &a [x,x,x,x,x,x,x,x,x]\n"
+// tooDeep returns mappings of 80 levels.
+func tooDeep() string { return strings.Repeat("a: {", 80) + strings.Repeat("}", 80) }
+
+// aliasBomb returns lists of aliases that unfold to 9^9 values.
+func aliasBomb() string {
+	text := "a: &a [x,x,x,x,x,x,x,x,x]\n"
 	for i := 'b'; i <= 'i'; i++ {
-		bomb += string(i) + ": &" + string(i) + " [" + strings.Repeat("*"+string(i-1)+",", 8) + "*" + string(i-1) + "]\n"
+		text += string(i) + ": &" + string(i) + " [" + strings.Repeat("*"+string(i-1)+",", 8) + "*" + string(i-1) + "]\n"
 	}
-	for name, c := range map[string]struct{ text, want string }{
-		"unreadable":           {"services: [", "a.yaml:1:1: not readable as YAML"},
-		"unreadable, line 3":   {"services:\n  a: {}\n\tb: {}\n", "a.yaml:3:1: not readable as YAML"},
-		"empty":                {"", "a.yaml:1:1: there is nothing in it; want a Compose file"},
-		"a list":               {"- a", "a.yaml:1:1: the file is a list"},
-		"no services":          {"name: a", "describes no services"},
-		"alias bomb":           {bomb, "the files unfold to too much"},
-		"alias to itself":      {"services: &s {a: *s}", "stands inside what it names"},
-		"too deep":             {deep, "nested too deep"},
-		"key twice":            {"services:\n  a: {}\n  a: {}", `a.yaml:3:3`},
-		"unknown element":      {"services:\n  a: {imgae: x}", `a.yaml:2:7: unknown element "imgae" in service "a"; want image`},
-		"unknown in deploy":    {"services: {a: {deploy: {replica: 2}}}", `unknown element "replica" in deploy; want replicas`},
-		"unknown at the top":   {"service: {}", `a.yaml:1:1: unknown element "service" in the file; want services`},
-		"wrong type":           {"services: {a: {deploy: {replicas: many}}}", `a.yaml:1:35: replicas is "many"; want a whole number`},
-		"negative":             {"services: {a: {deploy: {replicas: -1}}}", "a whole number from 0"},
-		"not finite":           {"services: {a: {cpus: .inf}}", "a number from 0.001"},
-		"not a number":         {"services: {a: {cpus: nan}}", "a number from 0.001"},
-		"huge replicas":        {"services: {a: {deploy: {replicas: 99999999999999999999}}}", "a whole number"},
-		"bad duration":         {"services: {a: {stop_grace_period: 5 minutes}}", "a duration from"},
-		"duration overflow":    {"services: {a: {stop_grace_period: 99999999999999h}}", "a duration from"},
-		"bad bytes":            {"services: {a: {mem_limit: 3 apples}}", "an amount of bytes"},
-		"refused":              {"services: {a: {gpus: all}}", "gpus is refused: no kind of host offers them"},
-		"refused device":       {"services: {a: {deploy: {resources: {reservations: {devices: [{}]}}}}}", "devices is refused"},
-		"include":              {"include: [b.yaml]\nservices: {a: {}}", "include is refused: give the files together"},
-		"tied":                 {"services: {a: {network_mode: 'service:b'}, b: {}}", "ties two tasks to one host"},
-		"bad constraint":       {"services: {a: {deploy: {placement: {constraints: [fast]}}}}", "ATTRIBUTE == VALUE"},
-		"unknown attribute":    {"services: {a: {deploy: {placement: {constraints: ['engine.labels.x == y']}}}}", "no host tells"},
-		"unknown spread":       {"services: {a: {deploy: {placement: {preferences: [{spread: node.labels.floor}]}}}}", "node.labels.zone or node.labels.rack"},
-		"unknown class":        {"services: {a: {x-forkhead: {class: fast}}}", `class "fast" is not in the settings; want web, batch`},
-		"unknown own key":      {"services: {a: {x-forkhead: {clas: web}}}", `unknown element "clas" in x-forkhead of service "a"; want class`},
-		"depends on nothing":   {"services: {a: {depends_on: [b]}}", `service "a" depends on "b", which is not here`},
-		"depends in a circle":  {"services: {a: {depends_on: [b]}, b: {depends_on: [c]}, c: {depends_on: [a]}}", "depends_on goes round: a -> b -> c -> a"},
-		"extends in a circle":  {"services: {a: {extends: b}, b: {extends: {service: a}}}", "extends goes round: a -> b -> a"},
-		"extends nothing":      {"services: {a: {extends: {service: z}}}", `extends names service "z"`},
-		"extends no file":      {"services: {a: {extends: {file: base.yaml, service: z}}}", "base.yaml was not given"},
-		"scale and replicas":   {"services: {a: {scale: 2, deploy: {replicas: 3}}}", "scale is 2 and deploy.replicas 3"},
-		"global with replicas": {"services: {a: {deploy: {mode: global, replicas: 3}}}", "exclude each other"},
-		"reserves over limit":  {"services: {a: {deploy: {resources: {limits: {cpus: 1}, reservations: {cpus: 2}}}}}", "over its limit"},
-		"container_name":       {"services: {a: {container_name: x, deploy: {replicas: 2}}}", "allows one task"},
-		"no such network":      {"services: {a: {networks: [back]}}", `networks names "back", which the file does not describe`},
-		"no such volume":       {"services: {a: {volumes: ['data:/x']}}", `volumes names "data"`},
-		"required variable":    {"services: {a: {image: '${X:?say which}'}}", "variable X is not set: say which"},
-		"bad variable":         {"services: {a: {image: '${X!}'}}", "is not a form of variable"},
-		"open variable":        {"services: {a: {image: '${X'}}", "is never closed"},
-		"merge of a word":      {"services: {a: {<<: x}}", "<< is given a single value"},
-		"all behind profiles":  {"services: {a: {profiles: [x]}}", "every service stands behind a profile"},
-		"env_file missing":     {"services: {a: {env_file: .env.x}}", ".env.x was not given"},
-		"payload":              {"services: {a: {command: '" + strings.Repeat("x", 40<<10) + "'}}", "at most 32 KiB"},
-		"whole of a service":   {"services: {a: {x-forkhead: {whole: true}}}", "whole is of all services together"},
-		"near nothing":         {"services: {a: {x-forkhead: {near: {b: zone}}}}", `service "a" depends on "b", which is not here`},
-		"near in a circle":     {"services: {a: {x-forkhead: {near: {b: zone}}}, b: {x-forkhead: {near: {a: rack}}}}", "goes round"},
-		"near where":           {"services: {a: {x-forkhead: {near: {b: town}}}, b: {}}", "want machine, rack or zone"},
-		"good, whole":          {"x-forkhead: {whole: true}\nservices: {a: {}}", ""},
-		"good":                 {"services: {a: {}}", ""},
-		"good, plain":          {"services: {a: {image: nginx, ports: ['80:80'], environment: [A=1]}}", ""},
-	} {
+	return text
+}
+
+// Each case is a file and what it must yield: the error's place and text, or "" for none.
+var errorCases = map[string]struct{ text, want string }{
+	"unreadable":           {"services: [", "a.yaml:1:1: not readable as YAML"},
+	"unreadable, line 3":   {"services:\n  a: {}\n\tb: {}\n", "a.yaml:3:1: not readable as YAML"},
+	"empty":                {"", "a.yaml:1:1: there is nothing in it; want a Compose file"},
+	"a list":               {"- a", "a.yaml:1:1: the file is a list"},
+	"no services":          {"name: a", "describes no services"},
+	"alias bomb":           {aliasBomb(), "the files unfold to too much"},
+	"alias to itself":      {"services: &s {a: *s}", "stands inside what it names"},
+	"too deep":             {tooDeep(), "nested too deep"},
+	"key twice":            {"services:\n  a: {}\n  a: {}", `a.yaml:3:3`},
+	"unknown element":      {"services:\n  a: {imgae: x}", `a.yaml:2:7: unknown element "imgae" in service "a"; want image`},
+	"unknown in deploy":    {"services: {a: {deploy: {replica: 2}}}", `unknown element "replica" in deploy; want replicas`},
+	"unknown at the top":   {"service: {}", `a.yaml:1:1: unknown element "service" in the file; want services`},
+	"wrong type":           {"services: {a: {deploy: {replicas: many}}}", `a.yaml:1:35: replicas is "many"; want a whole number`},
+	"negative":             {"services: {a: {deploy: {replicas: -1}}}", "a whole number from 0"},
+	"not finite":           {"services: {a: {cpus: .inf}}", "a number from 0.001"},
+	"not a number":         {"services: {a: {cpus: nan}}", "a number from 0.001"},
+	"huge replicas":        {"services: {a: {deploy: {replicas: 99999999999999999999}}}", "a whole number"},
+	"bad duration":         {"services: {a: {stop_grace_period: 5 minutes}}", "a duration from"},
+	"duration overflow":    {"services: {a: {stop_grace_period: 99999999999999h}}", "a duration from"},
+	"bad bytes":            {"services: {a: {mem_limit: 3 apples}}", "an amount of bytes"},
+	"refused":              {"services: {a: {gpus: all}}", "gpus is refused: no kind of host offers them"},
+	"refused device":       {"services: {a: {deploy: {resources: {reservations: {devices: [{}]}}}}}", "devices is refused"},
+	"include":              {"include: [b.yaml]\nservices: {a: {}}", "include is refused: give the files together"},
+	"tied":                 {"services: {a: {network_mode: 'service:b'}, b: {}}", "ties two tasks to one host"},
+	"bad constraint":       {"services: {a: {deploy: {placement: {constraints: [fast]}}}}", "ATTRIBUTE == VALUE"},
+	"unknown attribute":    {"services: {a: {deploy: {placement: {constraints: ['engine.labels.x == y']}}}}", "no host tells"},
+	"unknown spread":       {"services: {a: {deploy: {placement: {preferences: [{spread: node.labels.floor}]}}}}", "node.labels.zone or node.labels.rack"},
+	"unknown class":        {"services: {a: {x-forkhead: {class: fast}}}", `class "fast" is not in the settings; want web, batch`},
+	"unknown own key":      {"services: {a: {x-forkhead: {clas: web}}}", `unknown element "clas" in x-forkhead of service "a"; want class`}, //nolint:misspell // the misspelt key is the case
+	"depends on nothing":   {"services: {a: {depends_on: [b]}}", `service "a" depends on "b", which is not here`},
+	"depends in a circle":  {"services: {a: {depends_on: [b]}, b: {depends_on: [c]}, c: {depends_on: [a]}}", "depends_on goes round: a -> b -> c -> a"},
+	"extends in a circle":  {"services: {a: {extends: b}, b: {extends: {service: a}}}", "extends goes round: a -> b -> a"},
+	"extends nothing":      {"services: {a: {extends: {service: z}}}", `extends names service "z"`},
+	"extends no file":      {"services: {a: {extends: {file: base.yaml, service: z}}}", "base.yaml was not given"},
+	"scale and replicas":   {"services: {a: {scale: 2, deploy: {replicas: 3}}}", "scale is 2 and deploy.replicas 3"},
+	"global with replicas": {"services: {a: {deploy: {mode: global, replicas: 3}}}", "exclude each other"},
+	"reserves over limit":  {"services: {a: {deploy: {resources: {limits: {cpus: 1}, reservations: {cpus: 2}}}}}", "over its limit"},
+	"container_name":       {"services: {a: {container_name: x, deploy: {replicas: 2}}}", "allows one task"},
+	"no such network":      {"services: {a: {networks: [back]}}", `networks names "back", which the file does not describe`},
+	"no such volume":       {"services: {a: {volumes: ['data:/x']}}", `volumes names "data"`},
+	"required variable":    {"services: {a: {image: '${X:?say which}'}}", "variable X is not set: say which"},
+	"bad variable":         {"services: {a: {image: '${X!}'}}", "is not a form of variable"},
+	"open variable":        {"services: {a: {image: '${X'}}", "is never closed"},
+	"merge of a word":      {"services: {a: {<<: x}}", "<< is given a single value"},
+	"all behind profiles":  {"services: {a: {profiles: [x]}}", "every service stands behind a profile"},
+	"env_file missing":     {"services: {a: {env_file: .env.x}}", ".env.x was not given"},
+	"payload":              {"services: {a: {command: '" + strings.Repeat("x", 40<<10) + "'}}", "at most 32 KiB"},
+	"whole of a service":   {"services: {a: {x-forkhead: {whole: true}}}", "whole is of all services together"},
+	"near nothing":         {"services: {a: {x-forkhead: {near: {b: zone}}}}", `service "a" depends on "b", which is not here`},
+	"near in a circle":     {"services: {a: {x-forkhead: {near: {b: zone}}}, b: {x-forkhead: {near: {a: rack}}}}", "goes round"},
+	"near where":           {"services: {a: {x-forkhead: {near: {b: town}}}, b: {}}", "want machine, rack or zone"},
+	"good, whole":          {"x-forkhead: {whole: true}\nservices: {a: {}}", ""},
+	"good":                 {"services: {a: {}}", ""},
+	"good, plain":          {"services: {a: {image: nginx, ports: ['80:80'], environment: [A=1]}}", ""},
+}
+
+func TestErrors(t *testing.T) {
+	for name, c := range errorCases {
 		_, err := Parse(input(c.text))
 		switch {
 		case c.want == "" && err != nil:
--- a/internal/parse/compose/elements.go
+++ b/internal/parse/compose/elements.go
@@ -4,27 +4,29 @@
 type treatment uint8
 
 const (
-	honoured treatment = iota // bears on placing, restarting or updating here
-	passed                    // carried to the host in the task's payload, acted on there
-	noted                     // of no meaning for a cluster of hosts: said in a note
-	refused                   // cannot be kept: an error
+	honored treatment = iota // bears on placing, restarting or updating here
+	passed                   // passed to the host in the task's payload, acted on there
+	noted                    // of no meaning for a cluster of hosts: a note says so
+	refused                  // cannot be kept: an error
 )
 
+// String gives the word that docs/compose.md has.
 func (t treatment) String() string {
+	//nolint:misspell // the page and its readers know the word so
 	return [...]string{"honoured", "passed to the host", "noted", "refused"}[t]
 }
 
-// element is a row of docs/compose.md. The parser goes by this table, and a test holds the
-// page against it, so neither can say what the other does not do.
+// element is a row of docs/compose.md. The decoder goes by these tables, and a test holds the page against them, so neither
+// can say what the other does not do.
 type element struct {
-	name   string
-	what   treatment
-	remark string
+	name      string
+	treatment treatment
+	remark    string
 }
 
 var topElements = []element{
-	{"name", honoured, "the project's name; `--project` and `?project=` come before it"},
-	{"services", honoured, ""},
+	{"name", honored, "the project's name; `--project` and `?project=` come before it"},
+	{"services", honored, ""},
 	{"version", noted, "obsolete by the specification"},
 	{"networks", passed, "each service's payload carries those it names"},
 	{"volumes", passed, "each service's payload carries those it names"},
@@ -45,7 +47,7 @@
 	{"cgroup_parent", passed, ""},
 	{"command", passed, ""},
 	{"configs", passed, ""},
-	{"container_name", honoured, "the service can then have one task only"},
+	{"container_name", honored, "the service can then have one task only"},
 	{"cpu_count", passed, ""},
 	{"cpu_percent", passed, ""},
 	{"cpu_period", passed, ""},
@@ -53,11 +55,11 @@
 	{"cpu_rt_period", passed, ""},
 	{"cpu_rt_runtime", passed, ""},
 	{"cpu_shares", passed, ""},
-	{"cpus", honoured, "as `deploy.resources.limits.cpus`"},
+	{"cpus", honored, "as `deploy.resources.limits.cpus`"},
 	{"cpuset", passed, ""},
 	{"credential_spec", passed, ""},
-	{"depends_on", honoured, "`service_healthy` is reached when the tasks run: hosts tell no more; `restart: true` is noted, not acted on"},
-	{"deploy", honoured, "see below"},
+	{"depends_on", honored, "`service_healthy` is reached when the tasks run: hosts tell no more; `restart: true` is noted, not acted on"},
+	{"deploy", honored, "see below"},
 	{"develop", noted, "concerns a developer's machine"},
 	{"device_cgroup_rules", passed, ""},
 	{"devices", passed, ""},
@@ -67,10 +69,10 @@
 	{"domainname", passed, ""},
 	{"driver_opts", passed, ""},
 	{"entrypoint", passed, ""},
-	{"env_file", honoured, "files given with the submission are read into `environment`"},
+	{"env_file", honored, "files given with the submission are read into `environment`"},
 	{"environment", passed, "a name without a value takes that of the variable"},
 	{"expose", passed, ""},
-	{"extends", honoured, "from the same file, or a file given with the submission"},
+	{"extends", honored, "from the same file, or a file given with the submission"},
 	{"external_links", passed, ""},
 	{"extra_hosts", passed, ""},
 	{"gpus", refused, "no kind of host offers them"},
@@ -79,41 +81,41 @@
 	{"hostname", passed, ""},
 	{"image", passed, ""},
 	{"init", passed, ""},
-	{"ipc", honoured, "`service:NAME` is refused, all else is passed to the host"},
+	{"ipc", honored, "`service:NAME` is refused, all else is passed to the host"},
 	{"isolation", passed, ""},
-	{"label_file", honoured, "files given with the submission are read into `labels`"},
+	{"label_file", honored, "files given with the submission are read into `labels`"},
 	{"labels", passed, "of the task"},
 	{"links", passed, ""},
 	{"logging", passed, ""},
 	{"mac_address", passed, ""},
-	{"mem_limit", honoured, "as `deploy.resources.limits.memory`"},
-	{"mem_reservation", honoured, "as `deploy.resources.reservations.memory`"},
+	{"mem_limit", honored, "as `deploy.resources.limits.memory`"},
+	{"mem_reservation", honored, "as `deploy.resources.reservations.memory`"},
 	{"mem_swappiness", passed, ""},
 	{"memswap_limit", passed, ""},
 	{"models", refused, "no host offers models"},
-	{"network_mode", honoured, "`service:NAME` and `container:NAME` are refused, all else is passed to the host"},
+	{"network_mode", honored, "`service:NAME` and `container:NAME` are refused, all else is passed to the host"},
 	{"networks", passed, ""},
 	{"oom_kill_disable", passed, ""},
 	{"oom_score_adj", passed, ""},
-	{"pid", honoured, "`service:NAME` and `container:NAME` are refused, all else is passed to the host"},
+	{"pid", honored, "`service:NAME` and `container:NAME` are refused, all else is passed to the host"},
 	{"pids_limit", passed, ""},
-	{"platform", honoured, "as constraints on `node.platform.os` and `node.platform.arch`"},
-	{"ports", honoured, "`mode: host` with a published port: one task a host; all else is passed to the host"},
+	{"platform", honored, "as constraints on `node.platform.os` and `node.platform.arch`"},
+	{"ports", honored, "`mode: host` with a published port: one task a host; all else is passed to the host"},
 	{"post_start", passed, ""},
 	{"pre_stop", passed, ""},
 	{"privileged", passed, ""},
-	{"profiles", honoured, ""},
+	{"profiles", honored, ""},
 	{"provider", refused, "no provider can be started here"},
 	{"pull_policy", passed, ""},
 	{"read_only", passed, ""},
-	{"restart", honoured, "where `deploy.restart_policy` says nothing"},
+	{"restart", honored, "where `deploy.restart_policy` says nothing"},
 	{"runtime", passed, ""},
-	{"scale", honoured, "must agree with `deploy.replicas`"},
+	{"scale", honored, "must agree with `deploy.replicas`"},
 	{"secrets", passed, ""},
 	{"security_opt", passed, ""},
 	{"shm_size", passed, ""},
 	{"stdin_open", passed, ""},
-	{"stop_grace_period", honoured, "given to the host with a stop"},
+	{"stop_grace_period", honored, "given to the host with a stop"},
 	{"stop_signal", passed, ""},
 	{"storage_opt", passed, ""},
 	{"sysctls", passed, ""},
@@ -132,41 +134,36 @@
 var deployElements = []element{
 	{"endpoint_mode", passed, ""},
 	{"labels", passed, "of the service, as `service_labels`"},
-	{"mode", honoured, "`global` follows the hosts that are ready when it is submitted"},
-	{"placement.constraints", honoured, "`node.id`, `node.hostname`, `node.role`, `node.platform.os`, `node.platform.arch`, `node.labels.*`; `engine.labels.*` is refused"},
-	{"placement.preferences", honoured, "`spread` over `node.labels.zone` or `node.labels.rack`: a limit at the first ask, dropped when it cannot be kept"},
-	{"placement.max_replicas_per_node", honoured, "a limit that is never passed"},
-	{"replicas", honoured, "default 1"},
-	{"resources.limits.cpus", honoured, "told to the host; reserved too where nothing else is"},
-	{"resources.limits.memory", honoured, "told to the host; reserved too where nothing else is"},
+	{"mode", honored, "`global` follows the hosts that are ready when it is submitted"},
+	{"placement.constraints", honored, "`node.id`, `node.hostname`, `node.role`, `node.platform.os`, `node.platform.arch`, `node.labels.*`; `engine.labels.*` is refused"},
+	{"placement.preferences", honored, "`spread` over `node.labels.zone` or `node.labels.rack`: a limit at the first ask, dropped when it cannot be kept"},
+	{"placement.max_replicas_per_node", honored, "a limit that is never passed"},
+	{"replicas", honored, "default 1"},
+	{"resources.limits.cpus", honored, "told to the host; reserved too where nothing else is"},
+	{"resources.limits.memory", honored, "told to the host; reserved too where nothing else is"},
 	{"resources.limits.pids", passed, ""},
-	{"resources.reservations.cpus", honoured, "what placing goes by; default the limit, else 0.25"},
-	{"resources.reservations.memory", honoured, "what placing goes by; default the limit, else 256 MiB"},
+	{"resources.reservations.cpus", honored, "what placing goes by; default the limit, else 0.25"},
+	{"resources.reservations.memory", honored, "what placing goes by; default the limit, else 256 MiB"},
 	{"resources.reservations.devices", refused, "no kind of host offers them"},
 	{"resources.reservations.generic_resources", refused, "no kind of host offers them"},
-	{"restart_policy", honoured, "`condition`, `delay`, `max_attempts`, `window`"},
+	{"restart_policy", honored, "`condition`, `delay`, `max_attempts`, `window`"},
 	{"rollback_config", passed, "an update that fails goes back all at once"},
-	{"update_config", honoured, "`parallelism`, `delay`, `failure_action`, `monitor`, `max_failure_ratio`, `order`"},
+	{"update_config", honored, "`parallelism`, `delay`, `failure_action`, `monitor`, `max_failure_ratio`, `order`"},
 }
 
 var ownElements = []element{
-	{"class", honoured, "a class of the settings; default the settings' `default-class`"},
-	{"tenant", honoured, "a tenant of the settings; default none"},
-	{"life", honoured, "how long a task runs, roughly"},
-	{"wait", honoured, "one ask is given up after this; default the class's"},
-	{"patience", honoured, "the task is asked for, again and again, for so long; default the class's"},
-	{"near", honoured, "`SERVICE: machine`, `rack` or `zone`: its tasks go only where a task of that service is placed, and wait for it"},
-	{"whole", honoured, "at the top level only: a description that is proven not to fit whole is turned away with its conflict"},
-	{"spread", honoured, "`machine`, `rack`, `zone`: the most tasks of the service in one; the class's limit holds beside it"},
+	{"class", honored, "a class of the settings; default the settings' `default-class`"},
+	{"tenant", honored, "a tenant of the settings; default none"},
+	{"life", honored, "how long a task runs, roughly"},
+	{"wait", honored, "one ask is given up after this; default the class's"},
+	{"patience", honored, "the task is asked for, again and again, for so long; default the class's"},
+	{"near", honored, "`SERVICE: machine`, `rack` or `zone`: its tasks go only where a task of that service is placed, and wait for it"},
+	{"whole", honored, "at the top level only: a description that is proven not to fit whole is turned away with its conflict"},
+	{"spread", honored, "`machine`, `rack`, `zone`: the most tasks of the service in one; the class's limit holds beside it"},
 }
 
-// Defaults of what a task reserves where the description says nothing.
-const (
-	defaultCores  = 0.25
-	defaultMemory = 0.25 // GiB
-)
-
-func index(elements []element) map[string]element {
+// indexByName returns the rows of a table by their names.
+func indexByName(elements []element) map[string]element {
 	m := make(map[string]element, len(elements))
 	for _, e := range elements {
 		m[e.name] = e
@@ -175,10 +172,10 @@
 }
 
 var (
-	topIndex     = index(topElements)
-	serviceIndex = index(serviceElements)
-	deployIndex  = index(deployElements)
-	ownIndex     = index(ownElements)
+	topIndex     = indexByName(topElements)
+	serviceIndex = indexByName(serviceElements)
+	deployIndex  = indexByName(deployElements)
+	ownIndex     = indexByName(ownElements)
 )
 
 // Table writes the rows of docs/compose.md.
@@ -195,7 +192,7 @@
 	} {
 		out += "\n## " + part.title + "\n\n| element | treatment | remark |\n| --- | --- | --- |\n"
 		for _, e := range part.rows {
-			out += "| `" + part.prefix + e.name + "` | " + e.what.String() + " | " + e.remark + " |\n"
+			out += "| `" + part.prefix + e.name + "` | " + e.treatment.String() + " | " + e.remark + " |\n"
 		}
 	}
 	return out
--- /dev/null
+++ b/internal/parse/compose/keyvalues.go
@@ -0,0 +1,79 @@
+package compose
+
+import (
+	"strings"
+
+	"forkhead/internal/parse/diagnostic"
+)
+
+// keyValueFiles parses the files of KEY=VALUE lines that an element of a service names: a path, a mapping with the path, or a
+// list of these. Later files win. what is such a file in errors.
+func (d *decoder) keyValueFiles(service *value, key, what string) map[string]string {
+	pairs := map[string]string{}
+	v := service.get(key)
+	if v.isEmpty() {
+		return pairs
+	}
+	entries := []*value{v}
+	if v.kind == sequence {
+		entries = v.items
+	}
+	for _, entry := range entries {
+		d.keyValueFile(entry, key, what, pairs)
+	}
+	return pairs
+}
+
+// keyValueFile adds the lines of one file to pairs.
+func (d *decoder) keyValueFile(entry *value, key, what string, pairs map[string]string) {
+	path, required := entry, true
+	if entry.kind == mapping {
+		d.only(entry, key, "path", "required", "format")
+		if r := entry.get("required"); r != nil {
+			required = d.boolean(r, "required")
+		}
+		path = entry.get("path")
+	}
+	if path == nil || path.kind != scalar {
+		d.want(entry.pos, "a path", "%s has no path", key)
+		return
+	}
+	file, text, err := d.in.find(path.pos.File, path.text, path.pos)
+	if err != nil {
+		if required {
+			d.errs.Add(err)
+		}
+		return
+	}
+	for i, line := range strings.Split(text, "\n") {
+		d.keyValueLine(line, diagnostic.Pos{File: file, Line: i + 1, Col: 1}, what, pairs)
+	}
+}
+
+// keyValueLine adds one line to pairs: [export ]KEY=VALUE with the value in quotes or without, or KEY, which takes the
+// variable's value. Empty lines and those that begin with # are passed over.
+func (d *decoder) keyValueLine(line string, pos diagnostic.Pos, what string, pairs map[string]string) {
+	line = strings.TrimSpace(strings.TrimSuffix(line, "\r"))
+	if line == "" || line[0] == '#' {
+		return
+	}
+	key, val, hasValue := strings.Cut(line, "=")
+	key = strings.TrimSpace(strings.TrimPrefix(key, "export "))
+	if key == "" || strings.ContainsAny(key, " \t") {
+		d.want(pos, "KEY=VALUE", "a line of the %s", what)
+		return
+	}
+	if !hasValue {
+		pairs[key] = d.in.Variables[key]
+		return
+	}
+	pairs[key] = unquote(strings.TrimSpace(val))
+}
+
+// unquote returns the text between two equal quotes, or the text itself.
+func unquote(text string) string {
+	if len(text) > 1 && (text[0] == '"' || text[0] == '\'') && text[len(text)-1] == text[0] {
+		return text[1 : len(text)-1]
+	}
+	return text
+}
--- a/internal/parse/compose/payload.go
+++ b/internal/parse/compose/payload.go
@@ -2,63 +2,38 @@
 
 import (
 	"encoding/json"
-	"slices"
+	"maps"
 	"strings"
 
-	"forkhead/internal/parse/diagnostic"
 	"forkhead/internal/parse/servicespec"
 )
 
-// payload gathers what only the host acts on.
+const (
+	maxPayload = 32 << 10 // bytes that are passed to the host for one service
+	gibibyte   = 1 << 30  // bytes
+)
+
+// passedToo are the elements of a service that are acted on here and passed to the host as well.
+var passedToo = map[string]bool{
+	"ipc": true, "pid": true, "network_mode": true, "ports": true, "container_name": true, "platform": true,
+}
+
+// payload returns the JSON object of what only the host acts on; nil if it is too large. v is the service, deploy its element
+// of that name.
 func (d *decoder) payload(s *servicespec.Service, v, deploy *value) []byte {
-	out := map[string]any{}
-	limits := map[string]any{}
-	if s.LimitCores > 0 {
-		limits["cpus"] = s.LimitCores
-	}
-	if s.LimitMemory > 0 {
-		limits["memory_bytes"] = int64(s.LimitMemory * (1 << 30))
-	}
-	if len(limits) > 0 {
-		out["limits"] = limits
-	}
-	if len(s.Labels) > 0 {
-		out["service_labels"] = s.Labels
-	}
-	for _, k := range v.keys {
-		e := serviceIndex[k]
-		if strings.HasPrefix(k, "x-") && k != "x-forkhead" || e.name != "" && (e.what == passed || slices.Contains([]string{"ipc", "pid", "network_mode", "ports", "container_name", "platform"}, k)) {
-			out[k] = plain(v.fields[k])
-		}
-	}
-	env := d.pairs(v.get("environment"), "environment")
-	for key, val := range d.files(v, "env_file", "environment file") {
-		if _, ok := env[key]; !ok {
-			env[key] = val
-		}
-	}
-	if len(env) > 0 {
-		out["environment"] = env
-	}
-	labels := d.pairs(v.get("labels"), "labels")
-	for key, val := range d.files(v, "label_file", "label file") {
-		if _, ok := labels[key]; !ok {
-			labels[key] = val
-		}
-	}
-	if len(labels) > 0 {
-		out["labels"] = labels
-	}
-	if e := deploy.get("endpoint_mode"); e != nil {
-		out["endpoint_mode"] = plain(e)
+	out := passedElements(v)
+	addIfAny(out, "limits", payloadLimits(s))
+	addIfAny(out, "service_labels", s.Labels)
+	addIfAny(out, "environment", d.withFiles(d.pairs(v.get("environment"), "environment"), v, "env_file", "environment file"))
+	addIfAny(out, "labels", d.withFiles(d.pairs(v.get("labels"), "labels"), v, "label_file", "label file"))
+	if mode := deploy.get("endpoint_mode"); mode != nil {
+		out["endpoint_mode"] = toJSON(mode)
 	}
-	if p := deploy.get("resources").get("limits").get("pids"); p != nil {
-		out["pids"] = plain(p)
+	if pids := deploy.get("resources").get("limits").get("pids"); pids != nil {
+		out["pids"] = toJSON(pids)
 	}
 	for _, part := range []string{"networks", "volumes", "configs", "secrets"} {
-		if used := d.named(v, part); len(used) > 0 {
-			out["project_"+part] = used
-		}
+		addIfAny(out, "project_"+part, d.usedParts(v, part))
 	}
 	data, err := json.Marshal(out)
 	if err != nil {
@@ -71,105 +46,42 @@
 	return data
 }
 
-// named returns the project's networks, volumes, configs or secrets that a service names. One
-// that is named and not described is an error, but for the default network.
-func (d *decoder) named(v *value, part string) map[string]any {
-	all := d.of(d.top.get(part), mapping, part)
-	used := v.get(part)
-	if used == nil || used.kind == scalar || used.kind == null {
-		return nil
-	}
-	out := map[string]any{}
-	add := func(name string, pos diagnostic.Pos, must bool) {
-		decl, ok := (*value)(nil), false
-		if all != nil {
-			decl, ok = all.fields[name]
-		}
-		switch {
-		case ok:
-			out[name] = plain(decl)
-		case must && name != "default":
-			d.fail(pos, "%s names %q, which the file does not describe", part, name)
-		}
+// addIfAny adds a map to a payload unless it is empty.
+func addIfAny[V any](payload map[string]any, key string, m map[string]V) {
+	if len(m) > 0 {
+		payload[key] = m
 	}
-	if used.kind == mapping {
-		for _, k := range used.keys {
-			add(k, used.keyPos[k], true)
-		}
-		return out
-	}
-	for _, item := range used.items {
-		switch {
-		case item.kind == mapping:
-			src, typ := item.get("source"), item.get("type")
-			if src != nil && src.kind == scalar && (part != "volumes" || typ != nil && typ.text == "volume") {
-				add(src.text, src.pos, true)
-			}
-		case item.kind != scalar:
-			d.want(item.pos, "a name or a mapping", "an entry of %s is %s", part, item.kind)
-		case part == "volumes":
-			src, _, has := strings.Cut(item.text, ":")
-			if has && !strings.ContainsAny(src, "/.~") {
-				add(src, item.pos, true)
-			}
-		default:
-			add(item.text, item.pos, true)
-		}
-	}
-	return out
 }
 
-// files reads KEY=VALUE files that the submission holds.
-func (d *decoder) files(v *value, key, what string) map[string]string {
-	out := map[string]string{}
-	x := v.get(key)
-	if x == nil || x.kind == null {
-		return out
+// payloadLimits returns what a task is limited to, in cores and bytes.
+func payloadLimits(s *servicespec.Service) map[string]any {
+	limits := map[string]any{}
+	if s.LimitCores > 0 {
+		limits["cpus"] = s.LimitCores
 	}
-	entries := []*value{x}
-	if x.kind == sequence {
-		entries = x.items
+	if s.LimitMemory > 0 {
+		limits["memory_bytes"] = int64(s.LimitMemory * gibibyte)
 	}
-	for _, e := range entries {
-		path, required := e, true
-		if e.kind == mapping {
-			d.only(e, key, "path", "required", "format")
-			if r := e.get("required"); r != nil {
-				required = d.boolean(r, "required")
-			}
-			path = e.get("path")
-		}
-		if path == nil || path.kind != scalar {
-			d.want(e.pos, "a path", "%s has no path", key)
-			continue
-		}
-		file, text, err := d.in.find(path.pos.File, path.text, path.pos)
-		if err != nil {
-			if required {
-				d.errs.Add(err)
-			}
-			continue
-		}
-		for i, line := range strings.Split(text, "\n") {
-			line = strings.TrimSpace(strings.TrimSuffix(line, "\r"))
-			if line == "" || line[0] == '#' {
-				continue
-			}
-			k, val, has := strings.Cut(line, "=")
-			k = strings.TrimSpace(strings.TrimPrefix(k, "export "))
-			if k == "" || strings.ContainsAny(k, " \t") {
-				d.want(diagnostic.Pos{File: file, Line: i + 1, Col: 1}, "KEY=VALUE", "a line of the %s", what)
-				continue
-			}
-			val = strings.TrimSpace(val)
-			if len(val) > 1 && (val[0] == '"' || val[0] == '\'') && val[len(val)-1] == val[0] {
-				val = val[1 : len(val)-1]
-			}
-			if !has {
-				val = d.in.Variables[k]
-			}
-			out[k] = val
+	return limits
+}
+
+// passedElements returns the elements of a service that are passed to the host as they stand.
+func passedElements(service *value) map[string]any {
+	passedOn := map[string]any{}
+	for _, key := range service.keys {
+		e, known := serviceIndex[key]
+		isExtension := strings.HasPrefix(key, extensionPrefix) && key != ownExtension
+		if isExtension || known && e.treatment == passed || passedToo[key] {
+			passedOn[key] = toJSON(service.fields[key])
 		}
 	}
-	return out
+	return passedOn
+}
+
+// withFiles returns values and what the files that the element key names have beside them; a value given in both is that of
+// values.
+func (d *decoder) withFiles(values map[string]string, service *value, key, what string) map[string]string {
+	all := d.keyValueFiles(service, key, what)
+	maps.Copy(all, values)
+	return all
 }
--- /dev/null
+++ b/internal/parse/compose/placement.go
@@ -0,0 +1,128 @@
+package compose
+
+import (
+	"regexp"
+	"slices"
+	"strings"
+
+	"forkhead/internal/parse/servicespec"
+)
+
+// deployKeys are the elements of deploy. Some have rows for their own elements only, such as resources.limits.cpus.
+var deployKeys = []string{
+	"endpoint_mode", "labels", "mode", "placement", "replicas", "resources", "restart_policy", "rollback_config",
+	"update_config",
+}
+
+// placement sets what bears on where the service's tasks are placed. service is its mapping, deploy the element of that name.
+func (d *decoder) placement(s *servicespec.Service, service, deploy *value) {
+	d.platform(s, service)
+	d.hostPorts(s, service)
+	if deploy == nil {
+		return
+	}
+	for _, key := range deploy.keys {
+		if !strings.HasPrefix(key, extensionPrefix) && !slices.Contains(deployKeys, key) {
+			d.unknown(deploy, key, "deploy", deployIndex, "")
+		}
+	}
+	p := d.of(deploy.get("placement"), mapping, "placement")
+	if p == nil {
+		return
+	}
+	d.known(p, deployIndex, "placement.", "placement")
+	for _, v := range d.list(p.get("constraints"), "constraints") {
+		if constraint, ok := d.constraint(v); ok {
+			s.Constraints = append(s.Constraints, constraint)
+		}
+	}
+	d.preferences(s, p)
+	if v := p.get("max_replicas_per_node"); v != nil {
+		if n, ok := d.integer(v, "max_replicas_per_node", 0, maxReplicas); ok && n > 0 {
+			s.SpreadLimits = append(s.SpreadLimits, servicespec.SpreadLimit{Domain: "machine", MaxTasks: n, Pos: v.pos})
+		}
+	}
+}
+
+// platform adds a platform, OS[/ARCHITECTURE[/VARIANT]], as constraints.
+func (d *decoder) platform(s *servicespec.Service, service *value) {
+	platform := d.of(service.get("platform"), scalar, "platform")
+	if platform == nil {
+		return
+	}
+	os, arch, _ := strings.Cut(platform.text, "/")
+	s.Constraints = append(s.Constraints, servicespec.Constraint{Attribute: "os", Value: os, Pos: platform.pos})
+	if arch != "" {
+		s.Constraints = append(s.Constraints, servicespec.Constraint{Attribute: "arch", Value: arch, Pos: platform.pos})
+	}
+}
+
+// hostPorts limits a service that publishes a port of its host to one task a host.
+func (d *decoder) hostPorts(s *servicespec.Service, service *value) {
+	ports := d.of(service.get("ports"), sequence, "ports")
+	if ports == nil {
+		return
+	}
+	for _, port := range ports.items {
+		if mode := port.get("mode"); mode != nil && mode.text == "host" && port.get("published") != nil {
+			s.SpreadLimits = append(s.SpreadLimits, servicespec.SpreadLimit{Domain: "machine", MaxTasks: 1, Pos: port.pos})
+			return
+		}
+	}
+}
+
+// preferences adds the attributes that the service's tasks are to be spread over.
+func (d *decoder) preferences(s *servicespec.Service, placement *value) {
+	list := d.of(placement.get("preferences"), sequence, "preferences")
+	if list == nil {
+		return
+	}
+	for _, item := range list.items {
+		preference := d.of(item, mapping, "a preference")
+		if preference == nil {
+			continue
+		}
+		d.only(preference, "a preference", "spread")
+		spread := d.of(preference.get("spread"), scalar, "spread")
+		if spread == nil {
+			continue
+		}
+		switch spread.text {
+		case "node.labels.zone", "node.labels.rack":
+			s.Preferences = append(s.Preferences, servicespec.Attribute(strings.TrimPrefix(spread.text, labelPrefix)))
+		default:
+			d.want(spread.pos, "node.labels.zone or node.labels.rack", "spread over %q", spread.text)
+		}
+	}
+}
+
+// labelPrefix is what the labels of hosts begin with in constraints and preferences.
+const labelPrefix = "node.labels."
+
+// constraintForm is ATTRIBUTE == VALUE or ATTRIBUTE != VALUE; its groups are these three.
+var constraintForm = regexp.MustCompile(`^\s*([A-Za-z0-9._/-]+)\s*(==|!=)\s*(.*?)\s*$`)
+
+// constraintAttributes are the attributes of hosts by their names in constraints.
+var constraintAttributes = map[string]servicespec.Attribute{
+	"node.id": "id", "node.hostname": "hostname", "node.role": "role",
+	"node.platform.os": "os", "node.platform.arch": "arch",
+}
+
+// constraint decodes one entry of constraints. ok is false where it is in error.
+func (d *decoder) constraint(v *value) (c servicespec.Constraint, ok bool) {
+	groups := constraintForm.FindStringSubmatch(v.text)
+	if groups == nil || groups[3] == "" {
+		d.want(v.pos, "ATTRIBUTE == VALUE or ATTRIBUTE != VALUE", "constraint %q", v.text)
+		return servicespec.Constraint{}, false
+	}
+	name, operator, text := groups[1], groups[2], groups[3]
+	attribute, ok := constraintAttributes[name]
+	if label, isLabel := strings.CutPrefix(name, labelPrefix); isLabel && label != "" {
+		attribute, ok = servicespec.Attribute("label."+label), true
+	}
+	if !ok {
+		d.want(v.pos, "node.id, node.hostname, node.role, node.platform.os, node.platform.arch or node.labels.NAME",
+			"no host tells %q", name)
+	}
+	return servicespec.Constraint{Attribute: attribute, Not: operator == "!=", Value: text, Pos: v.pos}, ok
+}
--- /dev/null
+++ b/internal/parse/compose/policies.go
@@ -0,0 +1,95 @@
+package compose
+
+import (
+	"strconv"
+	"strings"
+
+	"forkhead/internal/parse/servicespec"
+)
+
+// restartConditions are the words of restart_policy.condition.
+var restartConditions = map[string]servicespec.RestartCondition{
+	"any": servicespec.Always, "on-failure": servicespec.OnFailure, "none": servicespec.Never,
+}
+
+// restart sets what follows the end of a task: deploy.restart_policy, or restart where that says nothing.
+func (d *decoder) restart(s *servicespec.Service, service, deploy *value) {
+	if s.Mode.Job() {
+		s.Restart.When = servicespec.OnFailure
+	}
+	if v := d.of(service.get("restart"), scalar, "restart"); v != nil {
+		d.shortRestart(&s.Restart, v)
+	}
+	if policy := d.of(deploy.get("restart_policy"), mapping, "restart_policy"); policy != nil {
+		d.restartPolicy(&s.Restart, policy)
+	}
+}
+
+// shortRestart decodes the element restart of a service: a condition, with a number of restarts where it is on-failure.
+func (d *decoder) shortRestart(r *servicespec.Restart, v *value) {
+	condition, count, hasCount := strings.Cut(v.text, ":")
+	switch condition {
+	case "no":
+		r.When = servicespec.Never
+	case "always", "unless-stopped":
+		r.When = servicespec.Always
+	case "on-failure":
+		r.When = servicespec.OnFailure
+	default:
+		d.want(v.pos, `"no", always, on-failure, on-failure:N or unless-stopped`, "restart %q", v.text)
+	}
+	if !hasCount {
+		return
+	}
+	n, err := strconv.Atoi(count)
+	if err != nil || n < 0 || condition != "on-failure" {
+		d.want(v.pos, "on-failure:N", "restart %q", v.text)
+	}
+	r.MaxRestarts = n
+}
+
+func (d *decoder) restartPolicy(r *servicespec.Restart, policy *value) {
+	d.only(policy, "restart_policy", "condition", "delay", "max_attempts", "window")
+	choiceField(d, &r.When, policy, "condition", restartConditions, "any, on-failure or none")
+	d.durationField(&r.Delay, policy, "delay", 0, maxTaskTime)
+	if v := policy.get("max_attempts"); v != nil {
+		r.MaxRestarts, _ = d.integer(v, "max_attempts", 0, 1e6)
+	}
+	d.durationField(&r.Window, policy, "window", 0, maxTaskTime)
+}
+
+// failureActions are the words of update_config.failure_action.
+var failureActions = map[string]servicespec.FailureAction{
+	"pause": servicespec.Pause, "continue": servicespec.Continue, "rollback": servicespec.Rollback,
+}
+
+// updateKeys are the elements of update_config and rollback_config.
+var updateKeys = []string{"parallelism", "delay", "failure_action", "monitor", "max_failure_ratio", "order"}
+
+// update sets how the service's running tasks are replaced when it has changed.
+func (d *decoder) update(s *servicespec.Service, deploy *value) {
+	config := d.of(deploy.get("update_config"), mapping, "update_config")
+	if rollback := d.of(deploy.get("rollback_config"), mapping, "rollback_config"); rollback != nil {
+		d.only(rollback, "rollback_config", updateKeys...)
+	}
+	if config == nil {
+		return
+	}
+	d.only(config, "update_config", updateKeys...)
+	u := &s.Update
+	if v := config.get("parallelism"); v != nil {
+		u.Parallel, _ = d.integer(v, "parallelism", 0, maxReplicas)
+	}
+	d.durationField(&u.Delay, config, "delay", 0, maxTaskTime)
+	d.durationField(&u.Monitor, config, "monitor", 0, maxTaskTime)
+	if v := config.get("max_failure_ratio"); v != nil {
+		u.MaxFailureRatio = d.number(v, "max_failure_ratio", 0, 1)
+	}
+	choiceField(d, &u.FailureAction, config, "failure_action", failureActions, "pause, continue or rollback")
+	if order := d.of(config.get("order"), scalar, "order"); order != nil {
+		if order.text != "stop-first" && order.text != "start-first" {
+			d.want(order.pos, "stop-first or start-first", "order %q", order.text)
+		}
+		u.StartFirst = order.text == "start-first"
+	}
+}
--- /dev/null
+++ b/internal/parse/compose/resources.go
@@ -0,0 +1,76 @@
+package compose
+
+import (
+	"cmp"
+	"strings"
+
+	"forkhead/internal/parse/servicespec"
+)
+
+// What a task reserves where the description has neither a reservation nor a limit.
+const (
+	defaultCores  = 0.25
+	defaultMemory = 0.25 // GiB
+)
+
+// resources sets what the service's tasks reserve and are limited to.
+func (d *decoder) resources(s *servicespec.Service, service, deploy *value) {
+	limits, reserved := d.resourceParts(deploy)
+	s.LimitCores = d.cores(limits.get("cpus"), service.get("cpus"))
+	s.LimitMemory = d.memory(limits.get("memory"), service.get("mem_limit"))
+	s.Cores = d.cores(reserved.get("cpus"))
+	s.Memory = d.memory(reserved.get("memory"), service.get("mem_reservation"))
+	if s.LimitCores > 0 && s.Cores > s.LimitCores {
+		d.fail(reserved.get("cpus").pos, "service %q reserves %g cores over its limit of %g", s.Name, s.Cores, s.LimitCores)
+	}
+	if s.LimitMemory > 0 && s.Memory > s.LimitMemory {
+		d.fail(service.pos, "service %q reserves more memory than its limit", s.Name)
+	}
+	s.Cores = cmp.Or(s.Cores, s.LimitCores, defaultCores)
+	s.Memory = cmp.Or(s.Memory, s.LimitMemory, defaultMemory)
+}
+
+// resourceParts returns the limits and reservations of deploy, their keys checked; nil where there are none.
+func (d *decoder) resourceParts(deploy *value) (limits, reserved *value) {
+	resources := d.of(deploy.get("resources"), mapping, "resources")
+	if resources == nil {
+		return nil, nil
+	}
+	d.only(resources, "resources", "limits", "reservations")
+	limits = d.of(resources.get("limits"), mapping, "limits")
+	reserved = d.of(resources.get("reservations"), mapping, "reservations")
+	d.knownDeployPart(limits, "resources.limits.")
+	d.knownDeployPart(reserved, "resources.reservations.")
+	return limits, reserved
+}
+
+func (d *decoder) knownDeployPart(v *value, prefix string) {
+	if v != nil {
+		d.known(v, deployIndex, prefix, strings.TrimSuffix(prefix, "."))
+	}
+}
+
+// cores returns the first number of cores that is given; 0 if none is.
+func (d *decoder) cores(alternatives ...*value) float64 {
+	if v := firstGiven(alternatives); v != nil {
+		return d.number(v, "cpus", 0.001, 1e5)
+	}
+	return 0
+}
+
+// memory returns the first amount of memory that is given, in GiB; 0 if none is.
+func (d *decoder) memory(alternatives ...*value) float64 {
+	if v := firstGiven(alternatives); v != nil {
+		return d.bytes(v, "memory")
+	}
+	return 0
+}
+
+func firstGiven(alternatives []*value) *value {
+	for _, v := range alternatives {
+		if !v.isEmpty() {
+			return v
+		}
+	}
+	return nil
+}
--- a/internal/parse/compose/values.go
+++ b/internal/parse/compose/values.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// pairs reads a mapping, or a list of K=V, of single values. A name alone takes the variable's.
+// pairs decodes a mapping, or a list of KEY=VALUE, of single values. In an environment a name alone takes the variable's
+// value, and is left out without one; elsewhere its value is "".
 func (d *decoder) pairs(v *value, name string) map[string]string {
 	out := map[string]string{}
 	if v == nil || v.kind == null {
@@ -36,7 +37,7 @@
 	return out
 }
 
-// list reads a list of single values; texts gives their texts.
+// list decodes a list of single values.
 func (d *decoder) list(v *value, name string) []*value {
 	seq := d.of(v, sequence, name)
 	if seq == nil {
@@ -53,6 +54,7 @@
 	return out
 }
 
+// texts decodes a list of single values into their texts.
 func (d *decoder) texts(v *value, name string) []string {
 	var out []string
 	for _, item := range d.list(v, name) {
@@ -61,7 +63,8 @@
 	return out
 }
 
-func (d *decoder) integer(v *value, name string, lo, hi int) (int, bool) {
+// integer decodes a whole number from lo to hi. ok is false where it is in error.
+func (d *decoder) integer(v *value, name string, lo, hi int) (n int, ok bool) {
 	if v.kind == scalar {
 		if n, err := strconv.Atoi(strings.TrimSpace(v.text)); err == nil && n >= lo && n <= hi {
 			return n, true
@@ -71,6 +74,7 @@
 	return 0, false
 }
 
+// number decodes a number from lo to hi.
 func (d *decoder) number(v *value, name string, lo, hi float64) float64 {
 	if v.kind == scalar {
 		x, err := strconv.ParseFloat(strings.TrimSpace(v.text), 64)
@@ -82,6 +86,7 @@
 	return 0
 }
 
+// boolean decodes a truth value by its text.
 func (d *decoder) boolean(v *value, name string) bool {
 	switch v.text {
 	case "true", "yes", "on":
@@ -93,56 +98,100 @@
 	return false
 }
 
-var durationForm = regexp.MustCompile(`^(?:(\d+)h)?(?:(\d+)m)?(?:(\d+)s)?(?:(\d+)ms)?(?:(\d+)us)?$`)
+// durationForm has a group for each of durationUnits.
+var (
+	durationForm  = regexp.MustCompile(`^(?:(\d+)h)?(?:(\d+)m)?(?:(\d+)s)?(?:(\d+)ms)?(?:(\d+)us)?$`)
+	durationUnits = []time.Duration{time.Hour, time.Minute, time.Second, time.Millisecond, time.Microsecond}
+)
 
-// duration reads the specification's form: 1h30m, 90s, 500ms, 20us and their sums.
+// duration decodes a duration from lo to hi.
 func (d *decoder) duration(v *value, name string, lo, hi time.Duration) time.Duration {
-	if v.kind == scalar && v.text != "" {
-		if v.text == "0" && lo == 0 {
-			return 0
-		}
-		if m := durationForm.FindStringSubmatch(v.text); m != nil {
-			var sum time.Duration
-			good := true
-			for i, unit := range []time.Duration{time.Hour, time.Minute, time.Second, time.Millisecond, time.Microsecond} {
-				if m[i+1] == "" {
-					continue
-				}
-				n, err := strconv.ParseInt(m[i+1], 10, 64)
-				if err != nil || n > int64((1<<62)/unit) {
-					good = false
-					break
-				}
-				sum += time.Duration(n) * unit
-				good = good && sum >= 0
-			}
-			if good && sum >= lo && sum <= hi {
-				return sum
-			}
+	if v.kind == scalar {
+		if sum, ok := parseDuration(v.text); ok && sum >= lo && sum <= hi {
+			return sum
 		}
 	}
 	d.want(v.pos, "a duration from "+lo.String()+" to "+hi.String()+", as 1m30s or 500ms", "%s is %s", name, describe(v))
 	return 0
 }
 
+// durationField sets a duration to what a field of a mapping says, and leaves it as it is where there is no such field.
+func (d *decoder) durationField(to *time.Duration, m *value, key string, lo, hi time.Duration) {
+	if v := m.get(key); v != nil {
+		*to = d.duration(v, key, lo, hi)
+	}
+}
+
+// parseDuration parses the specification's form: 1h30m, 90s, 500ms, 20us and their sums, or 0.
+func parseDuration(text string) (sum time.Duration, ok bool) {
+	const longest = 1 << 62 // of one unit: the sum of all may overflow, which shows as a negative number
+	if text == "0" {
+		return 0, true
+	}
+	groups := durationForm.FindStringSubmatch(text)
+	if groups == nil || text == "" {
+		return 0, false
+	}
+	for i, unit := range durationUnits {
+		digits := groups[i+1]
+		if digits == "" {
+			continue
+		}
+		n, err := strconv.ParseInt(digits, 10, 64)
+		if err != nil || n > int64(longest/unit) {
+			return 0, false
+		}
+		if sum += time.Duration(n) * unit; sum < 0 {
+			return 0, false
+		}
+	}
+	return sum, true
+}
+
+// bytesForm has groups for the number and the unit.
 var bytesForm = regexp.MustCompile(`^(?i)\s*(\d+(?:\.\d+)?)\s*(b|k|kb|kib|m|mb|mib|g|gb|gib|t|tb|tib)?\s*$`)
 
-// bytes reads a byte value of the specification (k, m, g, by 1024) into GiB.
+// unitShifts are the binary logarithms of the units of bytes, by their first letter.
+var unitShifts = map[string]int{"": 0, "b": 0, "k": 10, "m": 20, "g": 30, "t": 40}
+
+// bytes decodes an amount of bytes, of at least one, into GiB.
 func (d *decoder) bytes(v *value, name string) float64 {
+	const maxBytes = 1 << 50
 	if v.kind == scalar {
-		if m := bytesForm.FindStringSubmatch(v.text); m != nil {
-			x, err := strconv.ParseFloat(m[1], 64)
-			shift := map[string]int{"": 0, "b": 0, "k": 10, "m": 20, "g": 30, "t": 40}[strings.ToLower(m[2][:min(1, len(m[2]))])]
-			x *= float64(int64(1) << shift)
-			if err == nil && x >= 1 && x <= 1<<50 {
-				return x / (1 << 30)
-			}
+		if amount, ok := parseBytes(v.text); ok && amount >= 1 && amount <= maxBytes {
+			return amount / gibibyte
 		}
 	}
 	d.want(v.pos, "an amount of bytes, as 512m or 2gb", "%s is %s", name, describe(v))
 	return 0
 }
 
+// parseBytes parses a byte value of the specification, whose units count by 1024.
+func parseBytes(text string) (amount float64, ok bool) {
+	groups := bytesForm.FindStringSubmatch(text)
+	if groups == nil {
+		return 0, false
+	}
+	amount, err := strconv.ParseFloat(groups[1], 64)
+	unit := groups[2]
+	shift := unitShifts[strings.ToLower(unit[:min(1, len(unit))])]
+	return amount * float64(int64(1)<<shift), err == nil
+}
+
+// choiceField sets to what a field of a mapping means by a table of words, and leaves it as it is where there is no such
+// field. want lists the words in an error.
+func choiceField[T any](d *decoder, to *T, m *value, key string, words map[string]T, want string) {
+	v := d.of(m.get(key), scalar, key)
+	if v == nil {
+		return
+	}
+	choice, ok := words[v.text]
+	if !ok {
+		d.want(v.pos, want, "%s %q", key, v.text)
+	}
+	*to = choice
+}
+
 // describe gives a value as it stands in errors.
 func describe(v *value) string {
 	if v.kind == scalar {
@@ -151,9 +200,9 @@
 	return v.kind.String()
 }
 
-// plain turns a value into what encoding/json writes. Plain words that YAML reads as numbers
-// or truth values are written as such.
-func plain(v *value) any {
+// toJSON turns a value into what encoding/json writes. Words without quotes that YAML reads as numbers or truth values are
+// written as such.
+func toJSON(v *value) any {
 	if v == nil {
 		return nil
 	}
@@ -174,13 +223,13 @@
 	case mapping:
 		m := map[string]any{}
 		for _, k := range v.keys {
-			m[k] = plain(v.fields[k])
+			m[k] = toJSON(v.fields[k])
 		}
 		return m
 	case sequence:
 		out := make([]any, 0, len(v.items))
 		for _, item := range v.items {
-			out = append(out, plain(item))
+			out = append(out, toJSON(item))
 		}
 		return out
 	}
