--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -13,7 +13,7 @@
 	"forkhead/internal/goldentest"
 )
 
-// testdata/batches.hex is the life of one placer, with one of each event of the wire; the replies, one a line, are the same
+// testdata/batches.hex is one placer from its start to its teardown, with one of each event of the wire; the replies, one a line, are the same
 // to the byte. That fixes the translation both ways and what the module decides there: a change of a decision changes the
 // replies, one of a name does not.
 func TestRepliesGolden(t *testing.T) {
--- a/internal/planning/plan/input.go
+++ b/internal/planning/plan/input.go
@@ -29,10 +29,10 @@
 	stateReady    = "ready"
 	stateCold     = "cold"
 	stateDraining = "draining"
-	stateGone     = "gone"
+	stateRemoved  = "gone"
 )
 
-var hostStates = []string{"", stateReady, stateCold, stateDraining, stateGone}
+var hostStates = []string{"", stateReady, stateCold, stateDraining, stateRemoved}
 
 // Bounds of a host.
 const (
--- a/internal/planning/plan/instance.go
+++ b/internal/planning/plan/instance.go
@@ -58,7 +58,7 @@
 			ID: h.ID, Zone: h.Zone, Rack: h.Rack, Cost: h.Cost,
 			Cores:         roundDown(h.Cores*m.CoresOvercommit, milliCores),
 			Memory:        roundDown(h.Memory*m.MemoryOvercommit, mebibytes),
-			Unschedulable: h.State == stateDraining || h.State == stateGone,
+			Unschedulable: h.State == stateDraining || h.State == stateRemoved,
 		})
 	}
 	return hosts
--- a/internal/planning/quota/quota.go
+++ b/internal/planning/quota/quota.go
@@ -8,13 +8,13 @@
 	"slices"
 )
 
-// Whole is a tenant's quota of a whole fleet.
-const Whole = 1_000_000
+// FullQuota is a tenant's quota of a whole fleet.
+const FullQuota = 1_000_000
 
 // Tenant is a tenant with its quota.
 type Tenant struct {
 	Name  string
-	Quota uint64 // of the fleet, in parts of Whole
+	Quota uint64 // of the fleet, in parts of FullQuota
 }
 
 // Table has each tenant's quota at each placer, in thousandths of a core.
@@ -27,7 +27,7 @@
 
 // NewTable divides a fleet's cores, in thousandths, among tenants by their quotas, and each tenant's among placers by their
 // names and weights. Amounts stay as they are in previous, the table until now, as far as the weights allow; it may be nil.
-// Quotas that sum to more than Whole are an error, and so are the errors of Apportion.
+// Quotas that sum to more than FullQuota are an error, and so are the errors of Apportion.
 func NewTable(cores int64, tenants []Tenant, placers []Allocation, previous *Table) (*Table, error) {
 	byTenant, err := apportionToTenants(cores, tenants)
 	if err != nil {
@@ -60,10 +60,10 @@
 		sum += tenant.Quota
 		allocations = append(allocations, Allocation{Name: tenant.Name, Weight: tenant.Quota, Max: Unlimited})
 	}
-	if sum > Whole {
+	if sum > FullQuota {
 		return nil, fmt.Errorf("the shares sum to %d millionths", sum)
 	}
-	allocations = append(allocations, Allocation{Name: unassigned, Weight: Whole - sum, Max: Unlimited})
+	allocations = append(allocations, Allocation{Name: unassigned, Weight: FullQuota - sum, Max: Unlimited})
 	if _, err := Apportion(cores, allocations); err != nil {
 		return nil, err
 	}
