--- /dev/null
+++ b/internal/parse/settings/defaults.go
@@ -0,0 +1,72 @@
+package settings
+
+import (
+	"time"
+
+	"forkhead"
+)
+
+// defaults returns the settings that hold where a file says nothing.
+func defaults() *Settings {
+	return &Settings{
+		Module:           defaultModule(),
+		ServiceDiscovery: defaultServiceDiscovery,
+		Owner:            defaultOwner,
+		HostConnections:  defaultHostConnections,
+		Limits:           defaultLimits,
+		SavedHostList:    SavedHostList{FreshAge: time.Minute, MaxAge: 24 * time.Hour},
+	}
+}
+
+// What holds if the file names no placer, and without (mean-cores ...) and (mean-memory ...).
+var defaultPlacer = Placer{HTTPAddress: "127.0.0.1:7070", GossipAddress: "127.0.0.1:7071"}
+
+const (
+	defaultMeanCores  = 1
+	defaultMeanMemory = 2 // GiB
+)
+
+func defaultModule() forkhead.Settings {
+	return forkhead.Settings{
+		CoresOvercommit: 1, MemoryOvercommit: 1, BoundWhenRunning: false, ListReportsAvailable: true, ReportsCountRequested: true,
+		ReportsInOutcomes: true, ReportsInProbes: true, NotesReportUsage: true, NotesReportPressure: true,
+		MaxAttempts: 4, MayWithdraw: true, MayProbe: true, MayGossip: true,
+		OwnerBackoff: 3 * time.Second, MaxRetryAfter: 3 * time.Second, ConnectTimeout: 250 * time.Millisecond,
+		AnswerSlack: 10 * time.Millisecond, DrainGrace: 250 * time.Millisecond, MaxPollInterval: 10 * time.Second,
+		SlowStartDuration: 10 * time.Second, SlowStartWindow: time.Second, SlowStartMaxOffers: 20, SlowStartInitialRate: 0.2, SlowStartOverload: 4,
+		OverQuotaWeight: 0.2,
+		Costs: forkhead.Costs{
+			SurplusMachine: 0.15, Migration: 0.05, EvictionMigrations: 2, Rejection: 0.02, WastedWork: 0.05, Probe: 0.003, Gossip: 0.01, ListEntries: 0.004,
+		},
+	}
+}
+
+var defaultServiceDiscovery = ServiceDiscovery{
+	Address: "127.0.0.1:8500", Service: "forkhead-host", MaxWait: 10 * time.Second, Timeout: 2 * time.Second,
+	MinInterval: 200 * time.Millisecond,
+}
+
+var defaultOwner = Owner{
+	MinBackoff: time.Second, MaxBackoff: 15 * time.Second, MigrationBackoff: 100 * time.Millisecond, MaxRequests: 100,
+	MaxPlacements: 1000,
+}
+
+var defaultHostConnections = HostConnections{
+	ConnectTimeout: time.Second, MinBackoff: 100 * time.Millisecond, MaxBackoff: 3 * time.Second, LostAfter: 3 * time.Second,
+	ProbeTimeout: time.Second,
+}
+
+var defaultLimits = Limits{
+	Body: 1 << 20, Tasks: 100_000, PerSubmit: 10_000, Submissions: 10_000, Retention: 10 * time.Minute,
+	Connections: 1000, Buffer: 4 << 20, Hosts: 10_000, Labels: 64,
+}
+
+const defaultRequestTimeout = 5 * time.Second
+
+// defaultClass returns what the module knows of a class that has its name only. Its machine type is none, -1.
+func defaultClass() forkhead.Class {
+	return forkhead.Class{
+		DedupWindow: 8 * time.Second, LatencyObjective: time.Second, Weight: 1, LateWeight: 0.1, StartWeight: 10, MachineType: -1,
+		SaturationThreshold: 0.9, DegradationRange: 0.2,
+	}
+}
