--- a/internal/planning/solver/solver_test.go
+++ b/internal/planning/solver/solver_test.go
@@ -69,3 +69,15 @@
 		t.Fatal(err)
 	}
 }
+
+// A search that is told to stop returns what it has.
+func TestSolveStopsOnRequest(t *testing.T) {
+	in := Instance{Hosts: newHosts(3, 4, 4, 2), Services: []Service{{Count: 3, Cores: 2}}}
+	result, err := Solve(&in, Options{Stop: func() bool { return true }})
+	if err != nil || !result.Feasible || result.Nodes != 0 {
+		t.Fatalf("%+v, %v", result, err)
+	}
+	if err := Check(&in, result.Counts, result.Cost); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/verify/bruteforce/bruteforce.go
+++ b/internal/verify/bruteforce/bruteforce.go
@@ -16,7 +16,7 @@
 func Compare(seed uint64, n int, opt solver.Options) (feasible int, err error) {
 	for i := range n {
 		number := seed + uint64(i)
-		in := RandomInstance(rand.New(rand.NewPCG(number, 12)))
+		in := randomInstance(rand.New(rand.NewPCG(number, 12)))
 		isFeasible, err := compareOne(in, opt)
 		if isFeasible {
 			feasible++
@@ -34,7 +34,7 @@
 	if err != nil {
 		return false, err
 	}
-	want := MinCost(in)
+	want := minCost(in)
 	switch {
 	case !result.Optimal:
 		return false, errors.New("not proven")
@@ -48,9 +48,9 @@
 	return true, solver.Check(in, result.Counts, result.Cost)
 }
 
-// MinCost returns the least cost of a placement, or -1 if there is none. Its time grows with the number of hosts to the power
+// minCost returns the least cost of a placement, or -1 if there is none. Its time grows with the number of hosts to the power
 // of the number of tasks.
-func MinCost(in *solver.Instance) int64 {
+func minCost(in *solver.Instance) int64 {
 	var tasks []int // the service of each task
 	p := placement{in: in}
 	for service := range in.Services {
--- a/internal/verify/bruteforce/random.go
+++ b/internal/verify/bruteforce/random.go
@@ -13,8 +13,8 @@
 	maxRandomTasks = 6
 )
 
-// RandomInstance draws a small instance, often just at capacity, with every kind of constraint and cost.
-func RandomInstance(rng *rand.Rand) *solver.Instance {
+// randomInstance draws a small instance, often just at capacity, with every kind of constraint and cost.
+func randomInstance(rng *rand.Rand) *solver.Instance {
 	in := &solver.Instance{MigrationCost: rng.Int64N(4)}
 	for i := range rng.IntN(maxRandomHosts + 1) {
 		h := randomHost(rng)
