--- /dev/null
+++ b/internal/verify/simulation/network.go
@@ -0,0 +1,141 @@
+package simulation
+
+import (
+	"forkhead/internal/emulator/hostmodel"
+	"forkhead/internal/protocol/hostproto"
+	"forkhead/internal/scheduler/core"
+)
+
+// connID returns the hosts' name of a connection of this incarnation of the placer, which numbers its own from 1.
+func (s *Sim) connID(conn uint32) hostmodel.ConnID {
+	return hostmodel.ConnID(s.Epoch<<32 | uint64(conn))
+}
+
+// splitConnID returns the placer's epoch and its number of a connection.
+func splitConnID(id hostmodel.ConnID) (epoch uint64, conn uint32) {
+	return uint64(id) >> 32, uint32(id)
+}
+
+// afterDelay calls do after the network's delay, unless the core that runs now has ended by then.
+func (s *Sim) afterDelay(do func()) {
+	c := s.Core
+	s.After(s.Delay, func() {
+		if s.Core == c {
+			do()
+		}
+	})
+}
+
+// dial opens a connection, if its host can be reached when the dial arrives.
+func (s *Sim) dial(o core.DialHost) {
+	h := s.Hosts[o.Host]
+	generation := h.connGeneration
+	s.afterDelay(func() {
+		if h.Model.Dead() || h.Blackholed || generation != h.connGeneration {
+			s.Step(core.HostDisconnected{Host: o.Host, Conn: o.Conn})
+			return
+		}
+		h.conns[o.Conn] = true
+		s.ExecuteHostOutputs(o.Host, h.Model.ConnectionOpened(s.Now, s.connID(o.Conn)))
+		s.Step(core.HostConnected{Host: o.Host, Conn: o.Conn})
+	})
+}
+
+// closeConnection closes a connection on the placer's side; its host notices after the delay.
+func (s *Sim) closeConnection(o core.CloseHostConnection) {
+	h := s.Hosts[o.Host]
+	if !h.conns[o.Conn] {
+		return
+	}
+	delete(h.conns, o.Conn)
+	id := s.connID(o.Conn)
+	s.After(s.Delay, func() { s.ExecuteHostOutputs(o.Host, h.Model.ConnectionClosed(s.Now, id)) })
+}
+
+// sendToHost brings a frame to its host, unless it gets lost.
+func (s *Sim) sendToHost(o core.SendToHost) {
+	h := s.Hosts[o.Host]
+	if f, ok := o.Frame.(hostproto.Offer); ok {
+		s.Offers = append(s.Offers, Offer{s.Now, o.Host, f})
+	}
+	f := recode(s.t, o.Frame)
+	id, generation := s.connID(o.Conn), h.connGeneration
+	s.After(s.Delay, func() {
+		if !h.carries(o.Conn, generation) || s.ToHost != nil && !s.ToHost(o.Host, f) {
+			return
+		}
+		s.ExecuteHostOutputs(o.Host, h.Model.ReceiveFrame(s.Now, id, f))
+	})
+}
+
+// ExecuteHostOutputs executes the outputs of a host: its frames are brought to the placer, unless they get lost, and its
+// connections closed. The connections of a host that is dead are reset.
+func (s *Sim) ExecuteHostOutputs(name string, out []hostmodel.Output) {
+	h := s.Hosts[name]
+	if h.Model.Dead() {
+		s.dropConnections(name)
+		return
+	}
+	for _, o := range out {
+		epoch, conn := splitConnID(o.Conn)
+		switch {
+		case epoch != s.Epoch: // of an earlier incarnation of the placer
+		case o.Frame == nil:
+			delete(h.conns, conn)
+			s.notifyDisconnected(name, conn)
+		default:
+			s.sendToPlacer(name, conn, o.Frame)
+		}
+	}
+}
+
+// sendToPlacer brings a frame of a host to the placer, unless it gets lost.
+func (s *Sim) sendToPlacer(name string, conn uint32, frame hostproto.Frame) {
+	h := s.Hosts[name]
+	generation := h.connGeneration
+	f := recode(s.t, frame)
+	s.afterDelay(func() {
+		if !h.carries(conn, generation) || s.FromHost != nil && !s.FromHost(name, f) {
+			return
+		}
+		s.Step(core.FrameReceived{Host: name, Conn: conn, Frame: f})
+	})
+}
+
+// notifyDisconnected notifies the placer that a connection has ended.
+func (s *Sim) notifyDisconnected(name string, conn uint32) {
+	s.afterDelay(func() { s.Step(core.HostDisconnected{Host: name, Conn: conn}) })
+}
+
+// ResetConnections resets a host's connections; what is on its way is lost.
+func (s *Sim) ResetConnections(name string) {
+	h := s.Hosts[name]
+	for conn := range h.conns {
+		s.ExecuteHostOutputs(name, h.Model.ConnectionClosed(s.Now, s.connID(conn)))
+	}
+	s.dropConnections(name)
+}
+
+// dropConnections ends a host's connections on the placer's side.
+func (s *Sim) dropConnections(name string) {
+	h := s.Hosts[name]
+	if len(h.conns) == 0 {
+		return
+	}
+	conns := h.conns
+	h.conns = map[uint32]bool{}
+	h.connGeneration++
+	for conn := range conns {
+		s.notifyDisconnected(name, conn)
+	}
+}
+
+// recode encodes and decodes a frame, so that each side works on what crosses a socket.
+func recode(t TB, f hostproto.Frame) hostproto.Frame {
+	const lengthPrefix = 4 // bytes
+	out, err := hostproto.Decode(hostproto.Append(nil, f)[lengthPrefix:])
+	if err != nil {
+		t.Fatal(err)
+	}
+	return out
+}
--- a/internal/verify/simulation/random.go
+++ b/internal/verify/simulation/random.go
@@ -9,38 +9,16 @@
 	"forkhead/internal/scheduler/core"
 )
 
-// failure is what a life was ended for.
-type failure struct{ text string }
-
-// panicTB is the TB of one life that is run outside a test.
-type panicTB struct{}
-
-func (panicTB) Helper()                           {}
-func (panicTB) Logf(string, ...any)               {}
-func (panicTB) Fatal(args ...any)                 { panic(failure{fmt.Sprint(args...)}) }
-func (panicTB) Fatalf(format string, args ...any) { panic(failure{fmt.Sprintf(format, args...)}) }
-
-// CheckRandom plays one life and returns what went wrong in it, or nil.
-func CheckRandom(mix Mix, seed uint64) (err error) {
-	defer func() {
-		if f, ok := recover().(failure); ok {
-			err = fmt.Errorf("life %d: %s", seed, f.text)
-		}
-	}()
-	RunRandom(panicTB{}, mix, seed)
-	return nil
-}
-
-// Mix says what lives are made of.
+// Mix says what a random run submits.
 type Mix struct {
-	Name    string
-	classes []string
-	more    string // settings
-	kill    int    // the placer is killed at one in so many of its turns
+	Name          string
+	classes       []string // drawn from, so that those that stand twice come twice as often
+	extraSettings string
+	restartOneIn  int // of the times when the placer may be restarted, it is at one in so many
 }
 
-// Mixes are all of them. Ordinary ones have every class; of Spread ones nearly all is bound to
-// racks, and the placer is killed often.
+// The mixes. Ordinary has tasks of every class. Nearly all tasks of Spread have a spread limit, and its placer is restarted
+// often.
 var (
 	Ordinary = Mix{"ordinary", []string{"web", "keyed", "cell", "ledger", "ledger", "batch"}, "", 6}
 	Spread   = Mix{"spread", []string{"listing", "listing", "listing", "batch", "books"}, `
@@ -49,148 +27,167 @@
 	Mixes = []Mix{Ordinary, Spread}
 )
 
-// RunRandom plays a life at random: projects come, change and go while hosts die, vanish, drain and
-// come back, frames are lost with their connections, and the placer is killed; the real module
-// decides. It fails t on a veto, a defect, two outcomes of a task or none in time, two starts of an
-// unsafe task side by side, a rule broken by what crossed its sockets, or tables that are not empty
-// when all is gone.
+const (
+	randomSettings = "(owner (first 200ms) (wait 20s)) (cold (for 2s) (window 500ms) (offers 12))"
+	randomProjects = 6                     // that random runs submit and remove
+	faultTime      = 25 * time.Second      // submissions and faults come for so long
+	settleTime     = 30 * time.Second      // after the faults, until all submissions must be complete
+	checkInterval  = 25 * time.Millisecond // of the hosts meanwhile
+	removalTime    = 20 * time.Second      // until no task of removed projects may run
+	maxOutcomeTime = 41 * time.Second      // the attempt timeout of the old copy's end, and then of the new one's start
+)
+
+// randomRun is a run of RunRandom.
+type randomRun struct {
+	faultInjector
+	t           TB
+	mix         Mix
+	submitted   int // so far, accepted or not
+	submissions []randomSubmission
+}
+
+// randomSubmission is a submission that was accepted.
+type randomSubmission struct {
+	id    string
+	epoch uint64 // of the placer, whose restart forgets it
+}
+
+// RunRandom runs a random schedule, which the seed determines: projects are submitted, changed and removed while hosts
+// crash, stop to answer, drain and come back, frames are lost with their connections, and the placer is restarted. It fails
+// t on a veto or an invariant violation of the core, if a task has two outcomes, or none in time, if an unsafe task runs
+// twice, if the placer's traffic breaks a rule, or if its tables are not empty when all projects are removed.
 func RunRandom(t TB, mix Mix, seed uint64) {
+	r := newRandomRun(t, mix, seed)
+	r.injectFaults()
+	r.recoverAll()
+	for range settleTime / checkInterval {
+		r.s.Advance(checkInterval)
+		r.s.RequireNoDuplicates()
+	}
+	for _, submission := range r.submissions {
+		if submission.epoch == r.s.Epoch {
+			r.checkOutcomes(submission.id)
+		}
+	}
+	r.checkRemoval()
+	r.s.RequireNoViolations()
+}
+
+// newRandomRun starts a placer and 4 to 8 hosts over connections that are reset at random.
+func newRandomRun(t TB, mix Mix, seed uint64) *randomRun {
 	rng := rand.New(rand.NewPCG(seed, 77))
-	s := New(t, Settings(t, "(owner (first 200ms) (wait 20s)) (cold (for 2s) (window 500ms) (offers 12))"+mix.more), 4+rng.IntN(5))
+	s := New(t, Settings(t, randomSettings+mix.extraSettings), 4+rng.IntN(5))
 	s.Delay = time.Duration(1+rng.IntN(30)) * time.Millisecond
-	lossy := rng.Float64() * 0.02
-	drop := func(host string, _ hostproto.Frame) bool {
-		if rng.Float64() < lossy { // on TCP a frame is lost only with its connection
+	lossRate := rng.Float64() * 0.02
+	deliver := func(host string, _ hostproto.Frame) bool {
+		if rng.Float64() < lossRate { // on TCP a frame is lost only with its connection
 			s.After(0, func() { s.ResetConnections(host) })
 			return false
 		}
 		return true
 	}
-	s.ToHost, s.FromHost = drop, drop
-	type sub struct {
-		id    string
-		epoch uint64
-		until time.Duration
-	}
-	var subs []sub
-	names := 0
-	for end := s.Now + 25*time.Second; s.Now < end; {
-		switch name := s.HostNames[rng.IntN(len(s.HostNames))]; rng.IntN(14) {
-		case 0, 1, 2, 3:
-			names++
-			text := fmt.Sprintf("name: p%d\nservices:\n  a: {x-forkhead: {class: %s, life: %dms}, deploy: {replicas: %d, restart_policy: {condition: on-failure}, resources: {reservations: {cpus: '%.1f'}}}}\n",
-				rng.IntN(names+1)%6, mix.classes[rng.IntN(len(mix.classes))], 500+rng.IntN(6000), 1+rng.IntN(6), 0.2+rng.Float64()*2)
-			if rng.IntN(4) == 0 {
-				text += fmt.Sprintf("  b: {x-forkhead: {near: {a: %s}, life: 3s}, deploy: {replicas: %d, restart_policy: {condition: on-failure}}}\n",
-					[]string{"machine", "rack", "zone"}[rng.IntN(3)], 1+rng.IntN(3))
-			}
-			if id := s.Submit(fmt.Sprintf("k%d", names), text); id != "" {
-				subs = append(subs, sub{id, s.Epoch, s.Now + 21*time.Second})
-			}
-		case 4:
-			s.Step(core.RemoveProject{Request: 9, Project: fmt.Sprintf("p%d", rng.IntN(6))})
-		case 5:
-			s.ResetConnections(name)
-		case 6:
-			if !s.Hosts[name].Model.Dead() {
-				s.KillHost(name)
-				s.After(time.Duration(rng.IntN(3000))*time.Millisecond, func() { s.RestartHost(name, true) })
-			}
-		case 7:
-			h := s.Hosts[name]
-			if !h.Blackholed {
-				h.Blackholed = true
-				s.After(time.Duration(rng.IntN(5000))*time.Millisecond, func() {
-					h.Blackholed = false
-					s.ResetConnections(name) // what was on its way is lost, and with it the connection
-				})
-			}
-		case 8:
-			on := rng.IntN(2) == 0
-			s.ExecuteHostOutputs(name, s.Hosts[name].Model.Drain(s.Now, on, rng.IntN(2) == 0))
-		case 9:
-			s.Hosts[name].Model.Pause(s.Now, time.Duration(rng.IntN(1500))*time.Millisecond)
-		case 10:
-			s.SendHostList()
-		case 11:
-			if rng.IntN(mix.kill) == 0 {
-				s.RestartPlacer()
-			}
-		case 12:
-			h := s.Hosts[name]
-			h.Listed = !h.Listed || !h.Model.Dead() // only what is dead leaves the list
-			s.SendHostList()
-		case 13:
-			s.Hosts[name].Model.SuppressStarts(s.Now, 2*time.Second, "web")
-		}
-		for range rng.IntN(20) {
-			s.Advance(time.Duration(rng.IntN(40)) * time.Millisecond)
-			s.RequireNoDuplicates()
-		}
+	s.ToHost, s.FromHost = deliver, deliver
+	return &randomRun{faultInjector: faultInjector{s, rng}, t: t, mix: mix}
+}
+
+// injectFaults does something to a host, or to the placer, again and again.
+func (r *randomRun) injectFaults() {
+	actions := []func(host string){ // each is as likely as another: what stands twice comes twice as often
+		r.submit, r.submit, r.submit, r.submit,
+		r.removeProject,
+		r.s.ResetConnections,
+		func(host string) { r.crashHost(host, 3000) },
+		func(host string) { r.blackhole(host, 5000) },
+		r.drainOrNot,
+		func(host string) { r.pauseHost(host, 1500) },
+		func(string) { r.s.SendHostList() },
+		r.maybeRestartPlacer,
+		r.toggleListed,
+		func(host string) { r.s.Hosts[host].Model.SuppressStarts(r.s.Now, 2*time.Second, "web") },
 	}
-	// Peace: all is as it should be again.
-	s.ToHost, s.FromHost = nil, nil
-	for _, name := range s.HostNames {
-		h := s.Hosts[name]
-		h.Blackholed, h.Listed = false, true
-		s.ResetConnections(name)
-		if h.Model.Dead() {
-			s.RestartHost(name, false)
+	for end := r.s.Now + faultTime; r.s.Now < end; {
+		host := r.randomHost()
+		actions[r.rng.IntN(len(actions))](host)
+		for range r.rng.IntN(20) {
+			r.s.Advance(r.randomMS(40))
+			r.s.RequireNoDuplicates()
 		}
-		s.ExecuteHostOutputs(name, h.Model.Drain(s.Now, false, false))
 	}
-	s.SendHostList()
-	for range 1200 {
-		s.Advance(25 * time.Millisecond)
-		s.RequireNoDuplicates()
+}
+
+// submit submits a new project, or a new version of an old one.
+func (r *randomRun) submit(string) {
+	r.submitted++
+	text := fmt.Sprintf("name: p%d\nservices:\n  a: {x-forkhead: {class: %s, life: %dms}, deploy: {replicas: %d, restart_policy: {condition: on-failure}, resources: {reservations: {cpus: '%.1f'}}}}\n",
+		r.rng.IntN(r.submitted+1)%randomProjects, r.mix.classes[r.rng.IntN(len(r.mix.classes))], 500+r.rng.IntN(6000), 1+r.rng.IntN(6), 0.2+r.rng.Float64()*2)
+	if r.rng.IntN(4) == 0 {
+		text += fmt.Sprintf("  b: {x-forkhead: {near: {a: %s}, life: 3s}, deploy: {replicas: %d, restart_policy: {condition: on-failure}}}\n",
+			[]string{"machine", "rack", "zone"}[r.rng.IntN(3)], 1+r.rng.IntN(3))
 	}
-	for _, b := range subs {
-		if b.epoch != s.Epoch {
-			continue // it went with its placer
-		}
-		list, complete, known := s.Core.Outcomes(b.id, 0)
-		seen := map[string]bool{}
-		for _, o := range list {
-			name := fmt.Sprintf("%s/%d", o.Service, o.Replica)
-			if seen[name] {
-				t.Fatalf("submission %s: %s has two outcomes", b.id, name)
-			}
-			seen[name] = true
-			// Patience for the old copy's end, and then for the new one's start.
-			if took := time.Duration(o.TookMS) * time.Millisecond; took > 41*time.Second {
-				t.Fatalf("submission %s: %s was told after %v", b.id, name, took)
-			}
-		}
-		if !complete || !known {
-			t.Fatalf("submission %s is not complete: %+v", b.id, list)
-		}
+	if id := r.s.Submit(fmt.Sprintf("k%d", r.submitted), text); id != "" {
+		r.submissions = append(r.submissions, randomSubmission{id, r.s.Epoch})
 	}
-	for i := range 7 {
-		s.Step(core.RemoveProject{Request: 10, Project: fmt.Sprintf("p%d", i)})
+}
+
+func (r *randomRun) removeProject(string) {
+	r.s.Step(core.RemoveProject{Request: 9, Project: fmt.Sprintf("p%d", r.rng.IntN(randomProjects))})
+}
+
+// drainOrNot makes a host drain, with or without the end of its tasks, or no longer.
+func (r *randomRun) drainOrNot(host string) {
+	on := r.rng.IntN(2) == 0
+	r.s.ExecuteHostOutputs(host, r.s.Hosts[host].Model.Drain(r.s.Now, on, r.rng.IntN(2) == 0))
+}
+
+func (r *randomRun) maybeRestartPlacer(string) {
+	if r.rng.IntN(r.mix.restartOneIn) == 0 {
+		r.s.RestartPlacer()
 	}
-	s.Advance(20 * time.Second)
-	if held := s.Core.TableSizes(); held != (core.TableSizes{Hosts: held.Hosts}) || s.RunningTasks() != 0 {
-		t.Fatalf("left over: %+v, %d running", held, s.RunningTasks())
+}
+
+// toggleListed takes a host that is dead from the list, or puts it back.
+func (r *randomRun) toggleListed(host string) {
+	h := r.s.Hosts[host]
+	h.Listed = !h.Listed || !h.Model.Dead()
+	r.s.SendHostList()
+}
+
+// recoverAll ends all faults.
+func (r *randomRun) recoverAll() {
+	r.s.ToHost, r.s.FromHost = nil, nil
+	for _, name := range r.s.HostNames {
+		r.recoverHost(name)
+		r.s.ExecuteHostOutputs(name, r.s.Hosts[name].Model.Drain(r.s.Now, false, false))
 	}
-	s.RequireNoViolations()
+	r.s.SendHostList()
 }
 
-// RequireNoDuplicates fails the test if two live hosts hold one unsafe task.
-func (s *Sim) RequireNoDuplicates() {
-	held := map[uint64]string{}
-	for _, name := range s.HostNames {
-		h := s.Hosts[name]
-		if h.Model.Dead() {
-			continue
+// checkOutcomes fails the test unless a submission is complete, with one outcome a task, each in time.
+func (r *randomRun) checkOutcomes(id string) {
+	list, complete, known := r.s.Core.Outcomes(id, 0)
+	seen := map[string]bool{}
+	for _, o := range list {
+		name := replicaName(o)
+		if seen[name] {
+			r.t.Fatalf("submission %s: %s has two outcomes", id, name)
 		}
-		for _, spec := range h.Model.BoundSpecs() {
-			if spec.Class != "ledger" && spec.Class != "books" {
-				continue
-			}
-			if other := held[spec.Key]; other != "" {
-				s.t.Fatalf("%s runs on %s and on %s", spec.Name, other, name)
-			}
-			held[spec.Key] = name
+		seen[name] = true
+		if took := time.Duration(o.TookMS) * time.Millisecond; took > maxOutcomeTime {
+			r.t.Fatalf("submission %s: %s was told after %v", id, name, took)
 		}
 	}
+	if !complete || !known {
+		r.t.Fatalf("submission %s is not complete: %+v", id, list)
+	}
+}
+
+// checkRemoval fails the test unless nothing but the hosts is left when all projects are removed.
+func (r *randomRun) checkRemoval() {
+	for i := range randomProjects + 1 {
+		r.s.Step(core.RemoveProject{Request: 10, Project: fmt.Sprintf("p%d", i)})
+	}
+	r.s.Advance(removalTime)
+	if sizes := r.s.Core.TableSizes(); sizes != (core.TableSizes{Hosts: sizes.Hosts}) || r.s.RunningTasks() != 0 {
+		r.t.Fatalf("left over: %+v, %d running", sizes, r.s.RunningTasks())
+	}
 }
