--- a/internal/parse/diagnostic/diagnostic.go
+++ b/internal/parse/diagnostic/diagnostic.go
@@ -1,14 +1,13 @@
-// Package diagnostic names places in the files that users write, and the errors found there.
+// Package diagnostic has positions in the files that users write, and the errors found there.
 package diagnostic
 
 import (
 	"errors"
 	"fmt"
-	"strings"
+	"slices"
 )
 
-// Pos is a place in a file. Line and Col count from 1; Col counts bytes. A zero Line means
-// the file as a whole.
+// Pos is a position in a file. Line and Col count from 1; Col counts bytes. A zero Line means the file as a whole.
 type Pos struct {
 	File      string
 	Line, Col int
@@ -22,14 +21,14 @@
 	return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col)
 }
 
-// Error says what is wrong at a place, and what would be right where that can be said.
+// Error says what is wrong at a position, and what would be right where that can be said.
 type Error struct {
 	Pos     Pos
 	Message string
-	Want    string
+	Want    string // what would be right; "": not known
 }
 
-// Error gives the form that compilers use: FILE:LINE:COL: what; want what would be right.
+// Error gives the form that compilers use: FILE:LINE:COL: message; want what would be right.
 func (e *Error) Error() string {
 	text := e.Pos.String() + ": " + e.Message
 	if e.Want != "" {
@@ -38,26 +37,26 @@
 	return text
 }
 
-// Errorf makes an Error without a remedy.
+// Errorf returns an Error that does not say what would be right. Its message is formatted as by fmt.Sprintf.
 func Errorf(p Pos, format string, args ...any) *Error {
 	return &Error{Pos: p, Message: fmt.Sprintf(format, args...)}
 }
 
-// Wantf makes an Error whose remedy is want.
+// Wantf returns an Error that says what would be right. Its message is formatted as by fmt.Sprintf.
 func Wantf(p Pos, want, format string, args ...any) *Error {
 	return &Error{Pos: p, Message: fmt.Sprintf(format, args...), Want: want}
 }
 
-// MaxErrors is how many errors a List keeps: a broken file is told about, not drowned in.
+// MaxErrors is how many errors a List keeps: nobody reads all those of a broken file.
 const MaxErrors = 20
 
-// List gathers the errors of one file.
+// List gathers the errors of one file. The zero value is empty.
 type List struct {
 	errs    []error
-	dropped int
+	dropped int // beyond MaxErrors
 }
 
-// Add keeps an error; nil is passed over.
+// Add keeps an error, or counts it where there are MaxErrors; nil is passed over.
 func (l *List) Add(err error) {
 	if err == nil {
 		return
@@ -69,14 +68,14 @@
 	l.errs = append(l.errs, err)
 }
 
-// Err returns nil if nothing was added, else all of it as one error.
+// Err returns nil if nothing was added, else all of it joined, with the number of those that were not kept.
 func (l *List) Err() error {
 	if len(l.errs) == 0 {
 		return nil
 	}
 	errs := l.errs
 	if l.dropped > 0 {
-		errs = append(errs[:len(errs):len(errs)], fmt.Errorf("and %d more", l.dropped))
+		errs = append(slices.Clip(errs), fmt.Errorf("and %d more", l.dropped))
 	}
 	return errors.Join(errs...)
 }
@@ -89,38 +88,3 @@
 	}
 	return nil
 }
-
-// Nearest returns the known word that is closest to the one given, if any is close.
-func Nearest(word string, known []string) string {
-	best, least := "", 3
-	for _, k := range known {
-		if d := distance(strings.ToLower(word), k); d < least {
-			best, least = k, d
-		}
-	}
-	return best
-}
-
-// distance is the Levenshtein distance of two short words.
-func distance(a, b string) int {
-	if len(a) > 64 || len(b) > 64 {
-		return 64
-	}
-	row := make([]int, len(b)+1)
-	for j := range row {
-		row[j] = j
-	}
-	for i := range len(a) {
-		diagonal := row[0]
-		row[0] = i + 1
-		for j := range len(b) {
-			cost := 1
-			if a[i] == b[j] {
-				cost = 0
-			}
-			next := min(diagonal+cost, row[j]+1, row[j+1]+1)
-			diagonal, row[j+1] = row[j+1], next
-		}
-	}
-	return row[len(b)]
-}
--- /dev/null
+++ b/internal/parse/servicespec/keys.go
@@ -0,0 +1,40 @@
+package servicespec
+
+import (
+	"fmt"
+	"hash/fnv"
+	"maps"
+	"slices"
+)
+
+// Fingerprint returns a number that changes with anything that a running task of the service is made of. Replicas, waits and
+// what bears only on the next placement are left out.
+func (s *Service) Fingerprint() uint64 {
+	text := fmt.Appendf(nil, "%s|%s|%g|%g|%g|%g|%d|%s", s.Class, s.Tenant, s.Cores, s.Memory, s.LimitCores, s.LimitMemory,
+		s.StopGrace, s.Payload)
+	for _, c := range s.Constraints {
+		text = fmt.Appendf(text, "|%s", c)
+	}
+	for _, name := range slices.Sorted(maps.Keys(s.Labels)) {
+		text = fmt.Appendf(text, "|%s=%s", name, s.Labels[name])
+	}
+	return hash(text)
+}
+
+// TaskKey returns the number under which a task is known at every host and placer, the same each time that its project is
+// submitted. It is never 0.
+func TaskKey(tenant, project, service string, replica int) uint64 {
+	return max(hash(fmt.Appendf(nil, "%q %q %q %d", tenant, project, service, replica)), 1)
+}
+
+// ServiceKey returns the number under which a service is known. It is never 0.
+func ServiceKey(tenant, project, service string) uint64 {
+	return TaskKey(tenant, project, service, -1)
+}
+
+// hash returns the 64-bit FNV-1a hash of a text.
+func hash(text []byte) uint64 {
+	h := fnv.New64a()
+	h.Write(text)
+	return h.Sum64()
+}
