--- a/internal/parse/compose/values.go
+++ b/internal/parse/compose/values.go
@@ -178,14 +178,14 @@
 	return amount * float64(int64(1)<<shift), err == nil
 }
 
-// choiceField sets to what a field of a mapping means by a table of words, and leaves it as it is where there is no such
+// choiceField sets to what a field of a mapping means by a table, and leaves it as it is where there is no such
 // field. want lists the words in an error.
-func choiceField[T any](d *decoder, to *T, m *value, key string, words map[string]T, want string) {
+func choiceField[T any](d *decoder, to *T, m *value, key string, meanings map[string]T, want string) {
 	v := d.of(m.get(key), scalar, key)
 	if v == nil {
 		return
 	}
-	choice, ok := words[v.text]
+	choice, ok := meanings[v.text]
 	if !ok {
 		d.want(v.pos, want, "%s %q", key, v.text)
 	}
