--- a/internal/cli/host.go
+++ b/internal/cli/host.go
@@ -61,9 +61,8 @@
 	for gi := range s.HostGroups {
 		g := &s.HostGroups[gi]
 		for i := range g.Count {
-			name, rack := fmt.Sprintf("%s%d", g.Prefix, i), fmt.Sprintf("%s-r%d", g.Zone, i%g.Racks)
 			h, err := host.Start(host.Config{
-				Host:                 testcluster.HostConfig(s, g, name, rack),
+				Host:                 testcluster.HostConfig(s, g, i),
 				Listen:               net.JoinHostPort(address, "0"),
 				CatalogAddress:       f.catalog,
 				Service:              s.Settings.ServiceDiscovery.Service,
@@ -77,7 +76,7 @@
 				return err
 			}
 			defer h.Stop()
-			a.log.Info().Str("host", name).Str("address", h.Address()).Msg("the host is up")
+			a.log.Info().Str("host", h.Name()).Str("address", h.Address()).Msg("the host is up")
 		}
 	}
 	<-ctx.Done()
--- a/internal/verify/chaos/process.go
+++ b/internal/verify/chaos/process.go
@@ -97,13 +97,13 @@
 	}
 }
 
-// prefixBuffer keeps the first max bytes that are written to it.
+// prefixBuffer holds the first max bytes that are written to it.
 type prefixBuffer struct {
 	prefix []byte
 	max    int
 }
 
-// Write takes all of p, keeps what there is space for, and never fails.
+// Write accepts all of p, stores what there is space for, and never fails.
 func (b *prefixBuffer) Write(p []byte) (int, error) {
 	b.prefix = append(b.prefix, p[:min(len(p), b.max-len(b.prefix))]...)
 	return len(p), nil
--- a/internal/verify/chaos/repeat_test.go
+++ b/internal/verify/chaos/repeat_test.go
@@ -35,3 +35,15 @@
 		}
 	}
 }
+
+func TestPrefixBufferIsBounded(t *testing.T) {
+	b := prefixBuffer{max: 5}
+	for _, p := range []string{"abc", "def", "ghi"} {
+		if n, err := b.Write([]byte(p)); n != len(p) || err != nil {
+			t.Errorf("write %q: %d, %v", p, n, err)
+		}
+	}
+	if string(b.prefix) != "abcde" {
+		t.Errorf("%q", b.prefix)
+	}
+}
--- a/internal/verify/chaos/run_test.go
+++ b/internal/verify/chaos/run_test.go
@@ -72,7 +72,7 @@
 		t.Fatalf("vetoes %d, defects %d, breaches %v", r.Vetoes, r.Defects, r.Verdict.Breaches)
 	}
 	if r.Tasks < 50 || r.Outcomes["placed"] < r.Tasks/2 {
-		t.Fatalf("a day with hardly any tasks proves nothing: %+v", r)
+		t.Fatalf("a run with hardly any tasks proves nothing: %+v", r)
 	}
 }
 
--- a/internal/verify/chaos/submission.go
+++ b/internal/verify/chaos/submission.go
@@ -35,7 +35,7 @@
 	disconnect bool // the next streams break
 }
 
-// submit submits a project and reads its outcomes. A lost reply is asked for again under the same idempotency key, which
+// submit submits a project and reads its outcomes. After a lost reply it is sent again under its idempotency key, which
 // each generation of a project has of its own.
 func (r *runner) submit(p project, generation int) {
 	r.submissions.Add(1)
--- a/internal/verify/scenario/scenario.go
+++ b/internal/verify/scenario/scenario.go
@@ -4,6 +4,7 @@
 
 import (
 	_ "embed"
+	"fmt"
 	"time"
 
 	"forkhead/internal/parse/diagnostic"
@@ -52,6 +53,12 @@
 	WarmingUp         bool // the hosts have just started when the scenario begins
 }
 
+// HostName returns the name of a host of the group, counted from 0.
+func (g *HostGroup) HostName(i int) string { return fmt.Sprintf("%s%d", g.Prefix, i) }
+
+// HostRack returns the rack of a host of the group, counted from 0.
+func (g *HostGroup) HostRack(i int) string { return fmt.Sprintf("%s-r%d", g.Zone, i%g.Racks) }
+
 // HostBehavior is how all hosts behave. Counts are for each host.
 type HostBehavior struct {
 	DecisionTime, StartTime, NoteInterval, RegistrationInterval time.Duration
--- a/internal/verify/testcluster/hosts.go
+++ b/internal/verify/testcluster/hosts.go
@@ -1,8 +1,6 @@
 package testcluster
 
 import (
-	"fmt"
-
 	"forkhead/internal/emulator/host"
 	"forkhead/internal/emulator/hostmodel"
 	"forkhead/internal/parse/settings"
@@ -16,11 +14,14 @@
 	Rack  string
 }
 
-// HostConfig returns the configuration of a host of a group, whose machine type the scenario's settings must have.
-func HostConfig(s *scenario.Scenario, g *scenario.HostGroup, name, rack string) hostmodel.Config {
+// HostConfig returns the configuration of a host of a group, counted from 0. The scenario's settings must have the group's
+// machine type.
+func HostConfig(s *scenario.Scenario, g *scenario.HostGroup, i int) hostmodel.Config {
 	module := &s.Settings.Module
 	machineType := module.MachineTypes[settings.Index(s.Settings.MachineTypeNames, g.MachineType)]
-	cfg := hostmodel.DefaultConfig(name, g.MachineType, g.Zone, rack, machineType.Cores, machineType.Memory)
+	cfg := hostmodel.DefaultConfig(
+		g.HostName(i), g.MachineType, g.Zone, g.HostRack(i), machineType.Cores, machineType.Memory,
+	)
 	cfg.Labels = g.Labels
 
 	cfg.CoresOvercommit = module.CoresOvercommit
@@ -47,21 +48,20 @@
 // startHosts starts the hosts of a group.
 func (c *Cluster) startHosts(g *scenario.HostGroup) error {
 	for i := range g.Count {
-		name, rack := fmt.Sprintf("%s%d", g.Prefix, i), fmt.Sprintf("%s-r%d", g.Zone, i%g.Racks)
-		if err := c.startHost(g, name, rack); err != nil {
+		if err := c.startHost(g, i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Cluster) startHost(g *scenario.HostGroup, name, rack string) error {
+func (c *Cluster) startHost(g *scenario.HostGroup, i int) error {
 	address, err := freeAddress("tcp")
 	if err != nil {
 		return err
 	}
 	h, err := host.Start(host.Config{
-		Host:                 HostConfig(c.Scenario, g, name, rack),
+		Host:                 HostConfig(c.Scenario, g, i),
 		Listen:               address,
 		CatalogAddress:       c.Settings.ServiceDiscovery.Address,
 		Service:              c.Settings.ServiceDiscovery.Service,
@@ -75,6 +75,6 @@
 	if err != nil {
 		return err
 	}
-	c.Hosts = append(c.Hosts, &Host{Server: h, Group: g, Rack: rack})
+	c.Hosts = append(c.Hosts, &Host{Server: h, Group: g, Rack: g.HostRack(i)})
 	return nil
 }
