--- a/internal/verify/chaos/faults.go
+++ b/internal/verify/chaos/faults.go
@@ -53,7 +53,7 @@
 	scenario.SlowReader:        (*runner).slowReading,
 }
 
-// injectFault injects a fault and returns when it is over. All random draws come from rng: first those of the hosts.
+// injectFault injects a fault and returns when it is over. All its random draws come from rng, those of the hosts first.
 func (r *runner) injectFault(fault scenario.Fault, rng *rand.Rand) {
 	f := &activeFault{Fault: fault, rng: rng}
 	f.drawHosts(r.cluster.Hosts)
--- a/internal/verify/chaos/load.go
+++ b/internal/verify/chaos/load.go
@@ -91,7 +91,8 @@
 	delete(s.byName, name)
 }
 
-// draw returns about a share of the projects, from 0 to 1.
+// draw returns about a share of the projects, from 0 to 1. Which ones they are does not follow from the seed: a map has no
+// order.
 func (s *projectSet) draw(rng *rand.Rand, share float64) []project {
 	s.mu.Lock()
 	defer s.mu.Unlock()
