--- a/internal/cli/chaos_replay.go
+++ b/internal/cli/chaos_replay.go
@@ -15,7 +15,7 @@
 type replayResult struct {
 	Epoch  uint64         `json:"epoch"`
 	Placer int            `json:"placer"`
-	Replay *replay.Replay `json:"replay"`
+	Replay *replay.Result `json:"replay"`
 	Rules  map[string]int `json:"rules"` // breaches a rule
 }
 
@@ -27,12 +27,12 @@
 		return err
 	}
 	var places []capture.Event
-	r, err := replay.Play(bytes.NewReader(text), func(s *replay.Step, _ []core.Output) { places = append(places, replay.Places(s.In)...) })
+	r, err := replay.Play(bytes.NewReader(text), func(s *replay.Step, _ []core.Output) { places = append(places, replay.HostLocations(s.In)...) })
 	if err != nil {
 		return badInput(fmt.Errorf("%s: %w", name, err))
 	}
-	host := r.Script.Host
-	config := rules.ConfigFromSettings(r.Script.Settings, float64(host.MaxStarting)/host.StartTime.Seconds())
+	host := r.Scenario.Host
+	config := rules.ConfigFromSettings(r.Scenario.Settings, float64(host.MaxStarting)/host.StartTime.Seconds())
 	verdict := rules.Check(append(places, r.Events...), config)
 	if a.wantsJSON() {
 		if err := a.writeReplayJSON(r, &verdict); err != nil {
@@ -41,13 +41,13 @@
 	} else {
 		a.printReplay(r, &verdict)
 	}
-	if r.Diverged != nil || !verdict.OK() {
+	if r.Divergence != nil || !verdict.OK() {
 		return errNo
 	}
 	return nil
 }
 
-func (a *app) writeReplayJSON(r *replay.Replay, verdict *rules.Verdict) error {
+func (a *app) writeReplayJSON(r *replay.Result, verdict *rules.Verdict) error {
 	if err := a.writeBreaches(verdict); err != nil {
 		return err
 	}
@@ -58,12 +58,12 @@
 	return a.writeJSON(replayResult{Epoch: r.Head.Epoch, Placer: r.Head.Placer, Replay: r, Rules: counts})
 }
 
-func (a *app) printReplay(r *replay.Replay, verdict *rules.Verdict) {
+func (a *app) printReplay(r *replay.Result, verdict *rules.Verdict) {
 	a.printf("placer %d: %d steps, %d offers, %d vetoes, %d defects\n", r.Head.Placer, r.Steps, r.Offers, r.Vetoes, r.Defects)
-	if r.Cut {
+	if r.Truncated {
 		a.println("the tape ends in the middle of a step")
 	}
-	if d := r.Diverged; d != nil {
+	if d := r.Divergence; d != nil {
 		a.printf("step %d parts from the tape:\n  tape: %s\n  now:  %s\n", d.Step, d.Want, d.Got)
 	} else {
 		a.println("the core said the same at every step")
--- a/internal/cli/explore.go
+++ b/internal/cli/explore.go
@@ -41,15 +41,15 @@
 	flags := c.Flags()
 	flags.IntVar(&f.search.Tasks, "tasks", 2, "tasks, 1 to 3")
 	flags.IntVar(&f.search.Hosts, "hosts", 2, "hosts, 1 or 2")
-	flags.IntVar(&f.search.Asks, "asks", 1, "placement requests of a task in one incarnation of the placer")
+	flags.IntVar(&f.search.Requests, "asks", 1, "placement requests of a task in one incarnation of the placer")
 	flags.IntVar(&f.search.Attempts, "attempts", 2, "attempts of a task, 1 to 3")
 	flags.IntVar(&f.search.Faults, "faults", 1, "faults in all: connections cut, hosts that die or drain, crashes of the placer")
-	flags.BoolVar(&f.search.Ends, "ends", false, "tasks may end by themselves")
-	flags.BoolVar(&f.search.Cycles, "cycles", false, "also search for cycles of fair steps (takes more memory)")
-	flags.IntVar(&f.search.Spread, "spread", 0, "spread limit: all tasks are of one service, of which a host may have so many; 0: no limit")
+	flags.BoolVar(&f.search.TasksEnd, "ends", false, "tasks may end by themselves")
+	flags.BoolVar(&f.search.FindCycles, "cycles", false, "also search for cycles of fair steps (takes more memory)")
+	flags.IntVar(&f.search.SpreadLimit, "spread", 0, "spread limit: all tasks are of one service, of which a host may have so many; 0: no limit")
 	flags.IntVar(&f.search.Workers, "workers", 0, "goroutines (default: one a processor)")
-	flags.IntVar(&f.search.MostStates, "most", 0, "stop after so many states (default: 100 million, about 8 GiB)")
-	flags.StringVar(&f.search.Plant, "plant", "", "name of a bug to inject; sets the other flags to what shows it, unless they are given")
+	flags.IntVar(&f.search.MaxStates, "most", 0, "stop after so many states (default: 100 million, about 8 GiB)")
+	flags.StringVar(&f.search.InjectedBug, "plant", "", "name of a bug to inject; sets the other flags to what shows it, unless they are given")
 	flags.StringVar(&f.effect, "effect", "unsafe", "effect of a repeated start of the tasks: safe, keyed, unsafe, or all, one after another")
 	flags.StringVar(&f.traceFile, "trace", "", "file to write a violation's trace to")
 	flags.StringVar(&f.replayFile, "replay", "", "trace to replay through the placer's real core")
@@ -72,10 +72,10 @@
 	if err != nil {
 		return err
 	}
-	if f.search.Plant != "" {
-		bug, ok := modelcheck.FindPlant(f.search.Plant)
+	if f.search.InjectedBug != "" {
+		bug, ok := modelcheck.FindInjectedBug(f.search.InjectedBug)
 		if !ok {
-			return badInput(fmt.Errorf("no plant is named %q; see --list-plants", f.search.Plant))
+			return badInput(fmt.Errorf("no plant is named %q; see --list-plants", f.search.InjectedBug))
 		}
 		if !given.Changed("effect") {
 			effects = []forkhead.Effect{bug.Effect}
@@ -100,18 +100,18 @@
 }
 
 // showBug bounds the search so that it is large enough for the bug to show, except where a flag was given.
-func (f *exploreFlags) showBug(bug *modelcheck.Plant, given *pflag.FlagSet) {
-	f.search.Cycles = f.search.Cycles || bug.Property == "liveness"
+func (f *exploreFlags) showBug(bug *modelcheck.InjectedBug, given *pflag.FlagSet) {
+	f.search.FindCycles = f.search.FindCycles || bug.Property == "liveness"
 	for _, bound := range []struct {
 		flag   string
 		value  *int
 		enough int
 	}{
 		{"faults", &f.search.Faults, bug.Faults},
-		{"tasks", &f.search.Tasks, 1 + bug.Spread},
-		{"asks", &f.search.Asks, 2},
+		{"tasks", &f.search.Tasks, 1 + bug.SpreadLimit},
+		{"asks", &f.search.Requests, 2},
 		{"hosts", &f.search.Hosts, 3 - bug.Faults},
-		{"spread", &f.search.Spread, bug.Spread},
+		{"spread", &f.search.SpreadLimit, bug.SpreadLimit},
 	} {
 		if !given.Changed(bound.flag) {
 			*bound.value = bound.enough
@@ -128,16 +128,16 @@
 
 func (a *app) listInjectableBugs() error {
 	if a.wantsJSON() {
-		for _, p := range modelcheck.Plants {
-			if err := a.writeJSON(injectableBug{Name: p.Name, Property: p.Property, What: p.What}); err != nil {
+		for _, p := range modelcheck.InjectedBugs {
+			if err := a.writeJSON(injectableBug{Name: p.Name, Property: p.Property, What: p.Description}); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
 	t := newTable(a.out, 0, "PLANT\tBREAKS\tWHAT")
-	for _, p := range modelcheck.Plants {
-		t.printf("%s\t%s\t%s\n", p.Name, p.Property, p.What)
+	for _, p := range modelcheck.InjectedBugs {
+		t.printf("%s\t%s\t%s\n", p.Name, p.Property, p.Description)
 	}
 	return t.flush()
 }
--- a/internal/cli/explore_replay.go
+++ b/internal/cli/explore_replay.go
@@ -25,7 +25,7 @@
 	} else {
 		a.printReplayedTrace(r)
 	}
-	if r.Twice && trace.Config.Effect == forkhead.Unsafe {
+	if r.BoundTwice && trace.Config.Effect == forkhead.Unsafe {
 		return errNo
 	}
 	return nil
@@ -48,15 +48,15 @@
 	return &trace, nil
 }
 
-func (a *app) printReplayedTrace(r *modelcheck.Replayed) {
+func (a *app) printReplayedTrace(r *modelcheck.ReplayResult) {
 	for i, step := range r.Steps {
-		a.printf("%3d  %s\n", i+1, step.What)
-		for _, did := range step.Did {
+		a.printf("%3d  %s\n", i+1, step.Action)
+		for _, did := range step.Effects {
 			a.printf("       %s\n", did)
 		}
 	}
-	a.printf("%d vetoes, %d offers written, %d starts, held twice: %v\n", r.Vetoes, r.Offers, r.Starts, r.Twice)
-	if r.Parted != "" {
-		a.printf("the core parts from the trace at %s\n", r.Parted)
+	a.printf("%d vetoes, %d offers written, %d starts, held twice: %v\n", r.Vetoes, r.Offers, r.Starts, r.BoundTwice)
+	if r.Divergence != "" {
+		a.printf("the core parts from the trace at %s\n", r.Divergence)
 	}
 }
--- a/internal/cli/explore_search.go
+++ b/internal/cli/explore_search.go
@@ -63,9 +63,9 @@
 		}
 	}
 	result := searchResult{
-		Effect: effectNames[cfg.Effect], Tasks: cfg.Tasks, Hosts: cfg.Hosts, Faults: cfg.Faults, Bug: cfg.Plant,
-		States: r.States, Steps: r.Steps, Ends: r.Ends, Depth: r.Depth,
-		PerSecond: int(float64(r.States) / r.Took.Seconds()), MiB: r.Bytes >> 20,
+		Effect: effectNames[cfg.Effect], Tasks: cfg.Tasks, Hosts: cfg.Hosts, Faults: cfg.Faults, Bug: cfg.InjectedBug,
+		States: r.States, Steps: r.Steps, Ends: r.EndStates, Depth: r.Depth,
+		PerSecond: int(float64(r.States) / r.Duration.Seconds()), MiB: r.MemoryBytes >> 20,
 		Complete: r.Complete, Violations: r.Violations,
 	}
 	if a.wantsJSON() {
@@ -104,7 +104,7 @@
 		return
 	}
 	for _, v := range r.Violations {
-		a.printf("BROKEN %s: %s\n%s", v.Property, v.Why, sequenceChart(v.Trace))
+		a.printf("BROKEN %s: %s\n%s", v.Property, v.Message, sequenceChart(v.Trace))
 	}
 }
 
--- a/internal/verify/modelcheck/actions.go
+++ b/internal/verify/modelcheck/actions.go
@@ -93,7 +93,7 @@
 			add(false, func(x *step) {
 				q := &x.s.hosts[hi].streams[i]
 				q.dead = 1
-				q.th, q.tp, q.nth, q.ntp = [mostQueue]message{}, [mostQueue]message{}, 0, 0
+				q.th, q.tp, q.nth, q.ntp = [maxQueue]message{}, [maxQueue]message{}, 0, 0
 				x.s.faults++
 			}, "the connection to host %d is cut", hi)
 		}
@@ -112,11 +112,11 @@
 		return
 	}
 	for ti := range m.cfg.Tasks {
-		for ai := range mostAttempts {
+		for ai := range maxAttempts {
 			switch h.job(ti, ai) {
 			case hostsession.Queued:
 				copyStands := false
-				for other := range mostAttempts {
+				for other := range maxAttempts {
 					copyStands = copyStands || other != ai && h.job(ti, other).HoldsCapacity()
 				}
 				if !copyStands && h.drains == 0 {
@@ -129,7 +129,7 @@
 			case hostsession.Starting:
 				add(true, func(st *step) { st.side(hi, ti, ai, hostsession.Start) }, "task %d runs on host %d", ti, hi)
 			case hostsession.Running:
-				if m.cfg.Ends {
+				if m.cfg.TasksEnd {
 					add(false, func(st *step) { st.side(hi, ti, ai, hostsession.Finish) }, "task %d ends on host %d", ti, hi)
 				}
 			}
@@ -139,7 +139,7 @@
 		add(false, func(st *step) {
 			x := &st.s.hosts[hi]
 			x.up, x.sOpen, x.drains = 0, 0, 0
-			x.jobs = [mostTasks][mostAttempts]uint8{}
+			x.jobs = [maxTasks][maxAttempts]uint8{}
 			for i := range x.streams {
 				x.streams[i].hOpen = 0
 				x.streams[i].settle()
@@ -168,7 +168,7 @@
 		_, may := m.m.mayAsk(&m.rules, t.now(), st.unknown(t), 0)
 		// The owner's wait for hosts that never speak again is by the terms of the rules, and outside
 		// this search: it waits for all of them.
-		if int(t.asks) < m.cfg.Asks && may && !m.m.waits(&m.rules, heard, false) {
+		if int(t.asks) < m.cfg.Requests && may && !m.m.waits(&m.rules, heard, false) {
 			add(true, func(st *step) {
 				x := &st.s.tasks[ti]
 				x.owner = asking
@@ -222,7 +222,7 @@
 		return
 	}
 	st := step{model: m, s: s}
-	var buf [mostAttempts]attempt.Attempt
+	var buf [maxAttempts]attempt.Attempt
 	ask := st.ask(t, &buf)
 	if int(t.n) < m.cfg.Attempts {
 		for hi := range m.cfg.Hosts {
--- a/internal/verify/modelcheck/machines.go
+++ b/internal/verify/modelcheck/machines.go
@@ -59,15 +59,15 @@
 	}
 }
 
-// Plant is a named bug.
-type Plant struct {
-	Name     string
-	What     string
-	Property string          // that it breaks
-	Effect   forkhead.Effect // of the tasks that show it
-	Faults   int             // that it takes
-	plant    func(*machines)
-	Spread   int // of the search that shows it
+// InjectedBug is a bug that a search can be run with, to show that the search finds what it is for.
+type InjectedBug struct {
+	Name        string
+	Description string
+	Property    string          // that it breaks
+	Effect      forkhead.Effect // of the tasks that show it
+	Faults      int             // that it takes
+	inject      func(*machines)
+	SpreadLimit int // of the search that shows it
 }
 
 func phaseRule(p attempt.Phase, in attempt.Input, to attempt.Phase, what attempt.Effect) func(*machines) {
@@ -81,8 +81,8 @@
 	}
 }
 
-// Plants are the bugs that can be planted.
-var Plants = []Plant{
+// InjectedBugs are the bugs that can be injected.
+var InjectedBugs = []InjectedBug{
 	{"double-send", "an offer is legal while another is out", "one-out", forkhead.Safe, 1, func(m *machines) {
 		m.mayOffer = func(a *attempt.Request, now time.Duration, to attempt.HostID) error {
 			if err := a.MayOffer(now, to, same); err != attempt.ErrAttemptInFlight {
@@ -151,11 +151,11 @@
 		phaseRule(attempt.Unknown, attempt.HostRestarted, attempt.Unknown, attempt.NoEffect), 0},
 }
 
-// FindPlant returns a plant by name.
-func FindPlant(name string) (*Plant, bool) {
-	for i := range Plants {
-		if Plants[i].Name == name {
-			return &Plants[i], true
+// FindInjectedBug returns the bug with that name.
+func FindInjectedBug(name string) (*InjectedBug, bool) {
+	for i := range InjectedBugs {
+		if InjectedBugs[i].Name == name {
+			return &InjectedBugs[i], true
 		}
 	}
 	return nil, false
--- a/internal/verify/modelcheck/replay.go
+++ b/internal/verify/modelcheck/replay.go
@@ -14,20 +14,20 @@
 	"forkhead/internal/scheduler/ids"
 )
 
-// Replayed is what the placer's real core made of a trace.
-type Replayed struct {
-	Steps  []ReplayedStep `json:"steps"`
-	Vetoes uint64         `json:"vetoes"`
-	Offers int            `json:"offers"` // written to hosts
-	Starts int            `json:"starts"` // accepted there
-	Parted string         `json:"parted"` // where the core does not follow the trace, or ""
-	Twice  bool           `json:"twice"`  // one task was held by two hosts, or twice, at one moment
+// ReplayResult is the result of the replay of a trace through the placer's real core.
+type ReplayResult struct {
+	Steps      []ReplayStep `json:"steps"`
+	Vetoes     uint64       `json:"vetoes"` // invariant violations that the core prevented
+	Offers     int          `json:"offers"` // written to hosts
+	Starts     int          `json:"starts"` // offers that hosts accepted
+	Divergence string       `json:"parted"` // the step at which the core does not follow the trace; "": none
+	BoundTwice bool         `json:"twice"`  // at some moment one task was bound by two hosts, or twice by one
 }
 
-// ReplayedStep is one step of the trace and what came of it.
-type ReplayedStep struct {
-	What string   `json:"what"`
-	Did  []string `json:"did"`
+// ReplayStep is one step of a trace with its effects: what the core and the hosts sent and logged.
+type ReplayStep struct {
+	Action  string   `json:"what"`
+	Effects []string `json:"did"`
 }
 
 // replayer plays a trace: the core is the program's own, hosts go by package hostside, and frames
@@ -41,7 +41,7 @@
 	pending []forkhead.Action
 	tasks   []rTask
 	hosts   []*rHost
-	out     *Replayed
+	out     *ReplayResult
 	did     []string
 }
 
@@ -88,12 +88,12 @@
   (links (connect 1m) (first 1ms) (most 1ms) (lost-after 1h) (probe 1m)))`
 
 // Replay plays a trace through the placer's real core.
-func Replay(t *Trace) (*Replayed, error) {
+func Replay(t *Trace) (*ReplayResult, error) {
 	set, err := settings.Parse("replay", []byte(replaySettings))
 	if err != nil {
 		return nil, err
 	}
-	r := &replayer{cfg: t.Config, set: set.For(0), now: time.Hour, out: &Replayed{}, tasks: make([]rTask, t.Config.Tasks)}
+	r := &replayer{cfg: t.Config, set: set.For(0), now: time.Hour, out: &ReplayResult{}, tasks: make([]rTask, t.Config.Tasks)}
 	for i := range r.tasks {
 		r.tasks[i].made = map[hostproto.Ref]bool{}
 	}
@@ -114,7 +114,7 @@
 	for _, what := range t.Violation.Trace {
 		if err := r.step(what); err != nil {
 			// The core parts from the trace: a planted bug is not in it.
-			r.out.Parted = fmt.Sprintf("step %d, %q: %v", len(r.out.Steps), what, err)
+			r.out.Divergence = fmt.Sprintf("step %d, %q: %v", len(r.out.Steps), what, err)
 			break
 		}
 	}
@@ -250,7 +250,7 @@
 	r.did = []string{}
 	r.now += time.Millisecond
 	err := r.play(what)
-	r.out.Steps = append(r.out.Steps, ReplayedStep{what, r.did})
+	r.out.Steps = append(r.out.Steps, ReplayStep{what, r.did})
 	r.check()
 	return err
 }
@@ -368,7 +368,7 @@
 
 // withdraws calls off all attempts of a task's ask: those that are not out are passed over.
 func (r *replayer) withdraws(ti int) (out []forkhead.Action) {
-	for n := range mostAttempts {
+	for n := range maxAttempts {
 		out = append(out, forkhead.Withdraw{Task: r.tasks[ti].ask, Attempt: n})
 	}
 	return out
@@ -541,7 +541,7 @@
 		for _, j := range h.jobs {
 			if h.up && j.state.HoldsCapacity() {
 				if held[j.task]++; held[j.task] > 1 {
-					r.out.Twice = true
+					r.out.BoundTwice = true
 				}
 			}
 		}
--- a/internal/verify/modelcheck/search.go
+++ b/internal/verify/modelcheck/search.go
@@ -15,49 +15,51 @@
 	"forkhead/internal/scheduler/hostconn"
 )
 
-// Config bounds a search.
+// Config bounds a search. It is stored with a violation's trace: the names in its tags are those of traces that exist.
 type Config struct {
-	Tasks, Hosts int // up to 3 and 2
-	Effect       forkhead.Effect
-	Asks         int // of a task in one life of the placer
-	Attempts     int // of a task, over all asks and lives; up to 3
-	Faults       int // connections cut, hosts that die or drain, crashes of the placer, all together
-	NoCrash      bool
-	Ends         bool // tasks may end by themselves
-	Cycles       bool // look for cycles of fair steps as well: 16 bytes more a step
-	Spread       int  // all tasks are of one service, of which a host may have so many; 0: no limit
-	Plant        string
-	Workers      int                     // 0: one a processor
-	MostStates   int                     // 0: 100 million
-	Progress     func(states, depth int) `json:"-"`
+	Tasks, Hosts int             // at least 1; at most maxTasks and maxHosts
+	Effect       forkhead.Effect // of a repeated start of a task
+	Requests     int             `json:"Asks"` // most placement requests of a task in one incarnation of the placer
+	Attempts     int             // most attempts of a task in all requests and incarnations; 1 to maxAttempts
+	Faults       int             // most faults in all: connections cut, hosts that die or drain, crashes of the placer
+	NoCrash      bool            // the placer does not crash
+	TasksEnd     bool            `json:"Ends"`   // tasks may end by themselves
+	FindCycles   bool            `json:"Cycles"` // also search for cycles of fair steps; takes 16 bytes more a step
+	SpreadLimit  int             `json:"Spread"` // all tasks are of one service, of which a host may have so many; 0: no limit
+	InjectedBug  string          `json:"Plant"`  // name of one of InjectedBugs; "": none
+	Workers      int             // goroutines; 0: one a processor
+	MaxStates    int             `json:"MostStates"` // the search stops after so many; 0: defaultMaxStates
+
+	// Progress, unless it is nil, is called after each level of the search.
+	Progress func(states, depth int) `json:"-"`
 
 	keyed bool
 	named bool
 }
 
-// Violation is a property that is broken, with the shortest way there.
+// Violation is a property that does not hold, with a shortest trace to where it breaks.
 type Violation struct {
 	Property string   `json:"property"`
-	Why      string   `json:"why"`
+	Message  string   `json:"why"`
 	Trace    []string `json:"trace"`
 }
 
-// Trace is a violation with the search that found it, as it is kept in a file.
+// Trace is a violation with the search that found it, as it is stored in a file.
 type Trace struct {
 	Config    Config
 	Violation Violation
 }
 
-// Result is what a search came to.
+// Result is the result of a search.
 type Result struct {
-	States     int           `json:"states"`
-	Steps      int           `json:"steps"`
-	Ends       int           `json:"ends"` // states in which nothing fair is left to happen
-	Depth      int           `json:"depth"`
-	Complete   bool          `json:"complete"`
-	Violations []Violation   `json:"violations"`
-	Took       time.Duration `json:"took"`
-	Bytes      uint64        `json:"bytes"` // of memory in use at the end
+	States      int           `json:"states"`
+	Steps       int           `json:"steps"` // transitions between states
+	EndStates   int           `json:"ends"`  // states without a fair step
+	Depth       int           `json:"depth"` // of the search: steps from the first state to the farthest
+	Complete    bool          `json:"complete"`
+	Violations  []Violation   `json:"violations"`
+	Duration    time.Duration `json:"took"`
+	MemoryBytes uint64        `json:"bytes"` // obtained from the operating system by the end
 }
 
 // Properties and what each says.
@@ -74,6 +76,9 @@
 	{"absurd", "No host that follows its machine says what the placer's machine calls absurd."},
 }
 
+// defaultMaxStates bounds a search whose Config does not; so many take about 8 GiB.
+const defaultMaxStates = 100_000_000
+
 const shards = 256
 
 type entry struct {
@@ -106,23 +111,23 @@
 
 // Run searches breadth first, so that the first violation has a shortest trace.
 func Run(cfg Config) (*Result, error) {
-	if cfg.Tasks < 1 || cfg.Tasks > mostTasks || cfg.Hosts < 1 || cfg.Hosts > mostHosts || cfg.Attempts < 1 || cfg.Attempts > mostAttempts {
-		return nil, fmt.Errorf("%d tasks, %d hosts and %d attempts: want 1 to %d, 1 to %d and 1 to %d", cfg.Tasks, cfg.Hosts, cfg.Attempts, mostTasks, mostHosts, mostAttempts)
+	if cfg.Tasks < 1 || cfg.Tasks > maxTasks || cfg.Hosts < 1 || cfg.Hosts > maxHosts || cfg.Attempts < 1 || cfg.Attempts > maxAttempts {
+		return nil, fmt.Errorf("%d tasks, %d hosts and %d attempts: want 1 to %d, 1 to %d and 1 to %d", cfg.Tasks, cfg.Hosts, cfg.Attempts, maxTasks, maxHosts, maxAttempts)
 	}
 	s := &search{model: model{m: real(), cfg: cfg, rules: attempt.Rules{Effect: cfg.Effect, DedupWindow: 10 * second, MaxAttempts: 2}}}
 	s.cfg.keyed = cfg.Effect == forkhead.Keyed
-	if cfg.Plant != "" {
-		p, ok := FindPlant(cfg.Plant)
+	if cfg.InjectedBug != "" {
+		p, ok := FindInjectedBug(cfg.InjectedBug)
 		if !ok {
-			return nil, fmt.Errorf("no plant is named %q", cfg.Plant)
+			return nil, fmt.Errorf("no plant is named %q", cfg.InjectedBug)
 		}
-		p.plant(&s.m)
+		p.inject(&s.m)
 	}
 	if cfg.Workers == 0 {
 		s.cfg.Workers = runtime.GOMAXPROCS(0)
 	}
-	if cfg.MostStates == 0 {
-		s.cfg.MostStates = 100_000_000
+	if cfg.MaxStates == 0 {
+		s.cfg.MaxStates = defaultMaxStates
 	}
 	for i := range s.shards {
 		s.shards[i].seen = map[uint64]entry{}
@@ -152,7 +157,7 @@
 	s.add(xxhash.Sum64(root.bytes()), 0, 0)
 	r := &Result{Complete: true, Violations: []Violation{}}
 	for len(frontier) > 0 && len(s.found) == 0 {
-		if int(s.count.Load()) > s.cfg.MostStates {
+		if int(s.count.Load()) > s.cfg.MaxStates {
 			r.Complete = false
 			break
 		}
@@ -164,20 +169,20 @@
 			s.cfg.Progress(int(s.count.Load()), r.Depth)
 		}
 	}
-	if s.cfg.Cycles && len(s.found) == 0 && r.Complete {
+	if s.cfg.FindCycles && len(s.found) == 0 && r.Complete {
 		if at, ok := s.cycle(); ok {
 			s.found = append(s.found, hit{at, -1, "liveness", "fair steps lead from this state back to it: the service may go round for good"})
 		}
 	}
 	for _, h := range s.found {
-		r.Violations = append(r.Violations, Violation{Property: h.property, Why: h.why, Trace: s.trace(root, h)})
+		r.Violations = append(r.Violations, Violation{Property: h.property, Message: h.why, Trace: s.trace(root, h)})
 		break // of one depth, one is enough
 	}
 	r.Complete = r.Complete && len(s.found) == 0
-	r.States, r.Steps, r.Ends, r.Took = int(s.count.Load()), int(s.steps.Load()), int(s.ends.Load()), time.Since(began)
+	r.States, r.Steps, r.EndStates, r.Duration = int(s.count.Load()), int(s.steps.Load()), int(s.ends.Load()), time.Since(began)
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	r.Bytes = m.Sys
+	r.MemoryBytes = m.Sys
 	return r, nil
 }
 
@@ -240,7 +245,7 @@
 		if s.add(to, hash, uint16(i)) {
 			out = append(out, c)
 		}
-		if s.cfg.Cycles && acts[i].fair {
+		if s.cfg.FindCycles && acts[i].fair {
 			s.edges[w] = append(s.edges[w], [2]uint64{hash, to})
 		}
 	}
--- a/internal/verify/modelcheck/state.go
+++ b/internal/verify/modelcheck/state.go
@@ -13,10 +13,10 @@
 
 // Bounds of the arrays.
 const (
-	mostTasks    = 3
-	mostHosts    = 2
-	mostAttempts = 3 // of one task, over all asks and lives
-	mostQueue    = 4 // messages on their way on one connection, one way
+	maxTasks    = 3
+	maxHosts    = 2
+	maxAttempts = 3 // of one task, over all asks and lives
+	maxQueue    = 4 // messages on their way on one connection, one way
 )
 
 // forgotten is the phase of an attempt that an earlier life of the placer made.
@@ -24,8 +24,8 @@
 
 // State has no pointers and no padding: all fields are bytes, so that it can be hashed as such.
 type state struct {
-	tasks  [mostTasks]task
-	hosts  [mostHosts]host
+	tasks  [maxTasks]task
+	hosts  [maxHosts]host
 	life   uint8
 	faults uint8 // used up
 }
@@ -53,7 +53,7 @@
 	asks    uint8 // in this life
 	refused uint8 // how its last ask ended
 	late    uint8 // 1: hosts have forgotten its key
-	att     [mostAttempts]att
+	att     [maxAttempts]att
 }
 
 type att struct {
@@ -77,7 +77,7 @@
 	sLife   uint8 // the session at the host
 	sConn   uint8
 	sOpen   uint8
-	jobs    [mostTasks][mostAttempts]uint8
+	jobs    [maxTasks][maxAttempts]uint8
 	streams [2]stream
 }
 
@@ -90,8 +90,8 @@
 	dead  uint8 // cut: nothing gets through any more
 	nth   uint8
 	ntp   uint8
-	th    [mostQueue]message // to the host
-	tp    [mostQueue]message // to the placer
+	th    [maxQueue]message // to the host
+	tp    [maxQueue]message // to the placer
 }
 
 // message is its kind, its task and attempt, and for Welcome what the host holds.
@@ -121,7 +121,7 @@
 
 func msg(kind uint8, t, a int) message { return message{kind: kind, at: uint8(t<<4 | a)} }
 
-func bit(t, a int) (int, uint8) { i := t*mostAttempts + a; return i / 8, 1 << (i % 8) }
+func bit(t, a int) (int, uint8) { i := t*maxAttempts + a; return i / 8, 1 << (i % 8) }
 
 // bytes is the state as it lies in memory.
 func (s *state) bytes() []byte {
@@ -153,10 +153,10 @@
 }
 
 // pop takes the first message of a queue; what is behind it moves up, the free end is zero.
-func pop(q *[mostQueue]message, n *uint8) message {
+func pop(q *[maxQueue]message, n *uint8) message {
 	m := q[0]
 	copy(q[:], q[1:])
-	q[mostQueue-1] = message{}
+	q[maxQueue-1] = message{}
 	*n--
 	return m
 }
@@ -168,10 +168,10 @@
 		return
 	}
 	if s.hOpen == 0 {
-		s.th, s.nth = [mostQueue]message{}, 0
+		s.th, s.nth = [maxQueue]message{}, 0
 	}
 	if s.pOpen == 0 {
-		s.tp, s.ntp = [mostQueue]message{}, 0
+		s.tp, s.ntp = [maxQueue]message{}, 0
 	}
 }
 
@@ -258,7 +258,7 @@
 	if m.kind == mWelcome {
 		c := message{kind: m.kind, at: m.at}
 		for t, tt := range tp {
-			for a := range mostAttempts {
+			for a := range maxAttempts {
 				i, b := bit(t, a)
 				j, d := bit(tt, a)
 				if m.held[i]&b != 0 {
--- a/internal/verify/modelcheck/steps.go
+++ b/internal/verify/modelcheck/steps.go
@@ -51,7 +51,7 @@
 }
 
 // ask is the present ask of a task as package attempt has it.
-func (st *step) ask(t *task, buf *[mostAttempts]attempt.Attempt) attempt.Request {
+func (st *step) ask(t *task, buf *[maxAttempts]attempt.Attempt) attempt.Request {
 	a := attempt.Request{Rules: st.rules, Deadline: 100 * second, Attempts: buf[:0]}
 	for i := range t.n {
 		at := &t.att[i]
@@ -124,7 +124,7 @@
 		return
 	}
 	t := &st.s.tasks[ti]
-	var buf [mostAttempts]attempt.Attempt
+	var buf [maxAttempts]attempt.Attempt
 	ask := st.ask(t, &buf)
 	wanted := t.owner == waiting || t.owner == asking
 	if !st.m.adopts(wanted, t.owner == asking && ask.HasAttemptInFlight()) {
@@ -232,7 +232,7 @@
 	t := &st.s.tasks[ti]
 	at := &t.att[ai]
 	h := &st.s.hosts[at.host]
-	var buf [mostAttempts]attempt.Attempt
+	var buf [maxAttempts]attempt.Attempt
 	ask := st.ask(t, &buf)
 	number := len(ask.Attempts) - 1 // the one that waits is the last
 	if !st.m.recheckNot && st.drained(h) || st.m.mayWrite(&ask, t.now(), number) != nil ||
@@ -249,7 +249,7 @@
 // crowded says whether a host has as many of the service's tasks as the spread allows, one attempt
 // left out. All tasks of a search are of one service.
 func (st *step) crowded(hi, ti, ai int) bool {
-	if st.cfg.Spread == 0 {
+	if st.cfg.SpreadLimit == 0 {
 		return false
 	}
 	n := 0
@@ -258,7 +258,7 @@
 			n++
 		}
 	})
-	return n >= st.cfg.Spread
+	return n >= st.cfg.SpreadLimit
 }
 
 func (st *step) drained(h *host) bool {
@@ -303,7 +303,7 @@
 func (st *step) holds(hi int, m message) {
 	h := &st.s.hosts[hi]
 	for ti := range st.cfg.Tasks {
-		for ai := range mostAttempts {
+		for ai := range maxAttempts {
 			i, b := bit(ti, ai)
 			if m.held[i]&b == 0 {
 				continue
@@ -336,7 +336,7 @@
 	t := &st.s.tasks[ti]
 	at := &t.att[ai]
 	h := &st.s.hosts[at.host]
-	var buf [mostAttempts]attempt.Attempt
+	var buf [maxAttempts]attempt.Attempt
 	ask := st.ask(t, &buf)
 	wanted := t.owner == waiting || t.owner == asking
 	if !st.m.adopts(wanted, t.owner == asking && ask.HasAttemptInFlight()) {
@@ -369,7 +369,7 @@
 		return
 	}
 	for ti := range st.cfg.Tasks {
-		for ai := range mostAttempts {
+		for ai := range maxAttempts {
 			to, _ := st.m.side(h.job(ti, ai), hostsession.ConnectionLost)
 			h.jobs[ti][ai] = uint8(to)
 		}
@@ -395,7 +395,7 @@
 		h.sLife, h.sConn, h.sOpen = s.life, s.num, 1
 		w := message{kind: mWelcome, at: h.epoch}
 		for ti := range st.cfg.Tasks {
-			for ai := range mostAttempts {
+			for ai := range maxAttempts {
 				if h.job(ti, ai).HoldsCapacity() {
 					i, b := bit(ti, ai)
 					w.held[i] |= b
--- a/internal/verify/replay/golden_test.go
+++ b/internal/verify/replay/golden_test.go
@@ -39,8 +39,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if p.Diverged != nil || p.Cut {
-				t.Errorf("diverged at %+v, cut short: %v", p.Diverged, p.Cut)
+			if p.Divergence != nil || p.Truncated {
+				t.Errorf("diverged at %+v, cut short: %v", p.Divergence, p.Truncated)
 			}
 			summary, err := json.Marshal(p)
 			if err != nil {
@@ -58,7 +58,7 @@
 
 // A difference is told at its step with both lines.
 func TestDivergenceGoldenForm(t *testing.T) {
-	p := replay.Replay{Steps: 3, Offers: 1, Vetoes: 2, Defects: 4, Cut: true, Diverged: &replay.Divergence{Step: 2, Now: 7, Want: "a", Got: "b"}}
+	p := replay.Result{Steps: 3, Offers: 1, Vetoes: 2, Defects: 4, Truncated: true, Divergence: &replay.Divergence{Step: 2, Now: 7, Want: "a", Got: "b"}}
 	text, err := json.Marshal(&p)
 	if err != nil {
 		t.Fatal(err)
@@ -89,7 +89,7 @@
 		core.OutcomesAdded{Submission: "s"},
 		core.Persist{Record: durable.IncarnationStarted{Epoch: 1}},
 	} {
-		fmt.Fprintln(&b, replay.Line(out))
+		fmt.Fprintln(&b, replay.FormatOutput(out))
 	}
 	goldentest.Check(t, "lines.txt", b.Bytes())
 }
--- a/internal/verify/replay/tape.go
+++ b/internal/verify/replay/recording.go
@@ -38,11 +38,11 @@
 	Now time.Duration // since the epoch of the run's clock
 	Due time.Duration // when the core had asked to be stepped by itself; 0: not at all
 	In  []core.Input
-	Out []string // by Line
+	Out []string // by FormatOutput
 }
 
-// Line writes an output so that two can be compared.
-func Line(o core.Output) string {
+// FormatOutput writes an output so that two can be compared.
+func FormatOutput(o core.Output) string {
 	word, form := recordOutput(o)
 	text, err := json.Marshal(form)
 	if err != nil {
@@ -51,11 +51,11 @@
 	return word + " " + string(text)
 }
 
-// Lines writes the outputs of a step.
-func Lines(out []core.Output) []string {
+// FormatOutputs writes the outputs of a step.
+func FormatOutputs(out []core.Output) []string {
 	lines := make([]string, len(out))
 	for i, o := range out {
-		lines[i] = Line(o)
+		lines[i] = FormatOutput(o)
 	}
 	return lines
 }
@@ -107,38 +107,38 @@
 	Got  string        `json:"got"`
 }
 
-// Replay is what came of playing a tape.
-type Replay struct {
-	Head     Head               `json:"-"`
-	Script   *scenario.Scenario `json:"-"`
-	Steps    int                `json:"steps"`
-	Offers   int                `json:"offers"`
-	Vetoes   uint64             `json:"vetoes"`
-	Defects  uint64             `json:"defects"`
-	Cut      bool               `json:"cut"` // the tape ends in the middle of a step: its placer was killed, or the file torn
-	Diverged *Divergence        `json:"diverged,omitempty"`
-	Events   []capture.Event    `json:"-"` // what crossed the placer's sockets, for the rules
+// Result is what came of playing a tape.
+type Result struct {
+	Head       Head               `json:"-"`
+	Scenario   *scenario.Scenario `json:"-"`
+	Steps      int                `json:"steps"`
+	Offers     int                `json:"offers"`
+	Vetoes     uint64             `json:"vetoes"`
+	Defects    uint64             `json:"defects"`
+	Truncated  bool               `json:"cut"` // the tape ends in the middle of a step: its placer was killed, or the file torn
+	Divergence *Divergence        `json:"diverged,omitempty"`
+	Events     []capture.Event    `json:"-"` // what crossed the placer's sockets, for the rules
 }
 
 // Play reads a tape and steps the core through it. Each step is also shown to look, if that is
 // not nil, with the outputs that the core gave now.
-func Play(r io.Reader, look func(s *Step, out []core.Output)) (*Replay, error) {
+func Play(r io.Reader, look func(s *Step, out []core.Output)) (*Result, error) {
 	zip, err := gzip.NewReader(r)
 	if err != nil {
 		return nil, fmt.Errorf("not a tape: %w", err)
 	}
 	dec := gob.NewDecoder(zip)
-	p := &Replay{}
+	p := &Result{}
 	if err := dec.Decode(&p.Head); err != nil {
 		return nil, fmt.Errorf("not a tape: %w", err)
 	}
 	if p.Head.Version != Version {
 		return nil, fmt.Errorf("the tape is of version %d; want %d", p.Head.Version, Version)
 	}
-	if p.Script, err = scenario.Read(p.Head.File, p.Head.Script); err != nil {
+	if p.Scenario, err = scenario.Read(p.Head.File, p.Head.Script); err != nil {
 		return nil, err
 	}
-	set := p.Script.Settings
+	set := p.Scenario.Settings
 	if p.Head.Placer < 0 || p.Head.Placer >= len(set.Placers) {
 		return nil, fmt.Errorf("the tape is of placer %d, which its script does not have", p.Head.Placer)
 	}
@@ -151,7 +151,7 @@
 		var recorded recordedStep
 		switch err := dec.Decode(&recorded); {
 		case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
-			p.Cut = !errors.Is(err, io.EOF)
+			p.Truncated = !errors.Is(err, io.EOF)
 			st := c.Status()
 			p.Offers, p.Vetoes, p.Defects = int(st.Offers), st.Vetoes, st.Defects
 			return p, nil
@@ -163,12 +163,12 @@
 			return nil, fmt.Errorf("step %d: %w", p.Steps, err)
 		}
 		out := c.Step(s.Now, s.In...)
-		p.Events = append(p.Events, Events(base, s.Now, s.Due, s.In, out)...)
+		p.Events = append(p.Events, CaptureEvents(base, s.Now, s.Due, s.In, out)...)
 		if look != nil {
 			look(s, out)
 		}
-		if p.Diverged == nil {
-			p.Diverged = compare(p.Steps, s, Lines(out))
+		if p.Divergence == nil {
+			p.Divergence = compare(p.Steps, s, FormatOutputs(out))
 		}
 	}
 }
@@ -191,9 +191,9 @@
 // late is how long after its time a step may run without its being noted.
 const late = time.Millisecond
 
-// Events are what a step shows of a placer's own sockets, in the order in which its loop took what
+// CaptureEvents are what a step shows of a placer's own sockets, in the order in which its loop took what
 // had come and wrote what goes out. base names the placer and its life.
-func Events(base capture.Event, now, due time.Duration, in []core.Input, out []core.Output) []capture.Event {
+func CaptureEvents(base capture.Event, now, due time.Duration, in []core.Input, out []core.Output) []capture.Event {
 	base.At = now
 	var events []capture.Event
 	if due > 0 && now > due+late {
@@ -242,8 +242,8 @@
 	return events
 }
 
-// Places are the hosts' zones and racks as a tape's lists name them, as a record has them.
-func Places(in []core.Input) []capture.Event {
+// HostLocations are the hosts' zones and racks as a tape's lists name them, as a record has them.
+func HostLocations(in []core.Input) []capture.Event {
 	var events []capture.Event
 	for _, in := range in {
 		if l, ok := in.(core.HostListReceived); ok {
--- a/internal/verify/replay/tape_test.go
+++ b/internal/verify/replay/recording_test.go
@@ -36,7 +36,7 @@
 		nil,
 	} {
 		now += 10 * time.Millisecond
-		step := replay.Step{Now: now, In: in, Out: replay.Lines(c.Step(now, in...))}
+		step := replay.Step{Now: now, In: in, Out: replay.FormatOutputs(c.Step(now, in...))}
 		if change != nil {
 			change(n, &step)
 		}
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	p, err := replay.Play(bytes.NewReader(text), nil)
-	if err != nil || p.Steps != 6 || p.Diverged != nil || p.Cut {
+	if err != nil || p.Steps != 6 || p.Divergence != nil || p.Truncated {
 		t.Fatalf("%+v, %v", p, err)
 	}
 	if len(p.Events) == 0 {
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p, err = replay.Play(bytes.NewReader(text), nil); err != nil || p.Diverged == nil || p.Diverged.Step != 2 || p.Diverged.Want != "Close {}" {
+	if p, err = replay.Play(bytes.NewReader(text), nil); err != nil || p.Divergence == nil || p.Divergence.Step != 2 || p.Divergence.Want != "Close {}" {
 		t.Fatalf("%+v, %v", p, err)
 	}
 }
@@ -81,7 +81,7 @@
 	}
 	for n := range len(text) {
 		p, err := replay.Play(bytes.NewReader(text[:n]), nil)
-		if err == nil && (!p.Cut || p.Diverged != nil) {
+		if err == nil && (!p.Truncated || p.Divergence != nil) {
 			t.Fatalf("of %d bytes %d: %+v", len(text), n, p)
 		}
 	}
--- a/internal/verify/simulation/placer.go
+++ b/internal/verify/simulation/placer.go
@@ -90,7 +90,7 @@
 		out = out[:len(out)/2]
 	}
 	base := capture.Event{AtPlacer: true, Placer: s.Settings.Module.Self, PlacerEpoch: s.Epoch}
-	s.Captured = append(s.Captured, replay.Events(base, s.Now, 0, in, out)...)
+	s.Captured = append(s.Captured, replay.CaptureEvents(base, s.Now, 0, in, out)...)
 	for _, o := range out {
 		s.execute(o)
 	}
--- a/internal/verify/testcluster/recording.go
+++ b/internal/verify/testcluster/recording.go
@@ -31,12 +31,12 @@
 		recording = c.newRecording(placer, seed, epoch)
 	}
 	return func(now, due time.Duration, in []core.Input, out []core.Output) {
-		for _, e := range replay.Events(base, now, due, in, out) {
+		for _, e := range replay.CaptureEvents(base, now, due, in, out) {
 			c.opt.Recorder.Add(e)
 		}
 		if recording != nil {
 			// A recording that is cut short says so when it is ended.
-			_ = recording.Add(&replay.Step{Now: now, Due: due, In: in, Out: replay.Lines(out)})
+			_ = recording.Add(&replay.Step{Now: now, Due: due, In: in, Out: replay.FormatOutputs(out)})
 		}
 	}
 }
