--- /dev/null
+++ b/internal/parse/platformconfig/checker.go
@@ -0,0 +1,147 @@
+package platformconfig
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+)
+
+// checker checks values of an object by their paths, the names from the root to them with dots between. It keeps the first
+// error.
+type checker struct {
+	root   map[string]any
+	prefix string // of paths in errors
+	err    error
+}
+
+func (c *checker) fail(path, format string, args ...any) {
+	if c.err == nil {
+		c.err = fmt.Errorf("settings: %s%s %s", c.prefix, path, fmt.Sprintf(format, args...))
+	}
+}
+
+// at returns the value at a path; nil if there is none.
+func (c *checker) at(path string) any {
+	var v any = c.root
+	for name := range strings.SplitSeq(path, ".") {
+		object, _ := v.(map[string]any)
+		v = object[name]
+	}
+	return v
+}
+
+// numberAt returns the number at a path; 0 if there is none.
+func (c *checker) numberAt(path string) float64 {
+	n, _ := c.at(path).(float64)
+	return n
+}
+
+// numberKind says which numbers a field may have.
+type numberKind uint8
+
+const (
+	integer numberKind = iota
+	fraction
+)
+
+// number checks that there is a number from lo to hi at a path.
+func (c *checker) number(path string, kind numberKind, lo, hi float64) {
+	c.inRange(path, c.at(path), kind, lo, hi)
+}
+
+// inRange checks that a value is a number from lo to hi.
+func (c *checker) inRange(path string, v any, kind numberKind, lo, hi float64) {
+	n, ok := v.(float64)
+	switch {
+	case v == nil:
+		c.fail(path, "is missing, want a number")
+	case !ok:
+		c.fail(path, "is %s, want a number", describe(v))
+	case kind == integer && n != math.Trunc(n):
+		c.fail(path, "is %v, want a whole number", n)
+	case !(n >= lo):
+		c.fail(path, "is %v, want at least %v", n, lo)
+	case n > hi:
+		c.fail(path, "is %v, want at most %v", n, hi)
+	}
+}
+
+// numbers checks that there is a list of count numbers from lo to hi at a path.
+func (c *checker) numbers(path string, count int, kind numberKind, lo, hi float64) {
+	all, ok := c.at(path).([]any)
+	if !ok || len(all) != count {
+		c.fail(path, "is %s, want a list of %d numbers", describe(c.at(path)), count)
+		return
+	}
+	for i, v := range all {
+		c.inRange(fmt.Sprintf("%s[%d]", path, i), v, kind, lo, hi)
+	}
+}
+
+// flag checks that there is a truth value at a path.
+func (c *checker) flag(path string) {
+	if _, ok := c.at(path).(bool); !ok {
+		c.fail(path, "is %s, want true or false", describe(c.at(path)))
+	}
+}
+
+// oneOf checks that there is one of several texts at a path.
+func (c *checker) oneOf(path string, choices ...string) {
+	if text, ok := c.at(path).(string); !ok || !slices.Contains(choices, text) {
+		c.fail(path, "is %s, want one of %s", describe(c.at(path)), quoteAll(choices))
+	}
+}
+
+// names checks a list of at least minCount names, or with a path LIST.FIELD of objects that have one each, for names that are
+// missing or stand twice. It returns how many there are.
+func (c *checker) names(path string, minCount int) int {
+	path, field, ofObjects := strings.Cut(path, ".")
+	all, ok := c.at(path).([]any)
+	if !ok || len(all) < minCount {
+		c.fail(path, "is %s, want a list of at least %d", describe(c.at(path)), max(minCount, 1))
+		return 0
+	}
+	seen := map[string]bool{}
+	for i, v := range all {
+		entry := fmt.Sprintf("%s[%d]", path, i)
+		if ofObjects {
+			object, _ := v.(map[string]any)
+			v, entry = object[field], entry+"."+field
+		}
+		name, ok := v.(string)
+		switch {
+		case !ok || name == "":
+			c.fail(entry, "is %s, want a name", describe(v))
+		case seen[name]:
+			c.fail(entry, "is %q a second time", name)
+		}
+		seen[name] = true
+	}
+	return len(all)
+}
+
+// quoteAll lists texts in an error; "" is left out.
+func quoteAll(texts []string) string {
+	var quoted []string
+	for _, text := range texts {
+		if text != "" {
+			quoted = append(quoted, fmt.Sprintf("%q", text))
+		}
+	}
+	return strings.Join(quoted, ", ")
+}
+
+// describe gives a value in an error of one line, cut short where it is long.
+func describe(v any) string {
+	const maxBytes = 60
+	text, err := json.Marshal(v)
+	switch {
+	case v == nil || err != nil:
+		return "missing"
+	case len(text) > maxBytes:
+		return string(text[:maxBytes]) + "..."
+	}
+	return string(text)
+}
--- a/internal/parse/platformconfig/config.go
+++ b/internal/parse/platformconfig/config.go
@@ -1,4 +1,4 @@
-// Package platformconfig reads the settings object that a placer of the platform is started with, in the simulator's first
+// Package platformconfig parses the settings object that a placer of the platform is started with, in the simulator's first
 // message as in the configuration of a real placer, and translates it for the module. Times are in milliseconds there.
 package platformconfig
 
@@ -7,7 +7,8 @@
 	"fmt"
 )
 
-// Info is the settings text of a Boot. Times are in milliseconds.
+// Info is the settings object as the platform writes it, with the names that the module has for the same things. Times are in
+// milliseconds, cores and memory in the units of the module. Its type name stands in errors of encoding/json.
 type Info struct {
 	Zone    int      `json:"az"`
 	Zones   []string `json:"dcs"`
@@ -90,7 +91,7 @@
 	} `json:"tenants"`
 }
 
-// Parse reads a settings text; keys that it does not know are passed over.
+// Parse parses a settings text; keys that it does not know are passed over. It does not check values: see Check.
 func Parse(text []byte) (*Info, error) {
 	var in Info
 	if err := json.Unmarshal(text, &in); err != nil {
--- a/internal/parse/platformconfig/settings.go
+++ b/internal/parse/platformconfig/modulesettings.go
@@ -2,33 +2,36 @@
 
 import (
 	"fmt"
-	"math"
-	"time"
 
 	"forkhead"
 )
 
-// Duration turns milliseconds into a duration of whole microseconds.
-func Duration(ms float64) time.Duration {
-	us := math.Round(ms * 1000)
-	switch {
-	case math.IsNaN(us):
-		return 0
-	case us > 1e15:
-		us = 1e15
-	case us < -1e15:
-		us = -1e15
+// ModuleSettings translates for the module, or says which part it cannot use.
+func ModuleSettings(in *Info) (forkhead.Settings, error) {
+	s := simpleSettings(in)
+	f := &in.FamilyInfo
+	if len(f.MachineCores) != len(f.MachineMemory) {
+		return s, fmt.Errorf("settings: %d kinds have cores, %d memory", len(f.MachineCores), len(f.MachineMemory))
+	}
+	for i, cores := range f.MachineCores {
+		s.MachineTypes = append(s.MachineTypes, forkhead.MachineType{Cores: cores, Memory: f.MachineMemory[i]})
+	}
+	for i, t := range in.Tenants {
+		tenant := forkhead.Tenant{Quota: t.Quota}
+		if i < len(f.TenantQuotaCores) {
+			tenant.QuotaCores = f.TenantQuotaCores[i]
+		}
+		s.Tenants = append(s.Tenants, tenant)
 	}
-	return time.Duration(us) * time.Microsecond
+	var err error
+	s.Classes, err = moduleClasses(in)
+	return s, err
 }
 
-// Milliseconds is the other way.
-func Milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-
-// ModuleSettings translates for the module, or says which part it cannot use.
-func ModuleSettings(in *Info) (forkhead.Settings, error) {
+// simpleSettings are the settings that are no lists.
+func simpleSettings(in *Info) forkhead.Settings {
 	f := in.FamilyInfo
-	s := forkhead.Settings{
+	return forkhead.Settings{
 		Placers: in.Placers, Self: in.Self, Zone: in.Zone,
 		MeanCores: f.MeanCores, MeanMemory: f.MeanMemory,
 		CoresOvercommit: f.CoresOvercommit, MemoryOvercommit: f.MemoryOvercommit,
@@ -46,38 +49,30 @@
 		SlowStartDuration: Duration(in.Rules.SlowStartDuration), SlowStartWindow: Duration(in.Rules.SlowStartWindow), SlowStartMaxOffers: f.SlowStartMaxOffers,
 		SlowStartInitialRate: in.Rules.SlowStartInitialRate, SlowStartOverload: in.Rules.SlowStartOverload,
 		OverQuotaWeight: in.OverQuotaWeight,
-		Costs: forkhead.Costs{
-			SurplusMachine: in.Costs.SurplusMachine, Migration: in.Costs.Migration, EvictionMigrations: f.EvictionMigrations,
-			Rejection: f.RejectionCost, RemoteZone: in.Costs.RemoteZone, WastedWork: in.Costs.WastedWork,
-			Probe: in.Costs.Probe, Gossip: in.Costs.Gossip, ListEntries: in.Costs.ListEntries,
-		},
-	}
-	if len(f.MachineCores) != len(f.MachineMemory) {
-		return s, fmt.Errorf("settings: %d kinds have cores, %d memory", len(f.MachineCores), len(f.MachineMemory))
+		Costs:           moduleCosts(in),
 	}
-	for i, cores := range f.MachineCores {
-		s.MachineTypes = append(s.MachineTypes, forkhead.MachineType{Cores: cores, Memory: f.MachineMemory[i]})
-	}
-	for i, t := range in.Tenants {
-		tenant := forkhead.Tenant{Quota: t.Quota}
-		if i < len(f.TenantQuotaCores) {
-			tenant.QuotaCores = f.TenantQuotaCores[i]
-		}
-		s.Tenants = append(s.Tenants, tenant)
+}
+
+func moduleCosts(in *Info) forkhead.Costs {
+	return forkhead.Costs{
+		SurplusMachine: in.Costs.SurplusMachine, Migration: in.Costs.Migration, EvictionMigrations: in.FamilyInfo.EvictionMigrations,
+		Rejection: in.FamilyInfo.RejectionCost, RemoteZone: in.Costs.RemoteZone, WastedWork: in.Costs.WastedWork,
+		Probe: in.Costs.Probe, Gossip: in.Costs.Gossip, ListEntries: in.Costs.ListEntries,
 	}
-	return s, classes(&s, in)
 }
 
-func classes(s *forkhead.Settings, in *Info) error {
-	f := in.FamilyInfo
+// moduleClasses returns the classes up to the first that the module cannot use.
+func moduleClasses(in *Info) ([]forkhead.Class, error) {
+	f := &in.FamilyInfo
 	for _, n := range []int{
 		len(f.MaxPerDomain), len(f.Priority), len(f.SpreadDomain), len(f.SaturationThreshold), len(f.DegradationRange),
 		len(f.MachineTypeByClass), len(f.StartWeight),
 	} {
 		if n != len(in.Classes) {
-			return fmt.Errorf("settings: a list of familyInfo has %d entries for %d classes", n, len(in.Classes))
+			return nil, fmt.Errorf("settings: a list of familyInfo has %d entries for %d classes", n, len(in.Classes))
 		}
 	}
+	var classes []forkhead.Class
 	for i, c := range in.Classes {
 		class := forkhead.Class{
 			DedupWindow: Duration(c.DedupWindow), LatencyObjective: Duration(c.LatencyObjective), Weight: c.Weight, LateWeight: c.LateWeight,
@@ -85,33 +80,36 @@
 			MaxPerDomain: f.MaxPerDomain[i], SaturationThreshold: f.SaturationThreshold[i], DegradationRange: f.DegradationRange[i],
 		}
 		var err error
-		if class.Effect, err = lookup("effect", effects, c.Effect); err != nil {
-			return err
+		if class.Effect, err = translate("effect", effects, c.Effect); err != nil {
+			return classes, err
 		}
-		if class.DedupDomain, err = lookup("group", places, c.DedupDomain); err != nil {
-			return err
+		if class.DedupDomain, err = translate("group", domains, c.DedupDomain); err != nil {
+			return classes, err
 		}
-		if class.SpreadDomain, err = lookup("classSpread", places, f.SpreadDomain[i]); err != nil {
-			return err
+		if class.SpreadDomain, err = translate("classSpread", domains, f.SpreadDomain[i]); err != nil {
+			return classes, err
 		}
-		s.Classes = append(s.Classes, class)
+		classes = append(classes, class)
 	}
-	return nil
+	return classes, nil
 }
 
+// effects are the platform's names of effects.
 var effects = map[string]forkhead.Effect{
 	"retryable": forkhead.Safe, "dedup": forkhead.Keyed, "fragile": forkhead.Unsafe,
 }
 
-var places = map[string]forkhead.Domain{
+// domains are the platform's names of domains.
+var domains = map[string]forkhead.Domain{
 	"": forkhead.AnyDomain, "all": forkhead.AnyDomain, "none": forkhead.AnyDomain,
 	"machine": forkhead.MachineDomain, "cell": forkhead.CellDomain, "zone": forkhead.ZoneDomain,
 }
 
-func lookup[T any](field string, table map[string]T, word string) (T, error) {
-	v, ok := table[word]
+// translate looks a name of the platform up. field is where it stands, in an error.
+func translate[T any](field string, table map[string]T, name string) (T, error) {
+	v, ok := table[name]
 	if !ok {
-		return v, fmt.Errorf("settings: %s: unknown word %q", field, word)
+		return v, fmt.Errorf("settings: %s: unknown word %q", field, name)
 	}
 	return v, nil
 }
