--- a/internal/verify/testcluster/cluster.go
+++ b/internal/verify/testcluster/cluster.go
@@ -4,9 +4,6 @@
 
 import (
 	"fmt"
-	"io"
-	"math/rand/v2"
-	"net"
 	"os"
 	"slices"
 	"sync"
@@ -123,26 +120,6 @@
 	return &set, nil
 }
 
-// freeAddress returns a loopback address that is free now. Its port is below those that the system gives to outgoing
-// connections: a server that is down for a while must find its port free when it restarts.
-func freeAddress(network string) (string, error) {
-	const minPort, ports, attempts = 12_000, 18_000, 200
-	var err error
-	for range attempts {
-		address := fmt.Sprintf("127.0.0.1:%d", minPort+rand.IntN(ports))
-		var c io.Closer
-		if network == "udp" {
-			c, err = net.ListenPacket("udp", address)
-		} else {
-			c, err = net.Listen("tcp", address)
-		}
-		if err == nil {
-			return address, c.Close()
-		}
-	}
-	return "", fmt.Errorf("no free port: %w", err)
-}
-
 // WaitReady waits until every placer that is up has a connection to every host and the host's entry of the endpoint list.
 // It returns an error after the timeout.
 func (c *Cluster) WaitReady(timeout time.Duration) error {
