--- a/internal/parse/compose/interpolate.go
+++ b/internal/parse/compose/interpolate.go
@@ -6,16 +6,19 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-const maxInterpolated = 1 << 20 // bytes that variables may add up to in all files
+// Bounds of variables.
+const (
+	maxInterpolated  = 1 << 20 // bytes that the values with variables add up to in all files
+	maxVariableDepth = 16      // defaults and messages that hold variables themselves
+)
 
-// interpolator replaces variables in values, as the Compose Specification's chapter on
-// interpolation says: $V, ${V}, ${V:-d}, ${V-d}, ${V:?e}, ${V?e}, ${V:+r}, ${V+r} and $$.
-// Defaults may hold variables themselves.
+// interpolator replaces variables in values, as the Compose Specification's chapter on interpolation says: $V, ${V}, ${V:-d},
+// ${V-d}, ${V:?e}, ${V?e}, ${V:+r}, ${V+r} and $$. What stands behind the operator may hold variables itself.
 type interpolator struct {
 	vars    map[string]string
-	grown   int
+	size    int // bytes of the values replaced so far
 	errs    *diagnostic.List
-	warned  map[string]bool
+	warned  map[string]bool // variables that are not set and have a note
 	addNote func(pos diagnostic.Pos, text string)
 }
 
@@ -34,9 +37,9 @@
 			in.errs.Add(err)
 			return v
 		}
-		if in.grown += len(text); in.grown > maxInterpolated {
+		if in.size += len(text); in.size > maxInterpolated {
 			in.errs.Add(diagnostic.Wantf(v.pos, "at most 1 MiB", "the variables unfold to too much"))
-			in.grown = 0
+			in.size = 0
 			return v
 		}
 		c := *v
@@ -60,47 +63,49 @@
 	return v
 }
 
+// expand returns a text with its variables replaced.
 func (in *interpolator) expand(pos diagnostic.Pos, text string, depth int) (string, error) {
-	if depth > 16 {
+	if depth > maxVariableDepth {
 		return "", diagnostic.Wantf(pos, "at most 16 levels", "variables are nested too deep")
 	}
 	var b strings.Builder
 	for {
-		i := strings.IndexByte(text, '$')
-		if i < 0 {
-			b.WriteString(text)
+		plain, rest, found := strings.Cut(text, "$")
+		b.WriteString(plain)
+		if !found {
 			return b.String(), nil
 		}
-		b.WriteString(text[:i])
-		text = text[i+1:]
-		switch {
-		case strings.HasPrefix(text, "$"):
-			b.WriteByte('$')
-			text = text[1:]
-		case strings.HasPrefix(text, "{"):
-			end := closing(text)
-			if end < 0 {
-				return "", diagnostic.Wantf(pos, "${NAME}, or $$ for a plain $", "a ${ is never closed")
-			}
-			word, err := in.braced(pos, text[1:end], depth)
-			if err != nil {
-				return "", err
-			}
-			b.WriteString(word)
-			text = text[end+1:]
-		default:
-			n := nameLength(text)
-			if n == 0 {
-				return "", diagnostic.Wantf(pos, "$NAME, ${NAME}, or $$ for a plain $", "a $ without a name")
-			}
-			b.WriteString(in.lookup(pos, text[:n]))
-			text = text[n:]
+		replacement, length, err := in.variable(pos, rest, depth)
+		if err != nil {
+			return "", err
+		}
+		b.WriteString(replacement)
+		text = rest[length:]
+	}
+}
+
+// variable returns what stands for the variable whose $ is before text, and how many bytes of text belong to it.
+func (in *interpolator) variable(pos diagnostic.Pos, text string, depth int) (replacement string, length int, err error) {
+	switch {
+	case strings.HasPrefix(text, "$"):
+		return "$", 1, nil
+	case strings.HasPrefix(text, "{"):
+		end := closingBrace(text)
+		if end < 0 {
+			return "", 0, diagnostic.Wantf(pos, "${NAME}, or $$ for a plain $", "a ${ is never closed")
 		}
+		replacement, err = in.braced(pos, text[1:end], depth)
+		return replacement, end + 1, err
 	}
+	length = nameLength(text)
+	if length == 0 {
+		return "", 0, diagnostic.Wantf(pos, "$NAME, ${NAME}, or $$ for a plain $", "a $ without a name")
+	}
+	return in.lookUp(pos, text[:length]), length, nil
 }
 
-// closing finds the } that belongs to the { at the start.
-func closing(text string) int {
+// closingBrace returns the index of the } that belongs to the { at the start, or -1.
+func closingBrace(text string) int {
 	depth := 0
 	for i := range len(text) {
 		switch text[i] {
@@ -115,63 +120,73 @@
 	return -1
 }
 
+// nameLength returns how many bytes at the start of text are a variable's name: letters, _ and, but for the first, digits.
 func nameLength(text string) int {
-	n := 0
-	for n < len(text) {
-		c := text[n]
-		if c != '_' && (c|0x20 < 'a' || c|0x20 > 'z') && (n == 0 || c < '0' || c > '9') {
-			break
+	for i := range len(text) {
+		c := text[i]
+		isLetter := c == '_' || c|0x20 >= 'a' && c|0x20 <= 'z'
+		isDigit := c >= '0' && c <= '9'
+		if !isLetter && (!isDigit || i == 0) {
+			return i
 		}
-		n++
 	}
-	return n
+	return len(text)
 }
 
+// braced returns what stands for the text between braces: NAME, or NAME[:]OPERATOR with a text behind it. With : an empty
+// variable counts as one that is not set.
 func (in *interpolator) braced(pos diagnostic.Pos, text string, depth int) (string, error) {
 	n := nameLength(text)
 	if n == 0 {
 		return "", diagnostic.Wantf(pos, "${NAME}", "${%s} has no name", text)
 	}
 	name, rest := text[:n], text[n:]
-	val, set := in.vars[name]
 	if rest == "" {
-		return in.lookup(pos, name), nil
+		return in.lookUp(pos, name), nil
 	}
+	val, isSet := in.vars[name]
 	if rest[0] == ':' {
-		set = set && val != ""
+		isSet = isSet && val != ""
 		rest = rest[1:]
 	}
+	errForm := diagnostic.Wantf(pos, "one of - ? + behind the name", "${%s} is not a form of variable", text)
 	if rest == "" {
-		return "", diagnostic.Wantf(pos, "one of - ? + behind the name", "${%s} is not a form of variable", text)
+		return "", errForm
 	}
-	switch op, word := rest[0], rest[1:]; op {
+	switch operator, operand := rest[0], rest[1:]; operator {
 	case '-':
-		if set {
+		if isSet {
 			return val, nil
 		}
-		return in.expand(pos, word, depth+1)
+		return in.expand(pos, operand, depth+1)
 	case '?':
-		if set {
+		if isSet {
 			return val, nil
 		}
-		reason, err := in.expand(pos, word, depth+1)
-		if err != nil {
-			return "", err
-		}
-		if reason == "" {
-			reason = "it is required"
-		}
-		return "", diagnostic.Errorf(pos, "variable %s is not set: %s", name, reason)
+		return "", in.notSet(pos, name, operand, depth)
 	case '+':
-		if !set {
+		if !isSet {
 			return "", nil
 		}
-		return in.expand(pos, word, depth+1)
+		return in.expand(pos, operand, depth+1)
+	}
+	return "", errForm
+}
+
+// notSet returns the error for a required variable that is not set. message may hold variables itself; "" is a usual one.
+func (in *interpolator) notSet(pos diagnostic.Pos, name, message string, depth int) error {
+	message, err := in.expand(pos, message, depth+1)
+	if err != nil {
+		return err
+	}
+	if message == "" {
+		message = "it is required"
 	}
-	return "", diagnostic.Wantf(pos, "one of - ? + behind the name", "${%s} is not a form of variable", text)
+	return diagnostic.Errorf(pos, "variable %s is not set: %s", name, message)
 }
 
-func (in *interpolator) lookup(pos diagnostic.Pos, name string) string {
+// lookUp returns the value of a variable; "" with a note, once for each, if it is not set.
+func (in *interpolator) lookUp(pos diagnostic.Pos, name string) string {
 	val, ok := in.vars[name]
 	if !ok && !in.warned[name] {
 		in.warned[name] = true
