--- a/internal/parse/settings/entries.go
+++ b/internal/parse/settings/entries.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"time"
 
 	"forkhead"
@@ -43,7 +44,7 @@
 	if len(args) == 0 || args[0].List || args[0].Atom == "" {
 		return "", nil, diagnostic.Wantf(n.Pos, "("+n.Head()+" NAME ...)", "the %s has no name", n.Head())
 	}
-	if Index(taken, args[0].Atom) >= 0 {
+	if slices.Index(taken, args[0].Atom) >= 0 {
 		return "", nil, diagnostic.Errorf(args[0].Pos, "%s %q is named a second time", n.Head(), args[0].Atom)
 	}
 	if len(taken) >= maxNames {
--- a/internal/parse/settings/parser.go
+++ b/internal/parse/settings/parser.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"time"
 
@@ -107,7 +108,7 @@
 func (p *parser) lookUpNames() {
 	s := p.settings
 	for _, m := range p.machineTypeOf {
-		index := Index(s.MachineTypeNames, m.name.Atom)
+		index := slices.Index(s.MachineTypeNames, m.name.Atom)
 		if index < 0 {
 			p.errs.Add(diagnostic.Wantf(m.name.Pos, strings.Join(s.MachineTypeNames, ", "), "kind %q is not named", m.name.Atom))
 		}
--- a/internal/parse/settings/settings.go
+++ b/internal/parse/settings/settings.go
@@ -4,7 +4,6 @@
 
 import (
 	_ "embed"
-	"slices"
 	"strings"
 	"time"
 
@@ -142,6 +141,3 @@
 	}
 	return 0, false
 }
-
-// Index returns the place of a name in a list, or -1.
-func Index(names []string, name string) int { return slices.Index(names, name) }
--- a/internal/scheduler/core/hostlist.go
+++ b/internal/scheduler/core/hostlist.go
@@ -1,10 +1,10 @@
 package core
 
 import (
+	"slices"
 	"time"
 
 	"forkhead"
-	"forkhead/internal/parse/settings"
 	"forkhead/internal/protocol/hostproto"
 	"forkhead/internal/scheduler/attempt"
 	"forkhead/internal/scheduler/durable"
@@ -62,7 +62,7 @@
 func (c *Core) addListedHosts(list HostListReceived) (inList map[*host]bool, renumbered []forkhead.Machine) {
 	inList = map[*host]bool{}
 	for _, entry := range list.Hosts {
-		machineType := settings.Index(c.settings.MachineTypeNames, entry.Kind)
+		machineType := slices.Index(c.settings.MachineTypeNames, entry.Kind)
 		if machineType < 0 || entry.Name == "" || len(entry.Name) > hostproto.MaxTextSize {
 			continue // a host of a type that the settings do not know is never offered anything
 		}
--- a/internal/scheduler/core/orphans.go
+++ b/internal/scheduler/core/orphans.go
@@ -2,13 +2,13 @@
 
 import (
 	"errors"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
 
 	"forkhead"
 	"forkhead/internal/parse/servicespec"
-	"forkhead/internal/parse/settings"
 	"forkhead/internal/protocol/hostproto"
 	"forkhead/internal/scheduler/attempt"
 )
@@ -169,7 +169,7 @@
 			Cores: float64(spec.Cores) / 1000, Memory: float64(spec.Memory) / 1024,
 		},
 		class:       class,
-		tenant:      settings.Index(c.settings.Tenants, spec.Tenant),
+		tenant:      slices.Index(c.settings.Tenants, spec.Tenant),
 		fingerprint: spec.Fingerprint,
 		taskKey:     spec.Key,
 		name:        spec.Name,
--- a/internal/scheduler/core/replicas.go
+++ b/internal/scheduler/core/replicas.go
@@ -7,7 +7,6 @@
 
 	"forkhead"
 	"forkhead/internal/parse/servicespec"
-	"forkhead/internal/parse/settings"
 	"forkhead/internal/scheduler/attempt"
 	"forkhead/internal/scheduler/retrypolicy"
 )
@@ -116,7 +115,7 @@
 // setSpec makes a replica one by another specification. Its key stays.
 func (c *Core) setSpec(r *desiredReplica, spec *servicespec.Service) {
 	r.spec, r.fingerprint = spec, spec.Fingerprint()
-	r.class, r.tenant = c.classIndex(spec), settings.Index(c.settings.Tenants, spec.Tenant)
+	r.class, r.tenant = c.classIndex(spec), slices.Index(c.settings.Tenants, spec.Tenant)
 }
 
 func (c *Core) classIndex(s *servicespec.Service) int {
--- a/internal/scheduler/core/requesting.go
+++ b/internal/scheduler/core/requesting.go
@@ -13,15 +13,15 @@
 
 // startRequesting starts the wait for an outcome.
 func (c *Core) startRequesting(r *desiredReplica) {
-	patience := r.spec.PlacementTimeout
-	if patience == 0 {
-		patience = max(c.settings.Classes[r.class].PlacementTimeout, r.spec.RequestTimeout)
+	timeout := r.spec.PlacementTimeout
+	if timeout == 0 {
+		timeout = max(c.settings.Classes[r.class].PlacementTimeout, r.spec.RequestTimeout)
 	}
 	from := c.now
 	if r.recovered && r.pending != nil {
 		from = min(r.pending.since, c.now) // its owner waits since before this incarnation; a clock may have been set back
 	}
-	r.retrier.Begin(max(from+patience, c.now+attempt.MinRequestTime))
+	r.retrier.Begin(max(from+timeout, c.now+attempt.MinRequestTime))
 	r.preferencesDropped, r.failureCounts, r.reason = false, nil, ""
 	c.addOwnerDeadline(r)
 	c.requestAt(r, c.now)
--- a/internal/scheduler/core/updates.go
+++ b/internal/scheduler/core/updates.go
@@ -79,11 +79,11 @@
 
 // awaitOldCopyEnd bounds the wait for a replica's earlier copy to end: its host may be out of reach.
 func (c *Core) awaitOldCopyEnd(r *desiredReplica) {
-	patience := r.nextSpec.PlacementTimeout
-	if patience == 0 {
-		patience = c.settings.Classes[c.classIndex(r.nextSpec)].PlacementTimeout
+	timeout := r.nextSpec.PlacementTimeout
+	if timeout == 0 {
+		timeout = c.settings.Classes[c.classIndex(r.nextSpec)].PlacementTimeout
 	}
-	r.retrier.Deadline = c.now + patience
+	r.retrier.Deadline = c.now + timeout
 	c.addOwnerDeadline(r)
 }
 
--- a/internal/scheduler/rollingupdate/rollingupdate_test.go
+++ b/internal/scheduler/rollingupdate/rollingupdate_test.go
@@ -9,11 +9,11 @@
 
 func TestUpdateStatus(t *testing.T) {
 	for name, c := range map[string]struct {
-		onTrouble servicespec.FailureAction
-		maxFailed float64
-		total     int
-		succeeded []bool // of the replacements that have ended
-		want      Status
+		failureAction servicespec.FailureAction
+		maxFailed     float64
+		total         int
+		succeeded     []bool // of the replacements that have ended
+		want          Status
 	}{
 		"no tasks":                    {servicespec.Pause, 0, 0, nil, Complete},
 		"not begun":                   {servicespec.Pause, 0, 2, nil, InProgress},
@@ -28,7 +28,7 @@
 		"more than may fail":          {servicespec.Pause, 0.5, 4, []bool{false, false, false}, Paused},
 		"as many as may fail, at end": {servicespec.Rollback, 0.5, 2, []bool{true, false}, Complete},
 	} {
-		u := New(servicespec.Update{FailureAction: c.onTrouble, MaxFailureRatio: c.maxFailed}, c.total)
+		u := New(servicespec.Update{FailureAction: c.failureAction, MaxFailureRatio: c.maxFailed}, c.total)
 		failed := 0
 		for _, succeeded := range c.succeeded {
 			u.Begin()
--- a/internal/server/placer/feasibility.go
+++ b/internal/server/placer/feasibility.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"sync/atomic"
 	"time"
 
@@ -49,7 +50,7 @@
 	machines := make([]plan.Host, 0, len(entries))
 	for i := range entries {
 		entry := &entries[i]
-		index := settings.Index(f.settings.MachineTypeNames, entry.Kind)
+		index := slices.Index(f.settings.MachineTypeNames, entry.Kind)
 		if index < 0 {
 			continue
 		}
--- a/internal/verify/scenario/read.go
+++ b/internal/verify/scenario/read.go
@@ -261,7 +261,7 @@
 		r.errs.Add(diagnostic.Wantf(n.Pos, "(hosts COUNT (kind NAME) ...)", "the day has no hosts"))
 	}
 	for _, g := range s.HostGroups {
-		if settings.Index(s.Settings.MachineTypeNames, g.MachineType) < 0 {
+		if slices.Index(s.Settings.MachineTypeNames, g.MachineType) < 0 {
 			r.errs.Add(diagnostic.Wantf(n.Pos, strings.Join(s.Settings.MachineTypeNames, ", "),
 				"hosts of kind %q, which the settings do not name", g.MachineType))
 		}
--- a/internal/verify/testcluster/hosts.go
+++ b/internal/verify/testcluster/hosts.go
@@ -1,9 +1,10 @@
 package testcluster
 
 import (
+	"slices"
+
 	"forkhead/internal/emulator/host"
 	"forkhead/internal/emulator/hostmodel"
-	"forkhead/internal/parse/settings"
 	"forkhead/internal/verify/scenario"
 )
 
@@ -18,7 +19,7 @@
 // machine type.
 func HostConfig(s *scenario.Scenario, g *scenario.HostGroup, i int) hostmodel.Config {
 	module := &s.Settings.Module
-	machineType := module.MachineTypes[settings.Index(s.Settings.MachineTypeNames, g.MachineType)]
+	machineType := module.MachineTypes[slices.Index(s.Settings.MachineTypeNames, g.MachineType)]
 	cfg := hostmodel.DefaultConfig(
 		g.HostName(i), g.MachineType, g.Zone, g.HostRack(i), machineType.Cores, machineType.Memory,
 	)
