--- /dev/null
+++ b/internal/verify/modelcheck/actions_host.go
@@ -0,0 +1,79 @@
+package modelcheck
+
+import "forkhead/internal/scheduler/hostsession"
+
+// addHost adds what a host does by itself: it comes back, handles its attempts, dies and drains.
+func (l *actionList) addHost(hi int) {
+	h := &l.state.hosts[hi]
+	if !h.up {
+		l.add(true, func(st *step) { st.s.hosts[hi].start() }, "host %d comes back", hi)
+		return
+	}
+	for ti := range l.model.cfg.Tasks {
+		for ai := range maxAttempts {
+			l.addHostAttempt(hi, ti, ai)
+		}
+	}
+	if l.mayFail() {
+		l.add(false, func(st *step) { st.killHost(hi) }, "host %d dies", hi)
+	}
+	if !h.draining && l.mayFail() {
+		l.add(false, func(st *step) { st.drainHost(hi) }, "host %d drains", hi)
+	}
+}
+
+// addHostAttempt adds what a host does with an attempt.
+func (l *actionList) addHostAttempt(hi, ti, ai int) {
+	h := &l.state.hosts[hi]
+	switch h.attempts[ti][ai] {
+	case hostsession.Queued:
+		if !h.draining && !h.holdsOther(ti, ai) {
+			l.add(true, func(st *step) {
+				st.applyHostInput(hi, ti, ai, hostsession.Accept)
+				st.checkStart(ti, ai)
+			}, "host %d accepts task %d", hi, ti)
+		}
+		l.addHostInput(true, hi, ti, ai, hostsession.Reject, "host %d refuses task %d", hi, ti)
+	case hostsession.Starting:
+		l.addHostInput(true, hi, ti, ai, hostsession.Start, "task %d runs on host %d", ti, hi)
+	case hostsession.Running:
+		if l.model.cfg.TasksEnd {
+			l.addHostInput(false, hi, ti, ai, hostsession.Finish, "task %d ends on host %d", ti, hi)
+		}
+	}
+}
+
+func (l *actionList) addHostInput(fair bool, hi, ti, ai int, in hostsession.Input, format string, args ...any) {
+	l.add(fair, func(st *step) { st.applyHostInput(hi, ti, ai, in) }, format, args...)
+}
+
+// holdsOther reports whether another attempt of a task holds capacity at the host.
+func (h *host) holdsOther(ti, ai int) bool {
+	for other := range maxAttempts {
+		if other != ai && h.attempts[ti][other].HoldsCapacity() {
+			return true
+		}
+	}
+	return false
+}
+
+func (h *host) start() {
+	h.up = true
+	h.epoch++
+}
+
+func (st *step) killHost(hi int) {
+	h := &st.s.hosts[hi]
+	h.up, h.sessionOpen, h.draining = false, false, false
+	h.attempts = [maxTasks][maxAttempts]hostsession.State{}
+	for i := range h.streams {
+		h.streams[i].hostOpen = false
+		h.streams[i].discardUndeliverable()
+	}
+	st.s.faults++
+}
+
+func (st *step) drainHost(hi int) {
+	st.s.hosts[hi].draining = true
+	st.s.faults++
+}
--- /dev/null
+++ b/internal/verify/modelcheck/actions_network.go
@@ -0,0 +1,85 @@
+package modelcheck
+
+import "forkhead/internal/scheduler/hostconn"
+
+// addNetwork adds what may happen to a host's connections: messages arrive, ends are seen, connections break.
+func (l *actionList) addNetwork(hi int) {
+	for i := range l.state.hosts[hi].streams {
+		if l.state.hosts[hi].streams[i].conn != 0 {
+			l.addDeliveries(hi, i)
+			l.addCloses(hi, i)
+			l.addBreak(hi, i)
+		}
+	}
+}
+
+func (l *actionList) addDeliveries(hi, i int) {
+	h := &l.state.hosts[hi]
+	s := &h.streams[i]
+	if s.toHostCount > 0 && s.hostOpen && !s.broken && h.up {
+		l.add(true, func(st *step) { st.deliverToHost(hi, i) }, "host %d reads %s", hi, messageNames[s.toHost[0].kind])
+	}
+	if s.toPlacerCount > 0 && s.placerOpen && !s.broken {
+		l.add(true, func(st *step) { st.deliverToPlacer(hi, i) }, "placer reads %s of host %d", messageNames[s.toPlacer[0].kind], hi)
+	}
+}
+
+func (l *actionList) addCloses(hi, i int) {
+	s := &l.state.hosts[hi].streams[i]
+	if s.placerOpen && (!s.hostOpen && s.toPlacerCount == 0 || s.broken) {
+		l.add(true, func(st *step) { st.closeSeenByPlacer(hi, i) }, "placer sees the connection to host %d end", hi)
+	}
+	if s.hostOpen && (!s.placerOpen || s.broken) {
+		l.add(true, func(st *step) { st.closeSeenByHost(hi, i) }, "host %d sees its connection end", hi)
+	}
+}
+
+func (l *actionList) addBreak(hi, i int) {
+	s := &l.state.hosts[hi].streams[i]
+	if !s.broken && s.placerOpen && s.hostOpen && l.mayFail() {
+		l.add(false, func(st *step) { st.breakStream(hi, i) }, "the connection to host %d is cut", hi)
+	}
+}
+
+func (st *step) deliverToHost(hi, i int) {
+	s := &st.s.hosts[hi].streams[i]
+	m := pop(&s.toHost, &s.toHostCount)
+	st.receiveAtHost(hi, s, m)
+	s.discardUndeliverable()
+}
+
+func (st *step) deliverToPlacer(hi, i int) {
+	s := &st.s.hosts[hi].streams[i]
+	conn := s.conn
+	m := pop(&s.toPlacer, &s.toPlacerCount)
+	if conn == st.s.hosts[hi].conn || st.machines.acceptOldConnection {
+		st.receiveFromHost(hi, m)
+	}
+}
+
+func (st *step) closeSeenByPlacer(hi, i int) {
+	s := &st.s.hosts[hi].streams[i]
+	conn := s.conn
+	s.placerOpen = false
+	s.discardUndeliverable()
+	st.applyConnectionInput(hi, hostconn.Input{Kind: hostconn.Disconnected, Conn: uint32(conn)})
+}
+
+func (st *step) closeSeenByHost(hi, i int) {
+	h := &st.s.hosts[hi]
+	s := &h.streams[i]
+	if h.sessionOpen && h.sessionConn == s.conn && h.sessionIncarnation == s.incarnation {
+		st.endSession(h)
+	}
+	s.hostOpen = false
+	s.discardUndeliverable()
+}
+
+// breakStream loses all that is under way; either end sees it some time later.
+func (st *step) breakStream(hi, i int) {
+	s := &st.s.hosts[hi].streams[i]
+	s.broken = true
+	s.toHost, s.toHostCount = [maxQueue]message{}, 0
+	s.toPlacer, s.toPlacerCount = [maxQueue]message{}, 0
+	st.s.faults++
+}
--- /dev/null
+++ b/internal/verify/modelcheck/actions_placer.go
@@ -0,0 +1,132 @@
+package modelcheck
+
+import (
+	"slices"
+
+	"forkhead"
+
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/hostconn"
+)
+
+// addOwner adds what a task's owner does: it requests the task and gives up, by timers that may fire at any time; and what
+// the time does to the task.
+func (l *actionList) addOwner(ti int) {
+	t := &l.state.tasks[ti]
+	if t.owner == ownerWaiting {
+		if l.mayRequest(t) {
+			l.add(true, func(st *step) { st.openRequest(ti) }, "task %d is asked for", ti)
+		}
+		l.add(true, func(st *step) { st.giveUp(ti) }, "the owner of task %d gives up", ti)
+	}
+	if !t.windowExpired && l.model.rules.Effect == forkhead.Keyed && t.attemptCount > 0 {
+		l.add(false, func(st *step) { st.s.tasks[ti].windowExpired = true }, "hosts forget the key of task %d", ti)
+	}
+	if l.model.rules.ExpiresWhenUnreachable() {
+		l.addExpiries(ti)
+	}
+}
+
+// mayRequest reports whether a task's owner may request it now.
+func (l *actionList) mayRequest(t *task) bool {
+	allHostsListed := true
+	for hi := range l.model.cfg.Hosts {
+		allHostsListed = allHostsListed && l.state.hosts[hi].knownEpoch > 0
+	}
+	// How long an owner waits for hosts that stay down is the rules' to say, and outside this search: it waits for all.
+	const waited = false
+	m := l.model
+	st := step{model: m, s: l.state}
+	_, allowed := m.machines.mayRequest(&m.rules, t.now(), st.unknownAttempts(t), 0)
+	return int(t.requests) < m.cfg.Requests && allowed && !m.machines.mustWaitForHosts(&m.rules, allHostsListed, waited)
+}
+
+// addExpiries adds that unreachable attempts of a task count as lost.
+func (l *actionList) addExpiries(ti int) {
+	t := &l.state.tasks[ti]
+	for ai := range t.made() {
+		if a := &t.attempts[ai]; a.isKnown(l.state.incarnation) && a.phase == attempt.Unreachable {
+			l.add(true, func(st *step) { st.applyInput(ti, ai, attempt.Expired) }, "task %d on host %d counts as lost", ti, a.host)
+		}
+	}
+}
+
+func (st *step) openRequest(ti int) {
+	t := &st.s.tasks[ti]
+	t.owner = ownerRequested
+	if !st.machines.retryForever || t.requests == 0 {
+		t.requests++
+	}
+}
+
+// giveUp ends what an owner wants of a task, and notifies it unless it has an outcome.
+func (st *step) giveUp(ti int) {
+	t := &st.s.tasks[ti]
+	t.owner = ownerDone
+	if t.outcome != outcomeNone {
+		return
+	}
+	if !st.machines.rejectionIsHarmless(&st.rules, t.lastRejected, t.attemptCount > 0, st.unknownAttempts(t)) {
+		st.notifyOwner(t, outcomeFailed)
+		return
+	}
+	st.checkRejection(ti)
+	st.notifyOwner(t, outcomeRejected)
+}
+
+// addModule adds everything that the module may do about a task.
+func (l *actionList) addModule(ti int) {
+	t := &l.state.tasks[ti]
+	if t.owner != ownerRequested {
+		return
+	}
+	st := step{model: l.model, s: l.state}
+	var buf [maxAttempts]attempt.Attempt
+	r := st.request(t, &buf)
+	l.addOffers(ti, &r)
+	l.addAnswer(ti, &r, true, "module refuses task %d")
+	l.addAnswer(ti, &r, false, "module fails task %d")
+	if r.HasAttemptInFlight() {
+		l.add(false, func(st *step) { st.withdrawRequest(ti) }, "module withdraws task %d", ti)
+	}
+}
+
+// addOffers adds the offers of a task that are legal.
+func (l *actionList) addOffers(ti int, r *attempt.Request) {
+	t := &l.state.tasks[ti]
+	if int(t.attemptCount) >= l.model.cfg.Attempts {
+		return
+	}
+	st := step{model: l.model, s: l.state}
+	for hi := range l.model.cfg.Hosts {
+		h := &l.state.hosts[hi]
+		switch {
+		case h.connState == hostconn.Down: // the attempt would be over before it began
+		case st.drainGraceExpired(h):
+		case l.model.machines.mayOffer(r, t.now(), attempt.HostID(hi)) != nil:
+		case st.atSpreadLimit(hi, noAttempt, noAttempt):
+		default:
+			l.add(false, func(st *step) { st.offer(ti, hi) }, "module offers task %d to host %d", ti, hi)
+		}
+	}
+}
+
+// addAnswer adds the rejection or the failure of a request, if it would be legal once what is in flight is withdrawn. It
+// is fair: the request's deadline may come at any time.
+func (l *actionList) addAnswer(ti int, r *attempt.Request, reject bool, format string) {
+	withdrawn := *r
+	withdrawn.Attempts = slices.Clone(r.Attempts)
+	for i := range withdrawn.Attempts {
+		if a := &withdrawn.Attempts[i]; a.Phase.IsInFlight() {
+			a.Phase, _ = l.model.machines.transition(a.Phase, attempt.Abandoned)
+		}
+	}
+	if l.model.machines.mayAnswer(&withdrawn, reject) != nil {
+		return
+	}
+	l.add(true, func(st *step) {
+		st.withdrawRequest(ti)
+		t := &st.s.tasks[ti]
+		t.owner, t.lastRejected = ownerWaiting, reject
+	}, format, ti)
+}
--- /dev/null
+++ b/internal/verify/modelcheck/host.go
@@ -0,0 +1,94 @@
+package modelcheck
+
+import (
+	"forkhead/internal/scheduler/hostsession"
+)
+
+// This file has what a host does with its state machines.
+
+// replyMessages are the messages that a host sends for the replies of its state machine. Accepted is not sent: where bound
+// means running it has no effect at the placer.
+var replyMessages = [...]messageKind{
+	hostsession.SendRejected: rejectedMessage,
+	hostsession.SendRunning:  runningMessage,
+	hostsession.SendEnded:    endedMessage,
+	hostsession.SendCanceled: canceledMessage,
+}
+
+// applyHostInput gives an attempt at a host an input and sends the reply.
+func (st *step) applyHostInput(hi, ti, ai int, in hostsession.Input) {
+	h := &st.s.hosts[hi]
+	var reply hostsession.Reply
+	h.attempts[ti][ai], reply = st.machines.hostTransition(h.attempts[ti][ai], in)
+	if kind := replyMessages[reply]; kind != 0 {
+		st.sendToPlacer(h, newMessage(kind, ti, ai))
+	}
+}
+
+func (st *step) sendToPlacer(h *host, m message) {
+	s := h.stream(h.sessionConn, h.sessionIncarnation)
+	if h.sessionOpen && s != nil && !s.sendToPlacer(m) {
+		st.queueFull = true
+	}
+}
+
+// endSession ends the session at a host: what is queued there is dropped.
+func (st *step) endSession(h *host) {
+	h.sessionOpen = false
+	if st.machines.keepQueueOnBreak {
+		return
+	}
+	for ti := range st.cfg.Tasks {
+		for ai := range maxAttempts {
+			h.attempts[ti][ai], _ = st.machines.hostTransition(h.attempts[ti][ai], hostsession.ConnectionLost)
+		}
+	}
+}
+
+// receiveAtHost handles a message of a placer that a host reads from a stream.
+func (st *step) receiveAtHost(hi int, s *stream, m message) {
+	if m.kind == helloMessage {
+		st.receiveHello(&st.s.hosts[hi], s)
+		return
+	}
+	ti, ai := m.attempt()
+	switch m.kind {
+	case offerMessage:
+		st.applyHostInput(hi, ti, ai, hostsession.Offer)
+	case withdrawMessage:
+		st.applyHostInput(hi, ti, ai, hostsession.Withdraw)
+	case stopMessage:
+		st.applyHostInput(hi, ti, ai, hostsession.Stop)
+	case queryMessage:
+		st.applyHostInput(hi, ti, ai, hostsession.Query)
+	}
+}
+
+// receiveHello begins a session on a stream, in place of an earlier one, and sends Welcome; or it closes a stale stream.
+func (st *step) receiveHello(h *host, s *stream) {
+	last := hostsession.Session{
+		Epoch: uint64(h.sessionIncarnation), Conn: uint32(h.sessionConn), Connected: h.sessionOpen,
+	}
+	if st.machines.checkHello(last, uint64(s.incarnation), uint32(s.conn)) == hostsession.HelloStale {
+		s.hostOpen = false
+		return
+	}
+	if h.sessionOpen {
+		old := h.stream(h.sessionConn, h.sessionIncarnation)
+		if old != nil && !st.machines.acceptOldConnection {
+			old.hostOpen = false
+			old.discardUndeliverable()
+		}
+		st.endSession(h)
+	}
+	h.sessionIncarnation, h.sessionConn, h.sessionOpen = s.incarnation, s.conn, true
+	welcome := message{kind: welcomeMessage, about: h.epoch}
+	for ti := range st.cfg.Tasks {
+		for ai := range maxAttempts {
+			if h.attempts[ti][ai].HoldsCapacity() {
+				welcome.list(ti, ai)
+			}
+		}
+	}
+	st.sendToPlacer(h, welcome)
+}
--- /dev/null
+++ b/internal/verify/modelcheck/injectedbugs.go
@@ -0,0 +1,183 @@
+package modelcheck
+
+import (
+	"errors"
+	"time"
+
+	"forkhead"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/hostsession"
+)
+
+// InjectedBug is a bug that a search can be run with, to show that the search finds what it is for.
+type InjectedBug struct {
+	Name        string
+	Description string
+	Property    string // name of the one of Properties that it breaks
+
+	// The smallest search that shows it.
+	Effect      forkhead.Effect // of the tasks
+	Faults      int             // that it takes
+	SpreadLimit int             // 0: none
+
+	inject func(*stateMachines)
+}
+
+// InjectedBugs are the bugs that can be injected. Their names and descriptions are printed, and stay.
+var InjectedBugs = []InjectedBug{
+	{
+		Name: "double-send", Property: "one-out", Effect: forkhead.Safe, Faults: 1,
+		Description: "an offer is legal while another is out",
+		inject:      func(m *stateMachines) { m.mayOffer = mayOfferExcept(attempt.ErrAttemptInFlight) },
+	},
+	{
+		Name: "unsafe-repeat", Property: "no-repeat", Effect: forkhead.Unsafe, Faults: 1,
+		Description: "an unsafe task is offered again in one ask after an attempt that may have run",
+		inject:      func(m *stateMachines) { m.mayOffer = mayOfferExcept(attempt.ErrMayHaveRun) },
+	},
+	{
+		Name: "window", Property: "no-repeat", Effect: forkhead.Keyed, Faults: 1,
+		Description: "a keyed task is offered again after hosts have forgotten its key",
+		inject:      func(m *stateMachines) { m.mayRequest = mayAlwaysRequest },
+	},
+	{
+		Name: "promise", Property: "promise", Effect: forkhead.Unsafe, Faults: 1,
+		Description: "a task that may run is told refused",
+		inject: func(m *stateMachines) {
+			m.rejectionIsHarmless = func(*attempt.Rules, bool, bool, int) bool { return true }
+		},
+	},
+	{
+		Name: "break-is-never", Property: "no-repeat", Effect: forkhead.Unsafe, Faults: 1,
+		Description: "an offer whose connection broke is taken never to have run",
+		inject:      replaceTransition(attempt.InFlight, attempt.ConnectionLost, attempt.NeverRan, attempt.ReportConnectFailed),
+	},
+	{
+		Name: "call-off-is-never", Property: "no-repeat", Effect: forkhead.Unsafe, Faults: 1,
+		Description: "an offer that was called off is taken never to have run",
+		inject:      replaceTransition(attempt.InFlight, attempt.Abandoned, attempt.NeverRan, attempt.ReportWithdrawn),
+	},
+	{
+		Name: "late-bind", Property: "one-outcome", Effect: forkhead.Safe, Faults: 1,
+		Description: "the reply to an attempt that was given up binds it",
+		inject:      replaceTransition(attempt.Unknown, attempt.Accepted, attempt.Placed, attempt.ReportBound),
+	},
+	{
+		Name: "silent-is-lost", Property: "no-repeat", Effect: forkhead.Unsafe, Faults: 1,
+		Description: "a task on a host out of reach is taken to have ended",
+		inject:      replaceTransition(attempt.Placed, attempt.ConnectionLost, attempt.Finished, attempt.ReportLost),
+	},
+	{
+		Name: "no-stray", Property: "no-leak", Effect: forkhead.Safe, Faults: 1,
+		Description: "an attempt that was given up and shows itself is neither adopted nor stopped",
+		inject:      func(m *stateMachines) { m.ignoreOrphans = true },
+	},
+	{
+		Name: "no-query", Property: "no-leak", Effect: forkhead.Unsafe, Faults: 1,
+		Description: "what a host does not list after a break is not asked about",
+		inject:      func(m *stateMachines) { m.skipQuery = true },
+	},
+	{
+		Name: "ask-early", Property: "no-repeat", Effect: forkhead.Unsafe, Faults: 1,
+		Description: "a task is asked for again while an attempt of an earlier ask is unknown",
+		inject:      func(m *stateMachines) { m.mayRequest = mayAlwaysRequest },
+	},
+	{
+		Name: "no-gate", Property: "no-repeat", Effect: forkhead.Unsafe, Faults: 1,
+		Description: "a new life of the placer does not wait for what hosts run",
+		inject: func(m *stateMachines) {
+			m.mustWaitForHosts = func(*attempt.Rules, bool, bool) bool { return false }
+		},
+	},
+	{
+		Name: "drain-at-write", Property: "drain", Effect: forkhead.Safe, Faults: 2,
+		Description: "a drain told between choosing and writing is not looked for again",
+		inject:      func(m *stateMachines) { m.skipDrainRecheck = true },
+	},
+	{
+		Name: "crowd-at-write", Property: "spread", Effect: forkhead.Safe, Faults: 1, SpreadLimit: 1,
+		Description: "a task of an earlier life that turned up between choosing and writing is not counted",
+		inject:      func(m *stateMachines) { m.skipSpreadRecheck = true },
+	},
+	{
+		Name: "keeps-line", Property: "no-repeat", Effect: forkhead.Unsafe, Faults: 1,
+		Description: "a host keeps offers in line whose connection ended, and says that it never saw them",
+		inject: func(m *stateMachines) {
+			m.keepQueueOnBreak = true
+			m.hostTransition = func(s hostsession.State, in hostsession.Input) (hostsession.State, hostsession.Reply) {
+				if s == hostsession.Queued && in == hostsession.Query {
+					return s, hostsession.SendRejected
+				}
+				return hostsession.Transition(s, in)
+			}
+		},
+	},
+	{
+		Name: "old-connection", Property: "no-repeat", Effect: forkhead.Unsafe, Faults: 1,
+		Description: "a host goes on reading an older connection beside the present one",
+		inject:      func(m *stateMachines) { m.acceptOldConnection = true },
+	},
+	{
+		Name: "adopt-beside", Property: "no-leak", Effect: forkhead.Safe, Faults: 1,
+		Description: "a stray is adopted while another attempt is out, which is not called off",
+		inject: func(m *stateMachines) {
+			m.shouldAdopt = func(wanted, _ bool) bool { return wanted }
+			m.skipWithdrawal = true
+		},
+	},
+	{
+		Name: "late-write", Property: "no-repeat", Effect: forkhead.Keyed, Faults: 1,
+		Description: "an offer that waited for its connection is written after hosts have forgotten its key",
+		inject: func(m *stateMachines) {
+			m.mayWrite = func(*attempt.Request, time.Duration, int) error { return nil }
+		},
+	},
+	{
+		Name: "ask-for-good", Property: "liveness", Effect: forkhead.Safe, Faults: 1,
+		Description: "an owner asks again for good",
+		inject:      func(m *stateMachines) { m.retryForever = true },
+	},
+	{
+		Name: "died-ignored", Property: "no-leak", Effect: forkhead.Unsafe, Faults: 1,
+		Description: "the end of a host's life settles nothing",
+		inject:      replaceTransition(attempt.Unknown, attempt.HostRestarted, attempt.Unknown, attempt.NoEffect),
+	},
+}
+
+// FindInjectedBug returns the bug with that name.
+func FindInjectedBug(name string) (*InjectedBug, bool) {
+	for i := range InjectedBugs {
+		if InjectedBugs[i].Name == name {
+			return &InjectedBugs[i], true
+		}
+	}
+	return nil, false
+}
+
+func mayAlwaysRequest(*attempt.Rules, time.Duration, int, time.Duration) (time.Duration, bool) {
+	return 0, true
+}
+
+// mayOfferExcept returns mayOffer without one of its errors.
+func mayOfferExcept(ignored error) func(*attempt.Request, time.Duration, attempt.HostID) error {
+	return func(r *attempt.Request, now time.Duration, to attempt.HostID) error {
+		if err := mayOffer(r, now, to); !errors.Is(err, ignored) {
+			return err
+		}
+		return nil
+	}
+}
+
+// replaceTransition injects another result of one input in one phase of an attempt.
+func replaceTransition(
+	phase attempt.Phase, input attempt.Input, next attempt.Phase, effect attempt.Effect,
+) func(*stateMachines) {
+	return func(m *stateMachines) {
+		m.transition = func(p attempt.Phase, in attempt.Input) (attempt.Phase, attempt.Effect) {
+			if p == phase && in == input {
+				return next, effect
+			}
+			return attempt.Transition(p, in)
+		}
+	}
+}
--- a/internal/verify/modelcheck/modelcheck_test.go
+++ b/internal/verify/modelcheck/modelcheck_test.go
@@ -1,37 +1,38 @@
 package modelcheck
 
 import (
-	"forkhead/internal/verify/doccheck"
 	"strings"
 	"testing"
 
+	"forkhead/internal/verify/doccheck"
+
 	"forkhead"
 )
 
-func small(effect forkhead.Effect) Config {
+func smallConfig(effect forkhead.Effect) Config {
 	return Config{Tasks: 1, Hosts: 2, Effect: effect, Requests: 2, Attempts: 2, Faults: 1}
 }
 
-// planted is the smallest search that shows a plant.
-func planted(p *InjectedBug) Config {
-	cfg := small(p.Effect)
-	cfg.InjectedBug, cfg.Faults, cfg.SpreadLimit = p.Name, p.Faults, p.SpreadLimit
-	if p.Faults > 1 {
+// configShowing returns the smallest search that shows a bug.
+func configShowing(bug *InjectedBug) Config {
+	cfg := smallConfig(bug.Effect)
+	cfg.InjectedBug, cfg.Faults, cfg.SpreadLimit = bug.Name, bug.Faults, bug.SpreadLimit
+	if bug.Faults > 1 {
 		cfg.Hosts = 1
 	}
-	if p.Property == "liveness" {
+	if bug.Property == "liveness" {
 		cfg.Hosts, cfg.FindCycles = 1, true
 	}
-	if p.SpreadLimit > 0 {
+	if bug.SpreadLimit > 0 {
 		cfg.Hosts, cfg.Tasks, cfg.Requests = 1, 2, 1
 	}
 	return cfg
 }
 
-// No fair run goes round: with the states in which nothing fair is left, that is liveness.
-func TestNoCycle(t *testing.T) {
+// No fair run has a cycle: with the states in which nothing fair is left, that is liveness.
+func TestRunFindsNoFairCycle(t *testing.T) {
 	for _, effect := range []forkhead.Effect{forkhead.Safe, forkhead.Keyed, forkhead.Unsafe} {
-		cfg := small(effect)
+		cfg := smallConfig(effect)
 		cfg.Hosts, cfg.FindCycles = 1, true
 		if effect == forkhead.Unsafe {
 			cfg.Hosts = 2
@@ -43,10 +44,10 @@
 	}
 }
 
-// With nothing planted every state is reached and no property is broken.
-func TestNothingFound(t *testing.T) {
+// Without an injected bug every state is reached and no property is broken.
+func TestRunFindsNoViolation(t *testing.T) {
 	for _, effect := range []forkhead.Effect{forkhead.Safe, forkhead.Keyed, forkhead.Unsafe} {
-		r, err := Run(small(effect))
+		r, err := Run(smallConfig(effect))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,7 +62,7 @@
 }
 
 // The spread is kept over a crash of the placer: two tasks of a service, of which a host may have one.
-func TestSpread(t *testing.T) {
+func TestRunKeepsSpreadLimit(t *testing.T) {
 	for _, effect := range []forkhead.Effect{forkhead.Safe, forkhead.Unsafe} {
 		r, err := Run(Config{Tasks: 2, Hosts: 1, Effect: effect, Requests: 1, Attempts: 1, Faults: 1, SpreadLimit: 1})
 		if err != nil || !r.Complete || len(r.Violations) > 0 {
@@ -71,20 +72,20 @@
 	}
 }
 
-// Each planted bug is found, as the property that it breaks.
-func TestPlants(t *testing.T) {
-	for _, p := range InjectedBugs {
-		cfg := planted(&p)
+// Each injected bug is found, as the property that it breaks.
+func TestRunFindsInjectedBugs(t *testing.T) {
+	for _, bug := range InjectedBugs {
+		cfg := configShowing(&bug)
 		r, err := Run(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(r.Violations) == 0 {
-			t.Errorf("%s: not found in %d states", p.Name, r.States)
+			t.Errorf("%s: not found in %d states", bug.Name, r.States)
 			continue
 		}
-		if v := r.Violations[0]; v.Property != p.Property {
-			t.Errorf("%s: found as %s (%s), want %s\n  %s", p.Name, v.Property, v.Message, p.Property, strings.Join(v.Trace, "\n  "))
+		if v := r.Violations[0]; v.Property != bug.Property {
+			t.Errorf("%s: found as %s (%s), want %s\n  %s", bug.Name, v.Property, v.Message, bug.Property, strings.Join(v.Trace, "\n  "))
 		}
 	}
 }
@@ -94,25 +95,25 @@
 	for _, p := range Properties {
 		doccheck.Contains(t, "docs/design/attempts.md", "| "+p.Name+" | "+p.Text+" |")
 	}
-	for _, p := range InjectedBugs {
-		doccheck.Contains(t, "docs/design/attempts.md", "`"+p.Name+"`")
+	for _, bug := range InjectedBugs {
+		doccheck.Contains(t, "docs/design/attempts.md", "`"+bug.Name+"`")
 	}
 }
 
 // A state is its bytes: two tasks, or two hosts, that change places are one state.
-func TestCanonical(t *testing.T) {
+func TestStateCanonical(t *testing.T) {
 	cfg := Config{Tasks: 3, Hosts: 2, Requests: 1, Attempts: 2, Faults: 1}
-	m := model{m: real(), cfg: cfg}
-	s := start(&cfg)
-	var acts []action
+	m := model{machines: productionMachines(), cfg: cfg}
+	s := initialState(&cfg)
 	for i := range 40 {
-		if acts = m.actions(&s, acts); len(acts) == 0 {
+		actions := m.actions(&s, nil)
+		if len(actions) == 0 {
 			break
 		}
 		next := s
 		st := step{model: &m, s: &next}
-		acts[(i*7)%len(acts)].do(&st)
-		if st.full || st.bad != "" {
+		actions[(i*7)%len(actions)].do(&st)
+		if st.queueFull || st.property != "" {
 			continue
 		}
 		s = next
@@ -141,31 +142,31 @@
 	b.ReportMetric(float64(states)/b.Elapsed().Seconds(), "states/s")
 }
 
-// The traces of planted bugs, played through the placer's real core, in which nothing is planted:
+// The traces of injected bugs, replayed through the placer's real core, which does not have them:
 // the step that broke a property is vetoed, or leads to nothing that should not be.
-func TestReplay(t *testing.T) {
-	for _, p := range InjectedBugs {
-		cfg := planted(&p)
+func TestReplayInjectedBugTraces(t *testing.T) {
+	for _, bug := range InjectedBugs {
+		cfg := configShowing(&bug)
 		r, err := Run(cfg)
 		if err != nil || len(r.Violations) == 0 {
-			t.Fatalf("%s: %v, %v", p.Name, r, err)
+			t.Fatalf("%s: %v, %v", bug.Name, r, err)
 		}
 		out, err := Replay(&Trace{Config: cfg, Violation: r.Violations[0]})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if out.BoundTwice && p.Effect == forkhead.Unsafe {
-			t.Errorf("%s: the real core lets an unsafe task be held twice: %+v", p.Name, out)
+		if out.BoundTwice && bug.Effect == forkhead.Unsafe {
+			t.Errorf("%s: the real core lets an unsafe task be held twice: %+v", bug.Name, out)
 		}
-		t.Logf("%s: %d vetoes, %d offers, %d starts, parted %q", p.Name, out.Vetoes, out.Offers, out.Starts, out.Divergence)
-		if p.Name == "double-send" && out.Vetoes != 1 {
+		t.Logf("%s: %d vetoes, %d offers, %d starts, parted %q", bug.Name, out.Vetoes, out.Offers, out.Starts, out.Divergence)
+		if bug.Name == "double-send" && out.Vetoes != 1 {
 			t.Errorf("%d vetoes of an offer beside one that is out", out.Vetoes)
 		}
 	}
 }
 
-// A run without a bug, played through the core, ends as the search says: placed, once.
-func TestReplayGood(t *testing.T) {
+// A run without a bug, replayed through the core, ends as the search says: placed, once.
+func TestReplayFollowsTrace(t *testing.T) {
 	cfg := Config{Tasks: 1, Hosts: 2, Effect: forkhead.Unsafe, Requests: 2, Attempts: 2, Faults: 1}
 	out, err := Replay(&Trace{Config: cfg, Violation: Violation{Trace: []string{
 		"task 0 is asked for", "module offers task 0 to host 0", "host 0 reads Offer", "host 0 accepts task 0",
--- /dev/null
+++ b/internal/verify/modelcheck/placer.go
@@ -0,0 +1,316 @@
+package modelcheck
+
+import (
+	"time"
+
+	"forkhead"
+	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/hostconn"
+)
+
+// This file has what the placer's core does with its state machines.
+
+// applyInput gives an attempt an input and does what the core does for the effect.
+func (st *step) applyInput(ti, ai int, in attempt.Input) {
+	t := &st.s.tasks[ti]
+	a := &t.attempts[ai]
+	if !a.isKnown(st.s.incarnation) {
+		return
+	}
+	before := a.phase
+	var effect attempt.Effect
+	a.phase, effect = st.machines.transition(before, in)
+	switch effect {
+	case attempt.ReportBound:
+		t.owner = ownerPlaced
+		st.notifyOwner(t, outcomePlaced)
+	case attempt.ReportWithdrawn:
+		st.sendWithdraw(ti, ai, before)
+	case attempt.ReportLost:
+		t.endPlacement(before, ownerWaiting)
+	case attempt.ReportEnded:
+		t.endPlacement(before, ownerDone)
+	case attempt.Orphaned:
+		st.handleOrphan(ti, ai)
+	case attempt.Reconnected:
+		if t.owner != ownerPlaced {
+			st.sendToHost(&st.s.hosts[a.host], newMessage(stopMessage, ti, ai))
+		}
+	case attempt.ProtocolViolation:
+		st.violate("absurd", "%v of an attempt that is %v", in, before)
+	}
+}
+
+// sendWithdraw withdraws an offer that was written on the host's present connection.
+func (st *step) sendWithdraw(ti, ai int, before attempt.Phase) {
+	a := &st.s.tasks[ti].attempts[ai]
+	h := &st.s.hosts[a.host]
+	if before == attempt.InFlight && h.isReady() && a.conn == h.conn {
+		st.sendToHost(h, newMessage(withdrawMessage, ti, ai))
+	}
+}
+
+// endPlacement ends a task's placement by the end of an attempt that was in the phase before.
+func (t *task) endPlacement(before attempt.Phase, next ownerState) {
+	wasPlaced := before == attempt.Placed || before == attempt.Unreachable
+	if wasPlaced && t.owner == ownerPlaced {
+		t.owner = next
+	}
+}
+
+// handleOrphan adopts or stops the task of an abandoned attempt that a host turns out to run.
+func (st *step) handleOrphan(ti, ai int) {
+	if st.machines.ignoreOrphans {
+		return
+	}
+	t := &st.s.tasks[ti]
+	if !st.shouldAdopt(t) {
+		st.sendToHost(&st.s.hosts[t.attempts[ai].host], newMessage(stopMessage, ti, ai))
+		return
+	}
+	if !st.machines.skipWithdrawal {
+		st.abandonInFlight(ti, func(other int) bool { return other != ai })
+	}
+	t.attempts[ai].phase = attempt.Placed
+	t.owner = ownerPlaced
+	st.notifyOwner(t, outcomePlaced)
+}
+
+// handleInherited adopts or stops what an earlier incarnation of the placer started.
+func (st *step) handleInherited(ti, ai int) {
+	t := &st.s.tasks[ti]
+	a := &t.attempts[ai]
+	h := &st.s.hosts[a.host]
+	if !st.shouldAdopt(t) {
+		st.sendToHost(h, newMessage(stopMessage, ti, ai))
+		return
+	}
+	a.phase, a.incarnation, a.hostEpoch, a.conn = attempt.Placed, st.s.incarnation, h.knownEpoch, h.conn
+	t.owner = ownerPlaced
+	st.notifyOwner(t, outcomePlaced)
+}
+
+func (st *step) shouldAdopt(t *task) bool {
+	var buf [maxAttempts]attempt.Attempt
+	r := st.request(t, &buf)
+	return st.machines.shouldAdopt(t.isWanted(), t.owner == ownerRequested && r.HasAttemptInFlight())
+}
+
+// abandonInFlight abandons a task's attempts that are in flight and that selected returns true for.
+func (st *step) abandonInFlight(ti int, selected func(ai int) bool) {
+	t := &st.s.tasks[ti]
+	for ai := range t.made() {
+		if a := &t.attempts[ai]; a.isKnown(st.s.incarnation) && a.phase.IsInFlight() && selected(ai) {
+			st.applyInput(ti, ai, attempt.Abandoned)
+		}
+	}
+}
+
+// withdrawRequest abandons what is in flight of a task's present request.
+func (st *step) withdrawRequest(ti int) {
+	t := &st.s.tasks[ti]
+	st.abandonInFlight(ti, func(ai int) bool { return t.attempts[ai].request == t.requests })
+}
+
+// offer makes an attempt at a host. It is written at once where the connection allows it, or else once it does.
+func (st *step) offer(ti, hi int) {
+	t := &st.s.tasks[ti]
+	ai := int(t.attemptCount)
+	t.attempts[ai] = taskAttempt{
+		phase: attempt.Waiting, host: uint8(hi), request: t.requests, incarnation: st.s.incarnation,
+	}
+	t.attemptCount++
+	if st.s.hosts[hi].isReady() {
+		st.writeOffer(ti, ai)
+	}
+}
+
+// writeOffer writes an offer, if it may still be sent.
+func (st *step) writeOffer(ti, ai int) {
+	a := &st.s.tasks[ti].attempts[ai]
+	h := &st.s.hosts[a.host]
+	if !st.mayWrite(ti, ai) {
+		st.applyInput(ti, ai, attempt.ConnectionLost)
+		return
+	}
+	a.hostEpoch, a.conn = h.knownEpoch, h.conn
+	st.applyInput(ti, ai, attempt.OfferWritten)
+	st.checkOffer(ti, ai)
+	st.sendToHost(h, newMessage(offerMessage, ti, ai))
+}
+
+// mayWrite checks an offer again that was decided on some time ago.
+func (st *step) mayWrite(ti, ai int) bool {
+	t := &st.s.tasks[ti]
+	hi := int(t.attempts[ai].host)
+	if !st.machines.skipDrainRecheck && st.drainGraceExpired(&st.s.hosts[hi]) {
+		return false
+	}
+	var buf [maxAttempts]attempt.Attempt
+	r := st.request(t, &buf)
+	number := len(r.Attempts) - 1 // the one that waits is the last
+	if st.machines.mayWrite(&r, t.now(), number) != nil {
+		return false
+	}
+	return st.machines.skipSpreadRecheck || !st.atSpreadLimit(hi, ti, ai)
+}
+
+// noAttempt as an index means that no attempt is left out.
+const noAttempt = -1
+
+// atSpreadLimit reports whether a host has as many of the service's tasks as it may, not counting one attempt.
+func (st *step) atSpreadLimit(hi, exceptTask, exceptAttempt int) bool {
+	if st.cfg.SpreadLimit == 0 {
+		return false
+	}
+	n := 0
+	st.forEachUnsettled(hi, func(ti, ai int) {
+		if (ti != exceptTask || ai != exceptAttempt) && st.s.tasks[ti].attempts[ai].phase.IsLive() {
+			n++
+		}
+	})
+	return n >= st.cfg.SpreadLimit
+}
+
+// drainGraceExpired reports whether the placer must not write offers to a host any more.
+func (st *step) drainGraceExpired(h *host) bool {
+	machineState, now := forkhead.Ready, time.Duration(0)
+	if h.drainView != drainUnknown {
+		machineState = forkhead.Draining
+	}
+	if h.drainView == drainGraceOver {
+		now = afterDrainGrace
+	}
+	return st.machines.drainGraceExpired(now, machineState, 0, drainGrace)
+}
+
+// isReady reports whether the placer may write offers to a host.
+func (h *host) isReady() bool { return h.connState == hostconn.Up && h.holdsReceived }
+
+func (st *step) sendToHost(h *host, m message) {
+	s := h.stream(h.conn, st.s.incarnation)
+	if s != nil && s.placerOpen && !s.sendToHost(m) {
+		st.queueFull = true
+	}
+}
+
+// hostAddress of any host: addresses do not change.
+const hostAddress = "a"
+
+// applyConnectionInput gives the connection to a host an input and does what its output says.
+func (st *step) applyConnectionInput(hi int, in hostconn.Input) {
+	h := &st.s.hosts[hi]
+	c := hostconn.Connection{
+		State: h.connState, Listed: true, Address: hostAddress, Conn: uint32(h.conn), Epoch: uint64(h.knownEpoch),
+	}
+	in.Address = hostAddress
+	out := st.machines.handleConnection(&c, in)
+	h.connState, h.conn, h.knownEpoch = c.State, uint8(c.Conn), uint8(c.Epoch)
+	if out.CloseConn {
+		st.closeAtPlacer(h, uint8(out.ConnToClose))
+	}
+	if out.AttemptsDisconnected {
+		h.holdsReceived = false
+		st.forEachUnsettled(hi, func(ti, ai int) { st.applyInput(ti, ai, attempt.ConnectionLost) })
+	}
+	if out.HostRestarted {
+		st.endEarlierEpochs(hi)
+	}
+	if out.Dial {
+		if h.streams[1].conn != 0 {
+			st.queueFull = true // the older connection still lingers
+			return
+		}
+		h.streams[1], h.streams[0] = h.streams[0], stream{}
+	}
+	if out.SendHello {
+		h.streams[0] = stream{conn: h.conn, incarnation: st.s.incarnation, placerOpen: true, hostOpen: true}
+		st.sendToHost(h, message{kind: helloMessage})
+	}
+}
+
+// endEarlierEpochs ends the attempts that were written to an earlier epoch of a host.
+func (st *step) endEarlierEpochs(hi int) {
+	st.forEachUnsettled(hi, func(ti, ai int) {
+		a := &st.s.tasks[ti].attempts[ai]
+		if a.phase != attempt.Waiting && a.hostEpoch < st.s.hosts[hi].knownEpoch {
+			st.applyInput(ti, ai, attempt.HostRestarted)
+		}
+	})
+}
+
+// connect dials a host and writes Hello, in one step: a dial that fails is a connection that breaks before anything is
+// read from it.
+func (st *step) connect(hi int) {
+	st.applyConnectionInput(hi, hostconn.Input{Kind: hostconn.RetryDue})
+	st.applyConnectionInput(hi, hostconn.Input{Kind: hostconn.Dialed, Conn: uint32(st.s.hosts[hi].conn)})
+}
+
+func (st *step) closeAtPlacer(h *host, conn uint8) {
+	if s := h.stream(conn, st.s.incarnation); s != nil {
+		s.placerOpen = false
+		s.discardUndeliverable()
+	}
+}
+
+// receiveFromHost handles a message of a host at the placer.
+func (st *step) receiveFromHost(hi int, m message) {
+	if m.kind == welcomeMessage {
+		st.receiveWelcome(hi, m)
+		return
+	}
+	ti, ai := m.attempt()
+	a := &st.s.tasks[ti].attempts[ai]
+	if !a.isKnown(st.s.incarnation) || a.phase.IsSettled() {
+		return
+	}
+	switch m.kind {
+	case rejectedMessage:
+		st.applyInput(ti, ai, st.machines.rejectionInput(a.phase))
+	case canceledMessage:
+		st.applyInput(ti, ai, attempt.Rejected)
+	case runningMessage:
+		st.applyInput(ti, ai, attempt.Accepted)
+	case endedMessage:
+		st.applyInput(ti, ai, attempt.Ended)
+	}
+}
+
+// receiveWelcome handles a Welcome with the list of what the host holds. Then offers that waited for the connection are
+// written, and attempts that should be on the list and are not are queried.
+func (st *step) receiveWelcome(hi int, m message) {
+	h := &st.s.hosts[hi]
+	st.applyConnectionInput(hi, hostconn.Input{Kind: hostconn.Welcomed, Conn: uint32(h.conn), Epoch: uint64(m.about)})
+	if h.connState != hostconn.Up {
+		return
+	}
+	for ti := range st.cfg.Tasks {
+		for ai := range maxAttempts {
+			if m.lists(ti, ai) {
+				st.receiveListed(h, ti, ai)
+			}
+		}
+	}
+	h.holdsReceived = true
+	st.forEachUnsettled(hi, func(ti, ai int) {
+		a := &st.s.tasks[ti].attempts[ai]
+		switch {
+		case a.phase == attempt.Waiting:
+			st.writeOffer(ti, ai)
+		case !m.lists(ti, ai) && a.hostEpoch == h.knownEpoch && a.conn != h.conn && !st.machines.skipQuery:
+			st.sendToHost(h, newMessage(queryMessage, ti, ai))
+		}
+	})
+}
+
+// receiveListed handles an attempt that a host lists.
+func (st *step) receiveListed(h *host, ti, ai int) {
+	switch a := &st.s.tasks[ti].attempts[ai]; {
+	case !a.isKnown(st.s.incarnation):
+		st.handleInherited(ti, ai)
+	case a.phase.IsSettled():
+		st.sendToHost(h, newMessage(stopMessage, ti, ai))
+	default:
+		st.applyInput(ti, ai, attempt.ListedByHost)
+	}
+}
--- a/internal/verify/modelcheck/search.go
+++ b/internal/verify/modelcheck/search.go
@@ -10,348 +10,228 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"forkhead"
-	"forkhead/internal/scheduler/attempt"
 	"forkhead/internal/scheduler/hostconn"
 )
 
-// Config bounds a search. It is stored with a violation's trace: the names in its tags are those of traces that exist.
-type Config struct {
-	Tasks, Hosts int             // at least 1; at most maxTasks and maxHosts
-	Effect       forkhead.Effect // of a repeated start of a task
-	Requests     int             `json:"Asks"` // most placement requests of a task in one incarnation of the placer
-	Attempts     int             // most attempts of a task in all requests and incarnations; 1 to maxAttempts
-	Faults       int             // most faults in all: connections cut, hosts that die or drain, crashes of the placer
-	NoCrash      bool            // the placer does not crash
-	TasksEnd     bool            `json:"Ends"`   // tasks may end by themselves
-	FindCycles   bool            `json:"Cycles"` // also search for cycles of fair steps; takes 16 bytes more a step
-	SpreadLimit  int             `json:"Spread"` // all tasks are of one service, of which a host may have so many; 0: no limit
-	InjectedBug  string          `json:"Plant"`  // name of one of InjectedBugs; "": none
-	Workers      int             // goroutines; 0: one a processor
-	MaxStates    int             `json:"MostStates"` // the search stops after so many; 0: defaultMaxStates
+// StateSize is the size of a state in bytes.
+const StateSize = int(unsafe.Sizeof(state{}))
 
-	// Progress, unless it is nil, is called after each level of the search.
-	Progress func(states, depth int) `json:"-"`
+// search is a breadth-first search of all states. States are known by their hashes: two that share one are taken for one.
+// At 100 million states the chance that any two do is 3 in 10,000.
+type search struct {
+	model
+	known [shardCount]shard // by hash
 
-	keyed bool
-	named bool
-}
+	states    atomic.Int64
+	steps     atomic.Int64
+	endStates atomic.Int64
 
-// Violation is a property that does not hold, with a shortest trace to where it breaks.
-type Violation struct {
-	Property string   `json:"property"`
-	Message  string   `json:"why"`
-	Trace    []string `json:"trace"`
-}
+	mu       sync.Mutex
+	findings []finding
 
-// Trace is a violation with the search that found it, as it is stored in a file.
-type Trace struct {
-	Config    Config
-	Violation Violation
+	fairSteps [][]fairStep // by worker; only for Config.FindCycles
 }
 
-// Result is the result of a search.
-type Result struct {
-	States      int           `json:"states"`
-	Steps       int           `json:"steps"` // transitions between states
-	EndStates   int           `json:"ends"`  // states without a fair step
-	Depth       int           `json:"depth"` // of the search: steps from the first state to the farthest
-	Complete    bool          `json:"complete"`
-	Violations  []Violation   `json:"violations"`
-	Duration    time.Duration `json:"took"`
-	MemoryBytes uint64        `json:"bytes"` // obtained from the operating system by the end
-}
+const shardCount = 256
 
-// Properties and what each says.
-var Properties = []struct{ Name, Text string }{
-	{"one-outcome", "A task is told one outcome in one life of its placer."},
-	{"liveness", "Where nothing fair is left to happen, every task has been told its outcome; and fair steps never lead round in a circle, so a fair run comes there."},
-	{"one-out", "No offer is written while another of the same ask is waiting or unanswered."},
-	{"no-repeat", "No offer of an unsafe task, or of a keyed one after its window, is written while an earlier attempt of any ask or life may run or have run, unless the placer knows that it is over and the ask is a new one; and no unsafe task starts while another start of it runs."},
-	{"drain", "No offer is written to a host after the grace of a drain that the placer was told of."},
-	{"spread", "Where the search has a spread, no offer is written to a host that has as many of the service's tasks, waiting, out, placed or silent, as it may."},
-	{"after-outcome", "No offer is written for a task that was told refused or failed."},
-	{"promise", "No unsafe task is told refused while an attempt that the placer does not know the fate of may run."},
-	{"no-leak", "Where nothing fair is left to happen, every attempt is settled or placed, every task that a host holds is some owner's placed one, and every placed one is held."},
-	{"absurd", "No host that follows its machine says what the placer's machine calls absurd."},
+// shard is a part of the known states.
+type shard struct {
+	mu      sync.Mutex
+	origins map[uint64]origin
 }
 
-// defaultMaxStates bounds a search whose Config does not; so many take about 8 GiB.
-const defaultMaxStates = 100_000_000
-
-const shards = 256
-
-type entry struct {
+// origin is how a state was reached first: by the action with that index in the parent's list.
+type origin struct {
 	parent uint64
 	action uint16
 }
 
-type shard struct {
-	mu   sync.Mutex
-	seen map[uint64]entry
+// finding is a property that does not hold.
+type finding struct {
+	hash     uint64 // of the state from which the action leads
+	action   int    // index in the state's list; inState: the state itself breaks the property
+	property string
+	message  string
 }
 
-type search struct {
-	model
-	shards [shards]shard
-	count  atomic.Int64
-	steps  atomic.Int64
-	ends   atomic.Int64
-	mu     sync.Mutex
-	found  []hit
-	edges  [][][2]uint64 // of fair steps, by worker
-}
+// inState as the action of a finding means that no action is needed.
+const inState = -1
 
-type hit struct {
-	hash     uint64 // of the state from which
-	action   int    // this action breaks it; -1: the state itself does
-	property string
-	why      string
-}
+// maxFindings bounds what is kept of one level of the search: one is reported.
+const maxFindings = 100
 
 // Run searches breadth first, so that the first violation has a shortest trace.
 func Run(cfg Config) (*Result, error) {
-	if cfg.Tasks < 1 || cfg.Tasks > maxTasks || cfg.Hosts < 1 || cfg.Hosts > maxHosts || cfg.Attempts < 1 || cfg.Attempts > maxAttempts {
-		return nil, fmt.Errorf("%d tasks, %d hosts and %d attempts: want 1 to %d, 1 to %d and 1 to %d", cfg.Tasks, cfg.Hosts, cfg.Attempts, maxTasks, maxHosts, maxAttempts)
+	cfg, err := cfg.withDefaults()
+	if err != nil {
+		return nil, err
 	}
-	s := &search{model: model{m: real(), cfg: cfg, rules: attempt.Rules{Effect: cfg.Effect, DedupWindow: 10 * second, MaxAttempts: 2}}}
-	s.cfg.keyed = cfg.Effect == forkhead.Keyed
+	s := &search{model: newModel(cfg)}
 	if cfg.InjectedBug != "" {
-		p, ok := FindInjectedBug(cfg.InjectedBug)
+		bug, ok := FindInjectedBug(cfg.InjectedBug)
 		if !ok {
 			return nil, fmt.Errorf("no plant is named %q", cfg.InjectedBug)
 		}
-		p.inject(&s.m)
-	}
-	if cfg.Workers == 0 {
-		s.cfg.Workers = runtime.GOMAXPROCS(0)
+		bug.inject(&s.machines)
 	}
-	if cfg.MaxStates == 0 {
-		s.cfg.MaxStates = defaultMaxStates
+	for i := range s.known {
+		s.known[i].origins = map[uint64]origin{}
 	}
-	for i := range s.shards {
-		s.shards[i].seen = map[uint64]entry{}
-	}
-	return s.run()
+	s.fairSteps = make([][]fairStep, cfg.Workers)
+	return s.run(), nil
 }
 
-// start is a placer that is connected to all its hosts: how it came to be is part of what follows
-// each break, and nothing is lost by beginning there.
-func start(cfg *Config) state {
+// initialState has a placer that is connected to all its hosts: how that came to be is part of what follows each break, so
+// nothing is missed by a search that begins there.
+func initialState(cfg *Config) state {
 	var s state
 	for hi := range cfg.Hosts {
 		h := &s.hosts[hi]
-		h.up, h.epoch, h.known, h.conn, h.ready, h.link = 1, 1, 1, 1, 1, uint8(hostconn.Up)
-		h.sConn, h.sOpen = 1, 1
-		h.streams[0] = stream{num: 1, pOpen: 1, hOpen: 1}
+		h.up, h.epoch = true, 1
+		h.connState, h.conn, h.knownEpoch, h.holdsReceived = hostconn.Up, 1, 1, true
+		h.sessionConn, h.sessionOpen = 1, true
+		h.streams[0] = stream{conn: 1, placerOpen: true, hostOpen: true}
 	}
 	return s
 }
 
-func (s *search) run() (*Result, error) {
+func (s *search) run() *Result {
 	began := time.Now()
-	root := start(&s.cfg)
+	root := initialState(&s.cfg)
 	root = root.canonical(s.cfg.Tasks, s.cfg.Hosts)
-	s.edges = make([][][2]uint64, s.cfg.Workers)
-	frontier := []state{root}
-	s.add(xxhash.Sum64(root.bytes()), 0, 0)
+	s.addState(xxhash.Sum64(root.bytes()), origin{})
 	r := &Result{Complete: true, Violations: []Violation{}}
-	for len(frontier) > 0 && len(s.found) == 0 {
-		if int(s.count.Load()) > s.cfg.MaxStates {
+	s.searchLevels(root, r)
+	if s.cfg.FindCycles && len(s.findings) == 0 && r.Complete {
+		if hash, ok := findCycle(s.fairSteps); ok {
+			s.addFinding(finding{hash, inState, "liveness", "fair steps lead from this state back to it: the service may go round for good"})
+		}
+	}
+	if len(s.findings) > 0 { // all are at one depth: one is enough
+		f := s.findings[0]
+		r.Complete = false
+		r.Violations = append(r.Violations, Violation{Property: f.property, Message: f.message, Trace: s.trace(root, f)})
+	}
+	r.States, r.Steps, r.EndStates = int(s.states.Load()), int(s.steps.Load()), int(s.endStates.Load())
+	r.Duration = time.Since(began)
+	var m runtime.MemStats
+	runtime.ReadMemStats(&m)
+	r.MemoryBytes = m.Sys
+	return r
+}
+
+// searchLevels expands level after level until there are no further states, or a property is broken, or there are too many
+// states.
+func (s *search) searchLevels(root state, r *Result) {
+	frontier := []state{root}
+	for len(frontier) > 0 && len(s.findings) == 0 {
+		if int(s.states.Load()) > s.cfg.MaxStates {
 			r.Complete = false
-			break
+			return
 		}
-		frontier = s.level(frontier)
+		frontier = s.expandLevel(frontier)
 		if len(frontier) > 0 {
 			r.Depth++
 		}
 		if s.cfg.Progress != nil {
-			s.cfg.Progress(int(s.count.Load()), r.Depth)
-		}
-	}
-	if s.cfg.FindCycles && len(s.found) == 0 && r.Complete {
-		if at, ok := s.cycle(); ok {
-			s.found = append(s.found, hit{at, -1, "liveness", "fair steps lead from this state back to it: the service may go round for good"})
+			s.cfg.Progress(int(s.states.Load()), r.Depth)
 		}
 	}
-	for _, h := range s.found {
-		r.Violations = append(r.Violations, Violation{Property: h.property, Message: h.why, Trace: s.trace(root, h)})
-		break // of one depth, one is enough
-	}
-	r.Complete = r.Complete && len(s.found) == 0
-	r.States, r.Steps, r.EndStates, r.Duration = int(s.count.Load()), int(s.steps.Load()), int(s.ends.Load()), time.Since(began)
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	r.MemoryBytes = m.Sys
-	return r, nil
 }
 
-// level expands a frontier on all workers and returns the next one.
-func (s *search) level(frontier []state) []state {
-	const chunk = 256
-	var at atomic.Int64
-	parts := make([][]state, s.cfg.Workers)
+// expandLevel expands the states of a level on all workers and returns the next level.
+func (s *search) expandLevel(frontier []state) []state {
+	const chunk = 256 // states that a worker takes at once
+	var taken atomic.Int64
+	workers := make([]worker, s.cfg.Workers)
 	var wait sync.WaitGroup
-	for w := range s.cfg.Workers {
-		wait.Add(1)
-		go func() {
-			defer wait.Done()
-			var acts []action
-			for {
-				from := int(at.Add(chunk)) - chunk
-				if from >= len(frontier) {
-					return
-				}
-				for i := from; i < min(from+chunk, len(frontier)); i++ {
-					parts[w], acts = s.expand(&frontier[i], parts[w], acts, w)
+	for i := range workers {
+		wait.Go(func() {
+			w := worker{search: s}
+			for first := int(taken.Add(chunk)) - chunk; first < len(frontier); first = int(taken.Add(chunk)) - chunk {
+				for j := first; j < min(first+chunk, len(frontier)); j++ {
+					w.expand(&frontier[j])
 				}
 			}
-		}()
+			s.fairSteps[i] = append(s.fairSteps[i], w.fairSteps...)
+			workers[i] = w
+		})
 	}
 	wait.Wait()
 	n := 0
-	for _, p := range parts {
-		n += len(p)
+	for i := range workers {
+		n += len(workers[i].next)
 	}
-	out := make([]state, 0, n)
-	for _, p := range parts {
-		out = append(out, p...)
+	next := make([]state, 0, n)
+	for i := range workers {
+		next = append(next, workers[i].next...)
 	}
-	return out
+	return next
+}
+
+// worker expands states of one level.
+type worker struct {
+	*search
+	next      []state    // states of the next level that it found first
+	fairSteps []fairStep // only for Config.FindCycles
+	actions   []action   // reused
 }
 
-func (s *search) expand(from *state, out []state, acts []action, w int) ([]state, []action) {
+// expand takes all actions that are possible in a state.
+func (w *worker) expand(from *state) {
 	hash := xxhash.Sum64(from.bytes())
-	acts = s.actions(from, acts)
-	fair := false
-	for i := range acts {
-		next := *from
-		st := step{model: &s.model, s: &next}
-		acts[i].do(&st)
-		if st.full {
-			// A queue is full. The program's own are longer and end their connection when they are, so
-			// a state that goes on only here is not an end of anything.
-			fair = fair || acts[i].fair
+	w.actions = w.model.actions(from, w.actions)
+	hasFair := false
+	for i := range w.actions {
+		a := &w.actions[i]
+		hasFair = hasFair || a.fair
+		to := *from
+		st := step{model: &w.model, s: &to}
+		a.do(&st)
+		if st.queueFull {
+			// The programs' queues are longer, and end their connection when they are full. So a state that goes on only
+			// by such an action is not an end state.
 			continue
 		}
-		fair = fair || acts[i].fair
-		s.steps.Add(1)
-		if st.bad != "" {
-			s.hit(hit{hash, i, st.bad, st.why})
+		w.steps.Add(1)
+		if st.property != "" {
+			w.addFinding(finding{hash, i, st.property, st.message})
 			continue
 		}
-		c := next.canonical(s.cfg.Tasks, s.cfg.Hosts)
-		to := xxhash.Sum64(c.bytes())
-		if s.add(to, hash, uint16(i)) {
-			out = append(out, c)
-		}
-		if s.cfg.FindCycles && acts[i].fair {
-			s.edges[w] = append(s.edges[w], [2]uint64{hash, to})
-		}
-	}
-	if !fair {
-		s.ends.Add(1)
-		if property, why := s.checkEnd(from); property != "" {
-			s.hit(hit{hash, -1, property, why})
-		}
-	}
-	return out, acts
-}
-
-// cycle looks for a cycle of fair steps: states are taken off as long as none that is left leads to
-// them; what cannot be taken off lies on a cycle, or behind one.
-func (s *search) cycle() (at uint64, found bool) {
-	into := map[uint64]int32{}
-	next := map[uint64][]uint64{}
-	for _, part := range s.edges {
-		for _, e := range part {
-			into[e[1]]++
-			next[e[0]] = append(next[e[0]], e[1])
-		}
-	}
-	var free []uint64
-	for from := range next {
-		if into[from] == 0 {
-			free = append(free, from)
+		canonical := to.canonical(w.cfg.Tasks, w.cfg.Hosts)
+		toHash := xxhash.Sum64(canonical.bytes())
+		if w.addState(toHash, origin{hash, uint16(i)}) {
+			w.next = append(w.next, canonical)
 		}
-	}
-	for len(free) > 0 {
-		from := free[len(free)-1]
-		free = free[:len(free)-1]
-		for _, to := range next[from] {
-			if into[to]--; into[to] == 0 {
-				free = append(free, to)
-			}
+		if w.cfg.FindCycles && a.fair {
+			w.fairSteps = append(w.fairSteps, fairStep{hash, toHash})
 		}
-		delete(next, from)
 	}
-	for from := range next {
-		if into[from] > 0 && (!found || from < at) {
-			at, found = from, true
+	if !hasFair {
+		w.endStates.Add(1)
+		if property, message := w.checkEndState(from); property != "" {
+			w.addFinding(finding{hash, inState, property, message})
 		}
 	}
-	return at, found
 }
 
-func (s *search) hit(h hit) {
+func (s *search) addFinding(f finding) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.found) < 100 {
-		s.found = append(s.found, h)
+	if len(s.findings) < maxFindings {
+		s.findings = append(s.findings, f)
 	}
 }
 
-// add notes a state by its hash; it is false if it is known. Two states with one 64-bit hash are
-// taken for one: at 100 million states the chance that any two are is 3 in 10,000.
-func (s *search) add(hash, parent uint64, act uint16) bool {
-	sh := &s.shards[hash%shards]
+// addState makes a state known by its hash. It returns false if it is known already.
+func (s *search) addState(hash uint64, o origin) bool {
+	sh := &s.known[hash%shardCount]
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	if _, ok := sh.seen[hash]; ok {
+	if _, ok := sh.origins[hash]; ok {
 		return false
 	}
-	sh.seen[hash] = entry{parent, act}
-	s.count.Add(1)
+	sh.origins[hash] = o
+	s.states.Add(1)
 	return true
 }
-
-// trace walks back from a hit to the root, and forward again on states as they are, not on
-// canonical ones, so that task 1 stays task 1 throughout.
-func (s *search) trace(root state, h hit) []string {
-	rootHash := xxhash.Sum64(root.bytes())
-	var want []uint64
-	for at := h.hash; at != rootHash; {
-		want = append(want, at)
-		at = s.shards[at%shards].seen[at].parent
-	}
-	s.cfg.named = true
-	defer func() { s.cfg.named = false }()
-	cur := root
-	var lines []string
-	take := func(good func(next *state, st *step) bool) {
-		for _, a := range s.actions(&cur, nil) {
-			next := cur
-			st := step{model: &s.model, s: &next}
-			a.do(&st)
-			if !st.full && good(&next, &st) {
-				lines = append(lines, a.name)
-				cur = next
-				return
-			}
-		}
-		lines = append(lines, "(two states share a hash: the trace is lost here)")
-	}
-	for i := len(want) - 1; i >= 0; i-- {
-		take(func(next *state, st *step) bool {
-			c := next.canonical(s.cfg.Tasks, s.cfg.Hosts)
-			return st.bad == "" && xxhash.Sum64(c.bytes()) == want[i]
-		})
-	}
-	if h.action >= 0 {
-		take(func(_ *state, st *step) bool { return st.bad == h.property })
-	}
-	return lines
-}
-
-// StateSize is how many bytes a state takes.
-const StateSize = int(unsafe.Sizeof(state{}))
--- a/internal/verify/modelcheck/state.go
+++ b/internal/verify/modelcheck/state.go
@@ -1,273 +1,229 @@
-// Package modelcheck searches all states of a small service: the machines that the placer and the
-// hosts run on (attempt, hostlink, hostside and the guard's drain rule), composed with a network that
-// loses, delays and cuts, hosts that die and come back, a placer that crashes, drains, and timers
-// that may fire at any time. In the module's place stands every legal action at any moment.
 package modelcheck
 
 import (
 	"unsafe"
 
 	"forkhead/internal/scheduler/attempt"
+	"forkhead/internal/scheduler/hostconn"
 	"forkhead/internal/scheduler/hostsession"
 )
 
-// Bounds of the arrays.
+// Bounds of the arrays in a state.
 const (
 	maxTasks    = 3
 	maxHosts    = 2
-	maxAttempts = 3 // of one task, over all asks and lives
-	maxQueue    = 4 // messages on their way on one connection, one way
+	maxAttempts = 3 // of one task, in all requests and incarnations
+	maxQueue    = 4 // messages under way on one connection in one direction
 )
 
-// forgotten is the phase of an attempt that an earlier life of the placer made.
-const forgotten = 7
-
-// State has no pointers and no padding: all fields are bytes, so that it can be hashed as such.
+// state is a state of the whole system: owners, placer, network and hosts. It has no pointers and no padding: all fields
+// are single bytes, so that it is hashed, compared and copied as bytes. The order of the fields decides which of several
+// symmetric states is the canonical one.
 type state struct {
-	tasks  [maxTasks]task
-	hosts  [maxHosts]host
-	life   uint8
-	faults uint8 // used up
+	tasks       [maxTasks]task
+	hosts       [maxHosts]host
+	incarnation uint8 // of the placer, counted from 0
+	faults      uint8 // that have happened
 }
 
-// Owner's states.
+// ownerState is the state of a task at its owner.
+type ownerState uint8
+
 const (
-	waiting uint8 = iota
-	asking
-	placed
-	done
+	ownerWaiting   ownerState = iota // wants the task placed, without a request
+	ownerRequested                   // has a placement request open
+	ownerPlaced                      // has the task placed
+	ownerDone                        // wants nothing any more
 )
 
-// Outcomes.
+// outcome is what an owner was notified of, in one incarnation of the placer.
+type outcome uint8
+
 const (
-	untold uint8 = iota
-	toldPlaced
-	toldRefused
-	toldFailed
+	outcomeNone outcome = iota
+	outcomePlaced
+	outcomeRejected
+	outcomeFailed
 )
 
 type task struct {
-	owner   uint8
-	told    uint8
-	n       uint8 // attempts made
-	asks    uint8 // in this life
-	refused uint8 // how its last ask ended
-	late    uint8 // 1: hosts have forgotten its key
-	att     [maxAttempts]att
+	owner         ownerState
+	outcome       outcome
+	attemptCount  uint8 // attempts made
+	requests      uint8 // made in this incarnation of the placer
+	lastRejected  bool  // its last request was rejected, not failed
+	windowExpired bool  // hosts have forgotten its deduplication key
+	attempts      [maxAttempts]taskAttempt
 }
 
-type att struct {
-	phase uint8
-	host  uint8
-	epoch uint8 // of the host when it was written
-	conn  uint8 // on which it was written
-	ask   uint8
-	life  uint8 // of the placer that made it
+type taskAttempt struct {
+	phase       attempt.Phase // or forgotten
+	host        uint8
+	hostEpoch   uint8 // when the offer was written
+	conn        uint8 // on which the offer was written
+	request     uint8 // of its task, counted from 1
+	incarnation uint8 // of the placer that made it
 }
 
+// forgotten is the phase of an attempt that an earlier incarnation of the placer made.
+const forgotten attempt.Phase = 7
+
+// drainView is what the placer knows of a host's drain.
+type drainView uint8
+
+const (
+	drainUnknown drainView = iota
+	drainNotified
+	drainGraceOver
+)
+
 type host struct {
-	up      uint8
-	epoch   uint8
-	drains  uint8
-	told    uint8 // 1: the placer was told, 2: and the grace is over
-	link    uint8
-	conn    uint8
-	known   uint8 // the epoch that the link knows
-	ready   uint8 // Welcome and Holds have come
-	sLife   uint8 // the session at the host
-	sConn   uint8
-	sOpen   uint8
-	jobs    [maxTasks][maxAttempts]uint8
-	streams [2]stream
+	up       bool
+	epoch    uint8
+	draining bool
+
+	// At the placer.
+	drainView     drainView
+	connState     hostconn.State
+	conn          uint8
+	knownEpoch    uint8
+	holdsReceived bool // after Welcome: offers may be written
+
+	// At the host.
+	sessionIncarnation uint8 // of the placer
+	sessionConn        uint8
+	sessionOpen        bool
+	attempts           [maxTasks][maxAttempts]hostsession.State
+
+	streams [2]stream // the newest first
 }
 
 // stream is one TCP connection: it may be closed at one end and not yet at the other.
 type stream struct {
-	num   uint8 // 0: none
-	life  uint8
-	pOpen uint8 // at the placer
-	hOpen uint8 // at the host
-	dead  uint8 // cut: nothing gets through any more
-	nth   uint8
-	ntp   uint8
-	th    [maxQueue]message // to the host
-	tp    [maxQueue]message // to the placer
-}
-
-// message is its kind, its task and attempt, and for Welcome what the host holds.
+	conn          uint8 // 0: no stream
+	incarnation   uint8 // of the placer
+	placerOpen    bool
+	hostOpen      bool
+	broken        bool // nothing gets through any more
+	toHostCount   uint8
+	toPlacerCount uint8
+	toHost        [maxQueue]message
+	toPlacer      [maxQueue]message
+}
+
+// message is a frame under way between placer and host.
 type message struct {
-	kind uint8
-	at   uint8 // task<<4 | attempt
-	held [2]uint8
+	kind   messageKind
+	about  uint8    // task<<4 | attempt; of a Welcome the host's epoch
+	listed [2]uint8 // of a Welcome: the attempts that hold capacity at the host, one bit each
 }
 
-// Kinds of messages.
+type messageKind uint8
+
 const (
-	mHello uint8 = iota + 1
-	mOffer
-	mWithdraw
-	mStop
-	mQuery
-	mWelcome
-	mRefused
-	mRunning
-	mEnded
-	mCalled
+	helloMessage messageKind = iota + 1
+	offerMessage
+	withdrawMessage
+	stopMessage
+	queryMessage
+	welcomeMessage // with Holds, which follows it at once
+	rejectedMessage
+	runningMessage
+	endedMessage
+	canceledMessage
 )
 
-var messageNames = [...]string{"", "Hello", "Offer", "Withdraw", "Stop", "Query", "Welcome", "Refused", "Running", "Ended", "Ended(called)"}
-
-func (m message) task() (t, a int) { return int(m.at >> 4), int(m.at & 15) }
+// messageNames are the names in traces, which are stored.
+var messageNames = [...]string{
+	"", "Hello", "Offer", "Withdraw", "Stop", "Query", "Welcome", "Refused", "Running", "Ended", "Ended(called)",
+}
 
-func msg(kind uint8, t, a int) message { return message{kind: kind, at: uint8(t<<4 | a)} }
+func newMessage(kind messageKind, ti, ai int) message {
+	return message{kind: kind, about: uint8(ti<<4 | ai)}
+}
 
-func bit(t, a int) (int, uint8) { i := t*maxAttempts + a; return i / 8, 1 << (i % 8) }
+// attempt returns the indexes of the task and the attempt that a message is about.
+func (m message) attempt() (ti, ai int) { return int(m.about >> 4), int(m.about & 15) }
 
-// bytes is the state as it lies in memory.
-func (s *state) bytes() []byte {
-	return unsafe.Slice((*byte)(unsafe.Pointer(s)), int(unsafe.Sizeof(*s)))
+// lists reports whether a Welcome lists an attempt.
+func (m *message) lists(ti, ai int) bool {
+	i, bit := listedBit(ti, ai)
+	return m.listed[i]&bit != 0
 }
 
-func (s *stream) toHost(m message) bool {
-	if s.dead == 1 || s.hOpen == 0 {
-		return true // it vanishes
-	}
-	if int(s.nth) == len(s.th) {
-		return false
-	}
-	s.th[s.nth] = m
-	s.nth++
-	return true
+func (m *message) list(ti, ai int) {
+	i, bit := listedBit(ti, ai)
+	m.listed[i] |= bit
 }
 
-func (s *stream) toPlacer(m message) bool {
-	if s.dead == 1 || s.pOpen == 0 {
-		return true
-	}
-	if int(s.ntp) == len(s.tp) {
-		return false
-	}
-	s.tp[s.ntp] = m
-	s.ntp++
-	return true
+// listedBit returns where message.listed has an attempt.
+func listedBit(ti, ai int) (index int, bit uint8) {
+	i := ti*maxAttempts + ai
+	return i / 8, 1 << (i % 8)
 }
 
-// pop takes the first message of a queue; what is behind it moves up, the free end is zero.
-func pop(q *[maxQueue]message, n *uint8) message {
-	m := q[0]
-	copy(q[:], q[1:])
-	q[maxQueue-1] = message{}
-	*n--
-	return m
+// bytes returns the state as it lies in memory.
+func (s *state) bytes() []byte {
+	return unsafe.Slice((*byte)(unsafe.Pointer(s)), int(unsafe.Sizeof(*s)))
 }
 
-// settle clears a stream that is closed at both ends.
-func (s *stream) settle() {
-	if s.pOpen == 0 && s.hOpen == 0 {
-		*s = stream{}
-		return
-	}
-	if s.hOpen == 0 {
-		s.th, s.nth = [maxQueue]message{}, 0
-	}
-	if s.pOpen == 0 {
-		s.tp, s.ntp = [maxQueue]message{}, 0
-	}
+// made returns the attempts of the task that were made.
+func (t *task) made() []taskAttempt { return t.attempts[:t.attemptCount] }
+
+// isKnown reports whether the placer's present incarnation knows the attempt.
+func (a *taskAttempt) isKnown(incarnation uint8) bool {
+	return a.incarnation == incarnation && a.phase != forgotten
 }
 
-func (h *host) stream(num, life uint8) *stream {
+// stream returns the host's stream with that number, or nil.
+func (h *host) stream(conn, incarnation uint8) *stream {
 	for i := range h.streams {
-		if h.streams[i].num == num && h.streams[i].life == life && num > 0 {
-			return &h.streams[i]
+		if s := &h.streams[i]; s.conn == conn && s.incarnation == incarnation && conn > 0 {
+			return s
 		}
 	}
 	return nil
 }
 
-func (h *host) job(t, a int) hostsession.State { return hostsession.State(h.jobs[t][a]) }
-
-func (a *att) is() attempt.Phase { return attempt.Phase(a.phase) }
-
-// mine says whether the placer's present life knows the attempt.
-func (a *att) mine(life uint8) bool { return a.life == life && a.phase != forgotten }
-
-// permutations of up to three things.
-var permutations = [][][]int{
-	{{}}, {{0}}, {{0, 1}, {1, 0}},
-	{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}},
+// sendToHost puts a message under way, unless nothing gets through. It returns false if there is no room for it.
+func (s *stream) sendToHost(m message) bool {
+	return s.broken || !s.hostOpen || push(&s.toHost, &s.toHostCount, m)
 }
 
-// canonical returns the least of all states that differ only in which task or host is which:
-// tasks are of one class and hosts alike, so what holds of one holds of all.
-func (s *state) canonical(tasks, hosts int) state {
-	best := *s
-	for _, hp := range permutations[hosts] {
-		for _, tp := range permutations[tasks] {
-			c := s.permuted(tp, hp)
-			if less(c.bytes(), best.bytes()) {
-				best = c
-			}
-		}
-	}
-	return best
+// sendToPlacer is sendToHost in the other direction.
+func (s *stream) sendToPlacer(m message) bool {
+	return s.broken || !s.placerOpen || push(&s.toPlacer, &s.toPlacerCount, m)
 }
 
-func less(a, b []byte) bool {
-	for i := range a {
-		if a[i] != b[i] {
-			return a[i] < b[i]
-		}
+func push(queue *[maxQueue]message, count *uint8, m message) bool {
+	if int(*count) == len(queue) {
+		return false
 	}
-	return false
+	queue[*count] = m
+	*count++
+	return true
 }
 
-// permuted puts task i at place tp[i] and host i at hp[i].
-func (s *state) permuted(tp, hp []int) state {
-	c := *s
-	for i, to := range tp {
-		c.tasks[to] = s.tasks[i]
-		for a := range c.tasks[to].att {
-			if at := &c.tasks[to].att[a]; a < int(c.tasks[to].n) {
-				at.host = uint8(hp[at.host])
-			}
-		}
-	}
-	for i, to := range hp {
-		h := s.hosts[i]
-		for t, tt := range tp {
-			h.jobs[tt] = s.hosts[i].jobs[t]
-		}
-		for k := range h.streams {
-			st := &h.streams[k]
-			for j := range st.nth {
-				st.th[j] = st.th[j].permuted(tp)
-			}
-			for j := range st.ntp {
-				st.tp[j] = st.tp[j].permuted(tp)
-			}
-		}
-		c.hosts[to] = h
-	}
-	return c
+// pop takes the first message of a queue. What is behind it moves up, and the free end is zero, as equal queues must be
+// equal bytes.
+func pop(queue *[maxQueue]message, count *uint8) message {
+	m := queue[0]
+	copy(queue[:], queue[1:])
+	queue[maxQueue-1] = message{}
+	*count--
+	return m
 }
 
-func (m message) permuted(tp []int) message {
-	if m.kind == mHello {
-		return m
+// discardUndeliverable drops what a closed end will not read, and a stream that is closed at both ends.
+func (s *stream) discardUndeliverable() {
+	if !s.placerOpen && !s.hostOpen {
+		*s = stream{}
+		return
 	}
-	if m.kind == mWelcome {
-		c := message{kind: m.kind, at: m.at}
-		for t, tt := range tp {
-			for a := range maxAttempts {
-				i, b := bit(t, a)
-				j, d := bit(tt, a)
-				if m.held[i]&b != 0 {
-					c.held[j] |= d
-				}
-			}
-		}
-		return c
+	if !s.hostOpen {
+		s.toHost, s.toHostCount = [maxQueue]message{}, 0
+	}
+	if !s.placerOpen {
+		s.toPlacer, s.toPlacerCount = [maxQueue]message{}, 0
 	}
-	t, a := m.task()
-	return msg(m.kind, tp[t], a)
 }
