--- a/internal/verify/modelcheck/modelcheck_test.go
+++ b/internal/verify/modelcheck/modelcheck_test.go
@@ -180,3 +180,53 @@
 		t.Fatalf("%+v", out)
 	}
 }
+
+// Every line that a trace may have is known to the replay, as one action; and the replay knows no other.
+func TestReplayActionsMatchActions(t *testing.T) {
+	r := &replayer{hosts: []*replayHost{newReplayHost(0), newReplayHost(1)}}
+	used := map[string]bool{}
+	for name := range allActionNames() {
+		var patterns []string
+		for _, known := range replayActions {
+			if _, ok := r.match(known.pattern, name); ok {
+				patterns = append(patterns, known.pattern)
+				used[known.pattern] = true
+			}
+		}
+		if len(patterns) != 1 {
+			t.Errorf("%q is of the patterns %q, want one", name, patterns)
+		}
+	}
+	for _, known := range replayActions {
+		if !used[known.pattern] {
+			t.Errorf("no action is of the pattern %q", known.pattern)
+		}
+	}
+}
+
+// allActionNames returns the names of the actions that are possible in any state of small searches.
+func allActionNames() map[string]bool {
+	names := map[string]bool{}
+	for _, effect := range []forkhead.Effect{forkhead.Safe, forkhead.Keyed, forkhead.Unsafe} {
+		cfg := Config{Tasks: 1, Hosts: 1, Effect: effect, Requests: 1, Attempts: 1, Faults: 1, TasksEnd: true}
+		m := newModel(cfg)
+		m.named = true
+		states := []state{initialState(&cfg)}
+		known := map[state]bool{states[0]: true}
+		for len(states) > 0 {
+			from := states[len(states)-1]
+			states = states[:len(states)-1]
+			for _, a := range m.actions(&from, nil) {
+				names[a.name] = true
+				next := from
+				st := step{model: &m, s: &next}
+				a.do(&st)
+				if !st.queueFull && !known[next] {
+					known[next] = true
+					states = append(states, next)
+				}
+			}
+		}
+	}
+	return names
+}
