--- a/internal/parse/compose/decode.go
+++ b/internal/parse/compose/decode.go
@@ -31,35 +31,38 @@
 	own  *value // x-forkhead of the top level; nil if there is none
 }
 
-func (d *decoder) fail(pos diagnostic.Pos, format string, args ...any) {
+// errorf adds an error at a position.
+func (d *decoder) errorf(pos diagnostic.Pos, format string, args ...any) {
 	d.errs.Add(diagnostic.Errorf(pos, format, args...))
 }
 
-func (d *decoder) want(pos diagnostic.Pos, want, format string, args ...any) {
+// wantf adds an error at a position that says what would be right.
+func (d *decoder) wantf(pos diagnostic.Pos, want, format string, args ...any) {
 	d.errs.Add(diagnostic.Wantf(pos, want, format, args...))
 }
 
-func (d *decoder) note(pos diagnostic.Pos, text string) {
+// addNote adds a note at a position.
+func (d *decoder) addNote(pos diagnostic.Pos, text string) {
 	if len(d.out.Notes) < maxNotes {
 		d.out.Notes = append(d.out.Notes, servicespec.Note{Pos: pos, Text: text})
 	}
 }
 
-// of checks that a value has the wanted kind, and returns nil if it has another. An absent or empty one passes as nil.
-func (d *decoder) of(v *value, k kind, name string) *value {
+// ofKind checks that a value has the wanted kind, and returns nil if it has another. An absent or empty one passes as nil.
+func (d *decoder) ofKind(v *value, k kind, name string) *value {
 	if v.isEmpty() {
 		return nil
 	}
 	if v.kind != k {
-		d.want(v.pos, k.String(), "%s is %s", name, v.kind)
+		d.wantf(v.pos, k.String(), "%s is %s", name, v.kind)
 		return nil
 	}
 	return v
 }
 
-// known checks the keys of a mapping against the elements of a table whose names begin with prefix, and adds a note for each
-// that is noted. where names the mapping in errors.
-func (d *decoder) known(v *value, table map[string]element, prefix, where string) {
+// checkElements checks the keys of a mapping against the elements of a table whose names begin with prefix, and adds a note
+// for each that is noted. where names the mapping in errors.
+func (d *decoder) checkElements(v *value, table map[string]element, prefix, where string) {
 	for _, key := range v.keys {
 		if strings.HasPrefix(key, extensionPrefix) {
 			continue
@@ -67,17 +70,17 @@
 		e, ok := table[prefix+key]
 		switch {
 		case !ok:
-			d.unknown(v, key, where, table, prefix)
+			d.addUnknown(v, key, where, table, prefix)
 		case e.treatment == refused:
-			d.fail(v.keyPos[key], "%s is refused: %s", key, e.remark)
+			d.errorf(v.keyPos[key], "%s is refused: %s", key, e.remark)
 		case e.treatment == noted:
-			d.note(v.keyPos[key], key+" has no effect here: "+e.remark)
+			d.addNote(v.keyPos[key], key+" has no effect here: "+e.remark)
 		}
 	}
 }
 
-// unknown adds an error for a key, with the name in the table that is closest.
-func (d *decoder) unknown(v *value, key, where string, table map[string]element, prefix string) {
+// addUnknown adds an error for a key, with the name in the table that is closest.
+func (d *decoder) addUnknown(v *value, key, where string, table map[string]element, prefix string) {
 	var names []string
 	for element := range table {
 		if name, ok := strings.CutPrefix(element, prefix); ok && !strings.Contains(name, ".") {
@@ -85,14 +88,14 @@
 		}
 	}
 	slices.Sort(names)
-	d.want(v.keyPos[key], diagnostic.Nearest(key, names), "unknown element %q in %s", key, where)
+	d.wantf(v.keyPos[key], diagnostic.Nearest(key, names), "unknown element %q in %s", key, where)
 }
 
-// only checks that a small mapping has none but the listed keys.
-func (d *decoder) only(v *value, where string, keys ...string) {
+// checkKeys checks that a small mapping has none but the listed keys.
+func (d *decoder) checkKeys(v *value, where string, keys ...string) {
 	for _, key := range v.keys {
 		if !strings.HasPrefix(key, extensionPrefix) && !slices.Contains(keys, key) {
-			d.want(v.keyPos[key], strings.Join(keys, ", "), "unknown element %q in %s", key, where)
+			d.wantf(v.keyPos[key], strings.Join(keys, ", "), "unknown element %q in %s", key, where)
 		}
 	}
 }
@@ -100,25 +103,25 @@
 // project decodes the whole tree.
 func (d *decoder) project(tree *value) {
 	d.top = tree
-	d.known(tree, topIndex, "", "the file")
+	d.checkElements(tree, topIndex, "", "the file")
 	d.own = d.extension(tree, "the file")
 	if whole := d.own.get("whole"); whole != nil {
 		d.out.AllOrNothing = d.boolean(whole, "whole")
 	}
 	d.out.Name = d.in.Project
-	if name := d.of(tree.get("name"), scalar, "name"); name != nil && d.out.Name == "" {
+	if name := d.ofKind(tree.get("name"), scalar, "name"); name != nil && d.out.Name == "" {
 		if !projectName.MatchString(name.text) {
-			d.want(name.pos, wantProjectName, "name %q", name.text)
+			d.wantf(name.pos, wantProjectName, "name %q", name.text)
 		}
 		d.out.Name = name.text
 	}
-	services := d.of(tree.get("services"), mapping, "services")
+	services := d.ofKind(tree.get("services"), mapping, "services")
 	if services == nil || len(services.keys) == 0 {
-		d.want(tree.pos, "at least one service", "the file describes no services")
+		d.wantf(tree.pos, "at least one service", "the file describes no services")
 		return
 	}
 	if len(services.keys) > maxServices {
-		d.want(services.pos, "at most 5000", "there are %d services", len(services.keys))
+		d.wantf(services.pos, "at most 5000", "there are %d services", len(services.keys))
 		return
 	}
 	d.services(services)
@@ -139,15 +142,15 @@
 		pos, v := services.keyPos[name], services.fields[name]
 		switch {
 		case !serviceName.MatchString(name):
-			d.want(pos, "letters, digits, '.', - and _, at most 128", "service name %q", name)
+			d.wantf(pos, "letters, digits, '.', - and _, at most 128", "service name %q", name)
 		case v.kind != mapping:
-			d.want(v.pos, "a mapping", "service %q is %s", name, v.kind)
+			d.wantf(v.pos, "a mapping", "service %q is %s", name, v.kind)
 		default:
 			d.out.Services = append(d.out.Services, d.service(name, pos, v, inactive))
 		}
 	}
 	if len(d.out.Services) == 0 {
-		d.want(services.pos, "--profile NAME", "every service stands behind a profile, and none is active")
+		d.wantf(services.pos, "--profile NAME", "every service stands behind a profile, and none is active")
 	}
 }
 
@@ -169,14 +172,14 @@
 		Update: servicespec.Update{Parallel: 1, FailureAction: servicespec.Pause},
 	}
 	where := "service " + strconv.Quote(name)
-	d.known(v, serviceIndex, "", where)
+	d.checkElements(v, serviceIndex, "", where)
 	d.extensionFields(&s, d.own)
 	own := d.extension(v, where)
 	if whole := own.get("whole"); whole != nil {
-		d.want(whole.pos, "it at the top level", "whole is of all services together")
+		d.wantf(whole.pos, "it at the top level", "whole is of all services together")
 	}
 	d.extensionFields(&s, own)
-	deploy := d.of(v.get("deploy"), mapping, "deploy")
+	deploy := d.ofKind(v.get("deploy"), mapping, "deploy")
 	d.resources(&s, v, deploy)
 	d.replicas(&s, v, deploy)
 	d.placement(&s, v, deploy)
--- a/internal/parse/compose/dependencies.go
+++ b/internal/parse/compose/dependencies.go
@@ -20,31 +20,31 @@
 		return
 	}
 	if deps.kind == scalar {
-		d.want(deps.pos, "a list or a mapping", "depends_on is a single value")
+		d.wantf(deps.pos, "a list or a mapping", "depends_on is a single value")
 		return
 	}
 	deps = asMap(deps)
 	if deps.kind != mapping {
-		d.want(deps.pos, "a list of names", "depends_on holds something else")
+		d.wantf(deps.pos, "a list of names", "depends_on holds something else")
 		return
 	}
 	for _, name := range deps.keys {
 		dep := servicespec.Dependency{Service: name, Pos: deps.keyPos[name]}
-		if options := d.of(deps.fields[name], mapping, "a dependency"); options != nil {
+		if options := d.ofKind(deps.fields[name], mapping, "a dependency"); options != nil {
 			d.dependencyOptions(&dep, s.Name, options)
 		}
 		switch {
 		case !inactive[name]:
 			s.DependsOn = append(s.DependsOn, dep)
 		case !dep.Optional:
-			d.want(dep.Pos, "its profile, or required: false", "service %q depends on %q, which no active profile holds", s.Name, name)
+			d.wantf(dep.Pos, "its profile, or required: false", "service %q depends on %q, which no active profile holds", s.Name, name)
 		}
 	}
 }
 
 // dependencyOptions sets what the long form of a dependency of the service says.
 func (d *decoder) dependencyOptions(dep *servicespec.Dependency, service string, options *value) {
-	d.only(options, "a dependency", "condition", "restart", "required")
+	d.checkKeys(options, "a dependency", "condition", "restart", "required")
 	choiceField(d, &dep.When, options, "condition", dependencyConditions,
 		"service_started, service_healthy or service_completed_successfully")
 	if required := options.get("required"); required != nil {
@@ -53,7 +53,7 @@
 	if restart := options.get("restart"); restart != nil {
 		dep.Restart = d.boolean(restart, "restart")
 		if dep.Restart {
-			d.note(restart.pos, "restart of "+service+" with "+dep.Service+" is not acted on: submit the project again to replace both")
+			d.addNote(restart.pos, "restart of "+service+" with "+dep.Service+" is not acted on: submit the project again to replace both")
 		}
 	}
 }
@@ -71,9 +71,9 @@
 // rejectSharedNamespaces rejects what would need two tasks on one host.
 func (d *decoder) rejectSharedNamespaces(service *value) {
 	for _, key := range []string{"network_mode", "pid", "ipc"} {
-		v := d.of(service.get(key), scalar, key)
+		v := d.ofKind(service.get(key), scalar, key)
 		if v != nil && (strings.HasPrefix(v.text, "service:") || strings.HasPrefix(v.text, "container:")) {
-			d.want(v.pos, "a value that names no other task", "%s %q ties two tasks to one host", key, v.text)
+			d.wantf(v.pos, "a value that names no other task", "%s %q ties two tasks to one host", key, v.text)
 		}
 	}
 }
--- a/internal/parse/compose/extension.go
+++ b/internal/parse/compose/extension.go
@@ -21,12 +21,12 @@
 	for _, key := range v.keys {
 		isMisspelled := key != ownExtension && diagnostic.Nearest(key, []string{ownExtension}) != ""
 		if isMisspelled && strings.HasPrefix(key, extensionPrefix) {
-			d.note(v.keyPos[key], key+" is passed over; x-forkhead is the extension read here")
+			d.addNote(v.keyPos[key], key+" is passed over; x-forkhead is the extension read here")
 		}
 	}
-	own := d.of(v.get(ownExtension), mapping, ownExtension)
+	own := d.ofKind(v.get(ownExtension), mapping, ownExtension)
 	if own != nil {
-		d.known(own, ownIndex, "", "x-forkhead of "+where)
+		d.checkElements(own, ownIndex, "", "x-forkhead of "+where)
 	}
 	return own
 }
@@ -51,28 +51,28 @@
 
 // nameFromSettings returns a name that the settings must know; "" if none is given.
 func (d *decoder) nameFromSettings(own *value, key string, known []string) string {
-	name := d.of(own.get(key), scalar, key)
+	name := d.ofKind(own.get(key), scalar, key)
 	if name == nil {
 		return ""
 	}
 	if !slices.Contains(known, name.text) {
-		d.want(name.pos, strings.Join(known, ", "), "%s %q is not in the settings", key, name.text)
+		d.wantf(name.pos, strings.Join(known, ", "), "%s %q is not in the settings", key, name.text)
 	}
 	return name.text
 }
 
 // near sets the services that the service's tasks have to be beside.
 func (d *decoder) near(s *servicespec.Service, own *value) {
-	near := d.of(own.get("near"), mapping, "near")
+	near := d.ofKind(own.get("near"), mapping, "near")
 	if near == nil {
 		return
 	}
 	for _, name := range near.keys {
-		domain := d.of(near.fields[name], scalar, "near")
+		domain := d.ofKind(near.fields[name], scalar, "near")
 		switch {
 		case domain == nil:
 		case !slices.Contains([]string{"machine", "rack", "zone"}, domain.text):
-			d.want(domain.pos, "machine, rack or zone", "near %s is %q", name, domain.text)
+			d.wantf(domain.pos, "machine, rack or zone", "near %s is %q", name, domain.text)
 		default:
 			s.Near = append(s.Near, servicespec.Near{Service: name, Domain: domain.text, Pos: near.keyPos[name]})
 		}
@@ -81,11 +81,11 @@
 
 // spread sets the limits in each domain, in place of those that the top level sets.
 func (d *decoder) spread(s *servicespec.Service, own *value) {
-	spread := d.of(own.get("spread"), mapping, "spread")
+	spread := d.ofKind(own.get("spread"), mapping, "spread")
 	if spread == nil {
 		return
 	}
-	d.only(spread, "spread", "machine", "rack", "zone")
+	d.checkKeys(spread, "spread", "machine", "rack", "zone")
 	s.SpreadLimits = nil
 	for _, domain := range spread.keys {
 		if n, ok := d.integer(spread.fields[domain], domain, 1, maxReplicas); ok {
--- a/internal/parse/compose/keyvalues.go
+++ b/internal/parse/compose/keyvalues.go
@@ -28,14 +28,14 @@
 func (d *decoder) keyValueFile(entry *value, key, what string, pairs map[string]string) {
 	path, required := entry, true
 	if entry.kind == mapping {
-		d.only(entry, key, "path", "required", "format")
+		d.checkKeys(entry, key, "path", "required", "format")
 		if r := entry.get("required"); r != nil {
 			required = d.boolean(r, "required")
 		}
 		path = entry.get("path")
 	}
 	if path == nil || path.kind != scalar {
-		d.want(entry.pos, "a path", "%s has no path", key)
+		d.wantf(entry.pos, "a path", "%s has no path", key)
 		return
 	}
 	file, text, err := d.in.find(path.pos.File, path.text, path.pos)
@@ -60,7 +60,7 @@
 	key, val, hasValue := strings.Cut(line, "=")
 	key = strings.TrimSpace(strings.TrimPrefix(key, "export "))
 	if key == "" || strings.ContainsAny(key, " \t") {
-		d.want(pos, "KEY=VALUE", "a line of the %s", what)
+		d.wantf(pos, "KEY=VALUE", "a line of the %s", what)
 		return
 	}
 	if !hasValue {
--- a/internal/parse/compose/payload.go
+++ b/internal/parse/compose/payload.go
@@ -37,10 +37,10 @@
 	}
 	data, err := json.Marshal(out)
 	if err != nil {
-		d.fail(v.pos, "service %q cannot be passed on: %v", s.Name, err)
+		d.errorf(v.pos, "service %q cannot be passed on: %v", s.Name, err)
 	}
 	if len(data) > maxPayload {
-		d.want(v.pos, "at most 32 KiB", "service %q passes %d bytes to its host", s.Name, len(data))
+		d.wantf(v.pos, "at most 32 KiB", "service %q passes %d bytes to its host", s.Name, len(data))
 		return nil
 	}
 	return data
--- a/internal/parse/compose/placement.go
+++ b/internal/parse/compose/placement.go
@@ -23,14 +23,14 @@
 	}
 	for _, key := range deploy.keys {
 		if !strings.HasPrefix(key, extensionPrefix) && !slices.Contains(deployKeys, key) {
-			d.unknown(deploy, key, "deploy", deployIndex, "")
+			d.addUnknown(deploy, key, "deploy", deployIndex, "")
 		}
 	}
-	p := d.of(deploy.get("placement"), mapping, "placement")
+	p := d.ofKind(deploy.get("placement"), mapping, "placement")
 	if p == nil {
 		return
 	}
-	d.known(p, deployIndex, "placement.", "placement")
+	d.checkElements(p, deployIndex, "placement.", "placement")
 	for _, v := range d.list(p.get("constraints"), "constraints") {
 		if constraint, ok := d.constraint(v); ok {
 			s.Constraints = append(s.Constraints, constraint)
@@ -46,7 +46,7 @@
 
 // platform adds a platform, OS[/ARCHITECTURE[/VARIANT]], as constraints.
 func (d *decoder) platform(s *servicespec.Service, service *value) {
-	platform := d.of(service.get("platform"), scalar, "platform")
+	platform := d.ofKind(service.get("platform"), scalar, "platform")
 	if platform == nil {
 		return
 	}
@@ -59,7 +59,7 @@
 
 // hostPorts limits a service that publishes a port of its host to one task a host.
 func (d *decoder) hostPorts(s *servicespec.Service, service *value) {
-	ports := d.of(service.get("ports"), sequence, "ports")
+	ports := d.ofKind(service.get("ports"), sequence, "ports")
 	if ports == nil {
 		return
 	}
@@ -73,17 +73,17 @@
 
 // preferences adds the attributes that the service's tasks are to be spread over.
 func (d *decoder) preferences(s *servicespec.Service, placement *value) {
-	list := d.of(placement.get("preferences"), sequence, "preferences")
+	list := d.ofKind(placement.get("preferences"), sequence, "preferences")
 	if list == nil {
 		return
 	}
 	for _, item := range list.items {
-		preference := d.of(item, mapping, "a preference")
+		preference := d.ofKind(item, mapping, "a preference")
 		if preference == nil {
 			continue
 		}
-		d.only(preference, "a preference", "spread")
-		spread := d.of(preference.get("spread"), scalar, "spread")
+		d.checkKeys(preference, "a preference", "spread")
+		spread := d.ofKind(preference.get("spread"), scalar, "spread")
 		if spread == nil {
 			continue
 		}
@@ -91,7 +91,7 @@
 		case "node.labels.zone", "node.labels.rack":
 			s.Preferences = append(s.Preferences, servicespec.Attribute(strings.TrimPrefix(spread.text, labelPrefix)))
 		default:
-			d.want(spread.pos, "node.labels.zone or node.labels.rack", "spread over %q", spread.text)
+			d.wantf(spread.pos, "node.labels.zone or node.labels.rack", "spread over %q", spread.text)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 func (d *decoder) constraint(v *value) (c servicespec.Constraint, ok bool) {
 	groups := constraintForm.FindStringSubmatch(v.text)
 	if groups == nil || groups[3] == "" {
-		d.want(v.pos, "ATTRIBUTE == VALUE or ATTRIBUTE != VALUE", "constraint %q", v.text)
+		d.wantf(v.pos, "ATTRIBUTE == VALUE or ATTRIBUTE != VALUE", "constraint %q", v.text)
 		return servicespec.Constraint{}, false
 	}
 	name, operator, text := groups[1], groups[2], groups[3]
@@ -121,7 +121,7 @@
 		attribute, ok = servicespec.Attribute("label."+label), true
 	}
 	if !ok {
-		d.want(v.pos, "node.id, node.hostname, node.role, node.platform.os, node.platform.arch or node.labels.NAME",
+		d.wantf(v.pos, "node.id, node.hostname, node.role, node.platform.os, node.platform.arch or node.labels.NAME",
 			"no host tells %q", name)
 	}
 	return servicespec.Constraint{Attribute: attribute, Not: operator == "!=", Value: text, Pos: v.pos}, ok
--- a/internal/parse/compose/policies.go
+++ b/internal/parse/compose/policies.go
@@ -17,10 +17,10 @@
 	if s.Mode.Job() {
 		s.Restart.When = servicespec.OnFailure
 	}
-	if v := d.of(service.get("restart"), scalar, "restart"); v != nil {
+	if v := d.ofKind(service.get("restart"), scalar, "restart"); v != nil {
 		d.shortRestart(&s.Restart, v)
 	}
-	if policy := d.of(deploy.get("restart_policy"), mapping, "restart_policy"); policy != nil {
+	if policy := d.ofKind(deploy.get("restart_policy"), mapping, "restart_policy"); policy != nil {
 		d.restartPolicy(&s.Restart, policy)
 	}
 }
@@ -36,20 +36,20 @@
 	case "on-failure":
 		r.When = servicespec.OnFailure
 	default:
-		d.want(v.pos, `"no", always, on-failure, on-failure:N or unless-stopped`, "restart %q", v.text)
+		d.wantf(v.pos, `"no", always, on-failure, on-failure:N or unless-stopped`, "restart %q", v.text)
 	}
 	if !hasCount {
 		return
 	}
 	n, err := strconv.Atoi(count)
 	if err != nil || n < 0 || condition != "on-failure" {
-		d.want(v.pos, "on-failure:N", "restart %q", v.text)
+		d.wantf(v.pos, "on-failure:N", "restart %q", v.text)
 	}
 	r.MaxRestarts = n
 }
 
 func (d *decoder) restartPolicy(r *servicespec.Restart, policy *value) {
-	d.only(policy, "restart_policy", "condition", "delay", "max_attempts", "window")
+	d.checkKeys(policy, "restart_policy", "condition", "delay", "max_attempts", "window")
 	choiceField(d, &r.When, policy, "condition", restartConditions, "any, on-failure or none")
 	d.durationField(&r.Delay, policy, "delay", 0, maxTaskTime)
 	if v := policy.get("max_attempts"); v != nil {
@@ -68,14 +68,14 @@
 
 // update sets how the service's running tasks are replaced when it has changed.
 func (d *decoder) update(s *servicespec.Service, deploy *value) {
-	config := d.of(deploy.get("update_config"), mapping, "update_config")
-	if rollback := d.of(deploy.get("rollback_config"), mapping, "rollback_config"); rollback != nil {
-		d.only(rollback, "rollback_config", updateKeys...)
+	config := d.ofKind(deploy.get("update_config"), mapping, "update_config")
+	if rollback := d.ofKind(deploy.get("rollback_config"), mapping, "rollback_config"); rollback != nil {
+		d.checkKeys(rollback, "rollback_config", updateKeys...)
 	}
 	if config == nil {
 		return
 	}
-	d.only(config, "update_config", updateKeys...)
+	d.checkKeys(config, "update_config", updateKeys...)
 	u := &s.Update
 	if v := config.get("parallelism"); v != nil {
 		u.Parallel, _ = d.integer(v, "parallelism", 0, maxReplicas)
@@ -86,9 +86,9 @@
 		u.MaxFailureRatio = d.number(v, "max_failure_ratio", 0, 1)
 	}
 	choiceField(d, &u.FailureAction, config, "failure_action", failureActions, "pause, continue or rollback")
-	if order := d.of(config.get("order"), scalar, "order"); order != nil {
+	if order := d.ofKind(config.get("order"), scalar, "order"); order != nil {
 		if order.text != "stop-first" && order.text != "start-first" {
-			d.want(order.pos, "stop-first or start-first", "order %q", order.text)
+			d.wantf(order.pos, "stop-first or start-first", "order %q", order.text)
 		}
 		u.StartFirst = order.text == "start-first"
 	}
--- a/internal/parse/compose/replicas.go
+++ b/internal/parse/compose/replicas.go
@@ -17,20 +17,20 @@
 			s.Replicas = n
 		}
 		if s.Mode.PerHost() {
-			d.fail(replicas.pos, "replicas and mode %s exclude each other", deploy.get("mode").text)
+			d.errorf(replicas.pos, "replicas and mode %s exclude each other", deploy.get("mode").text)
 		}
 	}
 	if scale := service.get("scale"); scale != nil {
 		n, ok := d.integer(scale, "scale", 0, maxReplicas)
 		if ok && replicas != nil && n != s.Replicas {
-			d.fail(scale.pos, "scale is %d and deploy.replicas %d", n, s.Replicas)
+			d.errorf(scale.pos, "scale is %d and deploy.replicas %d", n, s.Replicas)
 		}
 		if ok {
 			s.Replicas = n
 		}
 	}
 	if name := service.get("container_name"); name != nil && (s.Replicas > 1 || s.Mode.PerHost()) {
-		d.fail(name.pos, "container_name allows one task, and service %q asks for more", s.Name)
+		d.errorf(name.pos, "container_name allows one task, and service %q asks for more", s.Name)
 	}
 	if s.Mode.PerHost() {
 		s.SpreadLimits = append(s.SpreadLimits, servicespec.SpreadLimit{Domain: "machine", MaxTasks: 1, Pos: deploy.get("mode").pos})
--- a/internal/parse/compose/resources.go
+++ b/internal/parse/compose/resources.go
@@ -21,10 +21,10 @@
 	s.Cores = d.cores(reserved.get("cpus"))
 	s.Memory = d.memory(reserved.get("memory"), service.get("mem_reservation"))
 	if s.LimitCores > 0 && s.Cores > s.LimitCores {
-		d.fail(reserved.get("cpus").pos, "service %q reserves %g cores over its limit of %g", s.Name, s.Cores, s.LimitCores)
+		d.errorf(reserved.get("cpus").pos, "service %q reserves %g cores over its limit of %g", s.Name, s.Cores, s.LimitCores)
 	}
 	if s.LimitMemory > 0 && s.Memory > s.LimitMemory {
-		d.fail(service.pos, "service %q reserves more memory than its limit", s.Name)
+		d.errorf(service.pos, "service %q reserves more memory than its limit", s.Name)
 	}
 	s.Cores = cmp.Or(s.Cores, s.LimitCores, defaultCores)
 	s.Memory = cmp.Or(s.Memory, s.LimitMemory, defaultMemory)
@@ -32,21 +32,21 @@
 
 // resourceParts returns the limits and reservations of deploy, their keys checked; nil where there are none.
 func (d *decoder) resourceParts(deploy *value) (limits, reserved *value) {
-	resources := d.of(deploy.get("resources"), mapping, "resources")
+	resources := d.ofKind(deploy.get("resources"), mapping, "resources")
 	if resources == nil {
 		return nil, nil
 	}
-	d.only(resources, "resources", "limits", "reservations")
-	limits = d.of(resources.get("limits"), mapping, "limits")
-	reserved = d.of(resources.get("reservations"), mapping, "reservations")
-	d.knownDeployPart(limits, "resources.limits.")
-	d.knownDeployPart(reserved, "resources.reservations.")
+	d.checkKeys(resources, "resources", "limits", "reservations")
+	limits = d.ofKind(resources.get("limits"), mapping, "limits")
+	reserved = d.ofKind(resources.get("reservations"), mapping, "reservations")
+	d.checkDeployPart(limits, "resources.limits.")
+	d.checkDeployPart(reserved, "resources.reservations.")
 	return limits, reserved
 }
 
-func (d *decoder) knownDeployPart(v *value, prefix string) {
+func (d *decoder) checkDeployPart(v *value, prefix string) {
 	if v != nil {
-		d.known(v, deployIndex, prefix, strings.TrimSuffix(prefix, "."))
+		d.checkElements(v, deployIndex, prefix, strings.TrimSuffix(prefix, "."))
 	}
 }
 
--- a/internal/parse/compose/usedparts.go
+++ b/internal/parse/compose/usedparts.go
@@ -9,7 +9,7 @@
 // usedParts returns the project's networks, volumes, configs or secrets that a service names, each with its description. One
 // that is named and not described is an error, but for the default network.
 func (d *decoder) usedParts(service *value, part string) map[string]any {
-	described := d.of(d.top.get(part), mapping, part)
+	described := d.ofKind(d.top.get(part), mapping, part)
 	used := service.get(part)
 	if used.isEmpty() || used.kind == scalar {
 		return nil
@@ -21,7 +21,7 @@
 		case description != nil:
 			parts[name] = toJSON(description)
 		case name != "default":
-			d.fail(pos, "%s names %q, which the file does not describe", part, name)
+			d.errorf(pos, "%s names %q, which the file does not describe", part, name)
 		}
 	}
 	for _, key := range used.keys {
@@ -46,7 +46,7 @@
 		}
 		return source.text, source.pos, true
 	case item.kind != scalar:
-		d.want(item.pos, "a name or a mapping", "an entry of %s is %s", part, item.kind)
+		d.wantf(item.pos, "a name or a mapping", "an entry of %s is %s", part, item.kind)
 		return "", item.pos, false
 	case part == "volumes":
 		name, ok := volumeName(item.text)
--- a/internal/parse/compose/values.go
+++ b/internal/parse/compose/values.go
@@ -17,7 +17,7 @@
 	}
 	m := asMap(v)
 	if m.kind != mapping {
-		d.want(v.pos, "a mapping or a list of KEY=VALUE", "%s is %s", name, v.kind)
+		d.wantf(v.pos, "a mapping or a list of KEY=VALUE", "%s is %s", name, v.kind)
 		return out
 	}
 	for _, k := range m.keys {
@@ -31,7 +31,7 @@
 				out[k] = ""
 			}
 		default:
-			d.want(x.pos, "a single value", "%s of %s is %s", k, name, x.kind)
+			d.wantf(x.pos, "a single value", "%s of %s is %s", k, name, x.kind)
 		}
 	}
 	return out
@@ -39,14 +39,14 @@
 
 // list decodes a list of single values.
 func (d *decoder) list(v *value, name string) []*value {
-	seq := d.of(v, sequence, name)
+	seq := d.ofKind(v, sequence, name)
 	if seq == nil {
 		return nil
 	}
 	var out []*value
 	for _, item := range seq.items {
 		if item.kind != scalar {
-			d.want(item.pos, "a single value", "an entry of %s is %s", name, item.kind)
+			d.wantf(item.pos, "a single value", "an entry of %s is %s", name, item.kind)
 			continue
 		}
 		out = append(out, item)
@@ -70,7 +70,7 @@
 			return n, true
 		}
 	}
-	d.want(v.pos, "a whole number from "+strconv.Itoa(lo)+" to "+strconv.Itoa(hi), "%s is %s", name, describe(v))
+	d.wantf(v.pos, "a whole number from "+strconv.Itoa(lo)+" to "+strconv.Itoa(hi), "%s is %s", name, describe(v))
 	return 0, false
 }
 
@@ -82,7 +82,7 @@
 			return x
 		}
 	}
-	d.want(v.pos, "a number from "+strconv.FormatFloat(lo, 'g', -1, 64)+" to "+strconv.FormatFloat(hi, 'g', -1, 64), "%s is %s", name, describe(v))
+	d.wantf(v.pos, "a number from "+strconv.FormatFloat(lo, 'g', -1, 64)+" to "+strconv.FormatFloat(hi, 'g', -1, 64), "%s is %s", name, describe(v))
 	return 0
 }
 
@@ -94,7 +94,7 @@
 	case "false", "no", "off":
 		return false
 	}
-	d.want(v.pos, "true or false", "%s is %s", name, describe(v))
+	d.wantf(v.pos, "true or false", "%s is %s", name, describe(v))
 	return false
 }
 
@@ -111,7 +111,7 @@
 			return sum
 		}
 	}
-	d.want(v.pos, "a duration from "+lo.String()+" to "+hi.String()+", as 1m30s or 500ms", "%s is %s", name, describe(v))
+	d.wantf(v.pos, "a duration from "+lo.String()+" to "+hi.String()+", as 1m30s or 500ms", "%s is %s", name, describe(v))
 	return 0
 }
 
@@ -162,7 +162,7 @@
 			return amount / gibibyte
 		}
 	}
-	d.want(v.pos, "an amount of bytes, as 512m or 2gb", "%s is %s", name, describe(v))
+	d.wantf(v.pos, "an amount of bytes, as 512m or 2gb", "%s is %s", name, describe(v))
 	return 0
 }
 
@@ -181,13 +181,13 @@
 // choiceField sets to what a field of a mapping means by a table, and leaves it as it is where there is no such
 // field. want lists the words in an error.
 func choiceField[T any](d *decoder, to *T, m *value, key string, meanings map[string]T, want string) {
-	v := d.of(m.get(key), scalar, key)
+	v := d.ofKind(m.get(key), scalar, key)
 	if v == nil {
 		return
 	}
 	choice, ok := meanings[v.text]
 	if !ok {
-		d.want(v.pos, want, "%s %q", key, v.text)
+		d.wantf(v.pos, want, "%s %q", key, v.text)
 	}
 	*to = choice
 }
--- a/internal/parse/settings/settings.go
+++ b/internal/parse/settings/settings.go
@@ -17,7 +17,7 @@
 //go:embed default.sexp
 var Default []byte
 
-// Settings are what a placer service is told when it starts. Figures that the module rules by are in Module and are passed
+// Settings are what a placer service starts with. Figures that the module decides by are in Module and are passed
 // on as they stand; Module.Self and Module.Placers are set by For.
 type Settings struct {
 	Module           forkhead.Settings
