--- a/internal/verify/platformsim/conn.go
+++ b/internal/verify/platformsim/conn.go
@@ -143,8 +143,8 @@
 // reachesHost reports whether a message to the host gets through.
 func (c *conn) reachesHost() bool { return !c.blackholed && !c.host.isolated && c.host.up }
 
-// sendToPlacer sends a line to the placer. noted, if not nil, is called when it arrives.
-func (c *conn) sendToPlacer(line string, noted func()) {
+// sendToPlacer sends a line to the placer. onArrival, if not nil, is called when it arrives.
+func (c *conn) sendToPlacer(line string, onArrival func()) {
 	if c.closed || c.blackholed || c.host.isolated {
 		return
 	}
@@ -152,8 +152,8 @@
 		if c.closed {
 			return
 		}
-		if noted != nil {
-			noted()
+		if onArrival != nil {
+			onArrival()
 		}
 		c.placer.step(platformcore.HostData{Connection: c.id, Data: []byte(line)})
 	})
--- a/internal/verify/platformsim/host.go
+++ b/internal/verify/platformsim/host.go
@@ -39,7 +39,7 @@
 func (h *host) zone() string    { return h.w.WireNames.Zones[h.number%len(h.w.WireNames.Zones)] }
 func (h *host) cell() int       { return h.number / hostsPerCell }
 
-// endpoint returns the host as it stands in the list.
+// endpoint returns the host's entry in the list.
 func (h *host) endpoint(state platform.EndpointState) platform.Endpoint {
 	size := h.w.Settings.MachineTypes[h.machineType]
 	return platform.Endpoint{
--- a/internal/verify/platformsim/run_test.go
+++ b/internal/verify/platformsim/run_test.go
@@ -13,44 +13,44 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// drawnConfig is a life under settings drawnConfig from what the platform's page allows.
+// drawnConfig draws a run and its settings from all that the platform allows.
 func drawnConfig(t *rapid.T) Config {
 	num := func(name string, least, most int) int { return rapid.IntRange(least, most).Draw(t, name) }
 	ms := func(name string, least, most int) time.Duration {
 		return time.Duration(num(name+", ms", least, most)) * time.Millisecond
 	}
 	flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
-	l := Config{
+	cfg := Config{
 		Placers: num("placers", 1, 5), Hosts: num("hosts", 1, 12), Tasks: num("tasks", 1, 150), MaxConnections: num("room", 12, 200),
 		Faults: float64(num("faults, percent", 0, 100)) / 100, Seed: rapid.Uint64().Draw(t, "seed"),
 	}
 	if flag("connections close when idle") {
-		l.IdleTimeout = ms("idle", 2000, 60000)
+		cfg.IdleTimeout = ms("idle", 2000, 60000)
 	}
 	for i := range num("zones", 1, 3) {
-		l.WireNames.Zones = append(l.WireNames.Zones, fmt.Sprintf("zone %d: ü/%d", i, i))
+		cfg.WireNames.Zones = append(cfg.WireNames.Zones, fmt.Sprintf("zone %d: ü/%d", i, i))
 	}
 	for i := range num("kinds", 1, 2) {
-		l.WireNames.MachineTypes = append(l.WireNames.MachineTypes, fmt.Sprintf("kind\"%d", i))
-		l.Settings.MachineTypes = append(l.Settings.MachineTypes, forkhead.MachineType{Cores: float64(num("cores", 2, 40)), Memory: float64(num("memory", 2, 40))})
+		cfg.WireNames.MachineTypes = append(cfg.WireNames.MachineTypes, fmt.Sprintf("kind\"%d", i))
+		cfg.Settings.MachineTypes = append(cfg.Settings.MachineTypes, forkhead.MachineType{Cores: float64(num("cores", 2, 40)), Memory: float64(num("memory", 2, 40))})
 	}
 	for i := range num("tenants", 0, 3) {
-		l.WireNames.Tenants = append(l.WireNames.Tenants, fmt.Sprintf("tenant %d", i))
-		l.Settings.Tenants = append(l.Settings.Tenants, forkhead.Tenant{Quota: 0.3, QuotaCores: float64(num("quota", 0, 50))})
+		cfg.WireNames.Tenants = append(cfg.WireNames.Tenants, fmt.Sprintf("tenant %d", i))
+		cfg.Settings.Tenants = append(cfg.Settings.Tenants, forkhead.Tenant{Quota: 0.3, QuotaCores: float64(num("quota", 0, 50))})
 	}
 	for i := range num("classes", 1, 4) {
-		l.WireNames.Classes = append(l.WireNames.Classes, strings.Repeat("class ", 1+i*4)+fmt.Sprint(i))
+		cfg.WireNames.Classes = append(cfg.WireNames.Classes, strings.Repeat("class ", 1+i*4)+fmt.Sprint(i))
 		c := forkhead.Class{
 			Effect:      rapid.SampledFrom([]forkhead.Effect{forkhead.Safe, forkhead.Keyed, forkhead.Unsafe}).Draw(t, "effect"),
 			DedupDomain: rapid.SampledFrom([]forkhead.Domain{forkhead.AnyDomain, forkhead.ZoneDomain, forkhead.CellDomain}).Draw(t, "group"),
-			DedupWindow: ms("window", 200, 8000), LatencyObjective: ms("aim", 50, 2000), Weight: float64(num("worth", 0, 9)), MachineType: num("kind", -1, len(l.WireNames.MachineTypes)-1),
+			DedupWindow: ms("window", 200, 8000), LatencyObjective: ms("aim", 50, 2000), Weight: float64(num("worth", 0, 9)), MachineType: num("kind", -1, len(cfg.WireNames.MachineTypes)-1),
 			SaturationThreshold: float64(num("calm, percent", 10, 100)) / 100, DegradationRange: float64(num("fade, percent", 0, 100)) / 100, Priority: num("priority", 0, 3),
 			SpreadDomain: rapid.SampledFrom([]forkhead.Domain{forkhead.AnyDomain, forkhead.MachineDomain, forkhead.CellDomain, forkhead.ZoneDomain}).Draw(t, "spread"),
 			MaxPerDomain: num("most", 1, 4),
 		}
-		l.Settings.Classes = append(l.Settings.Classes, c)
+		cfg.Settings.Classes = append(cfg.Settings.Classes, c)
 	}
-	s := &l.Settings
+	s := &cfg.Settings
 	s.MeanCores, s.MeanMemory = 1, 1
 	s.CoresOvercommit, s.MemoryOvercommit = 1+float64(num("accepts cores, percent more", 0, 150))/100, 1+float64(num("accepts memory, percent more", 0, 50))/100
 	s.BoundWhenRunning, s.ServiceAffinity, s.Preemption = flag("bound when running"), flag("services stick"), flag("preempts")
@@ -61,7 +61,7 @@
 	s.ConnectTimeout = ms("connect time-out", 50, 500)
 	s.SlowStartDuration, s.SlowStartWindow, s.SlowStartMaxOffers = ms("cold for", 0, 6000), ms("cold window", 200, 2000), float64(num("cold offers", 0, 40))
 	s.MaxPollInterval, s.OwnerBackoff = 10*time.Second, 3*time.Second
-	return l
+	return cfg
 }
 
 // Whatever the settings and whatever goes wrong: the rules hold on what is written, nothing panics, and every request is
@@ -87,11 +87,11 @@
 	})
 }
 
-// busyConfig is a life with much going on.
+// busyConfig returns a run in which much happens.
 func busyConfig(seed uint64) Config {
-	l := Config{Placers: 3, Hosts: 6, Tasks: 150, MaxConnections: 100, Faults: 0.6, Seed: seed}
-	l.WireNames = platformcore.WireNames{Zones: []string{"a", "b"}, MachineTypes: []string{"std"}, Classes: []string{"safe", "keyed", "unsafe"}}
-	l.Settings = forkhead.Settings{
+	cfg := Config{Placers: 3, Hosts: 6, Tasks: 150, MaxConnections: 100, Faults: 0.6, Seed: seed}
+	cfg.WireNames = platformcore.WireNames{Zones: []string{"a", "b"}, MachineTypes: []string{"std"}, Classes: []string{"safe", "keyed", "unsafe"}}
+	cfg.Settings = forkhead.Settings{
 		MachineTypes: []forkhead.MachineType{{Cores: 16, Memory: 16}}, MeanCores: 1, MeanMemory: 1, CoresOvercommit: 1, MemoryOvercommit: 1, ListWatched: true,
 		Classes: []forkhead.Class{
 			{Effect: forkhead.Safe, MachineType: -1, Weight: 1, LatencyObjective: time.Second, SaturationThreshold: 1},
@@ -101,7 +101,7 @@
 		MaxAttempts: 4, MayWithdraw: true, MayProbe: true, DrainGrace: 250 * time.Millisecond, ConnectTimeout: 250 * time.Millisecond,
 		SlowStartDuration: 3 * time.Second, SlowStartWindow: 500 * time.Millisecond, SlowStartMaxOffers: 12, MaxPollInterval: 10 * time.Second, OwnerBackoff: time.Second,
 	}
-	return l
+	return cfg
 }
 
 // In busy runs all that is simulated happens, and each run is the same each time.
--- a/internal/verify/simulation/crashes.go
+++ b/internal/verify/simulation/crashes.go
@@ -20,7 +20,7 @@
 	maxProjects       = 200              // more than a run submits
 )
 
-// durableClasses are the classes of submissions; those that stand twice come twice as often.
+// durableClasses are the classes of submissions; those listed twice are drawn twice as often.
 var durableClasses = []string{"web", "keyed", "ledger", "ledger", "listing", "books"}
 
 // durableRun is a run of RunDurable.
@@ -42,7 +42,7 @@
 }
 
 // RunDurable runs a random schedule, which the seed determines, in which the placer crashes again and again, at each point
-// of a step that has durable records and while it recovers, as hosts crash, stop to answer and come back. It fails t if a
+// of a step that has durable records and while it recovers, as hosts crash, stop answering and come back. It fails t if a
 // submission that was acknowledged is forgotten, if one of its tasks has no outcome, or another than was reported before, if
 // an unsafe task runs twice, if a task or a stored attempt is left when all projects are removed, or on what
 // RequireNoViolations finds.
@@ -94,7 +94,7 @@
 // injectFaults does something to a host, or to the placer, again and again.
 func (r *durableRun) injectFaults() {
 	nothing := func(string) {}
-	actions := []func(host string){ // each is as likely as another: what stands twice comes twice as often
+	actions := []func(host string){ // each is as likely as another: one that is listed twice is drawn twice as often
 		r.submit, r.submit, r.submit,
 		r.s.ResetConnections,
 		func(host string) { r.crashHost(host, 2000) },
--- a/internal/verify/simulation/hosts.go
+++ b/internal/verify/simulation/hosts.go
@@ -14,7 +14,7 @@
 type Host struct {
 	Config     hostmodel.Config
 	Model      *hostmodel.Host // the present incarnation
-	Listed     bool            // it stands in the list of hosts
+	Listed     bool            // in the list of hosts
 	State      forkhead.MachineState
 	Blackholed bool // frames are lost both ways, and connections stay open
 
@@ -70,7 +70,7 @@
 	s.Step(list)
 }
 
-// entry returns the host as it stands in the list.
+// entry returns the host's entry in the list.
 func (h *Host) entry() core.HostEntry {
 	cores, memory := h.Model.Available()
 	return core.HostEntry{
--- a/internal/verify/simulation/placer.go
+++ b/internal/verify/simulation/placer.go
@@ -111,8 +111,8 @@
 	return records, others
 }
 
-// crash ends the incarnation. The next one can't begin here, since the caller may be in the middle of what the core said;
-// until then a core stands in that was told nothing and does nothing.
+// crash ends the incarnation. The next one can't start here, since the caller may still be handling outputs of this one; until
+// it does, Core is one that has received nothing and does nothing.
 func (s *Sim) crash() {
 	s.crashed = true
 	s.Core = s.newCore(core.Config{Settings: s.Settings, Seed: coreSeed, Epoch: s.Epoch})
--- a/internal/verify/simulation/random.go
+++ b/internal/verify/simulation/random.go
@@ -12,7 +12,7 @@
 // Mix says what a random run submits.
 type Mix struct {
 	Name          string
-	classes       []string // drawn from, so that those that stand twice come twice as often
+	classes       []string // drawn from; those listed twice are drawn twice as often
 	extraSettings string
 	restartOneIn  int // of the times when the placer may be restarted, it is at one in so many
 }
@@ -53,7 +53,7 @@
 }
 
 // RunRandom runs a random schedule, which the seed determines: projects are submitted, changed and removed while hosts
-// crash, stop to answer, drain and come back, frames are lost with their connections, and the placer is restarted. It fails
+// crash, stop answering, drain and come back, frames are lost with their connections, and the placer is restarted. It fails
 // t on a veto or an invariant violation of the core, if a task has two outcomes, or none in time, if an unsafe task runs
 // twice, if the placer's traffic breaks a rule, or if its tables are not empty when all projects are removed.
 func RunRandom(t TB, mix Mix, seed uint64) {
@@ -92,7 +92,7 @@
 
 // injectFaults does something to a host, or to the placer, again and again.
 func (r *randomRun) injectFaults() {
-	actions := []func(host string){ // each is as likely as another: what stands twice comes twice as often
+	actions := []func(host string){ // each is as likely as another: one that is listed twice is drawn twice as often
 		r.submit, r.submit, r.submit, r.submit,
 		r.removeProject,
 		r.s.ResetConnections,
