--- a/internal/verify/replay/snapshot.go
+++ b/internal/verify/replay/snapshot.go
@@ -10,8 +10,8 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// The recorded types are the form in which a core.Restore is written to a tape. gob matches fields by their names, so the
-// names of types and fields here are those of the first tapes and stay, whatever package durable calls them.
+// The recorded types are the stored form of a core.Restore. gob matches fields by their names, so the fields here have the
+// names of the first recordings, and keep them, whatever package durable calls the same thing.
 type (
 	recordedRestore struct{ Kept *recordedSnapshot }
 
@@ -81,7 +81,7 @@
 	return out
 }
 
-// recordRestore returns the form of a restore on a tape.
+// recordRestore returns the stored form of a restore.
 func recordRestore(in core.Restore) recordedRestore {
 	s := in.Snapshot
 	if s == nil {
--- a/internal/verify/replay/specification.go
+++ b/internal/verify/replay/specification.go
@@ -7,8 +7,8 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// The recorded types are the form in which a service specification is written to a tape, with the field names of the
-// first tapes. Types of package servicespec whose fields still have these names stand in a tape as they are.
+// The recorded types are the stored form of a service specification, with the field names of the first recordings. Types of
+// package servicespec whose fields still have these names are stored as they are.
 type (
 	recordedSpecification struct {
 		Name     string
@@ -72,7 +72,7 @@
 	}
 )
 
-// recordSpecification returns the form of a specification on a tape; nil stays nil.
+// recordSpecification returns the stored form of a specification; nil stays nil.
 func recordSpecification(d *servicespec.Description) *recordedSpecification {
 	if d == nil {
 		return nil
--- /dev/null
+++ b/internal/verify/replay/traffic.go
@@ -0,0 +1,89 @@
+package replay
+
+import (
+	"time"
+
+	"forkhead"
+	"forkhead/internal/protocol/capture"
+	"forkhead/internal/scheduler/core"
+)
+
+// lateTolerance is how long after it was due a step may run without an event for it.
+const lateTolerance = time.Millisecond
+
+// CaptureEvents returns the traffic on a placer's sockets, as a step of its core shows it, in the order in which the event
+// loop read the inputs and wrote the outputs. now and due are those of Step; base has what all events have: the placer and
+// its epoch.
+func CaptureEvents(base capture.Event, now, due time.Duration, in []core.Input, out []core.Output) []capture.Event {
+	base.At = now
+	var events []capture.Event
+	if due > 0 && now > due+lateTolerance {
+		e := base
+		e.Type, e.Within = capture.LateStep, now-due
+		events = append(events, e)
+	}
+	for _, in := range in {
+		events = append(events, captureInput(base, in)...)
+	}
+	for _, out := range out {
+		events = append(events, captureOutput(base, out)...)
+	}
+	return events
+}
+
+// captureInput returns the events of an input that came from the sockets. e has what all events have.
+func captureInput(e capture.Event, in core.Input) []capture.Event {
+	switch in := in.(type) {
+	case core.FrameReceived:
+		e.Host, e.Conn = in.Host, uint64(in.Conn)
+		return capture.FrameEvents(e, in.Frame)
+	case core.HostDisconnected:
+		e.Type, e.Host, e.Conn = capture.Disconnected, in.Host, uint64(in.Conn)
+		return []capture.Event{e}
+	case core.HostListReceived:
+		if in.Mode == forkhead.ListFailed {
+			return nil
+		}
+		e.Type = capture.ListDelivered
+		for i := range in.Hosts {
+			if h := &in.Hosts[i]; h.State == forkhead.Ready {
+				e.Ready = append(e.Ready, h.Name)
+			} else {
+				e.Draining = append(e.Draining, h.Name)
+			}
+		}
+		return []capture.Event{e}
+	}
+	return nil
+}
+
+// captureOutput returns the events of an output that goes to the sockets. e has what all events have.
+func captureOutput(e capture.Event, out core.Output) []capture.Event {
+	switch out := out.(type) {
+	case core.SendToHost:
+		e.Host, e.Conn = out.Host, uint64(out.Conn)
+		return capture.FrameEvents(e, out.Frame)
+	case core.CloseHostConnection:
+		e.Type, e.Host, e.Conn = capture.Disconnected, out.Host, uint64(out.Conn)
+		return []capture.Event{e}
+	case core.Accepted:
+		e.Type, e.Submission = capture.Submit, out.Submission
+		return []capture.Event{e}
+	}
+	return nil
+}
+
+// HostLocations returns an event for each host that the endpoint lists among the inputs name: its zone and its rack, as
+// captured traffic has them.
+func HostLocations(in []core.Input) []capture.Event {
+	var events []capture.Event
+	for _, in := range in {
+		if list, ok := in.(core.HostListReceived); ok {
+			for i := range list.Hosts {
+				h := &list.Hosts[i]
+				events = append(events, capture.Event{Type: capture.HostUp, Host: h.Name, Zone: h.Zone, Rack: h.Rack})
+			}
+		}
+	}
+	return events
+}
