--- a/internal/verify/modelcheck/modelcheck_test.go
+++ b/internal/verify/modelcheck/modelcheck_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// The spread is kept over a crash of the placer: two tasks of a service, of which a host may have one.
+// The spread limit holds over a crash of the placer: two tasks of a service, of which a host may have one.
 func TestRunKeepsSpreadLimit(t *testing.T) {
 	for _, effect := range []forkhead.Effect{forkhead.Safe, forkhead.Unsafe} {
 		r, err := Run(Config{Tasks: 2, Hosts: 1, Effect: effect, Requests: 1, Attempts: 1, Faults: 1, SpreadLimit: 1})
--- a/internal/verify/modelcheck/replay.go
+++ b/internal/verify/modelcheck/replay.go
@@ -47,13 +47,15 @@
 	request   forkhead.TaskID // the present one
 }
 
-// Durations of the replay's settings that no trace comes near, or that it waits for.
+// Times of a replay.
 const (
-	stepTime   = time.Millisecond       // between two steps of a trace
-	retryTime  = 100 * time.Millisecond // until a retry is due, of a request or a connection
-	replayTime = time.Hour              // at which a replay begins
+	replayStart = time.Hour              // on the core's clock
+	stepTime    = time.Millisecond       // between two steps of a trace
+	retryTime   = 100 * time.Millisecond // long enough for a retry of a request or a connection, by replaySettings
 )
 
+// replaySettings are the settings of the core: nothing happens by itself in the milliseconds that a trace takes, except
+// retries, which are due at once. Where a line of a trace is the end of a time, the replay advances the clock by it.
 const replaySettings = `(forkhead (placer (zone a) (http "127.0.0.1:1") (tell "127.0.0.1:2"))
   (kind k (cores 100) (memory 100GiB))
   (class safe (effect safe) (wait 1h) (patience 20h))
@@ -73,7 +75,7 @@
 		return nil, err
 	}
 	r := &replayer{
-		cfg: t.Config, settings: s.For(0), now: replayTime, result: &ReplayResult{}, tasks: make([]replayTask, t.Config.Tasks),
+		cfg: t.Config, settings: s.For(0), now: replayStart, result: &ReplayResult{}, tasks: make([]replayTask, t.Config.Tasks),
 	}
 	for i := range t.Config.Hosts {
 		r.hosts = append(r.hosts, newReplayHost(i))
@@ -207,7 +209,7 @@
 
 func (r *replayer) sendToHost(out *core.SendToHost) {
 	if _, ok := out.Frame.(hostproto.Probe); ok {
-		return // hosts in a trace do not probe
+		return // the model has no probes
 	}
 	if s := r.host(out.Host).stream(out.Conn, r.incarnation); s != nil && s.placerOpen {
 		s.toHost = append(s.toHost, out.Frame)
