--- /dev/null
+++ b/internal/emulator/platformmodel/emulator.go
@@ -0,0 +1,400 @@
+package platformmodel
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"forkhead/internal/protocol/platform"
+	"forkhead/internal/scheduler/timerqueue"
+)
+
+// defaultMaxRecords bounds a journal whose configuration does not.
+const defaultMaxRecords = 1_000_000
+
+// HostSpec is a host's place on the platform.
+type HostSpec struct {
+	Config      HostConfig
+	Zone        string
+	MachineType string
+	Cell        int
+	Cold        bool // its first incarnation has just started, too
+	// RestartAfter is when a host starts again that has crashed from too many offers; 0: never.
+	RestartAfter time.Duration
+}
+
+// Config is what an Emulator runs with.
+type Config struct {
+	Hosts      []HostSpec
+	Owners     []OwnerConfig // times of requests count from Begin
+	Placers    int
+	Faults     []Fault
+	ListDelay  time.Duration // until the endpoint list says what has become of a host
+	Seed       uint64
+	MaxRecords int // of the journal; 0: a million
+}
+
+// Emulator is all that is around the placers of a platform, with its faults. It is for one goroutine at a time. Times are
+// those of the caller's clock and never go back.
+type Emulator struct {
+	cfg      Config
+	rng      *rand.Rand
+	now      time.Duration
+	begun    bool
+	outputs  []Output
+	journal  Journal
+	timers   timerqueue.Queue[func()]
+	lastConn ConnID
+
+	parties        []*party // hosts, the endpoint log, and owners, in this order
+	log            *EndpointLog
+	logParty       *party
+	listeners      map[ListenerID]*listener
+	links          map[ConnID]*link
+	held           map[ConnID]*link // on which something is held back
+	running        map[int]bool     // placers
+	lastHostNumber int
+}
+
+// New returns an emulator whose hosts are up; the first Step opens their listeners. It returns an error for a configuration
+// that contradicts itself.
+func New(cfg Config, now time.Duration) (*Emulator, error) {
+	if cfg.MaxRecords == 0 {
+		cfg.MaxRecords = defaultMaxRecords
+	}
+	e := &Emulator{
+		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 3)), now: now, journal: Journal{maxRecords: cfg.MaxRecords},
+		listeners: map[ListenerID]*listener{}, links: map[ConnID]*link{}, held: map[ConnID]*link{}, running: map[int]bool{},
+	}
+	if err := e.addParties(); err != nil {
+		return nil, err
+	}
+	if len(cfg.Faults) > maxFaults {
+		return nil, fmt.Errorf("%d faults; at most %d", len(cfg.Faults), maxFaults)
+	}
+	for i := range cfg.Faults {
+		if err := e.validateFault(&cfg.Faults[i]); err != nil {
+			return nil, fmt.Errorf("fault %d: %w", i, err)
+		}
+	}
+	return e, nil
+}
+
+func (e *Emulator) addParties() error {
+	if e.cfg.Placers < 1 || len(e.cfg.Hosts) == 0 || e.cfg.ListDelay < 0 {
+		return errors.New("an emulator needs a placer, a host, and a delay of the list from 0")
+	}
+	for i, spec := range e.cfg.Hosts {
+		if err := spec.Config.validate(); err != nil {
+			return fmt.Errorf("host %d: %w", i, err)
+		}
+		e.lastHostNumber++
+		p := e.addParty(HostParty, i)
+		p.host = &hostPlace{spec: spec, name: hostName(e.lastHostNumber)}
+		p.listener = e.newListener(p)
+		e.startHost(p)
+	}
+	e.logParty = e.addParty(EndpointLogParty, 0)
+	e.logParty.listener = e.newListener(e.logParty)
+	for i := range e.cfg.Owners {
+		if err := e.cfg.Owners[i].validate(e.cfg.Placers); err != nil {
+			return fmt.Errorf("owner %d: %w", i, err)
+		}
+		e.addParty(OwnerParty, i)
+	}
+	e.log = NewEndpointLog(e.now)
+	e.logParty.model = e.log
+	e.updateListener(e.logParty)
+	return nil
+}
+
+func (e *Emulator) addParty(kind PartyKind, number int) *party {
+	p := &party{id: PartyID{kind, number}, links: map[ConnID]*link{}, next: never}
+	e.parties = append(e.parties, p)
+	return p
+}
+
+// NewConnID returns the number of a connection that is accepted.
+func (e *Emulator) NewConnID() ConnID {
+	e.lastConn++
+	return e.lastConn
+}
+
+// Journal returns what was recorded so far. It is valid until the next Step.
+func (e *Emulator) Journal() *Journal { return &e.journal }
+
+// InitialEvents returns the events of the endpoint list so far, which a placer is started with.
+func (e *Emulator) InitialEvents() []platform.WatchEvent { return e.log.Events() }
+
+// WatchAddress returns where the endpoint log listens; "": nowhere yet.
+func (e *Emulator) WatchAddress() string { return e.logParty.listener.address }
+
+// Requests accounts for the requests of all owners, in the order of the configuration.
+func (e *Emulator) Requests() [][]RequestReport {
+	var all [][]RequestReport
+	for _, p := range e.parties {
+		if o, ok := p.model.(*Owner); ok {
+			all = append(all, o.Reports())
+		}
+	}
+	return all
+}
+
+// Done reports whether each request has its final outcome.
+func (e *Emulator) Done() bool {
+	return e.begun && !slices.ContainsFunc(e.Requests(), func(reports []RequestReport) bool {
+		return slices.ContainsFunc(reports, func(r RequestReport) bool { return !r.Outcome.IsFinal() })
+	})
+}
+
+// Step takes what has happened on the network, does what is due, and returns what to do.
+func (e *Emulator) Step(now time.Duration, inputs ...Input) []Output {
+	e.now = now
+	for _, in := range inputs {
+		e.handle(in)
+	}
+	for due := range e.timers.Due(now) {
+		due()
+	}
+	for _, l := range slices.SortedFunc(maps.Values(e.held), func(a, b *link) int { return cmp.Compare(a.id, b.id) }) {
+		e.flush(l)
+	}
+	for _, p := range e.parties {
+		if p.model != nil && p.next <= now {
+			e.execute(p, p.model.Step(now))
+		}
+	}
+	out := e.outputs
+	e.outputs = nil
+	return out
+}
+
+// Next returns when Step is to be called at the latest.
+func (e *Emulator) Next() time.Duration {
+	next := never
+	if at, ok := e.timers.Next(); ok {
+		next = at
+	}
+	for _, p := range e.parties {
+		if p.model != nil {
+			next = min(next, p.next)
+		}
+	}
+	for _, l := range e.held {
+		next = min(next, l.next())
+	}
+	return next
+}
+
+func (e *Emulator) handle(in Input) {
+	switch in := in.(type) {
+	case ListenerOpened:
+		e.handleListenerOpened(in)
+	case Begin:
+		e.begin()
+	case Accepted:
+		e.handleAccepted(in)
+	case Connected:
+		if l := e.links[in.Conn]; l != nil {
+			e.openLink(l, "")
+		}
+	case Disconnected:
+		e.handleDisconnected(in.Conn)
+	case Data:
+		if l := e.links[in.Conn]; l != nil {
+			e.record(RecordArrived, l, in.Bytes)
+			l.toModel.push(e.now, in.Bytes)
+			e.flush(l)
+		}
+	case PlacerStarted:
+		e.setRunning(in.Placer, true)
+	case PlacerStopped:
+		e.setRunning(in.Placer, false)
+	}
+}
+
+// handleListenerOpened notes the address of a listener. A host is published once it has one.
+func (e *Emulator) handleListenerOpened(in ListenerOpened) {
+	l := e.listeners[in.Listener]
+	if l == nil {
+		return
+	}
+	isNew := l.address == ""
+	l.address = in.Address
+	if isNew && l.party.host != nil && l.party.listener == l {
+		e.publish(l.party)
+	}
+}
+
+// begin starts the owners and the schedule.
+func (e *Emulator) begin() {
+	if e.begun {
+		return
+	}
+	e.begun = true
+	for i := range e.cfg.Faults {
+		f := &e.cfg.Faults[i]
+		e.after(f.At, func() { e.beginFault(f) })
+	}
+	for _, p := range e.parties {
+		if p.id.Kind == OwnerParty {
+			cfg := e.cfg.Owners[p.id.Number]
+			cfg.Requests = slices.Clone(cfg.Requests)
+			for i := range cfg.Requests {
+				cfg.Requests[i].At += e.now
+			}
+			o := NewOwner(cfg, e.now, e.NewConnID)
+			p.model, p.next = o, o.Next()
+		}
+	}
+	for _, placer := range slices.Sorted(maps.Keys(e.running)) {
+		e.notifyOwners(placer)
+	}
+}
+
+func (e *Emulator) setRunning(placer int, running bool) {
+	event := RecordPlacerStopped
+	if running {
+		event = RecordPlacerStarted
+	}
+	e.journal.add(Record{At: e.now, Event: event, Placer: placer})
+	e.running[placer] = running
+	if e.begun {
+		e.notifyOwners(placer)
+	}
+}
+
+// notifyOwners tells the owners whether a placer runs.
+func (e *Emulator) notifyOwners(placer int) {
+	for _, p := range e.parties {
+		o, ok := p.model.(*Owner)
+		switch {
+		case !ok:
+		case e.running[placer]:
+			e.execute(p, o.PlacerStarted(e.now, placer))
+		default:
+			e.execute(p, o.PlacerStopped(e.now, placer))
+		}
+	}
+}
+
+func (e *Emulator) beginFault(f *Fault) {
+	targets := e.targets(f)
+	for _, p := range targets {
+		e.journal.add(Record{At: e.now, Event: RecordFaultBegan, Party: p.id, Fault: f.Type})
+		injectorOf(f.Type).begin(e, f, p)
+	}
+	e.after(f.Duration, func() {
+		for _, p := range targets {
+			e.journal.add(Record{At: e.now, Event: RecordFaultEnded, Party: p.id, Fault: f.Type})
+			if end := injectorOf(f.Type).end; end != nil {
+				end(e, f, p)
+			}
+		}
+	})
+}
+
+// targets returns the parties that a fault befalls.
+func (e *Emulator) targets(f *Fault) []*party {
+	var all []*party
+	for _, p := range e.parties {
+		if f.Target.includes(p) {
+			all = append(all, p)
+		}
+	}
+	return all
+}
+
+// handleAccepted takes a connection, unless its party has gone meanwhile.
+func (e *Emulator) handleAccepted(in Accepted) {
+	listener := e.listeners[in.Listener]
+	if listener == nil || listener.party.model == nil || listener != listener.party.listener {
+		e.emit(ResetConnection{in.Conn})
+		return
+	}
+	e.openLink(e.addLink(in.Conn, listener.party), in.Remote)
+}
+
+func (e *Emulator) addLink(id ConnID, p *party) *link {
+	l := &link{id: id, party: p}
+	e.links[id], p.links[id] = l, l
+	return l
+}
+
+// openLink tells a model of a connection.
+func (e *Emulator) openLink(l *link, remote string) {
+	e.record(RecordOpened, l, nil)
+	if l.party.active[FaultUnread] > 0 {
+		e.emit(StopReading{l.id})
+	}
+	e.execute(l.party, l.party.model.ConnectionOpened(e.now, l.id, remote))
+}
+
+// handleDisconnected handles the end of a connection by its placer. The model is told when it has received all.
+func (e *Emulator) handleDisconnected(conn ConnID) {
+	l := e.links[conn]
+	if l == nil {
+		return
+	}
+	e.record(RecordClosed, l, nil)
+	if l.dead {
+		e.endLink(l, ResetConnection{l.id})
+		return
+	}
+	l.closed = true
+	e.flush(l)
+}
+
+// execute executes what a model does, and notes when it wants to be called.
+func (e *Emulator) execute(p *party, actions []Action) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case Send:
+			if l := e.links[a.Conn]; l != nil {
+				e.send(l, a.Data)
+			}
+		case Close:
+			if l := e.links[a.Conn]; l != nil {
+				e.send(l, nil)
+			}
+		case Connect:
+			e.dial(p, a)
+		}
+	}
+	if h, ok := p.model.(*Host); ok && h.Crashed() {
+		e.killHost(p)
+		if after := p.host.spec.RestartAfter; after > 0 {
+			e.after(after, func() { e.startHost(p) })
+		}
+		return
+	}
+	if p.model != nil {
+		p.next = p.model.Next()
+	}
+}
+
+// dial connects a party to a placer; the connection is never made while the party is cut off.
+func (e *Emulator) dial(p *party, a Connect) {
+	l := e.addLink(a.Conn, p)
+	l.dead = p.active[FaultHalfOpen] > 0
+	if !l.dead {
+		e.emit(Dial(a))
+	}
+}
+
+func (e *Emulator) emit(o Output) { e.outputs = append(e.outputs, o) }
+
+// after calls do some time from now.
+func (e *Emulator) after(d time.Duration, do func()) { e.timers.Add(e.now+d, do) }
+
+func (e *Emulator) record(event RecordEvent, l *link, data []byte) {
+	e.journal.add(Record{At: e.now, Event: event, Party: l.party.id, Conn: l.id, Data: data})
+}
+
+func (e *Emulator) recordParty(event RecordEvent, p *party) {
+	e.journal.add(Record{At: e.now, Event: event, Party: p.id})
+}
--- /dev/null
+++ b/internal/emulator/platformmodel/endpointlog_test.go
@@ -0,0 +1,71 @@
+package platformmodel
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"forkhead/internal/protocol/platform"
+)
+
+// ask opens a stream behind an event and returns what comes at once.
+func ask(l *EndpointLog, conn ConnID, last string) string {
+	l.ConnectionOpened(rigStart, conn, "")
+	return sentText(l.Received(rigStart, conn, []byte("GET /changes HTTP/1.1\r\nHost: x\r\nLast-Event-ID: "+last+"\r\n\r\n")))
+}
+
+func sentText(actions []Action) string {
+	var all strings.Builder
+	for _, a := range actions {
+		if s, ok := a.(Send); ok {
+			all.Write(s.Data)
+		}
+	}
+	return all.String()
+}
+
+// A stream has the events behind the one that it asks for, then those that are published, and a comment each second.
+func TestEndpointLogStreams(t *testing.T) {
+	l := NewEndpointLog(rigStart, platform.Endpoint{Name: "s-00000001", State: platform.InService})
+	l.Publish(rigStart, platform.Endpoint{Name: "s-00000002", State: platform.InService})
+	for last, want := range map[string]string{"0": "id: 1 id: 2", "1": "id: 2", "2": "", "": "id: 1 id: 2", "7": "id: 1 id: 2"} {
+		var ids []string
+		for line := range strings.Lines(ask(l, 1, last)) {
+			if strings.HasPrefix(line, "id: ") {
+				ids = append(ids, strings.TrimSpace(line))
+			}
+		}
+		if got := strings.Join(ids, " "); got != want {
+			t.Errorf("behind %q: %q, want %q", last, got, want)
+		}
+	}
+	if got := sentText(l.Publish(rigStart, platform.Endpoint{Name: "s-00000002", State: platform.Terminated})); !strings.HasPrefix(got, "id: 3\ndata: {") {
+		t.Errorf("published %q", got)
+	}
+	if at := l.Next(); at != rigStart+time.Second || sentText(l.Step(at)) != ":\n\n" || l.Next() != at+time.Second {
+		t.Errorf("the next comment is due at %v", at)
+	}
+}
+
+// Whoever asks behind an event that is not kept has a snapshot, without hosts that are gone.
+func TestEndpointLogForgetsEvents(t *testing.T) {
+	l := NewEndpointLog(rigStart)
+	for range maxLoggedEvents {
+		l.Publish(rigStart, platform.Endpoint{Name: "s-00000001", State: platform.InService}, platform.Endpoint{Name: "s-00000002", State: platform.Terminated})
+	}
+	if got := ask(l, 1, "0"); strings.Count(got, "id: ") != 1 || !strings.Contains(got, `"whole":true`) || strings.Contains(got, "s-00000002") {
+		t.Errorf("%.300q", got)
+	}
+}
+
+// What asks for something else is refused.
+func TestEndpointLogRefuses(t *testing.T) {
+	for request, want := range map[string]string{"GET /x HTTP/1.1\r\nHost: x\r\n\r\n": "404", "nonsense\r\n\r\n": "400"} {
+		l := NewEndpointLog(rigStart)
+		l.ConnectionOpened(rigStart, 1, "")
+		actions := l.Received(rigStart, 1, []byte(request))
+		if got := sentText(actions); !strings.HasPrefix(got, "HTTP/1.1 "+want) || len(actions) != 2 {
+			t.Errorf("%q: %q", request, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/emulator/platformmodel/faults_test.go
@@ -0,0 +1,403 @@
+package platformmodel
+
+import (
+	"bytes"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"forkhead/internal/protocol/platform"
+)
+
+// rig is an Emulator whose placer is the test. The listeners of its two hosts are 1 and 2, in the zones a and b; 3 is the
+// endpoint log's.
+type rig struct {
+	t         *testing.T
+	e         *Emulator
+	now       time.Duration
+	written   map[ConnID][]string // messages, as type and ref, or the whole if they can't be read
+	ended     map[ConnID]Output
+	listeners map[ListenerID]string // state
+	addresses map[ListenerID]string
+	unread    map[ConnID]bool
+	dialed    []ConnID
+}
+
+const rigStart = time.Hour
+
+// newRig returns a rig that has begun. Answers of its hosts take 10 ms.
+func newRig(t *testing.T, faults ...Fault) *rig {
+	t.Helper()
+	cfg := testNetworkConfig(1, 2, 1, faults...).Emulator
+	cfg.Owners[0].Requests[0].ReleaseAfter = 0
+	for i := range cfg.Hosts {
+		cfg.Hosts[i].Config.AnswerTime = Range{10 * time.Millisecond, 10 * time.Millisecond}
+	}
+	e, err := New(cfg, rigStart)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &rig{
+		t: t, e: e, now: rigStart, written: map[ConnID][]string{}, ended: map[ConnID]Output{}, listeners: map[ListenerID]string{},
+		addresses: map[ListenerID]string{}, unread: map[ConnID]bool{},
+	}
+	r.step()
+	r.step(Begin{})
+	return r
+}
+
+func (r *rig) step(in ...Input) {
+	for _, o := range r.e.Step(r.now, in...) {
+		switch o := o.(type) {
+		case OpenListener:
+			r.listeners[o.Listener] = "open"
+			r.addresses[o.Listener] = fmt.Sprintf("10.0.0.%d:1", o.Listener)
+			defer r.step(ListenerOpened{o.Listener, r.addresses[o.Listener]})
+		case CloseListener:
+			r.listeners[o.Listener] = "closed"
+		case StopAccepting:
+			r.listeners[o.Listener] = "stopped"
+		case ResumeAccepting:
+			r.listeners[o.Listener] = "open"
+		case Write:
+			r.written[o.Conn] = append(r.written[o.Conn], describe(o.Bytes))
+		case CloseConnection:
+			r.ended[o.Conn] = o
+		case ResetConnection:
+			r.ended[o.Conn] = o
+		case StopReading:
+			r.unread[o.Conn] = true
+		case ResumeReading:
+			r.unread[o.Conn] = false
+		case Dial:
+			r.dialed = append(r.dialed, o.Conn)
+		}
+	}
+}
+
+// describe returns the type and the ref of a message, or the whole if it can't be read.
+func describe(line []byte) string {
+	m, err := platform.Decode(bytes.TrimSuffix(line, []byte("\n")))
+	if err != nil {
+		return string(line)
+	}
+	return string(m.Type) + " " + m.Ref
+}
+
+// until lets time pass up to a time since the beginning.
+func (r *rig) until(d time.Duration) {
+	for end := rigStart + d; r.now < end; r.step() {
+		r.now = min(end, max(r.e.Next(), r.now+time.Millisecond))
+	}
+}
+
+// connect opens a connection to a listener.
+func (r *rig) connect(l ListenerID) ConnID {
+	id := r.e.NewConnID()
+	r.step(Accepted{l, id, "placer"})
+	return id
+}
+
+// probe sends probes, numbered by refs.
+func (r *rig) probe(conn ConnID, refs ...int) {
+	for _, ref := range refs {
+		r.step(Data{conn, platform.Append(nil, platform.TypeProbe, fmt.Sprintf("%016x", ref), 0, nil)})
+	}
+}
+
+// want checks which probes are answered on a connection, in their order.
+func (r *rig) want(conn ConnID, refs ...int) {
+	r.t.Helper()
+	var want []string
+	for _, ref := range refs {
+		want = append(want, fmt.Sprintf("%s %016x", platform.TypeProbeResult, ref))
+	}
+	if got := r.written[conn]; !slices.Equal(got, want) {
+		r.t.Errorf("at %v: written %q, want %q", r.now-rigStart, got, want)
+	}
+}
+
+// wantListener checks the state of a listener.
+func (r *rig) wantListener(l ListenerID, state string) {
+	r.t.Helper()
+	if r.listeners[l] != state {
+		r.t.Errorf("at %v: listener %d is %s, want %s", r.now-rigStart, l, r.listeners[l], state)
+	}
+}
+
+// wantReset checks whether a connection was reset.
+func (r *rig) wantReset(conn ConnID, want bool) {
+	r.t.Helper()
+	if got := r.ended[conn] == (ResetConnection{conn}); got != want {
+		r.t.Errorf("at %v: reset %v, want %v", r.now-rigStart, got, want)
+	}
+}
+
+// lastEntry returns the last entry of a host in the endpoint list.
+func (r *rig) lastEntry(name string) (last platform.Endpoint) {
+	for _, event := range r.e.InitialEvents() {
+		for _, entry := range event.Endpoints.Hosts {
+			if entry.Name == name {
+				last = entry
+			}
+		}
+	}
+	return last
+}
+
+// Hosts of the rig as targets, and times of its faults.
+var (
+	host0    = Target{Kind: HostParty, Number: 0}
+	zoneA    = Target{Kind: HostParty, Zone: "a"}
+	allHosts = Target{Kind: HostParty, All: true}
+)
+
+const second = time.Second
+
+// Each type of fault does what it says to its targets, and nothing to others.
+func TestInjectors(t *testing.T) {
+	for _, c := range []struct {
+		fault Fault // begins after 1 s and lasts for 2 s
+		check func(r *rig, conn, other ConnID)
+	}{
+		{Fault{Type: FaultLate, Target: host0, Amount: 300 * time.Millisecond}, checkLate},
+		{Fault{Type: FaultSilent, Target: host0}, checkSilent},
+		{Fault{Type: FaultHalfOpen, Target: host0}, checkHalfOpen},
+		{Fault{Type: FaultReset, Target: host0}, checkReset},
+		{Fault{Type: FaultSpoilt, Target: host0}, checkSpoilt},
+		{Fault{Type: FaultDoubled, Target: host0}, checkDoubled},
+		{Fault{Type: FaultReordered, Target: host0}, checkReordered},
+		{Fault{Type: FaultUnread, Target: host0}, checkUnread},
+		{Fault{Type: FaultRefused, Target: host0}, checkRefused},
+		{Fault{Type: FaultMassKill, Target: allHosts}, checkMassKill},
+		{Fault{Type: FaultMassRestart, Target: allHosts}, checkMassRestart},
+		{Fault{Type: FaultZoneCut, Target: zoneA}, checkZoneCut},
+		{Fault{Type: FaultHostReplaced, Target: host0}, checkHostReplaced},
+		{Fault{Type: FaultHostReaddressed, Target: host0}, checkHostReaddressed},
+	} {
+		t.Run(c.fault.Type.String(), func(t *testing.T) {
+			c.fault.At, c.fault.Duration = second, 2*second
+			r := newRig(t, c.fault)
+			conn, other := r.connect(1), r.connect(2)
+			r.until(second)
+			c.check(r, conn, other)
+		})
+	}
+}
+
+func checkLate(r *rig, conn, other ConnID) {
+	r.probe(conn, 1)
+	r.probe(other, 1)
+	r.want(other, 1)
+	r.until(second + 299*time.Millisecond)
+	r.want(conn)
+	r.until(second + 300*time.Millisecond)
+	r.want(conn, 1)
+}
+
+func checkSilent(r *rig, conn, other ConnID) {
+	r.probe(conn, 1, 2)
+	r.probe(other, 1)
+	r.want(other, 1)
+	r.until(3*second - 1)
+	r.want(conn)
+	r.until(3 * second)
+	r.want(conn, 1, 2)
+}
+
+func checkHalfOpen(r *rig, conn, other ConnID) {
+	r.probe(conn, 1)
+	r.probe(other, 1)
+	r.want(other, 1)
+	r.wantListener(1, "stopped")
+	r.until(3*second - 1)
+	r.wantReset(conn, false)
+	r.until(3 * second)
+	r.wantReset(conn, true)
+	r.want(conn)
+	r.wantListener(1, "open")
+	r.wantListener(2, "open")
+}
+
+func checkReset(r *rig, conn, other ConnID) {
+	r.wantReset(conn, true)
+	r.wantReset(other, false)
+}
+
+func checkSpoilt(r *rig, conn, other ConnID) {
+	for range 20 {
+		r.probe(conn, 1)
+		r.probe(other, 1)
+	}
+	good := r.written[other][0]
+	if len(r.written[conn]) != 20 || slices.Contains(r.written[conn], good) {
+		r.t.Errorf("written %q", r.written[conn])
+	}
+}
+
+func checkDoubled(r *rig, conn, other ConnID) {
+	r.probe(conn, 1, 2)
+	r.probe(other, 1)
+	r.want(conn, 1, 1, 2, 2)
+	r.want(other, 1)
+}
+
+func checkReordered(r *rig, conn, other ConnID) {
+	r.probe(conn, 1, 2, 3)
+	r.probe(other, 1, 2)
+	r.want(conn, 2, 1)
+	r.want(other, 1, 2)
+	r.until(3 * second)
+	r.want(conn, 2, 1, 3)
+}
+
+func checkUnread(r *rig, conn, other ConnID) {
+	r.probe(conn, 1)
+	r.probe(other, 1)
+	r.want(conn)
+	r.want(other, 1)
+	if later := r.connect(1); !r.unread[conn] || !r.unread[later] || r.unread[other] {
+		r.t.Errorf("unread %v", r.unread)
+	}
+	r.until(3 * second)
+	r.want(conn, 1)
+	if r.unread[conn] {
+		r.t.Error("it still does not read")
+	}
+}
+
+func checkRefused(r *rig, conn, _ ConnID) {
+	r.wantListener(1, "closed")
+	r.wantListener(2, "open")
+	r.probe(conn, 1)
+	r.want(conn, 1)
+	r.until(3 * second)
+	r.wantListener(1, "open")
+}
+
+func checkMassKill(r *rig, conn, other ConnID) {
+	r.wantReset(conn, true)
+	r.wantReset(other, true)
+	r.wantListener(1, "closed")
+	r.until(second + 300*time.Millisecond)
+	if got := r.lastEntry("s-00000002").State; got != platform.Terminated {
+		r.t.Errorf("the list says %s", got)
+	}
+	r.until(3*second + 300*time.Millisecond)
+	r.wantListener(1, "open")
+	if got := r.lastEntry("s-00000002"); got.State != platform.InService || got.StartedAtMS != 3_603_000 {
+		r.t.Errorf("the list says %+v", got)
+	}
+}
+
+func checkMassRestart(r *rig, conn, other ConnID) {
+	r.wantReset(conn, true)
+	r.wantReset(other, false)
+	r.until(second + restartTime)
+	r.wantListener(1, "open")
+	r.until(2 * second)
+	r.wantReset(other, true)
+	r.until(2*second + restartTime)
+	r.wantListener(2, "open")
+}
+
+func checkZoneCut(r *rig, conn, other ConnID) {
+	r.probe(conn, 1)
+	r.probe(other, 1)
+	r.want(other, 1)
+	r.wantListener(1, "stopped")
+	r.until(3*second - 1)
+	r.want(conn)
+	r.until(3 * second)
+	r.want(conn, 1)
+	r.wantListener(1, "open")
+}
+
+func checkHostReplaced(r *rig, conn, other ConnID) {
+	r.probe(conn, 1)
+	r.wantListener(1, "stopped")
+	r.wantReset(conn, false)
+	r.until(4 * second)
+	r.want(conn)
+	r.wantReset(conn, true)
+	r.wantListener(1, "open")
+	r.wantReset(other, false)
+	before, after := r.lastEntry("s-00000001"), r.lastEntry("s-00000003")
+	if before.State != platform.Terminated || after.State != platform.InService || before.Address != after.Address {
+		r.t.Errorf("before %+v, after %+v", before, after)
+	}
+}
+
+func checkHostReaddressed(r *rig, conn, _ ConnID) {
+	before := r.lastEntry("s-00000001")
+	r.until(4 * second)
+	r.wantReset(conn, false)
+	r.wantListener(1, "stopped")
+	r.wantListener(4, "open")
+	if after := r.lastEntry("s-00000001"); after.State != platform.InService || before.Address == after.Address {
+		r.t.Errorf("before %+v, after %+v", before, after)
+	}
+}
+
+// A host whose clock is ahead says that it started later.
+func TestInjectorClockSkew(t *testing.T) {
+	r := newRig(t, Fault{Duration: 5 * second, Type: FaultClockSkew, Target: host0, Amount: 7 * second},
+		Fault{At: second, Duration: second, Type: FaultMassKill, Target: allHosts})
+	r.until(3 * second)
+	if a, b := r.lastEntry("s-00000001").StartedAtMS, r.lastEntry("s-00000002").StartedAtMS; a != 3_609_000 || b != 3_602_000 {
+		t.Errorf("started at %v and %v", a, b)
+	}
+}
+
+// The owner of the rig hands over the task that runs, on a connection that has passed a probe.
+func TestInjectorBulkHandOver(t *testing.T) {
+	r := newRig(t, Fault{At: second, Type: FaultBulkHandOver, Target: Target{Kind: OwnerParty}})
+	r.step(PlacerStarted{0})
+	conn := r.dialed[0]
+	r.step(Connected{conn})
+	probe := strings.Fields(r.written[conn][0])[1]
+	r.step(Data{conn, platform.Append(nil, platform.TypeProbeResult, probe, platform.CauseHealthy, nil)})
+	ref := r.e.Requests()[0][0].Refs[0]
+	r.step(Data{conn, platform.Append(nil, platform.TypeBound, ref, platform.NoCause, boundDescription("s-00000001", ref))})
+	r.until(second)
+	if got := r.written[conn]; len(got) != 3 || got[2] != fmt.Sprintf("%s %s", platform.TypeRequest, ref) {
+		t.Errorf("written %q", got)
+	}
+	if got := r.e.Requests()[0][0]; got.HandOvers != 1 || got.Host != "s-00000001" || got.Outcome != OutcomeRunning {
+		t.Errorf("%+v", got)
+	}
+}
+
+// A log whose sequence has restarted ends its streams and begins again with a snapshot, whatever is asked for.
+func TestInjectorSequenceRestart(t *testing.T) {
+	r := newRig(t, Fault{At: second, Type: FaultSequenceRestart, Target: Target{Kind: EndpointLogParty}})
+	conn := r.connect(3)
+	r.until(second)
+	if r.ended[conn] != (CloseConnection{conn}) {
+		t.Errorf("ended %v", r.ended)
+	}
+	again := r.connect(3)
+	r.step(Data{again, []byte("GET /changes HTTP/1.1\r\nHost: x\r\nLast-Event-ID: 3\r\n\r\n")})
+	if got := strings.Join(r.written[again], ""); !strings.Contains(got, "id: 1\ndata:") || !strings.Contains(got, `"whole":true`) {
+		t.Errorf("written %q", got)
+	}
+}
+
+// A schedule that cannot be followed is an error.
+func TestValidateFault(t *testing.T) {
+	for want, f := range map[string]Fault{
+		"there is no":      {Type: faultTypeCount},
+		"below 0":          {At: -1},
+		"how late":         {Type: FaultLate, Target: host0},
+		"does not befall":  {Type: FaultBulkHandOver, Target: host0},
+		"has no target":    {Type: FaultReset, Target: Target{Kind: HostParty, Number: 9}},
+		"zone cut has no":  {Type: FaultZoneCut, Target: Target{Kind: HostParty, Zone: "z"}},
+		"late does not be": {Type: FaultLate, Amount: 1, Target: Target{Kind: 9}},
+	} {
+		if _, err := New(testNetworkConfig(1, 2, 1, f).Emulator, rigStart); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%+v: %v, want %s", f, err, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/emulator/platformmodel/host_test.go
@@ -0,0 +1,168 @@
+package platformmodel
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"forkhead/internal/protocol/platform"
+)
+
+// hostRig is a host whose placer is the test. Its offers take 10 ms to decide, and its tasks run for 2 s.
+type hostRig struct {
+	t    *testing.T
+	host *Host
+	now  time.Duration
+	sent []string // type, ref and cause of each message, or "close" and the connection
+}
+
+func newHostRig(t *testing.T, cold bool, change func(*HostConfig)) *hostRig {
+	t.Helper()
+	cfg := testHostConfig()
+	cfg.AnswerTime, cfg.RunTime, cfg.NoteInterval = Range{10 * time.Millisecond, 10 * time.Millisecond}, Range{2 * second, 2 * second}, 0
+	if change != nil {
+		change(&cfg)
+	}
+	r := &hostRig{t: t, host: NewHost(cfg, "s-00000001", 1, rigStart, cold), now: rigStart}
+	r.take(r.host.ConnectionOpened(r.now, 1, "placer"))
+	return r
+}
+
+func (r *hostRig) take(actions []Action) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case Send:
+			m, err := platform.Decode(a.Data[:len(a.Data)-1])
+			if err != nil {
+				r.t.Fatal(err)
+			}
+			if m.Type != platform.TypeNote {
+				r.sent = append(r.sent, fmt.Sprintf("%s %s %d", m.Type, m.Ref[14:], m.Cause))
+			}
+		case Close:
+			r.sent = append(r.sent, fmt.Sprintf("close %d", a.Conn))
+		}
+	}
+}
+
+// offer offers a task of so many cores, with an idempotency key.
+func (r *hostRig) offer(ref int, cores float64, key string) {
+	r.take(r.host.Received(r.now, 1, platform.Append(nil, platform.TypeRequest, fmt.Sprintf("%016x", ref), platform.NoCause,
+		taskSize{cores, 1}.description(), platform.TextField(platform.FieldIdempotencyKey, key))))
+}
+
+func (r *hostRig) message(kind platform.MessageType, ref int) {
+	r.take(r.host.Received(r.now, 1, platform.Append(nil, kind, fmt.Sprintf("%016x", ref), platform.CauseOK, nil)))
+}
+
+func (r *hostRig) advance(d time.Duration) {
+	for end := r.now + d; r.now < end; r.take(r.host.Step(r.now)) {
+		r.now = min(end, max(r.host.Next(), r.now+1))
+	}
+}
+
+// want checks what was sent since the last call.
+func (r *hostRig) want(want ...string) {
+	r.t.Helper()
+	if !slices.Equal(r.sent, want) {
+		r.t.Errorf("at %v: sent %q, want %q", r.now-rigStart, r.sent, want)
+	}
+	r.sent = nil
+}
+
+// Offers are decided one after another; what the host has no cores for, or no place in its queue, is rejected.
+func TestHostDecidesOffersInOrder(t *testing.T) {
+	r := newHostRig(t, false, func(c *HostConfig) { c.MaxQueued = 3 })
+	r.offer(1, 10, "")
+	r.offer(2, 10, "")
+	r.offer(3, 6, "")
+	r.offer(4, 1, "")
+	r.want("down 04 34")
+	r.advance(10 * time.Millisecond)
+	r.want("up 01 -1")
+	r.advance(10 * time.Millisecond)
+	r.want("down 02 34")
+	r.advance(10 * time.Millisecond)
+	r.want("up 03 -1")
+	if cores, memory := r.host.Available(); cores != 0 || memory != 14 {
+		t.Errorf("%v cores and %v of memory are available", cores, memory)
+	}
+}
+
+// The end of a task is sent on each connection that opens until the placer acknowledges it.
+func TestHostResendsRelease(t *testing.T) {
+	r := newHostRig(t, false, nil)
+	r.offer(1, 1, "")
+	r.advance(10 * time.Millisecond)
+	r.take(r.host.ConnectionClosed(r.now, 1))
+	r.advance(2 * second)
+	r.want("up 01 -1")
+	r.take(r.host.ConnectionOpened(r.now, 1, "placer"))
+	r.want("down 01 16")
+	r.take(r.host.ConnectionOpened(r.now, 2, "another placer"))
+	r.want()
+	r.message(platform.TypeAck, 1)
+	r.take(r.host.ConnectionOpened(r.now, 3, "placer"))
+	r.want()
+}
+
+// A release cuts a task that runs, withdraws an offer that is not decided, and is acknowledged where there is neither.
+func TestHostReceivesRelease(t *testing.T) {
+	r := newHostRig(t, false, nil)
+	r.offer(1, 1, "")
+	r.advance(10 * time.Millisecond)
+	r.message(platform.TypeRelease, 1)
+	r.want("up 01 -1", "down 01 31")
+	r.offer(2, 1, "")
+	r.message(platform.TypeRelease, 2)
+	r.want("ack 02 -1")
+	r.advance(second)
+	r.want()
+}
+
+// A task that runs is not started again: neither under its ref, nor under another with its idempotency key.
+func TestHostDeduplicatesOffers(t *testing.T) {
+	r := newHostRig(t, false, nil)
+	for _, ref := range []int{1, 1, 2} {
+		r.offer(ref, 1, "key")
+		r.advance(10 * time.Millisecond)
+	}
+	r.want("up 01 -1", "up 01 -1", "up 02 -1")
+	if got := r.host.Running(); len(got) != 1 {
+		t.Errorf("%q run", got)
+	}
+}
+
+// A host that has just started answers late, and crashes from too many offers in a while.
+func TestHostSlowStart(t *testing.T) {
+	r := newHostRig(t, true, func(c *HostConfig) { c.SlowStartMaxOffers, c.SlowStartFactor = 2, 3 })
+	r.offer(1, 1, "")
+	r.offer(2, 1, "")
+	r.advance(29 * time.Millisecond)
+	r.want()
+	r.advance(time.Millisecond)
+	r.want("up 01 -1")
+	r.advance(470 * time.Millisecond)
+	r.offer(3, 1, "")
+	r.offer(4, 1, "")
+	if r.host.Crashed() {
+		t.Error("it has crashed from 2 offers in a window")
+	}
+	r.offer(5, 1, "")
+	if !r.host.Crashed() {
+		t.Error("it has not crashed from 3 offers in a window")
+	}
+}
+
+// A connection without messages is closed; one that brings what can't be read is closed at once.
+func TestHostClosesConnections(t *testing.T) {
+	r := newHostRig(t, false, nil)
+	r.take(r.host.ConnectionOpened(r.now, 2, "placer"))
+	r.take(r.host.Received(r.now, 2, []byte("no message\n")))
+	r.want("close 2")
+	r.advance(30*second - 1)
+	r.want()
+	r.advance(1)
+	r.want("close 1")
+}
--- /dev/null
+++ b/internal/emulator/platformmodel/hosttasks.go
@@ -0,0 +1,85 @@
+package platformmodel
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"strconv"
+	"time"
+
+	"forkhead/internal/protocol/platform"
+)
+
+// hostTask is a task that runs.
+type hostTask struct {
+	ref            string
+	conn           ConnID // of its offer
+	remote         string
+	idempotencyKey string
+	size           taskSize
+	endsAt         time.Duration
+	nextNoteAt     time.Duration // never: it has no notes
+}
+
+func (h *Host) sortedTasks() []*hostTask {
+	return slices.SortedFunc(maps.Values(h.tasks), func(a, b *hostTask) int { return cmp.Compare(a.ref, b.ref) })
+}
+
+// bind starts a task.
+func (h *Host) bind(o *offer) {
+	t := &hostTask{
+		ref: o.ref, conn: o.conn, remote: o.remote, idempotencyKey: o.idempotencyKey, size: o.size,
+		endsAt: h.now + h.cfg.RunTime.draw(h.rng), nextNoteAt: never,
+	}
+	if h.cfg.NoteInterval > 0 {
+		t.nextNoteAt = h.now + h.cfg.NoteInterval
+	}
+	h.tasks[t.ref] = t
+	h.sendBound(t)
+	h.sendNote(t, platform.NoteRunning, "")
+}
+
+func (h *Host) sendBound(t *hostTask) {
+	h.add(Send{t.conn, platform.Append(nil, platform.TypeBound, t.ref, platform.NoCause, boundDescription(h.name, t.ref))})
+}
+
+// sendNote sends a note on a task, if a connection of its placer is open. value may be empty.
+func (h *Host) sendNote(t *hostTask, note platform.Note, value string) {
+	c := h.connectionFor(t)
+	if c == nil {
+		return
+	}
+	c.lastUsed = h.now
+	fields := []platform.Field{platform.TextField(platform.FieldNote, string(note))}
+	if value != "" {
+		fields = append(fields, platform.TextField(platform.FieldValue, value))
+	}
+	h.sendMessage(c.id, platform.TypeNote, t.ref, platform.NoCause, fields...)
+}
+
+// advanceTasks ends the tasks whose time has come, and sends the notes that are due.
+func (h *Host) advanceTasks() {
+	for _, t := range h.sortedTasks() {
+		switch {
+		case t.endsAt <= h.now:
+			h.end(t, platform.CauseOK)
+		case t.nextNoteAt <= h.now:
+			t.nextNoteAt = h.now + h.cfg.NoteInterval
+			h.sendNote(t, platform.NoteCoresUsed, strconv.FormatFloat(t.size.Cores, 'g', -1, 64))
+		}
+	}
+}
+
+// end ends a task by itself. Its placer is owed the end until it acknowledges it.
+func (h *Host) end(t *hostTask, cause platform.Cause) {
+	delete(h.tasks, t.ref)
+	line := platform.Append(nil, platform.TypeRelease, t.ref, cause, nil, h.loadField())
+	if c := h.connectionFor(t); c != nil {
+		c.lastUsed = h.now
+		h.add(Send{c.id, line})
+	}
+	if len(h.owed) >= maxOwedRelease {
+		h.owed = h.owed[1:]
+	}
+	h.owed = append(h.owed, owedRelease{t.remote, t.ref, line})
+}
--- /dev/null
+++ b/internal/emulator/platformmodel/injectors.go
@@ -0,0 +1,149 @@
+package platformmodel
+
+import (
+	"slices"
+	"time"
+)
+
+// restartTime is how long a process takes to start again in a FaultMassRestart.
+const restartTime = 200 * time.Millisecond
+
+// injector is what a type of fault does to each of its targets.
+type injector struct {
+	kinds []PartyKind // that it can befall
+	begin func(e *Emulator, f *Fault, p *party)
+	end   func(e *Emulator, f *Fault, p *party) // nil: nothing
+}
+
+var (
+	anyParty  = []PartyKind{HostParty, OwnerParty, EndpointLogParty}
+	listening = []PartyKind{HostParty, EndpointLogParty}
+	onlyHosts = []PartyKind{HostParty}
+)
+
+// injectorOf returns what a type of fault does. A fault that is only counted as active takes effect where messages pass, in
+// link.go, or where listeners change.
+func injectorOf(t FaultType) injector {
+	active := func(kinds []PartyKind) injector {
+		return injector{kinds, (*Emulator).beginActive, (*Emulator).endActive}
+	}
+	return [faultTypeCount]injector{
+		FaultLate:            {anyParty, (*Emulator).beginLate, (*Emulator).endLate},
+		FaultSilent:          active(anyParty),
+		FaultHalfOpen:        {anyParty, (*Emulator).beginHalfOpen, (*Emulator).endHalfOpen},
+		FaultReset:           {anyParty, (*Emulator).beginReset, nil},
+		FaultSpoilt:          active(anyParty),
+		FaultDoubled:         active(anyParty),
+		FaultReordered:       active(anyParty),
+		FaultUnread:          {anyParty, (*Emulator).beginUnread, (*Emulator).endUnread},
+		FaultRefused:         active(listening),
+		FaultClockSkew:       {onlyHosts, (*Emulator).beginClockSkew, (*Emulator).endClockSkew},
+		FaultMassKill:        {onlyHosts, (*Emulator).beginMassKill, (*Emulator).endMassKill},
+		FaultMassRestart:     {onlyHosts, (*Emulator).beginMassRestart, nil},
+		FaultZoneCut:         active(onlyHosts),
+		FaultHostReplaced:    {onlyHosts, (*Emulator).beginHostGone, (*Emulator).endHostReplaced},
+		FaultHostReaddressed: {onlyHosts, (*Emulator).beginHostGone, (*Emulator).endHostReaddressed},
+		FaultBulkHandOver:    {[]PartyKind{OwnerParty}, (*Emulator).beginBulkHandOver, nil},
+		FaultSequenceRestart: {[]PartyKind{EndpointLogParty}, (*Emulator).beginSequenceRestart, nil},
+	}[t]
+}
+
+// beginActive counts a fault as active.
+func (e *Emulator) beginActive(f *Fault, p *party) {
+	p.active[f.Type]++
+	e.updateListener(p)
+}
+
+// endActive ends an active fault and lets pass what it held back.
+func (e *Emulator) endActive(f *Fault, p *party) {
+	p.active[f.Type]--
+	e.updateListener(p)
+	for _, l := range p.sortedLinks() {
+		if p.active[FaultReordered] == 0 {
+			e.releaseReordered(l)
+		}
+		e.flush(l)
+	}
+}
+
+func (e *Emulator) beginLate(f *Fault, p *party) { p.delay += f.Amount }
+func (e *Emulator) endLate(f *Fault, p *party)   { p.delay -= f.Amount }
+
+// beginHalfOpen makes the open connections dead. Neither side notices.
+func (e *Emulator) beginHalfOpen(f *Fault, p *party) {
+	for _, l := range p.links {
+		l.dead = true
+	}
+	e.beginActive(f, p)
+}
+
+// endHalfOpen resets the dead connections, as a machine does that no longer knows them.
+func (e *Emulator) endHalfOpen(f *Fault, p *party) {
+	e.endActive(f, p)
+	if p.active[FaultHalfOpen] == 0 {
+		e.resetDeadLinks(p)
+	}
+}
+
+func (e *Emulator) beginReset(_ *Fault, p *party) { e.resetLinks(p) }
+
+func (e *Emulator) beginUnread(f *Fault, p *party) {
+	e.beginActive(f, p)
+	for _, l := range p.sortedLinks() {
+		e.emit(StopReading{l.id})
+	}
+}
+
+func (e *Emulator) endUnread(f *Fault, p *party) {
+	e.endActive(f, p)
+	if p.active[FaultUnread] > 0 {
+		return
+	}
+	for _, l := range p.sortedLinks() {
+		e.emit(ResumeReading{l.id})
+	}
+}
+
+// beginClockSkew shifts the clock by which a host says when it has started.
+func (e *Emulator) beginClockSkew(f *Fault, p *party) { p.host.skew += f.Amount }
+func (e *Emulator) endClockSkew(f *Fault, p *party)   { p.host.skew -= f.Amount }
+
+func (e *Emulator) beginMassKill(_ *Fault, p *party) { e.killHost(p) }
+func (e *Emulator) endMassKill(_ *Fault, p *party)   { e.startHost(p) }
+
+// beginMassRestart kills a target when its turn comes, and starts it again.
+func (e *Emulator) beginMassRestart(f *Fault, p *party) {
+	targets := e.targets(f)
+	turn := f.Duration * time.Duration(slices.Index(targets, p)) / time.Duration(len(targets))
+	e.after(turn, func() { e.killHost(p) })
+	e.after(turn+restartTime, func() { e.startHost(p) })
+}
+
+// beginHostGone takes the machine away; nobody ends its connections.
+func (e *Emulator) beginHostGone(_ *Fault, p *party) { e.vanishHost(p) }
+
+// endHostReplaced gives the address to another machine, which resets the connections of the one that was there.
+func (e *Emulator) endHostReplaced(_ *Fault, p *party) {
+	if p.host.vanished {
+		e.lastHostNumber++
+		p.host.name = hostName(e.lastHostNumber)
+		e.resetDeadLinks(p)
+		e.returnHost(p)
+	}
+}
+
+// endHostReaddressed brings the machine back at another address. Nothing ever answers at the old one.
+func (e *Emulator) endHostReaddressed(_ *Fault, p *party) {
+	if p.host.vanished {
+		p.listener = e.newListener(p)
+		e.returnHost(p)
+	}
+}
+
+func (e *Emulator) beginBulkHandOver(_ *Fault, p *party) {
+	e.execute(p, p.model.(*Owner).HandOver(e.now))
+}
+
+func (e *Emulator) beginSequenceRestart(_ *Fault, p *party) {
+	e.execute(p, p.model.(*EndpointLog).RestartSequence(e.now))
+}
--- /dev/null
+++ b/internal/emulator/platformmodel/link.go
@@ -0,0 +1,238 @@
+package platformmodel
+
+import (
+	"bytes"
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"forkhead/internal/protocol/platform"
+)
+
+// maxHeldBytes bounds what is held back on a connection in each direction. With more the connection is reset.
+const maxHeldBytes = 1 << 20
+
+// link is one connection of a party, with what is held back on it.
+type link struct {
+	id     ConnID
+	party  *party
+	dead   bool // nothing passes any more
+	closed bool // the placer has closed it, and the model is not told yet: it has not received all
+
+	toPlacer  pipe
+	toModel   pipe
+	reordered []byte // the message that waits for the next one; nil: none
+}
+
+// pipe is one direction of a link.
+type pipe struct {
+	items []pipeItem
+	bytes int
+	last  time.Duration // when the last item is due
+}
+
+// pipeItem is what is to pass at a time: bytes, or the end of the connection.
+type pipeItem struct {
+	at   time.Duration
+	data []byte // nil: the end
+}
+
+func (p *pipe) push(at time.Duration, data []byte) {
+	p.last = max(p.last, at)
+	p.items = append(p.items, pipeItem{p.last, data})
+	p.bytes += len(data)
+}
+
+// pop takes the first item if it is due.
+func (p *pipe) pop(now time.Duration) (item pipeItem, ok bool) {
+	if len(p.items) == 0 || p.items[0].at > now {
+		return pipeItem{}, false
+	}
+	item = p.items[0]
+	p.items = p.items[1:]
+	p.bytes -= len(item.data)
+	return item, true
+}
+
+func (p *pipe) next() time.Duration {
+	if len(p.items) == 0 {
+		return never
+	}
+	return p.items[0].at
+}
+
+// blocksToPlacer and blocksToModel report whether a link passes nothing in a direction for now.
+func (l *link) blocksToPlacer() bool {
+	return l.dead || l.party.active[FaultSilent] > 0 || l.party.active[FaultZoneCut] > 0
+}
+
+func (l *link) blocksToModel() bool {
+	return l.dead || l.party.active[FaultUnread] > 0 || l.party.active[FaultZoneCut] > 0
+}
+
+// next returns when the link is to be flushed.
+func (l *link) next() time.Duration {
+	next := never
+	if !l.blocksToPlacer() {
+		next = l.toPlacer.next()
+	}
+	if !l.blocksToModel() {
+		next = min(next, l.toModel.next())
+	}
+	return next
+}
+
+func (p *party) sortedLinks() []*link {
+	return slices.SortedFunc(maps.Values(p.links), func(a, b *link) int { return cmp.Compare(a.id, b.id) })
+}
+
+// send passes a message of a party, or the end of the connection if data is nil, through the faults that are in force.
+func (e *Emulator) send(l *link, data []byte) {
+	if data != nil {
+		e.record(RecordSent, l, data)
+	}
+	if l.dead {
+		return
+	}
+	active := &l.party.active
+	units := [][]byte{data}
+	if data == nil {
+		e.releaseReordered(l)
+	} else {
+		if active[FaultSpoilt] > 0 {
+			units[0] = e.spoil(data)
+		}
+		if active[FaultDoubled] > 0 {
+			units = append(units, units[0])
+		}
+		if active[FaultReordered] > 0 {
+			units = reorder(l, units)
+		}
+	}
+	for _, unit := range units {
+		l.toPlacer.push(e.now+l.party.delay, unit)
+	}
+	e.flush(l)
+}
+
+// reorder holds a message back if none is held back, and otherwise lets that follow it.
+func reorder(l *link, units [][]byte) [][]byte {
+	if l.reordered == nil {
+		l.reordered = bytes.Join(units, nil)
+		return nil
+	}
+	units = append(units, l.reordered)
+	l.reordered = nil
+	return units
+}
+
+// releaseReordered lets a message pass that no other has followed.
+func (e *Emulator) releaseReordered(l *link) {
+	if l.reordered != nil {
+		l.toPlacer.push(e.now+l.party.delay, l.reordered)
+		l.reordered = nil
+	}
+}
+
+// spoil makes a message unreadable in one of several ways.
+func (e *Emulator) spoil(data []byte) []byte {
+	switch e.rng.IntN(4) {
+	case 0:
+		return []byte("\x00\xff not a message\n")
+	case 1:
+		return slices.Concat(data[:len(data)/2], []byte("\n")) // cut in the middle
+	case 2:
+		spoilt := bytes.Clone(data)
+		spoilt[e.rng.IntN(len(spoilt)/2)] = 0 // which JSON allows nowhere
+		return spoilt
+	default:
+		return bytes.Repeat([]byte("x"), platform.MaxLineSize+1) // a line that does not end
+	}
+}
+
+// flush passes what is due in both directions.
+func (e *Emulator) flush(l *link) {
+	for !l.blocksToPlacer() && e.links[l.id] == l {
+		item, ok := l.toPlacer.pop(e.now)
+		if !ok {
+			break
+		}
+		if item.data == nil {
+			e.endLink(l, CloseConnection{l.id})
+			return
+		}
+		e.record(RecordWritten, l, item.data)
+		e.emit(Write{l.id, item.data})
+	}
+	for !l.blocksToModel() && e.links[l.id] == l {
+		item, ok := l.toModel.pop(e.now)
+		if !ok {
+			break
+		}
+		e.record(RecordReceived, l, item.data)
+		e.execute(l.party, l.party.model.Received(e.now, l.id, item.data))
+	}
+	e.settle(l)
+}
+
+// settle notes that something is held back on a link, or tells the model that its placer has closed it.
+func (e *Emulator) settle(l *link) {
+	switch {
+	case e.links[l.id] != l:
+	case l.toPlacer.bytes > maxHeldBytes || l.toModel.bytes > maxHeldBytes:
+		e.resetLink(l)
+	case l.closed && len(l.toModel.items) == 0 && !l.blocksToModel():
+		l.closed = false
+		e.closeModelSide(l)
+		e.send(l, nil)
+	case len(l.toPlacer.items) > 0 || len(l.toModel.items) > 0:
+		e.held[l.id] = l
+	default:
+		delete(e.held, l.id)
+	}
+}
+
+// closeModelSide tells the model that a connection has ended. One that has closed it itself takes no notice.
+func (e *Emulator) closeModelSide(l *link) {
+	if l.party.model != nil {
+		e.execute(l.party, l.party.model.ConnectionClosed(e.now, l.id))
+	}
+}
+
+// resetLink resets a connection; the model is told.
+func (e *Emulator) resetLink(l *link) {
+	e.endLink(l, ResetConnection{l.id})
+	e.closeModelSide(l)
+}
+
+// resetLinks resets the connections of a party; the model is told, if the party is up.
+func (e *Emulator) resetLinks(p *party) {
+	for _, l := range p.sortedLinks() {
+		if !l.dead {
+			e.resetLink(l)
+		}
+	}
+}
+
+// resetDeadLinks resets the connections of a party on which nothing passes any more.
+func (e *Emulator) resetDeadLinks(p *party) {
+	for _, l := range p.sortedLinks() {
+		if l.dead {
+			e.resetLink(l)
+		}
+	}
+}
+
+// endLink ends a connection on the emulator's side.
+func (e *Emulator) endLink(l *link, how Output) {
+	e.record(RecordEnded, l, nil)
+	e.emit(how)
+	e.forgetLink(l)
+}
+
+func (e *Emulator) forgetLink(l *link) {
+	delete(e.links, l.id)
+	delete(e.held, l.id)
+	delete(l.party.links, l.id)
+}
--- /dev/null
+++ b/internal/emulator/platformmodel/network.go
@@ -0,0 +1,476 @@
+package platformmodel
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"forkhead"
+	"forkhead/internal/protocol/platform"
+	platformcore "forkhead/internal/scheduler/platform"
+	"forkhead/internal/scheduler/timerqueue"
+)
+
+// NetworkConfig is what a Network runs with.
+type NetworkConfig struct {
+	Emulator Config
+	// Core returns what an incarnation of a placer, from 1 on, runs with.
+	Core           func(placer, incarnation int, initial []platform.WatchEvent) platformcore.Config
+	Latency        time.Duration // of everything that passes; above 0
+	ConnectTimeout time.Duration // after which a placer gives up a connection that is not made
+	Start          time.Duration // time at the beginning; above 0
+}
+
+// Network joins an Emulator to placer cores without sockets, under a clock of its own. It is for one goroutine at a time.
+type Network struct {
+	Emulator *Emulator
+
+	cfg       NetworkConfig
+	now       time.Duration
+	timers    timerqueue.Queue[func()]
+	wakeAt    time.Duration // when the Emulator is stepped next
+	placers   []*networkPlacer
+	listeners map[ListenerID]*networkListener
+	conns     map[ConnID]*networkConn
+}
+
+// networkListener is a listener of the Emulator.
+type networkListener struct {
+	id      ListenerID
+	address string
+	open    bool
+	accepts bool // false: connections are neither made nor refused
+}
+
+// networkPlacer is a placer through all of its incarnations.
+type networkPlacer struct {
+	network     *Network
+	number      int
+	incarnation int
+	core        *platformcore.Core // nil: it is down
+	listens     bool
+	wakeAt      time.Duration
+	hosts       map[platformcore.ConnectionID]*networkConn // open, or being opened
+	owners      map[platformcore.OwnerID]*networkConn
+	watch       *networkWatch
+}
+
+// placerSide is the placer's side of a connection.
+type placerSide interface {
+	received(data []byte)
+	disconnected()
+}
+
+// networkConn is a connection between the Emulator and a placer.
+type networkConn struct {
+	id     ConnID // 0: it is being opened
+	placer *networkPlacer
+	side   placerSide
+	closed bool // the placer has closed it, or noticed its end
+
+	unread bool     // the Emulator reads nothing
+	queued [][]byte // that it has not read; nil: the end
+}
+
+// NewNetwork returns a network whose placers run and whose emulator has begun.
+func NewNetwork(cfg NetworkConfig) (*Network, error) {
+	if cfg.Latency <= 0 || cfg.Start <= 0 || cfg.ConnectTimeout <= 0 {
+		return nil, errors.New("latency, connect time-out and start must be above 0")
+	}
+	emulator, err := New(cfg.Emulator, cfg.Start)
+	if err != nil {
+		return nil, err
+	}
+	n := &Network{
+		Emulator: emulator, cfg: cfg, now: cfg.Start, wakeAt: never, listeners: map[ListenerID]*networkListener{}, conns: map[ConnID]*networkConn{},
+	}
+	n.stepEmulator()
+	n.advanceTo(n.now)
+	for i := range cfg.Emulator.Placers {
+		n.placers = append(n.placers, &networkPlacer{network: n, number: i})
+		if err := n.StartPlacer(i); err != nil {
+			return nil, err
+		}
+	}
+	n.stepEmulator(Begin{})
+	return n, nil
+}
+
+// Now returns the time.
+func (n *Network) Now() time.Duration { return n.now }
+
+// Run lets time pass until each request has its final outcome, or a duration is over. It reports which.
+func (n *Network) Run(limit time.Duration) (done bool) {
+	const interval = 100 * time.Millisecond
+	for end := n.now + limit; n.now < end; {
+		if n.Emulator.Done() {
+			return true
+		}
+		n.advanceTo(min(end, n.now+interval))
+	}
+	return n.Emulator.Done()
+}
+
+// advanceTo does all that is due up to a time.
+func (n *Network) advanceTo(end time.Duration) {
+	for {
+		at, ok := n.timers.Next()
+		if !ok || at > end {
+			break
+		}
+		n.now = max(n.now, at)
+		if do, due := n.timers.PopDue(n.now); due {
+			do()
+		}
+	}
+	n.now = end
+}
+
+func (n *Network) after(d time.Duration, do func()) { n.timers.Add(n.now+d, do) }
+
+// stepEmulator hands inputs to the Emulator, executes its outputs and sets the timer of the next step.
+func (n *Network) stepEmulator(inputs ...Input) {
+	for _, o := range n.Emulator.Step(n.now, inputs...) {
+		n.execute(o)
+	}
+	at := n.Emulator.Next()
+	if at == n.wakeAt || at == never {
+		n.wakeAt = at
+		return
+	}
+	n.wakeAt = at
+	n.timers.Add(max(at, n.now), func() {
+		if n.wakeAt == at {
+			n.wakeAt = never
+			n.stepEmulator()
+		}
+	})
+}
+
+// toEmulator brings an input to the Emulator after the latency.
+func (n *Network) toEmulator(in Input) { n.after(n.cfg.Latency, func() { n.stepEmulator(in) }) }
+
+func (n *Network) execute(o Output) {
+	switch o := o.(type) {
+	case OpenListener:
+		n.openListener(o)
+	case CloseListener:
+		n.listeners[o.Listener].open = false
+	case StopAccepting:
+		n.listeners[o.Listener].accepts = false
+	case ResumeAccepting:
+		n.listeners[o.Listener].accepts = true
+	case Dial:
+		n.dialPlacer(o)
+	case Write:
+		n.toPlacer(o.Conn, func(c *networkConn) { c.side.received(o.Bytes) })
+	case CloseConnection:
+		n.endConn(o.Conn)
+	case ResetConnection:
+		n.endConn(o.Conn)
+	case StopReading:
+		if c := n.conns[o.Conn]; c != nil {
+			c.unread = true
+		}
+	case ResumeReading:
+		n.resumeReading(o.Conn)
+	}
+}
+
+func (n *Network) openListener(o OpenListener) {
+	l := n.listeners[o.Listener]
+	if l == nil {
+		l = &networkListener{id: o.Listener, address: o.Address}
+		n.listeners[o.Listener] = l
+	}
+	if l.address == "" {
+		l.address = fmt.Sprintf("10.0.%d.%d:1", o.Listener>>8, o.Listener&0xff)
+	}
+	l.open, l.accepts = true, true
+	n.after(0, func() { n.stepEmulator(ListenerOpened{l.id, l.address}) })
+}
+
+// listenerAt returns the open listener at an address, or nil.
+func (n *Network) listenerAt(address string) *networkListener {
+	for _, l := range n.listeners {
+		if l.address == address && l.open {
+			return l
+		}
+	}
+	return nil
+}
+
+// toPlacer does something on the placer's side of a connection after the latency, unless it is closed by then.
+func (n *Network) toPlacer(id ConnID, do func(*networkConn)) {
+	c := n.conns[id]
+	if c == nil {
+		return
+	}
+	n.after(n.cfg.Latency, func() {
+		if !c.closed && c.placer.core != nil {
+			do(c)
+		}
+	})
+}
+
+// endConn ends a connection from the Emulator's side.
+func (n *Network) endConn(id ConnID) {
+	n.toPlacer(id, func(c *networkConn) {
+		c.closed = true
+		c.side.disconnected()
+	})
+	delete(n.conns, id)
+}
+
+// dialPlacer makes a connection of an owner.
+func (n *Network) dialPlacer(o Dial) {
+	p := n.placers[o.Placer]
+	n.after(n.cfg.Latency, func() {
+		if p.core == nil || !p.listens {
+			n.toEmulator(Disconnected{o.Conn})
+			return
+		}
+		owner := platformcore.OwnerID(o.Conn)
+		c := &networkConn{id: o.Conn, placer: p, side: ownerSide{p, owner}}
+		n.conns[o.Conn], p.owners[owner] = c, c
+		n.toEmulator(Connected{o.Conn})
+		p.step(platformcore.OwnerConnected{Owner: owner})
+	})
+}
+
+// dial makes a connection of a placer to a listener. opened is called with the error, which is errRefused or errNoAnswer,
+// unless the placer has closed the connection meanwhile.
+func (n *Network) dial(c *networkConn, address string, opened func(error)) {
+	finish := func(err error) {
+		if !c.closed {
+			opened(err)
+		}
+	}
+	if l := n.listenerAt(address); l != nil && !l.accepts {
+		n.after(n.cfg.ConnectTimeout, func() { finish(errNoAnswer) })
+		return
+	}
+	n.after(n.cfg.Latency, func() {
+		l := n.listenerAt(address)
+		switch {
+		case c.closed:
+			return
+		case l == nil:
+			finish(errRefused)
+			return
+		case !l.accepts:
+			n.after(n.cfg.ConnectTimeout, func() { finish(errNoAnswer) })
+			return
+		}
+		c.id = n.Emulator.NewConnID()
+		n.conns[c.id] = c
+		n.after(n.cfg.Latency, func() { finish(nil) }) // before anything that the listener's side sends
+		n.stepEmulator(Accepted{Listener: l.id, Conn: c.id, Remote: fmt.Sprintf("placer %d", c.placer.number)})
+	})
+}
+
+var (
+	errRefused  = errors.New("the connection is refused")
+	errNoAnswer = errors.New("nothing answers")
+)
+
+// send brings bytes of a placer to the Emulator; nil: the end of what the placer sends.
+func (n *Network) send(c *networkConn, data []byte) {
+	n.after(n.cfg.Latency, func() {
+		if c.unread {
+			c.queued = append(c.queued, data)
+			return
+		}
+		n.arrive(c, data)
+	})
+}
+
+// arrive hands to the Emulator what a placer has sent.
+func (n *Network) arrive(c *networkConn, data []byte) {
+	switch {
+	case c.id == 0:
+	case data == nil:
+		n.stepEmulator(Disconnected{c.id})
+	default:
+		n.stepEmulator(Data{c.id, data})
+	}
+}
+
+func (n *Network) resumeReading(id ConnID) {
+	c := n.conns[id]
+	if c == nil {
+		return
+	}
+	c.unread = false
+	queued := c.queued
+	c.queued = nil
+	n.after(0, func() {
+		for _, data := range queued {
+			n.arrive(c, data)
+		}
+	})
+}
+
+// StartPlacer starts the next incarnation of a placer, unless it runs.
+func (n *Network) StartPlacer(number int) error {
+	p := n.placers[number]
+	if p.core != nil {
+		return nil
+	}
+	p.incarnation++
+	initial := n.Emulator.InitialEvents()
+	core, err := platformcore.New(n.cfg.Core(number, p.incarnation, initial))
+	if err != nil {
+		return fmt.Errorf("placer %d: %w", number, err)
+	}
+	p.core, p.listens, p.wakeAt = core, true, 0
+	p.hosts, p.owners = map[platformcore.ConnectionID]*networkConn{}, map[platformcore.OwnerID]*networkConn{}
+	p.watch = newNetworkWatch(p, initial)
+	n.stepEmulator(PlacerStarted{number})
+	p.step()
+	return nil
+}
+
+// KillPlacer ends a placer, if it runs: its connections end.
+func (n *Network) KillPlacer(number int) {
+	p := n.placers[number]
+	if p.core == nil {
+		return
+	}
+	p.core = nil
+	n.stepEmulator(PlacerStopped{number})
+	for _, id := range slices.Sorted(maps.Keys(n.conns)) {
+		if c := n.conns[id]; c.placer == p {
+			p.close(c)
+		}
+	}
+	for _, c := range p.hosts { // those that are being opened
+		c.closed = true
+	}
+	p.watch.stop()
+}
+
+// ShutDown asks a placer to end as it does at a planned restart.
+func (n *Network) ShutDown(number int) { n.placers[number].step(platformcore.ShutdownRequested{}) }
+
+// close closes a connection on the placer's side.
+func (p *networkPlacer) close(c *networkConn) {
+	if !c.closed {
+		c.closed = true
+		p.network.send(c, nil)
+	}
+}
+
+// step hands inputs to the core, executes its outputs and sets the timer of the next step.
+func (p *networkPlacer) step(inputs ...platformcore.Input) {
+	n, core := p.network, p.core
+	if core == nil {
+		return
+	}
+	for _, o := range core.Step(n.now, inputs...) {
+		if p.core == core {
+			p.execute(o)
+		}
+	}
+	at := max(core.Next(), n.now+time.Microsecond)
+	if at == p.wakeAt {
+		return
+	}
+	p.wakeAt = at
+	n.timers.Add(at, func() {
+		if p.core == core && p.wakeAt == at {
+			p.wakeAt = 0
+			p.step()
+		}
+	})
+}
+
+func (p *networkPlacer) execute(o platformcore.Output) {
+	n := p.network
+	switch o := o.(type) {
+	case platformcore.DialHost:
+		p.dialHost(o)
+	case platformcore.SendToHost:
+		if c := p.hosts[o.Connection]; c != nil {
+			n.send(c, o.Line)
+		}
+	case platformcore.SendToOwner:
+		if c := p.owners[o.Owner]; c != nil {
+			n.send(c, o.Line)
+		}
+	case platformcore.CloseHostConnection:
+		if c := p.hosts[o.Connection]; c != nil {
+			delete(p.hosts, o.Connection)
+			p.close(c)
+		}
+	case platformcore.HalfCloseHostConnection:
+		if c := p.hosts[o.Connection]; c != nil {
+			n.send(c, nil) // its host closes too, after what it has sent
+		}
+	case platformcore.CloseOwnerConnection:
+		if c := p.owners[o.Owner]; c != nil {
+			delete(p.owners, o.Owner)
+			p.close(c)
+		}
+	case platformcore.SendGossip:
+		p.sendGossip(o)
+	case platformcore.CloseListener:
+		p.listens = false
+	case platformcore.ShutdownComplete:
+		n.KillPlacer(p.number)
+	}
+}
+
+func (p *networkPlacer) dialHost(o platformcore.DialHost) {
+	c := &networkConn{placer: p, side: hostSide{p, o.Connection}}
+	p.hosts[o.Connection] = c
+	p.network.dial(c, o.Address, func(err error) {
+		if err == nil {
+			p.step(platformcore.HostConnected{Connection: o.Connection})
+			return
+		}
+		delete(p.hosts, o.Connection)
+		p.step(platformcore.DialFailed{Connection: o.Connection, Refused: errors.Is(err, errRefused)})
+	})
+}
+
+// sendGossip brings a message to other placers.
+func (p *networkPlacer) sendGossip(o platformcore.SendGossip) {
+	for _, other := range p.network.placers {
+		if other != p && (o.To == forkhead.AllPlacers || o.To == other.number) {
+			p.network.after(p.network.cfg.Latency, func() { other.step(platformcore.GossipReceived{From: p.number, Data: o.Data}) })
+		}
+	}
+}
+
+// ownerSide is a placer's side of a connection of an owner.
+type ownerSide struct {
+	placer *networkPlacer
+	id     platformcore.OwnerID
+}
+
+func (s ownerSide) received(data []byte) {
+	s.placer.step(platformcore.OwnerData{Owner: s.id, Data: data})
+}
+
+func (s ownerSide) disconnected() {
+	delete(s.placer.owners, s.id)
+	s.placer.step(platformcore.OwnerDisconnected{Owner: s.id})
+}
+
+// hostSide is a placer's side of a connection to a host.
+type hostSide struct {
+	placer *networkPlacer
+	id     platformcore.ConnectionID
+}
+
+func (s hostSide) received(data []byte) {
+	s.placer.step(platformcore.HostData{Connection: s.id, Data: data})
+}
+
+func (s hostSide) disconnected() {
+	delete(s.placer.hosts, s.id)
+	s.placer.step(platformcore.HostDisconnected{Connection: s.id})
+}
--- /dev/null
+++ b/internal/emulator/platformmodel/network_test.go
@@ -0,0 +1,159 @@
+package platformmodel
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"forkhead"
+	"forkhead/internal/protocol/platform"
+	platformcore "forkhead/internal/scheduler/platform"
+)
+
+// testClasses are the classes of testNetworkConfig.
+var testClasses = []Class{
+	{Name: "safe", Effect: forkhead.Safe},
+	{Name: "keyed", Effect: forkhead.Keyed, DedupWindow: 8 * time.Second},
+	{Name: "unsafe", Effect: forkhead.Unsafe},
+}
+
+// testHostConfig is a host that answers soon and whose tasks end after some seconds. After its start it bears twice as many
+// offers as placers send within a window: those of two windows come together where the first have waited for their connection.
+func testHostConfig() HostConfig {
+	return HostConfig{
+		Cores: 16, Memory: 16, AnswerTime: Range{time.Millisecond, 20 * time.Millisecond}, MaxQueued: 50,
+		RunTime: Range{2 * time.Second, 4 * time.Second}, NoteInterval: time.Second, IdleTimeout: 30 * time.Second,
+		SlowStartDuration: 3 * time.Second, SlowStartFactor: 2, SlowStartWindow: 500 * time.Millisecond, SlowStartMaxOffers: 24,
+	}
+}
+
+// testCoreConfig is what placers run with.
+func testCoreConfig(placers, placer, incarnation int, initial []platform.WatchEvent) platformcore.Config {
+	class := forkhead.Class{MachineType: -1, Weight: 1, LatencyObjective: time.Second, SaturationThreshold: 1}
+	settings := forkhead.Settings{
+		Placers: placers, Self: placer, MachineTypes: []forkhead.MachineType{{Cores: 16, Memory: 16}}, MeanCores: 1, MeanMemory: 1,
+		CoresOvercommit: 1, MemoryOvercommit: 1, ListWatched: true, ListReportsAvailable: true,
+		MaxAttempts: 4, MayWithdraw: true, MayProbe: true, DrainGrace: 250 * time.Millisecond, ConnectTimeout: 250 * time.Millisecond,
+		SlowStartDuration: 3 * time.Second, SlowStartWindow: 500 * time.Millisecond, SlowStartMaxOffers: 12,
+		MaxPollInterval: 10 * time.Second, OwnerBackoff: time.Second,
+	}
+	names := platformcore.WireNames{Zones: []string{"a", "b"}, MachineTypes: []string{"std"}}
+	for _, c := range testClasses {
+		class.Effect, class.DedupWindow = c.Effect, c.DedupWindow
+		settings.Classes = append(settings.Classes, class)
+		names.Classes = append(names.Classes, c.Name)
+	}
+	return platformcore.Config{
+		Settings: settings, Names: names, IdleTimeout: 30 * time.Second, Seed: uint64(10*placer + incarnation), InitialEvents: initial,
+		MaxOwnerConnections: 20, MaxHostConnections: 40,
+	}
+}
+
+// testNetworkConfig is a platform with hosts in two zones in turn, and an owner with requests of all classes, 50 ms apart.
+func testNetworkConfig(placers, hosts, requests int, faults ...Fault) NetworkConfig {
+	cfg := Config{Placers: placers, Faults: faults, ListDelay: 300 * time.Millisecond, Seed: 7}
+	for i := range hosts {
+		cfg.Hosts = append(cfg.Hosts, HostSpec{Config: testHostConfig(), Zone: []string{"a", "b"}[i%2], MachineType: "std", Cell: i, RestartAfter: time.Second})
+	}
+	owner := OwnerConfig{Classes: testClasses, MaxSubmissions: 6, Patience: 100 * time.Millisecond}
+	for i := range requests {
+		owner.Requests = append(owner.Requests, Request{
+			At: time.Duration(i) * 50 * time.Millisecond, Placer: i % placers, Class: i % len(testClasses), Cores: 1, Memory: 1,
+			Service: uint64(i), Timeout: 1500 * time.Millisecond, ReleaseAfter: time.Duration(i%4) * time.Second,
+		})
+	}
+	cfg.Owners = []OwnerConfig{owner}
+	return NetworkConfig{
+		Emulator: cfg, Latency: time.Millisecond, ConnectTimeout: 250 * time.Millisecond, Start: time.Hour,
+		Core: func(placer, incarnation int, initial []platform.WatchEvent) platformcore.Config {
+			return testCoreConfig(placers, placer, incarnation, initial)
+		},
+	}
+}
+
+// runNetwork runs a network until each request has its final outcome, and returns the number of each.
+func runNetwork(t *testing.T, cfg NetworkConfig, during func(*Network)) (*Network, map[Outcome]int) {
+	t.Helper()
+	n, err := NewNetwork(cfg)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if during != nil {
+		during(n)
+	}
+	if !n.Run(time.Minute) {
+		t.Errorf("requests are open after a minute")
+	}
+	counts := map[Outcome]int{}
+	for _, reports := range n.Emulator.Requests() {
+		for _, r := range reports {
+			counts[r.Outcome]++
+			if !r.Outcome.IsFinal() {
+				t.Errorf("%+v", r)
+			}
+		}
+	}
+	return n, counts
+}
+
+// Without a fault each task runs until it ends or its owner releases it, and a run is the same each time.
+func TestNetworkWithoutFaults(t *testing.T) {
+	cfg := testNetworkConfig(2, 4, 80)
+	n, counts := runNetwork(t, cfg, nil)
+	if counts[OutcomeEnded]+counts[OutcomeReleased] != 80 || counts[OutcomeReleased] < 20 || counts[OutcomeEnded] < 20 {
+		t.Errorf("outcomes %v", counts)
+	}
+	for _, r := range n.Emulator.Requests()[0] {
+		if r.Unexpected != 0 || r.Answers != 1 || len(r.Refs) != 1 {
+			t.Errorf("%+v", r)
+		}
+	}
+	again, _ := runNetwork(t, cfg, nil)
+	if a, b := fmt.Sprint(n.Emulator.Journal()), fmt.Sprint(again.Emulator.Journal()); a != b {
+		t.Error("the second run differs")
+	}
+}
+
+// Under each type of fault every request has an outcome in time, and owners get no second answer. What may be lost is lost
+// only where a fault takes it.
+func TestNetworkUnderEachFault(t *testing.T) {
+	for fault := range faultTypeCount {
+		t.Run(fault.String(), func(t *testing.T) {
+			f := Fault{At: time.Second, Duration: 2 * time.Second, Type: fault, Amount: 200 * time.Millisecond}
+			f.Target = Target{Kind: injectorOf(fault).kinds[0], Number: 0}
+			if fault == FaultMassKill || fault == FaultMassRestart || fault == FaultBulkHandOver {
+				f.Target.All = true
+			}
+			n, counts := runNetwork(t, testNetworkConfig(2, 4, 80, f), nil)
+			if done := counts[OutcomeEnded] + counts[OutcomeReleased]; done < 30 {
+				t.Errorf("outcomes %v", counts)
+			}
+			for _, r := range n.Emulator.Requests()[0] {
+				if r.Answers > len(r.Refs) {
+					t.Errorf("%+v", r)
+				}
+			}
+			t.Log(counts)
+		})
+	}
+}
+
+// The tasks that a killed placer had placed are handed over to its next incarnation, and have their ends.
+func TestNetworkRestartsPlacer(t *testing.T) {
+	n, counts := runNetwork(t, testNetworkConfig(2, 4, 80), func(n *Network) {
+		n.Run(2 * time.Second)
+		n.KillPlacer(1)
+		n.Run(300 * time.Millisecond)
+		if err := n.StartPlacer(1); err != nil {
+			t.Fatal(err)
+		}
+	})
+	handOvers := 0
+	for _, r := range n.Emulator.Requests()[0] {
+		handOvers += r.HandOvers
+	}
+	if handOvers == 0 || counts[OutcomeEnded]+counts[OutcomeReleased] < 60 {
+		t.Errorf("%d hand-overs, outcomes %v", handOvers, counts)
+	}
+	t.Log(handOvers, counts)
+}
--- /dev/null
+++ b/internal/emulator/platformmodel/networkwatch.go
@@ -0,0 +1,136 @@
+package platformmodel
+
+import (
+	"bytes"
+	"fmt"
+	"time"
+
+	"forkhead/internal/protocol/platform"
+	platformcore "forkhead/internal/scheduler/platform"
+)
+
+const (
+	watchRedialAfter = 50 * time.Millisecond   // after a stream that has ended
+	watchIdleTimeout = 1500 * time.Millisecond // after which a stream without a byte is given up
+)
+
+// networkWatch follows the watch for an incarnation of a placer.
+type networkWatch struct {
+	placer   *networkPlacer
+	sequence platform.Sequence
+	conn     *networkConn // nil: stopped
+	head     []byte       // of the response, as far as it has come; nil: it is complete
+	events   platform.EventReader
+	lastData time.Duration
+}
+
+// newNetworkWatch follows the watch behind the events that a placer was started with.
+func newNetworkWatch(p *networkPlacer, initial []platform.WatchEvent) *networkWatch {
+	w := &networkWatch{placer: p}
+	for _, e := range initial {
+		w.sequence.Last = max(w.sequence.Last, e.Seq)
+	}
+	w.open()
+	return w
+}
+
+// open opens the next stream.
+func (w *networkWatch) open() {
+	n := w.placer.network
+	c := &networkConn{placer: w.placer}
+	c.side = watchSide{w, c}
+	w.conn, w.head, w.lastData = c, []byte{}, n.now
+	w.events = platform.EventReader{OnComment: w.takeComment}
+	w.sequence.StreamOpened()
+	n.dial(c, n.Emulator.WatchAddress(), func(err error) {
+		if err != nil {
+			w.reopen(c)
+			return
+		}
+		n.send(c, fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: watch\r\nLast-Event-ID: %d\r\n\r\n", watchPath, w.sequence.Last))
+		w.checkIdle(c)
+	})
+}
+
+// reopen closes a stream and opens the next one a little later, if that was not done yet.
+func (w *networkWatch) reopen(c *networkConn) {
+	if w.conn != c {
+		return
+	}
+	w.placer.close(c)
+	w.conn = &networkConn{closed: true} // none until then
+	none := w.conn
+	w.placer.network.after(watchRedialAfter, func() {
+		if w.conn == none {
+			w.open()
+		}
+	})
+}
+
+func (w *networkWatch) stop() { w.conn = nil }
+
+// checkIdle gives a stream up when nothing has come for too long.
+func (w *networkWatch) checkIdle(c *networkConn) {
+	n := w.placer.network
+	n.after(w.lastData+watchIdleTimeout-n.now, func() {
+		switch {
+		case w.conn != c:
+		case n.now >= w.lastData+watchIdleTimeout:
+			w.reopen(c)
+		default:
+			w.checkIdle(c)
+		}
+	})
+}
+
+// takeComment delivers the events with which the numbers begin again, if that shows now.
+func (w *networkWatch) takeComment() {
+	for i, event := range w.sequence.StreamIdle() {
+		w.placer.step(platformcore.WatchEventReceived{Event: event, SequenceRestarted: i == 0})
+	}
+}
+
+// takeEvent delivers an event if it counts.
+func (w *networkWatch) takeEvent(c *networkConn, encoded platform.ServerSentEvent) {
+	if w.conn != c {
+		return
+	}
+	event, err := platform.DecodeWatchEvent(encoded)
+	if err != nil {
+		w.reopen(c)
+		return
+	}
+	switch w.sequence.Next(event) {
+	case platform.Resubscribe:
+		w.reopen(c)
+	case platform.ApplyEvent:
+		w.placer.step(platformcore.WatchEventReceived{Event: event})
+	}
+}
+
+// watchSide is a placer's side of a stream of the watch.
+type watchSide struct {
+	watch *networkWatch
+	conn  *networkConn
+}
+
+func (s watchSide) received(data []byte) {
+	w := s.watch
+	if w.conn != s.conn {
+		return
+	}
+	w.lastData = w.placer.network.now
+	if w.head != nil {
+		head, body, complete := bytes.Cut(append(w.head, data...), []byte("\r\n\r\n"))
+		if !complete {
+			w.head = head
+			return
+		}
+		w.head, data = nil, body
+	}
+	if err := w.events.Feed(data, func(e platform.ServerSentEvent) { w.takeEvent(s.conn, e) }); err != nil {
+		w.reopen(s.conn)
+	}
+}
+
+func (s watchSide) disconnected() { s.watch.reopen(s.conn) }
--- /dev/null
+++ b/internal/emulator/platformmodel/ownertasks.go
@@ -0,0 +1,195 @@
+package platformmodel
+
+import (
+	"strconv"
+	"time"
+
+	"forkhead/internal/protocol/platform"
+)
+
+// submitAt sets when a request is submitted, and how long it may wait for its answer.
+func (o *Owner) submitAt(r *ownerRequest, at time.Duration) {
+	r.Outcome, r.dueAt, r.giveUpAt, r.releaseAt = OutcomePending, at, at+r.Request.Timeout+o.cfg.Patience, never
+	o.timers.Add(r.dueAt, r)
+	o.timers.Add(r.giveUpAt, r)
+}
+
+// advanceRequests does what is due for requests.
+func (o *Owner) advanceRequests() {
+	for r := range o.timers.Due(o.now) {
+		switch {
+		case r.Outcome == OutcomePending && r.dueAt <= o.now && r.ref == "":
+			o.submit(r)
+		case (r.Outcome == OutcomePending || r.Outcome == OutcomeOpen) && r.giveUpAt <= o.now:
+			o.giveUp(r)
+		case r.Outcome == OutcomeRunning && r.releaseAt <= o.now:
+			o.release(r)
+		}
+	}
+}
+
+// submit gives a request a new ref and queues it for its placer.
+func (o *Owner) submit(r *ownerRequest) {
+	r.ref, r.sentAgain = o.nextRef(), false
+	r.Refs = append(r.Refs, r.ref)
+	o.byRef[r.ref] = r
+	o.enqueue(sendSubmission, r)
+}
+
+func (o *Owner) enqueue(kind outgoingKind, r *ownerRequest) {
+	p := o.placer(r.Request.Placer)
+	p.outgoing = append(p.outgoing, outgoingMessage{kind, r})
+}
+
+// send sends a message if its request is still as it was when the message was queued.
+func (o *Owner) send(c *ownerConnection, message outgoingMessage) {
+	r := message.request
+	class := &o.cfg.Classes[r.Request.Class]
+	switch {
+	case message.kind == sendSubmission && (r.Outcome == OutcomePending || r.Outcome == OutcomeOpen):
+		r.Outcome, r.conn, r.sentAt = OutcomeOpen, c.id, o.now
+		if r.SubmittedAt == 0 {
+			r.SubmittedAt = o.now
+		}
+		c.open[r] = struct{}{}
+		o.add(Send{c.id, r.line(o.cfg.Number, class, o.cfg.Tenant, "")})
+	case message.kind == sendHandOver && r.Outcome == OutcomeRunning:
+		r.HandOvers++
+		r.conn = c.id
+		o.add(Send{c.id, r.line(o.cfg.Number, class, o.cfg.Tenant, r.Host)})
+	case message.kind == sendRelease && r.releaseUnheard:
+		r.conn = c.id
+		o.sendMessage(c.id, platform.TypeRelease, r.ref, platform.CauseOK)
+	}
+}
+
+// finish ends a request for good.
+func (o *Owner) finish(r *ownerRequest, outcome Outcome) {
+	o.leaveOpen(r)
+	r.Outcome, r.FinishedAt = outcome, o.now
+}
+
+// leaveOpen takes a request from those that its connection waits for.
+func (o *Owner) leaveOpen(r *ownerRequest) {
+	if c := o.conns[r.conn]; c != nil {
+		delete(c.open, r)
+	}
+}
+
+// giveUp ends a request that has waited for too long. What was sent is withdrawn.
+func (o *Owner) giveUp(r *ownerRequest) {
+	if c := o.conns[r.conn]; c != nil && r.Outcome == OutcomeOpen {
+		o.sendMessage(c.id, platform.TypeRelease, r.ref, platform.CauseOK)
+	}
+	o.finish(r, OutcomeGaveUp)
+}
+
+// release releases a task that runs, on any connection to its placer.
+func (o *Owner) release(r *ownerRequest) {
+	r.releaseUnheard = true
+	o.finish(r, OutcomeReleased)
+	o.enqueue(sendRelease, r)
+}
+
+// handleBound takes the answer that a task runs.
+func (o *Owner) handleBound(m *platform.Message) {
+	r := o.byRef[m.Ref]
+	if r == nil {
+		return
+	}
+	r.Answers++
+	if r.Outcome != OutcomeOpen || r.ref != m.Ref {
+		r.Unexpected++
+		return
+	}
+	o.leaveOpen(r)
+	r.Outcome = OutcomeRunning
+	r.Host, _ = hostOfDescription(m.Description)
+	if r.Request.ReleaseAfter > 0 {
+		r.releaseAt = o.now + r.Request.ReleaseAfter
+		o.timers.Add(r.releaseAt, r)
+	}
+}
+
+// handleRelease takes a rejection, a failure or the end of a task.
+func (o *Owner) handleRelease(m *platform.Message) {
+	r := o.byRef[m.Ref]
+	switch {
+	case r == nil:
+	case r.ref != m.Ref || r.Outcome.IsFinal() || r.Outcome == OutcomePending:
+		if !r.releaseUnheard { // else the release of the task has crossed its end
+			r.Unexpected++
+		}
+		r.releaseUnheard = false
+	case r.Outcome == OutcomeRunning && m.Cause == platform.CauseOK:
+		o.finish(r, OutcomeEnded)
+	case r.Outcome == OutcomeRunning:
+		o.finish(r, OutcomeBroken)
+	case isRejection(m.Cause):
+		o.resubmit(r, true, OutcomeRejected, retryAfter(m))
+	default:
+		o.resubmit(r, false, OutcomeFailed, defaultRetryAfter)
+	}
+}
+
+// retryAfter returns how long a rejection wants the owner to stay away.
+func retryAfter(m *platform.Message) time.Duration {
+	text, _ := m.Text(platform.FieldRetryAfter)
+	millis, err := strconv.ParseUint(text, 10, 31)
+	if err != nil {
+		return defaultRetryAfter
+	}
+	return time.Duration(millis) * time.Millisecond
+}
+
+// resubmit submits a request again after a while if its class allows that, and ends it with an outcome otherwise. neverRan
+// says that the last submission proves to have had no effect.
+func (o *Owner) resubmit(r *ownerRequest, neverRan bool, otherwise Outcome, after time.Duration) {
+	o.leaveOpen(r)
+	class := &o.cfg.Classes[r.Request.Class]
+	if len(r.Refs) >= o.cfg.MaxSubmissions || !neverRan && !r.maySubmitAgain(class, o.now) {
+		o.finish(r, otherwise)
+		return
+	}
+	r.failed = r.failed || !neverRan
+	r.ref = ""
+	o.submitAt(r, o.now+after)
+}
+
+// handleLostConnection handles the end of the connection that a request waits on. A request that may have crossed it goes
+// out again once.
+func (o *Owner) handleLostConnection(r *ownerRequest) {
+	if o.now < r.sentAt+crossingWindow && !r.sentAgain {
+		r.sentAgain = true
+		o.enqueue(sendSubmission, r)
+		return
+	}
+	o.resubmit(r, false, OutcomeLost, defaultRetryAfter)
+}
+
+// handleMigrate requests a task again that its placer moves: it ends where it runs.
+func (o *Owner) handleMigrate(m *platform.Message) {
+	r := o.byRef[m.Ref]
+	if r == nil {
+		return
+	}
+	if r.ref != m.Ref || r.Outcome != OutcomeRunning {
+		r.Unexpected++
+		return
+	}
+	if r.migrations++; r.migrations > maxMigrations {
+		o.finish(r, OutcomeBroken)
+		return
+	}
+	r.ref, r.failed = "", false
+	o.submitAt(r, o.now)
+}
+
+// handOverAll queues the hand-over of all tasks that run.
+func (o *Owner) handOverAll(placer int) {
+	for _, r := range o.requests {
+		if r.Outcome == OutcomeRunning && r.Request.Placer == placer && r.Host != "" {
+			o.enqueue(sendHandOver, r)
+		}
+	}
+}
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -34,8 +34,8 @@
 
 // pure names the layers and packages that hold no socket, clock, goroutine or global.
 var pure = []string{
-	".", "parse", "protocol", "scheduler", "planning", "emulator/hostmodel", "verify/simulation", "verify/platformsim",
-	"verify/rules", "verify/scenario", "verify/replay",
+	".", "parse", "protocol", "scheduler", "planning", "emulator/hostmodel", "emulator/platformmodel",
+	"verify/simulation", "verify/platformsim", "verify/rules", "verify/scenario", "verify/replay",
 }
 
 // What is forbidden in a pure package: imports, by themselves or with all below them, and names of a package.
