--- a/internal/parse/compose/compose.go
+++ b/internal/parse/compose/compose.go
@@ -1,5 +1,5 @@
 // Package compose parses service descriptions by the Compose Specification into the model of package servicespec. It reads
-// no file, socket or environment itself: files and variables are handed in. docs/compose.md says what becomes of each
+// no file, socket or environment itself: files and variables are handed in. docs/compose.md lists what becomes of each
 // element.
 package compose
 
--- a/internal/parse/compose/compose_test.go
+++ b/internal/parse/compose/compose_test.go
@@ -251,7 +251,7 @@
 	}
 }
 
-// The page and the parser go by one table.
+// docs/compose.md and the parser use one table.
 func TestTableOnPage(t *testing.T) { doccheck.Contains(t, "docs/compose.md", Table()) }
 
 func FuzzParse(f *testing.F) {
--- a/internal/parse/compose/decode.go
+++ b/internal/parse/compose/decode.go
@@ -36,7 +36,7 @@
 	d.errs.Add(diagnostic.Errorf(pos, format, args...))
 }
 
-// wantf adds an error at a position that says what would be right.
+// wantf adds an error at a position with what would be right.
 func (d *decoder) wantf(pos diagnostic.Pos, want, format string, args ...any) {
 	d.errs.Add(diagnostic.Wantf(pos, want, format, args...))
 }
@@ -154,7 +154,7 @@
 	}
 }
 
-// isActive says whether the service or one of its profiles is requested, or it has no profile.
+// isActive reports whether the service or one of its profiles is requested, or it has no profile.
 func (d *decoder) isActive(name string, service *value) bool {
 	if slices.Contains(d.in.Services, name) {
 		return true
--- a/internal/parse/compose/dependencies.go
+++ b/internal/parse/compose/dependencies.go
@@ -7,7 +7,7 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// dependencyConditions are the words of depends_on.
+// dependencyConditions are the conditions of depends_on.
 var dependencyConditions = map[string]servicespec.DependencyCondition{
 	"service_started": servicespec.Started, "service_healthy": servicespec.Healthy,
 	"service_completed_successfully": servicespec.Completed,
--- a/internal/parse/compose/elements.go
+++ b/internal/parse/compose/elements.go
@@ -1,23 +1,23 @@
 package compose
 
-// treatment says what becomes of an element.
+// treatment is what becomes of an element.
 type treatment uint8
 
 const (
 	honored treatment = iota // bears on placing, restarting or updating here
 	passed                   // passed to the host in the task's payload, acted on there
-	noted                    // of no meaning for a cluster of hosts: a note says so
-	refused                  // cannot be kept: an error
+	noted                    // of no meaning for a cluster of hosts: reported in a note
+	refused                  // cannot be honored: an error
 )
 
-// String gives the word that docs/compose.md has.
+// String returns the term in docs/compose.md.
 func (t treatment) String() string {
-	//nolint:misspell // the page and its readers know the word so
+	//nolint:misspell // the page is published with this spelling
 	return [...]string{"honoured", "passed to the host", "noted", "refused"}[t]
 }
 
-// element is a row of docs/compose.md. The decoder goes by these tables, and a test holds the page against them, so neither
-// can say what the other does not do.
+// element is a row of docs/compose.md. The decoder uses these tables, and a test checks the page against
+// them, so the two agree.
 type element struct {
 	name      string
 	treatment treatment
--- a/internal/parse/compose/extends.go
+++ b/internal/parse/compose/extends.go
@@ -72,7 +72,7 @@
 }
 
 // baseOf returns the service that an element extends names: NAME, or {service: NAME, file: PATH}. The file is loaded; without
-// one, the service stands in the file that the element stands in.
+// one, the service is in the same file as the element.
 func (e *extender) baseOf(file string, extends *value) (serviceID, error) {
 	base := serviceID{file: file}
 	switch extends.kind {
--- a/internal/parse/compose/interpolate.go
+++ b/internal/parse/compose/interpolate.go
@@ -13,7 +13,7 @@
 )
 
 // interpolator replaces variables in values, as the Compose Specification's chapter on interpolation says: $V, ${V}, ${V:-d},
-// ${V-d}, ${V:?e}, ${V?e}, ${V:+r}, ${V+r} and $$. What stands behind the operator may hold variables itself.
+// ${V-d}, ${V:?e}, ${V?e}, ${V:+r}, ${V+r} and $$. What follows the operator may contain variables itself.
 type interpolator struct {
 	vars    map[string]string
 	size    int // bytes of the values replaced so far
@@ -84,7 +84,7 @@
 	}
 }
 
-// variable returns what stands for the variable whose $ is before text, and how many bytes of text belong to it.
+// variable returns the value of the variable whose $ is before text, and how many bytes of text belong to it.
 func (in *interpolator) variable(pos diagnostic.Pos, text string, depth int) (replacement string, length int, err error) {
 	switch {
 	case strings.HasPrefix(text, "$"):
@@ -133,7 +133,7 @@
 	return len(text)
 }
 
-// braced returns what stands for the text between braces: NAME, or NAME[:]OPERATOR with a text behind it. With : an empty
+// braced returns the value of the text between braces: NAME, or NAME[:]OPERATOR with a text behind it. With : an empty
 // variable counts as one that is not set.
 func (in *interpolator) braced(pos diagnostic.Pos, text string, depth int) (string, error) {
 	n := nameLength(text)
--- a/internal/parse/compose/loader.go
+++ b/internal/parse/compose/loader.go
@@ -26,7 +26,7 @@
 			continue
 		}
 		l.trees[f.Name] = tree
-		// An extends without a file means the file that it stands in, so it is resolved before files are merged.
+		// An extends without a file means the file that it is in, so it is resolved before files are merged.
 		resolved, err := resolveExtends(ext, f.Name, tree)
 		if err != nil {
 			return nil, err
--- a/internal/parse/compose/merge.go
+++ b/internal/parse/compose/merge.go
@@ -7,7 +7,7 @@
 
 // merge lays the tree override over base by the Compose Specification's chapter on merging: mappings are merged, lists
 // appended, single values replaced; mergeRules has the exceptions. path names the place of both, with * for a service's
-// name. The result may share nodes with both trees. nil stands for an absent value.
+// name. The result may share nodes with both trees. nil is an absent value.
 func merge(base, override *value, path string) *value {
 	switch {
 	case override == nil:
@@ -73,12 +73,12 @@
 	return path + "." + key
 }
 
-// mergeRule says how two values at one place are merged.
+// mergeRule is how two values at one place are merged.
 type mergeRule uint8
 
 const (
 	byKind   mergeRule = iota // as mergeByKind does
-	replaced                  // the later value stands alone
+	replaced                  // the later value replaces the earlier
 	keyed                     // a list of KEY=VALUE is read as a mapping first
 	unique                    // entries with one target replace each other
 )
@@ -153,7 +153,7 @@
 }
 
 // targetOfMapping returns PUBLISHED:TARGET/PROTOCOL of an entry in the long form, each part only where it is given.
-// Without a target the source stands for it; without either the target is "".
+// Without a target the source is used; without either the target is "".
 func targetOfMapping(v *value) string {
 	for _, key := range []string{"target", "source"} {
 		target := v.get(key)
--- a/internal/parse/compose/payload.go
+++ b/internal/parse/compose/payload.go
@@ -65,7 +65,7 @@
 	return limits
 }
 
-// passedElements returns the elements of a service that are passed to the host as they stand.
+// passedElements returns the elements of a service that are passed to the host unchanged.
 func passedElements(service *value) map[string]any {
 	passedOn := map[string]any{}
 	for _, key := range service.keys {
--- a/internal/parse/compose/policies.go
+++ b/internal/parse/compose/policies.go
@@ -7,7 +7,7 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// restartConditions are the words of restart_policy.condition.
+// restartConditions are the values of restart_policy.condition.
 var restartConditions = map[string]servicespec.RestartCondition{
 	"any": servicespec.Always, "on-failure": servicespec.OnFailure, "none": servicespec.Never,
 }
@@ -58,7 +58,7 @@
 	d.durationField(&r.Window, policy, "window", 0, maxTaskTime)
 }
 
-// failureActions are the words of update_config.failure_action.
+// failureActions are the values of update_config.failure_action.
 var failureActions = map[string]servicespec.FailureAction{
 	"pause": servicespec.Pause, "continue": servicespec.Continue, "rollback": servicespec.Rollback,
 }
--- a/internal/parse/compose/references.go
+++ b/internal/parse/compose/references.go
@@ -39,7 +39,7 @@
 	return names
 }
 
-// appendReference appends the text of v if it is a name as it stands.
+// appendReference appends the text of v if it is a literal name.
 func appendReference(names []string, v *value) []string {
 	if v == nil || v.kind != scalar || v.text == "" || strings.Contains(v.text, "$") {
 		return names
--- a/internal/parse/compose/replicas.go
+++ b/internal/parse/compose/replicas.go
@@ -2,7 +2,7 @@
 
 import "forkhead/internal/parse/servicespec"
 
-// modes are the words of deploy.mode.
+// modes are the values of deploy.mode.
 var modes = map[string]servicespec.Mode{
 	"replicated": servicespec.Replicated, "global": servicespec.Global,
 	"replicated-job": servicespec.ReplicatedJob, "global-job": servicespec.GlobalJob,
--- a/internal/parse/compose/usedparts.go
+++ b/internal/parse/compose/usedparts.go
@@ -55,7 +55,7 @@
 	return item.text, item.pos, true
 }
 
-// isNamedVolume says whether the long form of a volume means one of the project, not a path of the host.
+// isNamedVolume reports whether the long form of a volume means one of the project, not a path of the host.
 func isNamedVolume(v *value) bool {
 	typ := v.get("type")
 	return typ != nil && typ.text == "volume"
--- a/internal/parse/compose/value.go
+++ b/internal/parse/compose/value.go
@@ -12,15 +12,15 @@
 	sequence
 )
 
-// String gives the kind as it stands in errors.
+// String returns the kind as errors name it.
 func (k kind) String() string {
 	return [...]string{"nothing", "a single value", "a mapping", "a list"}[k]
 }
 
 // The tags of YAML that the chapter on merging defines.
 const (
-	tagReset    = "!reset"    // removes what earlier files say
-	tagOverride = "!override" // stands alone in place of what earlier files say
+	tagReset    = "!reset"    // removes the values of earlier files
+	tagOverride = "!override" // replaces the values of earlier files
 )
 
 // value is a node of a tree whose aliases and merge keys are expanded. Trees are not changed once built, so that merged
@@ -29,7 +29,7 @@
 	pos    diagnostic.Pos
 	kind   kind
 	text   string // of a scalar
-	plain  bool   // the scalar stood without quotes
+	plain  bool   // the scalar was written without quotes
 	tag    string // tagReset or tagOverride, else ""
 	items  []*value
 	keys   []string // of a mapping, in the order of the file
@@ -58,5 +58,5 @@
 	v.fields[key], v.keyPos[key] = field, pos
 }
 
-// isEmpty says whether a value is absent or stands without content.
+// isEmpty reports whether a value is absent or empty.
 func (v *value) isEmpty() bool { return v == nil || v.kind == null }
--- a/internal/parse/compose/values.go
+++ b/internal/parse/compose/values.go
@@ -179,7 +179,7 @@
 }
 
 // choiceField sets to what a field of a mapping means by a table, and leaves it as it is where there is no such
-// field. want lists the words in an error.
+// field. want lists the values in an error.
 func choiceField[T any](d *decoder, to *T, m *value, key string, meanings map[string]T, want string) {
 	v := d.ofKind(m.get(key), scalar, key)
 	if v == nil {
@@ -192,7 +192,7 @@
 	*to = choice
 }
 
-// describe gives a value as it stands in errors.
+// describe returns a value as errors show it.
 func describe(v *value) string {
 	if v.kind == scalar {
 		return strconv.Quote(v.text)
@@ -200,7 +200,7 @@
 	return v.kind.String()
 }
 
-// toJSON turns a value into what encoding/json writes. Words without quotes that YAML reads as numbers or truth values are
+// toJSON turns a value into what encoding/json writes. Scalars without quotes that YAML reads as numbers or truth values are
 // written as such.
 func toJSON(v *value) any {
 	if v == nil {
--- a/internal/parse/compose/yaml.go
+++ b/internal/parse/compose/yaml.go
@@ -51,7 +51,7 @@
 
 // syntaxError gives an error of the YAML parser the line that its text names, and the first line where it names none.
 func syntaxError(file string, err error) error {
-	const maxLine = 1 << 24 // larger numbers are cut short
+	const maxLine = 1 << 24 // larger numbers are truncated
 	text := strings.TrimPrefix(err.Error(), "yaml: ")
 	pos := diagnostic.Pos{File: file, Line: 1, Col: 1}
 	if rest, ok := strings.CutPrefix(text, "line "); ok {
--- a/internal/parse/diagnostic/diagnostic.go
+++ b/internal/parse/diagnostic/diagnostic.go
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col)
 }
 
-// Error says what is wrong at a position, and what would be right where that can be said.
+// Error is what is wrong at a position, and what would be right where that is known.
 type Error struct {
 	Pos     Pos
 	Message string
@@ -37,12 +37,12 @@
 	return text
 }
 
-// Errorf returns an Error that does not say what would be right. Its message is formatted as by fmt.Sprintf.
+// Errorf returns an Error without what would be right. Its message is formatted as by fmt.Sprintf.
 func Errorf(p Pos, format string, args ...any) *Error {
 	return &Error{Pos: p, Message: fmt.Sprintf(format, args...)}
 }
 
-// Wantf returns an Error that says what would be right. Its message is formatted as by fmt.Sprintf.
+// Wantf returns an Error with what would be right. Its message is formatted as by fmt.Sprintf.
 func Wantf(p Pos, want, format string, args ...any) *Error {
 	return &Error{Pos: p, Message: fmt.Sprintf(format, args...), Want: want}
 }
@@ -68,7 +68,7 @@
 	l.errs = append(l.errs, err)
 }
 
-// Err returns nil if nothing was added, else all of it joined, with the number of those that were not kept.
+// Err returns nil if nothing was added, else all of it joined, with the number of those that were dropped.
 func (l *List) Err() error {
 	if len(l.errs) == 0 {
 		return nil
--- a/internal/parse/hostport/hostport.go
+++ b/internal/parse/hostport/hostport.go
@@ -1,5 +1,5 @@
 // Package hostport takes addresses of the form HOST:PORT apart and puts them together, without a
-// socket library: what reads a file or a list must be able to say whether one is written well.
+// socket library: what reads a file or a list must be able to check how one is written.
 package hostport
 
 import (
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// ErrForm says that an address has not the form HOST:PORT, or [HOST]:PORT where HOST holds colons.
+// ErrForm means that an address has not the form HOST:PORT, or [HOST]:PORT where HOST holds colons.
 var ErrForm = errors.New("not of the form HOST:PORT")
 
 // Split takes an address apart. The port is from 0 to 65535.
--- a/internal/parse/hostport/hostport_test.go
+++ b/internal/parse/hostport/hostport_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// What is taken apart here is what the socket library takes apart in the same way.
+// Addresses are split in the same way as by the socket library.
 func TestSplit(t *testing.T) {
 	for _, good := range []string{"127.0.0.1:80", "[::1]:7070", "host.example:0", ":65535"} {
 		host, port, err := Split(good)
--- a/internal/parse/platformconfig/check.go
+++ b/internal/parse/platformconfig/check.go
@@ -8,9 +8,9 @@
 	"slices"
 )
 
-// Check says what of a settings text a real placer cannot go by: a field that a decision rests on and that is missing, of
-// another type or out of range, a word that is not known, and parts that contradict each other. Fields that it does not
-// know are passed over. The error is one line that names the field.
+// Check returns what of a settings text a placer cannot use: a field that a decision depends on and that is missing, of
+// another type or out of range, an unknown keyword, and parts that contradict each other. Unknown fields are
+// ignored. The error is one line that names the field.
 func Check(text []byte) error {
 	var root map[string]any
 	if err := json.Unmarshal(text, &root); err != nil {
--- a/internal/parse/platformconfig/check_test.go
+++ b/internal/parse/platformconfig/check_test.go
@@ -86,8 +86,8 @@
 	{"familyInfo.tenantQuotaCores", list{1, 2}, "familyInfo.tenantQuotaCores has 2 entries for 1 tenants"},
 }
 
-// What a decision rests on is there, of its type, in range and without contradiction, or one line names the field; what is
-// not known is passed over.
+// What a decision depends on is there, of its type, in range and without contradiction, or one line names the field; what is
+// not known is ignored.
 func TestCheck(t *testing.T) {
 	good, err := os.ReadFile("../../server/platform/testdata/settings.json")
 	if err != nil {
--- a/internal/parse/platformconfig/checker.go
+++ b/internal/parse/platformconfig/checker.go
@@ -38,7 +38,7 @@
 	return n
 }
 
-// numberKind says which numbers a field may have.
+// numberKind is which numbers a field may have.
 type numberKind uint8
 
 const (
@@ -95,7 +95,7 @@
 }
 
 // names checks a list of at least minCount names, or with a path LIST.FIELD of objects that have one each, for names that are
-// missing or stand twice. It returns how many there are.
+// missing or duplicated. It returns how many there are.
 func (c *checker) names(path string, minCount int) int {
 	path, field, ofObjects := strings.Cut(path, ".")
 	all, ok := c.at(path).([]any)
@@ -133,7 +133,7 @@
 	return strings.Join(quoted, ", ")
 }
 
-// describe gives a value in an error of one line, cut short where it is long.
+// describe returns a value for an error of one line, truncated where it is long.
 func describe(v any) string {
 	const maxBytes = 60
 	text, err := json.Marshal(v)
--- a/internal/parse/platformconfig/config.go
+++ b/internal/parse/platformconfig/config.go
@@ -8,7 +8,7 @@
 )
 
 // Info is the settings object as the platform writes it, with the names that the module has for the same things. Times are in
-// milliseconds, cores and memory in the units of the module. Its type name stands in errors of encoding/json.
+// milliseconds, cores and memory in the units of the module. Its type name is in errors of encoding/json.
 type Info struct {
 	Zone    int      `json:"az"`
 	Zones   []string `json:"dcs"`
@@ -91,7 +91,7 @@
 	} `json:"tenants"`
 }
 
-// Parse parses a settings text; keys that it does not know are passed over. It does not check values: see Check.
+// Parse parses a settings text; unknown keys are ignored. It does not check values: see Check.
 func Parse(text []byte) (*Info, error) {
 	var in Info
 	if err := json.Unmarshal(text, &in); err != nil {
--- a/internal/parse/platformconfig/golden_test.go
+++ b/internal/parse/platformconfig/golden_test.go
@@ -43,7 +43,7 @@
 	goldentest.Check(t, "all.settings", []byte(lines(reflect.ValueOf(s))))
 }
 
-// The fields of a load report have these words.
+// The fields of a load report have these names.
 func TestReportGoldenWords(t *testing.T) {
 	r := EmptyReport()
 	got := goldentest.Values(reflect.ValueOf(r))
--- a/internal/parse/platformconfig/modulesettings.go
+++ b/internal/parse/platformconfig/modulesettings.go
@@ -6,7 +6,7 @@
 	"forkhead"
 )
 
-// ModuleSettings translates for the module, or says which part it cannot use.
+// ModuleSettings translates for the module, or returns an error that names the part it cannot use.
 func ModuleSettings(in *Info) (forkhead.Settings, error) {
 	s := simpleSettings(in)
 	f := &in.FamilyInfo
@@ -105,7 +105,7 @@
 	"machine": forkhead.MachineDomain, "cell": forkhead.CellDomain, "zone": forkhead.ZoneDomain,
 }
 
-// translate looks a name of the platform up. field is where it stands, in an error.
+// translate looks a name of the platform up. field is its place, for errors.
 func translate[T any](field string, table map[string]T, name string) (T, error) {
 	v, ok := table[name]
 	if !ok {
--- a/internal/parse/servicespec/servicespec.go
+++ b/internal/parse/servicespec/servicespec.go
@@ -20,13 +20,13 @@
 	AllOrNothing bool      `json:"Whole"` // place all of its tasks, or none
 }
 
-// Note says that an element is not acted on.
+// Note reports an element that is not acted on.
 type Note struct {
 	Pos  diagnostic.Pos
 	Text string
 }
 
-// Mode says how many tasks a service has and whether they end by themselves. It is stored as a number.
+// Mode is how many tasks a service has and whether they end by themselves. It is stored as a number.
 type Mode uint8
 
 // The modes.
@@ -37,10 +37,10 @@
 	GlobalJob                 // one that ends, on each fitting host
 )
 
-// Job says whether the tasks are meant to end.
+// Job reports whether the tasks are meant to end.
 func (m Mode) Job() bool { return m == ReplicatedJob || m == GlobalJob }
 
-// PerHost says whether the number of tasks follows the hosts.
+// PerHost reports whether the number of tasks follows the hosts.
 func (m Mode) PerHost() bool { return m == Global || m == GlobalJob }
 
 // Service is one service of a project.
@@ -105,7 +105,7 @@
 	Pos     diagnostic.Pos
 }
 
-// RestartCondition says when an ended task is started again. It is stored as a number.
+// RestartCondition is when an ended task is started again. It is stored as a number.
 type RestartCondition uint8
 
 // The conditions of a restart.
@@ -123,7 +123,7 @@
 	Window      time.Duration // 0: for good
 }
 
-// FailureAction says what an update does when too many tasks fail. It is stored as a number.
+// FailureAction is what an update does when too many tasks fail. It is stored as a number.
 type FailureAction uint8
 
 // The actions.
@@ -133,7 +133,7 @@
 	Rollback
 )
 
-// Update says how a changed service replaces its running tasks.
+// Update is how a changed service replaces its running tasks.
 type Update struct {
 	Parallel        int           // tasks at a time; 0: all
 	Delay           time.Duration // between one group of tasks and the next
@@ -143,7 +143,7 @@
 	StartFirst      bool          // start a task's successor before the task is stopped
 }
 
-// DependencyCondition says what a dependency must have reached. It is stored as a number.
+// DependencyCondition is what a dependency must have reached. It is stored as a number.
 type DependencyCondition uint8
 
 // The conditions.
--- a/internal/parse/settings/defaults.go
+++ b/internal/parse/settings/defaults.go
@@ -6,7 +6,7 @@
 	"forkhead"
 )
 
-// defaults returns the settings that hold where a file says nothing.
+// defaults returns the settings that apply where a file sets nothing.
 func defaults() *Settings {
 	return &Settings{
 		Module:           defaultModule(),
--- a/internal/parse/settings/entries.go
+++ b/internal/parse/settings/entries.go
@@ -16,7 +16,7 @@
 	maxNames   = 250 // of machine types, classes or tenants
 )
 
-// Domains are the words for domains, in settings and descriptions.
+// Domains are the keywords for domains, in settings and descriptions.
 var Domains = map[string]forkhead.Domain{
 	"anywhere": forkhead.AnyDomain, "machine": forkhead.MachineDomain, "rack": forkhead.CellDomain, "zone": forkhead.ZoneDomain,
 }
--- a/internal/parse/settings/golden_test.go
+++ b/internal/parse/settings/golden_test.go
@@ -47,7 +47,7 @@
 	goldentest.Check(t, "default.values", lines(reflect.ValueOf(*s.For(1))))
 }
 
-// testdata/faults.sexp has a fault of each kind; all are told, with their places and what is wanted.
+// testdata/faults.sexp has a fault of each kind; all are reported, with their positions and what is wanted.
 func TestFaultsGolden(t *testing.T) {
 	file := filepath.Join("testdata", "faults.sexp")
 	text, err := os.ReadFile(file)
--- a/internal/parse/settings/parser.go
+++ b/internal/parse/settings/parser.go
@@ -70,7 +70,7 @@
 	})
 }
 
-// addDefaults adds what the file as a whole does not say.
+// addDefaults adds what the file does not set.
 func (p *parser) addDefaults() {
 	s := p.settings
 	if len(s.Placers) == 0 {
--- a/internal/parse/settings/settings.go
+++ b/internal/parse/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings parses a placer's settings, which are S-expressions, and checks every field. docs/ops/placer.md says what
+// Package settings parses a placer's settings, which are S-expressions, and checks every field. docs/ops/placer.md lists what
 // each setting does.
 package settings
 
@@ -18,7 +18,7 @@
 var Default []byte
 
 // Settings are what a placer service starts with. Figures that the module decides by are in Module and are passed
-// on as they stand; Module.Self and Module.Placers are set by For.
+// on unchanged; Module.Self and Module.Placers are set by For.
 type Settings struct {
 	Module           forkhead.Settings
 	MachineTypeNames []string // by place in Module.MachineTypes
@@ -49,7 +49,7 @@
 	GossipAddress string // for UDP messages between placers
 }
 
-// ServiceDiscovery says where the list of hosts comes from.
+// ServiceDiscovery is where the endpoint list comes from.
 type ServiceDiscovery struct {
 	Address     string
 	Service     string        // name under which hosts are registered
@@ -58,7 +58,7 @@
 	MinInterval time.Duration // least time between two queries
 }
 
-// Owner says how a task that was rejected, failed, migrated or lost is requested again.
+// Owner is how a task that was rejected, failed, migrated or lost is requested again.
 type Owner struct {
 	MinBackoff       time.Duration // mean wait after the first rejection
 	MaxBackoff       time.Duration // mean waits double up to this
@@ -67,12 +67,12 @@
 	MaxPlacements    int           // a task that was placed so often is not placed again when it is lost
 }
 
-// HostConnections says how connections to hosts are kept.
+// HostConnections is how connections to hosts are kept.
 type HostConnections struct {
 	ConnectTimeout time.Duration // a connection that is not there within it has failed
 	MinBackoff     time.Duration // mean wait before the first reconnect
 	MaxBackoff     time.Duration // mean waits double up to this
-	LostAfter      time.Duration // a host that is gone for so long has lost its tasks, where a repeat is harmless
+	LostAfter      time.Duration // a host that is unreachable for so long has lost its tasks, where a repeat is harmless
 	ProbeTimeout   time.Duration // a probe without an answer for so long has failed
 }
 
@@ -85,11 +85,11 @@
 	Retention   time.Duration // how long a finished submission can be read again
 	Connections int           // to the front
 	Buffer      int           // bytes waiting for one reader
-	Hosts       int           // hosts in the list
+	Hosts       int           // hosts in the endpoint list
 	Labels      int           // different placement constraints at once
 }
 
-// SavedHostList says what a list of hosts kept on disk is worth to a placer that starts.
+// SavedHostList is how far a placer that starts relies on the endpoint list that it has stored.
 type SavedHostList struct {
 	FreshAge time.Duration // up to this age as good as one from service discovery
 	MaxAge   time.Duration // beyond it of no use; between the two a host counts once its handshake is done
@@ -111,7 +111,7 @@
 	return FromNode(nodes[0])
 }
 
-// FromNode parses and checks settings in a (forkhead ...) list that stands in a larger file.
+// FromNode parses and checks settings in a (forkhead ...) list that is part of a larger file.
 func FromNode(n *sexp.Node) (*Settings, error) {
 	s := defaults()
 	p := parser{settings: s, errs: &diagnostic.List{}}
--- a/internal/parse/settings/settings_test.go
+++ b/internal/parse/settings/settings_test.go
@@ -24,7 +24,7 @@
 		t.Fatalf("%+v", s)
 	}
 	if s.Classes[0].PlacementTimeout < s.Classes[0].RequestTimeout {
-		t.Fatal("patience defaults to less than the wait")
+		t.Fatal("the placement timeout defaults to less than the request timeout")
 	}
 }
 
--- a/internal/parse/sexp/fields.go
+++ b/internal/parse/sexp/fields.go
@@ -13,7 +13,7 @@
 type Field func(n *Node) error
 
 // Fields hands each item, a list, to the field that its head names. It adds an error for an unknown head, for a head that
-// stands twice unless repeatable names it, and all errors of the fields.
+// is duplicated unless repeatable names it, and all errors of the fields.
 func Fields(items []*Node, fields map[string]Field, repeatable map[string]bool, errs *diagnostic.List) {
 	seen := map[string]bool{}
 	for _, item := range items {
--- a/internal/parse/sexp/scanner.go
+++ b/internal/parse/sexp/scanner.go
@@ -84,7 +84,7 @@
 	return "", diagnostic.Errorf(start, "this string is never closed")
 }
 
-// unescape returns what a backslash at pos and the byte behind it stand for.
+// unescape returns what a backslash at pos and the byte behind it represent.
 func unescape(c byte, pos diagnostic.Pos) (byte, error) {
 	switch c {
 	case '"', '\\':
--- a/internal/parse/sexp/sexp.go
+++ b/internal/parse/sexp/sexp.go
@@ -21,7 +21,7 @@
 type Node struct {
 	Pos    diagnostic.Pos
 	Atom   string // where List is false
-	Quoted bool   // the atom stood in quotes
+	Quoted bool   // the atom was quoted
 	List   bool
 	Items  []*Node
 }
--- a/internal/parse/sexp/values.go
+++ b/internal/parse/sexp/values.go
@@ -31,7 +31,7 @@
 
 func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
-// Int returns a whole number from lo to hi.
+// Int returns an integer from lo to hi.
 func (n *Node) Int(lo, hi int) (int, error) {
 	text, err := n.Text()
 	if err != nil {
--- a/internal/planning/plan/instance.go
+++ b/internal/planning/plan/instance.go
@@ -129,7 +129,7 @@
 	return true
 }
 
-// domains translates the words of specifications.
+// domains translates the keywords of specifications.
 var domains = map[string]solver.Domain{"machine": solver.HostDomain, "rack": solver.RackDomain, "zone": solver.ZoneDomain}
 
 // tightenLimit lowers a service's limit in a domain to a number of tasks, unless it has a lower one.
--- a/internal/planning/plan/plan.go
+++ b/internal/planning/plan/plan.go
@@ -17,7 +17,7 @@
 	Settings        *settings.Settings
 	Hosts           []Host
 	Specs           []*servicespec.Description
-	Running         []Running // nil: nothing is said of what runs, and migrations cost nothing
+	Running         []Running // nil: what runs is unknown, and migrations cost nothing
 	MigrationCost   int64     // of each migration, in the unit of the hosts' costs
 	HomeZone        string    // zone that tasks should be in; "": none
 	OutsideHomeCost int64     // of each task outside HomeZone
@@ -59,7 +59,7 @@
 	running     map[int]int // index of the host, by replica
 }
 
-// Solve works out a plan. An error says that the problem is malformed; if no placement exists, the plan has the conflict.
+// Solve works out a plan. An error means that the problem is malformed; if no placement exists, the plan has the conflict.
 func Solve(p *Problem, opt solver.Options) (*Plan, error) {
 	in, services, err := p.instance()
 	if err != nil {
@@ -102,7 +102,7 @@
 	return n
 }
 
-// assign gives the replicas of a service hosts, of which counts says how many each has. A replica that runs where the plan
+// assign gives the replicas of a service hosts; counts has how many each gets. A replica that runs where the plan
 // has one stays there; the others are migrated or new.
 func (plan *Plan) assign(hosts []Host, s *service, counts []int) {
 	unassigned := slices.Clone(counts) // tasks by host
--- a/internal/planning/plan/plan_test.go
+++ b/internal/planning/plan/plan_test.go
@@ -151,7 +151,7 @@
 	return len(on), p.HostsInUse, unplaced
 }
 
-// BenchmarkDistance reports how many hosts the module's placements use, and the fewest that could do.
+// BenchmarkDistance reports how many hosts the module's placements use, and the minimum that would suffice.
 // go test ./internal/planning/plan -run xxx -bench Distance -benchtime 1x
 func BenchmarkDistance(b *testing.B) {
 	for _, hosts := range []int{12, 40, 130} {
--- a/internal/planning/quota/apportion.go
+++ b/internal/planning/quota/apportion.go
@@ -10,7 +10,7 @@
 // Unlimited as the Max of an Allocation is no limit.
 const Unlimited = -1
 
-// maxWeight keeps the products of weights and totals within 128 bits with room to spare.
+// maxWeight keeps the products of weights and totals within 128 bits with a margin.
 const maxWeight = 1 << 40
 
 // Allocation is what one name gets of a total.
@@ -26,7 +26,7 @@
 // rounded down or up, but never more than its Max; what that cuts off is divided among the others in the same way. Ties go
 // to who would lose the most of Previous, then by name. It sets the Amounts and returns what nobody could take.
 //
-// A negative total, a name that stands twice, a weight above 2^40 and a negative Previous are errors.
+// A negative total, a duplicate name, a weight above 2^40 and a negative Previous are errors.
 func Apportion(total int64, allocations []Allocation) (unassigned int64, err error) {
 	if total < 0 {
 		return 0, fmt.Errorf("a total of %d", total)
--- a/internal/planning/solver/bounds.go
+++ b/internal/planning/solver/bounds.go
@@ -137,7 +137,7 @@
 	return extra
 }
 
-// uncoveredDemand returns the remaining demand of a group's services beyond what is free on its hosts in use.
+// uncoveredDemand returns the remaining demand of a group's services beyond what is available on its hosts in use.
 func (s *search) uncoveredDemand(g *hostGroup, from, placed int) (cores, memory int64) {
 	for k := from; k < len(s.services); k++ {
 		if !g.services[k] {
--- a/internal/planning/solver/branch.go
+++ b/internal/planning/solver/branch.go
@@ -112,7 +112,7 @@
 	return running != nil && s.counts[service][host] < running[host]
 }
 
-// freeFraction is the part of a host's cores that is free plus that of its memory. It is a float, since only the order of
+// freeFraction is the fraction of a host's cores that is available, plus that of its memory. It is a float: only the order of
 // branching depends on it.
 func (s *search) freeFraction(host int) float64 {
 	h := &s.in.Hosts[host]
--- a/internal/planning/solver/conflict.go
+++ b/internal/planning/solver/conflict.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// RequirementKind says what a Requirement asks for.
+// RequirementKind is what a Requirement demands.
 type RequirementKind string
 
 // The kinds of requirements. RequireCores and RequireMemory are of the whole fleet, the others of one service.
@@ -20,7 +20,7 @@
 // FleetWide as the service of a Requirement means the hosts of the fleet.
 const FleetWide = -1
 
-// Requirement is something that an instance asks for and that can be left out to see whether a placement exists
+// Requirement is something that an instance demands and that can be left out to see whether a placement exists
 // without it.
 type Requirement struct {
 	Service int // index into Instance.Services, or FleetWide
--- a/internal/planning/solver/feasibility.go
+++ b/internal/planning/solver/feasibility.go
@@ -21,7 +21,7 @@
 	return true
 }
 
-// demandFits reports whether the sums of free cores and memory cover the remaining demand. What not even the smallest
+// demandFits reports whether the sums of available cores and memory cover the remaining demand. What not even the smallest
 // remaining task fits into is not counted: this decides instances that are exactly at capacity.
 func (s *search) demandFits(from, placed int) bool {
 	if from >= len(s.services) {
--- a/internal/planning/solver/instance.go
+++ b/internal/planning/solver/instance.go
@@ -19,7 +19,7 @@
 	Cores         int64 // thousandths of a core
 	Memory        int64 // MiB
 	Cost          int64 // of using it at all
-	Unschedulable bool  // it accepts no tasks: it drains, or is gone
+	Unschedulable bool  // it accepts no tasks: it drains, or is removed
 	InUse         bool  // it runs something that is not part of the instance, so using it costs nothing
 }
 
--- a/internal/planning/solver/placement.go
+++ b/internal/planning/solver/placement.go
@@ -25,7 +25,7 @@
 		n = min(n, spec.MaxPerZone-s.zoneCounts[service][s.zoneOf[host]])
 	}
 	for _, a := range spec.Affinities {
-		// Where the other service is, is known once it is placed whole; until then any host may do.
+		// Where the other service is, is known once it is placed completely; until then any host may do.
 		if a.Service < s.current && !s.affinityHolds(a, host) {
 			return 0
 		}
--- a/internal/planning/solver/search.go
+++ b/internal/planning/solver/search.go
@@ -42,7 +42,7 @@
 	rackCounts [][]int // by service, by rack
 	zoneCounts [][]int // by service, by zone
 	cost       int64
-	current    int // the service that is being placed; those before it are placed whole
+	current    int // the service that is being placed; those before it are placed completely
 
 	// The incumbent: the placement of least cost so far. nil: none yet.
 	incumbent     [][]int
--- a/internal/planning/solver/solver.go
+++ b/internal/planning/solver/solver.go
@@ -26,7 +26,7 @@
 	InjectedBug InjectedBug
 }
 
-// InjectedBug is a bug that Solve can be told to have.
+// InjectedBug is a bug that Solve can be made to have.
 type InjectedBug string
 
 // The bugs.
--- a/internal/planning/solver/solver_test.go
+++ b/internal/planning/solver/solver_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// A search that is told to stop returns what it has.
+// A search that is stopped returns what it has.
 func TestSolveStopsOnRequest(t *testing.T) {
 	in := Instance{Hosts: newHosts(3, 4, 4, 2), Services: []Service{{Count: 3, Cores: 2}}}
 	result, err := Solve(&in, Options{Stop: func() bool { return true }})
--- a/internal/protocol/capture/event.go
+++ b/internal/protocol/capture/event.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// EventType says what happened. Its values are in captures.
+// EventType is what happened. Its values are in captures.
 type EventType string
 
 // Events of hosts and of the frames that come to them and leave them. Each has the Host; where it names a frame, also the
@@ -23,20 +23,20 @@
 	Hello        EventType = "hello"     // a placer opened a session: PlacerEpoch, Conn
 	Disconnected EventType = "gone"      // the host saw a placer's connection end: Conn
 	Welcome      EventType = "welcome"   // the host answered a Hello: Epoch, HostDraining
-	Holds        EventType = "held"      // and listed an attempt that it has: Result says how far it is
+	Holds        EventType = "held"      // and listed an attempt that it has: Result is how far it is
 	Offer        EventType = "offer"
 	Withdraw     EventType = "withdraw"
 	Stop         EventType = "stop"
 	Refused      EventType = "refused"
 	Accepted     EventType = "accepted"
 	Running      EventType = "running"
-	Ended        EventType = "ended" // Result says how
+	Ended        EventType = "ended" // Result is how
 	Drain        EventType = "drain" // the host drains, or no longer: HostDraining
 )
 
 // Events of the others.
 const (
-	ListDelivered      EventType = "told"        // a placer was sent the list of hosts: Ready, Draining
+	ListDelivered      EventType = "told"        // a placer was sent the endpoint list: Ready, Draining
 	Submit             EventType = "submit"      // a client submitted: Submission, Count, Within
 	Outcome            EventType = "outcome"     // a client read an outcome: Submission, Name, Result, Took
 	ClientDisconnected EventType = "client-cut"  // a client's stream broke: it reads no more of the Submission
--- a/internal/protocol/consul/consul.go
+++ b/internal/protocol/consul/consul.go
@@ -1,4 +1,4 @@
-// Package consul reads and writes the list of hosts in the form of Consul's HTTP API, as published at
+// Package consul reads and writes the endpoint list in the form of Consul's HTTP API, as published at
 // developer.hashicorp.com/consul/api-docs: /v1/health/service/:service with blocking queries, and /v1/catalog/register.
 // The package is pure: server/listwatch is the client, emulator/consul an emulator of the service.
 //
@@ -76,7 +76,7 @@
 // MaxAnswerSize bounds an answer that is read, in bytes.
 const MaxAnswerSize = 64 << 20
 
-// Keys of metadata. A node's say what the machine is, a service's what is available there, as of a while ago.
+// Keys of metadata. A node's describe the machine, a service's what was available there a while ago.
 const (
 	MetaMachineType = "kind"
 	MetaZone        = "zone"
--- a/internal/protocol/consul/host.go
+++ b/internal/protocol/consul/host.go
@@ -14,7 +14,7 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// Host is a host as the list names it. The state of a placer and recorded runs hold it by the names of its fields, so
+// Host is a host as the endpoint list names it. The state of a placer and recorded runs hold it by the names of its fields, so
 // these stay as they are.
 type Host struct {
 	Name       string
@@ -83,7 +83,7 @@
 }
 
 // stateOf returns whether a host may be offered tasks. With a critical check, as in maintenance, it drains, until it is
-// dropped from the list.
+// dropped from the endpoint list.
 func stateOf(checks []Check) forkhead.MachineState {
 	for _, c := range checks {
 		if c.Status == StatusCritical {
--- a/internal/protocol/hostproto/decode.go
+++ b/internal/protocol/hostproto/decode.go
@@ -188,7 +188,7 @@
 	}
 }
 
-// report reads a report, or nil where the frame says that it has none.
+// report reads a report, or nil where the frame has none.
 func (r *fieldReader) report() *Report {
 	if !r.bool() {
 		return nil
--- a/internal/protocol/hostproto/doc.go
+++ b/internal/protocol/hostproto/doc.go
@@ -17,7 +17,7 @@
 // Version is the version of the protocol. Both ends send theirs; a host closes the connection of a placer with another.
 const Version = 1
 
-// Bounds of frames, in bytes unless said otherwise.
+// Bounds of frames, in bytes unless noted otherwise.
 const (
 	MaxFrameSize   = 64 << 10 // code and fields, without the length before them
 	MaxTextSize    = 1 << 10  // a name or a message
--- a/internal/protocol/hostproto/errors.go
+++ b/internal/protocol/hostproto/errors.go
@@ -11,7 +11,7 @@
 	ErrInvalidValue  = errors.New("a field has a value that is not allowed")
 )
 
-// FrameError says what is wrong with a frame. After it, what follows in the stream cannot be made out. A host sends its
+// FrameError is what is wrong with a frame. What follows it in the stream cannot be decoded. A host sends its
 // text to the placer, in Bye.
 type FrameError struct {
 	Reason error  // one of the variables above
--- a/internal/protocol/hostproto/frames.go
+++ b/internal/protocol/hostproto/frames.go
@@ -51,7 +51,7 @@
 		Spec    Spec
 		Payload []byte // JSON that only the host reads
 	}
-	// Withdraw takes an offer back. The host answers with Ended and the result Canceled, or goes on if it has accepted.
+	// Withdraw withdraws an offer. The host answers with Ended and the result Canceled, or goes on if it has accepted.
 	Withdraw struct{ Ref Ref }
 	// Stop ends a task.
 	Stop struct {
@@ -60,7 +60,7 @@
 	}
 	// Probe asks for a Probed with the same ID. The ID 0 only keeps the connection from being idle.
 	Probe struct{ ID uint32 }
-	// Query asks what became of attempts that Holds did not list. Each is answered by Refused (it never came), by Ended,
+	// Query requests what became of attempts that Holds did not list. Each is answered by Refused (it never came), by Ended,
 	// or by Accepted or Running.
 	Query struct{ Refs []Ref }
 )
@@ -135,7 +135,7 @@
 	Attempt uint8  // number of the attempt within the request
 }
 
-// Spec is what a host learns of a task.
+// Spec is what an offer describes of a task.
 type Spec struct {
 	Key         uint64 // the task: the same in every attempt and request
 	Service     uint64
@@ -161,7 +161,7 @@
 // HeldSize returns an upper bound of the bytes that a Held with this Spec takes in a Holds frame.
 func HeldSize(s *Spec) int { return maxHeldBase + len(s.Name) + len(s.Class) + len(s.Tenant) }
 
-// Phase says how far a host is with an attempt.
+// Phase is how far a host is with an attempt.
 type Phase uint8
 
 // The phases.
@@ -171,7 +171,7 @@
 	PhaseRunning
 )
 
-// Result says how an attempt ended.
+// Result is how an attempt ended.
 type Result uint8
 
 // The results.
@@ -186,7 +186,7 @@
 	Forgotten               // the host no longer knows: it may have run
 )
 
-// Reason says why an offer was rejected. The values are those of forkhead.RejectReason.
+// Reason is why an offer was rejected. The values are those of forkhead.RejectReason.
 type Reason uint8
 
 // The reasons.
@@ -202,5 +202,5 @@
 type Report struct {
 	Cores, Memory float32 // available, Memory in GiB
 	Queue         float32 // offers and starts that wait
-	Util          float32 // share of the cores in use
+	Util          float32 // fraction of the cores in use
 }
--- a/internal/protocol/hostproto/stream.go
+++ b/internal/protocol/hostproto/stream.go
@@ -73,7 +73,7 @@
 	return body, following, nil
 }
 
-// fillPartial moves bytes to the partial frame until it has n, and returns the others.
+// fillPartial copies bytes to the partial frame until it has n, and returns the others.
 func (d *Decoder) fillPartial(n int, p []byte) (following []byte) {
 	missing := min(max(n-len(d.partial), 0), len(p))
 	d.partial = append(d.partial, p[:missing]...)
--- a/internal/protocol/http1/framing.go
+++ b/internal/protocol/http1/framing.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// framing is what the header fields say about the request's body and its end.
+// framing is how the header fields delimit the request's body.
 type framing struct {
 	hostFields       int
 	hasContentLength bool
--- a/internal/protocol/http1/http1.go
+++ b/internal/protocol/http1/http1.go
@@ -3,7 +3,7 @@
 // a server, is rejected.
 //
 //	parser.go    the state machine of a connection, and what it reads line by line
-//	framing.go   how the header fields say that the body is sent
+//	framing.go   how the header fields delimit the body
 //	response.go  heads and chunks of responses
 package http1
 
--- a/internal/protocol/http1/parser.go
+++ b/internal/protocol/http1/parser.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// step reads what the state says and goes on to the next state. It returns false if more bytes are needed for that.
+// step reads what the state expects and goes on to the next state. It returns false if more bytes are needed for that.
 func (p *Parser) step() (bool, *Error) {
 	switch p.state {
 	case stateRequestLine:
@@ -164,7 +164,7 @@
 		return false, err
 	}
 	if len(line) == 0 {
-		if p.sawEmptyLine { // RFC 9112, 2.2: one empty line before a request is passed over
+		if p.sawEmptyLine { // RFC 9112, 2.2: one empty line before a request is ignored
 			return false, reject(400, "empty lines before the request line")
 		}
 		p.sawEmptyLine = true
--- a/internal/protocol/http1/parser_test.go
+++ b/internal/protocol/http1/parser_test.go
@@ -194,7 +194,7 @@
 		theirs := bufio.NewReader(strings.NewReader(stream))
 		for _, r := range ours {
 			if lead, _ := theirs.Peek(2); string(lead) == "\r\n" {
-				_, _ = theirs.Discard(2) // one empty line is passed over, by RFC 9112, 2.2
+				_, _ = theirs.Discard(2) // one empty line is ignored, by RFC 9112, 2.2
 			}
 			q, err := http.ReadRequest(theirs)
 			if err != nil {
--- a/internal/protocol/http1/response.go
+++ b/internal/protocol/http1/response.go
@@ -13,7 +13,7 @@
 // StatusText returns the reason phrase of a status that this package knows, else "".
 func StatusText(status int) string { return statusText[status] }
 
-// AppendHead appends the head of a response. A length below 0 means that the body comes in chunks; closes says that the
+// AppendHead appends the head of a response. A length below 0 means that the body comes in chunks; closes means that the
 // connection ends after it.
 func AppendHead(dst []byte, status int, fields []Field, length int, closes bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
--- a/internal/protocol/platform/config.go
+++ b/internal/protocol/platform/config.go
@@ -16,7 +16,7 @@
 	PeerListen     string          `json:"peer_listen"` // host:port for datagrams of other placers; empty: none
 	Peers          []string        `json:"peers"`       // host:port, by their numbers in the settings, this placer's own included
 	PeersBroadcast string          `json:"peers_all"`   // host:port that reaches all peers; empty: none
-	WatchAddress   string          `json:"changelog"`   // host:port of the change log
+	WatchAddress   string          `json:"changelog"`   // host:port of the watch
 	Initial        InitialList     `json:"known"`
 	Settings       json.RawMessage `json:"settings"` // as parse/platformconfig reads it
 }
@@ -28,9 +28,9 @@
 	Sockets  int     `json:"sockets"` // descriptors
 }
 
-// InitialList is the change log up to the start.
+// InitialList is the endpoint list's events up to the start.
 type InitialList struct {
-	Seq    uint64       `json:"seq"` // number to ask behind
+	Seq    uint64       `json:"seq"` // number to subscribe behind
 	Events []WatchEvent `json:"results"`
 }
 
--- a/internal/protocol/platform/doc.go
+++ b/internal/protocol/platform/doc.go
@@ -1,9 +1,9 @@
 // Package platform is the users' platform as it is on the wire: the messages between owners, placers and hosts as JSON
-// lines, the change log (the watch) as server-sent events, and the configuration that a placer is started with. All of
+// lines, the watch of the endpoint list as server-sent events, and the configuration that a placer is started with. All of
 // it is pure; no type is safe for use by several goroutines at once.
 //
 // The platform's wording is translated here and nowhere else in the protocol. Words are those of the wire, names are
-// those of this package, and what they mean is said at the names.
+// those of this package, and the doc comments of the names define them.
 //
 //	part of a message       word        name
 //	----------------------  ----------  ------------------------
@@ -59,7 +59,7 @@
 //	                        queue       LoadQueue
 //	                        util        LoadUtilization
 //
-//	part of the change log  word        name
+//	part of the watch       word        name
 //	----------------------  ----------  ------------------------
 //	event                   seq         WatchEvent.Seq
 //	                        fleet       WatchEvent.Endpoints
--- a/internal/protocol/platform/golden_test.go
+++ b/internal/protocol/platform/golden_test.go
@@ -13,7 +13,7 @@
 	"forkhead/internal/goldentest"
 )
 
-// What the package names stands on the wire as these words and numbers.
+// The package's names are these words and numbers on the wire.
 func TestWireWordsGolden(t *testing.T) {
 	got := fmt.Sprint(
 		[]MessageType{TypeRequest, TypeProgress, TypeBound, TypeRelease, TypeAck, TypeProbe, TypeProbeResult, TypeNote, TypeMigrate},
@@ -78,7 +78,7 @@
 	}
 }
 
-// testdata/changelog.sse is a stream of the change log.
+// testdata/changelog.sse is a stream of the watch.
 func TestWatchEventsGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "changelog.sse"))
 	if err != nil {
--- a/internal/protocol/platform/lines.go
+++ b/internal/protocol/platform/lines.go
@@ -43,5 +43,5 @@
 	}
 }
 
-// HasPartialLine says whether a line has begun that has not ended.
+// HasPartialLine reports whether a line has begun that has not ended.
 func (s *LineSplitter) HasPartialLine() bool { return len(s.partial) > 0 }
--- a/internal/protocol/platform/lines_test.go
+++ b/internal/protocol/platform/lines_test.go
@@ -26,7 +26,7 @@
 	return lines, err
 }
 
-// However a stream is cut, its lines are the same, and no more than a line is held.
+// However a stream is cut, its lines are the same, and no more than a line is buffered.
 func TestLineSplitterIgnoresChunks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stream := rapid.SliceOfN(rapid.SampledFrom([]byte("ab\r\n{}")), 0, 300).Draw(t, "stream")
@@ -41,7 +41,7 @@
 			t.Fatalf("%q and %v in one piece, %q and %v in parts", a, errA, b, errB)
 		}
 		if len(parts.partial) > MaxLineSize {
-			t.Fatalf("%d bytes are held", len(parts.partial))
+			t.Fatalf("%d bytes are buffered", len(parts.partial))
 		}
 	})
 }
--- a/internal/protocol/platform/message.go
+++ b/internal/protocol/platform/message.go
@@ -82,7 +82,7 @@
 	return true
 }
 
-// isStringOrNumber says whether a valid JSON value is a string or a number.
+// isStringOrNumber reports whether a valid JSON value is a string or a number.
 func isStringOrNumber(raw []byte) bool {
 	return len(raw) > 0 && (raw[0] == '"' || raw[0] == '-' || raw[0] >= '0' && raw[0] <= '9')
 }
--- a/internal/protocol/platform/sequence.go
+++ b/internal/protocol/platform/sequence.go
@@ -1,23 +1,23 @@
 package platform
 
-// maxPostponedEvents bounds the events that are held back until it shows whether the sequence was restarted.
+// maxPostponedEvents bounds the events that are postponed until it shows whether the sequence was restarted.
 const maxPostponedEvents = 1024
 
-// EventVerdict says what to do with an event of the change log.
+// EventVerdict is what to do with an event of the watch.
 type EventVerdict int
 
 // The verdicts of Sequence.Next.
 const (
-	SkipEvent   EventVerdict = iota // it was applied before, or is held back
+	SkipEvent   EventVerdict = iota // it was applied before, or is postponed
 	ApplyEvent                      // it is the next
 	Resubscribe                     // events between are missing: open the stream again behind Last
 )
 
-// Sequence keeps the events of the change log in order by their numbers: each is applied once, and a gap is asked for
+// Sequence keeps the events of the watch in order by their numbers: each is applied once, and a gap is requested
 // once more.
 //
-// A log whose sequence was restarted answers the next subscription with a snapshot under a number that was applied
-// before; so does a log that repeats everything. Such events are held back. If they come up to the number that was
+// A watch whose sequence was restarted answers the next subscription with a snapshot under a number that was applied
+// before; so does a watch that repeats everything. Such events are postponed. If they come up to the number that was
 // subscribed behind, they are a repetition; if the stream goes idle before, the sequence was restarted. A snapshot
 // under an old number at any other moment is outdated.
 //
@@ -26,13 +26,13 @@
 	Last        uint64       // number of the last event that was applied
 	askedFor    uint64       // the missing number that the stream was last opened again for; 0: none
 	streamFresh bool         // nothing has come on the stream
-	postponed   []WatchEvent // held back: a snapshot and the events that follow it without a gap
+	postponed   []WatchEvent // postponed: a snapshot and the events that follow it without a gap
 }
 
 // StreamOpened begins a stream that was subscribed to behind Last.
 func (s *Sequence) StreamOpened() { s.streamFresh, s.postponed = true, nil }
 
-// Next says what to do with an event. A gap that is still there once the stream was opened again is taken to be one of
+// Next returns what to do with an event. A gap that is still there once the stream was opened again is taken to be one of
 // the numbers and not of events.
 func (s *Sequence) Next(event WatchEvent) EventVerdict {
 	streamFresh := s.streamFresh
@@ -59,7 +59,7 @@
 	return ApplyEvent
 }
 
-// StreamIdle means that the log has nothing more for now. It returns the events of a restarted sequence, which are to
+// StreamIdle means that the watch has nothing more for now. It returns the events of a restarted sequence, which are to
 // be applied in their order; usually there are none.
 func (s *Sequence) StreamIdle() []WatchEvent {
 	restarted := s.postponed
--- a/internal/protocol/platform/sequence_test.go
+++ b/internal/protocol/platform/sequence_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Each number is applied once; a gap is asked for once, and then taken to be one of the numbers.
+// Each number is applied once; a gap is requested once, and then taken to be one of the numbers.
 func TestSequenceAppliesEachEventOnce(t *testing.T) {
 	s := Sequence{Last: 3}
 	for i, c := range []struct {
@@ -47,7 +47,7 @@
 		for _, ch := range c.events {
 			switch s.Next(ch) {
 			case Resubscribe:
-				t.Errorf("%s: %d is asked for again", name, ch.Seq)
+				t.Errorf("%s: %d is requested again", name, ch.Seq)
 			case ApplyEvent:
 				applied = append(applied, ch.Seq)
 			}
--- a/internal/protocol/platform/sse.go
+++ b/internal/protocol/platform/sse.go
@@ -6,10 +6,10 @@
 	"strconv"
 )
 
-// MaxEventSize is the most bytes that one server-sent event of the change log may hold.
+// MaxEventSize is the most bytes that one server-sent event of the watch may hold.
 const MaxEventSize = 1 << 20
 
-// ErrEventTooLarge means that the change log sent a line or an event of more than MaxEventSize bytes.
+// ErrEventTooLarge means that the watch sent a line or an event of more than MaxEventSize bytes.
 var ErrEventTooLarge = fmt.Errorf("an event of the change log holds more than %d bytes", MaxEventSize)
 
 // ServerSentEvent is one server-sent event.
@@ -25,7 +25,7 @@
 	data        []byte // of the event that has not ended
 	hasData     bool
 	id          uint64
-	// OnComment is called at each comment, which the change log sends when it has nothing more for now. It may be nil.
+	// OnComment is called at each comment, which the watch sends when it has nothing more for now. It may be nil.
 	OnComment func()
 }
 
--- a/internal/protocol/platform/sse_test.go
+++ b/internal/protocol/platform/sse_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// A comment says that the log rests, between the events that it stands between.
+// A comment means that the watch is idle, between the events that it is sent between.
 func TestEventReaderReportsComments(t *testing.T) {
 	var seen []string
 	e := EventReader{OnComment: func() { seen = append(seen, "rest") }}
--- a/internal/protocol/platform/watch.go
+++ b/internal/protocol/platform/watch.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// WatchEvent is one numbered event of the change log.
+// WatchEvent is one numbered event of the watch.
 type WatchEvent struct {
 	Seq       uint64        `json:"seq"`   // from 1
 	Endpoints *EndpointList `json:"fleet"` // nil: the event is about something else
 }
 
-// EndpointList is the list of hosts, or the entries of it that have changed.
+// EndpointList is a snapshot of the endpoint list, or the entries of it that have changed.
 type EndpointList struct {
-	Snapshot bool       `json:"whole"` // the complete list: a host that it lacks is gone
+	Snapshot bool       `json:"whole"` // the complete list: a host that it lacks is removed
 	Hosts    []Endpoint `json:"hosts"`
 }
 
@@ -32,7 +32,7 @@
 	Available   []float64     `json:"free"`    // cores and memory that nobody has requested; may be empty
 }
 
-// DecodeWatchEvent reads the data of an event of the change log. An event whose data has no number takes its ID; one
+// DecodeWatchEvent reads the data of an event of the watch. An event whose data has no number takes its ID; one
 // without either is an error.
 func DecodeWatchEvent(event ServerSentEvent) (WatchEvent, error) {
 	var w WatchEvent
@@ -48,7 +48,7 @@
 	return w, nil
 }
 
-// IsSnapshot says whether the event holds the complete list, which makes all events before it irrelevant.
+// IsSnapshot reports whether the event holds the complete list, which makes all events before it irrelevant.
 func (w *WatchEvent) IsSnapshot() bool { return w.Endpoints != nil && w.Endpoints.Snapshot }
 
 // HostNumber is the number in a host's name, by which all placers know it: the hex digits behind the name's last dash,
--- a/internal/protocol/platform/wire.go
+++ b/internal/protocol/platform/wire.go
@@ -6,7 +6,7 @@
 // MaxDatagramSize is the most bytes of a message between placers.
 const MaxDatagramSize = 256
 
-// MessageType says what a message is for: the JSON member t.
+// MessageType is what a message is for: the JSON member t.
 type MessageType string
 
 // The types of messages.
@@ -19,7 +19,7 @@
 	TypeProbe       MessageType = "hb"    // a health check
 	TypeProbeResult MessageType = "hb_ok" // answers a TypeProbe with CauseHealthy or CauseUnhealthy
 	TypeNote        MessageType = "tell"  // a host's note on a task that it runs
-	TypeMigrate     MessageType = "shift" // tells the owner that the task ends and is to be requested again
+	TypeMigrate     MessageType = "shift" // notifies the owner that the task ends and is to be requested again
 )
 
 // Cause is a message's numeric code: the JSON member c.
@@ -32,7 +32,7 @@
 	CauseRejected Cause = 34  // rejected: it never ran
 	CauseReset    Cause = 41  // the task or its connection broke
 	CauseBusy     Cause = 42  // rejected: too many open requests
-	CauseFailed   Cause = 47  // an error without any promise about what ran
+	CauseFailed   Cause = 47  // an error that leaves open what ran
 	CauseNotSent  Cause = 102 // the attempt never left its sender
 )
 
@@ -42,7 +42,7 @@
 	CauseHealthy   Cause = 1
 )
 
-// NoCause stands for a message without a cause.
+// NoCause is the cause of a message without one.
 const NoCause Cause = -1
 
 // FieldName is the name of one of a message's fields: a key of the JSON member f.
@@ -75,7 +75,7 @@
 	ExtraHost        Extra = "at"      // name of the host that runs the task already: a hand-over
 )
 
-// Note says what a TypeNote reports of a running task.
+// Note is what a TypeNote reports of a running task.
 type Note string
 
 // The notes.
@@ -87,7 +87,7 @@
 	NoteMemoryPressure Note = "ram_high"
 )
 
-// RejectReason says why a host rejected or ended a task.
+// RejectReason is why a host rejected or ended a task.
 type RejectReason string
 
 // The reasons of hosts.
--- a/internal/protocol/platform/wire_test.go
+++ b/internal/protocol/platform/wire_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// The package comment's table translates each JSON key of the change log that has another name here.
+// The package comment's table translates each JSON key of the watch that has another name here.
 func TestPackageTableHoldsWatchKeys(t *testing.T) {
 	table := packageTable(t)
 	for _, value := range []any{WatchEvent{}, EndpointList{}, Endpoint{}} {
