--- a/internal/scheduler/core/api.go
+++ b/internal/scheduler/core/api.go
@@ -22,12 +22,12 @@
 		Hosts []HostEntry
 		Stale bool // of ListCached: the list is old, and a host counts only once it has greeted
 	}
-	// HostConnected says that connection Conn to a host is established.
+	// HostConnected reports that connection Conn to a host is established.
 	HostConnected struct {
 		Host string
 		Conn uint32
 	}
-	// HostDisconnected says that connection Conn to a host could not be made, broke, or was closed by the host.
+	// HostDisconnected reports that connection Conn to a host could not be made, broke, or was closed by the host.
 	HostDisconnected struct {
 		Host   string
 		Conn   uint32
@@ -114,7 +114,7 @@
 		Detail     string
 		RetryAfter time.Duration // 0: not stated
 	}
-	// OutcomesAdded says that a submission has more outcomes, or is complete. Core.Outcomes returns them.
+	// OutcomesAdded reports that a submission has more outcomes, or is complete. Core.Outcomes returns them.
 	OutcomesAdded struct{ Submission string }
 	// Persist stores a record. The outputs that follow it in the same step leave only once the step's records are durable,
 	// if durable.MustBeDurableFirst holds for one of them.
--- a/internal/scheduler/core/attempts.go
+++ b/internal/scheduler/core/attempts.go
@@ -99,7 +99,7 @@
 	before, after attempt.Phase
 }
 
-// wasPlaced says whether the attempt was placed before the change: an end of it is final.
+// wasPlaced reports whether the attempt was placed before the change: an end of it is final.
 func (ch *attemptChange) wasPlaced() bool {
 	return ch.before == attempt.Placed || ch.before == attempt.Unreachable
 }
--- a/internal/scheduler/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -145,7 +145,7 @@
 	return c.outputs
 }
 
-// isStarting says whether no step was later than time 0. Until one is, each step lets the module decide even without
+// isStarting reports whether no step was later than time 0. Until one is, each step lets the module decide even without
 // events, so that it begins to poll.
 func (c *Core) isStarting() bool { return c.now == 0 }
 
--- a/internal/scheduler/core/dependencies.go
+++ b/internal/scheduler/core/dependencies.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// hasDependents says whether another service waits for this one, so that its fate has to be known.
+// hasDependents reports whether another service waits for this one, so that its fate has to be known.
 func hasDependents(svc *service) bool {
 	for _, other := range svc.project.services {
 		if other != svc && len(other.replicas) > 0 && other.dependsOn(svc) {
@@ -56,7 +56,7 @@
 	return false
 }
 
-// dependencyState says whether a service's dependencies are met, or why they never will be; "": they may be.
+// dependencyState reports whether a service's dependencies are met, or why they never will be; "": they may be.
 func dependencyState(svc *service) (met bool, failure string) {
 	if svc.spec == nil {
 		return true, ""
@@ -77,7 +77,7 @@
 	return met, ""
 }
 
-// reached says whether a service is as far as a condition asks, or why it never will be; "": it may be.
+// reached reports whether a service is as far as a condition asks, or why it never will be; "": it may be.
 func (s *service) reached(condition servicespec.DependencyCondition) (met bool, failure string) {
 	if s.failureReason != "" {
 		return false, ", which was not placed"
--- a/internal/scheduler/core/explain.go
+++ b/internal/scheduler/core/explain.go
@@ -34,7 +34,7 @@
 	return &c.settings.Module.Classes[r.class]
 }
 
-// fitsMachineType says whether an empty host of any machine type that the replica's class allows could take it.
+// fitsMachineType reports whether an empty host of any machine type that the replica's class allows could take it.
 func (c *Core) fitsMachineType(r *desiredReplica) bool {
 	m, class := &c.settings.Module, c.moduleClass(r)
 	for i, machineType := range m.MachineTypes {
--- a/internal/scheduler/core/hosts.go
+++ b/internal/scheduler/core/hosts.go
@@ -54,13 +54,13 @@
 	return h.entry.State
 }
 
-// isConnectedAndSynced says whether offers may be sent to the host. Before that it is sent Hello, what settles the
+// isConnectedAndSynced reports whether offers may be sent to the host. Before that it is sent Hello, what settles the
 // tasks that it reports (Query, Withdraw, Stop), and the Probe of checkLiveness.
 func (h *host) isConnectedAndSynced() bool { return h.connection.State == hostconn.Up && h.synced }
 
 func (h *host) hasLabels(labels uint64) bool { return labels&^h.labels == 0 }
 
-// hasMachineType says whether tasks of a class may run on a host's machine type.
+// hasMachineType reports whether tasks of a class may run on a host's machine type.
 func hasMachineType(class *forkhead.Class, h *host) bool {
 	return class.MachineType < 0 || class.MachineType == h.machineType
 }
--- a/internal/scheduler/core/labels.go
+++ b/internal/scheduler/core/labels.go
@@ -163,7 +163,7 @@
 	return (e.Attributes[constraint.Attribute] == constraint.Value) != constraint.Not
 }
 
-// meetsAll says whether a host of the list meets constraints, none of which is about what is near it.
+// meetsAll reports whether a host of the list meets constraints, none of which is about what is near it.
 func meetsAll(e *HostEntry, constraints []servicespec.Constraint) bool {
 	for i := range constraints {
 		if !entryMeets(e, &constraints[i]) {
@@ -173,7 +173,7 @@
 	return true
 }
 
-// hasServiceNear says whether a task of a service, given by its key in decimal, is placed in a host's domain.
+// hasServiceNear reports whether a task of a service, given by its key in decimal, is placed in a host's domain.
 func (c *Core) hasServiceNear(h *host, domain forkhead.Domain, serviceKey string) bool {
 	key, err := strconv.ParseUint(serviceKey, 10, 64)
 	if err != nil {
--- a/internal/scheduler/core/offers.go
+++ b/internal/scheduler/core/offers.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// exceedsSpread says whether an attempt would exceed a spread limit of its service now.
+// exceedsSpread reports whether an attempt would exceed a spread limit of its service now.
 func (c *Core) exceedsSpread(a *taskAttempt) bool {
 	check := c.spreadCheck(&a.request.task, a.host, a)
 	return invariant.CheckSpread(&check) != nil
--- a/internal/scheduler/core/projects.go
+++ b/internal/scheduler/core/projects.go
@@ -25,7 +25,7 @@
 	return services
 }
 
-// has says whether a service is still one of the project's.
+// has reports whether a service is still one of the project's.
 func (p *project) has(svc *service) bool { return p.services[svc.name] == svc }
 
 // service is one service of a project.
--- a/internal/scheduler/core/replicas.go
+++ b/internal/scheduler/core/replicas.go
@@ -69,7 +69,7 @@
 	return r.request != nil && r.request.HasAttemptInFlight()
 }
 
-// hasSpecLost says whether nobody knows any more what the task was made of.
+// hasSpecLost reports whether nobody knows any more what the task was made of.
 func (r *desiredReplica) hasSpecLost() bool { return r.spec == nil || r.service.specLost }
 
 func (r *desiredReplica) stopGrace() time.Duration {
@@ -245,7 +245,7 @@
 	c.retry(r, retrypolicy.Event{Cause: retrypolicy.Ended, MinWait: r.spec.Restart.Delay})
 }
 
-// lossCause says whether a task's end is none that its restart policy deals with, and what it is then.
+// lossCause reports whether a task's end is none that its restart policy deals with, and what it is then.
 func lossCause(r *desiredReplica, a *taskAttempt, d attemptDetail) (cause retrypolicy.Cause, lost bool) {
 	switch {
 	case r.removing || r.nextSpec != nil || r.hasSpecLost():
@@ -260,7 +260,7 @@
 	return 0, false
 }
 
-// takeRestart says whether a restart policy wants an ended task back, and counts the restart if so.
+// takeRestart reports whether a restart policy wants an ended task back, and counts the restart if so.
 func (c *Core) takeRestart(r *desiredReplica, succeeded bool) bool {
 	policy := &r.spec.Restart
 	wanted := policy.When == servicespec.Always && !r.spec.Mode.Job() || policy.When != servicespec.Never && !succeeded
--- a/internal/scheduler/core/requesting.go
+++ b/internal/scheduler/core/requesting.go
@@ -90,7 +90,7 @@
 	return min(wait, r.retrier.Deadline-c.now)
 }
 
-// mayRequest says whether a replica may be requested now. It may not while an attempt of an earlier request, or of an
+// mayRequest reports whether a replica may be requested now. It may not while an attempt of an earlier request, or of an
 // earlier incarnation of this placer, may run and a repeat could do harm. A request that must end before the hosts forget
 // the task's key takes maxWait at most; 0: there is no such bound.
 func (c *Core) mayRequest(r *desiredReplica) (maxWait time.Duration, ok bool) {
@@ -108,7 +108,7 @@
 	return rules.MayRequest(c.now, len(unknown), firstChosenAt)
 }
 
-// mustAwaitHosts says whether a request of a replica has to wait until the hosts have said what they run.
+// mustAwaitHosts reports whether a request of a replica has to wait until the hosts have said what they run.
 func (c *Core) mustAwaitHosts(r *desiredReplica, rules attempt.Rules) bool {
 	reported, deadlinePassed := c.allHostsReported(), c.now >= c.hostReportDeadline()
 	return rules.MustWaitForHosts(reported, deadlinePassed) || r.recovered && !reported && !deadlinePassed
@@ -123,7 +123,7 @@
 	return c.firstListAt + c.settings.Module.OwnerBackoff
 }
 
-// allHostsReported says whether all hosts have said what they run.
+// allHostsReported reports whether all hosts have said what they run.
 func (c *Core) allHostsReported() bool {
 	for _, h := range c.hosts {
 		if h.listed && !h.everSynced {
@@ -133,7 +133,7 @@
 	return len(c.hosts) > 0
 }
 
-// repeatIsHarmful says whether an attempt of another request, which may run, forbids to send one of this request now.
+// repeatIsHarmful reports whether an attempt of another request, which may run, forbids to send one of this request now.
 // Guards against what turns up after the request began: a host that reports late what it runs.
 func (c *Core) repeatIsHarmful(request *placementRequest) bool {
 	for a := range c.unknownAttempts[request.replica.taskKey] {
--- a/internal/scheduler/core/restore.go
+++ b/internal/scheduler/core/restore.go
@@ -167,7 +167,7 @@
 }
 
 // restoreReplica takes over what became of a replica: whether its outcome was reported, and whether it has ended for good.
-// It says whether the replica is to be started, since an outcome is owed for it.
+// It reports whether the replica is to be started, since an outcome is owed for it.
 func (c *Core) restoreReplica(r *desiredReplica, s *submission, reported, isFinished bool) (start bool) {
 	r.recovered = true
 	switch {
--- a/internal/scheduler/platform/api.go
+++ b/internal/scheduler/platform/api.go
@@ -47,18 +47,18 @@
 
 // The inputs.
 type (
-	// OwnerConnected says that an owner has connected.
+	// OwnerConnected reports that an owner has connected.
 	OwnerConnected struct{ Owner OwnerID }
 	// OwnerData brings bytes of an owner, which the core does not keep.
 	OwnerData struct {
 		Owner OwnerID
 		Data  []byte
 	}
-	// OwnerDisconnected says that an owner's connection has ended that the core has not closed.
+	// OwnerDisconnected reports that an owner's connection has ended that the core has not closed.
 	OwnerDisconnected struct{ Owner OwnerID }
-	// HostConnected says that a DialHost has succeeded.
+	// HostConnected reports that a DialHost has succeeded.
 	HostConnected struct{ Connection ConnectionID }
-	// DialFailed says that a DialHost has failed. Refused proves that nothing listens there. Local means that this process
+	// DialFailed reports that a DialHost has failed. Refused proves that nothing listens there. Local means that this process
 	// could not try, which shows nothing about the host.
 	DialFailed struct {
 		Connection ConnectionID
@@ -70,7 +70,7 @@
 		Connection ConnectionID
 		Data       []byte
 	}
-	// HostDisconnected says that a connection to a host has ended that the core has not closed.
+	// HostDisconnected reports that a connection to a host has ended that the core has not closed.
 	HostDisconnected struct{ Connection ConnectionID }
 	// WatchEventReceived brings an event of the endpoint list. SequenceRestarted says that the numbers of events begin
 	// again with this one, a snapshot.
@@ -83,7 +83,7 @@
 		From int // its number in the settings
 		Data []byte
 	}
-	// ShutdownRequested says that this placer is to end.
+	// ShutdownRequested reports that this placer is to end.
 	ShutdownRequested struct{}
 )
 
@@ -132,7 +132,7 @@
 	}
 	// CloseListener stops accepting connections of owners.
 	CloseListener struct{}
-	// ShutdownComplete says that nobody waits for an answer any more: the process may end. It may come more than once.
+	// ShutdownComplete reports that nobody waits for an answer any more: the process may end. It may come more than once.
 	ShutdownComplete struct{}
 )
 
--- a/internal/scheduler/platform/attempt.go
+++ b/internal/scheduler/platform/attempt.go
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// exceedsSpread says whether sending an offer now would violate a spread limit.
+// exceedsSpread reports whether sending an offer now would violate a spread limit.
 func (c *Core) exceedsSpread(a *taskAttempt) bool {
 	check := c.spreadCheck(a.request, a.host, a)
 	return invariant.CheckSpread(&check) != nil
@@ -140,7 +140,7 @@
 	c.emit(SendToHost{Connection: a.connection.id, Line: offerMessage(r, r.untilDeadline(c.now))})
 }
 
-// mayStillSend says whether an offer that was queued may be sent: meanwhile its owner may have left, its host may drain,
+// mayStillSend reports whether an offer that was queued may be sent: meanwhile its owner may have left, its host may drain,
 // and tasks of its service may have been handed over.
 func (c *Core) mayStillSend(a *taskAttempt) bool {
 	r := a.request
--- a/internal/scheduler/platform/connection.go
+++ b/internal/scheduler/platform/connection.go
@@ -43,7 +43,7 @@
 	probeQueued    bool           // a probe is sent when it is open
 }
 
-// isIdle says whether an open connection carries no offer.
+// isIdle reports whether an open connection carries no offer.
 func (conn *hostConnection) isIdle() bool { return conn.state == connectionOpen && conn.inFlight == 0 }
 
 // lastUsedAt is when something was last sent or received.
@@ -51,12 +51,12 @@
 	return max(conn.lastSentAt, conn.lastReceivedAt)
 }
 
-// isNeeded says whether it is the only connection to a host that runs tasks: their ends are reported on it.
+// isNeeded reports whether it is the only connection to a host that runs tasks: their ends are reported on it.
 func (conn *hostConnection) isNeeded() bool {
 	return len(conn.host.connections) == 1 && conn.host.hasPlacedTasks()
 }
 
-// isEvictedBefore says whether an idle connection is closed before another one to free a slot: those that are not needed
+// isEvictedBefore reports whether an idle connection is closed before another one to free a slot: those that are not needed
 // go first, then those that have not been used for longer.
 func (conn *hostConnection) isEvictedBefore(other *hostConnection) bool {
 	if needed := conn.isNeeded(); needed != other.isNeeded() {
@@ -278,7 +278,7 @@
 	c.emit(HalfCloseHostConnection{conn.id})
 }
 
-// isFull says whether all descriptors for connections are taken, those of half-closed ones included, which
+// isFull reports whether all descriptors for connections are taken, those of half-closed ones included, which
 // usedHostConnections leaves out.
 func (c *Core) isFull() bool {
 	return len(c.connections)+len(c.owners) >= c.config.MaxConnections || len(c.connections) >= c.config.MaxHostConnections
--- a/internal/scheduler/platform/decode.go
+++ b/internal/scheduler/platform/decode.go
@@ -20,7 +20,7 @@
 	digest uint64 // equal for messages that say the same
 }
 
-// isHandOver says whether a host runs the task already.
+// isHandOver reports whether a host runs the task already.
 func (d *decodedRequest) isHandOver() bool { return d.host != "" }
 
 // requestDecoder reads one part of a request; false: that is malformed. Parts are read in order: a later one may rest on
--- a/internal/scheduler/platform/host.go
+++ b/internal/scheduler/platform/host.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// isReplacing says whether a connection is being dialed that takes the place of an idle one.
+// isReplacing reports whether a connection is being dialed that takes the place of an idle one.
 func (h *host) isReplacing() bool {
 	return slices.ContainsFunc(h.connections, func(conn *hostConnection) bool {
 		return conn.purpose == purposeReplacement && conn.state == connectionDialing
--- a/internal/scheduler/platform/hostmessages.go
+++ b/internal/scheduler/platform/hostmessages.go
@@ -163,7 +163,7 @@
 	c.endAttempt(a, end)
 }
 
-// hasRun says whether an attempt that ended without an answer is known to have run: by notes on it, or by why it ended.
+// hasRun reports whether an attempt that ended without an answer is known to have run: by notes on it, or by why it ended.
 func hasRun(a *taskAttempt, cause platform.Cause, reason forkhead.RejectReason) bool {
 	switch reason {
 	case forkhead.Evicted, forkhead.Preempted, forkhead.Dismissed:
--- a/internal/scheduler/platform/linereader.go
+++ b/internal/scheduler/platform/linereader.go
@@ -28,10 +28,10 @@
 	return err
 }
 
-// isPartial says whether a line has begun and not ended.
+// isPartial reports whether a line has begun and not ended.
 func (l *lineReader) isPartial() bool { return l.partialSince > 0 }
 
-// isStuck says whether a line has not ended in time.
+// isStuck reports whether a line has not ended in time.
 func (l *lineReader) isStuck(now, timeout time.Duration) bool {
 	return l.isPartial() && now > l.partialSince+timeout
 }
--- a/internal/scheduler/platform/owner.go
+++ b/internal/scheduler/platform/owner.go
@@ -49,7 +49,7 @@
 	return len(o.openRequests) == 0 && o.rank() < ownerWithPlacedNow
 }
 
-// isEvictedBefore says whether a connection is closed before another one to free a slot.
+// isEvictedBefore reports whether a connection is closed before another one to free a slot.
 func (o *ownerConnection) isEvictedBefore(other *ownerConnection) bool {
 	return cmp.Or(cmp.Compare(o.rank(), other.rank()), cmp.Compare(o.lastUsedAt, other.lastUsedAt), cmp.Compare(o.id, other.id)) < 0
 }
@@ -142,7 +142,7 @@
 		!o.sentValid && len(o.openRequests) == 0 && now > o.acceptedAt+firstMessageTimeout
 }
 
-// hasPartialRequest says whether an owner that has sent something valid is in the middle of a message: it must be
+// hasPartialRequest reports whether an owner that has sent something valid is in the middle of a message: it must be
 // answered once that is complete.
 func (c *Core) hasPartialRequest() bool {
 	for _, owner := range c.owners {
--- a/internal/scheduler/platform/request.go
+++ b/internal/scheduler/platform/request.go
@@ -51,7 +51,7 @@
 	return r
 }
 
-// isBusy says whether a further request of an owner must be rejected.
+// isBusy reports whether a further request of an owner must be rejected.
 func (c *Core) isBusy(owner *ownerConnection) bool {
 	return c.unanswered >= maxOpenRequests || len(owner.openRequests) >= maxOpenRequestsPerOwner ||
 		c.shutdown.rejectsRequests(c.now)
@@ -104,7 +104,7 @@
 	c.answer(r, attempt.AnsweredFailed, releaseMessage(r.ref, platform.CauseFailed))
 }
 
-// checkAnswerOrWithdraw says whether an open request may have this answer now. If not, it logs the violation and withdraws
+// checkAnswerOrWithdraw reports whether an open request may have this answer now. If not, it logs the violation and withdraws
 // whatever is in flight, so that the request can be failed.
 func (c *Core) checkAnswerOrWithdraw(r *request, answer attempt.Answer) bool {
 	if !c.settings.MayWithdraw {
--- a/internal/scheduler/platform/shutdown.go
+++ b/internal/scheduler/platform/shutdown.go
@@ -14,7 +14,7 @@
 	}
 }
 
-// rejectsRequests says whether requests are rejected, as this placer will not be there to answer.
+// rejectsRequests reports whether requests are rejected, as this placer will not be there to answer.
 func (s *shutdown) rejectsRequests(now time.Duration) bool {
 	return s.requestedAt > 0 && now > s.requestedAt+listenAfterShutdown
 }
--- a/internal/scheduler/platform/unresponsive.go
+++ b/internal/scheduler/platform/unresponsive.go
@@ -80,14 +80,14 @@
 	}
 }
 
-// isLost says whether a host has not been seen alive for too long and no connection to it could be made meanwhile. A dial that
+// isLost reports whether a host has not been seen alive for too long and no connection to it could be made meanwhile. A dial that
 // is under way is awaited a little longer.
 func (h *host) isLost(unresponsiveFor time.Duration) bool {
 	return unresponsiveFor > lostAfter && h.lastDialFailedAt > h.lastSeenAliveAt+unresponsiveAfter &&
 		(!h.isDialing() || unresponsiveFor > lostAfter+lastDialBeforeLoss/2)
 }
 
-// needsLastDial says whether a host is about to be lost and has not been dialed since: it is then, whatever its backoff.
+// needsLastDial reports whether a host is about to be lost and has not been dialed since: it is then, whatever its backoff.
 func (h *host) needsLastDial(unresponsiveFor time.Duration) bool {
 	return unresponsiveFor > lostAfter-lastDialBeforeLoss && h.lastDialFailedAt < h.lastSeenAliveAt+lostAfter-lastDialBeforeLoss
 }
--- a/internal/server/netio/conn.go
+++ b/internal/server/netio/conn.go
@@ -58,10 +58,10 @@
 	return err
 }
 
-// IsClosed says whether the connection is closed.
+// IsClosed reports whether the connection is closed.
 func (c *Conn) IsClosed() bool { return c.closed.Load() }
 
-// HasUnsent says whether bytes that were written wait in this process or its kernel, as the peer does not read.
+// HasUnsent reports whether bytes that were written wait in this process or its kernel, as the peer does not read.
 func (c *Conn) HasUnsent() bool {
 	if c.closed.Load() {
 		return false
@@ -79,7 +79,7 @@
 // PendingBytes is how many bytes wait in this process to be written.
 func (c *Conn) PendingBytes() int { return int(c.pending.Load()) }
 
-// PeerClosed says whether the peer has closed its side or reset the connection, though that was not read yet.
+// PeerClosed reports whether the peer has closed its side or reset the connection, though that was not read yet.
 func (c *Conn) PeerClosed() bool {
 	if c.closed.Load() {
 		return true
--- a/internal/server/netio/pollers.go
+++ b/internal/server/netio/pollers.go
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// allServed says whether every poller has carried data.
+// allServed reports whether every poller has carried data.
 func (e *Engine) allServed() bool {
 	for i := range e.served {
 		if !e.served[i].Load() {
--- a/internal/server/platform/connection.go
+++ b/internal/server/platform/connection.go
@@ -93,5 +93,5 @@
 	}
 }
 
-// isEmpty says whether no connection lingers.
+// isEmpty reports whether no connection lingers.
 func (l *lingerer) isEmpty() bool { return l.count.Load() == 0 }
--- a/internal/server/platform/hosts.go
+++ b/internal/server/platform/hosts.go
@@ -58,7 +58,7 @@
 // localFailures are errors of a dial that tell nothing about the host.
 var localFailures = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, net.ErrClosed}
 
-// isLocalFailure says whether a dial failed for want of something in this process or on its machine.
+// isLocalFailure reports whether a dial failed for want of something in this process or on its machine.
 func isLocalFailure(err error) bool {
 	for _, failure := range localFailures {
 		if errors.Is(err, failure) {
--- a/internal/server/platform/owners.go
+++ b/internal/server/platform/owners.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// isFlushed says whether everything that was written to owners has left this process.
+// isFlushed reports whether everything that was written to owners has left this process.
 func (o *ownerConnections) isFlushed() bool {
 	for _, c := range o.open {
 		if !c.stream.IsClosed() && c.stream.PendingBytes() > 0 {
--- a/internal/server/platform/server.go
+++ b/internal/server/platform/server.go
@@ -169,7 +169,7 @@
 	return s.core.Next(), true
 }
 
-// isFlushed says whether owners have everything that was written to them. Connections that linger count as theirs.
+// isFlushed reports whether owners have everything that was written to them. Connections that linger count as theirs.
 func (s *Server) isFlushed() bool { return s.owners.isFlushed() && s.lingerer.isEmpty() }
 
 // execute carries out an output of the core.
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -47,7 +47,7 @@
 		PlacementRequest
 		Machine uint32
 	}
-	// Bound says that a machine runs a task.
+	// Bound reports that a machine runs a task.
 	Bound struct {
 		Placer, Task uint32
 		Took         float64
@@ -73,7 +73,7 @@
 		Reason       uint8
 		Report       []float32 // the machine's load, in the order that Start.Config says; may be empty
 	}
-	// RequestCanceled says that nobody waits for a request any more.
+	// RequestCanceled reports that nobody waits for a request any more.
 	RequestCanceled struct{ Placer, Task uint32 }
 	// TimerFired is a timer that Reply.SetTimer set.
 	TimerFired struct {
