--- a/internal/emulator/platformmodel/faults.go
+++ b/internal/emulator/platformmodel/faults.go
@@ -30,14 +30,14 @@
 	FaultZoneCut                          // nothing passes between the targets and placers; it does at the end
 	FaultHostReplaced                     // the target's machine vanishes; at the end another one has its address
 	FaultHostReaddressed                  // the target's machine vanishes; at the end it is back under its name at another address
-	FaultBulkHandOver                     // once: the target hands over all its tasks
+	FaultMassHandOver                     // once: the target hands over all its tasks
 	FaultSequenceRestart                  // once: the numbers of the endpoint log begin again
 	faultTypeCount
 )
 
 var faultNames = [faultTypeCount]string{
 	"late", "silent", "half-open", "reset", "spoilt", "doubled", "reordered", "unread", "refused", "clock skew", "mass kill",
-	"mass restart", "zone cut", "host replaced", "host readdressed", "bulk hand-over", "sequence restart",
+	"mass restart", "zone cut", "host replaced", "host readdressed", "mass hand-over", "sequence restart",
 }
 
 // String returns the fault's name.
--- a/internal/emulator/platformmodel/faults_test.go
+++ b/internal/emulator/platformmodel/faults_test.go
@@ -352,8 +352,8 @@
 }
 
 // The owner of the rig hands over the task that runs, on a connection that has passed a probe.
-func TestInjectorBulkHandOver(t *testing.T) {
-	r := newRig(t, Fault{At: second, Type: FaultBulkHandOver, Target: Target{Kind: OwnerParty}})
+func TestInjectorMassHandOver(t *testing.T) {
+	r := newRig(t, Fault{At: second, Type: FaultMassHandOver, Target: Target{Kind: OwnerParty}})
 	r.step(PlacerStarted{0})
 	conn := r.dialed[0]
 	r.step(Connected{conn})
@@ -391,7 +391,7 @@
 		"there is no":      {Type: faultTypeCount},
 		"below 0":          {At: -1},
 		"how late":         {Type: FaultLate, Target: host0},
-		"does not befall":  {Type: FaultBulkHandOver, Target: host0},
+		"does not befall":  {Type: FaultMassHandOver, Target: host0},
 		"has no target":    {Type: FaultReset, Target: Target{Kind: HostParty, Number: 9}},
 		"zone cut has no":  {Type: FaultZoneCut, Target: Target{Kind: HostParty, Zone: "z"}},
 		"late does not be": {Type: FaultLate, Amount: 1, Target: Target{Kind: 9}},
--- a/internal/emulator/platformmodel/injectors.go
+++ b/internal/emulator/platformmodel/injectors.go
@@ -43,7 +43,7 @@
 		FaultZoneCut:         active(onlyHosts),
 		FaultHostReplaced:    {onlyHosts, (*Emulator).beginHostGone, (*Emulator).endHostReplaced},
 		FaultHostReaddressed: {onlyHosts, (*Emulator).beginHostGone, (*Emulator).endHostReaddressed},
-		FaultBulkHandOver:    {[]PartyKind{OwnerParty}, (*Emulator).beginBulkHandOver, nil},
+		FaultMassHandOver:    {[]PartyKind{OwnerParty}, (*Emulator).beginMassHandOver, nil},
 		FaultSequenceRestart: {[]PartyKind{EndpointLogParty}, (*Emulator).beginSequenceRestart, nil},
 	}[t]
 }
@@ -140,7 +140,7 @@
 	}
 }
 
-func (e *Emulator) beginBulkHandOver(_ *Fault, p *party) {
+func (e *Emulator) beginMassHandOver(_ *Fault, p *party) {
 	e.execute(p, p.model.(*Owner).HandOver(e.now))
 }
 
--- a/internal/emulator/platformmodel/network_test.go
+++ b/internal/emulator/platformmodel/network_test.go
@@ -121,7 +121,7 @@
 		t.Run(fault.String(), func(t *testing.T) {
 			f := Fault{At: time.Second, Duration: 2 * time.Second, Type: fault, Amount: 200 * time.Millisecond}
 			f.Target = Target{Kind: injectorOf(fault).kinds[0], Number: 0}
-			if fault == FaultMassKill || fault == FaultMassRestart || fault == FaultBulkHandOver {
+			if fault == FaultMassKill || fault == FaultMassRestart || fault == FaultMassHandOver {
 				f.Target.All = true
 			}
 			n, counts := runNetwork(t, testNetworkConfig(2, 4, 80, f), nil)
