--- a/internal/scheduler/platform/doc.go
+++ b/internal/scheduler/platform/doc.go
@@ -6,6 +6,7 @@
 // It reads no clock, opens no socket and starts no goroutine, and is not safe for concurrent use.
 //
 //	api.go, limits.go, log.go    configuration, inputs, outputs; bounds; log lines
+//	config.go                    what the settings determine of a configuration
 //	core.go, reconcile.go        one step; what only time brings
 //	shutdown.go                  the end of the placer
 //	request.go, attempt.go       placement requests and the attempts to place them
--- a/internal/server/platform/config.go
+++ b/internal/server/platform/config.go
@@ -81,22 +81,12 @@
 	}
 	connections := max(descriptors-reservedDescriptors, minConnections)
 	protected := min(descriptors/3, connections/2)
-	config := platformcore.Config{
-		Settings:                  settings,
-		Names:                     platformcore.WireNames{Zones: info.Zones, MachineTypes: info.MachineTypeNames},
-		IdleTimeout:               platformconfig.Duration(info.Caps.ConnectionIdleTimeout),
-		Seed:                      cfg.SeedNumber(),
-		InitialEvents:             cfg.Initial.Events,
-		MaxOwnerConnections:       connections * 2 / 3,
-		ProtectedOwnerConnections: protected,
-		MaxHostConnections:        connections - acceptReserve - protected,
-		MaxConnections:            connections - acceptReserve,
-	}
-	for i := range info.Classes {
-		config.Names.Classes = append(config.Names.Classes, info.Classes[i].Name)
-	}
-	for i := range info.Tenants {
-		config.Names.Tenants = append(config.Names.Tenants, info.Tenants[i].Name)
-	}
+	config := platformcore.NewConfig(info, settings)
+	config.Seed = cfg.SeedNumber()
+	config.InitialEvents = cfg.Initial.Events
+	config.MaxOwnerConnections = connections * 2 / 3
+	config.ProtectedOwnerConnections = protected
+	config.MaxHostConnections = connections - acceptReserve - protected
+	config.MaxConnections = connections - acceptReserve
 	return config
 }
