--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -94,7 +94,7 @@
 	root.AddCommand(
 		a.serveCommand(), a.nodeCommand(), a.hostCommand(), a.catalogCommand(),
 		a.tryCommand(), a.submitCommand(), a.checkCommand(), a.planCommand(), a.storeCommand(),
-		a.chaosCommand(), a.exploreCommand(),
+		a.chaosCommand(), a.exploreCommand(), a.replayCommand(),
 	)
 	for _, c := range root.Commands() {
 		if check := c.Args; check != nil {
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -14,6 +14,7 @@
 
 	"forkhead/internal/protocol/platform"
 	platformserver "forkhead/internal/server/platform"
+	"forkhead/internal/verify/platformreplay"
 )
 
 // heapShare is how much of the platform's memory limit the collector is given: the rest is for the program itself and its
@@ -29,7 +30,7 @@
 		Use: "node", Short: "run a placer on the users' platform, by the variables BALANCER_CONFIG and BALANCER_LISTEN", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return a.runNode(cmd.Context(), traceFile) },
 	}
-	c.Flags().StringVar(&traceFile, "trace", "", "file to write each step of the core to, as JSON lines (default: none)")
+	c.Flags().StringVar(&traceFile, "trace", "", "file to write each step of the core to, for replay; it grows without a bound (default: none)")
 	return c
 }
 
@@ -39,7 +40,7 @@
 	reload := make(chan os.Signal, maxPendingSignals)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
-	cfg, err := platformConfig()
+	received, cfg, err := platformConfig()
 	if err != nil {
 		return badInput(err)
 	}
@@ -50,8 +51,9 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = f.Close() }()
-		options.Tap = platformserver.Trace(f)
+		trace := platformreplay.NewWriter(f, received)
+		defer func() { a.endTrace(trace, f) }()
+		options.Tap = trace
 	}
 	server, err := platformserver.Start(options)
 	if errors.As(err, &platformserver.ConfigError{}) {
@@ -77,6 +79,13 @@
 	}
 }
 
+// endTrace closes a trace once its placer has ended.
+func (a *app) endTrace(trace *platformreplay.Writer, file *os.File) {
+	if err := errors.Join(trace.Err(), file.Close()); err != nil {
+		a.log.Error().Err(err).Msg("trace incomplete")
+	}
+}
+
 // limitRuntime holds the Go runtime to the platform's limits.
 func limitRuntime(cfg *platform.Config) {
 	if cfg.Limits.Cores > 0 {
@@ -89,7 +98,7 @@
 
 // reloadNode reads the configuration again and has the placer follow it. One that cannot be used changes nothing.
 func (a *app) reloadNode(server *platformserver.Server) {
-	cfg, err := platformConfig()
+	_, cfg, err := platformConfig()
 	if err == nil {
 		err = platformserver.CheckConfig(cfg)
 	}
@@ -101,22 +110,22 @@
 	server.Reload(cfg)
 }
 
-// platformConfig reads the configuration that the environment names.
-func platformConfig() (*platform.Config, error) {
+// platformConfig reads the configuration that the environment names. received is its text.
+func platformConfig() (received []byte, cfg *platform.Config, err error) {
 	name := os.Getenv("BALANCER_CONFIG")
 	if name == "" {
-		return nil, errors.New("BALANCER_CONFIG is not set; want the path of the platform's configuration")
+		return nil, nil, errors.New("BALANCER_CONFIG is not set; want the path of the platform's configuration")
 	}
-	text, err := os.ReadFile(name)
+	received, err = os.ReadFile(name)
 	if err != nil {
-		return nil, fmt.Errorf("BALANCER_CONFIG: %w", err)
+		return nil, nil, fmt.Errorf("BALANCER_CONFIG: %w", err)
 	}
-	cfg, err := platform.ParseConfig(text)
+	cfg, err = platform.ParseConfig(received)
 	if err != nil {
-		return nil, err
+		return nil, nil, err
 	}
 	if listen := os.Getenv("BALANCER_LISTEN"); listen != "" {
 		cfg.Listen = listen
 	}
-	return cfg, nil
+	return received, cfg, nil
 }
--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -47,6 +47,7 @@
 type nodeProcess struct {
 	process    *exec.Cmd
 	configFile string
+	traceFile  string
 	address    string // where it listens
 	watches    [2]net.Listener
 }
@@ -59,7 +60,7 @@
 	if text, err := exec.Command("go", "build", "-o", program, "forkhead/cmd/forkhead").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, text)
 	}
-	n := &nodeProcess{configFile: filepath.Join(dir, "config.json")}
+	n := &nodeProcess{configFile: filepath.Join(dir, "config.json"), traceFile: filepath.Join(dir, "trace.jsonl")}
 	for i := range n.watches {
 		n.watches[i] = listenLoopback(t)
 		t.Cleanup(func() { _ = n.watches[i].Close() })
@@ -68,7 +69,7 @@
 	n.address = unused.Addr().String()
 	_ = unused.Close()
 	n.writeConfig(t, n.watches[0], settings)
-	n.process = exec.Command(program, "node", "--log", "info")
+	n.process = exec.Command(program, "node", "--log", "info", "--trace", n.traceFile)
 	n.process.Env = append(os.Environ(), "BALANCER_CONFIG="+n.configFile, "BALANCER_LISTEN="+n.address)
 	n.process.Stderr = os.Stderr
 	if err := n.process.Start(); err != nil {
@@ -146,7 +147,7 @@
 }
 
 // The built program serves at BALANCER_LISTEN, goes on after SIGHUP with a file that cannot be used and with one that can,
-// follows the new watch, and ends with 0 on SIGTERM.
+// follows the new watch, and ends with 0 on SIGTERM. Its trace replays.
 func TestNodeSignals(t *testing.T) {
 	settings, err := os.ReadFile("../server/platform/testdata/settings.json")
 	if err != nil {
@@ -178,4 +179,48 @@
 	if err := n.process.Wait(); err != nil {
 		t.Errorf("it ends with %v", err)
 	}
+	checkTrace(t, n.traceFile)
+}
+
+// checkTrace replays a trace of a placer that answered a probe, as it is, cut, and with one byte changed.
+func checkTrace(t *testing.T, name string) {
+	t.Helper()
+	trace, err := os.ReadFile(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	write := func(text string) string {
+		file := filepath.Join(t.TempDir(), "changed.jsonl")
+		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return file
+	}
+	cut := write(string(trace[:len(trace)-1]))
+	changed := write(strings.Replace(string(trace), `"Line":"{\"t\":\"hb_ok`, `"Line":"{\"t\":\"hb_no`, 1))
+	const probe, strange = "0000000000000001", "00000000000000ff"
+	for _, c := range []struct {
+		args []string
+		code int
+		want string
+	}{
+		{[]string{name}, exitOK, " steps replayed, the outputs are the same"},
+		{[]string{name, "--output", "json"}, exitOK, `,"cut":false}`},
+		{[]string{cut}, exitOK, "the trace ends within a step, which is not replayed"},
+		{[]string{changed}, exitNo, "differs from output 0 on\ninputs:\n  platform.Owner"},
+		{[]string{changed, "--output", "json"}, exitNo, `"want":["platform.SendToOwner {\"Line\":`},
+		{[]string{name, "--request", probe}, exitOK, `out  owner 1  {"t":"hb_ok","ref":"0000000000000001"`},
+		{[]string{cut, "--request", probe, "--output", "json"}, exitOK, `"direction":"out","peer":"owner","connection":1,"line":"{`},
+		{[]string{cut, "--request", strange}, exitNo, "the trace ends within a step"},
+		{[]string{name, "--request", "1"}, exitInput, `--request is "1", want 16 hex digits`},
+		{[]string{write("")}, exitInput, "changed.jsonl: not a trace of forkhead node"},
+		{[]string{write(strings.Replace(string(trace), `"Version":1`, `"Version":9`, 1))}, exitInput, "the trace is of version 9; want 1"},
+		{[]string{name + "x"}, exitInput, "want a file that can be read, with a trace that node --trace has written"},
+		{nil, exitInput, "accepts 1 arg"},
+	} {
+		code, out, errs := run(append([]string{"replay"}, c.args...)...)
+		if code != c.code || !strings.Contains(out+errs, c.want) {
+			t.Errorf("%v: exit %d, want %d and %q; %q %q", c.args, code, c.code, c.want, out, errs)
+		}
+	}
 }
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -36,6 +36,7 @@
 var pure = []string{
 	".", "parse", "protocol", "scheduler", "planning", "emulator/hostmodel", "emulator/platformmodel",
 	"verify/simulation", "verify/platformsim", "verify/rules", "verify/scenario", "verify/replay",
+	"verify/platformreplay",
 }
 
 // What is forbidden in a pure package: imports, by themselves or with all below them, and names of a package.
--- a/internal/server/platform/log.go
+++ b/internal/server/platform/log.go
@@ -34,15 +34,3 @@
 	}
 	return zerolog.DebugLevel
 }
-
-// attributeValues maps the keys of attributes to their values, as a trace writes them: errors as text.
-func attributeValues(attributes []slog.Attr) map[string]any {
-	values := make(map[string]any, len(attributes))
-	for _, attribute := range attributes {
-		values[attribute.Key] = attribute.Value.Any()
-		if err, ok := attribute.Value.Any().(error); ok {
-			values[attribute.Key] = err.Error()
-		}
-	}
-	return values
-}
--- a/internal/server/platform/log_test.go
+++ b/internal/server/platform/log_test.go
@@ -31,10 +31,3 @@
 		t.Errorf("a line below the level of the log is written: %s", hidden.String())
 	}
 }
-
-func TestAttributeValuesWritesErrorsAsText(t *testing.T) {
-	values := attributeValues([]slog.Attr{slog.Uint64("task", 7), slog.Any("error", errors.New("fit: no"))})
-	if len(values) != 2 || values["task"] != uint64(7) || values["error"] != "fit: no" {
-		t.Errorf("values %v, want task 7 and the error's text", values)
-	}
-}
--- a/internal/server/platform/server.go
+++ b/internal/server/platform/server.go
@@ -23,8 +23,14 @@
 // maxQueuedJobs bounds the jobs of up to 32 KiB each that wait for the event loop: pollers wait beyond it.
 const maxQueuedJobs = 128
 
-// Tap is shown each step of the core, on the event loop's goroutine. It must not keep the inputs and outputs.
-type Tap func(now time.Duration, in []platformcore.Input, out []platformcore.Output)
+// Tap is shown all that the core gets and returns. It must not keep the inputs and outputs.
+type Tap interface {
+	// Start is called once, before the first step, with what the core is started with.
+	Start(now time.Duration, config *platformcore.Config)
+	// Step is called after each step of the core, on the event loop's goroutine, before the outputs are executed. A step in
+	// which the core panics has no outputs.
+	Step(now time.Duration, in []platformcore.Input, out []platformcore.Output)
+}
 
 // Options are what a placer runs with.
 type Options struct {
@@ -91,6 +97,9 @@
 		s.gossip.close()
 		return nil, err
 	}
+	if s.tap != nil {
+		s.tap.Start(s.clock.Now(), &coreConfig)
+	}
 	s.loop.Start()
 	s.gossip.start()
 	s.watch = startWatch(ctx, watchConfig{
@@ -156,11 +165,7 @@
 
 // step runs the core on what has happened and executes its outputs. It is the event loop's Step.
 func (s *Server) step(now time.Duration) (next time.Duration, ok bool) {
-	in := s.inputs.take()
-	out := s.core.Step(now, in...)
-	if s.tap != nil {
-		s.tap(now, in, out)
-	}
+	out := s.stepCore(now, s.inputs.take())
 	for _, output := range out {
 		s.execute(output)
 	}
@@ -169,6 +174,14 @@
 	return s.core.Next(), true
 }
 
+// stepCore steps the core and shows the step to the tap, also one in which the core panics: without outputs, then.
+func (s *Server) stepCore(now time.Duration, in []platformcore.Input) (out []platformcore.Output) {
+	if s.tap != nil {
+		defer func() { s.tap.Step(now, in, out) }()
+	}
+	return s.core.Step(now, in...)
+}
+
 // isFlushed reports whether owners have everything that was written to them. Connections that linger count as theirs.
 func (s *Server) isFlushed() bool { return s.owners.isFlushed() && s.lingerer.isEmpty() }
 
--- a/internal/server/platform/testenv_test.go
+++ b/internal/server/platform/testenv_test.go
@@ -248,8 +248,8 @@
 //go:embed testdata/settings.json
 var testSettings string
 
-// startServer starts a placer whose initial list is the watch's first event.
-func startServer(t *testing.T, watch *testWatch) (*Server, *platform.Config) {
+// newTestConfig returns the configuration of a placer whose initial list is the watch's first event.
+func newTestConfig(t *testing.T, watch *testWatch) *platform.Config {
 	t.Helper()
 	var first platform.WatchEvent
 	if err := json.Unmarshal([]byte(watch.events[0]), &first); err != nil {
@@ -258,13 +258,26 @@
 	cfg := &platform.Config{Listen: "127.0.0.1:0", Seed: "1", WatchAddress: watch.serve(t), Settings: json.RawMessage(testSettings)}
 	cfg.Initial.Seq, cfg.Initial.Events = 1, []platform.WatchEvent{first}
 	cfg.Limits.Sockets = 256
+	return cfg
+}
+
+// startServer starts a placer whose initial list is the watch's first event.
+func startServer(t *testing.T, watch *testWatch) (*Server, *platform.Config) {
+	t.Helper()
+	cfg := newTestConfig(t, watch)
 	return startConfig(t, cfg), cfg
 }
 
 // startConfig starts a placer with a configuration.
 func startConfig(t *testing.T, cfg *platform.Config) *Server {
 	t.Helper()
-	s, err := Start(Options{Config: cfg, Log: zerolog.Nop()})
+	return startTapped(t, cfg, nil)
+}
+
+// startTapped starts a placer with a configuration and a tap; nil: none.
+func startTapped(t *testing.T, cfg *platform.Config, tap Tap) *Server {
+	t.Helper()
+	s, err := Start(Options{Config: cfg, Log: zerolog.Nop(), Tap: tap})
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/verify/platformreplay/format_test.go
@@ -0,0 +1,108 @@
+package platformreplay
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"log/slog"
+	"reflect"
+	"testing"
+	"time"
+
+	"forkhead/internal/goldentest"
+	"forkhead/internal/protocol/platform"
+	platformcore "forkhead/internal/scheduler/platform"
+)
+
+// exampleInputs are one of each input, with every field set, and bytes of each kind.
+func exampleInputs() []platformcore.Input {
+	return []platformcore.Input{
+		platformcore.OwnerConnected{Owner: 1<<64 - 1},
+		platformcore.OwnerData{Owner: 2, Data: []byte("a\x00\"\\<&>\u2028ü\ufffd\r\n")},
+		platformcore.OwnerData{Owner: 2, Data: []byte("\xc3")},
+		platformcore.OwnerDisconnected{Owner: 3},
+		platformcore.HostConnected{Connection: 4},
+		platformcore.DialFailed{Connection: 5, Refused: true, Local: true},
+		platformcore.HostData{Connection: 6, Data: []byte("\xbc\xff\xed\xa0\x80")},
+		platformcore.HostData{Connection: 6, Data: []byte{}},
+		platformcore.HostDisconnected{Connection: 7},
+		platformcore.WatchEventReceived{Event: testEvent(8, true, platform.Terminated), SequenceRestarted: true},
+		platformcore.WatchEventReceived{Event: platform.WatchEvent{Seq: 1<<64 - 1}},
+		platformcore.GossipReceived{From: 9, Data: []byte{0, 0xff}},
+		platformcore.ShutdownRequested{},
+	}
+}
+
+// exampleOutputs are one of each output, with every field set.
+func exampleOutputs() []platformcore.Output {
+	return []platformcore.Output{
+		platformcore.SendToOwner{Owner: 1, Line: []byte("ü\n")},
+		platformcore.SendToOwner{Owner: 1, Line: []byte("\xff\n")},
+		platformcore.CloseOwnerConnection{Owner: 2},
+		platformcore.DialHost{Connection: 3, Address: "10.0.0.1:1"},
+		platformcore.SendToHost{Connection: 4, Line: []byte("x\n"), Abandons: true},
+		platformcore.SendToHost{Connection: 4, Line: []byte("\xff\n")},
+		platformcore.CloseHostConnection{Connection: 5},
+		platformcore.HalfCloseHostConnection{Connection: 6},
+		platformcore.SendGossip{To: -1, Data: []byte{0, 0xff}},
+		platformcore.CloseListener{},
+		platformcore.ShutdownComplete{},
+		platformcore.Log{Level: slog.LevelError, Message: "m", InvariantViolation: true, Attributes: []slog.Attr{
+			slog.Uint64("task", 7), slog.String("host", "h"), slog.Any("error", errors.New("e")),
+		}},
+	}
+}
+
+// writeExample returns a trace with the examples in one step.
+func writeExample(t *testing.T) []byte {
+	t.Helper()
+	head := testHead(t)
+	config, err := coreConfig(&head)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var trace bytes.Buffer
+	w := NewWriter(&trace, []byte(`{"settings":{"name":"<ü>"}}`))
+	w.Start(testStart, &config)
+	w.Step(testStart+1, exampleInputs(), exampleOutputs())
+	w.Step(testStart+time.Microsecond, nil, nil)
+	if w.Err() != nil {
+		t.Fatal(w.Err())
+	}
+	return trace.Bytes()
+}
+
+// The form of each line is held.
+func TestFormatGolden(t *testing.T) { goldentest.Check(t, "format.jsonl", writeExample(t)) }
+
+// What is read is what was written: the head, times in nanoseconds, step boundaries, and every input byte for byte.
+func TestReaderReturnsWhatWasWritten(t *testing.T) {
+	r, err := NewReader(bytes.NewReader(writeExample(t)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := testHead(t)
+	want.Config = r.Head.Config
+	if !reflect.DeepEqual(r.Head, want) {
+		t.Errorf("head %+v, want %+v", r.Head, want)
+	}
+	s, err := r.Next()
+	if err != nil || s.Now != testStart+1 || len(s.outputs) != len(exampleOutputs()) {
+		t.Fatalf("%v, %+v", err, s)
+	}
+	if len(s.Inputs) != len(exampleInputs()) {
+		t.Fatalf("%d inputs, want %d", len(s.Inputs), len(exampleInputs()))
+	}
+	for i, want := range exampleInputs() {
+		if !reflect.DeepEqual(s.Inputs[i], want) {
+			t.Errorf("%#v, want %#v", s.Inputs[i], want)
+		}
+	}
+	s, err = r.Next()
+	if err != nil || s.Number != 1 || s.Now != testStart+time.Microsecond || len(s.Inputs)+len(s.outputs) > 0 {
+		t.Errorf("%v, %+v, want an empty step", err, s)
+	}
+	if _, err = r.Next(); !errors.Is(err, io.EOF) {
+		t.Errorf("%v at the end", err)
+	}
+}
--- /dev/null
+++ b/internal/verify/platformreplay/replay.go
@@ -0,0 +1,160 @@
+package platformreplay
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"time"
+
+	"forkhead/internal/parse/platformconfig"
+	"forkhead/internal/protocol/platform"
+	"forkhead/internal/scheduler/moduledriver"
+	platformcore "forkhead/internal/scheduler/platform"
+)
+
+// Result is what replaying a trace came to.
+type Result struct {
+	Steps      int         `json:"steps"` // that were replayed
+	Cut        bool        `json:"cut"`   // the trace ends within a step, which was not replayed
+	Difference *Difference `json:"difference,omitempty"`
+}
+
+// Difference is the first step whose outputs are not those of the trace, with its lines as type and value. Later steps are
+// not replayed: they follow from another state.
+type Difference struct {
+	Step   int           `json:"step"`   // from 0
+	Now    time.Duration `json:"now"`    // nanoseconds since the Unix epoch
+	Output int           `json:"output"` // first one of the step that differs, from 0
+	Inputs []string      `json:"inputs"`
+	Want   []string      `json:"want"` // outputs in the trace
+	Got    []string      `json:"got"`  // outputs now
+}
+
+// PanicError means that the core panics in a step of a trace.
+type PanicError struct {
+	Step  int
+	Now   time.Duration // since the Unix epoch
+	Value any           // of the panic
+}
+
+// Error names the step and the panic.
+func (e PanicError) Error() string {
+	return fmt.Sprintf("step %d: the core panics: %v", e.Step, e.Value)
+}
+
+// Replay steps a core of this build through a trace and compares its outputs byte for byte. decide takes the module's place;
+// nil: the module decides. Its error is a
+// PanicError, or says why the trace cannot be read.
+func Replay(from io.Reader, decide moduledriver.Decide) (*Result, error) {
+	r, err := NewReader(from)
+	if err != nil {
+		return nil, err
+	}
+	config, err := coreConfig(&r.Head)
+	if err != nil {
+		return nil, err
+	}
+	config.Decide = decide
+	core, err := platformcore.New(config)
+	if err != nil {
+		return nil, err
+	}
+	result := &Result{}
+	for {
+		s, err := r.Next()
+		if errors.Is(err, io.EOF) || errors.Is(err, ErrCut) {
+			result.Cut = errors.Is(err, ErrCut)
+			return result, nil
+		}
+		if err != nil {
+			return nil, err
+		}
+		outputs, err := stepCore(core, s)
+		if err != nil {
+			return nil, err
+		}
+		result.Steps++
+		result.Difference = compare(s, outputs)
+		if result.Difference != nil {
+			return result, nil
+		}
+	}
+}
+
+// coreConfig returns what the placer started its core with.
+func coreConfig(head *Head) (platformcore.Config, error) {
+	received, err := platform.ParseConfig(head.Config)
+	if err != nil {
+		return platformcore.Config{}, err
+	}
+	info, err := platformconfig.Parse(received.Settings)
+	if err != nil {
+		return platformcore.Config{}, err
+	}
+	settings, err := platformconfig.ModuleSettings(info)
+	if err != nil {
+		return platformcore.Config{}, err
+	}
+	config := platformcore.NewConfig(info, settings)
+	config.Seed = uint64(head.Seed)
+	config.InitialEvents = head.InitialEvents
+	config.MaxOwnerConnections = head.MaxOwnerConnections
+	config.MaxHostConnections = head.MaxHostConnections
+	config.MaxConnections = head.MaxConnections
+	config.ProtectedOwnerConnections = head.ProtectedOwnerConnections
+	return config, nil
+}
+
+// stepCore steps the core. Its error is a PanicError.
+func stepCore(core *platformcore.Core, s *Step) (outputs []platformcore.Output, err error) {
+	defer func() {
+		if value := recover(); value != nil {
+			err = PanicError{Step: s.Number, Now: s.Now, Value: value}
+		}
+	}()
+	return core.Step(s.Now, s.Inputs...), nil
+}
+
+// compare returns how outputs differ from those of a step in the trace; nil: not at all.
+func compare(s *Step, outputs []platformcore.Output) *Difference {
+	want := lineTexts(s.outputs)
+	var got []string
+	for _, output := range outputs {
+		got = append(got, outputText(s.Now, output))
+	}
+	if slices.Equal(want, got) {
+		return nil
+	}
+	return &Difference{
+		Step: s.Number, Now: s.Now, Output: firstDifference(want, got), Inputs: lineTexts(s.inputs), Want: want, Got: got,
+	}
+}
+
+// outputText returns an output as its line in a trace has it. One that has no such line differs from all that have.
+func outputText(now time.Duration, output platformcore.Output) string {
+	what, value := encodeOutput(output)
+	l, err := newLine(now, directionOut, what, value)
+	if err != nil {
+		return err.Error()
+	}
+	return l.String()
+}
+
+func lineTexts(lines []*line) []string {
+	var texts []string
+	for _, l := range lines {
+		texts = append(texts, l.String())
+	}
+	return texts
+}
+
+// firstDifference returns the first index at which two lists differ.
+func firstDifference(a, b []string) int {
+	for i := range min(len(a), len(b)) {
+		if a[i] != b[i] {
+			return i
+		}
+	}
+	return min(len(a), len(b))
+}
--- /dev/null
+++ b/internal/verify/platformreplay/request.go
@@ -0,0 +1,153 @@
+package platformreplay
+
+import (
+	"errors"
+	"io"
+	"strings"
+	"time"
+
+	"forkhead/internal/protocol/platform"
+	platformcore "forkhead/internal/scheduler/platform"
+)
+
+// Peer is the kind of process at the other end of a connection.
+type Peer string
+
+// The peers whose messages name requests.
+const (
+	PeerOwner Peer = "owner"
+	PeerHost  Peer = "host"
+)
+
+// Message is one message that names a request.
+type Message struct {
+	Step       int           `json:"step"`
+	Now        time.Duration `json:"now"`       // of the step, in nanoseconds since the Unix epoch
+	Direction  string        `json:"direction"` // in or out, as the placer sees it
+	Peer       Peer          `json:"peer"`
+	Connection uint64        `json:"connection"`        // its number among those with such peers
+	Address    string        `json:"address,omitempty"` // of a host
+	Line       string        `json:"line"`
+}
+
+// Request is the way of one request.
+type Request struct {
+	Messages []Message
+	Cut      bool // the trace ends within a step
+}
+
+// FollowRequest returns the messages of a trace that name a request by its ref, in their order. Nothing is replayed. Its
+// error says why the trace cannot be read.
+func FollowRequest(from io.Reader, ref string) (*Request, error) {
+	r, err := NewReader(from)
+	if err != nil {
+		return nil, err
+	}
+	f := &requestFollower{ref: ref, splitters: map[connection]*platform.LineSplitter{}, addresses: map[platformcore.ConnectionID]string{}}
+	for {
+		s, err := r.Next()
+		if errors.Is(err, io.EOF) || errors.Is(err, ErrCut) {
+			return &Request{Messages: f.messages, Cut: errors.Is(err, ErrCut)}, nil
+		}
+		if err != nil {
+			return nil, err
+		}
+		if err := f.addStep(s); err != nil {
+			return nil, err
+		}
+	}
+}
+
+// connection names a connection of the placer.
+type connection struct {
+	peer   Peer
+	number uint64
+}
+
+// requestFollower finds the messages of a request.
+type requestFollower struct {
+	ref       string
+	splitters map[connection]*platform.LineSplitter // nil: the stream cannot be read on
+	addresses map[platformcore.ConnectionID]string
+	messages  []Message
+}
+
+func (f *requestFollower) addStep(s *Step) error {
+	for _, input := range s.Inputs {
+		switch in := input.(type) {
+		case platformcore.OwnerData:
+			f.addData(s, connection{PeerOwner, uint64(in.Owner)}, in.Data)
+		case platformcore.HostData:
+			f.addData(s, connection{PeerHost, uint64(in.Connection)}, in.Data)
+		case platformcore.OwnerDisconnected:
+			delete(f.splitters, connection{PeerOwner, uint64(in.Owner)})
+		case platformcore.HostDisconnected:
+			delete(f.splitters, connection{PeerHost, uint64(in.Connection)})
+		}
+	}
+	for _, l := range s.outputs {
+		if err := f.addOutput(s, l); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// addData takes bytes of a connection, as the core does: a stream with a line that is too long is not read on.
+func (f *requestFollower) addData(s *Step, from connection, data []byte) {
+	splitter, known := f.splitters[from]
+	if !known {
+		splitter = &platform.LineSplitter{}
+		f.splitters[from] = splitter
+	}
+	if splitter == nil {
+		return
+	}
+	err := splitter.Feed(data, func(text []byte) error {
+		f.addMessage(s, directionIn, from, text)
+		return nil
+	})
+	if err != nil {
+		f.splitters[from] = nil
+	}
+}
+
+func (f *requestFollower) addOutput(s *Step, l *line) error {
+	switch l.What {
+	case whatDialHost:
+		dial, err := decodeAs[platformcore.DialHost](l)
+		if err != nil {
+			return err
+		}
+		f.addresses[dial.Connection] = dial.Address
+	case whatSendToOwner:
+		sent, err := decodeAs[sendToOwner](l)
+		if err != nil {
+			return err
+		}
+		f.addMessage(s, directionOut, connection{PeerOwner, uint64(sent.Owner)}, originalBytes(sent.Line, sent.Bytes))
+	case whatSendToHost:
+		sent, err := decodeAs[sendToHost](l)
+		if err != nil {
+			return err
+		}
+		f.addMessage(s, directionOut, connection{PeerHost, uint64(sent.Connection)}, originalBytes(sent.Line, sent.Bytes))
+	}
+	return nil
+}
+
+// addMessage keeps a line if it names the request. Of a line that cannot be read beside its ref, the ref counts.
+func (f *requestFollower) addMessage(s *Step, way direction, peer connection, text []byte) {
+	message, _ := platform.Decode(text)
+	if !strings.EqualFold(message.Ref, f.ref) {
+		return
+	}
+	m := Message{
+		Step: s.Number, Now: s.Now, Direction: string(way), Peer: peer.peer, Connection: peer.number,
+		Line: strings.TrimRight(string(text), "\r\n"),
+	}
+	if peer.peer == PeerHost {
+		m.Address = f.addresses[platformcore.ConnectionID(peer.number)]
+	}
+	f.messages = append(f.messages, m)
+}
