--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// startPlacer starts a placer. One that runs under its number is forgotten.
+// startPlacer starts a placer. One that runs under its number is dropped.
 func (a *adapter) startPlacer(start simadapter.Start) error {
 	config, err := platformconfig.Parse(start.Config)
 	if err != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -18,7 +18,7 @@
  "kinds": ["any"], "loadInfo": {"fields": ["x0"], "how": "none"},
  "rules": {"cold": 9000.0, "fall": 1000.0, "mustAskIn": 10000.0, "stopSendingWithin": 1000.0}}`
 
-// record encodes an event; a string stands for u32 n + n bytes.
+// record encodes an event; a string is written as u32 n + n bytes.
 func record(code uint8, values ...any) []byte {
 	var body []byte
 	for _, v := range values {
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -35,7 +35,7 @@
 	HTTPClient     *http.Client  // nil: http.DefaultClient
 	IdempotencyKey string        // "": a random one for each Submit
 	MaxSends       int           // how often a submission is sent at most; less than 1: once
-	Backoff        time.Duration // between two sends, at least; a longer Retry-After is kept to
+	Backoff        time.Duration // between two sends, at least; a longer Retry-After takes precedence
 	// OnAccepted is called with the submission's ID in each reply, before its outcomes. nil: not called.
 	OnAccepted func(submission string)
 	// OnOutcome is called with every outcome in every reply, also with those that came before. nil: not called.
@@ -44,7 +44,7 @@
 	OnBrokenStream func(submission string)
 }
 
-// Submit sends a submission and calls deliver with the outcome of each task, once, in the order of their arrival. It
+// Submit sends a submission and calls deliver with the outcome of each task, once, in the order of their receipt. It
 // returns nil when the submission is complete, and else the last error: a RejectionError if the placer answered with a
 // problem.
 func (c *Client) Submit(ctx context.Context, envelope *placer.Envelope, deliver func(core.Outcome)) error {
@@ -86,7 +86,7 @@
 	return hex.EncodeToString(key[:])
 }
 
-// retryable reports whether sending again may help: the reply was lost, or the placer asks to try again later.
+// retryable reports whether sending again may help: the reply was lost, or the placer's answer allows a later retry.
 func retryable(err error) bool {
 	var rejection *RejectionError
 	return !errors.As(err, &rejection) || rejection.Retryable()
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// A rejected submission is not sent again, unless the placer asks for that.
+// A rejected submission is not sent again, unless the placer's answer allows a retry.
 func TestClientReturnsRejection(t *testing.T) {
 	calls := 0
 	address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/client/rejection.go
+++ b/internal/client/rejection.go
@@ -19,7 +19,7 @@
 // RejectionError is a problem with which the placer answered a submission in place of outcomes.
 type RejectionError struct {
 	placer.Problem
-	RetryAfter time.Duration // 0: not told
+	RetryAfter time.Duration // 0: not given
 }
 
 // Error returns the status, title and detail, or the errors of an invalid specification.
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("%d %s: %s", r.Status, r.Title, r.Detail)
 }
 
-// Retryable reports whether the placer asks to try again later.
+// Retryable reports whether the placer's answer allows a later retry.
 func (r *RejectionError) Retryable() bool {
 	return r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable
 }
--- a/internal/emulator/consul/server.go
+++ b/internal/emulator/consul/server.go
@@ -43,7 +43,7 @@
 	headerTimeout  = 5 * time.Second
 )
 
-// A blocking query waits for defaultWait, Consul's own, where it asks for no time or for more than maxWait.
+// A blocking query waits for defaultWait, Consul's own, where it gives no time or more than maxWait.
 const (
 	defaultWait = 5 * time.Minute
 	maxWait     = 10 * time.Minute
@@ -122,8 +122,8 @@
 	return outage
 }
 
-// health is /v1/health/service/:service. With an index it is a blocking query: it is answered when the list has another
-// index, or after the wait.
+// health is /v1/health/service/:service. With an index it is a blocking query: it is answered when the endpoint list has
+// another index, or after the wait.
 func (s *Server) health(w http.ResponseWriter, r *http.Request) {
 	index, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	deadline := time.NewTimer(parseWait(r.URL.Query().Get("wait")))
@@ -177,8 +177,8 @@
 	_, _ = w.Write(body)
 }
 
-// recordDelivery records the list that a placer is about to be sent: it cannot know it earlier. Answers to others are
-// not recorded.
+// recordDelivery records the endpoint list that a placer is about to be sent: it cannot have it earlier. Answers to others
+// are not recorded.
 func (s *Server) recordDelivery(agent string, entries []consul.Entry) {
 	number, isPlacer := strings.CutPrefix(agent, placerAgent)
 	placer, err := strconv.Atoi(number)
--- a/internal/emulator/consul/store.go
+++ b/internal/emulator/consul/store.go
@@ -8,7 +8,7 @@
 	"forkhead/internal/protocol/consul"
 )
 
-// Policy says when a host that no longer registers is taken for dead.
+// Policy is when a host that no longer registers counts as failed.
 type Policy struct {
 	CriticalAfter   time.Duration // its check is critical after this time
 	DeregisterAfter time.Duration // and it is dropped after this time
@@ -32,7 +32,7 @@
 	maintenance  bool
 }
 
-// version is the list of hosts as it was from a moment on.
+// version is the endpoint list as it was from a moment on.
 type version struct {
 	since   time.Duration
 	index   uint64
--- a/internal/emulator/host/connection.go
+++ b/internal/emulator/host/connection.go
@@ -80,7 +80,7 @@
 }
 
 // receive gives a frame, which was read at a time, to the incarnation that its connection was opened in. A frame that was
-// read before the host died may come to its turn in the next incarnation: neither that one nor the capture may take it.
+// read before the host crashed may come to its turn in the next incarnation: neither that one nor the capture may take it.
 func (s *Server) receive(c *connection, f hostproto.Frame, at time.Duration) {
 	if s.model == nil || s.unresponsive || c.muted || s.connections[c.id] != c || c.model != s.model {
 		return
@@ -93,7 +93,7 @@
 }
 
 // execute sends the frames and closes the connections that the model wants, with one write for each connection. A model
-// that died crashes the host.
+// that crashed ends the host's incarnation.
 func (s *Server) execute(out []hostmodel.Output) {
 	var unsent []*connection
 	for _, o := range out {
@@ -120,7 +120,7 @@
 	}
 }
 
-// flush writes a connection's unsent frames, as the faults of the moment say. A failed write closes the connection, which
+// flush writes a connection's unsent frames, as the current faults require. A failed write closes the connection, which
 // Closed takes.
 func (s *Server) flush(c *connection) {
 	if len(c.unsent) == 0 {
--- a/internal/emulator/host/server.go
+++ b/internal/emulator/host/server.go
@@ -23,7 +23,7 @@
 	defaultRegistrationInterval = 500 * time.Millisecond
 )
 
-// Config says what a host is and where it runs.
+// Config is what a host is and where it runs.
 type Config struct {
 	Host                 hostmodel.Config
 	Listen               string        // ADDRESS:PORT; port 0: any
@@ -114,7 +114,7 @@
 	})
 }
 
-// startIncarnation listens and starts the next incarnation. The port may still be held for a moment by what is closing.
+// startIncarnation listens and starts the next incarnation. Closing connections may still use the port for a moment.
 func (s *Server) startIncarnation(warmingUp bool) error {
 	s.incarnations++
 	now := s.cfg.Clock.Now()
--- a/internal/emulator/host/server_test.go
+++ b/internal/emulator/host/server_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// A frame that was read before its host died may come to its turn in the next incarnation. It must not be captured as an
+// A frame that was read before its host crashed may come to its turn in the next incarnation. It must not be captured as an
 // offer to that incarnation, which no event would ever end.
 func TestServerIgnoresFrameOfEarlierIncarnation(t *testing.T) {
 	s, log := startHost(t)
@@ -140,7 +140,7 @@
 	s.Kill()
 	if c, err := net.Dial("tcp", s.Address()); err == nil {
 		_ = c.Close()
-		t.Fatal("a dead host listens")
+		t.Fatal("a host that was killed listens")
 	}
 	if err := s.Restart(true); err != nil {
 		t.Fatal(err)
--- a/internal/emulator/hostmodel/config.go
+++ b/internal/emulator/hostmodel/config.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Config says what a host is and how it behaves.
+// Config is what a host is and how it behaves.
 type Config struct {
 	Name, MachineType, Zone, Rack string
 	Labels                        map[string]string
@@ -17,8 +17,8 @@
 	UncachedStartFactor float64       // a start takes so many times as long where the program is not cached
 	MaxCachedPrograms   int           // programs that stay after the last task of their service
 
-	// A host that has just come up warms up for SlowStartDuration: it starts tasks at first at the share
-	// SlowStartInitialRate of its usual rate, and the share grows evenly to 1. Within a SlowStartWindow it then bears
+	// A host that has just come up warms up for SlowStartDuration: it starts tasks at first at the fraction
+	// SlowStartInitialRate of its usual rate, and the fraction grows evenly to 1. Within a SlowStartWindow it then bears
 	// SlowStartMaxOffers offers, or SlowStartOverload times as many as it can start in it, if these are more. With one
 	// more it crashes.
 	SlowStartDuration    time.Duration
@@ -27,8 +27,8 @@
 	SlowStartMaxOffers   float64
 	SlowStartOverload    float64
 
-	MeanUsage    float64       // share of what tasks request that they use
-	UsageSwing   float64       // how far the share swings to both sides
+	MeanUsage    float64       // fraction of what tasks request that they use
+	UsageSwing   float64       // how far the fraction swings to both sides
 	NoteInterval time.Duration // between notes of a running task; 0: no notes
 	Preemption   bool          // tasks of a lower priority are ended for one of a higher
 }
--- a/internal/emulator/hostmodel/faults.go
+++ b/internal/emulator/hostmodel/faults.go
@@ -40,7 +40,7 @@
 // SuppressStarts makes starts of a class that begin in a while never end.
 func (h *Host) SuppressStarts(now, d time.Duration, class string) { h.suppressUntil[class] = now + d }
 
-// Drain makes the host drain, or no longer, and returns what it does. dismiss says that it ends its running tasks.
+// Drain makes the host drain, or no longer, and returns what it does. with dismiss it ends its running tasks.
 func (h *Host) Drain(now time.Duration, on, dismiss bool) []Output {
 	return h.handle(now, func() {
 		h.draining = on
@@ -58,7 +58,7 @@
 	})
 }
 
-// crashesAt crashes the host if it is to crash at this point, and reports whether it is dead.
+// crashesAt crashes the host if it is to crash at this point, and reports whether it has crashed.
 func (h *Host) crashesAt(p CrashPoint) bool {
 	if h.crashPoint == p {
 		h.Crash()
--- a/internal/emulator/hostmodel/host.go
+++ b/internal/emulator/hostmodel/host.go
@@ -4,7 +4,7 @@
 //
 //	config.go    what a host is and how it behaves
 //	host.go      the host and its inputs
-//	sessions.go  connections of placers: Hello, the list of attempts, queries
+//	sessions.go  connections of placers: Hello, the attempts that it has, queries
 //	offers.go    the queue of offers and the decision about each; overload of a host that warms up
 //	tasks.go     starts, running tasks and their notes, ends
 //	timing.go    what the host does by itself as time passes
@@ -92,22 +92,22 @@
 	readyAt       time.Duration // when its start is done; 0: it has not begun
 	endsAt        time.Duration // 0: unknown
 	nextNoteAt    time.Duration // 0: never
-	usageBias     float64       // added to the share that it uses
+	usageBias     float64       // added to the fraction that it uses
 }
 
 func (t *task) cores() float64  { return float64(t.spec.Cores) / 1000 }
 func (t *task) memory() float64 { return float64(t.spec.Memory) / 1024 } // GiB
 
-// New begins an incarnation of a host. epoch is higher than that of any before; cold says that the host has just come up
-// and warms up. The seed, with the epoch, determines what is drawn.
-func New(cfg Config, epoch, seed uint64, now time.Duration, cold bool) *Host {
+// New begins an incarnation of a host. epoch is higher than that of any before; warmingUp
+// means that the host has just come up. The seed, with the epoch, determines what is drawn.
+func New(cfg Config, epoch, seed uint64, now time.Duration, warmingUp bool) *Host {
 	h := &Host{
 		cfg: cfg, epoch: epoch, rng: rand.New(rand.NewPCG(seed, epoch)), now: now,
 		conns: map[ConnID]*session{}, sessions: map[uint16]*session{}, placerEpochs: map[uint16]uint64{},
 		tasks: map[hostproto.Ref]*task{}, settled: map[hostproto.Ref]hostproto.Frame{},
 		rejectUntil: map[string]time.Duration{}, suppressUntil: map[string]time.Duration{}, slowFactor: 1,
 	}
-	if cold {
+	if warmingUp {
 		h.started = now
 	}
 	return h
@@ -175,12 +175,12 @@
 	return tasks
 }
 
-// ConnectionOpened tells the host of a new connection and returns what it does.
+// ConnectionOpened notifies the host of a new connection and returns what it does.
 func (h *Host) ConnectionOpened(now time.Duration, id ConnID) []Output {
 	return h.handle(now, func() { h.conns[id] = &session{id: id} })
 }
 
-// ConnectionClosed tells the host that a connection is closed and returns what it does.
+// ConnectionClosed notifies the host that a connection is closed and returns what it does.
 func (h *Host) ConnectionClosed(now time.Duration, id ConnID) []Output {
 	return h.handle(now, func() { h.endSession(id) })
 }
@@ -194,7 +194,7 @@
 	})
 }
 
-// ReceiveMalformed tells the host that what came on a connection could not be read, and returns what it does: it closes
+// ReceiveMalformed notifies the host that what came on a connection could not be read, and returns what it does: it closes
 // the connection with the reason.
 func (h *Host) ReceiveMalformed(now time.Duration, id ConnID, reason string) []Output {
 	return h.handle(now, func() {
--- a/internal/emulator/hostmodel/host_test.go
+++ b/internal/emulator/hostmodel/host_test.go
@@ -142,6 +142,6 @@
 	h.CrashAt(AfterBind)
 	h.ReceiveFrame(time.Hour+400*time.Millisecond, 1, offer(1, 1, 0))
 	if _, running := countFrames(runUntil(h, time.Hour+400*time.Millisecond, time.Hour+time.Second)); running != 0 || !h.Dead() {
-		t.Fatal("says that the task runs before it dies")
+		t.Fatal("reports that the task runs though it crashes before")
 	}
 }
--- a/internal/emulator/hostmodel/offers.go
+++ b/internal/emulator/hostmodel/offers.go
@@ -37,7 +37,7 @@
 	h.decisionAt = h.now + time.Duration(float64(h.cfg.DecisionTime)*h.slowdown())
 }
 
-// dropQueued forgets offers in the queue: they never run. Their placer learns of it when it queries them.
+// dropQueued drops offers in the queue: they never run. Their placer gets to know when it queries them.
 func (h *Host) dropQueued(matches func(*task) bool) {
 	dropsFirst := len(h.queue) > 0 && matches(h.queue[0])
 	h.queue = slices.DeleteFunc(h.queue, func(t *task) bool {
@@ -73,7 +73,7 @@
 	h.beginStarts()
 }
 
-// judge returns why an offer is rejected, or NoReason. It may end tasks to make room for the offer.
+// judge returns why an offer is rejected, or NoReason. It may end tasks to make capacity for the offer.
 func (h *Host) judge(t *task) hostproto.Reason {
 	if h.draining || h.now > t.offerDeadline || h.now < h.rejectUntil[t.spec.Class] || h.hasCopy(t) {
 		return hostproto.Unsuitable
@@ -114,7 +114,7 @@
 	return hostproto.NoReason
 }
 
-// preemptFor ends running tasks of a lower priority, if that makes room for a task, and reports whether it does.
+// preemptFor ends running tasks of a lower priority, if that makes capacity for a task, and reports whether it does.
 func (h *Host) preemptFor(t *task) bool {
 	if !h.cfg.Preemption || t.spec.Priority == 0 {
 		return false
@@ -196,7 +196,7 @@
 
 func (h *Host) warmingUp() bool { return h.started > 0 && h.now < h.started+h.cfg.SlowStartDuration }
 
-// startRate returns the share of its usual rate at which the host starts tasks.
+// startRate returns the fraction of its usual rate at which the host starts tasks.
 func (h *Host) startRate() float64 {
 	if !h.warmingUp() {
 		return 1
--- a/internal/emulator/hostmodel/sessions.go
+++ b/internal/emulator/hostmodel/sessions.go
@@ -46,13 +46,13 @@
 	h.endSession(id)
 }
 
-// sendBye closes a connection and tells its placer the reason.
+// sendBye closes a connection and sends its placer the reason.
 func (h *Host) sendBye(s *session, reason string) {
 	h.send(s, hostproto.Bye{Text: reason})
 	h.closeConnection(s.id)
 }
 
-// endSession forgets a connection that is closed, and the offers in the queue of its placer.
+// endSession removes a connection that is closed, and the offers in the queue of its placer.
 func (h *Host) endSession(id ConnID) {
 	s := h.conns[id]
 	delete(h.conns, id)
--- a/internal/emulator/hostmodel/tasks.go
+++ b/internal/emulator/hostmodel/tasks.go
@@ -82,7 +82,7 @@
 	h.starting = slices.DeleteFunc(h.starting, func(other *task) bool { return other == t })
 }
 
-// cacheProgram caches the program of a service whose last task has ended; the oldest one makes room for it.
+// cacheProgram caches the program of a service whose last task has ended; the oldest one is evicted for it.
 func (h *Host) cacheProgram(service uint64) {
 	if h.hasProgram(service) || h.cfg.MaxCachedPrograms <= 0 {
 		return
@@ -93,8 +93,8 @@
 	}
 }
 
-// usage returns the cores and the GiB of memory that a running task uses now. Its share of what it requested swings around
-// the mean, for each task with a phase of its own.
+// usage returns the cores and the GiB of memory that a running task uses now. The fraction of what it requested swings
+// around the mean, for each task with a phase of its own.
 func (h *Host) usage(t *task) (cores, memory float64) {
 	const (
 		period   = 20 // seconds
--- a/internal/simadapter/decode_test.go
+++ b/internal/simadapter/decode_test.go
@@ -86,7 +86,7 @@
 	if got, err := ReadBatch(r); err != nil || len(got.Events) > 0 {
 		t.Fatalf("got %+v, %v", got, err)
 	}
-	if _, err := ReadBatch(r); err != io.EOF { //nolint:errorlint // the very value is promised
+	if _, err := ReadBatch(r); err != io.EOF { //nolint:errorlint // the very value is documented
 		t.Errorf("at the end of input: %v, want io.EOF", err)
 	}
 }
@@ -95,7 +95,7 @@
 	whole := unhex(t, eventsHex)
 	for n := 1; n < len(whole); n++ {
 		if _, err := ReadBatch(bytes.NewReader(whole[:n])); err == nil || errors.Is(err, io.EOF) {
-			t.Fatalf("cut after %d bytes: %v", n, err)
+			t.Fatalf("truncated after %d bytes: %v", n, err)
 		}
 	}
 	for name, body := range map[string]string{
--- a/internal/simadapter/reply.go
+++ b/internal/simadapter/reply.go
@@ -24,7 +24,7 @@
 // AllPlacers as the receiver of a gossip message means all other placers.
 const AllPlacers = math.MaxUint32
 
-// maxText is the longest text or message of an action, in bytes. A longer one is cut off.
+// maxText is the longest text or message of an action, in bytes. A longer one is truncated.
 const maxText = math.MaxUint16
 
 // Sizes of fields, in bytes. Placers, tasks and machines are numbers of idSize.
--- a/internal/verify/bruteforce/pseudoboolean_test.go
+++ b/internal/verify/bruteforce/pseudoboolean_test.go
@@ -11,13 +11,13 @@
 )
 
 // encoder writes an instance as a problem of a pseudo-Boolean solver from elsewhere, which checks ours at sizes that brute
-// force does not reach. A variable says that a task is on a host, or that a host is in use.
+// force does not reach. A variable is true if a task is on a host, or if a host is in use.
 type encoder struct {
 	in          *solver.Instance
 	variables   int // how many there are; they are numbered from 1
 	constraints []gophersat.PBConstr
 	inUse       []int          // variable by host
-	tasks       [][]taskOnHost // by host: all variables that say that a task is on it
+	tasks       [][]taskOnHost // by host: the variables of the tasks on it
 }
 
 // taskOnHost is the variable of a task and a host, with what the task requests.
--- a/internal/verify/chaos/faults.go
+++ b/internal/verify/chaos/faults.go
@@ -13,7 +13,7 @@
 type activeFault struct {
 	scenario.Fault
 	rng   *rand.Rand
-	hosts []*testcluster.Host // drawn for it, in the order in which they are struck
+	hosts []*testcluster.Host // drawn for it, in the order in which they are affected
 }
 
 // injectors holds the method for each kind of fault. Each injects the fault and returns when it is over and undone as far
@@ -60,7 +60,7 @@
 	injectors[fault.Kind](r, f)
 }
 
-// drawHosts draws the fault's share of all hosts, at least one, from those in its zone and rack.
+// drawHosts draws the fault's fraction of all hosts, at least one, from those in its zone and rack.
 func (f *activeFault) drawHosts(all []*testcluster.Host) {
 	var candidates []*testcluster.Host
 	for _, h := range all {
--- a/internal/verify/chaos/faults_placers.go
+++ b/internal/verify/chaos/faults_placers.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// stallPlacers lets the event loop of one placer, or of all for -1, stand still again and again.
+// stallPlacers stalls the event loop of one placer, or of all for -1, again and again.
 func (r *runner) stallPlacers(f *activeFault) {
 	r.repeat(f, func() {
 		for i := range r.cluster.PlacerCount() {
@@ -47,7 +47,7 @@
 	}
 }
 
-// dropGossip loses a share of the messages between placers.
+// dropGossip loses a fraction of the messages between placers.
 func (r *runner) dropGossip(f *activeFault) {
 	r.cluster.GossipLossPerMille.Store(uint64(1000 * min(f.Factor, 1)))
 	r.sleep(f.Duration)
--- a/internal/verify/chaos/faults_test.go
+++ b/internal/verify/chaos/faults_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// The hosts that a fault strikes, and their order, follow from the seed: a run must be the same one after a change of this
+// The hosts that a fault affects, and their order, follow from the seed: a run must be the same one after a change of this
 // package. The wanted ones were recorded before faults had injectors of their own.
 func TestDrawHostsFollowsFromSeed(t *testing.T) {
 	north, south := &scenario.HostGroup{Zone: "north"}, &scenario.HostGroup{Zone: "south"}
--- a/internal/verify/chaos/load.go
+++ b/internal/verify/chaos/load.go
@@ -91,7 +91,7 @@
 	delete(s.byName, name)
 }
 
-// draw returns about a share of the projects, from 0 to 1. Which ones they are does not follow from the seed: a map has no
+// draw returns about a fraction, from 0 to 1, of the projects. Which ones does not follow from the seed: a map has no
 // order.
 func (s *projectSet) draw(rng *rand.Rand, share float64) []project {
 	s.mu.Lock()
--- a/internal/verify/chaos/misbehaving.go
+++ b/internal/verify/chaos/misbehaving.go
@@ -72,6 +72,6 @@
 
 func (p *misbehavingPlacer) close() {
 	for _, c := range p.connections {
-		_ = c.Close() // nothing is owed to the host
+		_ = c.Close() // the host awaits nothing
 	}
 }
--- a/internal/verify/chaos/run.go
+++ b/internal/verify/chaos/run.go
@@ -26,7 +26,7 @@
 	readyTimeout      = 10 * time.Second // until every placer has connections to all hosts
 )
 
-// Options says how a scenario is run.
+// Options are how a scenario is run.
 type Options struct {
 	Log         zerolog.Logger             // of the placers, and of faults that cannot be undone
 	NewModule   testcluster.ModuleFactory  // a module that breaks rules, for tests; nil: the real one
--- a/internal/verify/chaos/run_test.go
+++ b/internal/verify/chaos/run_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// A module that breaks the rules offers tasks twice at once and to hosts that are gone, repeats unsafe ones, and answers
+// A module that breaks the rules offers tasks twice at once and to removed hosts, repeats unsafe ones, and answers
 // twice. The invariant checks let none of it onto the sockets, and count it.
 func TestBrokenModuleIsVetoed(t *testing.T) {
 	newModule := func(set forkhead.Settings) func(time.Duration, []forkhead.Event) []forkhead.Action {
--- a/internal/verify/chaos/submission.go
+++ b/internal/verify/chaos/submission.go
@@ -70,7 +70,7 @@
 	return r.scenario.Settings.Classes[i].PlacementTimeout
 }
 
-// httpClient returns a client that opens a connection for each request and misbehaves as the faults of the moment say.
+// httpClient returns a client that opens a connection for each request and misbehaves as the current faults require.
 func (s *submission) httpClient() *http.Client {
 	var transport http.RoundTripper = &http.Transport{DisableCompression: true, DisableKeepAlives: true, DialContext: s.dial}
 	if s.run.duplicateOutcomes.Load() {
--- a/internal/verify/doccheck/doccheck.go
+++ b/internal/verify/doccheck/doccheck.go
@@ -1,4 +1,4 @@
-// Package doccheck holds the pages under docs against the code, in tests.
+// Package doccheck compares the pages under docs with the code, in tests.
 package doccheck
 
 import (
--- a/internal/verify/modelcheck/actions.go
+++ b/internal/verify/modelcheck/actions.go
@@ -14,8 +14,8 @@
 	do   func(st *step)
 }
 
-// actionList collects the actions of a state. Their order is part of a search: a state's hash stands with the index of the
-// action that led there.
+// actionList collects the actions of a state. Their order is part of a search: a state's hash is stored with the index
+// of the action that led there.
 type actionList struct {
 	model   *model
 	state   *state
@@ -63,7 +63,7 @@
 	}
 }
 
-// crashPlacer ends the placer's incarnation: all that it knew is gone, owners request again, and hosts go on.
+// crashPlacer ends the placer's incarnation: all of its memory is lost, owners request again, and hosts go on.
 func (st *step) crashPlacer() {
 	s := st.s
 	s.incarnation++
--- a/internal/verify/modelcheck/actions_host.go
+++ b/internal/verify/modelcheck/actions_host.go
@@ -2,7 +2,7 @@
 
 import "forkhead/internal/scheduler/hostsession"
 
-// addHost adds what a host does by itself: it comes back, handles its attempts, dies and drains.
+// addHost adds what a host does by itself: it restarts, handles its attempts, crashes and drains.
 func (l *actionList) addHost(hi int) {
 	h := &l.state.hosts[hi]
 	if !h.up {
--- a/internal/verify/modelcheck/actions_placer.go
+++ b/internal/verify/modelcheck/actions_placer.go
@@ -9,7 +9,7 @@
 	"forkhead/internal/scheduler/hostconn"
 )
 
-// addOwner adds what a task's owner does: it requests the task and gives up, by timers that may fire at any time; and what
+// addOwner adds what a task's owner does: it requests the task and stops waiting, by timers that may fire at any time; and what
 // the time does to the task.
 func (l *actionList) addOwner(ti int) {
 	t := &l.state.tasks[ti]
@@ -33,7 +33,7 @@
 	for hi := range l.model.cfg.Hosts {
 		allHostsListed = allHostsListed && l.state.hosts[hi].knownEpoch > 0
 	}
-	// How long an owner waits for hosts that stay down is the rules' to say, and outside this search: it waits for all.
+	// How long an owner waits for hosts that stay down is a matter of the rules, and outside this search: it waits for all.
 	const waited = false
 	m := l.model
 	st := step{model: m, s: l.state}
--- a/internal/verify/modelcheck/config.go
+++ b/internal/verify/modelcheck/config.go
@@ -15,7 +15,7 @@
 	Effect       forkhead.Effect // of a repeated start of a task
 	Requests     int             `json:"Asks"` // most placement requests of a task in one incarnation of the placer
 	Attempts     int             // most attempts of a task in all requests and incarnations; 1 to maxAttempts
-	Faults       int             // most faults in all: connections cut, hosts that die or drain, crashes of the placer
+	Faults       int             // most faults in all: connections broken, hosts that crash or drain, crashes of the placer
 	NoCrash      bool            // the placer does not crash
 	TasksEnd     bool            `json:"Ends"`   // tasks may end by themselves
 	FindCycles   bool            `json:"Cycles"` // also search for cycles of fair steps; takes 16 bytes more a step
--- a/internal/verify/modelcheck/doc.go
+++ b/internal/verify/modelcheck/doc.go
@@ -1,6 +1,6 @@
 // Package modelcheck searches all states of a small service: the state machines that placers and hosts run on (packages
 // attempt, hostconn and hostsession, and invariant's rule for drains), composed with a network that loses, delays and cuts,
-// hosts that die and come back, a placer that crashes, drains, and timers that may fire at any time. In the module's place
+// hosts that crash and restart, a placer that crashes, drains, and timers that may fire at any time. In the module's place
 // stands every legal action at any moment.
 //
 // A state (state.go) is a few hundred bytes. Which actions are possible in it is in actions*.go, what they do at the placer
--- a/internal/verify/modelcheck/modelcheck_test.go
+++ b/internal/verify/modelcheck/modelcheck_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// The page says what is searched for in the words of the code.
+// The page lists what is searched for as the code names it.
 func TestPropertiesOnPage(t *testing.T) {
 	for _, p := range Properties {
 		doccheck.Contains(t, "docs/design/attempts.md", "| "+p.Name+" | "+p.Text+" |")
@@ -156,7 +156,7 @@
 			t.Fatal(err)
 		}
 		if out.BoundTwice && bug.Effect == forkhead.Unsafe {
-			t.Errorf("%s: the real core lets an unsafe task be held twice: %+v", bug.Name, out)
+			t.Errorf("%s: the real core lets an unsafe task be placed twice: %+v", bug.Name, out)
 		}
 		t.Logf("%s: %d vetoes, %d offers, %d starts, parted %q", bug.Name, out.Vetoes, out.Offers, out.Starts, out.Divergence)
 		if bug.Name == "double-send" && out.Vetoes != 1 {
--- a/internal/verify/modelcheck/properties.go
+++ b/internal/verify/modelcheck/properties.go
@@ -130,7 +130,7 @@
 	return h.up && h.attempts[ti][ai].HoldsCapacity()
 }
 
-// checkRejection checks the rejection of a task, which says that a further request is harmless.
+// checkRejection checks the rejection of a task, which means that a further request is harmless.
 func (st *step) checkRejection(ti int) {
 	if st.rules.RetryIsHarmless() {
 		return
--- a/internal/verify/modelcheck/replay.go
+++ b/internal/verify/modelcheck/replay.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// decide stands in the module's place.
+// decide replaces the module.
 func (r *replayer) decide(_ time.Duration, events []forkhead.Event) []forkhead.Action {
 	for _, event := range events {
 		if request, ok := event.(forkhead.PlacementRequest); ok && r.core != nil {
@@ -235,7 +235,7 @@
 	r.stepCore(core.GossipReceived{From: 0, Data: []byte{0}})
 }
 
-// advance moves the clock on, timer by timer.
+// advance advances the clock, timer by timer.
 func (r *replayer) advance(d time.Duration) {
 	end := r.now + d
 	for at, ok := r.core.Next(); ok && at <= end; at, ok = r.core.Next() {
--- a/internal/verify/modelcheck/replay_actions.go
+++ b/internal/verify/modelcheck/replay_actions.go
@@ -22,7 +22,7 @@
 	message string // name of a frame
 }
 
-// replayActions are the lines of a trace: TASK, HOST and MESSAGE stand for what a line is about.
+// replayActions are the lines of a trace: TASK, HOST and MESSAGE are placeholders for what a line is about.
 var replayActions = []struct {
 	pattern string
 	replay  func(*replayer, subject) error
--- a/internal/verify/modelcheck/state.go
+++ b/internal/verify/modelcheck/state.go
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// sendToHost puts a message under way, unless nothing gets through. It returns false if there is no room for it.
+// sendToHost puts a message under way, unless nothing gets through. It returns false if the queue is full.
 func (s *stream) sendToHost(m message) bool {
 	return s.broken || !s.hostOpen || push(&s.toHost, &s.toHostCount, m)
 }
--- a/internal/verify/modelcheck/step.go
+++ b/internal/verify/modelcheck/step.go
@@ -29,7 +29,7 @@
 	s         *state
 	property  string // the first that the step breaks; "": none
 	message   string // what breaks it
-	queueFull bool   // a message found no room: the step cannot be taken now
+	queueFull bool   // a message queue was full: the step cannot be taken now
 }
 
 // violate records that the step breaks a property, unless it has broken one already.
@@ -71,7 +71,7 @@
 			r.Attempts = append(r.Attempts, attempt.Attempt{Host: attempt.HostID(a.host), Phase: a.phase})
 			continue
 		}
-		// A request beside an unknown attempt ends before the task's key is forgotten.
+		// A request beside an unknown attempt ends before the task's key expires.
 		remaining, _ := st.machines.mayRequest(&st.rules, beforeWindowEnd, 1, 0)
 		if a.phase == attempt.Unknown && remaining > 0 {
 			r.Deadline = beforeWindowEnd + remaining
--- a/internal/verify/modelcheck/trace.go
+++ b/internal/verify/modelcheck/trace.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// lostTrace stands in a trace where no action leads to the state that is known to follow.
+// lostTrace is printed in a trace where no action leads to the state that is known to follow.
 const lostTrace = "(two states share a hash: the trace is lost here)"
 
 // trace returns the names of the actions that lead from the root to a finding. They are found on states as they are, not
--- a/internal/verify/platformsim/checks.go
+++ b/internal/verify/platformsim/checks.go
@@ -38,7 +38,7 @@
 // checkStillWanted checks that the owner waits for an answer, and that attempts are left.
 func (w *world) checkStillWanted(r *request) {
 	switch {
-	case r.givenUp:
+	case r.canceled:
 		w.breach("an offer of %s for an owner that has left", r.ref)
 	case r.answer != "":
 		w.breach("an offer of %s, which is answered", r.ref)
@@ -104,7 +104,7 @@
 // countsWith reports whether a request counts for the spread limit of another, as far as the placer knows.
 func (p *placer) countsWith(other, r *request) bool {
 	return other.placer == p && other.incarnation == r.incarnation && other.service == r.service && other.class == r.class &&
-		other.final == "" && !other.givenUp && p.w.now >= other.countsFrom
+		other.final == "" && !other.canceled && p.w.now >= other.countsFrom
 }
 
 // ---- What placers write to owners.
@@ -172,7 +172,7 @@
 
 // checkAnswered checks that a request whose time is over has an answer, if its owner still waits for it.
 func (w *world) checkAnswered(r *request) {
-	waits := !r.givenUp && !r.giveUpSent && r.owner.open && r.placer.runs(r.incarnation)
+	waits := !r.canceled && !r.cancelSent && r.owner.open && r.placer.runs(r.incarnation)
 	if r.answer == "" && waits {
 		w.breach("one answer: %s has none %v after its time", r.ref, w.now-r.createdAt-r.timeout)
 	}
@@ -181,7 +181,7 @@
 // checkOwnerClosed checks that nobody waited for an answer on a connection that the placer closes.
 func (p *placer) checkOwnerClosed(o *ownerConn) {
 	for _, r := range p.w.requests {
-		if r.owner == o && r.answer == "" && r.incarnation == p.incarnation && !r.giveUpSent && p.w.now > r.createdAt+slack {
+		if r.owner == o && r.answer == "" && r.incarnation == p.incarnation && !r.cancelSent && p.w.now > r.createdAt+slack {
 			p.w.breach("one answer: the connection of %s is closed", r.ref)
 		}
 	}
@@ -204,7 +204,7 @@
 
 // checkEndKnown checks that an owner who still follows its task knows that it has ended.
 func (w *world) checkEndKnown(r *request) {
-	if r.answer != platform.TypeBound || r.final != "" || r.giveUpSent || !r.owner.open {
+	if r.answer != platform.TypeBound || r.final != "" || r.cancelSent || !r.owner.open {
 		return
 	}
 	t := r.boundAttempt()
--- a/internal/verify/platformsim/conn.go
+++ b/internal/verify/platformsim/conn.go
@@ -16,7 +16,7 @@
 	hostIncarnation   int
 	established       bool
 	closed            bool // on the placer's side
-	blackholed        bool // the host is gone, and nobody resets the connection
+	blackholed        bool // the host has vanished, and nobody resets the connection
 	attempts          []*attempt
 
 	lastToHost, lastToPlacer time.Duration // when the last message of each direction arrives
@@ -85,7 +85,7 @@
 	c.host.sendUndelivered(c)
 }
 
-// close closes the connection on the placer's side; its attempts are given up.
+// close closes the connection on the placer's side; its attempts are abandoned.
 func (c *conn) close() {
 	if c.closed {
 		return
--- a/internal/verify/platformsim/faults.go
+++ b/internal/verify/platformsim/faults.go
@@ -13,7 +13,7 @@
 	faults[w.rng.IntN(len(faults))](h)
 }
 
-// drainHost makes a host drain; its machine goes away, and comes back cold.
+// drainHost makes a host drain; its machine goes away, and warms up when it is back.
 func (w *world) drainHost(h *host) {
 	if !h.ready {
 		return
--- a/internal/verify/platformsim/host.go
+++ b/internal/verify/platformsim/host.go
@@ -19,7 +19,7 @@
 	machineType int
 	startedAt   time.Duration // 0: long ago
 	up          bool
-	ready       bool // by the list
+	ready       bool // by the endpoint list
 	isolated    bool // cut off from all placers
 	restarts    int
 	tasks       map[string]*attempt // bound, by ref
@@ -39,7 +39,7 @@
 func (h *host) zone() string    { return h.w.WireNames.Zones[h.number%len(h.w.WireNames.Zones)] }
 func (h *host) cell() int       { return h.number / hostsPerCell }
 
-// endpoint returns the host's entry in the list.
+// endpoint returns the host's entry in the endpoint list.
 func (h *host) endpoint(state platform.EndpointState) platform.Endpoint {
 	size := h.w.Settings.MachineTypes[h.machineType]
 	return platform.Endpoint{
@@ -54,7 +54,7 @@
 // vanish takes the machine away; nobody resets its connections.
 func (h *host) vanish() { h.stop(func(c *conn) { c.blackholed = true }) }
 
-// stop ends the incarnation, if the host is up. The list notices some time later.
+// stop ends the incarnation, if the host is up. The endpoint list is updated some time later.
 func (h *host) stop(endConn func(*conn)) {
 	if !h.up {
 		return
@@ -75,7 +75,7 @@
 	})
 }
 
-// start starts a host that is down; it is cold.
+// start starts a host that is down; it warms up.
 func (h *host) start() {
 	if h.up {
 		return
@@ -96,8 +96,8 @@
 	}
 }
 
-// owes reports whether the end of an attempt is not acknowledged.
-func (h *host) owes(t *attempt) bool {
+// awaitsAck reports whether the end of an attempt is not acknowledged.
+func (h *host) awaitsAck(t *attempt) bool {
 	return slices.ContainsFunc(h.undelivered, func(u release) bool { return u.attempt == t })
 }
 
@@ -118,7 +118,7 @@
 	}
 }
 
-// receiveRelease ends a bound task, or what was given up before the host decided about it.
+// receiveRelease ends a bound task, or what was canceled before the host decided about it.
 func (h *host) receiveRelease(c *conn, ref string) {
 	if t := h.tasks[ref]; t != nil {
 		h.end(t, platform.CauseMigrated, true)
@@ -183,7 +183,7 @@
 	})
 }
 
-// end ends a bound task. notify says that its placer is owed the end.
+// end ends a bound task. With notify, its placer is sent the end.
 func (h *host) end(t *attempt, cause platform.Cause, notify bool) {
 	if t.ended {
 		return
--- a/internal/verify/platformsim/orderevents.go
+++ b/internal/verify/platformsim/orderevents.go
@@ -81,7 +81,7 @@
 		return nil
 	}
 	all := []orderEvent{{kind: eventOwnerDisconnected}}
-	if o.r.final == "" && !o.r.giveUpSent {
+	if o.r.final == "" && !o.r.cancelSent {
 		all = append(all, orderEvent{kind: eventGiveUp})
 	}
 	if o.r.answer == platform.TypeBound && o.r.final == "" {
@@ -130,12 +130,12 @@
 	switch kind {
 	case eventOwnerDisconnected:
 		o.r.owner.open = false
-		o.r.givenUp = o.r.givenUp || o.r.answer == ""
+		o.r.canceled = o.r.canceled || o.r.answer == ""
 		o.p.step(platformcore.OwnerDisconnected{Owner: orderOwner})
 	case eventGiveUp:
-		o.r.giveUpSent = true
+		o.r.cancelSent = true
 		o.sendAsOwner(encodeLine(platform.TypeRelease, o.r.ref, platform.CauseOK))
-		o.r.givenUp = o.r.givenUp || o.r.answer == ""
+		o.r.canceled = o.r.canceled || o.r.answer == ""
 	case eventHandOver:
 		o.sendAsOwner(o.r.handOverLine())
 	}
--- a/internal/verify/platformsim/orders.go
+++ b/internal/verify/platformsim/orders.go
@@ -123,10 +123,10 @@
 			}
 		}
 	}
-	if o.r.answer == "" && !o.r.givenUp {
+	if o.r.answer == "" && !o.r.canceled {
 		o.w.breach("one answer: it has none")
 	}
-	if o.r.answer == platform.TypeBound && o.r.final == "" && !o.r.giveUpSent && o.r.owner.open {
+	if o.r.answer == platform.TypeBound && o.r.final == "" && !o.r.cancelSent && o.r.owner.open {
 		o.w.breach("one answer: its owner takes it for standing")
 	}
 }
--- a/internal/verify/platformsim/outputs.go
+++ b/internal/verify/platformsim/outputs.go
@@ -61,7 +61,7 @@
 	c.sendToHost(m)
 }
 
-// noteRelease notes that the placer gives up an attempt, or ends a bound task.
+// noteRelease notes that the placer withdraws an attempt, or ends a bound task.
 func (p *placer) noteRelease(h *host, ref string) {
 	r := p.w.requests[ref]
 	if r == nil {
--- a/internal/verify/platformsim/placer.go
+++ b/internal/verify/platformsim/placer.go
@@ -81,7 +81,7 @@
 // runs reports whether an incarnation still runs.
 func (p *placer) runs(incarnation int) bool { return p.incarnation == incarnation && p.core != nil }
 
-// handOverAll lets owners hand over the tasks that run by the word of their hosts.
+// handOverAll lets owners hand over the tasks that run as reported by their hosts.
 func (p *placer) handOverAll() {
 	for _, r := range p.w.sortedRequests() {
 		if r.placer != p || r.answer != platform.TypeBound || r.final != "" {
@@ -95,7 +95,7 @@
 
 // handOver lets an owner hand over a task, unless its host holds nothing of it any more.
 func (p *placer) handOver(r *request, t *attempt) {
-	if r.incarnation != p.incarnation && t.ended && !t.host.owes(t) {
+	if r.incarnation != p.incarnation && t.ended && !t.host.awaitsAck(t) {
 		r.final = finalLost
 		p.w.report.Lost++
 		return
@@ -118,7 +118,7 @@
 	}
 	for _, r := range p.w.requests {
 		if r.placer == p && r.answer == "" {
-			r.givenUp = true
+			r.canceled = true
 		}
 	}
 }
@@ -178,7 +178,7 @@
 	return all
 }
 
-// sendEvent sends an event of the list to the placer. One that is down reads the list when it starts.
+// sendEvent sends a watch event to the placer. One that is down reads the endpoint list when it starts.
 func (p *placer) sendEvent(event platform.WatchEvent) {
 	if p.core == nil {
 		return
--- a/internal/verify/platformsim/request.go
+++ b/internal/verify/platformsim/request.go
@@ -19,15 +19,15 @@
 	createdAt   time.Duration
 	timeout     time.Duration
 	owner       *ownerConn
-	giveUpSent  bool                 // its owner gives it up, which the placer may not have received
-	givenUp     bool                 // and has
+	cancelSent  bool                 // its owner cancels it, which the placer may not have received
+	canceled    bool                 // and has
 	answer      platform.MessageType // empty: none was sent
 	final       platform.MessageType // the release; empty: none was sent
 	attempts    []*attempt
 	countsFrom  time.Duration // when it was handed over: from then on it counts for the placer's spread limit
 }
 
-// finalLost stands for the release of a task that ended with its host while its placer was down.
+// finalLost is the release of a task that ended with its host while its placer was down.
 const finalLost platform.MessageType = "lost"
 
 // attempt is an offer as its placer wrote it. What the placer knows of it is noted when it is delivered.
@@ -39,7 +39,7 @@
 
 	// What its placer knows.
 	knownNotRun bool          // that the task never ran
-	knownOver   bool          // that it is over, given up, or its connection is gone
+	knownOver   bool          // that it is over, canceled, or its connection is closed
 	knownBound  bool          // that the host bound it
 	releasedAt  time.Duration // when the placer ended the bound task; 0: it has not
 
@@ -104,14 +104,14 @@
 	r.owner = p.ownerConn()
 	r.owner.send(r.line(""))
 	if w.fails(8) {
-		w.after(time.Duration(w.rng.IntN(int(r.timeout))), func() { w.giveUp(r) })
+		w.after(time.Duration(w.rng.IntN(int(r.timeout))), func() { w.cancel(r) })
 	}
 	w.after(r.timeout+answerGrace, func() { w.checkAnswered(r) })
 }
 
-// giveUp lets an owner give up a request, by a message or by the end of its connection.
-func (w *world) giveUp(r *request) {
-	if r.final != "" || r.givenUp || !r.owner.open || r.placer.incarnation != r.incarnation {
+// cancel lets an owner cancel a request, by a message or by the end of its connection.
+func (w *world) cancel(r *request) {
+	if r.final != "" || r.canceled || !r.owner.open || r.placer.incarnation != r.incarnation {
 		return
 	}
 	if w.rng.IntN(2) != 0 {
@@ -119,8 +119,8 @@
 		return
 	}
 	r.owner.send(encodeLine(platform.TypeRelease, r.ref, platform.CauseOK))
-	r.giveUpSent = true
-	r.placer.deliver(r.incarnation, &r.owner.lastArrival, func() { r.givenUp = r.givenUp || r.answer == "" })
+	r.cancelSent = true
+	r.placer.deliver(r.incarnation, &r.owner.lastArrival, func() { r.canceled = r.canceled || r.answer == "" })
 }
 
 // ownerConn is a connection of an owner to an incarnation of a placer.
@@ -141,7 +141,7 @@
 	})
 }
 
-// close closes the connection, which gives up the requests on it that are not answered.
+// close closes the connection, which cancels the requests on it that are not answered.
 func (o *ownerConn) close() {
 	o.placer.deliver(o.incarnation, &o.lastArrival, func() {
 		if !o.open {
@@ -150,7 +150,7 @@
 		o.open = false
 		for _, r := range o.placer.w.requests {
 			if r.owner == o && r.answer == "" && r.incarnation == o.incarnation {
-				r.givenUp = true
+				r.canceled = true
 				o.placer.w.report.GaveUp++
 			}
 		}
--- a/internal/verify/platformsim/run.go
+++ b/internal/verify/platformsim/run.go
@@ -1,7 +1,7 @@
 // Package platformsim tests pure cores of the platform's placer by deterministic simulation: several placers over a few
-// hosts on a clock of its own, with connections that come late, break, go silent and corrupt what they carry, hosts that
-// drain, crash, come back cold and are cut off, a watch that lags, owners that give up, and placers that are killed. The
-// rules are checked on what is written and delivered.
+// hosts on a clock of its own, with connections that deliver late, break, become unresponsive and corrupt what they
+// carry, hosts that drain, crash, warm up after a restart and are partitioned, a watch that lags, owners that cancel
+// requests, and placers that are killed. The rules are checked on what is written and delivered.
 package platformsim
 
 import (
@@ -11,7 +11,7 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// Config says what is simulated.
+// Config is what is simulated.
 type Config struct {
 	Settings       forkhead.Settings // Placers and Self are filled in
 	WireNames      platformcore.WireNames
--- a/internal/verify/platformsim/run_test.go
+++ b/internal/verify/platformsim/run_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// TestOtherDrawnSettings does runs that nobody has seen, when it is asked to: NODELIVES=1 go test -run Other -rapid.checks=3000.
+// TestOtherDrawnSettings does runs with other seeds, on request: NODELIVES=1 go test -run Other -rapid.checks=3000.
 func TestOtherDrawnSettings(t *testing.T) {
 	if os.Getenv("NODELIVES") == "" {
 		t.Skip("NODELIVES is not set")
@@ -104,7 +104,7 @@
 	return cfg
 }
 
-// In busy runs all that is simulated happens, and each run is the same each time.
+// In runs under load all that is simulated happens, and each run is the same each time.
 func TestRunCoversEverything(t *testing.T) {
 	var sum Report
 	for seed := range uint64(20) {
--- a/internal/verify/platformsim/world.go
+++ b/internal/verify/platformsim/world.go
@@ -28,7 +28,7 @@
 	report    Report
 	lastRef   int
 	faultsOff bool // nothing goes wrong any more
-	manual    bool // hosts and connections do nothing by themselves: ExploreOrders says what happens
+	manual    bool // hosts and connections do nothing by themselves: ExploreOrders decides what happens
 }
 
 // newWorld returns a world with its hosts, listed, and no placer yet.
@@ -91,7 +91,7 @@
 	return event
 }
 
-// publish publishes an event of the list; placers receive it in order, sometimes late.
+// publish publishes a watch event; placers receive it in order, sometimes late.
 func (w *world) publish(snapshot bool, hosts ...platform.Endpoint) {
 	event := w.nextEvent(snapshot, hosts...)
 	for _, p := range w.placers {
--- a/internal/verify/replay/golden_test.go
+++ b/internal/verify/replay/golden_test.go
@@ -23,7 +23,7 @@
 )
 
 // goldenRecordings were written by `forkhead badday --record-on-breach`: a placer that was killed and began again with what it
-// had stored, and one that ran through, each with hosts whose connections break. They are never written anew: a recording that
+// had stored, and one that ran through, each with hosts whose connections break. They are never written again: a recording that
 // an earlier build wrote must replay. -update writes only what is expected of them.
 var goldenRecordings = []string{"placer-0-life-2", "placer-1-life-1"}
 
--- a/internal/verify/scenario/faults.go
+++ b/internal/verify/scenario/faults.go
@@ -6,13 +6,13 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// FaultKind is a kind of fault, by its word in scenarios.
+// FaultKind is a kind of fault, by its keyword in scenarios.
 type FaultKind string
 
 // The kinds of faults.
 const (
 	Crash               FaultKind = "crash"           // hosts crash, with resets, and restart
-	HostPauses          FaultKind = "pauses"          // hosts stand still again and again
+	HostPauses          FaultKind = "pauses"          // hosts stall again and again
 	Vanish              FaultKind = "vanish"          // hosts become unresponsive, with open connections, and restart
 	LateReports         FaultKind = "report-late"     // hosts register, and report what is available, late
 	Shrink              FaultKind = "shrink"          // hosts drain and are removed for good
@@ -27,7 +27,7 @@
 	HostDegradation     FaultKind = "ageing"          //nolint:misspell // the spelling in scenarios. Hosts slow down more and more, crash and restart
 	MassRestart         FaultKind = "mass-restart"    // all hosts of a rack restart at once
 	ClassUnanswered     FaultKind = "class-fail"      // starts of a class do not end on some hosts
-	PlacerStall         FaultKind = "placer-stall"    // placers stand still again and again
+	PlacerStall         FaultKind = "placer-stall"    // placers stall again and again
 	PlacerKill          FaultKind = "placer-kill"     // a placer is killed and restarts
 	ConnectionResets    FaultKind = "cut"             // connections to hosts are reset again and again
 	HalfOpenConnections FaultKind = "half-open"       // connections to hosts stay open and carry nothing
@@ -37,7 +37,7 @@
 	ClientDisconnects   FaultKind = "client-cut"      // clients' streams break, and they submit again
 	SlowReader          FaultKind = "slow-reader"     // clients read late
 	DieMidStart         FaultKind = "die-mid-start"   // hosts crash while a task starts
-	DieAfterBind        FaultKind = "die-after-bind"  // hosts crash when a task runs and they have not said so yet
+	DieAfterBind        FaultKind = "die-after-bind"  // hosts crash when a task runs and they have not reported it yet
 	ClassRejected       FaultKind = "refuse"          // hosts reject a class
 )
 
@@ -53,18 +53,18 @@
 	Kind      FaultKind
 	At        time.Duration // since the start of the run
 	Duration  time.Duration // for kinds that end at once: until what was taken down restarts
-	HostShare float64       // of all hosts, that are struck
+	HostShare float64       // of all hosts, that are affected
 	Zone      string        // that the hosts are in; "": any
 	Rack      string        // that the hosts are in; "": any
 	Class     string
 	Placer    int           // -1: all of them, or none in particular
-	Factor    float64       // of slowness, lag or load, or a share
+	Factor    float64       // of slowness, lag or load, or a fraction
 	Interval  time.Duration // of what is repeated
 	Delay     time.Duration
 	Pos       diagnostic.Pos
 }
 
-// InjectedBug is a breach of a rule that a run makes on purpose, to show that the checker catches it; by its word in
+// InjectedBug is a breach of a rule that a run makes on purpose, to show that the checker catches it; by its keyword in
 // scenarios.
 type InjectedBug string
 
--- a/internal/verify/scenario/golden_test.go
+++ b/internal/verify/scenario/golden_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// The words of faults and injected bugs are these.
+// The keywords of faults and injected bugs are these.
 func TestWordsGolden(t *testing.T) {
 	goldentest.Check(t, "words.txt", []byte(fmt.Sprintln(FaultKinds, InjectedBugs)))
 }
--- a/internal/verify/scenario/read.go
+++ b/internal/verify/scenario/read.go
@@ -12,7 +12,7 @@
 	"forkhead/internal/parse/sexp"
 )
 
-// Bounds of what a scenario may say.
+// Bounds of the values of a scenario.
 const (
 	day                  = 24 * time.Hour
 	minLength            = 100 * time.Millisecond
@@ -47,7 +47,7 @@
 	return r.scenario, nil
 }
 
-// newScenario returns a scenario with the values of what need not be said.
+// newScenario returns a scenario with the defaults of what need not be given.
 func newScenario(file string, text []byte) *Scenario {
 	return &Scenario{
 		File: file, Text: text, Seed: 1, Length: 20 * time.Second, Settle: 15 * time.Second,
--- a/internal/verify/scenario/scenario.go
+++ b/internal/verify/scenario/scenario.go
@@ -64,7 +64,7 @@
 	DecisionTime, StartTime, NoteInterval, RegistrationInterval time.Duration
 	MaxQueued, MaxStarting, MaxCachedPrograms                   int
 	UncachedStartFactor                                         float64 // times as long takes a start without the program
-	MeanUsage, UsageSwing                                       float64 // share of the requested resources that tasks use
+	MeanUsage, UsageSwing                                       float64 // fraction of the requested resources that tasks use
 }
 
 // CatalogBehavior is how the endpoint list behaves: how long it lags behind the hosts, and how long after its last
--- a/internal/verify/simulation/crashes.go
+++ b/internal/verify/simulation/crashes.go
@@ -10,7 +10,7 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// CrashCounts says how often the placer of a durable run crashed, by where.
+// CrashCounts is how often the placer of a durable run crashed, by where.
 type CrashCounts struct{ BeforeCommit, AfterCommit, AfterHalfOutputs, BetweenSteps, DuringRecovery int }
 
 const (
--- a/internal/verify/simulation/hosts.go
+++ b/internal/verify/simulation/hosts.go
@@ -14,7 +14,7 @@
 type Host struct {
 	Config     hostmodel.Config
 	Model      *hostmodel.Host // the present incarnation
-	Listed     bool            // in the list of hosts
+	Listed     bool            // in the endpoint list
 	State      forkhead.MachineState
 	Blackholed bool // frames are lost both ways, and connections stay open
 
@@ -28,7 +28,7 @@
 	return h.conns[conn] && !h.Blackholed && generation == h.connGeneration
 }
 
-// AddHost adds a host that has been up for long. The placer hears of it when the list is next sent.
+// AddHost adds a host that has been up for long. The placer gets it when the endpoint list is next sent.
 func (s *Sim) AddHost(cfg hostmodel.Config) {
 	h := &Host{Config: cfg, Listed: true, State: forkhead.Ready, epoch: 1, conns: map[uint32]bool{}}
 	h.Model = hostmodel.New(cfg, h.epoch, hostSeed, s.Now, false)
@@ -42,15 +42,15 @@
 	s.dropConnections(name)
 }
 
-// RestartHost starts a new incarnation of a host; cold says that it is warming up.
-func (s *Sim) RestartHost(name string, cold bool) {
+// RestartHost starts a new incarnation of a host; with warmingUp it has just come up.
+func (s *Sim) RestartHost(name string, warmingUp bool) {
 	h := s.Hosts[name]
 	h.epoch++
-	h.Model = hostmodel.New(h.Config, h.epoch, hostSeed, s.Now, cold)
+	h.Model = hostmodel.New(h.Config, h.epoch, hostSeed, s.Now, warmingUp)
 	s.SendHostList()
 }
 
-// SendHostList sends a snapshot of the list of hosts to the core, or an error if the catalog is down. It does nothing until
+// SendHostList sends a snapshot of the endpoint list to the core, or an error if the catalog is down. It does nothing until
 // the core has subscribed.
 func (s *Sim) SendHostList() {
 	if !s.subscribed {
@@ -70,7 +70,7 @@
 	s.Step(list)
 }
 
-// entry returns the host's entry in the list.
+// entry returns the host's entry in the endpoint list.
 func (h *Host) entry() core.HostEntry {
 	cores, memory := h.Model.Available()
 	return core.HostEntry{
--- a/internal/verify/simulation/network.go
+++ b/internal/verify/simulation/network.go
@@ -72,7 +72,7 @@
 }
 
 // ExecuteHostOutputs executes the outputs of a host: its frames are brought to the placer, unless they get lost, and its
-// connections closed. The connections of a host that is dead are reset.
+// connections closed. The connections of a host that is down are reset.
 func (s *Sim) ExecuteHostOutputs(name string, out []hostmodel.Output) {
 	h := s.Hosts[name]
 	if h.Model.Dead() {
--- a/internal/verify/simulation/random.go
+++ b/internal/verify/simulation/random.go
@@ -9,7 +9,7 @@
 	"forkhead/internal/scheduler/core"
 )
 
-// Mix says what a random run submits.
+// Mix is what a random run submits.
 type Mix struct {
 	Name          string
 	classes       []string // drawn from; those listed twice are drawn twice as often
@@ -145,7 +145,7 @@
 	}
 }
 
-// toggleListed takes a host that is dead from the list, or puts it back.
+// toggleListed removes a host that is down from the endpoint list, or puts it back.
 func (r *randomRun) toggleListed(host string) {
 	h := r.s.Hosts[host]
 	h.Listed = !h.Listed || !h.Model.Dead()
--- a/internal/verify/simulation/random_test.go
+++ b/internal/verify/simulation/random_test.go
@@ -15,14 +15,14 @@
 		which = append(which, seed)
 	}
 	// Runs that once broke a rule: a task dropped with an attempt unknown and started again under its
-	// key, a group checked without a host that had left the list, a Welcome whose Holds were lost, an
+	// key, a group checked without a host that had left the endpoint list, a Welcome whose Holds were lost, an
 	// update that waited for good for one of its tasks, a stop that was requested too early.
 	which = append(which, 1126, 3490, 5312, 1739, 669, 744, 957, 1605, 1746, 1902, 2119, 2581, 2793, 3399, 3788)
 	for _, seed := range which {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { RunRandom(t, Ordinary, uint64(seed)) })
 	}
 	// And runs whose placer broke one by what crossed its own sockets: an offer that waited for its
-	// connection while tasks of an earlier incarnation turned up, or to a host whose handshake said that it
+	// connection while tasks of an earlier incarnation turned up, or to a host whose handshake reported that it
 	// drains after it was forgotten; a copy whose Stop was lost; a keyed task that lapsed as the safe one it
 	// had become.
 	for _, seed := range []int{10150, 10587, 10641, 10986, 11370, 11409, 11418} {
--- a/internal/verify/simulation/simulation.go
+++ b/internal/verify/simulation/simulation.go
@@ -41,8 +41,8 @@
 	// The hosts, their list and the network.
 	Hosts      map[string]*Host
 	HostNames  []string                                  // in the order in which they were added
-	CatalogUp  bool                                      // the list of hosts can be read
-	subscribed bool                                      // the core has subscribed to the list of hosts
+	CatalogUp  bool                                      // the endpoint list can be read
+	subscribed bool                                      // the core has subscribed to the endpoint list
 	Delay      time.Duration                             // of a frame, each way
 	ToHost     func(host string, f hostproto.Frame) bool // called for each frame that arrives; false loses it; may be nil
 	FromHost   func(host string, f hostproto.Frame) bool // the same for frames from hosts
@@ -115,7 +115,7 @@
 	s.timers.Add(s.Now+d, do)
 }
 
-// Advance moves the clock on by d and does all that is due until then.
+// Advance advances the clock by d and does all that is due until then.
 func (s *Sim) Advance(d time.Duration) {
 	end := s.Now + d
 	for {
@@ -129,7 +129,7 @@
 }
 
 // nextEvent returns the earliest event until end, or end and nil. Of one time the timers come first, then the core, then
-// the hosts. A timer of end itself is returned; the core and the hosts do what is due then when the clock moves on.
+// the hosts. A timer of end itself is returned; the core and the hosts do what is due then when the clock advances.
 func (s *Sim) nextEvent(end time.Duration) (at time.Duration, do func()) {
 	at = end
 	if due, ok := s.timers.Next(); ok && due <= at {
--- a/internal/verify/simulation/submissions.go
+++ b/internal/verify/simulation/submissions.go
@@ -9,7 +9,7 @@
 	"forkhead/internal/scheduler/core"
 )
 
-// pollInterval is how often Await asks for the outcomes.
+// pollInterval is how often Await polls for the outcomes.
 const pollInterval = 20 * time.Millisecond
 
 // ParseCompose parses a Compose file as a placer's HTTP front end does, and fails the test if it is wrong.
--- a/internal/verify/testcluster/cluster.go
+++ b/internal/verify/testcluster/cluster.go
@@ -46,7 +46,7 @@
 	defects    atomic.Uint64 // of placers that were killed
 }
 
-// Options says how a cluster is run, beside what its scenario says.
+// Options are how a cluster is run, beside its scenario.
 type Options struct {
 	Log         zerolog.Logger     // of the placers
 	Recorder    *recorder.Recorder // takes the traffic of hosts and placers; nil: none
@@ -54,7 +54,7 @@
 	RecordSteps bool               // the steps of the placers' cores are recorded, for Cluster.Recordings
 }
 
-// Start starts a scenario's catalog, hosts and placers. All are in this process and listen at any free ports, so that
+// Start starts a scenario's catalog, hosts and placers. All are in this process and listen at any unused ports, so that
 // clusters can run side by side.
 func Start(s *scenario.Scenario, opt Options) (*Cluster, error) {
 	c := &Cluster{Scenario: s, Clock: clock.New(), opt: opt}
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// withFreeAddresses returns a copy of settings in which each placer has free addresses.
+// withFreeAddresses returns a copy of settings in which each placer has unused addresses.
 func withFreeAddresses(s *settings.Settings) (*settings.Settings, error) {
 	set := *s
 	set.Placers = slices.Clone(s.Placers)
--- a/internal/verify/testcluster/placers.go
+++ b/internal/verify/testcluster/placers.go
@@ -88,7 +88,7 @@
 	return cfg, nil
 }
 
-// startPlacer starts a placer, whose ports may still be held for a moment by what is closing.
+// startPlacer starts a placer, whose ports closing connections may still use for a moment.
 func startPlacer(cfg placer.Config) (p *placer.Server, err error) {
 	for range maxPlacerStarts {
 		if p, err = placer.Start(cfg); err == nil {
--- a/internal/verify/testcluster/ports.go
+++ b/internal/verify/testcluster/ports.go
@@ -9,7 +9,7 @@
 )
 
 // The ports of clusters lie below those that the system gives to outgoing connections: a server that is down for a while must
-// find its port free when it restarts.
+// find its port unused when it restarts.
 const (
 	minPort         = 12_000
 	portCount       = 18_000
@@ -21,7 +21,7 @@
 	portsTried atomic.Uint64             // by all calls of freeAddress
 )
 
-// freeAddress returns a loopback address that is free now. No other call in this process gets the same port until all others
+// freeAddress returns a loopback address that is unused now. No other call in this process gets the same port until all others
 // have been tried: between this call and the start of a server at the address, other servers of the cluster start.
 func freeAddress(network string) (string, error) {
 	var err error
--- a/internal/verify/testcluster/recording.go
+++ b/internal/verify/testcluster/recording.go
@@ -21,7 +21,7 @@
 func (c *Cluster) Recordings() []Recording { return c.recordings }
 
 // observeSteps returns the function that a placer's next incarnation calls after each step of its core: it captures the
-// traffic on the placer's sockets, and records the steps if that is wanted.
+// traffic on the placer's sockets, and records the steps if that is configured.
 func (c *Cluster) observeSteps(
 	placer int, seed, epoch uint64,
 ) func(now, due time.Duration, in []core.Input, out []core.Output) {
@@ -35,7 +35,7 @@
 			c.opt.Recorder.Add(e)
 		}
 		if recording != nil {
-			// A recording that is cut short says so when it is ended.
+			// A recording that is cut short is reported when it is ended.
 			_ = recording.Add(&replay.Step{Now: now, Due: due, In: in, Out: replay.FormatOutputs(out)})
 		}
 	}
