--- a/internal/scheduler/attempt/doc.go
+++ b/internal/scheduler/attempt/doc.go
@@ -1,7 +1,7 @@
-// Package attempt has the states of a placement request and of its attempts. A request is one arrival of a task at the
-// module; an attempt is one offer of the task to one host. What may be sent, and how a request may be answered, follows
-// from these states alone. The package is pure: no clock, no socket. The scheduler's cores and the model checker both
-// run on it.
+// Package attempt has the states of a placement request and of its attempts. A request asks the module
+// to place a task; an attempt is one offer of the task to one host. What may be sent, and how a request may be
+// answered, follows from these states alone. The package is pure: no clock, no socket. The scheduler's cores and the
+// model checker both run on it.
 //
 //	phase.go    phases of an attempt, their inputs and effects, and the table of transitions
 //	request.go  a request with its attempts: what may be offered, written and answered
--- a/internal/scheduler/attempt/phase.go
+++ b/internal/scheduler/attempt/phase.go
@@ -85,7 +85,7 @@
 	ReportLost                        // the module is notified that the reply broke off or the task was lost
 	ReportEnded                       // the module is notified how the task ended
 	ReportSettled                     // an unknown attempt is settled: the task's owner may act on it
-	Orphaned                          // an attempt that was given up holds its task: adopt or stop it
+	Orphaned                          // an abandoned attempt has its task: adopt or stop it
 	Reconnected                       // an unreachable attempt is back: there is nothing to report
 	ProtocolViolation                 // no host that follows the protocol sends this: its connection is closed
 	effectCount
--- a/internal/scheduler/attempt/request.go
+++ b/internal/scheduler/attempt/request.go
@@ -15,7 +15,7 @@
 	Unanswered       Answer = iota
 	AnsweredPlaced          // the task is placed
 	AnsweredRejected        // rejected: a retry is harmless
-	AnsweredFailed          // failed: no promise about what ran
+	AnsweredFailed          // failed: it is open what ran
 )
 
 // HostID is the number by which the module knows a host.
@@ -31,7 +31,7 @@
 // SameDomain reports whether two hosts are in one domain of a level of the topology.
 type SameDomain func(level forkhead.Domain, x, y HostID) bool
 
-// Request is one arrival of a task at the module, with all attempts to place it. Attempts are numbered from 0 in the
+// Request is a placement request for a task, with all attempts to place it. Attempts are numbered from 0 in the
 // order in which the module made them.
 type Request struct {
 	Rules    Rules
@@ -40,7 +40,7 @@
 	Attempts []Attempt
 }
 
-// Why an offer or an answer is not legal. A veto prints the text.
+// Reasons why an offer or an answer is not legal. A veto prints the text.
 var (
 	// ErrAnswered means that the request has its answer.
 	ErrAnswered = errors.New("the ask is answered")
@@ -55,7 +55,7 @@
 	// ErrOutsideDedupDomain means that an earlier attempt of a keyed task may have run where its key is not shared with
 	// the host.
 	ErrOutsideDedupDomain = errors.New("an earlier attempt may have run outside this host's group")
-	// ErrDedupWindowPassed means that hosts no longer remember the key of an attempt that may have run.
+	// ErrDedupWindowPassed means that hosts have dropped the key of an attempt that may have run.
 	ErrDedupWindowPassed = errors.New("an earlier attempt may have run too long ago")
 	// ErrRejectionUnsafe means that a rejection would promise a harmless retry, which an attempt that may have run rules
 	// out.
@@ -72,7 +72,7 @@
 	if len(r.Attempts) >= r.Rules.MaxAttempts {
 		return ErrAttemptsExhausted
 	}
-	isOldest := true // of those that may have run: hosts remember a key from the oldest
+	isOldest := true // of those that may have run: hosts keep a key from the oldest on
 	for i := range r.Attempts {
 		earlier := &r.Attempts[i]
 		if earlier.Phase.IsInFlight() && !r.Rules.Parallel {
@@ -94,7 +94,7 @@
 
 // MayWrite returns nil if an attempt that waited for its connection may still be written, else ErrAnswered,
 // ErrDeadlinePassed or ErrDedupWindowPassed. An offer may be legal when its host is chosen and no longer when it can be
-// written: the wait may outlast the request, or the time for which hosts remember the task's key.
+// written: the wait may outlast the request, or the time for which hosts keep the task's key.
 func (r *Request) MayWrite(now time.Duration, number int) error {
 	if err := r.isOpen(now); err != nil {
 		return err
@@ -104,7 +104,7 @@
 		if i == number || !earlier.Phase.MayHaveRun() {
 			continue
 		}
-		// Hosts remember a key from the oldest attempt that may have run.
+		// Hosts keep a key from the oldest attempt on that may have run.
 		if r.Rules.isForgotten(now, earlier) {
 			return ErrDedupWindowPassed
 		}
@@ -192,7 +192,7 @@
 	return false
 }
 
-// IsDone reports whether the request is answered and all its attempts are settled, so that it can be forgotten.
+// IsDone reports whether the request is answered and all its attempts are settled, so that it can be removed.
 func (r *Request) IsDone() bool {
 	if r.Answer == Unanswered {
 		return false
--- a/internal/scheduler/attempt/rules.go
+++ b/internal/scheduler/attempt/rules.go
@@ -6,14 +6,14 @@
 	"forkhead"
 )
 
-// MinRequestTime is the shortest time for which a placement request is worth making.
+// MinRequestTime is the shortest time for which a placement request is made.
 const MinRequestTime = 50 * time.Millisecond
 
 // Rules are what a task's class and the settings allow its requests.
 type Rules struct {
 	Effect      forkhead.Effect
 	DedupDomain forkhead.Domain // hosts of one such domain share the keys of keyed tasks
-	DedupWindow time.Duration   // hosts remember a key for so long
+	DedupWindow time.Duration   // hosts keep a key for so long
 	MaxAttempts int             // of one request
 	Parallel    bool            // attempts of one request may be in flight together
 }
@@ -37,14 +37,14 @@
 	return nil
 }
 
-// isForgotten reports whether the hosts that may have started an attempt of a keyed task no longer remember its key.
+// isForgotten reports whether the hosts that may have started an attempt of a keyed task have dropped its key.
 func (r *Rules) isForgotten(now time.Duration, earlier *Attempt) bool {
 	return r.Effect == forkhead.Keyed && now >= earlier.ChosenAt+r.DedupWindow
 }
 
 // MayRequest reports whether the owner may request a task while attempts of its earlier requests are unknown, and for
 // how long at most (0: no limit). unknown is their number, and the first was made at firstAt. A host that started one of
-// them remembers its key for the window only, so a request for a keyed task ends before.
+// them keeps its key for the window only, so a request for a keyed task ends before.
 func (r *Rules) MayRequest(now time.Duration, unknown int, firstAt time.Duration) (limit time.Duration, ok bool) {
 	switch {
 	case unknown == 0 || r.Effect == forkhead.Safe:
@@ -57,13 +57,13 @@
 }
 
 // MustWaitForHosts reports whether the first request of a placer's new incarnation has to wait until all hosts have
-// reported what they run. allReported says that they have, timedOut that the owner's wait for them is over.
+// reported what they run. allReported is whether they have, timedOut whether the owner's wait for them is over.
 func (r *Rules) MustWaitForHosts(allReported, timedOut bool) bool {
 	return r.Effect != forkhead.Safe && !allReported && !timedOut
 }
 
-// RejectionIsHarmless reports whether a task that is given up may be answered with a rejection, which promises that a
-// retry is harmless. rejected says that its last request was rejected, offered that any attempt was made, and unknown is
+// RejectionIsHarmless reports whether an abandoned task may be answered with a rejection, which means that a
+// retry is harmless. rejected is whether its last request was rejected, offered whether any attempt was made, and unknown is
 // the number of attempts whose fate is not known.
 func (r *Rules) RejectionIsHarmless(rejected, offered bool, unknown int) bool {
 	return (rejected || !offered) && (unknown == 0 || r.RetryIsHarmless())
@@ -73,7 +73,7 @@
 // until their fate is known.
 func (r *Rules) ExpiresWhenUnreachable() bool { return r.Effect == forkhead.Safe }
 
-// ShouldAdopt reports whether an attempt that was given up, and now turns out to hold its task, becomes the task's
-// placement; else it is stopped. wanted says that the owner still waits for the task, inFlight that an attempt of the
+// ShouldAdopt reports whether an abandoned attempt that turns out to have its task becomes the task's
+// placement; else it is stopped. wanted is whether the owner still waits for the task, inFlight whether an attempt of the
 // present request is in flight.
 func ShouldAdopt(wanted, inFlight bool) bool { return wanted && !inFlight }
--- a/internal/scheduler/core/api.go
+++ b/internal/scheduler/core/api.go
@@ -16,11 +16,11 @@
 
 // The inputs.
 type (
-	// HostListReceived is the complete list of hosts, or says that it could not be read.
+	// HostListReceived is a snapshot of the endpoint list, or reports that it could not be read.
 	HostListReceived struct {
 		Mode  forkhead.ListMode // ListCached, ListSnapshot or ListFailed
 		Hosts []HostEntry
-		Stale bool // of ListCached: the list is old, and a host counts only once it has greeted
+		Stale bool // of ListCached: the list is old, and a host counts only after its handshake
 	}
 	// HostConnected reports that connection Conn to a host is established.
 	HostConnected struct {
@@ -69,7 +69,7 @@
 func (Restore) input()          {}
 func (GossipReceived) input()   {}
 
-// HostEntry is one host of the list.
+// HostEntry is one host of the endpoint list.
 type HostEntry = consul.Host
 
 // Output is something for the shell to do.
@@ -93,7 +93,7 @@
 		Conn  uint32
 		Frame hostproto.Frame
 	}
-	// Subscribe begins to watch the list of hosts. HostListReceived answers, and again after each change.
+	// Subscribe begins to watch the endpoint list. HostListReceived answers, and again after each change.
 	Subscribe struct{}
 	// SendGossip sends a message to a placer, or to forkhead.AllPlacers.
 	SendGossip struct {
@@ -121,7 +121,7 @@
 	Persist struct{ Record durable.Record }
 	// Log is a line for whoever is on call.
 	Log struct {
-		Defect bool // the line tells of a fault of this program
+		Defect bool // the line reports a fault of this program
 		Text   string
 	}
 )
@@ -164,13 +164,13 @@
 type Status struct {
 	Placer            int                    `json:"placer"`
 	Epoch             uint64                 `json:"epoch"`
-	Hosts             int                    `json:"hosts"`       // in the list
-	HostsUp           int                    `json:"hosts_up"`    // connected and greeted
-	HostsReady        int                    `json:"hosts_ready"` // neither draining nor gone
+	Hosts             int                    `json:"hosts"`       // in the endpoint list
+	HostsUp           int                    `json:"hosts_up"`    // connected, after the handshake
+	HostsReady        int                    `json:"hosts_ready"` // neither draining nor removed
 	Tasks             int                    `json:"tasks"`
 	TasksPlaced       int                    `json:"tasks_placed"`
 	TasksWaiting      int                    `json:"tasks_waiting"`
-	AttemptsUnknown   int                    `json:"attempts_unknown"` // they may have run, and their hosts haven't said
+	AttemptsUnknown   int                    `json:"attempts_unknown"` // they may have run, and their hosts have not reported it
 	Submissions       int                    `json:"submissions"`
 	PlacementRequests uint64                 `json:"asks"`
 	Offers            uint64                 `json:"offers"`
--- a/internal/scheduler/core/attempts.go
+++ b/internal/scheduler/core/attempts.go
@@ -12,7 +12,7 @@
 	"forkhead/internal/scheduler/retrypolicy"
 )
 
-// taskAttempt is one attempt of a request: the offer of its task to one host. Its phase is kept by package attempt.
+// taskAttempt is one attempt of a request: the offer of its task to one host. Its phase is that of package attempt.
 type taskAttempt struct {
 	request       *placementRequest
 	number        int // in the request
@@ -226,12 +226,12 @@
 	c.handleReplicaEnded(a.request.replica, a, d)
 }
 
-// sendStop asks the host of an attempt to end its task.
+// sendStop requests the host of an attempt to end its task.
 func (c *Core) sendStop(a *taskAttempt) {
 	c.sendFrame(a.host, hostproto.Stop{Ref: a.ref, Grace: a.request.replica.stopGrace()})
 }
 
-// attemptFailure is why an attempt came to nothing, in the words of an outcome's reason.
+// attemptFailure is why an attempt failed, as an outcome's reason prints it.
 type attemptFailure string
 
 const (
--- a/internal/scheduler/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -135,7 +135,7 @@
 	}
 	requestDeadlines := c.handleDueTimers()
 	c.runModule(starting)
-	// After the module's own timers of this moment, so that the module of a placer that stood still can end its requests
+	// After the module's own timers of this moment, so that the module of a placer that was stalled can end its requests
 	// before they count as left open.
 	for _, t := range requestDeadlines {
 		c.handleTimer(t)
--- a/internal/scheduler/core/dependencies.go
+++ b/internal/scheduler/core/dependencies.go
@@ -77,7 +77,7 @@
 	return met, ""
 }
 
-// reached reports whether a service is as far as a condition asks, or why it never will be; "": it may be.
+// reached reports whether a service is as far as a condition requires, or why it never will be; "": it may be.
 func (s *service) reached(condition servicespec.DependencyCondition) (met bool, failure string) {
 	if s.failureReason != "" {
 		return false, ", which was not placed"
--- a/internal/scheduler/core/doc.go
+++ b/internal/scheduler/core/doc.go
@@ -10,13 +10,13 @@
 //
 //	api.go, status.go             inputs, outputs, outcomes; what the placer holds and has counted
 //	core.go, timers.go            one step; what only time brings
-//	submissions.go, projects.go   what clients submit, with the outcomes owed to it; projects and their services
+//	submissions.go, projects.go   what clients submit, with their pending outcomes; projects and their services
 //	dependencies.go, updates.go   services that wait for others; rolling updates
 //	replicas.go, requesting.go    desired replicas; when they are requested and retried
 //	requests.go, explain.go       placement requests; why a replica cannot be placed
 //	offers.go, attempts.go        offers of the module, checked and sent; what becomes of an attempt
 //	orphans.go                    running tasks that no placed replica accounts for: adopted or stopped
-//	hosts.go, hostlist.go         hosts; the list that names them
+//	hosts.go, hostlist.go         hosts; the endpoint list that names them
 //	hostconns.go, frames.go       connections to hosts; the frames that hosts send
 //	labels.go                     a bit for each placement constraint in use
 //	restore.go                    what is persisted, and how a restarted placer begins with it
--- a/internal/scheduler/core/explain.go
+++ b/internal/scheduler/core/explain.go
@@ -11,7 +11,7 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// explain says why a replica cannot be placed, from what this placer sees and what hosts said. hopeless says that no host
+// explain returns why a replica cannot be placed, by this placer's view and the hosts' answers. hopeless means that no host
 // of any machine type could ever take it.
 func (c *Core) explain(r *desiredReplica) (reason string, hopeless bool) {
 	if !c.fitsMachineType(r) {
@@ -48,7 +48,7 @@
 	return false
 }
 
-// explainByHosts says what rules out every host that this placer sees; "": nothing does.
+// explainByHosts returns what rules out every host that this placer sees; "": nothing does.
 func (c *Core) explainByHosts(r *desiredReplica) string {
 	class := c.moduleClass(r)
 	var ready, ofType, labeled int
@@ -114,7 +114,7 @@
 	forkhead.MachineDomain: "host", forkhead.CellDomain: "rack", forkhead.ZoneDomain: "zone",
 }
 
-// reachedSpreadLimit says which limit keeps the service's next task off a host, or "".
+// reachedSpreadLimit returns which limit keeps the service's next task off a host, or "".
 func (c *Core) reachedSpreadLimit(r *desiredReplica, h *host) string {
 	limits := statedSpreadLimits(r)
 	if class := c.moduleClass(r); class.SpreadDomain != forkhead.AnyDomain {
--- a/internal/scheduler/core/frames.go
+++ b/internal/scheduler/core/frames.go
@@ -55,14 +55,14 @@
 	c.handleAttempt(a, attempt.RejectionInput(a.phase()), detail)
 }
 
-// handleAcceptedFrame takes the word that a host has a task. With BoundWhenRunning it does not count before the task runs.
+// handleAcceptedFrame handles a host's report that it has a task. With BoundWhenRunning it does not count before the task runs.
 func (c *Core) handleAcceptedFrame(h *host, f hostproto.Accepted) {
 	if a := h.attempts[f.Ref]; a != nil && !c.settings.Module.BoundWhenRunning {
 		c.handleAttempt(a, attempt.Accepted, attemptDetail{})
 	}
 }
 
-// handleRunning takes the word that a task runs. in is how the host said so.
+// handleRunning handles a host's report that a task runs. in is how the host reported it.
 func (c *Core) handleRunning(a *taskAttempt, in attempt.Input) {
 	if c.settings.Module.BoundWhenRunning {
 		c.handleAttempt(a, in, attemptDetail{})
--- a/internal/scheduler/core/hostconns.go
+++ b/internal/scheduler/core/hostconns.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// expireUnreachable gives up what was placed on a host that has been unreachable for long, where a second start is
+// expireUnreachable abandons what was placed on a host that has been unreachable for long, where a second start is
 // harmless. All else waits until its fate is known.
 func (c *Core) expireUnreachable(h *host, timerNumber uint64) {
 	if timerNumber != h.lostTimerSeq || h.isConnectedAndSynced() {
@@ -137,7 +137,7 @@
 	h.reportedRefs[reported.Ref] = true
 	switch a := h.attempts[reported.Ref]; {
 	case a != nil && reported.Phase == hostproto.PhaseQueued:
-		c.sendFrame(h, hostproto.Withdraw{Ref: reported.Ref}) // it was given up when the connection broke
+		c.sendFrame(h, hostproto.Withdraw{Ref: reported.Ref}) // it was abandoned when the connection broke
 	case a != nil && reported.Phase == hostproto.PhaseStarting:
 		c.handleAttempt(a, attempt.ListedByHost, attemptDetail{})
 	case a != nil:
@@ -149,7 +149,7 @@
 	}
 }
 
-// completeSync follows the last of a host's Holds: what it did not name is asked about, and what waited for the
+// completeSync follows the last of a host's Holds: what it did not name is queried, and what waited for the
 // connection is sent.
 func (c *Core) completeSync(h *host) {
 	h.synced, h.everSynced = true, true
@@ -185,8 +185,8 @@
 	}
 }
 
-// checkLiveness makes sure that an idle connection is not a dead one: a host that sends nothing for half of LostAfter is
-// probed, and one that sends nothing for all of it counts as gone. Guards against hosts that vanish without a reset.
+// checkLiveness makes sure that the peer of an idle connection is alive: a host that sends nothing for half of LostAfter is
+// probed, and one that sends nothing for all of it is unreachable. Guards against hosts that vanish without a reset.
 func (c *Core) checkLiveness(h *host, conn uint32) {
 	if conn != h.connection.Conn || h.connection.State != hostconn.Up {
 		return
--- a/internal/scheduler/core/hostconns_test.go
+++ b/internal/scheduler/core/hostconns_test.go
@@ -9,7 +9,7 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// Hosts that die in the middle of a start, or after it and before they say so: safe tasks go
+// Hosts that crash in the middle of a start, or after it and before they report it: safe tasks go
 // elsewhere, and each gets one outcome.
 func TestCoreRetriesSafeTasksOfDeadHosts(t *testing.T) {
 	for name, point := range map[string]hostmodel.CrashPoint{"mid look": hostmodel.DuringDecision, "mid start": hostmodel.DuringStart, "after bind": hostmodel.AfterBind} {
@@ -27,8 +27,8 @@
 	}
 }
 
-// A host that falls silent without a reset is noticed; harmless tasks go elsewhere, and when it comes back what it still
-// runs is stopped.
+// A host that becomes unresponsive without a reset is detected; harmless tasks go elsewhere, and when it comes back
+// what it still runs is stopped.
 func TestCoreReplacesSafeTasksOfUnresponsiveHost(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	out := s.Await(s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 4}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}"), 5*time.Second)
@@ -72,7 +72,7 @@
 }
 
 // A host that flaps under one name with a new epoch each time: no task has two outcomes, none is
-// lost, and the tables are empty once the project is gone.
+// lost, and the tables are empty once the project is removed.
 func TestCoreForgetsEverythingAfterFlappingHost(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	id := s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 30}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}")
--- a/internal/scheduler/core/hostlist.go
+++ b/internal/scheduler/core/hostlist.go
@@ -57,8 +57,8 @@
 	return states
 }
 
-// addListedHosts adds and updates the hosts that a list names. It returns them, and the machines that are gone from the
-// module's sight because their hosts were renumbered.
+// addListedHosts adds and updates the hosts that an endpoint list names. It returns them, and the machines that the
+// module must drop because their hosts were renumbered.
 func (c *Core) addListedHosts(list HostListReceived) (inList map[*host]bool, renumbered []forkhead.Machine) {
 	inList = map[*host]bool{}
 	for _, entry := range list.Hosts {
@@ -96,7 +96,7 @@
 	return index
 }
 
-// delistHost takes a host that is not in the last list off the list, if it is still listed.
+// delistHost marks a host as not listed, if the last endpoint list does not have it any more.
 func (c *Core) delistHost(h *host, mode forkhead.ListMode) {
 	if h.restored && mode == forkhead.ListSnapshot {
 		h.restored = false
@@ -109,8 +109,8 @@
 	}
 }
 
-// settleIfUnreachable settles the attempts at a host that has left the list and is out of reach: being taken off the list is the
-// operator's word that it is gone.
+// settleIfUnreachable settles the attempts at an unreachable host that has left the endpoint list: by
+// removing it from the list, the operator confirms that nothing runs there.
 func (c *Core) settleIfUnreachable(h *host) {
 	if h.listed || h.connection.State != hostconn.Down {
 		return
--- a/internal/scheduler/core/hostlist_test.go
+++ b/internal/scheduler/core/hostlist_test.go
@@ -9,7 +9,7 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// The list fails and comes back; the module polls again, and tasks wait meanwhile.
+// The endpoint list fails and comes back; the module polls again, and tasks wait meanwhile.
 func TestCoreWaitsWhileTheHostListFails(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 0)
 	s.CatalogUp = false
@@ -26,7 +26,7 @@
 	s.RequireNoViolations()
 }
 
-// Two hosts whose names hash to one number are told apart.
+// Two hosts whose names hash to one number are distinguished.
 func TestCoreRenumbersCollidingHosts(t *testing.T) {
 	hash := func(name string, salt uint32) uint32 {
 		if salt == 0 && (name == "h0" || name == "h1") {
--- a/internal/scheduler/core/hosts.go
+++ b/internal/scheduler/core/hosts.go
@@ -13,7 +13,7 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// host is a host of the list, or one that is not listed and still has something of this placer.
+// host is a host of the endpoint list, or one that is not listed and still has something of this placer.
 type host struct {
 	name        string
 	id          forkhead.MachineID
@@ -24,10 +24,10 @@
 	labels      uint64 // the constraints that it meets
 
 	listed          bool
-	stale           bool          // only an old list has it: it counts once it has greeted
+	stale           bool          // only an old list has it: it counts after its handshake
 	restored        bool          // known from an earlier incarnation's attempts, and not listed yet
-	reportsDraining bool          // by its own report, whatever the list says
-	drainingSince   time.Duration // when this placer was told that it drains or is gone
+	reportsDraining bool          // by its own report, whatever the endpoint list has
+	drainingSince   time.Duration // when this placer was notified that it drains or is removed
 
 	connection      hostconn.Connection
 	synced          bool                   // it has sent all that it has of this placer, on this connection
@@ -43,7 +43,7 @@
 	probeWanted  bool // the module wants a probe, which waits for the connection
 }
 
-// state is the list's, or what the host reports itself if that is worse.
+// state is the endpoint list's, or what the host reports itself if that is worse.
 func (h *host) state() forkhead.MachineState {
 	switch {
 	case !h.listed || h.stale:
@@ -121,7 +121,7 @@
 }
 
 // addHost adds a host with a number of its own. Hosts whose numbers collided with it get others; renumbered are the
-// machines that are gone from the module's sight for that.
+// machines that the module must drop for that.
 func (c *Core) addHost(name string) (h *host, renumbered []forkhead.Machine) {
 	h = &host{name: name, attempts: map[hostproto.Ref]*taskAttempt{}, probesSentAt: map[uint32]time.Duration{}}
 	c.hosts[name] = h
@@ -150,7 +150,7 @@
 	return []forkhead.Machine{removed}
 }
 
-// forgetUnusedHosts forgets the hosts that are not listed, not connected, and have nothing of this placer.
+// forgetUnusedHosts drops the hosts that are not listed, not connected, and have nothing of this placer.
 func (c *Core) forgetUnusedHosts() {
 	for name, h := range c.hosts {
 		if !h.listed && h.connection.State == hostconn.Down && len(h.attempts) == 0 {
--- a/internal/scheduler/core/labels.go
+++ b/internal/scheduler/core/labels.go
@@ -14,7 +14,7 @@
 // meets.
 type labelTable struct {
 	maxLabels int            // at most len(rows)
-	rows      [64]*labelRow  // by bit; nil: free
+	rows      [64]*labelRow  // by bit; nil: unused
 	index     map[string]int // the constraints' bits, by their text
 	nearCount int            // constraints in use that change with what is placed
 }
@@ -30,7 +30,7 @@
 	"near.machine": forkhead.MachineDomain, "near.rack": forkhead.CellDomain, "near.zone": forkhead.ZoneDomain,
 }
 
-// add returns the bit of a constraint and whether the constraint had none before. ok is false if no bit is free.
+// add returns the bit of a constraint and whether the constraint had none before. ok is false if all bits are in use.
 func (t *labelTable) add(constraint servicespec.Constraint) (bit int, added, ok bool) {
 	name := constraint.String()
 	if bit, known := t.index[name]; known {
@@ -163,7 +163,7 @@
 	return (e.Attributes[constraint.Attribute] == constraint.Value) != constraint.Not
 }
 
-// meetsAll reports whether a host of the list meets constraints, none of which is about what is near it.
+// meetsAll reports whether a host meets constraints, none of which is about what is near it.
 func meetsAll(e *HostEntry, constraints []servicespec.Constraint) bool {
 	for i := range constraints {
 		if !entryMeets(e, &constraints[i]) {
--- a/internal/scheduler/core/labels_test.go
+++ b/internal/scheduler/core/labels_test.go
@@ -47,7 +47,7 @@
 	s.Step(core.RemoveProject{Project: "p"})
 	s.Advance(time.Second)
 	if n := s.Core.TableSizes().Labels; n != 0 {
-		t.Fatalf("%d labels are still held", n)
+		t.Fatalf("%d labels are still in use", n)
 	}
 	s.RequireNoViolations()
 }
@@ -76,7 +76,7 @@
 	if o := out["far/1"]; o.Outcome != core.OutcomeRejected {
 		t.Fatalf("far: %+v", o)
 	}
-	// Its host dies for good: db comes up elsewhere, and what comes after it follows.
+	// Its host is lost for good: db comes up elsewhere, and what comes after it follows.
 	s.KillHost(db.Host)
 	s.Hosts[db.Host].Listed = false
 	s.SendHostList()
--- a/internal/scheduler/core/offers.go
+++ b/internal/scheduler/core/offers.go
@@ -52,7 +52,7 @@
 		Request:     &request.Request,
 		DrainGrace:  c.settings.Module.DrainGrace,
 		HostByID: func(id attempt.HostID) *invariant.Host {
-			for _, a := range request.attempts { // its host may have left the list, and the table
+			for _, a := range request.attempts { // its host may have left the endpoint list, and the table
 				if a != nil && a.machineID == forkhead.MachineID(id) {
 					return a.host.forInvariants()
 				}
@@ -126,7 +126,7 @@
 // mayStillSend judges an attempt again when it can be sent: much may have changed while it waited for its connection.
 func (c *Core) mayStillSend(a *taskAttempt) bool {
 	h := a.host
-	// Guards against a drain that was told between choosing and sending, and a wait that was too long.
+	// Guards against a drain that was notified between choosing and sending, and a wait that was too long.
 	if invariant.DrainGraceExpired(c.now, h.state(), h.drainingSince, c.settings.Module.DrainGrace) {
 		return false
 	}
@@ -134,8 +134,8 @@
 		return false
 	}
 	// Guards against tasks of an earlier incarnation that turned up while this one waited: they count against the spread,
-	// and the choice was made without them. And against a host that greets as draining: it may have said so before it was
-	// forgotten.
+	// and the choice was made without them. And against a host whose handshake reports that it drains: an earlier
+	// report may have been dropped with the host.
 	return !a.waitedForConn || !h.reportsDraining && !c.exceedsSpread(a)
 }
 
--- a/internal/scheduler/core/orphans.go
+++ b/internal/scheduler/core/orphans.go
@@ -22,7 +22,7 @@
 	rules     attempt.Rules // of the class that it was started as: they hold for it although its owner may have named another since
 }
 
-// handleOrphan settles an attempt that was given up and now shows that it holds its task: it is adopted if its owner still
+// handleOrphan settles an abandoned attempt that turns out to have its task: it is adopted if its owner still
 // wants the task and nothing else is in flight, and stopped otherwise.
 func (c *Core) handleOrphan(a *taskAttempt) {
 	r := a.request.replica
@@ -158,7 +158,8 @@
 	}
 }
 
-// newInheritedReplica adds a replica for a running task whose description is lost: what the host knows of the task stands for it.
+// newInheritedReplica adds a replica for a running task whose specification is lost, from what the host
+// reports of the task.
 func (c *Core) newInheritedReplica(svc *service, name taskName, reported *hostproto.Held, class int) *desiredReplica {
 	spec := &reported.Spec
 	r := &desiredReplica{
@@ -187,14 +188,14 @@
 // that it is over it may run, whether the Stop arrives or not: what must not run twice is not begun before. Guards against
 // a Stop that is lost with its connection, found by the simulation.
 func (c *Core) stopInherited(r *desiredReplica, h *host, reported *hostproto.Held) {
-	// It began nobody knows when: nothing is left of the window in which hosts remember its key.
+	// Its start is unknown: nothing is left of the window in which hosts keep its key.
 	chosenAt := c.now - c.attemptRules(r.class).DedupWindow
 	task := runningTask{host: h, ref: reported.Ref, hostEpoch: h.connection.Epoch, conn: h.connection.Conn}
 	c.addUnknownAttempt(r, task, chosenAt)
 	c.sendFrame(h, hostproto.Stop{Ref: reported.Ref})
 }
 
-// addUnknownAttempt adds an attempt that an earlier incarnation made: until its host says what became of it, it may run.
+// addUnknownAttempt adds an attempt that an earlier incarnation made: until its host reports what became of it, it may run.
 // Its rules are those of the replica's class.
 func (c *Core) addUnknownAttempt(r *desiredReplica, task runningTask, chosenAt time.Duration) *taskAttempt {
 	request := c.newRequest(r)
--- a/internal/scheduler/core/orphans_test.go
+++ b/internal/scheduler/core/orphans_test.go
@@ -9,7 +9,7 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// The connection breaks while the start reply is on its way: the task runs, the host says so
+// The connection breaks while the start reply is on its way: the task runs, the host reports it
 // when it is back, and the task is placed there; it is not started a second time.
 func TestCoreAdoptsTaskWhoseReplyWasLost(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
@@ -29,7 +29,7 @@
 	s.RequireNoViolations()
 }
 
-// An offer that never arrived is known never to have run once the host is back and asked.
+// An offer that never arrived is known never to have run once the host is back and was queried.
 func TestCoreOffersAgainWhatNeverArrived(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	lost := false
--- a/internal/scheduler/core/projects.go
+++ b/internal/scheduler/core/projects.go
@@ -38,7 +38,7 @@
 	requiredLabels uint64
 	replicas       map[int]*desiredReplica // by number
 	applying       bool                    // a description is being applied: it must not be pruned
-	failureReason  string                  // why its dependents can't go on, or ""
+	failureReason  string                  // why its dependents cannot be started, or ""
 
 	update        *rollingupdate.Update // nil: none is in progress
 	updateQueue   []*desiredReplica     // to be replaced by the update
@@ -209,7 +209,7 @@
 	}
 	delete(p.services, svc.name)
 	for _, other := range p.sortedServices() {
-		// What this one waited for may have been kept for its sake alone.
+		// What this one waited for may have been kept for it alone.
 		if p.has(other) && len(other.replicas) == 0 {
 			c.pruneService(other)
 		}
--- a/internal/scheduler/core/replicas.go
+++ b/internal/scheduler/core/replicas.go
@@ -47,12 +47,12 @@
 	restartTimes  []time.Duration   // restarts that count for the restart policy
 
 	retrier            retrypolicy.Retrier
-	pending            *pendingOutcome        // nil: none is owed
+	pending            *pendingOutcome        // nil: none is pending
 	offerCount         int                    // since the last outcome
 	rejected           bool                   // the last request was rejected rather than failed
 	reason             string                 // why the last request did not place it
 	failureCounts      map[attemptFailure]int // since it was first requested
-	preferencesDropped bool                   // they could not be kept
+	preferencesDropped bool                   // they could not be met
 
 	updating    bool                 // an update replaces it
 	nextSpec    *servicespec.Service // what it is replaced by, once it has ended
@@ -79,7 +79,7 @@
 	return r.spec.StopGrace
 }
 
-// countFailure counts why an attempt came to nothing, for the reason of an outcome.
+// countFailure counts why an attempt failed, for the reason of an outcome.
 func (r *desiredReplica) countFailure(failure attemptFailure) {
 	if r.failureCounts == nil {
 		r.failureCounts = map[attemptFailure]int{}
--- a/internal/scheduler/core/requesting.go
+++ b/internal/scheduler/core/requesting.go
@@ -91,12 +91,12 @@
 }
 
 // mayRequest reports whether a replica may be requested now. It may not while an attempt of an earlier request, or of an
-// earlier incarnation of this placer, may run and a repeat could do harm. A request that must end before the hosts forget
+// earlier incarnation of this placer, may run and a repeat could do harm. A request that must end before the hosts drop
 // the task's key takes maxWait at most; 0: there is no such bound.
 func (c *Core) mayRequest(r *desiredReplica) (maxWait time.Duration, ok bool) {
 	rules := c.attemptRules(r.class)
 	if c.mustAwaitHosts(r, rules) {
-		// Guards against starting again what an earlier incarnation had started: hosts say what they run.
+		// Guards against starting again what an earlier incarnation had started: hosts report what they run.
 		c.addRequestTimer(r, min(c.hostReportDeadline(), c.now+attempt.MinRequestTime))
 		return 0, false
 	}
@@ -108,13 +108,13 @@
 	return rules.MayRequest(c.now, len(unknown), firstChosenAt)
 }
 
-// mustAwaitHosts reports whether a request of a replica has to wait until the hosts have said what they run.
+// mustAwaitHosts reports whether a request of a replica has to wait until the hosts have reported what they run.
 func (c *Core) mustAwaitHosts(r *desiredReplica, rules attempt.Rules) bool {
 	reported, deadlinePassed := c.allHostsReported(), c.now >= c.hostReportDeadline()
 	return rules.MustWaitForHosts(reported, deadlinePassed) || r.recovered && !reported && !deadlinePassed
 }
 
-// hostReportDeadline is until when a new incarnation waits to hear from all hosts before it starts what must not be
+// hostReportDeadline is until when a new incarnation waits for the reports of all hosts before it starts what must not be
 // started twice.
 func (c *Core) hostReportDeadline() time.Duration {
 	if c.firstListAt == 0 {
@@ -123,7 +123,7 @@
 	return c.firstListAt + c.settings.Module.OwnerBackoff
 }
 
-// allHostsReported reports whether all hosts have said what they run.
+// allHostsReported reports whether all hosts have reported what they run.
 func (c *Core) allHostsReported() bool {
 	for _, h := range c.hosts {
 		if h.listed && !h.everSynced {
--- a/internal/scheduler/core/requests.go
+++ b/internal/scheduler/core/requests.go
@@ -67,7 +67,7 @@
 	"machine": forkhead.MachineDomain, "rack": forkhead.CellDomain, "zone": forkhead.ZoneDomain,
 }
 
-// spreadLimits are a service's own limits, and an even share for each preference that is still kept.
+// spreadLimits are a service's own limits, and an even share for each preference that still applies.
 func (c *Core) spreadLimits(r *desiredReplica) forkhead.SpreadLimits {
 	limits := statedSpreadLimits(r)
 	if r.preferencesDropped {
@@ -164,7 +164,7 @@
 	c.forgetIfDone(request)
 }
 
-// abandonAttempts gives up the attempts of a request that are in flight.
+// abandonAttempts abandons the attempts of a request that are in flight.
 func (c *Core) abandonAttempts(request *placementRequest) {
 	for _, a := range request.attempts {
 		if a != nil && a.phase().IsInFlight() {
@@ -173,7 +173,7 @@
 	}
 }
 
-// withdrawAttempt gives up an attempt by a Withdraw of the module. One that does not exist was vetoed.
+// withdrawAttempt withdraws an attempt by a Withdraw of the module. One that does not exist was vetoed.
 func (c *Core) withdrawAttempt(id forkhead.TaskID, number int) {
 	request := c.requests[id]
 	if request == nil || number < 0 || number >= len(request.attempts) || request.attempts[number] == nil {
@@ -197,7 +197,7 @@
 	}
 }
 
-// forgetIfDone forgets a request that is answered and whose attempts are all settled.
+// forgetIfDone removes a request that is answered and whose attempts are all settled.
 func (c *Core) forgetIfDone(request *placementRequest) {
 	if request.IsDone() {
 		delete(c.requests, request.id)
--- a/internal/scheduler/core/requests_test.go
+++ b/internal/scheduler/core/requests_test.go
@@ -49,7 +49,7 @@
 	s.RequireNoViolations()
 }
 
-// An unsafe task whose host dies before it answered is not sent again before that incarnation
+// An unsafe task whose host crashes before it answered is not sent again before that incarnation
 // of the host is known to be over, and then is.
 func TestCoreHoldsUnsafeTaskUntilItsAttemptIsSettled(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
@@ -73,12 +73,12 @@
 	s.RequireNoViolations()
 }
 
-// A reply that comes after the deadline's timer: the request has ended, the host is asked to stop
+// A reply that comes after the deadline's timer: the request has ended, the host is requested to stop
 // what it started, or its owner takes it; there is one outcome either way.
 func TestCoreSettlesReplyAfterDeadline(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 2)
 	for _, h := range s.HostNames {
-		s.Hosts[h].Model.SlowDown(s.Now, 10*time.Second, 30) // starts take 3 s, asks 2 s
+		s.Hosts[h].Model.SlowDown(s.Now, 10*time.Second, 30) // starts take 3 s, requests 2 s
 	}
 	out := s.Await(s.Submit("", "name: p\nservices: {l: {x-forkhead: {class: ledger, patience: 9s}}}"), 20*time.Second)
 	if len(out) != 1 {
--- a/internal/scheduler/core/restore.go
+++ b/internal/scheduler/core/restore.go
@@ -8,7 +8,7 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// tombstoneLifetime is how long it is kept that a project was removed: hosts that come back by then stop what they run of
+// tombstoneLifetime is how long the tombstone of a removed project is stored: hosts that come back by then stop what they run of
 // it.
 const tombstoneLifetime = 24 * time.Hour
 
@@ -57,9 +57,9 @@
 	}})
 }
 
-// handleRestore begins an incarnation with what an earlier one has persisted. Nothing is offered before hosts have said
-// what they run, or the owner's wait is over; an attempt that was recorded is unknown until its host has said what became
-// of it.
+// handleRestore begins an incarnation with what an earlier one has persisted. Nothing is offered before hosts have reported
+// what they run, or the owner's wait is over; an attempt that was recorded is unknown until its host has reported what
+// became of it.
 func (c *Core) handleRestore(snapshot *durable.Snapshot) {
 	c.persist(durable.IncarnationStarted{Epoch: c.epoch})
 	for _, key := range snapshot.Unreadable {
@@ -93,9 +93,10 @@
 	}
 }
 
-// restoreHostList begins with the list that an earlier incarnation received last, by its age: so that a placer whose rack
-// restarts while discovery is silent does not sit idle, and one that was away for long does not go by what was. A list
-// from the future shows that a clock was set back: how old it is nobody knows, so its hosts have to greet first.
+// restoreHostList begins with the endpoint list that an earlier incarnation received last, by its age: so that a placer
+// whose rack restarts while discovery is unavailable is not idle, and one that was down for long does not rely on old
+// entries. A list from the future shows that a clock was set back: its age is unknown, so its hosts count after their
+// handshake only.
 func (c *Core) restoreHostList(list *durable.HostList) {
 	age, saved := c.now-list.ReceivedAt, c.settings.SavedHostList
 	switch {
@@ -131,7 +132,7 @@
 	}
 }
 
-// restoreProject brings a project back and returns the replicas whose outcome is owed: they are to be started.
+// restoreProject restores a project and returns the replicas whose outcome is pending: they are to be started.
 func (c *Core) restoreProject(saved *durable.Project) (toStart []*desiredReplica) {
 	d := saved.Specification
 	p := &project{name: d.Name, services: map[string]*service{}}
@@ -167,7 +168,7 @@
 }
 
 // restoreReplica takes over what became of a replica: whether its outcome was reported, and whether it has ended for good.
-// It reports whether the replica is to be started, since an outcome is owed for it.
+// It reports whether the replica is to be started, since its outcome is pending.
 func (c *Core) restoreReplica(r *desiredReplica, s *submission, reported, isFinished bool) (start bool) {
 	r.recovered = true
 	switch {
@@ -186,7 +187,7 @@
 }
 
 // restoreAttempt makes an attempt of an earlier incarnation unknown: its task waits, as its class says, until its host has
-// said what became of it.
+// reported what became of it.
 func (c *Core) restoreAttempt(saved *durable.Attempt) {
 	r := c.findReplica(taskName{project: saved.Project, service: saved.Service, replica: saved.Replica})
 	if r == nil || r.state == finished {
--- a/internal/scheduler/core/restore_test.go
+++ b/internal/scheduler/core/restore_test.go
@@ -10,8 +10,8 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// restartWithoutDiscovery runs a durable placer until it has a list, then kills it with discovery silent, lets time pass,
-// and begins another incarnation. h0 has left meanwhile.
+// restartWithoutDiscovery runs a durable placer until it has an endpoint list, then kills it with discovery unavailable, lets
+// time pass, and begins another incarnation. h0 has left meanwhile.
 func restartWithoutDiscovery(t *testing.T, away time.Duration) *simulation.Sim {
 	t.Helper()
 	s := simulation.NewDurable(t, simulation.Settings(t, "(saved-list (fresh 10s) (old 1h))"), 4)
@@ -21,7 +21,7 @@
 	s.Advance(5 * time.Second)
 	s.CatalogUp = false
 	s.KillHost("h0")
-	if away < 0 { // a clock that was set back, seen from the list
+	if away < 0 { // a clock that was set back, as the list shows
 		list := s.Disk.Snapshot().HostList
 		list.ReceivedAt = s.Now - away
 		s.Disk.Persist([]durable.Record{durable.HostListReceived{List: list}, durable.IncarnationStarted{Epoch: s.Epoch}})
@@ -33,8 +33,8 @@
 	return s
 }
 
-// A placer that comes back while discovery is silent places by the list that was kept, and sends nothing to the host that is
-// gone; whether the list is young or old, and where a clock was set back.
+// A placer that restarts while discovery is unavailable places by the stored list, and sends nothing to the host that was
+// removed; whether the list is young or old, and where a clock was set back.
 func TestCorePlacesByTheSavedHostList(t *testing.T) {
 	for name, away := range map[string]time.Duration{"young": time.Second, "old": 30 * time.Minute, "of the future": -30 * time.Minute} {
 		t.Run(name, func(t *testing.T) { testPlacesBySavedList(t, away) })
@@ -49,13 +49,13 @@
 	}
 	for _, o := range s.Offers {
 		if o.Host == "h0" {
-			t.Errorf("an offer to a host that is gone")
+			t.Errorf("an offer to a host that was removed")
 		}
 	}
 	s.RequireNoViolations()
 }
 
-// Old entries count only once their host has greeted; a list that is too old is ignored, with how old it is.
+// Old entries count only after their host's handshake; a list that is too old is ignored, with how old it is.
 func TestCoreIgnoresTooOldHostList(t *testing.T) {
 	s := restartWithoutDiscovery(t, 2*time.Hour)
 	s.Advance(2 * time.Second)
@@ -94,7 +94,7 @@
 	after := s.Await(id, time.Second)
 	for name, o := range before {
 		if after[name] != o {
-			t.Errorf("%s was told %+v and is %+v", name, o, after[name])
+			t.Errorf("%s was %+v and is %+v", name, o, after[name])
 		}
 	}
 	if again := s.Submit("key", text); again != id {
--- a/internal/scheduler/core/submissions.go
+++ b/internal/scheduler/core/submissions.go
@@ -22,7 +22,7 @@
 // busyRetryAfter is what a client is advised to wait when a limit is reached.
 const busyRetryAfter = time.Second
 
-// submission is an accepted Submit with the outcomes that are owed to it.
+// submission is an accepted Submit with its pending outcomes.
 type submission struct {
 	id             string
 	idempotencyKey string // or ""
@@ -35,7 +35,7 @@
 
 func (s *submission) isComplete() bool { return len(s.outcomes) >= s.totalOutcomes }
 
-// pendingOutcome is an outcome that is owed to a submission.
+// pendingOutcome is an outcome that a submission still has to get.
 type pendingOutcome struct {
 	submission *submission
 	since      time.Duration
@@ -81,7 +81,7 @@
 	})
 	c.emit(Accepted{Request: in.Request, Submission: s.id})
 	if s.isComplete() {
-		// It has no tasks. It gets no expiry timer of its own: it is forgotten with the next submission that expires, or when
+		// It has no tasks. It gets no expiry timer of its own: it is removed with the next submission that expires, or when
 		// there are too many.
 		c.noteComplete(s)
 		c.emit(OutcomesAdded{Submission: s.id})
@@ -127,7 +127,7 @@
 	return tasks
 }
 
-// admit returns a rejection if a submission of so many tasks exceeds a limit. It forgets the oldest complete submission
+// admit returns a rejection if a submission of so many tasks exceeds a limit. It removes the oldest complete submission
 // where that lets the new one in.
 func (c *Core) admit(tasks int) *Rejected {
 	limits := &c.settings.Limits
@@ -169,7 +169,7 @@
 	}
 }
 
-// noteComplete queues a complete submission to be forgotten.
+// noteComplete queues a complete submission to be removed.
 func (c *Core) noteComplete(s *submission) {
 	s.completedAt = c.now
 	c.completeSubmissions = append(c.completeSubmissions, s)
@@ -179,14 +179,14 @@
 	c.addTimer(&timer{at: c.now + c.settings.Limits.Retention, kind: timerSubmissionExpiry})
 }
 
-// expireSubmissions forgets the submissions that have been complete for as long as they are kept.
+// expireSubmissions removes the submissions that have been complete for the retention time.
 func (c *Core) expireSubmissions() {
 	for len(c.completeSubmissions) > 0 && c.completeSubmissions[0].completedAt+c.settings.Limits.Retention <= c.now {
 		c.forgetOldestSubmission()
 	}
 }
 
-// forgetOldestSubmission forgets the submission that has been complete for longest.
+// forgetOldestSubmission removes the submission that has been complete for longest.
 func (c *Core) forgetOldestSubmission() {
 	s := c.completeSubmissions[0]
 	c.completeSubmissions = c.completeSubmissions[1:]
@@ -207,7 +207,7 @@
 	return s.outcomes[min(max(from, 0), len(s.outcomes)):], s.isComplete(), true
 }
 
-// reportOutcome adds the outcome that is owed for a replica to its submission. It does nothing if none is owed. h is where
+// reportOutcome adds the pending outcome of a replica to its submission. It does nothing if none is pending. h is where
 // the replica was placed, or nil.
 func (c *Core) reportOutcome(r *desiredReplica, kind OutcomeKind, h *host, reason string) {
 	pending := r.pending
@@ -231,7 +231,7 @@
 	c.addOutcome(pending.submission, r, o)
 }
 
-// supersedeOutcome reports the outcome that is owed for a replica, if one is: the next goes to a later submission.
+// supersedeOutcome reports the pending outcome of a replica, if there is one: the next goes to a later submission.
 func (c *Core) supersedeOutcome(r *desiredReplica) {
 	c.reportOutcome(r, OutcomeRejected, nil, "a later submission has taken its place")
 }
--- a/internal/scheduler/core/timers.go
+++ b/internal/scheduler/core/timers.go
@@ -8,7 +8,7 @@
 	"forkhead/internal/scheduler/hostconn"
 )
 
-// timerKind says what a timer is for, and with that which fields of it are set.
+// timerKind is what a timer is for, which determines which of its fields are set.
 type timerKind uint8
 
 const (
@@ -25,10 +25,10 @@
 	timerProbeTimeout                           // host, number: a probe is unanswered
 	timerUpdate                                 // service: its update goes on
 	timerMonitorEnd                             // replica, number: it has run for as long as its update monitors it
-	timerSubmissionExpiry                       // complete submissions are forgotten
+	timerSubmissionExpiry                       // complete submissions are removed
 )
 
-// timer is something to do at a time. It cannot be stopped: number tells a timer that still counts from one that does not.
+// timer is something to do at a time. It cannot be stopped: number distinguishes a timer that still counts from one that does not.
 type timer struct {
 	at      time.Duration
 	kind    timerKind
--- a/internal/scheduler/durable/entities.go
+++ b/internal/scheduler/durable/entities.go
@@ -13,7 +13,7 @@
 	ID             string        `json:"ID"`
 	IdempotencyKey string        `json:"Key"`   // of the client's request; "" where it had none
 	BodyHash       uint64        `json:"Body"`  // of the specification as it was submitted
-	TotalOutcomes  int           `json:"Total"` // how many outcomes the submission is owed
+	TotalOutcomes  int           `json:"Total"` // how many outcomes the submission gets
 	AcceptedAt     time.Duration `json:"At"`    // since the Unix epoch
 	Project        string        `json:"Project"`
 }
@@ -23,7 +23,7 @@
 	Project  string `json:"Project"`
 	Service  string `json:"Service"`
 	Replica  int    `json:"Replica"` // from 1
-	Outcome  string `json:"Word"`    // the word that was reported; "" where no outcome was owed
+	Outcome  string `json:"Word"`    // the outcome that was reported; "" where none was pending
 	Finished bool   `json:"Over"`    // it must not be started again
 }
 
--- a/internal/scheduler/durable/golden_test.go
+++ b/internal/scheduler/durable/golden_test.go
@@ -80,7 +80,7 @@
 	goldentest.Check(t, "changes.txt", b.Bytes())
 }
 
-// Stored specifications and lists hold these words as numbers.
+// Stored specifications and lists hold these values as numbers.
 func TestStoredEnumsKeepNumbers(t *testing.T) {
 	for name, c := range map[string]struct{ got, want uint8 }{
 		"replicated":     {uint8(servicespec.Replicated), 0},
--- a/internal/scheduler/durable/records.go
+++ b/internal/scheduler/durable/records.go
@@ -1,4 +1,4 @@
-// Package durable defines what a placer must remember across a restart, and the form in which it is stored.
+// Package durable defines what of a placer's state must survive a restart, and the form in which it is stored.
 //
 // It is pure and does no I/O. The scheduler emits a Record for each change of state that must survive. A record becomes
 // changes of keys and values, which a store makes durable, and a Loader turns the stored keys and values into the Snapshot
@@ -23,12 +23,12 @@
 	// Changes returns the changes of stored keys that the record stands for, in the order in which they must be applied.
 	Changes() []Change
 	// MustBeDurableFirst reports whether the outputs of the step that emitted the record must wait until the record is
-	// durable. It is false for records whose loss does no harm, since the next incarnation learns the same again.
+	// durable. It is false for records whose loss does no harm, since the next incarnation receives the same again.
 	MustBeDurableFirst() bool
 }
 
-// SubmissionAccepted is emitted before the client learns that its specification was accepted. From then on the specification is
-// its project's, and the submission is owed an outcome of each of the project's tasks.
+// SubmissionAccepted is emitted before the client is notified that its specification was accepted. From then on the specification
+// is its project's, and the submission awaits an outcome of each of the project's tasks.
 type SubmissionAccepted struct {
 	Submission    Submission
 	Specification *servicespec.Description `json:"What"` // stored under Submission.Project
@@ -139,7 +139,7 @@
 	return []Change{{Kind: Delete, Bucket: AttemptsBucket, Key: attemptKey(r.Ref)}}
 }
 
-// MustBeDurableFirst returns false: an attempt that is still there is resolved again by asking its host.
+// MustBeDurableFirst returns false: an attempt that is still there is resolved again by querying its host.
 func (AttemptResolved) MustBeDurableFirst() bool { return false }
 
 // IncarnationStarted is emitted at a placer's start. The next incarnation's epoch is higher, whatever its clock says.
@@ -159,5 +159,5 @@
 // Changes replaces the stored list.
 func (r HostListReceived) Changes() []Change { return []Change{put(HostListsBucket, lastKey, r.List)} }
 
-// MustBeDurableFirst returns false: service discovery sends the list again.
+// MustBeDurableFirst returns false: service discovery sends the endpoint list again.
 func (HostListReceived) MustBeDurableFirst() bool { return false }
--- a/internal/scheduler/durable/value_test.go
+++ b/internal/scheduler/durable/value_test.go
@@ -22,7 +22,7 @@
 	}
 	for length := range value {
 		if _, _, err := durable.DecodeValue(value[:length]); !errors.Is(err, durable.ErrChecksum) {
-			t.Errorf("cut to %d bytes: %v", length, err)
+			t.Errorf("truncated to %d bytes: %v", length, err)
 		}
 	}
 }
--- a/internal/scheduler/hostconn/hostconn.go
+++ b/internal/scheduler/hostconn/hostconn.go
@@ -51,7 +51,7 @@
 // String returns the kind's name in traces and in docs/design/attempts.md.
 func (k InputKind) String() string { return inputNames[k] }
 
-// Input is an event of a connection. Its kind says which of the other fields it has.
+// Input is an event of a connection. Its kind determines which of the other fields it has.
 type Input struct {
 	Kind    InputKind
 	Address string
@@ -228,7 +228,7 @@
 	})
 }
 
-// describe lists what an output asks for, in the words of docs/design/attempts.md.
+// describe lists what an output demands, in the terms of docs/design/attempts.md.
 func (o *Output) describe() string {
 	var parts []string
 	for _, part := range []struct {
--- a/internal/scheduler/hostsession/session.go
+++ b/internal/scheduler/hostsession/session.go
@@ -17,7 +17,7 @@
 )
 
 // CheckHello decides on a Hello of an incarnation, on one of its numbered connections, by the last session of the same
-// placer. Of two connections the later one counts, since messages may still stand in the buffers of the older.
+// placer. Of two connections the later one counts, since messages may still be in the buffers of the older.
 func CheckHello(last Session, epoch uint64, conn uint32) HelloResult {
 	if epoch < last.Epoch || last.Connected && epoch == last.Epoch && conn <= last.Conn {
 		return HelloStale
--- a/internal/scheduler/ids/ids.go
+++ b/internal/scheduler/ids/ids.go
@@ -20,7 +20,7 @@
 	return max(h.Sum32(), 1)
 }
 
-// Table maps names to numbers. It never forgets a name.
+// Table maps names to numbers. It never drops a name.
 type Table struct {
 	hash     Hash
 	numbers  map[string]uint32
@@ -44,10 +44,10 @@
 }
 
 // Add returns the number of a name, which it gives the name unless it has one. renumbered lists the other names that lost
-// theirs to a collision, in the order in which they did; the caller notifies the module that the old numbers are gone.
+// theirs to a collision, in the order in which they did; the caller notifies the module that the old numbers are removed.
 //
-// Where two names hash to one number, both move on to the hash with the next salt, whichever came first. So the outcome
-// depends on which names there are, not on the order in which a placer learned of them.
+// Where two names hash to one number, both get the hash with the next salt, whichever came first. So the outcome
+// depends on which names there are, not on the order in which a placer received them.
 func (t *Table) Add(name string) (number uint32, renumbered []Renumbered) {
 	if n, ok := t.numbers[name]; ok {
 		return n, nil
--- a/internal/scheduler/invariant/host.go
+++ b/internal/scheduler/invariant/host.go
@@ -11,7 +11,7 @@
 type Host struct {
 	ID            attempt.HostID
 	State         forkhead.MachineState
-	DrainingSince time.Duration // when the placer was notified that the host drains or is gone
+	DrainingSince time.Duration // when the placer was notified that the host drains or is removed
 	MachineType   int
 	Zone          int
 	Cell          int
@@ -32,7 +32,7 @@
 	return true
 }
 
-// DrainGraceExpired reports whether nothing new may be sent to a host in a state: it drains or is gone, and the grace
+// DrainGraceExpired reports whether nothing new may be sent to a host in a state: it drains or is removed, and the grace
 // since the placer was notified of that is over.
 func DrainGraceExpired(now time.Duration, state forkhead.MachineState, since, grace time.Duration) bool {
 	return state != forkhead.Ready && now > since+grace
--- a/internal/scheduler/invariant/invariant.go
+++ b/internal/scheduler/invariant/invariant.go
@@ -1,5 +1,5 @@
 // Package invariant checks four of the scheduler's five rules, and Fit, on what the module decides, before anything is
-// sent: it tells whether an offer or an answer would break one. The module keeps the rules by itself, so a violation is a
+// sent: it reports whether an offer or an answer would break one. The module keeps the rules by itself, so a violation is a
 // defect; the caller vetoes the action, counts it and logs it. The fifth rule, SlowStart, binds all placers together and
 // is checked afterwards, on captured traffic, by package verify/rules.
 package invariant
@@ -17,7 +17,7 @@
 const (
 	OneAnswer Rule = iota // a request has exactly one answer: placed, rejected or failed, in time
 	NoRepeat              // what may have started is sent again only as its class allows
-	Drain                 // nothing is sent to a host that drains or is gone, once the grace is over
+	Drain                 // nothing is sent to a host that drains or is removed, once the grace is over
 	SlowStart             // all placers together do not overload a host that has just started; not checked by CheckOffer
 	Spread                // a domain has no more tasks of a service than the spread limit
 	Fit                   // the host can run the task; not one of the five, yet always required
--- a/internal/scheduler/invariant/serviceattempts.go
+++ b/internal/scheduler/invariant/serviceattempts.go
@@ -13,7 +13,7 @@
 }
 
 // ServiceAttempts are the live attempts of each service, by the service's key: those that count against its spread. They
-// stand in the order in which they became live. A service without live attempts has no entry.
+// are in the order in which they became live. A service without live attempts has no entry.
 type ServiceAttempts[A Attempt] map[uint64][]A
 
 // Add adds a live attempt of a service.
--- a/internal/scheduler/moduledriver/moduledriver.go
+++ b/internal/scheduler/moduledriver/moduledriver.go
@@ -13,7 +13,7 @@
 // are dropped.
 var ErrTooManyRounds = errors.New("the module was asked too often at one moment")
 
-// NoRoundLimit as the maxRounds of New lets a step ask the module until it causes no more events.
+// NoRoundLimit as the maxRounds of New lets a step run the module until it causes no more events.
 const NoRoundLimit = 0
 
 // Decide takes the events of one moment in order and returns the module's actions in order.
@@ -27,7 +27,7 @@
 }
 
 // New returns a driver of a new module, or an error that names the setting that it cannot use. A decide that is not
-// nil takes the module's place, for tests. A step asks the module at most maxRounds times, or NoRoundLimit.
+// nil replaces the module, for tests. A step runs the module at most maxRounds times, or NoRoundLimit.
 func New(settings forkhead.Settings, seed uint64, decide Decide, maxRounds int) (*Driver, error) {
 	if decide == nil {
 		module, err := forkhead.New(settings, seed)
--- a/internal/scheduler/platform/attempt.go
+++ b/internal/scheduler/platform/attempt.go
@@ -17,11 +17,11 @@
 	connection   *hostConnection // that its offer is queued for, or in flight on; nil: neither
 	sentAt       time.Duration   // when the offer was sent; before that, when it was made
 	hasNotes     bool            // the host sent notes on it: it runs the task, even if it has not answered
-	stopSent     bool            // the host was told to stop the task
+	stopSent     bool            // the host was sent a stop of the task
 	stopDeadline time.Duration   // the task counts as stopped then, even if the host does not answer
 }
 
-// attemptKey is what hosts know an attempt by. Attempts of one request on one host share it.
+// attemptKey identifies an attempt to hosts. Attempts of one request on one host share it.
 type attemptKey struct {
 	host forkhead.MachineID
 	ref  requestRef
--- a/internal/scheduler/platform/attempt_test.go
+++ b/internal/scheduler/platform/attempt_test.go
@@ -253,7 +253,7 @@
 }
 
 // An attempt is withdrawn and offered to the same host again; the host answers the first and then stops it, as it was
-// told. Its owner is sent the release, though the cause is the one of a task that its owner has ended.
+// requested. Its owner is sent the release, though the cause is the one of a task that its owner has ended.
 func TestCoreReleasesTaskStoppedByEarlierWithdrawal(t *testing.T) {
 	w := newTestCore(t, nil)
 	o := w.connectOwner()
--- a/internal/scheduler/platform/connection.go
+++ b/internal/scheduler/platform/connection.go
@@ -10,7 +10,7 @@
 	"forkhead/internal/scheduler/attempt"
 )
 
-// connectionState is the state of a connection to a host. One that is closed is forgotten.
+// connectionState is the state of a connection to a host. One that is closed is removed.
 type connectionState uint8
 
 const (
@@ -19,7 +19,7 @@
 	connectionHalfClosed                        // nothing is sent any more; what the host has sent is still read
 )
 
-// connectionPurpose says what a connection was dialed for. Once it is open, offers may use any.
+// connectionPurpose is what a connection was dialed for. Once it is open, offers may use any.
 type connectionPurpose uint8
 
 const (
@@ -187,7 +187,7 @@
 	}
 }
 
-// dialFailedAtHost handles a failure that tells something about the host.
+// dialFailedAtHost handles a failure of a dial that is not local.
 func (c *Core) dialFailedAtHost(conn *hostConnection, refused bool) {
 	h := conn.host
 	switch {
@@ -315,7 +315,7 @@
 	}
 }
 
-// removeConnection forgets a connection.
+// removeConnection removes a connection from the core's tables.
 func (c *Core) removeConnection(conn *hostConnection) {
 	delete(c.connections, conn.id)
 	conn.host.connections = without(conn.host.connections, conn)
--- a/internal/scheduler/platform/connection_test.go
+++ b/internal/scheduler/platform/connection_test.go
@@ -17,7 +17,7 @@
 	owner OwnerID
 }
 
-// How many connections a crowded core may have.
+// Hosts of a crowdedCore, and the bounds of its connections.
 const (
 	crowdedHosts           = 60
 	crowdedMaxOwners       = 26
@@ -78,7 +78,7 @@
 	w.checkBounds()
 }
 
-// However many hosts run tasks and fall silent, and however many owners connect, both kinds of connections stay within
+// However many hosts run tasks and become unresponsive, and however many owners connect, both kinds of connections stay within
 // their bounds; offers, dials of unresponsive hosts and owners still get theirs.
 func TestCoreBoundsConnections(t *testing.T) {
 	w := newCrowdedCore(t)
@@ -109,7 +109,7 @@
 	w.place(crowdedHosts)
 }
 
-// An offer whose connection could not be dialed for want of descriptors was not sent, and its host is not blamed.
+// An offer whose connection could not be dialed for want of descriptors was not sent, and does not count against its host.
 func TestCoreLocalDialFailureIsNotSent(t *testing.T) {
 	w := newTestCore(t, nil)
 	w.send(w.connectOwner(), requestLine(ref1, "keyed", ""))
--- a/internal/scheduler/platform/core.go
+++ b/internal/scheduler/platform/core.go
@@ -30,7 +30,7 @@
 	unanswered        int                                     // how many requests are open
 	attemptsByService invariant.ServiceAttempts[*taskAttempt] // those that are live
 	possibleOrphans   []possibleOrphan                        // of the current step
-	finished          []*request                              // of the current step: they may be forgotten at its end
+	finished          []*request                              // of the current step: they may be removed at its end
 	abandoned         recent[attemptKey]                      // attempts whose outcome is no longer awaited, though they may run
 	reportedEnds      recent[reportedEnd]                     // ends of tasks that are not known here, or not any more
 
--- a/internal/scheduler/platform/core_test.go
+++ b/internal/scheduler/platform/core_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// Ever new refs, connections and hosts leave nothing behind.
+// New refs, connections and hosts, again and again, leave no state behind.
 func TestCoreForgetsWhatIsOver(t *testing.T) {
 	w := newTestCore(t, nil)
 	seq := uint64(1)
@@ -77,7 +77,7 @@
 	w.advance(time.Minute)
 	c := w.core
 	if n := len(c.requests) + len(c.requestsByRef) + len(c.attemptsByService) + len(c.owners) + len(c.undelivered) + c.unanswered + c.timers.Len(); n != 0 {
-		t.Errorf("%d requests, refs, services, owners, messages and timers are kept", n)
+		t.Errorf("%d requests, refs, services, owners, messages and timers are left", n)
 	}
 	if len(c.hosts) > 6 || len(c.connections) > maxConnectionsPerHost || len(c.abandoned.ring) > maxRemembered || len(c.abandoned.counts) > maxRemembered {
 		t.Errorf("%d hosts, %d connections, %d abandoned attempts", len(c.hosts), len(c.connections), len(c.abandoned.counts))
--- a/internal/scheduler/platform/decode.go
+++ b/internal/scheduler/platform/decode.go
@@ -12,18 +12,18 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// decodedRequest is what a placement request, or a hand-over, says of its task.
+// decodedRequest is the description of a task in a placement request or a hand-over.
 type decodedRequest struct {
 	ref    requestRef
 	task   forkhead.Task
 	host   string // name of the host that runs the task already; "": none does
-	digest uint64 // equal for messages that say the same
+	digest uint64 // equal for messages of the same content
 }
 
 // isHandOver reports whether a host runs the task already.
 func (d *decodedRequest) isHandOver() bool { return d.host != "" }
 
-// requestDecoder reads one part of a request; false: that is malformed. Parts are read in order: a later one may rest on
+// requestDecoder reads one part of a request; false: that is malformed. Parts are read in order: a later one may depend on
 // an earlier one.
 type requestDecoder func(c *Core, m *platform.Message, into *decodedRequest) bool
 
@@ -100,7 +100,7 @@
 	},
 }
 
-// decodeExtras reads the list of FieldExtras, in which no name may come twice.
+// decodeExtras reads the items of FieldExtras, in which no name may come twice.
 func (c *Core) decodeExtras(m *platform.Message, into *decodedRequest) bool {
 	extras, _ := m.Text(platform.FieldExtras)
 	seen := map[platform.Extra]bool{}
@@ -141,7 +141,7 @@
 	return true
 }
 
-// requestDigest is equal for requests that ask for the same, however long their owners wait.
+// requestDigest is equal for requests of the same content, however long their owners wait.
 func requestDigest(m *platform.Message) uint64 {
 	digest := fnv.New64a()
 	digest.Write(m.Description)
--- a/internal/scheduler/platform/endpoints_test.go
+++ b/internal/scheduler/platform/endpoints_test.go
@@ -20,7 +20,7 @@
 }
 
 // A host in a zone that the settings do not have is not used, where there is more than one: the spread over zones and the
-// deduplication domains of keyed tasks would rest on a guess.
+// deduplication domains of keyed tasks would be guessed.
 func TestCoreIgnoresHostInUnknownZone(t *testing.T) {
 	for _, zones := range [][]string{{"z"}, {"z", "y"}} {
 		w := newTestCore(t, func(cfg *Config) { cfg.Names.Zones = zones })
--- a/internal/scheduler/platform/handover.go
+++ b/internal/scheduler/platform/handover.go
@@ -10,7 +10,7 @@
 )
 
 // handleHandOver takes over a task that a host runs already. One that has ended, by what its host or the endpoint list has
-// reported, is released at once. A host that is not listed is waited for, as the list may be late.
+// reported, is released at once. A host that is not listed is waited for, as the endpoint list may be late.
 func (c *Core) handleHandOver(owner *ownerConnection, decoded *decodedRequest) {
 	h := c.handOverHost(decoded.host)
 	if h == nil {
--- a/internal/scheduler/platform/handover_test.go
+++ b/internal/scheduler/platform/handover_test.go
@@ -53,7 +53,7 @@
 			t.Errorf("listed %v: %d dials, the owner is sent %q", listed, dials, sent)
 		}
 		if !listed && (w.core.hosts[9] != nil || w.core.unlistedHosts != 0) {
-			t.Error("a host that never came is not forgotten")
+			t.Error("a host that was never listed is not removed")
 		}
 	}
 }
--- a/internal/scheduler/platform/host.go
+++ b/internal/scheduler/platform/host.go
@@ -11,7 +11,7 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// host is a host of the endpoint list, or one that an owner named before the list did.
+// host is a host of the endpoint list, or one that an owner named before the list had it.
 type host struct {
 	id            forkhead.MachineID
 	name          string
@@ -39,7 +39,7 @@
 
 func (h *host) forInvariants() *invariant.Host { return &h.invariantView }
 
-// setEntry sets what the list has of the host.
+// setEntry sets the host's entry in the endpoint list.
 func (h *host) setEntry(entry forkhead.Machine) {
 	h.entry = entry
 	h.invariantView = invariant.Host{
@@ -95,7 +95,7 @@
 	return all
 }
 
-// hostsInOrder lists the hosts by id. The list must not be changed.
+// hostsInOrder lists the hosts by id. The slice must not be changed.
 func (c *Core) hostsInOrder() []*host {
 	if c.sortedHosts == nil {
 		c.sortedHosts = slices.SortedFunc(maps.Values(c.hosts), func(a, b *host) int { return cmp.Compare(a.id, b.id) })
--- a/internal/scheduler/platform/limits.go
+++ b/internal/scheduler/platform/limits.go
@@ -10,7 +10,7 @@
 	maxOpenRequestsPerOwner int = 2048
 	// maxRequestTimeout is the longest that an owner may wait for an answer; a longer wait is malformed.
 	maxRequestTimeout = 60 * 24 * time.Hour
-	// maxLifetimeMillis is the longest remaining lifetime of a task that is believed, in milliseconds.
+	// maxLifetimeMillis is the longest remaining lifetime of a task that is accepted, in milliseconds.
 	maxLifetimeMillis float64 = 1e12
 	// maxRemembered bounds the attempts that are remembered as abandoned, and as many ends of tasks.
 	maxRemembered int = 4096
@@ -43,7 +43,7 @@
 	// hostLineTimeout is how long a message may take from its first byte to its line feed.
 	hostLineTimeout = 250 * time.Millisecond
 	// overtakenAfter is how much later an offer must have been sent for its answer to show that the connection of an
-	// unanswered earlier one is dead.
+	// unanswered earlier one is broken.
 	overtakenAfter = 50 * time.Millisecond
 	// minRedialBackoff and maxRedialBackoff bound the time between dials that fail; it doubles from one to the next.
 	minRedialBackoff = 100 * time.Millisecond
@@ -60,13 +60,13 @@
 	unresponsiveAfter = time.Second
 	// lostAfter is when such a host is lost, if no connection to it could be made: in time to release its tasks to their owners.
 	lostAfter = undeliveredTimeout - 500*time.Millisecond
-	// lostAfterRefusals is how many refused dials in a row, with no connection open, show that a host's process has died.
+	// lostAfterRefusals is how many refused dials in a row, with no connection open, show that a host's process has ended.
 	lostAfterRefusals int = 2
 	// lastDialBeforeLoss is how long before its loss a host is dialed once more, whatever its backoff.
 	lastDialBeforeLoss = 500 * time.Millisecond
-	// removedGrace is how long hosts that the list removes may still report the ends of their tasks.
+	// removedGrace is how long hosts that the endpoint list removes may still report the ends of their tasks.
 	removedGrace = 500 * time.Millisecond
-	// forgetHostAfter is when a removed host that has neither tasks nor connections is forgotten.
+	// forgetHostAfter is when a removed host that has neither tasks nor connections is dropped.
 	forgetHostAfter = 30 * time.Second
 	// maxUnlistedHosts bounds the hosts that are known by their owners' messages alone.
 	maxUnlistedHosts int = 1024
--- a/internal/scheduler/platform/log.go
+++ b/internal/scheduler/platform/log.go
@@ -23,10 +23,10 @@
 	messageModuleInterrupted = "module interrupted" // not logged at present: New sets the module's driver no limit
 )
 
-// logReason says why something was done.
+// logReason is why something was done.
 type logReason string
 
-// Why a connection is closed, or the tasks of a host are taken for lost. They are constant too.
+// Reasons why a connection is closed, or the tasks of a host count as lost. They are constant too.
 const (
 	reasonUnreadable         logReason = "a message cannot be read"
 	reasonPartialLine        logReason = "a message did not end"
--- a/internal/scheduler/platform/messages.go
+++ b/internal/scheduler/platform/messages.go
@@ -10,12 +10,12 @@
 // requestRef numbers a placement request, or a probe, on the wire: 16 hex digits that its sender has chosen.
 type requestRef string
 
-// releaseMessage ends what a ref stands for: a request, an attempt or a task, by its cause.
+// releaseMessage ends what a ref identifies: a request, an attempt or a task, by its cause.
 func releaseMessage(ref requestRef, cause platform.Cause) []byte {
 	return platform.Append(nil, platform.TypeRelease, string(ref), cause, nil)
 }
 
-// stopMessage tells a host that an offer is withdrawn, or that a task is to end: one message, whichever it has.
+// stopMessage notifies a host that an offer is withdrawn, or that a task is to end: one message, whichever it has.
 func stopMessage(ref requestRef) []byte { return releaseMessage(ref, platform.CauseOK) }
 
 // rejectMessage rejects a request. The owner may send it again after a while that is given in whole milliseconds; 0: any time.
--- a/internal/scheduler/platform/owner.go
+++ b/internal/scheduler/platform/owner.go
@@ -64,7 +64,7 @@
 }
 
 // acquireOwnerSlot frees a slot for one more connection of an owner, if need be: an idle one to a host is evicted if there
-// are not too many owners, else one of the owners, by its rank. It guards against usual owners that are pushed out by hundreds who
+// are not too many owners, else one of the owners, by its rank. It guards against usual owners that are evicted for hundreds that
 // request once and stay: what became of their tasks could then be sent nowhere.
 func (c *Core) acquireOwnerSlot() bool {
 	if len(c.owners) < c.config.MaxOwnerConnections {
--- a/internal/scheduler/platform/placed.go
+++ b/internal/scheduler/platform/placed.go
@@ -36,7 +36,7 @@
 	c.possibleOrphans = c.possibleOrphans[:0]
 }
 
-// sendStop tells a host that an offer is withdrawn, or that a task is to end.
+// sendStop notifies a host that an offer is withdrawn, or that a task is to end.
 func (c *Core) sendStop(conn *hostConnection, ref requestRef) {
 	c.emit(SendToHost{Connection: conn.id, Line: stopMessage(ref)})
 }
@@ -49,7 +49,7 @@
 	}
 }
 
-// beginStop begins to stop a placed task at its host. The host's answer, or its silence until the stop's deadline, ends it:
+// beginStop begins to stop a placed task at its host. The host's answer, or the stop's deadline without one, ends it:
 // finishTask then makes the outcome.
 func (c *Core) beginStop(r *request) {
 	a := r.placedAttempt()
@@ -70,7 +70,7 @@
 	}
 }
 
-// expireStops ends tasks whose host has not confirmed in time that they are stopped, or could not be told to stop them.
+// expireStops ends tasks whose host has not confirmed in time that they are stopped, or could not be sent the stop.
 func (c *Core) expireStops(h *host) {
 	expired := h.attemptsWhere(func(a *taskAttempt) bool {
 		return a.request.phase == requestEnding &&
--- a/internal/scheduler/platform/placed_test.go
+++ b/internal/scheduler/platform/placed_test.go
@@ -7,7 +7,7 @@
 	"forkhead"
 )
 
-// A placed task ends by its owner, from any connection, and by the module; each time its host is told to stop it.
+// A placed task ends by its owner, from any connection, and by the module; each time its host is sent a stop.
 func TestCoreEndsPlacedTask(t *testing.T) {
 	w := newTestCore(t, nil)
 	_, conn := w.placeTask()
@@ -33,7 +33,7 @@
 		t.Errorf("outcomes %+v", got)
 	}
 	if len(w.core.requests)+len(w.core.requestsByRef)+len(w.core.attemptsByService) > 0 {
-		t.Error("the task is not forgotten")
+		t.Error("the task is not removed")
 	}
 }
 
@@ -67,6 +67,6 @@
 	w.wantLines(sentLines[SendToHost](w.step(HostConnected{dials[len(dials)-1].Connection})), "down "+ref1+" 16")
 	w.advance(1100 * time.Millisecond)
 	if w.core.requestsByRef[ref1] != nil {
-		t.Error("it is not forgotten once its host was told")
+		t.Error("it is not removed once its host was notified")
 	}
 }
--- a/internal/scheduler/platform/probe.go
+++ b/internal/scheduler/platform/probe.go
@@ -8,7 +8,7 @@
 	"forkhead"
 )
 
-// probe is a probe of a host that the module asked for. It may be sent on two connections: one may be dead.
+// probe is a probe of a host that the module requested. It may be sent on two connections: one may be broken.
 type probe struct {
 	startedAt   time.Duration
 	retryAt     time.Duration // when it is sent on another connection; 0: it is not
--- a/internal/scheduler/platform/probe_test.go
+++ b/internal/scheduler/platform/probe_test.go
@@ -8,7 +8,7 @@
 	"forkhead"
 )
 
-// A probe that a dead connection does not answer is sent on another one before it fails.
+// A probe that is not answered on a broken connection is sent on another one before it fails.
 func TestCoreRetriesProbeOnAnotherConnection(t *testing.T) {
 	w := newTestCore(t, nil)
 	w.decide = func(ev forkhead.Event) []forkhead.Action {
--- a/internal/scheduler/platform/recent.go
+++ b/internal/scheduler/platform/recent.go
@@ -11,7 +11,7 @@
 	return recent[K]{ring: make([]K, 0, capacity), counts: map[K]int{}}
 }
 
-// add adds a value; a full set forgets the oldest one.
+// add adds a value; a full set drops the oldest one.
 func (r *recent[K]) add(value K) {
 	if len(r.ring) < cap(r.ring) {
 		r.ring = append(r.ring, value)
--- a/internal/scheduler/platform/recent_test.go
+++ b/internal/scheduler/platform/recent_test.go
@@ -4,11 +4,11 @@
 
 func TestRecentForgetsTheOldest(t *testing.T) {
 	set := newRecent[int](3)
-	for _, value := range []int{1, 2, 1, 3} { // forgets the first 1, and keeps the second
+	for _, value := range []int{1, 2, 1, 3} { // drops the first 1, and keeps the second
 		set.add(value)
 	}
 	if !set.contains(1) || !set.contains(2) || !set.contains(3) {
-		t.Error("a value is forgotten that was among the last three")
+		t.Error("a value is dropped that was among the last three")
 	}
 	set.add(4)
 	set.add(5)
--- a/internal/scheduler/platform/reconcile.go
+++ b/internal/scheduler/platform/reconcile.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// reconcile does what only time brings: it closes connections, ends what has timed out and moves a shutdown on.
+// reconcile does what is due by time: it closes idle connections, ends what has timed out and advances a shutdown.
 func (c *Core) reconcile() {
 	c.reconcileOwners()
 	c.expireUndelivered()
@@ -21,7 +21,7 @@
 		c.reconcileConnection(conn)
 	}
 	c.reconcileProbe(h)
-	if len(h.attempts) > 0 { // few hosts of a long list have any, and a loop over an empty map is not free
+	if len(h.attempts) > 0 { // few of many hosts have any, and a loop over an empty map has a cost
 		c.expireStops(h)
 	}
 	if c.expireUnlessListed(h) && len(h.attempts) > 0 {
--- a/internal/scheduler/platform/request.go
+++ b/internal/scheduler/platform/request.go
@@ -9,14 +9,14 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// requestPhase says what is awaited for a placement request.
+// requestPhase is what is awaited for a placement request.
 type requestPhase uint8
 
 const (
 	requestOpen   requestPhase = iota // the answer to its owner
 	requestPlaced                     // the end of its task, which a host runs
 	requestEnding                     // its host's confirmation that the task is stopped, as its owner or the module wants
-	requestOver                       // nothing: it can be forgotten once none of its attempts is in flight
+	requestOver                       // nothing: it can be removed once none of its attempts is in flight
 )
 
 // request is one placement request of an owner, or a task that was handed over.
@@ -94,7 +94,7 @@
 	c.answer(r, attempt.AnsweredRejected, rejectMessage(r.ref, action.RetryAfter))
 }
 
-// failRequest executes the module's Fail: it answers an open request without any promise about what ran.
+// failRequest executes the module's Fail: it answers an open request and leaves open what ran.
 func (c *Core) failRequest(id forkhead.TaskID) {
 	r := c.requests[id]
 	if r == nil || r.phase != requestOpen {
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// forgetFinished forgets requests that nothing more can come of.
+// forgetFinished removes requests that get no further messages.
 func (c *Core) forgetFinished() {
 	for _, r := range c.finished {
 		if r.phase != requestOver || r.lifecycle.HasAttemptInFlight() || r.placedAttempt() != nil {
--- a/internal/scheduler/platform/request_test.go
+++ b/internal/scheduler/platform/request_test.go
@@ -153,7 +153,7 @@
 			w.wantLines(sentLines[SendToOwner](out), "down "+ref1+" 47")
 		}
 		if len(takeEvents[forkhead.PlacementRequest](w)) > 0 || w.core.unanswered != 1 || w.core.requestsByRef[ref2] == nil {
-			t.Errorf("%s: the module got it, or the request beside it is gone", name)
+			t.Errorf("%s: the module got it, or the request beside it was removed", name)
 		}
 	}
 }
--- a/internal/scheduler/platform/unresponsive.go
+++ b/internal/scheduler/platform/unresponsive.go
@@ -7,8 +7,8 @@
 	"forkhead"
 )
 
-// expireUnlessListed loses in time the tasks of a host that the endpoint list does not have, or has as removed, and forgets
-// it. It returns whether the host is in service or drains.
+// expireUnlessListed loses in time the tasks of a host that the endpoint list does not have, or has as removed, and
+// removes it. It returns whether the host is in service or drains.
 func (c *Core) expireUnlessListed(h *host) (listed bool) {
 	switch {
 	case h.unlistedSince > 0:
@@ -34,7 +34,7 @@
 	return h
 }
 
-// expireUnlisted loses the tasks of a host that is not listed in time, and forgets it once it has none.
+// expireUnlisted loses the tasks of a host that is not listed in time, and removes it once it has none.
 func (c *Core) expireUnlisted(h *host) {
 	if c.now > h.unlistedSince+unlistedTimeout {
 		c.loseTasks(h, reasonNotListed)
@@ -45,7 +45,7 @@
 	}
 }
 
-// expireRemoved loses the tasks of a removed host once it had time to report their ends, and forgets it later.
+// expireRemoved loses the tasks of a removed host once it had time to report their ends, and removes it later.
 func (c *Core) expireRemoved(h *host) {
 	if c.now <= h.removedAt+removedGrace {
 		return
@@ -62,7 +62,7 @@
 	if !h.hasPlacedTasks() || h.address == "" {
 		return
 	}
-	if h.lastSeenAliveAt == 0 { // never heard of: its silence is counted from now
+	if h.lastSeenAliveAt == 0 { // it has never sent anything: unresponsive from now
 		h.lastSeenAliveAt = c.now
 	}
 	switch unresponsiveFor := c.now - h.lastSeenAliveAt; {
@@ -80,8 +80,8 @@
 	}
 }
 
-// isLost reports whether a host has not been seen alive for too long and no connection to it could be made meanwhile. A dial that
-// is under way is awaited a little longer.
+// isLost reports whether a host has not been seen alive for too long and no connection to it could be made meanwhile.
+// A dial that is under way is awaited a little longer.
 func (h *host) isLost(unresponsiveFor time.Duration) bool {
 	return unresponsiveFor > lostAfter && h.lastDialFailedAt > h.lastSeenAliveAt+unresponsiveAfter &&
 		(!h.isDialing() || unresponsiveFor > lostAfter+lastDialBeforeLoss/2)
--- a/internal/scheduler/platform/unresponsive_test.go
+++ b/internal/scheduler/platform/unresponsive_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// A host that is cut off for less than the protocol's time keeps its tasks; those of one that does not come back are
+// A host that is partitioned for less than the protocol's time keeps its tasks; those of one that does not come back are
 // released within that time, counted from when it last sent something.
 func TestCoreHostCutOff(t *testing.T) {
 	for _, cut := range []time.Duration{6 * time.Second, time.Hour} {
@@ -78,10 +78,10 @@
 			}
 		})
 		if cut < time.Minute && releasedAt > 0 {
-			t.Errorf("cut off for %v: its task is released after %v", cut, releasedAt-receivedAt)
+			t.Errorf("partitioned for %v: its task is released after %v", cut, releasedAt-receivedAt)
 		}
 		if cut > time.Minute && (releasedAt == 0 || releasedAt > receivedAt+8*time.Second) {
-			t.Errorf("gone: its task is released %v after it last sent something", releasedAt-receivedAt)
+			t.Errorf("lost: its task is released %v after it last sent something", releasedAt-receivedAt)
 		}
 	}
 }
--- a/internal/scheduler/retrypolicy/retrypolicy.go
+++ b/internal/scheduler/retrypolicy/retrypolicy.go
@@ -1,5 +1,5 @@
 // Package retrypolicy decides what the owner of a task does when a placement request has ended without placing it, or a
-// placed task is gone: whether and when it requests the task again. It is pure: no clock, no source of randomness.
+// placed task has ended: whether and when it requests the task again. It is pure: no clock, no source of randomness.
 package retrypolicy
 
 import "time"
@@ -52,7 +52,7 @@
 // Placed resets the counts of requests and failures, since the task is placed.
 func (r *Retrier) Placed() { r.Requests, r.Failures = 0, 0 }
 
-// NextRetry returns the time of the next request. random in [0, 1) is jitter. ok is false when the owner gives up: its
+// NextRetry returns the time of the next request. random in [0, 1) is jitter. ok is false when the owner retries no more: its
 // requests are used up, or the next one would be made at its deadline or after.
 func (r *Retrier) NextRetry(now time.Duration, event Event, policy Policy, random float64) (at time.Duration, ok bool) {
 	if r.Requests >= policy.MaxRequests {
--- a/internal/scheduler/retrypolicy/retrypolicy_test.go
+++ b/internal/scheduler/retrypolicy/retrypolicy_test.go
@@ -50,6 +50,6 @@
 	}
 	retrier.Placed()
 	if _, ok := retrier.NextRetry(10*time.Second, rejected, policy, 0.5); !ok {
-		t.Error("gives up a task whose counts were reset since it was placed")
+		t.Error("abandons a task whose counts were reset since it was placed")
 	}
 }
--- a/internal/scheduler/rollingupdate/rollingupdate.go
+++ b/internal/scheduler/rollingupdate/rollingupdate.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// hasFailedTooOften reports whether more than the permitted share of all tasks of the update have failed.
+// hasFailedTooOften reports whether more than the permitted fraction of all tasks of the update have failed.
 func (u *Update) hasFailedTooOften() bool {
 	return u.failed > 0 && float64(u.failed) > u.policy.MaxFailureRatio*float64(u.total)
 }
--- a/internal/scheduler/statetable/statetable.go
+++ b/internal/scheduler/statetable/statetable.go
@@ -1,5 +1,5 @@
 // Package statetable renders the transition function of a state machine as a Markdown table, with a column for each state
-// and a row for each input, so that a test can hold a page to what the code does.
+// and a row for each input, so that a test can compare a page with the code.
 package statetable
 
 import (
--- a/internal/scheduler/statetable/statetable_test.go
+++ b/internal/scheduler/statetable/statetable_test.go
@@ -10,7 +10,7 @@
 	"forkhead/internal/verify/doccheck"
 )
 
-// The page on the state machines holds their tables as the code has them.
+// The page on the state machines has the tables that the code renders.
 func TestTablesOnDesignPage(t *testing.T) {
 	for name, table := range map[string]func() string{
 		"attempt":     attempt.Table,
