--- a/internal/server/eventloop/eventloop.go
+++ b/internal/server/eventloop/eventloop.go
@@ -11,7 +11,7 @@
 
 // A loop that runs so late for a timer was stalled, and so were those that post jobs to it: it lets them post what has
 // come meanwhile, in rounds, before it steps the timers that are due. It guards against a stall of our own that is taken
-// for the silence of others.
+// for unresponsive peers.
 const (
 	stalledAfter     = 50 * time.Millisecond
 	catchUpPause     = time.Millisecond
--- a/internal/server/eventloop/eventloop_test.go
+++ b/internal/server/eventloop/eventloop_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// A full queue holds producers back, and Stop lets them go.
+// A full queue blocks producers, and Stop releases them.
 func TestLoopHoldsProducersBack(t *testing.T) {
 	l := New(clock.New(), 5, func(time.Duration) (time.Duration, bool) { return 0, false })
 	l.Start()
@@ -60,7 +60,7 @@
 		}()
 	}
 	time.Sleep(50 * time.Millisecond)
-	if n := queued.Load(); n > 10 { // a batch in hand beside a full queue
+	if n := queued.Load(); n > 10 { // a batch in execution beside a full queue
 		t.Fatalf("%d jobs beside a queue of 5", n)
 	}
 	go func() {
@@ -74,7 +74,7 @@
 	}
 }
 
-// A loop that stood still past a timer takes what was held back meanwhile before the timer is due.
+// A loop that was stalled past a timer takes what was blocked meanwhile before the timer is due.
 func TestLoopCatchesUpBeforeLateTimer(t *testing.T) {
 	got := 0
 	stepped := make(chan int, 1)
--- a/internal/server/listwatch/listwatch.go
+++ b/internal/server/listwatch/listwatch.go
@@ -1,4 +1,4 @@
-// Package listwatch follows the list of hosts by blocking queries of Consul's HTTP API.
+// Package listwatch watches the endpoint list by blocking queries of Consul's HTTP API.
 package listwatch
 
 import (
@@ -16,7 +16,7 @@
 	"forkhead/internal/server/clock"
 )
 
-// Config says what is watched and how.
+// Config is what is watched and how.
 type Config struct {
 	Address     string        // of Consul, HOST:PORT
 	Service     string        // under which hosts are registered
@@ -26,7 +26,7 @@
 	UserAgent   string
 }
 
-// Watch is one subscription to the list. It ends with the first query that fails, or by Stop.
+// Watch is one subscription to the endpoint list. It ends with the first query that fails, or by Stop.
 type Watch struct {
 	cfg    Config
 	client *http.Client
@@ -36,7 +36,7 @@
 }
 
 // Start starts a watch on a goroutine of its own, which calls the functions. onList is called with each list that differs from
-// the one before; skipped says of each host that is left out why it cannot be used. onFailure is called once, with the error
+// the one before; skipped has a message for each host that is left out, with the reason. onFailure is called once, with the error
 // of the query that ended the watch, and not after Stop.
 func Start(cfg Config, onList func(hosts []consul.Host, skipped []string), onFailure func(error)) *Watch {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -61,7 +61,7 @@
 	w.done.Wait()
 }
 
-// follow queries the list until a query fails or ctx is canceled, and returns the error.
+// follow queries the endpoint list until a query fails or ctx is canceled, and returns the error.
 func (w *Watch) follow(ctx context.Context) error {
 	index := uint64(0) // of the list that was read last
 	for {
@@ -72,7 +72,7 @@
 		}
 		next := answer.index
 		if next < index {
-			next = 0 // Consul's documentation asks for this: it has restarted, and a query by an old index may never return
+			next = 0 // Consul's documentation requires this: it has restarted, and a query by an old index may never return
 		}
 		if next != index || index == 0 {
 			w.onList(answer.hosts, answer.skipped)
@@ -91,7 +91,8 @@
 	index   uint64   // of the list; the next query waits until it is another
 }
 
-// query asks for the list. If index is not 0, the answer is held until the list has another index, at most for MaxWait.
+// query requests the endpoint list. If index is not 0, the answer comes once the list has another
+// index, or after MaxWait.
 func (w *Watch) query(ctx context.Context, index uint64) (*answer, error) {
 	timeout := w.cfg.Timeout
 	parameters := url.Values{}
--- a/internal/server/listwatch/listwatch_test.go
+++ b/internal/server/listwatch/listwatch_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// After an index that goes back, the watch asks without one instead of blocking for good; an answer without an index ends the
+// After an index that goes back, the watch queries without one instead of blocking for good; an answer without an index ends the
 // watch with the reason.
 func TestWatchHandlesUnusualIndexes(t *testing.T) {
 	var calls atomic.Int64
@@ -98,7 +98,7 @@
 			w.Header().Set("X-Consul-Index", "3")
 		case 3:
 			if r.URL.Query().Get("index") != "" {
-				t.Errorf("asked with index %s after it went back", r.URL.Query().Get("index"))
+				t.Errorf("queried with index %s after it went back", r.URL.Query().Get("index"))
 			}
 			w.Header().Set("X-Consul-Index", "3")
 		}
--- a/internal/server/netio/conn.go
+++ b/internal/server/netio/conn.go
@@ -25,7 +25,7 @@
 
 	mu          sync.Mutex // held while the poller takes the connection
 	attached    bool       // the poller has it
-	closeReason error      // why it was closed before that
+	closeReason error      // reason for which it was closed before that
 }
 
 // newConn wraps a socket, which it closes if it cannot.
@@ -38,13 +38,13 @@
 	return &Conn{raw: raw, maxPending: int64(maxPending)}, nil
 }
 
-// reportClosed tells the handler, once, that the connection is closed.
+// reportClosed notifies the handler, once, that the connection is closed.
 func (c *Conn) reportClosed(err error) {
 	c.closed.Store(true)
 	c.reportOnce.Do(func() { c.handler.Closed(c, err) })
 }
 
-// Write queues bytes; the handler's Drained is told when all are out. It closes the connection and returns
+// Write queues bytes; the handler's Drained is called when all are out. It closes the connection and returns
 // ErrWriteBufferFull if more would be pending than its bound, and net.ErrClosed if it is closed already.
 func (c *Conn) Write(p []byte) error {
 	if c.closed.Load() {
--- a/internal/server/netio/engine.go
+++ b/internal/server/netio/engine.go
@@ -28,7 +28,7 @@
 	// fence orders the making of a connection before its first event. The poller hands them over
 	// through the kernel, which the memory model does not know of.
 	fence atomic.Uint64
-	// served says by the poller's number whether it has carried data.
+	// served is, by the poller's number, whether it has carried data.
 	served     []atomic.Bool
 	socketPair func() (net.Conn, net.Conn, error)
 
--- a/internal/server/netio/engine_test.go
+++ b/internal/server/netio/engine_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// An engine that is stopped right after its start stops: nbio's pollers would forget it and spin.
+// An engine that is stopped right after its start stops: nbio's pollers would lose the stop and spin.
 func TestEngineStopsRightAfterStart(t *testing.T) {
 	for range 200 {
 		e, err := New("test", 2)
--- a/internal/server/netio/listener.go
+++ b/internal/server/netio/listener.go
@@ -17,7 +17,7 @@
 	engine     *Engine
 	maxPending int
 	accept     func(c *Conn) Handler
-	drainIdle  atomic.Int64  // nanoseconds without a connection that end a Drain; 0: none was asked for
+	drainIdle  atomic.Int64  // nanoseconds without a connection that end a Drain; 0: none was requested
 	drainUntil atomic.Int64  // Unix nanoseconds by which it ends
 	done       chan struct{} // closed when the listener is, and everything that it accepted has been handed over
 }
@@ -106,7 +106,7 @@
 	}
 }
 
-// forget closes a listener and takes it out of the engine's.
+// forget closes a listener and removes it from the engine's.
 func (e *Engine) forget(l *Listener) {
 	_ = l.Close()
 	e.mu.Lock()
--- a/internal/server/netio/listener_test.go
+++ b/internal/server/netio/listener_test.go
@@ -30,7 +30,7 @@
 		all = append(all, c)
 	}
 	ln.Drain(10*time.Millisecond, time.Minute)
-	time.Sleep(30 * time.Millisecond) // accept is held for longer than the queue would have to be quiet
+	time.Sleep(30 * time.Millisecond) // accept is blocked for longer than the queue would have to be idle
 	close(gate)
 	for i, c := range all {
 		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
--- a/internal/server/netio/netio.go
+++ b/internal/server/netio/netio.go
@@ -34,9 +34,9 @@
 	Closed(c *Conn, err error)
 }
 
-// Drainer is a Handler that is told when everything that was written has gone out. Drained must not use the connection:
+// Drainer is a Handler that is notified when everything that was written has gone out. Drained must not use the connection:
 // it is called within its writes.
 type Drainer interface{ Drained(c *Conn) }
 
-// Opener is a Handler that is told when its accepted connection may be used, which accept itself must not do.
+// Opener is a Handler that is notified when its accepted connection may be used, which accept itself must not do.
 type Opener interface{ Opened(c *Conn) }
--- a/internal/server/netio/pollers.go
+++ b/internal/server/netio/pollers.go
@@ -18,7 +18,7 @@
 )
 
 // awaitPollers waits until every poller has carried data. It guards against nbio's own race: a poller that is stopped
-// before its goroutine has come to its loop forgets that it was, spins, and Stop waits for it for good (nbio 1.6.8:
+// before its goroutine has reached its loop loses the stop, spins, and Stop waits for it for good (nbio 1.6.8:
 // readWriteLoop sets shutdown to false). It comes at the end, as only an engine that has carried nothing needs it: where
 // a placer serves there may be none of the sockets that it takes.
 func (e *Engine) awaitPollers() error {
@@ -37,7 +37,7 @@
 			return fmt.Errorf("netio: open a pair of sockets: %w", err)
 		}
 		opened = append(opened, func() { _ = out.Close() })
-		if probe%2 == 1 { // a poller takes descriptors by their number: held ones make the numbers differ
+		if probe%2 == 1 { // a poller takes descriptors by their number: open ones make the numbers differ
 			if held, err := syscall.Dup(0); err == nil {
 				opened = append(opened, func() { _ = syscall.Close(held) })
 			}
@@ -84,7 +84,7 @@
 
 // pollerProbe is a Handler that reports its first data and closes.
 type pollerProbe struct {
-	served chan struct{} // with room for one
+	served chan struct{} // with a buffer for one
 }
 
 // Data reports and closes.
--- a/internal/server/placer/feasibility.go
+++ b/internal/server/placer/feasibility.go
@@ -20,7 +20,7 @@
 	feasibilityCheckTimeout = 100 * time.Millisecond
 )
 
-// feasibilityChecker looks for a proof that a specification cannot be placed whole. Its methods may be called from any
+// feasibilityChecker looks for a proof that a specification cannot be placed completely. Its methods may be called from any
 // goroutine.
 type feasibilityChecker struct {
 	settings *settings.Settings
@@ -32,7 +32,7 @@
 	return &feasibilityChecker{settings: set, slots: make(chan struct{}, maxFeasibilityChecks)}
 }
 
-// acquire takes a slot for findConflict and reports whether one was free.
+// acquire takes a slot for findConflict and reports whether one was available.
 func (f *feasibilityChecker) acquire() bool {
 	select {
 	case f.slots <- struct{}{}:
@@ -55,7 +55,7 @@
 			continue
 		}
 		machineType := f.settings.Module.MachineTypes[index]
-		state := "ready" // a draining one may be back before the client's patience is over
+		state := "ready" // a draining one may be ready again before the client's timeout is over
 		if entry.State == forkhead.Removed {
 			state = "gone"
 		}
@@ -67,7 +67,7 @@
 	f.machines.Store(&machines)
 }
 
-// findConflict returns the requirements that keep a specification from being placed whole on the machines of the list,
+// findConflict returns the requirements that keep a specification from being placed completely on the machines of the list,
 // even if they were empty. It returns nil where that is not proven: the specification fits, no list has come, ctx is done
 // or the time is over.
 func (f *feasibilityChecker) findConflict(ctx context.Context, spec *servicespec.Description) []string {
--- a/internal/server/placer/hosts.go
+++ b/internal/server/placer/hosts.go
@@ -122,7 +122,7 @@
 	})
 }
 
-// Closed implements netio.Handler: it tells the core of a connection that it did not close itself.
+// Closed implements netio.Handler: it notifies the core of a connection that it did not close itself.
 func (h *hostConn) Closed(_ *netio.Conn, err error) {
 	h.server.loop.Post(func() {
 		if !h.isCurrent() {
--- a/internal/server/placer/http_server.go
+++ b/internal/server/placer/http_server.go
@@ -26,7 +26,7 @@
 	// writeBufferReserve is what a connection may hold unwritten beside the outcomes that Limits.Buffer bounds: response
 	// heads, problems and one line more than the bound, in bytes.
 	writeBufferReserve = 1 << 20
-	// rejectedRetryAfter is told to clients that are to try again later.
+	// rejectedRetryAfter is sent to clients that are to try again later.
 	rejectedRetryAfter = time.Second
 	// idlePollInterval is how often waitUntilIdle looks.
 	idlePollInterval = 10 * time.Millisecond
@@ -153,7 +153,7 @@
 	})
 }
 
-// Closed implements netio.Handler: the client's requests are forgotten, what it has submitted goes on.
+// Closed implements netio.Handler: the client's requests are dropped, what it has submitted goes on.
 func (c *httpConn) Closed(*netio.Conn, error) {
 	h := c.server
 	h.connections.Add(-1)
@@ -236,7 +236,7 @@
 	c.resume(closeAfter)
 }
 
-// route is a method of a resource. A path that ends with a slash stands for all paths below it; handle gets the rest.
+// route is a method of a resource. A path that ends with a slash matches all paths below it; handle gets the rest.
 type route struct {
 	path   string
 	method string
--- a/internal/server/placer/machine_list.go
+++ b/internal/server/placer/machine_list.go
@@ -9,7 +9,7 @@
 )
 
 // watchMachineList starts to watch the machine list, unless that is being done. The watch lasts until a poll fails; the
-// core then asks for another one.
+// core then subscribes again.
 func (s *Server) watchMachineList() {
 	if s.watch != nil {
 		return
@@ -36,7 +36,7 @@
 	s.http.feasibility.setMachines(machines)
 }
 
-// machineListFailed tells the core that its watch has ended with a failed poll. It runs on the loop.
+// machineListFailed notifies the core that its watch has ended with a failed poll. It runs on the loop.
 func (s *Server) machineListFailed(err error) {
 	s.watch.Stop() // its goroutine is ending by itself
 	s.watch = nil
--- a/internal/server/placer/outcomes.go
+++ b/internal/server/placer/outcomes.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// endStream forgets a stream that is finished or whose client has left. It runs on the loop.
+// endStream removes a stream that is finished or whose client has left. It runs on the loop.
 func (h *httpServer) endStream(stream *outcomeStream) {
 	stream.conn.stream = nil
 	streams := h.streams[stream.submission]
--- a/internal/server/placer/problems.go
+++ b/internal/server/placer/problems.go
@@ -11,7 +11,7 @@
 	"forkhead/internal/protocol/http1"
 )
 
-// Types of problems that a client may tell apart by them. All others have about:blank and are told apart by their status.
+// Types of problems that a client may distinguish by them. All others have about:blank and are distinguished by their status.
 const (
 	invalidSpecType = "urn:forkhead:bad-description"
 	infeasibleType  = "urn:forkhead:impossible"
@@ -60,7 +60,7 @@
 	return list
 }
 
-// infeasibleProblem returns the Problem of a specification that cannot be placed whole.
+// infeasibleProblem returns the Problem of a specification that cannot be placed completely.
 func infeasibleProblem(conflict []string) Problem {
 	return Problem{
 		Type: infeasibleType, Title: "No placement exists", Status: http.StatusUnprocessableEntity,
@@ -73,10 +73,10 @@
 type problemResponse struct {
 	Problem
 	header     []http1.Field // beside those of every problem
-	retryAfter time.Duration // rounded up to seconds; 0: not told
+	retryAfter time.Duration // rounded up to seconds; 0: not given
 }
 
-// encode returns the bytes of the response. closeAfter tells the client that the connection ends with it.
+// encode returns the bytes of the response. closeAfter notifies the client that the connection ends with it.
 func (p problemResponse) encode(closeAfter bool) []byte {
 	if p.Type == "" {
 		p.Type = otherType
--- a/internal/server/placer/server.go
+++ b/internal/server/placer/server.go
@@ -2,7 +2,7 @@
 // list, the gossip socket and the use of the store. It decides nothing.
 //
 // The core belongs to one goroutine, the loop. Everything that arrives is handed to the loop as an input, and the loop
-// executes the outputs of each step. What else belongs to the loop is said at each field.
+// executes the outputs of each step. What else belongs to the loop is noted at each field.
 package placer
 
 import (
@@ -41,7 +41,7 @@
 	Store    *store.Store
 	Snapshot *durable.Snapshot
 	// OnStep is called on the loop's goroutine with each step of the core: its time, the time for which the core had asked
-	// (0: it had not), its inputs in the order of their arrival and its outputs in the order of their execution. It must
+	// (0: it had not), its inputs in the order of their receipt and its outputs in the order of their execution. It must
 	// keep neither slice. nil: not called.
 	OnStep func(now, due time.Duration, in []core.Input, out []core.Output)
 	// DropGossip reports whether a datagram of another placer is to be lost, for tests. It is called on the goroutine
--- a/internal/server/placer/submissions.go
+++ b/internal/server/placer/submissions.go
@@ -72,7 +72,7 @@
 	})
 }
 
-// readSubmission returns the core's input of a request, without its number, or why there is none.
+// readSubmission returns the core's input of a request, without its number, or a problem.
 func (h *httpServer) readSubmission(request *http1.Request) (core.Submit, *problemResponse) {
 	if h.stopping() {
 		p := Problem{Title: "Stopping", Status: http.StatusServiceUnavailable, Detail: "this placer is being stopped"}
@@ -118,7 +118,7 @@
 	}
 	switch mediaType {
 	case "application/yaml", "application/x-yaml", "text/yaml", "text/x-yaml", "text/plain", "application/x-www-form-urlencoded":
-		// The last is what curl says of --data-binary if it is told nothing.
+		// The last is what curl sends with --data-binary by default.
 		readComposeFile(request, input)
 	case EnvelopeMediaType:
 		if err := readEnvelope(request, input); err != nil {
--- a/internal/server/placer/submissions_test.go
+++ b/internal/server/placer/submissions_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// A specification that is to be placed whole and cannot be is rejected with the conflict, and none of its tasks is
+// A specification that is to be placed completely and cannot be is rejected with the conflict, and none of its tasks is
 // offered. One that can be is placed; without whole, as many tasks are placed as can be.
 func TestServerRejectsInfeasibleSpec(t *testing.T) {
 	cluster, address := startPlacer(t, "")
--- a/internal/server/platform/acceptslots.go
+++ b/internal/server/platform/acceptslots.go
@@ -9,10 +9,10 @@
 // yet. Safe for concurrent use.
 type acceptSlots chan struct{}
 
-// newAcceptSlots returns so many free slots.
+// newAcceptSlots returns so many available slots.
 func newAcceptSlots(count int) acceptSlots { return make(acceptSlots, count) }
 
-// acquire waits for a free slot. It returns nil when ctx ends first.
+// acquire waits for an available slot. It returns nil when ctx ends first.
 func (s acceptSlots) acquire(ctx context.Context) *acceptSlot {
 	select {
 	case s <- struct{}{}:
--- a/internal/server/platform/acceptslots_test.go
+++ b/internal/server/platform/acceptslots_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// A slot is free again once it is released, and only once; a wait for one ends with its context.
+// A slot is available again once it is released, and only once; a wait for one ends with its context.
 func TestAcceptSlotsBoundAndRelease(t *testing.T) {
 	slots := newAcceptSlots(2)
 	first, second := slots.acquire(t.Context()), slots.acquire(t.Context())
 	if first == nil || second == nil {
-		t.Fatal("a free slot is not acquired")
+		t.Fatal("an available slot is not acquired")
 	}
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/server/platform/config.go
+++ b/internal/server/platform/config.go
@@ -72,8 +72,8 @@
 	return info, settings, nil
 }
 
-// newCoreConfig returns what the core runs with. A third of the descriptors is kept for owners, who may hold two thirds of
-// the connections; hosts may hold all but that third.
+// newCoreConfig returns what the core runs with. A third of the descriptors is reserved for owners, who may use two thirds of
+// the connections; hosts may use all but that third.
 func newCoreConfig(cfg *platform.Config, info *platformconfig.Info, settings forkhead.Settings) platformcore.Config {
 	descriptors := cfg.Limits.Sockets
 	if descriptors == 0 {
--- a/internal/server/platform/connection.go
+++ b/internal/server/platform/connection.go
@@ -35,7 +35,7 @@
 // belongs to the event loop's goroutine.
 type writeQueue struct{ connections []*connection }
 
-// write collects a line for a connection; one that is gone or not made yet takes none.
+// write collects a line for a connection; one that is closed or not made yet takes none.
 func (q *writeQueue) write(c *connection, line []byte) {
 	if c == nil || c.stream == nil {
 		return
--- a/internal/server/platform/eventinterval.go
+++ b/internal/server/platform/eventinterval.go
@@ -4,13 +4,13 @@
 
 // Bounds of the wait for the next event.
 const (
-	minEventTimeout  = 2 * time.Second // the platform counts the events of a silent watch as delivered after 4 s
+	minEventTimeout  = 2 * time.Second // the platform counts the events of an idle watch as delivered after 4 s
 	maxEventTimeout  = time.Minute
 	maxEventInterval = 10 * time.Second // a watch with longer intervals is not polled again
 	maxBackoffShift  = 5                // doublings of the timeout
 )
 
-// eventIntervals learns how long the watch goes without an event as a rule. A watch that brings events all the time and
+// eventIntervals estimates how long the watch usually goes without an event. A watch that brings events all the time and
 // then only comments is stuck: it is polled again, in ever longer intervals while nothing comes of that. Where events are
 // rare or too few have come, it waits forever. Not for concurrent use.
 type eventIntervals struct {
--- a/internal/server/platform/gossip.go
+++ b/internal/server/platform/gossip.go
@@ -12,8 +12,8 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// gossipSocket exchanges datagrams with other placers. Its fields don't change once it is open. A nil gossipSocket stands
-// for none: it sends and receives nothing.
+// gossipSocket exchanges datagrams with other placers. Its fields don't change once it is open. A nil gossipSocket is
+// none: it sends and receives nothing.
 type gossipSocket struct {
 	socket    *net.UDPConn
 	self      int              // this placer's number
@@ -58,7 +58,7 @@
 	}()
 }
 
-// close closes the socket and waits for its goroutine, which the event loop must not hold up any more.
+// close closes the socket and waits for its goroutine, which the event loop must not block any more.
 func (g *gossipSocket) close() {
 	if g == nil {
 		return
--- a/internal/server/platform/hosts.go
+++ b/internal/server/platform/hosts.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// localFailures are errors of a dial that tell nothing about the host.
+// localFailures are errors of a dial that do not depend on the host.
 var localFailures = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, net.ErrClosed}
 
 // isLocalFailure reports whether a dial failed for want of something in this process or on its machine.
@@ -77,7 +77,7 @@
 	h.writes.write(&c.connection, o.Line)
 	if o.Abandons && c.stream.HasUnsent() {
 		// The offer may not have left yet, and would begin whenever the host reads on: guards against attempts that
-		// begin long after their owner has left. Closing a connection gives up what is open on it.
+		// begin long after their owner has left. Closing a connection abandons what is open on it.
 		c.stream.Reset()
 	}
 }
@@ -117,7 +117,7 @@
 	c.hosts.inputs.loop.Post(c.disconnected)
 }
 
-// disconnected tells the core, once, that the host has closed the connection. It is for jobs on the event loop.
+// disconnected notifies the core, once, that the host has closed the connection. It is for jobs on the event loop.
 func (c *hostConnection) disconnected() {
 	if c.closed {
 		return
--- a/internal/server/platform/idletimer.go
+++ b/internal/server/platform/idletimer.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// stallThreshold is how late a timer fires when this process stood still: that tells nothing about the peer.
+// stallThreshold is how late a timer fires when this process was stalled: that is no evidence about the peer.
 const stallThreshold = 100 * time.Millisecond
 
 // idleTimer calls a function when it was not reset for its timeout. A firing that is late by stallThreshold or more is the
-// process's own doing: bytes that wait to be read get as long again. It guards against taking our own stall for silence of
-// the peer. Safe for concurrent use.
+// process's own doing: bytes that wait to be read get as long again. It guards against taking our own stall for an
+// unresponsive peer. Safe for concurrent use.
 type idleTimer struct {
 	mu      sync.Mutex
 	timer   *time.Timer
--- a/internal/server/platform/idletimer_test.go
+++ b/internal/server/platform/idletimer_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A timer that fires late, as its process stood still, gives as long again; one that is reset as it fires does not fire.
+// A timer that fires late, as its process was stalled, gives as long again; one that is reset as it fires does not fire.
 func TestIdleTimerStallIsNoSilence(t *testing.T) {
 	var fired atomic.Int64
 	timer := newIdleTimer(time.Hour, func() { fired.Add(1) })
@@ -17,11 +17,11 @@
 	timer.mu.Unlock()
 	time.Sleep(10 * time.Millisecond)
 	if fired.Load() != 0 {
-		t.Error("a stall of our own is taken for silence")
+		t.Error("a stall of our own is taken for an unresponsive peer")
 	}
 	for end := time.Now().Add(eventuallyTimeout); fired.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("silence is not noticed any more")
+			t.Fatal("an unresponsive peer is not detected any more")
 		}
 	}
 	paused := newIdleTimer(0, func() { t.Error("a paused timer fires") })
--- a/internal/server/platform/owners.go
+++ b/internal/server/platform/owners.go
@@ -37,7 +37,7 @@
 	slot   *acceptSlot
 }
 
-// listen accepts connections on a goroutine of the engine, which waits for it. accept gives up when ctx ends.
+// listen accepts connections on a goroutine of the engine, which waits for it. accept returns when ctx ends.
 func (o *ownerConnections) listen(ctx context.Context, engine *netio.Engine, address string) error {
 	listener, err := engine.Listen(address, maxOwnerUnsentBytes, func(stream *netio.Conn) netio.Handler { return o.accept(ctx, stream) })
 	if err != nil {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// accept takes a connection. Where all slots are taken it waits for one: the core gives up a connection for each that it
+// accept takes a connection. Where all slots are taken it waits for one: the core closes a connection for each that it
 // sees beyond its bound. It guards against more connections than descriptors, and against usual owners that are closed
 // unseen because others came at the same moment: they wait in the accept queue instead.
 func (o *ownerConnections) accept(ctx context.Context, stream *netio.Conn) netio.Handler {
@@ -88,7 +88,7 @@
 	delete(o.open, id)
 	c.closed = true
 	if o.lingerer.close(&c.connection) {
-		c.slot.release() // the core has room for another already
+		c.slot.release() // the core has a slot for another already
 	}
 }
 
@@ -124,7 +124,7 @@
 	c.owners.inputs.loop.Post(c.disconnected)
 }
 
-// disconnected tells the core, once, that the owner has left. It is for jobs on the event loop.
+// disconnected notifies the core, once, that the owner has left. It is for jobs on the event loop.
 func (c *ownerConnection) disconnected() {
 	if c.closed {
 		return
--- a/internal/server/platform/server.go
+++ b/internal/server/platform/server.go
@@ -145,7 +145,7 @@
 // Reload watches the endpoint list at the address that a new configuration names; all else stays as it was.
 func (s *Server) Reload(cfg *platform.Config) { s.watch.setAddress(cfg.WatchAddress) }
 
-// BeginShutdown asks the core to shut down, without waiting; ShutdownComplete follows.
+// BeginShutdown requests the core to shut down, without waiting; ShutdownComplete follows.
 func (s *Server) BeginShutdown() { s.inputs.post(platformcore.ShutdownRequested{}) }
 
 // ShutdownComplete is closed when, after BeginShutdown, the core has shut down and owners have what was written to them or
--- a/internal/server/platform/server_test.go
+++ b/internal/server/platform/server_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// checkAnswers checks the answers to one request and returns how many say that it is bound.
+// checkAnswers checks the answers to one request and returns how many report that it is bound.
 func checkAnswers(t *testing.T, ref string, answers []platform.Message) (bound int) {
 	t.Helper()
 	if len(answers) > 1 && answers[0].Type != platform.TypeBound {
@@ -104,7 +104,7 @@
 	}
 }
 
-// A host whose process dies: its running tasks are released to their owners.
+// A host whose process ends: its running tasks are released to their owners.
 func TestServerReleasesTasksOfADeadHost(t *testing.T) {
 	h := newTestHost(t, 0, 1)
 	s := startWithHost(t, h)
@@ -140,7 +140,7 @@
 	for _, c := range silent {
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-			t.Fatalf("a silent connection is not closed: %v", err)
+			t.Fatalf("an idle connection is not closed: %v", err)
 		}
 	}
 	s.BeginShutdown()
@@ -162,8 +162,8 @@
 	}
 }
 
-// Clients who say something once and stay, or nothing at all, fill the descriptors while discovery is down from the start:
-// probes, usual owners, hosts and a new configuration still get theirs, and the list is watched once it is there.
+// Clients that send something once and stay, or nothing at all, fill the descriptors while discovery is down from the start:
+// probes, usual owners, hosts and a new configuration still get theirs, and the endpoint list is watched once it is there.
 func TestServerIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	first, second := newTestHost(t, 0, 1), newTestHost(t, 0, 2)
 	initial := endpointEvent(1, true, endpointOf(1, first, platform.InService))
--- a/internal/server/platform/shutdown.go
+++ b/internal/server/platform/shutdown.go
@@ -5,7 +5,7 @@
 // flushTimeout bounds how long a placer whose core has shut down waits for owners to read what was written to them.
 const flushTimeout = 2 * time.Second
 
-// shutdown tells when the process may end. It belongs to the event loop's goroutine, except for the channel.
+// shutdown knows when the process may end. It belongs to the event loop's goroutine, except for the channel.
 type shutdown struct {
 	flushDeadline time.Duration // 0: the core has not shut down
 	isComplete    bool
--- a/internal/server/platform/shutdown_test.go
+++ b/internal/server/platform/shutdown_test.go
@@ -9,7 +9,7 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// Asked to shut down, a placer serves what waits in its accept queue and reads a request that comes in pieces to its end.
+// A placer that is to shut down serves what waits in its accept queue and reads a request that comes in pieces to its end.
 func TestShutdownAnswersAcceptQueueAndPartialRequest(t *testing.T) {
 	s := startWithHost(t, newTestHost(t, 0, 1))
 	pieces := newTestOwner(t, s.Address())
@@ -46,7 +46,7 @@
 	<-s.ShutdownComplete()
 }
 
-// Asked to shut down, a placer stays until a slow reader has its answers, and not for ever.
+// A placer that is to shut down stays until a slow reader has its answers, and not for ever.
 func TestShutdownWaitsForSlowReaders(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		s := startWithHost(t, newTestHost(t, 0, 1))
--- a/internal/server/platform/testenv_test.go
+++ b/internal/server/platform/testenv_test.go
@@ -61,7 +61,7 @@
 // testHost is a scripted host: it answers offers, some of them badly, and notes what it was sent.
 type testHost struct {
 	listener  net.Listener
-	faultRate float64 // share of offers whose answer is spoilt or that are reset
+	faultRate float64 // fraction of offers whose answer is corrupted or that are reset
 
 	mu         sync.Mutex
 	random     *rand.Rand
@@ -93,7 +93,7 @@
 	return h
 }
 
-// kill closes the listener and resets all connections, as a process that dies does.
+// kill closes the listener and resets all connections, as a process that ends does.
 func (h *testHost) kill() {
 	_ = h.listener.Close()
 	h.mu.Lock()
@@ -292,7 +292,7 @@
 	return s
 }
 
-// stall holds the event loop until the function that it returns is called, as a process that gets no processor stands still.
+// stall blocks the event loop until the function that it returns is called, as in a process that gets no processor.
 func stall(t *testing.T, s *Server) (resume func()) {
 	t.Helper()
 	stalled, gate := make(chan struct{}), make(chan struct{})
--- a/internal/server/platform/watch.go
+++ b/internal/server/platform/watch.go
@@ -24,7 +24,7 @@
 	streamBufferSize  = 16 << 10
 )
 
-// Why a stream of the watch was given up.
+// Reasons why a stream of the watch was closed.
 var (
 	errAddressChanged = errors.New("the watch address has changed")
 	errStreamIdle     = errors.New("nothing came for too long")
@@ -58,7 +58,7 @@
 	intervals eventIntervals
 }
 
-// startWatch follows the list until ctx ends.
+// startWatch watches the endpoint list until ctx ends.
 func startWatch(ctx context.Context, config watchConfig) *watcher {
 	w := &watcher{
 		log: config.log, deliver: config.deliver, dialer: net.Dialer{Timeout: config.connectTimeout}, done: make(chan struct{}),
@@ -84,7 +84,7 @@
 	}
 }
 
-// run polls the list, over and over, until ctx ends.
+// run polls the endpoint list, over and over, until ctx ends.
 func (w *watcher) run(ctx context.Context) {
 	defer close(w.done)
 	backoff := time.Duration(0)
@@ -159,7 +159,7 @@
 	}
 }
 
-// open asks an address for the events behind the last one.
+// open requests the events behind the last one from an address.
 func (w *watcher) open(ctx context.Context, transport *http.Transport, address string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/changes", nil)
 	if err != nil {
--- a/internal/server/platform/watch_test.go
+++ b/internal/server/platform/watch_test.go
@@ -55,7 +55,7 @@
 	return server.Listener.Addr().String()
 }
 
-// emptyEvent returns an event, as it is sent, without entries of the list.
+// emptyEvent returns an event, as it is sent, without entries of the endpoint list.
 func emptyEvent(seq int, snapshot bool) string {
 	return fmt.Sprintf("id: %d\ndata: {\"seq\":%d,\"fleet\":{\"whole\":%v,\"hosts\":[]}}\n\n", seq, seq, snapshot)
 }
@@ -115,7 +115,7 @@
 	}
 }
 
-// A watch whose numbers begin again is believed, and goes on from there; one that sends all events again is not.
+// A watch whose numbers begin again is followed from there; one that sends all events again is not.
 func TestWatcherRestartedSequence(t *testing.T) {
 	again := func(s watchStream) {
 		for seq := 1; seq <= 8; seq++ {
--- a/internal/server/store/bucket.go
+++ b/internal/server/store/bucket.go
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// apply applies a change and keeps counts in line.
+// apply applies a change and updates counts.
 func apply(tx *bbolt.Tx, counts keyCounts, c durable.Change) error {
 	bucket := tx.Bucket([]byte(c.Bucket))
 	key := []byte(c.Key)
--- a/internal/server/store/file.go
+++ b/internal/server/store/file.go
@@ -20,11 +20,11 @@
 const compactTransactionBytes = 1 << 20
 
 // rewrite reads the file at path from end to end and replaces it by a fresh one with all that could be read. So a damaged page
-// is found at the start and not when it is written to, and each start gives free space back. A file that does not exist is
+// is found at the start and not when it is written to, and each start releases unused space. A file that does not exist is
 // created.
 func rewrite(path string) (*durable.Loader, keyCounts, error) {
 	fresh := path + ".new"
-	// A start that was cut short may have left one.
+	// A start that was interrupted may have left one.
 	if err := os.Remove(fresh); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, nil, err
 	}
@@ -127,7 +127,7 @@
 }
 
 // recoverDamage turns what bbolt does with a damaged page into an error: it panics, or faults where the page points outside
-// of the file, which is mapped into memory. Without it, a file that was cut short ends the process. The returned function
+// of the file, which is mapped into memory. Without it, a truncated file ends the process. The returned function
 // is deferred by the goroutine that called recoverDamage.
 func recoverDamage(err *error) func() {
 	before := debug.SetPanicOnFault(true)
@@ -142,7 +142,7 @@
 // closeReadOnly closes a file that was only read, so that nothing is lost where that fails.
 func closeReadOnly(db *bbolt.DB) { _ = db.Close() }
 
-// Compact copies the file at from to a new file at to, without its free space, and returns the size of each in bytes. No process
+// Compact copies the file at from to a new file at to, without unused space, and returns the size of each in bytes. No process
 // may have either file open.
 func Compact(from, to string) (before, after int64, err error) {
 	src, err := bbolt.Open(from, fileMode, &bbolt.Options{ReadOnly: true, Timeout: lockTimeout})
--- a/internal/server/store/golden_test.go
+++ b/internal/server/store/golden_test.go
@@ -128,7 +128,7 @@
 // hostEpoch is the hosts' epoch of the attempts in the file: the hosts have not restarted since.
 const hostEpoch = 1796191483153710
 
-// fakeHosts answer a placer as hosts that run whatever they are asked about or offered, and log both.
+// fakeHosts answer a placer as hosts that run whatever is queried or offered, and log both.
 type fakeHosts struct {
 	t       *testing.T
 	log     []string
@@ -185,7 +185,7 @@
 	h.log = append(h.log, when+" "+string(line))
 }
 
-// A placer that starts with the file has the same tasks and submissions: it asks the hosts about the unsafe tasks, which
+// A placer that starts with the file has the same tasks and submissions: it queries the hosts about the unsafe tasks, which
 // it does not offer again, and offers the safe ones, which nobody has named, under the same identities.
 func TestPlacerRestoresGoldenFile(t *testing.T) {
 	snapshot := openCopy(t, copyOfGoldenStore(t))
--- a/internal/server/store/store_test.go
+++ b/internal/server/store/store_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// damagedFiles opens damaged copies of one file and counts how that was noticed.
+// damagedFiles opens damaged copies of one file and counts how that was detected.
 type damagedFiles struct {
 	folder      string
 	projects    map[string]durable.Project // of the undamaged file, by name
@@ -155,7 +155,7 @@
 	_ = os.Remove(path)
 }
 
-// checkQuarantined checks that a quarantined file was not cut, and removes it.
+// checkQuarantined checks that a quarantined file was not truncated, and removes it.
 func checkQuarantined(t *testing.T, path string, minBytes int) {
 	t.Helper()
 	content, err := os.ReadFile(path)
@@ -187,7 +187,7 @@
 	return content, projects
 }
 
-// A file that is cut anywhere, or has a byte changed, is read as a whole, with the keys reported whose values do not hold, or
+// A file that is truncated anywhere, or has a byte changed, is read as a whole, with the keys reported whose values do not hold, or
 // quarantined as a whole; what is read is never another thing than what was stored.
 func TestOpenReportsDamagedFiles(t *testing.T) {
 	content, projects := writeExampleFile(t)
