--- a/internal/verify/rules/helpers_test.go
+++ b/internal/verify/rules/helpers_test.go
@@ -1,6 +1,7 @@
 package rules
 
 import (
+	"slices"
 	"testing"
 	"time"
 
@@ -21,29 +22,53 @@
 	rule   invariant.Rule
 }
 
-// checkCases checks each case after the events of its surroundings: the rule that it breaks is found, and no other.
+// checkCases checks each case after the events of its surroundings: the rule that it breaks is found once, and no other.
 func checkCases(t *testing.T, surroundings []capture.Event, cases []ruleCase) {
+	t.Helper()
+	checkCasesBy(t, testConfig(), surroundings, cases)
+}
+
+// checkCasesBy is checkCases with figures of its own.
+func checkCasesBy(t *testing.T, config Config, surroundings []capture.Event, cases []ruleCase) {
 	t.Helper()
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			v := Check(append(surroundings[:len(surroundings):len(surroundings)], c.events...), testConfig())
-			for rule := invariant.Rule(0); rule < invariant.RuleCount; rule++ {
-				if want := rule == c.rule; (v.Counts[rule] > 0) != want {
-					t.Errorf("%d breaches of %v: %v", v.Counts[rule], rule, v.Breaches)
-				}
+			events := slices.Concat(surroundings, c.events)
+			if c.rule == noBreach {
+				checkBreaches(t, config, events)
+			} else {
+				checkBreaches(t, config, events, c.rule)
 			}
 		})
 	}
 }
 
+// checkBreaches checks which rules a trace breaks: each as often as it is named, and no other.
+func checkBreaches(t *testing.T, config Config, events []capture.Event, broken ...invariant.Rule) {
+	t.Helper()
+	var want [invariant.RuleCount]int
+	for _, rule := range broken {
+		want[rule]++
+	}
+	if v := Check(events, config); v.Counts != want {
+		t.Errorf("breaches of each rule %v, want %v: %v", v.Counts, want, v.Breaches)
+	}
+}
+
 func testConfig() Config {
 	return Config{
 		Classes: map[string]Class{
 			"safe":   {},
 			"unsafe": {Effect: forkhead.Unsafe},
 			"spread": {SpreadDomain: forkhead.CellDomain, MaxPerDomain: 1},
-			"keyed":  {Effect: forkhead.Keyed, DedupWindow: 5 * time.Second},
-			"racked": {Effect: forkhead.Keyed, DedupDomain: forkhead.CellDomain, DedupWindow: 5 * time.Second},
+			"keyed, spread": {
+				Effect: forkhead.Keyed, DedupWindow: 5 * time.Second, SpreadDomain: forkhead.CellDomain, MaxPerDomain: 1,
+			},
+			"unsafe, spread": {Effect: forkhead.Unsafe, SpreadDomain: forkhead.CellDomain, MaxPerDomain: 1},
+			"keyed":          {Effect: forkhead.Keyed, DedupWindow: 5 * time.Second},
+			"racked":         {Effect: forkhead.Keyed, DedupDomain: forkhead.CellDomain, DedupWindow: 5 * time.Second},
+			// Figures of a keyed class, which don't concern a safe one.
+			"safe, figures of keyed": {DedupDomain: forkhead.MachineDomain, DedupWindow: time.Millisecond},
 		},
 		DrainGrace:           250 * time.Millisecond,
 		LostAfter:            2 * time.Second,
@@ -109,6 +134,13 @@
 	return e
 }
 
+// thirdAttempt is the third attempt of request 1, at host c.
+func thirdAttempt(at time.Duration, class string) capture.Event {
+	e := offer(at, "c", class, 1)
+	e.Attempt = 2
+	return e
+}
+
 // resubmitted is the first attempt of another request for the task of request 1, which is unsafe, at host b.
 func resubmitted(at time.Duration) capture.Event {
 	e := offer(at, "b", "unsafe", 2)
@@ -116,6 +148,18 @@
 	return e
 }
 
+// ofPlacer makes an event one of another incarnation of a placer, as are the attempts that it offers.
+func ofPlacer(placer int, epoch uint64, e capture.Event) capture.Event {
+	e.Placer, e.PlacerEpoch, e.RefEpoch = placer, epoch, epoch
+	return e
+}
+
+// ofService makes an offer one of a task of another service.
+func ofService(service uint64, e capture.Event) capture.Event {
+	e.Service = service
+	return e
+}
+
 // atPlacer notes events at the placer's own sockets.
 func atPlacer(events ...capture.Event) []capture.Event {
 	for i := range events {
--- a/internal/verify/rules/slowstart_test.go
+++ b/internal/verify/rules/slowstart_test.go
@@ -1,23 +1,71 @@
 package rules
 
 import (
+	"slices"
 	"testing"
+	"time"
 
 	"forkhead/internal/protocol/capture"
 	"forkhead/internal/scheduler/invariant"
 )
 
+// warmingUp is host a's start.
+func warmingUp(at time.Duration) capture.Event {
+	e := hostUp(at, "a", "r1")
+	e.WarmingUp = true
+	return e
+}
+
+// offersAt are offers to host a at each of some times.
+func offersAt(times ...time.Duration) []capture.Event {
+	var events []capture.Event
+	for _, at := range times {
+		events = append(events, offer(at, "a", "safe", uint32(at/ms)))
+	}
+	return events
+}
+
 func TestCheckSlowStarts(t *testing.T) {
-	warmingUp := hostUp(5*ms, "a", "r1")
-	warmingUp.WarmingUp = true
-	checkCases(t, testHosts(), []ruleCase{
-		{"as many offers as it bears", []capture.Event{
-			warmingUp, offer(10*ms, "a", "safe", 1), offer(20*ms, "a", "safe", 2), offer(30*ms, "a", "safe", 3),
-		}, noBreach},
-		{"one more", []capture.Event{
-			warmingUp, offer(10*ms, "a", "safe", 1), offer(20*ms, "a", "safe", 2), offer(30*ms, "a", "safe", 3),
-			offer(40*ms, "a", "safe", 4),
-		}, invariant.SlowStart},
-		{"overloaded", []capture.Event{{At: 10 * ms, Type: capture.Overloaded, Host: "a"}}, invariant.SlowStart},
+	fallen := capture.Event{At: 10 * ms, Type: capture.Overloaded, Host: "a"}
+	checkCases(t, []capture.Event{warmingUp(5 * ms)}, []ruleCase{
+		{"as many offers as it bears", offersAt(10*ms, 20*ms, 30*ms), noBreach},
+		{"one more", offersAt(10*ms, 20*ms, 30*ms, 40*ms), invariant.SlowStart},
+		{"one more, and the first is in the window", offersAt(10*ms, 20*ms, 30*ms, 1009*ms), invariant.SlowStart},
+		{"one more, and the first is out of the window", offersAt(10*ms, 20*ms, 30*ms, 1010*ms), noBreach},
+		{"one more at the last moment", offersAt(5001*ms, 5002*ms, 5003*ms, 5004*ms), invariant.SlowStart},
+		{"one more when it is warm", offersAt(5001*ms, 5002*ms, 5003*ms, 5005*ms), noBreach},
+		{"as many after a restart", slices.Concat(
+			offersAt(10*ms, 20*ms, 30*ms), []capture.Event{warmingUp(40 * ms)}, offersAt(50*ms, 60*ms, 70*ms),
+		), noBreach},
+		{"one more after a restart", slices.Concat(
+			offersAt(10*ms), []capture.Event{warmingUp(40 * ms)}, offersAt(50*ms, 60*ms, 70*ms, 80*ms),
+		), invariant.SlowStart},
+		{"one more, after a start that was warm", slices.Concat(
+			[]capture.Event{hostUp(6*ms, "a", "r1")}, offersAt(10*ms, 20*ms, 30*ms, 40*ms),
+		), noBreach},
+		{"one more at another host", append(
+			offersAt(10*ms, 20*ms, 30*ms), offer(40*ms, "b", "safe", 4), hostUp(6*ms, "b", "r1"),
+		), noBreach},
+		{"overloaded", []capture.Event{fallen}, invariant.SlowStart},
 	})
 }
+
+// A host that starts 10 tasks a second when warm, and a fifth of that at first, bears twice that in a window of 0.5s: 2 when
+// it starts, 6 halfway.
+func TestCheckSlowStartsRate(t *testing.T) {
+	config := testConfig()
+	config.WarmStartRate, config.SlowStartMaxOffers, config.SlowStartWindow = 10, 0, 500*ms
+	offers := func(at time.Duration, n int) []capture.Event {
+		return append([]capture.Event{warmingUp(0)}, offersAt(slices.Repeat([]time.Duration{at}, n)...)...)
+	}
+	for _, c := range []struct {
+		name  string
+		at    time.Duration
+		bears int
+	}{{"at its start", 0, 2}, {"halfway", 2500 * ms, 6}, {"in the end", 4999 * ms, 9}} {
+		checkCasesBy(t, config, nil, []ruleCase{
+			{c.name + ", as many as it bears", offers(c.at, c.bears), noBreach},
+			{c.name + ", one more", offers(c.at, c.bears+1), invariant.SlowStart},
+		})
+	}
+}
