--- a/internal/emulator/platform/listener.go
+++ b/internal/emulator/platform/listener.go
@@ -1,10 +1,13 @@
 package platform
 
 import (
+	"encoding/binary"
 	"errors"
 	"fmt"
 	"net"
+	"net/netip"
 	"os"
+	"strings"
 	"sync"
 	"syscall"
 	"time"
@@ -19,10 +22,55 @@
 	fillTimeout      = 2 * time.Second // of the connection that fills the accept queue
 )
 
-// fillerIP is where connections come from that fill an accept queue: an address of the loopback that nobody else uses.
-var fillerIP = net.IPv4(127, 0, 0, 113)
+// Addresses of the loopback. Each placer reaches the listeners at one of its own, so that they know which placer has
+// connected: placer 0 at the first, placer 1 at the next.
+var (
+	firstPlacerIP = netip.AddrFrom4([4]byte{127, 0, 0, 1})
+	lastPlacerIP  = netip.AddrFrom4([4]byte{127, 0, 255, 254})
+	fillerIP      = netip.AddrFrom4([4]byte{127, 1, 0, 1}) // where connections come from that fill an accept queue
+)
+
+// placerIP returns the address at which a placer reaches all listeners.
+func placerIP(placer int) netip.Addr {
+	ip := firstPlacerIP.As4()
+	number := binary.BigEndian.Uint32(ip[:]) + uint32(placer)
+	binary.BigEndian.PutUint32(ip[:], number)
+	return netip.AddrFrom4(ip)
+}
 
-// listener accepts connections of placers. One that is stopped neither accepts nor refuses them: its accept queue has room
+// placerAt returns the placer that reaches listeners at an address; ok is false if none does.
+func placerAt(ip netip.Addr) (placer int, ok bool) {
+	if ip.Less(firstPlacerIP) || lastPlacerIP.Less(ip) {
+		return 0, false
+	}
+	first, own := firstPlacerIP.As4(), ip.As4()
+	return int(binary.BigEndian.Uint32(own[:]) - binary.BigEndian.Uint32(first[:])), true
+}
+
+// addressFor returns the address at which a placer reaches a listener.
+func addressFor(placer int, address string) string {
+	_, port, err := net.SplitHostPort(address)
+	if err != nil {
+		return address
+	}
+	return net.JoinHostPort(placerIP(placer).String(), port)
+}
+
+// loopbackAddress returns the address at which the first placer reaches a listener's socket.
+func loopbackAddress(socket net.Addr) string {
+	return netip.AddrPortFrom(firstPlacerIP, addrPort(socket).Port()).String()
+}
+
+// addrPort returns the address of a TCP socket.
+func addrPort(address net.Addr) netip.AddrPort {
+	tcp, ok := address.(*net.TCPAddr)
+	if !ok {
+		return netip.AddrPort{}
+	}
+	return netip.AddrPortFrom(tcp.AddrPort().Addr().Unmap(), tcp.AddrPort().Port())
+}
+
+// listener accepts connections of placers, at all addresses of the loopback. One that is stopped neither accepts nor refuses them: its accept queue has room
 // for one connection, which is taken by one of its own, so that the kernel drops what would make another. A placer whose
 // connection gets ahead of that one has an open connection on which nothing comes.
 type listener struct {
@@ -43,18 +91,18 @@
 }
 
 func (s *Server) tryListen(o platformmodel.OpenListener, retries int) {
-	address := o.Address
-	if address == "" {
-		address = anyAddress
+	address := ":0"
+	if o.Address != "" {
+		address = o.Address[strings.LastIndexByte(o.Address, ':'):] // its port, at all addresses
 	}
-	socket, err := net.Listen("tcp", address)
+	socket, err := net.Listen("tcp4", address)
 	switch {
 	case err == nil:
 		l := &listener{server: s, id: o.Listener, socket: socket.(*net.TCPListener)}
 		l.changed = sync.NewCond(&l.mu)
 		s.listeners[o.Listener] = l
 		s.goroutines.Go(l.accept)
-		s.add(platformmodel.ListenerOpened{Listener: o.Listener, Address: socket.Addr().String()})
+		s.add(platformmodel.ListenerOpened{Listener: o.Listener, Address: loopbackAddress(socket.Addr())})
 	case retries > 0 && errors.Is(err, syscall.EADDRINUSE):
 		time.Sleep(listenRetryAfter)
 		s.tryListen(o, retries-1)
@@ -92,8 +140,8 @@
 
 // fill takes the only place in the accept queue.
 func (l *listener) fill() {
-	dialer := net.Dialer{Timeout: fillTimeout, LocalAddr: &net.TCPAddr{IP: fillerIP}}
-	conn, err := dialer.Dial("tcp", l.socket.Addr().String())
+	dialer := net.Dialer{Timeout: fillTimeout, LocalAddr: net.TCPAddrFromAddrPort(netip.AddrPortFrom(fillerIP, 0))}
+	conn, err := dialer.Dial("tcp4", loopbackAddress(l.socket.Addr()))
 	if err != nil {
 		return // a connection of a placer has taken it
 	}
@@ -150,8 +198,7 @@
 
 // isFiller reports whether a connection is a listener's own.
 func isFiller(socket net.Conn) bool {
-	remote, ok := socket.RemoteAddr().(*net.TCPAddr)
-	return ok && remote.IP.Equal(fillerIP)
+	return addrPort(socket.RemoteAddr()).Addr() == fillerIP
 }
 
 // accept accepts connections until the listener is closed.
@@ -174,11 +221,15 @@
 
 // accepted hands a connection to the Emulator.
 func (l *listener) accepted(socket net.Conn) {
-	remote, _, _ := net.SplitHostPort(socket.RemoteAddr().String())
+	placer, ok := placerAt(addrPort(socket.LocalAddr()).Addr())
+	if !ok || !addrPort(socket.RemoteAddr()).Addr().IsLoopback() { // from outside this machine
+		_ = socket.Close()
+		return
+	}
 	posted := l.server.loop.PostBlocking(func() {
 		id := l.server.emulator.NewConnID()
 		l.server.addConnection(id, socket)
-		l.server.add(platformmodel.Accepted{Listener: l.id, Conn: id, Remote: remote})
+		l.server.add(platformmodel.Accepted{Listener: l.id, Conn: id, Placer: placer})
 	})
 	if !posted {
 		_ = socket.Close()
--- a/internal/emulator/platform/server.go
+++ b/internal/emulator/platform/server.go
@@ -16,7 +16,6 @@
 const (
 	maxQueuedJobs = 10_000          // on the event loop, before readers wait
 	dialTimeout   = 2 * time.Second // of connections to placers
-	anyAddress    = "127.0.0.1:0"
 )
 
 // Server is an Emulator on sockets. Its methods are safe for concurrent use; they wait for its event loop.
@@ -37,12 +36,13 @@
 }
 
 // Start starts an emulator whose listeners are open. It returns an error for a configuration that contradicts itself, or if
-// it cannot listen.
+// it cannot listen. AddressFor of the configuration is the server's own.
 func Start(cfg platformmodel.Config) (*Server, error) {
 	s := &Server{
 		clock: clock.New(), listeners: map[platformmodel.ListenerID]*listener{}, conns: map[platformmodel.ConnID]*connection{},
 		placers: map[int]string{},
 	}
+	cfg.AddressFor = addressFor
 	var err error
 	if s.emulator, err = platformmodel.New(cfg, s.clock.Now()); err != nil {
 		return nil, fmt.Errorf("start the emulators: %w", err)
@@ -64,14 +64,14 @@
 }
 
 // InitialEvents returns the events of the endpoint list so far, which a placer is started with.
-func (s *Server) InitialEvents() (events []platform.WatchEvent) {
-	s.loop.Call(func() { events = s.emulator.InitialEvents() })
+func (s *Server) InitialEvents(placer int) (events []platform.WatchEvent) {
+	s.loop.Call(func() { events = s.emulator.InitialEvents(placer) })
 	return events
 }
 
-// WatchAddress returns the address of the endpoint log.
-func (s *Server) WatchAddress() (address string) {
-	s.loop.Call(func() { address = s.emulator.WatchAddress() })
+// WatchAddress returns the address of the endpoint log for a placer.
+func (s *Server) WatchAddress(placer int) (address string) {
+	s.loop.Call(func() { address = addressFor(placer, s.emulator.WatchAddress()) })
 	return address
 }
 
--- a/internal/emulator/platform/server_test.go
+++ b/internal/emulator/platform/server_test.go
@@ -84,8 +84,8 @@
 func runOnSockets(t *testing.T, cfg platformmodel.Config) ([][]platformmodel.RequestReport, platformmodel.Journal) {
 	t.Helper()
 	s := startEmulators(t, cfg)
-	placerConfig := &platform.Config{Listen: "127.0.0.1:0", Seed: "1", WatchAddress: s.WatchAddress(), Settings: json.RawMessage(testSettings)}
-	placerConfig.Initial.Events = s.InitialEvents()
+	placerConfig := &platform.Config{Listen: "127.0.0.1:0", Seed: "1", WatchAddress: s.WatchAddress(0), Settings: json.RawMessage(testSettings)}
+	placerConfig.Initial.Events = s.InitialEvents(0)
 	placer, err := platformserver.Start(platformserver.Options{Config: placerConfig, Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
@@ -163,20 +163,25 @@
 	return slices.ContainsFunc(j.Records, func(r platformmodel.Record) bool { return r.Event == event && r.Party == party })
 }
 
-// startWithFault starts emulators with a fault at host 0 that begins at once, and returns the address of the host.
-func startWithFault(t *testing.T, fault platformmodel.FaultType, duration time.Duration) (s *Server, address string) {
-	t.Helper()
-	s = startEmulators(t, testConfig(platformmodel.Fault{
-		Duration: duration, Type: fault, Target: platformmodel.Target{Kind: platformmodel.HostParty},
-	}))
-	for _, event := range s.InitialEvents() {
+// firstHostAddress returns the address at which a placer reaches host 0.
+func firstHostAddress(s *Server, placer int) (address string) {
+	for _, event := range s.InitialEvents(placer) {
 		for _, host := range event.Endpoints.Hosts {
 			if host.Name == "s-00000001" {
 				address = host.Address
 			}
 		}
 	}
-	return s, address
+	return address
+}
+
+// startWithFault starts emulators with a fault at host 0 that begins at once, and returns the address of the host.
+func startWithFault(t *testing.T, fault platformmodel.FaultType, duration time.Duration) (s *Server, address string) {
+	t.Helper()
+	s = startEmulators(t, testConfig(platformmodel.Fault{
+		Duration: duration, Type: fault, Target: platformmodel.Target{Kind: platformmodel.HostParty},
+	}))
+	return s, firstHostAddress(s, 0)
 }
 
 // probe sends a probe to a host on a new connection and returns whether it is answered. A connection that can't be made, or
@@ -196,6 +201,26 @@
 	return err
 }
 
+// Each placer reaches a host at an address of its own, by which the host knows it.
+func TestListenersKnowPlacers(t *testing.T) {
+	s := startEmulators(t, testConfig())
+	const last = 300
+	for _, placer := range []int{0, 1, last} {
+		if err := probe(firstHostAddress(s, placer)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	var placers []int
+	for _, r := range s.Journal().Records {
+		if r.Event == platformmodel.RecordOpened {
+			placers = append(placers, r.Placer)
+		}
+	}
+	if !slices.Equal(placers, []int{0, 1, last}) {
+		t.Errorf("connections of the placers %v", placers)
+	}
+}
+
 // A host that is cut off neither takes connections nor refuses them, until the fault ends.
 func TestListenerStopsAccepting(t *testing.T) {
 	s, address := startWithFault(t, platformmodel.FaultZoneCut, 3*time.Second)
--- a/internal/emulator/platformmodel/emulator.go
+++ b/internal/emulator/platformmodel/emulator.go
@@ -29,11 +29,13 @@
 
 // Config is what an Emulator runs with.
 type Config struct {
-	Hosts      []HostSpec
-	Owners     []OwnerConfig // times of requests count from Begin
-	Placers    int
-	Faults     []Fault
-	ListDelay  time.Duration // until the endpoint list says what has become of a host
+	Hosts     []HostSpec
+	Owners    []OwnerConfig // times of requests count from Begin
+	Placers   int
+	Faults    []Fault
+	ListDelay time.Duration // until the endpoint list says what has become of a host
+	// AddressFor returns the address at which a placer reaches what listens at an address; nil: the same for all.
+	AddressFor func(placer int, address string) string
 	Seed       uint64
 	MaxRecords int // of the journal; 0: a million
 }
@@ -107,6 +109,7 @@
 		e.addParty(OwnerParty, i)
 	}
 	e.log = NewEndpointLog(e.now)
+	e.log.AddressFor = e.cfg.AddressFor
 	e.logParty.model = e.log
 	e.updateListener(e.logParty)
 	return nil
@@ -128,7 +131,7 @@
 func (e *Emulator) Journal() *Journal { return &e.journal }
 
 // InitialEvents returns the events of the endpoint list so far, which a placer is started with.
-func (e *Emulator) InitialEvents() []platform.WatchEvent { return e.log.Events() }
+func (e *Emulator) InitialEvents(placer int) []platform.WatchEvent { return e.log.Events(placer) }
 
 // WatchAddress returns where the endpoint log listens; "": nowhere yet.
 func (e *Emulator) WatchAddress() string { return e.logParty.listener.address }
@@ -200,7 +203,7 @@
 		e.handleAccepted(in)
 	case Connected:
 		if l := e.links[in.Conn]; l != nil {
-			e.openLink(l, "")
+			e.openLink(l)
 		}
 	case Disconnected:
 		e.handleDisconnected(in.Conn)
@@ -316,22 +319,22 @@
 		e.emit(ResetConnection{in.Conn})
 		return
 	}
-	e.openLink(e.addLink(in.Conn, listener.party), in.Remote)
+	e.openLink(e.addLink(in.Conn, listener.party, in.Placer))
 }
 
-func (e *Emulator) addLink(id ConnID, p *party) *link {
-	l := &link{id: id, party: p}
+func (e *Emulator) addLink(id ConnID, p *party, placer int) *link {
+	l := &link{id: id, party: p, placer: placer}
 	e.links[id], p.links[id] = l, l
 	return l
 }
 
 // openLink tells a model of a connection.
-func (e *Emulator) openLink(l *link, remote string) {
+func (e *Emulator) openLink(l *link) {
 	e.record(RecordOpened, l, nil)
 	if l.party.active[FaultUnread] > 0 {
 		e.emit(StopReading{l.id})
 	}
-	e.execute(l.party, l.party.model.ConnectionOpened(e.now, l.id, remote))
+	e.execute(l.party, l.party.model.ConnectionOpened(e.now, l.id, l.placer))
 }
 
 // handleDisconnected handles the end of a connection by its placer. The model is told when it has received all.
@@ -379,7 +382,7 @@
 
 // dial connects a party to a placer; the connection is never made while the party is cut off.
 func (e *Emulator) dial(p *party, a Connect) {
-	l := e.addLink(a.Conn, p)
+	l := e.addLink(a.Conn, p, a.Placer)
 	l.dead = p.active[FaultHalfOpen] > 0
 	if !l.dead {
 		e.emit(Dial(a))
@@ -392,7 +395,7 @@
 func (e *Emulator) after(d time.Duration, do func()) { e.timers.Add(e.now+d, do) }
 
 func (e *Emulator) record(event RecordEvent, l *link, data []byte) {
-	e.journal.add(Record{At: e.now, Event: event, Party: l.party.id, Conn: l.id, Data: data})
+	e.journal.add(Record{At: e.now, Event: event, Party: l.party.id, Conn: l.id, Placer: l.placer, Data: data})
 }
 
 func (e *Emulator) recordParty(event RecordEvent, p *party) {
--- a/internal/emulator/platformmodel/endpointlog.go
+++ b/internal/emulator/platformmodel/endpointlog.go
@@ -23,6 +23,9 @@
 // EndpointLog is the watch of the endpoint list: it numbers the changes and streams them to whoever asks. It is for one
 // goroutine at a time.
 type EndpointLog struct {
+	// AddressFor returns the address at which a placer reaches what listens at an address; nil: the same for all.
+	AddressFor func(placer int, address string) string
+
 	actionQueue
 	now       time.Duration
 	last      uint64 // number of the last event
@@ -34,6 +37,7 @@
 // logStream is a connection of a placer.
 type logStream struct {
 	id            ConnID
+	placer        int
 	parser        *http1.Parser
 	open          bool // the request has come and is answered
 	nextCommentAt time.Duration
@@ -49,8 +53,28 @@
 	return l
 }
 
-// Events returns the events that are kept, which a placer may be started with.
-func (l *EndpointLog) Events() []platform.WatchEvent { return slices.Clone(l.events) }
+// Events returns the events that are kept as a placer sees them, which it may be started with.
+func (l *EndpointLog) Events(placer int) []platform.WatchEvent {
+	events := make([]platform.WatchEvent, len(l.events))
+	for i, e := range l.events {
+		events[i] = l.seenBy(placer, e)
+	}
+	return events
+}
+
+// seenBy returns an event with the addresses at which a placer reaches the hosts.
+func (l *EndpointLog) seenBy(placer int, event platform.WatchEvent) platform.WatchEvent {
+	if l.AddressFor == nil {
+		return event
+	}
+	list := *event.Endpoints
+	list.Hosts = slices.Clone(list.Hosts)
+	for i := range list.Hosts {
+		list.Hosts[i].Address = l.AddressFor(placer, list.Hosts[i].Address)
+	}
+	event.Endpoints = &list
+	return event
+}
 
 // Publish logs changes of endpoints as one event.
 func (l *EndpointLog) Publish(now time.Duration, endpoints ...platform.Endpoint) []Action {
@@ -77,9 +101,9 @@
 }
 
 // ConnectionOpened takes a connection of a placer.
-func (l *EndpointLog) ConnectionOpened(now time.Duration, conn ConnID, _ string) []Action {
+func (l *EndpointLog) ConnectionOpened(now time.Duration, conn ConnID, placer int) []Action {
 	return l.handle(now, func() {
-		l.streams[conn] = &logStream{id: conn, parser: http1.NewParser(http1.DefaultLimits(0)), nextCommentAt: never}
+		l.streams[conn] = &logStream{id: conn, placer: placer, parser: http1.NewParser(http1.DefaultLimits(0)), nextCommentAt: never}
 	})
 }
 
@@ -153,12 +177,12 @@
 		last = 0
 	}
 	if first := l.events[0].Seq; last+1 < first {
-		l.add(Send{s.id, encodeEvent(l.snapshot(l.last))})
+		l.add(Send{s.id, encodeEvent(l.seenBy(s.placer, l.snapshot(l.last)))})
 		return
 	}
 	for _, e := range l.events {
 		if e.Seq > last {
-			l.add(Send{s.id, encodeEvent(e)})
+			l.add(Send{s.id, encodeEvent(l.seenBy(s.placer, e))})
 		}
 	}
 }
@@ -173,7 +197,7 @@
 	}
 	for _, s := range l.sortedStreams() {
 		if s.open {
-			l.add(Send{s.id, encodeEvent(event)})
+			l.add(Send{s.id, encodeEvent(l.seenBy(s.placer, event))})
 		}
 	}
 }
--- a/internal/emulator/platformmodel/endpointlog_test.go
+++ b/internal/emulator/platformmodel/endpointlog_test.go
@@ -10,7 +10,7 @@
 
 // ask opens a stream behind an event and returns what comes at once.
 func ask(l *EndpointLog, conn ConnID, last string) string {
-	l.ConnectionOpened(rigStart, conn, "")
+	l.ConnectionOpened(rigStart, conn, 0)
 	return sentText(l.Received(rigStart, conn, []byte("GET /changes HTTP/1.1\r\nHost: x\r\nLast-Event-ID: "+last+"\r\n\r\n")))
 }
 
@@ -62,7 +62,7 @@
 func TestEndpointLogRefuses(t *testing.T) {
 	for request, want := range map[string]string{"GET /x HTTP/1.1\r\nHost: x\r\n\r\n": "404", "nonsense\r\n\r\n": "400"} {
 		l := NewEndpointLog(rigStart)
-		l.ConnectionOpened(rigStart, 1, "")
+		l.ConnectionOpened(rigStart, 1, 0)
 		actions := l.Received(rigStart, 1, []byte(request))
 		if got := sentText(actions); !strings.HasPrefix(got, "HTTP/1.1 "+want) || len(actions) != 2 {
 			t.Errorf("%q: %q", request, got)
--- a/internal/emulator/platformmodel/faults_test.go
+++ b/internal/emulator/platformmodel/faults_test.go
@@ -96,7 +96,7 @@
 // connect opens a connection to a listener.
 func (r *rig) connect(l ListenerID) ConnID {
 	id := r.e.NewConnID()
-	r.step(Accepted{l, id, "placer"})
+	r.step(Accepted{l, id, 0})
 	return id
 }
 
@@ -137,7 +137,7 @@
 
 // lastEntry returns the last entry of a host in the endpoint list.
 func (r *rig) lastEntry(name string) (last platform.Endpoint) {
-	for _, event := range r.e.InitialEvents() {
+	for _, event := range r.e.InitialEvents(0) {
 		for _, entry := range event.Endpoints.Hosts {
 			if entry.Name == name {
 				last = entry
--- a/internal/emulator/platformmodel/host.go
+++ b/internal/emulator/platformmodel/host.go
@@ -70,7 +70,7 @@
 // hostConnection is a connection of a placer.
 type hostConnection struct {
 	id       ConnID
-	remote   string
+	placer   int
 	lines    platform.LineSplitter
 	lastUsed time.Duration
 }
@@ -78,7 +78,7 @@
 // owedRelease is the end of a task that its placer has not acknowledged. It is sent again on each connection that its placer
 // opens.
 type owedRelease struct {
-	remote string
+	placer int
 	ref    string
 	line   []byte
 }
@@ -115,11 +115,11 @@
 }
 
 // ConnectionOpened takes a connection of a placer. Releases that were not acknowledged are sent on it.
-func (h *Host) ConnectionOpened(now time.Duration, conn ConnID, remote string) []Action {
+func (h *Host) ConnectionOpened(now time.Duration, conn ConnID, placer int) []Action {
 	return h.handle(now, func() {
-		h.conns[conn] = &hostConnection{id: conn, remote: remote, lastUsed: now}
+		h.conns[conn] = &hostConnection{id: conn, placer: placer, lastUsed: now}
 		for _, r := range h.owed {
-			if r.remote == remote {
+			if r.placer == placer {
 				h.add(Send{conn, r.line})
 			}
 		}
@@ -188,7 +188,7 @@
 	case platform.TypeRelease:
 		h.receiveRelease(c, m.Ref)
 	case platform.TypeAck:
-		h.owed = slices.DeleteFunc(h.owed, func(r owedRelease) bool { return r.ref == m.Ref && r.remote == c.remote })
+		h.owed = slices.DeleteFunc(h.owed, func(r owedRelease) bool { return r.ref == m.Ref && r.placer == c.placer })
 	}
 }
 
@@ -218,7 +218,7 @@
 		return c
 	}
 	for _, c := range h.sortedConnections() {
-		if c.remote == t.remote {
+		if c.placer == t.placer {
 			return c
 		}
 	}
--- a/internal/emulator/platformmodel/host_test.go
+++ b/internal/emulator/platformmodel/host_test.go
@@ -25,7 +25,7 @@
 		change(&cfg)
 	}
 	r := &hostRig{t: t, host: NewHost(cfg, "s-00000001", 1, rigStart, cold), now: rigStart}
-	r.take(r.host.ConnectionOpened(r.now, 1, "placer"))
+	r.take(r.host.ConnectionOpened(r.now, 1, 0))
 	return r
 }
 
@@ -98,12 +98,12 @@
 	r.take(r.host.ConnectionClosed(r.now, 1))
 	r.advance(2 * second)
 	r.want("up 01 -1")
-	r.take(r.host.ConnectionOpened(r.now, 1, "placer"))
+	r.take(r.host.ConnectionOpened(r.now, 1, 0))
 	r.want("down 01 16")
-	r.take(r.host.ConnectionOpened(r.now, 2, "another placer"))
+	r.take(r.host.ConnectionOpened(r.now, 2, 1))
 	r.want()
 	r.message(platform.TypeAck, 1)
-	r.take(r.host.ConnectionOpened(r.now, 3, "placer"))
+	r.take(r.host.ConnectionOpened(r.now, 3, 0))
 	r.want()
 }
 
@@ -158,7 +158,7 @@
 // A connection without messages is closed; one that brings what can't be read is closed at once.
 func TestHostClosesConnections(t *testing.T) {
 	r := newHostRig(t, false, nil)
-	r.take(r.host.ConnectionOpened(r.now, 2, "placer"))
+	r.take(r.host.ConnectionOpened(r.now, 2, 0))
 	r.take(r.host.Received(r.now, 2, []byte("no message\n")))
 	r.want("close 2")
 	r.advance(30*second - 1)
--- a/internal/emulator/platformmodel/hostoffers.go
+++ b/internal/emulator/platformmodel/hostoffers.go
@@ -51,7 +51,7 @@
 type offer struct {
 	ref            string
 	conn           ConnID
-	remote         string
+	placer         int
 	idempotencyKey string // "": none
 	size           taskSize
 }
@@ -67,7 +67,7 @@
 		return
 	}
 	key, _ := m.Text(platform.FieldIdempotencyKey)
-	h.queue = append(h.queue, &offer{ref: m.Ref, conn: c.id, remote: c.remote, idempotencyKey: key, size: parseTaskSize(m.Description)})
+	h.queue = append(h.queue, &offer{ref: m.Ref, conn: c.id, placer: c.placer, idempotencyKey: key, size: parseTaskSize(m.Description)})
 	h.scheduleDecision()
 }
 
@@ -117,7 +117,7 @@
 func (h *Host) decide(o *offer) {
 	if t := h.runningTask(o); t != nil {
 		delete(h.tasks, t.ref)
-		t.ref, t.conn, t.remote = o.ref, o.conn, o.remote
+		t.ref, t.conn, t.placer = o.ref, o.conn, o.placer
 		h.tasks[t.ref] = t
 		h.sendBound(t)
 		return
--- a/internal/emulator/platformmodel/hosttasks.go
+++ b/internal/emulator/platformmodel/hosttasks.go
@@ -14,7 +14,7 @@
 type hostTask struct {
 	ref            string
 	conn           ConnID // of its offer
-	remote         string
+	placer         int
 	idempotencyKey string
 	size           taskSize
 	endsAt         time.Duration
@@ -28,7 +28,7 @@
 // bind starts a task.
 func (h *Host) bind(o *offer) {
 	t := &hostTask{
-		ref: o.ref, conn: o.conn, remote: o.remote, idempotencyKey: o.idempotencyKey, size: o.size,
+		ref: o.ref, conn: o.conn, placer: o.placer, idempotencyKey: o.idempotencyKey, size: o.size,
 		endsAt: h.now + h.cfg.RunTime.draw(h.rng), nextNoteAt: never,
 	}
 	if h.cfg.NoteInterval > 0 {
@@ -81,5 +81,5 @@
 	if len(h.owed) >= maxOwedRelease {
 		h.owed = h.owed[1:]
 	}
-	h.owed = append(h.owed, owedRelease{t.remote, t.ref, line})
+	h.owed = append(h.owed, owedRelease{t.placer, t.ref, line})
 }
--- a/internal/emulator/platformmodel/io.go
+++ b/internal/emulator/platformmodel/io.go
@@ -15,11 +15,11 @@
 	}
 	// Begin starts the run: requests and faults count from now. All listeners of the start must have been opened.
 	Begin struct{}
-	// Accepted says that a listener has accepted a connection, numbered by NewConnID. Remote names the other end's machine.
+	// Accepted says that a listener has accepted a connection, numbered by NewConnID, of a placer.
 	Accepted struct {
 		Listener ListenerID
 		Conn     ConnID
-		Remote   string
+		Placer   int
 	}
 	// Connected says that a Dial has succeeded.
 	Connected struct{ Conn ConnID }
--- a/internal/emulator/platformmodel/journal.go
+++ b/internal/emulator/platformmodel/journal.go
@@ -53,7 +53,7 @@
 	Event  RecordEvent
 	Party  PartyID
 	Conn   ConnID // 0: it is about no connection
-	Placer int    // of RecordPlacerStarted and RecordPlacerStopped
+	Placer int    // at the other end of the connection, or that has started or stopped
 	Fault  FaultType
 	Data   []byte
 }
--- a/internal/emulator/platformmodel/link.go
+++ b/internal/emulator/platformmodel/link.go
@@ -17,6 +17,7 @@
 type link struct {
 	id     ConnID
 	party  *party
+	placer int  // at the other end
 	dead   bool // nothing passes any more
 	closed bool // the placer has closed it, and the model is not told yet: it has not received all
 
--- a/internal/emulator/platformmodel/model.go
+++ b/internal/emulator/platformmodel/model.go
@@ -39,8 +39,8 @@
 
 // model is what a Host, an Owner and an EndpointLog have in common. Times never go back.
 type model interface {
-	// ConnectionOpened says that a connection is open. remote names the other end's machine, if that is known.
-	ConnectionOpened(now time.Duration, conn ConnID, remote string) []Action
+	// ConnectionOpened says that a connection to or from a placer is open.
+	ConnectionOpened(now time.Duration, conn ConnID, placer int) []Action
 	// Received brings bytes in any pieces, which the model does not keep.
 	Received(now time.Duration, conn ConnID, data []byte) []Action
 	// ConnectionClosed says that a connection has ended that the model has not closed.
--- a/internal/emulator/platformmodel/network.go
+++ b/internal/emulator/platformmodel/network.go
@@ -267,7 +267,7 @@
 		c.id = n.Emulator.NewConnID()
 		n.conns[c.id] = c
 		n.after(n.cfg.Latency, func() { finish(nil) }) // before anything that the listener's side sends
-		n.stepEmulator(Accepted{Listener: l.id, Conn: c.id, Remote: fmt.Sprintf("placer %d", c.placer.number)})
+		n.stepEmulator(Accepted{Listener: l.id, Conn: c.id, Placer: c.placer.number})
 	})
 }
 
@@ -320,7 +320,7 @@
 		return nil
 	}
 	p.incarnation++
-	initial := n.Emulator.InitialEvents()
+	initial := n.Emulator.InitialEvents(number)
 	core, err := platformcore.New(n.cfg.Core(number, p.incarnation, initial))
 	if err != nil {
 		return fmt.Errorf("placer %d: %w", number, err)
--- a/internal/emulator/platformmodel/owner.go
+++ b/internal/emulator/platformmodel/owner.go
@@ -161,7 +161,7 @@
 }
 
 // ConnectionOpened says that a connection is made: the placer is probed before anything else is sent.
-func (o *Owner) ConnectionOpened(now time.Duration, conn ConnID, _ string) []Action {
+func (o *Owner) ConnectionOpened(now time.Duration, conn ConnID, _ int) []Action {
 	return o.handle(now, func() {
 		if c := o.conns[conn]; c != nil {
 			c.state, c.lastUsed = ownerProbing, now
--- a/internal/emulator/platformmodel/owner_test.go
+++ b/internal/emulator/platformmodel/owner_test.go
@@ -39,7 +39,7 @@
 		switch a := a.(type) {
 		case Connect:
 			r.conn, r.closed = a.Conn, false
-			r.take(r.owner.ConnectionOpened(r.now, a.Conn, ""))
+			r.take(r.owner.ConnectionOpened(r.now, a.Conn, 0))
 		case Close:
 			r.closed = true
 		case Send:
