--- /dev/null
+++ b/internal/cli/replay_test.go
@@ -0,0 +1,31 @@
+package cli
+
+import (
+	"errors"
+	"io"
+	"path/filepath"
+	"testing"
+
+	"forkhead/internal/verify/platformreplay"
+)
+
+// A trace that cannot be read is the user's to mend; a core that panics is not.
+func TestReadNodeTraceErrors(t *testing.T) {
+	const file = "../verify/platformreplay/testdata/trace.jsonl"
+	for _, c := range []struct {
+		name, file string
+		err        error
+		isInput    bool
+	}{
+		{"panic", file, platformreplay.PanicError{Step: 3, Value: "injected"}, false},
+		{"unreadable trace", file, errors.New("line 3"), true},
+		{"no file", filepath.Join(t.TempDir(), "none"), nil, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := readNodeTrace(c.file, func(io.Reader) (int, error) { return 0, c.err })
+			if err == nil || isInputError(err) != c.isInput {
+				t.Errorf("%v, an input error: %v; want %v", err, isInputError(err), c.isInput)
+			}
+		})
+	}
+}
--- a/internal/verify/platformreplay/format_test.go
+++ b/internal/verify/platformreplay/format_test.go
@@ -3,9 +3,14 @@
 import (
 	"bytes"
 	"errors"
+	"go/ast"
+	"go/parser"
+	"go/token"
 	"io"
 	"log/slog"
+	"path/filepath"
 	"reflect"
+	"strings"
 	"testing"
 	"time"
 
@@ -75,6 +80,48 @@
 // The form of each line is held.
 func TestFormatGolden(t *testing.T) { goldentest.Check(t, "format.jsonl", writeExample(t)) }
 
+// A type of input or output that the core gets anew must be in the format: it is found by its method in the core's source.
+func TestFormatHoldsEveryInputAndOutput(t *testing.T) {
+	lines := string(writeExample(t))
+	for _, direction := range []string{"input", "output"} {
+		types := typesWithMethod(t, "../../scheduler/platform", direction)
+		if len(types) < 10 {
+			t.Errorf("only %v have the method %s", types, direction)
+		}
+		for _, name := range types {
+			if !strings.Contains(lines, `"what":"platform.`+name+`"`) {
+				t.Errorf("%s %s is not among the examples", direction, name)
+			}
+		}
+	}
+}
+
+// typesWithMethod returns the types of a package whose receiver has a method of this name.
+func typesWithMethod(t *testing.T, folder, method string) []string {
+	t.Helper()
+	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var types []string
+	for _, name := range files {
+		file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.SkipObjectResolution)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, declaration := range file.Decls {
+			function, ok := declaration.(*ast.FuncDecl)
+			if !ok || function.Recv == nil || function.Name.Name != method {
+				continue
+			}
+			if receiver, ok := function.Recv.List[0].Type.(*ast.Ident); ok {
+				types = append(types, receiver.Name)
+			}
+		}
+	}
+	return types
+}
+
 // What is read is what was written: the head, times in nanoseconds, step boundaries, and every input byte for byte.
 func TestReaderReturnsWhatWasWritten(t *testing.T) {
 	r, err := NewReader(bytes.NewReader(writeExample(t)))
