--- a/internal/verify/platformreplay/replay_test.go
+++ b/internal/verify/platformreplay/replay_test.go
@@ -43,6 +43,21 @@
 	}
 }
 
+// The core takes no order from a map, however many hosts and connections it has.
+func TestReplayOfABusyRunIsIdentical(t *testing.T) {
+	trace := recordBusy(t)
+	for _, what := range []string{whatDialHost, whatSendToHost, whatSendToOwner} {
+		if count := bytes.Count(trace, []byte(`"what":"`+what+`"`)); count < 60 {
+			t.Errorf("the run has only %d %s", count, what)
+		}
+	}
+	for range 5 {
+		if result := replay(t, trace, nil); result.Difference != nil || result.Steps != stepCount(trace) {
+			t.Fatalf("%+v, %+v; want %d steps", result, result.Difference, stepCount(trace))
+		}
+	}
+}
+
 // One byte that is changed is named at its step: of an output, and of an input, whose outputs change with it.
 func TestReplayNamesTheStepOfAChangedByte(t *testing.T) {
 	trace := record(t, nil)
--- a/internal/verify/platformreplay/testrecorder_test.go
+++ b/internal/verify/platformreplay/testrecorder_test.go
@@ -38,11 +38,17 @@
 	}
 }
 
-// testEvent is an event of the endpoint list about the only host.
+// testEvent is an event of the endpoint list about host 1.
 func testEvent(seq uint64, snapshot bool, state platform.EndpointState) platform.WatchEvent {
-	return platform.WatchEvent{Seq: seq, Endpoints: &platform.EndpointList{Snapshot: snapshot, Hosts: []platform.Endpoint{{
-		Name: "s-00000001", Address: "10.0.0.1:1", Zone: "z", MachineType: "std", Cell: 1, State: state, Available: []float64{399.1, 399.7},
-	}}}}
+	return platform.WatchEvent{Seq: seq, Endpoints: &platform.EndpointList{Snapshot: snapshot, Hosts: []platform.Endpoint{testEndpoint(1, state)}}}
+}
+
+// testEndpoint is a host as the endpoint list has it.
+func testEndpoint(number int, state platform.EndpointState) platform.Endpoint {
+	return platform.Endpoint{
+		Name: fmt.Sprintf("s-%08x", number), Address: fmt.Sprintf("10.0.0.%d:1", number), Zone: "z", MachineType: "std", Cell: number,
+		State: state, Available: []float64{399.1, 399.7},
+	}
 }
 
 // testRecorder steps a core and records it.
@@ -128,6 +134,48 @@
 	return trace.Bytes()
 }
 
+// recordBusy returns the trace of a run with many hosts, requests and connections open at once, of which some break, through
+// the real module: where the core or the module took an order from a map, a replay would differ.
+func recordBusy(t *testing.T) []byte {
+	t.Helper()
+	const hosts, rounds, requestsPerRound = 60, 60, 8
+	head := testHead(t)
+	for number := 2; number <= hosts; number++ {
+		list := head.InitialEvents[0].Endpoints
+		list.Hosts = append(list.Hosts, testEndpoint(number, platform.InService))
+	}
+	head.MaxHostConnections, head.MaxConnections = 2*hosts, 2*hosts+8
+	config, err := coreConfig(&head)
+	if err != nil {
+		t.Fatal(err)
+	}
+	core, err := platformcore.New(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var trace bytes.Buffer
+	r := &testRecorder{core: core, writer: NewWriter(&trace, head.Config), now: testStart}
+	r.writer.Start(testStart, &config)
+	in := []platformcore.Input{platformcore.OwnerConnected{Owner: 1}}
+	for round := range rounds {
+		for n := range requestsPerRound {
+			ref := fmt.Sprintf("%016x", round*requestsPerRound+n)
+			in = append(in, platformcore.OwnerData{Owner: 1, Data: testRequest(ref, "")})
+		}
+		if round%5 == 4 { // many at once, so that they are lost, dialed and released in one step
+			for id := range platformcore.ConnectionID(2 * round) {
+				in = append(in, platformcore.HostDisconnected{Connection: id})
+			}
+		}
+		in = answers(r.step(in...))
+	}
+	r.advance(time.Second)
+	if err := r.writer.Err(); err != nil {
+		t.Fatal(err)
+	}
+	return trace.Bytes()
+}
+
 // offerToHost1 takes the module's place: it offers each task to host 1.
 func offerToHost1(_ time.Duration, events []forkhead.Event) []forkhead.Action {
 	var actions []forkhead.Action
