--- a/internal/verify/rules/norepeat.go
+++ b/internal/verify/rules/norepeat.go
@@ -52,10 +52,7 @@
 // placer knew when it sent a.
 func (c *checker) mayHaveRun(earlier, a *attempt) bool {
 	isEarlier := earlier.offeredAt < a.offeredAt || earlier.offeredAt == a.offeredAt && earlier.number < a.number
-	if earlier == a || !isEarlier {
-		return false
-	}
-	if happenedBy(earlier.neverRanAt, a.offeredAt) || happenedBy(earlier.endedAt, a.offeredAt) {
+	if !isEarlier || happenedBy(earlier.endedAt, a.offeredAt) {
 		return false
 	}
 	if happenedBy(earlier.hostDownAt, a.offeredAt+c.config.MaxTransit) || c.isForgotten(earlier, a) {
@@ -91,7 +88,7 @@
 	mayHaveRun := false
 	var firstSentAt time.Duration
 	for _, earlier := range view.byKey[offer.Key] {
-		if earlier.state == neverRan || earlier.state == ended {
+		if earlier.state == over {
 			continue
 		}
 		if earlier.state == awaitingAnswer && !c.config.ParallelAttempts {
@@ -99,7 +96,7 @@
 				offer.Placer, offer.Name, offer.Host, earlier.host)
 			continue
 		}
-		if !mayHaveRun || earlier.sentAt < firstSentAt {
+		if !mayHaveRun { // they stand in the order in which they were sent
 			mayHaveRun, firstSentAt = true, earlier.sentAt
 		}
 		switch {
--- a/internal/verify/rules/placerview.go
+++ b/internal/verify/rules/placerview.go
@@ -97,9 +97,7 @@
 	}
 	v.notices.listDelivered(e)
 	for name := range before {
-		if !v.listed[name] {
-			v.endIfRemoved(name)
-		}
+		v.endIfRemoved(name)
 	}
 }
 
@@ -110,7 +108,7 @@
 	}
 	for _, a := range v.attempts {
 		if a.host == name {
-			a.onHostEnded()
+			a.onOver()
 		}
 	}
 }
@@ -125,7 +123,7 @@
 	v.notices.hostNotified(e)
 	for _, a := range v.attempts {
 		if a.host == e.Host && a.hostEpoch < e.Epoch {
-			a.onHostEnded()
+			a.onOver()
 		}
 	}
 }
@@ -188,10 +186,8 @@
 		}
 	case capture.Running:
 		a.onBound(e.At)
-	case capture.Refused:
-		a.onRejected()
-	case capture.Ended:
-		a.onEnded(e.Result)
+	case capture.Refused, capture.Ended:
+		a.onOver()
 	}
 }
 
@@ -205,7 +201,6 @@
 		a = v.add(e)
 		a.state = mayRun
 	}
-	a.hostEpoch = v.host(e.Host).epoch
 	a.onBound(e.At)
 }
 
--- a/internal/verify/rules/sentattempt.go
+++ b/internal/verify/rules/sentattempt.go
@@ -10,8 +10,7 @@
 	mayRun                          // withdrawn, or its answer was lost
 	bound                           // the host reported that the task is placed
 	unreachable                     // bound, and its connection has ended since
-	neverRan
-	ended
+	over                            // rejected or ended, or its host ended
 )
 
 // sentAttempt is an attempt as its placer's sockets show it. Its methods are the messages on it.
@@ -36,33 +35,9 @@
 	}
 }
 
-// onRejected takes the host's rejection.
-func (a *sentAttempt) onRejected() {
-	switch a.state {
-	case bound, unreachable:
-		a.state = ended
-	case awaitingAnswer, mayRun:
-		a.state = neverRan
-	}
-}
-
-// onEnded takes the host's message that it ended, with a result.
-func (a *sentAttempt) onEnded(result string) {
-	switch {
-	case a.state == neverRan:
-	case result == resultWithdrawn && (a.state == awaitingAnswer || a.state == mayRun):
-		a.state = neverRan
-	default:
-		a.state = ended
-	}
-}
-
-// onHostEnded takes the end of the host's incarnation, or of the host.
-func (a *sentAttempt) onHostEnded() {
-	if a.state != neverRan {
-		a.state = ended
-	}
-}
+// onOver takes the host's rejection, its message that the attempt ended, or the end of the host's incarnation. Nothing changes
+// its state after that.
+func (a *sentAttempt) onOver() { a.state = over }
 
 // onWithdrawn says that the placer doesn't wait for the answer any more.
 func (a *sentAttempt) onWithdrawn() {
--- a/internal/verify/rules/spread.go
+++ b/internal/verify/rules/spread.go
@@ -42,7 +42,7 @@
 		return false
 	}
 	slack := a.offeredAt + c.config.MaxTransit
-	for _, at := range []time.Duration{other.neverRanAt, other.endedAt, other.hostDownAt, other.withdrawnAt} {
+	for _, at := range []time.Duration{other.endedAt, other.hostDownAt, other.withdrawnAt} {
 		if happenedBy(at, slack) {
 			return false
 		}
--- a/internal/verify/rules/trace.go
+++ b/internal/verify/rules/trace.go
@@ -9,9 +9,6 @@
 	"forkhead/internal/protocol/capture"
 )
 
-// resultWithdrawn is the result of an attempt that a host ended before it ran, since its placer withdrew it.
-const resultWithdrawn = "called"
-
 // trace is captured traffic with what the rules look up in it.
 type trace struct {
 	events    []capture.Event // noted by hosts, clients and the catalog, by time
@@ -71,8 +68,7 @@
 	withdrawnAt    time.Duration
 	answeredAt     time.Duration // rejected, accepted, running or ended
 	boundAt        time.Duration // the host reported what makes the task count as placed
-	neverRanAt     time.Duration // the host reported that it never ran
-	endedAt        time.Duration // the host reported that it ended after it ran
+	endedAt        time.Duration // rejected, or the host reported that it ended
 	disconnectedAt time.Duration // its connection ended
 	hostDownAt     time.Duration
 
@@ -205,7 +201,7 @@
 		return // not an answer
 	case capture.Refused:
 		b.rejected++
-		setOnce(&a.neverRanAt, e.At)
+		setOnce(&a.endedAt, e.At)
 	case capture.Accepted:
 		if !b.boundWhenRunning {
 			setOnce(&a.boundAt, e.At)
@@ -213,11 +209,7 @@
 	case capture.Running:
 		setOnce(&a.boundAt, e.At)
 	case capture.Ended:
-		if e.Result == resultWithdrawn {
-			setOnce(&a.neverRanAt, e.At)
-		} else {
-			setOnce(&a.endedAt, e.At)
-		}
+		setOnce(&a.endedAt, e.At)
 	}
 	setOnce(&a.answeredAt, e.At)
 }
