--- a/internal/planning/plan/input.go
+++ b/internal/planning/plan/input.go
@@ -26,13 +26,13 @@
 
 // The states of a host. The empty one is stateReady.
 const (
-	stateReady    = "ready"
-	stateCold     = "cold"
-	stateDraining = "draining"
-	stateRemoved  = "gone"
+	stateReady     = "ready"
+	stateWarmingUp = "cold"
+	stateDraining  = "draining"
+	stateRemoved   = "gone"
 )
 
-var hostStates = []string{"", stateReady, stateCold, stateDraining, stateRemoved}
+var hostStates = []string{"", stateReady, stateWarmingUp, stateDraining, stateRemoved}
 
 // Bounds of a host.
 const (
--- a/internal/planning/quota/quota_test.go
+++ b/internal/planning/quota/quota_test.go
@@ -55,9 +55,9 @@
 	before := newTestTable(t, 30, nil)
 	after := newTestTable(t, 29, before)
 	for i, tenant := range before.Tenants {
-		gone := before.Amounts[i][29]
+		freed := before.Amounts[i][29]
 		for j, placer := range after.Placers {
-			if more := after.Amounts[i][j] - before.Amounts[i][j]; more < 0 || more > gone/29+2 {
+			if more := after.Amounts[i][j] - before.Amounts[i][j]; more < 0 || more > freed/29+2 {
 				t.Errorf("%s at %s changed by %d when another placer left", tenant, placer, more)
 			}
 		}
--- a/internal/protocol/platform/sequence.go
+++ b/internal/protocol/platform/sequence.go
@@ -24,7 +24,7 @@
 // The zero value expects number 1. It is not safe for use by several goroutines at once.
 type Sequence struct {
 	Last        uint64       // number of the last event that was applied
-	askedFor    uint64       // the missing number that the stream was last opened again for; 0: none
+	requested   uint64       // the missing number that the stream was last opened again for; 0: none
 	streamFresh bool         // nothing has come on the stream
 	postponed   []WatchEvent // postponed: a snapshot and the events that follow it without a gap
 }
@@ -51,8 +51,8 @@
 		return SkipEvent
 	case event.Seq <= s.Last:
 		return SkipEvent
-	case event.Seq > next && !event.IsSnapshot() && s.askedFor != next:
-		s.askedFor = next
+	case event.Seq > next && !event.IsSnapshot() && s.requested != next:
+		s.requested = next
 		return Resubscribe
 	}
 	s.Last = event.Seq
@@ -65,7 +65,7 @@
 	restarted := s.postponed
 	s.postponed = nil
 	if len(restarted) > 0 {
-		s.Last, s.askedFor = restarted[len(restarted)-1].Seq, 0
+		s.Last, s.requested = restarted[len(restarted)-1].Seq, 0
 	}
 	return restarted
 }
--- a/internal/scheduler/attempt/request.go
+++ b/internal/scheduler/attempt/request.go
@@ -84,7 +84,7 @@
 		if err := r.Rules.mayRepeat(earlier, to, same); err != nil {
 			return err
 		}
-		if isOldest && r.Rules.isForgotten(now, earlier) {
+		if isOldest && r.Rules.isKeyExpired(now, earlier) {
 			return ErrDedupWindowPassed
 		}
 		isOldest = false
@@ -105,7 +105,7 @@
 			continue
 		}
 		// Hosts keep a key from the oldest attempt on that may have run.
-		if r.Rules.isForgotten(now, earlier) {
+		if r.Rules.isKeyExpired(now, earlier) {
 			return ErrDedupWindowPassed
 		}
 		return nil
--- a/internal/scheduler/attempt/rules.go
+++ b/internal/scheduler/attempt/rules.go
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// isForgotten reports whether the hosts that may have started an attempt of a keyed task have dropped its key.
-func (r *Rules) isForgotten(now time.Duration, earlier *Attempt) bool {
+// isKeyExpired reports whether the hosts that may have started an attempt of a keyed task have dropped its key.
+func (r *Rules) isKeyExpired(now time.Duration, earlier *Attempt) bool {
 	return r.Effect == forkhead.Keyed && now >= earlier.ChosenAt+r.DedupWindow
 }
 
--- a/internal/scheduler/core/dependencies.go
+++ b/internal/scheduler/core/dependencies.go
@@ -13,7 +13,7 @@
 		if r.service.failureReason == "" {
 			r.service.failureReason = failure
 		}
-		c.giveUp(r)
+		c.abandon(r)
 		return
 	}
 	if met {
--- a/internal/scheduler/core/hostconns_test.go
+++ b/internal/scheduler/core/hostconns_test.go
@@ -60,12 +60,12 @@
 	s.Delay = 20 * time.Millisecond
 	s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 20}}}")
 	s.Advance(25 * time.Millisecond)
-	told := s.Now
+	notifiedAt := s.Now
 	s.ExecuteHostOutputs("h1", s.Hosts["h1"].Model.Drain(s.Now, true, false))
 	s.Advance(10 * time.Second)
 	for _, o := range s.Offers {
-		if o.Host == "h1" && o.At > told+s.Delay+s.Settings.Module.DrainGrace {
-			t.Fatalf("an offer to h1 %v after it drains", o.At-told)
+		if o.Host == "h1" && o.At > notifiedAt+s.Delay+s.Settings.Module.DrainGrace {
+			t.Fatalf("an offer to h1 %v after it drains", o.At-notifiedAt)
 		}
 	}
 	s.RequireNoViolations()
@@ -88,8 +88,8 @@
 	s.Advance(10 * time.Second)
 	s.Step(core.RemoveProject{Request: 2, Project: "p"})
 	s.Advance(5 * time.Second)
-	if held := s.Core.TableSizes(); held != (core.TableSizes{Hosts: held.Hosts}) {
-		t.Fatalf("left over: %+v", held)
+	if sizes := s.Core.TableSizes(); sizes != (core.TableSizes{Hosts: sizes.Hosts}) {
+		t.Fatalf("left over: %+v", sizes)
 	}
 	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/replicas.go
+++ b/internal/scheduler/core/replicas.go
@@ -134,7 +134,7 @@
 		return
 	}
 	if hopeless && r.placements == 0 {
-		c.giveUp(r)
+		c.abandon(r)
 		return
 	}
 	event := retrypolicy.Event{Cause: retrypolicy.Failed, RetryAfter: retryAfter}
@@ -148,8 +148,8 @@
 	c.retry(r, event)
 }
 
-// giveUp reports the outcome of a replica that was not placed, and removes it.
-func (c *Core) giveUp(r *desiredReplica) {
+// abandon reports the outcome of a replica that was not placed, and removes it.
+func (c *Core) abandon(r *desiredReplica) {
 	rules := c.attemptRules(r.class)
 	unknown := c.unknownAttempts[r.taskKey]
 	kind := OutcomeRejected
--- a/internal/scheduler/core/requesting.go
+++ b/internal/scheduler/core/requesting.go
@@ -182,7 +182,7 @@
 		r.state, r.blocked = awaitingRequest, true
 		c.blockedReplicas[r.taskKey] = r
 	default:
-		c.giveUp(r)
+		c.abandon(r)
 	}
 }
 
@@ -203,6 +203,6 @@
 		if r.reason == "" {
 			r.reason, _ = c.explain(r)
 		}
-		c.giveUp(r)
+		c.abandon(r)
 	}
 }
--- a/internal/scheduler/core/restore_test.go
+++ b/internal/scheduler/core/restore_test.go
@@ -78,8 +78,8 @@
 	text := "name: p\nservices: {a: {x-forkhead: {class: ledger}, deploy: {replicas: 2}}}"
 	id := s.Submit("key", text)
 	before := s.Await(id, 5*time.Second)
-	gone := s.Submit("other", "name: q\nservices: {b: {x-forkhead: {class: web}}}")
-	s.Await(gone, 5*time.Second)
+	removed := s.Submit("other", "name: q\nservices: {b: {x-forkhead: {class: web}}}")
+	s.Await(removed, 5*time.Second)
 	s.ResetConnections("h0")
 	for _, name := range s.HostNames {
 		s.Hosts[name].Blackholed = true // the stop of q does not arrive
--- a/internal/scheduler/platform/attempt_test.go
+++ b/internal/scheduler/platform/attempt_test.go
@@ -109,7 +109,7 @@
 	"ok":      {stagePlaced, released(16, ""), forkhead.OK, true, 0},
 	"evicted": {stagePlaced, released(41, `"note":"killed"`), forkhead.Reset, true, forkhead.Evicted},
 	"ended":   {stagePlaced, released(31, ""), forkhead.Withdrawn, true, 0},
-	"its host dies": {stagePlaced, func(w *testCore, conn ConnectionID) {
+	"its host crashes": {stagePlaced, func(w *testCore, conn ConnectionID) {
 		w.step(HostDisconnected{conn})
 		for range 8 {
 			w.advance(60 * time.Millisecond)
@@ -155,7 +155,7 @@
 // An offer that was queued for a connection is not sent once it has become wrong.
 func TestCoreDropsQueuedOfferThatBecameWrong(t *testing.T) {
 	for name, wrong := range map[string]func(w *testCore){
-		"owner gone": func(w *testCore) { w.step(OwnerDisconnected{1}) },
+		"owner disconnected": func(w *testCore) { w.step(OwnerDisconnected{1}) },
 		"draining past the grace": func(w *testCore) {
 			w.step(hostChanged(1, platform.Terminating))
 			w.advance(300 * time.Millisecond)
--- a/internal/scheduler/platform/core_test.go
+++ b/internal/scheduler/platform/core_test.go
@@ -49,10 +49,10 @@
 		if i%100 == 0 { // hosts under new names, some at the address of one that is removed
 			n := 10 + i/100
 			seq++
-			gone := endpoint(n-1, platform.Terminated)
-			fresh := endpoint(n, platform.InService)
-			fresh.Address = fmt.Sprintf("10.0.1.%d:1", n%3)
-			w.step(WatchEventReceived{Event: platform.WatchEvent{Seq: seq, Endpoints: &platform.EndpointList{Hosts: []platform.Endpoint{gone, fresh}}}})
+			removed := endpoint(n-1, platform.Terminated)
+			added := endpoint(n, platform.InService)
+			added.Address = fmt.Sprintf("10.0.1.%d:1", n%3)
+			w.step(WatchEventReceived{Event: platform.WatchEvent{Seq: seq, Endpoints: &platform.EndpointList{Hosts: []platform.Endpoint{removed, added}}}})
 		}
 		ref := fmt.Sprintf("%016x", i+1)
 		o := w.connectOwner()
--- a/internal/scheduler/platform/owner_test.go
+++ b/internal/scheduler/platform/owner_test.go
@@ -10,7 +10,7 @@
 // Connections that send nothing, or do not end a line, are closed within 3 s; one that requested something once stays.
 func TestCoreClosesOwnersWithoutMessages(t *testing.T) {
 	w := newTestCore(t, nil)
-	silent, half := w.connectOwner(), w.connectOwner()
+	idle, half := w.connectOwner(), w.connectOwner()
 	w.step(OwnerData{half, []byte(`{"t":`)})
 	usual, _ := w.placeTask()
 	closed := map[OwnerID]bool{}
@@ -20,30 +20,30 @@
 			closed[c.Owner] = true
 		}
 	}
-	if !closed[silent] || !closed[half] || closed[usual] {
-		t.Errorf("closed %v, want %d and %d", closed, silent, half)
+	if !closed[idle] || !closed[half] || closed[usual] {
+		t.Errorf("closed %v, want %d and %d", closed, idle, half)
 	}
 }
 
 // Where connections run out, those that sent nothing are closed first, then the idle ones; one with an open request stays.
 func TestCoreEvictsOwnersByRank(t *testing.T) {
 	w := newTestCore(t, nil)
-	busy := w.connectOwner()
-	w.send(busy, requestLine(ref1, "keyed", ""))
+	requesting := w.connectOwner()
+	w.send(requesting, requestLine(ref1, "keyed", ""))
 	idle := w.connectOwner()
 	w.send(idle, ownerProbe)
-	var gone []OwnerID
+	var closed []OwnerID
 	for range 8 {
 		w.now += time.Millisecond
 		w.connectOwner()
 		for _, c := range ofType[CloseOwnerConnection](w.outputs) {
-			gone = append(gone, c.Owner)
+			closed = append(closed, c.Owner)
 		}
 	}
-	if len(gone) != 2 || gone[0] != 3 || gone[1] != 4 {
-		t.Errorf("closed %v, want the oldest that sent nothing, 3 and 4", gone)
+	if len(closed) != 2 || closed[0] != 3 || closed[1] != 4 {
+		t.Errorf("closed %v, want the oldest that sent nothing, 3 and 4", closed)
 	}
-	if len(w.core.owners) != 8 || w.core.owners[busy] == nil || w.core.owners[idle] == nil {
+	if len(w.core.owners) != 8 || w.core.owners[requesting] == nil || w.core.owners[idle] == nil {
 		t.Error("a connection that is used was closed")
 	}
 }
--- a/internal/server/netio/pollers.go
+++ b/internal/server/netio/pollers.go
@@ -38,8 +38,8 @@
 		}
 		opened = append(opened, func() { _ = out.Close() })
 		if probe%2 == 1 { // a poller takes descriptors by their number: open ones make the numbers differ
-			if held, err := syscall.Dup(0); err == nil {
-				opened = append(opened, func() { _ = syscall.Close(held) })
+			if descriptor, err := syscall.Dup(0); err == nil {
+				opened = append(opened, func() { _ = syscall.Close(descriptor) })
 			}
 		}
 		if err := e.probePoller(out, in); err != nil {
--- a/internal/server/platform/owners_test.go
+++ b/internal/server/platform/owners_test.go
@@ -47,19 +47,19 @@
 	}
 }
 
-// Connections that come in a crowd while all slots are taken wait for one; a usual owner among them is served.
+// Many connections that come at once while all slots are taken wait for one; a usual owner among them is served.
 func TestOwnerConnectionsUsualOwnerInACrowd(t *testing.T) {
 	s := startWithHost(t, newTestHost(t, 0, 1))
-	crowd := func(size int) {
+	connect := func(size int) {
 		for range size {
 			dialLoopback(t, s.Address())
 		}
 	}
 	bound := cap(s.owners.slots) - acceptReserve // all that the core takes
-	crowd(bound)
-	eventually(t, "the crowd is in", func() bool { return openOwners(s) == bound })
+	connect(bound)
+	eventually(t, "all slots of the core are taken", func() bool { return openOwners(s) == bound })
 	resume := stall(t, s)
-	crowd(3 * acceptReserve)
+	connect(3 * acceptReserve)
 	o := newTestOwner(t, s.Address())
 	o.request("00000000000000a0", 9000)
 	time.Sleep(50 * time.Millisecond) // the accept queue is taken as far as there are slots
--- a/internal/server/platform/server_test.go
+++ b/internal/server/platform/server_test.go
@@ -125,18 +125,18 @@
 	usual := newTestOwner(t, s.Address())
 	usual.request("00000000000000b0", 5000)
 	usual.awaitAnswer(t, "00000000000000b0") // before it, the connection is evicted like one that sent nothing
-	var silent []net.Conn
+	var idle []net.Conn
 	for range 400 {
-		silent = append(silent, dialLoopback(t, s.Address()))
+		idle = append(idle, dialLoopback(t, s.Address()))
 	}
-	flood := newTestOwner(t, s.Address())
+	garbage := newTestOwner(t, s.Address())
 	for range 1000 {
-		send(flood.conn, "%s", strings.Repeat("x", 1<<10))
+		send(garbage.conn, "%s", strings.Repeat("x", 1<<10))
 	}
-	<-flood.done
+	<-garbage.done
 	usual.request("00000000000000b1", 5000)
 	usual.awaitAnswer(t, "00000000000000b1")
-	for _, c := range silent {
+	for _, c := range idle {
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
 			t.Fatalf("an idle connection is not closed: %v", err)
--- a/internal/verify/chaos/bugs.go
+++ b/internal/verify/chaos/bugs.go
@@ -32,7 +32,7 @@
 	scenario.BugTwoOutcomes:        (*runner).reportTwoOutcomes,
 	scenario.BugRepeatedOffer:      (*runner).repeatUnsafeOffer,
 	scenario.BugOfferWhileDraining: (*runner).offerToDrainingHost,
-	scenario.BugSlowStartOverload:  (*runner).overloadFreshHost,
+	scenario.BugSlowStartOverload:  (*runner).overloadStartedHost,
 	scenario.BugSpreadExceeded:     (*runner).exceedSpreadLimit,
 }
 
@@ -77,8 +77,8 @@
 	return p.offer(host, r.scenario.Settings.Classes[0].Name, drainTask)
 }
 
-// overloadFreshHost offers more to a host that has just started than it withstands.
-func (r *runner) overloadFreshHost(p *misbehavingPlacer) error {
+// overloadStartedHost offers more to a host that has just started than it withstands.
+func (r *runner) overloadStartedHost(p *misbehavingPlacer) error {
 	host := r.cluster.Hosts[0]
 	host.Kill()
 	if err := host.Restart(true); err != nil {
--- a/internal/verify/chaos/faults.go
+++ b/internal/verify/chaos/faults.go
@@ -20,7 +20,7 @@
 // as it can be. A canceled run ends the waits in between, not the undoing.
 var injectors = map[scenario.FaultKind]func(*runner, *activeFault){
 	scenario.Crash:           (*runner).crashHosts,
-	scenario.Vanish:          (*runner).silenceHosts,
+	scenario.Vanish:          (*runner).vanishAndRestartHosts,
 	scenario.MassRestart:     (*runner).restartRack,
 	scenario.DieMidStart:     (*runner).crashDuringStart,
 	scenario.DieAfterBind:    (*runner).crashAfterBind,
--- a/internal/verify/chaos/faults_hosts.go
+++ b/internal/verify/chaos/faults_hosts.go
@@ -17,7 +17,7 @@
 	r.restartHosts(f.hosts)
 }
 
-func (r *runner) silenceHosts(f *activeFault) {
+func (r *runner) vanishAndRestartHosts(f *activeFault) {
 	vanishHosts(f.hosts)
 	r.sleep(f.Duration)
 	r.restartHosts(f.hosts)
--- a/internal/verify/platformsim/checks.go
+++ b/internal/verify/platformsim/checks.go
@@ -148,7 +148,7 @@
 	default:
 		r.answer, r.final = m.Type, m.Type
 		if m.Cause == platform.CauseRejected || m.Cause == platform.CauseBusy || m.Cause == platform.CauseNotSent {
-			w.report.Refused++
+			w.report.Rejected++
 			w.checkNeverRan(r)
 		} else {
 			w.report.Failed++
@@ -217,10 +217,10 @@
 // a common count, so that by chance a few more may come.
 func (h *host) checkSlowStart() {
 	w := h.w
-	w.report.ColdOffers += len(h.coldOffers)
+	w.report.SlowStartOffers += len(h.slowStartOffers)
 	bound := w.Settings.SlowStartMaxOffers + 2*math.Sqrt(w.Settings.SlowStartMaxOffers) + 2
-	for i, at := range h.coldOffers {
-		first, _ := slices.BinarySearch(h.coldOffers, at-w.Settings.SlowStartWindow+1)
+	for i, at := range h.slowStartOffers {
+		first, _ := slices.BinarySearch(h.slowStartOffers, at-w.Settings.SlowStartWindow+1)
 		if n := float64(i - first + 1); n > bound {
 			w.breach("cold: %v offers to %s in a window that bears %v", n, h.name(), w.Settings.SlowStartMaxOffers)
 			return
--- a/internal/verify/platformsim/host.go
+++ b/internal/verify/platformsim/host.go
@@ -13,18 +13,18 @@
 
 // host is one machine, with its incarnations one after the other.
 type host struct {
-	w           *world
-	number      int // from 1
-	incarnation int
-	machineType int
-	startedAt   time.Duration // 0: long ago
-	up          bool
-	ready       bool // by the endpoint list
-	isolated    bool // cut off from all placers
-	restarts    int
-	tasks       map[string]*attempt // bound, by ref
-	undelivered []release           // releases that their placers have not acknowledged
-	coldOffers  []time.Duration     // when offers came during the slow start
+	w               *world
+	number          int // from 1
+	incarnation     int
+	machineType     int
+	startedAt       time.Duration // 0: long ago
+	up              bool
+	ready           bool // by the endpoint list
+	isolated        bool // cut off from all placers
+	restarts        int
+	tasks           map[string]*attempt // bound, by ref
+	undelivered     []release           // releases that their placers have not acknowledged
+	slowStartOffers []time.Duration     // when offers came during the slow start
 }
 
 // release is the end of a task that its placer has not acknowledged.
@@ -83,7 +83,7 @@
 	h.incarnation++
 	h.restarts++
 	h.up, h.ready, h.startedAt = true, true, h.w.now
-	h.coldOffers = nil
+	h.slowStartOffers = nil
 	h.w.publish(false, h.endpoint(platform.InService))
 }
 
@@ -135,7 +135,7 @@
 func (h *host) receiveOffer(c *conn, ref string) {
 	w := h.w
 	if h.startedAt > 0 && w.now < h.startedAt+w.Settings.SlowStartDuration {
-		h.coldOffers = append(h.coldOffers, w.now)
+		h.slowStartOffers = append(h.slowStartOffers, w.now)
 	}
 	if t := c.lastAttempt(ref); t != nil {
 		w.after(time.Millisecond+w.randomMS(40), func() { h.decide(c, t) })
--- a/internal/verify/platformsim/request.go
+++ b/internal/verify/platformsim/request.go
@@ -151,7 +151,7 @@
 		for _, r := range o.placer.w.requests {
 			if r.owner == o && r.answer == "" && r.incarnation == o.incarnation {
 				r.canceled = true
-				o.placer.w.report.GaveUp++
+				o.placer.w.report.Canceled++
 			}
 		}
 		o.placer.step(platformcore.OwnerDisconnected{Owner: o.id})
--- a/internal/verify/platformsim/run.go
+++ b/internal/verify/platformsim/run.go
@@ -31,11 +31,11 @@
 
 // Report is the result of a run.
 type Report struct {
-	Breaches                                  []string // of the rules; the first maxBreaches of them
-	Requests, Placed, Refused, Failed, GaveUp int
-	Offers, HandedOver, Kills, ColdOffers     int
-	Lost, Ended                               int
-	Steps                                     int
+	Breaches                                     []string // of the rules; the first maxBreaches of them
+	Requests, Placed, Rejected, Failed, Canceled int
+	Offers, HandedOver, Kills, SlowStartOffers   int
+	Lost, Ended                                  int
+	Steps                                        int
 }
 
 const (
--- a/internal/verify/platformsim/run_test.go
+++ b/internal/verify/platformsim/run_test.go
@@ -115,10 +115,10 @@
 		if again := Run(busyConfig(seed)); fmt.Sprint(again) != fmt.Sprint(r) {
 			t.Fatalf("seed %d: %+v, and then %+v", seed, r, again)
 		}
-		sum.Placed, sum.Refused, sum.Failed, sum.GaveUp = sum.Placed+r.Placed, sum.Refused+r.Refused, sum.Failed+r.Failed, sum.GaveUp+r.GaveUp
-		sum.HandedOver, sum.Kills, sum.ColdOffers, sum.Ended = sum.HandedOver+r.HandedOver, sum.Kills+r.Kills, sum.ColdOffers+r.ColdOffers, sum.Ended+r.Ended
+		sum.Placed, sum.Rejected, sum.Failed, sum.Canceled = sum.Placed+r.Placed, sum.Rejected+r.Rejected, sum.Failed+r.Failed, sum.Canceled+r.Canceled
+		sum.HandedOver, sum.Kills, sum.SlowStartOffers, sum.Ended = sum.HandedOver+r.HandedOver, sum.Kills+r.Kills, sum.SlowStartOffers+r.SlowStartOffers, sum.Ended+r.Ended
 	}
-	if sum.Placed < 500 || sum.Refused == 0 || sum.Failed == 0 || sum.GaveUp == 0 || sum.HandedOver == 0 || sum.Kills == 0 || sum.ColdOffers == 0 || sum.Ended == 0 {
+	if sum.Placed < 500 || sum.Rejected == 0 || sum.Failed == 0 || sum.Canceled == 0 || sum.HandedOver == 0 || sum.Kills == 0 || sum.SlowStartOffers == 0 || sum.Ended == 0 {
 		t.Errorf("something never happens: %+v", sum)
 	}
 	t.Logf("%+v", sum)
