--- a/internal/parse/settings/defaults.go
+++ b/internal/parse/settings/defaults.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// What holds if the file names no placer, and without (mean-cores ...) and (mean-memory ...).
+// defaultPlacer applies if the file names no placer, and without (mean-cores ...) and (mean-memory ...).
 var defaultPlacer = Placer{HTTPAddress: "127.0.0.1:7070", GossipAddress: "127.0.0.1:7071"}
 
 const (
