--- a/internal/emulator/platformmodel/emulator.go
+++ b/internal/emulator/platformmodel/emulator.go
@@ -358,11 +358,11 @@
 		switch a := a.(type) {
 		case Send:
 			if l := e.links[a.Conn]; l != nil {
-				e.send(l, a.Data)
+				e.send(l, a)
 			}
 		case Close:
 			if l := e.links[a.Conn]; l != nil {
-				e.send(l, nil)
+				e.sendEnd(l)
 			}
 		case Connect:
 			e.dial(p, a)
--- a/internal/emulator/platformmodel/endpointlog_test.go
+++ b/internal/emulator/platformmodel/endpointlog_test.go
@@ -69,3 +69,19 @@
 		}
 	}
 }
+
+// A placer that asks for the first time since the numbers began again gets the new sequence, even if that has come as far
+// as the old one; when it asks again it gets what is new.
+func TestEndpointLogRestartsSequence(t *testing.T) {
+	l := NewEndpointLog(rigStart)
+	host := platform.Endpoint{Name: "s-00000001", State: platform.InService}
+	l.Publish(rigStart, host)
+	ask(l, 1, "1")
+	l.RestartSequence(rigStart)
+	l.Publish(rigStart, host)
+	for _, want := range []int{2, 0} {
+		if got := ask(l, 2, "2"); strings.Count(got, "id: ") != want {
+			t.Errorf("%q, want %d events", got, want)
+		}
+	}
+}
--- a/internal/emulator/platformmodel/host.go
+++ b/internal/emulator/platformmodel/host.go
@@ -120,14 +120,14 @@
 		h.conns[conn] = &hostConnection{id: conn, placer: placer, lastUsed: now}
 		for _, r := range h.owed {
 			if r.placer == placer {
-				h.add(Send{conn, r.line})
+				h.add(Send{Conn: conn, Data: r.line})
 			}
 		}
 	})
 }
 
 // ConnectionClosed gives up the offers of a connection that are not answered.
-func (h *Host) ConnectionClosed(now time.Duration, conn ConnID) []Action {
+func (h *Host) ConnectionClosed(now time.Duration, conn ConnID, _ bool) []Action {
 	return h.handle(now, func() { h.forgetConnection(conn) })
 }
 
--- a/internal/emulator/platformmodel/injectors.go
+++ b/internal/emulator/platformmodel/injectors.go
@@ -18,6 +18,7 @@
 var (
 	anyParty  = []PartyKind{HostParty, OwnerParty, EndpointLogParty}
 	listening = []PartyKind{HostParty, EndpointLogParty}
+	messaging = []PartyKind{HostParty, OwnerParty} // an endpoint log that swaps events loses some: its numbers have gaps
 	onlyHosts = []PartyKind{HostParty}
 )
 
@@ -34,7 +35,7 @@
 		FaultReset:           {anyParty, (*Emulator).beginReset, nil},
 		FaultSpoilt:          active(anyParty),
 		FaultDoubled:         active(anyParty),
-		FaultReordered:       active(anyParty),
+		FaultReordered:       active(messaging),
 		FaultUnread:          {anyParty, (*Emulator).beginUnread, (*Emulator).endUnread},
 		FaultRefused:         active(listening),
 		FaultClockSkew:       {onlyHosts, (*Emulator).beginClockSkew, (*Emulator).endClockSkew},
--- a/internal/emulator/platformmodel/model.go
+++ b/internal/emulator/platformmodel/model.go
@@ -19,10 +19,11 @@
 
 // The actions, to be executed in their order.
 type (
-	// Send sends one message: a line, or a piece of the watch's stream.
+	// Send sends one message: a line, or a piece of the watch's stream. Faults that change messages leave a Head as it is.
 	Send struct {
 		Conn ConnID
 		Data []byte
+		Head bool // it begins a stream
 	}
 	// Close closes a connection after what was sent on it.
 	Close struct{ Conn ConnID }
@@ -43,8 +44,9 @@
 	ConnectionOpened(now time.Duration, conn ConnID, placer int) []Action
 	// Received brings bytes in any pieces, which the model does not keep.
 	Received(now time.Duration, conn ConnID, data []byte) []Action
-	// ConnectionClosed says that a connection has ended that the model has not closed.
-	ConnectionClosed(now time.Duration, conn ConnID) []Action
+	// ConnectionClosed says that a connection has ended that the model has not closed. reset says that what its placer sent
+	// last may be lost.
+	ConnectionClosed(now time.Duration, conn ConnID, reset bool) []Action
 	// Step does what is due.
 	Step(now time.Duration) []Action
 	// Next returns when Step is to be called at the latest.
@@ -70,7 +72,7 @@
 
 // sendMessage sends a message without a description.
 func (q *actionQueue) sendMessage(conn ConnID, kind platform.MessageType, ref string, cause platform.Cause, fields ...platform.Field) {
-	q.add(Send{conn, platform.Append(nil, kind, ref, cause, nil, fields...)})
+	q.add(Send{Conn: conn, Data: platform.Append(nil, kind, ref, cause, nil, fields...)})
 }
 
 // take returns what was collected.
--- a/internal/emulator/platformmodel/network_test.go
+++ b/internal/emulator/platformmodel/network_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math/rand/v2"
 	"testing"
 	"time"
 
@@ -157,3 +158,55 @@
 	}
 	t.Log(handOvers, counts)
 }
+
+// drawSchedule draws faults. Left out are those after which a placer cannot know, or say, that a task is over: owners whose
+// messages or connections are lost unnoticed, and a list whose numbers begin again.
+func drawSchedule(seed uint64) []Fault {
+	rng := rand.New(rand.NewPCG(seed, 9))
+	var faults []Fault
+	for range 1 + rng.IntN(8) {
+		f := Fault{Type: FaultType(rng.IntN(int(faultTypeCount))), Amount: time.Duration(1 + rng.Int64N(int64(time.Second)))}
+		if f.Type == FaultSequenceRestart {
+			continue
+		}
+		f.At, f.Duration = time.Duration(rng.Int64N(int64(5*time.Second))), time.Duration(rng.Int64N(int64(4*time.Second)))
+		kinds := injectorOf(f.Type).kinds
+		if f.Type == FaultHalfOpen || f.Type == FaultSpoilt {
+			kinds = onlyHosts
+		}
+		f.Target = Target{Kind: kinds[rng.IntN(len(kinds))], All: rng.IntN(3) == 0}
+		if f.Target.Kind == HostParty {
+			f.Target.Number = rng.IntN(4)
+		}
+		faults = append(faults, f)
+	}
+	return faults
+}
+
+// Whatever faults come together, every request has an outcome.
+func TestNetworkUnderDrawnFaults(t *testing.T) {
+	sum := map[Outcome]int{}
+	for seed := range uint64(40) {
+		cfg := testNetworkConfig(2, 4, 80, drawSchedule(seed)...)
+		cfg.Emulator.Seed = seed
+		_, counts := runNetwork(t, cfg, func(n *Network) {
+			if seed%2 == 0 {
+				return
+			}
+			n.Run(2 * time.Second)
+			n.KillPlacer(1)
+			n.Run(time.Second)
+			if err := n.StartPlacer(1); err != nil {
+				t.Fatal(err)
+			}
+		})
+		for outcome, count := range counts {
+			sum[outcome] += count
+		}
+	}
+	for outcome := OutcomeEnded; outcome < outcomeCount; outcome++ {
+		if sum[outcome] == 0 {
+			t.Errorf("no request has the outcome %v: %v", outcome, sum)
+		}
+	}
+}
--- a/internal/emulator/platformmodel/request.go
+++ b/internal/emulator/platformmodel/request.go
@@ -84,7 +84,7 @@
 	failed     bool // an earlier submission failed: it may have run
 	sentAgain  bool // the latest submission has crossed the close of its connection and was sent once more
 
-	releaseUnheard bool // the owner's release was sent and is not acknowledged
+	releaseUnheard bool // the owner has released the task, or given the request up, and that is not acknowledged
 }
 
 // isRejection reports whether a release without an answer before says that nothing ran.
