--- a/internal/parse/platformconfig/check.go
+++ b/internal/parse/platformconfig/check.go
@@ -94,7 +94,6 @@
 	}
 }
 
-// checkClass checks the fields of the class of an index.
 func checkClass(index int, fields map[string]any) error {
 	c := checker{root: fields, prefix: fmt.Sprintf("classes[%d].", index)}
 	c.oneOf("effect", slices.Sorted(maps.Keys(effects))...)
--- a/internal/planning/plan/conflict.go
+++ b/internal/planning/plan/conflict.go
@@ -35,7 +35,6 @@
 	return fmt.Sprintf("the memory of the %d hosts that are open (%.4g GiB in all)", open, float64(memory)/mebibytes)
 }
 
-// describeRequirement describes a requirement of a service.
 func describeRequirement(requested *solver.Service, s *service, kind solver.RequirementKind) string {
 	name := s.spec.Name
 	switch kind {
--- a/internal/scheduler/platform/connection.go
+++ b/internal/scheduler/platform/connection.go
@@ -28,7 +28,6 @@
 	purposeReplacement                           // takes the place of an idle one, where hosts may not be probed
 )
 
-// hostConnection is a connection to a host.
 type hostConnection struct {
 	id             ConnectionID
 	host           *host
--- a/internal/scheduler/platform/owner.go
+++ b/internal/scheduler/platform/owner.go
@@ -9,7 +9,6 @@
 	"forkhead"
 )
 
-// ownerConnection is a connection of an owner.
 type ownerConnection struct {
 	id           OwnerID
 	reader       lineReader
--- a/internal/scheduler/platform/request.go
+++ b/internal/scheduler/platform/request.go
@@ -189,5 +189,4 @@
 	c.finished = c.finished[:0]
 }
 
-// untilDeadline is the time until the deadline of the request.
 func (r *request) untilDeadline(now time.Duration) time.Duration { return r.lifecycle.Deadline - now }
--- a/internal/scheduler/platform/testcore_test.go
+++ b/internal/scheduler/platform/testcore_test.go
@@ -102,7 +102,6 @@
 	return w.step(OwnerData{owner, []byte(line + "\n")})
 }
 
-// ownerProbe is a probe by an owner.
 const ownerProbe = `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`
 
 // requestLine is a placement request, with more at the end of its extras.
--- a/internal/verify/modelcheck/replay_host.go
+++ b/internal/verify/modelcheck/replay_host.go
@@ -8,7 +8,6 @@
 	"forkhead/internal/scheduler/hostsession"
 )
 
-// replayHost is a host of a replay.
 type replayHost struct {
 	name        string
 	up          bool
--- a/internal/verify/platformsim/orderevents.go
+++ b/internal/verify/platformsim/orderevents.go
@@ -34,7 +34,6 @@
 	eventReset    eventKind = "cut"
 )
 
-// orderEvent is one event of an order.
 type orderEvent struct {
 	kind    eventKind
 	conn    platformcore.ConnectionID // of an event of a connection
--- a/internal/verify/simulation/faults.go
+++ b/internal/verify/simulation/faults.go
@@ -11,7 +11,7 @@
 	rng *rand.Rand
 }
 
-// randomHost returns the name of a host.
+// randomHost returns the name of a host, drawn evenly from all.
 func (f *faultInjector) randomHost() string { return f.s.HostNames[f.rng.IntN(len(f.s.HostNames))] }
 
 // randomMS returns a duration of whole milliseconds below n of them.
--- a/internal/verify/simulation/placer.go
+++ b/internal/verify/simulation/placer.go
@@ -121,7 +121,6 @@
 	s.Core = s.newCore(core.Config{Settings: s.Settings, Seed: coreSeed, Epoch: s.Epoch})
 }
 
-// execute executes an output of the core.
 func (s *Sim) execute(o core.Output) {
 	switch o := o.(type) {
 	case core.DialHost:
--- a/internal/verify/testcluster/hosts.go
+++ b/internal/verify/testcluster/hosts.go
@@ -46,7 +46,6 @@
 	return cfg
 }
 
-// startHosts starts the hosts of a group.
 func (c *Cluster) startHosts(g *scenario.HostGroup) error {
 	for i := range g.Count {
 		if err := c.startHost(g, i); err != nil {
