--- a/internal/parse/settings/settings.go
+++ b/internal/parse/settings/settings.go
@@ -53,7 +53,7 @@
 type ServiceDiscovery struct {
 	Address     string
 	Service     string        // name under which hosts are registered
-	MaxWait     time.Duration // longest that a blocking query is held
+	MaxWait     time.Duration // longest wait of a blocking query
 	Timeout     time.Duration // beyond MaxWait; then the query has failed
 	MinInterval time.Duration // least time between two queries
 }
@@ -67,7 +67,7 @@
 	MaxPlacements    int           // a task that was placed so often is not placed again when it is lost
 }
 
-// HostConnections is how connections to hosts are kept.
+// HostConnections is how connections to hosts are maintained.
 type HostConnections struct {
 	ConnectTimeout time.Duration // a connection that is not there within it has failed
 	MinBackoff     time.Duration // mean wait before the first reconnect
@@ -81,7 +81,7 @@
 	Body        int           // bytes of a submission
 	Tasks       int           // tasks that one placer holds
 	PerSubmit   int           // tasks of one submission
-	Submissions int           // submissions remembered
+	Submissions int           // submissions in memory
 	Retention   time.Duration // how long a finished submission can be read again
 	Connections int           // to the front
 	Buffer      int           // bytes waiting for one reader
--- a/internal/planning/plan/plan.go
+++ b/internal/planning/plan/plan.go
@@ -55,7 +55,7 @@
 type service struct {
 	spec        *servicespec.Service
 	class       *forkhead.Class
-	machineType string      // that its class is kept to; "": any
+	machineType string      // that its class is restricted to; "": any
 	running     map[int]int // index of the host, by replica
 }
 
--- a/internal/planning/solver/search.go
+++ b/internal/planning/solver/search.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// initHostClasses finds hosts that no service can tell apart.
+// initHostClasses finds hosts that no service can distinguish.
 func (s *search) initHostClasses() {
 	topologyMatters := s.topologyMatters()
 	classes := map[string]int{}
--- a/internal/protocol/hostproto/frames.go
+++ b/internal/protocol/hostproto/frames.go
@@ -58,7 +58,7 @@
 		Ref   Ref
 		Grace time.Duration // time that the task has to end by itself, in whole milliseconds; 0: what the host grants
 	}
-	// Probe asks for a Probed with the same ID. The ID 0 only keeps the connection from being idle.
+	// Probe requests a Probed with the same ID. The ID 0 only keeps the connection from being idle.
 	Probe struct{ ID uint32 }
 	// Query requests what became of attempts that Holds did not list. Each is answered by Refused (it never came), by Ended,
 	// or by Accepted or Running.
--- a/internal/protocol/platform/wire.go
+++ b/internal/protocol/platform/wire.go
@@ -119,5 +119,5 @@
 const (
 	InService   EndpointState = "in_service"  // it takes tasks
 	Terminating EndpointState = "terminating" // it drains
-	Terminated  EndpointState = "terminated"  // it is gone
+	Terminated  EndpointState = "terminated"  // it is removed
 )
--- a/internal/scheduler/core/updates.go
+++ b/internal/scheduler/core/updates.go
@@ -112,7 +112,7 @@
 	c.removeReplica(old)
 }
 
-// reportUpdateResult tells a service's update that a replica under update is placed and has run for as long as it is
+// reportUpdateResult notifies a service's update that a replica under update is placed and has run for as long as it is
 // monitored, or that it failed. It does nothing for other replicas.
 func (c *Core) reportUpdateResult(r *desiredReplica, succeeded bool) {
 	if !succeeded && r.predecessor != nil {
--- a/internal/scheduler/durable/records.go
+++ b/internal/scheduler/durable/records.go
@@ -20,7 +20,7 @@
 // The JSON keys of records and of what they hold are part of stored values and of recorded runs; they stay when a field is
 // renamed.
 type Record interface {
-	// Changes returns the changes of stored keys that the record stands for, in the order in which they must be applied.
+	// Changes returns the changes of stored keys that the record represents, in the order in which they must be applied.
 	Changes() []Change
 	// MustBeDurableFirst reports whether the outputs of the step that emitted the record must wait until the record is
 	// durable. It is false for records whose loss does no harm, since the next incarnation receives the same again.
--- a/internal/scheduler/invariant/invariant_test.go
+++ b/internal/scheduler/invariant/invariant_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// checkViolation fails the test unless a violation is of a rule; RuleCount stands for none.
+// checkViolation fails the test unless a violation is of a rule; RuleCount means none.
 func checkViolation(t *testing.T, name string, v *Violation, want Rule) {
 	t.Helper()
 	switch {
--- a/internal/scheduler/platform/testcore_test.go
+++ b/internal/scheduler/platform/testcore_test.go
@@ -223,7 +223,7 @@
 // boundLine is a host's message that it runs a task.
 func boundLine(ref string) string { return fmt.Sprintf(`{"t":"up","ref":"%s","f":{},"d":"x"}`, ref) }
 
-// releaseLine ends what a ref stands for.
+// releaseLine ends what a ref identifies.
 func releaseLine(ref string, cause int) string {
 	return fmt.Sprintf(`{"t":"down","ref":"%s","f":{},"c":%d}`, ref, cause)
 }
--- a/internal/server/placer/server.go
+++ b/internal/server/placer/server.go
@@ -40,7 +40,7 @@
 	// stored. The caller closes the store once the placer has been closed.
 	Store    *store.Store
 	Snapshot *durable.Snapshot
-	// OnStep is called on the loop's goroutine with each step of the core: its time, the time for which the core had asked
+	// OnStep is called on the loop's goroutine with each step of the core: its time, the time that the core had requested
 	// (0: it had not), its inputs in the order of their receipt and its outputs in the order of their execution. It must
 	// keep neither slice. nil: not called.
 	OnStep func(now, due time.Duration, in []core.Input, out []core.Output)
@@ -71,7 +71,7 @@
 	// The rest up to mu belongs to the loop. Close uses watch after the loop has ended.
 	core        *core.Core
 	inputs      []core.Input  // of the next step
-	stepDue     time.Duration // when the core asked to be stepped; 0: it did not
+	stepDue     time.Duration // when the core requested to be stepped; 0: it did not
 	hosts       map[string]*hostConn
 	unflushed   []*hostConn // with frames in their buffers
 	watch       *listwatch.Watch
--- a/internal/verify/modelcheck/placer.go
+++ b/internal/verify/modelcheck/placer.go
@@ -276,8 +276,8 @@
 	}
 }
 
-// receiveWelcome handles a Welcome with the list of what the host holds. Then offers that waited for the connection are
-// written, and attempts that should be on the list and are not are queried.
+// receiveWelcome handles a Welcome with the attempts that the host has. Then offers that waited for the connection are
+// written, and attempts that should be among them and are not are queried.
 func (st *step) receiveWelcome(hi int, m message) {
 	h := &st.s.hosts[hi]
 	st.applyConnectionInput(hi, hostconn.Input{Kind: hostconn.Welcomed, Conn: uint32(h.conn), Epoch: uint64(m.about)})
--- a/internal/verify/replay/recording.go
+++ b/internal/verify/replay/recording.go
@@ -34,7 +34,7 @@
 // Step is one step of a core.
 type Step struct {
 	Now time.Duration // since the epoch of the run's clock
-	Due time.Duration // when the core had asked to be stepped next, on the same clock; 0: it had not
+	Due time.Duration // when the core had requested to be stepped next, on the same clock; 0: it had not
 	In  []core.Input
 	Out []string // by FormatOutput
 }
