--- a/internal/emulator/platform/listener.go
+++ b/internal/emulator/platform/listener.go
@@ -87,10 +87,10 @@
 
 // openListener listens at an address. That of a listener that was closed may be taken for a while.
 func (s *Server) openListener(o platformmodel.OpenListener) {
-	s.tryListen(o, maxListenRetries)
+	s.listenWithRetries(o, maxListenRetries)
 }
 
-func (s *Server) tryListen(o platformmodel.OpenListener, retries int) {
+func (s *Server) listenWithRetries(o platformmodel.OpenListener, retries int) {
 	address := ":0"
 	if o.Address != "" {
 		address = o.Address[strings.LastIndexByte(o.Address, ':'):] // its port, at all addresses
@@ -105,7 +105,7 @@
 		s.add(platformmodel.ListenerOpened{Listener: o.Listener, Address: loopbackAddress(socket.Addr())})
 	case retries > 0 && errors.Is(err, syscall.EADDRINUSE):
 		time.Sleep(listenRetryAfter)
-		s.tryListen(o, retries-1)
+		s.listenWithRetries(o, retries-1)
 	default:
 		s.fail(fmt.Errorf("listen for an emulator: %w", err))
 	}
--- a/internal/emulator/platform/server_test.go
+++ b/internal/emulator/platform/server_test.go
@@ -49,8 +49,8 @@
 		{Name: "safe", Effect: forkhead.Safe}, {Name: "keyed", Effect: forkhead.Keyed, DedupWindow: time.Hour}, {Name: "unsafe", Effect: forkhead.Unsafe},
 	}
 	patience := eventuallyTimeout // however late the machine is, no owner gives up before its placer answers
-	fitting := platformmodel.OwnerConfig{Number: 1, Tenant: "acme", Classes: classes, MaxSubmissions: 20, Patience: patience}
-	tooLarge := platformmodel.OwnerConfig{Number: 2, Tenant: "acme", Classes: classes, MaxSubmissions: 1, Patience: patience}
+	fitting := platformmodel.OwnerConfig{Number: 1, Tenant: "acme", Classes: classes, MaxSubmissions: 20, AnswerGrace: patience}
+	tooLarge := platformmodel.OwnerConfig{Number: 2, Tenant: "acme", Classes: classes, MaxSubmissions: 1, AnswerGrace: patience}
 	for i := range 14 {
 		fitting.Requests = append(fitting.Requests, platformmodel.Request{
 			At: time.Duration(i) * 20 * time.Millisecond, Class: i % 2, Cores: 1, Memory: 1, Service: uint64(i), Timeout: 3 * time.Second,
@@ -223,7 +223,7 @@
 
 // A host that is cut off neither takes connections nor refuses them, until the fault ends.
 func TestListenerStopsAccepting(t *testing.T) {
-	s, address := startWithFault(t, platformmodel.FaultZoneCut, 3*time.Second)
+	s, address := startWithFault(t, platformmodel.FaultZonePartition, 3*time.Second)
 	if err := probe(address); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/platformmodel/emulator.go
+++ b/internal/emulator/platformmodel/emulator.go
@@ -57,7 +57,7 @@
 	logParty       *party
 	listeners      map[ListenerID]*listener
 	links          map[ConnID]*link
-	held           map[ConnID]*link // on which something is held back
+	delayed        map[ConnID]*link // on which something is held back
 	running        map[int]bool     // placers
 	lastHostNumber int
 }
@@ -70,7 +70,7 @@
 	}
 	e := &Emulator{
 		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 3)), now: now, journal: Journal{maxRecords: cfg.MaxRecords},
-		listeners: map[ListenerID]*listener{}, links: map[ConnID]*link{}, held: map[ConnID]*link{}, running: map[int]bool{},
+		listeners: map[ListenerID]*listener{}, links: map[ConnID]*link{}, delayed: map[ConnID]*link{}, running: map[int]bool{},
 	}
 	if err := e.addParties(); err != nil {
 		return nil, err
@@ -163,7 +163,7 @@
 	for due := range e.timers.Due(now) {
 		due()
 	}
-	for _, l := range slices.SortedFunc(maps.Values(e.held), func(a, b *link) int { return cmp.Compare(a.id, b.id) }) {
+	for _, l := range slices.SortedFunc(maps.Values(e.delayed), func(a, b *link) int { return cmp.Compare(a.id, b.id) }) {
 		e.flush(l)
 	}
 	for _, p := range e.parties {
@@ -187,7 +187,7 @@
 			next = min(next, p.next)
 		}
 	}
-	for _, l := range e.held {
+	for _, l := range e.delayed {
 		next = min(next, l.next())
 	}
 	return next
--- a/internal/emulator/platformmodel/faults.go
+++ b/internal/emulator/platformmodel/faults.go
@@ -27,7 +27,7 @@
 	FaultClockSkew                        // the target's clock is ahead by Amount
 	FaultMassKill                         // the targets' processes are killed at once, and start again at the end
 	FaultMassRestart                      // the targets' processes restart one after another, spread over the duration
-	FaultZoneCut                          // nothing passes between the targets and placers; it does at the end
+	FaultZonePartition                    // nothing passes between the targets and placers; it does at the end
 	FaultHostReplaced                     // the target's machine vanishes; at the end another one has its address
 	FaultHostReaddressed                  // the target's machine vanishes; at the end it is back under its name at another address
 	FaultMassHandOver                     // once: the target hands over all its tasks
@@ -37,7 +37,7 @@
 
 var faultNames = [faultTypeCount]string{
 	"late", "silent", "half-open", "reset", "spoilt", "doubled", "reordered", "unread", "refused", "clock skew", "mass kill",
-	"mass restart", "zone cut", "host replaced", "host readdressed", "mass hand-over", "sequence restart",
+	"mass restart", "zone partition", "host replaced", "host readdressed", "mass hand-over", "sequence restart",
 }
 
 // String returns the fault's name.
--- a/internal/emulator/platformmodel/faults_test.go
+++ b/internal/emulator/platformmodel/faults_test.go
@@ -173,7 +173,7 @@
 		{Fault{Type: FaultRefused, Target: host0}, checkRefused},
 		{Fault{Type: FaultMassKill, Target: allHosts}, checkMassKill},
 		{Fault{Type: FaultMassRestart, Target: allHosts}, checkMassRestart},
-		{Fault{Type: FaultZoneCut, Target: zoneA}, checkZoneCut},
+		{Fault{Type: FaultZonePartition, Target: zoneA}, checkZonePartition},
 		{Fault{Type: FaultHostReplaced, Target: host0}, checkHostReplaced},
 		{Fault{Type: FaultHostReaddressed, Target: host0}, checkHostReaddressed},
 	} {
@@ -303,7 +303,7 @@
 	r.wantListener(2, "open")
 }
 
-func checkZoneCut(r *rig, conn, other ConnID) {
+func checkZonePartition(r *rig, conn, other ConnID) {
 	r.probe(conn, 1)
 	r.probe(other, 1)
 	r.want(other, 1)
@@ -388,13 +388,13 @@
 // A schedule that cannot be followed is an error.
 func TestValidateFault(t *testing.T) {
 	for want, f := range map[string]Fault{
-		"there is no":      {Type: faultTypeCount},
-		"below 0":          {At: -1},
-		"how late":         {Type: FaultLate, Target: host0},
-		"does not befall":  {Type: FaultMassHandOver, Target: host0},
-		"has no target":    {Type: FaultReset, Target: Target{Kind: HostParty, Number: 9}},
-		"zone cut has no":  {Type: FaultZoneCut, Target: Target{Kind: HostParty, Zone: "z"}},
-		"late does not be": {Type: FaultLate, Amount: 1, Target: Target{Kind: 9}},
+		"there is no":           {Type: faultTypeCount},
+		"below 0":               {At: -1},
+		"how late":              {Type: FaultLate, Target: host0},
+		"does not befall":       {Type: FaultMassHandOver, Target: host0},
+		"has no target":         {Type: FaultReset, Target: Target{Kind: HostParty, Number: 9}},
+		"zone partition has no": {Type: FaultZonePartition, Target: Target{Kind: HostParty, Zone: "z"}},
+		"late does not be":      {Type: FaultLate, Amount: 1, Target: Target{Kind: 9}},
 	} {
 		if _, err := New(testNetworkConfig(1, 2, 1, f).Emulator, rigStart); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v, want %s", f, err, want)
--- a/internal/emulator/platformmodel/host.go
+++ b/internal/emulator/platformmodel/host.go
@@ -14,8 +14,8 @@
 
 // Bounds of what a host keeps.
 const (
-	maxHostTasks   = 4096 // tasks that run
-	maxOwedRelease = 4096 // ends that no placer has acknowledged; the oldest are forgotten
+	maxHostTasks          = 4096 // tasks that run
+	maxUnacknowledgedEnds = 4096 // ends that no placer has acknowledged; the oldest are forgotten
 )
 
 // HostConfig says how a host behaves.
@@ -59,12 +59,12 @@
 	now     time.Duration
 	crashed bool
 
-	conns        map[ConnID]*hostConnection
-	queue        []*offer // not decided; the first is decided at decisionAt
-	decisionAt   time.Duration
-	recentOffers []time.Duration      // within the slow start's window
-	tasks        map[string]*hostTask // that run, by ref
-	owed         []owedRelease        // ends that no placer has acknowledged, the latest last
+	conns          map[ConnID]*hostConnection
+	queue          []*offer // not decided; the first is decided at decisionAt
+	decisionAt     time.Duration
+	recentOffers   []time.Duration      // within the slow start's window
+	tasks          map[string]*hostTask // that run, by ref
+	unacknowledged []unacknowledgedEnd  // ends that no placer has acknowledged, the latest last
 }
 
 // hostConnection is a connection of a placer.
@@ -75,9 +75,9 @@
 	lastUsed time.Duration
 }
 
-// owedRelease is the end of a task that its placer has not acknowledged. It is sent again on each connection that its placer
+// unacknowledgedEnd is the end of a task that its placer has not acknowledged. It is sent again on each connection that its placer
 // opens.
-type owedRelease struct {
+type unacknowledgedEnd struct {
 	placer int
 	ref    string
 	line   []byte
@@ -118,7 +118,7 @@
 func (h *Host) ConnectionOpened(now time.Duration, conn ConnID, placer int) []Action {
 	return h.handle(now, func() {
 		h.conns[conn] = &hostConnection{id: conn, placer: placer, lastUsed: now}
-		for _, r := range h.owed {
+		for _, r := range h.unacknowledged {
 			if r.placer == placer {
 				h.add(Send{Conn: conn, Data: r.line})
 			}
@@ -188,7 +188,7 @@
 	case platform.TypeRelease:
 		h.receiveRelease(c, m.Ref)
 	case platform.TypeAck:
-		h.owed = slices.DeleteFunc(h.owed, func(r owedRelease) bool { return r.ref == m.Ref && r.placer == c.placer })
+		h.unacknowledged = slices.DeleteFunc(h.unacknowledged, func(r unacknowledgedEnd) bool { return r.ref == m.Ref && r.placer == c.placer })
 	}
 }
 
--- a/internal/emulator/platformmodel/hosttasks.go
+++ b/internal/emulator/platformmodel/hosttasks.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// end ends a task by itself. Its placer is owed the end until it acknowledges it.
+// end ends a task by itself. It is sent again until its placer acknowledges it.
 func (h *Host) end(t *hostTask, cause platform.Cause) {
 	delete(h.tasks, t.ref)
 	line := platform.Append(nil, platform.TypeRelease, t.ref, cause, nil, h.loadField())
@@ -78,8 +78,8 @@
 		c.lastUsed = h.now
 		h.add(Send{Conn: c.id, Data: line})
 	}
-	if len(h.owed) >= maxOwedRelease {
-		h.owed = h.owed[1:]
+	if len(h.unacknowledged) >= maxUnacknowledgedEnds {
+		h.unacknowledged = h.unacknowledged[1:]
 	}
-	h.owed = append(h.owed, owedRelease{t.placer, t.ref, line})
+	h.unacknowledged = append(h.unacknowledged, unacknowledgedEnd{t.placer, t.ref, line})
 }
--- a/internal/emulator/platformmodel/injectors.go
+++ b/internal/emulator/platformmodel/injectors.go
@@ -41,9 +41,9 @@
 		FaultClockSkew:       {onlyHosts, (*Emulator).beginClockSkew, (*Emulator).endClockSkew},
 		FaultMassKill:        {onlyHosts, (*Emulator).beginMassKill, (*Emulator).endMassKill},
 		FaultMassRestart:     {onlyHosts, (*Emulator).beginMassRestart, nil},
-		FaultZoneCut:         active(onlyHosts),
-		FaultHostReplaced:    {onlyHosts, (*Emulator).beginHostGone, (*Emulator).endHostReplaced},
-		FaultHostReaddressed: {onlyHosts, (*Emulator).beginHostGone, (*Emulator).endHostReaddressed},
+		FaultZonePartition:   active(onlyHosts),
+		FaultHostReplaced:    {onlyHosts, (*Emulator).beginMachineLoss, (*Emulator).endHostReplaced},
+		FaultHostReaddressed: {onlyHosts, (*Emulator).beginMachineLoss, (*Emulator).endHostReaddressed},
 		FaultMassHandOver:    {[]PartyKind{OwnerParty}, (*Emulator).beginMassHandOver, nil},
 		FaultSequenceRestart: {[]PartyKind{EndpointLogParty}, (*Emulator).beginSequenceRestart, nil},
 	}[t]
@@ -120,8 +120,8 @@
 	e.after(turn+restartTime, func() { e.startHost(p) })
 }
 
-// beginHostGone takes the machine away; nobody ends its connections.
-func (e *Emulator) beginHostGone(_ *Fault, p *party) { e.vanishHost(p) }
+// beginMachineLoss takes the machine away; nobody ends its connections.
+func (e *Emulator) beginMachineLoss(_ *Fault, p *party) { e.vanishHost(p) }
 
 // endHostReplaced gives the address to another machine, which resets the connections of the one that was there.
 func (e *Emulator) endHostReplaced(_ *Fault, p *party) {
--- a/internal/emulator/platformmodel/link.go
+++ b/internal/emulator/platformmodel/link.go
@@ -10,8 +10,8 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// maxHeldBytes bounds what is held back on a connection in each direction. With more the connection is reset.
-const maxHeldBytes = 1 << 20
+// maxDelayedBytes bounds what is held back on a connection in each direction. With more the connection is reset.
+const maxDelayedBytes = 1 << 20
 
 // link is one connection of a party, with what is held back on it.
 type link struct {
@@ -65,11 +65,11 @@
 
 // blocksToPlacer and blocksToModel report whether a link passes nothing in a direction for now.
 func (l *link) blocksToPlacer() bool {
-	return l.dead || l.party.active[FaultSilent] > 0 || l.party.active[FaultZoneCut] > 0
+	return l.dead || l.party.active[FaultSilent] > 0 || l.party.active[FaultZonePartition] > 0
 }
 
 func (l *link) blocksToModel() bool {
-	return l.dead || l.party.active[FaultUnread] > 0 || l.party.active[FaultZoneCut] > 0
+	return l.dead || l.party.active[FaultUnread] > 0 || l.party.active[FaultZonePartition] > 0
 }
 
 // next returns when the link is to be flushed.
@@ -187,16 +187,16 @@
 func (e *Emulator) settle(l *link) {
 	switch {
 	case e.links[l.id] != l:
-	case l.toPlacer.bytes > maxHeldBytes || l.toModel.bytes > maxHeldBytes:
+	case l.toPlacer.bytes > maxDelayedBytes || l.toModel.bytes > maxDelayedBytes:
 		e.resetLink(l)
 	case l.closed && len(l.toModel.items) == 0 && !l.blocksToModel():
 		l.closed = false
 		e.closeModelSide(l, false)
 		e.sendEnd(l)
 	case len(l.toPlacer.items) > 0 || len(l.toModel.items) > 0:
-		e.held[l.id] = l
+		e.delayed[l.id] = l
 	default:
-		delete(e.held, l.id)
+		delete(e.delayed, l.id)
 	}
 }
 
@@ -240,6 +240,6 @@
 
 func (e *Emulator) forgetLink(l *link) {
 	delete(e.links, l.id)
-	delete(e.held, l.id)
+	delete(e.delayed, l.id)
 	delete(l.party.links, l.id)
 }
--- a/internal/emulator/platformmodel/network_test.go
+++ b/internal/emulator/platformmodel/network_test.go
@@ -56,7 +56,7 @@
 	for i := range hosts {
 		cfg.Hosts = append(cfg.Hosts, HostSpec{Config: testHostConfig(), Zone: []string{"a", "b"}[i%2], MachineType: "std", Cell: i, RestartAfter: time.Second})
 	}
-	owner := OwnerConfig{Classes: testClasses, MaxSubmissions: 6, Patience: 100 * time.Millisecond}
+	owner := OwnerConfig{Classes: testClasses, MaxSubmissions: 6, AnswerGrace: 100 * time.Millisecond}
 	for i := range requests {
 		owner.Requests = append(owner.Requests, Request{
 			At: time.Duration(i) * 50 * time.Millisecond, Placer: i % placers, Class: i % len(testClasses), Cores: 1, Memory: 1,
--- a/internal/emulator/platformmodel/owner.go
+++ b/internal/emulator/platformmodel/owner.go
@@ -33,7 +33,7 @@
 	Classes        []Class
 	Requests       []Request
 	MaxSubmissions int           // of a request
-	Patience       time.Duration // that it waits for an answer beyond a request's time-out
+	AnswerGrace    time.Duration // that it waits for an answer beyond a request's time-out
 }
 
 func (c *OwnerConfig) validate(placers int) error {
--- a/internal/emulator/platformmodel/owner_test.go
+++ b/internal/emulator/platformmodel/owner_test.go
@@ -25,7 +25,7 @@
 	r := &ownerRig{t: t, now: rigStart}
 	conns := ConnID(0)
 	r.owner = NewOwner(OwnerConfig{
-		Classes: testClasses, MaxSubmissions: 3, Patience: 100 * time.Millisecond,
+		Classes: testClasses, MaxSubmissions: 3, AnswerGrace: 100 * time.Millisecond,
 		Requests: []Request{{At: rigStart, Class: class, Cores: 1, Memory: 1, Timeout: second, ReleaseAfter: releaseAfter}},
 	}, rigStart, func() ConnID { conns++; return conns })
 	r.take(r.owner.PlacerStarted(r.now, 0))
--- a/internal/emulator/platformmodel/ownertasks.go
+++ b/internal/emulator/platformmodel/ownertasks.go
@@ -9,9 +9,9 @@
 
 // submitAt sets when a request is submitted, and how long it may wait for its answer.
 func (o *Owner) submitAt(r *ownerRequest, at time.Duration) {
-	r.Outcome, r.dueAt, r.giveUpAt, r.releaseAt = OutcomePending, at, at+r.Request.Timeout+o.cfg.Patience, never
+	r.Outcome, r.dueAt, r.cancelAt, r.releaseAt = OutcomePending, at, at+r.Request.Timeout+o.cfg.AnswerGrace, never
 	o.timers.Add(r.dueAt, r)
-	o.timers.Add(r.giveUpAt, r)
+	o.timers.Add(r.cancelAt, r)
 }
 
 // advanceRequests does what is due for requests.
@@ -20,8 +20,8 @@
 		switch {
 		case r.Outcome == OutcomePending && r.dueAt <= o.now && r.ref == "":
 			o.submit(r)
-		case (r.Outcome == OutcomePending || r.Outcome == OutcomeOpen) && r.giveUpAt <= o.now:
-			o.giveUp(r)
+		case (r.Outcome == OutcomePending || r.Outcome == OutcomeOpen) && r.cancelAt <= o.now:
+			o.cancel(r)
 		case r.Outcome == OutcomeRunning && r.releaseAt <= o.now:
 			o.release(r)
 		}
@@ -65,26 +65,26 @@
 
 // finish ends a request for good.
 func (o *Owner) finish(r *ownerRequest, outcome Outcome) {
-	o.leaveConnection(r)
+	o.removeFromConnection(r)
 	r.Outcome, r.FinishedAt = outcome, o.now
 }
 
 // moveTo makes a connection the one of a request.
 func (o *Owner) moveTo(r *ownerRequest, c *ownerConnection) {
-	o.leaveConnection(r)
+	o.removeFromConnection(r)
 	r.conn = c.id
 	c.requests[r] = struct{}{}
 }
 
-// leaveConnection takes a request from those of its connection.
-func (o *Owner) leaveConnection(r *ownerRequest) {
+// removeFromConnection takes a request from those of its connection.
+func (o *Owner) removeFromConnection(r *ownerRequest) {
 	if c := o.conns[r.conn]; c != nil {
 		delete(c.requests, r)
 	}
 }
 
-// giveUp ends a request that has waited for too long. What was sent is withdrawn.
-func (o *Owner) giveUp(r *ownerRequest) {
+// cancel ends a request that has waited for too long. What was sent is withdrawn.
+func (o *Owner) cancel(r *ownerRequest) {
 	if c := o.conns[r.conn]; c != nil && r.Outcome == OutcomeOpen {
 		o.sendMessage(c.id, platform.TypeRelease, r.ref, platform.CauseOK)
 		r.releaseUnheard = true
@@ -153,7 +153,7 @@
 // resubmit submits a request again after a while if its class allows that, and ends it with an outcome otherwise. neverRan
 // says that the last submission proves to have had no effect.
 func (o *Owner) resubmit(r *ownerRequest, neverRan bool, otherwise Outcome, after time.Duration) {
-	o.leaveConnection(r)
+	o.removeFromConnection(r)
 	class := &o.cfg.Classes[r.Request.Class]
 	if len(r.Refs) >= o.cfg.MaxSubmissions || !neverRan && !r.maySubmitAgain(class, o.now) {
 		o.finish(r, otherwise)
@@ -189,7 +189,7 @@
 		o.finish(r, OutcomeBroken)
 		return
 	}
-	o.leaveConnection(r)
+	o.removeFromConnection(r)
 	r.ref, r.failed = "", false
 	o.submitAt(r, o.now)
 }
--- a/internal/emulator/platformmodel/parties.go
+++ b/internal/emulator/platformmodel/parties.go
@@ -59,7 +59,7 @@
 // listenerState returns what a party's listener is to be.
 func (p *party) listenerState() listenerState {
 	switch {
-	case p.active[FaultHalfOpen] > 0 || p.active[FaultZoneCut] > 0 || p.host != nil && p.host.vanished:
+	case p.active[FaultHalfOpen] > 0 || p.active[FaultZonePartition] > 0 || p.host != nil && p.host.vanished:
 		return listenerStopped
 	case p.model == nil || p.active[FaultRefused] > 0:
 		return listenerClosed
--- a/internal/emulator/platformmodel/request.go
+++ b/internal/emulator/platformmodel/request.go
@@ -78,7 +78,7 @@
 	conn       ConnID // of the latest submission
 	dueAt      time.Duration
 	sentAt     time.Duration
-	giveUpAt   time.Duration
+	cancelAt   time.Duration
 	releaseAt  time.Duration
 	migrations int
 	failed     bool // an earlier submission failed: it may have run
--- a/internal/scheduler/core/hostconns_test.go
+++ b/internal/scheduler/core/hostconns_test.go
@@ -11,7 +11,7 @@
 
 // Hosts that crash in the middle of a start, or after it and before they report it: safe tasks go
 // elsewhere, and each gets one outcome.
-func TestCoreRetriesSafeTasksOfDeadHosts(t *testing.T) {
+func TestCoreRetriesSafeTasksOfCrashedHosts(t *testing.T) {
 	for name, point := range map[string]hostmodel.CrashPoint{"mid look": hostmodel.DuringDecision, "mid start": hostmodel.DuringStart, "after bind": hostmodel.AfterBind} {
 		t.Run(name, func(t *testing.T) {
 			s := simulation.New(t, simulation.Settings(t, ""), 6)
--- a/internal/scheduler/moduledriver/moduledriver_test.go
+++ b/internal/scheduler/moduledriver/moduledriver_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestDriverWithoutEventsDoesNotAskTheModule(t *testing.T) {
+func TestDriverWithoutEventsDoesNotStepTheModule(t *testing.T) {
 	rounds := 0
 	driver := newDriver(t, echo(&rounds), 0)
 	if err := driver.Run(time.Second, func(forkhead.Action) {}); err != nil || rounds != 0 {
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestNewRefusesSettingsThatTheModuleCannotUse(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	if _, err := New(forkhead.Settings{}, 1, nil, 0); err == nil {
 		t.Error("empty settings were taken")
 	}
--- a/internal/server/eventloop/eventloop_test.go
+++ b/internal/server/eventloop/eventloop_test.go
@@ -43,7 +43,7 @@
 }
 
 // A full queue blocks producers, and Stop releases them.
-func TestLoopHoldsProducersBack(t *testing.T) {
+func TestLoopBlocksProducersWhenFull(t *testing.T) {
 	l := New(clock.New(), 5, func(time.Duration) (time.Duration, bool) { return 0, false })
 	l.Start()
 	gate := make(chan struct{})
--- a/internal/server/platform/idletimer_test.go
+++ b/internal/server/platform/idletimer_test.go
@@ -7,7 +7,7 @@
 )
 
 // A timer that fires late, as its process was stalled, gives as long again; one that is reset as it fires does not fire.
-func TestIdleTimerStallIsNoSilence(t *testing.T) {
+func TestIdleTimerIgnoresStallOfTheProcess(t *testing.T) {
 	var fired atomic.Int64
 	timer := newIdleTimer(time.Hour, func() { fired.Add(1) })
 	t.Cleanup(timer.stop)
--- a/internal/verify/testcluster/ports.go
+++ b/internal/verify/testcluster/ports.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	firstPort  = rand.Uint64N(portCount) // so that clusters of other processes seldom try the same ports
-	portsTried atomic.Uint64             // by all calls of freeAddress
+	firstPort   = rand.Uint64N(portCount) // so that clusters of other processes seldom try the same ports
+	portsProbed atomic.Uint64             // by all calls of freeAddress
 )
 
 // freeAddress returns a loopback address that is unused now. No other call in this process gets the same port until all others
@@ -26,17 +26,17 @@
 func freeAddress(network string) (string, error) {
 	var err error
 	for range maxPortAttempts {
-		port := minPort + (firstPort+portsTried.Add(1))%portCount
+		port := minPort + (firstPort+portsProbed.Add(1))%portCount
 		address := fmt.Sprintf("127.0.0.1:%d", port)
-		if err = tryListen(network, address); err == nil {
+		if err = checkListen(network, address); err == nil {
 			return address, nil
 		}
 	}
 	return "", fmt.Errorf("no free port: %w", err)
 }
 
-// tryListen returns an error if nothing can listen at the address.
-func tryListen(network, address string) error {
+// checkListen returns an error if nothing can listen at the address.
+func checkListen(network, address string) error {
 	var listener io.Closer
 	var err error
 	if network == "udp" {
