--- a/internal/verify/rules/answers_test.go
+++ b/internal/verify/rules/answers_test.go
@@ -40,6 +40,10 @@
 			submit, outcome(5*time.Second, "placed"), disconnect(5001*ms, "s"), end,
 		}, invariant.OneAnswer},
 		{"unknown outcome", []capture.Event{submit, outcome(50*ms, "perhaps"), end}, invariant.OneAnswer},
+		{"disconnect of no submission", []capture.Event{submit, outcome(50*ms, "placed"), disconnect(60*ms, "x"), end}, noBreach},
+		{"submission that only its placer noted", []capture.Event{
+			submit, outcome(50*ms, "placed"), {At: 9 * ms, Type: capture.Submit, Submission: "x", AtPlacer: true}, end,
+		}, noBreach},
 		{"outcome of no submission", []capture.Event{outcome(50*ms, "placed"), end}, invariant.OneAnswer},
 		{"read again after a disconnect", []capture.Event{
 			submit, outcome(50*ms, "placed"), clientDisconnected, outcome(90*ms, "placed"),
@@ -227,6 +231,12 @@
 		{"another placer's step ran late", []capture.Event{
 			{At: 2500 * ms, Type: capture.LateStep, AtPlacer: true, Within: 1600 * ms, Placer: 1}, outcome(2600*ms, 2491*ms),
 		}, invariant.OneAnswer},
+		{"its placer's step ran late, not the first placer's", []capture.Event{
+			{At: 10 * ms, Type: capture.Submit, Submission: "of 1", Placer: 1, Count: 1, Within: time.Second},
+			{At: 9 * ms, Type: capture.Submit, Submission: "of 1", Placer: 1, AtPlacer: true},
+			{At: 2500 * ms, Type: capture.LateStep, Placer: 1, AtPlacer: true, Within: 1600 * ms},
+			{At: 1600 * ms, Type: capture.Outcome, Submission: "of 1", Name: "web/1", Result: "refused", Took: 1491 * ms},
+		}, noBreach},
 		{"its placer died when it was due", []capture.Event{
 			placerDown(1009*ms, 0), outcome(1600*ms, 1491*ms),
 		}, noBreach},
@@ -257,6 +267,9 @@
 		{"a moment later", []capture.Event{received, outcome(2401*ms, 900*ms)}, invariant.OneAnswer},
 		{"settled at once, as late as may be", []capture.Event{received, outcome(2010*ms, 100*ms)}, noBreach},
 		{"settled at once, a moment later", []capture.Event{received, outcome(2011*ms, 100*ms)}, invariant.OneAnswer},
+		{"received in the first nanosecond, settled late", []capture.Event{
+			{At: 1, Type: capture.Submit, Submission: "s", AtPlacer: true}, outcome(2011*ms, 1012*ms),
+		}, invariant.OneAnswer},
 		{"not noted when it was received, as late as may be", []capture.Event{outcome(2010*ms, 1500*ms)}, noBreach},
 		{"not noted when it was received, a moment later", []capture.Event{outcome(2011*ms, 1500*ms)}, invariant.OneAnswer},
 	})
@@ -275,6 +288,9 @@
 		), noBreach},
 		{"an offer that its host reported", append(held, offer(11*ms, "a", "safe", 1)), noBreach},
 		{"an offer of an incarnation that is not captured", []capture.Event{ofPlacer(0, 2, offer(11*ms, "a", "safe", 1))}, noBreach},
+		{"an offer of an incarnation that is not captured, on an attempt of one that is", []capture.Event{
+			sentBy(2, offer(11*ms, "a", "safe", 1)),
+		}, noBreach},
 		{"an offer of another placer, which is not captured", []capture.Event{ofPlacer(1, 1, offer(11*ms, "a", "safe", 1))}, noBreach},
 		{"an offer that is not noted", append(sent, offer(11*ms, "a", "safe", 1), offer(12*ms, "b", "safe", 2)), invariant.OneAnswer},
 	})
--- a/internal/verify/rules/drain_test.go
+++ b/internal/verify/rules/drain_test.go
@@ -88,6 +88,28 @@
 	}), invariant.Drain, invariant.Drain)
 }
 
+// A host that a list leaves out at 10ms, and that says at 30ms that it drains.
+func TestDrainNoticesOverdue(t *testing.T) {
+	notices := newDrainNotices()
+	for _, list := range []capture.Event{listDelivered(5*ms, "a"), listDelivered(10 * ms)} {
+		notices.listDelivered(&list)
+	}
+	notices.hostNotified(&capture.Event{At: 30 * ms, Host: "a", HostDraining: true})
+	for _, c := range []struct {
+		now  time.Duration
+		want []time.Duration
+	}{
+		{15 * ms, nil},
+		{16 * ms, []time.Duration{6 * ms}},
+		{35 * ms, []time.Duration{25 * ms}},
+		{36 * ms, []time.Duration{26 * ms, 6 * ms}},
+	} {
+		if got := notices.overdue("a", c.now, 5*ms); !slices.Equal(got, c.want) {
+			t.Errorf("at %v: %v, want %v", c.now, got, c.want)
+		}
+	}
+}
+
 // The grace has no slack at the placer's end.
 func TestCheckDrainsAtPlacer(t *testing.T) {
 	gone := listDelivered(100*ms, "b", "c")
--- a/internal/verify/rules/helpers_test.go
+++ b/internal/verify/rules/helpers_test.go
@@ -154,6 +154,12 @@
 	return e
 }
 
+// sentBy makes an incarnation of placer 0 the sender of an offer, whichever began the attempt.
+func sentBy(epoch uint64, e capture.Event) capture.Event {
+	e.PlacerEpoch = epoch
+	return e
+}
+
 // ofService makes an offer one of a task of another service.
 func ofService(service uint64, e capture.Event) capture.Event {
 	e.Service = service
--- a/internal/verify/rules/norepeat_test.go
+++ b/internal/verify/rules/norepeat_test.go
@@ -110,10 +110,13 @@
 func TestCheckRepeatsWhichAttempts(t *testing.T) {
 	disconnected := message(20*ms, capture.Disconnected, "a", 0)
 	unsafe := offer(10*ms, "a", "unsafe", 1)
-	secondIncarnation := resubmitted(30 * ms)
-	secondIncarnation.PlacerEpoch = 2
 	checkCases(t, testHosts(), []ruleCase{
-		{"of an unknown class", []capture.Event{unsafe, retry(30*ms, "b", "odd")}, invariant.NoRepeat},
+		{"of an unknown class", []capture.Event{offer(10*ms, "a", "odd", 1)}, invariant.NoRepeat},
+		{"of an unknown class, after another", []capture.Event{unsafe, retry(30*ms, "b", "odd")}, invariant.NoRepeat},
+		{"after one that ended and one that may have run", []capture.Event{
+			unsafe, message(11*ms, capture.Ended, "a", 1), retry(12*ms, "b", "unsafe"),
+			message(13*ms, capture.Disconnected, "b", 0), thirdAttempt(30*ms, "unsafe"),
+		}, invariant.NoRepeat},
 		{"of other tasks", []capture.Event{unsafe, offer(11*ms, "b", "unsafe", 2)}, noBreach},
 		{"two without an answer, unsafe", []capture.Event{unsafe, retry(30*ms, "b", "unsafe")}, invariant.NoRepeat},
 		{"two of one time, the later number is the later", []capture.Event{unsafe, retry(10*ms, "b", "unsafe")}, invariant.NoRepeat},
@@ -137,6 +140,10 @@
 		offer(10*ms, "a", "keyed", 1), disconnected, retry(time.Second, "b", "keyed"),
 		message(1001*ms, capture.Disconnected, "b", 0), thirdAttempt(5111*ms, "keyed"),
 	}), invariant.NoRepeat, invariant.NoRepeat)
+	// An offer of an unknown class hides none that comes after it.
+	checkBreaches(t, testConfig(), slices.Concat(testHosts(), []capture.Event{
+		offer(9*ms, "a", "odd", 2), unsafe, retry(30*ms, "b", "unsafe"),
+	}), invariant.NoRepeat, invariant.NoRepeat)
 	// Each attempt that is without an answer, and each that may have run, is a breach.
 	checkBreaches(t, testConfig(), slices.Concat(testHosts(), []capture.Event{
 		offer(10*ms, "a", "unsafe", 1), retry(20*ms, "b", "unsafe"), thirdAttempt(30*ms, "unsafe"),
@@ -194,6 +201,10 @@
 			atPlacer(offer(30*ms, "b", "unsafe", 1)), ofPlacer(1, 1, offer(10*ms, "a", "unsafe", 1)), offer(31*ms, "b", "unsafe", 1),
 		), invariant.NoRepeat},
 	})
+	secondCaptured := append(testHosts(), atPlacer(ofPlacer(0, 2, listDelivered(2*ms, "a", "b", "c")))...)
+	checkCases(t, secondCaptured, []ruleCase{
+		{"of the incarnation before the one that is captured", rejectedLater, invariant.NoRepeat},
+	})
 }
 
 // What a placer knew is judged with no slack: each breach is of the least size, and hides behind the slack of the other end.
@@ -214,6 +225,10 @@
 		{"ended", atPlacer(
 			offer(10*ms, "a", "unsafe", 1), message(11*ms, capture.Ended, "a", 1), retry(12*ms, "b", "unsafe"),
 		), noBreach},
+		{"ended, then elsewhere, disconnected", atPlacer(
+			offer(10*ms, "a", "unsafe", 1), message(11*ms, capture.Ended, "a", 1), retry(12*ms, "b", "unsafe"),
+			message(13*ms, capture.Disconnected, "b", 0), thirdAttempt(14*ms, "unsafe"),
+		), invariant.NoRepeat},
 		{"two without an answer, unsafe", atPlacer(
 			offer(10*ms, "a", "unsafe", 1), retry(11*ms, "b", "unsafe"),
 		), invariant.NoRepeat},
--- a/internal/verify/rules/placers_test.go
+++ b/internal/verify/rules/placers_test.go
@@ -31,7 +31,7 @@
 		{1000 * ms, 1500 * ms, true, true},
 		{1001 * ms, 1500 * ms, true, false},
 		{2100 * ms, 3000 * ms, true, false},
-		{2101 * ms, 3999 * ms, false, false},
+		{2100*ms + 1, 3999 * ms, false, false},
 		{2101 * ms, 4000 * ms, true, true},
 		{time.Hour, time.Hour, true, false},
 	} {
@@ -56,6 +56,7 @@
 		{placer: 0, dueAt: 6 * time.Second, ranAt: 7 * time.Second},
 	}}
 	for _, c := range []struct{ from, to, want time.Duration }{
+		{0, 500 * ms, 0},
 		{0, time.Second, 0},
 		{0, 1001 * ms, ms},
 		{0, 10 * time.Second, 4 * time.Second},
--- a/internal/verify/rules/placerview_test.go
+++ b/internal/verify/rules/placerview_test.go
@@ -58,6 +58,7 @@
 	welcome := func(connection, hostEpoch uint64) capture.Event {
 		return onConnection(connection, hostEpoch, message(30*ms, capture.Welcome, "a", 0))
 	}
+	held := onConnection(2, 1, message(40*ms, capture.Holds, "a", 1))
 	laterOffer := onConnection(2, 2, offer(40*ms, "a", "unsafe", 1))
 	checkOver(t, []overCase{
 		{"nothing", []capture.Event{unsafe}, false},
@@ -74,6 +75,7 @@
 		{"rejected after Welcome of an earlier incarnation", []capture.Event{
 			unsafe, disconnected, hello, welcome(2, 0), onConnection(2, 1, rejected),
 		}, false},
+		{"held on the next connection", slices.Concat([]capture.Event{unsafe}, reconnect(1), []capture.Event{held}), false},
 		{"rejected after another connection ended", []capture.Event{
 			unsafe, onConnection(9, 1, disconnected), rejected,
 		}, true},
--- a/internal/verify/rules/slowstart_test.go
+++ b/internal/verify/rules/slowstart_test.go
@@ -46,6 +46,7 @@
 		{"one more at another host", append(
 			offersAt(10*ms, 20*ms, 30*ms), offer(40*ms, "b", "safe", 4), hostUp(6*ms, "b", "r1"),
 		), noBreach},
+		{"at a host that was never started", []capture.Event{offer(10*ms, "b", "safe", 1)}, noBreach},
 		{"overloaded", []capture.Event{fallen}, invariant.SlowStart},
 	})
 }
--- a/internal/verify/rules/spread_test.go
+++ b/internal/verify/rules/spread_test.go
@@ -45,6 +45,7 @@
 	second := offer(time.Second, "b", "spread", 2)
 	checkCases(t, testHosts(), []ruleCase{
 		{"nothing came of it", []capture.Event{first, second}, invariant.Spread},
+		{"after an offer that may be anywhere", []capture.Event{offer(9*ms, "c", "safe", 3), first, second}, invariant.Spread},
 		{"in another rack", []capture.Event{first, offer(time.Second, "c", "spread", 2)}, noBreach},
 		{"of another service", []capture.Event{ofService(8, first), second}, noBreach},
 		{"of another placer", []capture.Event{ofPlacer(1, 1, first), second}, noBreach},
@@ -96,6 +97,12 @@
 		{"reported in time and again", []capture.Event{first, holds(900*ms, 0, 2), holds(950*ms, 0, 2), second}, invariant.Spread},
 		{"reported to the first incarnation", []capture.Event{first, holds(900*ms, 0, 1), second}, noBreach},
 		{"reported to another placer", []capture.Event{first, holds(900*ms, 1, 2), second}, noBreach},
+		{"not reported, and the second is sent by the next incarnation as an attempt of the first", []capture.Event{
+			first, sentBy(2, offer(time.Second, "b", "spread", 2)),
+		}, invariant.Spread},
+		{"reported in time, and the second is sent by the first incarnation as an attempt of the next", []capture.Event{
+			first, holds(900*ms, 0, 2), sentBy(1, second),
+		}, invariant.Spread},
 		{"reported, and ended", []capture.Event{
 			first, holds(900*ms, 0, 2), message(950*ms, capture.Ended, "a", 1), second,
 		}, noBreach},
