--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -54,6 +54,15 @@
 
 // startNode builds and starts the program with settings and the first watch.
 func startNode(t *testing.T, settings string) *nodeProcess {
+	t.Helper()
+	n := buildNode(t)
+	n.writeConfig(t, n.watches[0], settings)
+	n.start(t)
+	return n
+}
+
+// buildNode builds the program. It has no configuration yet.
+func buildNode(t *testing.T) *nodeProcess {
 	t.Helper()
 	dir := t.TempDir()
 	program := filepath.Join(dir, "forkhead")
@@ -68,15 +77,19 @@
 	unused := listenLoopback(t)
 	n.address = unused.Addr().String()
 	_ = unused.Close()
-	n.writeConfig(t, n.watches[0], settings)
 	n.process = exec.Command(program, "node", "--log", "info", "--trace", n.traceFile)
 	n.process.Env = append(os.Environ(), "BALANCER_CONFIG="+n.configFile, "BALANCER_LISTEN="+n.address)
 	n.process.Stderr = os.Stderr
+	return n
+}
+
+// start starts the program.
+func (n *nodeProcess) start(t *testing.T) {
+	t.Helper()
 	if err := n.process.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = n.process.Process.Kill() })
-	return n
 }
 
 func listenLoopback(t *testing.T) net.Listener {
@@ -182,6 +195,35 @@
 	checkTrace(t, n.traceFile)
 }
 
+// The program serves when SIGTERM has come before its listener was open, here while it read its configuration, and ends with
+// 0: connections that come as it starts are answered.
+func TestNodeSignalBeforeListening(t *testing.T) {
+	settings, err := os.ReadFile("../server/platform/testdata/settings.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	n := buildNode(t)
+	if err := syscall.Mkfifo(n.configFile, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	n.start(t)
+	// Opening the pipe takes until the program opens it too: it handles signals by then, and reads until the pipe closes.
+	pipe, err := os.OpenFile(n.configFile, os.O_WRONLY, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	n.signal(syscall.SIGTERM)
+	time.Sleep(50 * time.Millisecond) // the signal has been delivered
+	n.writeConfig(t, n.watches[0], string(settings))
+	if err := pipe.Close(); err != nil {
+		t.Fatal(err)
+	}
+	n.awaitHealthy(t)
+	if err := n.process.Wait(); err != nil {
+		t.Errorf("it ends with %v", err)
+	}
+}
+
 // checkTrace replays a trace of a placer that answered a probe, as it is, cut, and with one byte changed.
 func checkTrace(t *testing.T, name string) {
 	t.Helper()
--- /dev/null
+++ b/internal/server/platform/recordinghost_test.go
@@ -0,0 +1,137 @@
+package platform
+
+import (
+	"bufio"
+	"net"
+	"sync"
+	"testing"
+
+	"forkhead/internal/protocol/platform"
+)
+
+// recordingHost is a host that records what it is sent, places every offer at once, and ends tasks when a test says so.
+type recordingHost struct {
+	listener net.Listener
+
+	mu    sync.Mutex
+	conns []*recordedConn
+}
+
+// recordedConn is a connection to a recordingHost.
+type recordedConn struct {
+	net.Conn
+	received []platform.Message // guarded by the host's mutex
+	closed   bool               // by either side; guarded by the host's mutex
+}
+
+// newRecordingHost starts a host.
+func newRecordingHost(t *testing.T) *recordingHost {
+	t.Helper()
+	h := &recordingHost{listener: listenLoopback(t)}
+	go h.accept()
+	return h
+}
+
+// accept serves connections until the listener closes.
+func (h *recordingHost) accept() {
+	for {
+		conn, err := h.listener.Accept()
+		if err != nil {
+			return
+		}
+		c := &recordedConn{Conn: conn}
+		h.mu.Lock()
+		h.conns = append(h.conns, c)
+		h.mu.Unlock()
+		go h.serve(c)
+	}
+}
+
+// serve records what comes on a connection and answers it.
+func (h *recordingHost) serve(c *recordedConn) {
+	defer func() {
+		_ = c.Close()
+		h.mu.Lock()
+		c.closed = true
+		h.mu.Unlock()
+	}()
+	r := bufio.NewReader(c)
+	for {
+		line, err := r.ReadBytes('\n')
+		if err != nil {
+			return
+		}
+		m, err := platform.Decode(line[:len(line)-1])
+		if err != nil {
+			return
+		}
+		h.mu.Lock()
+		c.received = append(c.received, m)
+		h.mu.Unlock()
+		switch m.Type {
+		case platform.TypeProbe:
+			send(c, `{"t":"hb_ok","ref":"%s","f":{"load":"x0:4;x1:9"},"c":1}`+"\n", m.Ref)
+		case platform.TypeRelease:
+			send(c, `{"t":"down","ref":"%s","f":{},"c":31}`+"\n", m.Ref)
+		case platform.TypeRequest:
+			send(c, `{"t":"up","ref":"%s","f":{},"d":"of %s"}`+"\n"+`{"t":"tell","ref":"%s","f":{"note":"running"}}`+"\n", m.Ref, m.Ref, m.Ref)
+		}
+	}
+}
+
+// asTestHost returns the host as one that an endpoint list can name.
+func (h *recordingHost) asTestHost() *testHost { return &testHost{listener: h.listener} }
+
+// received returns how many messages of a type came; an empty ref counts those of all tasks.
+func (h *recordingHost) received(kind platform.MessageType, ref string) (count int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, c := range h.conns {
+		for _, m := range c.received {
+			if m.Type == kind && (ref == "" || m.Ref == ref) {
+				count++
+			}
+		}
+	}
+	return count
+}
+
+// offeredOn returns the connection that the last offer of a task came on; nil: none came.
+func (h *recordingHost) offeredOn(ref string) *recordedConn {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	var last *recordedConn
+	for _, c := range h.conns {
+		for _, m := range c.received {
+			if m.Type == platform.TypeRequest && m.Ref == ref {
+				last = c
+			}
+		}
+	}
+	return last
+}
+
+// openConn returns the newest connection that is open; nil: none is.
+func (h *recordingHost) openConn() *recordedConn {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for i := len(h.conns) - 1; i >= 0; i-- {
+		if !h.conns[i].closed {
+			return h.conns[i]
+		}
+	}
+	return nil
+}
+
+// awaitConn waits until a connection to the host is open and returns it.
+func (h *recordingHost) awaitConn(t *testing.T) *recordedConn {
+	t.Helper()
+	var conn *recordedConn
+	eventually(t, "a connection to the host", func() bool { conn = h.openConn(); return conn != nil })
+	return conn
+}
+
+// endTask sends the end of a task on a connection.
+func (c *recordedConn) endTask(ref string, cause platform.Cause) {
+	send(c, "%s", platform.Append(nil, platform.TypeRelease, ref, cause, nil))
+}
--- a/internal/server/platform/testenv_test.go
+++ b/internal/server/platform/testenv_test.go
@@ -209,6 +209,13 @@
 	}
 }
 
+// publish adds an event to those that the watch serves.
+func (l *testWatch) publish(event string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.events = append(l.events, event)
+}
+
 // breakStreams breaks off the streams that are open.
 func (l *testWatch) breakStreams() {
 	l.mu.Lock()
@@ -364,10 +371,12 @@
 	eventually(t, "an answer to "+ref, func() bool { return len(o.answersTo(ref)) == 1 })
 }
 
-// probe waits until a probe of the owner's is answered: the placer knows its connection.
+// probe waits until a probe of the owner's is answered: the placer knows its connection, and what it sent on it before has
+// come.
 func (o *testOwner) probe(t *testing.T) {
 	t.Helper()
 	const ref = "00000000000000ee"
+	before := len(o.answersTo(ref))
 	send(o.conn, `{"t":"hb","ref":"%s","f":{},"c":0}`+"\n", ref)
-	eventually(t, "the answer to a probe", func() bool { return len(o.answersTo(ref)) > 0 })
+	eventually(t, "the answer to a probe", func() bool { return len(o.answersTo(ref)) > before })
 }
