--- a/internal/verify/platformsim/request.go
+++ b/internal/verify/platformsim/request.go
@@ -118,9 +118,8 @@
 		r.owner.close()
 		return
 	}
-	r.owner.send(encodeLine(platform.TypeRelease, r.ref, platform.CauseOK))
 	r.cancelSent = true
-	r.placer.deliver(r.incarnation, &r.owner.lastArrival, func() { r.canceled = r.canceled || r.answer == "" })
+	r.owner.sendNoting(encodeLine(platform.TypeRelease, r.ref, platform.CauseOK), func() { r.canceled = r.canceled || r.answer == "" })
 }
 
 // ownerConn is a connection of an owner to an incarnation of a placer.
@@ -133,9 +132,13 @@
 }
 
 // send sends a line to the placer.
-func (o *ownerConn) send(line string) {
+func (o *ownerConn) send(line string) { o.sendNoting(line, func() {}) }
+
+// sendNoting sends a line to the placer. onArrival is called when it arrives, before the placer acts on it.
+func (o *ownerConn) sendNoting(line string, onArrival func()) {
 	o.placer.deliver(o.incarnation, &o.lastArrival, func() {
 		if o.open {
+			onArrival()
 			o.placer.step(platformcore.OwnerData{Owner: o.id, Data: []byte(line)})
 		}
 	})
