--- a/internal/verify/platformsim/injected_test.go
+++ b/internal/verify/platformsim/injected_test.go
@@ -80,7 +80,7 @@
 }
 
 // An injected fault is found in a few events.
-func TestExploreOrdersFindsInjectedFaults(t *testing.T) {
+func TestExploreInterleavingsFindsInjectedFaults(t *testing.T) {
 	cfg := busyConfig(1)
 	cfg.Settings.MaxAttempts = 2
 	for name, c := range map[string]struct {
@@ -91,7 +91,7 @@
 		"an answer never": {repeat(toOwner(`"down"`), 0), "one answer"},
 		"an answer twice": {repeat(toOwner(`"down"`), 2), "a second time"},
 	} {
-		_, breaches := ExploreOrders(cfg.Settings, cfg.WireNames, 2, func() OutputFilter { return c.fault })
+		_, breaches := ExploreInterleavings(cfg.Settings, cfg.WireNames, 2, func() OutputFilter { return c.fault })
 		if len(breaches) == 0 || !strings.Contains(strings.Join(breaches, "\n"), c.want) {
 			t.Errorf("%s is not found: %v", name, breaches)
 		}
--- /dev/null
+++ b/internal/verify/platformsim/interleavings.go
@@ -0,0 +1,133 @@
+package platformsim
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"forkhead"
+	"forkhead/internal/protocol/platform"
+	platformcore "forkhead/internal/scheduler/platform"
+)
+
+const (
+	requestTimeout                      = 1500 * time.Millisecond // of the request whose interleavings are explored
+	requestOwner   platformcore.OwnerID = 1                       // the connection that it came on
+)
+
+// ExploreInterleavings runs every interleaving of depth events around one request of each class of the settings, with one
+// placer and two hosts: connections established, refused and ended, every message of a host on any attempt, late ones too,
+// the owner's cancel and disconnect, a hand-over, a drain, a host's loss and the deadline. injectFault, if not nil, is
+// called for the Config.InjectFault of each interleaving. ExploreInterleavings returns how many interleavings it ran and
+// the first breaches, each with the events that led to it.
+func ExploreInterleavings(set forkhead.Settings, names platformcore.WireNames, depth int, injectFault func() OutputFilter) (runs int, breaches []string) {
+	e := explorer{settings: set, names: names, depth: depth, injectFault: injectFault}
+	for class := range set.Classes {
+		e.explore(class, nil)
+	}
+	return e.runs, e.breaches
+}
+
+// explorer explores interleavings of events, depth first.
+type explorer struct {
+	settings    forkhead.Settings
+	names       platformcore.WireNames
+	depth       int
+	injectFault func() OutputFilter
+	runs        int
+	breaches    []string
+}
+
+// explore runs all interleavings that begin with the events of prefix. A world can't be copied, so each is run from its start.
+func (e *explorer) explore(class int, prefix []interleavingEvent) {
+	if len(e.breaches) >= maxBreaches {
+		return
+	}
+	run := e.runInterleaving(class, prefix)
+	if e.recordBreach(run, class, prefix, "") {
+		return
+	}
+	if len(prefix) == e.depth {
+		e.runs++
+		run.settle()
+		e.recordBreach(run, class, prefix, ", and rest")
+		return
+	}
+	for _, event := range run.possibleEvents() {
+		e.explore(class, append(slices.Clip(prefix), event))
+	}
+}
+
+// recordBreach records the first breach of an interleaving, and reports whether there is one.
+func (e *explorer) recordBreach(run *interleavingRun, class int, interleaving []interleavingEvent, suffix string) bool {
+	if len(run.w.report.Breaches) == 0 {
+		return false
+	}
+	var events []string
+	for _, event := range interleaving {
+		events = append(events, event.String())
+	}
+	e.breaches = append(e.breaches, fmt.Sprintf("%s: %s%s: %s", e.names.Classes[class], strings.Join(events, ", "), suffix, run.w.report.Breaches[0]))
+	return true
+}
+
+// runInterleaving runs events from the start, in their order.
+func (e *explorer) runInterleaving(class int, interleaving []interleavingEvent) *interleavingRun {
+	w := newWorld(Config{Settings: e.settings, WireNames: e.names, Placers: 1, Hosts: 2, MaxConnections: 40})
+	w.faultsOff, w.manual = true, true
+	if e.injectFault != nil {
+		w.InjectFault = e.injectFault()
+	}
+	p := &placer{w: w}
+	w.placers = append(w.placers, p)
+	p.start()
+	owner := &ownerConn{placer: p, id: requestOwner, incarnation: p.incarnation, open: true}
+	p.owners[owner.id] = owner
+	r := &request{
+		ref: "00000000000000a1", placer: p, incarnation: p.incarnation, class: class, service: 1, cores: 1,
+		createdAt: w.now, timeout: requestTimeout, owner: owner,
+	}
+	w.requests[r.ref] = r
+	run := &interleavingRun{w: w, p: p, r: r}
+	p.step(platformcore.OwnerConnected{Owner: requestOwner})
+	run.sendAsOwner(r.line(""))
+	for _, event := range interleaving {
+		run.apply(event)
+	}
+	return run
+}
+
+// interleavingRun is one interleaving as it runs: a world with one placer and one request.
+type interleavingRun struct {
+	w *world
+	p *placer
+	r *request
+}
+
+// runUntil lets time pass with nothing but what the placer does by itself.
+func (run *interleavingRun) runUntil(at time.Duration) {
+	for run.w.runNext(at) {
+	}
+	run.w.now = at
+	run.p.step()
+}
+
+// settle lets the run come to its end: no host answers or accepts a connection.
+func (run *interleavingRun) settle() {
+	for range 200 {
+		run.runUntil(run.w.now + 100*time.Millisecond)
+		for _, c := range run.p.sortedConns() {
+			if !c.established {
+				delete(run.p.conns, c.id)
+				run.p.step(platformcore.DialFailed{Connection: c.id})
+			}
+		}
+	}
+	if run.r.answer == "" && !run.r.canceled {
+		run.w.breach("one answer: it has none")
+	}
+	if run.r.answer == platform.TypeBound && run.r.final == "" && !run.r.cancelSent && run.r.owner.open {
+		run.w.breach("one answer: its owner takes it for standing")
+	}
+}
--- a/internal/verify/platformsim/request.go
+++ b/internal/verify/platformsim/request.go
@@ -38,9 +38,9 @@
 	sentAt  time.Duration
 
 	// What its placer knows.
-	knownNotRun bool          // that the task never ran
-	knownOver   bool          // that it is over, canceled, or its connection is closed
-	knownBound  bool          // that the host bound it
+	knownNotRun bool          // the host reported that the task never ran by this attempt
+	knownOver   bool          // the host reported its end, it was canceled, or its connection is closed
+	knownBound  bool          // the host reported that it bound the task
 	releasedAt  time.Duration // when the placer ended the bound task; 0: it has not
 
 	// What is so at the host.
--- a/internal/verify/platformsim/world.go
+++ b/internal/verify/platformsim/world.go
@@ -28,7 +28,7 @@
 	report    Report
 	lastRef   int
 	faultsOff bool // nothing goes wrong any more
-	manual    bool // hosts and connections do nothing by themselves: ExploreOrders decides what happens
+	manual    bool // hosts and connections do nothing by themselves: ExploreInterleavings decides what happens
 }
 
 // newWorld returns a world with its hosts, listed, and no placer yet.
