--- a/internal/protocol/platform/config.go
+++ b/internal/protocol/platform/config.go
@@ -30,7 +30,7 @@
 
 // InitialList is the endpoint list's events up to the start.
 type InitialList struct {
-	Seq    uint64       `json:"seq"` // number to subscribe behind
+	Seq    uint64       `json:"seq"` // number of the event to subscribe after
 	Events []WatchEvent `json:"results"`
 }
 
--- a/internal/protocol/platform/sequence_test.go
+++ b/internal/protocol/platform/sequence_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Each number is applied once; a gap is requested once, and then taken to be one of the numbers.
+// Each number is applied once; a gap is requested once; if it persists, no event is missing.
 func TestSequenceAppliesEachEventOnce(t *testing.T) {
 	s := Sequence{Last: 3}
 	for i, c := range []struct {
--- a/internal/protocol/platform/watch.go
+++ b/internal/protocol/platform/watch.go
@@ -51,7 +51,7 @@
 // IsSnapshot reports whether the event holds the complete list, which makes all events before it irrelevant.
 func (w *WatchEvent) IsSnapshot() bool { return w.Endpoints != nil && w.Endpoints.Snapshot }
 
-// HostNumber is the number in a host's name, by which all placers know it: the hex digits behind the name's last dash,
+// HostNumber is the number in a host's name, by which all placers know it: the hex digits after the name's last dash,
 // of at most 32 bits. ok is false if it has none.
 func HostNumber(name string) (number uint32, ok bool) {
 	digits := name[strings.LastIndexByte(name, '-')+1:]
--- a/internal/server/platform/watch.go
+++ b/internal/server/platform/watch.go
@@ -34,7 +34,7 @@
 // watchConfig is what a watcher runs with.
 type watchConfig struct {
 	address        string
-	last           uint64        // the number of the event to begin behind
+	last           uint64        // the number of the event to begin after
 	connectTimeout time.Duration // bounds the making of a connection
 	log            zerolog.Logger
 	// deliver takes each event once, in order, on the watcher's goroutine. restarted means that the numbers begin again
@@ -71,7 +71,7 @@
 // wait returns when the watch has ended, after its context.
 func (w *watcher) wait() { <-w.done }
 
-// setAddress goes on at another address behind the same event.
+// setAddress goes on at another address after the same event.
 func (w *watcher) setAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -124,7 +124,7 @@
 	return canceled
 }
 
-// read opens a stream and takes its events.
+// read opens a stream and handles its events.
 func (w *watcher) read(ctx context.Context, cancel context.CancelCauseFunc, address string) error {
 	idle := newIdleTimer(streamIdleTimeout, func() { cancel(errStreamIdle) })
 	defer idle.stop()
@@ -159,7 +159,7 @@
 	}
 }
 
-// open requests the events behind the last one from an address.
+// open requests the events after the last one from an address.
 func (w *watcher) open(ctx context.Context, transport *http.Transport, address string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/changes", nil)
 	if err != nil {
@@ -186,7 +186,7 @@
 	}
 }
 
-// takeEvent delivers an event if it counts. Behind an error the others of the same read are only decoded.
+// takeEvent delivers an event if it counts. After an error the others of the same read are only decoded.
 func (w *watcher) takeEvent(encoded platform.ServerSentEvent, good bool, noEvents *idleTimer) error {
 	event, err := platform.DecodeWatchEvent(encoded)
 	if err != nil || !good {
