--- a/internal/protocol/hostproto/frames.go
+++ b/internal/protocol/hostproto/frames.go
@@ -76,7 +76,7 @@
 		Draining bool
 		Count    uint32
 	}
-	// Holds lists attempts that the host has of this placer's number, of any incarnation of it.
+	// Holds lists attempts that the host has from this placer, of any incarnation of it.
 	Holds struct{ Held []Held }
 	// Refused reports that an offer was rejected: the task never ran.
 	Refused struct {
@@ -88,11 +88,12 @@
 	Accepted struct{ Ref Ref }
 	// Running reports that the task runs.
 	Running struct{ Ref Ref }
-	// Note reports something of a running task.
+	// Note reports a measurement of a running task: its usage of cores or memory, the share of full service that it gets, or the
+	// memory pressure of its host.
 	Note struct {
 		Ref    Ref
-		Kind   uint8 // forkhead.NoteKind
-		Amount float32
+		Kind   uint8   // forkhead.NoteKind
+		Amount float32 // as forkhead.NoteKind says
 	}
 	// Ended reports that an attempt is over.
 	Ended struct {
@@ -183,7 +184,7 @@
 	Dismissed               // the host drains
 	Stopped                 // by the placer
 	Canceled                // withdrawn before it was accepted: it never ran
-	Forgotten               // the host no longer knows: it may have run
+	Forgotten               // the host has dropped its record of how the attempt ended: the task may have run
 )
 
 // Reason is why an offer was rejected. The values are those of forkhead.RejectReason.
