--- a/internal/emulator/platformmodel/endpointlog.go
+++ b/internal/emulator/platformmodel/endpointlog.go
@@ -15,7 +15,7 @@
 
 const (
 	commentInterval = time.Second // between comments on a stream
-	maxLoggedEvents = 4096        // whoever asks behind an older one gets a snapshot
+	maxLoggedEvents = 4096        // whoever asks after an older one gets a snapshot
 	watchPath       = "/changes"
 	lastEventField  = "last-event-id"
 	streamHead      = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
@@ -116,7 +116,7 @@
 	return l.handle(now, func() { delete(l.streams, conn) })
 }
 
-// Received takes the request of a stream and answers it with the events behind the one that it names.
+// Received takes the request of a stream and answers it with the events after the one that it names.
 func (l *EndpointLog) Received(now time.Duration, conn ConnID, data []byte) []Action {
 	return l.handle(now, func() {
 		s := l.streams[conn]
@@ -172,7 +172,7 @@
 	delete(l.streams, s.id)
 }
 
-// openStream answers a request: with the events behind last, or with a snapshot if one of them is not kept any more. A placer
+// openStream answers a request: with the events after last, or with a snapshot if one of them is not kept any more. A placer
 // that asks for the first time since the numbers began again gets all events of the new sequence. The body has no length and
 // ends with its connection.
 func (l *EndpointLog) openStream(s *logStream, last uint64) {
--- a/internal/emulator/platformmodel/endpointlog_test.go
+++ b/internal/emulator/platformmodel/endpointlog_test.go
@@ -8,7 +8,7 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// ask opens a stream behind an event and returns what comes at once.
+// ask opens a stream after an event and returns what comes at once.
 func ask(l *EndpointLog, conn ConnID, last string) string {
 	l.ConnectionOpened(rigStart, conn, 0)
 	return sentText(l.Received(rigStart, conn, []byte("GET /changes HTTP/1.1\r\nHost: x\r\nLast-Event-ID: "+last+"\r\n\r\n")))
@@ -24,7 +24,7 @@
 	return all.String()
 }
 
-// A stream has the events behind the one that it asks for, then those that are published, and a comment each second.
+// A stream has the events after the one that it asks for, then those that are published, and a comment each second.
 func TestEndpointLogStreams(t *testing.T) {
 	l := NewEndpointLog(rigStart, platform.Endpoint{Name: "s-00000001", State: platform.InService})
 	l.Publish(rigStart, platform.Endpoint{Name: "s-00000002", State: platform.InService})
@@ -36,7 +36,7 @@
 			}
 		}
 		if got := strings.Join(ids, " "); got != want {
-			t.Errorf("behind %q: %q, want %q", last, got, want)
+			t.Errorf("after %q: %q, want %q", last, got, want)
 		}
 	}
 	if got := sentText(l.Publish(rigStart, platform.Endpoint{Name: "s-00000002", State: platform.Terminated})); !strings.HasPrefix(got, "id: 3\ndata: {") {
@@ -47,7 +47,7 @@
 	}
 }
 
-// Whoever asks behind an event that is not kept has a snapshot, without hosts that are gone.
+// Whoever asks after an event that is not kept has a snapshot, without hosts that are gone.
 func TestEndpointLogForgetsEvents(t *testing.T) {
 	l := NewEndpointLog(rigStart)
 	for range maxLoggedEvents {
--- a/internal/emulator/platformmodel/host.go
+++ b/internal/emulator/platformmodel/host.go
@@ -28,7 +28,7 @@
 	IdleTimeout   time.Duration // after which a connection without messages is closed; 0: never
 
 	// A host that has just started answers SlowStartFactor times as slowly for SlowStartDuration. With more than
-	// SlowStartMaxOffers offers within SlowStartWindow it crashes; 0: it bears any number.
+	// SlowStartMaxOffers offers within SlowStartWindow it crashes; 0: it can take any number.
 	SlowStartDuration  time.Duration
 	SlowStartFactor    float64
 	SlowStartWindow    time.Duration
--- a/internal/emulator/platformmodel/link.go
+++ b/internal/emulator/platformmodel/link.go
@@ -113,7 +113,7 @@
 	e.flush(l)
 }
 
-// sendEnd ends a connection behind what was sent on it.
+// sendEnd ends a connection after what was sent on it.
 func (e *Emulator) sendEnd(l *link) {
 	if l.dead {
 		return
--- a/internal/emulator/platformmodel/network.go
+++ b/internal/emulator/platformmodel/network.go
@@ -57,21 +57,21 @@
 	watch       *networkWatch
 }
 
-// placerSide is the placer's side of a connection.
-type placerSide interface {
+// placerEndpoint is the placer's end of a connection.
+type placerEndpoint interface {
 	received(data []byte)
 	disconnected()
 }
 
 // networkConn is a connection between the Emulator and a placer.
 type networkConn struct {
-	id     ConnID // 0: it is being opened
-	placer *networkPlacer
-	side   placerSide
-	closed bool // the placer has closed it, or noticed its end
+	id       ConnID // 0: it is being opened
+	placer   *networkPlacer
+	endpoint placerEndpoint
+	closed   bool // the placer has closed it, or noticed its end
 
-	unread bool     // the Emulator reads nothing
-	queued [][]byte // that it has not read; nil: the end
+	readPaused bool     // the Emulator reads nothing
+	queued     [][]byte // sent and not read by it; nil: EOF
 }
 
 // NewNetwork returns a network whose placers run and whose emulator has begun.
@@ -165,14 +165,14 @@
 	case Dial:
 		n.dialPlacer(o)
 	case Write:
-		n.toPlacer(o.Conn, func(c *networkConn) { c.side.received(o.Bytes) })
+		n.deliverToPlacer(o.Conn, func(c *networkConn) { c.endpoint.received(o.Bytes) })
 	case CloseConnection:
 		n.endConn(o.Conn)
 	case ResetConnection:
 		n.endConn(o.Conn)
 	case StopReading:
 		if c := n.conns[o.Conn]; c != nil {
-			c.unread = true
+			c.readPaused = true
 		}
 	case ResumeReading:
 		n.resumeReading(o.Conn)
@@ -202,24 +202,24 @@
 	return nil
 }
 
-// toPlacer does something on the placer's side of a connection after the latency, unless it is closed by then.
-func (n *Network) toPlacer(id ConnID, do func(*networkConn)) {
+// deliverToPlacer calls deliver at the placer's end of a connection after the latency, unless it is closed by then.
+func (n *Network) deliverToPlacer(id ConnID, deliver func(*networkConn)) {
 	c := n.conns[id]
 	if c == nil {
 		return
 	}
 	n.after(n.cfg.Latency, func() {
 		if !c.closed && c.placer.core != nil {
-			do(c)
+			deliver(c)
 		}
 	})
 }
 
-// endConn ends a connection from the Emulator's side.
+// endConn ends a connection from the Emulator's end.
 func (n *Network) endConn(id ConnID) {
-	n.toPlacer(id, func(c *networkConn) {
+	n.deliverToPlacer(id, func(c *networkConn) {
 		c.closed = true
-		c.side.disconnected()
+		c.endpoint.disconnected()
 	})
 	delete(n.conns, id)
 }
@@ -233,7 +233,7 @@
 			return
 		}
 		owner := platformcore.OwnerID(o.Conn)
-		c := &networkConn{id: o.Conn, placer: p, side: ownerSide{p, owner}}
+		c := &networkConn{id: o.Conn, placer: p, endpoint: ownerEndpoint{p, owner}}
 		n.conns[o.Conn], p.owners[owner] = c, c
 		n.toEmulator(Connected{o.Conn})
 		p.step(platformcore.OwnerConnected{Owner: owner})
@@ -276,19 +276,19 @@
 	errNoAnswer = errors.New("nothing answers")
 )
 
-// send brings bytes of a placer to the Emulator; nil: the end of what the placer sends.
+// send brings bytes of a placer to the Emulator; nil: EOF.
 func (n *Network) send(c *networkConn, data []byte) {
 	n.after(n.cfg.Latency, func() {
-		if c.unread {
+		if c.readPaused {
 			c.queued = append(c.queued, data)
 			return
 		}
-		n.arrive(c, data)
+		n.deliver(c, data)
 	})
 }
 
-// arrive hands to the Emulator what a placer has sent.
-func (n *Network) arrive(c *networkConn, data []byte) {
+// deliver hands to the Emulator what a placer has sent; nil: EOF.
+func (n *Network) deliver(c *networkConn, data []byte) {
 	switch {
 	case c.id == 0:
 	case data == nil:
@@ -303,12 +303,12 @@
 	if c == nil {
 		return
 	}
-	c.unread = false
+	c.readPaused = false
 	queued := c.queued
 	c.queued = nil
 	n.after(0, func() {
 		for _, data := range queued {
-			n.arrive(c, data)
+			n.deliver(c, data)
 		}
 	})
 }
@@ -355,7 +355,7 @@
 // ShutDown asks a placer to end as it does at a planned restart.
 func (n *Network) ShutDown(number int) { n.placers[number].step(platformcore.ShutdownRequested{}) }
 
-// close closes a connection on the placer's side.
+// close closes a connection at the placer's end.
 func (p *networkPlacer) close(c *networkConn) {
 	if !c.closed {
 		c.closed = true
@@ -424,7 +424,7 @@
 }
 
 func (p *networkPlacer) dialHost(o platformcore.DialHost) {
-	c := &networkConn{placer: p, side: hostSide{p, o.Connection}}
+	c := &networkConn{placer: p, endpoint: hostEndpoint{p, o.Connection}}
 	p.hosts[o.Connection] = c
 	p.network.dial(c, o.Address, func(err error) {
 		if err == nil {
@@ -445,32 +445,32 @@
 	}
 }
 
-// ownerSide is a placer's side of a connection of an owner.
-type ownerSide struct {
+// ownerEndpoint is a placer's end of a connection of an owner.
+type ownerEndpoint struct {
 	placer *networkPlacer
 	id     platformcore.OwnerID
 }
 
-func (s ownerSide) received(data []byte) {
-	s.placer.step(platformcore.OwnerData{Owner: s.id, Data: data})
+func (e ownerEndpoint) received(data []byte) {
+	e.placer.step(platformcore.OwnerData{Owner: e.id, Data: data})
 }
 
-func (s ownerSide) disconnected() {
-	delete(s.placer.owners, s.id)
-	s.placer.step(platformcore.OwnerDisconnected{Owner: s.id})
+func (e ownerEndpoint) disconnected() {
+	delete(e.placer.owners, e.id)
+	e.placer.step(platformcore.OwnerDisconnected{Owner: e.id})
 }
 
-// hostSide is a placer's side of a connection to a host.
-type hostSide struct {
+// hostEndpoint is a placer's end of a connection to a host.
+type hostEndpoint struct {
 	placer *networkPlacer
 	id     platformcore.ConnectionID
 }
 
-func (s hostSide) received(data []byte) {
-	s.placer.step(platformcore.HostData{Connection: s.id, Data: data})
+func (e hostEndpoint) received(data []byte) {
+	e.placer.step(platformcore.HostData{Connection: e.id, Data: data})
 }
 
-func (s hostSide) disconnected() {
-	delete(s.placer.hosts, s.id)
-	s.placer.step(platformcore.HostDisconnected{Connection: s.id})
+func (e hostEndpoint) disconnected() {
+	delete(e.placer.hosts, e.id)
+	e.placer.step(platformcore.HostDisconnected{Connection: e.id})
 }
--- a/internal/emulator/platformmodel/network_test.go
+++ b/internal/emulator/platformmodel/network_test.go
@@ -18,7 +18,7 @@
 	{Name: "unsafe", Effect: forkhead.Unsafe},
 }
 
-// testHostConfig is a host that answers soon and whose tasks end after some seconds. After its start it bears twice as many
+// testHostConfig is a host that answers soon and whose tasks end after some seconds. After its start it can take twice as many
 // offers as placers send within a window: those of two windows come together where the first have waited for their connection.
 func testHostConfig() HostConfig {
 	return HostConfig{
--- a/internal/emulator/platformmodel/networkwatch.go
+++ b/internal/emulator/platformmodel/networkwatch.go
@@ -24,7 +24,7 @@
 	lastData time.Duration
 }
 
-// newNetworkWatch follows the watch behind the events that a placer was started with.
+// newNetworkWatch follows the watch after the events that a placer was started with.
 func newNetworkWatch(p *networkPlacer, initial []platform.WatchEvent) *networkWatch {
 	w := &networkWatch{placer: p}
 	for _, e := range initial {
@@ -38,7 +38,7 @@
 func (w *networkWatch) open() {
 	n := w.placer.network
 	c := &networkConn{placer: w.placer}
-	c.side = watchSide{w, c}
+	c.endpoint = watchEndpoint{w, c}
 	w.conn, w.head, w.lastData = c, []byte{}, n.now
 	w.events = platform.EventReader{OnComment: w.takeComment}
 	w.sequence.StreamOpened()
@@ -108,15 +108,15 @@
 	}
 }
 
-// watchSide is a placer's side of a stream of the watch.
-type watchSide struct {
+// watchEndpoint is a placer's end of a stream of the watch.
+type watchEndpoint struct {
 	watch *networkWatch
 	conn  *networkConn
 }
 
-func (s watchSide) received(data []byte) {
-	w := s.watch
-	if w.conn != s.conn {
+func (e watchEndpoint) received(data []byte) {
+	w := e.watch
+	if w.conn != e.conn {
 		return
 	}
 	w.lastData = w.placer.network.now
@@ -128,9 +128,9 @@
 		}
 		w.head, data = nil, body
 	}
-	if err := w.events.Feed(data, func(e platform.ServerSentEvent) { w.takeEvent(s.conn, e) }); err != nil {
-		w.reopen(s.conn)
+	if err := w.events.Feed(data, func(event platform.ServerSentEvent) { w.takeEvent(e.conn, event) }); err != nil {
+		w.reopen(e.conn)
 	}
 }
 
-func (s watchSide) disconnected() { s.watch.reopen(s.conn) }
+func (e watchEndpoint) disconnected() { e.watch.reopen(e.conn) }
