--- a/internal/emulator/hostmodel/host.go
+++ b/internal/emulator/hostmodel/host.go
@@ -32,7 +32,7 @@
 
 // Bounds of what a host keeps.
 const (
-	maxSettled  = 8192    // attempts that are over and whose end is still known
+	maxOutcomes = 8192    // attempts that are over and whose end is still known
 	maxDeferred = 100_000 // inputs during a pause
 )
 
@@ -50,15 +50,15 @@
 	sessions     map[uint16]*session // the established session of each placer
 	placerEpochs map[uint16]uint64   // the latest incarnation of each placer
 
-	tasks            map[hostproto.Ref]*task // queued, starting and running
-	queue            []*task                 // not decided; the first is decided at decisionAt
-	decisionAt       time.Duration
-	starting         []*task                           // accepted; the first MaxStarting have begun
-	settled          map[hostproto.Ref]hostproto.Frame // attempts that are over, each with its Refused or Ended
-	settledOrder     []hostproto.Ref                   // the latest last
-	settledForgotten bool                              // there were more than maxSettled
-	cachedPrograms   []uint64                          // services without a task whose program is cached, the latest last
-	recentOffers     []time.Duration                   // within the slow start's window
+	tasks             map[hostproto.Ref]*task // queued, starting and running
+	queue             []*task                 // not decided; the first is decided at decisionAt
+	decisionAt        time.Duration
+	starting          []*task                           // accepted; the first MaxStarting have begun
+	outcomes          map[hostproto.Ref]hostproto.Frame // attempts that are over, each with its Refused or Ended
+	outcomeOrder      []hostproto.Ref                   // the latest last
+	outcomesForgotten bool                              // there were more than maxOutcomes
+	cachedPrograms    []uint64                          // services without a task whose program is cached, the latest last
+	recentOffers      []time.Duration                   // within the slow start's window
 
 	draining      bool
 	dead          bool
@@ -104,7 +104,7 @@
 	h := &Host{
 		cfg: cfg, epoch: epoch, rng: rand.New(rand.NewPCG(seed, epoch)), now: now,
 		conns: map[ConnID]*session{}, sessions: map[uint16]*session{}, placerEpochs: map[uint16]uint64{},
-		tasks: map[hostproto.Ref]*task{}, settled: map[hostproto.Ref]hostproto.Frame{},
+		tasks: map[hostproto.Ref]*task{}, outcomes: map[hostproto.Ref]hostproto.Frame{},
 		rejectUntil: map[string]time.Duration{}, suppressUntil: map[string]time.Duration{}, slowFactor: 1,
 	}
 	if warmingUp {
--- a/internal/emulator/hostmodel/host_test.go
+++ b/internal/emulator/hostmodel/host_test.go
@@ -54,10 +54,10 @@
 	if available, _ := h.Available(); available != 1 || h.BoundCount() != 1 || h.tasks[hostproto.Ref{Epoch: 1, Task: 3}] == nil {
 		t.Fatalf("%g cores available, %d bound", available, h.BoundCount())
 	}
-	if _, ok := h.settled[hostproto.Ref{Epoch: 1, Task: 2}].(hostproto.Refused); !ok {
+	if _, ok := h.outcomes[hostproto.Ref{Epoch: 1, Task: 2}].(hostproto.Refused); !ok {
 		t.Fatal("the second was not rejected")
 	}
-	if e, ok := h.settled[hostproto.Ref{Epoch: 1, Task: 1}].(hostproto.Ended); !ok || e.Result != hostproto.Preempted {
+	if e, ok := h.outcomes[hostproto.Ref{Epoch: 1, Task: 1}].(hostproto.Ended); !ok || e.Result != hostproto.Preempted {
 		t.Fatal("the first was not preempted")
 	}
 }
--- a/internal/emulator/hostmodel/offers.go
+++ b/internal/emulator/hostmodel/offers.go
@@ -13,7 +13,7 @@
 	if h.state(f.Ref) != hostsession.Absent {
 		return
 	}
-	h.countOffer()
+	h.countOfferAndOverload()
 	if h.dead {
 		return
 	}
@@ -62,7 +62,7 @@
 	if len(h.queue) > 0 {
 		h.scheduleDecision()
 	}
-	if reason := h.judge(t); reason != hostproto.NoReason {
+	if reason := h.admit(t); reason != hostproto.NoReason {
 		h.reject(t, reason)
 		return
 	}
@@ -73,8 +73,9 @@
 	h.beginStarts()
 }
 
-// judge returns why an offer is rejected, or NoReason. It may end tasks to make capacity for the offer.
-func (h *Host) judge(t *task) hostproto.Reason {
+// admit decides on an offer by admission control: it returns why the offer is rejected, or NoReason. It may preempt running
+// tasks of a lower priority to make capacity.
+func (h *Host) admit(t *task) hostproto.Reason {
 	if h.draining || h.now > t.offerDeadline || h.now < h.rejectUntil[t.spec.Class] || h.hasCopy(t) {
 		return hostproto.Unsuitable
 	}
@@ -142,13 +143,14 @@
 func (h *Host) reject(t *task, reason hostproto.Reason) {
 	f := hostproto.Refused{Ref: t.ref, Reason: reason, Report: h.loadReport()}
 	_, reply := hostsession.Transition(hostsession.Queued, hostsession.Reject)
-	h.settle(t, f)
+	h.recordOutcome(t, f)
 	h.sendReply(t.placer, t.ref, reply, f)
 }
 
-// revoke handles a Withdraw or a Stop by the state machine of the attempt: a queued offer never runs; a start may have
-// done something, so it is ended and not undone; what runs goes on unless it is stopped.
-func (h *Host) revoke(s *session, ref hostproto.Ref, input hostsession.Input) {
+// handleWithdrawOrStop handles a Withdraw or a Stop. A queued offer is canceled and never runs. A starting task may have had
+// effects, so it ends as stopped, not as canceled. A running task ends on a Stop and ignores a Withdraw. An attempt of another
+// placer is left alone as long as it is not over.
+func (h *Host) handleWithdrawOrStop(s *session, ref hostproto.Ref, input hostsession.Input) {
 	t := h.tasks[ref]
 	if t != nil && t.placer != s.placer {
 		return
@@ -158,7 +160,7 @@
 	case t != nil && next == hostsession.Canceled:
 		h.dropQueued(func(other *task) bool { return other == t })
 		f := hostproto.Ended{Ref: ref, Result: hostproto.Canceled, Report: h.loadReport()}
-		h.settle(t, f)
+		h.recordOutcome(t, f)
 		h.sendReply(t.placer, ref, reply, f)
 	case t != nil && next == hostsession.Ended:
 		h.end(t, hostproto.Stopped)
@@ -167,20 +169,21 @@
 	}
 }
 
-// settle records how an attempt ended, for queries of its placer.
-func (h *Host) settle(t *task, f hostproto.Frame) {
+// recordOutcome records how an attempt ended, for queries of its placer.
+func (h *Host) recordOutcome(t *task, f hostproto.Frame) {
 	delete(h.tasks, t.ref)
-	h.settled[t.ref] = f
-	h.settledOrder = append(h.settledOrder, t.ref)
-	if len(h.settledOrder) > maxSettled {
-		delete(h.settled, h.settledOrder[0])
-		h.settledOrder = h.settledOrder[1:]
-		h.settledForgotten = true
+	h.outcomes[t.ref] = f
+	h.outcomeOrder = append(h.outcomeOrder, t.ref)
+	if len(h.outcomeOrder) > maxOutcomes {
+		delete(h.outcomes, h.outcomeOrder[0])
+		h.outcomeOrder = h.outcomeOrder[1:]
+		h.outcomesForgotten = true
 	}
 }
 
-// countOffer crashes a host that warms up when it gets more offers than it withstands.
-func (h *Host) countOffer() {
+// countOfferAndOverload counts an offer while the host is warming up. The host crashes from overload if the slow start's window
+// holds more offers than it can take.
+func (h *Host) countOfferAndOverload() {
 	if !h.warmingUp() {
 		return
 	}
--- a/internal/emulator/hostmodel/sessions.go
+++ b/internal/emulator/hostmodel/sessions.go
@@ -31,7 +31,7 @@
 		h.sendToPlacer(placer, hostproto.Running{Ref: ref})
 	case hostsession.SendRejected, hostsession.SendEnded, hostsession.SendCanceled:
 		if end == nil {
-			end = h.settled[ref]
+			end = h.outcomes[ref]
 		}
 		if end == nil {
 			end = hostproto.Refused{Ref: ref, Reason: hostproto.Unsuitable}
@@ -76,9 +76,9 @@
 	case hostproto.Offer:
 		h.handleOffer(s, f)
 	case hostproto.Withdraw:
-		h.revoke(s, f.Ref, hostsession.Withdraw)
+		h.handleWithdrawOrStop(s, f.Ref, hostsession.Withdraw)
 	case hostproto.Stop:
-		h.revoke(s, f.Ref, hostsession.Stop)
+		h.handleWithdrawOrStop(s, f.Ref, hostsession.Stop)
 	case hostproto.Probe:
 		h.send(s, hostproto.Probed{ID: f.ID, Report: h.loadReport()})
 	case hostproto.Query:
@@ -162,7 +162,7 @@
 
 func (h *Host) handleQuery(s *session, refs []hostproto.Ref) {
 	for _, ref := range refs {
-		if h.settledForgotten && h.tasks[ref] == nil && h.settled[ref] == nil {
+		if h.outcomesForgotten && h.tasks[ref] == nil && h.outcomes[ref] == nil {
 			h.send(s, hostproto.Ended{Ref: ref, Result: hostproto.Forgotten})
 			continue
 		}
@@ -181,7 +181,7 @@
 	if t := h.tasks[ref]; t != nil {
 		return phaseStates[t.phase]
 	}
-	switch f := h.settled[ref].(type) {
+	switch f := h.outcomes[ref].(type) {
 	case hostproto.Refused:
 		return hostsession.Rejected
 	case hostproto.Ended:
--- a/internal/emulator/hostmodel/tasks.go
+++ b/internal/emulator/hostmodel/tasks.go
@@ -71,7 +71,7 @@
 	h.removeStarting(t)
 	f := hostproto.Ended{Ref: t.ref, Result: result}
 	_, reply := hostsession.Transition(h.state(t.ref), hostsession.Finish)
-	h.settle(t, f)
+	h.recordOutcome(t, f)
 	h.cacheProgram(t.spec.Service)
 	f.Report = h.loadReport()
 	h.sendReply(t.placer, t.ref, reply, f)
