--- a/internal/verify/rules/drain.go
+++ b/internal/verify/rules/drain.go
@@ -19,7 +19,7 @@
 	return &drainNotices{known: map[string]bool{}, notReady: map[string]time.Duration{}, draining: map[string]time.Duration{}}
 }
 
-// listDelivered takes an endpoint list. No host of it is both ready and draining.
+// listDelivered handles an endpoint list. No host of it is both ready and draining.
 func (n *drainNotices) listDelivered(list *capture.Event) {
 	ready := map[string]bool{}
 	for _, host := range list.Ready {
@@ -37,7 +37,7 @@
 	}
 }
 
-// hostNotified takes a host's own message on whether it drains.
+// hostNotified handles a host's own message on whether it drains.
 func (n *drainNotices) hostNotified(e *capture.Event) {
 	if e.HostDraining {
 		addOnce(n.draining, e.Host, e.At)
--- a/internal/verify/rules/placerview.go
+++ b/internal/verify/rules/placerview.go
@@ -2,11 +2,12 @@
 
 import "forkhead/internal/protocol/capture"
 
-// phaseQueued is the phase of an attempt that a host holds while it hasn't started it.
+// phaseQueued is the phase of an attempt that a host has queued and not decided. It is a word of the capture format (package
+// capture), which captured files hold, so it differs from the name in package hostproto.
 const phaseQueued = "in-line"
 
-// placerView is what one incarnation of a placer had read and written at its own sockets by some time. It is a reading of
-// the traffic by the terms of the rules, and knows nothing of the placer's own tables.
+// placerView is what one incarnation of a placer had read and written at its own sockets by some time. It reconstructs the
+// placer's knowledge from captured traffic, as the rules define it, without access to the placer's own tables.
 type placerView struct {
 	boundWhenRunning bool
 
@@ -38,7 +39,7 @@
 	}
 }
 
-// hasSent reports whether the placer noted that it sent an attempt, or that a host reported it.
+// hasSent reports whether the placer sent an attempt, or a host reported it to the placer.
 func (v *placerView) hasSent(id attemptID) bool { return v.attempts[id.atPlacer()] != nil }
 
 // atPlacer is the ID of an attempt at the placer's end, which may not know the host's incarnation.
@@ -47,7 +48,7 @@
 	return id
 }
 
-// apply takes what was read from or written to a socket.
+// apply handles what was read from or written to a socket.
 func (v *placerView) apply(e *capture.Event) {
 	switch e.Type {
 	case capture.ListDelivered:
@@ -63,7 +64,7 @@
 	case capture.Withdraw, capture.Stop:
 		v.onSent(e)
 	case capture.Drain, capture.Holds, capture.Accepted, capture.Running, capture.Refused, capture.Ended:
-		// Before Welcome, and on a connection that is over, the sender is not known.
+		// Before Welcome, and on a connection that has ended, the sender is not known.
 		if v.isEstablished(e) {
 			v.onReceived(e)
 		}
@@ -85,8 +86,7 @@
 	return h.established && e.Conn == h.connection
 }
 
-// onList takes an endpoint list. A host that has left it and is unreachable is gone, by the operator's word: its
-// attempts are over.
+// onList handles an endpoint list. A host that has left it and is unreachable was deregistered: its attempts are over.
 func (v *placerView) onList(e *capture.Event) {
 	before := v.listed
 	v.listed = map[string]bool{}
@@ -113,7 +113,7 @@
 	}
 }
 
-// onWelcome takes a host's answer to Hello. A new incarnation of the host has nothing of the earlier ones.
+// onWelcome handles a host's answer to Hello. A new incarnation of the host has no attempts of the earlier ones.
 func (v *placerView) onWelcome(e *capture.Event) {
 	h := v.host(e.Host)
 	if e.Conn != h.connection || e.Epoch < h.epoch {
@@ -128,7 +128,7 @@
 	}
 }
 
-// onDisconnected takes the end of a connection: what awaited its answer on it may run, what was placed is unreachable.
+// onDisconnected handles the end of a connection: an attempt that awaited its answer may run, a bound one is unreachable.
 func (v *placerView) onDisconnected(e *capture.Event) {
 	h := v.host(e.Host)
 	if e.Conn != h.connection {
@@ -143,17 +143,17 @@
 	v.endIfRemoved(e.Host)
 }
 
-// onOffer takes an offer that the placer sent.
+// onOffer handles an offer that the placer sent.
 func (v *placerView) onOffer(e *capture.Event) {
 	a := v.add(e)
 	if !v.isEstablished(e) {
-		// The connection ended in the step that wrote the offer, and what a step reads is noted first. Nothing else would ever
-		// end it.
+		// The connection ended in the step that wrote the offer, and the capture has what a step read before what it wrote. No later
+		// event would end the wait for this offer's answer.
 		a.onWithdrawn()
 	}
 }
 
-// onSent takes another message that the placer sent on an attempt.
+// onSent handles another message that the placer sent on an attempt.
 func (v *placerView) onSent(e *capture.Event) {
 	a := v.attempts[attemptIDOf(e).atPlacer()]
 	switch {
@@ -165,7 +165,7 @@
 	}
 }
 
-// onReceived takes a message of a host on its established connection.
+// onReceived handles a message of a host on its established connection.
 func (v *placerView) onReceived(e *capture.Event) {
 	switch e.Type {
 	case capture.Drain:
@@ -191,7 +191,7 @@
 	}
 }
 
-// onHolds takes an attempt that a host reported in the handshake.
+// onHolds handles an attempt that a host reported in the handshake.
 func (v *placerView) onHolds(e *capture.Event) {
 	if e.Result == phaseQueued {
 		return
--- a/internal/verify/rules/sentattempt.go
+++ b/internal/verify/rules/sentattempt.go
@@ -24,7 +24,7 @@
 	reappearedAt     time.Duration // the host reported that it is bound after it was taken to be mayRun; 0: it never did
 }
 
-// onBound takes the host's message that the task is placed.
+// onBound handles the host's message that the task is placed.
 func (a *sentAttempt) onBound(at time.Duration) {
 	switch a.state {
 	case mayRun:
@@ -35,18 +35,18 @@
 	}
 }
 
-// onOver takes the host's rejection, its message that the attempt ended, or the end of the host's incarnation. Nothing changes
+// onOver handles the host's rejection, its message that the attempt ended, or the end of the host's incarnation. Nothing changes
 // its state after that.
 func (a *sentAttempt) onOver() { a.state = over }
 
-// onWithdrawn says that the placer doesn't wait for the answer any more.
+// onWithdrawn records that the placer no longer waits for the answer.
 func (a *sentAttempt) onWithdrawn() {
 	if a.state == awaitingAnswer {
 		a.state = mayRun
 	}
 }
 
-// onStop takes the placer's Stop. One that reappeared in the same step is not wanted; all others count until their host
+// onStop handles the placer's Stop. One that reappeared in the same step is not wanted; all others count until their host
 // says that they ended.
 func (a *sentAttempt) onStop(at time.Duration) {
 	if a.state == bound && a.reappearedAt == at {
@@ -54,7 +54,7 @@
 	}
 }
 
-// onDisconnected takes the end of the connection to the host.
+// onDisconnected handles the end of the connection to the host.
 func (a *sentAttempt) onDisconnected(at time.Duration) {
 	switch a.state {
 	case awaitingAnswer:
