--- a/internal/planning/solver/branch.go
+++ b/internal/planning/solver/branch.go
@@ -74,7 +74,7 @@
 	if s.hasHostAffinity && s.hostTasks[a] > 0 {
 		return false
 	}
-	return s.hostClass[a] == s.hostClass[b] && s.freeCores[a] == s.freeCores[b] && s.freeMemory[a] == s.freeMemory[b] &&
+	return s.equivalence[a] == s.equivalence[b] && s.freeCores[a] == s.freeCores[b] && s.freeMemory[a] == s.freeMemory[b] &&
 		s.counts[service][a] == s.counts[service][b] && (s.hostTasks[a] > 0) == (s.hostTasks[b] > 0)
 }
 
--- a/internal/planning/solver/search.go
+++ b/internal/planning/solver/search.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// search is the state of one branch and bound. Services are named by their position in the branching order, hosts by
+// search is the state of one branch and bound. Services are identified by their position in the branching order, hosts by
 // their index in the instance. It is not safe for concurrent use.
 type search struct {
 	in  *Instance
@@ -14,14 +14,14 @@
 
 	// The services in branching order. What others have an affinity to goes first, then what is hard to place.
 	order    []int     // by position, the index into in.Services
-	services []Service // their affinities name positions
+	services []Service // their affinities refer to positions
 
-	// The fleet. None of this changes during a search.
+	// The hosts. None of this changes during a search.
 	rackOf         []int // by host
 	zoneOf         []int // by host
 	zoneOfRack     []int
 	racksSpanZones bool  // some rack has hosts in two zones
-	hostClass      []int // by host: hosts of one class are interchangeable while they hold the same
+	equivalence    []int // by host, the number of its set of equivalent hosts: interchangeable while they have the same tasks
 	groups         []hostGroup
 	coreWeight     int64 // with these weights, the largest host has about as much of cores as of memory
 	memoryWeight   int64
@@ -63,7 +63,7 @@
 	s.initServices()
 	s.initTopology()
 	s.initDemand()
-	s.initHostClasses()
+	s.initEquivalentHosts()
 	s.initGroups()
 	s.initPlacement()
 	return s
@@ -101,7 +101,7 @@
 
 func (s *Service) allows(host int) bool { return s.Allowed == nil || s.Allowed[host] }
 
-// initServices copies the services in branching order, with their affinities renamed to positions.
+// initServices copies the services in branching order, with their affinities translated to positions.
 func (s *search) initServices() {
 	position := make([]int, len(s.order)) // by index into in.Services
 	for k, index := range s.order {
@@ -164,10 +164,10 @@
 	}
 }
 
-// initHostClasses finds hosts that no service can distinguish.
-func (s *search) initHostClasses() {
+// initEquivalentHosts finds hosts that no service can distinguish, and numbers the sets of them.
+func (s *search) initEquivalentHosts() {
 	topologyMatters := s.topologyMatters()
-	classes := map[string]int{}
+	sets := map[string]int{} // by what distinguishes their hosts
 	for host := range s.in.Hosts {
 		h := &s.in.Hosts[host]
 		key := fmt.Sprint(h.Cores, h.Memory, h.Cost, h.Unschedulable, h.InUse)
@@ -181,7 +181,7 @@
 			}
 			key += fmt.Sprint(" ", s.services[k].allows(host), running)
 		}
-		s.hostClass = append(s.hostClass, number(classes, key))
+		s.equivalence = append(s.equivalence, number(sets, key))
 	}
 }
 
