--- a/internal/parse/compose/merge.go
+++ b/internal/parse/compose/merge.go
@@ -6,8 +6,8 @@
 )
 
 // merge merges the tree override into base by the Compose Specification's chapter on merging: mappings are merged, lists
-// appended, single values replaced; mergeRules has the exceptions. path names the place of both, with * for a service's
-// name. The result may share nodes with both trees. nil is an absent value.
+// appended, single values replaced; mergeRules has the exceptions. path is the path of both in the document, with * for a
+// service's name. The result may share nodes with both trees. nil is an absent value.
 func merge(base, override *value, path string) *value {
 	switch {
 	case override == nil:
@@ -73,7 +73,7 @@
 	return path + "." + key
 }
 
-// mergeRule is how two values at one place are merged.
+// mergeRule is how two values at one path are merged.
 type mergeRule uint8
 
 const (
@@ -120,8 +120,8 @@
 	return m
 }
 
-// mergeUnique appends two lists whose entries are known by their target: a later entry takes the place of an earlier one
-// with the same target.
+// mergeUnique appends two lists whose entries are identified by their target: a later entry replaces an earlier one with the
+// same target.
 func mergeUnique(base, override *value) *value {
 	merged := &value{pos: override.pos, kind: sequence}
 	indexes := map[string]int{} // by target
@@ -137,7 +137,7 @@
 	return merged
 }
 
-// targetOf returns what a port, volume, device, secret or config is known by inside the task.
+// targetOf returns what identifies a port, volume, device, secret or config inside the task.
 func targetOf(v *value) string {
 	if v.kind == mapping {
 		return targetOfMapping(v)
