--- a/internal/cli/chaos_replay.go
+++ b/internal/cli/chaos_replay.go
@@ -11,29 +11,32 @@
 	"forkhead/internal/verify/rules"
 )
 
-// replayResult is the line of a replayed recording.
+// replayResult is the JSON output for a replayed recording.
 type replayResult struct {
 	Epoch  uint64         `json:"epoch"`
 	Placer int            `json:"placer"`
 	Replay *replay.Result `json:"replay"`
-	Rules  map[string]int `json:"rules"` // breaches a rule
+	Rules  map[string]int `json:"rules"` // number of breaches, by rule
 }
 
-// replayRecording steps a placer's core through a recording. It returns errNo if the core's outputs differ from the recorded
-// ones, or if what it sent and received breaks a rule.
+// replayRecording steps a placer's core through the recording in a file, and prints the result. It returns errNo if the core's
+// outputs diverge from the recorded ones, or if what it sent and received breaks a rule. The printed texts call a recording a
+// tape.
 func (a *app) replayRecording(name string) error {
-	text, err := readFile(name, "a tape that badday --record-on-breach has kept")
+	recording, err := readFile(name, "a tape that badday --record-on-breach has kept")
 	if err != nil {
 		return err
 	}
-	var places []capture.Event
-	r, err := replay.Play(bytes.NewReader(text), func(s *replay.Step, _ []core.Output) { places = append(places, replay.HostLocations(s.In)...) })
+	var locations []capture.Event
+	r, err := replay.Play(bytes.NewReader(recording), func(s *replay.Step, _ []core.Output) {
+		locations = append(locations, replay.HostLocations(s.In)...)
+	})
 	if err != nil {
 		return badInput(fmt.Errorf("%s: %w", name, err))
 	}
 	host := r.Scenario.Host
 	config := rules.ConfigFromSettings(r.Scenario.Settings, float64(host.MaxStarting)/host.StartTime.Seconds())
-	verdict := rules.Check(append(places, r.Events...), config)
+	verdict := rules.Check(append(locations, r.Events...), config)
 	if a.wantsJSON() {
 		if err := a.writeReplayJSON(r, &verdict); err != nil {
 			return err
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -14,7 +14,7 @@
 	"forkhead/internal/planning/solver"
 )
 
-// noPlacementFormat reports a conflict, whose parts stand a line each.
+// noPlacementFormat reports why there is no placement: the conflicting requirements, one a line.
 const noPlacementFormat = "no placement exists. These cannot be met together, and could without any one of them:\n  %s\n"
 
 // planFlags are the flags of plan.
@@ -27,8 +27,8 @@
 	migrationCost   int64
 	homeZone        string // "": none
 	outsideHomeCost int64  // of a task outside homeZone
-	quotas          bool   // print quotas instead
-	selfcheck       int    // check the solver on so many instances instead; 0: plan
+	quotas          bool   // print the tenants' quotas instead of a plan
+	selfcheck       int    // number of random instances to check the solver on, instead of a plan; 0: none
 }
 
 func (a *app) planCommand() *cobra.Command {
@@ -99,12 +99,12 @@
 	return running, badInput(err)
 }
 
-// problem gathers what is to be placed, where, and what it costs.
+// problem reads the specification and the running tasks, and returns the placement problem for the solver.
 func (f *planFlags) problem(s *settings.Settings, hosts []plan.Host, names []string) (*plan.Problem, error) {
-	q := &plan.Problem{Settings: s, Hosts: hosts, MigrationCost: f.migrationCost, HomeZone: f.homeZone, OutsideHomeCost: f.outsideHomeCost}
+	problem := &plan.Problem{Settings: s, Hosts: hosts, MigrationCost: f.migrationCost, HomeZone: f.homeZone, OutsideHomeCost: f.outsideHomeCost}
 	if f.runningFile != "" {
 		var err error
-		if q.Running, err = readRunning(f.runningFile); err != nil {
+		if problem.Running, err = readRunning(f.runningFile); err != nil {
 			return nil, err
 		}
 	}
@@ -112,15 +112,15 @@
 	if err != nil {
 		return nil, err
 	}
-	description, err := parseSpecification(envelope, s)
+	specification, err := parseSpecification(envelope, s)
 	if err != nil {
 		return nil, err
 	}
-	q.Specs = []*servicespec.Description{description}
-	return q, nil
+	problem.Specs = []*servicespec.Description{specification}
+	return problem, nil
 }
 
-// printPlan writes a plan; it returns errNo if the plan has no placement.
+// printPlan prints a plan, and returns errNo if the plan has no placement.
 func (a *app) printPlan(p *plan.Plan) error {
 	write := a.writePlanText
 	if a.wantsJSON() {
@@ -147,7 +147,8 @@
 	return nil
 }
 
-// writePlacement writes where each task goes, what migrates, the cost, and how far below it the optimum may be.
+// writePlacement prints the host of each task, the migrations, the cost, and the gap in percent between the cost and its lower
+// bound.
 func (a *app) writePlacement(p *plan.Plan) error {
 	t := newTable(a.out, 0, "SERVICE\tREPLICA\tHOST")
 	for _, assignment := range p.Assignments {
