--- a/internal/emulator/platform/server.go
+++ b/internal/emulator/platform/server.go
@@ -25,6 +25,8 @@
 	goroutines sync.WaitGroup // of listeners, connections and dials
 	stopOnce   sync.Once
 
+	numberOfPlacers int // each has a socket of each listener
+
 	// Of the event loop's goroutine.
 	emulator  *platformmodel.Emulator
 	inputs    []platformmodel.Input // for the next step
@@ -38,9 +40,12 @@
 // Start starts an emulator whose listeners are open. It returns an error for a configuration that contradicts itself, or if
 // it cannot listen. AddressFor of the configuration is the server's own.
 func Start(cfg platformmodel.Config) (*Server, error) {
+	if cfg.Placers > maxPlacers {
+		return nil, fmt.Errorf("start the emulators: %d placers; at most %d have an address", cfg.Placers, maxPlacers)
+	}
 	s := &Server{
 		clock: clock.New(), listeners: map[platformmodel.ListenerID]*listener{}, conns: map[platformmodel.ConnID]*connection{},
-		placers: map[int]string{},
+		placers: map[int]string{}, numberOfPlacers: cfg.Placers,
 	}
 	cfg.AddressFor = addressFor
 	var err error
@@ -63,7 +68,15 @@
 	return err
 }
 
-// InitialEvents returns the events of the endpoint list so far, which a placer is started with.
+// fail notes an error that spoils the run. It is called on the event loop.
+func (s *Server) fail(err error) {
+	if s.err == nil {
+		s.err = err
+	}
+}
+
+// InitialEvents returns the events of the endpoint list so far, which a placer is started with. Its addresses are those of
+// the placer, where nothing listens for a placer that the configuration does not count.
 func (s *Server) InitialEvents(placer int) (events []platform.WatchEvent) {
 	s.loop.Call(func() { events = s.emulator.InitialEvents(placer) })
 	return events
--- a/internal/emulator/platform/server_test.go
+++ b/internal/emulator/platform/server_test.go
@@ -185,9 +185,19 @@
 }
 
 // probe sends a probe to a host on a new connection and returns whether it is answered. A connection that can't be made, or
-// on which nothing comes for a while, is an error.
-func probe(address string) error {
-	const wait = 300 * time.Millisecond
+// on which nothing comes for a while, is an error. The while is short, for probes that are repeated.
+func probe(address string) error { return probeFor(address, 300*time.Millisecond) }
+
+// checkAnswers checks that a host answers a probe, however late the machine is.
+func checkAnswers(t *testing.T, address string) {
+	t.Helper()
+	if err := probeFor(address, eventuallyTimeout); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// probeFor sends a probe that waits for a time for its connection, and as long for the answer.
+func probeFor(address string, wait time.Duration) error {
 	conn, err := net.DialTimeout("tcp", address, wait)
 	if err != nil {
 		return err
@@ -201,14 +211,22 @@
 	return err
 }
 
+func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+
+// isDialTimeout reports whether a connection was not made for a while.
+func isDialTimeout(err error) bool {
+	var operation *net.OpError
+	return errors.As(err, &operation) && operation.Op == "dial" && operation.Timeout()
+}
+
 // Each placer reaches a host at an address of its own, by which the host knows it.
 func TestListenersKnowPlacers(t *testing.T) {
-	s := startEmulators(t, testConfig())
-	const last = 300
+	const last = 300 // its address differs from the first one's in more than a byte
+	cfg := testConfig()
+	cfg.Placers = last + 1
+	s := startEmulators(t, cfg)
 	for _, placer := range []int{0, 1, last} {
-		if err := probe(firstHostAddress(s, placer)); err != nil {
-			t.Fatal(err)
-		}
+		checkAnswers(t, firstHostAddress(s, placer))
 	}
 	var placers []int
 	for _, r := range s.Journal().Records {
@@ -224,17 +242,14 @@
 // A host that is cut off neither takes connections nor refuses them, until the fault ends.
 func TestListenerStopsAccepting(t *testing.T) {
 	s, address := startWithFault(t, platformmodel.FaultZonePartition, 3*time.Second)
-	if err := probe(address); err != nil {
-		t.Fatal(err)
-	}
+	checkAnswers(t, address)
 	s.Begin()
 	eventually(t, "a dial that nothing answers, or the end of the fault", func() bool {
 		err := probe(address)
-		if errors.Is(err, syscall.ECONNREFUSED) {
+		if isRefused(err) {
 			t.Fatal(err)
 		}
-		var operation *net.OpError
-		return errors.As(err, &operation) && operation.Op == "dial" && operation.Timeout() || hasEnded(s)
+		return isDialTimeout(err) || hasEnded(s)
 	})
 	eventually(t, "an answer", func() bool { return probe(address) == nil })
 }
@@ -244,7 +259,7 @@
 	s, address := startWithFault(t, platformmodel.FaultRefused, 200*time.Millisecond)
 	s.Begin()
 	eventually(t, "a refused connection or the end of the fault", func() bool {
-		return errors.Is(probe(address), syscall.ECONNREFUSED) || hasEnded(s)
+		return isRefused(probe(address)) || hasEnded(s)
 	})
 	eventually(t, "an answer", func() bool { return probe(address) == nil })
 }
@@ -264,8 +279,23 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = conn.Close() }()
-		_ = conn.SetWriteDeadline(time.Now().Add(time.Second))
-		_, err = conn.Write(make([]byte, 64<<20))
-		return errors.Is(err, os.ErrDeadlineExceeded)
+		return isWriteStalled(conn)
 	})
 }
+
+// isWriteStalled writes until nothing of a write is taken for a second. It returns false if the connection ends before, or
+// if its other end still reads after some writes.
+func isWriteStalled(conn net.Conn) bool {
+	data := make([]byte, 64<<20)
+	for range 10 {
+		_ = conn.SetWriteDeadline(time.Now().Add(time.Second))
+		n, err := conn.Write(data)
+		if !errors.Is(err, os.ErrDeadlineExceeded) {
+			return false
+		}
+		if n == 0 {
+			return true
+		}
+	}
+	return false
+}
