--- a/internal/server/platform/watch_test.go
+++ b/internal/server/platform/watch_test.go
@@ -66,7 +66,7 @@
 	restarted bool
 }
 
-// startTestWatcher watches a list behind an event and returns what it delivers.
+// startTestWatcher watches a list after an event and returns what it delivers.
 func startTestWatcher(t *testing.T, address string, last uint64) (*watcher, chan delivery) {
 	t.Helper()
 	deliveries := make(chan delivery, 1000)
@@ -125,7 +125,7 @@
 	restarted := func(s watchStream) {
 		s.send("%s%s", emptyEvent(1, true), emptyEvent(2, false))
 		s.send(":\n\n")
-		s.send("%s%s", emptyEvent(3, false), emptyEvent(1, true)) // and an old snapshot behind it
+		s.send("%s%s", emptyEvent(3, false), emptyEvent(1, true)) // and an old snapshot after it
 		s.send("%s", emptyEvent(4, false))
 		s.sendComments()
 	}
@@ -133,7 +133,7 @@
 	expect(t, deliveries, delivery{8, false}, delivery{1, true}, delivery{2, false}, delivery{3, false}, delivery{4, false})
 }
 
-// A new address, while the old one breaks off in the middle of an event or goes on sending, is polled behind the last event
+// A new address, while the old one breaks off in the middle of an event or goes on sending, is polled after the last event
 // that counts, and what the old one sends after that does not count.
 func TestWatcherChangeOfAddress(t *testing.T) {
 	const rounds = 10 // which of the two comes first is not the test's to choose
@@ -153,9 +153,9 @@
 				<-s.done
 			},
 			func(s watchStream) { <-s.done })
-		var polledBehind atomic.Value
+		var polledAfter atomic.Value
 		newAddress := scriptedWatch(t, func(s watchStream) {
-			polledBehind.CompareAndSwap(nil, s.last)
+			polledAfter.CompareAndSwap(nil, s.last)
 			s.send("%s%s%s", emptyEvent(1, true), emptyEvent(2, false), emptyEvent(3, false))
 			s.sendComments()
 		})
@@ -165,8 +165,8 @@
 		w.setAddress(newAddress)
 		close(changed)
 		expect(t, deliveries, delivery{2, false}, delivery{3, false})
-		if polledBehind.Load() != "1" {
-			t.Errorf("the new address is polled behind %v", polledBehind.Load())
+		if polledAfter.Load() != "1" {
+			t.Errorf("the new address is polled after %v", polledAfter.Load())
 		}
 		select {
 		case more := <-deliveries:
