--- a/internal/cli/plan_quotas.go
+++ b/internal/cli/plan_quotas.go
@@ -10,10 +10,7 @@
 	"forkhead/internal/planning/quota"
 )
 
-const (
-	millicores = 1000 // of a core: quotas are whole numbers of them
-	shareUnits = 1e6  // of the whole cluster: shares are given to quota.NewTable as whole numbers of them
-)
+const millicores = 1000 // of a core: quotas are whole numbers of them
 
 // tenantQuota is a line of what a tenant gets at a placer.
 type tenantQuota struct {
@@ -33,7 +30,7 @@
 	total := usableCores(hosts)
 	var tenants []quota.Tenant
 	for i, name := range s.Tenants {
-		tenants = append(tenants, quota.Tenant{Name: name, Quota: uint64(s.Module.Tenants[i].Quota*shareUnits + 0.5)})
+		tenants = append(tenants, quota.Tenant{Name: name, Quota: uint64(s.Module.Tenants[i].Quota*quota.FullQuota + 0.5)})
 	}
 	var placers []quota.Allocation
 	for i, p := range s.Placers {
--- a/internal/server/platform/recordinghost_test.go
+++ b/internal/server/platform/recordinghost_test.go
@@ -1,7 +1,6 @@
 package platform
 
 import (
-	"bufio"
 	"net"
 	"sync"
 	"testing"
@@ -55,28 +54,15 @@
 		c.closed = true
 		h.mu.Unlock()
 	}()
-	r := bufio.NewReader(c)
-	for {
-		line, err := r.ReadBytes('\n')
-		if err != nil {
-			return
-		}
-		m, err := platform.Decode(line[:len(line)-1])
-		if err != nil {
-			return
-		}
+	serveHost(c, func(m *platform.Message) bool {
 		h.mu.Lock()
-		c.received = append(c.received, m)
+		c.received = append(c.received, *m)
 		h.mu.Unlock()
-		switch m.Type {
-		case platform.TypeProbe:
-			send(c, `{"t":"hb_ok","ref":"%s","f":{"load":"x0:4;x1:9"},"c":1}`+"\n", m.Ref)
-		case platform.TypeRelease:
-			send(c, `{"t":"down","ref":"%s","f":{},"c":31}`+"\n", m.Ref)
-		case platform.TypeRequest:
+		if m.Type == platform.TypeRequest {
 			send(c, `{"t":"up","ref":"%s","f":{},"d":"of %s"}`+"\n"+`{"t":"tell","ref":"%s","f":{"note":"running"}}`+"\n", m.Ref, m.Ref, m.Ref)
 		}
-	}
+		return true
+	})
 }
 
 // asTestHost returns the host as one that an endpoint list can name.
--- a/internal/server/platform/testenv_test.go
+++ b/internal/server/platform/testenv_test.go
@@ -117,6 +117,12 @@
 
 func (h *testHost) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
+	serveHost(c, func(m *platform.Message) bool { return m.Type != platform.TypeRequest || h.answerOffer(c, m.Ref) })
+}
+
+// serveHost reads the messages of a connection to a host and answers probes and releases, until the connection ends, a
+// message is malformed, or receive, which is called with each message first, returns false.
+func serveHost(c net.Conn, receive func(*platform.Message) bool) {
 	r := bufio.NewReader(c)
 	for {
 		line, err := r.ReadBytes('\n')
@@ -124,7 +130,7 @@
 			return
 		}
 		m, err := platform.Decode(line[:len(line)-1])
-		if err != nil {
+		if err != nil || !receive(&m) {
 			return
 		}
 		switch m.Type {
@@ -132,10 +138,6 @@
 			send(c, `{"t":"hb_ok","ref":"%s","f":{"load":"x0:4;x1:9"},"c":1}`+"\n", m.Ref)
 		case platform.TypeRelease:
 			send(c, `{"t":"down","ref":"%s","f":{},"c":31}`+"\n", m.Ref)
-		case platform.TypeRequest:
-			if !h.answerOffer(c, m.Ref) {
-				return
-			}
 		}
 	}
 }
