--- a/cmd/forkhead/main.go
+++ b/cmd/forkhead/main.go
@@ -1,4 +1,4 @@
-// Forkhead is a scheduler that puts long-running work on the machines of a cluster.
+// Forkhead is a scheduler that places long-running work on the machines of a cluster.
 package main
 
 import (
--- a/deploy/sites/link-kit.sh
+++ b/deploy/sites/link-kit.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Lays links to what the bench's kit keeps beside a site file, so that the bench can play the sites of this folder. The links
-# are not committed. The kit's folder may be given; it is looked for beside the repository otherwise.
+# Creates symbolic links to the files that the kit has beside a site file, so that the bench can play the sites of this
+# folder. The links are not committed. The kit's folder may be given; it is looked for beside the repository otherwise.
 set -eu
 cd "$(dirname "$0")"
 kit=${1:-../../../given/kit}
--- a/internal/emulator/host/connection.go
+++ b/internal/emulator/host/connection.go
@@ -17,7 +17,7 @@
 	decoder     hostproto.Decoder // on the goroutine that reads
 	id          hostmodel.ConnID
 	model       *hostmodel.Host // the incarnation in which it was opened
-	unsent      []byte          // frames of the step in hand
+	unsent      []byte          // frames of the current step
 	muted       bool
 	placer      int // -1: no Hello yet
 	placerEpoch uint64
--- a/internal/emulator/host/registration.go
+++ b/internal/emulator/host/registration.go
@@ -33,7 +33,7 @@
 	return e
 }
 
-// registrar registers a host with the catalog on a goroutine of its own, so that a slow catalog does not hold up the host.
+// registrar registers a host with the catalog on a goroutine of its own, so that a slow catalog does not block the host.
 type registrar struct {
 	address string // of Consul's API; "": nothing is registered
 	service string
@@ -52,7 +52,7 @@
 
 func (r *registrar) start() { r.done.Go(r.run) }
 
-// stop ends the goroutine after the request in hand.
+// stop ends the goroutine after the current request.
 func (r *registrar) stop() {
 	close(r.stopped)
 	r.done.Wait()
--- a/internal/emulator/hostmodel/config.go
+++ b/internal/emulator/hostmodel/config.go
@@ -18,7 +18,7 @@
 	MaxCachedPrograms   int           // programs that stay after the last task of their service
 
 	// A host that has just come up warms up for SlowStartDuration: it starts tasks at first at the fraction
-	// SlowStartInitialRate of its usual rate, and the fraction grows evenly to 1. Within a SlowStartWindow it then bears
+	// SlowStartInitialRate of its usual rate, and the fraction grows evenly to 1. Within a SlowStartWindow it then withstands
 	// SlowStartMaxOffers offers, or SlowStartOverload times as many as it can start in it, if these are more. With one
 	// more it crashes.
 	SlowStartDuration    time.Duration
--- a/internal/emulator/hostmodel/offers.go
+++ b/internal/emulator/hostmodel/offers.go
@@ -179,7 +179,7 @@
 	}
 }
 
-// countOffer crashes a host that warms up when it gets more offers than it bears.
+// countOffer crashes a host that warms up when it gets more offers than it withstands.
 func (h *Host) countOffer() {
 	if !h.warmingUp() {
 		return
--- a/internal/parse/compose/elements.go
+++ b/internal/parse/compose/elements.go
@@ -4,7 +4,7 @@
 type treatment uint8
 
 const (
-	honored treatment = iota // bears on placing, restarting or updating here
+	honored treatment = iota // affects placement, restarts or updates here
 	passed                   // passed to the host in the task's payload, acted on there
 	noted                    // of no meaning for a cluster of hosts: reported in a note
 	refused                  // cannot be honored: an error
--- a/internal/parse/compose/extension.go
+++ b/internal/parse/compose/extension.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	extensionPrefix = "x-" // keys with it are anybody's, by the Compose Specification
+	extensionPrefix = "x-" // keys with it are extensions, by the Compose Specification
 	ownExtension    = "x-forkhead"
 
 	maxExtensionTime = 365 * 24 * time.Hour // of the durations in x-forkhead
--- a/internal/parse/compose/golden_test.go
+++ b/internal/parse/compose/golden_test.go
@@ -12,8 +12,8 @@
 	"forkhead/internal/goldentest"
 )
 
-// testdata/all.yaml has what placing goes by and some of what hosts get. It comes to the same description, with the same
-// places and payloads, in the order of the fields.
+// testdata/all.yaml has the elements that placement uses and some of those that hosts get. It is decoded to the same description,
+// with the same places and payloads, in the order of the fields.
 func TestParseGolden(t *testing.T) {
 	file := filepath.Join("testdata", "all.yaml")
 	text, err := os.ReadFile(file)
--- a/internal/parse/compose/keyvalues.go
+++ b/internal/parse/compose/keyvalues.go
@@ -51,7 +51,7 @@
 }
 
 // keyValueLine adds one line to pairs: [export ]KEY=VALUE with the value in quotes or without, or KEY, which takes the
-// variable's value. Empty lines and those that begin with # are passed over.
+// variable's value. Empty lines and those that begin with # are ignored.
 func (d *decoder) keyValueLine(line string, pos diagnostic.Pos, what string, pairs map[string]string) {
 	line = strings.TrimSpace(strings.TrimSuffix(line, "\r"))
 	if line == "" || line[0] == '#' {
--- a/internal/parse/compose/merge.go
+++ b/internal/parse/compose/merge.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// merge lays the tree override over base by the Compose Specification's chapter on merging: mappings are merged, lists
+// merge merges the tree override into base by the Compose Specification's chapter on merging: mappings are merged, lists
 // appended, single values replaced; mergeRules has the exceptions. path names the place of both, with * for a service's
 // name. The result may share nodes with both trees. nil is an absent value.
 func merge(base, override *value, path string) *value {
--- a/internal/parse/compose/placement.go
+++ b/internal/parse/compose/placement.go
@@ -14,7 +14,7 @@
 	"update_config",
 }
 
-// placement sets what bears on where the service's tasks are placed. service is its mapping, deploy the element of that name.
+// placement sets what affects where the service's tasks are placed. service is its mapping, deploy the element of that name.
 func (d *decoder) placement(s *servicespec.Service, service, deploy *value) {
 	d.platform(s, service)
 	d.hostPorts(s, service)
--- a/internal/parse/compose/yaml.go
+++ b/internal/parse/compose/yaml.go
@@ -105,7 +105,7 @@
 	return &value{pos: pos, tag: mergeTagOf(n)}, nil
 }
 
-// mergeTagOf returns the node's tag if it bears on merging, else "".
+// mergeTagOf returns the node's tag if it affects merging, else "".
 func mergeTagOf(n *yaml.Node) string {
 	if n.Tag == tagReset || n.Tag == tagOverride {
 		return n.Tag
--- a/internal/parse/diagnostic/diagnostic.go
+++ b/internal/parse/diagnostic/diagnostic.go
@@ -47,7 +47,7 @@
 	return &Error{Pos: p, Message: fmt.Sprintf(format, args...), Want: want}
 }
 
-// MaxErrors is how many errors a List keeps: nobody reads all those of a broken file.
+// MaxErrors is how many errors a List keeps; further ones are counted.
 const MaxErrors = 20
 
 // List gathers the errors of one file. The zero value is empty.
@@ -56,7 +56,7 @@
 	dropped int // beyond MaxErrors
 }
 
-// Add keeps an error, or counts it where there are MaxErrors; nil is passed over.
+// Add keeps an error, or counts it where there are MaxErrors; nil is ignored.
 func (l *List) Add(err error) {
 	if err == nil {
 		return
--- a/internal/parse/hostport/hostport.go
+++ b/internal/parse/hostport/hostport.go
@@ -1,5 +1,5 @@
-// Package hostport takes addresses of the form HOST:PORT apart and puts them together, without a
-// socket library: what reads a file or a list must be able to check how one is written.
+// Package hostport splits and joins addresses of the form HOST:PORT, without a socket library:
+// what reads a file or a list must be able to check how one is written.
 package hostport
 
 import (
@@ -33,7 +33,7 @@
 	return host, int(n), nil
 }
 
-// Join puts an address together.
+// Join returns the address of a host and a port, with the host in brackets where it has colons.
 func Join(host string, port int) string {
 	if strings.Contains(host, ":") {
 		host = "[" + host + "]"
--- a/internal/parse/platformconfig/golden_test.go
+++ b/internal/parse/platformconfig/golden_test.go
@@ -20,9 +20,9 @@
 	return b.String()
 }
 
-// testdata/all.json has every key with a value of its own. Each comes to its place among the values of the object and of
-// the module's settings, whose order is that of the fields: who puts the fields in another order has to see that the values
-// move with them.
+// testdata/all.json has every key with a value of its own. Each is decoded to its place among the values of the object and of
+// the module's settings, whose order is that of the fields: where the fields are reordered, the values have
+// to move with them.
 func TestSettingsGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "all.json"))
 	if err != nil {
--- a/internal/parse/platformconfig/report.go
+++ b/internal/parse/platformconfig/report.go
@@ -13,7 +13,7 @@
 }
 
 // SetReported sets a value of a load report by the name that loadInfo.fields has for it. Values that the module does not
-// use are passed over.
+// use are ignored.
 func SetReported(r *forkhead.LoadReport, field string, value float64) {
 	switch field {
 	case "x0":
--- a/internal/parse/servicespec/keys.go
+++ b/internal/parse/servicespec/keys.go
@@ -8,7 +8,7 @@
 )
 
 // Fingerprint returns a number that changes with anything that a running task of the service is made of. Replicas, waits and
-// what bears only on the next placement are left out.
+// what affects only the next placement are left out.
 func (s *Service) Fingerprint() uint64 {
 	text := fmt.Appendf(nil, "%s|%s|%g|%g|%g|%g|%d|%s", s.Class, s.Tenant, s.Cores, s.Memory, s.LimitCores, s.LimitMemory,
 		s.StopGrace, s.Payload)
--- a/internal/parse/servicespec/servicespec.go
+++ b/internal/parse/servicespec/servicespec.go
@@ -1,5 +1,5 @@
 // Package servicespec is the model of a service specification that every source format is parsed into: what is to run, how
-// many times, and what bears on where.
+// many times, and what affects where.
 //
 // Specifications are stored as JSON. Fields keep the names of the first stored ones there.
 package servicespec
@@ -120,7 +120,7 @@
 	When        RestartCondition
 	Delay       time.Duration
 	MaxRestarts int           `json:"Most"` // restarts in Window; 0: no limit
-	Window      time.Duration // 0: for good
+	Window      time.Duration // 0: unlimited
 }
 
 // FailureAction is what an update does when too many tasks fail. It is stored as a number.
--- a/internal/parse/settings/default.sexp
+++ b/internal/parse/settings/default.sexp
@@ -1,5 +1,5 @@
-; Settings that hold where none are given: three placers on loopback, two kinds of host,
-; three classes. docs/ops/placer.md says what each setting does.
+; Settings that apply where none are given: three placers on loopback, two kinds of host,
+; three classes. docs/ops/placer.md describes each setting.
 (forkhead
   (placer (zone north) (http "127.0.0.1:7070") (tell "127.0.0.1:7170"))
   (placer (zone north) (http "127.0.0.1:7071") (tell "127.0.0.1:7171"))
--- a/internal/parse/settings/golden_test.go
+++ b/internal/parse/settings/golden_test.go
@@ -24,9 +24,9 @@
 	return b.Bytes()
 }
 
-// testdata/all.sexp gives every setting a value of its own, and testdata/least.sexp those that have no default. Each comes
-// to its place among the values, whose order is that of the fields: who puts the fields in another order has to see that
-// the values move with them.
+// testdata/all.sexp gives every setting a value of its own, and testdata/least.sexp those that have no default. Each is
+// decoded to its place among the values, whose order is that of the fields: where the fields are reordered, the values
+// have to move with them.
 func TestParseGolden(t *testing.T) {
 	for _, name := range []string{"all", "least"} {
 		file := filepath.Join("testdata", name+".sexp")
--- a/internal/parse/settings/settings.go
+++ b/internal/parse/settings/settings.go
@@ -38,7 +38,7 @@
 // Class is what the service knows of a class beside what the module does.
 type Class struct {
 	Name             string
-	RequestTimeout   time.Duration // one placement request is given up after this
+	RequestTimeout   time.Duration // of one placement request
 	PlacementTimeout time.Duration // a task is requested again and again for so long
 }
 
--- a/internal/planning/doc.go
+++ b/internal/planning/doc.go
@@ -1,4 +1,4 @@
-// Package planning is the layer of what is worked out ahead: the solver and what feeds it.
+// Package planning is the layer of what is computed in advance: the solver and what feeds it.
 //
 // It may import the module and parse. All of it is pure.
 package planning
--- a/internal/planning/plan/plan.go
+++ b/internal/planning/plan/plan.go
@@ -1,4 +1,4 @@
-// Package plan works placements out ahead: it turns a fleet and service specifications into an instance of the solver, and
+// Package plan computes placements in advance: it turns a fleet and service specifications into an instance of the solver, and
 // the solver's result into assignments, migrations, or a conflict in the specifications' own terms. It is pure.
 package plan
 
--- a/internal/protocol/hostproto/decode.go
+++ b/internal/protocol/hostproto/decode.go
@@ -90,7 +90,7 @@
 	err    *FrameError
 }
 
-// fail records the first error and passes over what is left.
+// fail records the first error and skips the remaining bytes.
 func (r *fieldReader) fail(reason error, detail string) {
 	r.failAt(r.offset, reason, detail)
 }
--- a/internal/protocol/platform/lines.go
+++ b/internal/protocol/platform/lines.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// ErrLineTooLong means that a stream of messages brought a line of more than MaxLineSize bytes.
+// ErrLineTooLong means that a stream of messages contained a line of more than MaxLineSize bytes.
 var ErrLineTooLong = fmt.Errorf("a line holds more than %d bytes", MaxLineSize)
 
 // LineSplitter cuts a stream into lines. It holds at most MaxLineSize bytes of a line that has not ended.
--- a/internal/protocol/platform/sequence_test.go
+++ b/internal/protocol/platform/sequence_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// What a log repeats is skipped, a restarted sequence is applied once the stream is idle, and a snapshot under an old number
+// What a watch repeats is skipped, a restarted sequence is applied once the stream is idle, and a snapshot under an old number
 // in the middle of a stream is skipped.
 func TestSequenceRestarts(t *testing.T) {
 	ev := func(seq uint64, snapshot bool) WatchEvent {
--- a/internal/scheduler/attempt/rules.go
+++ b/internal/scheduler/attempt/rules.go
@@ -64,13 +64,13 @@
 
 // RejectionIsHarmless reports whether an abandoned task may be answered with a rejection, which means that a
 // retry is harmless. rejected is whether its last request was rejected, offered whether any attempt was made, and unknown is
-// the number of attempts whose fate is not known.
+// the number of attempts whose outcome is not known.
 func (r *Rules) RejectionIsHarmless(rejected, offered bool, unknown int) bool {
 	return (rejected || !offered) && (unknown == 0 || r.RetryIsHarmless())
 }
 
 // ExpiresWhenUnreachable reports whether a task on an unreachable host counts as lost after a time. All others wait
-// until their fate is known.
+// until their outcome is known.
 func (r *Rules) ExpiresWhenUnreachable() bool { return r.Effect == forkhead.Safe }
 
 // ShouldAdopt reports whether an abandoned attempt that turns out to have its task becomes the task's
--- a/internal/scheduler/core/api.go
+++ b/internal/scheduler/core/api.go
@@ -39,7 +39,7 @@
 		Conn  uint32
 		Frame hostproto.Frame
 	}
-	// Submit brings a project to a description. Accepted or Rejected answers it.
+	// Submit changes a project to a specification. Accepted or Rejected answers it.
 	Submit struct {
 		Request        uint64 // number of the client's request, repeated in the answer
 		IdempotencyKey string // or ""
--- a/internal/scheduler/core/dependencies.go
+++ b/internal/scheduler/core/dependencies.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// hasDependents reports whether another service waits for this one, so that its fate has to be known.
+// hasDependents reports whether another service waits for this one, so that its outcome has to be known.
 func hasDependents(svc *service) bool {
 	for _, other := range svc.project.services {
 		if other != svc && len(other.replicas) > 0 && other.dependsOn(svc) {
--- a/internal/scheduler/core/doc.go
+++ b/internal/scheduler/core/doc.go
@@ -9,7 +9,7 @@
 // handleReplicaEnded).
 //
 //	api.go, status.go             inputs, outputs, outcomes; what the placer holds and has counted
-//	core.go, timers.go            one step; what only time brings
+//	core.go, timers.go            one step; what is due by time
 //	submissions.go, projects.go   what clients submit, with their pending outcomes; projects and their services
 //	dependencies.go, updates.go   services that wait for others; rolling updates
 //	replicas.go, requesting.go    desired replicas; when they are requested and retried
--- a/internal/scheduler/core/hostconns.go
+++ b/internal/scheduler/core/hostconns.go
@@ -48,7 +48,7 @@
 	c.emit(SendToHost{Host: h.name, Conn: h.connection.Conn, Frame: f})
 }
 
-// handleDisconnect hands the end of a host's connection on to all that depended on it.
+// handleDisconnect applies the end of a host's connection to all that depended on it.
 func (c *Core) handleDisconnect(h *host) {
 	h.synced, h.reportedRefs = false, nil
 	for _, a := range h.sortedAttempts() {
@@ -70,7 +70,7 @@
 }
 
 // expireUnreachable abandons what was placed on a host that has been unreachable for long, where a second start is
-// harmless. All else waits until its fate is known.
+// harmless. All else waits until its outcome is known.
 func (c *Core) expireUnreachable(h *host, timerNumber uint64) {
 	if timerNumber != h.lostTimerSeq || h.isConnectedAndSynced() {
 		return
--- a/internal/scheduler/core/projects.go
+++ b/internal/scheduler/core/projects.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// setSpec brings the service to a specification. An update that was in progress ends.
+// setSpec changes the service to a specification. An update that was in progress ends.
 func (s *service) setSpec(spec *servicespec.Service, requiredLabels uint64) {
 	s.spec, s.specLost, s.requiredLabels = spec, false, requiredLabels
 	s.key = servicespec.ServiceKey(spec.Tenant, s.project.name, spec.Name)
@@ -82,7 +82,7 @@
 	return &project{name: name, services: map[string]*service{}}
 }
 
-// applyDescription brings a project to a description: what is new is requested, what runs unchanged stays, what has
+// applyDescription changes a project to a description: what is new is requested, what runs unchanged stays, what has
 // changed is replaced by its service's update_config, and the rest is stopped. labels are those of the services, in order.
 func (c *Core) applyDescription(p *project, d *servicespec.Description, s *submission, labels []uint64) {
 	var toStart []*desiredReplica
@@ -108,7 +108,7 @@
 	}
 }
 
-// applyService brings a service to its specification and returns the replicas that are to be started.
+// applyService changes a service to its specification and returns the replicas that are to be started.
 func (c *Core) applyService(p *project, spec *servicespec.Service, s *submission, labels uint64) []*desiredReplica {
 	svc := p.services[spec.Name]
 	if svc == nil {
--- a/internal/scheduler/core/replicas.go
+++ b/internal/scheduler/core/replicas.go
@@ -69,7 +69,7 @@
 	return r.request != nil && r.request.HasAttemptInFlight()
 }
 
-// hasSpecLost reports whether nobody knows any more what the task was made of.
+// hasSpecLost reports whether the specification of the task is lost.
 func (r *desiredReplica) hasSpecLost() bool { return r.spec == nil || r.service.specLost }
 
 func (r *desiredReplica) stopGrace() time.Duration {
@@ -190,7 +190,7 @@
 	c.startDependents(r.service)
 }
 
-// handleReplicaLost follows the end of a placed replica that its task did not bring about by itself.
+// handleReplicaLost follows the end of a placed replica that its task did not cause itself.
 func (c *Core) handleReplicaLost(r *desiredReplica, a *taskAttempt, cause retrypolicy.Cause) {
 	if r.attempt != a {
 		return
@@ -303,7 +303,7 @@
 	}
 }
 
-// removeReplica takes a replica out of its project. What may still run of it is stopped when it shows.
+// removeReplica takes a replica out of its project. What may still run of it is stopped when a host reports it.
 func (c *Core) removeReplica(r *desiredReplica) {
 	if r.removed {
 		return
--- a/internal/scheduler/core/requesting.go
+++ b/internal/scheduler/core/requesting.go
@@ -178,7 +178,7 @@
 	case ok:
 		c.requestAt(r, at)
 	case r.retrier.Deadline > c.now && (r.blocked || event.RepeatMayHarm):
-		// Until its fate is known, or its owner's time is over.
+		// Until its outcome is known, or its owner's time is over.
 		r.state, r.blocked = awaitingRequest, true
 		c.blockedReplicas[r.taskKey] = r
 	default:
--- a/internal/scheduler/core/restore.go
+++ b/internal/scheduler/core/restore.go
@@ -191,7 +191,7 @@
 func (c *Core) restoreAttempt(saved *durable.Attempt) {
 	r := c.findReplica(taskName{project: saved.Project, service: saved.Service, replica: saved.Replica})
 	if r == nil || r.state == finished {
-		// Nobody wants the task any more: what its host still runs of it is stopped when it shows.
+		// Nobody wants the task any more: what its host still runs of it is stopped when it reports it.
 		c.persist(durable.AttemptResolved{Ref: saved.Ref})
 		return
 	}
--- a/internal/scheduler/core/submissions.go
+++ b/internal/scheduler/core/submissions.go
@@ -41,7 +41,7 @@
 	since      time.Duration
 }
 
-// handleSubmit accepts a submission, unless a limit forbids it, and brings its project to the description.
+// handleSubmit accepts a submission, unless a limit forbids it, and changes its project to the description.
 func (c *Core) handleSubmit(in Submit) {
 	earlier, rejected := c.findDuplicate(in)
 	if rejected != nil {
--- a/internal/scheduler/core/updates.go
+++ b/internal/scheduler/core/updates.go
@@ -151,7 +151,7 @@
 	svc.updateQueue = nil
 }
 
-// rollBack puts back what an update has replaced, all at once.
+// rollBack restores what an update has replaced, all at once.
 func (c *Core) rollBack(svc *service) {
 	c.log("update of %s/%s failed and is rolled back", svc.project.name, svc.name)
 	for _, r := range svc.updated {
--- a/internal/scheduler/durable/records.go
+++ b/internal/scheduler/durable/records.go
@@ -93,7 +93,7 @@
 // MustBeDurableFirst returns true: a later incarnation must not run the project.
 func (ProjectRemoved) MustBeDurableFirst() bool { return true }
 
-// TombstoneExpired is emitted when no task of a removed project is expected to show any more.
+// TombstoneExpired is emitted when no task of a removed project is expected to be reported any more.
 type TombstoneExpired struct{ Project string }
 
 // Changes drops the tombstone.
--- a/internal/scheduler/hostconn/hostconn.go
+++ b/internal/scheduler/hostconn/hostconn.go
@@ -15,7 +15,7 @@
 
 // The states.
 const (
-	Down        State = iota // nothing is under way; a reconnect is due if the host is listed
+	Down        State = iota // nothing is in progress; a reconnect is due if the host is listed
 	Dialing                  // the connection is being made
 	Handshaking              // Hello is written, Welcome awaited
 	Up                       // messages may be sent
--- a/internal/scheduler/invariant/offer.go
+++ b/internal/scheduler/invariant/offer.go
@@ -10,7 +10,7 @@
 	"forkhead/internal/scheduler/attempt"
 )
 
-// SpreadCheck is an offer of a task to a host, and what CheckSpread goes by.
+// SpreadCheck is an offer of a task to a host, with the inputs of CheckSpread.
 type SpreadCheck struct {
 	Task         *forkhead.Task
 	Class        *forkhead.Class
@@ -18,7 +18,7 @@
 	ServiceHosts iter.Seq[*Host] // the hosts of the other live attempts of the service at this placer
 }
 
-// Offer is an offer of a task to a host, and what CheckOffer goes by.
+// Offer is an offer of a task to a host, with the inputs of CheckOffer.
 type Offer struct {
 	SpreadCheck
 	Request    *attempt.Request
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// CheckSpread returns the violation of the spread limits that the offer would bring about, or nil. It is checked when the
+// CheckSpread returns the violation of the spread limits that the offer would cause, or nil. It is checked when the
 // host is chosen, and again when an offer that waited for its connection can be written: tasks that an earlier
 // incarnation of the placer left running may have been reported meanwhile.
 func CheckSpread(s *SpreadCheck) *Violation {
--- a/internal/scheduler/platform/api.go
+++ b/internal/scheduler/platform/api.go
@@ -49,7 +49,7 @@
 type (
 	// OwnerConnected reports that an owner has connected.
 	OwnerConnected struct{ Owner OwnerID }
-	// OwnerData brings bytes of an owner, which the core does not keep.
+	// OwnerData is bytes of an owner, which the core does not keep.
 	OwnerData struct {
 		Owner OwnerID
 		Data  []byte
@@ -65,20 +65,20 @@
 		Refused    bool
 		Local      bool
 	}
-	// HostData brings bytes of a host, which the core does not keep.
+	// HostData is bytes of a host, which the core does not keep.
 	HostData struct {
 		Connection ConnectionID
 		Data       []byte
 	}
 	// HostDisconnected reports that a connection to a host has ended that the core has not closed.
 	HostDisconnected struct{ Connection ConnectionID }
-	// WatchEventReceived brings an event of the endpoint list. SequenceRestarted says that the numbers of events begin
+	// WatchEventReceived is a watch event. SequenceRestarted means that the numbers of events begin
 	// again with this one, a snapshot.
 	WatchEventReceived struct {
 		Event             platform.WatchEvent
 		SequenceRestarted bool
 	}
-	// GossipReceived brings a message of another placer.
+	// GossipReceived is a message of another placer.
 	GossipReceived struct {
 		From int // its number in the settings
 		Data []byte
--- a/internal/scheduler/platform/doc.go
+++ b/internal/scheduler/platform/doc.go
@@ -7,7 +7,7 @@
 //
 //	api.go, limits.go, log.go    configuration, inputs, outputs; bounds; log lines
 //	config.go                    what the settings determine of a configuration
-//	core.go, reconcile.go        one step; what only time brings
+//	core.go, reconcile.go        one step; what is due by time
 //	shutdown.go                  the end of the placer
 //	request.go, attempt.go       placement requests and the attempts to place them
 //	placed.go                    the end of placed tasks: by owner, module or host, and by a host's loss
--- a/internal/scheduler/platform/golden_test.go
+++ b/internal/scheduler/platform/golden_test.go
@@ -132,7 +132,7 @@
 	s.ownerSends(o, `{`)
 }
 
-// otherSources brings a message of another placer and events of the endpoint list.
+// otherSources delivers a message of another placer and events of the endpoint list.
 func (s *transcript) otherSources() {
 	fmt.Fprintln(&s.text, "placer 1 sends data")
 	s.step(GossipReceived{From: 1, Data: []byte("data")})
--- a/internal/scheduler/platform/host.go
+++ b/internal/scheduler/platform/host.go
@@ -24,7 +24,7 @@
 
 	attempts    map[requestRef]*taskAttempt // those that are live
 	connections []*hostConnection           // dialing or open
-	probe       *probe                      // nil: none is under way
+	probe       *probe                      // nil: none is in progress
 
 	lastSeenAliveAt  time.Duration // when it last sent something, or accepted a connection, or refused one beside an open one
 	lastDialFailedAt time.Duration // the last dial that failed; failures for want of descriptors here don't count
--- a/internal/scheduler/platform/owner.go
+++ b/internal/scheduler/platform/owner.go
@@ -22,7 +22,7 @@
 	placedTotal  int // tasks that came on it and were placed or handed over, in all
 }
 
-// ownerRank ranks connections of owners by what they have been good for: those of usual owners carry one task after the
+// ownerRank ranks connections of owners by their use until now: those of usual owners carry one task after the
 // other, and what becomes of these is sent on them.
 type ownerRank uint8
 
--- a/internal/scheduler/platform/placed.go
+++ b/internal/scheduler/platform/placed.go
@@ -25,7 +25,7 @@
 	ref  requestRef
 }
 
-// stopPossibleOrphans stops tasks that may run though no answer came, as nobody else would ever end them. A task that was
+// stopPossibleOrphans stops tasks that may run though no answer came, as nothing else would end them. A task that was
 // offered to the same host again is that host's to sort out.
 func (c *Core) stopPossibleOrphans() {
 	for _, orphan := range c.possibleOrphans {
--- a/internal/scheduler/platform/probe.go
+++ b/internal/scheduler/platform/probe.go
@@ -16,7 +16,7 @@
 	connections []*hostConnection // that it was sent on
 }
 
-// executeProbe executes the module's Probe, unless one is under way.
+// executeProbe executes the module's Probe, unless one is in progress.
 func (c *Core) executeProbe(machine forkhead.MachineID) {
 	h := c.hosts[machine]
 	if h == nil || h.probe != nil {
--- a/internal/scheduler/platform/testcore_test.go
+++ b/internal/scheduler/platform/testcore_test.go
@@ -229,7 +229,7 @@
 	return fmt.Sprintf(`{"t":"down","ref":"%s","f":{},"c":%d}`, ref, cause)
 }
 
-// fromHost brings lines of a host.
+// fromHost delivers lines of a host.
 func fromHost(conn ConnectionID, lines ...string) HostData {
 	return HostData{conn, []byte(strings.Join(lines, "\n") + "\n")}
 }
--- a/internal/scheduler/platform/unresponsive.go
+++ b/internal/scheduler/platform/unresponsive.go
@@ -81,7 +81,7 @@
 }
 
 // isLost reports whether a host has not been seen alive for too long and no connection to it could be made meanwhile.
-// A dial that is under way is awaited a little longer.
+// A dial that is in progress is awaited a little longer.
 func (h *host) isLost(unresponsiveFor time.Duration) bool {
 	return unresponsiveFor > lostAfter && h.lastDialFailedAt > h.lastSeenAliveAt+unresponsiveAfter &&
 		(!h.isDialing() || unresponsiveFor > lostAfter+lastDialBeforeLoss/2)
--- a/internal/scheduler/retrypolicy/retrypolicy_test.go
+++ b/internal/scheduler/retrypolicy/retrypolicy_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// policy is the one that all tests go by; a random value of 0.5 makes waits their mean.
+// policy is that of all tests; a random value of 0.5 makes waits their mean.
 var policy = Policy{
 	MinBackoff: time.Second, MaxBackoff: 4 * time.Second, MigrationBackoff: 100 * time.Millisecond,
 	UnsafeBackoff: 3 * time.Second, MaxRetryAfter: 2 * time.Second, MaxRequests: 5,
--- a/internal/scheduler/rollingupdate/rollingupdate.go
+++ b/internal/scheduler/rollingupdate/rollingupdate.go
@@ -8,14 +8,14 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// Status is what an update has come to.
+// Status is the state of an update.
 type Status uint8
 
 // The statuses. All but InProgress are final.
 const (
 	InProgress  Status = iota // tasks are still to be replaced, or being replaced
 	Paused                    // stopped for good: tasks that were not replaced stay as they are
-	RollingBack               // the caller puts back the tasks that were replaced
+	RollingBack               // the caller restores the tasks that were replaced
 	Complete                  // every replacement has ended
 )
 
@@ -38,7 +38,7 @@
 	return u
 }
 
-// Status returns what the update has come to.
+// Status returns the state of the update.
 func (u *Update) Status() Status { return u.status }
 
 // Failed returns the number of tasks whose replacement failed.
--- a/internal/server/clock/clock.go
+++ b/internal/server/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock gives the shells the time that their cores go by.
+// Package clock gives the shells the time of their cores.
 package clock
 
 import (
--- a/internal/server/eventloop/eventloop.go
+++ b/internal/server/eventloop/eventloop.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// Call runs a job on the loop and waits for it. It returns false if the loop is stopped; a job that was in hand then may
+// Call runs a job on the loop and waits for it. It returns false if the loop is stopped; a job that was running then may
 // have run. It must not be called from a job.
 func (l *Loop) Call(job func()) bool {
 	ran := make(chan struct{})
@@ -105,7 +105,7 @@
 	}
 }
 
-// Stop ends the loop after the job in hand and waits for its goroutine. Queued jobs are dropped. It must not be called
+// Stop ends the loop after the current job and waits for its goroutine. Queued jobs are dropped. It must not be called
 // from a job, nor on a loop that was not started.
 func (l *Loop) Stop() {
 	l.mu.Lock()
@@ -143,7 +143,7 @@
 	}
 }
 
-// catchUp lets producers post until a round brings no job; ran is how many jobs the last one brought.
+// catchUp lets producers post until a round has no job; ran is how many jobs the last one had.
 func (l *Loop) catchUp(ran int) (stopped bool) {
 	for round := 0; (ran > 0 || round == 0) && round < maxCatchUpRounds; round++ {
 		time.Sleep(catchUpPause)
--- a/internal/server/netio/netio.go
+++ b/internal/server/netio/netio.go
@@ -19,7 +19,7 @@
 
 import "errors"
 
-// ReadSize is the most bytes that Handler.Data brings at once; where it brings fewer, nothing more waits to be read.
+// ReadSize is the most bytes that Handler.Data gets at once; where it gets fewer, nothing more waits to be read.
 const ReadSize = 32 << 10
 
 // ErrWriteBufferFull means that a connection's peer does not read fast enough: the connection has been closed.
@@ -27,7 +27,7 @@
 
 // Handler handles what happens on a connection.
 type Handler interface {
-	// Data brings bytes that came. It is called by one goroutine at a time and must not keep p. It may be called before
+	// Data handles received bytes. It is called by one goroutine at a time and must not keep p. It may be called before
 	// Opened of the connection, or opened of its dial, has returned.
 	Data(c *Conn, p []byte)
 	// Closed is called once, with the reason or nil. Data may still be running. It must not close the connection again.
--- a/internal/server/platform/eventinterval.go
+++ b/internal/server/platform/eventinterval.go
@@ -10,7 +10,7 @@
 	maxBackoffShift  = 5                // doublings of the timeout
 )
 
-// eventIntervals estimates how long the watch usually goes without an event. A watch that brings events all the time and
+// eventIntervals estimates how long the watch usually goes without an event. A watch that delivers events all the time and
 // then only comments is stuck: it is polled again, in ever longer intervals while nothing comes of that. Where events are
 // rare or too few have come, it waits forever. Not for concurrent use.
 type eventIntervals struct {
--- a/internal/server/platform/eventinterval_test.go
+++ b/internal/server/platform/eventinterval_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A watch that brings events all the time is polled again when it goes without one for longer, ever more rarely; one whose
+// A watch that delivers events all the time is polled again when it goes without one for longer, ever more rarely; one whose
 // events are rare is not.
 func TestEventIntervalsNextTimeout(t *testing.T) {
 	var e eventIntervals
--- a/internal/server/platform/watch.go
+++ b/internal/server/platform/watch.go
@@ -19,7 +19,7 @@
 
 const (
 	streamIdleTimeout = 1500 * time.Millisecond // the platform sends a comment each second
-	minPollBackoff    = 50 * time.Millisecond   // between polls that bring nothing, doubled each time
+	minPollBackoff    = 50 * time.Millisecond   // between polls without an event, doubled each time
 	maxPollBackoff    = 400 * time.Millisecond
 	streamBufferSize  = 16 << 10
 )
--- a/internal/server/platform/watch_test.go
+++ b/internal/server/platform/watch_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// A watch that goes on with comments and brings no event any more is polled again.
+// A watch that goes on with comments and delivers no event any more is polled again.
 func TestWatcherPollsAgainAWatchThatOnlyComments(t *testing.T) {
 	address := scriptedWatch(t,
 		func(s watchStream) {
--- a/internal/server/store/file.go
+++ b/internal/server/store/file.go
@@ -13,7 +13,7 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// fileMode is that of a store's file: what clients submit is nobody else's business.
+// fileMode is that of a store's file: what clients submit is private.
 const fileMode = 0o600
 
 // compactTransactionBytes is the most that Compact copies in one transaction.
@@ -69,7 +69,7 @@
 	return putCounts(tx, counts)
 }
 
-// syncFolder makes the names in a folder durable. A folder that cannot be opened is passed over.
+// syncFolder makes the names in a folder durable. A folder that cannot be opened is ignored.
 func syncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
--- a/internal/server/store/golden_test.go
+++ b/internal/server/store/golden_test.go
@@ -79,7 +79,7 @@
 	goldentest.Check(t, "placer.dump", dump(t, path))
 }
 
-// recordsOf returns the records that a snapshot came of.
+// recordsOf returns the records that make a snapshot.
 func recordsOf(t *testing.T, snapshot *durable.Snapshot) []durable.Record {
 	t.Helper()
 	specifications := map[string]*servicespec.Description{} // by submission; none where the project was removed
--- a/internal/verify/chaos/bugs.go
+++ b/internal/verify/chaos/bugs.go
@@ -16,7 +16,7 @@
 	helloSettleTime    = 100 * time.Millisecond // for the Hello to reach a host
 	repeatedOfferPause = 500 * time.Millisecond // between two offers of one task
 	drainMargin        = 500 * time.Millisecond // beyond the grace of a draining host
-	floodOffers        = 5000                   // to a fresh host
+	floodOffers        = 5000                   // to a host in its slow start
 )
 
 // The tasks that a misbehaving placer offers.
@@ -77,7 +77,7 @@
 	return p.offer(host, r.scenario.Settings.Classes[0].Name, drainTask)
 }
 
-// overloadFreshHost offers more to a host that has just started than it bears.
+// overloadFreshHost offers more to a host that has just started than it withstands.
 func (r *runner) overloadFreshHost(p *misbehavingPlacer) error {
 	host := r.cluster.Hosts[0]
 	host.Kill()
--- a/internal/verify/modelcheck/actions_network.go
+++ b/internal/verify/modelcheck/actions_network.go
@@ -75,7 +75,7 @@
 	s.discardUndeliverable()
 }
 
-// breakStream loses all that is under way; either end sees it some time later.
+// breakStream loses all that is in transit; either end sees it some time later.
 func (st *step) breakStream(hi, i int) {
 	s := &st.s.hosts[hi].streams[i]
 	s.broken = true
--- a/internal/verify/modelcheck/properties.go
+++ b/internal/verify/modelcheck/properties.go
@@ -23,7 +23,7 @@
 }
 
 // mayRun reports whether an attempt may have started its task, or may yet, whatever the placer knows of it: it looks at
-// what really is at the host and under way.
+// what really is at the host and in transit.
 func (st *step) mayRun(ti, ai int) bool {
 	a := &st.s.tasks[ti].attempts[ai]
 	h := &st.s.hosts[a.host]
@@ -45,7 +45,7 @@
 	return false
 }
 
-// willDeliver reports whether a message is under way to the host.
+// willDeliver reports whether a message is in transit to the host.
 func (s *stream) willDeliver(m message) bool {
 	if !s.hostOpen || s.broken {
 		return false
--- a/internal/verify/modelcheck/replay_actions.go
+++ b/internal/verify/modelcheck/replay_actions.go
@@ -53,7 +53,7 @@
 	{"placer crashes", (*replayer).crashPlacer},
 }
 
-// replayAction replays a line of a trace. It returns an error if the core has not come to where the line is possible.
+// replayAction replays a line of a trace. It returns an error if the core is not in a state in which the line is possible.
 func (r *replayer) replayAction(line string) error {
 	for _, a := range replayActions {
 		if on, ok := r.match(a.pattern, line); ok {
@@ -306,7 +306,7 @@
 	return nil
 }
 
-// withdrawals withdraw all attempts of a task's request. The core passes over those that are not in flight.
+// withdrawals withdraw all attempts of a task's request. The core ignores those that are not in flight.
 func (r *replayer) withdrawals(task int) (actions []forkhead.Action) {
 	for n := range maxAttempts {
 		actions = append(actions, forkhead.Withdraw{Task: r.tasks[task].request, Attempt: n})
--- a/internal/verify/modelcheck/replay_host.go
+++ b/internal/verify/modelcheck/replay_host.go
@@ -21,7 +21,7 @@
 	attempts    map[hostproto.Ref]*replayAttempt
 }
 
-// replayStream is a connection with the frames that are under way on it.
+// replayStream is a connection with the frames that are in transit on it.
 type replayStream struct {
 	conn        uint32
 	incarnation uint64 // of the placer
--- a/internal/verify/modelcheck/state.go
+++ b/internal/verify/modelcheck/state.go
@@ -13,7 +13,7 @@
 	maxTasks    = 3
 	maxHosts    = 2
 	maxAttempts = 3 // of one task, in all requests and incarnations
-	maxQueue    = 4 // messages under way on one connection in one direction
+	maxQueue    = 4 // messages in transit on one connection in one direction
 )
 
 // state is a state of the whole system: owners, placer, network and hosts. It has no pointers and no padding: all fields
@@ -111,7 +111,7 @@
 	toPlacer      [maxQueue]message
 }
 
-// message is a frame under way between placer and host.
+// message is a frame in transit between placer and host.
 type message struct {
 	kind   messageKind
 	about  uint8    // task<<4 | attempt; of a Welcome the host's epoch
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// sendToHost puts a message under way, unless nothing gets through. It returns false if the queue is full.
+// sendToHost queues a message to the host, unless nothing gets through. It returns false if the queue is full.
 func (s *stream) sendToHost(m message) bool {
 	return s.broken || !s.hostOpen || push(&s.toHost, &s.toHostCount, m)
 }
--- a/internal/verify/modelcheck/step.go
+++ b/internal/verify/modelcheck/step.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// step is a transition under way: it changes s, a copy of the state from which it leads.
+// step is a transition that is being applied: it changes s, a copy of the state from which it leads.
 type step struct {
 	*model
 	s         *state
@@ -80,7 +80,7 @@
 	return r
 }
 
-// unknownAttempts counts the attempts of a task whose fate the placer does not know.
+// unknownAttempts counts the attempts of a task whose outcome the placer does not know.
 func (st *step) unknownAttempts(t *task) int {
 	n := 0
 	for i := range t.made() {
--- a/internal/verify/platformsim/orderevents.go
+++ b/internal/verify/platformsim/orderevents.go
@@ -18,7 +18,7 @@
 	eventDrain    eventKind = "drain"    // of the first host
 
 	eventOwnerDisconnected eventKind = "owner-gone"
-	eventGiveUp            eventKind = "give-up"
+	eventCancel            eventKind = "give-up"
 	eventHandOver          eventKind = "hand-over"
 
 	// Of a connection.
@@ -82,7 +82,7 @@
 	}
 	all := []orderEvent{{kind: eventOwnerDisconnected}}
 	if o.r.final == "" && !o.r.cancelSent {
-		all = append(all, orderEvent{kind: eventGiveUp})
+		all = append(all, orderEvent{kind: eventCancel})
 	}
 	if o.r.answer == platform.TypeBound && o.r.final == "" {
 		all = append(all, orderEvent{kind: eventHandOver})
@@ -117,7 +117,7 @@
 		event := o.w.nextEvent(false, o.w.hosts[0].endpoint(platform.Terminating))
 		o.p.noteEvent(event)
 		o.p.step(platformcore.WatchEventReceived{Event: event})
-	case eventOwnerDisconnected, eventGiveUp, eventHandOver:
+	case eventOwnerDisconnected, eventCancel, eventHandOver:
 		o.applyOwnerEvent(e.kind)
 	case eventEstablished, eventRefused, eventDisconnected:
 		o.applyConnEvent(e.kind, o.p.conns[e.conn])
@@ -132,7 +132,7 @@
 		o.r.owner.open = false
 		o.r.canceled = o.r.canceled || o.r.answer == ""
 		o.p.step(platformcore.OwnerDisconnected{Owner: orderOwner})
-	case eventGiveUp:
+	case eventCancel:
 		o.r.cancelSent = true
 		o.sendAsOwner(encodeLine(platform.TypeRelease, o.r.ref, platform.CauseOK))
 		o.r.canceled = o.r.canceled || o.r.answer == ""
--- a/internal/verify/platformsim/orders.go
+++ b/internal/verify/platformsim/orders.go
@@ -18,7 +18,7 @@
 
 // ExploreOrders runs every order of depth events around one request of each class of the settings, with one placer and two
 // hosts: connections established, refused and ended, every message of a host on any attempt, late ones too, the owner's
-// give-up and disconnect, a hand-over, a drain, a host's loss and the deadline. injectFault, if not nil, is called for the
+// cancel and disconnect, a hand-over, a drain, a host's loss and the deadline. injectFault, if not nil, is called for the
 // Config.InjectFault of each order. ExploreOrders returns how many orders it ran and the first breaches, each with its order.
 func ExploreOrders(set forkhead.Settings, names platformcore.WireNames, depth int, injectFault func() OutputFilter) (runs int, breaches []string) {
 	e := explorer{settings: set, names: names, depth: depth, injectFault: injectFault}
--- a/internal/verify/platformsim/outputs.go
+++ b/internal/verify/platformsim/outputs.go
@@ -41,7 +41,7 @@
 	return platform.Decode(bytes.TrimSuffix(line, []byte("\n")))
 }
 
-// sendToHost brings a message to a host.
+// sendToHost delivers a message to a host.
 func (p *placer) sendToHost(o platformcore.SendToHost) {
 	c := p.conns[o.Connection]
 	if c == nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// sendGossip brings a gossip message to other placers; it may get lost.
+// sendGossip delivers a gossip message to other placers; it may get lost.
 func (p *placer) sendGossip(o platformcore.SendGossip) {
 	for _, other := range p.w.placers {
 		if other == p || o.To != forkhead.AllPlacers && o.To != other.number || p.w.fails(5) {
--- a/internal/verify/platformsim/request.go
+++ b/internal/verify/platformsim/request.go
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// line returns the request as a message. at, if not empty, says where the task runs that is handed over.
+// line returns the request as a message. at, if not empty, is where the task runs that is handed over.
 func (r *request) line(at string) string {
 	names := r.placer.w.WireNames
 	tenant := ""
--- a/internal/verify/platformsim/run.go
+++ b/internal/verify/platformsim/run.go
@@ -29,7 +29,7 @@
 // checks find it.
 type OutputFilter func(platformcore.Output) []platformcore.Output
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
 	Breaches                                  []string // of the rules; the first maxBreaches of them
 	Requests, Placed, Refused, Failed, GaveUp int
--- a/internal/verify/replay/golden_test.go
+++ b/internal/verify/replay/golden_test.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// Every kind of input is read from a recording of an earlier build with every field as it was: gob passes over a field whose
+// Every kind of input is read from a recording of an earlier build with every field as it was: gob ignores a field whose
 // name it does not know. The recording is written only where it is missing.
 func TestPlayGoldenInputs(t *testing.T) {
 	path := filepath.Join("testdata", "inputs.tape")
--- a/internal/verify/replay/stored_form.go
+++ b/internal/verify/replay/stored_form.go
@@ -14,7 +14,7 @@
 
 // This file has the stored form of a recording's steps. The names of the fields, and those in the tables below, are in
 // recordings that exist: they stay when the core's own types are renamed, whatever the code calls the same thing by now.
-// gob has no tags, and passes over a field whose name it does not know without an error, so that a change here shows in the
+// gob has no tags, and ignores a field whose name it does not know without an error, so that a change here shows in the
 // golden tests only. The types may be renamed.
 
 // recordedStep is a Step in its stored form.
--- a/internal/verify/scenario/golden_test.go
+++ b/internal/verify/scenario/golden_test.go
@@ -12,7 +12,7 @@
 	"forkhead/internal/goldentest"
 )
 
-// testdata/all.sexp gives every element of a scenario a value of its own; it and the built-in scenarios come to the same values,
+// testdata/all.sexp gives every element of a scenario a value of its own; it and the built-in scenarios are decoded to the same values,
 // in the order of the fields.
 func TestReadGolden(t *testing.T) {
 	file := filepath.Join("testdata", "all.sexp")
--- a/internal/verify/simulation/network.go
+++ b/internal/verify/simulation/network.go
@@ -55,7 +55,7 @@
 	s.After(s.Delay, func() { s.ExecuteHostOutputs(o.Host, h.Model.ConnectionClosed(s.Now, id)) })
 }
 
-// sendToHost brings a frame to its host, unless it gets lost.
+// sendToHost delivers a frame to its host, unless it gets lost.
 func (s *Sim) sendToHost(o core.SendToHost) {
 	h := s.Hosts[o.Host]
 	if f, ok := o.Frame.(hostproto.Offer); ok {
@@ -71,7 +71,7 @@
 	})
 }
 
-// ExecuteHostOutputs executes the outputs of a host: its frames are brought to the placer, unless they get lost, and its
+// ExecuteHostOutputs executes the outputs of a host: its frames are delivered to the placer, unless they get lost, and its
 // connections closed. The connections of a host that is down are reset.
 func (s *Sim) ExecuteHostOutputs(name string, out []hostmodel.Output) {
 	h := s.Hosts[name]
@@ -92,7 +92,7 @@
 	}
 }
 
-// sendToPlacer brings a frame of a host to the placer, unless it gets lost.
+// sendToPlacer delivers a frame of a host to the placer, unless it gets lost.
 func (s *Sim) sendToPlacer(name string, conn uint32, frame hostproto.Frame) {
 	h := s.Hosts[name]
 	generation := h.connGeneration
--- a/internal/verify/simulation/random_test.go
+++ b/internal/verify/simulation/random_test.go
@@ -23,7 +23,7 @@
 	}
 	// And runs whose placer broke one by what crossed its own sockets: an offer that waited for its
 	// connection while tasks of an earlier incarnation turned up, or to a host whose handshake reported that it
-	// drains after it was forgotten; a copy whose Stop was lost; a keyed task that lapsed as the safe one it
+	// drains after it was removed; a copy whose Stop was lost; a keyed task that expired as the safe one it
 	// had become.
 	for _, seed := range []int{10150, 10587, 10641, 10986, 11370, 11409, 11418} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { RunRandom(t, Ordinary, uint64(seed)) })
--- a/internal/verify/testcluster/placers.go
+++ b/internal/verify/testcluster/placers.go
@@ -18,7 +18,7 @@
 	placerStartBackoff = 10 * time.Millisecond
 )
 
-// ModuleFactory returns the Step function of a module that takes the real one's place, to show that what it does wrong is
+// ModuleFactory returns the Step function of a module that replaces the real one, to show that what it does wrong is
 // caught.
 type ModuleFactory func(set forkhead.Settings) func(now time.Duration, events []forkhead.Event) []forkhead.Action
 
