--- a/internal/scheduler/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -62,10 +62,10 @@
 	removedProjects map[string]bool // removed in an earlier incarnation
 	replicaCount    int
 
-	submissions         map[string]*submission
-	submissionsByKey    map[string]*submission // by Idempotency-Key
-	completeSubmissions []*submission          // in the order in which they became complete
-	lastSubmission      uint64                 // number of the last one
+	submissions          map[string]*submission
+	submissionsByKey     map[string]*submission // by Idempotency-Key
+	completeSubmissions  []*submission          // in the order in which they became complete
+	lastSubmissionNumber uint64                 // number of the last one
 
 	status Status // what is counted; Status() fills in the rest
 }
--- a/internal/scheduler/core/dependencies.go
+++ b/internal/scheduler/core/dependencies.go
@@ -66,7 +66,7 @@
 		other := svc.project.services[dependency.Service]
 		otherMet, failure := true, ", which is not here"
 		if other != nil {
-			otherMet, failure = other.reached(dependency.When)
+			otherMet, failure = other.satisfies(dependency.When)
 		}
 		if failure == "" {
 			met = met && otherMet
@@ -77,8 +77,8 @@
 	return met, ""
 }
 
-// reached reports whether a service is as far as a condition requires, or why it never will be; "": it may be.
-func (s *service) reached(condition servicespec.DependencyCondition) (met bool, failure string) {
+// satisfies reports whether a service is as far as a condition requires, or why it never will be; "": it may be.
+func (s *service) satisfies(condition servicespec.DependencyCondition) (met bool, failure string) {
 	if s.failureReason != "" {
 		return false, ", which was not placed"
 	}
--- a/internal/scheduler/core/explain.go
+++ b/internal/scheduler/core/explain.go
@@ -11,9 +11,9 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// explain returns why a replica cannot be placed, by this placer's view and the hosts' answers. hopeless means that no host
+// explain returns why a replica cannot be placed, by this placer's view and the hosts' answers. impossible means that no host
 // of any machine type could ever take it.
-func (c *Core) explain(r *desiredReplica) (reason string, hopeless bool) {
+func (c *Core) explain(r *desiredReplica) (reason string, impossible bool) {
 	if !c.fitsMachineType(r) {
 		where := "any kind of host"
 		if machineType := c.moduleClass(r).MachineType; machineType >= 0 {
@@ -132,9 +132,9 @@
 // countInDomain returns the number of a service's live attempts in a host's domain.
 func (c *Core) countInDomain(svc *service, domain forkhead.Domain, h *host) int {
 	n := 0
-	this := h.forInvariants()
+	target := h.forInvariants()
 	for _, a := range c.liveAttempts[svc.key] {
-		if invariant.SameDomain(domain, a.host.forInvariants(), this) {
+		if invariant.SameDomain(domain, a.host.forInvariants(), target) {
 			n++
 		}
 	}
--- a/internal/scheduler/core/labels.go
+++ b/internal/scheduler/core/labels.go
@@ -22,7 +22,7 @@
 // labelRow is a constraint in use.
 type labelRow struct {
 	constraint servicespec.Constraint
-	users      int // services
+	useCount   int // services
 }
 
 // nearDomains are the attributes that are met wherever another service has a task in the same domain.
@@ -51,8 +51,8 @@
 // release ends one use of a bit, and frees it with the last.
 func (t *labelTable) release(bit int) {
 	row := t.rows[bit]
-	row.users--
-	if row.users > 0 {
+	row.useCount--
+	if row.useCount > 0 {
 		return
 	}
 	delete(t.index, row.constraint.String())
@@ -82,9 +82,9 @@
 	return n
 }
 
-// takeLabels returns the bits of constraints and counts one use of each. ok is false if there are more constraints than
+// acquireLabels returns the bits of constraints and counts one use of each. ok is false if there are more constraints than
 // the table holds; then nothing is counted.
-func (c *Core) takeLabels(constraints []servicespec.Constraint) (bits uint64, ok bool) {
+func (c *Core) acquireLabels(constraints []servicespec.Constraint) (bits uint64, ok bool) {
 	anyAdded := false
 	for _, constraint := range constraints {
 		bit, added, ok := c.labels.add(constraint)
@@ -96,7 +96,7 @@
 		if bits&(1<<bit) != 0 {
 			continue // the same constraint twice
 		}
-		c.labels.rows[bit].users++
+		c.labels.rows[bit].useCount++
 		bits |= 1 << bit
 	}
 	if anyAdded {
@@ -105,14 +105,14 @@
 	return bits, true
 }
 
-// takeServiceLabels returns the bits of the constraints of each service of a description, in their order. ok is false if
+// acquireServiceLabels returns the bits of the constraints of each service of a description, in their order. ok is false if
 // they are more than the table holds; then nothing is counted.
-func (c *Core) takeServiceLabels(p *project, d *servicespec.Description) (bits []uint64, ok bool) {
+func (c *Core) acquireServiceLabels(p *project, d *servicespec.Description) (bits []uint64, ok bool) {
 	bits = make([]uint64, len(d.Services))
 	for i := range d.Services {
 		spec := &d.Services[i]
 		constraints := append(slices.Clone(spec.Constraints), nearConstraints(p.name, d, spec)...)
-		taken, ok := c.takeLabels(constraints)
+		taken, ok := c.acquireLabels(constraints)
 		if !ok {
 			for _, b := range bits[:i] {
 				c.labels.releaseAll(b)
--- a/internal/scheduler/core/labeltable_test.go
+++ b/internal/scheduler/core/labeltable_test.go
@@ -11,7 +11,7 @@
 	take := func(attribute servicespec.Attribute) (bit int, ok bool) {
 		bit, _, ok = table.add(servicespec.Constraint{Attribute: attribute, Value: "x"})
 		if ok {
-			table.rows[bit].users++
+			table.rows[bit].useCount++
 		}
 		return bit, ok
 	}
--- a/internal/scheduler/core/projects.go
+++ b/internal/scheduler/core/projects.go
@@ -139,7 +139,7 @@
 // started.
 func (c *Core) claimReplica(svc *service, number int, s *submission) *desiredReplica {
 	r := svc.replicas[number]
-	pending := &pendingOutcome{submission: s, since: c.now}
+	pending := &pendingOutcome{submission: s, acceptedAt: c.now}
 	if r != nil && r.state == finished {
 		c.removeReplica(r)
 		r = nil
--- a/internal/scheduler/core/replicas.go
+++ b/internal/scheduler/core/replicas.go
@@ -69,8 +69,8 @@
 	return r.request != nil && r.request.HasAttemptInFlight()
 }
 
-// hasSpecLost reports whether the specification of the task is lost.
-func (r *desiredReplica) hasSpecLost() bool { return r.spec == nil || r.service.specLost }
+// isSpecLost reports whether the specification of the task is lost.
+func (r *desiredReplica) isSpecLost() bool { return r.spec == nil || r.service.specLost }
 
 func (r *desiredReplica) stopGrace() time.Duration {
 	if r.spec == nil {
@@ -128,12 +128,12 @@
 // handleUnplaced follows a request that ended without a placement.
 func (c *Core) handleUnplaced(r *desiredReplica, rejected bool, retryAfter time.Duration) {
 	r.rejected = rejected
-	reason, hopeless := c.explain(r)
+	reason, impossible := c.explain(r)
 	r.reason = reason
 	if r.removed || r.removing {
 		return
 	}
-	if hopeless && r.placements == 0 {
+	if impossible && r.placements == 0 {
 		c.abandon(r)
 		return
 	}
@@ -206,7 +206,7 @@
 	case r.nextSpec != nil:
 		c.finishReplacement(r)
 	case c.replaceIfQueued(r):
-	case r.hasSpecLost():
+	case r.isSpecLost():
 		c.removeReplica(r)
 	case r.placements >= c.settings.Owner.MaxPlacements:
 		c.log("task %s was placed %d times and is given up", r.name, r.placements)
@@ -233,7 +233,7 @@
 		return
 	}
 	succeeded := d.result == forkhead.OK
-	if !c.takeRestart(r, succeeded) {
+	if !c.allowRestart(r, succeeded) {
 		r.state, r.succeeded = finished, succeeded
 		c.persistFinished(r)
 		c.startDependents(r.service)
@@ -248,7 +248,7 @@
 // lossCause reports whether a task's end is none that its restart policy deals with, and what it is then.
 func lossCause(r *desiredReplica, a *taskAttempt, d attemptDetail) (cause retrypolicy.Cause, lost bool) {
 	switch {
-	case r.removing || r.nextSpec != nil || r.hasSpecLost():
+	case r.removing || r.nextSpec != nil || r.isSpecLost():
 		return retrypolicy.Ended, true
 	case d.result == forkhead.Withdrawn || a.migrating:
 		return retrypolicy.Migrated, true
@@ -260,8 +260,8 @@
 	return 0, false
 }
 
-// takeRestart reports whether a restart policy wants an ended task back, and counts the restart if so.
-func (c *Core) takeRestart(r *desiredReplica, succeeded bool) bool {
+// allowRestart reports whether a restart policy wants an ended task back, and counts the restart if so.
+func (c *Core) allowRestart(r *desiredReplica, succeeded bool) bool {
 	policy := &r.spec.Restart
 	wanted := policy.When == servicespec.Always && !r.spec.Mode.Job() || policy.When != servicespec.Never && !succeeded
 	if !wanted || policy.MaxRestarts <= 0 {
--- a/internal/scheduler/core/requesting.go
+++ b/internal/scheduler/core/requesting.go
@@ -19,7 +19,7 @@
 	}
 	from := c.now
 	if r.recovered && r.pending != nil {
-		from = min(r.pending.since, c.now) // its owner waits since before this incarnation; a clock may have been set back
+		from = min(r.pending.acceptedAt, c.now) // its owner waits since before this incarnation; a clock may have been set back
 	}
 	r.retrier.Begin(max(from+timeout, c.now+attempt.MinRequestTime))
 	r.preferencesDropped, r.failureCounts, r.reason = false, nil, ""
--- a/internal/scheduler/core/requests.go
+++ b/internal/scheduler/core/requests.go
@@ -96,18 +96,18 @@
 
 // evenShare is the number of a service's tasks in each domain when they are spread evenly.
 func (c *Core) evenShare(r *desiredReplica, domain forkhead.Domain) int {
-	found := map[int]bool{}
+	indexes := map[int]bool{}
 	for _, h := range c.hosts {
 		if h.state() != forkhead.Ready || !h.hasLabels(r.service.requiredLabels) {
 			continue
 		}
 		if domain == forkhead.CellDomain {
-			found[h.cell] = true
+			indexes[h.cell] = true
 		} else {
-			found[h.zone] = true
+			indexes[h.zone] = true
 		}
 	}
-	domains := max(len(found), 1)
+	domains := max(len(indexes), 1)
 	return max((len(r.service.replicas)+domains-1)/domains, 1)
 }
 
--- a/internal/scheduler/core/restore.go
+++ b/internal/scheduler/core/restore.go
@@ -127,7 +127,7 @@
 	}
 	c.addSubmission(s)
 	if s.isComplete() {
-		c.noteComplete(s)
+		c.queueForExpiry(s)
 		c.addSubmissionExpiry()
 	}
 }
@@ -136,7 +136,7 @@
 func (c *Core) restoreProject(saved *durable.Project) (toStart []*desiredReplica) {
 	d := saved.Specification
 	p := &project{name: d.Name, services: map[string]*service{}}
-	labels, ok := c.takeServiceLabels(p, d)
+	labels, ok := c.acquireServiceLabels(p, d)
 	if !ok {
 		c.log("project %s needs more placement constraints than there may be; it is left out", d.Name)
 		return nil
@@ -180,7 +180,7 @@
 		r.retrier.Begin(c.now + noDeadline)
 		c.requestAt(r, c.now)
 	default:
-		r.pending = &pendingOutcome{submission: s, since: s.acceptedAt}
+		r.pending = &pendingOutcome{submission: s, acceptedAt: s.acceptedAt}
 		return true
 	}
 	return false
--- a/internal/scheduler/core/submissions.go
+++ b/internal/scheduler/core/submissions.go
@@ -38,7 +38,7 @@
 // pendingOutcome is an outcome that a submission still has to get.
 type pendingOutcome struct {
 	submission *submission
-	since      time.Duration
+	acceptedAt time.Duration
 }
 
 // handleSubmit accepts a submission, unless a limit forbids it, and changes its project to the description.
@@ -59,7 +59,7 @@
 	}
 	s := c.newSubmission(in, tasks)
 	p := c.projectFor(in.Description, s)
-	labels, ok := c.takeServiceLabels(p, in.Description)
+	labels, ok := c.acquireServiceLabels(p, in.Description)
 	if !ok {
 		c.reject(in.Request, newRejection(statusServiceUnavailable, "Too many constraints",
 			"more than %d different placement constraints are in use", c.settings.Limits.Labels))
@@ -83,7 +83,7 @@
 	if s.isComplete() {
 		// It has no tasks. It gets no expiry timer of its own: it is removed with the next submission that expires, or when
 		// there are too many.
-		c.noteComplete(s)
+		c.queueForExpiry(s)
 		c.emit(OutcomesAdded{Submission: s.id})
 	}
 	c.applyDescription(p, in.Description, s, labels)
@@ -152,9 +152,9 @@
 
 // newSubmission numbers a submission. It isn't added to the tables.
 func (c *Core) newSubmission(in Submit, tasks int) *submission {
-	c.lastSubmission++
+	c.lastSubmissionNumber++
 	return &submission{
-		id:             strconv.FormatUint(c.epoch, 36) + "-" + strconv.FormatUint(c.lastSubmission, 36),
+		id:             strconv.FormatUint(c.epoch, 36) + "-" + strconv.FormatUint(c.lastSubmissionNumber, 36),
 		idempotencyKey: in.IdempotencyKey,
 		bodyHash:       in.BodyHash,
 		totalOutcomes:  tasks,
@@ -169,8 +169,8 @@
 	}
 }
 
-// noteComplete queues a complete submission to be removed.
-func (c *Core) noteComplete(s *submission) {
+// queueForExpiry queues a complete submission to be removed.
+func (c *Core) queueForExpiry(s *submission) {
 	s.completedAt = c.now
 	c.completeSubmissions = append(c.completeSubmissions, s)
 }
@@ -221,7 +221,7 @@
 		Outcome:  kind,
 		Reason:   reason,
 		Attempts: r.offerCount,
-		TookMS:   (c.now - pending.since).Milliseconds(),
+		TookMS:   (c.now - pending.acceptedAt).Milliseconds(),
 	}
 	if h != nil {
 		o.Host, o.Zone, o.Rack = h.name, h.entry.Zone, h.entry.Rack
@@ -240,7 +240,7 @@
 	c.persistOutcome(s, r, o)
 	s.outcomes = append(s.outcomes, o)
 	if s.isComplete() {
-		c.noteComplete(s)
+		c.queueForExpiry(s)
 		c.addSubmissionExpiry()
 	}
 	c.emit(OutcomesAdded{Submission: s.id})
