--- a/internal/scheduler/core/api.go
+++ b/internal/scheduler/core/api.go
@@ -10,17 +10,16 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// Input is something that happened outside of the core. The shell passes inputs to Core.Step in the order in which they
-// happened.
+// Input is an event from outside the core. The shell passes inputs to Core.Step in the order in which they happened.
 type Input interface{ input() }
 
 // The inputs.
 type (
-	// HostListReceived is a snapshot of the endpoint list, or reports that it could not be read.
+	// HostListReceived is a snapshot of the endpoint list, or reports that the list could not be read.
 	HostListReceived struct {
 		Mode  forkhead.ListMode // ListCached, ListSnapshot or ListFailed
 		Hosts []HostEntry
-		Stale bool // of ListCached: the list is old, and a host counts only after its handshake
+		Stale bool // with ListCached: the list is old, so a host counts as ready only after its handshake
 	}
 	// HostConnected reports that connection Conn to a host is established.
 	HostConnected struct {
@@ -31,7 +30,7 @@
 	HostDisconnected struct {
 		Host   string
 		Conn   uint32
-		Reason string // for the log; may be ""
+		Reason string // for the log; "" if there is none
 	}
 	// FrameReceived is a frame that a host sent on connection Conn.
 	FrameReceived struct {
@@ -42,8 +41,8 @@
 	// Submit changes a project to a specification. Accepted or Rejected answers it.
 	Submit struct {
 		Request        uint64 // number of the client's request, repeated in the answer
-		IdempotencyKey string // or ""
-		BodyHash       uint64 // of what the client sent
+		IdempotencyKey string // "" if the client sent none
+		BodyHash       uint64 // hash of the request body
 		Description    *servicespec.Description
 	}
 	// RemoveProject stops all tasks of a project. Accepted or Rejected answers it.
@@ -51,9 +50,9 @@
 		Request uint64 // number of the client's request, repeated in the answer
 		Project string
 	}
-	// Restore is what an earlier incarnation of this placer persisted. It comes before any other input.
+	// Restore passes the durable state of an earlier incarnation of this placer. It comes before any other input.
 	Restore struct{ Snapshot *durable.Snapshot }
-	// GossipReceived is a message of another placer.
+	// GossipReceived is a gossip message from another placer.
 	GossipReceived struct {
 		From int // number of that placer
 		Data []byte
@@ -69,20 +68,20 @@
 func (Restore) input()          {}
 func (GossipReceived) input()   {}
 
-// HostEntry is one host of the endpoint list.
+// HostEntry is one host in the endpoint list.
 type HostEntry = consul.Host
 
-// Output is something for the shell to do.
+// Output is an action for the shell to execute.
 type Output interface{ output() }
 
 // The outputs. The shell executes them in order.
 type (
-	// DialHost establishes a connection. HostConnected or HostDisconnected with its number answers.
+	// DialHost establishes connection Conn to a host. HostConnected or HostDisconnected with the same Conn answers it.
 	DialHost struct {
 		Host, Address string
 		Conn          uint32
 	}
-	// CloseHostConnection closes a connection, or stops establishing it. Nothing answers.
+	// CloseHostConnection closes a connection, or stops establishing it. No input answers it.
 	CloseHostConnection struct {
 		Host string
 		Conn uint32
@@ -93,9 +92,9 @@
 		Conn  uint32
 		Frame hostproto.Frame
 	}
-	// Subscribe begins to watch the endpoint list. HostListReceived answers, and again after each change.
+	// Subscribe starts a watch of the endpoint list. HostListReceived answers it and follows each later change.
 	Subscribe struct{}
-	// SendGossip sends a message to a placer, or to forkhead.AllPlacers.
+	// SendGossip sends a gossip message to a placer, or to forkhead.AllPlacers.
 	SendGossip struct {
 		To   int
 		Data []byte
@@ -103,8 +102,8 @@
 	// Accepted answers Submit and RemoveProject.
 	Accepted struct {
 		Request    uint64
-		Submission string // its ID; "" for RemoveProject
-		Duplicate  bool   // the same submission had been accepted before
+		Submission string // ID of the submission; "" for RemoveProject
+		Duplicate  bool   // the same submission was accepted before
 	}
 	// Rejected answers Submit and RemoveProject.
 	Rejected struct {
@@ -112,16 +111,16 @@
 		Status     int // HTTP status code
 		Title      string
 		Detail     string
-		RetryAfter time.Duration // 0: not stated
+		RetryAfter time.Duration // 0: no advice
 	}
 	// OutcomesAdded reports that a submission has more outcomes, or is complete. Core.Outcomes returns them.
 	OutcomesAdded struct{ Submission string }
-	// Persist stores a record. The outputs that follow it in the same step leave only once the step's records are durable,
-	// if durable.MustBeDurableFirst holds for one of them.
+	// Persist stores a record. If durable.MustBeDurableFirst holds for a record of the step, the outputs that follow it
+	// in the same step leave only once the step's records are durable.
 	Persist struct{ Record durable.Record }
-	// Log is a line for whoever is on call.
+	// Log is a log line for the operator.
 	Log struct {
-		Defect bool // the line reports a fault of this program
+		Defect bool // the line reports a bug in this program
 		Text   string
 	}
 )
@@ -137,47 +136,47 @@
 func (Persist) output()             {}
 func (Log) output()                 {}
 
-// Outcome is the one outcome that a submission gets for a task. Its JSON form is what clients read and what is persisted.
+// Outcome is the single outcome that a submission gets for a task. Clients read its JSON form, which is also persisted.
 type Outcome struct {
 	Service  string      `json:"service"`
 	Replica  int         `json:"replica"` // from 1
 	Outcome  OutcomeKind `json:"outcome"`
-	Host     string      `json:"host"` // "" unless the task was placed; likewise Zone and Rack
+	Host     string      `json:"host"` // Host, Zone and Rack are "" unless the task was placed
 	Zone     string      `json:"zone"`
 	Rack     string      `json:"rack"`
 	Reason   string      `json:"reason"`
-	Attempts int         `json:"attempts"` // offers to hosts, over all placement requests
+	Attempts int         `json:"attempts"` // number of offers to hosts, over all placement requests
 	TookMS   int64       `json:"took_ms"`  // milliseconds since the submission was accepted
 }
 
-// OutcomeKind is what became of a task. Its text is what clients read and what is persisted.
+// OutcomeKind is the result for a task. Clients read its text, which is also persisted.
 type OutcomeKind string
 
 // The kinds of outcome.
 const (
 	OutcomePlaced   OutcomeKind = "placed"
-	OutcomeRejected OutcomeKind = "refused" // the task never ran: submitting it again is harmless
+	OutcomeRejected OutcomeKind = "refused" // the task never ran, so submitting it again is harmless
 	OutcomeFailed   OutcomeKind = "failed"  // the task may have run
 )
 
-// Status is what a placer holds now, and what it has counted since it started.
+// Status reports what a placer holds now and its counters since it started.
 type Status struct {
 	Placer            int                    `json:"placer"`
 	Epoch             uint64                 `json:"epoch"`
-	Hosts             int                    `json:"hosts"`       // in the endpoint list
+	Hosts             int                    `json:"hosts"`       // hosts in the endpoint list
 	HostsUp           int                    `json:"hosts_up"`    // connected, after the handshake
 	HostsReady        int                    `json:"hosts_ready"` // neither draining nor removed
 	Tasks             int                    `json:"tasks"`
 	TasksPlaced       int                    `json:"tasks_placed"`
 	TasksWaiting      int                    `json:"tasks_waiting"`
-	AttemptsUnknown   int                    `json:"attempts_unknown"` // they may have run, and their hosts have not reported it
+	AttemptsUnknown   int                    `json:"attempts_unknown"` // may have run; not reported by their hosts
 	Submissions       int                    `json:"submissions"`
 	PlacementRequests uint64                 `json:"asks"`
 	Offers            uint64                 `json:"offers"`
 	Outcomes          map[OutcomeKind]uint64 `json:"outcomes"`
 	Lost              uint64                 `json:"lost"`   // placed tasks whose hosts were lost
 	Migrated          uint64                 `json:"moved"`  // placed tasks that the module stopped
-	Vetoes            uint64                 `json:"vetoes"` // actions of the module that would have broken an invariant
+	Vetoes            uint64                 `json:"vetoes"` // actions of the module that would break an invariant, not executed
 	VetoesByRule      map[string]uint64      `json:"vetoes_by_rule"`
-	Defects           uint64                 `json:"defects"` // faults of this program that it found by itself
+	Defects           uint64                 `json:"defects"` // bugs in this program that it detected itself
 }
--- a/internal/scheduler/core/attempts.go
+++ b/internal/scheduler/core/attempts.go
@@ -12,33 +12,34 @@
 	"forkhead/internal/scheduler/retrypolicy"
 )
 
-// taskAttempt is one attempt of a request: the offer of its task to one host. Its phase is that of package attempt.
+// taskAttempt is one attempt of a request: the offer of its task to one host. Its phase is kept by the embedded
+// attempt.Request of the request.
 type taskAttempt struct {
 	request       *placementRequest
-	number        int // in the request
+	number        int // index in request.Attempts and request.attempts
 	host          *host
-	machineID     forkhead.MachineID // as the module named it: the host's may have changed since
-	ref           hostproto.Ref      // names the attempt to the host
-	hostEpoch     uint64             // the host's incarnation to which it was sent
-	conn          uint32             // the connection on which it was sent
+	machineID     forkhead.MachineID // as the module named it; the host may have been renumbered since
+	ref           hostproto.Ref      // identifies the attempt to the host
+	hostEpoch     uint64             // incarnation of the host to which the offer was sent
+	conn          uint32             // connection on which the offer was sent
 	running       bool               // the module was notified that the task runs
-	persisted     bool               // a later incarnation of this placer knows of it
-	waitedForConn bool               // it was not sent at once
+	persisted     bool               // a durable record exists, which a later incarnation of this placer restores
+	waitedForConn bool               // the host was not connected and synced when the module chose it
 	migrating     bool               // stopped by the module, to be placed elsewhere
 }
 
 func (a *taskAttempt) phase() attempt.Phase { return a.request.Attempts[a.number].Phase }
 
-// chosenAt is when the module chose the host.
+// chosenAt returns when the module chose the host.
 func (a *taskAttempt) chosenAt() time.Duration { return a.request.Attempts[a.number].ChosenAt }
 
-// service is the key of the attempt's service.
+// service returns the key of the attempt's service.
 func (a *taskAttempt) service() uint64 { return a.request.task.Service }
 
-// InvariantHost returns the attempt's host, as the invariants see it.
+// InvariantHost returns the attempt's host in the form that package invariant checks.
 func (a *taskAttempt) InvariantHost() *invariant.Host { return a.host.forInvariants() }
 
-// attemptsByTask are attempts by the key of their task, in no order.
+// attemptsByTask maps the key of a task to the set of its attempts.
 type attemptsByTask map[uint64]map[*taskAttempt]bool
 
 func (m attemptsByTask) add(a *taskAttempt) {
@@ -57,7 +58,7 @@
 	}
 }
 
-// addAttempt adds a new attempt to the tables that have it until it is settled.
+// addAttempt adds a new attempt to the tables that hold it until it is settled.
 func (c *Core) addAttempt(a *taskAttempt) {
 	a.host.attempts[a.ref] = a
 	c.attemptsByRef[a.ref] = a
@@ -66,7 +67,7 @@
 	}
 }
 
-// attemptDetail is what a host reports beside an input to an attempt. The zero value is nothing.
+// attemptDetail is what a host reports along with an input to an attempt. The zero value means that it reports nothing.
 type attemptDetail struct {
 	result forkhead.Result
 	reason forkhead.RejectReason
@@ -99,13 +100,13 @@
 	before, after attempt.Phase
 }
 
-// wasPlaced reports whether the attempt was placed before the change: an end of it is final.
+// wasPlaced reports whether the attempt was placed before the change, so that its end is final.
 func (ch *attemptChange) wasPlaced() bool {
 	return ch.before == attempt.Placed || ch.before == attempt.Unreachable
 }
 
-// handleAttempt hands an input to an attempt, updates the tables for its new phase, and applies the effect that package
-// attempt rules.
+// handleAttempt passes an input to an attempt, updates the tables for its new phase, and applies the effect that
+// package attempt defines for the transition.
 func (c *Core) handleAttempt(a *taskAttempt, in attempt.Input, d attemptDetail) {
 	change := attemptChange{input: in, detail: d, before: a.phase()}
 	effect := a.request.Handle(a.number, in)
@@ -169,7 +170,8 @@
 	}
 }
 
-// reportAttempt notifies the module of an outcome, of which Result, Reason and Final are given.
+// reportAttempt notifies the module of the outcome of an attempt. The caller sets Result, Reason and Final;
+// reportAttempt fills in the other fields.
 func (c *Core) reportAttempt(a *taskAttempt, ch *attemptChange, outcome forkhead.Outcome) {
 	outcome.Task, outcome.Attempt, outcome.Machine = a.request.id, a.number, a.machineID
 	outcome.Took = c.now - a.chosenAt()
@@ -226,12 +228,12 @@
 	c.handleReplicaEnded(a.request.replica, a, d)
 }
 
-// sendStop requests the host of an attempt to end its task.
+// sendStop asks an attempt's host to stop its task.
 func (c *Core) sendStop(a *taskAttempt) {
 	c.sendFrame(a.host, hostproto.Stop{Ref: a.ref, Grace: a.request.replica.stopGrace()})
 }
 
-// attemptFailure is why an attempt failed, as an outcome's reason prints it.
+// attemptFailure is why an attempt failed, in the words of an outcome's reason. Stored outcomes hold the texts.
 type attemptFailure string
 
 const (
--- a/internal/scheduler/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -17,14 +17,14 @@
 	"forkhead/internal/scheduler/timerqueue"
 )
 
-// Config is what a Core runs with.
+// Config configures a Core.
 type Config struct {
-	Settings *settings.Settings  // of this placer: Settings.Module.Self is its number
-	Seed     uint64              // of all random numbers
-	Epoch    uint64              // of this incarnation; higher than that of any before
-	Hash     ids.Hash            // numbers the hosts; nil: ids.FNV
-	Durable  bool                // emit Persist for what must survive a restart
-	Decide   moduledriver.Decide // takes the module's place in tests; nil: the module
+	Settings *settings.Settings  // Settings.Module.Self is the number of this placer
+	Seed     uint64              // determines all random numbers, together with Epoch
+	Epoch    uint64              // of this incarnation; higher than that of any earlier one
+	Hash     ids.Hash            // derives host numbers from names; nil: ids.FNV
+	Durable  bool                // emit Persist for state that must survive a restart
+	Decide   moduledriver.Decide // replaces the module in tests; nil: the module
 }
 
 // Core is one placer. It is not safe for concurrent use.
@@ -47,16 +47,16 @@
 	zoneIndexes         map[string]int
 	rackIndexes         map[string]int
 	labels              labelTable
-	firstListAt         time.Duration // when the first list came; 0: not yet
-	hostListPersistedAt time.Duration // 0: not yet
+	firstListAt         time.Duration // when the first endpoint list was received; 0: none was
+	hostListPersistedAt time.Duration // when a list was last persisted; 0: none was
 
 	lastTaskID       uint32
-	requests         map[forkhead.TaskID]*placementRequest   // open, or with attempts that are not settled
-	canceledRequests map[forkhead.TaskID]*placementRequest   // canceled in this step: the module may not know yet
-	attemptsByRef    map[hostproto.Ref]*taskAttempt          // not settled
-	liveAttempts     invariant.ServiceAttempts[*taskAttempt] // those that count against the spread
-	unknownAttempts  attemptsByTask                          // those of which nobody knows what became
-	blockedReplicas  map[uint64]*desiredReplica              // by task key: they wait until its unknown attempts are settled
+	requests         map[forkhead.TaskID]*placementRequest   // unanswered, or with attempts that are not settled
+	canceledRequests map[forkhead.TaskID]*placementRequest   // canceled in this step; the module may not know yet
+	attemptsByRef    map[hostproto.Ref]*taskAttempt          // attempts that are not settled
+	liveAttempts     invariant.ServiceAttempts[*taskAttempt] // attempts that count against the spread limits
+	unknownAttempts  attemptsByTask                          // attempts whose result is not known
+	blockedReplicas  map[uint64]*desiredReplica              // by task key; wait until their unknown attempts are settled
 
 	projects        map[string]*project
 	removedProjects map[string]bool // removed in an earlier incarnation
@@ -64,17 +64,17 @@
 
 	submissions          map[string]*submission
 	submissionsByKey     map[string]*submission // by Idempotency-Key
-	completeSubmissions  []*submission          // in the order in which they became complete
-	lastSubmissionNumber uint64                 // number of the last one
+	completeSubmissions  []*submission          // in the order of completion
+	lastSubmissionNumber uint64                 // number of this incarnation's last submission
 
-	status Status // what is counted; Status() fills in the rest
+	status Status // only the counters; Status() fills in the other fields
 }
 
-// maxModuleRounds bounds how often the module decides within one step. Each round is an offer that could not be sent,
-// and those are bounded by the attempts of each request.
+// maxModuleRounds bounds how often the module decides within one step. A further round follows an offer that could not
+// be sent, and the number of those is bounded by the attempts of each request.
 const maxModuleRounds = 10_000
 
-// New returns the core of a placer, or an error that names the setting that the module cannot use.
+// New returns the core of a placer. An error names the setting that the module rejects.
 func New(cfg Config) (*Core, error) {
 	set := cfg.Settings
 	hash := cfg.Hash
@@ -125,8 +125,9 @@
 	}, nil
 }
 
-// Step handles the inputs of one moment and the timers that are due by then. It returns the outputs in the order in which
-// they are to be executed. A now before the last one counts as the last one: the clock may have been set back.
+// Step handles the inputs that arrived at a time and the timers that are due by then. It returns the outputs in the
+// order in which the shell must execute them. If the clock was set back, so that now is before the time of the last
+// step, the time of the last step is used.
 func (c *Core) Step(now time.Duration, inputs ...Input) []Output {
 	starting := c.isStarting()
 	c.now, c.outputs = max(now, c.now), nil
@@ -135,8 +136,8 @@
 	}
 	requestDeadlines := c.handleDueTimers()
 	c.runModule(starting)
-	// After the module's own timers of this moment, so that the module of a placer that was stalled can end its requests
-	// before they count as left open.
+	// Request deadlines are handled after the module's own timers, so that after a stall of the placer the module can
+	// end its requests before they count as left open.
 	for _, t := range requestDeadlines {
 		c.handleTimer(t)
 	}
@@ -145,11 +146,11 @@
 	return c.outputs
 }
 
-// isStarting reports whether no step was later than time 0. Until one is, each step lets the module decide even without
-// events, so that it begins to poll.
+// isStarting reports whether every step so far was at time 0. Until a later one, each step runs the module even without
+// events, so that it starts to poll the endpoint list.
 func (c *Core) isStarting() bool { return c.now == 0 }
 
-// Next returns when the core has to be stepped next even without an input; ok is false if it needn't be.
+// Next returns the time at which the core has to be stepped even if there is no input. ok is false if no timer is set.
 func (c *Core) Next() (at time.Duration, ok bool) { return c.timers.Next() }
 
 func (c *Core) handleInput(in Input) {
@@ -182,7 +183,7 @@
 // notifyModule queues an event for the module.
 func (c *Core) notifyModule(event forkhead.Event) { c.module.Add(event) }
 
-// runModule lets the module decide until it has no events left, and at least once if always is set.
+// runModule runs the module until no event is queued for it, and at least once if always is set.
 func (c *Core) runModule(always bool) {
 	run := c.module.Run
 	if always {
@@ -193,7 +194,7 @@
 	}
 }
 
-// execute carries out one action of the module, unless it would break an invariant.
+// execute executes one action of the module, unless that would break an invariant.
 func (c *Core) execute(action forkhead.Action) {
 	switch action := action.(type) {
 	case forkhead.Offer:
@@ -225,7 +226,7 @@
 	c.emit(Log{Text: fmt.Sprintf(format, args...)})
 }
 
-// reportDefect counts and logs something that this program should never do.
+// reportDefect counts and logs a bug in this program that it detected itself.
 func (c *Core) reportDefect(format string, args ...any) {
 	c.status.Defects++
 	c.emit(Log{Defect: true, Text: fmt.Sprintf(format, args...)})
--- a/internal/scheduler/core/dependencies.go
+++ b/internal/scheduler/core/dependencies.go
@@ -2,7 +2,7 @@
 
 import "forkhead/internal/parse/servicespec"
 
-// startIfReady starts a replica whose service's dependencies are met, or gives it up if they cannot be.
+// startIfReady starts a replica if its service's dependencies are met, or abandons it if they can never be met.
 func (c *Core) startIfReady(r *desiredReplica) {
 	if r.state != awaitingDependencies || r.removed {
 		return
@@ -21,7 +21,7 @@
 	}
 }
 
-// startDependents starts the replicas that waited for a service, where that is as far as they need it.
+// startDependents starts or abandons the replicas that wait for a service, as startIfReady decides for each.
 func (c *Core) startDependents(svc *service) {
 	p := svc.project
 	for _, other := range p.sortedServices() {
@@ -34,7 +34,7 @@
 	}
 }
 
-// hasDependents reports whether another service waits for this one, so that its outcome has to be known.
+// hasDependents reports whether another service with replicas depends on this one, whose outcome must then be kept.
 func hasDependents(svc *service) bool {
 	for _, other := range svc.project.services {
 		if other != svc && len(other.replicas) > 0 && other.dependsOn(svc) {
@@ -56,7 +56,8 @@
 	return false
 }
 
-// dependencyState reports whether a service's dependencies are met, or why they never will be; "": they may be.
+// dependencyState reports whether a service's dependencies are met, or why they never will be. failure is "" while they
+// may still be met.
 func dependencyState(svc *service) (met bool, failure string) {
 	if svc.spec == nil {
 		return true, ""
@@ -77,7 +78,8 @@
 	return met, ""
 }
 
-// satisfies reports whether a service is as far as a condition requires, or why it never will be; "": it may be.
+// satisfies reports whether a service meets the condition of a dependency on it, or why it never will. failure is ""
+// while it may still meet it.
 func (s *service) satisfies(condition servicespec.DependencyCondition) (met bool, failure string) {
 	if s.failureReason != "" {
 		return false, ", which was not placed"
--- a/internal/scheduler/core/explain.go
+++ b/internal/scheduler/core/explain.go
@@ -11,8 +11,8 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// explain returns why a replica cannot be placed, by this placer's view and the hosts' answers. impossible means that no host
-// of any machine type could ever take it.
+// explain returns why a replica cannot be placed, as far as this placer's view of the hosts and their answers tell.
+// impossible means that not even an empty host of a permitted machine type could take it.
 func (c *Core) explain(r *desiredReplica) (reason string, impossible bool) {
 	if !c.fitsMachineType(r) {
 		where := "any kind of host"
@@ -48,7 +48,8 @@
 	return false
 }
 
-// explainByHosts returns what rules out every host that this placer sees; "": nothing does.
+// explainByHosts returns what rules out all hosts that this placer knows, or "" if a ready host meets all requirements
+// except free capacity.
 func (c *Core) explainByHosts(r *desiredReplica) string {
 	class := c.moduleClass(r)
 	var ready, ofType, labeled int
@@ -80,7 +81,8 @@
 	return "spread: " + c.firstReachedSpreadLimit(r) + ", and all that fit are at it"
 }
 
-// firstReachedSpreadLimit is the limit that keeps the service's next task off the first host that would fit.
+// firstReachedSpreadLimit returns the limit that excludes the first host, by name, that otherwise suits the service's
+// next task.
 func (c *Core) firstReachedSpreadLimit(r *desiredReplica) string {
 	for _, h := range c.sortedHosts() {
 		if h.state() == forkhead.Ready && hasMachineType(c.moduleClass(r), h) && h.hasLabels(r.service.requiredLabels) {
@@ -109,12 +111,12 @@
 	return strings.Join(parts, ", ")
 }
 
-// domainNames are the domains as an outcome's reason has them.
+// domainNames are the names of domains in an outcome's reason.
 var domainNames = map[forkhead.Domain]string{
 	forkhead.MachineDomain: "host", forkhead.CellDomain: "rack", forkhead.ZoneDomain: "zone",
 }
 
-// reachedSpreadLimit returns which limit keeps the service's next task off a host, or "".
+// reachedSpreadLimit returns the spread limit that excludes a host for the service's next task, or "".
 func (c *Core) reachedSpreadLimit(r *desiredReplica, h *host) string {
 	limits := statedSpreadLimits(r)
 	if class := c.moduleClass(r); class.SpreadDomain != forkhead.AnyDomain {
@@ -129,7 +131,7 @@
 	return ""
 }
 
-// countInDomain returns the number of a service's live attempts in a host's domain.
+// countInDomain returns the number of a service's live attempts that share a domain with a host.
 func (c *Core) countInDomain(svc *service, domain forkhead.Domain, h *host) int {
 	n := 0
 	target := h.forInvariants()
--- a/internal/scheduler/core/frames.go
+++ b/internal/scheduler/core/frames.go
@@ -7,7 +7,7 @@
 	"forkhead/internal/scheduler/hostconn"
 )
 
-// handleFrame takes a frame that a host sent on its present connection.
+// handleFrame handles a frame that a host sent on its current connection.
 func (c *Core) handleFrame(h *host, f hostproto.Frame) {
 	h.lastFrameAt = c.now
 	switch f := f.(type) {
@@ -55,14 +55,16 @@
 	c.handleAttempt(a, attempt.RejectionInput(a.phase()), detail)
 }
 
-// handleAcceptedFrame handles a host's report that it has a task. With BoundWhenRunning it does not count before the task runs.
+// handleAcceptedFrame handles a host's report that it has accepted a task. With BoundWhenRunning the report is ignored:
+// the attempt is bound when the task runs.
 func (c *Core) handleAcceptedFrame(h *host, f hostproto.Accepted) {
 	if a := h.attempts[f.Ref]; a != nil && !c.settings.Module.BoundWhenRunning {
 		c.handleAttempt(a, attempt.Accepted, attemptDetail{})
 	}
 }
 
-// handleRunning handles a host's report that a task runs. in is how the host reported it.
+// handleRunning handles a host's report that a task runs. in is Accepted for a Running frame and ListedByHost for an
+// entry of Holds.
 func (c *Core) handleRunning(a *taskAttempt, in attempt.Input) {
 	if c.settings.Module.BoundWhenRunning {
 		c.handleAttempt(a, in, attemptDetail{})
@@ -94,7 +96,7 @@
 	}
 	in := attempt.Ended
 	if f.Result == hostproto.Canceled {
-		in = attempt.Rejected // withdrawn before it started
+		in = attempt.Rejected // the task was withdrawn before it started
 	}
 	c.handleAttempt(a, in, toAttemptDetail(f))
 }
@@ -107,7 +109,7 @@
 	c.notifyModule(forkhead.Probed{Machine: h.id, Result: forkhead.OK, Report: toLoadReport(f.Report)})
 }
 
-// handleDrain takes a host's own report on whether it drains.
+// handleDrain handles a host's own report that it drains, or no longer does.
 func (c *Core) handleDrain(h *host, draining bool) {
 	if h.reportsDraining == draining {
 		return
--- a/internal/scheduler/core/hostconns.go
+++ b/internal/scheduler/core/hostconns.go
@@ -9,7 +9,7 @@
 	"forkhead/internal/scheduler/hostconn"
 )
 
-// handleConnection hands an input to a host's connection and executes what follows from it.
+// handleConnection passes an input to a host's connection and executes the resulting output.
 func (c *Core) handleConnection(h *host, in hostconn.Input) {
 	out := h.connection.Handle(in, c.connPolicy, c.rng.Float64())
 	if out.CloseConn {
@@ -48,7 +48,8 @@
 	c.emit(SendToHost{Host: h.name, Conn: h.connection.Conn, Frame: f})
 }
 
-// handleDisconnect applies the end of a host's connection to all that depended on it.
+// handleDisconnect handles the end of a host's connection for its attempts and probes, and sets the timer after which
+// an unreachable host counts as lost.
 func (c *Core) handleDisconnect(h *host) {
 	h.synced, h.reportedRefs = false, nil
 	for _, a := range h.sortedAttempts() {
@@ -60,7 +61,7 @@
 	c.settleIfUnreachable(h)
 }
 
-// handleHostRestart settles the attempts of a host's earlier incarnations.
+// handleHostRestart settles the attempts that were sent to earlier incarnations of a host.
 func (c *Core) handleHostRestart(h *host) {
 	for _, a := range h.sortedAttempts() {
 		if a.hostEpoch < h.connection.Epoch && a.phase() != attempt.Waiting {
@@ -69,8 +70,8 @@
 	}
 }
 
-// expireUnreachable abandons what was placed on a host that has been unreachable for long, where a second start is
-// harmless. All else waits until its outcome is known.
+// expireUnreachable counts the safe tasks that were placed on a host as lost once it has been unreachable for
+// LostAfter, since a second start of them is harmless. All others wait until their outcome is known.
 func (c *Core) expireUnreachable(h *host, timerNumber uint64) {
 	if timerNumber != h.lostTimerSeq || h.isConnectedAndSynced() {
 		return
@@ -82,7 +83,7 @@
 	}
 }
 
-// closeForViolation closes the connection of a host that breaks the protocol.
+// closeForViolation logs a host's violation of the protocol and closes its connection.
 func (c *Core) closeForViolation(h *host, violation string) {
 	c.log("host %s: %s; the connection is closed", h.name, violation)
 	c.closeConnection(h)
@@ -94,10 +95,10 @@
 	c.handleConnection(h, hostconn.Input{Kind: hostconn.Disconnected, Conn: conn})
 }
 
-// handleWelcome takes a host's answer to Hello. What the host has of this placer follows in Holds frames.
+// handleWelcome handles a host's answer to Hello. The tasks that the host holds for this placer follow in Holds frames.
 func (c *Core) handleWelcome(h *host, welcome hostproto.Welcome) {
 	if welcome.Version != hostproto.Version || welcome.Host != h.name {
-		// Guards against an address that another host has by now.
+		// The address of a host may have been reassigned to another one.
 		c.closeForViolation(h, "it is "+welcome.Host+", or speaks another version")
 		return
 	}
@@ -118,7 +119,7 @@
 	}
 }
 
-// handleHolds takes a part of what a host has of this placer.
+// handleHolds handles a frame that lists some of the tasks that a host holds for this placer.
 func (c *Core) handleHolds(h *host, f hostproto.Holds) {
 	if h.synced || len(f.Held) > h.unreportedTasks {
 		c.closeForViolation(h, "more held tasks than it announced")
@@ -137,7 +138,8 @@
 	h.reportedRefs[reported.Ref] = true
 	switch a := h.attempts[reported.Ref]; {
 	case a != nil && reported.Phase == hostproto.PhaseQueued:
-		c.sendFrame(h, hostproto.Withdraw{Ref: reported.Ref}) // it was abandoned when the connection broke
+		// The attempt was abandoned when the connection broke, so its offer must not stay queued.
+		c.sendFrame(h, hostproto.Withdraw{Ref: reported.Ref})
 	case a != nil && reported.Phase == hostproto.PhaseStarting:
 		c.handleAttempt(a, attempt.ListedByHost, attemptDetail{})
 	case a != nil:
@@ -145,12 +147,12 @@
 	case reported.Ref.Epoch < c.epoch:
 		c.handleInherited(h, reported)
 	case reported.Ref.Epoch == c.epoch:
-		c.sendFrame(h, hostproto.Stop{Ref: reported.Ref}) // its request is long over
+		c.sendFrame(h, hostproto.Stop{Ref: reported.Ref}) // its attempt is settled: no request wants the task
 	}
 }
 
-// completeSync follows the last of a host's Holds: what it did not name is queried, and what waited for the
-// connection is sent.
+// completeSync runs after the last of a host's Holds frames. It sends the offers and the probe that waited for the
+// connection, and queries the attempts that the host did not list.
 func (c *Core) completeSync(h *host) {
 	h.synced, h.everSynced = true, true
 	if h.stale {
@@ -163,7 +165,7 @@
 		case phase == attempt.Waiting:
 			c.sendOffer(a)
 		case phase == attempt.Placed && a.request.replica.stopRequested:
-			// Guards against a stop that was requested while its host was still naming what it holds.
+			// The stop was requested while the host was still listing its tasks, and was not sent then.
 			c.sendStop(a)
 		case !phase.IsSettled() && !h.reportedRefs[a.ref] && a.hostEpoch == h.connection.Epoch && a.conn != h.connection.Conn:
 			missing = append(missing, a.ref)
@@ -185,8 +187,8 @@
 	}
 }
 
-// checkLiveness makes sure that the peer of an idle connection is alive: a host that sends nothing for half of LostAfter is
-// probed, and one that sends nothing for all of it is unreachable. Guards against hosts that vanish without a reset.
+// checkLiveness detects a host that vanished without a reset of its connection. It probes a host that has sent nothing
+// for half of LostAfter, and closes the connection of one that has sent nothing for all of it.
 func (c *Core) checkLiveness(h *host, conn uint32) {
 	if conn != h.connection.Conn || h.connection.State != hostconn.Up {
 		return
@@ -203,20 +205,20 @@
 	c.addHostTimer(h, timerLiveness, max(lostAfter/4, time.Millisecond), uint64(conn))
 }
 
-// probeHost probes a host on the module's behalf; h is nil if the host is not known.
+// probeHost probes a host for the module. h is nil if the host is not known.
 func (c *Core) probeHost(h *host, id forkhead.MachineID) {
 	switch {
 	case h == nil || h.connection.State == hostconn.Down:
 		c.notifyModule(forkhead.Probed{Machine: id, Result: forkhead.ConnectFailed})
 	case !h.isConnectedAndSynced():
-		h.probeWanted = true // answered by the connection, or by its failure
+		h.probeWanted = true // sent when the connection is synced, or failed with it
 	default:
 		c.sendProbe(h)
 	}
 }
 
 func (c *Core) sendProbe(h *host) {
-	h.lastProbeID = max(h.lastProbeID+1, 1) // 0 is that of checkLiveness
+	h.lastProbeID = max(h.lastProbeID+1, 1) // 0 is the ID of the probes of checkLiveness
 	h.probesSentAt[h.lastProbeID] = c.now
 	c.sendFrame(h, hostproto.Probe{ID: h.lastProbeID})
 	c.addHostTimer(h, timerProbeTimeout, c.settings.HostConnections.ProbeTimeout, uint64(h.lastProbeID))
@@ -229,7 +231,7 @@
 	}
 }
 
-// failProbes answers all probes of a host whose connection has ended.
+// failProbes reports to the module that all its outstanding probes of a host failed, since the connection has ended.
 func (c *Core) failProbes(h *host) {
 	unanswered := len(h.probesSentAt)
 	if h.probeWanted {
--- a/internal/scheduler/core/hostlist.go
+++ b/internal/scheduler/core/hostlist.go
@@ -11,10 +11,10 @@
 	"forkhead/internal/scheduler/hostconn"
 )
 
-// minHostListPersistInterval is the least time between two lists that are persisted.
+// minHostListPersistInterval is the minimum time between two persisted endpoint lists.
 const minHostListPersistInterval = 2 * time.Second
 
-// handleHostList takes over a list of hosts.
+// handleHostList updates the hosts to an endpoint list and notifies the module of them.
 func (c *Core) handleHostList(list HostListReceived) {
 	if list.Mode == forkhead.ListFailed {
 		c.notifyModule(forkhead.ListUpdate{Mode: forkhead.ListFailed})
@@ -57,14 +57,14 @@
 	return states
 }
 
-// addListedHosts adds and updates the hosts that an endpoint list names. It returns them, and the machines that the
-// module must drop because their hosts were renumbered.
+// addListedHosts adds and updates the hosts that an endpoint list names. It returns the set of these hosts, and the
+// machines that the module must drop because their hosts were renumbered.
 func (c *Core) addListedHosts(list HostListReceived) (inList map[*host]bool, renumbered []forkhead.Machine) {
 	inList = map[*host]bool{}
 	for _, entry := range list.Hosts {
 		machineType := slices.Index(c.settings.MachineTypeNames, entry.Kind)
 		if machineType < 0 || entry.Name == "" || len(entry.Name) > hostproto.MaxTextSize {
-			continue // a host of a type that the settings do not know is never offered anything
+			continue // unusable: the settings have no such machine type, or the name is empty or too long
 		}
 		h := c.hosts[entry.Name]
 		if h == nil {
@@ -86,7 +86,7 @@
 	return inList, renumbered
 }
 
-// indexOf returns the index of a name, which is a new one if the table hasn't got it.
+// indexOf returns the index of a name in a table. It adds a name that the table lacks.
 func indexOf(table map[string]int, name string) int {
 	index, known := table[name]
 	if !known {
@@ -96,7 +96,7 @@
 	return index
 }
 
-// delistHost marks a host as not listed, if the last endpoint list does not have it any more.
+// delistHost handles the absence of a host from the latest endpoint list, which came with mode.
 func (c *Core) delistHost(h *host, mode forkhead.ListMode) {
 	if h.restored && mode == forkhead.ListSnapshot {
 		h.restored = false
@@ -109,8 +109,8 @@
 	}
 }
 
-// settleIfUnreachable settles the attempts at an unreachable host that has left the endpoint list: by
-// removing it from the list, the operator confirms that nothing runs there.
+// settleIfUnreachable settles the attempts at a host that is unreachable and not in the endpoint list. By removing the
+// host from the list, the operator confirms that nothing runs there.
 func (c *Core) settleIfUnreachable(h *host) {
 	if h.listed || h.connection.State != hostconn.Down {
 		return
@@ -120,7 +120,7 @@
 	}
 }
 
-// updateDrainingSince notes when a host ceased to be ready.
+// updateDrainingSince records when a host ceased to be ready. old is its state before the latest endpoint list.
 func (c *Core) updateDrainingSince(h *host, old forkhead.MachineState) {
 	state := h.state()
 	switch {
--- a/internal/scheduler/core/hosts.go
+++ b/internal/scheduler/core/hosts.go
@@ -13,37 +13,38 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// host is a host of the endpoint list, or one that is not listed and still has something of this placer.
+// host is a host of the endpoint list, or an unlisted one that still has a connection or attempts of this placer.
 type host struct {
 	name        string
 	id          forkhead.MachineID
-	entry       HostEntry // of the last list that had it
+	entry       HostEntry // from the last endpoint list that named the host
 	machineType int       // index into the settings' machine types
 	zone        int
 	cell        int
-	labels      uint64 // the constraints that it meets
+	labels      uint64 // bits of the constraints that the host meets
 
 	listed          bool
-	stale           bool          // only an old list has it: it counts after its handshake
-	restored        bool          // known from an earlier incarnation's attempts, and not listed yet
-	reportsDraining bool          // by its own report, whatever the endpoint list has
-	drainingSince   time.Duration // when this placer was notified that it drains or is removed
+	stale           bool          // named only by an old cached list: counts as removed until its handshake
+	restored        bool          // known from durable attempts of an earlier incarnation, and not listed yet
+	reportsDraining bool          // the host itself reports that it drains, whatever the endpoint list says
+	drainingSince   time.Duration // when this placer learned that the host drains or is removed
 
 	connection      hostconn.Connection
-	synced          bool                   // it has sent all that it has of this placer, on this connection
-	everSynced      bool                   // or on an earlier one
-	unreportedTasks int                    // tasks that it still has to name before it is synced
-	reportedRefs    map[hostproto.Ref]bool // those that it has named
+	synced          bool                   // it has listed all tasks that it holds for this placer, on this connection
+	everSynced      bool                   // synced on this connection or an earlier one
+	unreportedTasks int                    // number of held tasks that the host still has to list before it is synced
+	reportedRefs    map[hostproto.Ref]bool // held tasks that the host has listed on this connection; nil once synced
 	lastFrameAt     time.Duration
-	lostTimerSeq    uint64 // number of the timerHostLost that counts
+	lostTimerSeq    uint64 // number of the only timerHostLost that is still valid
 
-	attempts     map[hostproto.Ref]*taskAttempt // that are not settled
-	probesSentAt map[uint32]time.Duration       // unanswered probes of the module, by number
+	attempts     map[hostproto.Ref]*taskAttempt // attempts that are not settled
+	probesSentAt map[uint32]time.Duration       // unanswered probes of the module, by ID
 	lastProbeID  uint32
-	probeWanted  bool // the module wants a probe, which waits for the connection
+	probeWanted  bool // a probe of the module waits until the connection is synced
 }
 
-// state is the endpoint list's, or what the host reports itself if that is worse.
+// state returns the state that the endpoint list gives the host. A host that is not listed, or stale, counts as
+// removed, and one that reports itself that it drains counts as draining.
 func (h *host) state() forkhead.MachineState {
 	switch {
 	case !h.listed || h.stale:
@@ -54,8 +55,8 @@
 	return h.entry.State
 }
 
-// isConnectedAndSynced reports whether offers may be sent to the host. Before that it is sent Hello, what settles the
-// tasks that it reports (Query, Withdraw, Stop), and the Probe of checkLiveness.
+// isConnectedAndSynced reports whether offers may be sent to the host. Before that, only these are sent: Hello, the
+// frames that settle the tasks that the host reports (Query, Withdraw, Stop), and the Probe of checkLiveness.
 func (h *host) isConnectedAndSynced() bool { return h.connection.State == hostconn.Up && h.synced }
 
 func (h *host) hasLabels(labels uint64) bool { return labels&^h.labels == 0 }
@@ -65,7 +66,7 @@
 	return class.MachineType < 0 || class.MachineType == h.machineType
 }
 
-// forInvariants is the host as package invariant sees it.
+// forInvariants returns the host in the form that package invariant checks.
 func (h *host) forInvariants() *invariant.Host {
 	return &invariant.Host{
 		ID:            attempt.HostID(h.id),
@@ -79,7 +80,7 @@
 	}
 }
 
-// forModule is the host as the module sees it.
+// forModule returns the host as a machine of the module.
 func (h *host) forModule() forkhead.Machine {
 	return forkhead.Machine{
 		ID:              h.id,
@@ -94,7 +95,7 @@
 	}
 }
 
-// sortedAttempts returns the attempts in an order of their own, since a map has none.
+// sortedAttempts returns the attempts ordered by their refs, so that the outputs do not depend on the order of a map.
 func (h *host) sortedAttempts() []*taskAttempt {
 	attempts := make([]*taskAttempt, 0, len(h.attempts))
 	for _, a := range h.attempts {
@@ -110,7 +111,7 @@
 	return attempts
 }
 
-// sortedHosts returns the hosts in the order of their names, since a map has none.
+// sortedHosts returns the hosts ordered by name, so that the outputs do not depend on the order of a map.
 func (c *Core) sortedHosts() []*host {
 	hosts := make([]*host, 0, len(c.hosts))
 	for _, h := range c.hosts {
@@ -120,8 +121,8 @@
 	return hosts
 }
 
-// addHost adds a host with a number of its own. Hosts whose numbers collided with it get others; renumbered are the
-// machines that the module must drop for that.
+// addHost adds a host with a unique number. Hosts whose numbers collided with it are renumbered; renumbered are the
+// machines under their old numbers, which the module must drop.
 func (c *Core) addHost(name string) (h *host, renumbered []forkhead.Machine) {
 	h = &host{name: name, attempts: map[hostproto.Ref]*taskAttempt{}, probesSentAt: map[uint32]time.Duration{}}
 	c.hosts[name] = h
@@ -134,7 +135,8 @@
 	return h, renumbered
 }
 
-// renumberHost gives a host whose number collided the one that the table has for it now.
+// renumberHost gives a host whose number collided its new number from the table. It returns the machine under the old
+// number, which the module must drop.
 func (c *Core) renumberHost(name string, oldID forkhead.MachineID) []forkhead.Machine {
 	h := c.hosts[name]
 	if h == nil {
@@ -150,7 +152,7 @@
 	return []forkhead.Machine{removed}
 }
 
-// forgetUnusedHosts drops the hosts that are not listed, not connected, and have nothing of this placer.
+// forgetUnusedHosts drops the hosts that are not listed, not connected, and have no unsettled attempts.
 func (c *Core) forgetUnusedHosts() {
 	for name, h := range c.hosts {
 		if !h.listed && h.connection.State == hostconn.Down && len(h.attempts) == 0 {
@@ -160,7 +162,7 @@
 	}
 }
 
-// notifyHostChanged notifies the module of a host whose state has changed.
+// notifyHostChanged notifies the module that the state of a host has changed.
 func (c *Core) notifyHostChanged(h *host) {
 	c.notifyModule(forkhead.ListUpdate{Mode: forkhead.ListDelta, Machines: []forkhead.Machine{h.forModule()}})
 }
--- a/internal/scheduler/core/labels.go
+++ b/internal/scheduler/core/labels.go
@@ -10,22 +10,22 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// labelTable gives each placement constraint in use a bit: a task names the bits that it needs, a machine those that it
-// meets.
+// labelTable assigns a bit to each placement constraint in use. A task requires a set of these bits, and a machine has
+// the bits of the constraints that it meets.
 type labelTable struct {
 	maxLabels int            // at most len(rows)
-	rows      [64]*labelRow  // by bit; nil: unused
-	index     map[string]int // the constraints' bits, by their text
-	nearCount int            // constraints in use that change with what is placed
+	rows      [64]*labelRow  // by bit; nil: the bit is free
+	index     map[string]int // bits by the text of their constraints
+	nearCount int            // number of constraints in use whose result depends on where tasks are placed
 }
 
 // labelRow is a constraint in use.
 type labelRow struct {
 	constraint servicespec.Constraint
-	useCount   int // services
+	useCount   int // number of services that require the constraint
 }
 
-// nearDomains are the attributes that are met wherever another service has a task in the same domain.
+// nearDomains maps each attribute that requires a task of another service nearby to the domain that both must share.
 var nearDomains = map[servicespec.Attribute]forkhead.Domain{
 	"near.machine": forkhead.MachineDomain, "near.rack": forkhead.CellDomain, "near.zone": forkhead.ZoneDomain,
 }
@@ -48,7 +48,7 @@
 	return bit, true, true
 }
 
-// release ends one use of a bit, and frees it with the last.
+// release ends one use of a bit and frees the bit after its last use.
 func (t *labelTable) release(bit int) {
 	row := t.rows[bit]
 	row.useCount--
@@ -82,8 +82,8 @@
 	return n
 }
 
-// acquireLabels returns the bits of constraints and counts one use of each. ok is false if there are more constraints than
-// the table holds; then nothing is counted.
+// acquireLabels returns the bits of constraints and counts one use of each. ok is false if the table has no bit left
+// for one of them; then no use is counted.
 func (c *Core) acquireLabels(constraints []servicespec.Constraint) (bits uint64, ok bool) {
 	anyAdded := false
 	for _, constraint := range constraints {
@@ -94,7 +94,7 @@
 		}
 		anyAdded = anyAdded || added
 		if bits&(1<<bit) != 0 {
-			continue // the same constraint twice
+			continue // the constraint is listed twice
 		}
 		c.labels.rows[bit].useCount++
 		bits |= 1 << bit
@@ -105,8 +105,8 @@
 	return bits, true
 }
 
-// acquireServiceLabels returns the bits of the constraints of each service of a description, in their order. ok is false if
-// they are more than the table holds; then nothing is counted.
+// acquireServiceLabels returns the bits of the constraints of each service of a description, in the order of the
+// services. ok is false if the table has too few bits left; then no use is counted.
 func (c *Core) acquireServiceLabels(p *project, d *servicespec.Description) (bits []uint64, ok bool) {
 	bits = make([]uint64, len(d.Services))
 	for i := range d.Services {
@@ -124,8 +124,8 @@
 	return bits, true
 }
 
-// nearConstraints returns a constraint for each service that a service has to be near to. Its value is the other
-// service's key, which is the same in every submission.
+// nearConstraints returns one constraint for each service that a service must be placed near. Its value is the key of
+// that other service, which is the same in every submission.
 func nearConstraints(project string, d *servicespec.Description, s *servicespec.Service) []servicespec.Constraint {
 	var constraints []servicespec.Constraint
 	for _, near := range s.Near {
@@ -163,7 +163,7 @@
 	return (e.Attributes[constraint.Attribute] == constraint.Value) != constraint.Not
 }
 
-// meetsAll reports whether a host meets constraints, none of which is about what is near it.
+// meetsAll reports whether a host meets all constraints, none of which may have an attribute of nearDomains.
 func meetsAll(e *HostEntry, constraints []servicespec.Constraint) bool {
 	for i := range constraints {
 		if !entryMeets(e, &constraints[i]) {
@@ -187,7 +187,7 @@
 	return false
 }
 
-// updateHostLabels notifies the module of the hosts that meet other constraints than before.
+// updateHostLabels updates the labels of all hosts and notifies the module of the listed ones whose labels changed.
 func (c *Core) updateHostLabels() {
 	var changed []forkhead.Machine
 	for _, h := range c.sortedHosts() {
@@ -205,14 +205,15 @@
 	}
 }
 
-// updateNearLabels is updateHostLabels after a change of what is placed, for services that have to be near others.
+// updateNearLabels calls updateHostLabels after a task was placed or lost its placement, if any constraint depends on
+// that.
 func (c *Core) updateNearLabels() {
 	if c.labels.nearCount > 0 {
 		c.updateHostLabels()
 	}
 }
 
-// countSuitableHosts returns the number of ready hosts that a service with a task for each host may use.
+// countSuitableHosts returns the number of ready hosts that may take a task of a service with one task per host.
 func (c *Core) countSuitableHosts(spec *servicespec.Service) int {
 	class := &c.settings.Module.Classes[c.classIndex(spec)]
 	n := 0
--- a/internal/scheduler/core/offers.go
+++ b/internal/scheduler/core/offers.go
@@ -10,16 +10,16 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// executeOffer makes an attempt of an Offer of the module, unless that would break an invariant.
+// executeOffer starts an attempt for an Offer of the module, unless that would break an invariant.
 func (c *Core) executeOffer(action forkhead.Offer) {
 	if request := c.canceledRequests[action.Task]; request != nil {
-		// The module decided before it was notified that nobody waits any more: that is no fault of its.
+		// The module decided before it was notified of the cancellation, so this is not a fault.
 		c.reportNotSent(request, action, true)
 		return
 	}
 	request, h := c.requests[action.Task], c.hostsByID[action.Machine]
 	if request == nil || h == nil {
-		// The module is not notified, even if only the host is unknown: it takes the attempt for one in flight.
+		// The module is not notified, even if only the host is unknown: it counts the attempt as in flight.
 		violation := &invariant.Violation{Rule: invariant.OneAnswer, Reason: "no such ask or host"}
 		c.reportVeto(violation, "offer of task %d to machine %d", action.Task, action.Machine)
 		return
@@ -45,14 +45,15 @@
 	}
 }
 
-// checkOffer returns the invariant that an offer of a request to a host would break, or nil.
+// checkOffer returns the violation that an offer of a request to a host would be, or nil.
 func (c *Core) checkOffer(request *placementRequest, h *host) *invariant.Violation {
 	return invariant.CheckOffer(c.now, &invariant.Offer{
 		SpreadCheck: c.spreadCheck(&request.task, h, nil),
 		Request:     &request.Request,
 		DrainGrace:  c.settings.Module.DrainGrace,
 		HostByID: func(id attempt.HostID) *invariant.Host {
-			for _, a := range request.attempts { // its host may have left the endpoint list, and the table
+			// The host of an attempt may have left the endpoint list, and with it hostsByID.
+			for _, a := range request.attempts {
 				if a != nil && a.machineID == forkhead.MachineID(id) {
 					return a.host.forInvariants()
 				}
@@ -65,8 +66,8 @@
 	})
 }
 
-// spreadCheck is an offer of a task to a host, for the check against the spread limits. The attempt that is being sent,
-// if there is one already, does not count against them.
+// spreadCheck returns the input for the check of an offer of a task to a host against the spread limits. sending is the
+// attempt that is about to be sent and does not count against them, or nil.
 func (c *Core) spreadCheck(task *forkhead.Task, h *host, sending *taskAttempt) invariant.SpreadCheck {
 	return invariant.SpreadCheck{
 		Task:         task,
@@ -76,13 +77,13 @@
 	}
 }
 
-// exceedsSpread reports whether an attempt would exceed a spread limit of its service now.
+// exceedsSpread reports whether an attempt would exceed a spread limit of its service if it were sent now.
 func (c *Core) exceedsSpread(a *taskAttempt) bool {
 	check := c.spreadCheck(&a.request.task, a.host, a)
 	return invariant.CheckSpread(&check) != nil
 }
 
-// startAttempt adds an attempt for an offer, which waits to be sent.
+// startAttempt adds an attempt for an offer. The caller sends the offer.
 func (c *Core) startAttempt(request *placementRequest, h *host, action forkhead.Offer) *taskAttempt {
 	number := request.AddOffer(c.now, attempt.HostID(h.id))
 	a := &taskAttempt{
@@ -102,7 +103,8 @@
 	return a
 }
 
-// reportNotSent notifies the module that an offer was not sent. It takes up a number of an attempt, as in the module.
+// reportNotSent notifies the module that an offer was not sent. The offer still uses up an attempt number, as it does
+// in the module.
 func (c *Core) reportNotSent(request *placementRequest, action forkhead.Offer, final bool) {
 	number := request.AddUnsent(c.now, attempt.HostID(action.Machine))
 	request.attempts = append(request.attempts, nil)
@@ -111,7 +113,7 @@
 	})
 }
 
-// sendOffer sends the offer of an attempt to its host, which is connected and synced, if it still may be sent.
+// sendOffer sends an attempt's offer to its host, which is connected and synced, unless mayStillSend forbids it.
 func (c *Core) sendOffer(a *taskAttempt) {
 	if !c.mayStillSend(a) {
 		c.handleAttempt(a, attempt.ConnectionLost, attemptDetail{})
@@ -123,19 +125,20 @@
 	c.sendFrame(a.host, c.offerFrame(a))
 }
 
-// mayStillSend judges an attempt again when it can be sent: much may have changed while it waited for its connection.
+// mayStillSend reports whether a waiting attempt may still be sent. It checks the attempt again, since conditions may
+// have changed while it waited for its connection.
 func (c *Core) mayStillSend(a *taskAttempt) bool {
 	h := a.host
-	// Guards against a drain that was notified between choosing and sending, and a wait that was too long.
+	// The host may have started to drain after it was chosen, and its drain grace may have passed during the wait.
 	if invariant.DrainGraceExpired(c.now, h.state(), h.drainingSince, c.settings.Module.DrainGrace) {
 		return false
 	}
 	if a.request.MayWrite(c.now, a.number) != nil || c.repeatIsHarmful(a.request) {
 		return false
 	}
-	// Guards against tasks of an earlier incarnation that turned up while this one waited: they count against the spread,
-	// and the choice was made without them. And against a host whose handshake reports that it drains: an earlier
-	// report may have been dropped with the host.
+	// While the attempt waited, tasks of an earlier incarnation may have been found on hosts: they count against the
+	// spread limits, and the module chose the host without them. The handshake may also have reported that the host
+	// drains, which the module did not know if an earlier report was dropped with the host.
 	return !a.waitedForConn || !h.reportsDraining && !c.exceedsSpread(a)
 }
 
--- a/internal/scheduler/core/orphans.go
+++ b/internal/scheduler/core/orphans.go
@@ -13,17 +13,17 @@
 	"forkhead/internal/scheduler/attempt"
 )
 
-// runningTask is a task that a host has and that no placed replica accounts for.
+// runningTask is a task that a host holds and that is not the placement of any replica.
 type runningTask struct {
 	host      *host
 	ref       hostproto.Ref
 	hostEpoch uint64
 	conn      uint32
-	rules     attempt.Rules // of the class that it was started as: they hold for it although its owner may have named another since
+	rules     attempt.Rules // of the class that the task was started with; its owner may have changed the class since
 }
 
-// handleOrphan settles an abandoned attempt that turns out to have its task: it is adopted if its owner still
-// wants the task and nothing else is in flight, and stopped otherwise.
+// handleOrphan handles a host's report that an abandoned attempt has its task. The task is adopted if its owner still
+// wants it and no other attempt is in flight, and stopped otherwise.
 func (c *Core) handleOrphan(a *taskAttempt) {
 	r := a.request.replica
 	wanted := !r.removed && !r.removing && (r.state == awaitingRequest || r.state == requesting)
@@ -32,14 +32,14 @@
 		return
 	}
 	c.handleAttempt(a, attempt.Adopted, attemptDetail{})
-	if r.state == placed { // settling it let another attempt go ahead
+	if r.state == placed { // settling the attempt let another one go ahead, which has placed the replica
 		c.sendStop(a)
 		return
 	}
 	c.adopt(r, runningTask{host: a.host, ref: a.ref, hostEpoch: a.hostEpoch, conn: a.conn, rules: a.request.Rules})
 }
 
-// adopt takes a running task as the placement of its replica.
+// adopt makes a running task the placement of its replica.
 func (c *Core) adopt(r *desiredReplica, task runningTask) {
 	if r.request != nil {
 		c.cancelRequest(r)
@@ -64,7 +64,7 @@
 	c.handleReplicaPlaced(r, a)
 }
 
-// taskName is the name of a task as hosts have it: PROJECT/SERVICE/REPLICA.
+// taskName is the name by which hosts know a task: PROJECT/SERVICE/REPLICA.
 type taskName struct {
 	project string
 	service string
@@ -80,7 +80,7 @@
 	errNameNumber = errors.New("the last part of a task's name is a number")
 )
 
-// parseTaskName returns errNameParts or errNameNumber for what is no name of a task.
+// parseTaskName parses the name of a task. Its error is errNameParts or errNameNumber.
 func parseTaskName(text string) (taskName, error) {
 	parts := strings.Split(text, "/")
 	if len(parts) != 3 {
@@ -93,7 +93,8 @@
 	return taskName{project: parts[0], service: parts[1], replica: replica}, nil
 }
 
-// handleInherited settles a task that a host has had since an earlier incarnation of this placer.
+// handleInherited adopts or stops a task that a host has held since an earlier incarnation of this placer. It leaves a
+// task alone whose class or name it does not know.
 func (c *Core) handleInherited(h *host, reported *hostproto.Held) {
 	class, known := c.settings.Class(reported.Spec.Class)
 	name, err := parseTaskName(reported.Spec.Name)
@@ -106,7 +107,7 @@
 		return
 	}
 	if c.projects[name.project] == nil && c.removedProjects[name.project] {
-		c.sendFrame(h, hostproto.Stop{Ref: reported.Ref}) // its project was removed before the earlier incarnation ended
+		c.sendFrame(h, hostproto.Stop{Ref: reported.Ref}) // its project was removed by an earlier incarnation
 		return
 	}
 	task := runningTask{host: h, ref: reported.Ref, hostEpoch: h.connection.Epoch, conn: h.connection.Conn, rules: c.attemptRules(class)}
@@ -119,11 +120,12 @@
 	case svc.specLost:
 		c.adopt(c.newInheritedReplica(svc, name, reported, class), task)
 	default:
-		c.sendFrame(h, hostproto.Stop{Ref: reported.Ref}) // the description that is known has no such task
+		c.sendFrame(h, hostproto.Stop{Ref: reported.Ref}) // the project's current description has no such task
 	}
 }
 
-// inheritedService returns the service of a task, and adds it if its description is lost.
+// inheritedService returns the service of an inherited task. If the service is not known, its description is lost, and
+// it is added as such.
 func (c *Core) inheritedService(name taskName, serviceKey uint64) *service {
 	p := c.projects[name.project]
 	if p == nil {
@@ -142,7 +144,7 @@
 // settleInherited adopts a running task for its replica, or stops it.
 func (c *Core) settleInherited(r *desiredReplica, reported *hostproto.Held, task runningTask) {
 	h := task.host
-	if r.taskKey|1 != reported.Spec.Key|1 { // the lowest bit is that of the generation
+	if r.taskKey|1 != reported.Spec.Key|1 { // the lowest bit is that of the generation, see taskKey
 		c.sendFrame(h, hostproto.Stop{Ref: reported.Ref})
 		return
 	}
@@ -153,13 +155,13 @@
 	}
 	same := r.fingerprint == reported.Spec.Fingerprint
 	c.adopt(r, task)
-	if !same {
+	if !same { // the task was started from an earlier specification
 		c.log("%s runs on %s as an earlier make; submit the project again to replace it", r.name, h.name)
 	}
 }
 
-// newInheritedReplica adds a replica for a running task whose specification is lost, from what the host
-// reports of the task.
+// newInheritedReplica adds a replica for a running task whose specification is lost. It takes the specification from
+// the host's report of the task.
 func (c *Core) newInheritedReplica(svc *service, name taskName, reported *hostproto.Held, class int) *desiredReplica {
 	spec := &reported.Spec
 	r := &desiredReplica{
@@ -184,19 +186,19 @@
 	return r
 }
 
-// stopInherited stops what a host has had since an earlier incarnation and its replica does not need. Until the host says
-// that it is over it may run, whether the Stop arrives or not: what must not run twice is not begun before. Guards against
-// a Stop that is lost with its connection, found by the simulation.
+// stopInherited stops an inherited task that its replica does not need. The task may run until the host reports its
+// end, since the Stop may be lost with its connection (found by the simulation). It is therefore added as an unknown
+// attempt, so that a task that must not run twice is not started before.
 func (c *Core) stopInherited(r *desiredReplica, h *host, reported *hostproto.Held) {
-	// Its start is unknown: nothing is left of the window in which hosts keep its key.
+	// The time of its start is not known, so the window in which hosts keep its key counts as over.
 	chosenAt := c.now - c.attemptRules(r.class).DedupWindow
 	task := runningTask{host: h, ref: reported.Ref, hostEpoch: h.connection.Epoch, conn: h.connection.Conn}
 	c.addUnknownAttempt(r, task, chosenAt)
 	c.sendFrame(h, hostproto.Stop{Ref: reported.Ref})
 }
 
-// addUnknownAttempt adds an attempt that an earlier incarnation made: until its host reports what became of it, it may run.
-// Its rules are those of the replica's class.
+// addUnknownAttempt adds an attempt that an earlier incarnation made. Its task may run until its host reports
+// otherwise. Its rules are those of the replica's class.
 func (c *Core) addUnknownAttempt(r *desiredReplica, task runningTask, chosenAt time.Duration) *taskAttempt {
 	request := c.newRequest(r)
 	request.Answer = attempt.AnsweredFailed
--- a/internal/scheduler/core/projects.go
+++ b/internal/scheduler/core/projects.go
@@ -9,14 +9,14 @@
 	"forkhead/internal/scheduler/rollingupdate"
 )
 
-// project is the services that are to run under one name.
+// project is a named set of services.
 type project struct {
 	name     string
 	services map[string]*service // by name
 }
 
-// sortedServices returns the services in the order of their names, since a map has none. A caller whose loop may prune
-// services checks with has before it uses one.
+// sortedServices returns the services ordered by name, so that the outputs do not depend on the order of a map. A
+// caller whose loop may prune services must check each service with has before it uses it.
 func (p *project) sortedServices() []*service {
 	services := make([]*service, 0, len(p.services))
 	for _, name := range slices.Sorted(maps.Keys(p.services)) {
@@ -25,25 +25,25 @@
 	return services
 }
 
-// has reports whether a service is still one of the project's.
+// has reports whether the project still has a service.
 func (p *project) has(svc *service) bool { return p.services[svc.name] == svc }
 
 // service is one service of a project.
 type service struct {
 	project        *project
 	name           string
-	key            uint64               // servicespec.ServiceKey
-	spec           *servicespec.Service // nil while specLost
-	specLost       bool                 // known only from what hosts run: its description is lost
-	requiredLabels uint64
+	key            uint64                  // servicespec.ServiceKey
+	spec           *servicespec.Service    // nil if specLost
+	specLost       bool                    // known only from the tasks that hosts report, since its description is lost
+	requiredLabels uint64                  // bits of its placement constraints
 	replicas       map[int]*desiredReplica // by number
-	applying       bool                    // a description is being applied: it must not be pruned
-	failureReason  string                  // why its dependents cannot be started, or ""
+	applying       bool                    // a description is being applied, so the service must not be pruned
+	failureReason  string                  // why services that depend on it cannot be started, or ""
 
-	update        *rollingupdate.Update // nil: none is in progress
-	updateQueue   []*desiredReplica     // to be replaced by the update
-	updated       []*desiredReplica     // replaced by the update
-	previousSpecs map[*desiredReplica]*servicespec.Service
+	update        *rollingupdate.Update                    // nil: none is in progress
+	updateQueue   []*desiredReplica                        // replicas that the update has yet to replace
+	updated       []*desiredReplica                        // replicas that the update has replaced
+	previousSpecs map[*desiredReplica]*servicespec.Service // specifications before the update, for a rollback
 }
 
 func newService(p *project, name string) *service {
@@ -52,7 +52,7 @@
 	}
 }
 
-// setSpec changes the service to a specification. An update that was in progress ends.
+// setSpec changes the service to a specification and ends any update in progress.
 func (s *service) setSpec(spec *servicespec.Service, requiredLabels uint64) {
 	s.spec, s.specLost, s.requiredLabels = spec, false, requiredLabels
 	s.key = servicespec.ServiceKey(spec.Tenant, s.project.name, spec.Name)
@@ -61,7 +61,7 @@
 	s.previousSpecs = map[*desiredReplica]*servicespec.Service{}
 }
 
-// sortedReplicas returns the replicas in the order of their numbers, since a map has none.
+// sortedReplicas returns the replicas ordered by number, so that the outputs do not depend on the order of a map.
 func (s *service) sortedReplicas() []*desiredReplica {
 	replicas := make([]*desiredReplica, 0, len(s.replicas))
 	for _, number := range slices.Sorted(maps.Keys(s.replicas)) {
@@ -70,7 +70,7 @@
 	return replicas
 }
 
-// projectFor returns the project of a description. It isn't added to the table.
+// projectFor returns the project of a description. A new project is not added to the table.
 func (c *Core) projectFor(d *servicespec.Description, s *submission) *project {
 	name := d.Name
 	if name == "" {
@@ -82,8 +82,9 @@
 	return &project{name: name, services: map[string]*service{}}
 }
 
-// applyDescription changes a project to a description: what is new is requested, what runs unchanged stays, what has
-// changed is replaced by its service's update_config, and the rest is stopped. labels are those of the services, in order.
+// applyDescription changes a project to a description. New tasks are requested, unchanged ones keep running, changed
+// ones are replaced as the update_config of their service states, and all others are stopped. labels are the label bits
+// of the services, in their order.
 func (c *Core) applyDescription(p *project, d *servicespec.Description, s *submission, labels []uint64) {
 	var toStart []*desiredReplica
 	for i := range d.Services {
@@ -97,7 +98,7 @@
 	for i := range d.Services {
 		p.services[d.Services[i].Name].applying = false
 	}
-	// Only now are all services known, and with them what depends on what.
+	// Dependencies can be evaluated only now, when all services are in the project.
 	for _, r := range toStart {
 		c.startIfReady(r)
 	}
@@ -108,7 +109,7 @@
 	}
 }
 
-// applyService changes a service to its specification and returns the replicas that are to be started.
+// applyService changes a service to a specification and returns the replicas to start.
 func (c *Core) applyService(p *project, spec *servicespec.Service, s *submission, labels uint64) []*desiredReplica {
 	svc := p.services[spec.Name]
 	if svc == nil {
@@ -135,8 +136,8 @@
 	return toStart
 }
 
-// claimReplica makes a submission the one that gets a replica's next outcome. It returns the replica if that is to be
-// started.
+// claimReplica makes the next outcome of a replica go to a submission, and adds the replica if the service lacks it. It
+// returns the replica if the caller has to start it, else nil.
 func (c *Core) claimReplica(svc *service, number int, s *submission) *desiredReplica {
 	r := svc.replicas[number]
 	pending := &pendingOutcome{submission: s, acceptedAt: c.now}
@@ -150,7 +151,7 @@
 		return r
 	}
 	if r.removing {
-		// Guards against a second copy, under the same key, beside one that has not ended yet: the new one follows it.
+		// The old copy has not ended yet. The new one is started after its end, since both have the same key.
 		r.removing = false
 		r.pending, r.nextSpec = pending, svc.spec
 		c.awaitOldCopyEnd(r)
@@ -173,7 +174,7 @@
 	return nil
 }
 
-// handleRemoveProject stops all tasks of a project.
+// handleRemoveProject stops all tasks of a project and removes it.
 func (c *Core) handleRemoveProject(in RemoveProject) {
 	p := c.projects[in.Project]
 	if p == nil {
@@ -196,7 +197,8 @@
 	c.pruneService(svc)
 }
 
-// pruneService removes a service of which nothing is left, and its project with the last one.
+// pruneService removes a service without replicas, unless a dependent still needs its outcome, and removes the project
+// with its last service.
 func (c *Core) pruneService(svc *service) {
 	p := svc.project
 	if len(svc.replicas) > 0 || svc.applying || !p.has(svc) {
@@ -209,7 +211,7 @@
 	}
 	delete(p.services, svc.name)
 	for _, other := range p.sortedServices() {
-		// What this one waited for may have been kept for it alone.
+		// The removed service may have been the last dependent of another one that has no replicas.
 		if p.has(other) && len(other.replicas) == 0 {
 			c.pruneService(other)
 		}
--- a/internal/scheduler/core/replicas.go
+++ b/internal/scheduler/core/replicas.go
@@ -11,55 +11,56 @@
 	"forkhead/internal/scheduler/retrypolicy"
 )
 
-// replicaState is how far a desired replica is.
+// replicaState is the state of a desired replica.
 type replicaState uint8
 
 const (
-	awaitingDependencies replicaState = iota // waits for what its service depends on
-	awaitingRequest                          // waits for a time, or until it may be requested
-	requesting                               // the module decides on it
-	placed
-	finished // ended for good
+	awaitingDependencies replicaState = iota // waits for the services that its service depends on
+	awaitingRequest                          // waits for its next request: for a timer, or while blocked
+	requesting                               // its placement request is open
+	placed                                   // its task is held by a host
+	finished                                 // ended for good
 )
 
-// desiredReplica is a task that a service wants: its owner's side, over all requests and placements.
+// desiredReplica is a task that a service wants to run. It lasts over all placement requests and placements of the
+// task.
 type desiredReplica struct {
 	service     *service
 	number      int    // from 1
-	name        string // as taskName
-	taskKey     uint64 // what hosts know it by
-	generation  int    // odd where the task runs under its second key
+	name        string // text of its taskName
+	taskKey     uint64 // the key by which hosts recognize the task
+	generation  int    // grows with each start-first copy; if odd, the task runs under its second key
 	spec        *servicespec.Service
-	fingerprint uint64 // of spec
+	fingerprint uint64 // fingerprint of spec
 	class       int
 	tenant      int
 
 	state         replicaState
-	request       *placementRequest // while requesting
-	attempt       *taskAttempt      // while placed
-	blocked       bool              // while awaitingRequest: it is requested as soon as it may be
+	request       *placementRequest // set while requesting
+	attempt       *taskAttempt      // set while placed
+	blocked       bool              // while awaitingRequest: requested once its unknown attempts permit it
 	removing      bool              // to be removed once it has ended
-	removed       bool              // no longer of any project
-	stopRequested bool              // its host is to end it, for its project's sake
-	succeeded     bool              // of a finished one
-	recovered     bool              // known from an earlier incarnation, and not placed since: it may run already
-	placements    int               // how often it was placed
-	restartTimes  []time.Duration   // restarts that count for the restart policy
+	removed       bool              // no longer part of a project
+	stopRequested bool              // its project wants its host to stop it
+	succeeded     bool              // if finished: the task ended without an error
+	recovered     bool              // restored from an earlier incarnation and not placed since, so it may run already
+	placements    int               // number of times that it was placed
+	restartTimes  []time.Duration   // restarts that count toward the limit of the restart policy
 
 	retrier            retrypolicy.Retrier
-	pending            *pendingOutcome        // nil: none is pending
-	offerCount         int                    // since the last outcome
+	pending            *pendingOutcome        // nil if none is pending
+	offerCount         int                    // offers since the last outcome
 	rejected           bool                   // the last request was rejected rather than failed
-	reason             string                 // why the last request did not place it
-	failureCounts      map[attemptFailure]int // since it was first requested
-	preferencesDropped bool                   // they could not be met
+	reason             string                 // why the last request did not place the task
+	failureCounts      map[attemptFailure]int // failures of attempts since it was first requested
+	preferencesDropped bool                   // its spread preferences could not be met and are ignored
 
-	updating    bool                 // an update replaces it
-	nextSpec    *servicespec.Service // what it is replaced by, once it has ended
-	successor   *desiredReplica      // start-first: the copy that takes over
-	predecessor *desiredReplica      // start-first: the copy that it takes over from
+	updating    bool                 // it is being replaced by an update
+	nextSpec    *servicespec.Service // specification to restart it with once its task has ended
+	successor   *desiredReplica      // with start-first: the copy that will replace it
+	predecessor *desiredReplica      // with start-first: the copy that it will replace
 
-	// Numbers of the timers that count.
+	// Numbers of the only timers that are still valid.
 	requestTimerSeq  uint64
 	deadlineTimerSeq uint64
 	monitorTimerSeq  uint64
@@ -69,7 +70,7 @@
 	return r.request != nil && r.request.HasAttemptInFlight()
 }
 
-// isSpecLost reports whether the specification of the task is lost.
+// isSpecLost reports whether the specification of the task is lost, so that it cannot be started again.
 func (r *desiredReplica) isSpecLost() bool { return r.spec == nil || r.service.specLost }
 
 func (r *desiredReplica) stopGrace() time.Duration {
@@ -79,7 +80,7 @@
 	return r.spec.StopGrace
 }
 
-// countFailure counts why an attempt failed, for the reason of an outcome.
+// countFailure counts a failed attempt by its cause, for the reason of the outcome.
 func (r *desiredReplica) countFailure(failure attemptFailure) {
 	if r.failureCounts == nil {
 		r.failureCounts = map[attemptFailure]int{}
@@ -87,7 +88,8 @@
 	r.failureCounts[failure]++
 }
 
-// newReplica adds a replica of a service. If the service has one of that number, the new one is its successor.
+// newReplica adds a replica to a service. If the service already has one of that number, the new one becomes its
+// successor.
 func (c *Core) newReplica(svc *service, number int, spec *servicespec.Service) *desiredReplica {
 	r := &desiredReplica{
 		service: svc,
@@ -105,14 +107,14 @@
 	return r
 }
 
-// taskKey is a replica's key. A copy that is started before the old one stops has another, so that its host does not take
-// it for a repeat.
+// taskKey returns a replica's key. A copy that is started before the old one stops gets a different key, so that its
+// host does not treat it as a duplicate.
 func taskKey(r *desiredReplica) uint64 {
 	svc := r.service
 	return servicespec.TaskKey(r.spec.Tenant, svc.project.name, svc.name, r.number) ^ uint64(r.generation&1)
 }
 
-// setSpec makes a replica one by another specification. Its key stays.
+// setSpec changes the specification of a replica. Its key stays the same.
 func (c *Core) setSpec(r *desiredReplica, spec *servicespec.Service) {
 	r.spec, r.fingerprint = spec, spec.Fingerprint()
 	r.class, r.tenant = c.classIndex(spec), slices.Index(c.settings.Tenants, spec.Tenant)
@@ -125,7 +127,7 @@
 	return c.settings.DefaultClass
 }
 
-// handleUnplaced follows a request that ended without a placement.
+// handleUnplaced retries or abandons a replica whose request ended without a placement.
 func (c *Core) handleUnplaced(r *desiredReplica, rejected bool, retryAfter time.Duration) {
 	r.rejected = rejected
 	reason, impossible := c.explain(r)
@@ -148,7 +150,8 @@
 	c.retry(r, event)
 }
 
-// abandon reports the outcome of a replica that was not placed, and removes it.
+// abandon reports a replica as not placed and removes it. The outcome is rejected only if a new submission is harmless,
+// and failed otherwise.
 func (c *Core) abandon(r *desiredReplica) {
 	rules := c.attemptRules(r.class)
 	unknown := c.unknownAttempts[r.taskKey]
@@ -169,7 +172,7 @@
 	c.removeReplica(r)
 }
 
-// handleReplicaPlaced follows a replica's placement.
+// handleReplicaPlaced updates a replica that was placed by an attempt.
 func (c *Core) handleReplicaPlaced(r *desiredReplica, a *taskAttempt) {
 	r.state, r.attempt, r.request = placed, a, nil
 	if r.removed || r.removing {
@@ -190,7 +193,7 @@
 	c.startDependents(r.service)
 }
 
-// handleReplicaLost follows the end of a placed replica that its task did not cause itself.
+// handleReplicaLost handles the end of a placed replica whose task did not end by itself.
 func (c *Core) handleReplicaLost(r *desiredReplica, a *taskAttempt, cause retrypolicy.Cause) {
 	if r.attempt != a {
 		return
@@ -219,7 +222,7 @@
 	}
 }
 
-// handleReplicaEnded follows the end of a placed replica that its host reported.
+// handleReplicaEnded handles the end of a placed replica as its host reported it.
 func (c *Core) handleReplicaEnded(r *desiredReplica, a *taskAttempt, d attemptDetail) {
 	if r.attempt != a {
 		return
@@ -245,7 +248,8 @@
 	c.retry(r, retrypolicy.Event{Cause: retrypolicy.Ended, MinWait: r.spec.Restart.Delay})
 }
 
-// lossCause reports whether a task's end is none that its restart policy deals with, and what it is then.
+// lossCause reports whether the end of a task counts as a loss, to which its restart policy does not apply, and its
+// cause.
 func lossCause(r *desiredReplica, a *taskAttempt, d attemptDetail) (cause retrypolicy.Cause, lost bool) {
 	switch {
 	case r.removing || r.nextSpec != nil || r.isSpecLost():
@@ -260,7 +264,8 @@
 	return 0, false
 }
 
-// allowRestart reports whether a restart policy wants an ended task back, and counts the restart if so.
+// allowRestart reports whether the restart policy of a replica restarts its ended task, and counts the restart if it
+// does.
 func (c *Core) allowRestart(r *desiredReplica, succeeded bool) bool {
 	policy := &r.spec.Restart
 	wanted := policy.When == servicespec.Always && !r.spec.Mode.Job() || policy.When != servicespec.Never && !succeeded
@@ -277,7 +282,7 @@
 	return true
 }
 
-// stopAndRemove ends a replica that its project no longer has.
+// stopAndRemove stops a replica that its project no longer wants, and removes it once it has ended.
 func (c *Core) stopAndRemove(r *desiredReplica) {
 	if r.removed || r.removing {
 		return
@@ -295,7 +300,8 @@
 	c.removeReplica(r)
 }
 
-// stopPlaced stops a placed replica for its project's sake. If its host is out of reach it is stopped once that is back.
+// stopPlaced stops a placed replica that its project no longer wants in this form. If the host is unreachable, the stop
+// is sent once the host is back.
 func (c *Core) stopPlaced(r *desiredReplica) {
 	r.stopRequested = true
 	if a := r.attempt; a.phase() == attempt.Placed && a.host.isConnectedAndSynced() {
@@ -303,7 +309,7 @@
 	}
 }
 
-// removeReplica takes a replica out of its project. What may still run of it is stopped when a host reports it.
+// removeReplica removes a replica from its project. A task of it that may still run is stopped when a host reports it.
 func (c *Core) removeReplica(r *desiredReplica) {
 	if r.removed {
 		return
--- a/internal/scheduler/core/requesting.go
+++ b/internal/scheduler/core/requesting.go
@@ -8,10 +8,11 @@
 	"forkhead/internal/scheduler/retrypolicy"
 )
 
-// noDeadline is how long a service waits for a task that it had already: in effect for ever.
+// noDeadline is the wait for a task that was placed before, for which there is no deadline: 10 years are in effect
+// forever.
 const noDeadline = 10 * 365 * 24 * time.Hour
 
-// startRequesting starts the wait for an outcome.
+// startRequesting starts the wait for an outcome of a replica and requests it.
 func (c *Core) startRequesting(r *desiredReplica) {
 	timeout := r.spec.PlacementTimeout
 	if timeout == 0 {
@@ -19,7 +20,8 @@
 	}
 	from := c.now
 	if r.recovered && r.pending != nil {
-		from = min(r.pending.acceptedAt, c.now) // its owner waits since before this incarnation; a clock may have been set back
+		// The owner's wait began in an earlier incarnation. The clock may have been set back since.
+		from = min(r.pending.acceptedAt, c.now)
 	}
 	r.retrier.Begin(max(from+timeout, c.now+attempt.MinRequestTime))
 	r.preferencesDropped, r.failureCounts, r.reason = false, nil, ""
@@ -27,13 +29,13 @@
 	c.requestAt(r, c.now)
 }
 
-// addOwnerDeadline sets the timer for the end of a replica's wait.
+// addOwnerDeadline sets the timer for the end of the owner's wait for a replica.
 func (c *Core) addOwnerDeadline(r *desiredReplica) {
 	r.deadlineTimerSeq++
 	c.addTimer(&timer{at: r.retrier.Deadline, kind: timerOwnerDeadline, replica: r, number: r.deadlineTimerSeq})
 }
 
-// requestAt requests a replica at a time, or at once if that is over.
+// requestAt requests a replica at a time, or at once if that time has passed.
 func (c *Core) requestAt(r *desiredReplica, at time.Duration) {
 	r.state, r.blocked = awaitingRequest, false
 	if at <= c.now {
@@ -44,13 +46,13 @@
 	c.addRequestTimer(r, at)
 }
 
-// addRequestTimer sets the timer for a replica's next request. Earlier ones don't count any more.
+// addRequestTimer sets the timer for a replica's next request, which invalidates any earlier one.
 func (c *Core) addRequestTimer(r *desiredReplica, at time.Duration) {
 	r.requestTimerSeq++
 	c.addTimer(&timer{at: at, kind: timerRequest, replica: r, number: r.requestTimerSeq})
 }
 
-// requestNow makes a placement request for a replica, unless it has to wait until it may be requested.
+// requestNow makes a placement request for a replica, or blocks the replica if mayRequest forbids that now.
 func (c *Core) requestNow(r *desiredReplica) {
 	if r.state != awaitingRequest || r.removed {
 		return
@@ -77,26 +79,26 @@
 	c.notifyModule(forkhead.PlacementRequest{Task: request.task})
 }
 
-// requestWait is how long a request of a replica may take.
+// requestWait returns the timeout of a replica's next request.
 func (c *Core) requestWait(r *desiredReplica) time.Duration {
 	wait := r.spec.RequestTimeout
 	if wait == 0 {
 		wait = c.settings.Classes[r.class].RequestTimeout
 	}
 	if len(r.spec.Preferences) > 0 && !r.preferencesDropped {
-		// The rest is for a request without the preferences.
+		// The remaining time is left for a request without the preferences.
 		wait = min(wait/4, c.settings.Module.Classes[r.class].LatencyObjective+attempt.MinRequestTime)
 	}
 	return min(wait, r.retrier.Deadline-c.now)
 }
 
-// mayRequest reports whether a replica may be requested now. It may not while an attempt of an earlier request, or of an
-// earlier incarnation of this placer, may run and a repeat could do harm. A request that must end before the hosts drop
-// the task's key takes maxWait at most; 0: there is no such bound.
+// mayRequest reports whether a replica may be requested now. It may not while an attempt of an earlier request, or of
+// an earlier incarnation of this placer, may run and a second run could do harm. maxWait bounds a request that must end
+// before the hosts drop the task's key; 0 means no bound.
 func (c *Core) mayRequest(r *desiredReplica) (maxWait time.Duration, ok bool) {
 	rules := c.attemptRules(r.class)
 	if c.mustAwaitHosts(r, rules) {
-		// Guards against starting again what an earlier incarnation had started: hosts report what they run.
+		// An earlier incarnation may have started the task, which its host will report. Try again later.
 		c.addRequestTimer(r, min(c.hostReportDeadline(), c.now+attempt.MinRequestTime))
 		return 0, false
 	}
@@ -108,14 +110,15 @@
 	return rules.MayRequest(c.now, len(unknown), firstChosenAt)
 }
 
-// mustAwaitHosts reports whether a request of a replica has to wait until the hosts have reported what they run.
+// mustAwaitHosts reports whether a replica's request has to wait until the hosts have reported the tasks that they
+// hold.
 func (c *Core) mustAwaitHosts(r *desiredReplica, rules attempt.Rules) bool {
 	reported, deadlinePassed := c.allHostsReported(), c.now >= c.hostReportDeadline()
 	return rules.MustWaitForHosts(reported, deadlinePassed) || r.recovered && !reported && !deadlinePassed
 }
 
-// hostReportDeadline is until when a new incarnation waits for the reports of all hosts before it starts what must not be
-// started twice.
+// hostReportDeadline returns the time until which a new incarnation waits for the reports of all hosts before it starts
+// tasks that must not be started twice.
 func (c *Core) hostReportDeadline() time.Duration {
 	if c.firstListAt == 0 {
 		return c.now + attempt.MinRequestTime
@@ -123,7 +126,7 @@
 	return c.firstListAt + c.settings.Module.OwnerBackoff
 }
 
-// allHostsReported reports whether all hosts have reported what they run.
+// allHostsReported reports whether all listed hosts have reported the tasks that they hold. It is false without hosts.
 func (c *Core) allHostsReported() bool {
 	for _, h := range c.hosts {
 		if h.listed && !h.everSynced {
@@ -133,8 +136,8 @@
 	return len(c.hosts) > 0
 }
 
-// repeatIsHarmful reports whether an attempt of another request, which may run, forbids to send one of this request now.
-// Guards against what turns up after the request began: a host that reports late what it runs.
+// repeatIsHarmful reports whether a request must not send an attempt now, since an attempt of another request may run.
+// Such an attempt can be found after the request began, when a host reports its tasks late.
 func (c *Core) repeatIsHarmful(request *placementRequest) bool {
 	for a := range c.unknownAttempts[request.replica.taskKey] {
 		if a.request == request {
@@ -152,7 +155,7 @@
 	return false
 }
 
-// unblock requests the replica of a task that waited until it may be requested.
+// unblock requests the blocked replica of a task whose unknown attempt was settled, if there is one.
 func (c *Core) unblock(taskKey uint64) {
 	r := c.blockedReplicas[taskKey]
 	if r == nil {
@@ -164,13 +167,14 @@
 	}
 }
 
-// retry requests a replica once more after a while, or gives it up.
+// retry requests a replica again after a backoff, or abandons it.
 func (c *Core) retry(r *desiredReplica, event retrypolicy.Event) {
 	rules := c.attemptRules(r.class)
 	event.RepeatMayHarm = len(c.unknownAttempts[r.taskKey]) > 0 && !rules.RetryIsHarmless()
 	at, ok := r.retrier.NextRetry(c.now, event, c.retryPolicy, c.rng.Float64())
 	if !ok && r.pending == nil && r.placements > 0 {
-		// It was placed once and its outcome is reported: its project wants it back for good.
+		// It was placed before and its outcome is reported. Its project still wants it, so it is retried without a
+		// deadline.
 		r.retrier.Begin(c.now + noDeadline)
 		at, ok = c.now+c.retryPolicy.MaxBackoff, true
 	}
@@ -178,7 +182,7 @@
 	case ok:
 		c.requestAt(r, at)
 	case r.retrier.Deadline > c.now && (r.blocked || event.RepeatMayHarm):
-		// Until its outcome is known, or its owner's time is over.
+		// It waits until its unknown attempts are settled, or until the owner's deadline.
 		r.state, r.blocked = awaitingRequest, true
 		c.blockedReplicas[r.taskKey] = r
 	default:
@@ -186,19 +190,19 @@
 	}
 }
 
-// handleOwnerDeadline ends the wait of an owner, if the timer of that number still counts.
+// handleOwnerDeadline ends the owner's wait for a replica, if the timer of that number is still valid.
 func (c *Core) handleOwnerDeadline(r *desiredReplica, timerNumber uint64) {
 	if timerNumber != r.deadlineTimerSeq || r.state == finished || r.removed {
 		return
 	}
 	switch {
 	case r.state == placed && r.nextSpec != nil:
-		// The old copy has not ended: nothing was offered for the new one.
+		// The old copy has not ended, so the new one was never offered.
 		c.reportOutcome(r, OutcomeRejected, nil, "its earlier copy on "+r.attempt.host.name+" has not ended")
 		r.nextSpec, r.removing = nil, true
 		c.reportUpdateResult(r, false)
 	case r.state == placed || r.pending == nil:
-	case r.state == requesting: // the request ends by now too, and with it the wait
+	case r.state == requesting: // the request's own deadline is no later and ends the wait
 	default:
 		if r.reason == "" {
 			r.reason, _ = c.explain(r)
--- a/internal/scheduler/core/requests.go
+++ b/internal/scheduler/core/requests.go
@@ -11,13 +11,13 @@
 // placementRequest is one request to the module to place a task.
 type placementRequest struct {
 	attempt.Request
-	id       forkhead.TaskID // each request has its own
+	id       forkhead.TaskID // unique to the request
 	task     forkhead.Task
 	replica  *desiredReplica
-	attempts []*taskAttempt // by number, as Request.Attempts; nil where nothing was sent
+	attempts []*taskAttempt // same indexes as Request.Attempts; nil if the offer was not sent
 }
 
-// attemptRules are what a class and the settings allow.
+// attemptRules returns the rules for attempts of a class.
 func (c *Core) attemptRules(class int) attempt.Rules {
 	m := &c.settings.Module
 	classSettings := &m.Classes[class]
@@ -30,7 +30,7 @@
 	}
 }
 
-// newRequest adds a request for a replica. The module is not notified of it, and it has no deadline.
+// newRequest adds a request for a replica, without a deadline. It does not notify the module.
 func (c *Core) newRequest(r *desiredReplica) *placementRequest {
 	request := &placementRequest{id: c.newTaskID(), replica: r}
 	request.Rules = c.attemptRules(r.class)
@@ -51,7 +51,7 @@
 	return request
 }
 
-// newTaskID returns the next number that no request has. 0 is none.
+// newTaskID returns the next ID that no request in the table has. 0 is not a valid ID.
 func (c *Core) newTaskID() forkhead.TaskID {
 	for {
 		c.lastTaskID++
@@ -62,12 +62,13 @@
 	}
 }
 
-// spreadDomains are the domains by the names that descriptions have for them.
+// spreadDomains maps the names of domains in descriptions to the domains.
 var spreadDomains = map[string]forkhead.Domain{
 	"machine": forkhead.MachineDomain, "rack": forkhead.CellDomain, "zone": forkhead.ZoneDomain,
 }
 
-// spreadLimits are a service's own limits, and an even share for each preference that still applies.
+// spreadLimits returns the limits that a replica's service states, tightened to an even share for each preference
+// unless the replica has dropped them.
 func (c *Core) spreadLimits(r *desiredReplica) forkhead.SpreadLimits {
 	limits := statedSpreadLimits(r)
 	if r.preferencesDropped {
@@ -94,7 +95,8 @@
 	}
 }
 
-// evenShare is the number of a service's tasks in each domain when they are spread evenly.
+// evenShare returns the number of a service's tasks per domain, rounded up, if they are spread evenly over the ready
+// hosts that meet its constraints.
 func (c *Core) evenShare(r *desiredReplica, domain forkhead.Domain) int {
 	indexes := map[int]bool{}
 	for _, h := range c.hosts {
@@ -111,7 +113,7 @@
 	return max((len(r.service.replicas)+domains-1)/domains, 1)
 }
 
-// finishRequest ends a request without a placement, by a Reject or Fail of the module.
+// finishRequest ends a request without a placement, after a Reject or Fail of the module or at its deadline.
 func (c *Core) finishRequest(id forkhead.TaskID, rejected bool, retryAfter time.Duration) {
 	request := c.requests[id]
 	if c.canceledRequests[id] != nil {
@@ -139,8 +141,8 @@
 	}
 }
 
-// expireRequest ends a request that the module has left open at its deadline. That is a defect: the module ends its
-// requests just before.
+// expireRequest ends a request that the module has left open at its deadline. This is a defect, since the module must
+// end its requests before.
 func (c *Core) expireRequest(request *placementRequest) {
 	if request.Answer != attempt.Unanswered || c.requests[request.id] != request {
 		return
@@ -150,7 +152,7 @@
 	c.finishRequest(request.id, false, 0)
 }
 
-// cancelRequest ends a replica's request, if it has one: nobody waits for it any more.
+// cancelRequest cancels a replica's request, if it has one, since its result is no longer wanted.
 func (c *Core) cancelRequest(r *desiredReplica) {
 	request := r.request
 	if request == nil {
@@ -173,7 +175,7 @@
 	}
 }
 
-// withdrawAttempt withdraws an attempt by a Withdraw of the module. One that does not exist was vetoed.
+// withdrawAttempt executes a Withdraw of the module. It ignores an attempt that does not exist, whose offer was vetoed.
 func (c *Core) withdrawAttempt(id forkhead.TaskID, number int) {
 	request := c.requests[id]
 	if request == nil || number < 0 || number >= len(request.attempts) || request.attempts[number] == nil {
@@ -182,7 +184,7 @@
 	c.handleAttempt(request.attempts[number], attempt.Abandoned, attemptDetail{})
 }
 
-// migrateTask stops a placed task by a Stop of the module. Its owner requests it again once it has ended.
+// migrateTask executes a Stop of the module: it stops a placed task, whose owner requests it again once it has ended.
 func (c *Core) migrateTask(id forkhead.TaskID) {
 	request := c.requests[id]
 	if request == nil {
--- a/internal/scheduler/core/restore.go
+++ b/internal/scheduler/core/restore.go
@@ -8,25 +8,25 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// tombstoneLifetime is how long the tombstone of a removed project is stored: hosts that come back by then stop what they run of
-// it.
+// tombstoneLifetime is how long the tombstone of a removed project is stored. Hosts that come back within that time are
+// told to stop their tasks of the project.
 const tombstoneLifetime = 24 * time.Hour
 
-// persist emits a record of what must survive a restart.
+// persist emits a record of state that must survive a restart, if the core is durable.
 func (c *Core) persist(record durable.Record) {
 	if c.durable {
 		c.emit(Persist{Record: record})
 	}
 }
 
-// durableTask is what is persisted of a replica.
+// durableTask returns the form of a replica in a record.
 func (r *desiredReplica) durableTask(kind OutcomeKind, isFinished bool) durable.Task {
 	return durable.Task{
 		Project: r.service.project.name, Service: r.service.name, Replica: r.number, Outcome: string(kind), Finished: isFinished,
 	}
 }
 
-// persistFinished records that a replica has ended for good.
+// persistFinished persists that a replica has ended for good.
 func (c *Core) persistFinished(r *desiredReplica) {
 	kind := OutcomeFailed
 	if r.succeeded {
@@ -35,8 +35,8 @@
 	c.persist(durable.TaskFinished{Task: r.durableTask(kind, true)})
 }
 
-// persistAttempt records an attempt that must not be made twice. A safe one is not recorded: to make it again does no
-// harm, and the record would cost its start an fsync.
+// persistAttempt persists an attempt of a keyed or unsafe task, which a later incarnation must not repeat unknowingly.
+// An attempt of a safe task is not persisted: a repeat does no harm, and the record would add an fsync to the start.
 func (c *Core) persistAttempt(a *taskAttempt) {
 	r := a.request.replica
 	if !c.durable || a.request.Rules.Effect == forkhead.Safe || r.service.specLost {
@@ -57,9 +57,9 @@
 	}})
 }
 
-// handleRestore begins an incarnation with what an earlier one has persisted. Nothing is offered before hosts have reported
-// what they run, or the owner's wait is over; an attempt that was recorded is unknown until its host has reported what
-// became of it.
+// handleRestore restores the state that an earlier incarnation persisted. No restored task is offered before the hosts
+// have reported the tasks that they hold, or the wait for them (hostReportDeadline) is over. A persisted attempt is
+// unknown until its host has reported its result.
 func (c *Core) handleRestore(snapshot *durable.Snapshot) {
 	c.persist(durable.IncarnationStarted{Epoch: c.epoch})
 	for _, key := range snapshot.Unreadable {
@@ -82,7 +82,7 @@
 	}
 }
 
-// restoreTombstones takes over which projects were removed, and when.
+// restoreTombstones restores which projects were removed, and expires old tombstones.
 func (c *Core) restoreTombstones(removedAt map[string]time.Duration) {
 	for name, at := range removedAt {
 		if at+tombstoneLifetime <= c.now {
@@ -93,10 +93,10 @@
 	}
 }
 
-// restoreHostList begins with the endpoint list that an earlier incarnation received last, by its age: so that a placer
-// whose rack restarts while discovery is unavailable is not idle, and one that was down for long does not rely on old
-// entries. A list from the future shows that a clock was set back: its age is unknown, so its hosts count after their
-// handshake only.
+// restoreHostList uses the last endpoint list of an earlier incarnation as a cached list, depending on its age. So a
+// placer whose rack restarts while discovery is unavailable is not idle, and one that was down for long does not rely
+// on old entries. A list from the future shows that the clock was set back: its age is unknown, so its hosts count as
+// ready only after their handshake.
 func (c *Core) restoreHostList(list *durable.HostList) {
 	age, saved := c.now-list.ReceivedAt, c.settings.SavedHostList
 	switch {
@@ -109,6 +109,7 @@
 	c.handleHostList(HostListReceived{Mode: forkhead.ListCached, Hosts: list.Hosts, Stale: age < 0 || age > saved.FreshAge})
 }
 
+// restoreSubmission restores a submission with its outcomes, up to the first that cannot be read.
 func (c *Core) restoreSubmission(progress *durable.SubmissionProgress) {
 	s := &submission{
 		id:             progress.ID,
@@ -132,7 +133,7 @@
 	}
 }
 
-// restoreProject restores a project and returns the replicas whose outcome is pending: they are to be started.
+// restoreProject restores a project and returns the replicas to start, which are those whose outcome is pending.
 func (c *Core) restoreProject(saved *durable.Project) (toStart []*desiredReplica) {
 	d := saved.Specification
 	p := &project{name: d.Name, services: map[string]*service{}}
@@ -167,15 +168,15 @@
 	return toStart
 }
 
-// restoreReplica takes over what became of a replica: whether its outcome was reported, and whether it has ended for good.
-// It reports whether the replica is to be started, since its outcome is pending.
+// restoreReplica restores the state of a replica. reported is whether its outcome was reported, isFinished whether it
+// has ended for good. It returns true if the outcome is pending, so that the caller has to start the replica.
 func (c *Core) restoreReplica(r *desiredReplica, s *submission, reported, isFinished bool) (start bool) {
 	r.recovered = true
 	switch {
 	case reported && isFinished:
 		r.state, r.succeeded = finished, true
 	case reported || s == nil:
-		// It is to run, and most likely does.
+		// Its project wants it to run, and most likely it does.
 		r.placements = 1
 		r.retrier.Begin(c.now + noDeadline)
 		c.requestAt(r, c.now)
@@ -186,12 +187,12 @@
 	return false
 }
 
-// restoreAttempt makes an attempt of an earlier incarnation unknown: its task waits, as its class says, until its host has
-// reported what became of it.
+// restoreAttempt restores an attempt of an earlier incarnation as unknown. As the rules of its class state, its task
+// waits until the host has reported the result of the attempt.
 func (c *Core) restoreAttempt(saved *durable.Attempt) {
 	r := c.findReplica(taskName{project: saved.Project, service: saved.Service, replica: saved.Replica})
 	if r == nil || r.state == finished {
-		// Nobody wants the task any more: what its host still runs of it is stopped when it reports it.
+		// The task is no longer wanted. If its host still runs it, it is stopped when the host reports it.
 		c.persist(durable.AttemptResolved{Ref: saved.Ref})
 		return
 	}
@@ -206,7 +207,7 @@
 	c.addUnknownAttempt(r, task, saved.ChosenAt).persisted = true
 }
 
-// findReplica returns a replica by its name, or nil.
+// findReplica returns the replica of a name, or nil.
 func (c *Core) findReplica(name taskName) *desiredReplica {
 	p := c.projects[name.project]
 	if p == nil || p.services[name.service] == nil {
--- a/internal/scheduler/core/status.go
+++ b/internal/scheduler/core/status.go
@@ -7,7 +7,7 @@
 	"forkhead/internal/scheduler/attempt"
 )
 
-// Status returns what the placer holds now, and what it has counted since it started.
+// Status returns what the placer holds now and its counters since it started.
 func (c *Core) Status() Status {
 	s := c.status
 	s.Outcomes, s.VetoesByRule = maps.Clone(s.Outcomes), maps.Clone(s.VetoesByRule)
@@ -36,6 +36,7 @@
 	return s
 }
 
+// addReplicas counts the replicas of a service by state.
 func (s *Status) addReplicas(svc *service) {
 	for _, r := range svc.replicas {
 		switch r.state {
@@ -47,7 +48,8 @@
 	}
 }
 
-// TableSizes counts the entries of the core's tables. With no project left all but Hosts are 0; anything else is a leak.
+// TableSizes counts the entries of the core's tables. Without any project, all but Hosts must be 0; anything else is a
+// leak.
 type TableSizes struct {
 	Hosts, Requests, Attempts, Live, Unknown, Blocked, Tasks, Projects, Labels int
 }
--- a/internal/scheduler/core/submissions.go
+++ b/internal/scheduler/core/submissions.go
@@ -10,7 +10,7 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// HTTP status codes of Rejected. A core does not import net/http.
+// HTTP status codes of Rejected, defined here since a core does not import net/http.
 const (
 	statusNotFound              = 404
 	statusRequestEntityTooLarge = 413
@@ -19,13 +19,13 @@
 	statusServiceUnavailable    = 503
 )
 
-// busyRetryAfter is what a client is advised to wait when a limit is reached.
+// busyRetryAfter is the wait that a client is advised when a limit is reached.
 const busyRetryAfter = time.Second
 
-// submission is an accepted Submit with its pending outcomes.
+// submission is an accepted Submit with the outcomes that it has so far.
 type submission struct {
 	id             string
-	idempotencyKey string // or ""
+	idempotencyKey string // "" if the client sent none
 	bodyHash       uint64
 	totalOutcomes  int
 	acceptedAt     time.Duration
@@ -35,10 +35,10 @@
 
 func (s *submission) isComplete() bool { return len(s.outcomes) >= s.totalOutcomes }
 
-// pendingOutcome is an outcome that a submission still has to get.
+// pendingOutcome is an outcome that a submission still waits for.
 type pendingOutcome struct {
 	submission *submission
-	acceptedAt time.Duration
+	acceptedAt time.Duration // when the submission was accepted
 }
 
 // handleSubmit accepts a submission, unless a limit forbids it, and changes its project to the description.
@@ -81,8 +81,8 @@
 	})
 	c.emit(Accepted{Request: in.Request, Submission: s.id})
 	if s.isComplete() {
-		// It has no tasks. It gets no expiry timer of its own: it is removed with the next submission that expires, or when
-		// there are too many.
+		// A submission without tasks is complete at once. It gets no expiry timer of its own: it is removed with the
+		// next submission that expires, or when there are too many.
 		c.queueForExpiry(s)
 		c.emit(OutcomesAdded{Submission: s.id})
 	}
@@ -94,7 +94,7 @@
 	c.emit(*rejected)
 }
 
-// newRejection returns a rejection; one that a limit causes advises when to try again.
+// newRejection returns a rejection. If its status is that of a temporary limit, it advises the client when to retry.
 func newRejection(status int, title, format string, args ...any) *Rejected {
 	r := &Rejected{Status: status, Title: title, Detail: fmt.Sprintf(format, args...)}
 	if status == statusTooManyRequests || status == statusServiceUnavailable {
@@ -103,7 +103,8 @@
 	return r
 }
 
-// findDuplicate returns the submission that came before under the same Idempotency-Key, if one did.
+// findDuplicate returns the earlier submission with the same Idempotency-Key and body, if there is one, or a rejection
+// if the body differs.
 func (c *Core) findDuplicate(in Submit) (*submission, *Rejected) {
 	if in.IdempotencyKey == "" {
 		return nil, nil
@@ -115,7 +116,7 @@
 	return earlier, nil
 }
 
-// countTasks returns the number of tasks of a description. It sets the replicas of services with a task for each host.
+// countTasks returns the number of tasks of a description. It sets Replicas of each service with one task per host.
 func (c *Core) countTasks(d *servicespec.Description) int {
 	tasks := d.Tasks()
 	for i := range d.Services {
@@ -127,8 +128,8 @@
 	return tasks
 }
 
-// admit returns a rejection if a submission of so many tasks exceeds a limit. It removes the oldest complete submission
-// where that lets the new one in.
+// admit returns a rejection if a submission of this many tasks exceeds a limit. If there are too many submissions, it
+// removes the oldest complete one instead.
 func (c *Core) admit(tasks int) *Rejected {
 	limits := &c.settings.Limits
 	if tasks > limits.PerSubmit {
@@ -150,7 +151,7 @@
 	return nil
 }
 
-// newSubmission numbers a submission. It isn't added to the tables.
+// newSubmission returns a submission with a new ID. It is not added to the tables.
 func (c *Core) newSubmission(in Submit, tasks int) *submission {
 	c.lastSubmissionNumber++
 	return &submission{
@@ -169,7 +170,7 @@
 	}
 }
 
-// queueForExpiry queues a complete submission to be removed.
+// queueForExpiry queues a complete submission for removal. It sets no timer.
 func (c *Core) queueForExpiry(s *submission) {
 	s.completedAt = c.now
 	c.completeSubmissions = append(c.completeSubmissions, s)
@@ -197,8 +198,8 @@
 	}
 }
 
-// Outcomes returns the outcomes of a submission from number from on (the first is 0), whether all its tasks have one, and
-// whether the submission is known.
+// Outcomes returns the outcomes of a submission from index from on. complete is whether all its tasks have an outcome,
+// known whether the placer has the submission.
 func (c *Core) Outcomes(id string, from int) (list []Outcome, complete, known bool) {
 	s := c.submissions[id]
 	if s == nil {
@@ -207,8 +208,8 @@
 	return s.outcomes[min(max(from, 0), len(s.outcomes)):], s.isComplete(), true
 }
 
-// reportOutcome adds the pending outcome of a replica to its submission. It does nothing if none is pending. h is where
-// the replica was placed, or nil.
+// reportOutcome adds the pending outcome of a replica to its submission. It does nothing if none is pending. h is the
+// host on which the replica was placed, or nil.
 func (c *Core) reportOutcome(r *desiredReplica, kind OutcomeKind, h *host, reason string) {
 	pending := r.pending
 	if pending == nil {
@@ -231,7 +232,8 @@
 	c.addOutcome(pending.submission, r, o)
 }
 
-// supersedeOutcome reports the pending outcome of a replica, if there is one: the next goes to a later submission.
+// supersedeOutcome reports the pending outcome of a replica, if there is one, as rejected because of a later
+// submission.
 func (c *Core) supersedeOutcome(r *desiredReplica) {
 	c.reportOutcome(r, OutcomeRejected, nil, "a later submission has taken its place")
 }
--- a/internal/scheduler/core/timers.go
+++ b/internal/scheduler/core/timers.go
@@ -8,31 +8,32 @@
 	"forkhead/internal/scheduler/hostconn"
 )
 
-// timerKind is what a timer is for, which determines which of its fields are set.
+// timerKind is the purpose of a timer. It determines which of the timer's fields are set, as listed beside each kind.
 type timerKind uint8
 
 const (
-	timerModule                timerKind = iota // number: the module's own timer
+	timerModule                timerKind = iota // number: a timer that the module set
 	timerRequestDeadline                        // request: its deadline has passed
-	timerAttemptTimeout                         // attempt: unanswered for too long
+	timerAttemptTimeout                         // attempt: its timeout, set by the module, has passed without an answer
 	timerAttemptConnectTimeout                  // attempt: its host is still not connected
-	timerRequest                                // replica, number: request it again
-	timerOwnerDeadline                          // replica, number: its owner waits no longer
-	timerReconnect                              // host: dial it again
-	timerHostConnectTimeout                     // host, number: connecting takes too long
-	timerLiveness                               // host, number: check that it still sends
-	timerHostLost                               // host, number: unreachable for so long that it counts as lost
-	timerProbeTimeout                           // host, number: a probe is unanswered
-	timerUpdate                                 // service: its update goes on
-	timerMonitorEnd                             // replica, number: it has run for as long as its update monitors it
-	timerSubmissionExpiry                       // complete submissions are removed
+	timerRequest                                // replica, number: its next request is due
+	timerOwnerDeadline                          // replica, number: its owner's wait for an outcome ends
+	timerReconnect                              // host: the next attempt to connect is due
+	timerHostConnectTimeout                     // host, number: connecting and the handshake took too long
+	timerLiveness                               // host, number: check whether it still sends
+	timerHostLost                               // host, number: it has been unreachable for LostAfter
+	timerProbeTimeout                           // host, number: a probe has not been answered in time
+	timerUpdate                                 // service: the delay between batches of its update is over
+	timerMonitorEnd                             // replica, number: its update's monitoring time is over
+	timerSubmissionExpiry                       // complete submissions may have to be removed
 )
 
-// timer is something to do at a time. It cannot be stopped: number distinguishes a timer that still counts from one that does not.
+// timer is an action that is due at a time. A timer cannot be stopped; a handler compares its number with the current
+// one to detect that it is no longer valid.
 type timer struct {
 	at      time.Duration
 	kind    timerKind
-	number  uint64 // a sequence number, or the number of a connection or probe
+	number  uint64 // a sequence number, or the ID of a connection, a probe or a timer of the module
 	request *placementRequest
 	attempt *taskAttempt
 	replica *desiredReplica
@@ -42,7 +43,7 @@
 
 func (c *Core) addTimer(t *timer) { c.timers.Add(t.at, t) }
 
-// handleDueTimers handles the timers that are due but for the deadlines of requests, which it returns in order.
+// handleDueTimers handles the timers that are due, except for the deadlines of requests, which it returns in order.
 func (c *Core) handleDueTimers() (requestDeadlines []*timer) {
 	for t := range c.timers.Due(c.now) {
 		if t.kind == timerRequestDeadline {
--- a/internal/scheduler/core/updates.go
+++ b/internal/scheduler/core/updates.go
@@ -9,7 +9,7 @@
 	"forkhead/internal/scheduler/rollingupdate"
 )
 
-// continueUpdate replaces the next replicas of a service's update.
+// continueUpdate starts to replace as many replicas as a service's update permits now.
 func (c *Core) continueUpdate(svc *service) {
 	update := svc.update
 	if update == nil {
@@ -27,7 +27,7 @@
 	}
 }
 
-// beginReplacement begins to replace a replica by one of another specification.
+// beginReplacement starts to replace a replica by one of another specification.
 func (c *Core) beginReplacement(r *desiredReplica, spec *servicespec.Service) {
 	if r.removed {
 		c.reportUpdateResult(r, false)
@@ -35,14 +35,14 @@
 	}
 	r.updating = true
 	if r.state != placed {
-		// It was lost or has ended meanwhile: it comes back as what it is to be.
+		// It was lost or has ended meanwhile, so it is requested with the new specification at once.
 		c.cancelRequest(r)
 		c.setSpec(r, spec)
 		c.startRequesting(r)
 		return
 	}
 	r.service.previousSpecs[r] = r.spec
-	// Two copies of what must never run twice are not started side by side, whatever the order.
+	// Two copies of an unsafe task must not run side by side, so it is always replaced stop-first.
 	if spec.Update.StartFirst && c.attemptRules(r.class).Effect != forkhead.Unsafe {
 		c.startSuccessor(r, spec)
 		return
@@ -52,7 +52,7 @@
 	c.stopPlaced(r)
 }
 
-// startSuccessor starts the copy that takes over from a replica.
+// startSuccessor starts the copy that will replace a replica, which keeps running until then.
 func (c *Core) startSuccessor(r *desiredReplica, spec *servicespec.Service) {
 	successor := c.newReplica(r.service, r.number, spec)
 	successor.pending, r.pending = r.pending, nil
@@ -61,9 +61,9 @@
 	c.startRequesting(successor)
 }
 
-// replaceIfQueued begins the replacement of a replica that ended, or was lost, while it waited in the queue of its
-// service's update. Guards against one that comes back by its old specification, and reports that as the outcome of the
-// new one.
+// replaceIfQueued starts the replacement of a replica that ended, or was lost, while it waited in the queue of its
+// service's update. Otherwise it would be restarted with its old specification, and that would be reported as the
+// outcome of the new one.
 func (c *Core) replaceIfQueued(r *desiredReplica) bool {
 	svc := r.service
 	i := slices.Index(svc.updateQueue, r)
@@ -77,7 +77,7 @@
 	return true
 }
 
-// awaitOldCopyEnd bounds the wait for a replica's earlier copy to end: its host may be out of reach.
+// awaitOldCopyEnd bounds the wait for the end of a replica's old copy, whose host may be unreachable.
 func (c *Core) awaitOldCopyEnd(r *desiredReplica) {
 	timeout := r.nextSpec.PlacementTimeout
 	if timeout == 0 {
@@ -87,7 +87,7 @@
 	c.addOwnerDeadline(r)
 }
 
-// finishReplacement follows the end of the old copy: the new one is requested.
+// finishReplacement requests the new copy of a replica after the end of the old one.
 func (c *Core) finishReplacement(r *desiredReplica) {
 	spec := r.nextSpec
 	r.nextSpec = nil
@@ -95,7 +95,7 @@
 	c.startRequesting(r)
 }
 
-// replacePredecessor lets a placed copy that was started first take the place of the one that it replaces.
+// replacePredecessor makes a placed start-first copy the replica of its service, and stops the copy that it replaces.
 func (c *Core) replacePredecessor(r *desiredReplica) {
 	old := r.predecessor
 	if old == nil {
@@ -112,8 +112,9 @@
 	c.removeReplica(old)
 }
 
-// reportUpdateResult notifies a service's update that a replica under update is placed and has run for as long as it is
-// monitored, or that it failed. It does nothing for other replicas.
+// reportUpdateResult reports to a service's update that the replacement of a replica succeeded, which means that it is
+// placed and has run for the monitoring time, or failed. For a replica that is not being updated, it only detaches a
+// failed successor from its predecessor.
 func (c *Core) reportUpdateResult(r *desiredReplica, succeeded bool) {
 	if !succeeded && r.predecessor != nil {
 		r.predecessor.successor, r.predecessor = nil, nil
@@ -142,7 +143,8 @@
 	}
 }
 
-// cancelQueuedUpdates leaves the replicas that were not replaced yet as they are.
+// cancelQueuedUpdates empties the queue of a stopped update. The replicas in it keep running, and their pending
+// outcomes are reported as rejected.
 func (c *Core) cancelQueuedUpdates(svc *service) {
 	reason := fmt.Sprintf("the update was stopped after %d tasks had failed", svc.update.Failed())
 	for _, r := range svc.updateQueue {
@@ -151,7 +153,7 @@
 	svc.updateQueue = nil
 }
 
-// rollBack restores what an update has replaced, all at once.
+// rollBack replaces all replicas that an update has replaced by their previous specifications, at once.
 func (c *Core) rollBack(svc *service) {
 	c.log("update of %s/%s failed and is rolled back", svc.project.name, svc.name)
 	for _, r := range svc.updated {
