--- a/internal/scheduler/core/core_test.go
+++ b/internal/scheduler/core/core_test.go
@@ -9,9 +9,10 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// A module offers twice, and withdraws what was vetoed and what never was: that is vetoed and counted, and the placer goes
-// on.
-func TestCoreVetoesHarmfulActions(t *testing.T) {
+// A faulty module repeats an offer, withdraws the vetoed attempt and one that does not exist, and offers and rejects a
+// task that was never requested. The repeated offer and the two actions on the unknown task are vetoed and counted, the
+// withdrawals have no effect, and the placer still places the task.
+func TestCoreVetoesActionsThatBreakInvariants(t *testing.T) {
 	set := simulation.Settings(t, "")
 	module, err := forkhead.New(set.Module, 1)
 	if err != nil {
@@ -30,14 +31,15 @@
 		}
 	})
 	if out := s.Await(s.Submit("", "services: {l: {x-forkhead: {class: ledger}}}"), 10*time.Second); simulation.Count(out, core.OutcomePlaced) != 1 {
-		t.Fatalf("outcomes: %+v", out)
+		t.Fatalf("with a faulty module, outcomes = %+v, want one placed", out)
 	}
 	if st := s.Core.Status(); st.Vetoes != 3 || st.VetoesByRule["no_repeat"] != 1 || st.VetoesByRule["one_answer"] != 2 || st.Defects != 3 || len(s.Offers) != 1 {
-		t.Fatalf("%+v, %d offers", st, len(s.Offers))
+		t.Fatalf("with a faulty module, Status() = %+v and %d offers sent, want 3 vetoes (1 no_repeat, 2 one_answer), 3 defects and 1 offer", st, len(s.Offers))
 	}
 }
 
-// The same inputs at the same times give the same outputs.
+// Two runs with the same inputs at the same times send the same offers. A dependence on map order or on a clock would
+// break replays of recordings.
 func TestCoreIsDeterministic(t *testing.T) {
 	play := func() (string, int) {
 		s := simulation.New(t, simulation.Settings(t, ""), 5)
@@ -56,6 +58,6 @@
 	a, n := play()
 	b, _ := play()
 	if a != b || n < 35 {
-		t.Fatalf("two plays of one history differ (%d offers)", n)
+		t.Fatalf("two runs of one history: same offers %v, %d offers in the first; want true and at least 35", a == b, n)
 	}
 }
--- a/internal/scheduler/core/dependencies_test.go
+++ b/internal/scheduler/core/dependencies_test.go
@@ -9,6 +9,8 @@
 	"forkhead/internal/verify/simulation"
 )
 
+// Services start in the order of their dependencies and after the conditions on them are met; a service whose
+// dependency cannot be placed is rejected with that reason.
 func TestCoreStartsServicesAfterTheirDependencies(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	out := s.Await(s.Submit("", `
@@ -19,13 +21,13 @@
   migrate: {x-forkhead: {life: 500ms}, deploy: {mode: replicated-job}}
 `), 10*time.Second)
 	if simulation.Count(out, core.OutcomePlaced) != 3 {
-		t.Fatalf("outcomes: %+v", out)
+		t.Fatalf("with dependencies that can be met, outcomes = %+v, want 3 placed", out)
 	}
 	if s.Offers[0].Offer.Spec.Name != "p/migrate/1" || s.Offers[2].Offer.Spec.Name != "p/web/1" {
-		t.Fatalf("order of offers: %v", s.Offers)
+		t.Fatalf("offers in order = %v, want p/migrate/1 first and p/web/1 third", s.Offers)
 	}
 	if gap := s.Offers[1].At - s.Offers[0].At; gap < 500*time.Millisecond {
-		t.Fatalf("db went out %v after migrate, which takes 500ms", gap)
+		t.Fatalf("db was offered %v after migrate, want at least the 500ms that migrate runs", gap)
 	}
 	out = s.Await(s.Submit("", `
 name: q
@@ -34,10 +36,10 @@
   db: {deploy: {resources: {reservations: {cpus: "400"}}}}
 `), 10*time.Second)
 	if o := out["web/1"]; o.Outcome != core.OutcomeRejected || !strings.Contains(o.Reason, "depends on db") {
-		t.Fatalf("web: %+v", o)
+		t.Fatalf("outcome of web, whose dependency cannot be placed = %+v, want refused with \"depends on db\"", o)
 	}
 	if o := out["db/1"]; !strings.Contains(o.Reason, "more than any kind of host has") {
-		t.Fatalf("db: %+v", o)
+		t.Fatalf("outcome of db, which needs 400 cores = %+v, want the reason \"more than any kind of host has\"", o)
 	}
 	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/hostconns_test.go
+++ b/internal/scheduler/core/hostconns_test.go
@@ -9,10 +9,10 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// Hosts that crash in the middle of a start, or after it and before they report it: safe tasks go
-// elsewhere, and each gets one outcome.
+// Three of six hosts crash while they decide on an offer, while they start a task, or after the start and before they
+// report it. Their safe tasks are placed on other hosts, and no task has two outcomes.
 func TestCoreRetriesSafeTasksOfCrashedHosts(t *testing.T) {
-	for name, point := range map[string]hostmodel.CrashPoint{"mid look": hostmodel.DuringDecision, "mid start": hostmodel.DuringStart, "after bind": hostmodel.AfterBind} {
+	for name, point := range map[string]hostmodel.CrashPoint{"during decision": hostmodel.DuringDecision, "during start": hostmodel.DuringStart, "after bind": hostmodel.AfterBind} {
 		t.Run(name, func(t *testing.T) {
 			s := simulation.New(t, simulation.Settings(t, ""), 6)
 			for _, h := range s.HostNames[:3] {
@@ -20,15 +20,15 @@
 			}
 			out := s.Await(s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 12}}}"), 20*time.Second)
 			if simulation.Count(out, core.OutcomePlaced) != 12 {
-				t.Fatalf("outcomes: %+v", out)
+				t.Fatalf("after hosts crashed (%s), outcomes = %+v, want 12 placed", name, out)
 			}
 			s.RequireNoViolations()
 		})
 	}
 }
 
-// A host that becomes unresponsive without a reset is detected; harmless tasks go elsewhere, and when it comes back
-// what it still runs is stopped.
+// A host stops responding without a reset of its connection. Its safe tasks are placed elsewhere and its unsafe ones
+// are not offered again; when the host is back, it stops the tasks that were replaced, so that none runs twice.
 func TestCoreReplacesSafeTasksOfUnresponsiveHost(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	out := s.Await(s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 4}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}"), 5*time.Second)
@@ -42,19 +42,19 @@
 		}
 	}
 	if unsafe != 4 {
-		t.Fatalf("%d offers of four unsafe tasks", unsafe)
+		t.Fatalf("while a host does not respond, four unsafe tasks got %d offers, want 4", unsafe)
 	}
 	s.Hosts[victim].Blackholed = false
 	s.Advance(8 * time.Second)
 	running := s.RunningTasks()
 	if running != 8 {
-		t.Fatalf("%d tasks run, want 8", running)
+		t.Fatalf("after the host is back, %d tasks run, want 8", running)
 	}
 	s.RequireNoViolations()
 }
 
-// A host reports that it drains while offers are in flight and while a retry waits: nothing new reaches it after the
-// grace.
+// A host reports that it drains while offers are in flight and others wait to be retried. No offer is sent to it after
+// the drain grace.
 func TestCoreSendsNothingToDrainingHostAfterTheGrace(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 3)
 	s.Delay = 20 * time.Millisecond
@@ -65,14 +65,14 @@
 	s.Advance(10 * time.Second)
 	for _, o := range s.Offers {
 		if o.Host == "h1" && o.At > notifiedAt+s.Delay+s.Settings.Module.DrainGrace {
-			t.Fatalf("an offer to h1 %v after it drains", o.At-notifiedAt)
+			t.Fatalf("h1 got an offer %v after it reported that it drains, want none after the report's delay and the drain grace", o.At-notifiedAt)
 		}
 	}
 	s.RequireNoViolations()
 }
 
-// A host that flaps under one name with a new epoch each time: no task has two outcomes, none is
-// lost, and the tables are empty once the project is removed.
+// A host is killed and restarted ten times, with a new epoch each time. No task has two outcomes or none, and once the
+// project is removed, the core's tables hold only hosts: anything else is a leak.
 func TestCoreForgetsEverythingAfterFlappingHost(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	id := s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 30}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}")
@@ -83,13 +83,13 @@
 		s.RestartHost("h1", false)
 	}
 	if out := s.Await(id, 30*time.Second); len(out) != 34 {
-		t.Fatalf("%d outcomes", len(out))
+		t.Fatalf("after h1 was restarted 10 times, got %d outcomes, want 34", len(out))
 	}
 	s.Advance(10 * time.Second)
 	s.Step(core.RemoveProject{Request: 2, Project: "p"})
 	s.Advance(5 * time.Second)
 	if sizes := s.Core.TableSizes(); sizes != (core.TableSizes{Hosts: sizes.Hosts}) {
-		t.Fatalf("left over: %+v", sizes)
+		t.Fatalf("after the project was removed, TableSizes() = %+v, want only Hosts above 0", sizes)
 	}
 	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/hostlist_test.go
+++ b/internal/scheduler/core/hostlist_test.go
@@ -9,7 +9,7 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// The endpoint list fails and comes back; the module polls again, and tasks wait meanwhile.
+// A task that is submitted while the endpoint list cannot be read waits, and is placed once a later poll succeeds.
 func TestCoreWaitsWhileTheHostListFails(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 0)
 	s.CatalogUp = false
@@ -21,12 +21,13 @@
 	s.Advance(time.Second)
 	s.CatalogUp = true
 	if out := s.Await(id, 10*time.Second); simulation.Count(out, core.OutcomePlaced) != 1 {
-		t.Fatalf("outcomes: %+v", out)
+		t.Fatalf("after the endpoint list came back, outcomes = %+v, want one placed", out)
 	}
 	s.RequireNoViolations()
 }
 
-// Two hosts whose names hash to one number are distinguished.
+// The names of two hosts hash to the same number. Both get numbers of their own, so that a service with a task on each
+// host reaches all four.
 func TestCoreRenumbersCollidingHosts(t *testing.T) {
 	hash := func(name string, salt uint32) uint32 {
 		if salt == 0 && (name == "h0" || name == "h1") {
@@ -41,7 +42,7 @@
 		hosts[o.Host] = true
 	}
 	if len(hosts) != 4 {
-		t.Fatalf("placed at %v", hosts)
+		t.Fatalf("hosts of a global service = %v, want all 4", hosts)
 	}
 	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/labels_test.go
+++ b/internal/scheduler/core/labels_test.go
@@ -10,7 +10,9 @@
 	"forkhead/internal/verify/simulation"
 )
 
-func TestCoreKeepsPlacementConstraints(t *testing.T) {
+// Services with constraints on labels, one task per host, a limit per node and a preference to spread over racks are
+// placed accordingly; a constraint that no host meets rejects the service, and removing the project frees all labels.
+func TestCoreObeysPlacementConstraints(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 6)
 	out := s.Await(s.Submit("", `
 name: p
@@ -36,24 +38,24 @@
 		}
 	}
 	if hosts["a"]["h3"] != 3 || len(hosts["b"]) != 6 || len(hosts["c"]) != 6 {
-		t.Fatalf("placed at %v", hosts)
+		t.Fatalf("tasks by service and host = %v, want 3 of a on h3, and b and c on 6 hosts each", hosts)
 	}
 	if racks["r0"] != 2 || racks["r1"] != 2 || racks["r2"] != 2 {
-		t.Fatalf("a preference to spread over racks gave %v", racks)
+		t.Fatalf("with a preference to spread over racks, tasks of d by rack = %v, want 2 in each of r0, r1 and r2", racks)
 	}
 	if o := out["e/1"]; o.Outcome != core.OutcomeRejected || !strings.Contains(o.Reason, "no ready host meets label.disk == ssd") {
-		t.Fatalf("e: %+v", o)
+		t.Fatalf("outcome of e, whose constraint no host meets = %+v, want refused with that constraint as the reason", o)
 	}
 	s.Step(core.RemoveProject{Project: "p"})
 	s.Advance(time.Second)
 	if n := s.Core.TableSizes().Labels; n != 0 {
-		t.Fatalf("%d labels are still in use", n)
+		t.Fatalf("after the project was removed, %d labels are in use, want 0", n)
 	}
 	s.RequireNoViolations()
 }
 
-// A service that has to be near another goes only where that one is, follows it where it is placed
-// again, and is rejected where there is no capacity beside it.
+// A service that must be near another is placed only in the same domain as that one, also after the other service was
+// placed again elsewhere. It is rejected if no host there has the capacity.
 func TestCorePlacesServicesNearOthers(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 8)
 	out := s.Await(s.Submit("", `
@@ -67,16 +69,16 @@
 	db := out["db/1"]
 	for i := 1; i <= 4; i++ {
 		if o := out[fmt.Sprintf("web/%d", i)]; o.Outcome != core.OutcomePlaced || o.Rack != db.Rack {
-			t.Fatalf("db is at %+v, web/%d at %+v", db, i, o)
+			t.Fatalf("db is at %+v, web/%d at %+v; want web placed in the rack of db", db, i, o)
 		}
 	}
 	if o := out["side/1"]; o.Host != db.Host {
-		t.Fatalf("db is at %+v, side at %+v", db, o)
+		t.Fatalf("db is at %+v, side at %+v; want both on one host", db, o)
 	}
 	if o := out["far/1"]; o.Outcome != core.OutcomeRejected {
-		t.Fatalf("far: %+v", o)
+		t.Fatalf("outcome of far, for which no capacity is left beside db = %+v, want refused", o)
 	}
-	// Its host is lost for good: db comes up elsewhere, and what comes after it follows.
+	// The host of db is lost for good: db is placed elsewhere, and a service that is added later follows it there.
 	s.KillHost(db.Host)
 	s.Hosts[db.Host].Listed = false
 	s.SendHostList()
@@ -88,7 +90,7 @@
   new: {x-forkhead: {near: {db: machine}}}
 `), 10*time.Second)
 	if now := out["db/1"]; now.Host == db.Host || out["new/1"].Host != now.Host {
-		t.Fatalf("%+v", out)
+		t.Fatalf("after host %s was lost, outcomes = %+v; want db on another host and new beside it", db.Host, out)
 	}
 	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/orphans_test.go
+++ b/internal/scheduler/core/orphans_test.go
@@ -9,8 +9,8 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// The connection breaks while the start reply is on its way: the task runs, the host reports it
-// when it is back, and the task is placed there; it is not started a second time.
+// The connection breaks while the report that an unsafe task runs is on its way. The host reports the task again after
+// the reconnect, and the placer adopts it there instead of starting it a second time.
 func TestCoreAdoptsTaskWhoseReplyWasLost(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	lost := ""
@@ -24,13 +24,14 @@
 	}
 	out := s.Await(s.Submit("", "name: p\nservices: {l: {x-forkhead: {class: ledger}}}"), 15*time.Second)
 	if o := out["l/1"]; o.Outcome != core.OutcomePlaced || o.Host != lost || len(s.Offers) != 1 {
-		t.Fatalf("outcome %+v, %d offers, lost at %s", o, len(s.Offers), lost)
+		t.Fatalf("after the reply of %s was lost, outcome = %+v after %d offers, want placed there after 1", lost, o, len(s.Offers))
 	}
 	s.RequireNoViolations()
 }
 
-// An offer that never arrived is known never to have run once the host is back and was queried.
-func TestCoreOffersAgainWhatNeverArrived(t *testing.T) {
+// The offer of an unsafe task is lost with its connection. After the reconnect the placer queries the attempt, learns
+// that it never ran, and offers the task again.
+func TestCoreOffersUnsafeTaskAgainAfterLostOffer(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	lost := false
 	s.ToHost = func(host string, f hostproto.Frame) bool {
@@ -43,22 +44,23 @@
 	}
 	out := s.Await(s.Submit("", "name: p\nservices: {l: {x-forkhead: {class: ledger}}}"), 15*time.Second)
 	if simulation.Count(out, core.OutcomePlaced) != 1 || len(s.Offers) != 2 {
-		t.Fatalf("outcomes %+v, %d offers", out, len(s.Offers))
+		t.Fatalf("after an offer was lost, outcomes = %+v after %d offers, want one placed after 2", out, len(s.Offers))
 	}
 	s.RequireNoViolations()
 }
 
-// A placer that is killed and starts again finds its tasks with the hosts; a client that sends
-// its submission again gets them as they are, and nothing is started twice.
+// A placer without durable state is killed while attempts are in flight. After its restart the hosts report the tasks
+// that they hold, and a client that repeats its submission gets them as outcomes: no unsafe task is offered twice, and
+// six tasks run.
 func TestCoreRestartStartsNothingTwice(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 6)
 	text := "name: p\nservices: {web: {deploy: {replicas: 3}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 3}}}"
 	s.Submit("k", text)
-	s.Advance(30 * time.Millisecond) // attempts are out
+	s.Advance(30 * time.Millisecond) // attempts are in flight
 	s.RestartPlacer()
 	out := s.Await(s.Submit("k", text), 20*time.Second)
 	if simulation.Count(out, core.OutcomePlaced) != 6 {
-		t.Fatalf("outcomes: %+v", out)
+		t.Fatalf("after the restart, outcomes = %+v, want 6 placed", out)
 	}
 	s.Advance(3 * time.Second)
 	keys := map[uint64]int{}
@@ -70,11 +72,11 @@
 	}
 	for k, n := range keys {
 		if n > 1 {
-			t.Errorf("unsafe task %x was offered %d times", k, n)
+			t.Errorf("unsafe task %x was offered %d times, want 1", k, n)
 		}
 	}
 	if running != 6 {
-		t.Fatalf("%d tasks run, want 6", running)
+		t.Fatalf("after the restart, %d tasks run, want 6", running)
 	}
 	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/projects_test.go
+++ b/internal/scheduler/core/projects_test.go
@@ -8,8 +8,8 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// A project that is removed and submitted again at once: no task starts while its earlier copy
-// has not ended, also where that takes a while. Found by a chaos test, as a breach of rule 2.
+// A project is removed and submitted again at once. No task may be offered before its earlier copy has ended, even if
+// the stop takes long to arrive or cannot arrive at all (found by a chaos test as a breach of rule 2).
 func TestCoreAwaitsEndOfRemovedTasks(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	text := "name: p\nservices: {l: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}"
@@ -19,24 +19,24 @@
 	stopped := s.Now
 	out := s.Await(s.Submit("", text), 10*time.Second)
 	if simulation.Count(out, core.OutcomePlaced) != 4 {
-		t.Fatalf("outcomes: %+v", out)
+		t.Fatalf("after the project was removed and submitted again, outcomes = %+v, want 4 placed", out)
 	}
 	for _, o := range s.Offers[4:] {
 		if o.At < stopped+2*s.Delay {
-			t.Fatalf("%s is offered %v after the stop of its earlier copy was sent", o.Offer.Spec.Name, o.At-stopped)
+			t.Fatalf("%s was offered %v after its earlier copy was told to stop, want at least %v", o.Offer.Spec.Name, o.At-stopped, 2*s.Delay)
 		}
 	}
 	if n := s.RunningTasks(); n != 4 {
-		t.Fatalf("%d run", n)
+		t.Fatalf("after the project was submitted again, %d tasks run, want 4", n)
 	}
-	// With its host out of reach the task is rejected, and nothing is offered.
+	// While its host is unreachable, a task is rejected and not offered anywhere.
 	for _, h := range s.HostNames {
 		s.Hosts[h].Blackholed = true
 	}
 	n := len(s.Offers)
 	s.Step(core.RemoveProject{Request: 3, Project: "p"})
 	if out := s.Await(s.Submit("", text), 60*time.Second); simulation.Count(out, core.OutcomeRejected) != 4 || len(s.Offers) != n {
-		t.Fatalf("outcomes: %+v, %d new offers", out, len(s.Offers)-n)
+		t.Fatalf("with unreachable hosts, outcomes = %+v and %d new offers, want 4 refused and 0", out, len(s.Offers)-n)
 	}
 	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/replicas_test.go
+++ b/internal/scheduler/core/replicas_test.go
@@ -7,7 +7,8 @@
 	"forkhead/internal/verify/simulation"
 )
 
-func TestCoreRestartsByRestartPolicy(t *testing.T) {
+// Tasks that end are restarted never, once or without limit, as the restart policy of their service states.
+func TestCoreRestartsTasksByRestartPolicy(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 2)
 	s.Await(s.Submit("", `
 name: p
@@ -22,7 +23,7 @@
 		n[o.Offer.Spec.Name]++
 	}
 	if n["p/once/1"] != 1 || n["p/twice/1"] != 2 || n["p/ever/1"] < 5 {
-		t.Fatalf("starts: %v", n)
+		t.Fatalf("offers by task = %v, want 1 of p/once/1, 2 of p/twice/1 and at least 5 of p/ever/1", n)
 	}
 	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/restore_test.go
+++ b/internal/scheduler/core/restore_test.go
@@ -10,69 +10,74 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// restartWithoutDiscovery runs a durable placer until it has an endpoint list, then kills it with discovery unavailable, lets
-// time pass, and begins another incarnation. h0 has left meanwhile.
-func restartWithoutDiscovery(t *testing.T, away time.Duration) *simulation.Sim {
+// restartWithoutDiscovery runs a durable placer until it has persisted an endpoint list, makes discovery unavailable,
+// kills h0 and restarts the placer after a downtime. A negative downtime means that the clock was set back by that
+// much.
+func restartWithoutDiscovery(t *testing.T, downtime time.Duration) *simulation.Sim {
 	t.Helper()
 	s := simulation.NewDurable(t, simulation.Settings(t, "(saved-list (fresh 10s) (old 1h))"), 4)
 	s.Advance(3 * time.Second)
-	s.SendHostList() // noted
+	s.SendHostList() // this list is persisted
 	s.Submit("k", "name: first\nservices: {a: {x-forkhead: {class: web, life: 1s}, restart: 'no'}}")
 	s.Advance(5 * time.Second)
 	s.CatalogUp = false
 	s.KillHost("h0")
-	if away < 0 { // a clock that was set back, as the list shows
+	if downtime < 0 { // date the persisted list in the future
 		list := s.Disk.Snapshot().HostList
-		list.ReceivedAt = s.Now - away
+		list.ReceivedAt = s.Now - downtime
 		s.Disk.Persist([]durable.Record{durable.HostListReceived{List: list}, durable.IncarnationStarted{Epoch: s.Epoch}})
-		away = time.Second
+		downtime = time.Second
 	}
-	s.Now += away
+	s.Now += downtime
 	s.Offers = nil
 	s.RestartPlacer()
 	return s
 }
 
-// A placer that restarts while discovery is unavailable places by the stored list, and sends nothing to the host that was
-// removed; whether the list is young or old, and where a clock was set back.
+// A placer restarts while discovery is unavailable. It places tasks by the stored endpoint list, be it fresh, old or
+// from the future after the clock was set back, and sends no offer to the host that was removed meanwhile. The
+// entries of a list that is not fresh count only after the handshake of their host.
 func TestCorePlacesByTheSavedHostList(t *testing.T) {
-	for name, away := range map[string]time.Duration{"young": time.Second, "old": 30 * time.Minute, "of the future": -30 * time.Minute} {
-		t.Run(name, func(t *testing.T) { testPlacesBySavedList(t, away) })
+	for name, downtime := range map[string]time.Duration{"fresh": time.Second, "old": 30 * time.Minute, "from the future": -30 * time.Minute} {
+		t.Run(name, func(t *testing.T) { testPlacesBySavedList(t, downtime) })
 	}
 }
 
-func testPlacesBySavedList(t *testing.T, away time.Duration) {
-	s := restartWithoutDiscovery(t, away)
+func testPlacesBySavedList(t *testing.T, downtime time.Duration) {
+	s := restartWithoutDiscovery(t, downtime)
 	out := s.Await(s.Submit("k2", "name: second\nservices: {a: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}"), 20*time.Second)
 	if simulation.Count(out, core.OutcomePlaced) != 4 {
-		t.Errorf("%+v", out)
+		t.Errorf("after a downtime of %v without discovery, outcomes = %+v, want 4 placed", downtime, out)
 	}
 	for _, o := range s.Offers {
 		if o.Host == "h0" {
-			t.Errorf("an offer to a host that was removed")
+			t.Errorf("after a downtime of %v, the removed host h0 got an offer, want none", downtime)
 		}
 	}
 	s.RequireNoViolations()
 }
 
-// Old entries count only after their host's handshake; a list that is too old is ignored, with how old it is.
+// A stored endpoint list that is older than the settings permit is not used, so that no host is ready until discovery
+// is available again. The log names the age of the list.
 func TestCoreIgnoresTooOldHostList(t *testing.T) {
 	s := restartWithoutDiscovery(t, 2*time.Hour)
 	s.Advance(2 * time.Second)
 	if st := s.Core.Status(); st.HostsReady != 0 || !strings.Contains(strings.Join(s.Logs, "\n"), "the list of hosts that was kept is 2h0m") {
-		t.Fatalf("%d hosts are ready; logs %v", st.HostsReady, s.Logs)
+		t.Fatalf("with a stored list of 2h, %d hosts are ready, want 0 and a log line with the age; logs %v", st.HostsReady, s.Logs)
 	}
 	s.CatalogUp = true
 	s.Advance(2 * time.Second)
 	s.SendHostList()
 	s.Advance(time.Second)
 	if s.Core.Status().HostsReady == 0 {
-		t.Fatal("a list from the catalog is not taken")
+		t.Fatal("after discovery came back, HostsReady = 0, want more")
 	}
 	s.RequireNoViolations()
 }
 
-// A description, its outcomes and its key outlive the placer; what was removed stays removed, and is stopped where it shows.
+// A durable placer is restarted. The project, its outcomes and its idempotency key are restored, so that nothing is
+// offered again; a project that was removed stays removed, and its task, which missed its stop, is stopped when its
+// host reports it.
 func TestCoreRestoresProjectsAndOutcomes(t *testing.T) {
 	s := simulation.NewDurable(t, simulation.Settings(t, ""), 4)
 	text := "name: p\nservices: {a: {x-forkhead: {class: ledger}, deploy: {replicas: 2}}}"
@@ -94,14 +99,14 @@
 	after := s.Await(id, time.Second)
 	for name, o := range before {
 		if after[name] != o {
-			t.Errorf("%s was %+v and is %+v", name, o, after[name])
+			t.Errorf("after the restart, the outcome of %s = %+v, want %+v as before", name, after[name], o)
 		}
 	}
 	if again := s.Submit("key", text); again != id {
-		t.Errorf("the same key made another submission, %s", again)
+		t.Errorf("submission under the same key after the restart = %s, want %s", again, id)
 	}
 	if len(s.Offers) != 0 || s.RunningTasks() != 2 {
-		t.Errorf("%d offers, %d tasks run; want none, and the two that ran before", len(s.Offers), s.RunningTasks())
+		t.Errorf("after the restart, %d offers were sent and %d tasks run, want 0 and the 2 that ran before", len(s.Offers), s.RunningTasks())
 	}
 	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/submissions_test.go
+++ b/internal/scheduler/core/submissions_test.go
@@ -7,22 +7,26 @@
 	"forkhead/internal/verify/simulation"
 )
 
+// A repeated submission under one Idempotency-Key is answered with the first and starts nothing; another body under the
+// key is rejected with status 422.
 func TestCoreAcceptsIdempotencyKeyOnce(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 2)
 	text := "name: p\nservices: {web: {deploy: {replicas: 2}}}"
 	a, b := s.Submit("k", text), s.Submit("k", text)
 	if a != b {
-		t.Fatalf("submissions %s and %s", a, b)
+		t.Fatalf("two equal submissions under one key have the IDs %s and %s, want one ID", a, b)
 	}
 	if s.Submit("k", text+"\n") != "" || s.Rejected[0].Status != 422 {
-		t.Fatalf("another body under the key: %+v", s.Rejected)
+		t.Fatalf("after another body under the key, rejections = %+v, want one with status 422", s.Rejected)
 	}
 	s.Await(a, 5*time.Second)
 	if n := s.Core.Status().Offers; n != 2 {
-		t.Fatalf("%d offers for two tasks", n)
+		t.Fatalf("for two tasks submitted twice, %d offers were sent, want 2", n)
 	}
 }
 
+// Submissions beyond a limit of tasks, constraints or submissions are rejected with the status of that limit, and with
+// a Retry-After if the limit is temporary.
 func TestCoreRejectsSubmissionsBeyondLimits(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, "(limits (tasks 10) (per-submit 8) (submissions 2) (labels 2))"), 2)
 	for _, c := range []struct {
@@ -42,11 +46,11 @@
 		if len(s.Rejected) > n {
 			got = s.Rejected[n].Status
 			if (got == 429 || got == 503) && s.Rejected[n].RetryAfter <= 0 {
-				t.Errorf("%s: no Retry-After", c.text)
+				t.Errorf("Submit(%q) was rejected with status %d and RetryAfter %v, want more than 0", c.text, got, s.Rejected[n].RetryAfter)
 			}
 		}
 		if got != c.status {
-			t.Errorf("%s: status %d, want %d", c.text, got, c.status)
+			t.Errorf("Submit(%q): status = %d, want %d (0: accepted)", c.text, got, c.status)
 		}
 	}
 }
--- a/internal/scheduler/core/taskname_test.go
+++ b/internal/scheduler/core/taskname_test.go
@@ -5,7 +5,9 @@
 	"testing"
 )
 
-func TestParseTaskName(t *testing.T) {
+// The name of a task is parsed and printed again unchanged; one that does not have three parts or ends without a number
+// is rejected with the error for that fault.
+func TestParseTaskNameRejectsMalformedNames(t *testing.T) {
 	for text, want := range map[string]struct {
 		name taskName
 		err  error
@@ -19,10 +21,10 @@
 	} {
 		name, err := parseTaskName(text)
 		if name != want.name || !errors.Is(err, want.err) {
-			t.Errorf("%q: %+v and error %v, want %+v and %v", text, name, err, want.name, want.err)
+			t.Errorf("parseTaskName(%q) = %+v, %v, want %+v, %v", text, name, err, want.name, want.err)
 		}
 		if err == nil && name.String() != text {
-			t.Errorf("%q: String gives %q", text, name.String())
+			t.Errorf("parseTaskName(%q).String() = %q, want %q", text, name.String(), text)
 		}
 	}
 }
--- a/internal/scheduler/core/updates_test.go
+++ b/internal/scheduler/core/updates_test.go
@@ -9,8 +9,9 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// A project that is submitted again keeps what has not changed, replaces what has, one at a
-// time, and stops what it no longer has.
+// A project is submitted again with a changed service and without another. The tasks of the changed one are replaced
+// one at a time with the stated delay, the removed one is stopped, and a further submission without changes replaces
+// nothing.
 func TestCoreUpdatesOneTaskAtATime(t *testing.T) {
 	for _, order := range []string{"stop-first", "start-first"} {
 		t.Run(order, func(t *testing.T) {
@@ -22,20 +23,20 @@
 			start := s.Now
 			out := s.Await(s.Submit("", strings.Replace(text("web:2", "3"), "\n  old: {image: old}", "", 1)), 20*time.Second)
 			if simulation.Count(out, core.OutcomePlaced) != 3 || len(out) != 3 {
-				t.Fatalf("outcomes: %+v", out)
+				t.Fatalf("outcomes of the update = %+v, want 3 placed", out)
 			}
 			if took := s.Now - start; took < time.Second {
-				t.Fatalf("three tasks one at a time with 500ms between took %v", took)
+				t.Fatalf("an update of three tasks, one at a time with a delay of 500ms, took %v, want at least 1s", took)
 			}
 			s.Advance(2 * time.Second)
 			running := s.RunningTasks()
 			if running != 3 {
-				t.Fatalf("%d run, want 3", running)
+				t.Fatalf("after the update, %d tasks run, want 3", running)
 			}
 			out = s.Await(s.Submit("", strings.Replace(text("web:2", "3"), "\n  old: {image: old}", "", 1)), 5*time.Second)
 			for _, o := range out {
 				if o.Reason != "it runs already" {
-					t.Fatalf("unchanged, and yet %+v", o)
+					t.Fatalf("outcome of an unchanged task = %+v, want the reason \"it runs already\"", o)
 				}
 			}
 			s.RequireNoViolations()
@@ -43,7 +44,7 @@
 	}
 }
 
-// An update whose first tasks cannot be placed is stopped; what was not yet replaced runs on.
+// An update whose first replacement cannot be placed is stopped. The tasks that were not replaced yet keep running.
 func TestCorePausesFailingUpdate(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 2)
 	text := func(cpus string) string {
@@ -52,11 +53,11 @@
 	s.Await(s.Submit("", text("1")), 5*time.Second)
 	out := s.Await(s.Submit("", text("40")), 20*time.Second)
 	if simulation.Count(out, core.OutcomeRejected) != 3 {
-		t.Fatalf("outcomes: %+v", out)
+		t.Fatalf("outcomes of an update that cannot be placed = %+v, want 3 refused", out)
 	}
 	running := s.RunningTasks()
 	if running != 2 {
-		t.Fatalf("%d run, want the two that were not replaced", running)
+		t.Fatalf("after the failed update, %d tasks run, want the 2 that were not replaced", running)
 	}
 	s.RequireNoViolations()
 }
