--- a/internal/scheduler/attempt/phase.go
+++ b/internal/scheduler/attempt/phase.go
@@ -5,57 +5,58 @@
 // Phase is the state of an attempt.
 type Phase uint8
 
-// The phases.
+// The phases of an attempt.
 const (
-	Waiting     Phase = iota // chosen and not written: its connection is being made
-	InFlight                 // written and unanswered: it may have started
-	Unknown                  // withdrawn, or its connection is lost: it may have started, or may yet
+	Waiting     Phase = iota // the host is chosen and the offer not written: the connection is being made
+	InFlight                 // the offer is written and unanswered: the task may have started
+	Unknown                  // withdrawn, or the connection was lost: the task may have started, or may still start
 	Placed                   // the host holds the task
-	Unreachable              // placed, and the connection is down: it may still run
-	NeverRan                 // known never to have run
-	Finished                 // it may have run, and is known to run no more
+	Unreachable              // the task was placed, but the connection is down: the task may still run
+	NeverRan                 // the task is known never to have run
+	Finished                 // the task may have run, and is known not to run any more
 	phaseCount
 )
 
-// phaseNames are the names in traces, `explore --output json` and docs/design/attempts.md. Stored traces hold them, so
-// they stay as they are where a constant is renamed; the same goes for inputNames and effectNames.
+// phaseNames holds the names used in traces, `explore --output json` and docs/design/attempts.md. Stored traces contain
+// them, so a name stays the same when its constant is renamed; this also applies to inputNames and effectNames.
 var phaseNames = [phaseCount]string{"Waiting", "Out", "Unknown", "Placed", "Silent", "Never", "Over"}
 
 // String returns the phase's name in traces and in docs/design/attempts.md.
 func (p Phase) String() string { return phaseNames[p] }
 
-// IsInFlight reports whether an answer to the attempt is awaited.
+// IsInFlight reports whether the placer awaits an answer to the attempt, even if its offer is not written yet.
 func (p Phase) IsInFlight() bool { return p == Waiting || p == InFlight }
 
-// IsLive reports whether, as far as its placer knows, the attempt has a task on its host or may get one there. A live
-// attempt counts against the spread limits.
+// IsLive reports whether, as far as its placer knows, the attempt has a task on its host or may get one there. Live
+// attempts count against the spread limits.
 func (p Phase) IsLive() bool { return p.IsInFlight() || p == Placed || p == Unreachable }
 
-// MayHaveRun reports whether the attempt may have started its task, or may yet.
+// MayHaveRun reports whether the attempt may have started its task, or may still start it.
 func (p Phase) MayHaveRun() bool { return p != Waiting && p != NeverRan }
 
-// IsSettled reports whether nothing more can come of the attempt.
+// IsSettled reports whether the phase is final: no input changes it.
 func (p Phase) IsSettled() bool { return p == NeverRan || p == Finished }
 
-// Input is an event of an attempt.
+// Input is an event that concerns an attempt.
 type Input uint8
 
-// The inputs.
+// The inputs of an attempt.
 const (
-	OfferWritten    Input = iota // the offer was written to a live connection
+	OfferWritten    Input = iota // the offer was written to an open connection
 	Accepted                     // the host reports that it holds the task
-	Rejected                     // the host reports that the task never ran there and will not
+	Rejected                     // the host reports that the task never ran there and never will
 	Ended                        // the host reports that the task ended
-	ListedByHost                 // the host, reconnected, lists the attempt
-	NotListedByHost              // the host, reconnected in the same incarnation, never saw the attempt
+	ListedByHost                 // the host reconnected and lists the attempt
+	NotListedByHost              // the host reconnected in the same incarnation and never received the attempt
 	ConnectionLost               // the connection broke, or could not be made
 	HostRestarted                // the host's incarnation ended
-	Abandoned                    // the placer no longer waits for the attempt
-	Expired                      // unreachable for so long that the task counts as lost
+	Abandoned                    // the placer stopped waiting for the attempt
+	Expired                      // the host was unreachable for so long that the task counts as lost
 	Adopted                      // another request has taken over the task that the attempt started
 	inputCount
 )
 
+// inputNames holds the names of the inputs; see phaseNames.
 var inputNames = [inputCount]string{
 	"Written", "Accepted", "Declined", "Ended", "Held", "Missing", "Broke", "Died", "CalledOff", "Lapsed", "Adopted",
 }
@@ -63,8 +64,8 @@
 // String returns the input's name in traces and in docs/design/attempts.md.
 func (i Input) String() string { return inputNames[i] }
 
-// RejectionInput returns the input that a host's Refused message is for an attempt in a phase: the answer to an offer,
-// or to a query about an attempt that the placer has as placed.
+// RejectionInput returns the input that a host's Refused message stands for when the attempt is in phase p. If the
+// placer has the attempt as placed, the message answers a query: the host does not have the attempt.
 func RejectionInput(p Phase) Input {
 	if p == Placed || p == Unreachable {
 		return NotListedByHost
@@ -72,25 +73,26 @@
 	return Rejected
 }
 
-// Effect is what follows from an input beside the new phase.
+// Effect is what an input requires of the caller besides the change of phase.
 type Effect uint8
 
-// The effects.
+// The effects of inputs.
 const (
-	NoEffect            Effect = iota // nothing
-	ReportBound                       // the module is notified that the request is placed
-	ReportRejected                    // the module is notified that the host rejected the offer
-	ReportConnectFailed               // the module is notified that no connection was made
-	ReportWithdrawn                   // the module is notified that the attempt was withdrawn
-	ReportLost                        // the module is notified that the reply broke off or the task was lost
-	ReportEnded                       // the module is notified how the task ended
-	ReportSettled                     // an unknown attempt is settled: the task's owner may act on it
-	Orphaned                          // an abandoned attempt has its task: adopt or stop it
-	Reconnected                       // an unreachable attempt is back: there is nothing to report
-	ProtocolViolation                 // no host that follows the protocol sends this: its connection is closed
+	NoEffect            Effect = iota
+	ReportBound                // the module is notified that the request is placed
+	ReportRejected             // the module is notified that the host rejected the offer
+	ReportConnectFailed        // the module is notified that no connection was made
+	ReportWithdrawn            // the module is notified that the attempt was withdrawn
+	ReportLost                 // the module is notified that the reply broke off or the task was lost
+	ReportEnded                // the module is notified how the task ended
+	ReportSettled              // the outcome of an unknown attempt is known now: the task's owner may act on it
+	Orphaned                   // the host holds the task of an abandoned attempt: the caller adopts or stops it
+	Reconnected                // the host of an unreachable attempt is connected again: there is nothing to report
+	ProtocolViolation          // no host that follows the protocol sends this: the caller closes the connection
 	effectCount
 )
 
+// effectNames holds the names of the effects; see phaseNames.
 var effectNames = [effectCount]string{
 	"-", "Bind", "Full", "NoConnect", "Drop", "Lose", "Finish", "Settle", "Stray", "Return", "Absurd",
 }
@@ -98,13 +100,13 @@
 // String returns the effect's name in traces and in docs/design/attempts.md.
 func (e Effect) String() string { return effectNames[e] }
 
-// transition is what an input does to an attempt.
+// transition is the next phase of an attempt and the effect of the input.
 type transition struct {
 	to     Phase
 	effect Effect
 }
 
-// table is the whole transition function; it has an entry for each phase and input.
+// table is the complete transition function, with an entry for each phase and input.
 var table = [phaseCount][inputCount]transition{
 	Waiting: {
 		OfferWritten:    {InFlight, NoEffect},
@@ -199,14 +201,14 @@
 	},
 }
 
-// Transition returns the phase that follows an input, and what else comes of it.
+// Transition returns the phase that follows input in in phase p, and the effect of the input.
 func Transition(p Phase, in Input) (Phase, Effect) {
 	t := table[p][in]
 	return t.to, t.effect
 }
 
-// Table returns the transition function as a Markdown table: the phase that follows, unless it is the present one, and
-// in parentheses the effect.
+// Table returns the transition function as a Markdown table. A cell holds the next phase, unless it is the current one,
+// and the effect in parentheses.
 func Table() string {
 	return statetable.Render(phaseNames[:], inputNames[:], func(in, p int) string {
 		t := table[p][in]
--- a/internal/scheduler/attempt/request.go
+++ b/internal/scheduler/attempt/request.go
@@ -10,15 +10,15 @@
 // Answer is how a placement request was answered.
 type Answer uint8
 
-// The answers.
+// The answers to a placement request.
 const (
 	Unanswered       Answer = iota
 	AnsweredPlaced          // the task is placed
-	AnsweredRejected        // rejected: a retry is harmless
-	AnsweredFailed          // failed: it is open what ran
+	AnsweredRejected        // the request was rejected: a retry is harmless
+	AnsweredFailed          // the request failed: which attempts ran is not known
 )
 
-// HostID is the number by which the module knows a host.
+// HostID is the number that identifies a host in the module.
 type HostID uint32
 
 // Attempt is one offer of a task to a host.
@@ -28,7 +28,7 @@
 	ChosenAt time.Duration // when the host was chosen, by the placer's clock
 }
 
-// SameDomain reports whether two hosts are in one domain of a level of the topology.
+// SameDomain reports whether two hosts are in the same domain of a level of the topology.
 type SameDomain func(level forkhead.Domain, x, y HostID) bool
 
 // Request is a placement request for a task, with all attempts to place it. Attempts are numbered from 0 in the
@@ -36,43 +36,45 @@
 type Request struct {
 	Rules    Rules
 	Answer   Answer
-	Deadline time.Duration // nothing is offered or written later, by the placer's clock
+	Deadline time.Duration // last time to offer or write anything, by the placer's clock
 	Attempts []Attempt
 }
 
-// Reasons why an offer or an answer is not legal. A veto prints the text.
+// Errors for an offer or an answer that is not allowed. Vetoes log their texts, in which "ask" means a placement
+// request.
 var (
-	// ErrAnswered means that the request has its answer.
+	// ErrAnswered means that the request is already answered.
 	ErrAnswered = errors.New("the ask is answered")
 	// ErrDeadlinePassed means that the request's deadline has passed.
 	ErrDeadlinePassed = errors.New("the ask's deadline has passed")
-	// ErrAttemptsExhausted means that the request has had all the attempts that it may have.
+	// ErrAttemptsExhausted means that the request has used the attempts that its rules allow.
 	ErrAttemptsExhausted = errors.New("all its attempts are used")
-	// ErrAttemptInFlight means that an answer to an earlier attempt is awaited.
+	// ErrAttemptInFlight means that an attempt of the request is in flight.
 	ErrAttemptInFlight = errors.New("an attempt is out")
 	// ErrMayHaveRun means that an earlier attempt of an unsafe task may have run.
 	ErrMayHaveRun = errors.New("an earlier attempt may have run")
-	// ErrOutsideDedupDomain means that an earlier attempt of a keyed task may have run where its key is not shared with
-	// the host.
+	// ErrOutsideDedupDomain means that an earlier attempt of a keyed task may have run on a host that does not share
+	// the task's key with the host of the offer.
 	ErrOutsideDedupDomain = errors.New("an earlier attempt may have run outside this host's group")
-	// ErrDedupWindowPassed means that hosts have dropped the key of an attempt that may have run.
+	// ErrDedupWindowPassed means that hosts have dropped the key of an earlier attempt that may have run.
 	ErrDedupWindowPassed = errors.New("an earlier attempt may have run too long ago")
-	// ErrRejectionUnsafe means that a rejection would promise a harmless retry, which an attempt that may have run rules
-	// out.
+	// ErrRejectionUnsafe means that the request cannot be rejected: a rejection promises that a retry is harmless, and
+	// it is not, since an attempt may have run.
 	ErrRejectionUnsafe = errors.New("an earlier attempt may have run: a refusal would promise too much")
 )
 
-// MayOffer returns nil if the task may be offered to a host now, else the rule that forbids it: ErrAnswered,
-// ErrDeadlinePassed, ErrAttemptsExhausted, ErrAttemptInFlight, ErrMayHaveRun, ErrOutsideDedupDomain or
-// ErrDedupWindowPassed.
+// MayOffer returns nil if the task may be offered to a host now. Otherwise it returns the error of the rule that
+// forbids it: ErrAnswered, ErrDeadlinePassed, ErrAttemptsExhausted, ErrAttemptInFlight, ErrMayHaveRun,
+// ErrOutsideDedupDomain or ErrDedupWindowPassed.
 func (r *Request) MayOffer(now time.Duration, to HostID, same SameDomain) error {
-	if err := r.isOpen(now); err != nil {
+	if err := r.checkOpen(now); err != nil {
 		return err
 	}
 	if len(r.Attempts) >= r.Rules.MaxAttempts {
 		return ErrAttemptsExhausted
 	}
-	isOldest := true // of those that may have run: hosts keep a key from the oldest on
+	// Hosts keep a key from the oldest attempt on that may have run; isOldest is true until that attempt is checked.
+	isOldest := true
 	for i := range r.Attempts {
 		earlier := &r.Attempts[i]
 		if earlier.Phase.IsInFlight() && !r.Rules.Parallel {
@@ -92,11 +94,12 @@
 	return nil
 }
 
-// MayWrite returns nil if an attempt that waited for its connection may still be written, else ErrAnswered,
-// ErrDeadlinePassed or ErrDedupWindowPassed. An offer may be legal when its host is chosen and no longer when it can be
-// written: the wait may outlast the request, or the time for which hosts keep the task's key.
+// MayWrite returns nil if the offer of an attempt that waited for its connection may still be written. Otherwise it
+// returns ErrAnswered, ErrDeadlinePassed or ErrDedupWindowPassed. An offer that was allowed when its host was chosen
+// may be forbidden when it can be written: the wait may outlast the request, or the time for which hosts keep the
+// task's key.
 func (r *Request) MayWrite(now time.Duration, number int) error {
-	if err := r.isOpen(now); err != nil {
+	if err := r.checkOpen(now); err != nil {
 		return err
 	}
 	for i := range r.Attempts {
@@ -113,8 +116,8 @@
 	return nil
 }
 
-// isOpen returns nil, ErrAnswered or ErrDeadlinePassed.
-func (r *Request) isOpen(now time.Duration) error {
+// checkOpen returns nil if the request is open, or ErrAnswered or ErrDeadlinePassed.
+func (r *Request) checkOpen(now time.Duration) error {
 	switch {
 	case r.Answer != Unanswered:
 		return ErrAnswered
@@ -124,12 +127,13 @@
 	return nil
 }
 
-// AddOffer adds an attempt, which is Waiting, and returns its number. The caller has checked MayOffer.
+// AddOffer adds an attempt in phase Waiting and returns its number. The caller must have checked MayOffer.
 func (r *Request) AddOffer(now time.Duration, to HostID) int {
 	return r.add(Attempt{Host: to, ChosenAt: now, Phase: Waiting})
 }
 
-// AddUnsent adds an attempt that is never sent and returns its number, so that numbers stay in step with the module's.
+// AddUnsent adds an attempt that is never sent and returns its number. It keeps the numbers of attempts equal to the
+// module's.
 func (r *Request) AddUnsent(now time.Duration, to HostID) int {
 	return r.add(Attempt{Host: to, ChosenAt: now, Phase: NeverRan})
 }
@@ -139,7 +143,7 @@
 	return len(r.Attempts) - 1
 }
 
-// Handle applies an input to an attempt and returns the effect. A host's first acceptance answers a request that is open.
+// Handle applies an input to an attempt and returns the effect. The first acceptance by a host answers an open request.
 func (r *Request) Handle(number int, in Input) Effect {
 	a := &r.Attempts[number]
 	next, effect := Transition(a.Phase, in)
@@ -150,8 +154,8 @@
 	return effect
 }
 
-// MayAnswer returns nil if the request may be answered now with a rejection, or else with a failure; otherwise
-// ErrAnswered, ErrAttemptInFlight or ErrRejectionUnsafe.
+// MayAnswer returns nil if the request may be answered now, with a rejection if reject is true and with a failure
+// otherwise. If it may not, MayAnswer returns ErrAnswered, ErrAttemptInFlight or ErrRejectionUnsafe.
 func (r *Request) MayAnswer(reject bool) error {
 	switch {
 	case r.Answer != Unanswered:
@@ -164,7 +168,8 @@
 	return nil
 }
 
-// Finish answers the request with a rejection, or else with a failure. The caller has checked MayAnswer.
+// Finish answers the request, with a rejection if reject is true and with a failure otherwise. The caller must have
+// checked MayAnswer.
 func (r *Request) Finish(reject bool) {
 	r.Answer = AnsweredFailed
 	if reject {
@@ -172,7 +177,7 @@
 	}
 }
 
-// HasAttemptInFlight reports whether an answer to any attempt is awaited.
+// HasAttemptInFlight reports whether any attempt awaits an answer.
 func (r *Request) HasAttemptInFlight() bool {
 	for i := range r.Attempts {
 		if r.Attempts[i].Phase.IsInFlight() {
@@ -182,7 +187,7 @@
 	return false
 }
 
-// MayHaveRun reports whether any attempt may have started its task, or may yet.
+// MayHaveRun reports whether any attempt may have started its task, or may still start it.
 func (r *Request) MayHaveRun() bool {
 	for i := range r.Attempts {
 		if r.Attempts[i].Phase.MayHaveRun() {
--- a/internal/scheduler/attempt/rules.go
+++ b/internal/scheduler/attempt/rules.go
@@ -9,13 +9,13 @@
 // MinRequestTime is the shortest time for which a placement request is made.
 const MinRequestTime = 50 * time.Millisecond
 
-// Rules are what a task's class and the settings allow its requests.
+// Rules hold what a task's class and the settings allow for the task's placement requests.
 type Rules struct {
 	Effect      forkhead.Effect
-	DedupDomain forkhead.Domain // hosts of one such domain share the keys of keyed tasks
-	DedupWindow time.Duration   // hosts keep a key for so long
-	MaxAttempts int             // of one request
-	Parallel    bool            // attempts of one request may be in flight together
+	DedupDomain forkhead.Domain // level of the domains whose hosts share the keys of keyed tasks
+	DedupWindow time.Duration   // how long hosts keep a key
+	MaxAttempts int             // limit for one request
+	Parallel    bool            // several attempts of one request may be in flight at once
 }
 
 // RetryIsHarmless reports whether a second copy of the task does no harm wherever it starts.
@@ -23,8 +23,8 @@
 	return r.Effect == forkhead.Safe || r.Effect == forkhead.Keyed && r.DedupDomain == forkhead.AnyDomain
 }
 
-// mayRepeat returns nil if the task may be offered to a host although an earlier attempt may have run, else
-// ErrMayHaveRun or ErrOutsideDedupDomain.
+// mayRepeat returns nil if the task may be offered to a host although an earlier attempt may have run. Otherwise it
+// returns ErrMayHaveRun or ErrOutsideDedupDomain.
 func (r *Rules) mayRepeat(earlier *Attempt, to HostID, same SameDomain) error {
 	switch r.Effect {
 	case forkhead.Unsafe:
@@ -37,14 +37,16 @@
 	return nil
 }
 
-// isKeyExpired reports whether the hosts that may have started an attempt of a keyed task have dropped its key.
+// isKeyExpired reports whether the task is keyed and the hosts that may have started an earlier attempt of it have
+// dropped its key.
 func (r *Rules) isKeyExpired(now time.Duration, earlier *Attempt) bool {
 	return r.Effect == forkhead.Keyed && now >= earlier.ChosenAt+r.DedupWindow
 }
 
-// MayRequest reports whether the owner may request a task while attempts of its earlier requests are unknown, and for
-// how long at most (0: no limit). unknown is their number, and the first was made at firstAt. A host that started one of
-// them keeps its key for the window only, so a request for a keyed task ends before.
+// MayRequest reports whether the owner may request a task while attempts of its earlier requests are unknown, and how
+// long the request may take (0: no limit). unknown is the number of these attempts, and firstAt is when the first of
+// them was made. A host that started one of them keeps its key only for the dedup window, so a request for a keyed task
+// ends MinRequestTime before the window does.
 func (r *Rules) MayRequest(now time.Duration, unknown int, firstAt time.Duration) (limit time.Duration, ok bool) {
 	switch {
 	case unknown == 0 || r.Effect == forkhead.Safe:
@@ -57,23 +59,23 @@
 }
 
 // MustWaitForHosts reports whether the first request of a placer's new incarnation has to wait until all hosts have
-// reported what they run. allReported is whether they have, timedOut whether the owner's wait for them is over.
+// reported what they run. allReported tells whether they have, timedOut whether the owner's wait for them is over.
 func (r *Rules) MustWaitForHosts(allReported, timedOut bool) bool {
 	return r.Effect != forkhead.Safe && !allReported && !timedOut
 }
 
-// RejectionIsHarmless reports whether an abandoned task may be answered with a rejection, which means that a
-// retry is harmless. rejected is whether its last request was rejected, offered whether any attempt was made, and unknown is
-// the number of attempts whose outcome is not known.
+// RejectionIsHarmless reports whether an abandoned task may be answered with a rejection, which promises that a retry
+// is harmless. rejected tells whether its last request was rejected, offered whether any attempt was made, and unknown
+// is the number of attempts whose outcome is not known.
 func (r *Rules) RejectionIsHarmless(rejected, offered bool, unknown int) bool {
 	return (rejected || !offered) && (unknown == 0 || r.RetryIsHarmless())
 }
 
-// ExpiresWhenUnreachable reports whether a task on an unreachable host counts as lost after a time. All others wait
-// until their outcome is known.
+// ExpiresWhenUnreachable reports whether a task counts as lost when its host has been unreachable for a time. Other
+// tasks wait until their outcome is known.
 func (r *Rules) ExpiresWhenUnreachable() bool { return r.Effect == forkhead.Safe }
 
-// ShouldAdopt reports whether an abandoned attempt that turns out to have its task becomes the task's
-// placement; else it is stopped. wanted is whether the owner still waits for the task, inFlight whether an attempt of the
-// present request is in flight.
+// ShouldAdopt reports whether an abandoned attempt whose host turns out to hold the task becomes the task's placement;
+// otherwise the task is stopped there. wanted tells whether the owner still waits for the task, inFlight whether an
+// attempt of the current request is in flight.
 func ShouldAdopt(wanted, inFlight bool) bool { return wanted && !inFlight }
