--- a/internal/scheduler/attempt/phase_test.go
+++ b/internal/scheduler/attempt/phase_test.go
@@ -2,38 +2,38 @@
 
 import "testing"
 
-// transitionRules are what every entry of the transition table keeps.
+// transitionRules are the rules that every entry of the transition table follows.
 var transitionRules = []struct {
 	text  string
 	holds func(from Phase, in Input, to Phase, effect Effect) bool
 }{
-	{"a settled attempt stays as it is", func(from Phase, _ Input, to Phase, _ Effect) bool {
+	{"a settled attempt stays in its phase", func(from Phase, _ Input, to Phase, _ Effect) bool {
 		return !from.IsSettled() || to == from
 	}},
-	{"of what may run only the host's word proves that it never did", func(from Phase, in Input, to Phase, _ Effect) bool {
+	{"an attempt that may have run becomes NeverRan only on a report of its host", func(from Phase, in Input, to Phase, _ Effect) bool {
 		return !from.MayHaveRun() || from.IsSettled() || to != NeverRan || in == Rejected || in == NotListedByHost
 	}},
-	{"settling has an effect", func(from Phase, _ Input, to Phase, effect Effect) bool {
+	{"an input that settles an attempt has an effect", func(from Phase, _ Input, to Phase, effect Effect) bool {
 		return from.IsSettled() || !to.IsSettled() || effect != NoEffect
 	}},
-	{"what was never written has not run", func(from Phase, in Input, to Phase, _ Effect) bool {
+	{"an attempt may have run only after its offer was written", func(from Phase, in Input, to Phase, _ Effect) bool {
 		return from != Waiting || !to.MayHaveRun() || in == OfferWritten
 	}},
-	{"only what is in flight is bound, and then it is placed", func(from Phase, _ Input, to Phase, effect Effect) bool {
+	{"only an attempt in flight is reported as bound, and it becomes Placed", func(from Phase, _ Input, to Phase, effect Effect) bool {
 		return effect != ReportBound || from == InFlight && to == Placed
 	}},
-	{"the end of being live has an effect", func(from Phase, _ Input, to Phase, effect Effect) bool {
+	{"a transition out of the live phases has an effect", func(from Phase, _ Input, to Phase, effect Effect) bool {
 		return !from.IsLive() || to.IsLive() || effect != NoEffect
 	}},
 }
 
-func TestTransitionRules(t *testing.T) {
+func TestTransitionTableFollowsRules(t *testing.T) {
 	for from := range phaseCount {
 		for in := range inputCount {
 			to, effect := Transition(from, in)
 			for _, rule := range transitionRules {
 				if !rule.holds(from, in, to, effect) {
-					t.Errorf("%v on %v becomes %v (%v): %s", from, in, to, effect, rule.text)
+					t.Errorf("Transition(%v, %v) = %v, %v; want the rule kept: %s", from, in, to, effect, rule.text)
 				}
 			}
 		}
--- a/internal/scheduler/attempt/request_test.go
+++ b/internal/scheduler/attempt/request_test.go
@@ -10,8 +10,8 @@
 	"forkhead"
 )
 
-// same puts two hosts into a cell: 2 and 3, 4 and 5, and so on.
-func same(level forkhead.Domain, x, y HostID) bool {
+// sameDomain is a topology with two hosts in each cell: 2 and 3, 4 and 5, and so on.
+func sameDomain(level forkhead.Domain, x, y HostID) bool {
 	switch level {
 	case forkhead.MachineDomain:
 		return x == y
@@ -21,7 +21,8 @@
 	return true
 }
 
-// A first attempt is made at host 2 one second in; then another host is looked at.
+// The first attempt offers the task to host 2 after one second. After its inputs the test asks whether the task may be
+// offered to another host, and whether the request may be rejected.
 func TestRequestMayOffer(t *testing.T) {
 	const s = time.Second
 	var (
@@ -49,7 +50,7 @@
 		"safe, unknown":              {safe, []Input{OfferWritten, ConnectionLost}, 3, 2 * s, true, nil},
 		"unsafe, unknown":            {unsafe, []Input{OfferWritten, ConnectionLost}, 3, 2 * s, false, ErrMayHaveRun},
 		"unsafe, withdrawn":          {unsafe, []Input{OfferWritten, Abandoned}, 3, 2 * s, false, ErrMayHaveRun},
-		"unsafe, settled as never":   {unsafe, []Input{OfferWritten, ConnectionLost, NotListedByHost}, 3, 2 * s, true, nil},
+		"unsafe, never received":     {unsafe, []Input{OfferWritten, ConnectionLost, NotListedByHost}, 3, 2 * s, true, nil},
 		"unsafe, host restarted":     {unsafe, []Input{OfferWritten, HostRestarted}, 3, 2 * s, false, ErrMayHaveRun},
 		"keyed anywhere":             {keyed, []Input{OfferWritten, ConnectionLost}, 5, 5 * s, true, nil},
 		"keyed, after the window":    {keyed, []Input{OfferWritten, ConnectionLost}, 5, 6 * s, true, ErrDedupWindowPassed},
@@ -61,16 +62,16 @@
 		for _, in := range c.inputs {
 			r.Handle(first, in)
 		}
-		if err := r.MayOffer(c.at, c.to, same); !errors.Is(err, c.want) || (err == nil) != (c.want == nil) {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
+		if err := r.MayOffer(c.at, c.to, sameDomain); !errors.Is(err, c.want) || (err == nil) != (c.want == nil) {
+			t.Errorf("%s: MayOffer(%v, %d) = %v, want %v", name, c.at, c.to, err, c.want)
 		}
 		if err := r.MayAnswer(true); (err == nil) != c.mayReject {
-			t.Errorf("%s: a rejection: %v", name, err)
+			t.Errorf("%s: MayAnswer(true) = %v, want allowed: %v", name, err, c.mayReject)
 		}
 	}
 }
 
-// An offer that waited for its connection is written only while it is still legal.
+// An offer that waited for its connection is written only while it is still allowed.
 func TestRequestMayWrite(t *testing.T) {
 	const s = time.Second
 	r := Request{Rules: Rules{MaxAttempts: 4, Effect: forkhead.Keyed, DedupWindow: 5 * s}, Deadline: 10 * s}
@@ -80,47 +81,48 @@
 	second := r.AddOffer(5*s, 2)
 	for at, want := range map[time.Duration]error{5 * s: nil, 6 * s: ErrDedupWindowPassed, 11 * s: ErrDeadlinePassed} {
 		if err := r.MayWrite(at, second); !errors.Is(err, want) {
-			t.Errorf("at %v: %v, want %v", at, err, want)
+			t.Errorf("MayWrite(%v, %d) = %v, want %v", at, second, err, want)
 		}
 	}
 	r.Handle(second, Abandoned)
 	r.Finish(true)
 	if err := r.MayWrite(5*s, second); !errors.Is(err, ErrAnswered) {
-		t.Errorf("answered: %v", err)
+		t.Errorf("MayWrite(%v, %d) of an answered request = %v, want %v", 5*s, second, err, ErrAnswered)
 	}
 }
 
-// In whatever order things happen, as long as what is illegal is not done: a request has one answer and one attempt in
-// flight, repeats nothing that may have run and is unsafe, and stays done once it is.
-func TestRequestAnyOrder(t *testing.T) {
+// Offers, answers and inputs come in any order, and those that the request forbids are left out. The request has at
+// most one answer and one attempt in flight, does not repeat an unsafe task that may have run, and stays done once it
+// is done.
+func TestRequestKeepsInvariantsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		effect := forkhead.Effect(rapid.IntRange(0, 2).Draw(t, "effect"))
 		r := Request{Deadline: time.Hour, Rules: Rules{MaxAttempts: 4, Effect: effect, DedupWindow: time.Minute}}
 		answers := 0
 		for now := range time.Duration(rapid.IntRange(1, 40).Draw(t, "steps")) {
 			before := r.Answer
-			takeAnyStep(t, &r, now)
+			takeRandomStep(t, &r, now)
 			if r.Answer != before {
 				if answers++; answers > 1 {
-					t.Fatal("two answers")
+					t.Fatalf("the request got %d answers, want at most 1", answers)
 				}
 			}
 			if n := countInFlight(&r); n > 1 {
-				t.Fatalf("%d attempts in flight", n)
+				t.Fatalf("the request has %d attempts in flight, want at most 1", n)
 			}
 		}
 	})
 }
 
-// takeAnyStep offers, answers or handles an input, as drawn, unless it is not legal.
-func takeAnyStep(t *rapid.T, r *Request, now time.Duration) {
-	switch rapid.IntRange(0, 3).Draw(t, "do") {
+// takeRandomStep draws an offer, an answer or an input and applies it to the request, if the request allows it.
+func takeRandomStep(t *rapid.T, r *Request, now time.Duration) {
+	switch rapid.IntRange(0, 3).Draw(t, "action") {
 	case 0:
-		if r.MayOffer(now, 1, same) != nil {
+		if r.MayOffer(now, 1, sameDomain) != nil {
 			return
 		}
 		if r.Rules.Effect == forkhead.Unsafe && r.MayHaveRun() {
-			t.Fatal("an unsafe repeat")
+			t.Fatalf("MayOffer(%v, 1) = nil for an unsafe task that may have run, want an error", now)
 		}
 		r.AddOffer(now, 1)
 	case 1:
@@ -135,7 +137,7 @@
 		wasDone := r.IsDone()
 		r.Handle(number, Input(rapid.IntRange(0, int(inputCount)-1).Draw(t, "input")))
 		if wasDone && !r.IsDone() {
-			t.Fatal("a request that was done is not any more")
+			t.Fatal("IsDone() = false after an input to a request that was done, want true")
 		}
 	}
 }
--- a/internal/scheduler/attempt/rules_test.go
+++ b/internal/scheduler/attempt/rules_test.go
@@ -14,22 +14,22 @@
 		window  = 10 * s
 	)
 	for name, c := range map[string]struct {
-		rules   Rules
-		unknown int
-		now     time.Duration
-		limit   time.Duration
-		ok      bool
+		rules     Rules
+		unknown   int
+		now       time.Duration
+		wantLimit time.Duration
+		wantOK    bool
 	}{
-		"nothing unknown":        {Rules{Effect: forkhead.Unsafe}, 0, 5 * s, 0, true},
+		"none unknown":           {Rules{Effect: forkhead.Unsafe}, 0, 5 * s, 0, true},
 		"safe":                   {Rules{Effect: forkhead.Safe}, 2, 5 * s, 0, true},
 		"unsafe":                 {Rules{Effect: forkhead.Unsafe}, 1, 5 * s, 0, false},
 		"keyed in a cell":        {Rules{Effect: forkhead.Keyed, DedupWindow: window, DedupDomain: forkhead.CellDomain}, 1, 5 * s, 0, false},
 		"keyed anywhere":         {Rules{Effect: forkhead.Keyed, DedupWindow: window}, 1, 5 * s, 7*s - MinRequestTime, true},
-		"keyed, just worth it":   {Rules{Effect: forkhead.Keyed, DedupWindow: window}, 1, 12*s - 2*MinRequestTime, MinRequestTime, true},
-		"keyed, no longer worth": {Rules{Effect: forkhead.Keyed, DedupWindow: window}, 1, 12*s - MinRequestTime, 0, false},
+		"keyed, shortest left":   {Rules{Effect: forkhead.Keyed, DedupWindow: window}, 1, 12*s - 2*MinRequestTime, MinRequestTime, true},
+		"keyed, too little left": {Rules{Effect: forkhead.Keyed, DedupWindow: window}, 1, 12*s - MinRequestTime, 0, false},
 	} {
-		if limit, ok := c.rules.MayRequest(c.now, c.unknown, firstAt); limit != c.limit || ok != c.ok {
-			t.Errorf("%s: %v, %v; want %v, %v", name, limit, ok, c.limit, c.ok)
+		if limit, ok := c.rules.MayRequest(c.now, c.unknown, firstAt); limit != c.wantLimit || ok != c.wantOK {
+			t.Errorf("%s: MayRequest(%v, %d, %v) = %v, %v; want %v, %v", name, c.now, c.unknown, firstAt, limit, ok, c.wantLimit, c.wantOK)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 		"unsafe, unknown, no offer": {unsafe, false, false, 1, false},
 	} {
 		if got := c.rules.RejectionIsHarmless(c.rejected, c.offered, c.unknown); got != c.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: RejectionIsHarmless(%v, %v, %d) = %v, want %v", name, c.rejected, c.offered, c.unknown, got, c.want)
 		}
 	}
 }
