--- a/internal/scheduler/durable/change.go
+++ b/internal/scheduler/durable/change.go
@@ -7,14 +7,14 @@
 	"forkhead/internal/protocol/hostproto"
 )
 
-// ChangeKind is what a Change does.
+// ChangeKind is the kind of a Change.
 type ChangeKind uint8
 
 // The kinds of change.
 const (
-	Put          ChangeKind = iota // Key gets Value
-	Delete                         // Key is deleted, if it exists
-	DeletePrefix                   // all keys that begin with Key are deleted
+	Put          ChangeKind = iota // sets Key to Value
+	Delete                         // deletes Key, if it exists
+	DeletePrefix                   // deletes all keys that begin with Key
 )
 
 // Change is one change of stored keys.
@@ -22,13 +22,13 @@
 	Kind   ChangeKind
 	Bucket Bucket
 	Key    string
-	Value  []byte // of a Put, as EncodeValue returns it; nil otherwise
+	Value  []byte // the new value of a Put, as EncodeValue returns it; nil for other kinds
 }
 
 // Bucket is the name of a set of keys in a store.
 type Bucket string
 
-// The buckets, with the form of their keys.
+// The buckets, each with the form of its keys.
 const (
 	ProjectsBucket     Bucket = "projects"    // PROJECT
 	SubmissionsBucket  Bucket = "submissions" // SUBMISSION
@@ -39,14 +39,14 @@
 	IncarnationsBucket Bucket = "lives"       // lastKey
 )
 
-// Buckets returns all buckets, in the order in which a store is read.
+// Buckets returns all buckets, in the order in which a store reads them.
 func Buckets() []Bucket {
 	return []Bucket{
 		ProjectsBucket, SubmissionsBucket, OutcomesBucket, TasksBucket, AttemptsBucket, HostListsBucket, IncarnationsBucket,
 	}
 }
 
-// lastKey is the only key of a bucket that holds one value.
+// lastKey is the only key of a bucket that holds a single value.
 const lastKey = "last"
 
 func outcomeKey(submissionID string, index int) string {
@@ -61,11 +61,12 @@
 	return fmt.Sprintf("%016x/%08x/%02x", r.Epoch, r.Task, r.Attempt)
 }
 
+// put returns the change that stores v as JSON.
 func put(bucket Bucket, key string, v any) Change {
 	text, err := json.Marshal(v)
 	if err != nil {
-		// JSON has no form for numbers that are not finite, and no reader lets one through; records hold nothing else that
-		// fails here.
+		// Marshal fails only on numbers that are not finite, since records contain nothing else that it cannot encode,
+		// and the parsers reject such numbers.
 		text = []byte("null")
 	}
 	return Change{Kind: Put, Bucket: bucket, Key: key, Value: EncodeValue(text)}
--- a/internal/scheduler/durable/entities.go
+++ b/internal/scheduler/durable/entities.go
@@ -11,23 +11,23 @@
 // Submission is an accepted submission of a specification.
 type Submission struct {
 	ID             string        `json:"ID"`
-	IdempotencyKey string        `json:"Key"`   // of the client's request; "" where it had none
-	BodyHash       uint64        `json:"Body"`  // of the specification as it was submitted
-	TotalOutcomes  int           `json:"Total"` // how many outcomes the submission gets
+	IdempotencyKey string        `json:"Key"`   // from the client's request; "" if it had none
+	BodyHash       uint64        `json:"Body"`  // hash of the specification as it was submitted
+	TotalOutcomes  int           `json:"Total"` // number of outcomes that the submission gets
 	AcceptedAt     time.Duration `json:"At"`    // since the Unix epoch
 	Project        string        `json:"Project"`
 }
 
-// Task is what is known of one task of a project.
+// Task is the stored state of one task of a project.
 type Task struct {
 	Project  string `json:"Project"`
 	Service  string `json:"Service"`
 	Replica  int    `json:"Replica"` // from 1
-	Outcome  string `json:"Word"`    // the outcome that was reported; "" where none was pending
-	Finished bool   `json:"Over"`    // it must not be started again
+	Outcome  string `json:"Word"`    // the outcome that was reported; "" if none was pending
+	Finished bool   `json:"Over"`    // the task must not be started again
 }
 
-// Attempt is an offer of a task whose effect must not happen twice.
+// Attempt is an offer of a task whose effect must not take place twice.
 type Attempt struct {
 	Ref       hostproto.Ref `json:"Ref"`
 	TaskKey   uint64        `json:"Key"` // identity of the task, by which hosts deduplicate
@@ -36,12 +36,12 @@
 	Replica   int           `json:"Replica"` // from 1
 	Class     string        `json:"Class"`
 	Host      string        `json:"Host"`
-	Address   string        `json:"Address"` // of the host, HOST:PORT
-	HostEpoch uint64        `json:"Life"`    // the host's incarnation that the task was offered to
+	Address   string        `json:"Address"` // of the host, as HOST:PORT
+	HostEpoch uint64        `json:"Life"`    // incarnation of the host to which the task was offered
 	ChosenAt  time.Duration `json:"At"`      // when the host was chosen, since the Unix epoch
 }
 
-// HostList is a list of hosts as service discovery sent it.
+// HostList is a list of hosts as received from service discovery.
 type HostList struct {
 	ReceivedAt time.Duration `json:"At"` // since the Unix epoch
 	Hosts      []consul.Host `json:"Hosts"`
@@ -50,11 +50,11 @@
 // storedProject is the value of a project's key: a specification, or the tombstone of a removed project.
 type storedProject struct {
 	Submission    string                   `json:"Submission,omitempty"`
-	Specification *servicespec.Description `json:"What,omitempty"`      // nil: this is a tombstone
-	RemovedAt     time.Duration            `json:"RemovedAt,omitempty"` // since the Unix epoch
+	Specification *servicespec.Description `json:"What,omitempty"`      // nil for a tombstone
+	RemovedAt     time.Duration            `json:"RemovedAt,omitempty"` // time of the removal, since the Unix epoch
 }
 
-// storedIncarnation is the value that holds the epoch of the last incarnation.
+// storedIncarnation is the value that holds the epoch of the placer's last incarnation.
 type storedIncarnation struct {
 	Epoch uint64 `json:"Epoch"`
 }
--- a/internal/scheduler/durable/loader.go
+++ b/internal/scheduler/durable/loader.go
@@ -13,31 +13,32 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// Snapshot is the stored state of a placer: what its next incarnation starts from.
+// Snapshot is the stored state of a placer, from which its next incarnation starts.
 type Snapshot struct {
-	Projects    []Project                // by name
+	Projects    []Project                // sorted by name
 	Tombstones  map[string]time.Duration // when each removed project was removed, since the Unix epoch
-	Submissions []SubmissionProgress     // by time of acceptance
-	Attempts    []Attempt                // by reference
-	HostList    HostList                 // the last one received
-	Epoch       uint64                   // of the last incarnation; 0: there was none
-	Unreadable  []string                 // messages: what could not be read, and why
+	Submissions []SubmissionProgress     // sorted by time of acceptance, then by ID
+	Attempts    []Attempt                // sorted by reference
+	HostList    HostList                 // the last list received
+	Epoch       uint64                   // of the last incarnation; 0 if there was none
+	Unreadable  []string                 // messages that say what could not be read, and why
 }
 
-// Project is a project that is to run.
+// Project is a project that was submitted and not removed since.
 type Project struct {
 	SubmissionID  string
 	Specification *servicespec.Description
-	Tasks         []Task // those whose outcome was reported or that have ended, in no particular order
+	Tasks         []Task // tasks whose outcome was reported or that have ended, in no particular order
 }
 
-// SubmissionProgress is a submission with the outcomes that were reported of it, in order.
+// SubmissionProgress is a submission with the outcomes that were reported for it, in order.
 type SubmissionProgress struct {
 	Submission
 	Outcomes []json.RawMessage
 }
 
-// Loader builds a Snapshot from stored keys and values, which may be added in any order. It is not safe for concurrent use.
+// Loader builds a Snapshot from stored keys and values, which may be added in any order. It is not safe for concurrent
+// use.
 type Loader struct {
 	projects    map[string]storedProject
 	tombstones  map[string]time.Duration
@@ -50,7 +51,7 @@
 	unreadable  []string
 }
 
-// NewLoader returns a loader that was given nothing yet.
+// NewLoader returns an empty loader.
 func NewLoader() *Loader {
 	return &Loader{
 		projects:    map[string]storedProject{},
@@ -61,7 +62,8 @@
 	}
 }
 
-// Add takes a key with its stored value, which it does not keep. A value that cannot be read is listed in Snapshot.Unreadable.
+// Add adds a key with its stored value, which it does not retain. A value that cannot be read is listed in
+// Snapshot.Unreadable.
 func (l *Loader) Add(bucket Bucket, key string, value []byte) {
 	text, _, err := DecodeValue(value)
 	if err == nil {
@@ -163,7 +165,8 @@
 	return nil
 }
 
-// Snapshot returns what was added, in an order that does not depend on the order of the additions.
+// Snapshot returns the state that was added. Its order does not depend on the order of the additions, except for
+// Project.Tasks.
 func (l *Loader) Snapshot() *Snapshot {
 	slices.SortFunc(l.attempts, func(a, b Attempt) int { return cmp.Compare(attemptKey(a.Ref), attemptKey(b.Ref)) })
 	slices.Sort(l.unreadable)
@@ -199,8 +202,8 @@
 	return submissions
 }
 
-// consecutiveOutcomes returns a submission's outcomes up to the first that is missing. Those behind it are reported again: a
-// client reads outcomes by their index.
+// consecutiveOutcomes returns a submission's outcomes up to the first that is missing. Later ones are reported again,
+// since a client reads outcomes by their index.
 func (l *Loader) consecutiveOutcomes(submissionID string) []json.RawMessage {
 	byIndex := l.outcomes[submissionID]
 	var outcomes []json.RawMessage
--- a/internal/scheduler/durable/records.go
+++ b/internal/scheduler/durable/records.go
@@ -1,9 +1,9 @@
-// Package durable defines what of a placer's state must survive a restart, and the form in which it is stored.
+// Package durable defines which part of a placer's state must survive a restart, and the form in which it is stored.
 //
-// It is pure and does no I/O. The scheduler emits a Record for each change of state that must survive. A record becomes
-// changes of keys and values, which a store makes durable, and a Loader turns the stored keys and values into the Snapshot
-// that the placer's next incarnation starts from. Each value carries the version of its format and a checksum; one that
-// fails either check is reported and left out as a whole, never read in part.
+// The package is pure: it does no I/O. The scheduler emits a Record for each change of state that must survive. A
+// record is turned into changes of keys and values, which a store makes durable. A Loader turns the stored keys and
+// values into the Snapshot from which the placer's next incarnation starts. Each value carries the version of its
+// format and a checksum; a value that fails either check is reported and left out as a whole, never read in part.
 package durable
 
 import (
@@ -14,27 +14,28 @@
 	"forkhead/internal/protocol/hostproto"
 )
 
-// Record is one change of a placer's state that must survive a restart. Applying its changes twice has the effect of applying
-// them once.
+// Record is one change of a placer's state that must survive a restart. Applying its changes twice has the same effect
+// as applying them once.
 //
-// The JSON keys of records and of what they hold are part of stored values and of recorded runs; they stay when a field is
-// renamed.
+// The JSON keys of records and of the types in their fields are part of stored values and of recorded runs, so a key
+// stays the same when its field is renamed.
 type Record interface {
-	// Changes returns the changes of stored keys that the record represents, in the order in which they must be applied.
+	// Changes returns the changes of stored keys that make up the record, in the order in which they must be applied.
 	Changes() []Change
 	// MustBeDurableFirst reports whether the outputs of the step that emitted the record must wait until the record is
-	// durable. It is false for records whose loss does no harm, since the next incarnation receives the same again.
+	// durable. It is false for records whose loss does no harm, since the next incarnation learns the same again.
 	MustBeDurableFirst() bool
 }
 
-// SubmissionAccepted is emitted before the client is notified that its specification was accepted. From then on the specification
-// is its project's, and the submission awaits an outcome of each of the project's tasks.
+// SubmissionAccepted is emitted before the client is notified that its specification was accepted. From then on the
+// project has this specification, and the submission awaits an outcome of each of the project's tasks.
 type SubmissionAccepted struct {
 	Submission    Submission
 	Specification *servicespec.Description `json:"What"` // stored under Submission.Project
 }
 
-// Changes replaces the project's specification and drops its tasks' earlier outcomes: they belong to another submission.
+// Changes replaces the project's specification and deletes the earlier outcomes of its tasks, which belong to another
+// submission.
 func (r SubmissionAccepted) Changes() []Change {
 	s := &r.Submission
 	return []Change{
@@ -50,12 +51,12 @@
 // OutcomeReported is emitted before a client can read the outcome of a task.
 type OutcomeReported struct {
 	SubmissionID string          `json:"Submission"`
-	Index        int             `json:"Number"` // of the outcome in its submission, from 0
-	Outcome      json.RawMessage `json:"Text"`   // as clients read it
+	Index        int             `json:"Number"` // index of the outcome in its submission, from 0
+	Outcome      json.RawMessage `json:"Text"`   // the outcome as clients read it
 	Task         Task
 }
 
-// Changes stores the outcome, and what it says about its task.
+// Changes stores the outcome and the state of its task.
 func (r OutcomeReported) Changes() []Change {
 	return []Change{
 		put(OutcomesBucket, outcomeKey(r.SubmissionID, r.Index), r.Outcome),
@@ -63,26 +64,26 @@
 	}
 }
 
-// MustBeDurableFirst returns true: a later incarnation must not report another outcome.
+// MustBeDurableFirst returns true: a later incarnation must not report a different outcome.
 func (OutcomeReported) MustBeDurableFirst() bool { return true }
 
 // TaskFinished is emitted when a task has ended and must not be started again.
 type TaskFinished struct{ Task Task }
 
-// Changes stores the task's end.
+// Changes stores the finished task.
 func (r TaskFinished) Changes() []Change { return []Change{put(TasksBucket, taskKey(&r.Task), r.Task)} }
 
 // MustBeDurableFirst returns true: a later incarnation must not start the task.
 func (TaskFinished) MustBeDurableFirst() bool { return true }
 
-// ProjectRemoved is emitted when a project is to end. It leaves a tombstone, by which tasks of the project that are found
-// running later are stopped.
+// ProjectRemoved is emitted when a project is to be removed. It leaves a tombstone, so that tasks of the project that
+// are found running later are stopped.
 type ProjectRemoved struct {
 	Project string
-	At      time.Duration // since the Unix epoch
+	At      time.Duration // time of the removal, since the Unix epoch
 }
 
-// Changes replaces the project by a tombstone and drops its tasks.
+// Changes replaces the project by a tombstone and deletes its tasks.
 func (r ProjectRemoved) Changes() []Change {
 	return []Change{
 		put(ProjectsBucket, r.Project, storedProject{RemovedAt: r.At}),
@@ -93,23 +94,23 @@
 // MustBeDurableFirst returns true: a later incarnation must not run the project.
 func (ProjectRemoved) MustBeDurableFirst() bool { return true }
 
-// TombstoneExpired is emitted when no task of a removed project is expected to be reported any more.
+// TombstoneExpired is emitted when no host is expected to report a task of a removed project any more.
 type TombstoneExpired struct{ Project string }
 
-// Changes drops the tombstone.
+// Changes deletes the tombstone.
 func (r TombstoneExpired) Changes() []Change {
 	return []Change{{Kind: Delete, Bucket: ProjectsBucket, Key: r.Project}}
 }
 
-// MustBeDurableFirst returns false: a tombstone that is still there expires again.
+// MustBeDurableFirst returns false: a tombstone that is still stored expires again.
 func (TombstoneExpired) MustBeDurableFirst() bool { return false }
 
-// SubmissionExpired is emitted when a submission's outcomes are not served any more.
+// SubmissionExpired is emitted when a submission's outcomes are no longer served.
 type SubmissionExpired struct {
 	SubmissionID string `json:"Submission"`
 }
 
-// Changes drops the submission and its outcomes.
+// Changes deletes the submission and its outcomes.
 func (r SubmissionExpired) Changes() []Change {
 	return []Change{
 		{Kind: Delete, Bucket: SubmissionsBucket, Key: r.SubmissionID},
@@ -117,10 +118,10 @@
 	}
 }
 
-// MustBeDurableFirst returns false: a submission that is still there expires again.
+// MustBeDurableFirst returns false: a submission that is still stored expires again.
 func (SubmissionExpired) MustBeDurableFirst() bool { return false }
 
-// AttemptOffered is emitted before an offer is sent that must not be sent twice.
+// AttemptOffered is emitted before the placer sends an offer that must not be sent twice.
 type AttemptOffered struct{ Attempt Attempt }
 
 // Changes stores the attempt.
@@ -128,21 +129,22 @@
 	return []Change{put(AttemptsBucket, attemptKey(r.Attempt.Ref), r.Attempt)}
 }
 
-// MustBeDurableFirst returns true: a later incarnation must not offer the task again before it knows the attempt's outcome.
+// MustBeDurableFirst returns true: a later incarnation must not offer the task again before it knows the attempt's
+// outcome.
 func (AttemptOffered) MustBeDurableFirst() bool { return true }
 
-// AttemptResolved is emitted when the outcome of an offered attempt is known and the attempt runs no more.
+// AttemptResolved is emitted when the outcome of an offered attempt is known and the attempt no longer runs.
 type AttemptResolved struct{ Ref hostproto.Ref }
 
-// Changes drops the attempt.
+// Changes deletes the attempt.
 func (r AttemptResolved) Changes() []Change {
 	return []Change{{Kind: Delete, Bucket: AttemptsBucket, Key: attemptKey(r.Ref)}}
 }
 
-// MustBeDurableFirst returns false: an attempt that is still there is resolved again by querying its host.
+// MustBeDurableFirst returns false: an attempt that is still stored is resolved again by a query to its host.
 func (AttemptResolved) MustBeDurableFirst() bool { return false }
 
-// IncarnationStarted is emitted at a placer's start. The next incarnation's epoch is higher, whatever its clock says.
+// IncarnationStarted is emitted when a placer starts. The next incarnation's epoch is higher, whatever its clock shows.
 type IncarnationStarted struct{ Epoch uint64 }
 
 // Changes stores the epoch.
@@ -153,11 +155,11 @@
 // MustBeDurableFirst returns true: no two incarnations may act under one epoch.
 func (IncarnationStarted) MustBeDurableFirst() bool { return true }
 
-// HostListReceived is emitted when service discovery has sent a list of hosts.
+// HostListReceived is emitted when the placer has received a list of hosts from service discovery.
 type HostListReceived struct{ List HostList }
 
 // Changes replaces the stored list.
 func (r HostListReceived) Changes() []Change { return []Change{put(HostListsBucket, lastKey, r.List)} }
 
-// MustBeDurableFirst returns false: service discovery sends the endpoint list again.
+// MustBeDurableFirst returns false: service discovery sends the list again.
 func (HostListReceived) MustBeDurableFirst() bool { return false }
--- a/internal/scheduler/durable/value.go
+++ b/internal/scheduler/durable/value.go
@@ -6,19 +6,21 @@
 	"hash/crc32"
 )
 
-// FormatVersion is the version of the format of stored values. Values of earlier versions are read, those of later ones are
-// not.
+// FormatVersion is the version of the format of stored values. Values of this version and of earlier ones can be read,
+// values of later versions cannot.
 const FormatVersion = 1
 
-// A stored value is one byte of version, a big-endian CRC-32C of the version and the text, and the text.
+// A stored value consists of a version byte, the big-endian CRC-32C of the version and the text, and the text.
 const (
 	checksumOffset = 1
 	headerBytes    = checksumOffset + crc32.Size
 )
 
-// Reasons why a value cannot be read.
+// Errors of DecodeValue. Their texts are part of the messages in Snapshot.Unreadable, which recorded runs contain.
 var (
-	ErrChecksum     = errors.New("the checksum does not hold")
+	// ErrChecksum means that the checksum of a value does not match, or that the value is too short to have one.
+	ErrChecksum = errors.New("the checksum does not hold")
+	// ErrNewerVersion means that a later version of the program wrote the value.
 	ErrNewerVersion = errors.New("it is of a later version of this program")
 )
 
@@ -33,8 +35,8 @@
 	return value
 }
 
-// DecodeValue returns the text of a stored value, which aliases it, and the version of its format. The error is ErrChecksum or
-// ErrNewerVersion.
+// DecodeValue returns the text of a stored value, which aliases the value, and the version of the value's format. The
+// error is nil, ErrChecksum or ErrNewerVersion.
 func DecodeValue(value []byte) (text []byte, version int, err error) {
 	if len(value) < headerBytes || binary.BigEndian.Uint32(value[checksumOffset:]) != checksum(value) {
 		return nil, 0, ErrChecksum
@@ -46,7 +48,7 @@
 	return value[headerBytes:], version, nil
 }
 
-// checksum covers the version and the text of a stored value.
+// checksum returns the CRC-32C of the version and the text of a stored value.
 func checksum(value []byte) uint32 {
 	sum := crc32.Checksum(value[:checksumOffset], castagnoli)
 	return crc32.Update(sum, castagnoli, value[headerBytes:])
