--- a/internal/scheduler/durable/golden_test.go
+++ b/internal/scheduler/durable/golden_test.go
@@ -16,7 +16,7 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// exampleRecords returns one of each type, with every field set.
+// exampleRecords returns a record of each type, with every field set.
 func exampleRecords() []durable.Record {
 	pos := diagnostic.Pos{File: "a.yaml", Line: 3, Col: 5}
 	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
@@ -61,7 +61,7 @@
 	}
 }
 
-// Every type of record has the same changes of the same keys, with the same bytes.
+// The changes of each type of record stay the same, down to the bytes of keys and values, since stores contain them.
 func TestRecordChangesGolden(t *testing.T) {
 	var b bytes.Buffer
 	for _, r := range exampleRecords() {
@@ -80,7 +80,7 @@
 	goldentest.Check(t, "changes.txt", b.Bytes())
 }
 
-// Stored specifications and lists hold these values as numbers.
+// Stored specifications and host lists contain these values as numbers, so the numbers must not change.
 func TestStoredEnumsKeepNumbers(t *testing.T) {
 	for name, c := range map[string]struct{ got, want uint8 }{
 		"replicated":     {uint8(servicespec.Replicated), 0},
@@ -101,7 +101,7 @@
 		"gone":           {uint8(forkhead.Removed), 2},
 	} {
 		if c.got != c.want {
-			t.Errorf("%s is stored as %d; want %d", name, c.got, c.want)
+			t.Errorf("%s is stored as %d, want %d", name, c.got, c.want)
 		}
 	}
 }
--- a/internal/scheduler/durable/loader_test.go
+++ b/internal/scheduler/durable/loader_test.go
@@ -12,7 +12,7 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// addAll adds the values that records put, last record first: their order does not matter.
+// addAll adds the values of all Put changes of the records, last record first, since the order must not matter.
 func addAll(l *durable.Loader, records ...durable.Record) {
 	for _, r := range slices.Backward(records) {
 		for _, c := range r.Changes() {
@@ -37,9 +37,9 @@
 	}
 }
 
-// Projects are sorted by name and have their own tasks; submissions are sorted by time and have their outcomes up to the first
-// that is missing.
-func TestLoaderSortsSnapshot(t *testing.T) {
+// Projects are sorted by name, each with its own tasks. Submissions are sorted by time of acceptance, each with its
+// outcomes up to the first that is missing.
+func TestLoaderSnapshotIsSorted(t *testing.T) {
 	first, second := accepted("s-2", "a", time.Second), accepted("s-1", "b", time.Minute)
 	l := durable.NewLoader()
 	addAll(l, first, second, reported("s-2", "a", 0), reported("s-2", "a", 2), reported("s-1", "b", 0),
@@ -57,11 +57,11 @@
 		Epoch: 3,
 	}
 	if got := l.Snapshot(); !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v, want %+v", got, want)
+		t.Errorf("Snapshot() = %+v, want %+v", got, want)
 	}
 }
 
-// A value that cannot be read is reported with its bucket and key, and nothing of it is in the snapshot.
+// A value that cannot be read is reported with its bucket and key, and no part of it is in the snapshot.
 func TestLoaderReportsUnreadableValues(t *testing.T) {
 	text := durable.EncodeValue([]byte(`"text"`))
 	for _, c := range []struct {
@@ -82,12 +82,13 @@
 		l := durable.NewLoader()
 		l.Add(c.bucket, c.key, c.value)
 		got := l.Snapshot()
-		if len(got.Unreadable) != 1 || !strings.HasPrefix(got.Unreadable[0], string(c.bucket)+` "`+c.key+`": `) {
-			t.Errorf("%s %s: unreadable %q", c.bucket, c.key, got.Unreadable)
+		prefix := string(c.bucket) + ` "` + c.key + `": `
+		if len(got.Unreadable) != 1 || !strings.HasPrefix(got.Unreadable[0], prefix) {
+			t.Errorf("after Add(%s, %q, %q): got Unreadable %q, want one message that begins with %q", c.bucket, c.key, c.value, got.Unreadable, prefix)
 		}
 		got.Unreadable = nil
 		if empty := durable.NewLoader().Snapshot(); !reflect.DeepEqual(got, empty) {
-			t.Errorf("%s %s: read in part as %+v", c.bucket, c.key, got)
+			t.Errorf("after Add(%s, %q, %q): got snapshot %+v, want %+v but for Unreadable", c.bucket, c.key, c.value, got, empty)
 		}
 	}
 }
