--- a/internal/scheduler/durable/golden_test.go
+++ b/internal/scheduler/durable/golden_test.go
@@ -65,13 +65,13 @@
 func TestRecordChangesGolden(t *testing.T) {
 	var b bytes.Buffer
 	for _, r := range exampleRecords() {
-		fmt.Fprintf(&b, "waited for: %v\n", r.MustBeDurableFirst())
+		fmt.Fprintf(&b, "must be durable first: %v\n", r.MustBeDurableFirst())
 		for _, c := range r.Changes() {
 			switch c.Kind {
 			case durable.DeletePrefix:
-				fmt.Fprintf(&b, "\tdrop all %s %s\n", c.Bucket, c.Key)
+				fmt.Fprintf(&b, "\tdelete prefix %s %s\n", c.Bucket, c.Key)
 			case durable.Delete:
-				fmt.Fprintf(&b, "\tdrop %s %s\n", c.Bucket, c.Key)
+				fmt.Fprintf(&b, "\tdelete %s %s\n", c.Bucket, c.Key)
 			case durable.Put:
 				fmt.Fprintf(&b, "\tput %s %s %s %s\n", c.Bucket, c.Key, hex.EncodeToString(c.Value[:5]), c.Value[5:])
 			}
