--- a/internal/scheduler/attempt/phase.go
+++ b/internal/scheduler/attempt/phase.go
@@ -201,7 +201,7 @@
 	},
 }
 
-// Transition returns the phase that follows input in in phase p, and the effect of the input.
+// Transition returns the phase after an input to an attempt in phase p, and the effect of the input.
 func Transition(p Phase, in Input) (Phase, Effect) {
 	t := table[p][in]
 	return t.to, t.effect
--- a/internal/scheduler/hostconn/hostconn.go
+++ b/internal/scheduler/hostconn/hostconn.go
@@ -1,6 +1,6 @@
-// Package hostconn has the states of a placer's connection to one host: when it is dialed, when messages may be sent, and
-// what a new incarnation of the host means for attempts made in the earlier one. It is pure: the caller dials, writes,
-// closes and sets timers as each Output says.
+// Package hostconn defines the states of a placer's connection to one host: when the host is dialed, when messages may
+// be sent, and what a new incarnation of the host means for attempts made in an earlier one. The package is pure: the
+// caller dials, writes, closes connections and sets timers as each Output tells it to.
 package hostconn
 
 import (
@@ -13,17 +13,17 @@
 // State is the state of a connection.
 type State uint8
 
-// The states.
+// The states of a connection.
 const (
-	Down        State = iota // nothing is in progress; a reconnect is due if the host is listed
-	Dialing                  // the connection is being made
-	Handshaking              // Hello is written, Welcome awaited
+	Down        State = iota // there is no TCP connection and none is being made; a reconnect is due if the host is listed
+	Dialing                  // the TCP connection is being made
+	Handshaking              // Hello is written and Welcome is awaited
 	Up                       // messages may be sent
 	stateCount
 )
 
-// stateNames are the names in traces, `explore --output json` and docs/design/attempts.md. Stored traces hold them, so
-// they stay as they are where a constant is renamed; the same goes for inputNames.
+// stateNames holds the names used in traces, `explore --output json` and docs/design/attempts.md. Stored traces contain
+// them, so a name stays the same when its constant is renamed; this also applies to inputNames.
 var stateNames = [stateCount]string{"Down", "Dialling", "Greeting", "Up"} //nolint:misspell // stored names stay
 
 // String returns the state's name in traces and in docs/design/attempts.md.
@@ -36,14 +36,15 @@
 const (
 	Listed          InputKind = iota // the endpoint list names the host at Input.Address
 	Delisted                         // the endpoint list no longer names the host
-	Dialed                           // connection Input.Conn is made
-	Welcomed                         // the host answered Hello on Input.Conn with a Welcome of Input.Epoch
-	Disconnected                     // connection Input.Conn failed, broke, or was closed
+	Dialed                           // connection Input.Conn was made
+	Welcomed                         // the host answered Hello on Input.Conn with a Welcome that has Input.Epoch
+	Disconnected                     // connection Input.Conn could not be made, broke, or was closed
 	RetryDue                         // the timer of Output.RetryAfter fired
 	ConnectTimedOut                  // the timer of Output.ConnectTimeoutAfter fired for Input.Conn
 	inputKindCount
 )
 
+// inputNames holds the names of the kinds of input; see stateNames.
 var inputNames = [inputKindCount]string{
 	"Listed", "Delisted", "Dialled", "Welcomed", "Broke", "Retry", "Late", //nolint:misspell // stored names stay
 }
@@ -51,7 +52,7 @@
 // String returns the kind's name in traces and in docs/design/attempts.md.
 func (k InputKind) String() string { return inputNames[k] }
 
-// Input is an event of a connection. Its kind determines which of the other fields it has.
+// Input is an event that concerns a connection. Its kind determines which of the other fields are set.
 type Input struct {
 	Kind    InputKind
 	Address string
@@ -59,43 +60,44 @@
 	Epoch   uint64
 }
 
-// Output is what the caller does after an input, in this order.
+// Output is what the caller has to do after an input, in the order of the fields.
 type Output struct {
 	CloseConn            bool          // close connection ConnToClose
-	ConnToClose          uint32        // the connection that was in use
+	ConnToClose          uint32        // the connection that was in use until the input
 	Dial                 bool          // dial Connection.Address as connection Connection.Conn
 	SendHello            bool          // write Hello on Connection.Conn
-	AttemptsDisconnected bool          // attempts made on the connection have lost it
-	HostRestarted        bool          // the host's earlier incarnation ended, and with it what ran there
+	AttemptsDisconnected bool          // the attempts made on the connection have lost it
+	HostRestarted        bool          // the host's earlier incarnation ended, and with it all tasks that ran there
 	Established          bool          // messages may be sent from now on
-	StaleIncarnation     bool          // the host answered with an earlier incarnation than the last known one
-	RetryAfter           time.Duration // > 0: set the timer of RetryDue
-	ConnectTimeoutAfter  time.Duration // > 0: set the timer of ConnectTimedOut, for Connection.Conn
+	StaleIncarnation     bool          // the host answered as an earlier incarnation than the last known one
+	RetryAfter           time.Duration // if > 0, set the timer of RetryDue
+	ConnectTimeoutAfter  time.Duration // if > 0, set the timer of ConnectTimedOut for Connection.Conn
 }
 
-// Policy bounds waits.
+// Policy bounds the time to connect and the waits between reconnects.
 type Policy struct {
 	ConnectTimeout time.Duration // for dialing and the handshake together
 	MinBackoff     time.Duration // mean wait before the first reconnect
-	MaxBackoff     time.Duration // mean waits double up to this
+	MaxBackoff     time.Duration // upper bound of mean waits, which double with each failure
 }
 
-// maxDoublings bounds the doublings of MinBackoff: more would overflow, and MaxBackoff is reached well before.
+// maxDoublings bounds the doublings of MinBackoff, since more would overflow. MaxBackoff is reached well before.
 const maxDoublings = 16
 
-// Connection is a placer's connection to one host, with what outlives a single TCP connection. The zero value is that of
-// a host that is not listed yet.
+// Connection is a placer's connection to one host, including the state that outlives a single TCP connection. The zero
+// value is the connection of a host that is not listed yet.
 type Connection struct {
 	State    State
 	Listed   bool   // the endpoint list names the host
-	Address  string // at which it was last listed
-	Conn     uint32 // number of the present or last TCP connection; each dial takes the next
-	Epoch    uint64 // of the host's last known incarnation; 0: none yet
-	Failures int    // since the connection was last up
+	Address  string // address at which the host was last listed
+	Conn     uint32 // number of the current or last TCP connection; each dial takes the next number
+	Epoch    uint64 // epoch of the host's last known incarnation; 0 if none is known
+	Failures int    // failures since the connection was last up, or since the address changed
 }
 
-// Handle applies an input. random is in [0, 1) and spreads reconnects, so that placers that lost a host together do not
-// come back together. An input of an earlier TCP connection changes nothing.
+// Handle applies an input and returns what the caller has to do. random, in [0, 1), is the jitter of reconnects:
+// placers that lost a host at the same time do not all reconnect at the same time. Inputs that concern an earlier TCP
+// connection change nothing.
 func (c *Connection) Handle(in Input, p Policy, random float64) Output {
 	var out Output
 	switch in.Kind {
@@ -130,7 +132,7 @@
 	}
 }
 
-// handleDelisted keeps a connection that is up, since the host goes on reporting what runs there.
+// handleDelisted keeps a connection that is up, since the host still reports what runs there.
 func (c *Connection) handleDelisted(out *Output) {
 	c.Listed = false
 	if c.isConnecting() {
@@ -150,8 +152,8 @@
 		return
 	}
 	if in.Epoch < c.Epoch {
-		// An earlier incarnation of the host still answers, at the same address or out of a buffer. It must not settle
-		// what belongs to the later one.
+		// An earlier incarnation of the host still answers, at the same address or from a buffer. Its messages must not
+		// settle attempts that were made in the later incarnation.
 		out.StaleIncarnation = true
 		c.closeConn(out)
 		c.scheduleRetry(out, p, random)
@@ -166,7 +168,7 @@
 	if c.State == Down || conn != c.Conn {
 		return
 	}
-	c.goDown(out) // it is closed already
+	c.goDown(out) // the TCP connection is closed already
 	c.scheduleRetry(out, p, random)
 }
 
@@ -185,14 +187,14 @@
 
 func (c *Connection) isConnecting() bool { return c.State == Dialing || c.State == Handshaking }
 
-// dial makes the next TCP connection.
+// dial starts the next TCP connection.
 func (c *Connection) dial(out *Output, p Policy) {
 	c.Conn++
 	c.State = Dialing
 	out.Dial, out.ConnectTimeoutAfter = true, p.ConnectTimeout
 }
 
-// closeConn closes the present TCP connection, if there is one.
+// closeConn closes the current TCP connection, if there is one.
 func (c *Connection) closeConn(out *Output) {
 	if c.State == Down {
 		return
@@ -206,7 +208,7 @@
 	out.AttemptsDisconnected = true
 }
 
-// scheduleRetry counts a failure and sets the reconnect timer, if the host is listed.
+// scheduleRetry counts a failure and sets the timer for the reconnect, if the host is listed.
 func (c *Connection) scheduleRetry(out *Output, p Policy, random float64) {
 	if !c.Listed {
 		return
@@ -216,8 +218,8 @@
 	out.RetryAfter = max(time.Duration(float64(mean)*(0.5+random)), time.Millisecond)
 }
 
-// Table returns as a Markdown table what each input does to the connection of a listed host, where the input is of the
-// known address, the present TCP connection and the known incarnation of the host.
+// Table returns a Markdown table of what each input does to the connection of a listed host. The inputs have the known
+// address, the current TCP connection and the known incarnation of the host.
 func Table() string {
 	return statetable.Render(stateNames[:], inputNames[:], func(kind, state int) string {
 		from := State(state)
@@ -228,7 +230,7 @@
 	})
 }
 
-// describe lists what an output demands, in the terms of docs/design/attempts.md.
+// describe lists what an output tells the caller to do, in the terms of docs/design/attempts.md.
 func (o *Output) describe() string {
 	var parts []string
 	for _, part := range []struct {
--- a/internal/scheduler/hostsession/attempt.go
+++ b/internal/scheduler/hostsession/attempt.go
@@ -1,5 +1,6 @@
-// Package hostsession has the states of an attempt at its host, and of a placer's session with the host. It is pure and
-// total, as package attempt is for the placer's side; the host emulator and the model checker run on it.
+// Package hostsession defines the states of an attempt at its host, and of a placer's session with the host. It is the
+// counterpart of package attempt, which has the placer's side: it is pure, and has a transition for each state and
+// input. The host emulator and the model checker run on it.
 package hostsession
 
 import "forkhead/internal/scheduler/statetable"
@@ -7,46 +8,47 @@
 // State is the state of an attempt at its host.
 type State uint8
 
-// The states.
+// The states of an attempt at its host.
 const (
-	Absent   State = iota // never seen, or queued when its connection ended: it never ran
-	Queued                // received and not decided
-	Starting              // accepted
-	Running               // its start is done
-	Rejected              // it never ran, and its placer has been sent so
-	Canceled              // withdrawn while it was queued: it never ran
-	Ended                 // it may have run, and runs no more
+	Absent   State = iota // the offer was never received, or was queued when its connection ended: the task never ran
+	Queued                // the offer was received and is not decided
+	Starting              // the offer was accepted, and the task is being started
+	Running               // the task has started
+	Rejected              // the task never ran, and the placer was sent Refused
+	Canceled              // the offer was withdrawn while it was queued: the task never ran
+	Ended                 // the task may have run, and no longer runs
 	stateCount
 )
 
-// stateNames are the names in traces, `explore --output json` and docs/design/attempts.md. Stored traces hold them, so
-// they stay as they are where a constant is renamed; the same goes for inputNames and replyNames.
+// stateNames holds the names used in traces, `explore --output json` and docs/design/attempts.md. Stored traces contain
+// them, so a name stays the same when its constant is renamed; this also applies to inputNames and replyNames.
 var stateNames = [stateCount]string{"Absent", "InLine", "Starting", "Running", "Refused", "Called", "Ended"}
 
 // String returns the state's name in traces and in docs/design/attempts.md.
 func (s State) String() string { return stateNames[s] }
 
-// HoldsCapacity reports whether the attempt takes cores and memory of its host. Such attempts are listed to their placer
-// when it connects.
+// HoldsCapacity reports whether the attempt uses cores and memory of its host. The host lists such attempts to their
+// placer when the placer connects.
 func (s State) HoldsCapacity() bool { return s == Starting || s == Running }
 
-// Input is an event of an attempt at its host.
+// Input is an event that concerns an attempt at its host.
 type Input uint8
 
-// The inputs.
+// The inputs of an attempt.
 const (
 	Offer          Input = iota // the offer was received
-	Accept                      // the host decided to take it
-	Reject                      // the host decided not to take it
-	Start                       // the task's start is done
-	Finish                      // the task ended, by itself or by the host
+	Accept                      // the host decided to accept the offer
+	Reject                      // the host decided to reject the offer
+	Start                       // the task has started
+	Finish                      // the task ended by itself or was ended by the host
 	Withdraw                    // the placer withdraws the offer
 	Stop                        // the placer stops the task
-	ConnectionLost              // the connection that the offer came on is over
-	Query                       // the placer queries what became of the attempt
+	ConnectionLost              // the connection on which the offer was received ended
+	Query                       // the placer queries the state of the attempt
 	inputCount
 )
 
+// inputNames holds the names of the inputs; see stateNames.
 var inputNames = [inputCount]string{"Offer", "Accept", "Decline", "Start", "Finish", "Withdraw", "Stop", "Lost", "Query"}
 
 // String returns the input's name in traces and in docs/design/attempts.md.
@@ -55,29 +57,30 @@
 // Reply is the message that the host sends to the placer after an input.
 type Reply uint8
 
-// The replies.
+// The replies to inputs.
 const (
 	NoReply      Reply = iota
-	SendRejected       // Refused: it never ran and will not
+	SendRejected       // Refused: the task never ran and will not run
 	SendAccepted       // Accepted
 	SendRunning        // Running
 	SendEnded          // Ended
-	SendCanceled       // Ended, with the cause that it never ran
+	SendCanceled       // Ended, with the result that the task never ran
 	replyCount
 )
 
+// replyNames holds the names of the replies; see stateNames.
 var replyNames = [replyCount]string{"-", "Refused", "Accepted", "Running", "Ended", "Ended(called)"}
 
 // String returns the reply's name in traces and in docs/design/attempts.md.
 func (r Reply) String() string { return replyNames[r] }
 
-// transition is what an input does to an attempt.
+// transition is the next state of an attempt and the reply to the input.
 type transition struct {
 	to    State
 	reply Reply
 }
 
-// table is the whole transition function.
+// table is the complete transition function, with an entry for each state and input.
 var table = [stateCount][inputCount]transition{
 	Absent: {
 		Offer:          {Queued, NoReply},
@@ -128,8 +131,8 @@
 	Ended:    settledRow(Ended, SendEnded),
 }
 
-// settledRow is the row of a state that no input changes. A placer that withdraws or queries the attempt is sent the
-// reply once more.
+// settledRow returns the row of a state that no input changes. The reply is sent again to a placer that withdraws or
+// queries the attempt.
 func settledRow(s State, reply Reply) (row [inputCount]transition) {
 	for in := range row {
 		row[in] = transition{s, NoReply}
@@ -138,14 +141,14 @@
 	return row
 }
 
-// Transition returns the state that follows an input, and the reply.
+// Transition returns the state after an input to an attempt in state s, and the reply to the input.
 func Transition(s State, in Input) (State, Reply) {
 	t := table[s][in]
 	return t.to, t.reply
 }
 
-// Table returns the transition function as a Markdown table: the state that follows, unless it is the present one, and
-// the reply.
+// Table returns the transition function as a Markdown table. A cell holds the next state, unless it is the current one,
+// and the reply.
 func Table() string {
 	return statetable.Render(stateNames[:], inputNames[:], func(in, s int) string {
 		t := table[s][in]
--- a/internal/scheduler/hostsession/session.go
+++ b/internal/scheduler/hostsession/session.go
@@ -1,23 +1,27 @@
 package hostsession
 
-// Session is the last session of a placer with a host.
+// Session is the last known session of a placer with a host.
 type Session struct {
-	Epoch     uint64 // of the placer's incarnation; 0: none known
-	Conn      uint32 // the placer's number of the connection, while Connected
-	Connected bool   // the connection is open at the host
+	Epoch     uint64 // epoch of the placer's incarnation; 0 if none is known
+	Conn      uint32 // the placer's number of the connection, valid while Connected
+	Connected bool   // whether the connection is open at the host
 }
 
 // HelloResult is how a host answers a Hello.
 type HelloResult uint8
 
-// The results.
+// The results of a Hello.
 const (
-	HelloAccepted HelloResult = iota // a Welcome is sent, and an older connection of the placer is closed
-	HelloStale                       // a later incarnation, or a later connection of this one, is known: the new connection is closed
+	// HelloAccepted means that the host sends a Welcome and closes an older connection of the placer, if there is one.
+	HelloAccepted HelloResult = iota
+	// HelloStale means that the host knows a later incarnation of the placer, or a later connection of the same
+	// incarnation, and closes the new connection.
+	HelloStale
 )
 
-// CheckHello decides on a Hello of an incarnation, on one of its numbered connections, by the last session of the same
-// placer. Of two connections the later one counts, since messages may still be in the buffers of the older.
+// CheckHello decides whether a host accepts a Hello. epoch is the placer's incarnation, conn is the incarnation's
+// number of the connection, and last is the same placer's last session. Of two connections the later one counts, since
+// messages may still be in the buffers of the older one.
 func CheckHello(last Session, epoch uint64, conn uint32) HelloResult {
 	if epoch < last.Epoch || last.Connected && epoch == last.Epoch && conn <= last.Conn {
 		return HelloStale
