--- a/internal/scheduler/hostconn/hostconn_test.go
+++ b/internal/scheduler/hostconn/hostconn_test.go
@@ -9,21 +9,21 @@
 
 var policy = Policy{ConnectTimeout: time.Second, MinBackoff: 100 * time.Millisecond, MaxBackoff: time.Second}
 
-// handle applies an input of the host at address "a", with reconnects after the mean wait.
+// handle applies an input with address "a". Reconnects come after the mean wait.
 func handle(c *Connection, kind InputKind, conn uint32, epoch uint64) Output {
 	return c.Handle(Input{Kind: kind, Address: "a", Conn: conn, Epoch: epoch}, policy, 0.5)
 }
 
-// A host is listed and connected, restarts, and is then impersonated by its earlier incarnation.
+// A host is listed and connects, restarts and connects again, and then its earlier incarnation answers a reconnect.
 func TestConnectionHandleLifecycle(t *testing.T) {
 	const backoff = 100 * time.Millisecond
 	var c Connection
 	for i, step := range []struct {
-		kind  InputKind
-		conn  uint32
-		epoch uint64
-		want  Output
-		state State
+		kind      InputKind
+		conn      uint32
+		epoch     uint64
+		want      Output
+		wantState State
 	}{
 		{Listed, 0, 0, Output{Dial: true, ConnectTimeoutAfter: time.Second}, Dialing},
 		{Dialed, 1, 0, Output{SendHello: true}, Handshaking},
@@ -37,16 +37,18 @@
 		{Dialed, 3, 0, Output{SendHello: true}, Handshaking},
 		{Welcomed, 3, 7, Output{StaleIncarnation: true, CloseConn: true, ConnToClose: 3, AttemptsDisconnected: true, RetryAfter: 2 * backoff}, Down},
 	} {
-		if out := handle(&c, step.kind, step.conn, step.epoch); out != step.want || c.State != step.state {
-			t.Fatalf("step %d, %v: %+v, %v; want %+v, %v", i, step.kind, out, c.State, step.want, step.state)
+		if out := handle(&c, step.kind, step.conn, step.epoch); out != step.want || c.State != step.wantState {
+			t.Fatalf("step %d: Handle(%v, connection %d, epoch %d) = %+v in state %v, want %+v in state %v",
+				i, step.kind, step.conn, step.epoch, out, c.State, step.want, step.wantState)
 		}
 	}
 	if c.Epoch != 8 {
-		t.Errorf("the known epoch is %d after a stale one, want 8", c.Epoch)
+		t.Errorf("got known epoch %d after a Welcome of epoch 7, want 8", c.Epoch)
 	}
 }
 
-func TestConnectionIgnoresEarlierConns(t *testing.T) {
+// Inputs that concern connection 1 arrive while connection 2 is being made.
+func TestConnectionIgnoresInputsOfEarlierConn(t *testing.T) {
 	var c Connection
 	handle(&c, Listed, 0, 0)
 	handle(&c, Disconnected, 1, 0)
@@ -57,30 +59,30 @@
 			continue
 		}
 		if out := handle(&c, kind, 1, 9); out != (Output{}) || c != before {
-			t.Fatalf("%v of connection 1 while 2 is made: %+v", kind, out)
+			t.Fatalf("Handle(%v, connection 1) while connection 2 is being made = %+v, state %+v; want an empty output and %+v", kind, out, c, before)
 		}
 	}
 }
 
-// Waits double up to the longest, and a host that is not listed is not dialed again.
-func TestConnectionBackoff(t *testing.T) {
+// Waits double up to MaxBackoff, and a host that is no longer listed is not dialed again.
+func TestConnectionRetriesListedHostWithBackoff(t *testing.T) {
 	var c Connection
 	handle(&c, Listed, 0, 0)
 	for i, want := range []time.Duration{100, 200, 400, 800, 1000, 1000} {
 		if got := handle(&c, Disconnected, c.Conn, 0).RetryAfter; got != want*time.Millisecond {
-			t.Fatalf("wait %d is %v, want %v ms", i, got, int(want))
+			t.Fatalf("got RetryAfter %v after disconnect %d, want %d ms", got, i+1, int(want))
 		}
 		handle(&c, RetryDue, 0, 0)
 	}
 	handle(&c, Delisted, 0, 0)
 	if out := handle(&c, RetryDue, 0, 0); out.Dial || c.State != Down {
-		t.Fatal("dials a host that is not listed")
+		t.Fatalf("Handle(%v) of a host that is not listed: got Dial %v in state %v, want false in state %v", RetryDue, out.Dial, c.State, Down)
 	}
 }
 
-// In whatever order things happen: messages may be sent only when Up, each number is dialed once, epochs never go back,
-// and what was established is reported as disconnected before it is established again.
-func TestConnectionAnyOrder(t *testing.T) {
+// Inputs come in any order. Messages may be sent only in state Up, each connection number is dialed once, the epoch
+// never decreases, and a connection that was established is reported as disconnected before it is established again.
+func TestConnectionKeepsInvariantsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Connection
 		dialed := map[uint32]bool{}
@@ -90,7 +92,7 @@
 			out := c.Handle(drawInput(t, c.Conn), policy, rapid.Float64Range(0, 0.99).Draw(t, "random"))
 			if out.Dial {
 				if dialed[c.Conn] {
-					t.Fatalf("connection %d is dialed twice", c.Conn)
+					t.Fatalf("connection %d was dialed twice, want once", c.Conn)
 				}
 				dialed[c.Conn] = true
 			}
@@ -99,24 +101,24 @@
 			}
 			if out.Established {
 				if established {
-					t.Fatal("established twice")
+					t.Fatal("Established was output twice without AttemptsDisconnected in between")
 				}
 				established = true
 			}
 			if c.Epoch < before.Epoch {
-				t.Fatal("the epoch went back")
+				t.Fatalf("the epoch went from %d to %d, want no decrease", before.Epoch, c.Epoch)
 			}
 			if established != (c.State == Up) {
-				t.Fatalf("state %v, established and not disconnected: %v", c.State, established)
+				t.Fatalf("state %v: got established and not disconnected: %v, want %v", c.State, established, c.State == Up)
 			}
 			if before.State != Down && c.State == Down && !out.AttemptsDisconnected {
-				t.Fatal("went down without a report")
+				t.Fatalf("state went from %v to %v without AttemptsDisconnected", before.State, c.State)
 			}
 		}
 	})
 }
 
-// drawInput draws an input of a connection up to the last.
+// drawInput draws an input whose connection number is at most last.
 func drawInput(t *rapid.T, last uint32) Input {
 	return Input{
 		Kind:    InputKind(rapid.IntRange(0, int(inputKindCount)-1).Draw(t, "kind")),
--- a/internal/scheduler/hostsession/session_test.go
+++ b/internal/scheduler/hostsession/session_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestCheckHello(t *testing.T) {
+func TestCheckHelloRejectsEarlierIncarnationsAndConns(t *testing.T) {
 	connected := Session{Epoch: 5, Conn: 3, Connected: true}
 	disconnected := Session{Epoch: 5, Conn: 3}
 	for _, c := range []struct {
@@ -20,7 +20,7 @@
 		{disconnected, 4, 9, HelloStale},
 	} {
 		if got := CheckHello(c.last, c.epoch, c.conn); got != c.want {
-			t.Errorf("epoch %d, connection %d after %+v: %v, want %v", c.epoch, c.conn, c.last, got, c.want)
+			t.Errorf("CheckHello(%+v, %d, %d) = %v, want %v", c.last, c.epoch, c.conn, got, c.want)
 		}
 	}
 }
