--- a/internal/scheduler/ids/ids.go
+++ b/internal/scheduler/ids/ids.go
@@ -1,6 +1,6 @@
-// Package ids gives hosts, which have names, the 32-bit numbers that the module knows them by. A number is a hash of the
-// name, so that all placers use the same one without a message between them. Names whose hashes collide get others, which
-// depend on the names alone.
+// Package ids maps the names of hosts to the 32-bit numbers that identify the hosts in the module. A number is a hash
+// of the name, so that all placers use the same number without exchanging messages. Names whose hashes collide get
+// other numbers, which depend on the set of names alone.
 package ids
 
 import (
@@ -12,7 +12,8 @@
 // Hash returns a hash of a name with a salt.
 type Hash func(name string, salt uint32) uint32
 
-// FNV returns the FNV-1a hash of the salt and the name, never 0. It is the hash in use; tests take one that collides more.
+// FNV returns the FNV-1a hash of the salt and the name; it is never 0. Placers use this Hash, while tests use one with
+// more collisions.
 func FNV(name string, salt uint32) uint32 {
 	h := fnv.New32a()
 	h.Write(binary.LittleEndian.AppendUint32(nil, salt))
@@ -20,13 +21,13 @@
 	return max(h.Sum32(), 1)
 }
 
-// Table maps names to numbers. It never drops a name.
+// Table maps names to numbers. Names are never removed.
 type Table struct {
 	hash     Hash
 	numbers  map[string]uint32
-	salts    map[string]uint32 // of the present number; a name without an entry has salt 0
-	names    map[uint32]string // by the present number
-	collided map[uint32]bool   // numbers that two names have hashed to: neither has them
+	salts    map[string]uint32 // salt of the current number of a name; 0 if there is no entry
+	names    map[uint32]string // name that has a number now
+	collided map[uint32]bool   // numbers to which two names were hashed; no name has such a number
 }
 
 // NewTable returns an empty table.
@@ -37,17 +38,18 @@
 	}
 }
 
-// Renumbered is a name that lost its number to a collision and has another now.
+// Renumbered is a name that lost its number in a collision and has another number now.
 type Renumbered struct {
 	Name string
 	Old  uint32 // the number that it had
 }
 
-// Add returns the number of a name, which it gives the name unless it has one. renumbered lists the other names that lost
-// theirs to a collision, in the order in which they did; the caller notifies the module that the old numbers are removed.
+// Add returns the number of a name, and assigns one if the name has none. renumbered lists the other names that lost
+// their numbers in a collision, in the order in which they lost them; the caller notifies the module that the old
+// numbers are removed.
 //
-// Where two names hash to one number, both get the hash with the next salt, whichever came first. So the outcome
-// depends on which names there are, not on the order in which a placer received them.
+// If two names hash to the same number, both get the hash with the next salt, whichever was added first. The result
+// therefore depends on which names there are, and not on the order in which a placer received them.
 func (t *Table) Add(name string) (number uint32, renumbered []Renumbered) {
 	if n, ok := t.numbers[name]; ok {
 		return n, nil
@@ -73,7 +75,8 @@
 	return t.numbers[name], renumbered
 }
 
-// candidate returns the first hash of a name, from its salt on, that is not known to collide, and keeps the salt.
+// candidate returns the first hash of a name, from the name's salt on, that is not known to collide, and stores the
+// salt of that hash.
 func (t *Table) candidate(name string) uint32 {
 	n := t.hash(name, t.salts[name])
 	for t.collided[n] {
@@ -83,7 +86,8 @@
 	return n
 }
 
-// collide takes a number from the name that has it, and moves that name and the one that hashed to it to their next salts.
+// collide takes a number from the name that has it, and moves this name and the newcomer, which hashed to the same
+// number, to their next salts.
 func (t *Table) collide(number uint32, holder, newcomer string) {
 	t.collided[number] = true
 	delete(t.names, number)
@@ -92,7 +96,7 @@
 	t.salts[newcomer]++
 }
 
-// Number returns the number of a name; ok is false where the name was never added.
+// Number returns the number of a name; ok is false if the name was never added.
 func (t *Table) Number(name string) (number uint32, ok bool) {
 	number, ok = t.numbers[name]
 	return number, ok
--- a/internal/scheduler/invariant/host.go
+++ b/internal/scheduler/invariant/host.go
@@ -7,7 +7,7 @@
 	"forkhead/internal/scheduler/attempt"
 )
 
-// Host is a host as a placer knows it. Times are by the placer's clock.
+// Host is a host as a placer knows it. Times are of the placer's clock.
 type Host struct {
 	ID            attempt.HostID
 	State         forkhead.MachineState
@@ -15,11 +15,11 @@
 	MachineType   int
 	Zone          int
 	Cell          int
-	Labels        uint64        // a bit for each constraint that the host meets
+	Labels        uint64        // has a bit for each constraint that the host meets
 	StartedAt     time.Duration // start of its incarnation
 }
 
-// SameDomain reports whether two hosts are in one domain of a level of the topology.
+// SameDomain reports whether two hosts are in the same domain of a level of the topology.
 func SameDomain(level forkhead.Domain, x, y *Host) bool {
 	switch level {
 	case forkhead.MachineDomain:
@@ -32,8 +32,8 @@
 	return true
 }
 
-// DrainGraceExpired reports whether nothing new may be sent to a host in a state: it drains or is removed, and the grace
-// since the placer was notified of that is over.
+// DrainGraceExpired reports whether nothing new may be sent to a host: the host drains or is removed, and the grace
+// period since the placer was notified of that is over.
 func DrainGraceExpired(now time.Duration, state forkhead.MachineState, since, grace time.Duration) bool {
 	return state != forkhead.Ready && now > since+grace
 }
--- a/internal/scheduler/invariant/offer.go
+++ b/internal/scheduler/invariant/offer.go
@@ -10,7 +10,7 @@
 	"forkhead/internal/scheduler/attempt"
 )
 
-// SpreadCheck is an offer of a task to a host, with the inputs of CheckSpread.
+// SpreadCheck is an offer of a task to a host, as CheckSpread needs it.
 type SpreadCheck struct {
 	Task         *forkhead.Task
 	Class        *forkhead.Class
@@ -18,15 +18,15 @@
 	ServiceHosts iter.Seq[*Host] // the hosts of the other live attempts of the service at this placer
 }
 
-// Offer is an offer of a task to a host, with the inputs of CheckOffer.
+// Offer is an offer of a task to a host, as CheckOffer needs it.
 type Offer struct {
 	SpreadCheck
 	Request    *attempt.Request
-	DrainGrace time.Duration                 // for so long after a drain offers may still be sent
-	HostByID   func(id attempt.HostID) *Host // any host that the request has been offered to; nil if it is not known
+	DrainGrace time.Duration                 // time after the notice of a drain in which offers may still be sent
+	HostByID   func(id attempt.HostID) *Host // returns a host that the request was offered to; nil if unknown
 }
 
-// CheckOffer returns the first violation of sending an offer now, or nil.
+// CheckOffer returns the first violation that sending an offer now would cause, or nil.
 func CheckOffer(now time.Duration, o *Offer) *Violation {
 	if v := o.checkRequest(now); v != nil {
 		return v
@@ -41,7 +41,7 @@
 	return CheckSpread(&o.SpreadCheck)
 }
 
-// checkRequest checks what follows from the request and its earlier attempts.
+// checkRequest checks the rules that depend on the request and its earlier attempts.
 func (o *Offer) checkRequest(now time.Duration) *Violation {
 	err := o.Request.MayOffer(now, o.To.ID, o.sameDomain)
 	switch {
@@ -55,13 +55,13 @@
 	return &Violation{Rule: NoRepeat, Reason: err.Error()}
 }
 
-// sameDomain is SameDomain by host IDs; a host that is not known shares no domain.
+// sameDomain is SameDomain for host IDs. A host that is not known shares no domain with any host.
 func (o *Offer) sameDomain(level forkhead.Domain, x, y attempt.HostID) bool {
 	hostX, hostY := o.HostByID(x), o.HostByID(y)
 	return hostX != nil && hostY != nil && SameDomain(level, hostX, hostY)
 }
 
-// checkFit checks whether the host can run the task, whatever its load.
+// checkFit checks whether the host's machine type and labels suit the task, whatever the host's load.
 func (o *Offer) checkFit() *Violation {
 	if o.Class.MachineType >= 0 && o.Class.MachineType != o.To.MachineType {
 		return &Violation{Rule: Fit, Reason: "the host is of another kind than the class needs"}
@@ -72,9 +72,9 @@
 	return nil
 }
 
-// CheckSpread returns the violation of the spread limits that the offer would cause, or nil. It is checked when the
-// host is chosen, and again when an offer that waited for its connection can be written: tasks that an earlier
-// incarnation of the placer left running may have been reported meanwhile.
+// CheckSpread returns the violation of the spread limits that the offer would cause, or nil. It is called when the host
+// is chosen, and again when an offer that waited for its connection can be written, since tasks that an earlier
+// incarnation of the placer left running may have been reported in the meantime.
 func CheckSpread(s *SpreadCheck) *Violation {
 	for level, limit := range s.spreadLimits() {
 		if limit == 0 || forkhead.Domain(level) == forkhead.AnyDomain {
@@ -88,8 +88,9 @@
 	return nil
 }
 
-// spreadLimits returns the stricter of the task's and its class's limits for each level of the topology; 0 is none.
-// That holds for a class's MaxPerDomain of 0 too, which the module reads as "never"; the parsers of both programs refuse it.
+// spreadLimits returns the stricter of the task's and its class's limits for each level of the topology; 0 means no
+// limit. This also applies to a class's MaxPerDomain of 0, which the module treats as "never"; the parsers of both
+// programs reject it.
 func (s *SpreadCheck) spreadLimits() forkhead.SpreadLimits {
 	limits := s.Task.SpreadLimits
 	level := s.Class.SpreadDomain
--- a/internal/scheduler/invariant/serviceattempts.go
+++ b/internal/scheduler/invariant/serviceattempts.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Attempt is what ServiceAttempts needs of a core's attempts, which are pointers.
+// Attempt is an attempt of a core, as ServiceAttempts needs it. Cores implement it on pointers.
 type Attempt interface {
 	comparable
 	// InvariantHost returns the host that the attempt was offered to.
 	InvariantHost() *Host
 }
 
-// ServiceAttempts are the live attempts of each service, by the service's key: those that count against its spread. They
-// are in the order in which they became live. A service without live attempts has no entry.
+// ServiceAttempts holds the live attempts of each service, which count against its spread limits, by the service's key.
+// The attempts of a service are in the order in which they became live. A service without live attempts has no entry.
 type ServiceAttempts[A Attempt] map[uint64][]A
 
 // Add adds a live attempt of a service.
@@ -21,7 +21,7 @@
 	s[service] = append(s[service], attempt)
 }
 
-// Remove removes an attempt of a service; one that is not live is ignored.
+// Remove removes an attempt of a service. It does nothing if the attempt is not live.
 func (s ServiceAttempts[A]) Remove(service uint64, attempt A) {
 	remaining := slices.DeleteFunc(s[service], func(other A) bool { return other == attempt })
 	if len(remaining) == 0 {
@@ -31,8 +31,8 @@
 	s[service] = remaining
 }
 
-// Hosts yields the hosts of a service's live attempts but one, each once per attempt, for SpreadCheck.ServiceHosts. The zero
-// value of except leaves none out.
+// Hosts yields the host of each live attempt of a service, without the attempt except, for SpreadCheck.ServiceHosts. A
+// host is yielded once for each of its attempts. If except is the zero value, no attempt is left out.
 func (s ServiceAttempts[A]) Hosts(service uint64, except A) iter.Seq[*Host] {
 	return func(yield func(*Host) bool) {
 		for _, attempt := range s[service] {
