--- a/internal/scheduler/ids/ids_test.go
+++ b/internal/scheduler/ids/ids_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Which number a name has does not depend on the order in which names are added, collisions or not.
-func TestTableOrderDoesNotMatter(t *testing.T) {
+// The number of a name does not depend on the order in which names are added, even if their hashes collide.
+func TestTableNumbersDoNotDependOnOrder(t *testing.T) {
 	narrow := func(name string, salt uint32) uint32 { return FNV(name, salt)>>9%64 + 1 }
 	names := make([]string, 20)
 	for i := range names {
@@ -30,43 +30,45 @@
 			want = got
 		}
 		if !maps.Equal(got, want) {
-			t.Fatalf("in one order %v, in another %v", want, got)
+			t.Fatalf("numbers after Add in the order of seed %d: got %v, want %v as for seed 0", seed, got, want)
 		}
 	}
 	if !collided {
-		t.Fatal("no collision was provoked")
+		t.Fatal("got no renumbered name in any order, want at least one collision")
 	}
 }
 
-// addAndCheck adds a name, checks the names that lost their numbers, and reports whether any did.
+// addAndCheck adds a name, checks that exactly the other names whose numbers changed are reported as renumbered, and
+// returns whether there are any.
 func addAndCheck(t *testing.T, table *Table, name string) bool {
 	t.Helper()
 	before := maps.Clone(table.numbers)
 	_, renumbered := table.Add(name)
 	for _, r := range renumbered {
 		if now, ok := table.Number(r.Name); !ok || now == r.Old {
-			t.Fatalf("%s was renumbered and still is %d", r.Name, r.Old)
+			t.Fatalf("after Add(%s): Number(%s) = %d, %v; want a number other than %d", name, r.Name, now, ok, r.Old)
 		}
 		if before[r.Name] != r.Old {
-			t.Fatalf("%s was %d, not %d", r.Name, before[r.Name], r.Old)
+			t.Fatalf("Add(%s) reports %s as renumbered from %d, want from %d", name, r.Name, r.Old, before[r.Name])
 		}
 	}
 	for other, old := range before {
 		if table.numbers[other] != old && !slices.Contains(renumbered, Renumbered{Name: other, Old: old}) {
-			t.Fatalf("%s, once %d, is %d, and no report says so", other, old, table.numbers[other])
+			t.Fatalf("Add(%s) = %v; want it to report that %s went from %d to %d", name, renumbered, other, old, table.numbers[other])
 		}
 	}
 	return len(renumbered) > 0
 }
 
-// numbersOf returns the numbers of names after checking that each has its own.
+// numbersOf returns the numbers of names, after it checked that each name has a number of its own.
 func numbersOf(t *testing.T, table *Table, names []string) map[string]uint32 {
 	t.Helper()
 	numbers, holders := map[string]uint32{}, map[uint32]string{}
 	for _, name := range names {
 		number, ok := table.Number(name)
 		if !ok || holders[number] != "" || table.names[number] != name {
-			t.Fatalf("%s is %d, and so is %q", name, number, holders[number])
+			t.Fatalf("Number(%s) = %d, %v, which is the number of %q and stored for %q; want a number of its own",
+				name, number, ok, holders[number], table.names[number])
 		}
 		numbers[name], holders[number] = number, name
 	}
--- a/internal/scheduler/invariant/invariant_test.go
+++ b/internal/scheduler/invariant/invariant_test.go
@@ -8,12 +8,12 @@
 	"forkhead/internal/scheduler/attempt"
 )
 
-func TestCheckAnswer(t *testing.T) {
+func TestCheckAnswerReturnsViolatedRule(t *testing.T) {
 	unsafe := attempt.Rules{MaxAttempts: 2, Effect: forkhead.Unsafe}
 	for name, c := range map[string]struct {
 		inputs []attempt.Input // of the only attempt
 		reject bool
-		want   Rule // RuleCount: none
+		want   Rule // RuleCount for no violation
 	}{
 		"failed, unknown":      {[]attempt.Input{attempt.OfferWritten, attempt.ConnectionLost}, false, RuleCount},
 		"rejected by the host": {[]attempt.Input{attempt.OfferWritten, attempt.Rejected}, true, RuleCount},
@@ -26,19 +26,19 @@
 		for _, in := range c.inputs {
 			r.Handle(number, in)
 		}
-		checkViolation(t, name, CheckAnswer(&r, c.reject), c.want)
+		checkViolation(t, "CheckAnswer: "+name, CheckAnswer(&r, c.reject), c.want)
 	}
 }
 
-// checkViolation fails the test unless a violation is of a rule; RuleCount means none.
+// checkViolation fails the test unless v is a violation of the wanted rule, or nil if that is RuleCount.
 func checkViolation(t *testing.T, name string, v *Violation, want Rule) {
 	t.Helper()
 	switch {
 	case want == RuleCount && v != nil:
-		t.Errorf("%s: %v", name, v)
+		t.Errorf("%s: got violation %q, want none", name, v.Error())
 	case want != RuleCount && v == nil:
-		t.Errorf("%s: no violation, want one of %v", name, want)
+		t.Errorf("%s: got no violation, want one of rule %v", name, want)
 	case want != RuleCount && v.Rule != want:
-		t.Errorf("%s: %v, want a violation of %v", name, v, want)
+		t.Errorf("%s: got violation %q, want one of rule %v", name, v.Error(), want)
 	}
 }
--- a/internal/scheduler/invariant/offer_test.go
+++ b/internal/scheduler/invariant/offer_test.go
@@ -9,10 +9,11 @@
 	"forkhead/internal/scheduler/attempt"
 )
 
-// now is when all offers of the tests are checked.
+// now is the time at which the tests check offers.
 const now = time.Minute
 
-// offer returns one that keeps every rule: the first of an unsafe task, to a host that has what the task needs.
+// offer returns an offer that keeps every rule: the first offer of an unsafe task, to a host that meets its
+// constraints.
 func offer() *Offer {
 	hosts := []*Host{
 		{ID: 1, State: forkhead.Ready, Cell: 1, Zone: 1, Labels: 0b11},
@@ -37,17 +38,17 @@
 	}
 }
 
-// lose adds an attempt at a host that may have run.
+// lose adds an attempt at a host whose connection was lost after the offer was written, so that it may have run.
 func lose(r *attempt.Request, host attempt.HostID) {
 	number := r.AddOffer(now-time.Second, host)
 	r.Handle(number, attempt.OfferWritten)
 	r.Handle(number, attempt.ConnectionLost)
 }
 
-func TestCheckOffer(t *testing.T) {
+func TestCheckOfferReturnsViolatedRule(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Offer)
-		want   Rule // RuleCount: none
+		want   Rule // RuleCount for no violation
 	}{
 		"legal":               {func(*Offer) {}, RuleCount},
 		"answered":            {func(o *Offer) { o.Request.Answer = attempt.AnsweredFailed }, OneAnswer},
@@ -66,7 +67,7 @@
 	} {
 		o := offer()
 		c.change(o)
-		checkViolation(t, name, CheckOffer(now, o), c.want)
+		checkViolation(t, "CheckOffer: "+name, CheckOffer(now, o), c.want)
 	}
 }
 
@@ -76,13 +77,13 @@
 
 func drain(o *Offer, since time.Duration) { o.To.State, o.To.DrainingSince = forkhead.Draining, since }
 
-// Of the service, the offer's cell has one task elsewhere and its zone two.
-func TestCheckSpread(t *testing.T) {
+// One other task of the service is in the cell of the offer's host, and two are in its zone.
+func TestCheckSpreadFindsExceededLimits(t *testing.T) {
 	for name, c := range map[string]struct {
 		task  forkhead.SpreadLimits
 		level forkhead.Domain // of the class
 		limit int             // of the class
-		want  Rule            // RuleCount: none
+		want  Rule            // RuleCount for no violation
 	}{
 		"no limits":                    {forkhead.SpreadLimits{}, forkhead.AnyDomain, 0, RuleCount},
 		"machine, at most one":         {forkhead.SpreadLimits{forkhead.MachineDomain: 1}, forkhead.AnyDomain, 0, RuleCount},
@@ -97,6 +98,6 @@
 	} {
 		o := offer()
 		o.Task.SpreadLimits, o.Class.SpreadDomain, o.Class.MaxPerDomain = c.task, c.level, c.limit
-		checkViolation(t, name, CheckSpread(&o.SpreadCheck), c.want)
+		checkViolation(t, "CheckSpread: "+name, CheckSpread(&o.SpreadCheck), c.want)
 	}
 }
--- a/internal/scheduler/invariant/serviceattempts_test.go
+++ b/internal/scheduler/invariant/serviceattempts_test.go
@@ -9,7 +9,7 @@
 
 func (a *testAttempt) InvariantHost() *Host { return a.host }
 
-func TestServiceAttemptsYieldHostsInOrder(t *testing.T) {
+func TestServiceAttemptsHostsAreInOrderOfAdd(t *testing.T) {
 	first, second, third := &testAttempt{&Host{ID: 1}}, &testAttempt{&Host{ID: 2}}, &testAttempt{&Host{ID: 1}}
 	attempts := ServiceAttempts[*testAttempt]{}
 	attempts.Add(7, first)
@@ -19,26 +19,26 @@
 
 	got := slices.Collect(attempts.Hosts(7, nil))
 	if want := []*Host{first.host, second.host, third.host}; !slices.Equal(got, want) {
-		t.Errorf("hosts %v, want %v", got, want)
+		t.Errorf("Hosts(7, nil) = %v, want %v", got, want)
 	}
 	got = slices.Collect(attempts.Hosts(7, second))
 	if want := []*Host{first.host, third.host}; !slices.Equal(got, want) {
-		t.Errorf("hosts but one %v, want %v", got, want)
+		t.Errorf("Hosts(7, second) = %v, want %v", got, want)
 	}
 }
 
-func TestServiceAttemptsForgetServicesWithoutAttempts(t *testing.T) {
+func TestServiceAttemptsRemoveDeletesEmptyServices(t *testing.T) {
 	a, b := &testAttempt{&Host{}}, &testAttempt{&Host{}}
 	attempts := ServiceAttempts[*testAttempt]{}
 	attempts.Add(7, a)
 	attempts.Add(7, b)
 	attempts.Remove(7, a)
 	if n := len(attempts[7]); n != 1 {
-		t.Errorf("%d attempts are left, want 1", n)
+		t.Errorf("got %d attempts of service 7 after Remove of one of two, want 1", n)
 	}
 	attempts.Remove(7, b)
 	attempts.Remove(8, b)
 	if len(attempts) != 0 {
-		t.Errorf("services without attempts are left: %v", attempts)
+		t.Errorf("got entries %v after Remove of all attempts, want none", attempts)
 	}
 }
