--- a/internal/scheduler/retrypolicy/retrypolicy.go
+++ b/internal/scheduler/retrypolicy/retrypolicy.go
@@ -1,5 +1,6 @@
-// Package retrypolicy decides what the owner of a task does when a placement request has ended without placing it, or a
-// placed task has ended: whether and when it requests the task again. It is pure: no clock, no source of randomness.
+// Package retrypolicy decides whether and when the owner of a task requests it again, after a placement request has
+// ended without placing the task or a placed task has ended. The package is pure: it uses no clock and no source of
+// randomness.
 package retrypolicy
 
 import "time"
@@ -7,53 +8,53 @@
 // Policy bounds the number of requests and the waits between them.
 type Policy struct {
 	MinBackoff       time.Duration // mean wait after the first rejection, failure or eviction
-	MaxBackoff       time.Duration // mean waits double up to this
-	MigrationBackoff time.Duration // mean wait after a migration, a loss or an end
-	UnsafeBackoff    time.Duration // least wait where an attempt may have run and a repeat could do harm
-	MaxRetryAfter    time.Duration // longest advice that is honored
-	MaxRequests      int           // requests for one outcome
+	MaxBackoff       time.Duration // upper bound of these mean waits, which double each time
+	MigrationBackoff time.Duration // mean wait after a migration, a loss or the end of a task
+	UnsafeBackoff    time.Duration // minimum wait if an attempt may have run and a repeat could do harm
+	MaxRetryAfter    time.Duration // upper bound of Event.RetryAfter
+	MaxRequests      int           // maximum number of requests for one outcome
 }
 
-// maxDoublings bounds the doublings of MinBackoff: more would overflow, and MaxBackoff is reached well before.
+// maxDoublings bounds the doublings of MinBackoff, since more would overflow. MaxBackoff is reached well before.
 const maxDoublings = 20
 
-// Cause is why a task is to be requested again.
+// Cause is the reason why a task has to be requested again.
 type Cause uint8
 
-// The causes.
+// The causes of a retry.
 const (
 	Rejected Cause = iota // the request was rejected
 	Failed                // the request failed
 	Evicted               // the host evicted or preempted the task
 	Migrated              // the placer stopped the task to place it elsewhere
-	Lost                  // the task's host was lost, or dismissed it
-	Ended                 // the task ended by itself and its restart policy wants it back
+	Lost                  // the task's host was lost or dismissed the task
+	Ended                 // the task ended by itself and its restart policy requires a restart
 )
 
-// Event is what makes an owner request its task again, and what bounds the wait.
+// Event is an event after which an owner may request its task again, with the bounds of the wait.
 type Event struct {
 	Cause         Cause
 	RepeatMayHarm bool          // an attempt may have run, and a second run of the task could do harm
-	RetryAfter    time.Duration // advice of a rejection, honored up to Policy.MaxRetryAfter; 0: none
-	MinWait       time.Duration // least wait, such as the delay of the task's restart policy
+	RetryAfter    time.Duration // minimum wait that a rejection asks for, honored up to Policy.MaxRetryAfter; 0: none
+	MinWait       time.Duration // minimum wait, such as the delay of the task's restart policy
 }
 
-// Retrier decides for the owner of one task whether and when to request it again. Times are those of the caller's clock.
-// The zero value has no time left: call Begin first.
+// Retrier decides whether and when the owner of one task requests it again. Times are of the caller's clock. The zero
+// value has no time left, so Begin must be called first.
 type Retrier struct {
-	Requests int           // made since the task was last placed, or at all; counted by the caller
-	Failures int           // rejections, failures and evictions since it was last placed
-	Deadline time.Duration // end of the wait for an outcome
+	Requests int           // requests since the last Begin or Placed; counted by the caller
+	Failures int           // rejections, failures and evictions since the last Begin or Placed
+	Deadline time.Duration // end of the owner's wait for an outcome
 }
 
-// Begin starts a wait for an outcome that ends at a deadline.
+// Begin starts a wait for an outcome. The wait ends at the deadline.
 func (r *Retrier) Begin(deadline time.Duration) { r.Requests, r.Failures, r.Deadline = 0, 0, deadline }
 
-// Placed resets the counts of requests and failures, since the task is placed.
+// Placed resets the counts of requests and failures. The caller calls it when the task is placed.
 func (r *Retrier) Placed() { r.Requests, r.Failures = 0, 0 }
 
-// NextRetry returns the time of the next request. random in [0, 1) is jitter. ok is false when the owner retries no more: its
-// requests are used up, or the next one would be made at its deadline or after.
+// NextRetry returns the time of the next request. random, in [0, 1), is the jitter of the wait. ok is false if the
+// owner must not retry: it has used up its requests, or the next one would be made at its deadline or later.
 func (r *Retrier) NextRetry(now time.Duration, event Event, policy Policy, random float64) (at time.Duration, ok bool) {
 	if r.Requests >= policy.MaxRequests {
 		return 0, false
@@ -70,7 +71,7 @@
 	return at, true
 }
 
-// meanBackoff returns the mean wait for a cause. It counts the failure where the cause is one, so that the next wait is
+// meanBackoff returns the mean wait for a cause. It counts a rejection, failure or eviction, so that the next wait is
 // twice as long.
 func (r *Retrier) meanBackoff(cause Cause, policy Policy) time.Duration {
 	switch cause {
@@ -84,7 +85,8 @@
 	return 0
 }
 
-// jittered spreads a wait over half to one and a half of its mean, so that owners rejected together come back apart.
+// jittered returns a wait of 0.5 to 1.5 times the mean, so that owners that were rejected at the same time do not retry
+// at the same time.
 func jittered(mean time.Duration, random float64) time.Duration {
 	return time.Duration(float64(mean) * (0.5 + random))
 }
--- a/internal/scheduler/rollingupdate/rollingupdate.go
+++ b/internal/scheduler/rollingupdate/rollingupdate.go
@@ -1,5 +1,5 @@
 // Package rollingupdate decides how a changed service replaces its tasks: how many at a time, when the next ones are
-// replaced, and what follows when replacements fail. It is pure and knows tasks by their number only.
+// replaced, and what happens if replacements fail. The package is pure, and only counts tasks.
 package rollingupdate
 
 import (
@@ -11,27 +11,27 @@
 // Status is the state of an update.
 type Status uint8
 
-// The statuses. All but InProgress are final.
+// The statuses of an update. All but InProgress are final.
 const (
-	InProgress  Status = iota // tasks are still to be replaced, or being replaced
-	Paused                    // stopped for good: tasks that were not replaced stay as they are
-	RollingBack               // the caller restores the tasks that were replaced
+	InProgress  Status = iota // some tasks are being replaced or have yet to be replaced
+	Paused                    // the update has stopped for good: tasks that were not replaced stay as they are
+	RollingBack               // the caller has to restore the tasks that were replaced
 	Complete                  // every replacement has ended
 )
 
-// Update is one update of one service. Times are those of the caller's clock.
+// Update is one update of one service. Times are of the caller's clock.
 type Update struct {
 	policy  servicespec.Update
-	total   int // tasks of the update
-	started int // replacements begun
-	running int // replacements begun and not ended
-	done    int // replacements that succeeded
-	failed  int // replacements that failed
-	nextAt  time.Duration
+	total   int           // number of tasks to replace
+	started int           // replacements begun
+	running int           // replacements begun and not yet ended
+	done    int           // replacements that succeeded
+	failed  int           // replacements that failed
+	nextAt  time.Duration // earliest time of the next replacement
 	status  Status
 }
 
-// New returns an update of a number of tasks by the policy of their service's specification.
+// New returns an update of total tasks by the policy of the service's specification.
 func New(policy servicespec.Update, total int) *Update {
 	u := &Update{policy: policy, total: total}
 	u.updateStatus()
@@ -44,8 +44,8 @@
 // Failed returns the number of tasks whose replacement failed.
 func (u *Update) Failed() int { return u.failed }
 
-// Next returns how many replacements may begin now. If none may since the delay between batches runs, at is its end; else
-// at is 0.
+// Next returns the number of replacements that may begin now. If that is 0 because of the delay between batches, at is
+// the end of the delay; otherwise at is 0.
 func (u *Update) Next(now time.Duration) (n int, at time.Duration) {
 	if u.status != InProgress {
 		return 0, 0
@@ -66,7 +66,7 @@
 	u.running++
 }
 
-// Done counts the replacement of one task as ended. The delay of a batch runs from its last end.
+// Done counts the replacement of one task as ended. The delay after a batch starts when its last replacement ends.
 func (u *Update) Done(now time.Duration, succeeded bool) {
 	u.running--
 	if succeeded {
@@ -80,8 +80,8 @@
 	u.updateStatus()
 }
 
-// updateStatus sets the status by the counts, unless it is final. Where too many replacements have failed, a policy that
-// continues lets the update run to its end.
+// updateStatus sets the status from the counts, unless the status is final. If too many replacements have failed and
+// the policy is to continue, the update runs to its end.
 func (u *Update) updateStatus() {
 	if u.status != InProgress {
 		return
--- a/internal/scheduler/statetable/statetable.go
+++ b/internal/scheduler/statetable/statetable.go
@@ -1,5 +1,5 @@
-// Package statetable renders the transition function of a state machine as a Markdown table, with a column for each state
-// and a row for each input, so that a test can compare a page with the code.
+// Package statetable renders the transition function of a state machine as a Markdown table, with a column for each
+// state and a row for each input, so that a test can compare the table in a page with the code.
 package statetable
 
 import (
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// Render returns a Markdown table. cell returns what an input does in a state, by their indexes; "" is nothing.
+// Render returns a Markdown table. cell returns the text of the cell for an input in a state, both given by index; ""
+// means that the input has no effect.
 func Render(states, inputs []string, cell func(input, state int) string) string {
 	var b strings.Builder
 	b.WriteString("| input |")
@@ -25,8 +26,8 @@
 	return b.String()
 }
 
-// Cell returns the text of a cell: the state that follows, unless it is the present one, and the outputs that are not
-// empty, with a separator between any two.
+// Cell returns the text of a cell: the next state, unless it is the current one, and the outputs that are not empty,
+// joined by the separator.
 func Cell[State interface {
 	comparable
 	fmt.Stringer
