--- a/internal/scheduler/statetable/statetable_test.go
+++ b/internal/scheduler/statetable/statetable_test.go
@@ -10,8 +10,8 @@
 	"forkhead/internal/verify/doccheck"
 )
 
-// The page on the state machines has the tables that the code renders.
-func TestTablesOnDesignPage(t *testing.T) {
+// The design page on the state machines contains the tables that the code renders.
+func TestDesignPageContainsTables(t *testing.T) {
 	for name, table := range map[string]func() string{
 		"attempt":     attempt.Table,
 		"hostconn":    hostconn.Table,
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestRender(t *testing.T) {
+func TestRenderReturnsMarkdownTable(t *testing.T) {
 	got := statetable.Render([]string{"Off", "On"}, []string{"push", "pull"}, func(input, state int) string {
 		if input == state {
 			return "x"
@@ -30,22 +30,22 @@
 	})
 	const want = "| input | Off | On |\n| --- | --- | --- |\n| push | x | |\n| pull | | x |\n"
 	if got != want {
-		t.Errorf("got\n%swant\n%s", got, want)
+		t.Errorf("Render() =\n%swant\n%s", got, want)
 	}
 }
 
-func TestCell(t *testing.T) {
+func TestCellJoinsNextStateAndOutputs(t *testing.T) {
 	const from, to = attempt.Waiting, attempt.Placed
 	for name, c := range map[string]struct {
 		got, want string
 	}{
-		"nothing":          {statetable.Cell(", ", from, from, ""), ""},
-		"another state":    {statetable.Cell(", ", from, to), "Placed"},
-		"an output":        {statetable.Cell(", ", from, from, "close"), "close"},
-		"all, some absent": {statetable.Cell(", ", from, to, "", "close", "", "retry"), "Placed, close, retry"},
+		"nothing":                   {statetable.Cell(", ", from, from, ""), ""},
+		"next state":                {statetable.Cell(", ", from, to), "Placed"},
+		"output":                    {statetable.Cell(", ", from, from, "close"), "close"},
+		"all, outputs partly empty": {statetable.Cell(", ", from, to, "", "close", "", "retry"), "Placed, close, retry"},
 	} {
 		if c.got != c.want {
-			t.Errorf("%s: %q, want %q", name, c.got, c.want)
+			t.Errorf("%s: Cell() = %q, want %q", name, c.got, c.want)
 		}
 	}
 }
--- a/internal/scheduler/timerqueue/timerqueue_test.go
+++ b/internal/scheduler/timerqueue/timerqueue_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-func TestQueuePopDueOrder(t *testing.T) {
+func TestQueuePopDueReturnsTimersInOrder(t *testing.T) {
 	var q Queue[string]
 	if _, ok := q.Next(); ok {
-		t.Error("an empty queue has a next timer")
+		t.Error("Next() of an empty queue: got ok, want none")
 	}
 	for _, timer := range []struct {
 		at    time.Duration
@@ -22,14 +22,14 @@
 		got = append(got, value)
 	}
 	if want := []string{"a", "b", "c", "d"}; !slices.Equal(got, want) {
-		t.Errorf("due by 3: %q, want %q", got, want)
+		t.Errorf("values of PopDue(3) = %q, want %q", got, want)
 	}
 	if at, ok := q.Next(); !ok || at != 9 || q.Len() != 1 {
-		t.Errorf("then %v, %v, %d left; want 9, true, 1", at, ok, q.Len())
+		t.Errorf("after PopDue(3): Next() = %v, %v and Len() = %d; want 9ns, true and 1", at, ok, q.Len())
 	}
 }
 
-func TestQueueDueYieldsWhatIsAddedMeanwhile(t *testing.T) {
+func TestQueueDueYieldsTimersAddedDuringIteration(t *testing.T) {
 	var q Queue[string]
 	q.Add(1, "first")
 	q.Add(2, "second")
@@ -42,9 +42,9 @@
 		got = append(got, value)
 	}
 	if want := []string{"first", "second", "added"}; !slices.Equal(got, want) {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("values of Due(3) = %q, want %q", got, want)
 	}
 	if q.Len() != 1 {
-		t.Errorf("%d timers are left, want 1", q.Len())
+		t.Errorf("after Due(3): Len() = %d, want 1", q.Len())
 	}
 }
