--- a/internal/scheduler/platform/connection.go
+++ b/internal/scheduler/platform/connection.go
@@ -209,7 +209,7 @@
 		c.finishProbe(h, forkhead.ConnectFailed, nil)
 	}
 	if h.refusedDials >= lostAfterRefusals && (h.entry.State == forkhead.Ready || c.now > h.lastSeenAliveAt+lostAfter) {
-		c.loseTasks(h, reasonRefusesConnections)
+		c.endLostTasks(h, reasonRefusesConnections)
 	}
 }
 
@@ -267,7 +267,7 @@
 // against releases and notes that cross the close: a host takes what it has written for received. Where descriptors are
 // short, the connection is closed at once.
 func (c *Core) halfClose(conn *hostConnection) {
-	if len(c.halfClosed) >= maxHalfClosed && c.isFull() {
+	if len(c.halfClosed) >= maxHalfClosed && c.connectionsExhausted() {
 		c.closeConnection(conn)
 		return
 	}
@@ -277,9 +277,9 @@
 	c.emit(HalfCloseHostConnection{conn.id})
 }
 
-// isFull reports whether all descriptors for connections are taken, those of half-closed ones included, which
+// connectionsExhausted reports whether all descriptors for connections are taken, those of half-closed ones included, which
 // usedHostConnections leaves out.
-func (c *Core) isFull() bool {
+func (c *Core) connectionsExhausted() bool {
 	return len(c.connections)+len(c.owners) >= c.config.MaxConnections || len(c.connections) >= c.config.MaxHostConnections
 }
 
--- a/internal/scheduler/platform/core.go
+++ b/internal/scheduler/platform/core.go
@@ -102,7 +102,7 @@
 	}
 	c.runModule()
 	c.stopPossibleOrphans()
-	c.forgetFinished()
+	c.removeFinished()
 	return c.outputs
 }
 
--- a/internal/scheduler/platform/host.go
+++ b/internal/scheduler/platform/host.go
@@ -105,7 +105,7 @@
 
 func (c *Core) addHost(h *host) { c.hosts[h.id], c.sortedHosts = h, nil }
 
-func (c *Core) forgetHost(h *host) {
+func (c *Core) removeHost(h *host) {
 	delete(c.hosts, h.id)
 	c.sortedHosts = nil
 }
--- a/internal/scheduler/platform/limits.go
+++ b/internal/scheduler/platform/limits.go
@@ -66,8 +66,8 @@
 	lastDialBeforeLoss = 500 * time.Millisecond
 	// removedGrace is how long hosts that the endpoint list removes may still report the ends of their tasks.
 	removedGrace = 500 * time.Millisecond
-	// forgetHostAfter is when a removed host that has neither tasks nor connections is dropped.
-	forgetHostAfter = 30 * time.Second
+	// removeHostAfter is when a removed host that has neither tasks nor connections is dropped.
+	removeHostAfter = 30 * time.Second
 	// maxUnlistedHosts bounds the hosts that are known by their owners' messages alone.
 	maxUnlistedHosts int = 1024
 	// unlistedTimeout is how long such a host may take to be listed: misbehaving clients must have an answer in 3 s.
--- a/internal/scheduler/platform/owner.go
+++ b/internal/scheduler/platform/owner.go
@@ -10,15 +10,15 @@
 )
 
 type ownerConnection struct {
-	id           OwnerID
-	reader       lineReader
-	acceptedAt   time.Duration
-	lastUsedAt   time.Duration // when it last sent a message that can be read
-	sentValid    bool          // it has sent a message that makes sense
-	malformed    int           // requests that did not
-	openRequests map[*request]struct{}
-	placedNow    int // tasks that came on it and run
-	placedTotal  int // tasks that came on it and were placed or handed over, in all
+	id                OwnerID
+	reader            lineReader
+	acceptedAt        time.Duration
+	lastUsedAt        time.Duration // when it last sent a message that can be read
+	sentValid         bool          // it has sent a message that makes sense
+	malformedRequests int           // requests that did not
+	openRequests      map[*request]struct{}
+	runningTasks      int // tasks that came on it and run
+	placedTotal       int // tasks that came on it and were placed or handed over, in all
 }
 
 // ownerRank ranks connections of owners by their use until now: those of usual owners carry one task after the
@@ -26,26 +26,26 @@
 type ownerRank uint8
 
 const (
-	ownerUnproven         ownerRank = iota // it has sent nothing that makes sense
-	ownerWithoutTasks                      // nothing was placed for it
-	ownerWithoutPlacedNow                  // nothing that was placed for it runs any more
-	ownerWithPlacedNow                     // never evicted
+	ownerWithoutValidMessage ownerRank = iota // it has sent nothing that makes sense
+	ownerWithoutTasks                         // nothing was placed for it
+	ownerWithoutRunningTasks                  // nothing that was placed for it runs any more
+	ownerWithRunningTasks                     // never evicted
 )
 
 func (o *ownerConnection) rank() ownerRank {
 	switch {
 	case !o.sentValid:
-		return ownerUnproven
+		return ownerWithoutValidMessage
 	case o.placedTotal == 0:
 		return ownerWithoutTasks
-	case o.placedNow == 0:
-		return ownerWithoutPlacedNow
+	case o.runningTasks == 0:
+		return ownerWithoutRunningTasks
 	}
-	return ownerWithPlacedNow
+	return ownerWithRunningTasks
 }
 
 func (o *ownerConnection) mayBeEvicted() bool {
-	return len(o.openRequests) == 0 && o.rank() < ownerWithPlacedNow
+	return len(o.openRequests) == 0 && o.rank() < ownerWithRunningTasks
 }
 
 // isEvictedBefore reports whether a connection is closed before another one to free a slot.
@@ -126,7 +126,7 @@
 func (c *Core) reconcileOwners() {
 	var late []*ownerConnection
 	for _, owner := range c.owners {
-		if owner.isLate(c.now) {
+		if owner.hasTimedOut(c.now) {
 			late = append(late, owner)
 		}
 	}
@@ -136,7 +136,7 @@
 	}
 }
 
-func (o *ownerConnection) isLate(now time.Duration) bool {
+func (o *ownerConnection) hasTimedOut(now time.Duration) bool {
 	return o.reader.isStuck(now, ownerLineTimeout) ||
 		!o.sentValid && len(o.openRequests) == 0 && now > o.acceptedAt+firstMessageTimeout
 }
@@ -158,7 +158,7 @@
 	if owner == nil {
 		return
 	}
-	owner.placedNow++
+	owner.runningTasks++
 	owner.placedTotal++
 	c.deliverTo(owner)
 }
@@ -166,7 +166,7 @@
 // uncountPlaced takes a task that has ended off the count.
 func (c *Core) uncountPlaced(r *request) {
 	if owner := c.owners[r.owner]; owner != nil {
-		owner.placedNow--
+		owner.runningTasks--
 	}
 }
 
--- a/internal/scheduler/platform/ownermessages.go
+++ b/internal/scheduler/platform/ownermessages.go
@@ -52,7 +52,7 @@
 // rejectMalformed answers a request that cannot be used. A connection that sends too many of them is closed.
 func (c *Core) rejectMalformed(owner *ownerConnection, ref requestRef) {
 	c.emit(SendToOwner{owner.id, releaseMessage(ref, platform.CauseFailed)})
-	if owner.malformed++; owner.malformed > maxMalformedRequests {
+	if owner.malformedRequests++; owner.malformedRequests > maxMalformedRequests {
 		c.closeOwner(owner)
 	}
 }
@@ -105,7 +105,7 @@
 // handleKnownRef handles a request under the ref of one that is known.
 func (c *Core) handleKnownRef(owner *ownerConnection, r *request, decoded *decodedRequest) {
 	switch {
-	case decoded.isHandOver() && r.task.Key == decoded.task.Key && r.phase != requestOver:
+	case decoded.isHandOver() && r.task.Key == decoded.task.Key && r.phase != requestFinished:
 		// It names a task that runs here already, or that is being placed: nothing is answered, and its release will be
 		// sent on this connection. Guards against releasing a task that runs, as the hand-over differs from the request that it was
 		// placed by.
--- a/internal/scheduler/platform/placed.go
+++ b/internal/scheduler/platform/placed.go
@@ -93,7 +93,7 @@
 		remembered.cause = cause // the release could not be delivered
 	}
 	c.reportedEnds.add(remembered)
-	r.phase = requestOver
+	r.phase = requestFinished
 	c.endAttempt(a, end)
 }
 
@@ -116,8 +116,8 @@
 	return platform.CauseReset
 }
 
-// loseTasks ends the placed tasks of a host that cannot run them any more.
-func (c *Core) loseTasks(h *host, reason logReason) {
+// endLostTasks ends the placed tasks of a host that cannot run them any more.
+func (c *Core) endLostTasks(h *host, reason logReason) {
 	lost := h.attemptsWhere((*taskAttempt).isPlaced)
 	for _, a := range lost {
 		c.finishTask(a, platform.CauseReset, attemptEnd{})
--- a/internal/scheduler/platform/recent.go
+++ b/internal/scheduler/platform/recent.go
@@ -16,14 +16,14 @@
 	if len(r.ring) < cap(r.ring) {
 		r.ring = append(r.ring, value)
 	} else {
-		r.forget(r.ring[r.oldest])
+		r.removeOne(r.ring[r.oldest])
 		r.ring[r.oldest] = value
 		r.oldest = (r.oldest + 1) % len(r.ring)
 	}
 	r.counts[value]++
 }
 
-func (r *recent[K]) forget(value K) {
+func (r *recent[K]) removeOne(value K) {
 	if r.counts[value] == 1 {
 		delete(r.counts, value)
 	} else {
--- a/internal/scheduler/platform/request.go
+++ b/internal/scheduler/platform/request.go
@@ -13,10 +13,10 @@
 type requestPhase uint8
 
 const (
-	requestOpen   requestPhase = iota // the answer to its owner
-	requestPlaced                     // the end of its task, which a host runs
-	requestEnding                     // its host's confirmation that the task is stopped, as its owner or the module wants
-	requestOver                       // nothing: it can be removed once none of its attempts is in flight
+	requestOpen     requestPhase = iota // the answer to its owner
+	requestPlaced                       // the end of its task, which a host runs
+	requestEnding                       // its host's confirmation that the task is stopped, as its owner or the module wants
+	requestFinished                     // nothing: it can be removed once none of its attempts is in flight
 )
 
 // request is one placement request of an owner, or a task that was handed over.
@@ -124,7 +124,7 @@
 // answer ends an open request that was not placed.
 func (c *Core) answer(r *request, answer attempt.Answer, message []byte) {
 	r.lifecycle.Finish(answer == attempt.AnsweredRejected)
-	c.closeRequest(r, requestOver)
+	c.closeRequest(r, requestFinished)
 	c.notifyOwner(r, message)
 }
 
@@ -136,7 +136,7 @@
 		delete(owner.openRequests, r)
 	}
 	r.description, r.hostFields = nil, nil
-	if next == requestOver {
+	if next == requestFinished {
 		c.finished = append(c.finished, r)
 	}
 }
@@ -144,7 +144,7 @@
 // cancelRequest ends an open request whose owner does not wait for its answer any more.
 func (c *Core) cancelRequest(r *request) {
 	c.notifyModule(forkhead.RequestCanceled{Task: r.id})
-	c.closeRequest(r, requestOver)
+	c.closeRequest(r, requestFinished)
 	r.lifecycle.Finish(false) // its lifecycle has no end of its own for a canceled request: it counts as AnsweredFailed
 	c.withdrawAll(r, forkhead.Withdrawn, true)
 }
@@ -175,10 +175,10 @@
 	return nil
 }
 
-// forgetFinished removes requests that get no further messages.
-func (c *Core) forgetFinished() {
+// removeFinished removes requests that get no further messages.
+func (c *Core) removeFinished() {
 	for _, r := range c.finished {
-		if r.phase != requestOver || r.lifecycle.HasAttemptInFlight() || r.placedAttempt() != nil {
+		if r.phase != requestFinished || r.lifecycle.HasAttemptInFlight() || r.placedAttempt() != nil {
 			continue
 		}
 		delete(c.requests, r.id)
--- a/internal/scheduler/platform/undelivered.go
+++ b/internal/scheduler/platform/undelivered.go
@@ -31,7 +31,7 @@
 func (c *Core) busiestOwner() *ownerConnection {
 	var best *ownerConnection
 	for _, owner := range c.owners {
-		if owner.placedTotal == 0 || owner.malformed > 0 {
+		if owner.placedTotal == 0 || owner.malformedRequests > 0 {
 			continue
 		}
 		if best == nil || owner.placedTotal > best.placedTotal || owner.placedTotal == best.placedTotal && owner.id < best.id {
--- a/internal/scheduler/platform/unresponsive.go
+++ b/internal/scheduler/platform/unresponsive.go
@@ -37,11 +37,11 @@
 // expireUnlisted loses the tasks of a host that is not listed in time, and removes it once it has none.
 func (c *Core) expireUnlisted(h *host) {
 	if c.now > h.unlistedSince+unlistedTimeout {
-		c.loseTasks(h, reasonNotListed)
+		c.endLostTasks(h, reasonNotListed)
 	}
 	if len(h.attempts) == 0 {
 		c.unlistedHosts--
-		c.forgetHost(h)
+		c.removeHost(h)
 	}
 }
 
@@ -50,9 +50,9 @@
 	if c.now <= h.removedAt+removedGrace {
 		return
 	}
-	c.loseTasks(h, reasonRemoved)
-	if c.now > h.removedAt+forgetHostAfter && len(h.attempts) == 0 && len(h.connections) == 0 {
-		c.forgetHost(h)
+	c.endLostTasks(h, reasonRemoved)
+	if c.now > h.removedAt+removeHostAfter && len(h.attempts) == 0 && len(h.connections) == 0 {
+		c.removeHost(h)
 	}
 }
 
@@ -67,7 +67,7 @@
 	}
 	switch unresponsiveFor := c.now - h.lastSeenAliveAt; {
 	case h.isLost(unresponsiveFor):
-		c.loseTasks(h, reasonUnresponsive)
+		c.endLostTasks(h, reasonUnresponsive)
 		for _, conn := range slices.Clone(h.connections) {
 			c.closeConnection(conn)
 		}
