--- a/internal/scheduler/platform/api.go
+++ b/internal/scheduler/platform/api.go
@@ -8,82 +8,82 @@
 	"forkhead/internal/scheduler/moduledriver"
 )
 
-// OwnerID numbers a connection of an owner. The shell chooses it and uses none twice.
+// OwnerID identifies a connection of an owner. The caller of Core.Step chooses it and never reuses one.
 type OwnerID uint64
 
-// ConnectionID numbers a connection to a host. The core chooses it, from 1 on, and uses none twice.
+// ConnectionID identifies a connection to a host. The core assigns it, counting from 1, and never reuses one.
 type ConnectionID uint64
 
-// Config is what a core runs with.
+// Config is the configuration of a core.
 type Config struct {
 	Settings forkhead.Settings
 	Names    WireNames
-	// IdleTimeout is how long hosts leave idle connections open; 0: for ever.
+	// IdleTimeout is the time after which hosts close idle connections; 0: never.
 	IdleTimeout time.Duration
 	Seed        uint64
-	// InitialEvents are the events of the endpoint list up to the start.
+	// InitialEvents are the watch events of the endpoint list that were received before the core was created.
 	InitialEvents []platform.WatchEvent
 
-	// MaxOwnerConnections and MaxHostConnections bound the connections of owners and to hosts, and MaxConnections both
-	// together; 0: their sum.
+	// MaxOwnerConnections bounds the connections of owners, MaxHostConnections those to hosts, and MaxConnections their
+	// total. A MaxConnections of 0 stands for the sum of the other two.
 	MaxOwnerConnections int
 	MaxHostConnections  int
 	MaxConnections      int
-	// ProtectedOwnerConnections is how many connections of owners are never closed in favor of connections to hosts; 0: all
-	// that there may be.
+	// ProtectedOwnerConnections is the number of connections of owners that are never closed in favor of connections to
+	// hosts; 0: MaxOwnerConnections.
 	ProtectedOwnerConnections int
 
-	// Decide takes the module's place, for tests; nil: the module decides.
+	// Decide replaces the placement module in tests; nil: the module decides.
 	Decide moduledriver.Decide
 }
 
-// WireNames are the names by which messages refer to entries of the settings' lists, in the order of these lists.
+// WireNames holds the names by which messages refer to entries of the settings' lists, in the order of those lists.
 type WireNames struct {
 	Classes, Tenants, Zones, MachineTypes []string
 }
 
-// Input is something that has happened on the sockets.
+// Input is an event that the core handles: activity on a socket, a watch event or a request to shut down.
 type Input interface{ input() }
 
-// The inputs.
+// Inputs of Core.Step.
 type (
 	// OwnerConnected reports that an owner has connected.
 	OwnerConnected struct{ Owner OwnerID }
-	// OwnerData is bytes of an owner, which the core does not keep.
+	// OwnerData holds bytes received from an owner. The core does not retain Data.
 	OwnerData struct {
 		Owner OwnerID
 		Data  []byte
 	}
-	// OwnerDisconnected reports that an owner's connection has ended that the core has not closed.
+	// OwnerDisconnected reports that an owner's connection has ended without a CloseOwnerConnection of the core.
 	OwnerDisconnected struct{ Owner OwnerID }
 	// HostConnected reports that a DialHost has succeeded.
 	HostConnected struct{ Connection ConnectionID }
-	// DialFailed reports that a DialHost has failed. Refused proves that nothing listens there. Local means that this process
-	// could not try, which shows nothing about the host.
+	// DialFailed reports that a DialHost has failed. Refused proves that nothing listens at the address. Local means
+	// that this process could not try to connect, which shows nothing about the host.
 	DialFailed struct {
 		Connection ConnectionID
 		Refused    bool
 		Local      bool
 	}
-	// HostData is bytes of a host, which the core does not keep.
+	// HostData holds bytes received from a host. The core does not retain Data.
 	HostData struct {
 		Connection ConnectionID
 		Data       []byte
 	}
-	// HostDisconnected reports that a connection to a host has ended that the core has not closed.
+	// HostDisconnected reports that a connection to a host has ended without a CloseHostConnection of the core.
 	HostDisconnected struct{ Connection ConnectionID }
-	// WatchEventReceived is a watch event. SequenceRestarted means that the numbers of events begin
-	// again with this one, a snapshot.
+	// WatchEventReceived holds a watch event. SequenceRestarted means that the sequence numbers restart with this
+	// event, which is a snapshot.
 	WatchEventReceived struct {
 		Event             platform.WatchEvent
 		SequenceRestarted bool
 	}
-	// GossipReceived is a message of another placer.
+	// GossipReceived holds a gossip message from another placer.
 	GossipReceived struct {
-		From int // its number in the settings
+		From int // number of the sending placer in the settings
 		Data []byte
 	}
-	// ShutdownRequested reports that this placer is to end.
+	// ShutdownRequested asks this placer to shut down.
 	ShutdownRequested struct{}
 )
 
@@ -98,41 +98,43 @@
 func (GossipReceived) input()     {}
 func (ShutdownRequested) input()  {}
 
-// Output is something that the shell is to do.
+// Output is an action that the caller of Core.Step must execute.
 type Output interface{ output() }
 
-// The outputs, to be executed in their order. Log, in log.go, is one of them.
+// Outputs of Core.Step, to be executed in order. Log, in log.go, is an output too.
 type (
 	// SendToOwner sends a line to an owner.
 	SendToOwner struct {
 		Owner OwnerID
 		Line  []byte
 	}
-	// CloseOwnerConnection closes an owner's connection after what was sent on it.
+	// CloseOwnerConnection closes an owner's connection once the lines sent on it so far are written.
 	CloseOwnerConnection struct{ Owner OwnerID }
-	// DialHost connects to a host; HostConnected or DialFailed follows.
+	// DialHost connects to a host. HostConnected or DialFailed reports the result.
 	DialHost struct {
 		Connection ConnectionID
 		Address    string
 	}
-	// SendToHost sends a line to a host. One that abandons an attempt resets the connection if it cannot be sent at once.
+	// SendToHost sends a line to a host. If Abandons is set, the line withdraws an attempt, and the connection is reset
+	// if the line cannot be written at once.
 	SendToHost struct {
 		Connection ConnectionID
 		Line       []byte
 		Abandons   bool
 	}
-	// CloseHostConnection closes a connection to a host, or ends its dialing.
+	// CloseHostConnection closes a connection to a host, or cancels its dial.
 	CloseHostConnection struct{ Connection ConnectionID }
-	// HalfCloseHostConnection sends nothing more to a host and reads on until it closes the connection.
+	// HalfCloseHostConnection closes a connection to a host for writing. It is still read until the host closes it.
 	HalfCloseHostConnection struct{ Connection ConnectionID }
-	// SendGossip sends a message to another placer or to forkhead.AllPlacers. It may be lost.
+	// SendGossip sends a gossip message to another placer or to forkhead.AllPlacers. Delivery is not guaranteed.
 	SendGossip struct {
 		To   int
 		Data []byte
 	}
-	// CloseListener stops accepting connections of owners.
+	// CloseListener makes the placer stop accepting connections of owners.
 	CloseListener struct{}
-	// ShutdownComplete reports that nobody waits for an answer any more: the process may end. It may come more than once.
+	// ShutdownComplete reports that no request awaits an answer any more and the process may exit. It may be emitted
+	// more than once.
 	ShutdownComplete struct{}
 )
 
--- a/internal/scheduler/platform/config.go
+++ b/internal/scheduler/platform/config.go
@@ -5,8 +5,8 @@
 	"forkhead/internal/parse/platformconfig"
 )
 
-// NewConfig returns what the platform's settings determine of a configuration: the settings as the module takes them, the
-// names and IdleTimeout. The seed, the initial events and the bounds of connections are the shell's.
+// NewConfig returns a configuration with the fields that the platform's settings determine: Settings, Names and
+// IdleTimeout. The caller sets the seed, the initial events and the bounds of connections.
 func NewConfig(info *platformconfig.Info, settings forkhead.Settings) Config {
 	config := Config{
 		Settings:    settings,
--- a/internal/scheduler/platform/core.go
+++ b/internal/scheduler/platform/core.go
@@ -11,15 +11,15 @@
 	"forkhead/internal/scheduler/timerqueue"
 )
 
-// Core is the state of one placer. Times are those of the clock that Step is given.
+// Core holds the state of one placer. All its times are on the clock whose readings the caller passes to Step.
 type Core struct {
 	config   Config
 	settings *forkhead.Settings
 	module   *moduledriver.Driver
 
-	now         time.Duration // of the current step
-	outputs     []Output      // of the current step
-	started     bool          // the first step has been made
+	now         time.Duration // time of the current step
+	outputs     []Output      // outputs of the current step
+	started     bool          // set by the first step
 	timers      timerqueue.Queue[timer]
 	reconcileAt time.Duration
 	shutdown    shutdown
@@ -27,28 +27,28 @@
 	lastTask          forkhead.TaskID
 	requests          map[forkhead.TaskID]*request
 	requestsByRef     map[requestRef]*request
-	unanswered        int                                     // how many requests are open
-	attemptsByService invariant.ServiceAttempts[*taskAttempt] // those that are live
-	possibleOrphans   []possibleOrphan                        // of the current step
-	finished          []*request                              // of the current step: they may be removed at its end
-	abandoned         recent[attemptKey]                      // attempts whose outcome is no longer awaited, though they may run
-	reportedEnds      recent[reportedEnd]                     // ends of tasks that are not known here, or not any more
+	unanswered        int                                     // number of open requests
+	attemptsByService invariant.ServiceAttempts[*taskAttempt] // live attempts
+	possibleOrphans   []possibleOrphan                        // found in the current step
+	finished          []*request                              // may be removed at the end of the current step
+	abandoned         recent[attemptKey]                      // their outcome is not awaited, but their task may run
+	reportedEnds      recent[reportedEnd]                     // also for refs that are not known here, or no longer
 
 	owners      map[OwnerID]*ownerConnection
 	undelivered []undeliveredMessage // oldest first
 
 	hosts          map[forkhead.MachineID]*host
-	sortedHosts    []*host // by id; nil: to be sorted again
-	unlistedHosts  int     // how many are not in the endpoint list
-	listSequence   uint64  // of the last event of the endpoint list
+	sortedHosts    []*host // hosts by id; nil: must be rebuilt
+	unlistedHosts  int     // number of hosts that the endpoint list does not have yet
+	listSequence   uint64  // sequence number of the last watch event
 	connections    map[ConnectionID]*hostConnection
-	halfClosed     []*hostConnection // those of connections that are half-closed, oldest first
+	halfClosed     []*hostConnection // half-closed members of connections, oldest first
 	lastConnection ConnectionID
 	lastProbe      uint64
 }
 
-// New returns a core, or an error that names the setting that the module cannot use. The initial list is applied in the
-// first step.
+// New returns a core, or an error that names the setting that the module cannot use. The first step applies the initial
+// endpoint list.
 func New(config Config) (*Core, error) {
 	if config.ProtectedOwnerConnections == 0 {
 		config.ProtectedOwnerConnections = config.MaxOwnerConnections
@@ -56,7 +56,8 @@
 	if config.MaxConnections == 0 {
 		config.MaxConnections = config.MaxOwnerConnections + config.MaxHostConnections
 	}
-	// What ends a step is that no timer of the module is due in the step that sets it.
+	// The module's rounds need no limit: a timer that the module sets is never due in the same step, so every step
+	// ends.
 	module, err := moduledriver.New(config.Settings, config.Seed, config.Decide, moduledriver.NoRoundLimit)
 	if err != nil {
 		return nil, err
@@ -76,7 +77,7 @@
 	}, nil
 }
 
-// Next is when the core is to be stepped if no input comes before.
+// Next returns the time at which Step must be called if no input comes before.
 func (c *Core) Next() time.Duration {
 	if at, ok := c.timers.Next(); ok {
 		return min(at, c.reconcileAt)
@@ -84,8 +85,8 @@
 	return c.reconcileAt
 }
 
-// Step handles the inputs of one moment in their order, then the timers that are due, and returns the outputs, which are
-// to be executed in their order. now must not go back from one step to the next.
+// Step handles the inputs in order, then the timers that are due at the time now, and returns the outputs, which the
+// caller must execute in order. now must not decrease from one call to the next.
 func (c *Core) Step(now time.Duration, inputs ...Input) []Output {
 	c.now, c.outputs = now, nil
 	if !c.started {
@@ -133,18 +134,18 @@
 	}
 }
 
-// timer is one of the module, or the time by which attempts of a request must have an outcome.
+// timer is a timer of the module, or the time by which the attempts of a request must have an outcome.
 type timer struct {
 	kind timerKind
-	id   uint64 // of the module's timer, or of the request
+	id   uint64 // id of the module's timer or of the request
 }
 
 type timerKind uint8
 
 const (
 	moduleTimer timerKind = iota
-	// deadlineTimer is for the deadline of a request and for the timeout of one of its attempts: handleDeadline finds out by
-	// the clock which of them has come, as a late step may meet both at once.
+	// deadlineTimer marks the deadline of a request or the timeout of one of its attempts. handleDeadline compares the
+	// request's deadline with the clock to tell them apart, as a late step may reach both at once.
 	deadlineTimer
 )
 
@@ -163,13 +164,13 @@
 	}
 }
 
-// notifyModule queues an event for the module, which decides on it before the step ends.
+// notifyModule queues an event for the module, which handles it before the step ends.
 func (c *Core) notifyModule(event forkhead.Event) { c.module.Add(event) }
 
 // emit adds an output to the current step.
 func (c *Core) emit(output Output) { c.outputs = append(c.outputs, output) }
 
-// runModule lets the module decide on its events until it has none left: some actions cause events at once.
+// runModule runs the module until its queue of events is empty. Executing its actions may add events to the queue.
 func (c *Core) runModule() {
 	if err := c.module.Run(c.now, c.execute); err != nil {
 		c.logViolation(messageModuleInterrupted, errorAttr(err))
@@ -189,13 +190,14 @@
 	case forkhead.Stop:
 		c.executeStop(action.Task)
 	case forkhead.SetTimer:
-		// A microsecond ahead at least: guards against a step that never ends.
+		// At least 1 µs ahead: a timer that is due at once would run the module again in this step, which might never
+		// end.
 		c.timers.Add(max(action.At, c.now+time.Microsecond), timer{kind: moduleTimer, id: action.Timer})
 	case forkhead.Probe:
 		c.executeProbe(action.Machine)
 	case forkhead.Gossip:
 		c.sendGossip(action)
-	case forkhead.Subscribe: // the endpoint list is always watched
+	case forkhead.Subscribe: // no action: the endpoint list is always watched
 	case forkhead.Log:
 		c.logInfo(action.Message)
 	}
--- a/internal/scheduler/platform/limits.go
+++ b/internal/scheduler/platform/limits.go
@@ -2,86 +2,95 @@
 
 import "time"
 
-// Bounds of placement requests.
+// Limits of placement requests.
 const (
-	// maxOpenRequests bounds the requests without an answer, of all owners. Further ones are rejected as busy.
+	// maxOpenRequests bounds the unanswered requests of all owners. Further requests are rejected as busy.
 	maxOpenRequests int = 8192
-	// maxOpenRequestsPerOwner bounds those of one connection, so that one owner cannot take them all.
+	// maxOpenRequestsPerOwner bounds the unanswered requests of one connection, so that one owner cannot use up
+	// maxOpenRequests.
 	maxOpenRequestsPerOwner int = 2048
-	// maxRequestTimeout is the longest that an owner may wait for an answer; a longer wait is malformed.
+	// maxRequestTimeout is the longest time that a request may allow for its answer. A request with a longer one is
+	// malformed.
 	maxRequestTimeout = 60 * 24 * time.Hour
-	// maxLifetimeMillis is the longest remaining lifetime of a task that is accepted, in milliseconds.
+	// maxLifetimeMillis is the longest remaining lifetime that a request may state, in milliseconds. A longer one is
+	// ignored.
 	maxLifetimeMillis float64 = 1e12
-	// maxRemembered bounds the attempts that are remembered as abandoned, and as many ends of tasks.
+	// maxRemembered bounds both the abandoned attempts and the ends of tasks that are remembered.
 	maxRemembered int = 4096
 )
 
-// Bounds of the connections of owners.
+// Limits of the connections of owners.
 const (
-	// maxMalformedRequests is how many malformed requests a connection may send before it is closed.
+	// maxMalformedRequests is the number of malformed requests that a connection may send. One more closes it.
 	maxMalformedRequests int = 64
-	// ownerLineTimeout is how long a message may take from its first byte to its line feed.
+	// ownerLineTimeout bounds the time from the first byte of an owner's message to its line feed.
 	ownerLineTimeout = 2 * time.Second
-	// firstMessageTimeout is how long a connection may be open without a valid message.
+	// firstMessageTimeout bounds the time from accepting a connection to its first valid message.
 	firstMessageTimeout = 2 * time.Second
-	// maxUndelivered bounds the messages that wait for a connection of an owner. Further ones are lost.
+	// maxUndelivered bounds the messages that wait for a connection of an owner. Further messages are dropped.
 	maxUndelivered int = 1024
-	// undeliveredTimeout is the protocol's: the end of a task is sent to its owner within this time, or never.
+	// undeliveredTimeout is set by the protocol: the end of a task is sent to its owner within this time or not at all.
 	undeliveredTimeout = 8 * time.Second
 )
 
-// Bounds of the connections to hosts.
+// Limits of the connections to hosts.
 const (
-	// maxConnectionsPerHost bounds the connections to one host; attempts share them beyond it.
+	// maxConnectionsPerHost bounds the connections to one host. Once it is reached, attempts share connections.
 	maxConnectionsPerHost int = 8
-	// maxAttemptsPerConnection bounds the attempts in flight and queued on one connection. A further one fails.
+	// maxAttemptsPerConnection bounds the attempts in flight or queued on one connection. A further attempt fails.
 	maxAttemptsPerConnection int = 32
-	// maxHalfClosed is how many half-closed connections take no slot of others.
+	// maxHalfClosed is the number of half-closed connections that do not count against the connection slots.
 	maxHalfClosed int = 4
-	// halfClosedTimeout is how long a half-closed connection is read at most.
+	// halfClosedTimeout is the time after which a half-closed connection is closed even if its host has not closed it.
 	halfClosedTimeout = time.Second
-	// hostLineTimeout is how long a message may take from its first byte to its line feed.
+	// hostLineTimeout bounds the time from the first byte of a host's message to its line feed.
 	hostLineTimeout = 250 * time.Millisecond
-	// overtakenAfter is how much later an offer must have been sent for its answer to show that the connection of an
-	// unanswered earlier one is broken.
+	// overtakenAfter is the least time between two offers to one host after which an answer to the later offer shows
+	// that the connection of the earlier, unanswered one is broken.
 	overtakenAfter = 50 * time.Millisecond
-	// minRedialBackoff and maxRedialBackoff bound the time between dials that fail; it doubles from one to the next.
+	// minRedialBackoff and maxRedialBackoff bound the delay before a redial, which doubles with each failed dial.
 	minRedialBackoff = 100 * time.Millisecond
 	maxRedialBackoff = time.Second
 )
 
-// Bounds of hosts.
+// Limits of hosts and of the tasks on them.
 const (
-	// probeTimeout is how long a probe waits for its result.
+	// probeTimeout is the time after which a probe without a result has timed out.
 	probeTimeout = 250 * time.Millisecond
-	// probeRetryAfter is when an unanswered probe is sent again on another connection.
+	// probeRetryAfter is the time after which an unanswered probe is sent again on another connection.
 	probeRetryAfter = 120 * time.Millisecond
-	// unresponsiveAfter is how long a host with placed tasks may send nothing before it is dialed, and dialed again.
+	// unresponsiveAfter is the time after which a host with placed tasks that sends nothing is dialed, repeatedly, to
+	// see whether it is alive.
 	unresponsiveAfter = time.Second
-	// lostAfter is when such a host is lost, if no connection to it could be made: in time to release its tasks to their owners.
+	// lostAfter is the time after which an unresponsive host to which no connection could be made is lost. It is below
+	// undeliveredTimeout so that its tasks are still released to their owners in time.
 	lostAfter = undeliveredTimeout - 500*time.Millisecond
-	// lostAfterRefusals is how many refused dials in a row, with no connection open, show that a host's process has ended.
+	// lostAfterRefusals is the number of dials refused in a row, with no connection open, that shows that a host's
+	// process has ended.
 	lostAfterRefusals int = 2
-	// lastDialBeforeLoss is how long before its loss a host is dialed once more, whatever its backoff.
+	// lastDialBeforeLoss is the time before a host is lost at which it is dialed once more, regardless of its backoff.
 	lastDialBeforeLoss = 500 * time.Millisecond
-	// removedGrace is how long hosts that the endpoint list removes may still report the ends of their tasks.
+	// removedGrace is the time for which a host that the endpoint list has as removed may still report the ends of its
+	// tasks.
 	removedGrace = 500 * time.Millisecond
-	// removeHostAfter is when a removed host that has neither tasks nor connections is dropped.
+	// removeHostAfter is the time after which a removed host without tasks and connections is deleted from the core's
+	// tables.
 	removeHostAfter = 30 * time.Second
-	// maxUnlistedHosts bounds the hosts that are known by their owners' messages alone.
+	// maxUnlistedHosts bounds the hosts that only hand-overs by owners have named, and not yet the endpoint list.
 	maxUnlistedHosts int = 1024
-	// unlistedTimeout is how long such a host may take to be listed: misbehaving clients must have an answer in 3 s.
+	// unlistedTimeout is the time within which such a host must be listed before its tasks are lost. It is below the
+	// 3 s within which misbehaving clients must have an answer.
 	unlistedTimeout = 2500 * time.Millisecond
-	// stopTimeout is how long a host's answer to the stop of a task is awaited; then the task counts as stopped.
+	// stopTimeout bounds the wait for a host's answer to the stop of a task. After it the task counts as stopped.
 	stopTimeout = time.Second
 )
 
-// Times of the core itself.
+// Times of the core's periodic checks and of its shutdown.
 const (
-	// reconcileInterval is the time between two rounds over all hosts and owners.
+	// reconcileInterval is the time between two checks of all hosts and owners.
 	reconcileInterval = 50 * time.Millisecond
-	// listenAfterShutdown is how long connections and requests are accepted once the shutdown has been requested.
+	// listenAfterShutdown is the time for which connections and requests are still accepted after a shutdown request.
 	listenAfterShutdown = 800 * time.Millisecond
-	// minShutdownDuration is the least time between the request and the completion of a shutdown.
+	// minShutdownDuration is the least time from the request of a shutdown to its completion.
 	minShutdownDuration = 1200 * time.Millisecond
 )
--- a/internal/scheduler/platform/linereader.go
+++ b/internal/scheduler/platform/linereader.go
@@ -6,14 +6,14 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// lineReader cuts bytes into lines and knows since when a line has begun and not ended.
+// lineReader splits a byte stream into lines and tracks the time at which the current partial line began.
 type lineReader struct {
 	splitter     platform.LineSplitter
-	partialSince time.Duration // 0: no line has begun
+	partialSince time.Duration // arrival of the partial line's first byte; 0: no partial line
 }
 
-// feed calls handle for each line that the bytes complete. It returns the first error of handle, or that a line is too
-// long; nothing more can be read then.
+// feed calls handle for each line that data completes. It returns the first error of handle, or an error if a line is
+// too long. After an error the reader cannot be used any more.
 func (l *lineReader) feed(now time.Duration, data []byte, handle func(line []byte) error) error {
 	err := l.splitter.Feed(data, func(line []byte) error {
 		l.partialSince = 0
@@ -28,10 +28,10 @@
 	return err
 }
 
-// isPartial reports whether a line has begun and not ended.
+// isPartial reports whether a line has begun but not ended.
 func (l *lineReader) isPartial() bool { return l.partialSince > 0 }
 
-// isStuck reports whether a line has not ended in time.
+// isStuck reports whether a line that began more than timeout ago has not ended.
 func (l *lineReader) isStuck(now, timeout time.Duration) bool {
 	return l.isPartial() && now > l.partialSince+timeout
 }
--- a/internal/scheduler/platform/log.go
+++ b/internal/scheduler/platform/log.go
@@ -8,8 +8,8 @@
 	"forkhead"
 )
 
-// Messages of the log. They are constant, so that whoever is on call can search for them; docs/ops/node.md lists them.
-// What differs from line to line is in the attributes.
+// Log messages. They are constant, so that operators can search for them, and docs/ops/node.md lists them. Variable
+// data is in the attributes.
 const (
 	messageTasksLost         = "tasks lost with their host"
 	messageConnectionClosed  = "connection to a host closed"
@@ -20,13 +20,13 @@
 	messageAnswerVetoed      = "answer vetoed"
 	messageNoAnswer          = "no answer at the deadline of a task"
 	messageOversizedGossip   = "oversized gossip message dropped"
-	messageModuleInterrupted = "module interrupted" // not logged at present: New sets the module's driver no limit
+	messageModuleInterrupted = "module interrupted" // not logged at present: New sets no limit for the module's driver
 )
 
-// logReason is why something was done.
+// logReason is the value of the attribute keyReason.
 type logReason string
 
-// Reasons why a connection is closed, or the tasks of a host count as lost. They are constant too.
+// Reasons why a connection was closed or the tasks of a host count as lost. They are constant as well.
 const (
 	reasonUnreadable         logReason = "a message cannot be read"
 	reasonPartialLine        logReason = "a message did not end"
@@ -37,22 +37,22 @@
 	reasonRemoved            logReason = "the endpoint list has it as removed"
 )
 
-// Keys of the attributes.
+// Keys of log attributes.
 const (
-	keyPlacedRef  = "placed_ref" // ref under which the task runs already
+	keyPlacedRef  = "placed_ref" // ref under which the host already runs the task
 	keyBytes      = "bytes"
-	keyConnection = "connection" // number of the connection, as in a trace
+	keyConnection = "connection" // ConnectionID, as in a trace
 	keyError      = "error"
 	keyHost       = "host" // name of the host, as in the endpoint list
 	keyReason     = "reason"
-	keyRef        = "ref"      // ref of the placement request, as on the wire
-	keyTask       = "task"     // number of the placement request at this placer
-	keyTaskKey    = "task_key" // identity of the task, as its owner gives it
-	keyTasks      = "tasks"    // how many tasks are concerned
+	keyRef        = "ref"      // ref of the placement request on the wire
+	keyTask       = "task"     // forkhead.TaskID of the placement request at this placer
+	keyTaskKey    = "task_key" // identity of the task that its owner assigned
+	keyTasks      = "tasks"    // number of tasks concerned
 )
 
-// Log is a line for whoever is on call. Its message is constant; its attributes have the keys above. An
-// InvariantViolation is an error of this program: an output that was vetoed or an answer that is missing.
+// Log is a log line for operators. Its message is one of the constants above or a text of the module; its attributes
+// have the keys above. InvariantViolation marks a fault of this program: a vetoed output or a missing answer.
 type Log struct {
 	Level              slog.Level
 	Message            string
@@ -60,7 +60,7 @@
 	InvariantViolation bool
 }
 
-// String is the line as text: the message and then key=value for each attribute.
+// String returns the message followed by key=value for each attribute.
 func (l Log) String() string {
 	var text strings.Builder
 	text.WriteString(l.Message)
--- a/internal/scheduler/platform/messages.go
+++ b/internal/scheduler/platform/messages.go
@@ -7,18 +7,21 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// requestRef numbers a placement request, or a probe, on the wire: 16 hex digits that its sender has chosen.
+// requestRef identifies a placement request or a probe on the wire: 16 hex digits that the sender of the request or
+// probe chooses.
 type requestRef string
 
-// releaseMessage ends what a ref identifies: a request, an attempt or a task, by its cause.
+// releaseMessage ends the request, attempt or task that a ref identifies. The cause says why.
 func releaseMessage(ref requestRef, cause platform.Cause) []byte {
 	return platform.Append(nil, platform.TypeRelease, string(ref), cause, nil)
 }
 
-// stopMessage notifies a host that an offer is withdrawn, or that a task is to end: one message, whichever it has.
+// stopMessage instructs a host to drop an offer or to end a task, whichever it has under the ref. The message is the
+// same for both.
 func stopMessage(ref requestRef) []byte { return releaseMessage(ref, platform.CauseOK) }
 
-// rejectMessage rejects a request. The owner may send it again after a while that is given in whole milliseconds; 0: any time.
+// rejectMessage rejects a request. The owner may send it again after retryAfter, which is rounded down to whole
+// milliseconds; if that is 0 or less, the message names no delay.
 func rejectMessage(ref requestRef, retryAfter time.Duration) []byte {
 	millis := retryAfter.Milliseconds()
 	if millis <= 0 {
@@ -39,7 +42,7 @@
 	return platform.Append(nil, platform.TypeAck, string(ref), platform.NoCause, nil)
 }
 
-// probeCause is the cause of a probe: the protocol wants one, though it means nothing.
+// probeCause is the cause of a probe message. The protocol requires one but gives it no meaning.
 const probeCause platform.Cause = 0
 
 func probeMessage(ref requestRef) []byte {
@@ -54,7 +57,7 @@
 	return platform.Append(nil, platform.TypeProbeResult, string(ref), cause, nil)
 }
 
-// offerMessage offers a request to a host, with the remaining time until its deadline, 1 ms at least.
+// offerMessage offers a request to a host and states the time until the request's deadline, at least 1 ms.
 func offerMessage(r *request, remaining time.Duration) []byte {
 	timeout := millisField(platform.FieldTimeout, max(remaining.Milliseconds(), 1))
 	fields := append(r.hostFields[:len(r.hostFields):len(r.hostFields)], timeout)
--- a/internal/scheduler/platform/recent.go
+++ b/internal/scheduler/platform/recent.go
@@ -1,17 +1,17 @@
 package platform
 
-// recent is a set of the values that were added last, up to a fixed number.
+// recent is a bounded set of the values that were added most recently.
 type recent[K comparable] struct {
 	ring   []K
 	oldest int
-	counts map[K]int // how often a value is in the ring
+	counts map[K]int // number of occurrences of each value in ring
 }
 
 func newRecent[K comparable](capacity int) recent[K] {
 	return recent[K]{ring: make([]K, 0, capacity), counts: map[K]int{}}
 }
 
-// add adds a value; a full set drops the oldest one.
+// add adds a value. If the set is full, the oldest entry is dropped.
 func (r *recent[K]) add(value K) {
 	if len(r.ring) < cap(r.ring) {
 		r.ring = append(r.ring, value)
@@ -23,6 +23,7 @@
 	r.counts[value]++
 }
 
+// removeOne removes one occurrence of a value from counts.
 func (r *recent[K]) removeOne(value K) {
 	if r.counts[value] == 1 {
 		delete(r.counts, value)
