--- a/internal/scheduler/platform/attempt.go
+++ b/internal/scheduler/platform/attempt.go
@@ -9,19 +9,19 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// taskAttempt is an attempt to place a task on a host, from the module's Offer to its outcome.
+// taskAttempt is an attempt to place a task on a host. It lasts from the module's Offer to its Outcome.
 type taskAttempt struct {
 	request      *request
-	number       int // among the attempts of its request
+	number       int // index among the attempts of its request
 	host         *host
-	connection   *hostConnection // that its offer is queued for, or in flight on; nil: neither
-	sentAt       time.Duration   // when the offer was sent; before that, when it was made
-	hasNotes     bool            // the host sent notes on it: it runs the task, even if it has not answered
-	stopSent     bool            // the host was sent a stop of the task
-	stopDeadline time.Duration   // the task counts as stopped then, even if the host does not answer
+	connection   *hostConnection // connection on which its offer is queued or in flight; nil: none
+	sentAt       time.Duration   // time at which the offer was sent, or created if it is still queued
+	hasNotes     bool            // the host has sent notes on it: it runs the task even if it has not answered
+	stopSent     bool            // a stop of the task was sent to the host
+	stopDeadline time.Duration   // time at which the task counts as stopped even if the host has not answered
 }
 
-// attemptKey identifies an attempt to hosts. Attempts of one request on one host share it.
+// attemptKey identifies an attempt on the wire. Attempts of one request on one host share a key.
 type attemptKey struct {
 	host forkhead.MachineID
 	ref  requestRef
@@ -32,7 +32,8 @@
 func (a *taskAttempt) isPlaced() bool       { return a.phase() == attempt.Placed }
 func (a *taskAttempt) isInFlight() bool     { return a.phase() == attempt.InFlight }
 
-// executeOffer executes the module's Offer where that is legal; else the attempt's outcome is that it was not sent.
+// executeOffer executes the module's Offer if the invariants allow it. If not, the attempt ends with the result
+// NotSent.
 func (c *Core) executeOffer(action forkhead.Offer) {
 	r := c.requests[action.Task]
 	if r == nil {
@@ -56,7 +57,7 @@
 	c.assignConnection(a)
 }
 
-// checkOffer returns the invariant that an offer of a request to a host would violate; nil: none.
+// checkOffer returns the violation of an invariant that offering a request to a host would cause, or nil.
 func (c *Core) checkOffer(r *request, h *host) *invariant.Violation {
 	return invariant.CheckOffer(c.now, &invariant.Offer{
 		SpreadCheck: c.spreadCheck(r, h, nil),
@@ -66,8 +67,8 @@
 	})
 }
 
-// spreadCheck is an offer of a request to a host, for the check against the spread limits. The attempt that is being
-// sent, if there is one already, does not count against them.
+// spreadCheck returns the input for checking an offer of a request to a host against the spread limits. The attempt
+// sending, which may be nil, does not count against them.
 func (c *Core) spreadCheck(r *request, h *host, sending *taskAttempt) invariant.SpreadCheck {
 	return invariant.SpreadCheck{
 		Task:         &r.task,
@@ -84,16 +85,16 @@
 	return nil
 }
 
-// exceedsSpread reports whether sending an offer now would violate a spread limit.
+// exceedsSpread reports whether sending the offer of an attempt now would violate a spread limit.
 func (c *Core) exceedsSpread(a *taskAttempt) bool {
 	check := c.spreadCheck(a.request, a.host, a)
 	return invariant.CheckSpread(&check) != nil
 }
 
-// InvariantHost returns the attempt's host, as the invariants see it.
+// InvariantHost returns the attempt's host in the form that the invariants check.
 func (a *taskAttempt) InvariantHost() *invariant.Host { return a.host.forInvariants() }
 
-// skipOffer counts an attempt that was never started, so that numbers stay in step with the module's.
+// skipOffer records an attempt that was never started, so that attempt numbers agree with those of the module.
 func (c *Core) skipOffer(r *request, machine forkhead.MachineID) {
 	r.lifecycle.AddUnsent(c.now, attempt.HostID(machine))
 	r.attempts = append(r.attempts, nil)
@@ -108,7 +109,7 @@
 	return a
 }
 
-// addAttempt lists a live attempt with its request, its host and its service.
+// addAttempt registers a live attempt with its request, its host and its service.
 func (c *Core) addAttempt(a *taskAttempt) {
 	r := a.request
 	r.attempts = append(r.attempts, a)
@@ -116,7 +117,7 @@
 	c.attemptsByService.Add(r.task.Service, a)
 }
 
-// removeAttempt takes a live attempt off the lists of its host and its service.
+// removeAttempt removes a live attempt from the indexes of its host and its service.
 func (c *Core) removeAttempt(a *taskAttempt) {
 	r := a.request
 	if a.host.attempts[r.ref] == a {
@@ -125,8 +126,8 @@
 	c.attemptsByService.Remove(r.task.Service, a)
 }
 
-// sendOffer sends the offer of an attempt on its connection, which is open. One that has become wrong while it was
-// queued is not sent.
+// sendOffer sends the offer of an attempt on its connection, which is open. An offer that has become invalid while it
+// was queued is not sent.
 func (c *Core) sendOffer(a *taskAttempt) {
 	r := a.request
 	if !c.mayStillSend(a) {
@@ -140,21 +141,21 @@
 	c.emit(SendToHost{Connection: a.connection.id, Line: offerMessage(r, r.untilDeadline(c.now))})
 }
 
-// mayStillSend reports whether an offer that was queued may be sent: meanwhile its owner may have left, its host may drain,
-// and tasks of its service may have been handed over.
+// mayStillSend reports whether a queued offer may still be sent. While it was queued, its owner may have disconnected,
+// its host may have begun to drain, and tasks of its service may have been handed over.
 func (c *Core) mayStillSend(a *taskAttempt) bool {
 	r := a.request
 	return r.phase == requestOpen && r.lifecycle.MayWrite(c.now, a.number) == nil && !c.exceedsSpread(a) &&
 		!invariant.DrainGraceExpired(c.now, a.host.entry.State, a.host.drainingSince, c.settings.DrainGrace)
 }
 
-// attemptEnd is how an attempt ends.
+// attemptEnd describes how an attempt ends.
 type attemptEnd struct {
-	input  attempt.Input // of the attempt's state machine
+	input  attempt.Input // input to the attempt's state machine
 	result forkhead.Result
 	reason forkhead.RejectReason
-	final  bool                 // the request is answered: the module has nothing to decide
-	report *forkhead.LoadReport // of the host; nil: it sent none
+	final  bool                 // the request has been answered: the module has nothing more to decide
+	report *forkhead.LoadReport // load report of the host; nil: it sent none
 }
 
 // endAttempt ends a live attempt and notifies the module of its outcome.
@@ -175,7 +176,7 @@
 	}
 }
 
-// detach takes an attempt off its connection: it is neither in flight nor queued there any more.
+// detach removes an attempt from its connection, where it was in flight or queued.
 func (a *taskAttempt) detach() {
 	conn := a.connection
 	if conn == nil {
@@ -198,8 +199,8 @@
 	c.withdraw(r.attempts[action.Attempt], forkhead.Withdrawn, r.phase != requestOpen)
 }
 
-// withdraw stops waiting for the outcome of an attempt, if it has none yet: what its host answers later counts for
-// nothing. a may be nil.
+// withdraw stops waiting for the outcome of an attempt that has none yet. A later answer of its host is ignored, apart
+// from stopping a task that runs. a may be nil.
 func (c *Core) withdraw(a *taskAttempt, result forkhead.Result, final bool) {
 	if a == nil || !a.phase().IsInFlight() {
 		return
@@ -213,7 +214,7 @@
 	c.endAttempt(a, attemptEnd{input: attempt.Abandoned, result: result, final: final})
 }
 
-// withdrawAll withdraws whatever attempts of a request have no outcome yet.
+// withdrawAll withdraws all attempts of a request that have no outcome yet.
 func (c *Core) withdrawAll(r *request, result forkhead.Result, final bool) {
 	for _, a := range r.attempts {
 		c.withdraw(a, result, final)
--- a/internal/scheduler/platform/connection.go
+++ b/internal/scheduler/platform/connection.go
@@ -10,22 +10,22 @@
 	"forkhead/internal/scheduler/attempt"
 )
 
-// connectionState is the state of a connection to a host. One that is closed is removed.
+// connectionState is the state of a connection to a host. Closed connections are removed and have none.
 type connectionState uint8
 
 const (
-	connectionDialing    connectionState = iota // neither HostConnected nor DialFailed has come
+	connectionDialing    connectionState = iota // neither HostConnected nor DialFailed has been received
 	connectionOpen                              // offers may be sent on it
-	connectionHalfClosed                        // nothing is sent any more; what the host has sent is still read
+	connectionHalfClosed                        // nothing is sent any more, but data from the host is still read
 )
 
-// connectionPurpose is what a connection was dialed for. Once it is open, offers may use any.
+// connectionPurpose is the reason why a connection was dialed. Offers may use any open connection.
 type connectionPurpose uint8
 
 const (
-	purposeMessages     connectionPurpose = iota // offers, probes or stops
-	purposeReachability                          // to see whether an unresponsive host accepts a connection
-	purposeReplacement                           // takes the place of an idle one, where hosts may not be probed
+	purposeMessages     connectionPurpose = iota // to send offers, probes or stops
+	purposeReachability                          // to check whether an unresponsive host accepts connections
+	purposeReplacement                           // to replace an idle connection where hosts may not be probed
 )
 
 type hostConnection struct {
@@ -36,27 +36,27 @@
 	halfClosedAt   time.Duration
 	reader         lineReader
 	lastReceivedAt time.Duration
-	lastSentAt     time.Duration  // an offer or a probe, or it was dialed or connected
-	inFlight       int            // offers sent and not answered
-	queued         []*taskAttempt // their offers are sent when it is open
-	probeQueued    bool           // a probe is sent when it is open
+	lastSentAt     time.Duration  // time of the last offer, probe, dial or connect
+	inFlight       int            // number of offers sent and not answered
+	queued         []*taskAttempt // attempts whose offers are sent once it is open
+	probeQueued    bool           // a probe is sent once it is open
 }
 
 // isIdle reports whether an open connection carries no offer.
 func (conn *hostConnection) isIdle() bool { return conn.state == connectionOpen && conn.inFlight == 0 }
 
-// lastUsedAt is when something was last sent or received.
+// lastUsedAt returns the time at which something was last sent or received.
 func (conn *hostConnection) lastUsedAt() time.Duration {
 	return max(conn.lastSentAt, conn.lastReceivedAt)
 }
 
-// isNeeded reports whether it is the only connection to a host that runs tasks: their ends are reported on it.
+// isNeeded reports whether the connection is the only one to a host that runs tasks, which reports their ends on it.
 func (conn *hostConnection) isNeeded() bool {
 	return len(conn.host.connections) == 1 && conn.host.hasPlacedTasks()
 }
 
-// isEvictedBefore reports whether an idle connection is closed before another one to free a slot: those that are not needed
-// go first, then those that have not been used for longer.
+// isEvictedBefore reports whether an idle connection is closed before another one to free a slot. Connections that are
+// not needed are closed before those that are, and the least recently used first within each group.
 func (conn *hostConnection) isEvictedBefore(other *hostConnection) bool {
 	if needed := conn.isNeeded(); needed != other.isNeeded() {
 		return !needed
@@ -64,10 +64,11 @@
 	return cmp.Or(cmp.Compare(conn.lastUsedAt(), other.lastUsedAt()), cmp.Compare(conn.id, other.id)) < 0
 }
 
-// ---- Attempts and their connections.
+// ---- Assigning attempts to connections.
 
-// assignConnection sends the offer of an attempt on an idle connection to its host, else on a new one, else on the least
-// busy one, or queues it there. An offer that no connection can take fails.
+// assignConnection sends the offer of an attempt on an idle connection to its host, or else on a new one, or else on
+// the least busy one. On a connection that is still being dialed the offer is queued. An offer that no connection can
+// take fails.
 func (c *Core) assignConnection(a *taskAttempt) {
 	conn := c.connectionForOffer(a.host)
 	if conn == nil || conn.inFlight+len(conn.queued) >= maxAttemptsPerConnection {
@@ -82,7 +83,8 @@
 	}
 }
 
-// connectionForOffer is the connection that a new offer to a host uses; nil: none is there and none can be dialed.
+// connectionForOffer returns the connection that a new offer to a host uses, or nil if there is none and none can be
+// dialed.
 func (c *Core) connectionForOffer(h *host) *hostConnection {
 	open := h.leastBusyConnection()
 	if open == nil || open.inFlight > 0 && len(h.connections) < maxConnectionsPerHost {
@@ -96,7 +98,7 @@
 	return slices.MinFunc(h.connections, func(a, b *hostConnection) int { return cmp.Compare(len(a.queued), len(b.queued)) })
 }
 
-// failQueued ends the attempts that wait for a connection that was not made.
+// failQueued ends the attempts that are queued on a connection that could not be opened.
 func (c *Core) failQueued(conn *hostConnection, end attemptEnd) {
 	queued := conn.queued
 	conn.queued = nil
@@ -108,7 +110,7 @@
 
 // ---- Dialing.
 
-// dial dials a host; nil: all connection slots are taken.
+// dial dials a host and returns the new connection, or nil if no connection slot is free.
 func (c *Core) dial(h *host, purpose connectionPurpose) *hostConnection {
 	if !c.acquireHostSlot(h) {
 		return nil
@@ -134,7 +136,7 @@
 	c.closeSuperseded(conn)
 }
 
-// sendQueued sends what has waited for a connection to open.
+// sendQueued sends the probe and the offers that are queued on a connection that has opened.
 func (c *Core) sendQueued(conn *hostConnection) {
 	if conn.probeQueued {
 		conn.probeQueued = false
@@ -147,16 +149,16 @@
 	}
 }
 
-// sendDeferredStops sends the stops of tasks that were to end while no connection was open. Guards against a task that its
-// owner has ended and that runs on.
+// sendDeferredStops sends the stops of tasks that were ended while no connection was open. Without it, a task that its
+// owner has ended would run on.
 func (c *Core) sendDeferredStops(h *host) {
 	for _, a := range h.attemptsWhere(func(a *taskAttempt) bool { return a.request.phase == requestEnding && !a.stopSent }) {
 		c.sendOrDeferStop(a)
 	}
 }
 
-// closeSuperseded closes connections that a new one makes superfluous, or the new one once it has shown that its host
-// accepts connections. Guards against connections that pile up to hosts with little to report.
+// closeSuperseded closes the connections that a new one replaces, or the new one itself once it has shown that its host
+// accepts connections. Otherwise connections would accumulate to hosts that rarely send anything.
 func (c *Core) closeSuperseded(conn *hostConnection) {
 	switch conn.purpose {
 	case purposeReplacement:
@@ -186,13 +188,13 @@
 	}
 }
 
-// dialFailedAtHost handles a failure of a dial that is not local.
+// dialFailedAtHost handles a failed dial whose cause is not local.
 func (c *Core) dialFailedAtHost(conn *hostConnection, refused bool) {
 	h := conn.host
 	switch {
 	case refused && h.leastBusyConnection() != nil:
-		// The machine answers, and its process holds our connections: it drains, or accepts no more. Guards against losing
-		// the tasks of a host that only refuses new connections.
+		// The machine answers and its process still holds an open connection, so it drains or accepts no further ones.
+		// Counting the refusal would lose the tasks of a host that only refuses new connections.
 		h.lastSeenAliveAt = c.now
 	case refused:
 		h.refusedDials++
@@ -215,15 +217,16 @@
 
 // ---- Connection slots.
 
-// usedHostConnections is how many connections to hosts take a slot: all but a few that are half-closed, whose descriptors
-// come out of those that the shell reserves.
+// usedHostConnections returns the number of connections to hosts that take a slot. Up to maxHalfClosed half-closed
+// connections take none: they use file descriptors that the caller of Core.Step keeps in reserve.
 func (c *Core) usedHostConnections() int {
 	return len(c.connections) - min(len(c.halfClosed), maxHalfClosed)
 }
 
-// acquireHostSlot frees a slot for one more connection to a host, if need be: an idle one to another host is evicted, else
-// one of the owners beyond those that are protected. It guards against descriptors that run out: neither hosts nor owners
-// nor the endpoint list could then be reached any more.
+// acquireHostSlot makes sure that there is a slot for one more connection to a host, and reports whether there is. If
+// all are taken, it evicts an idle connection to another host, or else a connection of an owner beyond the protected
+// number. The bound keeps file descriptors from running out, after which neither hosts nor owners nor the endpoint list
+// could be reached any more.
 func (c *Core) acquireHostSlot(h *host) bool {
 	used := c.usedHostConnections()
 	if used < c.config.MaxHostConnections && used+len(c.owners) < c.config.MaxConnections {
@@ -241,7 +244,8 @@
 	return true
 }
 
-// evictionCandidate is the idle connection that is evicted first, of hosts other than one; nil: none is idle.
+// evictionCandidate returns the idle connection that is evicted first, leaving out those to the host except, or nil if
+// none is idle.
 func (c *Core) evictionCandidate(except *host) *hostConnection {
 	var first *hostConnection
 	for _, conn := range c.connections {
@@ -252,8 +256,9 @@
 	return first
 }
 
-// evictHostConnection closes an idle connection. A host that runs tasks and has no other is dialed again in time to see
-// whether it is still there; it reports then what became of them.
+// evictHostConnection closes an idle connection. If it is the only one to its host, the next dial is delayed by
+// unresponsiveAfter; a host that runs tasks is dialed then, still in time, to see whether it is alive, and reports the
+// ends of its tasks.
 func (c *Core) evictHostConnection(conn *hostConnection) {
 	if h := conn.host; len(h.connections) == 1 {
 		h.redialAt = max(h.redialAt, c.now+unresponsiveAfter)
@@ -261,11 +266,11 @@
 	c.halfClose(conn)
 }
 
-// ---- The end of connections.
+// ---- Closing connections.
 
-// halfClose closes an idle connection for writing and reads on until its host closes it too, or for a while. It guards
-// against releases and notes that cross the close: a host takes what it has written for received. Where descriptors are
-// short, the connection is closed at once.
+// halfClose closes an idle connection for writing and reads on until its host closes it too or halfClosedTimeout has
+// passed. Otherwise releases and notes that cross the close would be lost, as a host takes what it has written as
+// received. When connections are exhausted, the connection is closed at once.
 func (c *Core) halfClose(conn *hostConnection) {
 	if len(c.halfClosed) >= maxHalfClosed && c.connectionsExhausted() {
 		c.closeConnection(conn)
@@ -277,8 +282,8 @@
 	c.emit(HalfCloseHostConnection{conn.id})
 }
 
-// connectionsExhausted reports whether all descriptors for connections are taken, those of half-closed ones included, which
-// usedHostConnections leaves out.
+// connectionsExhausted reports whether all file descriptors for connections are in use. Unlike usedHostConnections, it
+// counts every half-closed connection.
 func (c *Core) connectionsExhausted() bool {
 	return len(c.connections)+len(c.owners) >= c.config.MaxConnections || len(c.connections) >= c.config.MaxHostConnections
 }
@@ -289,14 +294,14 @@
 	c.connectionLost(conn)
 }
 
-// closeFaultyConnection closes a connection that cannot be used any further, and logs why.
+// closeFaultyConnection closes a connection that cannot be used any further and logs the reason.
 func (c *Core) closeFaultyConnection(conn *hostConnection, reason logReason, details ...slog.Attr) {
 	attributes := append([]slog.Attr{hostAttr(conn.host.name), connectionAttr(conn.id), reasonAttr(reason)}, details...)
 	c.logInfo(messageConnectionClosed, attributes...)
 	c.closeConnection(conn)
 }
 
-// connectionLost handles the end of a connection: attempts in flight on it may have run.
+// connectionLost handles the end of a connection. Attempts in flight on it may have run.
 func (c *Core) connectionLost(conn *hostConnection) {
 	c.removeConnection(conn)
 	h := conn.host
@@ -323,7 +328,7 @@
 	}
 }
 
-// without removes a connection from a list, in place.
+// without removes a connection from a slice, in place.
 func without(all []*hostConnection, conn *hostConnection) []*hostConnection {
 	return slices.DeleteFunc(all, func(other *hostConnection) bool { return other == conn })
 }
--- a/internal/scheduler/platform/endpoints.go
+++ b/internal/scheduler/platform/endpoints.go
@@ -8,7 +8,7 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// loadInitialList gives the module the endpoint list that the configuration holds.
+// loadInitialList applies the initial events of the configuration and passes the resulting endpoint list to the module.
 func (c *Core) loadInitialList() {
 	for _, event := range c.config.InitialEvents {
 		c.listSequence = max(c.listSequence, event.Seq)
@@ -24,7 +24,7 @@
 	c.notifyModule(forkhead.ListUpdate{Mode: forkhead.ListCached, Machines: machines})
 }
 
-// handleWatchEvent applies an event of the endpoint list, once.
+// handleWatchEvent applies a watch event of the endpoint list, unless it or a later one has been applied.
 func (c *Core) handleWatchEvent(input WatchEventReceived) {
 	event := &input.Event
 	if event.Seq <= c.listSequence && !input.SequenceRestarted {
@@ -67,7 +67,7 @@
 	return entries
 }
 
-// removeMissing marks the hosts as removed that a snapshot does not have any more.
+// removeMissing marks hosts as removed that a snapshot no longer has. A host that was never listed is left alone.
 func (c *Core) removeMissing(listed map[forkhead.MachineID]bool) {
 	for _, h := range c.hostsInOrder() {
 		if !listed[h.id] && h.entry.State != forkhead.Removed && h.unlistedSince == 0 {
@@ -78,15 +78,16 @@
 	}
 }
 
-// machineStates are the states of machines by their names on the wire.
+// machineStates maps the names of states on the wire to the states of machines.
 var machineStates = map[platform.EndpointState]forkhead.MachineState{
 	platform.InService:   forkhead.Ready,
 	platform.Terminating: forkhead.Draining,
 	platform.Terminated:  forkhead.Removed,
 }
 
-// decodeEndpoint translates an entry of the endpoint list. ok is false if it cannot be used: its name has no number, or
-// the settings have neither its state nor its type nor its zone. Of a removed host the last two do not matter.
+// decodeEndpoint translates an entry of the endpoint list. ok is false if the entry cannot be used: its name has no
+// number, its state is unknown, or the settings lack its machine type or its zone. Type and zone of a removed host may
+// be unknown.
 func (c *Core) decodeEndpoint(endpoint *platform.Endpoint) (entry forkhead.Machine, ok bool) {
 	number, numbered := platform.HostNumber(endpoint.Name)
 	state, known := machineStates[endpoint.State]
@@ -105,7 +106,8 @@
 	return entry, true
 }
 
-// zoneIndex is the place of a zone in the settings; -1: they don't have it. Where there is only one, every host is in it.
+// zoneIndex returns the index of a zone in the settings, or -1 if they lack it. If the settings have a single zone,
+// every host is in it.
 func (c *Core) zoneIndex(name string) int {
 	if len(c.config.Names.Zones) == 1 {
 		return 0
@@ -113,7 +115,7 @@
 	return slices.Index(c.config.Names.Zones, name)
 }
 
-// updateHost applies what the endpoint list has of a host now.
+// updateHost applies a host's current entry in the endpoint list.
 func (c *Core) updateHost(h *host, entry forkhead.Machine, address string) {
 	if h.unlistedSince > 0 {
 		h.unlistedSince = 0
@@ -137,7 +139,7 @@
 	h.setEntry(entry)
 }
 
-// handleHostRestart ends the tasks of a host's earlier incarnation.
+// handleHostRestart ends the tasks of a host's earlier incarnation and resets its redial backoff.
 func (c *Core) handleHostRestart(h *host, startedAt time.Duration) {
 	ended := h.attemptsWhere(func(a *taskAttempt) bool { return a.isPlaced() && a.sentAt < startedAt })
 	for _, a := range ended {
@@ -146,8 +148,8 @@
 	h.redialBackoff, h.redialAt, h.refusedDials = 0, 0, 0
 }
 
-// closeOutdatedConnections closes the connections to a host that has another address now, or is removed: a removed one may
-// still answer what is in flight.
+// closeOutdatedConnections closes the connections to a host that has a new address or is removed. Connections of a
+// removed host with offers in flight stay open, as it may still answer them.
 func (c *Core) closeOutdatedConnections(h *host, state forkhead.MachineState) {
 	for _, conn := range slices.Clone(h.connections) {
 		switch {
--- a/internal/scheduler/platform/host.go
+++ b/internal/scheduler/platform/host.go
@@ -15,22 +15,22 @@
 type host struct {
 	id            forkhead.MachineID
 	name          string
-	address       string           // "" until the list has it: nothing can be offered
-	entry         forkhead.Machine // as the list has it
-	invariantView invariant.Host   // the same for checks
-	unlistedSince time.Duration    // 0: it is listed
-	drainingSince time.Duration    // since when the list has not had it as ready
-	removedAt     time.Duration    // since when the list has had it as removed
-
-	attempts    map[requestRef]*taskAttempt // those that are live
-	connections []*hostConnection           // dialing or open
+	address       string           // "" until the endpoint list has the host: nothing can be offered to it
+	entry         forkhead.Machine // entry in the endpoint list
+	invariantView invariant.Host   // entry in the form that the invariants check
+	unlistedSince time.Duration    // time of the hand-over that added it; 0: it is listed
+	drainingSince time.Duration    // time since which the list has not had it as ready
+	removedAt     time.Duration    // time since which the list has had it as removed
+
+	attempts    map[requestRef]*taskAttempt // live attempts
+	connections []*hostConnection           // those that are dialing or open
 	probe       *probe                      // nil: none is in progress
 
-	lastSeenAliveAt  time.Duration // when it last sent something, or accepted a connection, or refused one beside an open one
-	lastDialFailedAt time.Duration // the last dial that failed; failures for want of descriptors here don't count
-	redialAt         time.Duration // it is not dialed for its own sake before
-	redialBackoff    time.Duration // doubles with each dial that fails
-	refusedDials     int           // in a row, without an open connection
+	lastSeenAliveAt  time.Duration // last time it sent data, accepted a connection, or refused one while another was open
+	lastDialFailedAt time.Duration // last failed dial; local failures, for lack of file descriptors, don't count
+	redialAt         time.Duration // earliest time of a dial that no offer or probe needs
+	redialBackoff    time.Duration // doubles with each failed dial
+	refusedDials     int           // dials refused in a row while no connection was open
 }
 
 func newHost(id forkhead.MachineID, name string) *host {
@@ -48,7 +48,7 @@
 	}
 }
 
-// isReplacing reports whether a connection is being dialed that takes the place of an idle one.
+// isReplacing reports whether a connection that is to replace an idle one is being dialed.
 func (h *host) isReplacing() bool {
 	return slices.ContainsFunc(h.connections, func(conn *hostConnection) bool {
 		return conn.purpose == purposeReplacement && conn.state == connectionDialing
@@ -68,8 +68,8 @@
 	return false
 }
 
-// leastBusyConnection is the open connection with the fewest attempts in flight, the latest used of them; nil: none is
-// open.
+// leastBusyConnection returns the open connection with the fewest offers in flight, among equals the one that last
+// received data, or nil if none is open.
 func (h *host) leastBusyConnection() *hostConnection {
 	var best *hostConnection
 	for _, conn := range h.connections {
@@ -83,7 +83,7 @@
 	return best
 }
 
-// attemptsWhere lists the live attempts that meet a condition, by the number of their request.
+// attemptsWhere returns the live attempts that meet a condition, ordered by the id of their request.
 func (h *host) attemptsWhere(meets func(*taskAttempt) bool) []*taskAttempt {
 	var all []*taskAttempt
 	for _, a := range h.attempts {
@@ -95,7 +95,7 @@
 	return all
 }
 
-// hostsInOrder lists the hosts by id. The slice must not be changed.
+// hostsInOrder returns the hosts ordered by id. The slice must not be modified.
 func (c *Core) hostsInOrder() []*host {
 	if c.sortedHosts == nil {
 		c.sortedHosts = slices.SortedFunc(maps.Values(c.hosts), func(a, b *host) int { return cmp.Compare(a.id, b.id) })
--- a/internal/scheduler/platform/hostmessages.go
+++ b/internal/scheduler/platform/hostmessages.go
@@ -12,7 +12,7 @@
 	"forkhead/internal/scheduler/attempt"
 )
 
-// errNoDescription means that an answer lacks what its owner waits for.
+// errNoDescription reports an answer without the description that its owner waits for.
 var errNoDescription = errors.New("an answer without a description")
 
 func (c *Core) receiveFromHost(input HostData) {
@@ -32,14 +32,14 @@
 		c.handleHostMessage(conn, &m)
 		return nil
 	})
-	if err != nil && c.connections[conn.id] == conn { // else a message has closed it
+	if err != nil && c.connections[conn.id] == conn { // unless a message in the data has closed it
 		c.closeFaultyConnection(conn, reasonUnreadable, errorAttr(err))
 	}
 }
 
 func (c *Core) handleHostMessage(conn *hostConnection, m *platform.Message) {
 	ref := requestRef(m.Ref)
-	a := conn.host.attempts[ref] // nil: the message is about nothing that is live here
+	a := conn.host.attempts[ref] // nil: no live attempt on this host has the ref
 	switch m.Type {
 	case platform.TypeBound:
 		c.handleBound(conn, ref, a, m)
@@ -58,9 +58,9 @@
 	}
 }
 
-// ---- Answers.
+// ---- Answers to offers.
 
-// handleBound handles a host's message that it runs a task.
+// handleBound handles a host's answer that it runs a task.
 func (c *Core) handleBound(conn *hostConnection, ref requestRef, a *taskAttempt, m *platform.Message) {
 	switch {
 	case a == nil:
@@ -70,8 +70,7 @@
 	}
 }
 
-// stopAbandoned stops a task whose attempt was abandoned and that its host runs all the same, as nobody else would ever
-// end it.
+// stopAbandoned stops a task that a host runs although its attempt was abandoned, as nothing else would end it.
 func (c *Core) stopAbandoned(conn *hostConnection, ref requestRef) {
 	if !c.abandoned.contains(attemptKey{conn.host.id, ref}) {
 		return
@@ -84,12 +83,13 @@
 	}
 }
 
-// bind answers a request with the host that runs its task.
+// bind handles the answer that places a task: it forwards the host's description to the owner.
 func (c *Core) bind(a *taskAttempt, description []byte) {
 	r := a.request
 	c.closeOvertaken(a)
 	a.detach()
-	if r.phase != requestOpen { // cannot be: a closed request has none in flight, as the module makes one attempt at a time
+	// Unreachable: a closed request has no attempt in flight, as the module makes one attempt at a time.
+	if r.phase != requestOpen {
 		return
 	}
 	r.lifecycle.Handle(a.number, attempt.Accepted)
@@ -99,29 +99,29 @@
 	c.notifyModule(forkhead.Bound{Task: r.id, Attempt: a.number, Machine: a.host.id, Took: c.now - a.sentAt})
 }
 
-// closeOvertaken closes the connections of offers that an answered one has overtaken. A host looks at one offer at a time,
-// in the order in which they came: one on another connection that was sent well before and is not answered will not be. It
-// guards against connections that stay open and are of no further use.
+// closeOvertaken closes the connections of offers that an answered offer has overtaken. A host handles offers one at a
+// time in the order of their arrival, so an offer that was sent more than overtakenAfter earlier on another connection
+// and is unanswered will never be answered. Without this, broken connections would stay open without being of use.
 func (c *Core) closeOvertaken(answered *taskAttempt) {
 	if c.settings.BoundWhenRunning {
-		return // an answer then comes when the task runs, in any order
+		return // answers then come when tasks run, in any order
 	}
 	overtaken := answered.host.attemptsWhere(func(a *taskAttempt) bool {
 		return a.isInFlight() && a.connection != answered.connection && a.sentAt+overtakenAfter < answered.sentAt &&
 			a.connection.lastReceivedAt <= a.sentAt
 	})
 	for _, a := range overtaken {
-		if a.connection != nil { // else it was closed with an earlier one
+		if a.connection != nil { // nil: its connection was closed with that of an earlier attempt
 			c.closeFaultyConnection(a.connection, reasonOvertaken)
 		}
 	}
 }
 
-// ---- Releases.
+// ---- Releases by hosts.
 
-// handleHostRelease handles a host's message that a task has ended, or that it rejected an offer.
+// handleHostRelease handles a host's message that a task has ended or that an offer is rejected.
 func (c *Core) handleHostRelease(conn *hostConnection, ref requestRef, a *taskAttempt, m *platform.Message) {
-	if conn.state != connectionHalfClosed { // else its host sends the release again on the next connection
+	if conn.state != connectionHalfClosed { // if it is, the host sends the release again on the next connection
 		c.emit(SendToHost{Connection: conn.id, Line: ackMessage(ref)})
 	}
 	switch {
@@ -135,8 +135,9 @@
 	}
 }
 
-// placedCause is the cause of the end of a placed task. One that neither migrated nor was ended by its owner was stopped
-// by the withdrawal of an earlier attempt here. Guards against a task that its owner takes for running.
+// placedCause returns the cause of the end of a placed task. If neither its owner nor the module has ended the task, but
+// its host reports CauseMigrated, the withdrawal of an earlier attempt on that host has stopped it. The cause is then
+// CauseReset, as the owner gets no release for CauseMigrated and would take the task for running.
 func (c *Core) placedCause(a *taskAttempt, cause platform.Cause) platform.Cause {
 	if cause == platform.CauseMigrated && a.request.phase == requestPlaced && c.abandoned.contains(a.key()) {
 		return platform.CauseReset
@@ -144,7 +145,7 @@
 	return cause
 }
 
-// handleUnboundRelease handles the release of an attempt that its host has not answered.
+// handleUnboundRelease handles the release of an attempt that its host has not answered before.
 func (c *Core) handleUnboundRelease(a *taskAttempt, m *platform.Message) {
 	end := attemptEnd{reason: rejectReason(m), report: loadReport(m)}
 	switch {
@@ -163,7 +164,8 @@
 	c.endAttempt(a, end)
 }
 
-// hasRun reports whether an attempt that ended without an answer is known to have run: by notes on it, or by why it ended.
+// hasRun reports whether an attempt that ended without an answer is known to have run. Notes on it show that, and so do
+// some causes and reasons of its end.
 func hasRun(a *taskAttempt, cause platform.Cause, reason forkhead.RejectReason) bool {
 	switch reason {
 	case forkhead.Evicted, forkhead.Preempted, forkhead.Dismissed:
@@ -172,9 +174,9 @@
 	return a.hasNotes || cause == platform.CauseOK || cause == platform.CauseMigrated
 }
 
-// finishUnanswered ends a request whose task has run and ended though the host's answer has not come. The protocol wants
-// such a task released to its owner within a second, so it is not offered again. It guards against an answer that is late
-// and comes behind its own release.
+// finishUnanswered ends a request whose task has run and ended before the host's answer has come. This happens if a
+// late answer arrives after the release of its own task. The protocol requires such a task to be released to its owner
+// within a second, so it is not offered again.
 func (c *Core) finishUnanswered(a *taskAttempt, end attemptEnd) {
 	r := a.request
 	end.input, end.result, end.final = attempt.Ended, forkhead.Reset, true
@@ -182,9 +184,9 @@
 	c.answer(r, attempt.AnsweredFailed, releaseMessage(r.ref, platform.CauseReset))
 }
 
-// ---- Notes and reports.
+// ---- Notes and load reports.
 
-// noteKinds are the kinds of notes by their names on the wire.
+// noteKinds maps the names of notes on the wire to their kinds.
 var noteKinds = map[platform.Note]forkhead.NoteKind{
 	platform.NoteRunning:        forkhead.NoteRunning,
 	platform.NoteCoresUsed:      forkhead.NoteCoresUsed,
@@ -193,7 +195,7 @@
 	platform.NoteMemoryPressure: forkhead.NoteMemoryPressure,
 }
 
-// rejectReasons are the reasons for which hosts reject and end tasks by their names on the wire.
+// rejectReasons maps the names on the wire of the reasons why hosts reject or end tasks.
 var rejectReasons = map[platform.RejectReason]forkhead.RejectReason{
 	platform.ReasonInsufficientCores:  forkhead.InsufficientCores,
 	platform.ReasonInsufficientMemory: forkhead.InsufficientMemory,
@@ -204,14 +206,14 @@
 	platform.ReasonDismissed:          forkhead.Dismissed,
 }
 
-// rejectReason is the reason of a release; NoReason: it has none that is known.
+// rejectReason returns the reason of a release, or NoReason if the release states none or an unknown one.
 func rejectReason(m *platform.Message) forkhead.RejectReason {
 	name, _ := m.Text(platform.FieldNote)
 	return rejectReasons[platform.RejectReason(name)]
 }
 
-// handleNote notifies the module of a host's note on a task. A note that is not known, or has no amount, only shows that
-// the task runs.
+// handleNote notifies the module of a host's note on a task. A note of an unknown kind or without an amount only shows
+// that the task runs.
 func (c *Core) handleNote(a *taskAttempt, m *platform.Message) {
 	a.hasNotes = true
 	name, _ := m.Text(platform.FieldNote)
@@ -224,13 +226,15 @@
 	c.notifyModule(forkhead.Note{Task: a.request.id, Attempt: a.number, Machine: a.host.id, Kind: kind, Amount: amount})
 }
 
-// loadFieldSettingsNames are the names that the settings give to values of a load report, where the protocol has other ones.
+// loadFieldSettingsNames maps fields of a load report to their names in the settings, where these differ from the
+// protocol.
 var loadFieldSettingsNames = map[platform.LoadField]string{
 	platform.LoadQueue:       "backlog",
 	platform.LoadUtilization: "utilization",
 }
 
-// loadReport reads the load report of a message; nil: it has none.
+// loadReport decodes the load report of a message, or returns nil if it has none. Values that are not numbers are
+// skipped.
 func loadReport(m *platform.Message) *forkhead.LoadReport {
 	text, _ := m.Text(platform.FieldLoad)
 	if text == "" {
--- a/internal/scheduler/platform/probe.go
+++ b/internal/scheduler/platform/probe.go
@@ -8,15 +8,16 @@
 	"forkhead"
 )
 
-// probe is a probe of a host that the module requested. It may be sent on two connections: one may be broken.
+// probe is a probe of a host that the module requested. It may be sent on a second connection, as the first may be
+// broken.
 type probe struct {
 	startedAt   time.Duration
-	retryAt     time.Duration // when it is sent on another connection; 0: it is not
+	retryAt     time.Duration // time at which it is sent on another connection; 0: not again
 	refs        []requestRef
-	connections []*hostConnection // that it was sent on
+	connections []*hostConnection // connections it was sent on
 }
 
-// executeProbe executes the module's Probe, unless one is in progress.
+// executeProbe executes the module's Probe, unless a probe of the host is in progress.
 func (c *Core) executeProbe(machine forkhead.MachineID) {
 	h := c.hosts[machine]
 	if h == nil || h.probe != nil {
@@ -26,7 +27,7 @@
 	c.sendProbeOnNextConnection(h)
 }
 
-// reconcileProbe ends the probe of a host when it has timed out, or sends it again.
+// reconcileProbe ends the probe of a host if it has timed out, or sends it again if that is due.
 func (c *Core) reconcileProbe(h *host) {
 	p := h.probe
 	switch {
@@ -39,8 +40,8 @@
 	}
 }
 
-// sendProbeOnNextConnection sends a probe on a connection that has not carried it: the least busy open one, else one that
-// is being dialed, else a new one.
+// sendProbeOnNextConnection sends a probe on a connection that it was not sent on before: on the least busy open one,
+// or else on one that is being dialed, or else on a new one.
 func (c *Core) sendProbeOnNextConnection(h *host) {
 	if conn := h.leastBusyWithoutProbe(); conn != nil {
 		c.sendProbe(conn)
@@ -60,6 +61,8 @@
 	}
 }
 
+// leastBusyWithoutProbe returns the open connection with the fewest offers in flight on which the current probe was not
+// sent, or nil if there is none.
 func (h *host) leastBusyWithoutProbe() *hostConnection {
 	var best *hostConnection
 	for _, conn := range h.connections {
@@ -70,7 +73,7 @@
 	return best
 }
 
-// sendProbe sends the probe of a host on a connection, if it has not ended meanwhile.
+// sendProbe sends the probe of a host on a connection, unless the probe has ended meanwhile.
 func (c *Core) sendProbe(conn *hostConnection) {
 	p := conn.host.probe
 	if p == nil {
@@ -80,10 +83,11 @@
 	p.connections = append(p.connections, conn)
 }
 
-// probeRefPrefix marks the refs of probes, for whoever reads a trace.
+// probeRefPrefix makes the refs of probes recognizable in a trace.
 const probeRefPrefix = 0x7e57 << 48
 
-// sendProbeMessage sends a probe under a new ref. Its connection is not idle then, even if nobody waits for the result.
+// sendProbeMessage sends a probe message under a new ref. It counts as use of the connection, even if no result is
+// awaited.
 func (c *Core) sendProbeMessage(conn *hostConnection) requestRef {
 	c.lastProbe++
 	ref := requestRef(fmt.Sprintf("%016x", probeRefPrefix|c.lastProbe))
--- a/internal/scheduler/platform/reconcile.go
+++ b/internal/scheduler/platform/reconcile.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// reconcile does what is due by time: it closes idle connections, ends what has timed out and advances a shutdown.
+// reconcile does the periodic work: it closes idle connections, ends what has timed out and advances a shutdown.
 func (c *Core) reconcile() {
 	c.reconcileOwners()
 	c.expireUndelivered()
@@ -21,7 +21,7 @@
 		c.reconcileConnection(conn)
 	}
 	c.reconcileProbe(h)
-	if len(h.attempts) > 0 { // few of many hosts have any, and a loop over an empty map has a cost
+	if len(h.attempts) > 0 { // most hosts have none, and iterating over an empty map has a cost
 		c.expireStops(h)
 	}
 	if c.expireUnlessListed(h) && len(h.attempts) > 0 {
@@ -29,7 +29,7 @@
 	}
 }
 
-// closeHalfClosed closes connections whose host has not closed them in time.
+// closeHalfClosed closes half-closed connections that their host has not closed in time.
 func (c *Core) closeHalfClosed() {
 	for _, conn := range slices.Clone(c.halfClosed) {
 		if c.now > conn.halfClosedAt+halfClosedTimeout {
@@ -38,7 +38,8 @@
 	}
 }
 
-// reconcileConnection closes a connection to a host on which a message has not ended, or that has been idle for too long.
+// reconcileConnection closes a connection to a host if a message on it has not ended in time or it has been idle for
+// too long.
 func (c *Core) reconcileConnection(conn *hostConnection) {
 	switch {
 	case conn.reader.isStuck(c.now, hostLineTimeout):
@@ -48,21 +49,21 @@
 	}
 }
 
-// idleTimeout is how long a connection to a host may be idle: well below the time after which its host closes it, as an
-// offer that crosses that close may have run.
+// idleTimeout returns how long a connection to a host may be idle. It is 3/5 of the time after which the host closes
+// the connection, as an offer that crosses the host's close may have run.
 func (c *Core) idleTimeout() time.Duration { return c.config.IdleTimeout * 3 / 5 }
 
-// closeIdle closes an idle connection before its host does. One that the ends of tasks are reported on is kept alive
-// instead, or replaced.
+// closeIdle closes an idle connection before its host does. A connection that is needed for the ends of tasks is kept
+// alive with a probe or replaced instead.
 func (c *Core) closeIdle(conn *hostConnection) {
 	h := conn.host
 	switch {
 	case !conn.isNeeded():
-		if !h.isReplacing() || !h.hasPlacedTasks() { // else it is closed once the new one is open
+		if !h.isReplacing() || !h.hasPlacedTasks() { // otherwise closeSuperseded closes it once the new one is open
 			c.halfClose(conn)
 		}
 	case c.settings.MayProbe:
-		// A host that drains accepts no new connection, and reports what becomes of its tasks on this one.
+		// A draining host accepts no new connection and reports the ends of its tasks on this one.
 		c.sendProbeMessage(conn)
 	case c.now >= h.redialAt:
 		c.dial(h, purposeReplacement)
--- a/internal/scheduler/platform/unresponsive.go
+++ b/internal/scheduler/platform/unresponsive.go
@@ -7,8 +7,8 @@
 	"forkhead"
 )
 
-// expireUnlessListed loses in time the tasks of a host that the endpoint list does not have, or has as removed, and
-// removes it. It returns whether the host is in service or drains.
+// expireUnlessListed handles a host that the endpoint list does not have, or has as removed: once its time is over, its
+// tasks count as lost and the host is deleted. It returns whether the list has the host as in service or draining.
 func (c *Core) expireUnlessListed(h *host) (listed bool) {
 	switch {
 	case h.unlistedSince > 0:
@@ -21,7 +21,7 @@
 	return true
 }
 
-// addUnlistedHost adds a host that an owner names before the endpoint list does; nil: there are too many.
+// addUnlistedHost adds a host that an owner names before the endpoint list does. It returns nil if there are too many.
 func (c *Core) addUnlistedHost(id forkhead.MachineID, name string) *host {
 	if c.unlistedHosts >= maxUnlistedHosts {
 		return nil
@@ -34,7 +34,8 @@
 	return h
 }
 
-// expireUnlisted loses the tasks of a host that is not listed in time, and removes it once it has none.
+// expireUnlisted ends the tasks of a host that is not listed in time as lost. A host without attempts is deleted
+// at once.
 func (c *Core) expireUnlisted(h *host) {
 	if c.now > h.unlistedSince+unlistedTimeout {
 		c.endLostTasks(h, reasonNotListed)
@@ -45,7 +46,7 @@
 	}
 }
 
-// expireRemoved loses the tasks of a removed host once it had time to report their ends, and removes it later.
+// expireRemoved ends the tasks of a removed host as lost once removedGrace is over, and deletes the host later.
 func (c *Core) expireRemoved(h *host) {
 	if c.now <= h.removedAt+removedGrace {
 		return
@@ -56,13 +57,13 @@
 	}
 }
 
-// reconcileResponsiveness dials a host with placed tasks that sends nothing or has no connection, to see whether it is
-// still there, and loses its tasks if it has accepted no connection for too long.
+// reconcileResponsiveness dials a host with placed tasks that sends nothing or has no open connection, to see whether
+// it is alive. If it has accepted no connection for too long, its tasks count as lost.
 func (c *Core) reconcileResponsiveness(h *host) {
 	if !h.hasPlacedTasks() || h.address == "" {
 		return
 	}
-	if h.lastSeenAliveAt == 0 { // it has never sent anything: unresponsive from now
+	if h.lastSeenAliveAt == 0 { // it has never sent anything: count from now
 		h.lastSeenAliveAt = c.now
 	}
 	switch unresponsiveFor := c.now - h.lastSeenAliveAt; {
@@ -80,14 +81,15 @@
 	}
 }
 
-// isLost reports whether a host has not been seen alive for too long and no connection to it could be made meanwhile.
-// A dial that is in progress is awaited a little longer.
+// isLost reports whether a host has not been seen alive for too long and no connection to it could be made meanwhile. A
+// dial in progress is awaited for up to lastDialBeforeLoss/2 longer.
 func (h *host) isLost(unresponsiveFor time.Duration) bool {
 	return unresponsiveFor > lostAfter && h.lastDialFailedAt > h.lastSeenAliveAt+unresponsiveAfter &&
 		(!h.isDialing() || unresponsiveFor > lostAfter+lastDialBeforeLoss/2)
 }
 
-// needsLastDial reports whether a host is about to be lost and has not been dialed since: it is then, whatever its backoff.
+// needsLastDial reports whether a host is about to be lost and no dial has failed in that last period. It is then
+// dialed regardless of its backoff.
 func (h *host) needsLastDial(unresponsiveFor time.Duration) bool {
 	return unresponsiveFor > lostAfter-lastDialBeforeLoss && h.lastDialFailedAt < h.lastSeenAliveAt+lostAfter-lastDialBeforeLoss
 }
