--- a/internal/scheduler/platform/decode.go
+++ b/internal/scheduler/platform/decode.go
@@ -12,21 +12,21 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// decodedRequest is the description of a task in a placement request or a hand-over.
+// decodedRequest is a decoded placement request or hand-over.
 type decodedRequest struct {
 	ref    requestRef
 	task   forkhead.Task
-	host   string // name of the host that runs the task already; "": none does
-	digest uint64 // equal for messages of the same content
+	host   string // name of the host that already runs the task; "": none does
+	digest uint64 // see requestDigest
 }
 
-// isHandOver reports whether a host runs the task already.
+// isHandOver reports whether the message hands over a task that a host already runs.
 func (d *decodedRequest) isHandOver() bool { return d.host != "" }
 
-// requestDecoder reads one part of a request; false: that is malformed. Parts are read in order: a later one may depend on
-// an earlier one.
+// requestDecoder decodes one part of a request. It returns false if that part is malformed.
 type requestDecoder func(c *Core, m *platform.Message, into *decodedRequest) bool
 
+// requestDecoders are called in order, as a part may depend on an earlier one.
 var requestDecoders = []requestDecoder{
 	(*Core).decodeClass,
 	(*Core).decodeTenant,
@@ -36,7 +36,7 @@
 	(*Core).decodeLifetime,
 }
 
-// decodeRequest reads a request; false: it is malformed.
+// decodeRequest decodes a request. It returns false if the request is malformed.
 func (c *Core) decodeRequest(m *platform.Message) (*decodedRequest, bool) {
 	if m.Description == nil {
 		return nil, false
@@ -66,7 +66,7 @@
 	return into.task.Tenant >= 0
 }
 
-// decodeKeys reads the identity of the task, and that a keyed class comes with an idempotency key.
+// decodeKeys decodes the identity of the task and checks that a task of a keyed class has an idempotency key.
 func (c *Core) decodeKeys(m *platform.Message, into *decodedRequest) (ok bool) {
 	key, _ := m.Text(platform.FieldTaskKey)
 	if into.task.Key, ok = parseHex(key); !ok {
@@ -76,7 +76,8 @@
 	return idempotencyKey != "" || c.settings.Classes[into.task.Class].Effect != forkhead.Keyed
 }
 
-// extraDecoders read the parts of FieldExtras; false: that is malformed. Parts that are not named here mean nothing.
+// extraDecoders decode the items of FieldExtras by their names and return false if the item is malformed. Items with
+// other names are ignored.
 var extraDecoders = map[platform.Extra]func(value string, into *decodedRequest) bool{
 	platform.ExtraCores: func(value string, into *decodedRequest) (ok bool) {
 		into.task.Cores, ok = parseNumber(value)
@@ -100,7 +101,7 @@
 	},
 }
 
-// decodeExtras reads the items of FieldExtras, in which no name may come twice.
+// decodeExtras decodes the items of FieldExtras, in which no name may occur twice.
 func (c *Core) decodeExtras(m *platform.Message, into *decodedRequest) bool {
 	extras, _ := m.Text(platform.FieldExtras)
 	seen := map[platform.Extra]bool{}
@@ -118,7 +119,7 @@
 	return seen[platform.ExtraCores] && seen[platform.ExtraMemory] && seen[platform.ExtraService]
 }
 
-// decodeTimeout reads how long the owner waits for the answer. A hand-over, which has none, may leave it out.
+// decodeTimeout decodes how long the owner waits for the answer. A hand-over gets no answer and may omit it.
 func (c *Core) decodeTimeout(m *platform.Message, into *decodedRequest) bool {
 	text, given := m.Text(platform.FieldTimeout)
 	if !given && into.isHandOver() {
@@ -132,7 +133,7 @@
 	return true
 }
 
-// decodeLifetime reads how long the task is expected to run, if that is known.
+// decodeLifetime decodes how long the task is expected to go on running. A missing or unusable value is ignored.
 func (c *Core) decodeLifetime(m *platform.Message, into *decodedRequest) bool {
 	text, _ := m.Text(platform.FieldLifetime)
 	if millis, ok := parseNumber(text); ok && millis <= maxLifetimeMillis {
@@ -141,7 +142,8 @@
 	return true
 }
 
-// requestDigest is equal for requests of the same content, however long their owners wait.
+// requestDigest returns a hash of the content of a request without its timeout, so that a resubmission has the same
+// digest.
 func requestDigest(m *platform.Message) uint64 {
 	digest := fnv.New64a()
 	digest.Write(m.Description)
@@ -154,13 +156,13 @@
 	return digest.Sum64()
 }
 
-// parseHex reads a number of at most 16 hex digits.
+// parseHex parses a number of at most 16 hex digits.
 func parseHex(text string) (number uint64, ok bool) {
 	number, err := strconv.ParseUint(text, 16, 64)
 	return number, err == nil && len(text) <= 16
 }
 
-// parseNumber reads a finite number from 0.
+// parseNumber parses a number from 0 to math.MaxFloat32.
 func parseNumber(text string) (number float64, ok bool) {
 	number, err := strconv.ParseFloat(text, 64)
 	return number, err == nil && number >= 0 && number <= math.MaxFloat32
--- a/internal/scheduler/platform/handover.go
+++ b/internal/scheduler/platform/handover.go
@@ -9,8 +9,8 @@
 	"forkhead/internal/scheduler/attempt"
 )
 
-// handleHandOver takes over a task that a host runs already. One that has ended, by what its host or the endpoint list has
-// reported, is released at once. A host that is not listed is waited for, as the endpoint list may be late.
+// handleHandOver takes over a task that a host already runs. A task that has ended, according to its host or the
+// endpoint list, is released at once. A host that is not listed yet is accepted, as the endpoint list may be late.
 func (c *Core) handleHandOver(owner *ownerConnection, decoded *decodedRequest) {
 	h := c.handOverHost(decoded.host)
 	if h == nil {
@@ -26,7 +26,8 @@
 	c.takeOver(owner, h, decoded)
 }
 
-// handOverHost is the host by a name; nil: no such host can run a task.
+// handOverHost returns the host with a name, and adds it if it is unknown. It returns nil if no host can have that
+// name, or if too many are unlisted.
 func (c *Core) handOverHost(name string) *host {
 	number, ok := platform.HostNumber(name)
 	if !ok {
@@ -37,14 +38,14 @@
 	if h == nil {
 		return c.addUnlistedHost(id, name)
 	}
-	if h.name != name { // another name with the same number
+	if h.name != name { // a different name with the same number
 		return nil
 	}
 	return h
 }
 
-// endBeforeHandOver is the cause of a task's end if that has come before its hand-over. It guards against a task that is
-// taken for running for ever, as its host reports the end once.
+// endBeforeHandOver returns the cause of a task's end if the task has ended before its hand-over. A host reports an end
+// only once, so without this check the task would count as running for ever.
 func (c *Core) endBeforeHandOver(h *host, ref requestRef) (cause platform.Cause, ended bool) {
 	if h.entry.State == forkhead.Removed && c.now > h.removedAt+removedGrace {
 		return platform.CauseReset, true
@@ -57,7 +58,7 @@
 	return platform.NoCause, false
 }
 
-// releaseHandedOver releases a task that has ended before its hand-over, unless its owner knows.
+// releaseHandedOver releases a task that has ended before its hand-over, unless its owner knows that it has ended.
 func (c *Core) releaseHandedOver(owner *ownerConnection, ref requestRef, cause platform.Cause) {
 	c.undelivered = slices.DeleteFunc(c.undelivered, func(m undeliveredMessage) bool { return m.ref == ref })
 	if cause != causeOwnerKnows {
@@ -65,7 +66,7 @@
 	}
 }
 
-// logSecondHandOver logs that a task is handed over that the host runs under another ref.
+// logSecondHandOver logs a hand-over of a task that the host already runs under another ref.
 func (c *Core) logSecondHandOver(h *host, decoded *decodedRequest) {
 	running := h.attemptsWhere(func(a *taskAttempt) bool { return a.isPlaced() && a.request.task.Key == decoded.task.Key })
 	for _, a := range running {
@@ -74,7 +75,7 @@
 	}
 }
 
-// takeOver adds a task that a host runs already.
+// takeOver adds a task that a host already runs.
 func (c *Core) takeOver(owner *ownerConnection, h *host, decoded *decodedRequest) {
 	r := c.newRequest(owner, decoded)
 	r.phase = requestPlaced
--- a/internal/scheduler/platform/owner.go
+++ b/internal/scheduler/platform/owner.go
@@ -13,23 +13,23 @@
 	id                OwnerID
 	reader            lineReader
 	acceptedAt        time.Duration
-	lastUsedAt        time.Duration // when it last sent a message that can be read
-	sentValid         bool          // it has sent a message that makes sense
-	malformedRequests int           // requests that did not
+	lastUsedAt        time.Duration // last time it sent a readable message
+	sentValid         bool          // it has sent a valid message
+	malformedRequests int           // number of malformed requests it has sent
 	openRequests      map[*request]struct{}
-	runningTasks      int // tasks that came on it and run
-	placedTotal       int // tasks that came on it and were placed or handed over, in all
+	runningTasks      int // number of running tasks whose requests or hand-overs came on it
+	placedTotal       int // number of all such tasks, including those that have ended
 }
 
-// ownerRank ranks connections of owners by their use until now: those of usual owners carry one task after the
-// other, and what becomes of these is sent on them.
+// ownerRank ranks connections of owners by their use so far; the lowest rank is evicted first. Regular owners send one
+// request after another on a connection and get the outcomes of their tasks on it.
 type ownerRank uint8
 
 const (
-	ownerWithoutValidMessage ownerRank = iota // it has sent nothing that makes sense
-	ownerWithoutTasks                         // nothing was placed for it
-	ownerWithoutRunningTasks                  // nothing that was placed for it runs any more
-	ownerWithRunningTasks                     // never evicted
+	ownerWithoutValidMessage ownerRank = iota // it has sent no valid message
+	ownerWithoutTasks                         // no task was placed for it
+	ownerWithoutRunningTasks                  // tasks were placed for it, but none runs any more
+	ownerWithRunningTasks                     // a task that was placed for it runs; never evicted
 )
 
 func (o *ownerConnection) rank() ownerRank {
@@ -48,12 +48,13 @@
 	return len(o.openRequests) == 0 && o.rank() < ownerWithRunningTasks
 }
 
-// isEvictedBefore reports whether a connection is closed before another one to free a slot.
+// isEvictedBefore reports whether a connection is closed before another one to free a slot: the one with the lower
+// rank, or else the least recently used.
 func (o *ownerConnection) isEvictedBefore(other *ownerConnection) bool {
 	return cmp.Or(cmp.Compare(o.rank(), other.rank()), cmp.Compare(o.lastUsedAt, other.lastUsedAt), cmp.Compare(o.id, other.id)) < 0
 }
 
-// ownerConnected accepts a connection of an owner, or closes it where all connection slots are taken.
+// ownerConnected accepts a connection of an owner, or closes it if no connection slot can be freed.
 func (c *Core) ownerConnected(id OwnerID) {
 	if !c.acquireOwnerSlot() {
 		c.emit(CloseOwnerConnection{id})
@@ -62,9 +63,10 @@
 	c.owners[id] = &ownerConnection{id: id, acceptedAt: c.now, lastUsedAt: c.now, openRequests: map[*request]struct{}{}}
 }
 
-// acquireOwnerSlot frees a slot for one more connection of an owner, if need be: an idle one to a host is evicted if there
-// are not too many owners, else one of the owners, by its rank. It guards against usual owners that are evicted for hundreds that
-// request once and stay: what became of their tasks could then be sent nowhere.
+// acquireOwnerSlot makes sure that there is a slot for one more connection of an owner, and reports whether there is.
+// If all are taken, it evicts an idle connection to a host, unless owners have all the connections that they may have,
+// or else the owner of the lowest rank. The rank keeps regular owners from being evicted in favor of hundreds that send
+// one request and stay connected: the outcomes of their tasks could then not be delivered.
 func (c *Core) acquireOwnerSlot() bool {
 	if len(c.owners) < c.config.MaxOwnerConnections {
 		if len(c.owners)+c.usedHostConnections() < c.config.MaxConnections {
@@ -83,7 +85,7 @@
 	return true
 }
 
-// ownerEvictionCandidate is the connection of an owner that is evicted first; nil: none may be.
+// ownerEvictionCandidate returns the connection of an owner that is evicted first, or nil if none may be evicted.
 func (c *Core) ownerEvictionCandidate() *ownerConnection {
 	var first *ownerConnection
 	for _, owner := range c.owners {
@@ -94,7 +96,7 @@
 	return first
 }
 
-// closeOwner closes a connection. Its open requests fail first.
+// closeOwner fails the open requests of a connection and closes it.
 func (c *Core) closeOwner(owner *ownerConnection) {
 	for _, r := range owner.requestsInOrder() {
 		c.notifyModule(forkhead.RequestCanceled{Task: r.id})
@@ -105,7 +107,8 @@
 	c.emit(CloseOwnerConnection{owner.id})
 }
 
-// ownerDisconnected handles the end of a connection that its owner closed: nobody waits for what is open on it.
+// ownerDisconnected handles the end of a connection that its owner closed. It cancels the open requests of the
+// connection, as nobody waits for their answers.
 func (c *Core) ownerDisconnected(id OwnerID) {
 	owner := c.owners[id]
 	if owner == nil {
@@ -117,12 +120,12 @@
 	}
 }
 
-// requestsInOrder lists the open requests of a connection in the order in which they came.
+// requestsInOrder returns the open requests of a connection in the order of their arrival.
 func (o *ownerConnection) requestsInOrder() []*request {
 	return slices.SortedFunc(maps.Keys(o.openRequests), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
 }
 
-// reconcileOwners closes connections that have sent nothing, or not ended a message, for too long.
+// reconcileOwners closes the connections that have timed out.
 func (c *Core) reconcileOwners() {
 	var late []*ownerConnection
 	for _, owner := range c.owners {
@@ -136,13 +139,14 @@
 	}
 }
 
+// hasTimedOut reports whether a connection has not ended a message, or not sent a first valid one, in time.
 func (o *ownerConnection) hasTimedOut(now time.Duration) bool {
 	return o.reader.isStuck(now, ownerLineTimeout) ||
 		!o.sentValid && len(o.openRequests) == 0 && now > o.acceptedAt+firstMessageTimeout
 }
 
-// hasPartialRequest reports whether an owner that has sent something valid is in the middle of a message: it must be
-// answered once that is complete.
+// hasPartialRequest reports whether an owner that has sent a valid message before is in the middle of another one,
+// which must be answered once it is complete.
 func (c *Core) hasPartialRequest() bool {
 	for _, owner := range c.owners {
 		if owner.sentValid && owner.reader.isPartial() {
@@ -152,7 +156,8 @@
 	return false
 }
 
-// countPlaced counts a task that runs for the connection that it came on, and sends there what could not be delivered.
+// countPlaced counts a running task for the connection that its request came on, and sends the undelivered messages
+// there.
 func (c *Core) countPlaced(r *request) {
 	owner := c.owners[r.owner]
 	if owner == nil {
@@ -163,14 +168,14 @@
 	c.deliverTo(owner)
 }
 
-// uncountPlaced takes a task that has ended off the count.
+// uncountPlaced removes a task from the running tasks of its connection.
 func (c *Core) uncountPlaced(r *request) {
 	if owner := c.owners[r.owner]; owner != nil {
 		owner.runningTasks--
 	}
 }
 
-// movePlaced makes a connection the one that the release of a placed task is sent on.
+// movePlaced moves a placed task to another connection, on which its release will be sent.
 func (c *Core) movePlaced(r *request, owner *ownerConnection) {
 	c.uncountPlaced(r)
 	r.owner = owner.id
--- a/internal/scheduler/platform/ownermessages.go
+++ b/internal/scheduler/platform/ownermessages.go
@@ -8,7 +8,7 @@
 		return
 	}
 	err := owner.reader.feed(c.now, input.Data, func(line []byte) error {
-		if c.owners[owner.id] == owner && len(line) > 0 { // an earlier line may have closed it
+		if c.owners[owner.id] == owner && len(line) > 0 { // an earlier line may have closed the connection
 			c.handleOwnerLine(owner, line)
 		}
 		return nil
@@ -39,7 +39,8 @@
 	}
 }
 
-// handleUnreadable rejects a request of which at least the ref can be read, and closes the connection for anything else.
+// handleUnreadable handles a message that cannot be decoded. It rejects a request with a readable and unused ref, and
+// closes the connection otherwise.
 func (c *Core) handleUnreadable(owner *ownerConnection, m *platform.Message) {
 	ref := requestRef(m.Ref)
 	if ref != "" && m.Type == platform.TypeRequest && c.requestsByRef[ref] == nil {
@@ -49,7 +50,7 @@
 	c.closeOwner(owner)
 }
 
-// rejectMalformed answers a request that cannot be used. A connection that sends too many of them is closed.
+// rejectMalformed answers a malformed request. A connection that sends too many of them is closed.
 func (c *Core) rejectMalformed(owner *ownerConnection, ref requestRef) {
 	c.emit(SendToOwner{owner.id, releaseMessage(ref, platform.CauseFailed)})
 	if owner.malformedRequests++; owner.malformedRequests > maxMalformedRequests {
@@ -57,14 +58,14 @@
 	}
 }
 
-// handleOwnerRelease handles the end of a placed task by its owner, on whatever connection it comes, or the cancellation of
-// an open request, only on the request's own connection; elsewhere that is acked and nothing more.
+// handleOwnerRelease handles an owner's release. It ends a placed task, whichever connection the release comes on. It
+// cancels an open request only on that request's own connection; on another one, it is acked and otherwise ignored.
 func (c *Core) handleOwnerRelease(owner *ownerConnection, ref requestRef) {
 	c.emit(SendToOwner{owner.id, ackMessage(ref)})
 	r := c.requestsByRef[ref]
 	switch {
 	case r == nil:
-		if !owner.sentValid { // there is nothing that it could mean
+		if !owner.sentValid { // a first message that releases an unknown ref is invalid
 			c.closeOwner(owner)
 		}
 	case r.phase != requestOpen:
@@ -74,14 +75,14 @@
 	}
 }
 
-// handleRequest handles a placement request, or the hand-over of a task that runs already.
+// handleRequest handles a placement request or the hand-over of a task that already runs.
 func (c *Core) handleRequest(owner *ownerConnection, m *platform.Message) {
 	ref := requestRef(m.Ref)
 	known := c.requestsByRef[ref]
 	decoded, ok := c.decodeRequest(m)
 	switch {
 	case !ok && known != nil && known.owner == owner.id:
-		c.closeOwner(owner) // an answer under this ref would be one to the known request
+		c.closeOwner(owner) // a rejection under this ref would be taken as the answer to the known request
 	case !ok:
 		c.rejectMalformed(owner, ref)
 	case known != nil:
@@ -102,19 +103,19 @@
 	c.openRequest(owner, decoded, m)
 }
 
-// handleKnownRef handles a request under the ref of one that is known.
+// handleKnownRef handles a request or hand-over whose ref belongs to a known request.
 func (c *Core) handleKnownRef(owner *ownerConnection, r *request, decoded *decodedRequest) {
 	switch {
 	case decoded.isHandOver() && r.task.Key == decoded.task.Key && r.phase != requestFinished:
-		// It names a task that runs here already, or that is being placed: nothing is answered, and its release will be
-		// sent on this connection. Guards against releasing a task that runs, as the hand-over differs from the request that it was
-		// placed by.
+		// A hand-over of a task that this placer has placed or is placing is not answered. The release of a placed task
+		// moves to this connection. The digest is not compared: a hand-over differs from the request that placed the
+		// task, and rejecting it would release a running task.
 		owner.sentValid = true
 		if r.phase == requestPlaced {
 			c.movePlaced(r, owner)
 		}
 	case r.digest == decoded.digest && (r.phase == requestOpen || r.phase == requestPlaced):
-		c.moveRequest(r, owner) // the same again: its connection was closed, or is being closed
+		c.moveRequest(r, owner) // a resubmission, as its earlier connection was closed or is being closed
 		owner.sentValid = true
 	case r.owner == owner.id:
 		c.closeOwner(owner)
@@ -123,13 +124,14 @@
 	}
 }
 
-// moveRequest makes a connection the one that an open request is answered on, or that the release of its task is sent on.
+// moveRequest moves a request to another connection, on which it will be answered or the release of its task will be
+// sent.
 func (c *Core) moveRequest(r *request, owner *ownerConnection) {
 	if r.phase == requestPlaced {
 		c.movePlaced(r, owner)
 		return
 	}
-	if before := c.owners[r.owner]; before != nil { // always: a connection that ends takes its open requests along
+	if before := c.owners[r.owner]; before != nil { // always true: the open requests of a connection end with it
 		delete(before.openRequests, r)
 		owner.openRequests[r] = struct{}{}
 	}
--- a/internal/scheduler/platform/placed.go
+++ b/internal/scheduler/platform/placed.go
@@ -8,25 +8,25 @@
 	"forkhead/internal/scheduler/attempt"
 )
 
-// reportedEnd is what is remembered of the end of a task: CauseOK, CauseReset or CauseMigrated, as its host has reported it,
-// or causeOwnerKnows.
+// reportedEnd records the end of a task. Its cause is CauseOK, CauseReset or CauseMigrated as reported by the host, or
+// causeOwnerKnows.
 type reportedEnd struct {
 	attemptKey
 	cause platform.Cause
 }
 
-// causeOwnerKnows is remembered of a task whose owner knows that it has ended: to a hand-over that comes after its end
-// nothing is sent, as after a migration that the host has reported.
+// causeOwnerKnows marks a task whose owner knows that it has ended. A hand-over after its end is not answered, as after
+// a migration that the host has reported, so it shares that cause.
 const causeOwnerKnows = platform.CauseMigrated
 
-// possibleOrphan is an attempt whose answer was lost with its connection: its host may run the task.
+// possibleOrphan identifies an attempt whose answer was lost with its connection. Its host may run the task.
 type possibleOrphan struct {
 	host *host
 	ref  requestRef
 }
 
-// stopPossibleOrphans stops tasks that may run though no answer came, as nothing else would end them. A task that was
-// offered to the same host again is that host's to sort out.
+// stopPossibleOrphans stops tasks that may run although no answer came, as nothing else would end them. A task that has
+// been offered to the same host again is left to that host, which resolves the duplicate.
 func (c *Core) stopPossibleOrphans() {
 	for _, orphan := range c.possibleOrphans {
 		if conn := orphan.host.leastBusyConnection(); conn != nil && orphan.host.attempts[orphan.ref] == nil {
@@ -36,12 +36,12 @@
 	c.possibleOrphans = c.possibleOrphans[:0]
 }
 
-// sendStop notifies a host that an offer is withdrawn, or that a task is to end.
+// sendStop instructs a host to drop an offer or to end a task.
 func (c *Core) sendStop(conn *hostConnection, ref requestRef) {
 	c.emit(SendToHost{Connection: conn.id, Line: stopMessage(ref)})
 }
 
-// executeStop executes the module's Stop: the task ends, and its owner requests it again.
+// executeStop executes the module's Stop: it stops the task and notifies the owner, which then requests it again.
 func (c *Core) executeStop(id forkhead.TaskID) {
 	if r := c.requests[id]; r != nil && r.phase == requestPlaced {
 		c.notifyOwner(r, migrateMessage(r.ref))
@@ -49,8 +49,8 @@
 	}
 }
 
-// beginStop begins to stop a placed task at its host. The host's answer, or the stop's deadline without one, ends it:
-// finishTask then makes the outcome.
+// beginStop starts stopping a placed task on its host. The host's answer or the deadline of the stop completes it, and
+// finishTask then notifies the module of the outcome.
 func (c *Core) beginStop(r *request) {
 	a := r.placedAttempt()
 	if a == nil || r.phase != requestPlaced {
@@ -60,8 +60,8 @@
 	c.sendOrDeferStop(a)
 }
 
-// sendOrDeferStop sends the stop of a task to its host, if a connection is open; if not, sendDeferredStops does on the next
-// one.
+// sendOrDeferStop sends the stop of a task to its host if a connection is open. If none is, sendDeferredStops sends the
+// stop on the next one.
 func (c *Core) sendOrDeferStop(a *taskAttempt) {
 	a.stopDeadline = c.now + stopTimeout
 	if conn := a.host.leastBusyConnection(); conn != nil {
@@ -70,7 +70,8 @@
 	}
 }
 
-// expireStops ends tasks whose host has not confirmed in time that they are stopped, or could not be sent the stop.
+// expireStops ends tasks whose host has not confirmed the stop in time, or could not be sent it within
+// undeliveredTimeout after that.
 func (c *Core) expireStops(h *host) {
 	expired := h.attemptsWhere(func(a *taskAttempt) bool {
 		return a.request.phase == requestEnding &&
@@ -81,8 +82,8 @@
 	}
 }
 
-// finishTask ends a placed task, by its host's report or by what proves that it has ended, and releases it to its owner,
-// unless the owner or the module has ended it. Of end only the reason and the report are taken.
+// finishTask ends a placed task, as its host has reported the end or something else proves it. It releases the task to
+// its owner, unless the owner or the module has ended the task. Only reason and report of end are used.
 func (c *Core) finishTask(a *taskAttempt, cause platform.Cause, end attemptEnd) {
 	r := a.request
 	cause = endCause(cause)
@@ -97,7 +98,7 @@
 	c.endAttempt(a, end)
 }
 
-// taskResult is the result of a placed task that ended in this phase of its request.
+// taskResult returns the result of a placed task that ended with a cause while its request was in a phase.
 func taskResult(phase requestPhase, cause platform.Cause) forkhead.Result {
 	switch {
 	case phase == requestEnding || cause == platform.CauseMigrated:
@@ -108,7 +109,8 @@
 	return forkhead.Reset
 }
 
-// endCause is the cause of the end of a placed task: whatever is neither CauseOK nor CauseMigrated is CauseReset.
+// endCause returns the cause of the end of a placed task: CauseOK and CauseMigrated as they are, and CauseReset for any
+// other.
 func endCause(cause platform.Cause) platform.Cause {
 	if cause == platform.CauseOK || cause == platform.CauseMigrated {
 		return cause
@@ -116,7 +118,7 @@
 	return platform.CauseReset
 }
 
-// endLostTasks ends the placed tasks of a host that cannot run them any more.
+// endLostTasks ends the placed tasks of a host that counts as lost, and logs the reason.
 func (c *Core) endLostTasks(h *host, reason logReason) {
 	lost := h.attemptsWhere((*taskAttempt).isPlaced)
 	for _, a := range lost {
--- a/internal/scheduler/platform/request.go
+++ b/internal/scheduler/platform/request.go
@@ -9,32 +9,32 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// requestPhase is what is awaited for a placement request.
+// requestPhase is the phase of a placement request, named by what it awaits or has reached.
 type requestPhase uint8
 
 const (
-	requestOpen     requestPhase = iota // the answer to its owner
-	requestPlaced                       // the end of its task, which a host runs
-	requestEnding                       // its host's confirmation that the task is stopped, as its owner or the module wants
-	requestFinished                     // nothing: it can be removed once none of its attempts is in flight
+	requestOpen     requestPhase = iota // its owner waits for the answer
+	requestPlaced                       // a host runs its task
+	requestEnding                       // its owner or the module has ended its task; the host's confirmation is awaited
+	requestFinished                     // nothing is awaited: it is removed once none of its attempts is in flight
 )
 
-// request is one placement request of an owner, or a task that was handed over.
+// request is a placement request of an owner or a task that was handed over.
 type request struct {
-	id          forkhead.TaskID // its number at this placer
+	id          forkhead.TaskID // number of the request at this placer
 	ref         requestRef
-	owner       OwnerID // connection that it came on last; it may be closed
+	owner       OwnerID // connection that it last came on; it may be closed
 	task        forkhead.Task
 	class       *forkhead.Class
-	digest      uint64           // of what its owner sent, to recognize a resubmission
-	description []byte           // forwarded to hosts as it came; nil once it is answered
-	hostFields  []platform.Field // forwarded to hosts as they came; nil once it is answered
+	digest      uint64           // hash of what its owner sent, to recognize a resubmission
+	description []byte           // forwarded to hosts unchanged; nil once the request is answered
+	hostFields  []platform.Field // forwarded to hosts unchanged; nil once the request is answered
 	lifecycle   attempt.Request  // state machine of its answer and its attempts
-	attempts    []*taskAttempt   // by number; nil: never started
+	attempts    []*taskAttempt   // indexed by number; nil: never started
 	phase       requestPhase
 }
 
-// newRequest adds a request, which is open and has no attempts.
+// newRequest adds an open request without attempts.
 func (c *Core) newRequest(owner *ownerConnection, decoded *decodedRequest) *request {
 	c.lastTask++
 	decoded.task.ID = c.lastTask
@@ -51,13 +51,13 @@
 	return r
 }
 
-// isBusy reports whether a further request of an owner must be rejected.
+// isBusy reports whether a further request of an owner must be rejected because of a limit or a shutdown.
 func (c *Core) isBusy(owner *ownerConnection) bool {
 	return c.unanswered >= maxOpenRequests || len(owner.openRequests) >= maxOpenRequestsPerOwner ||
 		c.shutdown.rejectsRequests(c.now)
 }
 
-// openRequest opens a request and gives it to the module.
+// openRequest adds a request and passes it to the module.
 func (c *Core) openRequest(owner *ownerConnection, decoded *decodedRequest, m *platform.Message) {
 	r := c.newRequest(owner, decoded)
 	r.description = m.Description
@@ -68,7 +68,7 @@
 	c.notifyModule(forkhead.PlacementRequest{Task: r.task})
 }
 
-// forwardedFields are those of an owner's request that hosts get, as they came.
+// forwardedFields returns the fields of an owner's request that are forwarded to hosts, unchanged.
 func forwardedFields(m *platform.Message, effect forkhead.Effect) []platform.Field {
 	names := []platform.FieldName{platform.FieldClass, platform.FieldTaskKey}
 	if effect == forkhead.Keyed {
@@ -94,22 +94,23 @@
 	c.answer(r, attempt.AnsweredRejected, rejectMessage(r.ref, action.RetryAfter))
 }
 
-// failRequest executes the module's Fail: it answers an open request and leaves open what ran.
+// failRequest answers an open request as failed, which states nothing about whether its task ran. It also executes the
+// module's Fail.
 func (c *Core) failRequest(id forkhead.TaskID) {
 	r := c.requests[id]
 	if r == nil || r.phase != requestOpen {
 		return
 	}
-	c.checkAnswerOrWithdraw(r, attempt.AnsweredFailed) // even if it is not legal yet: then it is once nothing is in flight
+	c.checkAnswerOrWithdraw(r, attempt.AnsweredFailed) // an illegal answer becomes legal once nothing is in flight
 	c.answer(r, attempt.AnsweredFailed, releaseMessage(r.ref, platform.CauseFailed))
 }
 
-// checkAnswerOrWithdraw reports whether an open request may have this answer now. If not, it logs the violation and withdraws
-// whatever is in flight, so that the request can be failed.
+// checkAnswerOrWithdraw reports whether an open request may be answered like this now. If not, it logs the violation
+// and withdraws all attempts in flight, so that the request can be failed.
 func (c *Core) checkAnswerOrWithdraw(r *request, answer attempt.Answer) bool {
 	if !c.settings.MayWithdraw {
-		// An attempt that may not be withdrawn is in flight until its owner stops waiting, which is when the module answers:
-		// nothing more is awaited, and its host is sent nothing.
+		// An attempt that may not be withdrawn stays in flight until its owner stops waiting, which is when the module
+		// answers. No outcome is awaited after that, and nothing is sent to the host.
 		c.withdrawAll(r, forkhead.Withdrawn, true)
 	}
 	violation := invariant.CheckAnswer(&r.lifecycle, answer == attempt.AnsweredRejected)
@@ -121,14 +122,14 @@
 	return false
 }
 
-// answer ends an open request that was not placed.
+// answer answers and closes an open request that was not placed.
 func (c *Core) answer(r *request, answer attempt.Answer, message []byte) {
 	r.lifecycle.Finish(answer == attempt.AnsweredRejected)
 	c.closeRequest(r, requestFinished)
 	c.notifyOwner(r, message)
 }
 
-// closeRequest moves a request that is open to its next phase.
+// closeRequest moves an open request to its next phase.
 func (c *Core) closeRequest(r *request, next requestPhase) {
 	r.phase = next
 	c.unanswered--
@@ -141,16 +142,16 @@
 	}
 }
 
-// cancelRequest ends an open request whose owner does not wait for its answer any more.
+// cancelRequest closes an open request whose owner no longer waits for its answer.
 func (c *Core) cancelRequest(r *request) {
 	c.notifyModule(forkhead.RequestCanceled{Task: r.id})
 	c.closeRequest(r, requestFinished)
-	r.lifecycle.Finish(false) // its lifecycle has no end of its own for a canceled request: it counts as AnsweredFailed
+	r.lifecycle.Finish(false) // the lifecycle has no answer for a canceled request, which counts as AnsweredFailed
 	c.withdrawAll(r, forkhead.Withdrawn, true)
 }
 
-// handleDeadline ends all attempts of an open request at the timeout of one of them, or at the request's deadline. The module
-// answers by the deadline; if it does not, the request fails.
+// handleDeadline withdraws all attempts of an open request at the timeout of one of them or at the request's deadline.
+// A request that the module has not answered by its deadline fails.
 func (c *Core) handleDeadline(id forkhead.TaskID) {
 	r := c.requests[id]
 	if r == nil || r.phase != requestOpen {
@@ -165,7 +166,7 @@
 	}
 }
 
-// placedAttempt is the attempt whose host runs the task; nil: none does.
+// placedAttempt returns the attempt whose host runs the task, or nil if none does.
 func (r *request) placedAttempt() *taskAttempt {
 	for _, a := range r.attempts {
 		if a != nil && a.isPlaced() {
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// removeFinished removes requests that get no further messages.
+// removeFinished removes the finished requests for which no further message is expected.
 func (c *Core) removeFinished() {
 	for _, r := range c.finished {
 		if r.phase != requestFinished || r.lifecycle.HasAttemptInFlight() || r.placedAttempt() != nil {
--- a/internal/scheduler/platform/shutdown.go
+++ b/internal/scheduler/platform/shutdown.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// shutdown is how far the end of this placer has come.
+// shutdown is the progress of this placer's shutdown.
 type shutdown struct {
 	requestedAt    time.Duration // 0: not requested
 	listenerClosed bool
@@ -14,13 +14,14 @@
 	}
 }
 
-// rejectsRequests reports whether requests are rejected, as this placer will not be there to answer.
+// rejectsRequests reports whether new requests are rejected because this placer may exit before it answers them.
 func (s *shutdown) rejectsRequests(now time.Duration) bool {
 	return s.requestedAt > 0 && now > s.requestedAt+listenAfterShutdown
 }
 
-// reconcileShutdown closes the listener some time after a shutdown was requested, and completes it when no request is open
-// and no owner is in the middle of sending one.
+// reconcileShutdown closes the listener listenAfterShutdown after a shutdown was requested. It completes the shutdown
+// when no request is open and no owner is in the middle of sending one; a message that does not end delays it by at
+// most ownerLineTimeout.
 func (c *Core) reconcileShutdown() {
 	s := &c.shutdown
 	if s.requestedAt == 0 {
--- a/internal/scheduler/platform/undelivered.go
+++ b/internal/scheduler/platform/undelivered.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// undeliveredMessage is a message about a request that no connection of an owner could take yet.
+// undeliveredMessage is a message about a request for which no suitable connection of an owner was open yet.
 type undeliveredMessage struct {
 	ref       requestRef
 	line      []byte
 	expiresAt time.Duration
 }
 
-// notifyOwner sends a message about a request to its owner: on the connection that it came on, else on the one that most
-// tasks were placed for, else on the next one that a task is placed for. It returns whether one of the first two was
-// there.
+// notifyOwner sends a message about a request to its owner: on the connection that the request came on, or else on the
+// one that most tasks were placed for. If neither is open, the message is kept for the next connection that a task is
+// placed for, and sent is false.
 func (c *Core) notifyOwner(r *request, line []byte) (sent bool) {
 	if c.owners[r.owner] != nil {
 		c.emit(SendToOwner{r.owner, line})
@@ -27,7 +27,8 @@
 	return false
 }
 
-// busiestOwner is the connection that most tasks were placed for, of those that sent nothing malformed; nil: none were.
+// busiestOwner returns the connection that most tasks were placed for, leaving out those that sent a malformed request,
+// or nil if no task was placed for any.
 func (c *Core) busiestOwner() *ownerConnection {
 	var best *ownerConnection
 	for _, owner := range c.owners {
@@ -41,7 +42,7 @@
 	return best
 }
 
-// deliverTo sends a connection what no other could take.
+// deliverTo sends all undelivered messages on a connection.
 func (c *Core) deliverTo(owner *ownerConnection) {
 	for _, m := range c.undelivered {
 		c.emit(SendToOwner{owner.id, m.line})
@@ -49,7 +50,7 @@
 	c.undelivered = nil
 }
 
-// expireUndelivered drops messages that it is too late for.
+// expireUndelivered drops the undelivered messages that have expired.
 func (c *Core) expireUndelivered() {
 	for len(c.undelivered) > 0 && c.undelivered[0].expiresAt < c.now {
 		c.undelivered = c.undelivered[1:]
