--- a/internal/scheduler/platform/bench_test.go
+++ b/internal/scheduler/platform/bench_test.go
@@ -8,7 +8,8 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// BenchmarkCoreStepAtRest is a step without inputs: 400 hosts, 100 of them with a connection and four placed tasks.
+// BenchmarkCoreStepAtRest measures a step without inputs, with 400 hosts of which 100 have a connection and four placed
+// tasks.
 func BenchmarkCoreStepAtRest(b *testing.B) {
 	w := newTestCore(b, func(cfg *Config) {
 		cfg.MaxOwnerConnections, cfg.ProtectedOwnerConnections, cfg.MaxHostConnections, cfg.MaxConnections = 200, 100, 400, 500
@@ -30,7 +31,7 @@
 	w.step()
 	w.connectDialed()
 	if len(w.core.connections) != 100 {
-		b.Fatalf("%d connections", len(w.core.connections))
+		b.Fatalf("after hand-overs on 100 hosts: got %d connections to hosts, want 100", len(w.core.connections))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/scheduler/platform/core_test.go
+++ b/internal/scheduler/platform/core_test.go
@@ -8,9 +8,9 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// Once its shutdown is requested, a placer serves as long as requests come, rejects later ones at once, answers all and
-// completes.
-func TestCoreShutdown(t *testing.T) {
+// After a shutdown request, a placer accepts requests for listenAfterShutdown, rejects later ones at once, answers all
+// open ones and then completes the shutdown.
+func TestCoreAnswersOpenRequestsBeforeShutdownCompletes(t *testing.T) {
 	w := newTestCore(t, nil)
 	o := w.connectOwner()
 	w.step(ShutdownRequested{})
@@ -27,26 +27,26 @@
 	}
 	tick(600 * time.Millisecond)
 	if closed {
-		t.Fatal("it stops listening while requests come")
+		t.Fatal("600 ms after the shutdown request: listener closed, want it open")
 	}
 	tick(700 * time.Millisecond)
 	w.wantLines(sentLines[SendToOwner](w.send(o, requestLine(ref2, "keyed", ""))), "down "+ref2+" 42")
 	if !closed || complete {
-		t.Fatal("it listens on, or completes with a request open")
+		t.Fatalf("1.3 s after the shutdown request, with an open request: listener closed %v, want true; shutdown complete %v, want false", closed, complete)
 	}
 	w.step(fromHost(conn, boundLine(ref1)))
 	tick(200 * time.Millisecond)
 	if !complete {
-		t.Error("it does not complete")
+		t.Error("200 ms after the last answer: shutdown not complete, want it complete")
 	}
 }
 
-// New refs, connections and hosts, again and again, leave no state behind.
-func TestCoreForgetsWhatIsOver(t *testing.T) {
+// State of finished requests, closed connections and removed hosts must not accumulate over 20000 requests.
+func TestCoreKeepsNoStateOfFinishedRequests(t *testing.T) {
 	w := newTestCore(t, nil)
 	seq := uint64(1)
 	for i := range 20000 {
-		if i%100 == 0 { // hosts under new names, some at the address of one that is removed
+		if i%100 == 0 { // a host with a new name, possibly at the address of a removed one
 			n := 10 + i/100
 			seq++
 			removed := endpoint(n-1, platform.Terminated)
@@ -77,9 +77,11 @@
 	w.advance(time.Minute)
 	c := w.core
 	if n := len(c.requests) + len(c.requestsByRef) + len(c.attemptsByService) + len(c.owners) + len(c.undelivered) + c.unanswered + c.timers.Len(); n != 0 {
-		t.Errorf("%d requests, refs, services, owners, messages and timers are left", n)
+		t.Errorf("after the last request has ended: got %d requests, refs, services, owners, undelivered messages and timers in total, want 0", n)
 	}
 	if len(c.hosts) > 6 || len(c.connections) > maxConnectionsPerHost || len(c.abandoned.ring) > maxRemembered || len(c.abandoned.counts) > maxRemembered {
-		t.Errorf("%d hosts, %d connections, %d abandoned attempts", len(c.hosts), len(c.connections), len(c.abandoned.counts))
+		t.Errorf("after the last request has ended: got %d hosts, want at most 6; %d connections to hosts, want at most %d; "+
+			"%d abandoned attempts (%d distinct), want at most %d", len(c.hosts), len(c.connections), maxConnectionsPerHost,
+			len(c.abandoned.ring), len(c.abandoned.counts), maxRemembered)
 	}
 }
--- a/internal/scheduler/platform/linereader_test.go
+++ b/internal/scheduler/platform/linereader_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// A line that arrives in pieces is timed from its first byte. If later pieces reset the time, a sender could keep a line
+// open for ever.
 func TestLineReaderMeasuresPartialLines(t *testing.T) {
 	var reader lineReader
 	var lines []string
@@ -16,15 +18,17 @@
 		}
 	}
 	feed(1*time.Second, "one\ntw")
-	feed(2*time.Second, "o") // the line has begun at 1 s all the same
+	feed(2*time.Second, "o") // does not change that the line began at 1 s
 	if !reader.isPartial() || reader.isStuck(2*time.Second, time.Second) || !reader.isStuck(2*time.Second+1, time.Second) {
-		t.Errorf("a line is partial since %v, want 1s", reader.partialSince)
+		t.Errorf("at 2 s, after a partial line that began at 1 s: partialSince = %v, want 1s; isPartial() = %v, want true; "+
+			"isStuck with a timeout of 1 s: want false at 2 s and true after it", reader.partialSince, reader.isPartial())
 	}
 	feed(3*time.Second, "\n")
 	if reader.isPartial() || reader.isStuck(time.Hour, time.Second) {
-		t.Error("a line that has ended counts as partial")
+		t.Errorf("after the end of the line: isPartial() = %v, isStuck an hour later = %v, want false for both",
+			reader.isPartial(), reader.isStuck(time.Hour, time.Second))
 	}
 	if want := []string{"one", "two"}; !slices.Equal(lines, want) {
-		t.Errorf("lines %q, want %q", lines, want)
+		t.Errorf("feed(%q, %q, %q): got lines %q, want %q", "one\ntw", "o", "\n", lines, want)
 	}
 }
--- a/internal/scheduler/platform/log_test.go
+++ b/internal/scheduler/platform/log_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// logTexts are the constants of log.go whose name begins with a prefix, by their name.
+// logTexts returns the values of the constants of log.go whose names begin with a prefix, by name.
 func logTexts(t *testing.T, prefix string) map[string]string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "log.go", nil, 0)
@@ -35,7 +35,7 @@
 	return texts
 }
 
-// Whoever is on call finds every message, reason and key in the operators' page.
+// Every log message, reason and attribute key must be documented in docs/ops/node.md, where operators look them up.
 func TestLogTextsAreInTheOperatorsPage(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/ops/node.md")
 	if err != nil {
@@ -44,11 +44,11 @@
 	for prefix, quote := range map[string]string{"message": "`", "reason": `"`, "key": "`"} {
 		texts := logTexts(t, prefix)
 		if len(texts) == 0 {
-			t.Errorf("log.go has no constants %s...", prefix)
+			t.Errorf("log.go: got no constant whose name begins with %q, want at least one", prefix)
 		}
 		for name, text := range texts {
 			if !strings.Contains(string(page), quote+text+quote) {
-				t.Errorf("the page lacks %s: %s%s%s", name, quote, text, quote)
+				t.Errorf("docs/ops/node.md lacks the value of %s, want %s%s%s in it", name, quote, text, quote)
 			}
 		}
 	}
@@ -57,6 +57,6 @@
 func TestLogStringHasMessageAndAttributes(t *testing.T) {
 	line := Log{Message: "offer vetoed", Attributes: []slog.Attr{taskAttr(7), hostAttr("s-1"), errorAttr(errors.New("fit: no"))}}
 	if got, want := line.String(), "offer vetoed task=7 host=s-1 error=fit: no"; got != want {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("String() = %q, want %q", got, want)
 	}
 }
--- a/internal/scheduler/platform/testcore_test.go
+++ b/internal/scheduler/platform/testcore_test.go
@@ -12,26 +12,26 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// testCore is a core under a test's clock, with a function of the test in the module's place.
+// testCore is a core with a clock that the test advances and a function of the test in place of the module.
 type testCore struct {
 	t         testing.TB
 	core      *Core
 	now       time.Duration
-	events    []forkhead.Event // that the module got and takeEvents has not taken
+	events    []forkhead.Event // events that the module received and takeEvents has not returned
 	decide    func(ev forkhead.Event) []forkhead.Action
-	outputs   []Output // of the last step
+	outputs   []Output // outputs of the last step
 	lastOwner OwnerID
 }
 
-// endpoint is host n as the endpoint list has it.
+// endpoint returns the entry of host n in the endpoint list.
 func endpoint(n int, state platform.EndpointState) platform.Endpoint {
 	return platform.Endpoint{
 		Name: fmt.Sprintf("s-%08x", n), Address: fmt.Sprintf("10.0.0.%d:1", n), Zone: "z", MachineType: "std", Cell: n, State: state, Available: []float64{8, 8},
 	}
 }
 
-// newTestCore returns a core with two hosts, with its configuration changed by change; nil: as it is. The module offers
-// each task to host 1.
+// newTestCore returns a core with two hosts, whose module offers each task to host 1. change modifies the configuration
+// before the core is created; it may be nil.
 func newTestCore(t testing.TB, change func(*Config)) *testCore {
 	t.Helper()
 	w := &testCore{t: t, now: time.Hour}
@@ -76,13 +76,13 @@
 	return w
 }
 
-// step steps the core now.
+// step runs a step of the core at the current time.
 func (w *testCore) step(in ...Input) []Output {
 	w.outputs = w.core.Step(w.now, in...)
 	return w.outputs
 }
 
-// advance lets time pass, with a step whenever the core wants one.
+// advance lets time pass and steps the core whenever Next says so, but at most once per millisecond.
 func (w *testCore) advance(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.now = min(end, max(w.core.Next(), w.now+time.Millisecond))
@@ -90,27 +90,27 @@
 	}
 }
 
-// connectOwner opens a connection of an owner.
+// connectOwner opens a connection of an owner and returns its id.
 func (w *testCore) connectOwner() OwnerID {
 	w.lastOwner++
 	w.step(OwnerConnected{w.lastOwner})
 	return w.lastOwner
 }
 
-// send sends a line of an owner.
+// send delivers a line from an owner.
 func (w *testCore) send(owner OwnerID, line string) []Output {
 	return w.step(OwnerData{owner, []byte(line + "\n")})
 }
 
 const ownerProbe = `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`
 
-// requestLine is a placement request, with more at the end of its extras.
+// requestLine returns a placement request; more is appended to its extras.
 func requestLine(ref, class, more string) string {
 	return fmt.Sprintf(`{"t":"new","ref":"%s","f":{"class":"%s","left":"1500","tenant":"acme","key":"7f3a9c21e0b4d655","idem":"aa","extras":"cores:1;memory:2;service:00000000b4d65521%s"},"d":"a\ud800\r\nb"}`,
 		ref, class, more)
 }
 
-// connectDialed lets the dials of the last step succeed.
+// connectDialed makes the dials of the last step succeed.
 func (w *testCore) connectDialed() []Output {
 	var in []Input
 	for _, o := range w.outputs {
@@ -121,7 +121,7 @@
 	return w.step(in...)
 }
 
-// failDials lets the dials of host 1 fail.
+// failDials makes the pending dials of host 1 fail.
 func (w *testCore) failDials(refused bool) {
 	for _, l := range slices.Clone(w.core.hosts[1].connections) {
 		if l.state == connectionDialing {
@@ -130,7 +130,7 @@
 	}
 }
 
-// sentLines are the lines that outputs send to owners or hosts, as type, ref and cause.
+// sentLines returns the lines that outputs send to owners or hosts, each as its type, ref and cause.
 func sentLines[T SendToOwner | SendToHost](out []Output) []string {
 	var all []string
 	for _, o := range out {
@@ -158,7 +158,7 @@
 	return all
 }
 
-// ofType are the outputs of one type.
+// ofType returns the outputs of one type.
 func ofType[T any](out []Output) []T {
 	var all []T
 	for _, o := range out {
@@ -169,7 +169,7 @@
 	return all
 }
 
-// takeEvents takes the events of one type that the module got since the last call.
+// takeEvents removes and returns the events of one type that the module has received since the last call.
 func takeEvents[T forkhead.Event](w *testCore) []T {
 	var all []T
 	w.events = slices.DeleteFunc(w.events, func(ev forkhead.Event) bool {
@@ -182,11 +182,11 @@
 	return all
 }
 
-// wantLines fails the test if lines are not those that it wants.
+// wantLines fails the test if got, as returned by sentLines, differs from want.
 func (w *testCore) wantLines(got []string, want ...string) {
 	w.t.Helper()
 	if !slices.Equal(got, want) {
-		w.t.Fatalf("got %q, want %q", got, want)
+		w.t.Fatalf("lines sent: got %q, want %q", got, want)
 	}
 }
 
@@ -196,7 +196,7 @@
 	ref3 = "9b1f03aa5c7e2d43"
 )
 
-// placeTask places the task of ref1 on host 1 and returns the connections of its owner and to its host.
+// placeTask places the task of ref1 on host 1 and returns the connection of its owner and the one to its host.
 func (w *testCore) placeTask() (owner OwnerID, conn ConnectionID) {
 	w.t.Helper()
 	owner = w.connectOwner()
@@ -210,7 +210,7 @@
 	return owner, conn
 }
 
-// fieldsOf are the fields of a line, with its description as d.
+// fieldsOf returns the fields of a line, and its description under the name d.
 func fieldsOf(line []byte) map[string]json.RawMessage {
 	var m struct{ F, D json.RawMessage }
 	_ = json.Unmarshal(line, &m)
@@ -220,33 +220,33 @@
 	return f
 }
 
-// boundLine is a host's message that it runs a task.
+// boundLine returns a host's answer that it runs a task.
 func boundLine(ref string) string { return fmt.Sprintf(`{"t":"up","ref":"%s","f":{},"d":"x"}`, ref) }
 
-// releaseLine ends what a ref identifies.
+// releaseLine returns a release of the request, attempt or task that a ref identifies.
 func releaseLine(ref string, cause int) string {
 	return fmt.Sprintf(`{"t":"down","ref":"%s","f":{},"c":%d}`, ref, cause)
 }
 
-// fromHost delivers lines of a host.
+// fromHost returns the input that delivers lines from a host.
 func fromHost(conn ConnectionID, lines ...string) HostData {
 	return HostData{conn, []byte(strings.Join(lines, "\n") + "\n")}
 }
 
-// connected answers a dial: it succeeds.
+// connected returns the input that reports that a dial has succeeded.
 func connected(dial DialHost) Input { return HostConnected{dial.Connection} }
 
-// handOverLine hands over a task that a host runs already.
+// handOverLine returns a hand-over of a task that a host already runs.
 func handOverLine(ref string, host int) string {
 	return requestLine(ref, "keyed", fmt.Sprintf(";at:s-%08x", host))
 }
 
-// hostChanged is the first event of the endpoint list after the start; it changes one host.
+// hostChanged returns the first watch event after the initial list. It sets the state of one host.
 func hostChanged(n int, state platform.EndpointState) WatchEventReceived {
 	return WatchEventReceived{Event: platform.WatchEvent{Seq: 2, Endpoints: &platform.EndpointList{Hosts: []platform.Endpoint{endpoint(n, state)}}}}
 }
 
-// run lets time pass in steps of 10 ms, answers dials, and calls each after every step.
+// run lets time pass in steps of 10 ms. It answers every dial with answer and calls each once per 10 ms.
 func (w *testCore) run(d time.Duration, answer func(DialHost) Input, each func()) {
 	for end := w.now + d; w.now < end; {
 		w.now += 10 * time.Millisecond
