--- a/internal/scheduler/platform/attempt_test.go
+++ b/internal/scheduler/platform/attempt_test.go
@@ -10,8 +10,9 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// A request is forwarded byte for byte, and so is its answer.
-func TestCorePlacesTask(t *testing.T) {
+// The fields and the description of a request reach the host byte for byte, without the fields that are only for the
+// placer, and the description of the answer reaches the owner byte for byte.
+func TestCoreForwardsRequestAndAnswerUnchanged(t *testing.T) {
 	w := newTestCore(t, nil)
 	o := w.connectOwner()
 	w.send(o, requestLine(ref1, "keyed", ""))
@@ -21,28 +22,29 @@
 		"class": `"keyed"`, "key": `"7f3a9c21e0b4d655"`, "idem": `"aa"`, "left": `"1500"`, "d": `"a\ud800\r\nb"`,
 	} {
 		if string(f[name]) != want {
-			t.Errorf("%s is forwarded as %s, want %s", name, f[name], want)
+			t.Errorf("offer to the host: got field %q with value %s, want %s", name, f[name], want)
 		}
 	}
 	if f["tenant"] != nil || f["extras"] != nil {
-		t.Error("the host is sent what is for the placer")
+		t.Errorf("offer to the host: got tenant %s and extras %s, want neither field", f["tenant"], f["extras"])
 	}
 	a := takeEvents[forkhead.PlacementRequest](w)[0].Task
 	if a.Cores != 1 || a.Memory != 2 || a.Service != 0xb4d65521 || a.Key != 0x7f3a9c21e0b4d655 || a.Timeout != 1500*time.Millisecond || a.Resubmitted {
-		t.Errorf("the module got %+v", a)
+		t.Errorf("PlacementRequest to the module: got task %+v, want 1 core, 2 memory, service b4d65521, key 7f3a9c21e0b4d655, "+
+			"timeout 1.5s, not resubmitted", a)
 	}
 	w.now += 30 * time.Millisecond
 	conn := ofType[SendToHost](out)[0].Connection
 	w.step(fromHost(conn, `{"t":"up","ref":"`+ref1+`","f":{},"d":"x\udc00"}`))
 	if got := ofType[SendToOwner](w.outputs)[0].Line; !strings.Contains(string(got), `"d":"x\udc00"`) {
-		t.Errorf("the answer is forwarded as %s", got)
+		t.Errorf("answer to the owner: got %s, want the description \"x\\udc00\" unchanged", got)
 	}
 	if b := takeEvents[forkhead.Bound](w); len(b) != 1 || b[0].Took != 30*time.Millisecond || b[0].Machine != 1 {
-		t.Errorf("Bound %+v", b)
+		t.Errorf("Bound events to the module: got %+v, want one of machine 1 that took 30ms", b)
 	}
 }
 
-// attemptStage is how far an attempt is when a case begins.
+// attemptStage is the stage of an attempt at the start of a case.
 type attemptStage int
 
 const (
@@ -51,7 +53,7 @@
 	stagePlaced
 )
 
-// outcomeCase is a way in which an attempt ends.
+// outcomeCase is a way in which an attempt ends, with the outcome that the module must receive.
 type outcomeCase struct {
 	stage  attemptStage
 	end    func(w *testCore, conn ConnectionID)
@@ -60,14 +62,14 @@
 	reason forkhead.RejectReason
 }
 
-// released is the end of an attempt by a release of its host with these fields.
+// released returns a function that ends an attempt with a release by its host.
 func released(cause int, fields string) func(*testCore, ConnectionID) {
 	return func(w *testCore, conn ConnectionID) {
 		w.step(fromHost(conn, fmt.Sprintf(`{"t":"down","ref":"%s","f":{%s},"c":%d}`, ref1, fields, cause)))
 	}
 }
 
-// received is the end of an attempt by bytes of its host, and by the time that passes then.
+// received returns a function that delivers bytes from the host and then lets time pass.
 func received(data string, then time.Duration) func(*testCore, ConnectionID) {
 	return func(w *testCore, conn ConnectionID) {
 		w.step(HostData{conn, []byte(data)})
@@ -85,10 +87,10 @@
 	"error":         {stageInFlight, released(47, ""), forkhead.Errored, false, 0},
 	"not sent":      {stageInFlight, released(102, ""), forkhead.NotSent, false, 0},
 	"reset":         {stageInFlight, released(41, ""), forkhead.Reset, false, 0},
-	"another cause": {stageInFlight, released(7, ""), forkhead.Reset, false, 0},
+	"unknown cause": {stageInFlight, released(7, ""), forkhead.Reset, false, 0},
 	"unreadable":    {stageInFlight, received("{]\n", 0), forkhead.Reset, false, 0},
-	"no end":        {stageInFlight, received(strings.Repeat("a", platform.MaxLineSize+1), 0), forkhead.Reset, false, 0},
-	"half a line":   {stageInFlight, received("{", 400*time.Millisecond), forkhead.Reset, false, 0},
+	"line too long": {stageInFlight, received(strings.Repeat("a", platform.MaxLineSize+1), 0), forkhead.Reset, false, 0},
+	"partial line":  {stageInFlight, received("{", 400*time.Millisecond), forkhead.Reset, false, 0},
 	"connection ends": {
 		stageInFlight, func(w *testCore, conn ConnectionID) { w.step(HostDisconnected{conn}) },
 		forkhead.Reset, false, 0,
@@ -108,27 +110,27 @@
 
 	"ok":      {stagePlaced, released(16, ""), forkhead.OK, true, 0},
 	"evicted": {stagePlaced, released(41, `"note":"killed"`), forkhead.Reset, true, forkhead.Evicted},
-	"ended":   {stagePlaced, released(31, ""), forkhead.Withdrawn, true, 0},
-	"its host crashes": {stagePlaced, func(w *testCore, conn ConnectionID) {
+	"stopped": {stagePlaced, released(31, ""), forkhead.Withdrawn, true, 0},
+	"host crashes": {stagePlaced, func(w *testCore, conn ConnectionID) {
 		w.step(HostDisconnected{conn})
 		for range 8 {
 			w.advance(60 * time.Millisecond)
 			w.failDials(true)
 		}
 	}, forkhead.Reset, true, 0},
-	"its host is removed": {stagePlaced, func(w *testCore, _ ConnectionID) {
+	"host is removed": {stagePlaced, func(w *testCore, _ ConnectionID) {
 		w.step(hostChanged(1, platform.Terminated))
 		w.advance(time.Second)
 	}, forkhead.Reset, true, 0},
-	"its host restarts": {stagePlaced, func(w *testCore, _ ConnectionID) {
+	"host restarts": {stagePlaced, func(w *testCore, _ ConnectionID) {
 		event := hostChanged(1, platform.InService)
 		event.Event.Endpoints.Hosts[0].StartedAtMS = float64((w.now + time.Second).Milliseconds())
 		w.step(event)
 	}, forkhead.Reset, true, 0},
 }
 
-// Each way in which an attempt ends is one outcome, with its result.
-func TestCoreNotifiesModuleOfOutcomes(t *testing.T) {
+// However an attempt ends, the module receives exactly one outcome, with the right result.
+func TestCoreReportsOneOutcomePerAttempt(t *testing.T) {
 	for name, c := range outcomeCases {
 		t.Run(name, func(t *testing.T) {
 			w := newTestCore(t, nil)
@@ -143,18 +145,18 @@
 			c.end(w, conn)
 			got := takeEvents[forkhead.Outcome](w)
 			if len(got) != 1 || got[0].Result != c.result || got[0].Final != c.final || got[0].Reason != c.reason || got[0].Attempt != 0 {
-				t.Fatalf("outcomes %+v, want one with result %d, final %v, reason %d", got, c.result, c.final, c.reason)
+				t.Fatalf("got outcomes %+v, want one with attempt 0, result %d, final %v, reason %d", got, c.result, c.final, c.reason)
 			}
 			if name == "rejected" && (got[0].Report == nil || got[0].Report.AvailableCores != 1.5 || got[0].Report.Queue != 3) {
-				t.Errorf("report %+v", got[0].Report)
+				t.Errorf("got load report %+v, want 1.5 available cores and queue 3", got[0].Report)
 			}
 		})
 	}
 }
 
-// An offer that was queued for a connection is not sent once it has become wrong.
-func TestCoreDropsQueuedOfferThatBecameWrong(t *testing.T) {
-	for name, wrong := range map[string]func(w *testCore){
+// An offer that becomes invalid while it waits for its connection to open is not sent.
+func TestCoreDropsQueuedOfferThatBecameInvalid(t *testing.T) {
+	for name, invalidate := range map[string]func(w *testCore){
 		"owner disconnected": func(w *testCore) { w.step(OwnerDisconnected{1}) },
 		"draining past the grace": func(w *testCore) {
 			w.step(hostChanged(1, platform.Terminating))
@@ -165,20 +167,20 @@
 		o := w.connectOwner()
 		w.send(o, requestLine(ref1, "keyed", ""))
 		dial := ofType[DialHost](w.outputs)[0]
-		wrong(w)
+		invalidate(w)
 		if got := w.step(HostConnected{dial.Connection}); len(sentLines[SendToHost](got)) != 0 {
-			t.Errorf("%s: %q is sent all the same", name, sentLines[SendToHost](got))
+			t.Errorf("%s: got lines to the host %q, want none", name, sentLines[SendToHost](got))
 		}
 		if got := takeEvents[forkhead.Outcome](w); len(got) != 1 || got[0].Result != forkhead.NotSent && got[0].Result != forkhead.Withdrawn {
-			t.Errorf("%s: outcomes %+v", name, got)
+			t.Errorf("%s: got outcomes %+v, want one with result NotSent or Withdrawn", name, got)
 		}
 	}
 }
 
-// inputOf makes an input of the connections of an owner and to a host.
+// inputOf returns an input for the connection of an owner or the one to a host.
 type inputOf func(owner OwnerID, conn ConnectionID) Input
 
-// The inputs that meet in TestCoreTwoInputsInOneStep.
+// Inputs that TestCoreSendsOneAnswerForTwoInputsInOneStep combines in one step.
 var (
 	answered     inputOf = func(_ OwnerID, conn ConnectionID) Input { return fromHost(conn, boundLine(ref1)) }
 	answersTwice inputOf = func(_ OwnerID, conn ConnectionID) Input { return fromHost(conn, boundLine(ref1), boundLine(ref1)) }
@@ -201,14 +203,15 @@
 	return []forkhead.Action{forkhead.Fail{Task: outcome.Task}}
 }
 
-// In one step: a deadline and the answer, the deadline and a rejection, a rejection and the end of its connection, the
-// owner's withdrawal and the answer, in both orders. One final answer each, and no task is left running for nobody.
-func TestCoreTwoInputsInOneStep(t *testing.T) {
+// Two events of one attempt may arrive in one step: an answer or a rejection together with the deadline, the end of the
+// connection or the owner's withdrawal, in either order. The owner must get at most one final answer, and no task may be
+// left running without an owner.
+func TestCoreSendsOneAnswerForTwoInputsInOneStep(t *testing.T) {
 	for name, c := range map[string]struct {
 		inputs     []inputOf
 		atDeadline bool
-		owner      string // what it is sent
-		host       string // what it is sent
+		owner      string // lines sent to the owner
+		host       string // lines sent to the host
 	}{
 		"answer, deadline":      {[]inputOf{answered}, true, "up", ""},
 		"rejection, deadline":   {[]inputOf{rejected}, true, "down 34", "ack"},
@@ -244,16 +247,17 @@
 		w.step(inputs...)
 		short := func(lines []string) string { return strings.ReplaceAll(strings.Join(lines, " "), " "+ref1, "") }
 		if got := short(sentLines[SendToOwner](w.outputs)); got != c.owner {
-			t.Errorf("%s: the owner is sent %q, want %q", name, got, c.owner)
+			t.Errorf("%s: got lines to the owner %q, want %q", name, got, c.owner)
 		}
 		if got := short(sentLines[SendToHost](w.outputs)); got != c.host {
-			t.Errorf("%s: the host is sent %q, want %q", name, got, c.host)
+			t.Errorf("%s: got lines to the host %q, want %q", name, got, c.host)
 		}
 	}
 }
 
-// An attempt is withdrawn and offered to the same host again; the host answers the first and then stops it, as it was
-// requested. Its owner is sent the release, though the cause is the one of a task that its owner has ended.
+// An attempt is withdrawn and its task offered to the same host again. The host answers the first offer and then stops the
+// task because of the withdrawal. The owner must get the release, although the host's cause is that of a task that its
+// owner has ended.
 func TestCoreReleasesTaskStoppedByEarlierWithdrawal(t *testing.T) {
 	w := newTestCore(t, nil)
 	o := w.connectOwner()
@@ -278,13 +282,13 @@
 	up := `{"t":"up","ref":"` + ref1 + `","f":{},"d":"x"}` + "\n"
 	w.wantLines(sentLines[SendToOwner](w.step(HostData{conn, []byte(up)})), "up "+ref1)
 	w.wantLines(sentLines[SendToOwner](w.step(fromHost(conn, releaseLine(ref1, 31)))), "down "+ref1+" 41")
-	w.wantLines(sentLines[SendToHost](w.step(HostData{conn, []byte(up)})), "down "+ref1+" 16") // the second runs for nobody
+	w.wantLines(sentLines[SendToHost](w.step(HostData{conn, []byte(up)})), "down "+ref1+" 16") // the second attempt runs without an owner and is stopped
 	w.wantLines(sentLines[SendToOwner](w.outputs))
 }
 
-// A task has run and ended before its host's answer has come, which is late: it is released to its owner at once, and not
-// offered to another host. Without a sign that it has run, it is.
-func TestCoreReleasesTaskThatEndedUnanswered(t *testing.T) {
+// A host's answer may be late, so that the release of the task comes first. If there is a sign that the task has run, it
+// is released to its owner at once and not offered again. Without such a sign it is offered to another host.
+func TestCoreReleasesTaskThatEndedBeforeItsAnswer(t *testing.T) {
 	note := `{"t":"tell","ref":"` + ref1 + `","f":{"note":"running","value":"1"}}` + "\n"
 	release := func(cause int, note string) string {
 		return fmt.Sprintf(`{"t":"down","ref":"%s","f":{"note":"%s"},"c":%d}`, ref1, note, cause)
@@ -309,9 +313,10 @@
 		out := w.step(fromHost(conn, c.sent))
 		offers := len(ofType[DialHost](out))
 		if got := sentLines[SendToOwner](out); c.ran && (len(got) != 1 || got[0] != "down "+ref1+" 41" || offers > 0) || !c.ran && (len(got) > 0 || offers != 1) {
-			t.Errorf("%s: the owner is sent %q, %d more offers", name, got, offers)
+			t.Errorf("%s: got lines to the owner %q and %d more offers; want one release with cause 41 and no offer if the task has run (%v), "+
+				"no line and one offer otherwise", name, got, offers, c.ran)
 		}
-		if c.ran { // and the answer, when it comes
+		if c.ran { // the late answer has no effect
 			w.step(fromHost(conn, boundLine(ref1)))
 			w.wantLines(sentLines[SendToOwner](w.outputs))
 			w.wantLines(sentLines[SendToHost](w.outputs))
@@ -319,7 +324,8 @@
 	}
 }
 
-// A second answer and one under an unknown ref are ignored; a late answer leaves no task that runs for nobody.
+// A second answer and an answer under an unknown ref are ignored. A task whose answer comes after its withdrawal is
+// stopped, as it would run without an owner.
 func TestCoreStopsTaskOfLateAnswer(t *testing.T) {
 	w := newTestCore(t, nil)
 	_, conn := w.placeTask()
@@ -327,7 +333,7 @@
 	w.wantLines(sentLines[SendToOwner](w.outputs))
 	w.wantLines(sentLines[SendToHost](w.outputs))
 	if w.core.connections[conn] == nil {
-		t.Fatal("the connection is closed")
+		t.Fatal("after a second answer and one under an unknown ref: connection to the host closed, want it open")
 	}
 	o := w.connectOwner()
 	out := w.send(o, requestLine(ref2, "keyed", ""))
--- a/internal/scheduler/platform/connection_test.go
+++ b/internal/scheduler/platform/connection_test.go
@@ -11,13 +11,13 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// crowdedCore is a core whose connections are all taken.
+// crowdedCore is a core with more hosts than connection slots.
 type crowdedCore struct {
 	*testCore
 	owner OwnerID
 }
 
-// Hosts of a crowdedCore, and the bounds of its connections.
+// Number of hosts and connection limits of a crowdedCore.
 const (
 	crowdedHosts           = 60
 	crowdedMaxOwners       = 26
@@ -26,7 +26,7 @@
 	crowdedMaxConnections  = 40
 )
 
-// newCrowdedCore returns a core with more hosts than connections, to which the module offers tasks in turn.
+// newCrowdedCore returns a crowdedCore with one owner. Its module offers tasks to the hosts in turn.
 func newCrowdedCore(t *testing.T) *crowdedCore {
 	t.Helper()
 	w := newTestCore(t, func(config *Config) {
@@ -51,17 +51,19 @@
 	return &crowdedCore{w, w.connectOwner()}
 }
 
-// checkBounds fails the test if there are more connections than there may be.
+// checkBounds fails the test if a limit of connections is exceeded.
 func (w *crowdedCore) checkBounds() {
 	w.t.Helper()
 	c := w.core
 	if len(c.connections)+len(c.owners) > crowdedMaxConnections+maxHalfClosed || c.usedHostConnections()+len(c.owners) > crowdedMaxConnections ||
 		c.usedHostConnections() > crowdedMaxHosts || len(c.owners) > crowdedMaxOwners {
-		w.t.Fatalf("%d connections to hosts, of these %d half-closed, and %d of owners", len(c.connections), len(c.halfClosed), len(c.owners))
+		w.t.Fatalf("got %d connections to hosts (%d of them half-closed) and %d of owners; want at most %d to hosts, %d of owners and %d in total, "+
+			"not counting up to %d half-closed ones",
+			len(c.connections), len(c.halfClosed), len(c.owners), crowdedMaxHosts, crowdedMaxOwners, crowdedMaxConnections, maxHalfClosed)
 	}
 }
 
-// place places task i, which is of a service of its own.
+// place places task i, which belongs to a service of its own.
 func (w *crowdedCore) place(i int) {
 	w.t.Helper()
 	ref := fmt.Sprintf("%016x", 0x1000+i)
@@ -73,13 +75,13 @@
 		}
 	}
 	if r := w.core.requestsByRef[requestRef(ref)]; r == nil || r.phase != requestPlaced {
-		w.t.Fatalf("task %d is not placed: %q", i, sentLines[SendToOwner](w.outputs))
+		w.t.Fatalf("task %d: not placed, want it placed; lines to owners in the last step: %q", i, sentLines[SendToOwner](w.outputs))
 	}
 	w.checkBounds()
 }
 
-// However many hosts run tasks and become unresponsive, and however many owners connect, both kinds of connections stay within
-// their bounds; offers, dials of unresponsive hosts and owners still get theirs.
+// However many hosts run tasks and become unresponsive, and however many owners connect, the connections stay within their
+// limits, and offers, dials of unresponsive hosts and owners still get connections.
 func TestCoreBoundsConnections(t *testing.T) {
 	w := newCrowdedCore(t)
 	for i := range crowdedHosts {
@@ -93,10 +95,10 @@
 		return connected(dial)
 	}, w.checkBounds)
 	if len(dialed) < crowdedHosts-crowdedMaxHosts {
-		t.Errorf("%d of %d unresponsive hosts are dialed", len(dialed), crowdedHosts)
+		t.Errorf("dialed %d of %d unresponsive hosts in 10 s, want at least %d", len(dialed), crowdedHosts, crowdedHosts-crowdedMaxHosts)
 	}
 	if got := takeEvents[forkhead.Outcome](w.testCore); len(got) > 0 {
-		t.Errorf("%d tasks of hosts that are up are lost", len(got))
+		t.Errorf("lost %d tasks of hosts that accept connections, want 0", len(got))
 	}
 	for range 500 { // owners that send nothing
 		w.now += time.Millisecond
@@ -104,22 +106,23 @@
 		w.checkBounds()
 	}
 	if len(w.core.owners) < crowdedProtectedOwners {
-		t.Errorf("%d connections of owners are left", len(w.core.owners))
+		t.Errorf("after 500 idle owners: got %d connections of owners, want at least %d", len(w.core.owners), crowdedProtectedOwners)
 	}
 	w.place(crowdedHosts)
 }
 
-// An offer whose connection could not be dialed for want of descriptors was not sent, and does not count against its host.
-func TestCoreLocalDialFailureIsNotSent(t *testing.T) {
+// An offer whose connection could not be dialed for lack of file descriptors is reported as not sent, so that the failure
+// does not count against the host.
+func TestCoreReportsNotSentOnLocalDialFailure(t *testing.T) {
 	w := newTestCore(t, nil)
 	w.send(w.connectOwner(), requestLine(ref1, "keyed", ""))
 	w.step(DialFailed{Connection: ofType[DialHost](w.outputs)[0].Connection, Local: true})
 	if got := takeEvents[forkhead.Outcome](w); len(got) != 1 || got[0].Result != forkhead.NotSent {
-		t.Errorf("outcomes %+v, want one that was not sent", got)
+		t.Errorf("after a local dial failure: got outcomes %+v, want one with result NotSent", got)
 	}
 }
 
-// A connection that stays open and answers nothing is closed once later offers are answered on another.
+// A connection that stays open without answers is closed once a later offer on another connection is answered.
 func TestCoreClosesOvertakenConnection(t *testing.T) {
 	w := newTestCore(t, nil)
 	o := w.connectOwner()
@@ -129,18 +132,19 @@
 	w.send(o, requestLine(ref2, "keyed", ""))
 	conn := ofType[SendToHost](w.connectDialed())[0].Connection
 	if conn == stuck {
-		t.Fatal("the second offer takes the busy connection")
+		t.Fatalf("second offer: sent on connection %d, want another one, as its first offer is unanswered", conn)
 	}
 	w.step(fromHost(conn, boundLine(ref2)))
 	if got := takeEvents[forkhead.Outcome](w); len(got) != 1 || got[0].Result != forkhead.Reset || w.core.connections[stuck] != nil {
-		t.Errorf("outcomes %+v", got)
+		t.Errorf("got outcomes %+v, want one with result Reset; connection %d open %v, want false", got, stuck, w.core.connections[stuck] != nil)
 	}
-	// Its task may run for nobody: it is stopped.
+	// The task of the first offer may run without an owner and is stopped.
 	w.wantLines(sentLines[SendToHost](w.outputs), "down "+ref1+" 16")
 }
 
-// Where hosts may not be probed, an idle connection that tasks need is replaced, not probed.
-func TestCoreKeepsIdleConnectionThatIsNeeded(t *testing.T) {
+// An idle connection on which a host must report the ends of its tasks is kept alive with probes if hosts may be probed,
+// and replaced otherwise.
+func TestCoreProbesOrReplacesIdleConnectionThatIsNeeded(t *testing.T) {
 	for _, may := range []bool{true, false} {
 		w := newTestCore(t, func(cfg *Config) { cfg.Settings.MayProbe = may })
 		_, conn := w.placeTask()
@@ -151,44 +155,44 @@
 					probes++
 				}
 			}
-			if open := w.core.hosts[1].leastBusyConnection(); open != nil && w.now%(500*time.Millisecond) < 10*time.Millisecond { // its host sends something
+			if open := w.core.hosts[1].leastBusyConnection(); open != nil && w.now%(500*time.Millisecond) < 10*time.Millisecond { // the host sends data
 				open.host.lastSeenAliveAt = w.now
 			}
 			if len(w.core.hosts[1].connections) == 0 {
-				t.Fatal("no connection is left to a host with tasks")
+				t.Fatalf("probes allowed %v, at %v: got no connection to a host with tasks, want at least one", may, w.now)
 			}
 		})
 		if may && probes == 0 || !may && probes > 0 {
-			t.Errorf("probes allowed %v: %d probes", may, probes)
+			t.Errorf("probes allowed %v: got %d probes in 2 minutes, want some only if they are allowed", may, probes)
 		}
 		if !may && w.core.connections[conn] != nil {
-			t.Error("an idle connection stays for ever")
+			t.Error("probes not allowed: idle connection still open after 2 minutes, want it replaced")
 		}
 	}
 }
 
-// A connection that is replaced stays open until the new one is.
+// A connection that is being replaced stays open until the new one is open.
 func TestCoreKeepsConnectionUntilItsReplacementIsOpen(t *testing.T) {
 	w := newTestCore(t, func(config *Config) { config.Settings.MayProbe = false })
 	_, old := w.placeTask()
 	tick := func() []Output {
 		w.now += reconcileInterval
-		w.core.hosts[1].lastSeenAliveAt = w.now // else it is dialed as unresponsive
+		w.core.hosts[1].lastSeenAliveAt = w.now // otherwise it would be dialed as unresponsive
 		return w.step()
 	}
 	var dials []DialHost
 	for end := w.now + w.core.config.IdleTimeout; len(dials) == 0; {
 		if dials = ofType[DialHost](tick()); w.now > end {
-			t.Fatal("no replacement is dialed")
+			t.Fatalf("no replacement dialed within the idle timeout of %v, want one", w.core.config.IdleTimeout)
 		}
 	}
 	for range 3 {
 		if closed := ofType[HalfCloseHostConnection](tick()); len(closed) > 0 {
-			t.Fatalf("%v is closed while its replacement is being dialed", closed)
+			t.Fatalf("while the replacement is being dialed: half-closed %v, want none", closed)
 		}
 	}
 	closed := ofType[HalfCloseHostConnection](w.step(HostConnected{dials[0].Connection}))
 	if len(closed) != 1 || closed[0].Connection != old {
-		t.Errorf("half-closed %v, want %d", closed, old)
+		t.Errorf("once the replacement is open: half-closed %v, want connection %d", closed, old)
 	}
 }
--- a/internal/scheduler/platform/golden_test.go
+++ b/internal/scheduler/platform/golden_test.go
@@ -12,16 +12,17 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// transcript writes what crosses a core's sockets and what its module gets, without any name of Go's.
+// transcript records the lines on a core's sockets and the events of its module, without Go identifiers.
 type transcript struct {
 	*testCore
 	text     bytes.Buffer
-	decideOn func(id forkhead.TaskID) []forkhead.Action // the module's answer to a request
+	decideOn func(id forkhead.TaskID) []forkhead.Action // actions of the module on a placement request
 }
 
+// record appends the events and outputs since the last call.
 func (s *transcript) record() {
 	for _, ev := range s.events {
-		fmt.Fprintf(&s.text, "\tmodule is told %s\n", goldentest.Values(reflect.ValueOf(ev)))
+		fmt.Fprintf(&s.text, "\tmodule receives %s\n", goldentest.Values(reflect.ValueOf(ev)))
 	}
 	s.events = nil
 	for _, out := range s.outputs {
@@ -39,6 +40,7 @@
 	s.outputs = nil
 }
 
+// ownerSends delivers a line from an owner and records the effects of that step and of one more.
 func (s *transcript) ownerSends(owner OwnerID, line string) {
 	fmt.Fprintf(&s.text, "owner %d: %s\n", owner, line)
 	s.send(owner, line)
@@ -55,7 +57,7 @@
 	s.record()
 }
 
-// hostSends sends a line of a host on connection 1.
+// hostSends delivers a line from a host on connection 1.
 func (s *transcript) hostSends(line string) {
 	fmt.Fprintf(&s.text, "host on connection 1: %s\n", line)
 	s.step(HostData{1, []byte(line + "\n")})
@@ -64,7 +66,7 @@
 
 func goldenRef(n int) string { return fmt.Sprintf("9b1f03aa5c7e2d%02x", n) }
 
-// goldenRequest is the request of task n; more goes into its extras.
+// goldenRequest returns the request of task n; more is appended to its extras.
 func goldenRequest(n int, more string) string {
 	return fmt.Sprintf(`{"t":"new","ref":"%s","f":{"class":"keyed","left":"1500","tenant":"acme","key":"7f3a9c21e0b4d6%02x","idem":"%02x",`+
 		`"hint":"4000","extras":"cores:1.5;memory:2;service:00000000b4d65521%s","other":7},"d":"a\ud800\r\nb"}`, goldenRef(n), n, n, more)
@@ -78,7 +80,7 @@
 	return []forkhead.Action{forkhead.Offer{Task: id, Machine: 1}}
 }
 
-// placeTask follows a task that is placed, gets notes and ends.
+// placeTask records a task that is placed, gets notes and ends.
 func (s *transcript) placeTask(o OwnerID) {
 	s.decideOn = offerAtHost1
 	s.ownerSends(o, goldenRequest(1, ";again:1"))
@@ -92,7 +94,7 @@
 	s.ownerSends(o, goldenLine("ack", 1, `"f":{}`))
 }
 
-// hostRejects goes through each way in which a host rejects a task.
+// hostRejects records each way in which a host rejects a task.
 func (s *transcript) hostRejects(o OwnerID) {
 	for i, rest := range []string{
 		`"f":{"note":"lack_cpu"},"c":34`, `"f":{"note":"lack_ram"},"c":34`, `"f":{"note":"backlog"},"c":34`, `"f":{"note":"unfit"},"c":34`, `"f":{},"c":42`,
@@ -104,8 +106,8 @@
 	}
 }
 
-// actModule has the module reject, fail, stop, probe and send a message.
-func (s *transcript) actModule(o OwnerID) {
+// moduleActs records the module's actions that reject, fail, offer, probe, gossip and stop.
+func (s *transcript) moduleActs(o OwnerID) {
 	s.decideOn = func(id forkhead.TaskID) []forkhead.Action {
 		return []forkhead.Action{forkhead.Reject{Task: id, RetryAfter: 1500 * time.Millisecond}}
 	}
@@ -123,7 +125,7 @@
 	s.ownerSends(o, goldenRequest(12, ""))
 }
 
-// ownerReturns hands over a task that runs at a host, and sends lines that cannot be read.
+// ownerReturns records the hand-over of a task that runs on a host, a probe, and lines that cannot be used.
 func (s *transcript) ownerReturns(o OwnerID) {
 	s.decideOn = offerAtHost1
 	s.ownerSends(o, goldenRequest(13, ";at:s-00000001"))
@@ -132,8 +134,8 @@
 	s.ownerSends(o, `{`)
 }
 
-// otherSources delivers a message of another placer and events of the endpoint list.
-func (s *transcript) otherSources() {
+// gossipAndWatchEvents records a gossip message from another placer and events of the endpoint list.
+func (s *transcript) gossipAndWatchEvents() {
 	fmt.Fprintln(&s.text, "placer 1 sends data")
 	s.step(GossipReceived{From: 1, Data: []byte("data")})
 	s.record()
@@ -144,9 +146,9 @@
 	}
 }
 
-// The lines between owners, this placer and hosts are the same, and so is what the module gets by them: their types,
-// fields, names and causes.
-func TestCoreGoldenTranscript(t *testing.T) {
+// The types, fields, names and causes of the lines between owners, placer and hosts must not change, nor the events that
+// the module receives because of them.
+func TestCoreTranscriptMatchesGoldenFile(t *testing.T) {
 	w := newTestCore(t, nil)
 	s := &transcript{testCore: w}
 	s.record()
@@ -159,8 +161,8 @@
 	o := w.connectOwner()
 	s.placeTask(o)
 	s.hostRejects(o)
-	s.actModule(o)
+	s.moduleActs(o)
 	s.ownerReturns(o)
-	s.otherSources()
+	s.gossipAndWatchEvents()
 	goldentest.Check(t, "lines.txt", s.text.Bytes())
 }
