--- a/internal/scheduler/platform/attempt_test.go
+++ b/internal/scheduler/platform/attempt_test.go
@@ -204,8 +204,8 @@
 }
 
 // Two events of one attempt may arrive in one step: an answer or a rejection together with the deadline, the end of the
-// connection or the owner's withdrawal, in either order. The owner must get at most one final answer, and no task may be
-// left running without an owner.
+// connection or the owner's withdrawal, in either order. The owner must get at most one final answer, and no task may
+// be left running without an owner.
 func TestCoreSendsOneAnswerForTwoInputsInOneStep(t *testing.T) {
 	for name, c := range map[string]struct {
 		inputs     []inputOf
@@ -255,9 +255,9 @@
 	}
 }
 
-// An attempt is withdrawn and its task offered to the same host again. The host answers the first offer and then stops the
-// task because of the withdrawal. The owner must get the release, although the host's cause is that of a task that its
-// owner has ended.
+// An attempt is withdrawn and its task offered to the same host again. The host answers the first offer and then stops
+// the task because of the withdrawal. The owner must get the release, although the host's cause is that of a task that
+// its owner has ended.
 func TestCoreReleasesTaskStoppedByEarlierWithdrawal(t *testing.T) {
 	w := newTestCore(t, nil)
 	o := w.connectOwner()
@@ -286,8 +286,8 @@
 	w.wantLines(sentLines[SendToOwner](w.outputs))
 }
 
-// A host's answer may be late, so that the release of the task comes first. If there is a sign that the task has run, it
-// is released to its owner at once and not offered again. Without such a sign it is offered to another host.
+// A host's answer may be late, so that the release of the task comes first. If there is a sign that the task has run,
+// it is released to its owner at once and not offered again. Without such a sign it is offered to another host.
 func TestCoreReleasesTaskThatEndedBeforeItsAnswer(t *testing.T) {
 	note := `{"t":"tell","ref":"` + ref1 + `","f":{"note":"running","value":"1"}}` + "\n"
 	release := func(cause int, note string) string {
--- a/internal/scheduler/platform/connection_test.go
+++ b/internal/scheduler/platform/connection_test.go
@@ -80,8 +80,8 @@
 	w.checkBounds()
 }
 
-// However many hosts run tasks and become unresponsive, and however many owners connect, the connections stay within their
-// limits, and offers, dials of unresponsive hosts and owners still get connections.
+// However many hosts run tasks and become unresponsive, and however many owners connect, the connections stay within
+// their limits, and offers, dials of unresponsive hosts and owners still get connections.
 func TestCoreBoundsConnections(t *testing.T) {
 	w := newCrowdedCore(t)
 	for i := range crowdedHosts {
@@ -111,8 +111,8 @@
 	w.place(crowdedHosts)
 }
 
-// An offer whose connection could not be dialed for lack of file descriptors is reported as not sent, so that the failure
-// does not count against the host.
+// An offer whose connection could not be dialed for lack of file descriptors is reported as not sent, so that the
+// failure does not count against the host.
 func TestCoreReportsNotSentOnLocalDialFailure(t *testing.T) {
 	w := newTestCore(t, nil)
 	w.send(w.connectOwner(), requestLine(ref1, "keyed", ""))
@@ -136,14 +136,15 @@
 	}
 	w.step(fromHost(conn, boundLine(ref2)))
 	if got := takeEvents[forkhead.Outcome](w); len(got) != 1 || got[0].Result != forkhead.Reset || w.core.connections[stuck] != nil {
-		t.Errorf("got outcomes %+v, want one with result Reset; connection %d open %v, want false", got, stuck, w.core.connections[stuck] != nil)
+		t.Errorf("got outcomes %+v, want one with result Reset; connection %d open %v, want false",
+			got, stuck, w.core.connections[stuck] != nil)
 	}
 	// The task of the first offer may run without an owner and is stopped.
 	w.wantLines(sentLines[SendToHost](w.outputs), "down "+ref1+" 16")
 }
 
-// An idle connection on which a host must report the ends of its tasks is kept alive with probes if hosts may be probed,
-// and replaced otherwise.
+// An idle connection on which a host must report the ends of its tasks is kept alive with probes if hosts may be
+// probed, and replaced otherwise.
 func TestCoreProbesOrReplacesIdleConnectionThatIsNeeded(t *testing.T) {
 	for _, may := range []bool{true, false} {
 		w := newTestCore(t, func(cfg *Config) { cfg.Settings.MayProbe = may })
--- a/internal/scheduler/platform/core_test.go
+++ b/internal/scheduler/platform/core_test.go
@@ -32,7 +32,8 @@
 	tick(700 * time.Millisecond)
 	w.wantLines(sentLines[SendToOwner](w.send(o, requestLine(ref2, "keyed", ""))), "down "+ref2+" 42")
 	if !closed || complete {
-		t.Fatalf("1.3 s after the shutdown request, with an open request: listener closed %v, want true; shutdown complete %v, want false", closed, complete)
+		t.Fatalf("1.3 s after the shutdown request, with an open request: listener closed %v, want true; shutdown complete %v, want false",
+			closed, complete)
 	}
 	w.step(fromHost(conn, boundLine(ref1)))
 	tick(200 * time.Millisecond)
@@ -77,7 +78,8 @@
 	w.advance(time.Minute)
 	c := w.core
 	if n := len(c.requests) + len(c.requestsByRef) + len(c.attemptsByService) + len(c.owners) + len(c.undelivered) + c.unanswered + c.timers.Len(); n != 0 {
-		t.Errorf("after the last request has ended: got %d requests, refs, services, owners, undelivered messages and timers in total, want 0", n)
+		t.Errorf("after the last request has ended: got %d requests, refs, services, owners, undelivered messages and timers in total, want 0",
+			n)
 	}
 	if len(c.hosts) > 6 || len(c.connections) > maxConnectionsPerHost || len(c.abandoned.ring) > maxRemembered || len(c.abandoned.counts) > maxRemembered {
 		t.Errorf("after the last request has ended: got %d hosts, want at most 6; %d connections to hosts, want at most %d; "+
--- a/internal/scheduler/platform/endpoints_test.go
+++ b/internal/scheduler/platform/endpoints_test.go
@@ -28,7 +28,8 @@
 		info.Zone = "elsewhere"
 		out := w.step(WatchEventReceived{Event: platform.WatchEvent{Seq: 2, Endpoints: &platform.EndpointList{Hosts: []platform.Endpoint{info}}}})
 		if used := w.core.hosts[5] != nil; used != (len(zones) == 1) || !used && len(ofType[Log](out)) != 1 {
-			t.Errorf("%d zones in the settings: host used %v, want %v; logged %v, want one line if it is not used", len(zones), used, len(zones) == 1, ofType[Log](out))
+			t.Errorf("%d zones in the settings: host used %v, want %v; logged %v, want one line if it is not used",
+				len(zones), used, len(zones) == 1, ofType[Log](out))
 		}
 	}
 }
--- a/internal/scheduler/platform/golden_test.go
+++ b/internal/scheduler/platform/golden_test.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// The types, fields, names and causes of the lines between owners, placer and hosts must not change, nor the events that
-// the module receives because of them.
+// The types, fields, names and causes of the lines between owners, placer and hosts must not change, nor the events
+// that the module receives because of them.
 func TestCoreTranscriptMatchesGoldenFile(t *testing.T) {
 	w := newTestCore(t, nil)
 	s := &transcript{testCore: w}
--- a/internal/scheduler/platform/handover_test.go
+++ b/internal/scheduler/platform/handover_test.go
@@ -10,36 +10,37 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// A task that is handed over is not answered, and counts as placed.
+// A hand-over is not answered, even one with a long timeout, and its task counts as placed: its host is dialed and its
+// end is released to the owner. A hand-over that names an unusable host is rejected.
 func TestCoreHandOverIsNotAnswered(t *testing.T) {
 	w := newTestCore(t, nil)
 	o := w.connectOwner()
 	long := strings.Replace(requestLine(ref1, "keyed", ";at:s-00000002"), `"left":"1500"`, `"left":"4294967"`, 1)
 	w.wantLines(sentLines[SendToOwner](w.send(o, long)))
 	if got := takeEvents[forkhead.HandedOver](w); len(got) != 1 || got[0].Machine != 2 {
-		t.Fatalf("the module got %+v", got)
+		t.Fatalf("hand-over on host 2: got HandedOver events %+v, want one with machine 2", got)
 	}
-	w.advance(100 * time.Millisecond) // its host may have something to report on the next connection
+	w.advance(100 * time.Millisecond) // the host is dialed, as it may have ends of tasks to report
 	w.advance(time.Millisecond)
 	if len(w.core.hosts[2].connections) != 1 {
-		t.Fatal("its host is not dialed")
+		t.Fatalf("100 ms after the hand-over: got %d connections to host 2, want 1", len(w.core.hosts[2].connections))
 	}
 	conn := w.core.hosts[2].connections[0].id
 	w.step(HostConnected{conn})
 	w.step(fromHost(conn, releaseLine(ref1, 16)))
 	w.wantLines(sentLines[SendToOwner](w.outputs), "down "+ref1+" 16")
-	w.wantLines(sentLines[SendToOwner](w.send(o, requestLine(ref2, "keyed", ";at:t-00000002"))), "down "+ref2+" 47") // another name with the same number
+	w.wantLines(sentLines[SendToOwner](w.send(o, requestLine(ref2, "keyed", ";at:t-00000002"))), "down "+ref2+" 47") // a different name with the number of a listed host
 }
 
-// A task handed over at a host that the endpoint list does not have yet counts as placed; the host is dialed once it is
-// listed, and the task is released where that does not happen in time.
-func TestCoreHandOverAtUnlistedHost(t *testing.T) {
+// A task that is handed over on a host that the endpoint list does not have yet counts as placed. The host is dialed
+// once it is listed. If that does not happen in time, the task is released and the host deleted.
+func TestCoreReleasesHandedOverTaskWhoseHostIsNotListedInTime(t *testing.T) {
 	for _, listed := range []bool{true, false} {
 		w := newTestCore(t, nil)
 		o := w.connectOwner()
 		w.wantLines(sentLines[SendToOwner](w.send(o, handOverLine(ref1, 9))))
 		if got := takeEvents[forkhead.HandedOver](w); len(got) != 1 || got[0].Machine != 9 {
-			t.Fatalf("the module got %+v", got)
+			t.Fatalf("hand-over on host 9: got HandedOver events %+v, want one with machine 9", got)
 		}
 		var sent []string
 		collect := func() { sent = append(sent, sentLines[SendToOwner](w.outputs)...) }
@@ -50,15 +51,16 @@
 		dials := 0
 		w.run(4*time.Second, func(d DialHost) Input { dials++; return connected(d) }, collect)
 		if want := "down " + ref1 + " 41"; listed && (dials == 0 || len(sent) > 0) || !listed && (len(sent) != 1 || sent[0] != want) {
-			t.Errorf("listed %v: %d dials, the owner is sent %q", listed, dials, sent)
+			t.Errorf("listed %v: got %d dials and lines to the owner %q; want dials and no line if listed, else the one line %q",
+				listed, dials, sent, want)
 		}
 		if !listed && (w.core.hosts[9] != nil || w.core.unlistedHosts != 0) {
-			t.Error("a host that was never listed is not removed")
+			t.Errorf("never listed: host 9 known %v, want false; %d unlisted hosts, want 0", w.core.hosts[9] != nil, w.core.unlistedHosts)
 		}
 	}
 }
 
-// Hosts that are known by owners' messages alone are bounded, and nothing is offered to them.
+// The number of hosts that only hand-overs have named is bounded, and tasks are not offered to them.
 func TestCoreBoundsUnlistedHosts(t *testing.T) {
 	w := newTestCore(t, nil)
 	o := w.connectOwner()
@@ -67,7 +69,8 @@
 		rejected += len(sentLines[SendToOwner](w.send(o, handOverLine(fmt.Sprintf("%016x", i+1), 1000+i))))
 	}
 	if rejected != 10 || w.core.unlistedHosts != maxUnlistedHosts {
-		t.Errorf("%d of 10 are rejected, %d are waited for", rejected, w.core.unlistedHosts)
+		t.Errorf("hand-overs on %d unlisted hosts: got %d rejected, want 10; %d unlisted hosts kept, want %d",
+			maxUnlistedHosts+10, rejected, w.core.unlistedHosts, maxUnlistedHosts)
 	}
 	w.decide = func(ev forkhead.Event) []forkhead.Action {
 		if a, ok := ev.(forkhead.PlacementRequest); ok {
@@ -77,13 +80,14 @@
 	}
 	w.send(o, requestLine(ref2, "unsafe", ""))
 	if len(ofType[DialHost](w.outputs)) > 0 || takeEvents[forkhead.Outcome](w)[0].Result != forkhead.NotSent {
-		t.Error("an offer goes to a host that is not listed")
+		t.Error("offer to an unlisted host: got a dial or another result, want no dial and result NotSent")
 	}
 }
 
-// The release of a task comes before its hand-over: it is sent to its owner at once, as its host reports it once. For one
-// that its owner ended itself nothing is sent. A task at a removed host has ended too, however many of them there are.
-func TestCoreHandOverAfterItsEnd(t *testing.T) {
+// If the release of a task comes before its hand-over, the hand-over is answered with the release at once, as the host
+// reports the end only once. Nothing is sent if the owner itself has ended the task. Any number of tasks on a removed
+// host have ended as well, and their hand-overs do not count as malformed.
+func TestCoreReleasesTaskHandedOverAfterItsEnd(t *testing.T) {
 	for cause, want := range map[int][]string{16: {"down " + ref2 + " 16"}, 41: {"down " + ref2 + " 41"}, 47: {"down " + ref2 + " 41"}, 31: nil} {
 		w := newTestCore(t, nil)
 		o, conn := w.placeTask()
@@ -91,14 +95,14 @@
 		w.wantLines(sentLines[SendToHost](w.outputs), "ack "+ref2)
 		w.wantLines(sentLines[SendToOwner](w.send(o, handOverLine(ref2, 1))), want...)
 		if len(takeEvents[forkhead.HandedOver](w)) > 0 || w.core.requestsByRef[ref2] != nil {
-			t.Errorf("cause %d: the task counts as placed", cause)
+			t.Errorf("hand-over after a release with cause %d: the task counts as placed, want it not to", cause)
 		}
 	}
 	w := newTestCore(t, nil)
 	o, conn := w.placeTask()
 	w.wantLines(sentLines[SendToOwner](w.step(fromHost(conn, releaseLine(ref1, 16)))), "down "+ref1+" 16")
 	if w.wantLines(sentLines[SendToOwner](w.send(o, handOverLine(ref1, 1)))); w.core.requestsByRef[ref1] != nil {
-		t.Error("a task that has been released counts as placed again")
+		t.Error("hand-over of a task whose release was sent: the task counts as placed again, want it not to")
 	}
 	w.step(hostChanged(2, platform.Terminated))
 	w.advance(time.Second)
@@ -107,12 +111,13 @@
 		w.wantLines(sentLines[SendToOwner](w.send(o, handOverLine(ref, 2))), "down "+ref+" 41")
 	}
 	if w.core.owners[o] == nil {
-		t.Error("an owner is closed for tasks whose host is removed")
+		t.Errorf("after %d hand-overs on a removed host: connection of the owner closed, want it open", 3*maxMalformedRequests)
 	}
 }
 
-// Handed over twice, on another connection, with its release on the way: one release, on the connection it came on last.
-func TestCoreHandOverTwice(t *testing.T) {
+// A task is handed over again on another connection in the step in which its host releases it. The owner must get one
+// release, on the connection of the last hand-over, and the module one HandedOver event.
+func TestCoreReleasesTaskHandedOverTwiceOnLastConnection(t *testing.T) {
 	w := newTestCore(t, nil)
 	first, second := w.connectOwner(), w.connectOwner()
 	w.wantLines(sentLines[SendToOwner](w.send(first, handOverLine(ref1, 1))))
@@ -122,47 +127,50 @@
 	w.wantLines(sentLines[SendToOwner](w.step(OwnerData{second, []byte(handOverLine(ref1, 1) + "\n")}, fromHost(conn, releaseLine(ref1, 16)))),
 		"down "+ref1+" 16")
 	if ofType[SendToOwner](w.outputs)[0].Owner != second {
-		t.Error("the release goes to the connection before")
+		t.Errorf("release sent to owner %d, want %d, whose hand-over came last", ofType[SendToOwner](w.outputs)[0].Owner, second)
 	}
 	if len(takeEvents[forkhead.HandedOver](w)) != 1 {
-		t.Error("the module got it twice")
+		t.Error("task handed over twice: HandedOver events differ from one, want exactly one")
 	}
-	// And once more, behind its release: it has ended.
+	// A further hand-over after the release gets no line: the owner knows that the task has ended.
 	w.wantLines(sentLines[SendToOwner](w.send(first, handOverLine(ref1, 1))))
 }
 
-// A hand-over may name what this placer has placed itself, or is just placing: that is not answered.
-func TestCoreHandOverOfOwnTask(t *testing.T) {
+// A hand-over may name a task that this placer has placed or is placing. It is not answered, and the release of a
+// placed task moves to its connection. A hand-over of another task under the same ref is rejected.
+func TestCoreAcceptsHandOverOfTaskItPlaced(t *testing.T) {
 	w := newTestCore(t, nil)
 	o, _ := w.placeTask()
 	second := w.connectOwner()
 	for _, by := range []OwnerID{o, second} {
 		if w.wantLines(sentLines[SendToOwner](w.send(by, handOverLine(ref1, 1)))); w.core.owners[by] == nil || w.core.requestsByRef[ref1].owner != by {
-			t.Fatal("its owner is closed, or its release would go elsewhere")
+			t.Fatalf("hand-over by owner %d: connection closed (%v) or release not moved to it, want it open and the release moved",
+				by, w.core.owners[by] == nil)
 		}
 	}
 	w.send(o, requestLine(ref2, "keyed", ""))
 	w.wantLines(sentLines[SendToOwner](w.send(second, handOverLine(ref2, 1))))
 	if w.core.requestsByRef[ref2] == nil || w.core.requestsByRef[ref2].phase != requestOpen {
-		t.Error("the open request is touched")
+		t.Error("hand-over of a task that is being placed: request removed or no longer open, want it open")
 	}
 	w.wantLines(sentLines[SendToOwner](w.send(o, strings.Replace(handOverLine(ref1, 1), "7f3a9c21e0b4d655", "00000000000000aa", 1))), "down "+ref1+" 47")
 }
 
-// A release that no connection of owners could take is sent on the one that hands its task over, once.
-func TestCoreHandOverWithUndeliveredRelease(t *testing.T) {
+// A release that could not be delivered, as no owner was connected, is sent on the connection that hands over its task,
+// and only once.
+func TestCoreSendsUndeliveredReleaseOnHandOver(t *testing.T) {
 	w := newTestCore(t, nil)
 	o, conn := w.placeTask()
 	w.step(OwnerDisconnected{o})
 	w.wantLines(sentLines[SendToOwner](w.step(fromHost(conn, releaseLine(ref1, 16)))))
 	next := w.connectOwner()
 	w.wantLines(sentLines[SendToOwner](w.send(next, handOverLine(ref1, 1))), "down "+ref1+" 16")
-	w.wantLines(sentLines[SendToOwner](w.send(next, handOverLine(ref2, 1)))) // it counts as placed, and nothing more is sent
+	w.wantLines(sentLines[SendToOwner](w.send(next, handOverLine(ref2, 1)))) // counts as placed, and the release is not sent again
 }
 
-// A task of the service is handed over at the host while an offer is queued for a connection there: the offer is not sent
-// where that would exceed the spread limit.
-func TestCoreHandOverWhileOfferIsQueued(t *testing.T) {
+// A task of the same service is handed over on a host while an offer waits for a connection to it. The offer is not
+// sent if it would now exceed the spread limit.
+func TestCoreDropsQueuedOfferThatHandOverPutsOverSpreadLimit(t *testing.T) {
 	for limit, want := range map[int]int{1: 0, 2: 1} {
 		w := newTestCore(t, func(cfg *Config) {
 			cfg.Settings.Classes[0].SpreadDomain, cfg.Settings.Classes[0].MaxPerDomain = forkhead.MachineDomain, limit
@@ -178,7 +186,8 @@
 			}
 		}
 		if got := takeEvents[forkhead.Outcome](w); n != want || want == 0 && (len(got) != 1 || got[0].Result != forkhead.NotSent) {
-			t.Errorf("limit %d: %d offers are sent, outcomes %+v", limit, n, got)
+			t.Errorf("spread limit %d: got %d offers sent, want %d; outcomes %+v, want one with result NotSent if none is sent",
+				limit, n, want, got)
 		}
 	}
 }
--- a/internal/scheduler/platform/linereader_test.go
+++ b/internal/scheduler/platform/linereader_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A line that arrives in pieces is timed from its first byte. If later pieces reset the time, a sender could keep a line
-// open for ever.
+// A line that arrives in pieces is timed from its first byte. If later pieces reset the time, a sender could keep a
+// line open for ever.
 func TestLineReaderMeasuresPartialLines(t *testing.T) {
 	var reader lineReader
 	var lines []string
--- a/internal/scheduler/platform/owner_test.go
+++ b/internal/scheduler/platform/owner_test.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// Connections that send nothing, or do not end a line, are closed within 3 s; one that requested something once stays.
+// Connections that send nothing or do not end a line are closed within 3 s. One that has sent a valid request stays
+// open.
 func TestCoreClosesOwnersWithoutMessages(t *testing.T) {
 	w := newTestCore(t, nil)
 	idle, half := w.connectOwner(), w.connectOwner()
 	w.step(OwnerData{half, []byte(`{"t":`)})
-	usual, _ := w.placeTask()
+	regular, _ := w.placeTask()
 	closed := map[OwnerID]bool{}
 	for range 60 {
 		w.now += 50 * time.Millisecond
@@ -20,12 +21,13 @@
 			closed[c.Owner] = true
 		}
 	}
-	if !closed[idle] || !closed[half] || closed[usual] {
-		t.Errorf("closed %v, want %d and %d", closed, idle, half)
+	if !closed[idle] || !closed[half] || closed[regular] {
+		t.Errorf("closed connections of owners in 3 s: got %v, want %d and %d", closed, idle, half)
 	}
 }
 
-// Where connections run out, those that sent nothing are closed first, then the idle ones; one with an open request stays.
+// When connections run out, those that have sent nothing are closed first, oldest first. A connection that has sent a
+// valid message and one with an open request stay open.
 func TestCoreEvictsOwnersByRank(t *testing.T) {
 	w := newTestCore(t, nil)
 	requesting := w.connectOwner()
@@ -41,29 +43,31 @@
 		}
 	}
 	if len(closed) != 2 || closed[0] != 3 || closed[1] != 4 {
-		t.Errorf("closed %v, want the oldest that sent nothing, 3 and 4", closed)
+		t.Errorf("closed connections of owners: got %v, want 3 and 4, the oldest that have sent nothing", closed)
 	}
 	if len(w.core.owners) != 8 || w.core.owners[requesting] == nil || w.core.owners[idle] == nil {
-		t.Error("a connection that is used was closed")
+		t.Errorf("got %d connections of owners, want 8; the one with an open request is open: %v, want true; the one that sent a probe: %v, want true",
+			len(w.core.owners), w.core.owners[requesting] != nil, w.core.owners[idle] != nil)
 	}
 }
 
-// Where a task runs for each connection of the owners, none is evicted: the new one is closed.
-func TestCoreClosesOwnerWhereAllOthersAreInUse(t *testing.T) {
+// If a task runs for every connection of owners, none of them is evicted and a new one is closed.
+func TestCoreClosesNewOwnerIfAllOthersHaveRunningTasks(t *testing.T) {
 	w := newTestCore(t, nil)
 	for i := range 8 {
 		w.send(w.connectOwner(), handOverLine(fmt.Sprintf("%016x", i+1), 1))
 	}
 	id := w.connectOwner()
 	if closed := ofType[CloseOwnerConnection](w.outputs); len(closed) != 1 || closed[0].Owner != id {
-		t.Errorf("closed %v, want the new one, %d", closed, id)
+		t.Errorf("closed connections of owners: got %v, want only the new one, %d", closed, id)
 	}
 }
 
-// A usual owner, whose task runs, is not evicted for hundreds that request once and stay, and is sent its end.
+// An owner whose task runs is not evicted in favor of hundreds that send one malformed request and a probe and stay
+// connected. The release of its task must reach it.
 func TestCoreKeepsOwnerWithPlacedTask(t *testing.T) {
 	w := newTestCore(t, nil)
-	usual, conn := w.placeTask()
+	regular, conn := w.placeTask()
 	for i := range 300 {
 		w.now += time.Millisecond
 		o := w.connectOwner()
@@ -71,7 +75,7 @@
 		w.send(o, ownerProbe)
 	}
 	w.step(fromHost(conn, releaseLine(ref1, 16)))
-	if got := ofType[SendToOwner](w.outputs); len(got) != 1 || got[0].Owner != usual {
-		t.Errorf("the release goes to %+v, want owner %d", got, usual)
+	if got := ofType[SendToOwner](w.outputs); len(got) != 1 || got[0].Owner != regular {
+		t.Errorf("release of the task: got lines %+v, want one to owner %d", got, regular)
 	}
 }
--- a/internal/scheduler/platform/placed_test.go
+++ b/internal/scheduler/platform/placed_test.go
@@ -7,8 +7,9 @@
 	"forkhead"
 )
 
-// A placed task ends by its owner, from any connection, and by the module; each time its host is sent a stop.
-func TestCoreEndsPlacedTask(t *testing.T) {
+// A placed task can be ended by a release on any connection of an owner or by the module's Stop. In both cases its host
+// is sent a stop and the module receives one outcome; without an answer of the host, the stop times out.
+func TestCoreStopsPlacedTaskEndedByOwnerOrModule(t *testing.T) {
 	w := newTestCore(t, nil)
 	_, conn := w.placeTask()
 	other := w.connectOwner()
@@ -18,7 +19,7 @@
 	w.step(fromHost(conn, releaseLine(ref1, 31)))
 	w.wantLines(sentLines[SendToOwner](w.outputs))
 	if got := takeEvents[forkhead.Outcome](w); len(got) != 1 || got[0].Result != forkhead.Withdrawn {
-		t.Errorf("outcomes %+v", got)
+		t.Errorf("ended by its owner: got outcomes %+v, want one with result Withdrawn", got)
 	}
 
 	w = newTestCore(t, nil)
@@ -30,14 +31,16 @@
 	w.decide = nil
 	w.advance(2 * time.Second) // the host sends nothing
 	if got := takeEvents[forkhead.Outcome](w); len(got) != 1 || got[0].Result != forkhead.Withdrawn || !got[0].Final {
-		t.Errorf("outcomes %+v", got)
+		t.Errorf("ended by the module, without an answer of the host: got outcomes %+v, want one final with result Withdrawn", got)
 	}
 	if len(w.core.requests)+len(w.core.requestsByRef)+len(w.core.attemptsByService) > 0 {
-		t.Error("the task is not removed")
+		t.Errorf("after its end: got %d requests, %d refs and %d services, want none of them",
+			len(w.core.requests), len(w.core.requestsByRef), len(w.core.attemptsByService))
 	}
 }
 
-// No connection owns a placed task: its end is sent on another one, or on the next that is used.
+// The release of a task whose owner has disconnected is sent on the next connection that a task is placed for, and only
+// once.
 func TestCoreDeliversReleaseOnAnotherConnection(t *testing.T) {
 	w := newTestCore(t, nil)
 	o, conn := w.placeTask()
@@ -47,17 +50,17 @@
 	next := w.connectOwner()
 	w.wantLines(sentLines[SendToOwner](w.send(next, ownerProbe)), "hb_ok 0000000000000001 1")
 	w.wantLines(sentLines[SendToOwner](w.send(next, requestLine(ref2, "keyed", ";at:s-00000001"))), "down "+ref1+" 16")
-	w.wantLines(sentLines[SendToOwner](w.send(next, handOverLine(ref3, 1)))) // it is sent once
+	w.wantLines(sentLines[SendToOwner](w.send(next, handOverLine(ref3, 1)))) // the release is not sent again
 }
 
-// A task that its owner ends while no connection to its host is open is ended on the next one.
+// The stop of a task that its owner ends while no connection to its host is open is sent on the next connection.
 func TestCoreStopsTaskOnNextConnection(t *testing.T) {
 	w := newTestCore(t, nil)
 	o, conn := w.placeTask()
 	w.step(HostDisconnected{conn})
 	w.wantLines(sentLines[SendToOwner](w.send(o, releaseLine(ref1, 16))), "ack "+ref1)
 	var dials []DialHost
-	for range 40 { // its host accepts no connection for 2 s
+	for range 40 { // the host accepts no connection for 2 s
 		w.now += 50 * time.Millisecond
 		dials = append(dials, ofType[DialHost](w.step())...)
 		if len(dials) > 0 && w.core.connections[dials[len(dials)-1].Connection] != nil && len(dials) < 3 {
@@ -67,6 +70,6 @@
 	w.wantLines(sentLines[SendToHost](w.step(HostConnected{dials[len(dials)-1].Connection})), "down "+ref1+" 16")
 	w.advance(1100 * time.Millisecond)
 	if w.core.requestsByRef[ref1] != nil {
-		t.Error("it is not removed once its host was notified")
+		t.Error("1.1 s after the stop was sent, without an answer: request still known, want it removed")
 	}
 }
--- a/internal/scheduler/platform/probe_test.go
+++ b/internal/scheduler/platform/probe_test.go
@@ -8,8 +8,8 @@
 	"forkhead"
 )
 
-// A probe that is unanswered on one connection, which may be broken, is sent on another before it times out. One that is
-// answered on neither times out.
+// A probe that is unanswered on one connection, which may be broken, is sent on another before it times out. One that
+// is answered on neither times out.
 func TestCoreRetriesProbeOnAnotherConnection(t *testing.T) {
 	w := newTestCore(t, nil)
 	w.decide = func(ev forkhead.Event) []forkhead.Action {
--- a/internal/scheduler/platform/unresponsive_test.go
+++ b/internal/scheduler/platform/unresponsive_test.go
@@ -8,7 +8,8 @@
 	"forkhead"
 )
 
-// A host that refuses new connections and keeps ours is not lost; one that vanishes is, in time.
+// A host that refuses new connections but keeps an open one is draining and keeps its tasks. A host to which dials fail
+// in other ways and that sends nothing is lost within 8 s.
 func TestCoreLosesUnresponsiveHostButNotDrainingOne(t *testing.T) {
 	w := newTestCore(t, nil)
 	_, conn := w.placeTask()
@@ -17,31 +18,31 @@
 		w.failDials(true)
 	}
 	if got := takeEvents[forkhead.Outcome](w); len(got) != 0 {
-		t.Fatalf("a host that drains loses its tasks: %+v", got)
+		t.Fatalf("host that refuses dials for 10 s beside an open connection: got outcomes %+v, want none", got)
 	}
 	if w.core.connections[conn] == nil {
-		t.Fatal("its connection was closed")
+		t.Fatal("host that refuses dials for 10 s: its open connection was closed, want it open")
 	}
 	began := w.now
 	for len(w.events) == 0 || len(takeEvents[forkhead.Outcome](w)) == 0 {
 		w.advance(50 * time.Millisecond)
 		w.failDials(false)
 		if w.now > began+8*time.Second {
-			t.Fatal("a host that vanished keeps its tasks for more than 8 s")
+			t.Fatal("host to which dials fail: tasks kept for more than 8 s, want them lost within 8 s")
 		}
 	}
 }
 
-// A host that runs tasks and sends nothing for long is dialed, and connections to it do not pile up. It is lost where it
-// accepts none any more, and is not where only this process could not dial.
+// A host that runs tasks and sends nothing for a minute is dialed repeatedly, without connections to it accumulating.
+// It is lost if it accepts none, but not if the dials fail for a local cause.
 func TestCoreRedialsUnresponsiveHost(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func(DialHost) Input
 		lost   bool
 	}{
-		"it accepts connections": {connected, false},
-		"it accepts none":        {func(d DialHost) Input { return DialFailed{Connection: d.Connection} }, true},
-		"a local failure":        {func(d DialHost) Input { return DialFailed{Connection: d.Connection, Local: true} }, false},
+		"host accepts connections": {connected, false},
+		"host accepts none":        {func(d DialHost) Input { return DialFailed{Connection: d.Connection} }, true},
+		"dials fail locally":       {func(d DialHost) Input { return DialFailed{Connection: d.Connection, Local: true} }, false},
 	} {
 		w := newTestCore(t, nil)
 		w.placeTask()
@@ -50,17 +51,18 @@
 			maxConnections = max(maxConnections, len(w.core.hosts[1].connections))
 		})
 		if lost := len(takeEvents[forkhead.Outcome](w)) > 0; lost != c.lost {
-			t.Errorf("%s: its task is lost %v, want %v", name, lost, c.lost)
+			t.Errorf("%s: task lost %v, want %v", name, lost, c.lost)
 		}
 		if maxConnections > 2 || !c.lost && dials < 10 {
-			t.Errorf("%s: %d connections at once, %d dials", name, maxConnections, dials)
+			t.Errorf("%s: got up to %d connections at once, want at most 2; %d dials, want at least 10 unless the host is lost",
+				name, maxConnections, dials)
 		}
 	}
 }
 
-// A host that is partitioned for less than the protocol's time keeps its tasks; those of one that does not come back are
-// released within that time, counted from when it last sent something.
-func TestCoreHostCutOff(t *testing.T) {
+// A host that is partitioned for less than undeliveredTimeout, 8 s by the protocol, keeps its tasks. The tasks of a
+// host that does not come back are released within that time, counted from when it was last seen alive.
+func TestCoreReleasesTasksOfPartitionedHostInTime(t *testing.T) {
 	for _, cut := range []time.Duration{6 * time.Second, time.Hour} {
 		w := newTestCore(t, nil)
 		w.placeTask()
@@ -78,10 +80,11 @@
 			}
 		})
 		if cut < time.Minute && releasedAt > 0 {
-			t.Errorf("partitioned for %v: its task is released after %v", cut, releasedAt-receivedAt)
+			t.Errorf("partitioned for %v: task released %v after the host was last seen alive, want it kept", cut, releasedAt-receivedAt)
 		}
 		if cut > time.Minute && (releasedAt == 0 || releasedAt > receivedAt+8*time.Second) {
-			t.Errorf("lost: its task is released %v after it last sent something", releasedAt-receivedAt)
+			t.Errorf("partitioned for good: task released (%v) %v after the host was last seen alive, want within 8s",
+				releasedAt != 0, releasedAt-receivedAt)
 		}
 	}
 }
