--- a/internal/server/clock/clock.go
+++ b/internal/server/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock gives the shells the time of their cores.
+// Package clock provides the time source of the servers and an interruptible sleep.
 package clock
 
 import (
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Clock counts time since the Unix epoch, by the wall clock at its start and by the monotonic clock since: it never goes
-// back, whatever is done to the wall clock. It may be used by several goroutines at once.
+// Clock measures time since the Unix epoch. It reads the wall clock once, when it is created, and advances by the monotonic
+// clock from then on: it never goes back, even if the wall clock is set. It is safe for concurrent use.
 type Clock struct {
-	startedAt time.Duration // since the Unix epoch, by the wall clock
-	start     time.Time     // the same moment, by the monotonic clock
+	startedAt time.Duration // wall clock time at creation, since the Unix epoch
+	start     time.Time     // the same moment with its monotonic clock reading
 }
 
-// New returns a clock that starts now.
+// New returns a clock that starts at the current wall clock time.
 func New() *Clock {
 	now := time.Now()
 	return &Clock{startedAt: time.Duration(now.UnixNano()), start: now}
@@ -22,11 +22,11 @@
 // Now returns the time since the Unix epoch.
 func (c *Clock) Now() time.Duration { return c.startedAt + time.Since(c.start) }
 
-// Until returns how long it is until a time since the Unix epoch: 0 if that is over.
+// Until returns the duration until t, which is a time since the Unix epoch, or 0 if t has passed.
 func (c *Clock) Until(t time.Duration) time.Duration { return max(t-c.Now(), 0) }
 
-// Sleep returns nil after a duration, or the context's error as soon as it is canceled. A duration of 0 or below is over
-// at once.
+// Sleep waits for d and returns nil, or returns the context's error as soon as ctx is canceled. It does not wait if d is 0
+// or negative.
 func Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/server/eventloop/eventloop.go
+++ b/internal/server/eventloop/eventloop.go
@@ -1,5 +1,5 @@
-// Package eventloop runs a pure core on one goroutine: jobs come from any goroutine, and the core is stepped after each
-// batch of them and when its next timer is due.
+// Package eventloop runs a core, which does no I/O, on one goroutine. Other goroutines post jobs; the core is stepped after
+// each batch of jobs and when its next timer is due.
 package eventloop
 
 import (
@@ -9,37 +9,38 @@
 	"forkhead/internal/server/clock"
 )
 
-// A loop that runs so late for a timer was stalled, and so were those that post jobs to it: it lets them post what has
-// come meanwhile, in rounds, before it steps the timers that are due. It guards against a stall of our own that is taken
-// for unresponsive peers.
+// Handling of a stalled process. A loop that is late for a timer by more than stalledAfter did not get the processor, and
+// neither did the goroutines that post jobs to it. Before it steps the core, the loop pauses for up to maxCatchUpRounds
+// rounds of catchUpPause, so that they can post what arrived during the stall. Otherwise the core's timeouts would expire
+// before it sees the messages that peers sent in time, and it would take these peers for unresponsive.
 const (
 	stalledAfter     = 50 * time.Millisecond
 	catchUpPause     = time.Millisecond
 	maxCatchUpRounds = 10
 )
 
-// Step steps the core. It is called on the loop's goroutine after a batch of jobs, or when the time that it last
-// returned has come. Times are those of the loop's clock. It returns when it wants to be called next; ok is false if only
-// after further jobs.
+// Step steps the core at now, by the loop's clock. It is called on the loop's goroutine after a batch of jobs, and when the
+// time that it returned last has come. It returns the time of its next call; with ok false, it is only called after further
+// jobs.
 type Step func(now time.Duration) (next time.Duration, ok bool)
 
-// Loop is one goroutine that runs jobs and steps. Start starts it, and Stop ends it and waits for it; both are called by
-// the loop's owner, each once. The other methods may be called from any goroutine.
+// Loop runs jobs and steps the core on one goroutine. Start starts the goroutine, and Stop ends it and waits for it; the
+// loop's owner calls each of them once. The other methods are safe for concurrent use.
 type Loop struct {
 	clock     *clock.Clock
 	step      Step
-	maxQueued int // jobs beyond which PostBlocking waits
+	maxQueued int // PostBlocking waits while this many jobs are queued
 
-	wake chan struct{} // holds a token when there is something to do
+	wake chan struct{} // holds a token when jobs were queued or the loop was stopped
 	done chan struct{} // closed when the goroutine ends
 
-	mu      sync.Mutex
-	space   *sync.Cond // on mu: jobs were taken, or stopped was set
-	jobs    []func()   // queued, in their order
+	mu      sync.Mutex // guards the fields below
+	space   *sync.Cond // uses mu; signaled when the queue was emptied or stopped was set
+	jobs    []func()   // queued jobs, oldest first
 	stopped bool
 }
 
-// New returns a loop that Start starts. PostBlocking waits while maxQueued jobs or more are queued.
+// New returns a loop that is not started. PostBlocking waits while maxQueued jobs or more are queued.
 func New(c *clock.Clock, maxQueued int, step Step) *Loop {
 	l := &Loop{clock: c, step: step, maxQueued: maxQueued, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	l.space = sync.NewCond(&l.mu)
@@ -49,16 +50,16 @@
 // Start starts the loop's goroutine.
 func (l *Loop) Start() { go l.run() }
 
-// Post queues a job without waiting: for what the loop itself causes, and what is bounded elsewhere.
-// A job posted after Stop is dropped, and false returned.
+// Post queues a job without waiting. It is meant for jobs that the loop itself causes and for those whose number is bounded
+// elsewhere. After Stop it drops the job and returns false.
 func (l *Loop) Post(job func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.enqueue(job)
 }
 
-// PostBlocking queues a job like Post, and first waits until there is space or the loop is stopped. It must not be called
-// from a job, which would wait for itself.
+// PostBlocking waits until the queue has space or the loop is stopped, and then queues a job like Post. It must not be
+// called from a job, which would wait for itself.
 func (l *Loop) PostBlocking(job func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,7 +69,7 @@
 	return l.enqueue(job)
 }
 
-// enqueue is called with mu held.
+// enqueue queues a job, or drops it and returns false if the loop is stopped. The caller holds mu.
 func (l *Loop) enqueue(job func()) bool {
 	if l.stopped {
 		return false
@@ -78,7 +79,7 @@
 	return true
 }
 
-// wakeUp makes the loop look at its queue; it doesn't wait.
+// wakeUp makes the loop's goroutine check its queue, without waiting for it.
 func (l *Loop) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
@@ -86,8 +87,8 @@
 	}
 }
 
-// Call runs a job on the loop and waits for it. It returns false if the loop is stopped; a job that was running then may
-// have run. It must not be called from a job.
+// Call runs a job on the loop and waits until it has run. It returns false if the loop stops first; the job may have run
+// even so. It must not be called from a job.
 func (l *Loop) Call(job func()) bool {
 	ran := make(chan struct{})
 	posted := l.Post(func() {
@@ -105,8 +106,8 @@
 	}
 }
 
-// Stop ends the loop after the current job and waits for its goroutine. Queued jobs are dropped. It must not be called
-// from a job, nor on a loop that was not started.
+// Stop drops the queued jobs, ends the loop after the batch that is running, and waits for its goroutine. It must not be
+// called from a job, nor on a loop that was not started.
 func (l *Loop) Stop() {
 	l.mu.Lock()
 	l.stopped = true
@@ -117,21 +118,21 @@
 	<-l.done
 }
 
-// run is the loop's goroutine.
+// run is the body of the loop's goroutine.
 func (l *Loop) run() {
 	defer close(l.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	next, timed := time.Duration(0), false
+	next, hasNext := time.Duration(0), false
 	for {
 		ran, stopped := l.runJobs()
-		if !stopped && timed && l.clock.Now() > next+stalledAfter {
+		if !stopped && hasNext && l.clock.Now() > next+stalledAfter {
 			stopped = l.catchUp(ran)
 		}
 		if stopped {
 			return
 		}
-		if next, timed = l.step(l.clock.Now()); !timed {
+		if next, hasNext = l.step(l.clock.Now()); !hasNext {
 			<-l.wake
 			continue
 		}
@@ -143,7 +144,8 @@
 	}
 }
 
-// catchUp lets producers post until a round has no job; ran is how many jobs the last one had.
+// catchUp pauses and runs the jobs that were posted during the pause, until a pause brings no job or maxCatchUpRounds is
+// reached. ran is the number of jobs in the batch before it; there is at least one pause.
 func (l *Loop) catchUp(ran int) (stopped bool) {
 	for round := 0; (ran > 0 || round == 0) && round < maxCatchUpRounds; round++ {
 		time.Sleep(catchUpPause)
@@ -154,7 +156,7 @@
 	return false
 }
 
-// runJobs runs what is queued and returns how many jobs that were, or that the loop is stopped.
+// runJobs runs the queued jobs and returns their number, or reports that the loop is stopped.
 func (l *Loop) runJobs() (ran int, stopped bool) {
 	l.mu.Lock()
 	jobs, stopped := l.jobs, l.stopped
--- a/internal/server/eventloop/eventloop_test.go
+++ b/internal/server/eventloop/eventloop_test.go
@@ -9,14 +9,14 @@
 	"forkhead/internal/server/clock"
 )
 
-// Jobs run in order on one goroutine; the step follows them, and comes again when its time is due.
-func TestLoopRunsJobsInOrderAndTimers(t *testing.T) {
+// Jobs run in the order in which they were posted, and the core is stepped again when its timer is due.
+func TestLoopRunsJobsInOrderAndStepsWhenTimerIsDue(t *testing.T) {
 	c := clock.New()
 	steps := make(chan time.Duration, 1000)
-	wants := c.Now() + 30*time.Millisecond
+	due := c.Now() + 30*time.Millisecond
 	l := New(c, 10, func(now time.Duration) (time.Duration, bool) {
 		steps <- now
-		return wants, now < wants
+		return due, now < due
 	})
 	l.Start()
 	defer l.Stop()
@@ -27,23 +27,23 @@
 	l.Call(func() {})
 	for i, n := range got {
 		if i != n {
-			t.Fatalf("job %d ran as number %d", n, i)
+			t.Fatalf("job at position %d of the execution order: got job %d, want job %d", i, n, i)
 		}
 	}
 	for end := time.After(5 * time.Second); ; {
 		select {
 		case at := <-steps:
-			if at >= wants {
+			if at >= due {
 				return
 			}
 		case <-end:
-			t.Fatal("the timer did not come")
+			t.Fatal("got no step at or after the time of the timer within 5s, want one")
 		}
 	}
 }
 
-// A full queue blocks producers, and Stop releases them.
-func TestLoopBlocksProducersWhenFull(t *testing.T) {
+// PostBlocking waits while the queue is full and returns when the loop stops. Post and Call return false after that.
+func TestLoopPostBlockingWaitsWhenQueueIsFull(t *testing.T) {
 	l := New(clock.New(), 5, func(time.Duration) (time.Duration, bool) { return 0, false })
 	l.Start()
 	gate := make(chan struct{})
@@ -60,8 +60,8 @@
 		}()
 	}
 	time.Sleep(50 * time.Millisecond)
-	if n := queued.Load(); n > 10 { // a batch in execution beside a full queue
-		t.Fatalf("%d jobs beside a queue of 5", n)
+	if n := queued.Load(); n > 10 { // the batch that is running and a full queue
+		t.Fatalf("got %d of 20 jobs queued with a bound of 5 while a job blocks the loop, want at most 10", n)
 	}
 	go func() {
 		time.Sleep(10 * time.Millisecond)
@@ -70,13 +70,14 @@
 	l.Stop()
 	wait.Wait()
 	if l.Post(func() {}) || l.Call(func() {}) {
-		t.Fatal("a job is taken after the end")
+		t.Fatal("Post or Call after Stop = true, want false for both")
 	}
 }
 
-// A loop that was stalled past a timer takes what was blocked meanwhile before the timer is due.
-func TestLoopCatchesUpBeforeLateTimer(t *testing.T) {
-	got := 0
+// A loop that was stalled past a timer runs the jobs whose producers were blocked during the stall before it steps the core
+// for that timer. Otherwise the core would time out peers whose messages had arrived in time.
+func TestLoopRunsBlockedJobsBeforeLateTimer(t *testing.T) {
+	ran := 0
 	stepped := make(chan int, 1)
 	c := clock.New()
 	due := c.Now() + 20*time.Millisecond
@@ -85,23 +86,23 @@
 			return due, true
 		}
 		select {
-		case stepped <- got:
+		case stepped <- ran:
 		default:
 		}
 		return now + time.Hour, true
 	})
 	l.Start()
 	defer l.Stop()
-	l.Call(func() {}) // a step follows it, before what is queued from here on
-	stalled, on := make(chan struct{}), make(chan struct{})
-	l.Post(func() { close(stalled); <-on })
+	l.Call(func() {}) // the core is stepped after this job and before those that are posted below
+	stalled, resume := make(chan struct{}), make(chan struct{})
+	l.Post(func() { close(stalled); <-resume })
 	<-stalled
-	for range 5 { // one is queued, the others wait for space one after the other
-		go l.PostBlocking(func() { got++ })
+	for range 5 { // one job is queued; the producers of the others wait for space
+		go l.PostBlocking(func() { ran++ })
 	}
 	time.Sleep(200 * time.Millisecond)
-	close(on)
+	close(resume)
 	if n := <-stepped; n != 5 {
-		t.Errorf("%d of 5 jobs came before the late timer", n)
+		t.Errorf("jobs run before the step of the late timer: got %d, want 5", n)
 	}
 }
