--- a/internal/server/clock/clock.go
+++ b/internal/server/clock/clock.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Clock measures time since the Unix epoch. It reads the wall clock once, when it is created, and advances by the monotonic
-// clock from then on: it never goes back, even if the wall clock is set. It is safe for concurrent use.
+// Clock measures time since the Unix epoch. It reads the wall clock once, when it is created, and advances by the
+// monotonic clock from then on: it never goes back, even if the wall clock is set. It is safe for concurrent use.
 type Clock struct {
 	startedAt time.Duration // wall clock time at creation, since the Unix epoch
 	start     time.Time     // the same moment with its monotonic clock reading
@@ -25,8 +25,8 @@
 // Until returns the duration until t, which is a time since the Unix epoch, or 0 if t has passed.
 func (c *Clock) Until(t time.Duration) time.Duration { return max(t-c.Now(), 0) }
 
-// Sleep waits for d and returns nil, or returns the context's error as soon as ctx is canceled. It does not wait if d is 0
-// or negative.
+// Sleep waits for d and returns nil, or returns the context's error as soon as ctx is canceled. It does not wait if d
+// is 0 or negative.
 func Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/server/eventloop/eventloop.go
+++ b/internal/server/eventloop/eventloop.go
@@ -1,5 +1,5 @@
-// Package eventloop runs a core, which does no I/O, on one goroutine. Other goroutines post jobs; the core is stepped after
-// each batch of jobs and when its next timer is due.
+// Package eventloop runs a core, which does no I/O, on one goroutine. Other goroutines post jobs; the core is stepped
+// after each batch of jobs and when its next timer is due.
 package eventloop
 
 import (
@@ -9,23 +9,24 @@
 	"forkhead/internal/server/clock"
 )
 
-// Handling of a stalled process. A loop that is late for a timer by more than stalledAfter did not get the processor, and
-// neither did the goroutines that post jobs to it. Before it steps the core, the loop pauses for up to maxCatchUpRounds
-// rounds of catchUpPause, so that they can post what arrived during the stall. Otherwise the core's timeouts would expire
-// before it sees the messages that peers sent in time, and it would take these peers for unresponsive.
+// Handling of a stalled process. A loop that is late for a timer by more than stalledAfter did not get the processor,
+// and neither did the goroutines that post jobs to it. Before it steps the core, the loop pauses for up to
+// maxCatchUpRounds rounds of catchUpPause, so that they can post what arrived during the stall. Otherwise the core's
+// timeouts would expire before it sees the messages that peers sent in time, and it would take these peers for
+// unresponsive.
 const (
 	stalledAfter     = 50 * time.Millisecond
 	catchUpPause     = time.Millisecond
 	maxCatchUpRounds = 10
 )
 
-// Step steps the core at now, by the loop's clock. It is called on the loop's goroutine after a batch of jobs, and when the
-// time that it returned last has come. It returns the time of its next call; with ok false, it is only called after further
-// jobs.
+// Step steps the core at now, by the loop's clock. It is called on the loop's goroutine after a batch of jobs, and when
+// the time that it returned last has come. It returns the time of its next call; with ok false, it is only called after
+// further jobs.
 type Step func(now time.Duration) (next time.Duration, ok bool)
 
-// Loop runs jobs and steps the core on one goroutine. Start starts the goroutine, and Stop ends it and waits for it; the
-// loop's owner calls each of them once. The other methods are safe for concurrent use.
+// Loop runs jobs and steps the core on one goroutine. Start starts the goroutine, and Stop ends it and waits for it;
+// the loop's owner calls each of them once. The other methods are safe for concurrent use.
 type Loop struct {
 	clock     *clock.Clock
 	step      Step
@@ -50,8 +51,8 @@
 // Start starts the loop's goroutine.
 func (l *Loop) Start() { go l.run() }
 
-// Post queues a job without waiting. It is meant for jobs that the loop itself causes and for those whose number is bounded
-// elsewhere. After Stop it drops the job and returns false.
+// Post queues a job without waiting. It is meant for jobs that the loop itself causes and for those whose number is
+// bounded elsewhere. After Stop it drops the job and returns false.
 func (l *Loop) Post(job func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,8 +88,8 @@
 	}
 }
 
-// Call runs a job on the loop and waits until it has run. It returns false if the loop stops first; the job may have run
-// even so. It must not be called from a job.
+// Call runs a job on the loop and waits until it has run. It returns false if the loop stops first; the job may have
+// run even so. It must not be called from a job.
 func (l *Loop) Call(job func()) bool {
 	ran := make(chan struct{})
 	posted := l.Post(func() {
@@ -106,8 +107,8 @@
 	}
 }
 
-// Stop drops the queued jobs, ends the loop after the batch that is running, and waits for its goroutine. It must not be
-// called from a job, nor on a loop that was not started.
+// Stop drops the queued jobs, ends the loop after the batch that is running, and waits for its goroutine. It must not
+// be called from a job, nor on a loop that was not started.
 func (l *Loop) Stop() {
 	l.mu.Lock()
 	l.stopped = true
@@ -144,8 +145,8 @@
 	}
 }
 
-// catchUp pauses and runs the jobs that were posted during the pause, until a pause brings no job or maxCatchUpRounds is
-// reached. ran is the number of jobs in the batch before it; there is at least one pause.
+// catchUp pauses and runs the jobs that were posted during the pause, until a pause brings no job or maxCatchUpRounds
+// is reached. ran is the number of jobs in the batch before it; there is at least one pause.
 func (l *Loop) catchUp(ran int) (stopped bool) {
 	for round := 0; (ran > 0 || round == 0) && round < maxCatchUpRounds; round++ {
 		time.Sleep(catchUpPause)
--- a/internal/server/eventloop/eventloop_test.go
+++ b/internal/server/eventloop/eventloop_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// A loop that was stalled past a timer runs the jobs whose producers were blocked during the stall before it steps the core
-// for that timer. Otherwise the core would time out peers whose messages had arrived in time.
+// A loop that was stalled past a timer runs the jobs whose producers were blocked during the stall before it steps the
+// core for that timer. Otherwise the core would time out peers whose messages had arrived in time.
 func TestLoopRunsBlockedJobsBeforeLateTimer(t *testing.T) {
 	ran := 0
 	stepped := make(chan int, 1)
--- a/internal/server/netio/conn.go
+++ b/internal/server/netio/conn.go
@@ -11,24 +11,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Conn is one connection. Its methods may be called from any goroutine.
+// Conn is a connection. Its methods are safe for concurrent use.
 type Conn struct {
 	raw        *nbio.Conn
-	handler    Handler // set before the poller has the connection
-	maxPending int64   // bytes
-	pending    atomic.Int64
+	handler    Handler      // set before the connection is added to its poller
+	maxPending int64        // bytes; a write beyond it closes the connection
+	pending    atomic.Int64 // bytes that are written but not yet passed to the kernel
 
 	closed             atomic.Bool
-	closeAfterFlush    atomic.Bool // close once nothing is pending
-	shutdownAfterFlush atomic.Bool // close the sending side once nothing is pending
-	reportOnce         sync.Once   // Closed of the handler
+	closeAfterFlush    atomic.Bool // close the connection when pending reaches 0
+	shutdownAfterFlush atomic.Bool // close the sending side when pending reaches 0
+	reportOnce         sync.Once   // guards the call of the handler's Closed
 
-	mu          sync.Mutex // held while the poller takes the connection
-	attached    bool       // the poller has it
-	closeReason error      // reason for which it was closed before that
+	mu          sync.Mutex // guards the fields below; held while the connection is added to its poller
+	attached    bool       // attach has been called
+	closeReason error      // the reason of a close that came before attach
 }
 
-// newConn wraps a socket, which it closes if it cannot.
+// newConn wraps a socket. On an error it closes the socket.
 func newConn(socket net.Conn, maxPending int) (*Conn, error) {
 	raw, err := nbio.NBConn(socket)
 	if err != nil {
@@ -38,14 +38,15 @@
 	return &Conn{raw: raw, maxPending: int64(maxPending)}, nil
 }
 
-// reportClosed notifies the handler, once, that the connection is closed.
+// reportClosed marks the connection as closed and calls the handler's Closed, at most once.
 func (c *Conn) reportClosed(err error) {
 	c.closed.Store(true)
 	c.reportOnce.Do(func() { c.handler.Closed(c, err) })
 }
 
-// Write queues bytes; the handler's Drained is called when all are out. It closes the connection and returns
-// ErrWriteBufferFull if more would be pending than its bound, and net.ErrClosed if it is closed already.
+// Write queues bytes. The handler's Drained is called when all pending bytes have been passed to the kernel. If more
+// bytes than the connection's bound would be pending, Write closes the connection and returns ErrWriteBufferFull. On a
+// closed connection it returns net.ErrClosed.
 func (c *Conn) Write(p []byte) error {
 	if c.closed.Load() {
 		return net.ErrClosed
@@ -61,7 +62,8 @@
 // IsClosed reports whether the connection is closed.
 func (c *Conn) IsClosed() bool { return c.closed.Load() }
 
-// HasUnsent reports whether bytes that were written wait in this process or its kernel, as the peer does not read.
+// HasUnsent reports whether written bytes wait in this process or in the kernel's send queue, as they do when the peer
+// does not read.
 func (c *Conn) HasUnsent() bool {
 	if c.closed.Load() {
 		return false
@@ -73,13 +75,14 @@
 	return err == nil && n > 0
 }
 
-// RemoteAddress is the peer's address, host:port.
+// RemoteAddress returns the peer's address as host:port.
 func (c *Conn) RemoteAddress() string { return c.raw.RemoteAddr().String() }
 
-// PendingBytes is how many bytes wait in this process to be written.
+// PendingBytes returns the number of written bytes that wait in this process.
 func (c *Conn) PendingBytes() int { return int(c.pending.Load()) }
 
-// PeerClosed reports whether the peer has closed its side or reset the connection, though that was not read yet.
+// PeerClosed reports whether the peer has closed its side or reset the connection, even if the poller has not read that
+// yet.
 func (c *Conn) PeerClosed() bool {
 	if c.closed.Load() {
 		return true
@@ -90,7 +93,8 @@
 	return err == nil && n > 0 && fds[0].Revents&hangup != 0
 }
 
-// SetReadTimeout closes the connection if nothing has come by then; 0 removes the timeout.
+// SetReadTimeout closes the connection after d, unless the timeout is set again before; 0 removes it. Received data
+// does not extend the timeout.
 func (c *Conn) SetReadTimeout(d time.Duration) {
 	t := time.Time{}
 	if d > 0 {
@@ -99,14 +103,14 @@
 	_ = c.raw.SetReadDeadline(t)
 }
 
-// Close closes the connection; what is pending is lost. Closed of its handler is called before it returns, or is being
-// called; during accept it follows.
+// Close closes the connection and drops its pending bytes. When Close returns, the handler's Closed has been called or
+// is being called by another goroutine; only for a connection whose accept has not returned yet is it called later.
 func (c *Conn) Close() { c.CloseWith(nil) }
 
-// CloseWith closes the connection like Close and gives Closed of its handler the reason.
+// CloseWith closes the connection like Close and passes the reason to the handler's Closed.
 func (c *Conn) CloseWith(reason error) {
 	c.mu.Lock()
-	if !c.attached { // within accept or beside it: attach closes it
+	if !c.attached { // accept has not returned yet: attach will close the connection
 		if !c.closed.Swap(true) {
 			c.closeReason = reason
 		}
@@ -118,7 +122,8 @@
 	c.reportClosed(reason)
 }
 
-// CloseAfterFlush closes the connection once what is pending has gone out, or after limit. Data may come until then.
+// CloseAfterFlush closes the connection when its pending bytes have been passed to the kernel, or after limit. The
+// handler's Data may be called until then.
 func (c *Conn) CloseAfterFlush(limit time.Duration) {
 	c.closeAfterFlush.Store(true)
 	if c.pending.Load() == 0 {
@@ -128,7 +133,8 @@
 	time.AfterFunc(limit, c.Close)
 }
 
-// CloseWrite closes the sending side once what is pending has gone out; what the peer sends is still read.
+// CloseWrite closes the sending side when the pending bytes have been passed to the kernel. The connection is still
+// read.
 func (c *Conn) CloseWrite() {
 	c.shutdownAfterFlush.Store(true)
 	if c.pending.Load() == 0 && !c.closed.Load() {
@@ -136,7 +142,7 @@
 	}
 }
 
-// Reset closes the connection so that the peer sees a reset; what is pending is lost.
+// Reset closes the connection with a reset and drops its unsent bytes.
 func (c *Conn) Reset() {
 	_ = c.raw.SetLinger(1, 0)
 	c.Close()
--- a/internal/server/netio/engine.go
+++ b/internal/server/netio/engine.go
@@ -13,37 +13,38 @@
 )
 
 func init() {
-	logging.SetLevel(logging.LevelNone) // what matters comes back as errors
-	// nbio keeps a table of connections by descriptor, 16 MiB by default, which each collection goes through: no
-	// descriptor is above the process's limit.
+	logging.SetLevel(logging.LevelNone) // the errors that matter are returned by nbio's functions
+	// nbio indexes connections by descriptor in a table of 16 MiB by default, which each garbage collection scans. The
+	// table needs no entries for descriptors above the process's limit.
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(nbio.MaxOpenFiles) {
 		nbio.MaxOpenFiles = int(limit.Cur) + 1
 	}
 }
 
-// Engine runs listeners and connections. Its methods may be called from any goroutine.
+// Engine runs listeners and connections. Its methods are safe for concurrent use.
 type Engine struct {
 	poller *nbio.Engine
-	// fence orders the making of a connection before its first event. The poller hands them over
-	// through the kernel, which the memory model does not know of.
+	// fence orders the setup of a connection before its first event: it is written before the connection is added to
+	// its poller and read at each event. The poller gets the event from the kernel, which Go's memory model does not
+	// treat as synchronization.
 	fence atomic.Uint64
-	// served is, by the poller's number, whether it has carried data.
-	served     []atomic.Bool
-	socketPair func() (net.Conn, net.Conn, error)
+	// delivered records, by the poller's index, whether the poller has delivered data.
+	delivered  []atomic.Bool
+	socketPair func() (net.Conn, net.Conn, error) // replaced in tests
 
-	wait    sync.WaitGroup // listeners and dials; nothing is added after stopping is set
-	closers sync.WaitGroup // see closeLater; nothing is added after stopped is set
+	running sync.WaitGroup // goroutines of listeners and dials; none is added after stopping is set
+	closers sync.WaitGroup // goroutines of closeLater; none is added after stopped is set
 
-	mu        sync.Mutex // held for a moment only: no callback, no other lock within it
+	mu        sync.Mutex // guards the fields below; no callback is called and no other lock is taken while it is held
 	listeners map[*Listener]struct{}
-	stopping  bool // Stop has begun: nothing new is opened
-	stopped   bool // all connections are closed
+	stopping  bool // Stop has begun; nothing new is opened
+	stopped   bool // Stop has stopped the pollers or given up doing so
 }
 
-// New starts an engine with so many polling goroutines.
+// New starts an engine with the given number of pollers, which have one goroutine each.
 func New(name string, pollers int) (*Engine, error) {
-	e := &Engine{listeners: map[*Listener]struct{}{}, socketPair: socketPair, served: make([]atomic.Bool, pollers)}
+	e := &Engine{listeners: map[*Listener]struct{}{}, socketPair: socketPair, delivered: make([]atomic.Bool, pollers)}
 	e.poller = nbio.NewEngine(nbio.Config{Name: name, NPoller: pollers, ReadBufferSize: ReadSize})
 	e.poller.OnData(e.onData)
 	e.poller.OnClose(e.onClose)
@@ -54,14 +55,16 @@
 	return e, nil
 }
 
+// onData is called by nbio with received bytes.
 func (e *Engine) onData(raw *nbio.Conn, p []byte) {
 	e.fence.Load()
-	e.served[raw.Hash()%len(e.served)].Store(true) // as nbio deals descriptors out
+	e.delivered[raw.Hash()%len(e.delivered)].Store(true) // nbio assigns a descriptor to a poller by the same modulus
 	if c, ok := raw.Session().(*Conn); ok && !c.closed.Load() {
 		c.handler.Data(c, p)
 	}
 }
 
+// onClose is called by nbio when it has closed a connection.
 func (e *Engine) onClose(raw *nbio.Conn, err error) {
 	e.fence.Load()
 	if c, ok := raw.Session().(*Conn); ok {
@@ -69,7 +72,7 @@
 	}
 }
 
-// onWritten is called by nbio with the connection locked.
+// onWritten is called by nbio, with the connection locked, when n bytes have been passed to the kernel.
 func (e *Engine) onWritten(raw *nbio.Conn, _ []byte, n int) {
 	e.fence.Load()
 	c, ok := raw.Session().(*Conn)
@@ -87,7 +90,8 @@
 	}
 }
 
-// closeLater closes a connection from a goroutine of its own: nbio would deadlock within the connection's own write.
+// closeLater closes a connection on a separate goroutine: nbio would deadlock on a close during the connection's own
+// write.
 func (e *Engine) closeLater(c *Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -96,19 +100,20 @@
 	}
 }
 
-// start runs a function on a goroutine that Stop waits for; false: the engine stops, and nothing was started.
-func (e *Engine) start(run func()) bool {
+// startTracked runs a function on a goroutine that Stop waits for. It returns false, and runs nothing, if the engine is
+// stopping.
+func (e *Engine) startTracked(run func()) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.stopping {
 		return false
 	}
-	e.wait.Go(run)
+	e.running.Go(run)
 	return true
 }
 
-// Stop closes all listeners and connections and waits for the engine's goroutines, dials included. The pollers of an
-// engine that cannot be stopped safely stay, and so do its connections; see awaitPollers.
+// Stop closes all listeners and connections and waits for the engine's goroutines, including those of dials. If the
+// pollers cannot be stopped safely (see awaitPollers), they keep running and their connections stay open.
 func (e *Engine) Stop() {
 	e.mu.Lock()
 	e.stopping = true
@@ -116,7 +121,7 @@
 		_ = ln.Close()
 	}
 	e.mu.Unlock()
-	e.wait.Wait()
+	e.running.Wait()
 	if e.awaitPollers() == nil {
 		e.poller.Stop()
 	}
@@ -126,11 +131,11 @@
 	e.closers.Wait()
 }
 
-// Dial connects to an address and calls opened with the connection or with the error, on another goroutine. After
-// timeout the error is one of net's timeouts; once Stop has begun it is net.ErrClosed, on a goroutine that Stop does not
-// wait for. maxPending bounds the unwritten bytes of the connection.
+// Dial connects to an address and calls opened, on another goroutine, with the connection or with an error: a timeout
+// error of package net after timeout, or net.ErrClosed once Stop has begun. Stop does not wait for the goroutine of the
+// latter. maxPending bounds the connection's pending bytes.
 func (e *Engine) Dial(address string, timeout time.Duration, maxPending int, handler Handler, opened func(*Conn, error)) {
-	started := e.start(func() {
+	started := e.startTracked(func() {
 		opened(e.dial(address, timeout, maxPending, handler))
 	})
 	if !started {
@@ -138,6 +143,7 @@
 	}
 }
 
+// dial connects to an address and adds the connection to its poller.
 func (e *Engine) dial(address string, timeout time.Duration, maxPending int, handler Handler) (*Conn, error) {
 	socket, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
@@ -153,8 +159,9 @@
 	return c, nil
 }
 
-// attach hands a connection to its poller. It guards against one that was closed before: nbio would enter it in its table
-// under a descriptor that may be another connection's by then, which no event would reach any more.
+// attach sets a connection's handler and adds the connection to its poller. If the connection was closed before, attach
+// does not add it and returns the reason of the close: nbio would store it in its table under a descriptor that may
+// belong to another connection by then, and that one would get no more events.
 func (e *Engine) attach(c *Conn, handler Handler) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,7 +174,7 @@
 	e.fence.Add(1)
 	if _, err := e.poller.AddConn(c.raw); err != nil {
 		_ = c.raw.Close()
-		return fmt.Errorf("hand a connection to its poller: %w", err)
+		return fmt.Errorf("add a connection to its poller: %w", err)
 	}
 	return nil
 }
--- a/internal/server/netio/engine_test.go
+++ b/internal/server/netio/engine_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// An engine that is stopped right after its start stops: nbio's pollers would lose the stop and spin.
+// Stop returns for an engine that has only just started. A poller of nbio that has not reached its loop yet would miss
+// the stop and spin, and Stop would wait for it forever.
 func TestEngineStopsRightAfterStart(t *testing.T) {
 	for range 200 {
 		e, err := New("test", 2)
@@ -20,66 +21,66 @@
 	}
 }
 
-// An engine that has carried something stops without a socket of another kind than it serves on: a placer's platform may
-// have none.
+// Stop opens no socket pair for an engine whose pollers have delivered data: the platform that a placer runs on may not
+// provide Unix sockets.
 func TestEngineStopsWithoutSocketPair(t *testing.T) {
 	e, err := New("test", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	e.socketPair = func() (net.Conn, net.Conn, error) {
-		t.Error("a pair of sockets is made")
+		t.Error("Stop opened a socket pair, want none as the poller has delivered data")
 		return nil, nil, errors.ErrUnsupported
 	}
-	ln, err := e.Listen("127.0.0.1:0", 1<<20, func(*Conn) Handler { return &echoHandler{closed: make(chan error, 1), back: true} })
+	ln, err := e.Listen("127.0.0.1:0", 1<<20, func(*Conn) Handler { return &echoHandler{closed: make(chan error, 1), echo: true} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := dial(t, ln)
 	_, _ = c.Write([]byte("x"))
 	if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the echo of one byte: got %v, want nil", err)
 	}
 	e.Stop()
 }
 
-// What one end writes comes back whole, and a closed connection takes nothing more.
+// An echo of all bytes that were written on a dialed connection arrives. Write returns net.ErrClosed after Close.
 func TestEngineDialEchoes(t *testing.T) {
-	e, ln := startListening(t, 1<<20, &echoHandler{closed: make(chan error, 1), back: true})
-	mine := &echoHandler{closed: make(chan error, 1)}
+	e, ln := startListening(t, 1<<20, &echoHandler{closed: make(chan error, 1), echo: true})
+	client := &echoHandler{closed: make(chan error, 1)}
 	opened := make(chan *Conn, 1)
-	e.Dial(ln.Addr().String(), time.Second, 1<<20, mine, func(c *Conn, err error) {
+	e.Dial(ln.Addr().String(), time.Second, 1<<20, client, func(c *Conn, err error) {
 		if err != nil {
-			t.Error(err)
+			t.Errorf("Dial(a listener's address) reports %v, want nil", err)
 		}
 		opened <- c
 	})
 	c := <-opened
 	want := bytes.Repeat([]byte("forkhead"), 10_000)
 	if err := c.Write(want); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Write(%d bytes) = %v, want nil", len(want), err)
 	}
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
-		mine.mu.Lock()
-		same := bytes.Equal(mine.got, want)
-		mine.mu.Unlock()
+		client.mu.Lock()
+		same := bytes.Equal(client.received, want)
+		client.mu.Unlock()
 		if same {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the echo does not come")
+			t.Fatalf("the echo of %d bytes did not arrive within 5s, want it whole", len(want))
 		}
 	}
 	c.Close()
-	if err := <-mine.closed; err != nil {
-		t.Fatal(err)
+	if err := <-client.closed; err != nil {
+		t.Fatalf("Closed after Close() is called with %v, want nil", err)
 	}
 	if err := c.Write(want); !errors.Is(err, net.ErrClosed) {
-		t.Fatalf("a write after the end: %v", err)
+		t.Fatalf("Write after Close = %v, want %v", err, net.ErrClosed)
 	}
 }
 
-// Nobody listens: the error comes back, and no connection.
+// Dial reports an error for an address on which nothing listens.
 func TestEngineDialReportsError(t *testing.T) {
 	e, ln := startListening(t, 1, &echoHandler{closed: make(chan error, 1)})
 	address := ln.Addr().String()
@@ -87,6 +88,6 @@
 	got := make(chan error, 1)
 	e.Dial(address, time.Second, 1, &echoHandler{}, func(_ *Conn, err error) { got <- err })
 	if err := <-got; err == nil {
-		t.Fatal("no error")
+		t.Fatal("Dial(the address of a closed listener) reports nil, want an error")
 	}
 }
--- a/internal/server/netio/helpers_test.go
+++ b/internal/server/netio/helpers_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// startListening runs an engine with one listener until the test ends.
+// startListening starts an engine with one listener. The engine is stopped at the end of the test.
 func startListening(t *testing.T, maxPending int, h Handler) (*Engine, net.Listener) {
 	t.Helper()
 	e, err := New("test", 2)
@@ -21,7 +21,7 @@
 	return e, ln
 }
 
-// dial connects to a listener until the test ends.
+// dial connects to a listener. The connection is closed at the end of the test.
 func dial(t *testing.T, ln net.Listener) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", ln.Addr().String())
@@ -32,26 +32,26 @@
 	return c.(*net.TCPConn)
 }
 
-// echoHandler keeps what comes, and writes it back if it is to.
+// echoHandler records the received bytes and, if echo is set, writes them back.
 type echoHandler struct {
-	mu     sync.Mutex
-	closed chan error
-	got    []byte
-	back   bool
+	mu       sync.Mutex
+	closed   chan error
+	received []byte
+	echo     bool
 }
 
 func (h *echoHandler) Data(c *Conn, p []byte) {
 	h.mu.Lock()
-	h.got = append(h.got, p...)
+	h.received = append(h.received, p...)
 	h.mu.Unlock()
-	if h.back {
+	if h.echo {
 		_ = c.Write(p)
 	}
 }
 
 func (h *echoHandler) Closed(_ *Conn, err error) { h.closed <- err }
 
-// floodHandler writes without end to a peer that wrote something.
+// floodHandler writes up to 10,000 blocks of 32 KiB, until a write fails, when it receives something.
 type floodHandler struct{ closed chan error }
 
 func (h *floodHandler) Data(c *Conn, _ []byte) {
@@ -65,14 +65,14 @@
 
 func (h *floodHandler) Closed(_ *Conn, err error) { h.closed <- err }
 
-// resetHandler resets a connection that something comes on.
+// resetHandler resets a connection when it receives something.
 type resetHandler struct{}
 
 func (resetHandler) Data(c *Conn, _ []byte) { c.Reset() }
 
 func (resetHandler) Closed(*Conn, error) {}
 
-// openedHandler hands out connections and reads nothing of them.
+// openedHandler is a channel of the opened connections. It ignores the received bytes.
 type openedHandler chan *Conn
 
 func (o openedHandler) Opened(c *Conn) { o <- c }
--- a/internal/server/netio/listener.go
+++ b/internal/server/netio/listener.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// acceptBackoff is how long a listener waits after an error of accept: connections stay in its accept queue.
+// acceptBackoff is the wait after an error of accept. Connections stay in the accept queue meanwhile.
 const acceptBackoff = 10 * time.Millisecond
 
-// Listener accepts connections until it or its engine is closed. Its methods may be called from any goroutine.
+// Listener accepts connections until it is closed or its engine is stopped. Its methods are safe for concurrent use.
 type Listener struct {
 	*net.TCPListener
 	engine     *Engine
 	maxPending int
 	accept     func(c *Conn) Handler
-	drainIdle  atomic.Int64  // nanoseconds without a connection that end a Drain; 0: none was requested
-	drainUntil atomic.Int64  // Unix nanoseconds by which it ends
-	done       chan struct{} // closed when the listener is, and everything that it accepted has been handed over
+	drainIdle  atomic.Int64  // nanoseconds without a new connection after which a Drain ends; 0: Drain was not called
+	drainUntil atomic.Int64  // Unix nanoseconds at which a Drain ends at the latest
+	done       chan struct{} // closed when the listener is closed and all accepted connections have been handled
 }
 
-// Listen accepts connections at an address until the listener or the engine is closed. accept returns the handler of a new
-// connection, or nil to close it; while it runs, further connections wait in the accept queue. maxPending bounds the
-// unwritten bytes of a connection.
+// Listen accepts connections at an address until the listener is closed or the engine is stopped. accept returns the
+// handler of a new connection, or nil to close it. While it runs, further connections wait in the accept queue.
+// maxPending bounds the pending bytes of a connection.
 func (e *Engine) Listen(address string, maxPending int, accept func(c *Conn) Handler) (*Listener, error) {
 	raw, err := net.Listen("tcp", address)
 	if err != nil {
@@ -40,29 +40,29 @@
 		return nil, net.ErrClosed
 	}
 	e.listeners[ln] = struct{}{}
-	e.wait.Go(ln.serve)
+	e.running.Go(ln.serve)
 	return ln, nil
 }
 
-// Drain closes the listener once it has accepted all connections that their peers take for established: when none has
-// come for idle, or after limit. A listener that is closed at once resets what waits in its accept queue.
+// Drain accepts the connections that wait in the accept queue, which their peers see as established, and then closes
+// the listener: when no connection has arrived for idle, or after limit. Closing the listener at once would reset them.
 func (l *Listener) Drain(idle, limit time.Duration) {
 	l.drainUntil.Store(time.Now().Add(limit).UnixNano())
 	l.drainIdle.Store(int64(idle))
 	_ = l.SetDeadline(time.Now().Add(idle))
 }
 
-// serve is the listener's goroutine.
+// serve is the body of the listener's goroutine.
 func (l *Listener) serve() {
 	defer close(l.done)
-	defer l.engine.forget(l)
-	accepted := false // since the last deadline
+	defer l.engine.removeListener(l)
+	accepted := false // whether a connection was accepted since the last deadline
 	for {
 		socket, err := l.Accept()
 		switch {
 		case err == nil:
 			accepted = true
-			l.take(socket)
+			l.handle(socket)
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
@@ -70,13 +70,13 @@
 				return
 			}
 			accepted = false
-		default: // out of descriptors
+		default: // such as no free descriptors
 			time.Sleep(acceptBackoff)
 		}
 	}
 }
 
-// extendDrain sets the next deadline of a Drain; false: its time is over.
+// extendDrain sets the next deadline of a Drain. It returns false if the limit of the Drain has passed.
 func (l *Listener) extendDrain() bool {
 	now := time.Now()
 	if now.UnixNano() >= l.drainUntil.Load() {
@@ -86,8 +86,8 @@
 	return true
 }
 
-// take hands an accepted connection to its handler and its poller.
-func (l *Listener) take(socket net.Conn) {
+// handle passes an accepted connection to accept and attaches it to its handler and poller.
+func (l *Listener) handle(socket net.Conn) {
 	c, err := newConn(socket, l.maxPending)
 	if err != nil {
 		return
@@ -106,8 +106,8 @@
 	}
 }
 
-// forget closes a listener and removes it from the engine's.
-func (e *Engine) forget(l *Listener) {
+// removeListener closes a listener and removes it from the engine's listeners.
+func (e *Engine) removeListener(l *Listener) {
 	_ = l.Close()
 	e.mu.Lock()
 	delete(e.listeners, l)
--- a/internal/server/netio/listener_test.go
+++ b/internal/server/netio/listener_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// A listener that is drained takes what waits in its accept queue, also where accept takes its time, and then closes.
+// Drain accepts the connections that wait in the accept queue, even if the accept callback takes longer than the idle
+// time of the Drain, and then closes the listener.
 func TestListenerDrainTakesAcceptQueue(t *testing.T) {
 	gate := make(chan struct{})
 	e, err := New("test", 1)
@@ -18,7 +19,7 @@
 	defer e.Stop()
 	ln, err := e.Listen("127.0.0.1:0", 1<<20, func(*Conn) Handler {
 		<-gate
-		return &echoHandler{closed: make(chan error, 1), back: true}
+		return &echoHandler{closed: make(chan error, 1), echo: true}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -30,23 +31,23 @@
 		all = append(all, c)
 	}
 	ln.Drain(10*time.Millisecond, time.Minute)
-	time.Sleep(30 * time.Millisecond) // accept is blocked for longer than the queue would have to be idle
+	time.Sleep(30 * time.Millisecond) // accept blocks for longer than the idle time of the Drain
 	close(gate)
 	for i, c := range all {
 		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 		if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
-			t.Fatalf("connection %d of the accept queue: %v", i, err)
+			t.Fatalf("read the echo on connection %d of the accept queue: got %v, want nil", i, err)
 		}
 	}
 	<-ln.done
 	if c, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 		_ = c.Close()
-		t.Error("it still listens")
+		t.Error("Dial after the end of a Drain succeeded, want an error")
 	}
 }
 
-// A connection that is closed while accept still runs ends once, and those that come after it under its descriptor are
-// served.
+// A connection that is closed while its accept callback runs is reported as closed once, and later connections, which
+// get the same descriptor, are served. nbio would lose their events if the closed connection were added to its table.
 func TestConnClosedDuringAccept(t *testing.T) {
 	e, err := New("test", 1)
 	if err != nil {
@@ -62,21 +63,21 @@
 			<-done
 			return first
 		}
-		return &echoHandler{closed: make(chan error, 1), back: true}
+		return &echoHandler{closed: make(chan error, 1), echo: true}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	dial(t, ln)
 	if err := <-first.closed; !errors.Is(err, ErrWriteBufferFull) {
-		t.Errorf("closed with %v", err)
+		t.Errorf("Closed of the first connection is called with %v, want %v", err, ErrWriteBufferFull)
 	}
 	for range 3 {
 		c := dial(t, ln)
 		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 		_, _ = c.Write([]byte("x"))
 		if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
-			t.Fatalf("a later connection is not served: %v", err)
+			t.Fatalf("read the echo on a later connection: got %v, want nil", err)
 		}
 	}
 }
--- a/internal/server/netio/pollers.go
+++ b/internal/server/netio/pollers.go
@@ -1,7 +1,6 @@
 package netio
 
 import (
-	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -11,16 +10,18 @@
 	"github.com/lesismal/nbio"
 )
 
-// How long awaitPollers goes on.
+// Bounds of awaitPollers.
 const (
-	maxPollerProbes  = 64
-	pollerProbeLimit = 5 * time.Second // for one probe
+	maxPollerProbes    = 64
+	pollerProbeTimeout = 5 * time.Second // of each probe
 )
 
-// awaitPollers waits until every poller has carried data. It guards against nbio's own race: a poller that is stopped
-// before its goroutine has reached its loop loses the stop, spins, and Stop waits for it for good (nbio 1.6.8:
-// readWriteLoop sets shutdown to false). It comes at the end, as only an engine that has carried nothing needs it: where
-// a placer serves there may be none of the sockets that it takes.
+// awaitPollers waits until every poller has delivered data, so that nbio can be stopped. It works around a race in nbio
+// 1.6.8: readWriteLoop sets shutdown to false when it begins. A poller that was stopped before its goroutine has come
+// that far misses the stop and spins, and nbio's Stop waits for it forever.
+//
+// It is called at the stop, not at the start, since only pollers that have not delivered data need a probe: the
+// platform that a placer runs on may not provide the Unix sockets that a probe uses.
 func (e *Engine) awaitPollers() error {
 	var opened []func()
 	defer func() {
@@ -28,16 +29,16 @@
 			release()
 		}
 	}()
-	for probe := 0; !e.allServed(); probe++ {
+	for probe := 0; !e.allDelivered(); probe++ {
 		if probe == maxPollerProbes {
-			return errors.New("netio: the pollers do not take events")
+			return fmt.Errorf("netio: a poller has no data after %d probes", maxPollerProbes)
 		}
 		out, in, err := e.socketPair()
 		if err != nil {
-			return fmt.Errorf("netio: open a pair of sockets: %w", err)
+			return fmt.Errorf("netio: open a socket pair: %w", err)
 		}
 		opened = append(opened, func() { _ = out.Close() })
-		if probe%2 == 1 { // a poller takes descriptors by their number: open ones make the numbers differ
+		if probe%2 == 1 { // the descriptor's number selects the poller; one more open descriptor shifts the next numbers
 			if descriptor, err := syscall.Dup(0); err == nil {
 				opened = append(opened, func() { _ = syscall.Close(descriptor) })
 			}
@@ -49,54 +50,56 @@
 	return nil
 }
 
-// allServed reports whether every poller has carried data.
-func (e *Engine) allServed() bool {
-	for i := range e.served {
-		if !e.served[i].Load() {
+// allDelivered reports whether every poller has delivered data.
+func (e *Engine) allDelivered() bool {
+	for i := range e.delivered {
+		if !e.delivered[i].Load() {
 			return false
 		}
 	}
 	return true
 }
 
-// probePoller gives one end of a stream to its poller and waits until a byte from the other end has come.
+// probePoller adds in to its poller, writes a byte to out, the other end of the pair, and waits until the poller
+// delivers the byte.
 func (e *Engine) probePoller(out, in net.Conn) error {
 	raw, err := nbio.NBConn(in)
 	if err != nil {
-		return fmt.Errorf("netio: take a socket of a pair: %w", err)
+		return fmt.Errorf("netio: wrap a socket of a pair: %w", err)
 	}
-	probe := pollerProbe{served: make(chan struct{}, 1)}
+	probe := pollerProbe{received: make(chan struct{}, 1)}
 	raw.SetSession(&Conn{raw: raw, attached: true, handler: probe})
 	e.fence.Add(1)
 	if _, err := e.poller.AddConn(raw); err != nil {
-		return fmt.Errorf("netio: hand a socket to its poller: %w", err)
+		return fmt.Errorf("netio: add a socket of a pair to its poller: %w", err)
 	}
 	if _, err := out.Write([]byte{1}); err != nil {
-		return fmt.Errorf("netio: write to a pair of sockets: %w", err)
+		return fmt.Errorf("netio: write to a socket pair: %w", err)
 	}
 	select {
-	case <-probe.served:
+	case <-probe.received:
 		return nil
-	case <-time.After(pollerProbeLimit):
-		return errors.New("netio: a poller does not take events")
+	case <-time.After(pollerProbeTimeout):
+		return fmt.Errorf("netio: a poller did not deliver data within %v", pollerProbeTimeout)
 	}
 }
 
-// pollerProbe is a Handler that reports its first data and closes.
+// pollerProbe is a Handler that reports its first data and closes the connection.
 type pollerProbe struct {
-	served chan struct{} // with a buffer for one
+	received chan struct{} // buffered, for one report
 }
 
-// Data reports and closes.
+// Data reports that data was received and closes the connection.
 func (p pollerProbe) Data(c *Conn, _ []byte) {
-	p.served <- struct{}{}
+	p.received <- struct{}{}
 	c.Close()
 }
 
 // Closed does nothing.
 func (pollerProbe) Closed(*Conn, error) {}
 
-// socketPair opens two ends of a stream without a listener: where a placer may listen is not ours to choose.
+// socketPair returns the two ends of a stream. It needs no listener, as a placer may only listen at its configured
+// address.
 func socketPair() (net.Conn, net.Conn, error) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
@@ -105,7 +108,7 @@
 	var ends [2]net.Conn
 	for i, fd := range fds {
 		f := os.NewFile(uintptr(fd), "pair")
-		ends[i], err = net.FileConn(f) // takes a copy
+		ends[i], err = net.FileConn(f) // duplicates the descriptor
 		_ = f.Close()
 		if err != nil {
 			return nil, nil, err
