--- a/internal/server/platform/acceptslots.go
+++ b/internal/server/platform/acceptslots.go
@@ -5,14 +5,14 @@
 	"sync/atomic"
 )
 
-// acceptSlots is a counting semaphore that bounds the accepted connections of owners, with those that the core has not seen
-// yet. Safe for concurrent use.
+// acceptSlots is a counting semaphore that bounds the accepted connections of owners, including those that the core
+// does not know yet. It is safe for concurrent use.
 type acceptSlots chan struct{}
 
-// newAcceptSlots returns so many available slots.
+// newAcceptSlots returns a semaphore with count available slots.
 func newAcceptSlots(count int) acceptSlots { return make(acceptSlots, count) }
 
-// acquire waits for an available slot. It returns nil when ctx ends first.
+// acquire waits for an available slot. It returns nil if ctx ends first.
 func (s acceptSlots) acquire(ctx context.Context) *acceptSlot {
 	select {
 	case s <- struct{}{}:
@@ -22,13 +22,13 @@
 	}
 }
 
-// acceptSlot is one acquired slot. Safe for concurrent use.
+// acceptSlot is an acquired slot. It is safe for concurrent use.
 type acceptSlot struct {
 	slots    acceptSlots
 	released atomic.Bool
 }
 
-// release frees the slot, once.
+// release makes the slot available again. Further calls do nothing.
 func (s *acceptSlot) release() {
 	if !s.released.Swap(true) {
 		<-s.slots
--- a/internal/server/platform/config.go
+++ b/internal/server/platform/config.go
@@ -11,15 +11,18 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// The descriptors of the process: its limit is reservedDescriptors + acceptReserve + the core's MaxConnections.
+// Division of the process's descriptors: their limit is reservedDescriptors + acceptReserve + the core's
+// MaxConnections.
 const (
-	defaultDescriptors  = 1024 // where the configuration sets no limit
-	reservedDescriptors = 24   // for all but connections, and for those that are half-closed or linger beyond the core's slots
-	acceptReserve       = 8    // for accepted connections that the core has not seen yet
-	minConnections      = 16   // of both kinds together, before acceptReserve is taken off, however low the limit is
+	defaultDescriptors = 1024 // the limit if the configuration sets none
+	// reservedDescriptors are kept for everything but connections, and for connections that are half-closed or linger
+	// after the core has given their slots to others.
+	reservedDescriptors = 24
+	acceptReserve       = 8  // for accepted connections that the core does not know yet
+	minConnections      = 16 // of owners and hosts together, acceptReserve included, even if the limit is lower
 )
 
-// ConfigError means that the configuration cannot be used.
+// ConfigError is the error of a configuration that cannot be used.
 type ConfigError struct{ Err error }
 
 // Error describes what is wrong with the configuration.
@@ -28,7 +31,7 @@
 // Unwrap returns the cause.
 func (e ConfigError) Unwrap() error { return e.Err }
 
-// CheckConfig returns a ConfigError for what a placer cannot use of a configuration.
+// CheckConfig returns a ConfigError if a placer cannot use the configuration.
 func CheckConfig(cfg *platform.Config) error {
 	if err := platformconfig.Check(cfg.Settings); err != nil {
 		return ConfigError{err}
@@ -47,7 +50,7 @@
 	return nil
 }
 
-// parsePeers returns the gossip addresses of all placers, by their numbers.
+// parsePeers returns the gossip addresses of all placers, indexed by placer number.
 func parsePeers(peers []string) ([]netip.AddrPort, error) {
 	addresses := make([]netip.AddrPort, len(peers))
 	for i, peer := range peers {
@@ -59,7 +62,7 @@
 	return addresses, nil
 }
 
-// readSettings returns the settings object as the platform writes it and as the module takes it.
+// readSettings returns the settings object as the platform writes it and as settings of the forkhead module.
 func readSettings(cfg *platform.Config) (*platformconfig.Info, forkhead.Settings, error) {
 	info, err := platformconfig.Parse(cfg.Settings)
 	if err != nil {
@@ -72,8 +75,9 @@
 	return info, settings, nil
 }
 
-// newCoreConfig returns what the core runs with. A third of the descriptors is reserved for owners, who may use two thirds of
-// the connections; hosts may use all but that third.
+// newCoreConfig returns the core's configuration. A third of the descriptors, or half of the connections if that is
+// less, is reserved for owners, who may use up to two thirds of the connections. Hosts may use all connections but the
+// reserved ones.
 func newCoreConfig(cfg *platform.Config, info *platformconfig.Info, settings forkhead.Settings) platformcore.Config {
 	descriptors := cfg.Limits.Sockets
 	if descriptors == 0 {
--- a/internal/server/platform/connection.go
+++ b/internal/server/platform/connection.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	maxLingering  = 4 // connections that the core has closed and whose unsent bytes still go out
+	maxLingering  = 4 // bound of the connections that the core has closed and that still send their pending bytes
 	lingerTimeout = 200 * time.Millisecond
 )
 
-// connection is a connection of an owner or to a host, with the bytes that the core's current step has for it. Its fields
-// belong to the event loop's goroutine, except for lingering.
+// connection is a connection of an owner or to a host, with the output of the core's current step for it. Its fields
+// are used by the event loop's goroutine only, except for lingering.
 type connection struct {
-	stream    *netio.Conn // nil: it is being dialed
-	output    []byte      // not yet handed to stream
-	queued    bool        // it is in the write queue
-	closed    bool        // by the core or by the peer
-	lingering atomic.Bool // it is closed once its unsent bytes have gone out
+	stream    *netio.Conn // nil while it is being dialed
+	output    []byte      // bytes that are not yet written to stream
+	queued    bool        // whether it is in the write queue
+	closed    bool        // whether the core or the peer has closed it
+	lingering atomic.Bool // whether it is closed as soon as its pending bytes are sent
 }
 
-// flush hands the collected bytes to the stream. A write that fails closes the connection, which its handler sees.
+// flush writes the collected output to the stream. If the write fails, the stream is closed and the handler's Closed is
+// called.
 func (c *connection) flush() {
 	c.queued = false
 	if len(c.output) > 0 {
@@ -31,11 +32,12 @@
 	}
 }
 
-// writeQueue lists the connections that the core's current step has written to, so that each is written once per step. It
-// belongs to the event loop's goroutine.
+// writeQueue lists the connections with output of the core's current step, so that the output for each is written at
+// once. It is used by the event loop's goroutine only.
 type writeQueue struct{ connections []*connection }
 
-// write collects a line for a connection; one that is closed or not made yet takes none.
+// write adds a line to the output for a connection. It drops the line if there is no such connection or it is being
+// dialed.
 func (q *writeQueue) write(c *connection, line []byte) {
 	if c == nil || c.stream == nil {
 		return
@@ -47,7 +49,7 @@
 	}
 }
 
-// flush writes what was collected.
+// flush writes the collected output of all connections.
 func (q *writeQueue) flush() {
 	for _, c := range q.connections {
 		c.flush()
@@ -55,11 +57,11 @@
 	q.connections = q.connections[:0]
 }
 
-// lingerer closes connections of owners and hosts. What is unsent when a connection is closed is lost, so it lets a few of
-// them send it first. Safe for concurrent use.
+// lingerer closes connections of owners and hosts. A connection that is closed at once loses its pending bytes, so the
+// lingerer lets up to maxLingering connections send theirs first. It is safe for concurrent use.
 type lingerer struct{ count atomic.Int64 }
 
-// close writes what was collected for a connection and closes it. It returns whether the connection lingers.
+// close writes the collected output of a connection and closes it. It returns whether the connection lingers.
 func (l *lingerer) close(c *connection) bool {
 	if c.stream == nil {
 		return false
@@ -72,7 +74,8 @@
 	return false
 }
 
-// add closes a connection after its unsent bytes. It returns false where too many linger already.
+// add closes a connection when its pending bytes are sent, or after lingerTimeout. It does nothing and returns false if
+// maxLingering connections linger already.
 func (l *lingerer) add(c *connection) bool {
 	if l.count.Add(1) > maxLingering {
 		l.count.Add(-1)
@@ -80,13 +83,13 @@
 	}
 	c.lingering.Store(true)
 	c.stream.CloseAfterFlush(lingerTimeout)
-	if c.stream.IsClosed() { // perhaps before it lingered
+	if c.stream.IsClosed() { // its handler may have called remove before lingering was set
 		l.remove(c)
 	}
 	return true
 }
 
-// remove takes note, once, that a connection that lingered is closed.
+// remove counts a connection off when it is closed, if it lingered. Further calls do nothing.
 func (l *lingerer) remove(c *connection) {
 	if c.lingering.Swap(false) {
 		l.count.Add(-1)
--- a/internal/server/platform/eventinterval.go
+++ b/internal/server/platform/eventinterval.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// Bounds of the wait for the next event.
+// Bounds of the timeout for the next event.
 const (
 	minEventTimeout  = 2 * time.Second // the platform counts the events of an idle watch as delivered after 4 s
 	maxEventTimeout  = time.Minute
-	maxEventInterval = 10 * time.Second // a watch with longer intervals is not polled again
-	maxBackoffShift  = 5                // doublings of the timeout
+	maxEventInterval = 10 * time.Second // above it, events are too rare for a timeout
+	maxBackoffShift  = 5                // bound of the doublings of the timeout
 )
 
-// eventIntervals estimates how long the watch usually goes without an event. A watch that delivers events all the time and
-// then only comments is stuck: it is polled again, in ever longer intervals while nothing comes of that. Where events are
-// rare or too few have come, it waits forever. Not for concurrent use.
+// eventIntervals sets a timeout for the next event of the watch from the intervals between the latest events. A stream
+// that has delivered events regularly and then delivers only comments is stuck, and the watch has to be polled again;
+// while polls bring no event, the timeout doubles. There is no timeout while the intervals are unknown or if one of
+// them is longer than maxEventInterval. It is not safe for concurrent use.
 type eventIntervals struct {
-	last      time.Time
-	intervals [16]time.Duration // the latest ones, as a ring
-	count     int               // intervals so far
-	polls     int               // since the last event
+	last      time.Time         // time of the last event
+	intervals [16]time.Duration // ring of the latest intervals
+	count     int               // number of intervals so far
+	polls     int               // calls of nextTimeout that returned a timeout since the last event
 }
 
-// add takes note of an event.
+// add records an event.
 func (e *eventIntervals) add(now time.Time) {
 	e.polls = 0
 	if !e.last.IsZero() {
@@ -30,8 +31,8 @@
 	e.last = now
 }
 
-// nextTimeout returns how long from now to wait for the next event, 0 for ever. Each call without an event between counts
-// as a poll, and doubles it.
+// nextTimeout returns how long to wait for the next event, or 0 to wait without a timeout. Each call counts as a poll
+// and doubles the timeout of the next one, unless an event comes between.
 func (e *eventIntervals) nextTimeout() time.Duration {
 	if e.count < len(e.intervals) {
 		return 0
--- a/internal/server/platform/gossip.go
+++ b/internal/server/platform/gossip.go
@@ -12,18 +12,19 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// gossipSocket exchanges datagrams with other placers. Its fields don't change once it is open. A nil gossipSocket is
-// none: it sends and receives nothing.
+// gossipSocket exchanges datagrams with other placers. Its fields do not change after openGossip. The methods of a nil
+// gossipSocket do nothing.
 type gossipSocket struct {
 	socket    *net.UDPConn
 	self      int              // this placer's number
-	peers     []netip.AddrPort // by number, this placer included
-	broadcast netip.AddrPort   // reaches all placers; zero: none does
+	peers     []netip.AddrPort // gossip addresses by placer number, this placer's included
+	broadcast netip.AddrPort   // address that reaches all placers; the zero value if there is none
 	inputs    *inputQueue
-	receiver  sync.WaitGroup
+	receiver  sync.WaitGroup // the goroutine of receive
 }
 
-// openGossip opens the socket that the configuration names, or none. receive follows, once the event loop runs.
+// openGossip opens the socket at the configuration's gossip address, or returns nil if it names none. The caller calls
+// start once the event loop runs.
 func openGossip(cfg *platform.Config, self int, inputs *inputQueue) (*gossipSocket, error) {
 	if cfg.PeerListen == "" {
 		return nil, nil
@@ -46,7 +47,7 @@
 	return g, nil
 }
 
-// start receives on a goroutine that close waits for.
+// start receives datagrams on a goroutine that close waits for.
 func (g *gossipSocket) start() {
 	if g == nil {
 		return
@@ -58,7 +59,8 @@
 	}()
 }
 
-// close closes the socket and waits for its goroutine, which the event loop must not block any more.
+// close closes the socket and waits for the receiving goroutine. The event loop must have been stopped before, as that
+// goroutine may wait for space in its queue.
 func (g *gossipSocket) close() {
 	if g == nil {
 		return
@@ -67,7 +69,7 @@
 	g.receiver.Wait()
 }
 
-// send sends a message, which may be lost, to one placer or to all.
+// send sends a message to one placer or to all of them. The message may be lost.
 func (g *gossipSocket) send(o platformcore.SendGossip) {
 	if g == nil {
 		return
@@ -84,7 +86,8 @@
 	}
 }
 
-// receive dispatches the datagrams of other placers until the socket is closed.
+// receive posts the datagrams of other placers to the core until the socket is closed. It drops datagrams of other
+// senders and those above platform.MaxDatagramSize, for which the buffer has one byte more.
 func (g *gossipSocket) receive() {
 	buf := make([]byte, platform.MaxDatagramSize+1)
 	for {
@@ -101,8 +104,9 @@
 	}
 }
 
-// peerNumber returns the number of another placer.
-func (g *gossipSocket) peerNumber(sender netip.AddrPort) (int, bool) {
+// peerNumber returns the number of the placer with the sender's address; ok is false if there is none or it is this
+// placer.
+func (g *gossipSocket) peerNumber(sender netip.AddrPort) (number int, ok bool) {
 	sender = netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())
 	for i, peer := range g.peers {
 		if i != g.self && peer == sender {
--- a/internal/server/platform/hosts.go
+++ b/internal/server/platform/hosts.go
@@ -10,27 +10,29 @@
 	"forkhead/internal/server/netio"
 )
 
-// maxHostUnsentBytes bounds what a host leaves unread before its connection is closed.
+// maxHostUnsentBytes bounds the pending bytes for a host. A connection is closed when they would exceed it.
 const maxHostUnsentBytes = 1 << 20
 
-// hostConnections dials hosts and carries what crosses the connections.
+// hostConnections dials hosts and passes messages between their connections and the core. The fields writes and open
+// are used by the event loop's goroutine only.
 type hostConnections struct {
 	inputs         *inputQueue
-	writes         *writeQueue // of the event loop
+	writes         *writeQueue
 	lingerer       *lingerer
 	engine         *netio.Engine
 	connectTimeout time.Duration
-	open           map[platformcore.ConnectionID]*hostConnection // by id, those being dialed included; of the event loop
+	open           map[platformcore.ConnectionID]*hostConnection // including those being dialed
 }
 
-// hostConnection is a connection to a host and the handler of its events, which come on goroutines of the engine.
+// hostConnection is a connection to a host. It handles the connection's events, which arrive on goroutines of the
+// engine.
 type hostConnection struct {
 	connection
 	id    platformcore.ConnectionID
 	hosts *hostConnections
 }
 
-// dial makes a connection on a goroutine of the engine, which waits for it.
+// dial connects to a host on a goroutine of the engine, which Engine.Stop waits for.
 func (h *hostConnections) dial(o platformcore.DialHost) {
 	c := &hostConnection{id: o.Connection, hosts: h}
 	h.open[c.id] = c
@@ -39,7 +41,7 @@
 	})
 }
 
-// dialed takes the result of dial. It is for jobs on the event loop.
+// dialed handles the result of dial. It must be called on the event loop.
 func (c *hostConnection) dialed(stream *netio.Conn, err error) {
 	switch {
 	case c.closed:
@@ -55,10 +57,11 @@
 	}
 }
 
-// localFailures are errors of a dial that do not depend on the host.
+// localFailures are errors of a dial that are caused by this process or its machine rather than by the host.
 var localFailures = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, net.ErrClosed}
 
-// isLocalFailure reports whether a dial failed for want of something in this process or on its machine.
+// isLocalFailure reports whether a dial failed because this process or its machine lacks a resource, or because the
+// engine is stopping.
 func isLocalFailure(err error) bool {
 	for _, failure := range localFailures {
 		if errors.Is(err, failure) {
@@ -76,13 +79,14 @@
 	}
 	h.writes.write(&c.connection, o.Line)
 	if o.Abandons && c.stream.HasUnsent() {
-		// The offer may not have left yet, and would begin whenever the host reads on: guards against attempts that
-		// begin long after their owner has left. Closing a connection abandons what is open on it.
+		// The line withdraws an offer that may be unsent. The host would start that attempt when it reads on, perhaps
+		// long after the owner has left. The reset drops the unsent bytes, and closing a connection abandons what is
+		// open on it.
 		c.stream.Reset()
 	}
 }
 
-// halfClose writes nothing more to a host and reads on until it closes.
+// halfClose closes the sending side of a connection. The host's messages are read until the host closes its side.
 func (h *hostConnections) halfClose(id platformcore.ConnectionID) {
 	if c := h.open[id]; c != nil && c.stream != nil {
 		c.flush()
@@ -90,7 +94,7 @@
 	}
 }
 
-// close closes a connection after what was written to it, or stops dialing it.
+// close closes a connection after its pending bytes, if it may linger, or abandons its dial.
 func (h *hostConnections) close(id platformcore.ConnectionID) {
 	c := h.open[id]
 	if c == nil {
@@ -101,7 +105,7 @@
 	h.lingerer.close(&c.connection)
 }
 
-// Data takes bytes of a host.
+// Data passes bytes from a host to the core.
 func (c *hostConnection) Data(_ *netio.Conn, p []byte) {
 	data := append([]byte(nil), p...)
 	c.hosts.inputs.loop.PostBlocking(func() {
@@ -111,13 +115,14 @@
 	})
 }
 
-// Closed takes the end of the connection.
+// Closed handles the end of the connection.
 func (c *hostConnection) Closed(*netio.Conn, error) {
 	c.hosts.lingerer.remove(&c.connection)
 	c.hosts.inputs.loop.Post(c.disconnected)
 }
 
-// disconnected notifies the core, once, that the host has closed the connection. It is for jobs on the event loop.
+// disconnected notifies the core that the connection has ended, unless the core has closed it or was notified already.
+// It must be called on the event loop.
 func (c *hostConnection) disconnected() {
 	if c.closed {
 		return
--- a/internal/server/platform/hosts_test.go
+++ b/internal/server/platform/hosts_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// offersWithin counts the offers that the host reads within a time.
-func (h *slowHost) offersWithin(d time.Duration) (count int) {
+// countOffers counts the offers that the host reads within a time.
+func (h *slowHost) countOffers(d time.Duration) (count int) {
 	end := time.After(d)
 	for {
 		select {
@@ -101,10 +101,10 @@
 		return unsent > 0
 	})
 	_ = o.conn.Close()
-	eventually(t, "the placer sees that it is closed", func() bool { return openOwners(s) == 0 })
+	eventually(t, "the placer sees that it is closed", func() bool { return openOwnerCount(s) == 0 })
 	time.Sleep(100 * time.Millisecond)
 	close(h.read)
-	if begun := h.offersWithin(time.Second); begun > open-unsent {
+	if begun := h.countOffers(time.Second); begun > open-unsent {
 		t.Errorf("%d offers begin after their owner has left; of %d connections %d had taken theirs", begun, open, open-unsent)
 	}
 }
--- a/internal/server/platform/idletimer.go
+++ b/internal/server/platform/idletimer.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// stallThreshold is how late a timer fires when this process was stalled: that is no evidence about the peer.
+// stallThreshold is the lateness of a timer from which on this process is taken as stalled.
 const stallThreshold = 100 * time.Millisecond
 
-// idleTimer calls a function when it was not reset for its timeout. A firing that is late by stallThreshold or more is the
-// process's own doing: bytes that wait to be read get as long again. It guards against taking our own stall for an
-// unresponsive peer. Safe for concurrent use.
+// idleTimer calls a function when it has not been reset for its timeout. If it fires late by stallThreshold or more,
+// this process was stalled, and bytes of the peer may be waiting to be read: the timer then starts again instead, so
+// that a responsive peer is not taken for unresponsive. It is safe for concurrent use.
 type idleTimer struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards the fields below
 	timer   *time.Timer
-	timeout time.Duration // 0: paused
-	due     time.Time
+	timeout time.Duration // 0 while the timer is paused
+	due     time.Time     // when the timeout expires
 	stopped bool
 }
 
-// newIdleTimer starts a timer; with a timeout of 0 it is paused until it is reset.
+// newIdleTimer starts a timer. With a timeout of 0 it is paused until it is reset. onIdle is called with the timer
+// locked and must not use it.
 func newIdleTimer(timeout time.Duration, onIdle func()) *idleTimer {
 	t := &idleTimer{}
 	t.mu.Lock()
@@ -29,13 +30,13 @@
 	return t
 }
 
-// fire is called on a goroutine of the timer's.
+// fire calls onIdle if the timeout has expired. It runs on the goroutine of the time.AfterFunc.
 func (t *idleTimer) fire(onIdle func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	switch {
-	case t.stopped || t.timeout == 0 || now.Before(t.due): // reset as it fired
+	case t.stopped || t.timeout == 0 || now.Before(t.due): // stopped, paused or reset while it fired
 	case now.Sub(t.due) >= stallThreshold:
 		t.set(t.timeout)
 	default:
@@ -43,7 +44,7 @@
 	}
 }
 
-// set begins a timeout; the caller holds mu.
+// set starts a new timeout, or pauses the timer if it is 0. The caller holds mu.
 func (t *idleTimer) set(timeout time.Duration) {
 	t.timeout, t.due = timeout, time.Now().Add(timeout)
 	if timeout == 0 {
@@ -53,7 +54,7 @@
 	}
 }
 
-// reset begins a new timeout; 0 pauses the timer.
+// reset starts a new timeout, or pauses the timer if it is 0. It does nothing after stop.
 func (t *idleTimer) reset(timeout time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,7 +63,7 @@
 	}
 }
 
-// stop ends the timer for good.
+// stop stops the timer permanently.
 func (t *idleTimer) stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/server/platform/log.go
+++ b/internal/server/platform/log.go
@@ -22,7 +22,7 @@
 	event.Msg(line.Message)
 }
 
-// logLevel is the level of zerolog for one of slog.
+// logLevel returns the zerolog level that corresponds to a slog level.
 func logLevel(level slog.Level) zerolog.Level {
 	switch {
 	case level >= slog.LevelError:
--- a/internal/server/platform/owners.go
+++ b/internal/server/platform/owners.go
@@ -11,25 +11,29 @@
 )
 
 const (
-	maxOwnerUnsentBytes = 256 << 10 // that an owner leaves unread before its connection is closed
+	// maxOwnerUnsentBytes bounds the pending bytes for an owner. A connection is closed when they would exceed it.
+	maxOwnerUnsentBytes = 256 << 10
 
-	// The accept queue is taken as empty when no connection has come for acceptIdle, and left after acceptDrainTimeout.
+	// When the listener closes, the accept queue counts as empty after acceptIdle without a new connection. The
+	// listener is closed after acceptDrainTimeout even if it is not empty.
 	acceptIdle         = 20 * time.Millisecond
 	acceptDrainTimeout = 300 * time.Millisecond
 )
 
-// ownerConnections accepts connections of owners and carries what crosses them.
+// ownerConnections accepts connections of owners and passes messages between them and the core. The fields writes and
+// open are used by the event loop's goroutine only.
 type ownerConnections struct {
 	inputs   *inputQueue
-	writes   *writeQueue // of the event loop
+	writes   *writeQueue
 	lingerer *lingerer
 	slots    acceptSlots
-	lastID   atomic.Uint64
-	listener *netio.Listener                           // set before the event loop starts
-	open     map[platformcore.OwnerID]*ownerConnection // by id; of the event loop
+	lastID   atomic.Uint64   // id of the connection that was accepted last
+	listener *netio.Listener // set before the event loop starts
+	open     map[platformcore.OwnerID]*ownerConnection
 }
 
-// ownerConnection is a connection of an owner and the handler of its events, which come on goroutines of the engine.
+// ownerConnection is a connection of an owner. It handles the connection's events, which arrive on goroutines of the
+// engine.
 type ownerConnection struct {
 	connection
 	id     platformcore.OwnerID
@@ -37,7 +41,8 @@
 	slot   *acceptSlot
 }
 
-// listen accepts connections on a goroutine of the engine, which waits for it. accept returns when ctx ends.
+// listen accepts connections on a goroutine of the engine, which Engine.Stop waits for. The end of ctx ends accept's
+// wait for a slot.
 func (o *ownerConnections) listen(ctx context.Context, engine *netio.Engine, address string) error {
 	listener, err := engine.Listen(address, maxOwnerUnsentBytes, func(stream *netio.Conn) netio.Handler { return o.accept(ctx, stream) })
 	if err != nil {
@@ -47,9 +52,10 @@
 	return nil
 }
 
-// accept takes a connection. Where all slots are taken it waits for one: the core closes a connection for each that it
-// sees beyond its bound. It guards against more connections than descriptors, and against usual owners that are closed
-// unseen because others came at the same moment: they wait in the accept queue instead.
+// accept registers a new connection with the core and returns its handler, or nil to close it. It waits while all slots
+// are taken; further connections then wait in the accept queue. The core closes one connection for each that exceeds
+// its bound, which frees a slot. The wait keeps the connections below the limit of descriptors, and keeps an owner from
+// being refused because many others connect at the same moment.
 func (o *ownerConnections) accept(ctx context.Context, stream *netio.Conn) netio.Handler {
 	slot := o.slots.acquire(ctx)
 	if slot == nil {
@@ -69,7 +75,7 @@
 	return c
 }
 
-// closeListener stops accepting once the accept queue has been taken.
+// closeListener closes the listener when the connections in its accept queue have been accepted.
 func (o *ownerConnections) closeListener() { o.listener.Drain(acceptIdle, acceptDrainTimeout) }
 
 // send writes a line to an owner.
@@ -79,7 +85,7 @@
 	}
 }
 
-// close closes an owner's connection after what was written to it.
+// close closes an owner's connection after its pending bytes, if it may linger.
 func (o *ownerConnections) close(id platformcore.OwnerID) {
 	c := o.open[id]
 	if c == nil {
@@ -88,11 +94,11 @@
 	delete(o.open, id)
 	c.closed = true
 	if o.lingerer.close(&c.connection) {
-		c.slot.release() // the core has a slot for another already
+		c.slot.release() // the core does not count a lingering connection
 	}
 }
 
-// isFlushed reports whether everything that was written to owners has left this process.
+// isFlushed reports whether no open connection of an owner has pending bytes.
 func (o *ownerConnections) isFlushed() bool {
 	for _, c := range o.open {
 		if !c.stream.IsClosed() && c.stream.PendingBytes() > 0 {
@@ -102,8 +108,9 @@
 	return true
 }
 
-// Data takes bytes of an owner. The core sees what an owner sent last together with its disconnecting: it guards against
-// attempts for an owner that left while its bytes waited to be read.
+// Data passes bytes from an owner to the core. If the owner has closed its side after them, the core gets the bytes and
+// the disconnect in one step: it would otherwise start attempts for an owner that left while its bytes waited to be
+// read.
 func (c *ownerConnection) Data(stream *netio.Conn, p []byte) {
 	data := append([]byte(nil), p...)
 	c.owners.inputs.loop.PostBlocking(func() {
@@ -117,14 +124,15 @@
 	})
 }
 
-// Closed takes the end of the connection.
+// Closed handles the end of the connection.
 func (c *ownerConnection) Closed(*netio.Conn, error) {
 	c.owners.lingerer.remove(&c.connection)
 	c.slot.release()
 	c.owners.inputs.loop.Post(c.disconnected)
 }
 
-// disconnected notifies the core, once, that the owner has left. It is for jobs on the event loop.
+// disconnected notifies the core that the owner has left, unless the core has closed the connection or was notified
+// already. It must be called on the event loop.
 func (c *ownerConnection) disconnected() {
 	if c.closed {
 		return
--- a/internal/server/platform/owners_test.go
+++ b/internal/server/platform/owners_test.go
@@ -57,7 +57,7 @@
 	}
 	bound := cap(s.owners.slots) - acceptReserve // all that the core takes
 	connect(bound)
-	eventually(t, "all slots of the core are taken", func() bool { return openOwners(s) == bound })
+	eventually(t, "all slots of the core are taken", func() bool { return openOwnerCount(s) == bound })
 	resume := stall(t, s)
 	connect(3 * acceptReserve)
 	o := newTestOwner(t, s.Address())
--- a/internal/server/platform/recordinghost_test.go
+++ b/internal/server/platform/recordinghost_test.go
@@ -82,8 +82,8 @@
 	return count
 }
 
-// offeredOn returns the connection that the last offer of a task came on; nil: none came.
-func (h *recordingHost) offeredOn(ref string) *recordedConn {
+// lastOfferConn returns the connection that the last offer of a task came on; nil: none came.
+func (h *recordingHost) lastOfferConn(ref string) *recordedConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var last *recordedConn
--- a/internal/server/platform/server.go
+++ b/internal/server/platform/server.go
@@ -1,8 +1,9 @@
-// Package platform is the I/O shell of a placer on the users' platform. It connects the core to connections of owners and
-// to hosts, the watch of the endpoint list, gossip between placers and the clock, and decides nothing.
+// Package platform performs the I/O of a placer that runs on the platform. It passes inputs and outputs between the
+// core of scheduler/platform, which makes all decisions, and the connections of owners and to hosts, the watch of the
+// endpoint list, the gossip between placers and the clock.
 //
-// One goroutine, the event loop, steps the core and executes its outputs. It owns the state of the connections; what
-// happens on other goroutines reaches it as jobs.
+// One goroutine, that of the event loop, steps the core and executes its outputs. It owns the state of the connections.
+// Other goroutines post their events to it as jobs.
 package platform
 
 import (
@@ -20,23 +21,24 @@
 	"forkhead/internal/server/netio"
 )
 
-// maxQueuedJobs bounds the jobs of up to 32 KiB each that wait for the event loop: pollers wait beyond it.
+// maxQueuedJobs bounds the event loop's queue of jobs, which hold up to netio.ReadSize bytes each. Pollers wait while
+// the queue is full.
 const maxQueuedJobs = 128
 
-// Tap is shown all that the core gets and returns. It must not keep the inputs and outputs.
+// Tap observes the inputs and outputs of the core. It must not keep them.
 type Tap interface {
-	// Start is called once, before the first step, with what the core is started with.
+	// Start is called once, before the first step, with the time and the core's configuration.
 	Start(now time.Duration, config *platformcore.Config)
-	// Step is called after each step of the core, on the event loop's goroutine, before the outputs are executed. A step in
-	// which the core panics has no outputs.
+	// Step is called after each step of the core, on the event loop's goroutine, before the outputs are executed. A
+	// step in which the core panics has no outputs.
 	Step(now time.Duration, in []platformcore.Input, out []platformcore.Output)
 }
 
-// Options are what a placer runs with.
+// Options are the arguments of Start.
 type Options struct {
 	Config *platform.Config
 	Log    zerolog.Logger
-	Tap    Tap // nil: none
+	Tap    Tap // may be nil
 }
 
 // Server is a running placer. Its methods are safe for concurrent use.
@@ -45,13 +47,13 @@
 	clock *clock.Clock
 	tap   Tap
 
-	// Each has goroutines of its own, which Close waits for.
+	// These run goroutines, which Close waits for.
 	engine *netio.Engine
 	loop   *eventloop.Loop
-	gossip *gossipSocket // nil: none
+	gossip *gossipSocket // nil if the configuration names no gossip address
 	watch  *watcher
 
-	// Of the event loop's goroutine; each type names what others may use of it.
+	// These are used by the event loop's goroutine only, except for the parts that their types document otherwise.
 	core     *platformcore.Core
 	inputs   *inputQueue
 	writes   *writeQueue
@@ -60,11 +62,11 @@
 	lingerer *lingerer
 	shutdown *shutdown
 
-	cancel    context.CancelFunc // ends the watch and the wait for an accept slot
+	cancel    context.CancelFunc // ends the watch and waits for accept slots
 	closeOnce sync.Once
 }
 
-// Start begins to serve. What is wrong with the configuration comes back as a ConfigError.
+// Start starts a placer. It returns a ConfigError if the configuration cannot be used.
 func Start(options Options) (*Server, error) {
 	cfg := options.Config
 	if err := CheckConfig(cfg); err != nil {
@@ -111,7 +113,7 @@
 	return s, nil
 }
 
-// newServer returns a server whose event loop, listener, gossip and watch have not started.
+// newServer returns a server whose event loop, listener, gossip and watch are not started.
 func newServer(options Options, core *platformcore.Core, engine *netio.Engine, maxOwners int, connectTimeout time.Duration) *Server {
 	s := &Server{
 		log: options.Log, clock: clock.New(), tap: options.Tap, engine: engine, core: core,
@@ -130,7 +132,7 @@
 	return s
 }
 
-// lastSequence returns the number of the last event that the configuration holds.
+// lastSequence returns the sequence number of the last event in the configuration.
 func lastSequence(cfg *platform.Config) uint64 {
 	last := cfg.Initial.Seq
 	for _, event := range cfg.Initial.Events {
@@ -139,20 +141,21 @@
 	return last
 }
 
-// Address returns where owners connect.
+// Address returns the address of the listener for owners.
 func (s *Server) Address() string { return s.owners.listener.Addr().String() }
 
-// Reload watches the endpoint list at the address that a new configuration names; all else stays as it was.
+// Reload applies the watch address of a new configuration. All other settings are ignored.
 func (s *Server) Reload(cfg *platform.Config) { s.watch.setAddress(cfg.WatchAddress) }
 
-// BeginShutdown requests the core to shut down, without waiting; ShutdownComplete follows.
+// BeginShutdown requests the core to shut down and returns at once. ShutdownComplete tells when the shutdown is
+// complete.
 func (s *Server) BeginShutdown() { s.inputs.post(platformcore.ShutdownRequested{}) }
 
-// ShutdownComplete is closed when, after BeginShutdown, the core has shut down and owners have what was written to them or
-// the time for that is over.
+// ShutdownComplete returns a channel that is closed, after BeginShutdown, when the core has shut down and either no
+// pending bytes for owners are left or flushTimeout has passed.
 func (s *Server) ShutdownComplete() <-chan struct{} { return s.shutdown.complete }
 
-// Close ends the placer at once and waits for its goroutines.
+// Close stops the placer immediately and waits for its goroutines. Further calls do nothing.
 func (s *Server) Close() {
 	s.closeOnce.Do(func() {
 		s.cancel()
@@ -163,7 +166,7 @@
 	})
 }
 
-// step runs the core on what has happened and executes its outputs. It is the event loop's Step.
+// step steps the core with the queued inputs and executes its outputs. It is the event loop's Step.
 func (s *Server) step(now time.Duration) (next time.Duration, ok bool) {
 	out := s.stepCore(now, s.inputs.take())
 	for _, output := range out {
@@ -174,7 +177,7 @@
 	return s.core.Next(), true
 }
 
-// stepCore steps the core and shows the step to the tap, also one in which the core panics: without outputs, then.
+// stepCore steps the core and passes the step to the tap, even if the core panics.
 func (s *Server) stepCore(now time.Duration, in []platformcore.Input) (out []platformcore.Output) {
 	if s.tap != nil {
 		defer func() { s.tap.Step(now, in, out) }()
@@ -182,10 +185,10 @@
 	return s.core.Step(now, in...)
 }
 
-// isFlushed reports whether owners have everything that was written to them. Connections that linger count as theirs.
+// isFlushed reports whether no pending bytes for owners are left. Every lingering connection counts as one of an owner.
 func (s *Server) isFlushed() bool { return s.owners.isFlushed() && s.lingerer.isEmpty() }
 
-// execute carries out an output of the core.
+// execute executes an output of the core.
 func (s *Server) execute(output platformcore.Output) {
 	switch o := output.(type) {
 	case platformcore.SendToOwner:
--- a/internal/server/platform/shutdownearly_test.go
+++ b/internal/server/platform/shutdownearly_test.go
@@ -10,14 +10,14 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// silentWatch returns the address of a watch that accepts polls and never answers.
-func silentWatch(t *testing.T) string { return listenLoopback(t).Addr().String() }
+// unresponsiveWatchAddress returns the address of a watch that accepts polls and never answers.
+func unresponsiveWatchAddress(t *testing.T) string { return listenLoopback(t).Addr().String() }
 
-// newUnreadyConfig returns the configuration of a placer whose watch is silent.
-func newUnreadyConfig(t *testing.T, knownList string) *platform.Config {
+// newConfigWithUnresponsiveWatch returns the configuration of a placer whose watch is silent.
+func newConfigWithUnresponsiveWatch(t *testing.T, knownList string) *platform.Config {
 	t.Helper()
 	cfg := newTestConfig(t, newTestWatch(knownList))
-	cfg.WatchAddress = silentWatch(t)
+	cfg.WatchAddress = unresponsiveWatchAddress(t)
 	return cfg
 }
 
@@ -68,12 +68,12 @@
 // A placer that is to shut down before an event of its watch has come serves by its initial list and ends.
 func TestShutdownBeforeFirstWatchEvent(t *testing.T) {
 	h := newRecordingHost(t)
-	s := startConfig(t, newUnreadyConfig(t, endpointEvent(1, true, endpointOf(1, h.asTestHost(), platform.InService))))
+	s := startConfig(t, newConfigWithUnresponsiveWatch(t, endpointEvent(1, true, endpointOf(1, h.asTestHost(), platform.InService))))
 	o := newTestOwner(t, s.Address())
 	refs := requestMany(o, 1500)
 	s.BeginShutdown()
 	awaitShutdown(t, s, 5*time.Second)
-	<-o.closedBy(s)
+	<-o.closeServer(s)
 	if placed := wantOneAnswerEach(t, o, h, refs); placed != len(refs) {
 		t.Errorf("%d of %d are placed", placed, len(refs))
 	}
@@ -85,7 +85,7 @@
 	for _, hasList := range []bool{true, false} {
 		t.Run(fmt.Sprintf("has a list %v", hasList), func(t *testing.T) {
 			h := newRecordingHost(t) // which is not listed
-			cfg := newUnreadyConfig(t, endpointEvent(1, true))
+			cfg := newConfigWithUnresponsiveWatch(t, endpointEvent(1, true))
 			if !hasList {
 				cfg.Initial.Seq, cfg.Initial.Events = 0, nil
 			}
@@ -94,7 +94,7 @@
 			refs := requestMany(o, 1500)
 			s.BeginShutdown()
 			awaitShutdown(t, s, 5*time.Second)
-			<-o.closedBy(s)
+			<-o.closeServer(s)
 			if placed := wantOneAnswerEach(t, o, h, refs); placed != 0 {
 				t.Errorf("%d are placed without a host", placed)
 			}
@@ -112,7 +112,7 @@
 	s.BeginShutdown()
 	watch.publish(endpointEvent(2, true, endpointOf(1, h.asTestHost(), platform.InService)))
 	awaitShutdown(t, s, 5*time.Second)
-	<-o.closedBy(s)
+	<-o.closeServer(s)
 	if placed := wantOneAnswerEach(t, o, h, refs); placed != len(refs) {
 		t.Errorf("%d of %d are placed", placed, len(refs))
 	}
@@ -126,7 +126,7 @@
 	o := newTestOwner(t, s.Address())
 	refs := requestMany(o, 1500)
 	awaitShutdown(t, s, 5*time.Second)
-	<-o.closedBy(s)
+	<-o.closeServer(s)
 	if placed := wantOneAnswerEach(t, o, h, refs); placed != len(refs) {
 		t.Errorf("%d of %d are placed", placed, len(refs))
 	}
@@ -165,14 +165,14 @@
 			s := startWithHost(t, h.asTestHost())
 			o := newTestOwner(t, s.Address())
 			refs := requestMany(o, 2500)
-			eventually(t, "a dial", func() bool { return dialing(s) > 0 })
+			eventually(t, "a dial", func() bool { return dialingHostCount(s) > 0 })
 			s.BeginShutdown()
 			if accepts {
 				drain()
 				go h.accept()
 			}
 			awaitShutdown(t, s, 6*time.Second)
-			<-o.closedBy(s)
+			<-o.closeServer(s)
 			placed := wantOneAnswerEach(t, o, h, refs)
 			if accepts && placed != len(refs) || !accepts && placed != 0 {
 				t.Errorf("%d of %d are placed", placed, len(refs))
@@ -181,8 +181,8 @@
 	}
 }
 
-// dialing returns how many connections to hosts are being dialed.
-func dialing(s *Server) (count int) {
+// dialingHostCount returns how many connections to hosts are being dialed.
+func dialingHostCount(s *Server) (count int) {
 	s.loop.Call(func() {
 		for _, c := range s.hosts.open {
 			if c.stream == nil {
@@ -193,8 +193,8 @@
 	return count
 }
 
-// closedBy closes a placer and returns when the owner has read everything that it was sent.
-func (o *testOwner) closedBy(s *Server) <-chan struct{} {
+// closeServer closes a placer and returns when the owner has read everything that it was sent.
+func (o *testOwner) closeServer(s *Server) <-chan struct{} {
 	s.Close()
 	return o.done
 }
--- a/internal/server/platform/testenv_test.go
+++ b/internal/server/platform/testenv_test.go
@@ -317,8 +317,8 @@
 	}
 }
 
-// openOwners returns how many connections of owners the core has.
-func openOwners(s *Server) (count int) {
+// openOwnerCount returns how many connections of owners the core has.
+func openOwnerCount(s *Server) (count int) {
 	s.loop.Call(func() { count = len(s.owners.open) })
 	return count
 }
--- a/internal/server/platform/trace_test.go
+++ b/internal/server/platform/trace_test.go
@@ -61,7 +61,7 @@
 	for range 2 {
 		checkReplay(t, trace.Bytes())
 	}
-	checkRequest(t, trace.Bytes(), ref(0), o.answersTo(ref(0)))
+	checkTraceOfRequest(t, trace.Bytes(), ref(0), o.answersTo(ref(0)))
 }
 
 // checkReplay checks that a trace replays to the same outputs.
@@ -76,8 +76,8 @@
 	}
 }
 
-// checkRequest checks that a trace has a request and the answers that its owner got.
-func checkRequest(t *testing.T, trace []byte, ref string, answers []platform.Message) {
+// checkTraceOfRequest checks that a trace has a request and the answers that its owner got.
+func checkTraceOfRequest(t *testing.T, trace []byte, ref string, answers []platform.Message) {
 	t.Helper()
 	request, err := platformreplay.FollowRequest(bytes.NewReader(trace), ref)
 	if err != nil {
--- a/internal/server/platform/twoplacers_test.go
+++ b/internal/server/platform/twoplacers_test.go
@@ -56,11 +56,11 @@
 			}
 		}
 	}
-	p.wantNothingOfOthers(t, count)
+	p.wantNoAnswersToOtherOwner(t, count)
 }
 
-// wantNothingOfOthers checks that no owner got a message about a task of the other placer's.
-func (p *placersOnOneHost) wantNothingOfOthers(t *testing.T, count int) {
+// wantNoAnswersToOtherOwner checks that no owner got a message about a task of the other placer's.
+func (p *placersOnOneHost) wantNoAnswersToOtherOwner(t *testing.T, count int) {
 	t.Helper()
 	for n := range count {
 		for i, o := range p.owners {
@@ -76,7 +76,7 @@
 func (p *placersOnOneHost) connectionsOf(placer, count int) map[*recordedConn]bool {
 	conns := map[*recordedConn]bool{}
 	for n := range count {
-		conns[p.host.offeredOn(refOf(placer, n))] = true
+		conns[p.host.lastOfferConn(refOf(placer, n))] = true
 	}
 	return conns
 }
@@ -89,7 +89,7 @@
 	p.place(t, count)
 	for n := range count / 2 { // half of the tasks end at the host, in an order that goes between the placers
 		for i := range placerCount {
-			p.host.offeredOn(refOf(i, n)).endTask(refOf(i, n), platform.CauseOK)
+			p.host.lastOfferConn(refOf(i, n)).endTask(refOf(i, n), platform.CauseOK)
 		}
 	}
 	for n := range count / 2 {
@@ -101,7 +101,7 @@
 			}
 		}
 	}
-	p.wantNothingOfOthers(t, count)
+	p.wantNoAnswersToOtherOwner(t, count)
 
 	const released = count / 2 // by its owner
 	send(p.owners[0].conn, "%s", platform.Append(nil, platform.TypeRelease, refOf(0, released), platform.CauseOK, nil))
@@ -121,7 +121,7 @@
 
 	p.servers[0].Close()
 	last := refOf(1, count-1)
-	p.host.offeredOn(last).endTask(last, platform.CauseReset)
+	p.host.lastOfferConn(last).endTask(last, platform.CauseReset)
 	eventually(t, "an end after the other placer's", func() bool { return len(p.owners[1].answersTo(last)) == 2 })
 	if got := p.host.received(platform.TypeRelease, refOf(1, released)); got != 0 {
 		t.Error("the end of a placer stops a task of the other's")
@@ -144,11 +144,11 @@
 			if got := o.answersTo(ref); len(got) != 1 {
 				t.Errorf("placer %d: %+v comes of an end that it was not sent", i, got)
 			}
-			p.host.offeredOn(ref).endTask(ref, platform.CauseOK)
+			p.host.lastOfferConn(ref).endTask(ref, platform.CauseOK)
 			eventually(t, "the end of "+ref, func() bool { return len(o.answersTo(ref)) == 2 })
 		}
 	}
-	p.wantNothingOfOthers(t, count)
+	p.wantNoAnswersToOtherOwner(t, count)
 	for n := range count {
 		for i, o := range p.owners {
 			if got := o.answersTo(refOf(i, n)); len(got) != 2 {
--- a/internal/server/platform/watch.go
+++ b/internal/server/platform/watch.go
@@ -19,41 +19,41 @@
 
 const (
 	streamIdleTimeout = 1500 * time.Millisecond // the platform sends a comment each second
-	minPollBackoff    = 50 * time.Millisecond   // between polls without an event, doubled each time
+	minPollBackoff    = 50 * time.Millisecond   // wait between polls without an event; doubled for each further one
 	maxPollBackoff    = 400 * time.Millisecond
-	streamBufferSize  = 16 << 10
+	streamBufferSize  = 16 << 10 // bytes
 )
 
-// Reasons why a stream of the watch was closed.
+// Reasons for which the watcher cancels a stream.
 var (
 	errAddressChanged = errors.New("the watch address has changed")
-	errStreamIdle     = errors.New("nothing came for too long")
-	errNoEvents       = errors.New("no event came for too long")
+	errStreamIdle     = errors.New("the watch stream is idle: neither event nor comment within the idle timeout")
+	errNoEvents       = errors.New("the watch stream has delivered no event within the event timeout")
 )
 
-// watchConfig is what a watcher runs with.
+// watchConfig is the configuration of a watcher.
 type watchConfig struct {
 	address        string
-	last           uint64        // the number of the event to begin after
-	connectTimeout time.Duration // bounds the making of a connection
+	last           uint64        // sequence number of the last known event; the watch starts after it
+	connectTimeout time.Duration // bounds the time to connect
 	log            zerolog.Logger
-	// deliver takes each event once, in order, on the watcher's goroutine. restarted means that the numbers begin again
-	// with this one, a snapshot.
+	// deliver is called once for each event, in order, on the watcher's goroutine. restarted means that the sequence
+	// numbers start again with this event, which is a snapshot.
 	deliver func(event platform.WatchEvent, restarted bool)
 }
 
-// watcher follows the changes of the endpoint list from one goroutine.
+// watcher follows the changes of the endpoint list on one goroutine.
 type watcher struct {
 	log     zerolog.Logger
 	deliver func(event platform.WatchEvent, restarted bool)
 	dialer  net.Dialer
 	done    chan struct{} // closed when the goroutine has ended
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards address and cancelStream
 	address      string
-	cancelStream context.CancelCauseFunc // nil: no stream was opened yet
+	cancelStream context.CancelCauseFunc // nil until the first poll
 
-	// Of the watcher's goroutine.
+	// These are used by the watcher's goroutine only.
 	sequence  platform.Sequence
 	intervals eventIntervals
 }
@@ -68,10 +68,10 @@
 	return w
 }
 
-// wait returns when the watch has ended, after its context.
+// wait waits for the watcher's goroutine, which ends after its context.
 func (w *watcher) wait() { <-w.done }
 
-// setAddress goes on at another address after the same event.
+// setAddress continues the watch at another address, after the last event that was delivered.
 func (w *watcher) setAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// run polls the endpoint list, over and over, until ctx ends.
+// run polls the endpoint list until ctx ends, with a backoff between polls that bring no event.
 func (w *watcher) run(ctx context.Context) {
 	defer close(w.done)
 	backoff := time.Duration(0)
@@ -93,7 +93,7 @@
 		canceled := w.poll(ctx)
 		switch {
 		case w.sequence.Last > last || canceled:
-			backoff = 0 // at once
+			backoff = 0
 		case backoff == 0:
 			backoff = minPollBackoff
 		default:
@@ -105,8 +105,8 @@
 	}
 }
 
-// poll follows one stream of events until it ends, breaks or is canceled, and returns whether it was canceled: by a change
-// of the address, by its timeouts or by ctx.
+// poll follows one stream of events until it ends, fails or is canceled. It returns whether the stream was canceled: by
+// a change of the address, by one of its timeouts or by ctx.
 func (w *watcher) poll(ctx context.Context) (canceled bool) {
 	stream, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -124,7 +124,7 @@
 	return canceled
 }
 
-// read opens a stream and handles its events.
+// read opens a stream and handles its events until the stream ends. It calls cancel when a timeout expires.
 func (w *watcher) read(ctx context.Context, cancel context.CancelCauseFunc, address string) error {
 	idle := newIdleTimer(streamIdleTimeout, func() { cancel(errStreamIdle) })
 	defer idle.stop()
@@ -137,19 +137,19 @@
 		return err
 	}
 	defer func() { _ = body.Close() }()
-	events := platform.EventReader{OnComment: w.takeComment}
+	events := platform.EventReader{OnComment: w.handleComment}
 	buf := make([]byte, streamBufferSize)
 	for {
 		n, readErr := body.Read(buf)
 		if ctx.Err() != nil {
-			return ctx.Err() // what comes after a change of the address is the old address's, and doesn't count any more
+			return ctx.Err() // after a change of the address, events from the old address are dropped
 		}
 		if n > 0 {
 			idle.reset(streamIdleTimeout)
 		}
 		var eventErr error
 		feedErr := events.Feed(buf[:n], func(event platform.ServerSentEvent) {
-			if err := w.takeEvent(event, eventErr == nil, noEvents); err != nil {
+			if err := w.handleEvent(event, eventErr == nil, noEvents); err != nil {
 				eventErr = errors.Join(eventErr, err)
 			}
 		})
@@ -159,7 +159,7 @@
 	}
 }
 
-// open requests the events after the last one from an address.
+// open requests the events after the last delivered one from an address and returns the body of the response.
 func (w *watcher) open(ctx context.Context, transport *http.Transport, address string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/changes", nil)
 	if err != nil {
@@ -173,28 +173,29 @@
 	}
 	if response.StatusCode != http.StatusOK {
 		_ = response.Body.Close()
-		return nil, fmt.Errorf("open the watch stream: the answer is %s", response.Status)
+		return nil, fmt.Errorf("open the watch stream: got status %s, want 200 OK", response.Status)
 	}
 	return response.Body, nil
 }
 
-// takeComment delivers the events with which the numbers begin again, if that shows now: a comment means that nothing more
-// comes for the moment.
-func (w *watcher) takeComment() {
+// handleComment handles a comment, which means that no more events are waiting. If this shows that the sequence numbers
+// have started again, it delivers the events since then.
+func (w *watcher) handleComment() {
 	for i, event := range w.sequence.StreamIdle() {
 		w.deliver(event, i == 0)
 	}
 }
 
-// takeEvent delivers an event if it counts. After an error the others of the same read are only decoded.
-func (w *watcher) takeEvent(encoded platform.ServerSentEvent, good bool, noEvents *idleTimer) error {
+// handleEvent decodes an event and, if apply is set and the event is the next one of the sequence, delivers it. apply
+// is false for the events that follow an error in the same read.
+func (w *watcher) handleEvent(encoded platform.ServerSentEvent, apply bool, noEvents *idleTimer) error {
 	event, err := platform.DecodeWatchEvent(encoded)
-	if err != nil || !good {
+	if err != nil || !apply {
 		return err
 	}
 	switch w.sequence.Next(event) {
 	case platform.Resubscribe:
-		return fmt.Errorf("events before %d are missing", event.Seq)
+		return fmt.Errorf("watch event %d is not the next one: events before it are missing", event.Seq)
 	case platform.ApplyEvent:
 		w.intervals.add(time.Now())
 		noEvents.reset(w.intervals.nextTimeout())
--- a/internal/server/platform/watch_test.go
+++ b/internal/server/platform/watch_test.go
@@ -78,8 +78,8 @@
 	return w, deliveries
 }
 
-// expect checks the next deliveries.
-func expect(t *testing.T, deliveries chan delivery, want ...delivery) {
+// expectDeliveries checks the next deliveries.
+func expectDeliveries(t *testing.T, deliveries chan delivery, want ...delivery) {
 	t.Helper()
 	for _, w := range want {
 		select {
@@ -111,7 +111,7 @@
 		})
 	_, deliveries := startTestWatcher(t, address, 0)
 	for seq := range 21 {
-		expect(t, deliveries, delivery{uint64(seq + 1), false})
+		expectDeliveries(t, deliveries, delivery{uint64(seq + 1), false})
 	}
 }
 
@@ -130,7 +130,7 @@
 		s.sendComments()
 	}
 	_, deliveries := startTestWatcher(t, scriptedWatch(t, again, restarted), 7)
-	expect(t, deliveries, delivery{8, false}, delivery{1, true}, delivery{2, false}, delivery{3, false}, delivery{4, false})
+	expectDeliveries(t, deliveries, delivery{8, false}, delivery{1, true}, delivery{2, false}, delivery{3, false}, delivery{4, false})
 }
 
 // A new address, while the old one breaks off in the middle of an event or goes on sending, is polled after the last event
@@ -160,11 +160,11 @@
 			s.sendComments()
 		})
 		w, deliveries := startTestWatcher(t, oldAddress, 0)
-		expect(t, deliveries, delivery{1, false})
+		expectDeliveries(t, deliveries, delivery{1, false})
 		<-sent
 		w.setAddress(newAddress)
 		close(changed)
-		expect(t, deliveries, delivery{2, false}, delivery{3, false})
+		expectDeliveries(t, deliveries, delivery{2, false}, delivery{3, false})
 		if polledAfter.Load() != "1" {
 			t.Errorf("the new address is polled after %v", polledAfter.Load())
 		}
