--- a/internal/server/platform/config_test.go
+++ b/internal/server/platform/config_test.go
@@ -9,12 +9,12 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// What cannot be used of a configuration is a ConfigError that names the key.
+// CheckConfig reports a value that cannot be used as a ConfigError that names its key.
 func TestCheckConfigNamesTheKey(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*platform.Config)
-		want   string // empty: it can be used
+		want   string // prefix of the error; empty if the configuration can be used
 	}{
 		{"good", func(*platform.Config) {}, ""},
 		{"settings", func(cfg *platform.Config) { cfg.Settings = json.RawMessage(`{}`) }, "configuration: settings"},
@@ -30,18 +30,18 @@
 			err := CheckConfig(cfg)
 			if c.want == "" {
 				if err != nil {
-					t.Error(err)
+					t.Errorf("CheckConfig() = %v, want nil", err)
 				}
 				return
 			}
 			if !errors.As(err, &ConfigError{}) || !strings.HasPrefix(err.Error(), c.want) {
-				t.Errorf("the error is %v, want a ConfigError that begins with %q", err, c.want)
+				t.Errorf("CheckConfig() = %v, want a ConfigError that begins with %q", err, c.want)
 			}
 		})
 	}
 }
 
-// Descriptors are divided so that owners and hosts each keep some, however few there are.
+// newCoreConfig divides the descriptors so that owners and hosts get connections even if the limit is low.
 func TestCoreConfigDividesDescriptors(t *testing.T) {
 	for _, c := range []struct{ descriptors, owners, protected, hosts, both int }{
 		{0, 666, 341, 651, 992},
@@ -57,7 +57,7 @@
 		}
 		got := newCoreConfig(cfg, info, settings)
 		if got.MaxOwnerConnections != c.owners || got.ProtectedOwnerConnections != c.protected || got.MaxHostConnections != c.hosts || got.MaxConnections != c.both {
-			t.Errorf("%d descriptors: owners %d, protected %d, hosts %d, both %d; want %+v", c.descriptors,
+			t.Errorf("newCoreConfig with a limit of %d descriptors: got owners %d, protected %d, hosts %d, both %d; want %+v", c.descriptors,
 				got.MaxOwnerConnections, got.ProtectedOwnerConnections, got.MaxHostConnections, got.MaxConnections, c)
 		}
 	}
--- a/internal/server/platform/eventinterval_test.go
+++ b/internal/server/platform/eventinterval_test.go
@@ -5,32 +5,34 @@
 	"time"
 )
 
-// A watch that delivers events all the time is polled again when it goes without one for longer, ever more rarely; one whose
-// events are rare is not.
+// A watch with regular events gets a timeout, which follows the longest recent interval and doubles with each poll that
+// brings no event. A watch whose intervals are unknown or long gets none.
 func TestEventIntervalsNextTimeout(t *testing.T) {
 	var e eventIntervals
 	now := time.Unix(1000, 0)
-	if e.nextTimeout() != 0 {
-		t.Error("there is a timeout before the intervals are known")
+	if got := e.nextTimeout(); got != 0 {
+		t.Errorf("nextTimeout() without an event = %v, want 0", got)
 	}
 	for range 40 {
 		now = now.Add(300 * time.Millisecond)
 		e.add(now)
 	}
 	if got := []time.Duration{e.nextTimeout(), e.nextTimeout(), e.nextTimeout()}; got[0] != minEventTimeout || got[1] != 2*minEventTimeout || got[2] != 4*minEventTimeout {
-		t.Errorf("the timeouts are %v", got)
+		t.Errorf("three calls of nextTimeout() after events each 300ms = %v, want %v, %v, %v", got, minEventTimeout, 2*minEventTimeout, 4*minEventTimeout)
 	}
 	for range 10 {
-		if e.nextTimeout() > maxEventTimeout {
-			t.Error("the timeout is too long")
+		if got := e.nextTimeout(); got > maxEventTimeout {
+			t.Errorf("nextTimeout() after many polls = %v, want at most %v", got, maxEventTimeout)
 		}
 	}
 	now = now.Add(3 * time.Second)
-	if e.add(now); e.nextTimeout() != 6*time.Second {
-		t.Error("a longer interval does not count")
+	e.add(now)
+	if got := e.nextTimeout(); got != 6*time.Second {
+		t.Errorf("nextTimeout() after an interval of 3s = %v, want 6s", got)
 	}
 	now = now.Add(time.Minute)
-	if e.add(now); e.nextTimeout() != 0 {
-		t.Error("a watch with rare events is polled again")
+	e.add(now)
+	if got := e.nextTimeout(); got != 0 {
+		t.Errorf("nextTimeout() after an interval of 1m = %v, want 0", got)
 	}
 }
--- a/internal/server/platform/gossip_test.go
+++ b/internal/server/platform/gossip_test.go
@@ -14,7 +14,8 @@
 	"forkhead/internal/server/eventloop"
 )
 
-// startGossip starts the socket of one of two placers, whose addresses are peers, and returns what it receives.
+// startGossip starts the gossip socket of the placer with the number self and returns a channel of the messages it
+// receives.
 func startGossip(t *testing.T, cfg platform.Config, self int) (*gossipSocket, chan platformcore.GossipReceived) {
 	t.Helper()
 	received := make(chan platformcore.GossipReceived, 100)
@@ -48,8 +49,8 @@
 	return socket.LocalAddr().String()
 }
 
-// Messages reach the placer that they are sent to, with the sender's number; those of strangers, of itself and of too many
-// bytes are dropped.
+// A message reaches the placer that it is sent to, with the sender's number. Messages from an address that is not a
+// peer's, from the placer itself and above the maximum size are dropped.
 func TestGossipSocketExchangesMessages(t *testing.T) {
 	cfg := platform.Config{Peers: []string{unusedUDPAddress(t), unusedUDPAddress(t)}}
 	cfg.PeersBroadcast = cfg.Peers[1]
@@ -74,28 +75,28 @@
 	expectGossip(t, receivedBySecond, 0, []byte("to all"))
 	expectGossip(t, receivedByFirst, 1, []byte("back"))
 	if n := len(receivedByFirst) + len(receivedBySecond); n > 0 {
-		t.Errorf("%d more messages came", n)
+		t.Errorf("further messages received: got %d, want 0", n)
 	}
 }
 
-// expectGossip checks the next message.
+// expectGossip checks the sender and the data of the next message.
 func expectGossip(t *testing.T, received chan platformcore.GossipReceived, from int, data []byte) {
 	t.Helper()
 	select {
 	case got := <-received:
 		if got.From != from || !slices.Equal(got.Data, data) {
-			t.Fatalf("received %q of %d, want %q of %d", got.Data, got.From, data, from)
+			t.Fatalf("next message: got %q from placer %d, want %q from placer %d", got.Data, got.From, data, from)
 		}
 	case <-time.After(eventuallyTimeout):
-		t.Fatalf("%q is not received", data)
+		t.Fatalf("got no message within %v, want %q from placer %d", eventuallyTimeout, data, from)
 	}
 }
 
-// A placer without a gossip address sends and receives nothing.
-func TestGossipSocketNone(t *testing.T) {
+// openGossip returns a nil socket, whose methods can be called, if the configuration has no gossip address.
+func TestGossipSocketNilWithoutAddress(t *testing.T) {
 	g, err := openGossip(&platform.Config{}, 0, &inputQueue{})
 	if g != nil || err != nil {
-		t.Fatalf("opened %v, %v", g, err)
+		t.Fatalf("openGossip(configuration without an address) = %v, %v; want nil, nil", g, err)
 	}
 	g.start()
 	g.send(platformcore.SendGossip{To: forkhead.AllPlacers, Data: []byte("x")})
--- a/internal/server/platform/hosts_test.go
+++ b/internal/server/platform/hosts_test.go
@@ -11,13 +11,14 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// slowHost is a host whose machine takes few bytes and that reads nothing until read is closed.
+// slowHost is a host with a receive buffer of 4 KiB that reads nothing until the channel read is closed.
 type slowHost struct {
 	listener net.Listener
 	read     chan struct{}
-	lines    chan string // what it then reads
+	lines    chan string // the lines that were read
 }
 
+// newSlowHost starts a host.
 func newSlowHost(t *testing.T) *slowHost {
 	t.Helper()
 	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
@@ -41,6 +42,7 @@
 	return h
 }
 
+// serve reads lines of a connection once read is closed.
 func (h *slowHost) serve(c net.Conn) {
 	<-h.read
 	r := bufio.NewReader(c)
@@ -53,7 +55,7 @@
 	}
 }
 
-// countOffers counts the offers that the host reads within a time.
+// countOffers returns how many offers the host reads within d.
 func (h *slowHost) countOffers(d time.Duration) (count int) {
 	end := time.After(d)
 	for {
@@ -68,7 +70,7 @@
 	}
 }
 
-// hostConnectionCounts returns how many connections to hosts are made, and how many of them have unsent bytes.
+// hostConnectionCounts returns how many connections to hosts are established, and how many of them have unsent bytes.
 func hostConnectionCounts(s *Server) (open, unsent int) {
 	s.loop.Call(func() {
 		for _, c := range s.hosts.open {
@@ -84,33 +86,36 @@
 	return open, unsent
 }
 
-// A host that does not read gets no offer of an owner that has left meanwhile.
+// An offer that is unsent when its owner leaves does not reach its host, which does not read: its connection is reset.
+// The host would otherwise start the attempt when it reads on.
 func TestHostConnectionsResetUnsentOffers(t *testing.T) {
 	h := newSlowHost(t)
 	s := startWithHost(t, &testHost{listener: h.listener})
 	o := newTestOwner(t, s.Address())
-	// The host's machine takes less unread than most offers: the rest of each waits in this process or its machine.
+	// An offer is larger than the host's receive buffer, so the rest of most offers waits in this process or its
+	// kernel.
 	for n := range 100 {
 		send(o.conn, `{"t":"new","ref":"%016x","f":{"class":"keyed","left":"60000","tenant":"acme","key":"%016x","idem":"k%d","extras":"cores:0.001;memory:0.001;service:%016x"},"d":"%s"}`+"\n",
 			0xd000+n, n, n, n, strings.Repeat("x", 12<<10))
 	}
 	open, unsent := 0, 0
-	eventually(t, "an offer that waits", func() bool {
+	eventually(t, "an offer has unsent bytes", func() bool {
 		time.Sleep(100 * time.Millisecond)
 		open, unsent = hostConnectionCounts(s)
 		return unsent > 0
 	})
 	_ = o.conn.Close()
-	eventually(t, "the placer sees that it is closed", func() bool { return openOwnerCount(s) == 0 })
+	eventually(t, "the placer sees that the owner has left", func() bool { return openOwnerCount(s) == 0 })
 	time.Sleep(100 * time.Millisecond)
 	close(h.read)
 	if begun := h.countOffers(time.Second); begun > open-unsent {
-		t.Errorf("%d offers begin after their owner has left; of %d connections %d had taken theirs", begun, open, open-unsent)
+		t.Errorf("offers that the host read after their owner had left: got %d, want at most %d (of %d connections, %d had unsent bytes)",
+			begun, open-unsent, open, unsent)
 	}
 }
 
-// serveUntilPeerCloses binds what is offered on a connection, sends nothing else, and when the placer closes its side, idle,
-// reports on a later connection than the first that the task has ended.
+// serveUntilPeerCloses accepts the offers on a connection and does not answer probes. When the placer closes its side
+// of the idle connection, it reports the end of the task, except on the first connection.
 func serveUntilPeerCloses(c net.Conn, ref string, isFirst bool) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
@@ -123,13 +128,13 @@
 			send(c, `{"t":"up","ref":"%s","f":{},"d":"y"}`+"\n", ref)
 		}
 	}
-	if !isFirst { // a connection that was made to see whether the host is up: the placer closes it
+	if !isFirst { // the placer opened it to probe the host, and closes it
 		send(c, `{"t":"down","ref":"%s","f":{},"c":16}`+"\n", ref)
 	}
 }
 
-// What a host sends of a task as the placer closes that connection, idle, is received.
-func TestHostConnectionsReleaseCrossesHalfClose(t *testing.T) {
+// A release that a host sends while the placer half-closes the idle connection reaches the owner.
+func TestHostConnectionsReceiveReleaseAfterHalfClose(t *testing.T) {
 	const ref = "00000000000000a0"
 	listener := listenLoopback(t)
 	go func() {
@@ -144,7 +149,7 @@
 	s := startWithHost(t, &testHost{listener: listener})
 	o := newTestOwner(t, s.Address())
 	o.request(ref, 5000)
-	eventually(t, "the release", func() bool {
+	eventually(t, "the owner has an answer and then the release", func() bool {
 		got := o.answersTo(ref)
 		return len(got) == 2 && got[1].Type == platform.TypeRelease && got[1].Cause == platform.CauseOK
 	})
--- a/internal/server/platform/log_test.go
+++ b/internal/server/platform/log_test.go
@@ -11,7 +11,8 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// A line of the core keeps its level, its constant message and one field for each attribute.
+// A log line of the core is written with its level, its message and one field for each attribute, unless its level is
+// below that of the logger.
 func TestServerWritesLogLinesWithTypedFields(t *testing.T) {
 	line := platformcore.Log{
 		Level: slog.LevelError, Message: "offer vetoed",
@@ -21,13 +22,13 @@
 	(&Server{log: zerolog.New(&written)}).writeLog(line)
 	const want = `{"level":"error","task":7,"host":"s-00000001","error":"fit: no","message":"offer vetoed"}` + "\n"
 	if got := written.String(); got != want {
-		t.Errorf("written %s, want %s", got, want)
+		t.Errorf("writeLog(%+v) wrote %s, want %s", line, got, want)
 	}
 
-	var hidden bytes.Buffer
+	var filtered bytes.Buffer
 	line.Level = slog.LevelInfo
-	(&Server{log: zerolog.New(&hidden).Level(zerolog.WarnLevel)}).writeLog(line)
-	if hidden.Len() > 0 {
-		t.Errorf("a line below the level of the log is written: %s", hidden.String())
+	(&Server{log: zerolog.New(&filtered).Level(zerolog.WarnLevel)}).writeLog(line)
+	if filtered.Len() > 0 {
+		t.Errorf("writeLog(info) to a logger of level warn wrote %s, want nothing", filtered.String())
 	}
 }
--- a/internal/server/platform/owners_test.go
+++ b/internal/server/platform/owners_test.go
@@ -10,9 +10,10 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// An owner that leaves while its request waits behind a full job queue gets no attempt, in whichever way it leaves.
+// No attempt is started for the requests of an owner that has half-closed, closed or reset its connection while they
+// waited behind a full job queue.
 func TestOwnerConnectionClosedBehindAFullJobQueue(t *testing.T) {
-	// Too short a stall for the event loop to let others catch up, and then one that is long enough.
+	// The first stall is too short, the second long enough for the event loop to let producers catch up.
 	for _, pause := range []time.Duration{10 * time.Millisecond, 100 * time.Millisecond} {
 		for name, leave := range map[string]func(*net.TCPConn){
 			"half-closed": func(c *net.TCPConn) { _ = c.CloseWrite() },
@@ -24,50 +25,53 @@
 	}
 }
 
+// testOwnerLeavesBehindAFullJobQueue stalls the event loop, sends requests, waits for pause, leaves, and waits again.
 func testOwnerLeavesBehindAFullJobQueue(t *testing.T, pause time.Duration, leave func(*net.TCPConn)) {
 	h := newTestHost(t, 0, 1)
 	s := startWithHost(t, h)
-	usual, o := newTestOwner(t, s.Address()), newTestOwner(t, s.Address())
-	usual.request("00000000000000a0", 9000)
-	usual.awaitAnswer(t, "00000000000000a0")
+	regular, o := newTestOwner(t, s.Address()), newTestOwner(t, s.Address())
+	regular.request("00000000000000a0", 9000)
+	regular.awaitAnswer(t, "00000000000000a0")
 	o.probe(t)
 	resume := stall(t, s)
 	fillJobQueue(s)
 	for i := range 3 { // pipelined
 		o.request(fmt.Sprintf("%016x", 0xc0+i), 9000)
 	}
-	time.Sleep(pause) // they are read, and wait for space in the queue
+	time.Sleep(pause) // the poller reads the requests and waits for space in the queue
 	leave(o.conn.(*net.TCPConn))
 	time.Sleep(pause)
 	resume()
-	usual.request("00000000000000a1", 9000)
-	usual.awaitAnswer(t, "00000000000000a1")
+	regular.request("00000000000000a1", 9000)
+	regular.awaitAnswer(t, "00000000000000a1")
 	if n := h.offers(); n != 2 {
-		t.Errorf("the host saw %d offers, want the 2 of the usual owner", n)
+		t.Errorf("offers at the host: got %d, want the 2 of the owner that stays", n)
 	}
 }
 
-// Many connections that come at once while all slots are taken wait for one; a usual owner among them is served.
-func TestOwnerConnectionsUsualOwnerInACrowd(t *testing.T) {
+// An owner that connects at the same moment as many others, while the core has no free slot, is served: the connections
+// wait for slots instead of being closed unseen.
+func TestOwnerConnectionsServeOwnerAmongManyNewConnections(t *testing.T) {
 	s := startWithHost(t, newTestHost(t, 0, 1))
 	connect := func(size int) {
 		for range size {
 			dialLoopback(t, s.Address())
 		}
 	}
-	bound := cap(s.owners.slots) - acceptReserve // all that the core takes
+	bound := cap(s.owners.slots) - acceptReserve // the core's bound
 	connect(bound)
 	eventually(t, "all slots of the core are taken", func() bool { return openOwnerCount(s) == bound })
 	resume := stall(t, s)
 	connect(3 * acceptReserve)
 	o := newTestOwner(t, s.Address())
 	o.request("00000000000000a0", 9000)
-	time.Sleep(50 * time.Millisecond) // the accept queue is taken as far as there are slots
+	time.Sleep(50 * time.Millisecond) // connections are accepted until no slot is left
 	resume()
 	o.awaitAnswer(t, "00000000000000a0")
 }
 
-// slowOwner connects an owner that reads nothing, and writes to it until no more leaves this process.
+// slowOwner connects an owner that reads nothing, and writes to it until bytes are pending. It returns how many were
+// written.
 func slowOwner(t *testing.T, s *Server) (conn net.Conn, written int) {
 	t.Helper()
 	before := s.owners.lastID.Load()
@@ -89,7 +93,7 @@
 	return conn, written
 }
 
-// An answer that a slow reader has not read when its connection is closed still comes.
+// All bytes that were written to a slow reader reach it although its connection is closed while some are pending.
 func TestOwnerConnectionsCloseDeliversUnsentBytes(t *testing.T) {
 	s := startWithHost(t, newTestHost(t, 0, 1))
 	conn, written := slowOwner(t, s)
@@ -99,22 +103,22 @@
 		}
 	})
 	if n, err := io.Copy(io.Discard, conn); err != nil || int(n) != written {
-		t.Errorf("%d bytes of %d came, then %v", n, written, err)
+		t.Errorf("the owner read %d bytes and the error %v, want %d bytes and no error", n, err, written)
 	}
 }
 
-// Connections that wait in the accept queue when the listener is to close are accepted.
-func TestOwnerConnectionsCloseListenerTakesTheAcceptQueue(t *testing.T) {
+// Connections that wait in the accept queue when the core closes the listener are accepted and served.
+func TestOwnerConnectionsCloseListenerServesAcceptQueue(t *testing.T) {
 	s := startWithHost(t, newTestHost(t, 0, 1))
 	var taken []*acceptSlot
 	for range cap(s.owners.slots) {
 		taken = append(taken, s.owners.slots.acquire(t.Context()))
 	}
-	var owners []*testOwner // the first waits for a slot, the others behind it
+	var owners []*testOwner // the first waits for a slot, the others in the accept queue
 	for range 5 {
 		owners = append(owners, newTestOwner(t, s.Address()))
 	}
-	time.Sleep(50 * time.Millisecond) // the first is accepted
+	time.Sleep(50 * time.Millisecond) // the listener takes the first connection from the queue
 	s.loop.Call(func() { s.execute(platformcore.CloseListener{}) })
 	for _, slot := range taken {
 		slot.release()
--- a/internal/server/platform/recordinghost_test.go
+++ b/internal/server/platform/recordinghost_test.go
@@ -8,7 +8,8 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// recordingHost is a host that records what it is sent, places every offer at once, and ends tasks when a test says so.
+// recordingHost is a host that records the messages it receives, accepts every offer at once, and ends tasks when a
+// test calls endTask.
 type recordingHost struct {
 	listener net.Listener
 
@@ -19,8 +20,8 @@
 // recordedConn is a connection to a recordingHost.
 type recordedConn struct {
 	net.Conn
-	received []platform.Message // guarded by the host's mutex
-	closed   bool               // by either side; guarded by the host's mutex
+	received []platform.Message // guarded by the host's mu
+	closed   bool               // whether either side has closed it; guarded by the host's mu
 }
 
 // newRecordingHost starts a host.
@@ -46,7 +47,7 @@
 	}
 }
 
-// serve records what comes on a connection and answers it.
+// serve records the messages on a connection and answers offers, probes and releases.
 func (h *recordingHost) serve(c *recordedConn) {
 	defer func() {
 		_ = c.Close()
@@ -65,10 +66,10 @@
 	})
 }
 
-// asTestHost returns the host as one that an endpoint list can name.
+// asTestHost returns a testHost with this host's listener, for use in an endpoint list.
 func (h *recordingHost) asTestHost() *testHost { return &testHost{listener: h.listener} }
 
-// received returns how many messages of a type came; an empty ref counts those of all tasks.
+// received returns how many messages of a type the host has received about a task, or about all tasks if ref is empty.
 func (h *recordingHost) received(kind platform.MessageType, ref string) (count int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -82,7 +83,7 @@
 	return count
 }
 
-// lastOfferConn returns the connection that the last offer of a task came on; nil: none came.
+// lastOfferConn returns the newest connection with an offer of the task, or nil if the task was not offered.
 func (h *recordingHost) lastOfferConn(ref string) *recordedConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -97,7 +98,7 @@
 	return last
 }
 
-// openConn returns the newest connection that is open; nil: none is.
+// openConn returns the newest open connection, or nil if none is open.
 func (h *recordingHost) openConn() *recordedConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// awaitConn waits until a connection to the host is open and returns it.
+// awaitConn waits for an open connection to the host and returns it.
 func (h *recordingHost) awaitConn(t *testing.T) *recordedConn {
 	t.Helper()
 	var conn *recordedConn
--- a/internal/server/platform/server_test.go
+++ b/internal/server/platform/server_test.go
@@ -11,7 +11,8 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// Each request gets exactly one answer, whatever hosts do, and what is bound is a host's own answer.
+// Each request gets exactly one answer, even if hosts send damaged messages or reset connections, and a bound task has
+// the description that its host sent.
 func TestServerAnswersEachRequestOnce(t *testing.T) {
 	good, faulty := newTestHost(t, 0, 1), newTestHost(t, 0.5, 2)
 	s, _ := startServer(t, newTestWatch(endpointEvent(1, true, endpointOf(1, good, platform.InService), endpointOf(2, faulty, platform.InService))))
@@ -22,7 +23,7 @@
 		o.request(ref(i), 6000)
 		time.Sleep(2 * time.Millisecond)
 	}
-	eventually(t, "an answer to each", func() bool {
+	eventually(t, "each request has an answer", func() bool {
 		for i := range count {
 			if len(o.answersTo(ref(i))) == 0 {
 				return false
@@ -35,15 +36,15 @@
 		bound += checkAnswers(t, ref(i), o.answersTo(ref(i)))
 	}
 	if bound < count*9/10 {
-		t.Errorf("%d of %d are bound", bound, count)
+		t.Errorf("bound requests: got %d of %d, want at least %d", bound, count, count*9/10)
 	}
 }
 
-// checkAnswers checks the answers to one request and returns how many report that it is bound.
+// checkAnswers checks the answers to one request and returns how many of them are of the type bound.
 func checkAnswers(t *testing.T, ref string, answers []platform.Message) (bound int) {
 	t.Helper()
 	if len(answers) > 1 && answers[0].Type != platform.TypeBound {
-		t.Errorf("%s has %d answers", ref, len(answers))
+		t.Errorf("answers to %s: got %d, the first of type %s; want one, or more only after one of type %s", ref, len(answers), answers[0].Type, platform.TypeBound)
 	}
 	for _, m := range answers {
 		if m.Type != platform.TypeBound {
@@ -51,28 +52,28 @@
 		}
 		bound++
 		if string(m.Description) != `"of the host"` {
-			t.Errorf("%s is bound with %s", ref, m.Description)
+			t.Errorf("description of the bound task %s: got %s, want %s", ref, m.Description, `"of the host"`)
 		}
 	}
 	if bound > 1 {
-		t.Errorf("%s is bound %d times", ref, bound)
+		t.Errorf("answers of type %s to %s: got %d, want at most 1", platform.TypeBound, ref, bound)
 	}
 	return bound
 }
 
-// The watch is followed over breaks, and at the address of a new configuration, with the number of the last event; no offer
-// goes to a host later than the grace after its drain was announced.
+// The watch continues after a broken stream, and after a change of its address from the last event's number on. A host
+// gets no offer later than 300 ms after the event that says that it drains.
 func TestServerFollowsTheWatchToANewAddress(t *testing.T) {
 	a, b := newTestHost(t, 0, 1), newTestHost(t, 0, 2)
 	first := endpointEvent(1, true, endpointOf(1, a, platform.InService))
 	watch := newTestWatch(first)
 	s, cfg := startServer(t, watch)
-	eventually(t, "a poll", func() bool { return watch.pollCount() >= 1 })
+	eventually(t, "the first watch is polled", func() bool { return watch.pollCount() >= 1 })
 	watch.breakStreams()
 	second := newTestWatch(first, endpointEvent(2, false, endpointOf(2, b, platform.InService)), endpointEvent(3, false, endpointOf(1, a, platform.Terminating)))
 	changed := *cfg
 	changed.WatchAddress = second.serve(t)
-	eventually(t, "a poll after the break", func() bool { return watch.pollCount() >= 2 })
+	eventually(t, "the first watch is polled again after the break", func() bool { return watch.pollCount() >= 2 })
 	s.Reload(&changed)
 	o := newTestOwner(t, s.Address())
 	requests := 0
@@ -83,28 +84,28 @@
 		return ref
 	}
 	eventually(t, "an offer to the host of the second watch", func() bool { request(); return b.offers() > 0 })
-	announced := time.Now() // at the latest
+	announced := time.Now() // the drain was announced at this time at the latest
 	time.Sleep(350 * time.Millisecond)
 	last := ""
 	for range 20 {
 		last = request()
 	}
-	eventually(t, "answers", func() bool { return len(o.answersTo(last)) > 0 })
+	eventually(t, "the last request has an answer", func() bool { return len(o.answersTo(last)) > 0 })
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, at := range a.offerTimes {
 		if at.After(announced.Add(300 * time.Millisecond)) {
-			t.Errorf("a host that drains is offered a task %v after that was announced", at.Sub(announced))
+			t.Errorf("offer to the draining host: got one %v after the event, want none later than 300ms", at.Sub(announced))
 		}
 	}
 	second.mu.Lock()
 	defer second.mu.Unlock()
 	if second.polls[0] != "1" {
-		t.Errorf("the second watch is polled from %s, want 1", second.polls[0])
+		t.Errorf("Last-Event-ID of the first poll of the second watch: got %s, want 1", second.polls[0])
 	}
 }
 
-// A host whose process ends: its running tasks are released to their owners.
+// The running tasks of a host whose process ends are released to their owners.
 func TestServerReleasesTasksOfADeadHost(t *testing.T) {
 	h := newTestHost(t, 0, 1)
 	s := startWithHost(t, h)
@@ -113,18 +114,19 @@
 	o.request(ref, 2000)
 	o.awaitAnswer(t, ref)
 	h.kill()
-	eventually(t, "its release", func() bool {
+	eventually(t, "the owner has an answer and then a release with cause reset", func() bool {
 		got := o.answersTo(ref)
 		return len(got) == 2 && got[1].Type == platform.TypeRelease && got[1].Cause == platform.CauseReset
 	})
 }
 
-// Connections past the bound are closed and usual owners served; then the placer shuts down.
+// Connections past the bound are closed while an owner that has sent requests is still served. Then the placer shuts
+// down.
 func TestServerClosesConnectionsPastItsBound(t *testing.T) {
 	s := startWithHost(t, newTestHost(t, 0, 1))
-	usual := newTestOwner(t, s.Address())
-	usual.request("00000000000000b0", 5000)
-	usual.awaitAnswer(t, "00000000000000b0") // before it, the connection is evicted like one that sent nothing
+	regular := newTestOwner(t, s.Address())
+	regular.request("00000000000000b0", 5000)
+	regular.awaitAnswer(t, "00000000000000b0") // before this answer, the connection may be evicted like an idle one
 	var idle []net.Conn
 	for range 400 {
 		idle = append(idle, dialLoopback(t, s.Address()))
@@ -134,35 +136,36 @@
 		send(garbage.conn, "%s", strings.Repeat("x", 1<<10))
 	}
 	<-garbage.done
-	usual.request("00000000000000b1", 5000)
-	usual.awaitAnswer(t, "00000000000000b1")
+	regular.request("00000000000000b1", 5000)
+	regular.awaitAnswer(t, "00000000000000b1")
 	for _, c := range idle {
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-			t.Fatalf("an idle connection is not closed: %v", err)
+			t.Fatalf("Read on an idle connection = %v, want the error of a closed connection", err)
 		}
 	}
 	s.BeginShutdown()
 	select {
 	case <-s.ShutdownComplete():
 	case <-time.After(eventuallyTimeout):
-		t.Fatal("it does not shut down")
+		t.Fatalf("shutdown not complete %v after BeginShutdown", eventuallyTimeout)
 	}
 }
 
-// Connections to hosts and to the watch are given the settings' time.
+// The connect timeout of the settings applies to connections to hosts and to the watch.
 func TestServerConnectTimeoutOfTheSettings(t *testing.T) {
 	h := newTestHost(t, 0, 1)
 	_, cfg := startServer(t, newTestWatch(endpointEvent(1, true, endpointOf(1, h, platform.InService))))
 	cfg.Settings = json.RawMessage(strings.Replace(testSettings, `"connectTimeout":250`, `"connectTimeout":700`, 1))
 	s := startConfig(t, cfg)
 	if s.hosts.connectTimeout != 700*time.Millisecond || s.watch.dialer.Timeout != s.hosts.connectTimeout {
-		t.Errorf("connections are given %v, the watch's %v", s.hosts.connectTimeout, s.watch.dialer.Timeout)
+		t.Errorf("connect timeouts: got %v for hosts and %v for the watch, want 700ms for both", s.hosts.connectTimeout, s.watch.dialer.Timeout)
 	}
 }
 
-// Clients that send something once and stay, or nothing at all, fill the descriptors while discovery is down from the start:
-// probes, usual owners, hosts and a new configuration still get theirs, and the endpoint list is watched once it is there.
+// Clients that send one probe or nothing and stay connected do not use up the descriptors: while discovery is down from
+// the start, the probe of a new owner is answered and its request is placed. After a reload the endpoint list is
+// watched at its new address.
 func TestServerIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	first, second := newTestHost(t, 0, 1), newTestHost(t, 0, 2)
 	initial := endpointEvent(1, true, endpointOf(1, first, platform.InService))
@@ -179,12 +182,12 @@
 		}
 	}
 	o := newTestOwner(t, s.Address())
-	o.probe(t) // as the platform's front does
+	o.probe(t) // as the platform's frontend does
 	o.request("00000000000000a0", 9000)
-	o.awaitAnswer(t, "00000000000000a0") // placed from the initial list
+	o.awaitAnswer(t, "00000000000000a0") // placed on a host of the initial list
 	cfg.WatchAddress = available
 	s.Reload(cfg)
-	eventually(t, "a task goes to a host of the new list", func() bool {
+	eventually(t, "a task is offered to the host of the new list", func() bool {
 		o.request(fmt.Sprintf("%016x", time.Now().UnixNano()), 9000)
 		time.Sleep(5 * time.Millisecond)
 		return second.offers() > 0
--- a/internal/server/platform/shutdown_test.go
+++ b/internal/server/platform/shutdown_test.go
@@ -9,18 +9,19 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// A placer that is to shut down serves what waits in its accept queue and reads a request that comes in pieces to its end.
+// During a shutdown, the connections in the accept queue are served, and a request whose first part has arrived is read
+// to its end and answered.
 func TestShutdownAnswersAcceptQueueAndPartialRequest(t *testing.T) {
 	s := startWithHost(t, newTestHost(t, 0, 1))
-	pieces := newTestOwner(t, s.Address())
-	pieces.probe(t)
+	partial := newTestOwner(t, s.Address())
+	partial.probe(t)
 	const ref = "00000000000000a7"
 	const request = `{"t":"new","ref":"` + ref + `","f":{"class":"keyed","left":"3000","tenant":"acme","key":"0000000000000001","idem":"k","extras":"cores:1;memory:1;service:0000000000000009"},"d":"in pieces"}` + "\n"
 	s.BeginShutdown()
 	time.Sleep(750 * time.Millisecond)
 	resume := stall(t, s)
 	fillJobQueue(s)
-	var late []*testOwner // all but one wait in the accept queue as the listener is to close
+	var late []*testOwner // all but one wait in the accept queue when the core closes the listener
 	for i := range 20 {
 		o := newTestOwner(t, s.Address())
 		o.request(fmt.Sprintf("%016x", 0xb700+i), 3000)
@@ -29,24 +30,25 @@
 	time.Sleep(150 * time.Millisecond)
 	resume()
 	for i, o := range late {
-		o.awaitAnswer(t, fmt.Sprintf("%016x", 0xb700+i)) // of a connection of the accept queue
+		o.awaitAnswer(t, fmt.Sprintf("%016x", 0xb700+i))
 	}
-	send(pieces.conn, "%s", request[:60])
-	time.Sleep(700 * time.Millisecond) // past the least time after which it may end
+	send(partial.conn, "%s", request[:60])
+	time.Sleep(700 * time.Millisecond) // longer than the minimum duration of a shutdown
 	select {
 	case <-s.ShutdownComplete():
-		t.Fatal("it ends with half a request read")
+		t.Fatal("shutdown complete with half a request received, want it to wait for the rest")
 	default:
 	}
-	send(pieces.conn, "%s", request[60:])
-	pieces.awaitAnswer(t, ref)
-	if got := pieces.answersTo(ref)[0]; got.Type != platform.TypeRelease || got.Cause != platform.CauseBusy {
-		t.Errorf("it is answered %s %d, want a rejection", got.Type, got.Cause)
+	send(partial.conn, "%s", request[60:])
+	partial.awaitAnswer(t, ref)
+	if got := partial.answersTo(ref)[0]; got.Type != platform.TypeRelease || got.Cause != platform.CauseBusy {
+		t.Errorf("answer to the request in two parts: got type %s with cause %d, want %s with %d", got.Type, got.Cause, platform.TypeRelease, platform.CauseBusy)
 	}
 	<-s.ShutdownComplete()
 }
 
-// A placer that is to shut down stays until a slow reader has its answers, and not for ever.
+// A shutdown is not complete while an owner that reads slowly has pending answers. It completes when the owner has read
+// them, and also if it never does.
 func TestShutdownWaitsForSlowReaders(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		s := startWithHost(t, newTestHost(t, 0, 1))
@@ -55,20 +57,20 @@
 		time.Sleep(1500 * time.Millisecond)
 		select {
 		case <-s.ShutdownComplete():
-			t.Error("it ends with answers that were not read")
+			t.Error("shutdown complete 1.5s after BeginShutdown with pending answers, want it to wait for the owner")
 		default:
 		}
 		if reads {
 			_ = slow.SetReadDeadline(time.Now().Add(eventuallyTimeout))
 			if n, err := io.CopyN(io.Discard, slow, int64(written)); err != nil {
-				t.Errorf("%d bytes of %d came, then %v", n, written, err)
+				t.Errorf("the owner read %d bytes and the error %v, want %d bytes and no error", n, err, written)
 			}
 		}
 		<-s.ShutdownComplete()
 	}
 }
 
-// A shutdown is complete when the core has shut down and owners have everything, or at the flush timeout.
+// A shutdown is complete when the core has shut down and no pending bytes are left, or at the flush timeout.
 func TestShutdownFlushTimeout(t *testing.T) {
 	isComplete := func(s *shutdown) bool {
 		select {
@@ -83,23 +85,23 @@
 	early := newShutdown()
 	early.update(start, flushed)
 	if isComplete(early) {
-		t.Error("it is complete before the core has shut down")
+		t.Error("update without pending bytes before the core has shut down: complete, want not complete")
 	}
 	early.coreComplete(start)
 	early.update(start, flushed)
-	early.update(start, flushed) // which must not close the channel again
+	early.update(start, flushed) // must not close the channel again, which would panic
 	if !isComplete(early) {
-		t.Error("it is not complete though owners have everything")
+		t.Error("update without pending bytes after the core has shut down: not complete, want complete")
 	}
 	late := newShutdown()
 	late.coreComplete(start)
-	late.coreComplete(start + time.Second) // which must not put it off
+	late.coreComplete(start + time.Second) // must not defer the flush timeout
 	late.update(start+flushTimeout-1, unsent)
 	if isComplete(late) {
-		t.Error("it is complete before the flush timeout")
+		t.Error("update with pending bytes 1ns before the flush timeout: complete, want not complete")
 	}
 	late.update(start+flushTimeout, unsent)
 	if !isComplete(late) {
-		t.Error("it is not complete at the flush timeout")
+		t.Error("update with pending bytes at the flush timeout: not complete, want complete")
 	}
 }
--- a/internal/server/platform/shutdownearly_test.go
+++ b/internal/server/platform/shutdownearly_test.go
@@ -10,28 +10,29 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// unresponsiveWatchAddress returns the address of a watch that accepts polls and never answers.
+// unresponsiveWatchAddress returns the address of a watch that accepts connections and never answers.
 func unresponsiveWatchAddress(t *testing.T) string { return listenLoopback(t).Addr().String() }
 
-// newConfigWithUnresponsiveWatch returns the configuration of a placer whose watch is silent.
-func newConfigWithUnresponsiveWatch(t *testing.T, knownList string) *platform.Config {
+// newConfigWithUnresponsiveWatch returns the configuration of a placer with the given initial list and an unresponsive
+// watch.
+func newConfigWithUnresponsiveWatch(t *testing.T, initialList string) *platform.Config {
 	t.Helper()
-	cfg := newTestConfig(t, newTestWatch(knownList))
+	cfg := newTestConfig(t, newTestWatch(initialList))
 	cfg.WatchAddress = unresponsiveWatchAddress(t)
 	return cfg
 }
 
-// awaitShutdown waits until a shutdown is complete, for a time at most.
+// awaitShutdown waits until the shutdown is complete and fails the test after timeout.
 func awaitShutdown(t *testing.T, s *Server, timeout time.Duration) {
 	t.Helper()
 	select {
 	case <-s.ShutdownComplete():
 	case <-time.After(timeout):
-		t.Fatalf("the shutdown is not complete after %v", timeout)
+		t.Fatalf("shutdown not complete within %v", timeout)
 	}
 }
 
-// requestMany sends ten requests that wait for timeoutMS and returns their refs.
+// requestMany sends ten requests with a timeout in milliseconds and returns their refs.
 func requestMany(o *testOwner, timeoutMS int) (refs []string) {
 	for i := range 10 {
 		ref := fmt.Sprintf("%016x", 0xf100+i)
@@ -41,14 +42,15 @@
 	return refs
 }
 
-// wantOneAnswerEach checks that each request was answered once, either with the description of a host that was offered the
-// task once and is not stopped, or with a rejection of one that no host runs. It returns how many were placed.
+// wantOneAnswerEach checks that each request has one answer: either the description of the host, which was offered the
+// task once and did not get a release for it, or a rejection of a task that the host does not run. It returns how many
+// were placed.
 func wantOneAnswerEach(t *testing.T, o *testOwner, h *recordingHost, refs []string) (placed int) {
 	t.Helper()
 	for _, ref := range refs {
 		got := o.answersTo(ref)
 		if len(got) != 1 {
-			t.Errorf("%s is answered %+v, want one answer", ref, got)
+			t.Errorf("answers to %s: got %+v, want one", ref, got)
 			continue
 		}
 		offers, stops := h.received(platform.TypeRequest, ref), h.received(platform.TypeRelease, ref)
@@ -56,16 +58,18 @@
 		case got[0].Type == platform.TypeBound:
 			placed++
 			if want := `"of ` + ref + `"`; string(got[0].Description) != want || offers != 1 || stops != 0 {
-				t.Errorf("%s is placed with %s after %d offers and %d stops, want %s after one offer", ref, got[0].Description, offers, stops, want)
+				t.Errorf("%s is placed: got description %s, %d offers and %d stops; want %s, 1 offer and 0 stops", ref, got[0].Description, offers, stops, want)
 			}
 		case got[0].Type != platform.TypeRelease || offers > stops:
-			t.Errorf("%s is answered %s %d after %d offers and %d stops", ref, got[0].Type, got[0].Cause, offers, stops)
+			t.Errorf("answer to %s: got type %s with cause %d, after %d offers and %d stops at the host; want type %s and no more offers than stops",
+				ref, got[0].Type, got[0].Cause, offers, stops, platform.TypeRelease)
 		}
 	}
 	return placed
 }
 
-// A placer that is to shut down before an event of its watch has come serves by its initial list and ends.
+// A placer that shuts down before the first event of its watch places the pending requests on hosts of its initial
+// list.
 func TestShutdownBeforeFirstWatchEvent(t *testing.T) {
 	h := newRecordingHost(t)
 	s := startConfig(t, newConfigWithUnresponsiveWatch(t, endpointEvent(1, true, endpointOf(1, h.asTestHost(), platform.InService))))
@@ -75,16 +79,16 @@
 	awaitShutdown(t, s, 5*time.Second)
 	<-o.closeServer(s)
 	if placed := wantOneAnswerEach(t, o, h, refs); placed != len(refs) {
-		t.Errorf("%d of %d are placed", placed, len(refs))
+		t.Errorf("placed requests: got %d of %d, want all", placed, len(refs))
 	}
 }
 
-// A placer that is to shut down and knows no host, from an empty list or from none, rejects what it took by the time of its
-// owners, and ends.
+// A placer that shuts down without a known host, because its initial list is empty or missing, rejects the pending
+// requests when their timeout expires, and the shutdown completes.
 func TestShutdownWithoutHosts(t *testing.T) {
 	for _, hasList := range []bool{true, false} {
 		t.Run(fmt.Sprintf("has a list %v", hasList), func(t *testing.T) {
-			h := newRecordingHost(t) // which is not listed
+			h := newRecordingHost(t) // not in the endpoint list
 			cfg := newConfigWithUnresponsiveWatch(t, endpointEvent(1, true))
 			if !hasList {
 				cfg.Initial.Seq, cfg.Initial.Events = 0, nil
@@ -96,13 +100,13 @@
 			awaitShutdown(t, s, 5*time.Second)
 			<-o.closeServer(s)
 			if placed := wantOneAnswerEach(t, o, h, refs); placed != 0 {
-				t.Errorf("%d are placed without a host", placed)
+				t.Errorf("placed requests without a known host: got %d, want 0", placed)
 			}
 		})
 	}
 }
 
-// A placer that is to shut down and whose list comes only then places what it took.
+// A placer that gets its first host from the watch during its shutdown places the pending requests on it.
 func TestShutdownBeforeListComes(t *testing.T) {
 	h := newRecordingHost(t)
 	watch := newTestWatch(endpointEvent(1, true))
@@ -114,11 +118,11 @@
 	awaitShutdown(t, s, 5*time.Second)
 	<-o.closeServer(s)
 	if placed := wantOneAnswerEach(t, o, h, refs); placed != len(refs) {
-		t.Errorf("%d of %d are placed", placed, len(refs))
+		t.Errorf("placed requests: got %d of %d, want all", placed, len(refs))
 	}
 }
 
-// A placer that is to shut down as soon as its listener is open serves the connections that come after that.
+// A placer that begins its shutdown as soon as its listener is open serves a connection that is made after that.
 func TestShutdownAsListenerOpens(t *testing.T) {
 	h := newRecordingHost(t)
 	s := startWithHost(t, h.asTestHost())
@@ -128,12 +132,12 @@
 	awaitShutdown(t, s, 5*time.Second)
 	<-o.closeServer(s)
 	if placed := wantOneAnswerEach(t, o, h, refs); placed != len(refs) {
-		t.Errorf("%d of %d are placed", placed, len(refs))
+		t.Errorf("placed requests: got %d of %d, want all", placed, len(refs))
 	}
 }
 
-// fillAcceptQueue makes a listener drop connections, until the function that it returns accepts the one that fills its
-// queue.
+// fillAcceptQueue fills a listener's accept queue with one connection, so that the kernel drops further ones. The
+// returned function accepts that connection, which ends this.
 func fillAcceptQueue(t *testing.T, listener net.Listener) (drain func()) {
 	t.Helper()
 	raw, err := listener.(*net.TCPListener).SyscallConn()
@@ -142,21 +146,21 @@
 	}
 	var listenErr error
 	if err := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), 0) }); err != nil || listenErr != nil {
-		t.Fatal(err, listenErr)
+		t.Fatalf("set the accept queue's length: got errors %v and %v, want nil", err, listenErr)
 	}
 	_ = dialLoopback(t, listener.Addr().String())
 	return func() {
 		conn, err := listener.Accept()
 		if err != nil {
-			t.Error(err)
+			t.Errorf("Accept of the connection that fills the queue = %v, want nil", err)
 			return
 		}
 		_ = conn.Close()
 	}
 }
 
-// A placer that is to shut down while its only host is being dialed answers what it took: it is placed where the host
-// accepts in time, else it is rejected.
+// A placer that shuts down while its only host is being dialed places the pending requests if the host accepts in time,
+// and rejects them otherwise.
 func TestShutdownWhileHostIsDialed(t *testing.T) {
 	for _, accepts := range []bool{true, false} {
 		t.Run(fmt.Sprintf("host accepts %v", accepts), func(t *testing.T) {
@@ -165,7 +169,7 @@
 			s := startWithHost(t, h.asTestHost())
 			o := newTestOwner(t, s.Address())
 			refs := requestMany(o, 2500)
-			eventually(t, "a dial", func() bool { return dialingHostCount(s) > 0 })
+			eventually(t, "the host is being dialed", func() bool { return dialingHostCount(s) > 0 })
 			s.BeginShutdown()
 			if accepts {
 				drain()
@@ -175,7 +179,7 @@
 			<-o.closeServer(s)
 			placed := wantOneAnswerEach(t, o, h, refs)
 			if accepts && placed != len(refs) || !accepts && placed != 0 {
-				t.Errorf("%d of %d are placed", placed, len(refs))
+				t.Errorf("placed requests: got %d of %d, want all if the host accepts (%v) and none otherwise", placed, len(refs), accepts)
 			}
 		})
 	}
@@ -193,7 +197,7 @@
 	return count
 }
 
-// closeServer closes a placer and returns when the owner has read everything that it was sent.
+// closeServer closes a placer. The returned channel is closed when the owner has read all messages to it.
 func (o *testOwner) closeServer(s *Server) <-chan struct{} {
 	s.Close()
 	return o.done
--- a/internal/server/platform/testenv_test.go
+++ b/internal/server/platform/testenv_test.go
@@ -19,24 +19,24 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// eventuallyTimeout is more than anything that a test waits for takes on a busy machine.
+// eventuallyTimeout is longer than any awaited condition takes on a busy machine.
 const eventuallyTimeout = 20 * time.Second
 
-// eventually waits until a condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until a condition holds, and fails the test after eventuallyTimeout.
+func eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(eventuallyTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s does not come about", what)
+			t.Fatalf("waited %v for: %s", eventuallyTimeout, condition)
 		}
 	}
 }
 
-// send writes to a connection. An error is no failure: the placer may have closed the connection, which the test sees by
-// what comes or doesn't.
+// send writes to a connection. It ignores errors, as the placer may have closed the connection; the tests check the
+// messages that arrive.
 func send(to io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(to, format, args...) }
 
-// listenLoopback returns a listener that is closed with the test.
+// listenLoopback returns a listener at a loopback address. It is closed at the end of the test.
 func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,7 +47,7 @@
 	return listener
 }
 
-// dialLoopback returns a connection that is closed with the test.
+// dialLoopback returns a connection to an address. It is closed at the end of the test.
 func dialLoopback(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -58,19 +58,19 @@
 	return conn
 }
 
-// testHost is a scripted host: it answers offers, some of them badly, and notes what it was sent.
+// testHost is a host that answers offers, a fraction of them with a fault, and counts them.
 type testHost struct {
 	listener  net.Listener
-	faultRate float64 // fraction of offers whose answer is corrupted or that are reset
+	faultRate float64 // fraction of offers that are answered with a fault; see answerOffer
 
-	mu         sync.Mutex
+	mu         sync.Mutex // guards the fields below
 	random     *rand.Rand
-	offerCount map[string]int // by ref
-	offerTimes []time.Time
+	offerCount map[string]int // number of offers by ref
+	offerTimes []time.Time    // arrival times of all offers
 	conns      map[net.Conn]bool
 }
 
-// newTestHost starts a host.
+// newTestHost starts a host. It is killed at the end of the test.
 func newTestHost(t *testing.T, faultRate float64, seed uint64) *testHost {
 	t.Helper()
 	h := &testHost{
@@ -93,7 +93,7 @@
 	return h
 }
 
-// kill closes the listener and resets all connections, as a process that ends does.
+// kill closes the listener and resets all connections, as happens when the host's process ends.
 func (h *testHost) kill() {
 	_ = h.listener.Close()
 	h.mu.Lock()
@@ -104,7 +104,7 @@
 	}
 }
 
-// offers returns how many offers came.
+// offers returns the number of offers that the host has received.
 func (h *testHost) offers() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -115,13 +115,14 @@
 	return sum
 }
 
+// serve answers the messages on a connection.
 func (h *testHost) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	serveHost(c, func(m *platform.Message) bool { return m.Type != platform.TypeRequest || h.answerOffer(c, m.Ref) })
 }
 
-// serveHost reads the messages of a connection to a host and answers probes and releases, until the connection ends, a
-// message is malformed, or receive, which is called with each message first, returns false.
+// serveHost reads the messages on a connection to a host and answers probes and releases. It calls receive with each
+// message first. It returns when the connection ends, a message is malformed or receive returns false.
 func serveHost(c net.Conn, receive func(*platform.Message) bool) {
 	r := bufio.NewReader(c)
 	for {
@@ -142,7 +143,8 @@
 	}
 }
 
-// answerOffer answers an offer, well or badly. It returns false when the connection is to be reset instead.
+// answerOffer accepts an offer or, for the fraction faultRate of them, answers it with a fault: a malformed, truncated
+// or oversized message, an unknown ref and a duplicate answer, or a reset, for which it returns false.
 func (h *testHost) answerOffer(c net.Conn, ref string) bool {
 	h.mu.Lock()
 	roll, fault := h.random.Float64(), h.random.IntN(5)
@@ -161,7 +163,7 @@
 	case 1:
 		send(c, "\x00\xff not a message\n")
 	case 2:
-		send(c, "%s", bound[:len(bound)/2]) // and no more
+		send(c, "%s", bound[:len(bound)/2]) // a truncated message without a line end
 	case 3:
 		send(c, "%s", strings.Repeat("x", 2*platform.MaxLineSize))
 	case 4:
@@ -170,15 +172,15 @@
 	return true
 }
 
-// testWatch serves a watch with the events of a list, and comments.
+// testWatch is the handler of a watch that sends a list of events, and comments.
 type testWatch struct {
-	mu     sync.Mutex
+	mu     sync.Mutex // guards the fields below
 	events []string
-	polls  []string      // Last-Event-ID of each
-	broken chan struct{} // closed: the streams break off in the middle of an event
+	polls  []string      // Last-Event-ID of each poll
+	broken chan struct{} // when closed, the open streams break off in the middle of an event
 }
 
-// newTestWatch returns a watch that is not served yet.
+// newTestWatch returns a watch that is not being served.
 func newTestWatch(events ...string) *testWatch {
 	return &testWatch{events: events, broken: make(chan struct{})}
 }
@@ -211,14 +213,14 @@
 	}
 }
 
-// publish adds an event to those that the watch serves.
+// publish appends an event to those of the watch.
 func (l *testWatch) publish(event string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.events = append(l.events, event)
 }
 
-// breakStreams breaks off the streams that are open.
+// breakStreams makes the open streams break off in the middle of an event.
 func (l *testWatch) breakStreams() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -226,14 +228,14 @@
 	l.broken = make(chan struct{})
 }
 
-// pollCount returns how often the watch was polled.
+// pollCount returns the number of polls so far.
 func (l *testWatch) pollCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.polls)
 }
 
-// serve returns the address of the watch.
+// serve starts a server for the watch and returns its address.
 func (l *testWatch) serve(t *testing.T) string {
 	t.Helper()
 	listener := listenLoopback(t)
@@ -283,7 +285,7 @@
 	return startTapped(t, cfg, nil)
 }
 
-// startTapped starts a placer with a configuration and a tap; nil: none.
+// startTapped starts a placer with a configuration and a tap, which may be nil.
 func startTapped(t *testing.T, cfg *platform.Config, tap Tap) *Server {
 	t.Helper()
 	s, err := Start(Options{Config: cfg, Log: zerolog.Nop(), Tap: tap})
@@ -301,7 +303,7 @@
 	return s
 }
 
-// stall blocks the event loop until the function that it returns is called, as in a process that gets no processor.
+// stall blocks the event loop until the returned function is called, as if the process did not get the processor.
 func stall(t *testing.T, s *Server) (resume func()) {
 	t.Helper()
 	stalled, gate := make(chan struct{}), make(chan struct{})
@@ -310,29 +312,29 @@
 	return func() { close(gate) }
 }
 
-// fillJobQueue has the event loop's producers wait for space.
+// fillJobQueue fills the event loop's queue, so that PostBlocking waits. The loop must be stalled.
 func fillJobQueue(s *Server) {
 	for range maxQueuedJobs {
 		s.loop.Post(func() {})
 	}
 }
 
-// openOwnerCount returns how many connections of owners the core has.
+// openOwnerCount returns the number of open connections of owners.
 func openOwnerCount(s *Server) (count int) {
 	s.loop.Call(func() { count = len(s.owners.open) })
 	return count
 }
 
-// testOwner is a connection of an owner; it keeps the answers to each request.
+// testOwner is an owner that records the answers to its requests.
 type testOwner struct {
 	conn net.Conn
-	done chan struct{} // closed when nothing more comes
+	done chan struct{} // closed when the connection has ended
 
-	mu      sync.Mutex
-	answers map[string][]platform.Message // by ref
+	mu      sync.Mutex                    // guards answers
+	answers map[string][]platform.Message // messages by ref
 }
 
-// newTestOwner connects an owner.
+// newTestOwner connects an owner. Its connection is closed at the end of the test.
 func newTestOwner(t *testing.T, address string) *testOwner {
 	t.Helper()
 	o := &testOwner{conn: dialLoopback(t, address), answers: map[string][]platform.Message{}, done: make(chan struct{})}
@@ -354,27 +356,27 @@
 	return o
 }
 
-// request sends a placement request that waits for so many milliseconds.
+// request sends a placement request with a timeout in milliseconds.
 func (o *testOwner) request(ref string, timeoutMS int) {
 	send(o.conn, `{"t":"new","ref":"%s","f":{"class":"keyed","left":"%d","tenant":"acme","key":"%s","idem":"%s","extras":"cores:1;memory:1;service:%s"},"d":"of the owner"}`+"\n",
 		ref, timeoutMS, ref, ref, ref)
 }
 
-// answersTo returns what came for a request.
+// answersTo returns the messages about a request that have arrived so far.
 func (o *testOwner) answersTo(ref string) []platform.Message {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return append([]platform.Message(nil), o.answers[ref]...)
 }
 
-// awaitAnswer waits until one answer to a request has come.
+// awaitAnswer waits until there is exactly one answer to a request.
 func (o *testOwner) awaitAnswer(t *testing.T, ref string) {
 	t.Helper()
 	eventually(t, "an answer to "+ref, func() bool { return len(o.answersTo(ref)) == 1 })
 }
 
-// probe waits until a probe of the owner's is answered: the placer knows its connection, and what it sent on it before has
-// come.
+// probe sends a probe and waits for its answer. After that, the placer knows the connection, and the messages that it
+// had sent on it before have arrived.
 func (o *testOwner) probe(t *testing.T) {
 	t.Helper()
 	const ref = "00000000000000ee"
--- a/internal/server/platform/trace_test.go
+++ b/internal/server/platform/trace_test.go
@@ -15,7 +15,7 @@
 	"forkhead/internal/verify/platformreplay"
 )
 
-// startTraced starts a placer that writes a trace, with the initial list of a watch.
+// startTraced starts a placer that writes a trace. Its initial list is the watch's first event.
 func startTraced(t *testing.T, watch *testWatch) (*Server, *bytes.Buffer) {
 	t.Helper()
 	cfg := newTestConfig(t, watch)
@@ -28,14 +28,14 @@
 	w := platformreplay.NewWriter(&trace, received)
 	t.Cleanup(func() {
 		if err := w.Err(); err != nil {
-			t.Error(err)
+			t.Errorf("Err() of the trace writer = %v, want nil", err)
 		}
 	})
 	return startTapped(t, cfg, w), &trace
 }
 
-// What a placer did on sockets, with hosts that send damaged messages, reset connections, drain and die, replays to the same
-// outputs, each time.
+// The trace of a placer whose hosts send damaged messages, reset connections and die, and one of whose owners sends
+// damaged messages, replays to the same outputs each time.
 func TestServerTraceReplays(t *testing.T) {
 	good, faulty := newTestHost(t, 0, 1), newTestHost(t, 0.5, 2)
 	watch := newTestWatch(
@@ -72,11 +72,12 @@
 		t.Fatal(err)
 	}
 	if result.Difference != nil || result.Cut || result.Steps != bytes.Count(trace, []byte(`"way":"step"`)) {
-		t.Errorf("%+v, %+v", result, result.Difference)
+		t.Errorf("Replay(trace) = %+v with difference %+v, want no difference, a trace that is not cut and %d steps",
+			result, result.Difference, bytes.Count(trace, []byte(`"way":"step"`)))
 	}
 }
 
-// checkTraceOfRequest checks that a trace has a request and the answers that its owner got.
+// checkTraceOfRequest checks that a trace contains a request and at least as many answers as its owner got.
 func checkTraceOfRequest(t *testing.T, trace []byte, ref string, answers []platform.Message) {
 	t.Helper()
 	request, err := platformreplay.FollowRequest(bytes.NewReader(trace), ref)
@@ -90,21 +91,22 @@
 		}
 	}
 	if len(request.Messages) < 4 || request.Messages[0].Peer != platformreplay.PeerOwner || toOwner < len(answers) {
-		t.Errorf("%d answers, %+v", len(answers), request.Messages)
+		t.Errorf("FollowRequest(trace, %s) = %+v, want at least 4 messages, the first of the owner, and at least %d to the owner",
+			ref, request.Messages, len(answers))
 	}
 }
 
-// stepTap notes the inputs of the last step.
+// stepTap records the inputs of the last step.
 type stepTap struct{ inputs []platformcore.Input }
 
 func (*stepTap) Start(time.Duration, *platformcore.Config) {}
 
-func (p *stepTap) Step(_ time.Duration, in []platformcore.Input, _ []platformcore.Output) {
-	p.inputs = in
+func (s *stepTap) Step(_ time.Duration, in []platformcore.Input, _ []platformcore.Output) {
+	s.inputs = in
 }
 
-// A step in which the core panics is on the trace: it is the one that is looked for.
-func TestServerTapSeesAPanic(t *testing.T) {
+// The tap gets the inputs of a step in which the core panics. They are needed to reproduce the panic from a trace.
+func TestServerTapGetsStepThatPanics(t *testing.T) {
 	cfg := &platform.Config{Settings: json.RawMessage(testSettings)}
 	info, settings, err := readSettings(cfg)
 	if err != nil {
@@ -120,7 +122,7 @@
 	s := &Server{core: core, tap: tap, log: zerolog.Nop()}
 	defer func() {
 		if value := recover(); value != "injected" || len(tap.inputs) != 1 {
-			t.Errorf("panic %v, inputs %v", value, tap.inputs)
+			t.Errorf("stepCore with a core that panics: got panic %v and inputs %v at the tap, want panic injected and 1 input", value, tap.inputs)
 		}
 	}()
 	s.stepCore(time.Hour, []platformcore.Input{platformcore.GossipReceived{From: 0}})
--- a/internal/server/platform/twoplacers_test.go
+++ b/internal/server/platform/twoplacers_test.go
@@ -8,16 +8,17 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// placerCount is how many placers share a host in these tests.
+// placerCount is the number of placers that share a host in these tests.
 const placerCount = 2
 
-// placersOnOneHost are placers that share a host, each with a connection of an owner.
+// placersOnOneHost is a host with the placers that share it, each of which has a connection of an owner.
 type placersOnOneHost struct {
 	host    *recordingHost
 	servers [placerCount]*Server
 	owners  [placerCount]*testOwner
 }
 
+// startPlacersOnOneHost starts the host and the placers and connects the owners.
 func startPlacersOnOneHost(t *testing.T) *placersOnOneHost {
 	t.Helper()
 	p := &placersOnOneHost{host: newRecordingHost(t)}
@@ -28,10 +29,11 @@
 	return p
 }
 
-// refOf returns the ref of a task of a placer.
+// refOf returns the ref of a placer's task with the given number.
 func refOf(placer, number int) string { return fmt.Sprintf("%016x", 0xc0000+placer*0x1000+number) }
 
-// place has each placer place so many tasks, all at once, and checks that each owner got the answers to its own.
+// place sends count requests to each placer, all at once, and checks that each owner got the answers to its own
+// requests.
 func (p *placersOnOneHost) place(t *testing.T, count int) {
 	t.Helper()
 	for n := range count {
@@ -49,30 +51,30 @@
 			ref := refOf(i, n)
 			got := o.answersTo(ref)[0]
 			if want := `"of ` + ref + `"`; got.Type != platform.TypeBound || string(got.Description) != want {
-				t.Errorf("placer %d: %s is answered %s %s, want %s", i, ref, got.Type, got.Description, want)
+				t.Errorf("placer %d: answer to %s: got type %s with description %s, want type %s with %s", i, ref, got.Type, got.Description, platform.TypeBound, want)
 			}
 			if offers := p.host.received(platform.TypeRequest, ref); offers != 1 {
-				t.Errorf("placer %d: %d offers of %s", i, offers, ref)
+				t.Errorf("placer %d: offers of %s at the host: got %d, want 1", i, ref, offers)
 			}
 		}
 	}
 	p.wantNoAnswersToOtherOwner(t, count)
 }
 
-// wantNoAnswersToOtherOwner checks that no owner got a message about a task of the other placer's.
+// wantNoAnswersToOtherOwner checks that no owner got a message about a task of the other placer.
 func (p *placersOnOneHost) wantNoAnswersToOtherOwner(t *testing.T, count int) {
 	t.Helper()
 	for n := range count {
 		for i, o := range p.owners {
-			o.probe(t) // what was sent before has come
+			o.probe(t) // messages that were sent before it have arrived
 			if got := o.answersTo(refOf(1-i, n)); len(got) != 0 {
-				t.Errorf("the owner at placer %d got %+v about a task of the other placer's", i, got)
+				t.Errorf("messages to the owner at placer %d about %s of the other placer: got %+v, want none", i, refOf(1-i, n), got)
 			}
 		}
 	}
 }
 
-// connectionsOf returns the connections that the first count tasks of a placer were last offered on.
+// connectionsOf returns the connections on which the first count tasks of a placer were last offered.
 func (p *placersOnOneHost) connectionsOf(placer, count int) map[*recordedConn]bool {
 	conns := map[*recordedConn]bool{}
 	for n := range count {
@@ -81,13 +83,13 @@
 	return conns
 }
 
-// Two placers with tasks on one host: each gets the answers and ends of its own tasks, each owner's release ends its own, and
-// a placer that ends leaves the tasks of the other as they are.
+// Of two placers with tasks on one host, each gets the answers and the ends of its own tasks only, an owner's release
+// stops only a task of its own placer, and the end of one placer does not affect the tasks of the other.
 func TestTwoPlacersOnOneHost(t *testing.T) {
 	const count = 40
 	p := startPlacersOnOneHost(t)
 	p.place(t, count)
-	for n := range count / 2 { // half of the tasks end at the host, in an order that goes between the placers
+	for n := range count / 2 { // half of the tasks end at the host, alternating between the placers
 		for i := range placerCount {
 			p.host.lastOfferConn(refOf(i, n)).endTask(refOf(i, n), platform.CauseOK)
 		}
@@ -97,16 +99,18 @@
 			ref := refOf(i, n)
 			eventually(t, "the end of "+ref, func() bool { return len(o.answersTo(ref)) == 2 })
 			if got := o.answersTo(ref)[1]; got.Type != platform.TypeRelease || got.Cause != platform.CauseOK {
-				t.Errorf("placer %d: the end of %s comes as %s %d", i, ref, got.Type, got.Cause)
+				t.Errorf("placer %d: message about the end of %s: got type %s with cause %d, want type %s with cause %d",
+					i, ref, got.Type, got.Cause, platform.TypeRelease, platform.CauseOK)
 			}
 		}
 	}
 	p.wantNoAnswersToOtherOwner(t, count)
 
-	const released = count / 2 // by its owner
+	const released = count / 2 // number of the first placer's task that its owner releases
 	send(p.owners[0].conn, "%s", platform.Append(nil, platform.TypeRelease, refOf(0, released), platform.CauseOK, nil))
 	eventually(t, "the release at the host", func() bool { return p.host.received(platform.TypeRelease, refOf(0, released)) == 1 })
-	// The other placer's owner cannot end it, nor one of the first placer's: that placer does not know the task.
+	// The owner at the other placer cannot release a task of the first placer, as its own placer does not know the
+	// task.
 	send(p.owners[1].conn, "%s", platform.Append(nil, platform.TypeRelease, refOf(0, released+1), platform.CauseOK, nil))
 	p.owners[1].probe(t)
 	time.Sleep(200 * time.Millisecond)
@@ -114,7 +118,7 @@
 		for i := range placerCount {
 			isReleased := i == 0 && n == released
 			if stops := p.host.received(platform.TypeRelease, refOf(i, n)); stops != 0 && !isReleased {
-				t.Errorf("placer %d: %s is stopped %d times", i, refOf(i, n), stops)
+				t.Errorf("placer %d: releases of %s at the host: got %d, want 0", i, refOf(i, n), stops)
 			}
 		}
 	}
@@ -122,14 +126,14 @@
 	p.servers[0].Close()
 	last := refOf(1, count-1)
 	p.host.lastOfferConn(last).endTask(last, platform.CauseReset)
-	eventually(t, "an end after the other placer's", func() bool { return len(p.owners[1].answersTo(last)) == 2 })
+	eventually(t, "the end of a task after the end of the other placer", func() bool { return len(p.owners[1].answersTo(last)) == 2 })
 	if got := p.host.received(platform.TypeRelease, refOf(1, released)); got != 0 {
-		t.Error("the end of a placer stops a task of the other's")
+		t.Errorf("releases of %s at the host after the end of the other placer: got %d, want 0", refOf(1, released), got)
 	}
 }
 
-// An end that the host reports to the other placer too, as on the next connection that opens, reaches its owner once, and
-// the other placer's owners get nothing of it.
+// The end of a task that the host also reports to the other placer, as it may on a new connection, reaches the task's
+// owner once. The other placer acknowledges it and tells its owners nothing.
 func TestTwoPlacersEndReportedToBoth(t *testing.T) {
 	const count = 10
 	p := startPlacersOnOneHost(t)
@@ -142,7 +146,7 @@
 			}
 			eventually(t, "the other placer's acknowledgment", func() bool { return p.host.received(platform.TypeAck, ref) > 0 })
 			if got := o.answersTo(ref); len(got) != 1 {
-				t.Errorf("placer %d: %+v comes of an end that it was not sent", i, got)
+				t.Errorf("placer %d: messages to the owner of %s after its end was reported to the other placer: got %+v, want only the answer", i, ref, got)
 			}
 			p.host.lastOfferConn(ref).endTask(ref, platform.CauseOK)
 			eventually(t, "the end of "+ref, func() bool { return len(o.answersTo(ref)) == 2 })
@@ -152,7 +156,7 @@
 	for n := range count {
 		for i, o := range p.owners {
 			if got := o.answersTo(refOf(i, n)); len(got) != 2 {
-				t.Errorf("placer %d: %+v", i, got)
+				t.Errorf("placer %d: messages to the owner of %s: got %+v, want the answer and the end", i, refOf(i, n), got)
 			}
 		}
 	}
--- a/internal/server/platform/watch_test.go
+++ b/internal/server/platform/watch_test.go
@@ -14,20 +14,20 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// watchStream is one poll, as the server of a watch sees it.
+// watchStream is the server side of one poll.
 type watchStream struct {
 	response http.ResponseWriter
-	last     string          // Last-Event-ID
-	done     <-chan struct{} // closed when the watcher has left
+	last     string          // value of Last-Event-ID
+	done     <-chan struct{} // closed when the watcher has disconnected
 }
 
-// send writes to the stream at once.
+// send writes to the stream and flushes it.
 func (s watchStream) send(format string, args ...any) {
 	send(s.response, format, args...)
 	s.response.(http.Flusher).Flush()
 }
 
-// sendComments sends comments until the watcher leaves.
+// sendComments sends comments until the watcher disconnects.
 func (s watchStream) sendComments() {
 	for {
 		s.send(":\n\n")
@@ -39,7 +39,8 @@
 	}
 }
 
-// scriptedWatch serves a watch whose polls are served by one function each, in turn; the last serves all later ones.
+// scriptedWatch starts the server of a watch. Each poll is served by the next function of polls, and by the last one
+// after that.
 func scriptedWatch(t *testing.T, polls ...func(watchStream)) (address string) {
 	t.Helper()
 	var mu sync.Mutex
@@ -55,7 +56,7 @@
 	return server.Listener.Addr().String()
 }
 
-// emptyEvent returns an event, as it is sent, without entries of the endpoint list.
+// emptyEvent returns an encoded event without entries of the endpoint list.
 func emptyEvent(seq int, snapshot bool) string {
 	return fmt.Sprintf("id: %d\ndata: {\"seq\":%d,\"fleet\":{\"whole\":%v,\"hosts\":[]}}\n\n", seq, seq, snapshot)
 }
@@ -66,7 +67,7 @@
 	restarted bool
 }
 
-// startTestWatcher watches a list after an event and returns what it delivers.
+// startTestWatcher starts a watcher after the event with the number last and returns a channel of its deliveries.
 func startTestWatcher(t *testing.T, address string, last uint64) (*watcher, chan delivery) {
 	t.Helper()
 	deliveries := make(chan delivery, 1000)
@@ -78,23 +79,24 @@
 	return w, deliveries
 }
 
-// expectDeliveries checks the next deliveries.
+// expectDeliveries checks that the next deliveries are those of want.
 func expectDeliveries(t *testing.T, deliveries chan delivery, want ...delivery) {
 	t.Helper()
 	for _, w := range want {
 		select {
 		case got := <-deliveries:
 			if got != w {
-				t.Fatalf("delivered %+v, want %+v", got, w)
+				t.Fatalf("next delivery: got %+v, want %+v", got, w)
 			}
 		case <-time.After(eventuallyTimeout):
-			t.Fatalf("%+v is not delivered", w)
+			t.Fatalf("next delivery: got none within %v, want %+v", eventuallyTimeout, w)
 		}
 	}
 }
 
-// A watch that goes on with comments and delivers no event any more is polled again.
-func TestWatcherPollsAgainAWatchThatOnlyComments(t *testing.T) {
+// A watch that stops delivering events but still sends comments is polled again. The comments keep the idle timeout
+// from expiring, so the watcher would otherwise follow a stuck stream forever.
+func TestWatcherPollsAgainWhenOnlyCommentsArrive(t *testing.T) {
 	address := scriptedWatch(t,
 		func(s watchStream) {
 			for seq := 1; seq <= 20; seq++ {
@@ -115,7 +117,8 @@
 	}
 }
 
-// A watch whose numbers begin again is followed from there; one that sends all events again is not.
+// A watch that starts its numbers again with a snapshot is followed from that snapshot. Events that are only sent
+// again, with a snapshot that is older than the last event, are not delivered twice.
 func TestWatcherRestartedSequence(t *testing.T) {
 	again := func(s watchStream) {
 		for seq := 1; seq <= 8; seq++ {
@@ -125,7 +128,7 @@
 	restarted := func(s watchStream) {
 		s.send("%s%s", emptyEvent(1, true), emptyEvent(2, false))
 		s.send(":\n\n")
-		s.send("%s%s", emptyEvent(3, false), emptyEvent(1, true)) // and an old snapshot after it
+		s.send("%s%s", emptyEvent(3, false), emptyEvent(1, true)) // the snapshot is old: it must not be delivered
 		s.send("%s", emptyEvent(4, false))
 		s.sendComments()
 	}
@@ -133,10 +136,10 @@
 	expectDeliveries(t, deliveries, delivery{8, false}, delivery{1, true}, delivery{2, false}, delivery{3, false}, delivery{4, false})
 }
 
-// A new address, while the old one breaks off in the middle of an event or goes on sending, is polled after the last event
-// that counts, and what the old one sends after that does not count.
+// After a change of the address, the new address is polled from the last delivered event on, and no event from the old
+// address is delivered, whether the old stream breaks off in the middle of an event or continues.
 func TestWatcherChangeOfAddress(t *testing.T) {
-	const rounds = 10 // which of the two comes first is not the test's to choose
+	const rounds = 10 // per case, as the test cannot control whether the change or the old stream's data is seen first
 	for round := range 2 * rounds {
 		breaksOff := round%2 == 0
 		sent, changed := make(chan struct{}), make(chan struct{})
@@ -166,18 +169,18 @@
 		close(changed)
 		expectDeliveries(t, deliveries, delivery{2, false}, delivery{3, false})
 		if polledAfter.Load() != "1" {
-			t.Errorf("the new address is polled after %v", polledAfter.Load())
+			t.Errorf("Last-Event-ID of the first poll of the new address: got %v, want 1", polledAfter.Load())
 		}
 		select {
 		case more := <-deliveries:
-			t.Errorf("%+v counts twice", more)
+			t.Errorf("delivery after those of the new address: got %+v, want none", more)
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 }
 
-// A watch that takes the connection and never answers costs no more than a poll for each idle timeout.
-func TestWatcherUnresponsiveAddress(t *testing.T) {
+// An address that accepts connections and never answers is polled again, but no more than once per idle timeout.
+func TestWatcherPollsUnresponsiveAddressOncePerIdleTimeout(t *testing.T) {
 	listener := listenLoopback(t)
 	var polls atomic.Int64
 	go func() {
@@ -193,6 +196,6 @@
 	startTestWatcher(t, listener.Addr().String(), 0)
 	eventually(t, "a second poll", func() bool { return polls.Load() >= 2 })
 	if n := polls.Load(); n > 3 {
-		t.Errorf("%d polls in the time of two idle timeouts", n)
+		t.Errorf("polls by the time of the second one: got %d, want at most 3", n)
 	}
 }
