--- a/internal/server/platform/connection.go
+++ b/internal/server/platform/connection.go
@@ -89,7 +89,7 @@
 	return true
 }
 
-// remove counts a connection off when it is closed, if it lingered. Further calls do nothing.
+// remove takes a closed connection out of the count, if it lingered. Further calls do nothing.
 func (l *lingerer) remove(c *connection) {
 	if c.lingering.Swap(false) {
 		l.count.Add(-1)
--- a/internal/server/platform/owners.go
+++ b/internal/server/platform/owners.go
@@ -54,8 +54,8 @@
 
 // accept registers a new connection with the core and returns its handler, or nil to close it. It waits while all slots
 // are taken; further connections then wait in the accept queue. The core closes one connection for each that exceeds
-// its bound, which frees a slot. The wait keeps the connections below the limit of descriptors, and keeps an owner from
-// being refused because many others connect at the same moment.
+// its bound, which frees a slot. Without the wait, connections could use up the descriptors, and owners that connect at
+// the same moment as many others would be closed before the core knows them.
 func (o *ownerConnections) accept(ctx context.Context, stream *netio.Conn) netio.Handler {
 	slot := o.slots.acquire(ctx)
 	if slot == nil {
