--- a/capacity_test.go
+++ b/capacity_test.go
@@ -66,9 +66,9 @@
 		for i := range 20000 {
 			change := capacityChange{machine: MachineID(i%4 + 1), program: uint32(i), cores: 0.1, memory: 0.1}
 			h.step(
-				Received{From: 1, Data: encodeCapacityChanges([]capacityChange{change})[0]},
-				Received{From: 1, Data: make([]byte, i%255)},
-				Received{From: 1, Data: encodeOutlier(MachineID(i), i%256)},
+				GossipReceived{From: 1, Data: encodeCapacityChanges([]capacityChange{change})[0]},
+				GossipReceived{From: 1, Data: make([]byte, i%255)},
+				GossipReceived{From: 1, Data: encodeOutlier(MachineID(i), i%256)},
 			)
 		}
 		if len(h.placer.machines) != 3 {
--- a/cmd/simadapter/translate.go
+++ b/cmd/simadapter/translate.go
@@ -39,7 +39,7 @@
 	case simadapter.TimerFired:
 		return e.Placer, forkhead.TimerFired{Timer: e.Timer}, nil
 	case simadapter.Received:
-		return e.Placer, forkhead.Received{From: int(e.From), Data: e.Data}, nil
+		return e.Placer, forkhead.GossipReceived{From: int(e.From), Data: e.Data}, nil
 	default:
 		return 0, nil, fmt.Errorf("%T is not an event for a placer", event)
 	}
--- a/dispatch.go
+++ b/dispatch.go
@@ -23,7 +23,7 @@
 		p.handleTimer(event.Timer)
 	case Probed:
 		p.handleProbeResult(event)
-	case Received:
+	case GossipReceived:
 		p.handleGossip(event.Data)
 	}
 }
--- a/events.go
+++ b/events.go
@@ -67,8 +67,8 @@
 		Took    time.Duration // since the probe
 		Report  *LoadReport   // nil: none
 	}
-	// Received is a gossip message from another placer.
-	Received struct {
+	// GossipReceived is a gossip message from another placer.
+	GossipReceived struct {
 		From int
 		Data []byte
 	}
@@ -83,4 +83,4 @@
 func (RequestCanceled) event()  {}
 func (TimerFired) event()       {}
 func (Probed) event()           {}
-func (Received) event()         {}
+func (GossipReceived) event()         {}
--- a/internal/scheduler/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -175,7 +175,7 @@
 	case Restore:
 		c.handleRestore(in.Snapshot)
 	case GossipReceived:
-		c.notifyModule(forkhead.Received{From: in.From, Data: in.Data})
+		c.notifyModule(forkhead.GossipReceived{From: in.From, Data: in.Data})
 	}
 }
 
--- a/internal/scheduler/platform/core.go
+++ b/internal/scheduler/platform/core.go
@@ -127,7 +127,7 @@
 	case WatchEventReceived:
 		c.handleWatchEvent(input)
 	case GossipReceived:
-		c.notifyModule(forkhead.Received{From: input.From, Data: input.Data})
+		c.notifyModule(forkhead.GossipReceived{From: input.From, Data: input.Data})
 	case ShutdownRequested:
 		c.shutdown.request(c.now)
 	}
--- a/internal/scheduler/platform/probe_test.go
+++ b/internal/scheduler/platform/probe_test.go
@@ -12,7 +12,7 @@
 func TestCoreRetriesProbeOnAnotherConnection(t *testing.T) {
 	w := newTestCore(t, nil)
 	w.decide = func(ev forkhead.Event) []forkhead.Action {
-		if _, ok := ev.(forkhead.Received); ok {
+		if _, ok := ev.(forkhead.GossipReceived); ok {
 			return []forkhead.Action{forkhead.Probe{Machine: 1}}
 		}
 		return nil
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -402,7 +402,7 @@
 		change := capacityChange{machine: s.machines[0].ID, cores: s.rng.Float64() - 0.5, memory: s.rng.Float64()}
 		message = encodeCapacityChanges([]capacityChange{change})[0]
 	}
-	return Received{From: s.rng.IntN(3), Data: message[:s.rng.IntN(len(message)+1)]}
+	return GossipReceived{From: s.rng.IntN(3), Data: message[:s.rng.IntN(len(message)+1)]}
 }
 
 // attemptEvents is what happens to a task's attempt in one moment: mostly nothing.
--- a/outliers_test.go
+++ b/outliers_test.go
@@ -52,7 +52,7 @@
 		t.Fatal("no gossip about the outlier")
 	}
 	for range 2 {
-		other.step(Received{From: 1, Data: messages[0].Data})
+		other.step(GossipReceived{From: 1, Data: messages[0].Data})
 	}
 	if _, actions := other.request(0, 3); len(actionsOf[Offer](actions)) > 0 {
 		t.Error("a placer that got the message twice offered the class")
--- a/placer_test.go
+++ b/placer_test.go
@@ -84,7 +84,7 @@
 	h := newHarness(t, testSettings(), readyMachines(3))
 	actions := h.step(
 		Bound{Task: 99}, Outcome{Task: 99, Result: OK}, Note{Task: 99, Kind: NoteCoresUsed}, RequestCanceled{Task: 99},
-		Probed{Machine: 99}, Received{Data: []byte{1, 2, 3}}, TimerFired{Timer: 1<<40 | 7},
+		Probed{Machine: 99}, GossipReceived{Data: []byte{1, 2, 3}}, TimerFired{Timer: 1<<40 | 7},
 		Probed{Machine: 1, Result: OK, Report: &LoadReport{AvailableCores: math.NaN(), AvailableMemory: math.NaN()}},
 		ListUpdate{Mode: ListDelta, Machines: []Machine{{ID: 50, Type: 9, State: Ready}}},
 	)
