--- a/actions.go
+++ b/actions.go
@@ -2,49 +2,49 @@
 
 import "time"
 
-// Action is something that a placer does.
+// Action is an output of Placer.Step.
 type Action interface{ action() }
 
-// AllPlacers as the receiver of Gossip means all other placers.
+// AllPlacers as the receiver of Gossip stands for all other placers.
 const AllPlacers = -1
 
-// The actions.
+// The actions that Placer.Step returns.
 type (
-	// Offer starts an attempt; attempts of one request count from 0.
+	// Offer starts an attempt: it offers the task to the machine. The attempts of a request are numbered from 0.
 	Offer struct {
 		Task    TaskID
 		Machine MachineID
-		Timeout time.Duration // 0: until the owner gives up; this module sets no other
+		Timeout time.Duration // for the answer; always 0 here: until the owner gives up
 	}
-	// Reject ends a request and says that trying again is harmless.
+	// Reject ends a request and tells the owner that a retry is harmless.
 	Reject struct {
 		Task       TaskID
-		RetryAfter time.Duration // 0: not said; this module sets no other
+		RetryAfter time.Duration // before the owner's retry; always 0 here: not specified
 	}
-	// Fail ends a request and promises nothing.
+	// Fail ends a request without a promise that a retry is harmless.
 	Fail struct{ Task TaskID }
-	// Withdraw stops waiting for an attempt; the machine may still accept it.
+	// Withdraw stops waiting for the answer to an attempt; the machine may still accept it.
 	Withdraw struct {
 		Task    TaskID
 		Attempt int
 	}
-	// Stop stops a placed task, to migrate it; its owner requests it again.
+	// Stop stops a placed task in order to migrate it; its owner then requests it again.
 	Stop struct{ Task TaskID }
-	// SetTimer asks for TimerFired at a time.
+	// SetTimer requests a TimerFired event at a time.
 	SetTimer struct {
 		Timer uint64
 		At    time.Duration
 	}
-	// Probe checks a machine.
+	// Probe sends a health check to a machine; the answer is a Probed event.
 	Probe struct{ Machine MachineID }
-	// Gossip sends at most 256 bytes to a placer or to AllPlacers. It may be lost.
+	// Gossip sends at most 256 bytes to a placer or to AllPlacers. The message may be lost.
 	Gossip struct {
 		To   int
 		Data []byte
 	}
-	// Subscribe asks for the list's changes from now on.
+	// Subscribe requests the changes of the machine list from now on.
 	Subscribe struct{}
-	// Log is a message for whoever is on call.
+	// Log is a message for the operator on call.
 	Log struct{ Message string }
 )
 
--- a/attempts.go
+++ b/attempts.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Tuned values of attempts and migrations.
+// Constants of attempts and migrations.
 const (
-	attemptTimeout = 700 * time.Millisecond // an attempt unanswered for this long gets its machine probed
-	probeBackoff   = 3 * attemptTimeout     // where placers are many, one that answered since is not probed
-	// The estimate of the 95th percentile of the time from offer to bind: a start that takes longer raises
-	// it by one part in startTimeP95Rise, any other lowers it by one in startTimeP95Fall.
+	attemptTimeout = 700 * time.Millisecond // after which an unanswered attempt has its machine probed
+	probeBackoff   = 3 * attemptTimeout     // no probe after an answer, with many placers
+	// startTimeP95 estimates the 95th percentile of the time from offer to bind: a start that takes longer
+	// raises it by 1/startTimeP95Rise, any other start lowers it by 1/startTimeP95Fall.
 	initialStartTimeP95                = 1500 * time.Millisecond
 	startTimeP95Rise, startTimeP95Fall = 5, 100
-	unresponsiveStarts                 = 2 // a start that takes so many times as long will not come
-	// A task that gets less service than this is migrated where one of the first passes finds a machine.
+	unresponsiveStartFactor            = 2 // multiple of startTimeP95: the attempt is unresponsive
+	// A task with a service level below migrateBelow is migrated if one of the first migrationPasses
+	// selection passes finds a machine for it.
 	migrateBelow, migrationPasses = 0.5, 3
 	maxMigrationsPerSecond        = 8               // off one machine, by all placers together
-	migrationCooldown             = 2 * time.Second // until this placer uses the machine again
+	migrationCooldown             = 2 * time.Second // no offers to the machine after a migration attempt
 )
 
-// retryIsHarmless says whether a task of the class may be sent to any machine though it may have run.
+// retryIsHarmless reports whether a task of the class that may have run may be sent to any machine again.
 func (c *Class) retryIsHarmless() bool {
 	return c.Effect == Safe || c.Effect == Keyed && c.DedupDomain == AnyDomain
 }
 
-// mayAttempt says whether the class's effect allows a further attempt.
+// mayAttempt reports whether the effect of the task's class allows a further attempt.
 func (p *Placer) mayAttempt(t *task) bool {
 	class := &p.settings.Classes[t.Class]
 	if t.firstMayRun == nil || class.Effect == Safe {
@@ -31,7 +32,7 @@
 	return class.Effect == Keyed && p.now < t.firstMayRun.sentAt+class.DedupWindow-deadlineMargin
 }
 
-// mayAbandon says whether an attempt that may have run can be withdrawn for another.
+// mayAbandon reports whether an attempt that may have run can be withdrawn in favor of another one.
 func (p *Placer) mayAbandon(t *task) bool {
 	return p.settings.MayWithdraw && len(t.attempts) < p.settings.MaxAttempts &&
 		p.settings.Classes[t.Class].retryIsHarmless()
@@ -73,7 +74,8 @@
 	}
 	p.endAttempt(a)
 	if a.bound {
-		// A rejected offer stays announced: that keeps the others off a full machine until the list is newer.
+		// The reservation of a rejected offer stays announced: it keeps the other placers from offering to a
+		// full machine until the next list update.
 		p.announceCapacity(a, released)
 	}
 	p.applyReport(a.machine, event.Report)
@@ -93,26 +95,27 @@
 	p.forgetIfDone(a.task)
 }
 
-// mayHaveRun says whether a task whose attempt ended so may have run.
+// mayHaveRun reports whether a task may have run if its unbound attempt ended with the result.
 func (r Result) mayHaveRun() bool { return r != Rejected && r != ConnectFailed && r != NotSent }
 
-// continueAfter makes the next attempt of a task whose last one has ended so, or finishes or queues it.
+// continueAfter starts the next attempt of a task whose last attempt ended with the result, or finishes the
+// task, or queues it.
 func (p *Placer) continueAfter(t *task, result Result) {
 	if !t.pending {
 		return
 	}
 	if p.now >= t.deadline-deadlineMargin {
 		p.finish(t)
-	} else if p.backsOff(t, result) || !p.place(t) {
+	} else if p.backOffAfterRejection(t, result) || !p.place(t) {
 		p.enqueue(t)
 	}
 }
 
-// backsOff says whether a task waits before its next attempt: from the second rejection on, so that the
-// attempts left spread over the time left. It guards against placers that all offer into the same full
-// machines and use up their attempts before anything can change; it may hurt where capacity comes up
-// within the backoff.
-func (p *Placer) backsOff(t *task, result Result) bool {
+// backOffAfterRejection delays the next attempt of a task from its second rejection on, and reports whether
+// it did. The delay spreads the remaining attempts over the remaining time. Without it, many placers that
+// offer to the same full machines would use up their attempts before any capacity is released. The cost:
+// capacity that is released during the backoff is not used.
+func (p *Placer) backOffAfterRejection(t *task, result Result) bool {
 	if result != Rejected || len(t.attempts) < 2 || p.seesPeerChanges() {
 		return false
 	}
@@ -121,7 +124,8 @@
 	return true
 }
 
-// checkAttempt looks after an attempt that has had no answer for a while.
+// checkAttempt probes the machine of an attempt that is unanswered after attemptTimeout, reports it as an
+// outlier if it answers otherwise, and withdraws the attempt where the task may go elsewhere.
 func (p *Placer) checkAttempt(t *task) {
 	if !t.pending || !p.hasAttemptInFlight(t) {
 		return
@@ -131,7 +135,7 @@
 		return
 	}
 	m := a.machine
-	overdueAt := a.sentAt + unresponsiveStarts*max(attemptTimeout, p.startTimeP95)
+	overdueAt := a.sentAt + unresponsiveStartFactor*max(attemptTimeout, p.startTimeP95)
 	unresponsive := m.answeredAt > a.sentAt && p.now >= overdueAt
 	if unresponsive && !a.unresponsive {
 		a.unresponsive = true
@@ -147,18 +151,19 @@
 	p.setTimer(timerAttempt, uint32(t.ID), attemptTimeout)
 }
 
-// migrateIfPoorlyServed stops a task that gets little where another machine would serve it well: one for
-// each note, and notes come about once a second. It guards against tasks stuck on a machine that is slow,
-// crowded or misjudged; it may hurt where service was about to come back. Each placer migrates by its part
-// of what is requested there: else all that have a task on the machine would migrate one each. The cooldown
-// keeps the machine itself out of the search for another one, and holds whether or not there is one.
+// migrateIfPoorlyServed stops a task with a low service level if another machine has capacity to serve it
+// well, so that it doesn't stay on a machine that is slow, crowded or misjudged. It migrates at most one
+// task per note, and notes come about once a second. The cost: a task may be migrated just before its
+// service level recovers. Each placer migrates in proportion to its share of the cores requested on the
+// machine; otherwise every placer with a task there would migrate one at the same time. The cooldown keeps
+// the machine itself out of the search for another one and applies whether or not the search succeeds.
 func (p *Placer) migrateIfPoorlyServed(a *attempt, level float64) {
 	if level >= migrateBelow || a.task.pending {
 		return
 	}
 	cores, _ := p.available(a.machine)
-	ourPart := a.machine.reservedCores / (p.settings.MachineTypes[a.machine.Type].Cores - cores)
-	if ourPart*maxMigrationsPerSecond < 1 && p.rng.Float64() > ourPart*maxMigrationsPerSecond {
+	ourShare := a.machine.reservedCores / (p.settings.MachineTypes[a.machine.Type].Cores - cores)
+	if ourShare*maxMigrationsPerSecond < 1 && p.rng.Float64() > ourShare*maxMigrationsPerSecond {
 		return
 	}
 	a.machine.backoffUntil = p.now + migrationCooldown
--- a/bookkeeping.go
+++ b/bookkeeping.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// capacityDirection is the sign of a capacityChange.
+// capacityDirection is the sign of the amounts in a capacityChange.
 type capacityDirection float64
 
 const (
@@ -16,7 +16,7 @@
 
 func (p *Placer) emit(action Action) { p.actions = append(p.actions, action) }
 
-// machine returns the machine of that id; one that no list has named is Removed.
+// machine returns the machine with the id. It adds one that no list has named yet, in state Removed.
 func (p *Placer) machine(id MachineID) *machine {
 	m := p.machines[id]
 	if m == nil {
@@ -26,7 +26,7 @@
 	return m
 }
 
-// activeAttempt returns the attempt of that number if it is the task's and has not ended, else nil.
+// activeAttempt returns the attempt of the task with the number, or nil if there is none or it has ended.
 func (p *Placer) activeAttempt(id TaskID, number int) *attempt {
 	t := p.tasks[id]
 	if t == nil || number < 0 || number >= len(t.attempts) || t.attempts[number].ended {
@@ -35,19 +35,19 @@
 	return t.attempts[number]
 }
 
-// hasAttemptInFlight says whether the task's last attempt has not ended; earlier ones have.
+// hasAttemptInFlight reports whether the task's last attempt has not ended yet; all earlier ones have.
 func (p *Placer) hasAttemptInFlight(t *task) bool {
 	return len(t.attempts) > 0 && !t.attempts[len(t.attempts)-1].ended
 }
 
-// forgetIfDone drops a task whose final answer is given and whose last attempt has ended.
+// forgetIfDone deletes a task whose final answer is given and whose last attempt has ended.
 func (p *Placer) forgetIfDone(t *task) {
 	if !t.pending && !p.hasAttemptInFlight(t) {
 		delete(p.tasks, t.ID)
 	}
 }
 
-// startAttempt adds a new attempt to all the counts.
+// startAttempt creates an attempt and adds it to the counts of its task, machine, service and tenant.
 func (p *Placer) startAttempt(t *task, m *machine) *attempt {
 	a := &attempt{task: t, machine: m, number: len(t.attempts), sentAt: p.now}
 	t.attempts = append(t.attempts, a)
@@ -61,7 +61,7 @@
 	return a
 }
 
-// markRunning notes that the attempt's task no longer delays other starts on its machine.
+// markRunning records that the attempt's task runs and no longer delays other starts on its machine.
 func (p *Placer) markRunning(a *attempt) {
 	if !a.running {
 		a.running = true
@@ -69,7 +69,7 @@
 	}
 }
 
-// endAttempt takes an attempt off all the counts.
+// endAttempt marks an attempt as ended and removes it from the counts.
 func (p *Placer) endAttempt(a *attempt) {
 	p.markRunning(a)
 	a.ended, a.endedAt = true, p.now
@@ -91,9 +91,9 @@
 	})
 }
 
-// erroredOn says whether an attempt of the task ended in an error on the machine: another one is tried
-// first. It guards against a machine that returns errors and, since they leave its capacity available,
-// gets one attempt after the other.
+// erroredOn reports whether an attempt of the task ended in an error on the machine, so that the task goes to
+// another one. Errors leave the machine's capacity available, so it would otherwise get one attempt after the
+// other.
 func (t *task) erroredOn(m *machine) bool {
 	for _, a := range t.attempts {
 		if a.errored && a.machine == m {
@@ -103,8 +103,8 @@
 	return false
 }
 
-// announceCapacity collects a change for the other placers: the attempt reserves or releases its task's
-// capacity on its machine.
+// announceCapacity adds a change to the gossip of this step: the attempt reserves or releases the capacity
+// of its task on its machine.
 func (p *Placer) announceCapacity(a *attempt, direction capacityDirection) {
 	if p.settings.Placers > 1 && p.seesPeerChanges() {
 		p.pendingGossip = append(p.pendingGossip, capacityChange{
@@ -114,7 +114,7 @@
 	}
 }
 
-// addPeerChange stores a change by another placer for as long as the list may not show it.
+// addPeerChange stores a change by another placer for changeHistory, the longest time until the list shows it.
 func (m *machine) addPeerChange(change capacityChange) {
 	m.cacheProgram(change.program)
 	m.peerChanges = slices.DeleteFunc(m.peerChanges, func(old capacityChange) bool {
@@ -127,8 +127,8 @@
 	m.availableStale = true
 }
 
-// changesSince is what the tasks we know of request on the machine now, less what they requested at that
-// time.
+// changesSince returns the difference between what the tasks known to this placer request on the machine now
+// and what they requested at the given time.
 func (m *machine) changesSince(at time.Duration) (cores, memory float64) {
 	for _, a := range m.attempts {
 		if a.sentAt > at && (a.bound || !a.ended) {
@@ -146,7 +146,7 @@
 	return cores, memory
 }
 
-// cacheProgram notes the program as cached on the machine, until newer ones displace it.
+// cacheProgram records the program as cached on the machine. Beyond maxCachedPrograms the oldest is dropped.
 func (m *machine) cacheProgram(program uint32) {
 	m.cachedPrograms = slices.DeleteFunc(m.cachedPrograms, func(other uint32) bool { return other == program })
 	m.cachedPrograms = append(m.cachedPrograms, program)
@@ -155,7 +155,7 @@
 	}
 }
 
-// hasProgram says whether the machine has the service's program, as far as our own tasks and gossip show.
+// hasProgram reports whether the machine has the service's program, judged by this placer's tasks and gossip.
 func (p *Placer) hasProgram(m *machine, service uint64) bool {
 	for _, a := range p.services[service] {
 		if a.machine == m {
@@ -165,14 +165,14 @@
 	return slices.Contains(m.cachedPrograms, programID(service))
 }
 
-// clearOutlier forgets the failures of a class at a machine that has started a task of it.
+// clearOutlier resets the outlier state of a class at a machine that has started a task of the class.
 func (p *Placer) clearOutlier(m *machine, class int) {
 	if m.outliers != nil {
 		m.outliers[class] = outlierState{}
 	}
 }
 
-// insertCandidate adds a candidate; they are in the order of their hashes with the service.
+// insertCandidate adds a machine to the candidates, which are sorted by their rank for the service.
 func (p *Placer) insertCandidate(m *machine, service uint64) {
 	at := len(p.candidates)
 	for at > 0 && m.rank(service) < p.candidates[at-1].rank(service) {
@@ -181,7 +181,7 @@
 	p.candidates = slices.Insert(p.candidates, at, m)
 }
 
-// removeUnlisted marks the machines that a complete list does not name.
+// removeUnlisted marks the machines that are missing from a complete list as Removed.
 func (p *Placer) removeUnlisted(listed map[MachineID]bool) {
 	for id, m := range p.machines {
 		if !listed[id] && m.State != Removed {
@@ -190,8 +190,9 @@
 	}
 }
 
-// rebuildPools orders the machines of each type by the hash of their ids. A draining machine keeps its
-// slot, so that the groups stay as they are until it is removed.
+// rebuildPools sorts the machines of each type by the hash of their ids. A draining machine keeps its
+// position, so that the groups don't change until it is removed. Machines that were removed more than
+// removedRetention ago and have no live attempt are deleted.
 func (p *Placer) rebuildPools() {
 	p.membershipChanged = false
 	for _, pool := range p.pools {
@@ -205,7 +206,7 @@
 		case m.removedAt == 0:
 			m.removedAt = p.now
 		case p.now > m.removedAt+removedRetention && !m.hasLiveAttempt():
-			delete(p.machines, id) // or machines that come and go would fill the memory
+			delete(p.machines, id) // otherwise memory would grow with each machine replaced
 		}
 	}
 	for _, pool := range p.pools {
@@ -217,7 +218,7 @@
 	return slices.ContainsFunc(m.attempts, func(a *attempt) bool { return !a.ended })
 }
 
-// sameDomain says whether two machines are in one domain of that level.
+// sameDomain reports whether two machines are in the same domain of the level.
 func sameDomain(level Domain, a, b *machine) bool {
 	switch level {
 	case MachineDomain:
@@ -230,7 +231,7 @@
 	return true
 }
 
-// add counts a task of the size, in cores, and decays what was counted before.
+// add adds a task of the size in cores and decays the load added earlier.
 func (h *sizeHistogram) add(size float64) {
 	for i := range h.load {
 		h.load[i] *= 1 - 1./sizeHistory
@@ -239,7 +240,7 @@
 	h.total = h.total*(1-1./sizeHistory) + size
 }
 
-// learn adds what a task uses and what it requested, and fades earlier notes.
-func (u *usageRatio) learn(used, requested float64) {
+// observe adds the amounts that a task uses and requested, and decays those observed earlier.
+func (u *usageRatio) observe(used, requested float64) {
 	u.used, u.requested = u.used*usageDecay+used, u.requested*usageDecay+requested
 }
--- a/capacity.go
+++ b/capacity.go
@@ -5,45 +5,47 @@
 	"time"
 )
 
-// Tuned values of the capacity estimate.
+// Constants of the capacity estimate.
 const (
-	changeHistory      = 10 * time.Second       // ended attempts count this long, for a list that lags
-	initialLag         = 2                      // the place in viewLags to begin with: a second
-	lagErrorDecay      = 0.98                   // the errors of the lags fade by this at each observation
-	rejectionLifetime  = 4 * time.Second        // what a rejection shows is used this long at most
-	rejectedSizeMargin = 0.99                   // of the rejected size: the same size does not fit again
-	queueFullBackoff   = 300 * time.Millisecond // a machine with a full queue gets nothing for this long
-	memorySaturation   = 0.88                   // memory in use above this share slows a machine, then evicts
-	// What tasks use of what they request, until notes show it; it weighs as much as so many cores or
-	// memory units, and earlier notes fade by the decay at each one.
+	changeHistory      = 10 * time.Second       // for which changes are counted: the list may lag that long
+	initialListLag     = 2                      // index into listLags: 1 s
+	listLagErrorDecay  = 0.98                   // factor on the errors of the lags at each observation
+	rejectionLifetime  = 4 * time.Second        // for which a rejection affects the estimate at most
+	rejectedSizeMargin = 0.99                   // of the rejected size, so that it does not fit again
+	queueFullBackoff   = 300 * time.Millisecond // no offers to a machine whose queue was full
+	memorySaturation   = 0.88                   // share of memory in use that slows a machine; more evicts
+	// The share of the requested amount that tasks are assumed to use before notes report it. It weighs as
+	// much as initialUsageWeight requested cores or memory units. Each note decays the earlier ones by
+	// usageDecay.
 	initialUsage, initialUsageWeight, usageDecay = 0.8, 20, 0.998
-	// A note of less than the full service level derates its machine by a step, up to the maximum; it is
-	// recovered from at a rate of 1 in this time.
+	// A note of a service level below fullServiceLevel derates its machine by deratingStep, up to
+	// maxDerating. The derating falls at a rate of 1 per deratingRecovery.
 	fullServiceLevel          = 0.9
 	deratingStep, maxDerating = 0.06, 0.4
 	deratingRecovery          = 90 * time.Second
-	// Programs that a machine is taken to cache after the last task of a service. Too many cost nothing:
-	// where the program is not cached after all, a start is as slow as anywhere else.
+	// Programs that a machine is assumed to cache after the last task of a service. Too high a number costs
+	// nothing: if the program isn't cached, the start is as slow as on any other machine.
 	maxCachedPrograms = 16
-	// Gossip about capacity is sent while the start and end of a task together cost less than this share
-	// of the result: among few placers. Among more, what each one sends changes little.
+	// Gossip about capacity is sent while the messages for the start and the end of a task cost at most this
+	// share of the result, which holds for few placers. With more, the messages of each one change little.
 	maxGossipCost  = 0.005
-	maxPeerChanges = 500 // remembered for a machine; more are a flood
+	maxPeerChanges = 500 // stored for a machine; a bound on message floods
 )
 
-// viewLags are the candidates for how far the list lags behind.
-var viewLags = [...]time.Duration{
+// listLags are the candidates for the lag of the list.
+var listLags = [...]time.Duration{
 	250 * time.Millisecond, 500 * time.Millisecond, time.Second, 1500 * time.Millisecond,
 	2 * time.Second, 3 * time.Second, 4500 * time.Millisecond, 7 * time.Second,
 }
 
-// available is what the list shows as not requested, with our own and gossiped changes since then and
-// with what a rejection has shown. It is never more than our own tasks alone leave.
+// available estimates the cores and memory of the machine that are not requested: the amounts in the list,
+// less this placer's and gossiped changes since then and less what a rejection has shown to be missing. It
+// is at most what this placer's own tasks leave. The result is cached for queueRetryInterval.
 func (p *Placer) available(m *machine) (cores, memory float64) {
 	if !m.availableStale && p.now < m.availableAt+queueRetryInterval {
 		return m.availableCores, m.availableMemory
 	}
-	observedAt := m.listedAt - viewLags[p.viewLag.best]
+	observedAt := m.listedAt - listLags[p.listLag.best]
 	newCores, newMemory := m.changesSince(observedAt)
 	cores, memory = m.AvailableCores-newCores, m.AvailableMemory-newMemory
 	if m.rejectedAt > observedAt && p.now < m.rejectedAt+rejectionLifetime {
@@ -56,29 +58,30 @@
 	return m.availableCores, m.availableMemory
 }
 
-// learnViewLag compares a change of the listed cores with that of the tasks we know of under each lag. It
-// guards against a list that lags by an unknown and changing time, whatever the cause.
-func (p *Placer) learnViewLag(m *machine, change float64) {
+// updateListLag compares a change of the listed cores with the change that each candidate lag predicts from
+// the known tasks, and selects the lag with the least error. The lag of the list is unknown and changes.
+func (p *Placer) updateListLag(m *machine, change float64) {
 	if p.now-m.listedAt > changeHistory/2 {
 		return
 	}
-	lag := &p.viewLag
-	for i, candidate := range viewLags {
+	lag := &p.listLag
+	for i, candidate := range listLags {
 		before, _ := m.changesSince(m.listedAt - candidate)
 		after, _ := m.changesSince(p.now - candidate)
-		lag.errors[i] = lag.errors[i]*lagErrorDecay + math.Abs(change+before-after)
+		lag.errors[i] = lag.errors[i]*listLagErrorDecay + math.Abs(change+before-after)
 		if lag.errors[i] < lag.errors[lag.best] {
 			lag.best = i
 		}
 	}
 }
 
-// recordRejection takes a rejection as an observation: less than what was requested is available.
+// recordRejection lowers the estimate of what is available on the machine to less than the task requested.
+// A machine with a full queue gets no offers for queueFullBackoff instead.
 func (p *Placer) recordRejection(a *attempt, reason RejectReason) {
 	m := a.machine
 	machineType := p.settings.MachineTypes[m.Type]
 	cores, memory := p.available(m)
-	if m.rejectedAt <= m.listedAt-viewLags[p.viewLag.best] || p.now >= m.rejectedAt+rejectionLifetime {
+	if m.rejectedAt <= m.listedAt-listLags[p.listLag.best] || p.now >= m.rejectedAt+rejectionLifetime {
 		m.unlistedCores, m.unlistedMemory = 0, 0
 	}
 	switch reason {
@@ -95,8 +98,9 @@
 	m.rejectedAt, m.availableStale = p.now, true
 }
 
-// hasCapacity says whether the machine has capacity for the task: where the pass overcommits, as much as it
-// accepts and half serves the task's class, else as much as leaves its tasks well served.
+// hasCapacity reports whether the machine has capacity for the task. The limit is the load at which its tasks
+// are still served well or, in a pass that overcommits, what the machine accepts and what still serves the
+// task's class at half the full level.
 func (p *Placer) hasCapacity(t *task, m *machine, pass *selectionPass) bool {
 	if p.now < m.backoffUntil || m.starting >= pass.maxStarting {
 		return false
@@ -110,7 +114,7 @@
 	cores, memory := p.available(m)
 	if pass.preempt {
 		if p.fits(t, m, cores, memory, p.settings.CoresOvercommit, p.settings.MemoryOvercommit) {
-			return false // it would accept, preempt nothing and be crowded
+			return false // the machine would accept the task without preemption and be overloaded
 		}
 		cores, memory = p.availableByPreemption(t, m)
 		return p.fits(t, m, cores, memory, p.settings.CoresOvercommit, p.settings.MemoryOvercommit)
@@ -125,15 +129,16 @@
 	return p.fits(t, m, cores, memory, maxCores, maxMemory)
 }
 
-// fits says whether the task fits into what is available, where the machine may be filled up to these
-// multiples of its cores and memory.
+// fits reports whether the task fits into the available amounts if the machine may be filled up to the
+// multiples maxCores and maxMemory of its cores and memory.
 func (p *Placer) fits(t *task, m *machine, cores, memory, maxCores, maxMemory float64) bool {
 	machineType := p.settings.MachineTypes[m.Type]
 	return t.Cores <= cores+machineType.Cores*(maxCores-1) &&
 		t.Memory <= memory+machineType.Memory*(maxMemory-1)
 }
 
-// availableByPreemption is what is available and what our tasks of lower priority request on the machine.
+// availableByPreemption returns the available amounts plus what this placer's tasks of lower priority request
+// on the machine.
 func (p *Placer) availableByPreemption(t *task, m *machine) (cores, memory float64) {
 	cores, memory = p.available(m)
 	priority := p.settings.Classes[t.Class].Priority
@@ -145,7 +150,8 @@
 	return cores, memory
 }
 
-// recordServiceLevel takes in the share of full service that a task gets.
+// recordServiceLevel derates the machine of a task whose share of full service is low, and may migrate the
+// task.
 func (p *Placer) recordServiceLevel(a *attempt, level float64) {
 	if level < fullServiceLevel {
 		m := a.machine
@@ -154,28 +160,29 @@
 	}
 }
 
-// deratingFactor is the share of its usual tasks that a machine is given: less once its tasks were served
-// poorly, whatever the cause, and all again in time. It may hurt where service swings.
+// deratingFactor returns the factor on the load that a machine is given. It is below 1 after tasks on the
+// machine were served poorly, whatever the cause, and returns to 1 over time. The cost: where service levels
+// oscillate, capacity stays unused.
 func (m *machine) deratingFactor(now time.Duration) float64 {
 	return 1 - max(0, m.derating-float64(now-m.deratedAt)/float64(deratingRecovery))
 }
 
-// ratio is the share of what tasks request that they use.
+// ratio returns the share of their requested amounts that tasks use.
 func (u *usageRatio) ratio() float64 {
 	return (u.used + initialUsage*initialUsageWeight) / (u.requested + initialUsageWeight)
 }
 
-// seesPeerChanges says whether the list and gossip leave little that other placers reserved unseen. Gossip
-// is sent where its cost is small, whatever the number of placers: both it and the reading of it grow with
-// them.
+// seesPeerChanges reports whether this placer sees nearly all reservations by other placers: it is alone, or
+// capacity changes are gossiped. They are gossiped only while that costs at most maxGossipCost: the cost of
+// both sending and reading grows with the number of placers.
 func (p *Placer) seesPeerChanges() bool {
 	cost := 2 * capacityChangeFraction * p.settings.Costs.Gossip * float64(p.settings.Placers-1)
 	return p.settings.Placers == 1 || p.settings.MayGossip && cost <= maxGossipCost
 }
 
-// handleGossip takes in a message: until the list shows them, changes count like our own. It guards against
-// placers that all see the same capacity and fill it at once. A lost message costs a rejection, or hides
-// some capacity until the list is newer.
+// handleGossip applies a message from another placer. A capacity change counts like one of this placer until
+// the list shows it, so that placers that see the same capacity don't all fill it at once. A lost message
+// costs a rejection, or hides some capacity until the next list update.
 func (p *Placer) handleGossip(message []byte) {
 	if id, class, ok := decodeOutlier(message); ok {
 		if m := p.machines[id]; m != nil && class < len(p.settings.Classes) {
--- a/dispatch.go
+++ b/dispatch.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// handle dispatches an event by its type.
+// handle calls the handler for the event's type.
 func (p *Placer) handle(event Event) {
 	switch event := event.(type) {
 	case ListUpdate:
@@ -28,7 +28,7 @@
 	}
 }
 
-// handleCancel drops a task whose owner waits no longer: no answer is due any more.
+// handleCancel cancels the request of an owner that no longer waits: no answer is due any more.
 func (p *Placer) handleCancel(id TaskID) {
 	if t := p.tasks[id]; t != nil {
 		t.pending = false
@@ -36,7 +36,7 @@
 	}
 }
 
-// handleHandOver takes in a task that runs already.
+// handleHandOver adds a task that runs already to the counts.
 func (p *Placer) handleHandOver(event HandedOver) {
 	if !p.isValid(&event.Task) {
 		return
@@ -45,14 +45,13 @@
 	p.tasks[t.ID] = t
 	a := p.startAttempt(t, p.machine(event.Machine))
 	a.bound = true
-	// The list shows it already. This guards against counting what ran before this incarnation a second time,
-	// as reserved since the list was made: all machines would look full for the first seconds.
+	// The list already counts this task. Sent now, it would count a second time, as reserved since the list was
+	// made: after a restart of the placer all machines would look full for the first seconds.
 	a.sentAt = p.now - changeHistory
 	p.markRunning(a)
 }
 
-// handleNote takes in what is reported of a running task. Amounts that are negative, infinite or NaN are
-// ignored.
+// handleNote applies a report about a running task. Amounts that are negative, infinite or NaN are ignored.
 func (p *Placer) handleNote(event Note) {
 	a := p.activeAttempt(event.Task, event.Attempt)
 	if a == nil || !(event.Amount >= 0) || math.IsInf(event.Amount, 0) {
@@ -64,13 +63,13 @@
 	case NoteServiceLevel:
 		p.recordServiceLevel(a, event.Amount)
 	case NoteCoresUsed:
-		p.coreUsage.learn(event.Amount, a.task.Cores)
+		p.coreUsage.observe(event.Amount, a.task.Cores)
 	case NoteMemoryUsed:
-		p.memoryUsage.learn(event.Amount, a.task.Memory)
+		p.memoryUsage.observe(event.Amount, a.task.Memory)
 	}
 }
 
-// handleProbeResult takes in the answer to a probe.
+// handleProbeResult applies the answer to a probe.
 func (p *Placer) handleProbeResult(event Probed) {
 	m := p.machines[event.Machine]
 	if m == nil {
@@ -81,7 +80,8 @@
 	p.recordHealth(m, event.Result)
 }
 
-// applyReport takes a load report as a fresher list entry where the list shows no available amounts.
+// applyReport replaces the available amounts of the list entry by those of a load report, where the list has
+// none and reports count what was requested.
 func (p *Placer) applyReport(m *machine, report *LoadReport) {
 	if report == nil || p.settings.ListReportsAvailable || !p.settings.ReportsCountRequested {
 		return
@@ -93,5 +93,5 @@
 	m.listedAt, m.availableStale = p.now, true
 }
 
-// maxReportedAmount bounds the sum of reported cores and memory; NaN is ignored as well.
+// maxReportedAmount bounds the sum of reported cores and memory; reports above it or with NaN are ignored.
 const maxReportedAmount = 1e12
--- a/events.go
+++ b/events.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// Event is something that a placer observes.
+// Event is an input of Placer.Step.
 type Event interface{ event() }
 
-// ListMode says how a ListUpdate is to be read.
+// ListMode says which entries a ListUpdate holds.
 type ListMode uint8
 
-// The modes of a list.
+// The modes of a ListUpdate.
 const (
-	ListCached   ListMode = iota // complete, as this placer last stored it
-	ListSnapshot                 // complete
+	ListCached   ListMode = iota // all entries, as this placer last stored them
+	ListSnapshot                 // all entries
 	ListDelta                    // changed entries only
-	ListFailed                   // a poll failed or the watch broke
+	ListFailed                   // no entries: a poll failed or the watch broke
 )
 
-// The events.
+// The events that Placer.Step accepts.
 type (
-	// ListUpdate brings the list of machines or its changes.
+	// ListUpdate is a new state of the machine list, its changes, or the failure to get them.
 	ListUpdate struct {
 		Mode     ListMode
 		Machines []Machine
 	}
-	// PlacementRequest brings a task to place.
+	// PlacementRequest requests a machine for a task.
 	PlacementRequest struct{ Task Task }
-	// HandedOver brings a task that already runs; its attempt 0 is bound.
+	// HandedOver hands over a task that already runs; its attempt 0 is bound.
 	HandedOver struct {
 		Task    Task
 		Machine MachineID
 	}
-	// Bound says that a machine has bound the task of an attempt.
+	// Bound reports that a machine has bound the task of an attempt.
 	Bound struct {
 		Task    TaskID
 		Attempt int
 		Machine MachineID
 		Took    time.Duration // since the offer
 	}
-	// Note reports something of an attempt's task.
+	// Note reports the state or the resource usage of an attempt's task.
 	Note struct {
 		Task    TaskID
 		Attempt int
@@ -45,7 +45,7 @@
 		Kind    NoteKind
 		Amount  float64
 	}
-	// Outcome says that an attempt is over.
+	// Outcome reports that an attempt has ended.
 	Outcome struct {
 		Task    TaskID
 		Attempt int
@@ -53,14 +53,14 @@
 		Result  Result
 		Reason  RejectReason
 		Took    time.Duration // since the offer
-		Final   bool          // no answer to the request is due any more
+		Final   bool          // the request needs no answer any more
 		Report  *LoadReport   // nil: none
 	}
-	// RequestCanceled says that nobody waits for a request any more.
+	// RequestCanceled reports that the owner no longer waits for the answer to a request.
 	RequestCanceled struct{ Task TaskID }
-	// TimerFired answers SetTimer.
+	// TimerFired reports that a timer of a SetTimer action is due.
 	TimerFired struct{ Timer uint64 }
-	// Probed answers Probe.
+	// Probed is the result of a Probe action.
 	Probed struct {
 		Machine MachineID
 		Result  Result
@@ -83,4 +83,4 @@
 func (RequestCanceled) event()  {}
 func (TimerFired) event()       {}
 func (Probed) event()           {}
-func (GossipReceived) event()         {}
+func (GossipReceived) event()   {}
--- a/gossip.go
+++ b/gossip.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// The form of a capacity message between placers: changes of capacityChangeSize bytes, as many as fit
-// into 256 bytes, with amounts as signed counts of 1/amountScale cores or memory units.
+// The format of a capacity message between placers: changes of capacityChangeSize bytes each, as many as fit
+// into 256 bytes, with amounts as signed multiples of 1/amountScale cores or memory units.
 const (
 	maxMessageSize         = 256
 	capacityChangeSize     = 12
 	maxChangesPerMessage   = maxMessageSize / capacityChangeSize
 	amountScale            = 64
-	capacityChangeFraction = capacityChangeSize / float64(maxMessageSize) // of a full message
+	capacityChangeFraction = capacityChangeSize / float64(maxMessageSize) // share of a full message
 )
 
-// An outlier message of outlierMessageSize bytes names a machine and a class that it fails.
+// The format of an outlier message: the id of a machine and a class of tasks that fail on it.
 const (
 	outlierMessageSize     = 5
 	outlierMessageFraction = outlierMessageSize / float64(maxMessageSize)
 )
 
-// capacityChange is capacity that a task takes on a machine, or releases where the amounts are negative.
+// capacityChange is the capacity that a task reserves on a machine; negative amounts are released.
 type capacityChange struct {
-	at            time.Duration // when it was received
+	at            time.Duration // time of receipt
 	program       uint32
 	machine       MachineID
 	cores, memory float64
@@ -41,7 +41,7 @@
 	return MachineID(binary.LittleEndian.Uint32(message)), int(message[4]), true
 }
 
-// encodeCapacityChanges encodes changes into as many messages as it takes.
+// encodeCapacityChanges encodes changes into as many messages as needed.
 func encodeCapacityChanges(changes []capacityChange) [][]byte {
 	var messages [][]byte
 	for len(changes) > 0 {
@@ -59,7 +59,7 @@
 	return messages
 }
 
-// decodeCapacityChanges decodes a message; trailing bytes shorter than a change are ignored.
+// decodeCapacityChanges decodes a message. It ignores trailing bytes that are shorter than a change.
 func decodeCapacityChanges(message []byte) []capacityChange {
 	var changes []capacityChange
 	for ; len(message) >= capacityChangeSize; message = message[capacityChangeSize:] {
@@ -73,7 +73,7 @@
 	return changes
 }
 
-// encodeAmount rounds an amount to the scale and clamps it to what 16 bits hold.
+// encodeAmount rounds an amount to a multiple of 1/amountScale and clamps it to 16 bits.
 func encodeAmount(amount float64) uint16 {
 	return uint16(int16(min(max(math.Round(amount*amountScale), math.MinInt16), math.MaxInt16)))
 }
--- a/intervals.go
+++ b/intervals.go
@@ -2,22 +2,24 @@
 
 import "math"
 
-// Tuned values of size intervals and groups.
+// Constants of size intervals and groups.
 const (
-	machinesPerGroup = 3 // still leaves a choice when one machine is full and one drains
-	// Two intervals at least, so that large tasks have a group of their own; few at most, and two where
-	// placers are many: those whose thresholds differ a little still mean the same group.
+	machinesPerGroup = 3 // leaves one to use when one is full and one drains
+	// At least two intervals, so that large tasks have a group of their own. At most a few, and only two with
+	// many placers, so that placers whose thresholds differ slightly still select the same group.
 	minIntervals, maxIntervals = 2, 4
-	// Sizes are forgotten by the count of later ones, so that a placer that sees few tasks has data too.
+	// Sizes decay with the number of later tasks, not with time, so that a placer that sees few tasks has
+	// data too.
 	sizeHistory = 1000
-	meanWeight  = 30   // the configured mean weighs as much as so many observed tasks of mean size
-	minSize     = 1e-9 // a size of 0 counts as this where it divides, in cores or memory units
+	meanWeight  = 30   // weight of the configured mean, in observed tasks of mean size
+	minSize     = 1e-9 // replaces a size of 0 in divisions, in cores or memory units
 )
 
-// loadPosition is where a task stands in the cumulative load, from 0 to 1 (eta in the paper): interval
-// i of n is [i/n, (i+1)/n). The service's hash spreads a size over the load that this size has, so that
-// a threshold inside it splits it in the right shares. The configured mean, which splits in half without
-// data, counts as observed load: placers that each see few tasks then still agree.
+// loadPosition returns the position of a task's size in the cumulative load, from 0 to 1 (eta in the paper):
+// interval i of n is [i/n, (i+1)/n). The service's hash spreads the tasks of one size over the load of that
+// size, so that a threshold within it divides them in the right proportion. The configured mean counts as
+// observed load, so that placers that each see few tasks agree; without data, it is the threshold between
+// the two halves.
 func (h *sizeHistogram) loadPosition(size, mean float64, service uint64) float64 {
 	configured, bucket := meanWeight*max(mean, minSize), sizeBucket(size)
 	offset := unitInterval(hash64(service ^ saltSizeOffset))
@@ -31,7 +33,7 @@
 	return min(below/(configured+h.total), math.Nextafter(1, 0))
 }
 
-// intervalCount is the number of size intervals of a pool, and so of its groups.
+// intervalCount returns the number of size intervals of a pool, which is also the number of its groups.
 func (p *Placer) intervalCount(pool *pool) int {
 	machines, limit := len(pool.order), maxIntervals
 	if !p.seesPeerChanges() {
@@ -41,8 +43,8 @@
 	return min(machines, max(minIntervals, min(limit, rounded)))
 }
 
-// poolFor picks the machine type: the one that the task's class needs, else by the service's hash in
-// proportion to the cores of each type.
+// poolFor returns the index of the machine type for a task: the type that its class requires, otherwise one
+// selected by the service's hash in proportion to the cores of each type.
 func (p *Placer) poolFor(t *Task) int {
 	if required := p.settings.Classes[t.Class].MachineType; required >= 0 {
 		return required
--- a/machinelist.go
+++ b/machinelist.go
@@ -7,28 +7,29 @@
 	"time"
 )
 
-// Tuned values of the machine list and of standby.
+// Constants of the machine list and of standby machines.
 const (
-	minPollBackoff          = 300 * time.Millisecond // after a failed poll, doubled at each further one
+	minPollBackoff          = 300 * time.Millisecond // after a failed poll, doubled at each consecutive one
 	maxPollBackoffDoublings = 8
-	pollFailuresToLog       = 5 // so many failed polls in a row are logged for whoever is on call
-	// The list service takes a few dozen polls a second from all placers: each adds this to their spread.
+	pollFailuresToLog       = 5 // consecutive failed polls after which the operator is told
+	// The list service handles a few dozen polls per second from all placers together: each placer adds this
+	// to the time over which they are spread.
 	pollSpreadPerPlacer = 20 * time.Millisecond
-	removedRetention    = time.Minute // then a removed machine is forgotten, at the next change of members
-	// Machines go on standby where all that is requested fits on the others, filled up to this share.
+	removedRetention    = time.Minute // after which a change of members deletes a removed machine
+	// Machines go on standby if everything requested fits on the others, filled up to this share.
 	standbyUtilization = 0.85
-	standbySpares      = 1 // so many more than those stay in use
+	standbySpares      = 1 // machines that stay in use beyond those needed
 )
 
-// poll asks for the list's changes, again if the poll stays unanswered.
+// poll requests the changes of the list and schedules a repeat in case there is no reply.
 func (p *Placer) poll() {
 	p.emit(Subscribe{})
 	p.schedulePoll(p.jitter(p.settings.MaxPollInterval / 2))
 }
 
-// schedulePoll sets the one timer for the next poll; an earlier one no longer counts. It guards against
-// polls that multiply while the list fails and, with pollSpread, against placers that all poll at one
-// moment: at a start, or when the list comes back or breaks. A lone placer does not wait.
+// schedulePoll sets the timer for the next poll. Only the latest timer counts, so that polls don't multiply
+// while the list fails. The first delay and the backoff include pollSpread, so that placers don't all poll
+// at the same moment when they start or when the list fails or recovers. A single placer polls at once.
 func (p *Placer) schedulePoll(backoff time.Duration) {
 	if p.settings.ListWatched {
 		return
@@ -42,7 +43,7 @@
 	}
 }
 
-// pollSpread is the time over which polls and probes that all placers would send at one moment are spread.
+// pollSpread is the time over which polls and probes are spread that all placers would send at once.
 func (p *Placer) pollSpread() time.Duration {
 	return min(pollSpreadPerPlacer*time.Duration(p.settings.Placers-1), p.settings.MaxPollInterval/2)
 }
@@ -81,19 +82,20 @@
 	}
 }
 
-// applyListEntry replaces what the list says of a machine. An entry of an unknown type is ignored.
+// applyListEntry replaces the list entry of a machine. It ignores an entry with an unknown machine type.
 func (p *Placer) applyListEntry(entry Machine) {
 	if entry.Type < 0 || entry.Type >= len(p.pools) {
 		return
 	}
 	m := p.machine(entry.ID)
 	if entry.StartedAt > m.StartedAt || m.State == Removed {
-		// It has restarted: its programs are gone and its failed checks are void. Guards against excluding a
-		// machine that was unreachable, left the list and came back; a wrong list costs one failed offer.
+		// The machine has restarted: its programs are gone and its failed checks no longer apply. Otherwise a
+		// machine that was unreachable, left the list and came back would get no offers for good. If the list
+		// is wrong, that costs one failed offer.
 		m.cachedPrograms, m.probing, m.failures, m.suspectUntil = nil, false, 0, 0
 	}
 	if m.listedAt > 0 && entry.StartedAt == m.StartedAt {
-		p.learnViewLag(m, entry.AvailableCores-m.AvailableCores)
+		p.updateListLag(m, entry.AvailableCores-m.AvailableCores)
 	}
 	poolChanged := m.Type != entry.Type || (m.State == Removed) != (entry.State == Removed)
 	p.membershipChanged = p.membershipChanged || poolChanged
@@ -106,11 +108,12 @@
 	}
 }
 
-// updateStandby puts machines of a pool on standby where the others have capacity for all that is requested
-// and more: they get nothing new while that is so, and are free of tasks in time. Machines in use beyond
-// need have a cost. Those that started last stay in use, since a replacement of all machines takes the
-// oldest first, then the fullest. It acts where placers are few and gossip about what they reserve. It may
-// hurt where many tasks come at once: one that finds no capacity or long queues elsewhere still goes there.
+// updateStandby puts machines of a pool on standby if the others have capacity for everything requested and a
+// reserve. Machines on standby get no new tasks while others have capacity, and so become empty over time:
+// surplus machines in use have a cost. The machines that started last stay in use, since a replacement of
+// all machines takes the oldest first; among equals, the fullest stay. Standby needs gossip about
+// reservations, hence few placers. The cost: when many tasks arrive at once, one that finds no capacity or
+// long queues elsewhere still starts on a machine on standby.
 func (p *Placer) updateStandby(pool *pool) {
 	if p.settings.Costs.SurplusMachine == 0 || !p.seesPeerChanges() {
 		return
@@ -130,7 +133,7 @@
 		return
 	}
 	slices.SortStableFunc(ready, func(a, b *machine) int {
-		newestFirst := cmp.Compare(p.lateStart(b), p.lateStart(a))
+		newestFirst := cmp.Compare(p.warmStartTime(b), p.warmStartTime(a))
 		return cmp.Or(newestFirst, cmp.Compare(p.availableShare(a), p.availableShare(b)))
 	})
 	machineType := p.settings.MachineTypes[ready[0].Type]
@@ -141,15 +144,16 @@
 	}
 }
 
-// lateStart is when the machine started, if it is warmed up and started after the placers; else 0.
-func (p *Placer) lateStart(m *machine) time.Duration {
+// warmStartTime returns the time of the machine's latest start, or 0 if it is in slow start or started before
+// the placers.
+func (p *Placer) warmStartTime(m *machine) time.Duration {
 	if p.inSlowStart(m) {
 		return 0
 	}
 	return m.StartedAt
 }
 
-// availableShare is how much of the machine is not requested, of cores and memory the scarcer.
+// availableShare returns the available share of the machine's cores or memory, whichever is smaller.
 func (p *Placer) availableShare(m *machine) float64 {
 	cores, memory := p.available(m)
 	return min(cores/p.settings.MachineTypes[m.Type].Cores, memory/p.settings.MachineTypes[m.Type].Memory)
--- a/model.go
+++ b/model.go
@@ -8,31 +8,31 @@
 // MachineID identifies a machine; it is the same at every placer.
 type MachineID uint32
 
-// Task is what a placement request says of a task.
+// Task is the description of a task in a placement request.
 type Task struct {
 	ID                TaskID
-	Key               uint64 // of the task, the same in each request for it
+	Key               uint64 // identifies the task in all requests for it
 	Service           uint64
 	Class             int
 	Tenant            int
-	Timeout           time.Duration // until its owner gives this request up
-	RemainingLifetime time.Duration // how long it will still run, an estimate; 0 if not known
+	Timeout           time.Duration // until its owner gives up this request
+	RemainingLifetime time.Duration // estimate of the remaining run time; 0 if not known
 	Cores             float64
 	Memory            float64
-	Resubmitted       bool         // this is not the first request for it
-	RequiredLabels    uint64       // labels that its machine must carry, one a bit; 0: none
-	SpreadLimits      SpreadLimits // of its service, beside that of its class
+	Resubmitted       bool         // there were earlier requests for the task
+	RequiredLabels    uint64       // labels that its machine must have, one per bit; 0: none
+	SpreadLimits      SpreadLimits // of its service, in addition to the limit of its class
 }
 
-// SpreadLimits are the maximum numbers of tasks of one service in a domain of each level; 0: no limit.
+// SpreadLimits has, by domain level, the maximum number of tasks of one service in one domain; 0: no limit.
 type SpreadLimits [ZoneDomain + 1]int
 
-// MachineState is what the list says of a machine.
+// MachineState is the state of a machine in the list.
 type MachineState uint8
 
 // The states of a machine.
 const (
-	Draining MachineState = iota // no new tasks
+	Draining MachineState = iota // accepts no new tasks
 	Ready
 	Removed
 )
@@ -44,58 +44,58 @@
 	Type            int
 	Zone            int
 	Cell            int
-	StartedAt       time.Duration // latest start; 0 if long past
-	AvailableCores  float64       // not requested, as of a while ago
+	StartedAt       time.Duration // latest start; 0 if long ago
+	AvailableCores  float64       // not requested, as of some time ago
 	AvailableMemory float64
-	Labels          uint64 // what it carries of the labels that tasks may require
+	Labels          uint64 // one bit per label that tasks may require
 }
 
 // LoadReport is a machine's load report. Fields that are not reported are NaN.
 type LoadReport struct {
 	AvailableCores  float64
 	AvailableMemory float64
-	Queue           float64 // offers and starts waiting
-	Utilization     float64 // share of its cores busy
+	Queue           float64 // number of waiting offers and starts
+	Utilization     float64 // busy share of its cores
 }
 
-// Result says how an attempt or a probe ended.
+// Result is the way in which an attempt or a probe ended.
 type Result uint8
 
 // The results.
 const (
-	OK            Result = iota // the task has ended, the probe was answered
+	OK            Result = iota // the task has ended, or the probe was answered
 	Errored                     // the machine returned an error
 	Rejected                    // the machine rejected the offer
 	TimedOut                    // no answer in time
-	ConnectFailed               // no connection
-	Reset                       // lost before or after its bind
+	ConnectFailed               // no connection could be made
+	Reset                       // the attempt was lost, before or after its bind
 	Withdrawn                   // withdrawn by the placer
-	NotSent                     // never sent
+	NotSent                     // the offer was never sent
 )
 
-// RejectReason says why a machine rejected or ended a task.
+// RejectReason is the reason why a machine rejected an offer or ended a task.
 type RejectReason uint8
 
-// The reasons.
+// The reasons for a rejection or an end.
 const (
 	NoReason RejectReason = iota
 	InsufficientCores
 	InsufficientMemory
 	QueueFull
-	Unsuitable // the machine may not run the task
-	Evicted    // its memory ran short
-	Preempted  // by a higher priority
+	Unsuitable // the machine is not allowed to run the task
+	Evicted    // the machine's memory ran short
+	Preempted  // in favor of a task of higher priority
 	Dismissed  // the machine drains
 )
 
-// NoteKind says what a Note reports.
+// NoteKind is the kind of information in a Note.
 type NoteKind uint8
 
-// The kinds of notes.
+// The kinds of notes. The comment names the amount, if the note has one.
 const (
 	NoteRunning        NoteKind = 1 // the task runs
-	NoteCoresUsed      NoteKind = 2 // cores it uses
-	NoteMemoryUsed     NoteKind = 3 // memory it uses
-	NoteServiceLevel   NoteKind = 4 // the share of full service it gets
-	NoteMemoryPressure NoteKind = 5 // the share of its machine's memory in use
+	NoteCoresUsed      NoteKind = 2 // cores that the task uses
+	NoteMemoryUsed     NoteKind = 3 // memory that the task uses
+	NoteServiceLevel   NoteKind = 4 // share of full service that the task gets
+	NoteMemoryPressure NoteKind = 5 // share of its machine's memory in use
 )
--- a/outliers.go
+++ b/outliers.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Tuned values of outlier detection and health checks.
+// Constants of outlier detection and health checks.
 const (
-	maxEjectionTime     = 10 * time.Second       // for a class: the length of a short fault
-	outlierWindow       = maxEjectionTime        // two failures of a class within this eject a machine
-	minSuspectTime      = 500 * time.Millisecond // after a failed probe or connection, doubled at each one
+	maxEjectionTime     = 10 * time.Second       // from a class; as long as a short fault
+	outlierWindow       = maxEjectionTime        // two failures of a class in this time eject a machine
+	minSuspectTime      = 500 * time.Millisecond // after a failed check, doubled at each consecutive one
 	maxSuspectTime      = 4 * time.Second
 	maxSuspectDoublings = 8
 )
 
-// reportOutlier counts a failed attempt of the class against a machine that answers otherwise, and gossips
-// it to the other placers, which see too few tasks to find out alone. It guards against machines that fail
-// at one class for whatever reason, and may hurt where starts are slow for a while.
+// reportOutlier records a failed attempt of the class on a machine that otherwise answers, and gossips it to
+// the other placers, as each sees too few tasks to detect the outlier alone. Such a machine fails tasks of
+// one class, whatever the cause. The cost: machines with slow starts for a while may be ejected too.
 func (p *Placer) reportOutlier(m *machine, class int) {
 	p.recordOutlierFailure(m, class)
 	cost := float64(p.settings.Placers-1) * outlierMessageFraction * p.settings.Costs.Gossip
@@ -23,9 +23,9 @@
 	}
 }
 
-// reportErroredMachines counts against a machine that it returned an error for a task that another machine
-// has bound. A task that gets errors everywhere says nothing about machines, so a client that sends such
-// tasks gets none ejected.
+// reportErroredMachines reports each machine that returned an error for a task that another machine has
+// bound. Errors of a task that fails everywhere are no evidence against a machine, so a client that sends
+// such tasks doesn't cause ejections.
 func (p *Placer) reportErroredMachines(t *task) {
 	for _, a := range t.attempts {
 		if a.errored {
@@ -34,8 +34,9 @@
 	}
 }
 
-// recordOutlierFailure ejects the machine for the class for a while at the second failure within
-// outlierWindow with no start between, ours or others'; jitter lets few placers try it first.
+// recordOutlierFailure records a failure of the class on the machine, seen by this or another placer. The
+// second failure within outlierWindow without a start in between ejects the machine for the class. Jitter in
+// the ejection time lets a few placers try the machine first.
 func (p *Placer) recordOutlierFailure(m *machine, class int) {
 	if m.outliers == nil {
 		m.outliers = make([]outlierState, len(p.settings.Classes))
@@ -47,17 +48,17 @@
 	outlier.failedAt = p.now
 }
 
-// isEjected says whether the machine gets no tasks of the class for now.
+// isEjected reports whether the machine is ejected for the class.
 func (p *Placer) isEjected(m *machine, class int) bool {
 	return m.outliers != nil && p.now < m.outliers[class].ejectedUntil
 }
 
-// isHealthy says whether the machine is neither suspect nor ejected for the class.
+// isHealthy reports whether the machine is neither suspect nor ejected for the class.
 func (p *Placer) isHealthy(m *machine, class int) bool {
 	return p.now >= m.suspectUntil && m.failures == 0 && !p.isEjected(m, class)
 }
 
-// probe checks a machine. One that does not answer gets nothing new until it does.
+// probe sends a health check to a machine. A machine that doesn't answer gets no offers until it does.
 func (p *Placer) probe(m *machine) {
 	if p.settings.MayProbe && !m.probing && m.State != Removed {
 		m.probing = true
@@ -65,7 +66,7 @@
 	}
 }
 
-// recordHealth takes what the result of an attempt or a probe says of the machine.
+// recordHealth marks the machine healthy or suspect according to the result of an attempt or a probe.
 func (p *Placer) recordHealth(m *machine, result Result) {
 	switch result {
 	case OK, Rejected:
@@ -80,7 +81,7 @@
 	}
 }
 
-// markHealthy notes that the machine has answered.
+// markHealthy records that the machine has answered and is no longer suspect.
 func (p *Placer) markHealthy(m *machine) {
 	m.failures, m.suspectUntil, m.answeredAt = 0, 0, p.now
 }
--- a/placer.go
+++ b/placer.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Step takes the events of one moment in order and returns what to do, in order. The time
-// counts from an epoch that all placers share and never goes back.
+// Step handles the events of one moment and returns the actions to take, in order. The time counts from an
+// epoch that all placers share and never goes backward.
 func (p *Placer) Step(now time.Duration, events []Event) []Action {
 	p.now, p.actions = now, nil
 	if !p.started {
@@ -27,9 +27,9 @@
 	return p.actions
 }
 
-// orderEvents puts lists and handed-over tasks before the other events of a moment and timers after them:
-// no offer then relies on older knowledge than the moment has, and a placer that was paused reads the
-// answers that came meanwhile before it takes their attempts for overdue.
+// orderEvents moves list updates and handed-over tasks before the other events of a moment, so that no offer
+// relies on outdated state. It moves timers after them, so that a placer that was paused handles the answers
+// that arrived in the meantime before it treats their attempts as overdue.
 func orderEvents(events []Event) []Event {
 	rank := func(event Event) int {
 		switch event.(type) {
--- a/queue.go
+++ b/queue.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// Tuned values of the queue and of final answers.
+// Constants of the queue and of final answers.
 const (
-	queueRetryInterval = 50 * time.Millisecond // how often queued tasks are tried beside each change
-	deadlineMargin     = 5 * time.Millisecond  // a task is answered so long before its owner gives up
-	// A start in time is worth about as much as the half of a task's run that is left on average.
-	timelyWeight  = 1.5
-	minQuotaTasks = 4 // a placer's part of a quota is at least so many mean tasks: fewer come by chance
+	queueRetryInterval = 50 * time.Millisecond // between retries of queued tasks, besides one at each change
+	deadlineMargin     = 5 * time.Millisecond  // before the owner gives up, for the final answer
+	// Factor on the priority while a start is in time: such a start is worth about as much as half of a
+	// task's run, which is what is left of it on average.
+	timelyStartFactor = 1.5
+	minQuotaTasks     = 4 // minimum share of a placer in a quota, in mean tasks: fewer arrive by chance
 )
 
 func (p *Placer) handleRequest(request Task) {
@@ -60,27 +61,28 @@
 	}
 }
 
-// queuePriority ranks queued tasks: by the weight of their class, less where their tenant is beyond its
-// quota of what we place, more while a start is still in time. It guards tenants within their quota, and
-// may hurt where this placer sees an uneven part of a tenant's traffic.
+// queuePriority returns the priority of a queued task: the weight of its class, higher while a start is still
+// in time, lower if its tenant exceeds this placer's share of the quota, so that tenants within their quota
+// don't wait for those beyond it. The cost: a tenant whose traffic is uneven among placers may be taken to
+// exceed its quota.
 func (p *Placer) queuePriority(t *task) float64 {
 	class := &p.settings.Classes[t.Class]
 	priority := class.Weight
 	if p.now < t.deadline-t.Timeout+class.LatencyObjective {
-		priority *= timelyWeight
+		priority *= timelyStartFactor
 	}
 	if t.Tenant >= 0 && t.Tenant < len(p.settings.Tenants) {
 		quota := p.settings.Tenants[t.Tenant].QuotaCores
-		ourPart := max(quota/float64(p.settings.Placers), minQuotaTasks*p.settings.MeanCores)
-		if quota > 0 && p.reservedCores[t.Tenant]+t.Cores > ourPart {
+		ourShare := max(quota/float64(p.settings.Placers), minQuotaTasks*p.settings.MeanCores)
+		if quota > 0 && p.reservedCores[t.Tenant]+t.Cores > ourShare {
 			priority *= p.settings.OverQuotaWeight
 		}
 	}
 	return priority
 }
 
-// place offers the task to a machine, finishes it where nothing more may be sent, or returns false where
-// it has to wait for capacity.
+// place offers the task to a machine, or finishes it if no further attempt is allowed. It returns false if
+// the task has to wait for capacity.
 func (p *Placer) place(t *task) bool {
 	if len(t.attempts) >= p.settings.MaxAttempts || !p.mayAttempt(t) {
 		p.finish(t)
@@ -94,7 +96,7 @@
 	return true
 }
 
-// finish gives the task its final answer: a rejection where a retry is harmless, else a failure.
+// finish gives the task its final answer: a rejection if a retry is harmless, otherwise a failure.
 func (p *Placer) finish(t *task) {
 	if !t.pending {
 		return
--- a/selection.go
+++ b/selection.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Tuned values of the choice of a machine.
+// Constants of the selection of a machine.
 const (
-	numberOfChoices = 2           // a service's program then stays present on two machines
-	maxStarting     = 3           // more of our own tasks that start on a machine delay each other
-	lotterySlot     = time.Second // a draw for a machine's capacity is valid this long: about the list's lag
+	numberOfChoices = 2           // candidates; a service's program then stays cached on two machines
+	maxStarting     = 3           // starts by this placer on a machine; more delay each other
+	lotterySlot     = time.Second // validity of a draw for a machine's capacity, about the lag of the list
 )
 
-// selectionPass is what a machine must offer to be selected.
+// selectionPass has the conditions under which a machine is selected in one pass.
 type selectionPass struct {
-	programCached bool // it holds the service's program
-	standby       bool // it may be on standby
-	maxStarting   int  // fewer than so many of our tasks are starting there
-	preempt       bool // capacity counts what tasks of lower priority hold, which the machine preempts
-	overcommit    bool // capacity up to half service, not only as far as the machine serves well
+	programCached bool // the machine has the service's program
+	standby       bool // the machine may be on standby
+	maxStarting   int  // fewer than this many tasks of this placer are starting on the machine
+	preempt       bool // tasks of lower priority, which the machine preempts, count as capacity
+	overcommit    bool // capacity counts down to half of full service, not only to full service
 }
 
-// selectionPasses are tried in turn, each over all groups from the task's own outwards. Starts cost
-// several times more where the program is absent, and a machine starts few tasks at a time: so a machine
-// with the program comes first, wherever it is, then one with an empty queue.
+// selectionPasses are tried in order, each over all groups outward from the task's own. A start without the
+// program costs several times more, and a machine starts few tasks at a time: so a machine with the program
+// comes first, in whichever group it is, then one with an empty queue.
 var selectionPasses = []selectionPass{
 	{programCached: true, maxStarting: 2 * maxStarting},
 	{programCached: true, maxStarting: 2 * maxStarting, standby: true},
@@ -32,7 +32,8 @@
 	{maxStarting: 2 * maxStarting, overcommit: true, preempt: true, standby: true},
 }
 
-// selectMachine tries each pass in the pool of the task and then in the others, if its class allows them.
+// selectMachine returns a machine for the task, or nil. It tries each pass in the task's pool and then,
+// unless its class requires a machine type, in the other pools.
 func (p *Placer) selectMachine(t *task, passes []selectionPass) *machine {
 	class := &p.settings.Classes[t.Class]
 	for i := range passes {
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// selectInPool looks in the group that owns the task's size first and then in ever farther ones.
+// selectInPool tries the group that serves the task's size first, then groups at increasing distance.
 func (p *Placer) selectInPool(t *task, machineType int, pass *selectionPass) *machine {
 	pool := p.pools[machineType]
 	groups := p.intervalCount(pool)
@@ -65,7 +66,7 @@
 	own := int(pool.sizes.loadPosition(t.Cores, p.settings.MeanCores, t.Service) * float64(groups))
 	for step := range 2 * groups {
 		i := own + step/2
-		if step%2 == 1 { // downward first: upward lies the capacity that large tasks need
+		if step%2 == 1 { // downward first, to keep the groups above free for large tasks
 			i = own - (step+1)/2
 		}
 		if i < 0 || i >= groups {
@@ -78,10 +79,10 @@
 	return nil
 }
 
-// selectInGroup takes the tightest fit of a few machines of the group that have capacity, or of all that
-// hold the service's program if any do. The few go by the service's hash, so that all placers bring one
-// program to the same machines. Where placers are many and the list lags too far behind to show the fit,
-// the first by the hash is taken.
+// selectInGroup returns the tightest fit among the machines of the group that have capacity and the service's
+// program or, if there are none, among the first numberOfChoices machines with capacity in the order of their
+// rank for the service. All placers have the same order, so they bring a program to the same machines. With
+// many placers the list lags too much to show the fit, and the first machine in the order is returned.
 func (p *Placer) selectInGroup(t *task, group []*machine, pass *selectionPass) *machine {
 	p.candidates = p.candidates[:0]
 	requireProgram, choices := pass.programCached, numberOfChoices
@@ -107,13 +108,13 @@
 	return p.tightestFit(t, p.candidates)
 }
 
-// admits says whether the machine can take the task in this pass.
+// admits reports whether the machine can be selected for the task in this pass.
 func (p *Placer) admits(t *task, m *machine, pass *selectionPass) bool {
 	inUse := !m.standby || pass.standby
 	return inUse && p.isEligible(t, m) && p.hasCapacity(t, m, pass) && p.winsLottery(t, m)
 }
 
-// tightestFit returns the candidate on which the task would leave least, the first of equals.
+// tightestFit returns the candidate on which the task leaves the least available, the first among equals.
 func (p *Placer) tightestFit(t *task, candidates []*machine) *machine {
 	var best *machine
 	for _, m := range candidates {
@@ -124,17 +125,18 @@
 	return best
 }
 
-// leftover is what the task would leave available, the sum of cores and memory, each as a share of the
-// machine.
+// leftover returns what the task leaves available on the machine: the sum of cores and memory, each as a
+// share of the machine's.
 func (p *Placer) leftover(t *task, m *machine) float64 {
 	cores, memory := p.available(m)
 	machineType := p.settings.MachineTypes[m.Type]
 	return (cores-t.Cores)/machineType.Cores + (memory-t.Memory)/machineType.Memory
 }
 
-// winsLottery draws, by a hash that all placers share, who may offer into a machine's capacity: as many
-// placers in a slot of time as tasks like this would fit. It acts on tasks that were rejected twice. It
-// guards against all placers offering into one gap, and may hurt where few of them have anything to place.
+// winsLottery reports whether this placer may offer the task to the machine in the current time slot. A hash
+// that all placers share draws, on average, as many placers as tasks of this size fit, so that they don't all
+// offer to the same machine. Only tasks after two attempts take part. The cost: if few of the placers drawn
+// have tasks to place, capacity stays unused during the slot.
 func (p *Placer) winsLottery(t *task, m *machine) bool {
 	if len(t.attempts) < 2 || p.seesPeerChanges() {
 		return true
@@ -145,8 +147,9 @@
 	return unitInterval(hash64(slot^uint64(p.settings.Self)))*float64(p.settings.Placers) < winners
 }
 
-// isEligible applies the filters that no shortage of capacity lifts: state, health, the slow-start budget,
-// the group of a keyed task, the labels that the task needs and the spread of its service.
+// isEligible applies the conditions that hold in all passes, however scarce capacity is: the state and health
+// of the machine, its slow-start budget, the deduplication domain of a keyed task, errors of the task on the
+// machine, the labels that the task requires and the spread limits.
 func (p *Placer) isEligible(t *task, m *machine) bool {
 	if m.State != Ready || !p.isHealthy(m, t.Class) || !p.withinSlowStartBudget(m) {
 		return false
@@ -162,7 +165,8 @@
 	return t.RequiredLabels&^m.Labels == 0 && p.withinSpreadLimits(t, m)
 }
 
-// withinSpreadLimits says whether the task keeps the spread of its service and that of its class.
+// withinSpreadLimits reports whether the task on the machine keeps the spread limits of its service and
+// class.
 func (p *Placer) withinSpreadLimits(t *task, m *machine) bool {
 	for domain, limit := range t.SpreadLimits {
 		if limit > 0 && !p.withinSpread(t, m, Domain(domain), limit) {
@@ -173,7 +177,8 @@
 	return p.withinSpread(t, m, class.SpreadDomain, class.MaxPerDomain)
 }
 
-// withinSpread says whether the service has fewer live attempts than the limit in the machine's domain.
+// withinSpread reports whether the task's service has fewer live attempts than the limit in the machine's
+// domain.
 func (p *Placer) withinSpread(t *task, m *machine, domain Domain, limit int) bool {
 	if domain == AnyDomain {
 		return true
--- a/settings.go
+++ b/settings.go
@@ -2,98 +2,98 @@
 
 import "time"
 
-// Settings are what a placer is configured with when it starts. Amounts of cores are in cores, amounts of
-// memory in the units of the machine types.
+// Settings is the configuration of a placer, which doesn't change after New. Amounts of cores are in cores,
+// amounts of memory in the units of the machine types.
 //
-// The module does not read MeanMemory, ServiceAffinity, the Notes and Reports flags but ReportsCountRequested,
-// ParallelAttempts, OwnerBackoff, MaxRetryAfter, ConnectTimeout, AnswerSlack, DrainGrace,
-// SlowStartInitialRate, SlowStartOverload, the costs but SurplusMachine and Gossip, nor LateWeight and
-// StartWeight of a class and Quota of a tenant: a core does, or nobody.
+// This package doesn't use MeanMemory, ServiceAffinity, the Notes and Reports flags except
+// ReportsCountRequested, ParallelAttempts, OwnerBackoff, MaxRetryAfter, ConnectTimeout, AnswerSlack,
+// DrainGrace, SlowStartInitialRate, SlowStartOverload, the costs except SurplusMachine and Gossip, LateWeight
+// and StartWeight of a class, or Quota of a tenant. Other packages use them, or none does.
 type Settings struct {
-	Placers int // placers that share the machines, this one included; at least 1
-	Self    int // the number of this placer among them, from 0
-	Zone    int // the zone that this placer is in
+	Placers int // number of placers that share the machines, including this one; at least 1
+	Self    int // index of this placer among them, from 0
+	Zone    int // zone of this placer
 
 	MachineTypes []MachineType // at least one
 	Classes      []Class       // at least one
 	Tenants      []Tenant
 
-	MeanCores  float64 // configured mean of the cores that a task requests
-	MeanMemory float64 // and of its memory
+	MeanCores  float64 // expected mean of the cores that a task requests
+	MeanMemory float64 // expected mean of the memory that a task requests
 
 	CoresOvercommit  float64 // a machine accepts requests up to this multiple of its cores
-	MemoryOvercommit float64 // and of its memory
+	MemoryOvercommit float64 // a machine accepts requests up to this multiple of its memory
 
-	BoundWhenRunning      bool // Bound comes when the task runs, not when it is accepted
-	ServiceAffinity       bool // the tasks of one service come to one placer
-	Preemption            bool // machines preempt lower priorities for higher ones
-	NotesReportUsage      bool // notes report what a task uses
-	NotesReportPressure   bool // notes report poor service and short memory
+	BoundWhenRunning      bool // Bound is sent when the task runs, not when it is accepted
+	ServiceAffinity       bool // all tasks of a service are requested from one placer
+	Preemption            bool // machines preempt tasks in favor of higher priorities
+	NotesReportUsage      bool // notes report the cores and memory that a task uses
+	NotesReportPressure   bool // notes report low service levels and memory pressure
 	ListReportsAvailable  bool // list entries carry available cores and memory
-	ListWatched           bool // changes of the list come without a poll
-	ReportsInOutcomes     bool // load reports come with outcomes
-	ReportsInProbes       bool // load reports come with probe results
-	ReportsCountRequested bool // reported available amounts count what was requested, not what is used
+	ListWatched           bool // changes of the list are pushed, without polls
+	ReportsInOutcomes     bool // outcomes have load reports
+	ReportsInProbes       bool // probe results have load reports
+	ReportsCountRequested bool // available amounts in reports exclude what is requested, not what is used
 
-	MaxAttempts      int  // offers for one placement request; at least 1
+	MaxAttempts      int  // maximum number of offers for one placement request; at least 1
 	ParallelAttempts bool // two offers for one request may be in flight at once
 	MayWithdraw      bool // Withdraw is allowed
 	MayProbe         bool // Probe is allowed
 	MayGossip        bool // Gossip is allowed
 
-	OwnerBackoff    time.Duration // owners wait this long after an attempt that may have run
-	MaxRetryAfter   time.Duration // longest Reject.RetryAfter that an owner honors
+	OwnerBackoff    time.Duration // time that owners wait after an attempt that may have run
+	MaxRetryAfter   time.Duration // maximum Reject.RetryAfter that an owner honors
 	ConnectTimeout  time.Duration
-	AnswerSlack     time.Duration // an answer this long after the deadline still counts
-	DrainGrace      time.Duration // no offer later than this after a drain was announced
-	MaxPollInterval time.Duration // without a watch, the list has to be polled this often
+	AnswerSlack     time.Duration // time after the deadline in which an answer still counts
+	DrainGrace      time.Duration // time after the announcement of a drain in which offers are still allowed
+	MaxPollInterval time.Duration // maximum time between polls of a list that isn't watched
 
-	SlowStartDuration    time.Duration // a fresh machine has warmed up after this at the latest
-	SlowStartWindow      time.Duration // the window over which offers to a machine in slow start count
+	SlowStartDuration    time.Duration // maximum time that a machine takes to warm up after its start
+	SlowStartWindow      time.Duration // window in which offers to a machine in slow start are counted
 	SlowStartMaxOffers   float64       // offers that such a machine can take in a window, from all placers
-	SlowStartInitialRate float64       // the share of its full rate that a fresh machine has at least
-	SlowStartOverload    float64       // it fails when it is offered more than this multiple of its pace
+	SlowStartInitialRate float64       // minimum share of its full start rate that such a machine has
+	SlowStartOverload    float64       // such a machine fails if offered more than this multiple of its rate
 
 	OverQuotaWeight float64 // weight of a task beyond its tenant's quota, relative to one within it
 	Costs           Costs
 }
 
-// Costs are what the deployment charges, as shares of the whole result.
+// Costs are the deductions that the deployment charges, as shares of the whole result.
 type Costs struct {
-	SurplusMachine     float64 // all machines in use beyond need
-	Migration          float64 // each task migrated once
-	EvictionMigrations float64 // migrations that one eviction counts for
-	Rejection          float64 // each task rejected once by a machine
-	RemoteZone         float64 // all tasks outside their placer's zone
-	WastedWork         float64 // work wasted, as much as was requested
-	Probe              float64 // one probe a task
-	Gossip             float64 // one full gossip message a task
-	ListEntries        float64 // a hundred list entries a task
+	SurplusMachine     float64 // all machines in use beyond those needed
+	Migration          float64 // one migration of each task
+	EvictionMigrations float64 // number of migrations that one eviction counts as
+	Rejection          float64 // one rejection of each task by a machine
+	RemoteZone         float64 // placement of all tasks outside their placer's zone
+	WastedWork         float64 // as much wasted work as was requested
+	Probe              float64 // one probe per task
+	Gossip             float64 // one full gossip message per task
+	ListEntries        float64 // a hundred list entries per task
 }
 
-// MachineType is a type of machines of one size.
+// MachineType is the size of the machines of one type.
 type MachineType struct {
 	Cores  float64
 	Memory float64
 }
 
-// Effect says what a repeated start of a task does.
+// Effect is the effect of a repeated start of a task.
 type Effect uint8
 
 // The effects of a repeated start.
 const (
 	Safe   Effect = iota // a repeat is harmless
-	Keyed                // repeats are deduplicated within a domain for a while
+	Keyed                // repeats are deduplicated within DedupDomain for DedupWindow
 	Unsafe               // a task must never be started twice
 )
 
-// Domain is a level of the topology: the machines that deduplicate a keyed task's repeats, or those over
-// which a service is spread.
+// Domain is a level of the topology. The machines of one domain deduplicate the repeats of a keyed task
+// together; spread limits apply to the tasks of a service in one domain.
 type Domain uint8
 
-// The domains.
+// The levels of domains.
 const (
-	AnyDomain     Domain = iota // all machines; as a spread: no limit
+	AnyDomain     Domain = iota // all machines; for spread: no limit
 	MachineDomain               // one machine
 	CellDomain                  // one cell (rack)
 	ZoneDomain                  // one zone
@@ -102,22 +102,22 @@
 // Class is a class of tasks.
 type Class struct {
 	Effect              Effect
-	DedupDomain         Domain        // Keyed: machines that deduplicate repeats
-	DedupWindow         time.Duration // Keyed: for how long, from the first attempt that may have run
-	LatencyObjective    time.Duration // a first start within this earns its full weight
-	Weight              float64       // priority weight: of a second of full service at mean size
+	DedupDomain         Domain        // Keyed: the machines that deduplicate repeats together
+	DedupWindow         time.Duration // Keyed: how long, from the first attempt that may have run
+	LatencyObjective    time.Duration // a first start within it has its full weight
+	Weight              float64       // weight of a second of full service of a task of mean size
 	LateWeight          float64       // share of a start's weight after the latency objective
-	StartWeight         float64       // of a first start in time, in seconds of full service
-	Priority            int           // higher ones preempt lower ones
-	MachineType         int           // the machine type it needs, or -1
-	SpreadDomain        Domain        // where the tasks of one service are limited
-	MaxPerDomain        int           // to how many
-	SaturationThreshold float64       // served in full while cores are busy up to this share
-	DegradationRange    float64       // and not at all this much above it
+	StartWeight         float64       // weight of a first start in time, in seconds of full service
+	Priority            int           // a higher priority preempts a lower one
+	MachineType         int           // index of the required machine type, or -1
+	SpreadDomain        Domain        // level at which the tasks of one service are limited
+	MaxPerDomain        int           // maximum number of tasks of one service in a domain of that level
+	SaturationThreshold float64       // share of busy cores up to which tasks are served in full
+	DegradationRange    float64       // distance above it at which tasks are not served at all
 }
 
 // Tenant is a customer with a quota.
 type Tenant struct {
-	Quota      float64 // share of the cluster that it has paid for
-	QuotaCores float64 // cores requested within its quota, at all placers
+	Quota      float64 // paid share of the cluster
+	QuotaCores float64 // cores that it may request within its quota, at all placers together
 }
--- a/slowstart.go
+++ b/slowstart.go
@@ -1,21 +1,23 @@
 package forkhead
 
-// Tuned values of slow start. With more slots in a window, a slot holds no offer. A slot takes one part in
-// slowStartShares of the maximum: a window touches one slot more than it holds, and one part is left for
-// placers that learn of the start late. So no window has more offers than the maximum.
+// Constants of slow start. A window is divided into slowStartSlots slots; with more of them, the share of a
+// slot would be less than one offer. A slot gets 1/slowStartShares of the maximum of a window: a window
+// overlaps one slot more than it holds, and one share is reserved for placers that learn of the start late.
+// So no window exceeds the maximum.
 const (
 	slowStartSlots  = 3
 	slowStartShares = slowStartSlots + 2
 )
 
-// inSlowStart says whether the machine is warming up.
+// inSlowStart reports whether the machine is warming up.
 func (p *Placer) inSlowStart(m *machine) bool {
 	return m.StartedAt > 0 && p.now < m.StartedAt+p.settings.SlowStartDuration
 }
 
-// withinSlowStartBudget keeps the offers of all placers to a machine that is warming up within what it
-// can always take. Each placer has its share where that is an offer or more, else its turns. What an earlier
-// incarnation of this placer sent is not known, so the first window sends nothing.
+// withinSlowStartBudget reports whether this placer may offer to the machine without exceeding, together with
+// the other placers, the maximum of a machine that is warming up. Each placer has an equal share if that is
+// at least one offer per window; otherwise placers take turns. The offers of an earlier incarnation of this
+// placer are not known, so it sends none in the first window after its start.
 func (p *Placer) withinSlowStartBudget(m *machine) bool {
 	if !p.inSlowStart(m) {
 		return true
@@ -33,14 +35,15 @@
 	return float64(len(m.slowStartOffers)+1) <= share
 }
 
-// hasSlowStartTurn cuts time into slots and gives a few placers one offer each in a slot, others in the
-// next: each computes them from number, machine and time, without messages. It may hurt where clocks
-// differ by more than a slot.
+// hasSlowStartTurn reports whether this placer has a turn to offer to the machine. Time is divided into
+// slots; in each slot a few placers have one offer each, and in the next slot others. Each placer computes
+// its turns from its index, the machine and the time, without messages. The cost: if clocks differ by more
+// than a slot, a window may get more offers than the maximum.
 func (p *Placer) hasSlowStartTurn(m *machine) bool {
 	window, maxOffers := p.settings.SlowStartWindow, p.settings.SlowStartMaxOffers
-	slot, takers := window/slowStartSlots, uint64(maxOffers/slowStartShares)
-	if takers == 0 { // too few offers to cut up: every other window is a slot
-		slot, takers = 2*window, uint64(maxOffers)
+	slot, placersPerSlot := window/slowStartSlots, uint64(maxOffers/slowStartShares)
+	if placersPerSlot == 0 { // too few offers to divide: every other window is a slot
+		slot, placersPerSlot = 2*window, uint64(maxOffers)
 		if slot == 0 || p.now%slot >= window {
 			return false
 		}
@@ -53,6 +56,6 @@
 		return false
 	}
 	placers := uint64(p.settings.Placers)
-	turn := uint64(p.settings.Self) + hash64(uint64(m.ID))%placers + uint64(p.now/slot)%placers*takers
-	return turn%placers < takers
+	turn := uint64(p.settings.Self) + hash64(uint64(m.ID))%placers + uint64(p.now/slot)%placers*placersPerSlot
+	return turn%placers < placersPerSlot
 }
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -305,13 +305,13 @@
 		return maxOffers
 	}
 	const shares = 5 // of the maximum: four slots touch a window where clocks agree, and one share is for late placers
-	takers := math.Floor(maxOffers / shares)
-	if takers == 0 {
+	placersPerSlot := math.Floor(maxOffers / shares)
+	if placersPerSlot == 0 {
 		return 2 * maxOffers
 	}
 	slot := r.settings.SlowStartWindow / slowStartSlots
 	slotsTouched := slowStartSlots + 1 + math.Ceil(float64(difference)/float64(slot))
-	return max(maxOffers, takers*slotsTouched)
+	return max(maxOffers, placersPerSlot*slotsTouched)
 }
 
 // In no run do the placers send more in a window than the machine bears. As no offer waits for its
--- a/state.go
+++ b/state.go
@@ -7,60 +7,62 @@
 	"time"
 )
 
-// neverListed as the time of a list entry is so long ago that all our attempts count as not shown in it.
+// neverListed is the time of a list entry without available amounts: so long ago that all attempts of this
+// placer count as not shown in it.
 const neverListed = -changeHistory
 
-// Placer makes the decisions of one placer. It is not safe for concurrent use.
+// Placer holds the state of one placer and makes its decisions. It is not safe for concurrent use.
 type Placer struct {
 	settings  Settings
 	rng       *rand.Rand
 	now       time.Duration
-	started   bool          // the first step has been made
-	startedAt time.Duration // when
-	actions   []Action      // of this step
+	started   bool          // the first Step has been called
+	startedAt time.Duration // time of the first Step
+	actions   []Action      // returned by the current Step
 
 	machines map[MachineID]*machine
 	pools    []*pool // by machine type
 	tasks    map[TaskID]*task
 	services map[uint64][]*attempt // live attempts of each service
 
-	reservedCores map[int]float64 // requested by our live attempts of each tenant
-	queue         []*task         // to be offered; ended ones are dropped in placeQueued
+	reservedCores map[int]float64 // requested by this placer's live attempts, by tenant
+	queue         []*task         // tasks that wait for capacity; placeQueued drops ended ones
 	candidates    []*machine      // buffer of selectInGroup
 
-	retryTimerSet     bool // the queue's timer is set
+	retryTimerSet     bool // the retry timer of the queue is set
 	membershipChanged bool // machines were added or removed
-	capacityChanged   bool // capacity may have come up
+	capacityChanged   bool // capacity may have become available
 
-	saturationThreshold float64 // cores busy up to this share serve every class in full
+	saturationThreshold float64 // share of busy cores up to which all classes are served in full
 	coreUsage           usageRatio
 	memoryUsage         usageRatio
 	listPolling         pollState
-	viewLag             lagEstimator
-	startTimeP95        time.Duration    // from offer to bind, of the slowest twentieth
-	outlierGossipBudget float64          // what gossip about outliers may still cost, in the unit of Costs times tasks
-	pendingGossip       []capacityChange // of this step
+	listLag             lagEstimator
+	startTimeP95        time.Duration    // estimate of the 95th percentile from offer to bind
+	outlierGossipBudget float64          // remaining cost for gossip about outliers, in the unit of Costs times tasks
+	pendingGossip       []capacityChange // changes to send at the end of this step
 }
 
-// lagEstimator learns by which lag the changes that the list shows match our own binds and ends best.
+// lagEstimator estimates the lag of the list: the candidate at which the listed changes match the known binds
+// and ends best.
 type lagEstimator struct {
-	errors [len(viewLags)]float64 // in cores, decayed
-	best   int                    // index of the lag with the least error
+	errors [len(listLags)]float64 // by candidate lag, in cores, decayed
+	best   int                    // index of the candidate with the least error
 }
 
-// pool is the machines of one type and the sizes of the tasks that were requested of them.
+// pool holds the machines of one type and the sizes of the tasks requested for it.
 type pool struct {
-	order []*machine // by the fixed hash of their ids
+	order []*machine // sorted by the hash of their ids
 	sizes sizeHistogram
 }
 
-// sizeHistogram holds the load of each size: the requested cores of the tasks of that size, decayed.
+// sizeHistogram holds the load of each size: the sum of the cores requested by tasks of that size, decayed.
 type sizeHistogram struct {
 	load  [sizeBuckets]float64
 	total float64
 }
 
-// The buckets of a histogram, 16 for each doubling of the size, from 2^-6 cores up.
+// The buckets of a sizeHistogram: 16 for each doubling of the size, from 2^-6 cores up.
 const (
 	sizeBuckets      = 256
 	bucketsPerDouble = 16
@@ -72,90 +74,92 @@
 	return min(max(bucket, 0), sizeBuckets-1)
 }
 
-// group returns the machines of interval i of n: equal runs of the order.
+// group returns the machines of size interval i of n. The groups are consecutive parts of the order of equal
+// length.
 func (pool *pool) group(i, n int) []*machine {
 	return pool.order[i*len(pool.order)/n : (i+1)*len(pool.order)/n]
 }
 
-// usageRatio learns how much of what is requested is used.
+// usageRatio estimates which share of the requested amount is used, from decayed sums of both.
 type usageRatio struct{ used, requested float64 }
 
-// pollState is the state of polling the list, where it is not watched.
+// pollState is the state of polling a list that is not watched.
 type pollState struct {
 	awaitingReply bool
-	failures      int    // in a row
-	currentTimer  uint32 // the number of the one timer that counts
+	failures      int    // consecutive
+	currentTimer  uint32 // number of the latest timer; earlier ones are ignored
 }
 
-// machine is what a placer knows of a machine.
+// machine is the state of a machine as known to this placer.
 type machine struct {
-	Machine                 // the latest list entry
-	derating  float64       // the share taken off what it is given at deratedAt
-	deratedAt time.Duration // when its tasks were last served poorly
+	Machine                 // latest list entry
+	derating  float64       // share by which its load is reduced, as of deratedAt
+	deratedAt time.Duration // when a task was last served poorly
 	hash      uint64        // of its id
-	listedAt  time.Duration // when the latest list entry came
+	listedAt  time.Duration // when the latest list entry was received
 
-	// Our tasks there, and those of other placers.
-	reservedCores   float64 // requested by our live attempts
+	// Tasks of this placer and of other placers on the machine.
+	reservedCores   float64 // requested by this placer's live attempts
 	reservedMemory  float64
-	attempts        []*attempt       // live, and bound ones that ended within changeHistory
-	starting        int              // our attempts whose task does not run yet
+	attempts        []*attempt       // live ones, and bound ones that ended within changeHistory
+	starting        int              // number of this placer's attempts whose task doesn't run yet
 	peerChanges     []capacityChange // at most maxPeerChanges
-	cachedPrograms  []uint32         // taken to be there beside our tasks, the latest last; at most maxCachedPrograms
-	slowStartOffers []time.Duration  // when ours were sent
+	cachedPrograms  []uint32         // assumed besides those of live tasks, latest last; at most maxCachedPrograms
+	slowStartOffers []time.Duration  // times of this placer's offers
 
-	// Its health.
-	failures     int // probes and connections in a row
+	// Health.
+	failures     int // consecutive failed probes and connections
 	suspectUntil time.Duration
 	probing      bool
 	answeredAt   time.Duration
 	outliers     []outlierState // by class; nil until one fails
 
-	// The estimate of what is available there.
+	// Estimate of the available amounts.
 	rejectedAt      time.Duration // when a rejection showed that less is available than listed
-	unlistedCores   float64       // by how much
-	unlistedMemory  float64
-	availableCores  float64 // what available last returned
+	unlistedCores   float64       // cores that are listed but not available, by rejections
+	unlistedMemory  float64       // memory that is listed but not available, by rejections
+	availableCores  float64       // last result of available
 	availableMemory float64
 	availableAt     time.Duration
 	availableStale  bool
 
-	// Whether it is used.
-	backoffUntil time.Duration // its queue of offers was full, or it serves a task poorly
-	standby      bool          // nothing new while others have capacity
-	removedAt    time.Duration // when rebuildPools found it removed from the list; 0: it is listed
+	// Use.
+	backoffUntil time.Duration // no offers before: its queue was full, or it served a task poorly
+	standby      bool          // gets no new tasks while others have capacity
+	removedAt    time.Duration // when rebuildPools found it removed from the list; 0 if listed
 }
 
-// task is a placement request, until its final answer and the end of its last attempt.
+// task is a placement request. It is kept until its final answer is given and its last attempt has ended.
 type task struct {
 	Task
 	deadline     time.Duration
 	pool         int // index of its machine type's pool
 	attempts     []*attempt
-	pending      bool          // a final answer is due
-	backoffUntil time.Duration // rejected, not to be offered before
+	pending      bool          // the final answer is due
+	backoffUntil time.Duration // no offers before, after rejections
 	firstMayRun  *attempt      // the first attempt that may have run
 }
 
-// attempt is one offer of a task to a machine.
+// attempt is an offer of a task to a machine and the state that results from it.
 type attempt struct {
 	task         *task
 	machine      *machine
-	number       int // among those of the task, from 0
+	number       int // index among the attempts of the task
 	sentAt       time.Duration
 	endedAt      time.Duration
-	bound        bool // its machine has bound the task
+	bound        bool // the machine has bound the task
 	running      bool // the task runs
 	ended        bool
-	unresponsive bool // counted as one that its machine leaves unanswered
-	errored      bool // its machine returned an error
+	unresponsive bool // reported as an outlier: its machine leaves it unanswered
+	errored      bool // the machine returned an error
 }
 
-// outlierState is what is known of a class that a machine leaves unanswered or returns errors for.
+// outlierState has the failures of a class on a machine: attempts that it left unanswered or returned errors
+// for.
 type outlierState struct{ failedAt, ejectedUntil time.Duration }
 
-// New returns a placer for the settings, or an error that names the field it cannot use. Placers with the
-// same settings, seed and events make the same decisions.
+// New returns a placer for the settings, or an error that names the invalid field. Placers with the same
+// settings, seed and events make the same decisions.
 func New(settings Settings, seed uint64) (*Placer, error) {
 	if err := validateSettings(&settings); err != nil {
 		return nil, fmt.Errorf("forkhead: %w", err)
@@ -170,11 +174,11 @@
 		reservedCores: map[int]float64{},
 
 		startTimeP95: initialStartTimeP95,
-		viewLag:      lagEstimator{best: initialLag},
+		listLag:      lagEstimator{best: initialListLag},
 	}
 	p.saturationThreshold = settings.Classes[0].SaturationThreshold
 	for _, class := range settings.Classes {
-		p.saturationThreshold = min(p.saturationThreshold, class.SaturationThreshold) // a machine holds them all
+		p.saturationThreshold = min(p.saturationThreshold, class.SaturationThreshold) // machines run all classes
 	}
 	for range settings.MachineTypes {
 		p.pools = append(p.pools, &pool{})
--- a/timers.go
+++ b/timers.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// timerPurpose is what a timer is for. A timer's number carries it in the upper half; the lower half is the
+// timerPurpose is the purpose of a timer. It is the upper half of the timer's number; the lower half is the
 // number of a task, a machine or a poll.
 type timerPurpose uint32
 
 const (
 	timerDeadline timerPurpose = iota + 1 // of a task
-	timerAttempt                          // of a task's attempt without an answer
+	timerAttempt                          // of an attempt that has no answer
 	timerRetry                            // of the queue
 	timerPoll                             // of the list
 	timerSuspect                          // of a machine
@@ -16,7 +16,7 @@
 
 const timerPurposeShift = 32
 
-// timerNumber is the number of the timer of that purpose for a task, a machine or a poll.
+// timerNumber returns the number of the timer with the purpose for a task, a machine or a poll.
 func timerNumber(purpose timerPurpose, id uint32) uint64 {
 	return uint64(purpose)<<timerPurposeShift | uint64(id)
 }
@@ -49,8 +49,7 @@
 	}
 }
 
-// jitter spreads placers that would all act at one moment: it returns from half of the duration up to all
-// of it.
+// jitter returns a random duration from half of d up to d, so that placers don't all act at the same moment.
 func (p *Placer) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + p.rng.Float64()/2))
 }
--- a/validate.go
+++ b/validate.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// validateSettings refuses settings that no decision can be based on. The error names the field, its value
-// and what is wanted.
+// validateSettings returns an error for settings that no decision can be based on. The error names the field,
+// its value and the valid values.
 func validateSettings(settings *Settings) error {
 	switch {
 	case settings.Placers < 1:
@@ -36,13 +36,13 @@
 	return nil
 }
 
-// namedAmount is an amount of the settings with the name of its field.
+// namedAmount is a numeric setting with the name of its field.
 type namedAmount struct {
 	name  string
 	value float64
 }
 
-// settingsAmounts returns all amounts that must be finite and not negative, by the order of their names.
+// settingsAmounts returns the settings that must be finite and not negative, sorted by name.
 func settingsAmounts(settings *Settings) []namedAmount {
 	amounts := []namedAmount{
 		{"MeanCores", settings.MeanCores},
@@ -82,19 +82,20 @@
 	return amounts
 }
 
-// isValid says whether the task's amounts make sense and its class is one of the settings.
+// isValid reports whether the task's amounts are not negative or NaN and its class is one of the settings.
 func (p *Placer) isValid(t *Task) bool {
 	return t.Class >= 0 && t.Class < len(p.settings.Classes) && t.Cores >= 0 && t.Memory >= 0
 }
 
-// isPlaceable says whether some type of machine could ever hold the task.
+// isPlaceable reports whether an empty machine of some type could hold the task.
 func (p *Placer) isPlaceable(t *Task) bool {
 	required := p.settings.Classes[t.Class].MachineType
 	for i, machineType := range p.settings.MachineTypes {
 		if required >= 0 && required != i {
 			continue
 		}
-		if t.Cores <= machineType.Cores*p.settings.CoresOvercommit && t.Memory <= machineType.Memory*p.settings.MemoryOvercommit {
+		if t.Cores <= machineType.Cores*p.settings.CoresOvercommit &&
+			t.Memory <= machineType.Memory*p.settings.MemoryOvercommit {
 			return true
 		}
 	}
