--- a/attempts_test.go
+++ b/attempts_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// provesNotRun are the results that prove an unbound attempt did not run.
+// provesNotRun has the results that prove that the task of an unbound attempt did not run.
 var provesNotRun = map[Result]bool{Rejected: true, ConnectFailed: true, NotSent: true}
 
-// allResults are all ways in which an attempt ends.
+// allResults has all results with which an attempt ends.
 var allResults = []Result{OK, Errored, Rejected, TimedOut, ConnectFailed, Reset, Withdrawn, NotSent}
 
 func TestRetryByEffectAndResult(t *testing.T) {
@@ -32,7 +32,8 @@
 	}
 }
 
-// testRetry checks what follows the first attempt of a task, which ends in the result 20 ms after its offer.
+// testRetry checks the placer's actions when the first attempt of a task ends with the result, 20 ms after the
+// offer.
 func testRetry(t *testing.T, effect Effect, domain Domain, result Result) {
 	t.Helper()
 	settings := testSettings()
@@ -46,22 +47,25 @@
 	offers, rejections, failures := actionsOf[Offer](actions), actionsOf[Reject](actions), actionsOf[Fail](actions)
 	if provesNotRun[result] {
 		if len(failures) > 0 {
-			t.Fatalf("failed although nothing ran: %v", formatActions(actions))
+			t.Fatalf("actions after an attempt that did not run = %v, want no Fail", formatActions(actions))
 		}
 		return
 	}
 	if effect == Unsafe && (len(offers) > 0 || len(rejections) > 0 || len(failures) != 1) {
-		t.Fatalf("unsafe and possibly run: want one failure, got %v", formatActions(actions))
+		t.Fatalf("actions for an unsafe task that may have run = %v, want one Fail", formatActions(actions))
 	}
 	if effect != Keyed || domain == AnyDomain {
 		return
 	}
 	if len(rejections) > 0 {
-		t.Fatalf("rejected a keyed task that may have run: %v", formatActions(actions))
+		t.Fatalf("actions for a keyed task that may have run = %v, want no Reject", formatActions(actions))
 	}
 	for _, offer := range offers {
-		if !sameDomain(domain, &machine{Machine: machines[offer.Machine-1]}, &machine{Machine: machines[first.Machine-1]}) {
-			t.Fatalf("sent from machine %d to %d, outside its domain", first.Machine, offer.Machine)
+		firstMachine := &machine{Machine: machines[first.Machine-1]}
+		nextMachine := &machine{Machine: machines[offer.Machine-1]}
+		if !sameDomain(domain, nextMachine, firstMachine) {
+			t.Fatalf("got a second offer to machine %d, want one in the deduplication domain of machine %d",
+				offer.Machine, first.Machine)
 		}
 	}
 }
@@ -76,7 +80,8 @@
 	h.now += 2 * time.Second
 	actions = h.step(Outcome{Task: id, Attempt: 0, Machine: first.Machine, Result: TimedOut})
 	if len(actionsOf[Offer](actions)) > 0 || len(actionsOf[Reject](actions)) > 0 || len(actionsOf[Fail](actions)) != 1 {
-		t.Fatalf("want one failure, got %v", formatActions(actions))
+		t.Fatalf("actions after the deduplication window = %v, want one Fail and no Offer or Reject",
+			formatActions(actions))
 	}
 }
 
@@ -92,7 +97,7 @@
 		}
 		actions = h.step(fired...)
 		if len(actionsOf[Offer](actions)) > 0 {
-			t.Fatal("a second attempt while the first is in flight")
+			t.Fatalf("timers with an attempt in flight: got actions %v, want no Offer", formatActions(actions))
 		}
 	}
 }
@@ -114,14 +119,15 @@
 			end := Outcome{Task: id, Machine: machine, Result: result, Final: true}
 			got = append(got, h.step(end, RequestCanceled{Task: id})...)
 			if n := len(actionsOf[Offer](got)) + len(actionsOf[Reject](got)) + len(actionsOf[Fail](got)); n > 0 {
-				t.Errorf("effect %d, result %d after the bind: %v", effect, result, formatActions(got))
+				t.Errorf("effect %d, result %d after the bind: got actions %v, want no Offer, Reject or Fail",
+					effect, result, formatActions(got))
 			}
 		}
 	}
 }
 
 func TestMigrationNeedsCapacityElsewhere(t *testing.T) {
-	for n, want := range map[int]int{1: 0, 2: 1} { // migrations by number of machines
+	for n, want := range map[int]int{1: 0, 2: 1} { // migrations by the number of machines
 		h := newHarness(t, testSettings(), readyMachines(n))
 		id, actions := h.request(0, 7)
 		machine := h.singleOffer(actions).Machine
@@ -129,16 +135,17 @@
 		h.now += 5 * time.Second
 		got := h.step(Note{Task: id, Machine: machine, Kind: NoteServiceLevel, Amount: 0.95})
 		if len(actionsOf[Stop](got)) > 0 {
-			t.Errorf("%d machines: migrated a task that is served well", n)
+			t.Errorf("%d machines, service level 0.95: got actions %v, want no Stop", n, formatActions(got))
 		}
 		got = h.step(Note{Task: id, Machine: machine, Kind: NoteServiceLevel, Amount: 0.2})
 		if len(actionsOf[Stop](got)) != want {
-			t.Errorf("%d machines: want %d migrations, got %v", n, want, formatActions(got))
+			t.Errorf("%d machines, service level 0.2: got actions %v, want %d Stop", n, formatActions(got), want)
 		}
 	}
 }
 
-// Each placer with a task on a machine that serves poorly once migrated one: all at once.
+// When a machine serves its tasks poorly, every placer with a task there could migrate one at the same time.
+// All placers together may migrate only a few.
 func TestMigrationsOfManyPlacersStayFew(t *testing.T) {
 	settings := testSettings()
 	settings.MachineTypes[0] = MachineType{Cores: 100, Memory: 200}
@@ -157,6 +164,7 @@
 		})))
 	}
 	if migrated < 1 || migrated > 3*maxMigrationsPerSecond {
-		t.Errorf("200 placers migrated %d tasks off one machine in a moment, want about %d", migrated, maxMigrationsPerSecond)
+		t.Errorf("200 placers with a task on one machine: got %d migrations, want 1 to %d",
+			migrated, 3*maxMigrationsPerSecond)
 	}
 }
--- a/capacity_test.go
+++ b/capacity_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// When a placer starts, the list already counts the tasks that are handed over to it. They were once counted
-// a second time, and all machines looked full for the first seconds.
+// When a placer starts, the list already counts the tasks that are handed over to it. If they were counted a
+// second time, all machines would look full for the first seconds.
 func TestHandedOverTaskIsNotCountedTwice(t *testing.T) {
 	machines := readyMachines(2)
 	for i := range machines {
@@ -20,7 +20,8 @@
 	h.singleOffer(actions)
 }
 
-// Every change was once sent to all placers, whose number raised the cost of a task's messages.
+// Each change is sent to all placers, so the cost of a task's messages grows with the number of placers unless
+// it is limited.
 func TestGossipCostIsBounded(t *testing.T) {
 	for _, n := range []int{1, 3, 130, 470} {
 		settings := testSettings()
@@ -37,7 +38,7 @@
 			id, actions := h.request(0, uint64(i%20))
 			count(actions)
 			for _, offer := range actionsOf[Offer](actions) {
-				// Every third start is slow: the machine answers probes, the attempt stays unanswered.
+				// Every third start is slow: the machine answers probes, but not the offer.
 				for wait := 0; i%3 == 0 && wait < 6; wait++ {
 					h.now += attemptTimeout
 					count(h.step(Probed{Machine: offer.Machine, Result: OK}))
@@ -49,15 +50,15 @@
 			h.now += 500 * time.Millisecond
 		}
 		if cost > 2*maxGossipCost*tasks {
-			t.Errorf("%d placers: gossip costs %.4f a task, at most %g", n, cost/tasks, 2*maxGossipCost)
+			t.Errorf("%d placers: gossip cost per task = %.4f, want at most %g", n, cost/tasks, 2*maxGossipCost)
 		}
 		if n == 3 && cost == 0 {
-			t.Error("three placers do not gossip")
+			t.Error("3 placers: gossip cost = 0, want gossip")
 		}
 	}
 }
 
-// A flood of messages, valid or not, is ignored or stays within bounds.
+// Gossip messages, valid or not, must not add machines or grow the state of a machine without limit.
 func TestGossipFloodIsBounded(t *testing.T) {
 	for _, n := range []int{3, 470} {
 		settings := testSettings()
@@ -72,12 +73,12 @@
 			)
 		}
 		if len(h.placer.machines) != 3 {
-			t.Errorf("%d machines after messages that name unknown ones, want 3", len(h.placer.machines))
+			t.Errorf("machines known after gossip about unknown ones = %d, want 3", len(h.placer.machines))
 		}
 		for _, m := range h.placer.machines {
 			if len(m.peerChanges) > maxPeerChanges || len(m.cachedPrograms) > maxCachedPrograms {
-				t.Errorf("machine %d has %d changes of other placers and %d cached programs",
-					m.ID, len(m.peerChanges), len(m.cachedPrograms))
+				t.Errorf("machine %d: got %d changes of other placers and %d cached programs, want at most %d and %d",
+					m.ID, len(m.peerChanges), len(m.cachedPrograms), maxPeerChanges, maxCachedPrograms)
 			}
 		}
 	}
--- a/gossip_test.go
+++ b/gossip_test.go
@@ -14,19 +14,19 @@
 	var got []capacityChange
 	for _, message := range encodeCapacityChanges(sent) {
 		if len(message) > 256 {
-			t.Errorf("a message of %d bytes, want at most 256", len(message))
+			t.Errorf("encodeCapacityChanges(50 changes): got a message of %d bytes, want at most 256", len(message))
 		}
 		got = append(got, decodeCapacityChanges(message)...)
 	}
 	if len(got) != len(sent) {
-		t.Fatalf("%d changes of %d were decoded", len(got), len(sent))
+		t.Fatalf("decoded %d changes, want %d", len(got), len(sent))
 	}
 	for i := range got {
 		if got[i] != sent[i] {
-			t.Errorf("change %d: %+v became %+v", i, sent[i], got[i])
+			t.Errorf("decoded change %d = %+v, want %+v", i, got[i], sent[i])
 		}
 	}
 	if changes := decodeCapacityChanges([]byte{1, 2, 3}); len(changes) > 0 {
-		t.Errorf("a message cut short gave %v", changes)
+		t.Errorf("decodeCapacityChanges(3 bytes) = %v, want no changes", changes)
 	}
 }
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// testSettings are settings in which nothing is scarce and everything is allowed.
+// testSettings returns settings of a single placer that may withdraw and probe, with one class and one machine
+// type.
 func testSettings() Settings {
 	return Settings{
 		Placers: 1, MachineTypes: []MachineType{{Cores: 10, Memory: 20}}, MeanCores: 1, MeanMemory: 2,
@@ -16,12 +17,13 @@
 		}},
 		CoresOvercommit: 1, MemoryOvercommit: 1, BoundWhenRunning: true, ListReportsAvailable: true, ListWatched: true,
 		MaxAttempts: 4, MayWithdraw: true, MayProbe: true,
-		DrainGrace: time.Second, SlowStartDuration: 10 * time.Second, SlowStartWindow: time.Second, SlowStartMaxOffers: 20,
+		DrainGrace:        time.Second,
+		SlowStartDuration: 10 * time.Second, SlowStartWindow: time.Second, SlowStartMaxOffers: 20,
 		MaxPollInterval: 10 * time.Second, OwnerBackoff: 3 * time.Second,
 	}
 }
 
-// readyMachines returns n ready machines of type 0, with ids from 1, three to a cell and six to a zone.
+// readyMachines returns n ready machines of type 0 with ids from 1, three per cell and six per zone.
 func readyMachines(n int) []Machine {
 	var machines []Machine
 	for i := range n {
@@ -32,7 +34,7 @@
 	return machines
 }
 
-// harness drives one placer event by event. Tests set now to let time pass.
+// harness passes events to one placer. Tests advance now to let time pass.
 type harness struct {
 	t      *testing.T
 	placer *Placer
@@ -40,7 +42,7 @@
 	lastID TaskID
 }
 
-// newHarness starts a placer that knows the machines.
+// newHarness returns a harness with a placer that has the machines in its list.
 func newHarness(t *testing.T, settings Settings, machines []Machine) *harness {
 	t.Helper()
 	p, err := New(settings, 1)
@@ -54,31 +56,32 @@
 
 func (h *harness) step(events ...Event) []Action { return h.placer.Step(h.now, events) }
 
-// newTask returns a task of one core with an id of its own; it is not requested yet.
+// newTask returns a task of one core with a new id. It does not request the task.
 func (h *harness) newTask(class int, service uint64) Task {
 	h.lastID++
 	return Task{
-		ID: h.lastID, Key: uint64(h.lastID), Service: service, Class: class, Timeout: 5 * time.Second, Cores: 1, Memory: 1,
+		ID: h.lastID, Key: uint64(h.lastID), Service: service, Class: class, Timeout: 5 * time.Second,
+		Cores: 1, Memory: 1,
 	}
 }
 
-// request requests one task of the service and returns its id and the actions.
+// request requests placement of a new task of the service and returns the task's id and the actions.
 func (h *harness) request(class int, service uint64) (TaskID, []Action) {
 	task := h.newTask(class, service)
 	return task.ID, h.step(PlacementRequest{Task: task})
 }
 
-// singleOffer returns the only offer among the actions.
+// singleOffer returns the offer among the actions and fails the test if there isn't exactly one.
 func (h *harness) singleOffer(actions []Action) Offer {
 	h.t.Helper()
 	offers := actionsOf[Offer](actions)
 	if len(offers) != 1 {
-		h.t.Fatalf("want one offer, got %v", formatActions(actions))
+		h.t.Fatalf("got actions %v, want one Offer", formatActions(actions))
 	}
 	return offers[0]
 }
 
-// newPlacers starts n placers with the same settings but their own numbers and seeds.
+// newPlacers returns n placers with the same settings except for their indexes and seeds.
 func newPlacers(t *testing.T, settings Settings, n int) []*Placer {
 	t.Helper()
 	settings.Placers = n
@@ -94,7 +97,7 @@
 	return placers
 }
 
-// actionsOf returns the actions of one type.
+// actionsOf returns the actions of type A.
 func actionsOf[A Action](actions []Action) []A {
 	var matching []A
 	for _, action := range actions {
--- a/intervals_test.go
+++ b/intervals_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// loadShares returns the share of the load of the sizes that falls into each of n intervals.
+// loadShares returns, for each of n intervals, its share of the load of the sizes.
 func loadShares(histogram *sizeHistogram, sizes []float64, n int) []float64 {
 	shares, total := make([]float64, n), 0.0
 	for i, size := range sizes {
@@ -39,7 +39,7 @@
 			}
 			for i, load := range loadShares(&histogram, sizes, n) {
 				if math.Abs(load-1/float64(n)) > 0.04 {
-					t.Errorf("%s, interval %d of %d carries %.3f of the load", name, i, n, load)
+					t.Errorf("%s: load share of interval %d of %d = %.3f, want %.3f", name, i, n, load, 1/float64(n))
 				}
 			}
 		}
@@ -58,7 +58,8 @@
 	for _, size := range sizes {
 		position := histogram.loadPosition(size, 1, 99)
 		if position <= last {
-			t.Errorf("size %g is at position %g, not above the smaller at %g", size, position, last)
+			t.Errorf("loadPosition(%g) = %g, want above %g, the position of the size before",
+				size, position, last)
 		}
 		last = position
 	}
@@ -68,10 +69,10 @@
 	var histogram sizeHistogram
 	for service := range uint64(200) {
 		if position := histogram.loadPosition(0.5, 1, service); position >= 0.5 {
-			t.Fatalf("a task below the mean is at position %g", position)
+			t.Fatalf("loadPosition(0.5) without data, mean 1, service %d = %g, want below 0.5", service, position)
 		}
 		if position := histogram.loadPosition(1, 1, service); position < 0.5 {
-			t.Fatalf("a task at the mean is at position %g", position)
+			t.Fatalf("loadPosition(1) without data, mean 1, service %d = %g, want at least 0.5", service, position)
 		}
 	}
 }
@@ -85,14 +86,16 @@
 		histogram.add(2)
 	}
 	if old := histogram.load[sizeBucket(1)]; old > 0.1 || math.Abs(histogram.total-2*sizeHistory) > 2 {
-		t.Errorf("after ten times %d tasks of twice the size, the old size has load %g of %g", sizeHistory, old, histogram.total)
+		t.Errorf("after %d tasks of size 2: got load %g of size 1 and total %g, want at most 0.1 and about %d",
+			10*sizeHistory, old, histogram.total, 2*sizeHistory)
 	}
 }
 
-// Placers that each see few tasks once went by the configured mean for good.
+// Placers that each see few tasks must still learn the distribution of sizes, rather than keep to the
+// configured mean, and select the same groups.
 func TestSizeHistogramsWithFewSamplesAgree(t *testing.T) {
 	sizes := []float64{0.5, 0.5, 0.5, 1, 1, 1.5, 8}
-	var histograms []*sizeHistogram // one a placer
+	var histograms []*sizeHistogram // one per placer
 	for seed := range uint64(130) {
 		rng, histogram := rand.New(rand.NewPCG(seed, 3)), &sizeHistogram{}
 		for range 40 {
@@ -118,11 +121,12 @@
 				}
 			}
 			if farOff > len(histograms)/20 {
-				t.Errorf("size %g: %d of %d placers are more than a group away", size, farOff, len(histograms))
+				t.Errorf("size %g: got %d of %d placers more than a group off, want at most %d",
+					size, farOff, len(histograms), len(histograms)/20)
 			}
 			if math.Abs(configured-truth) > 0.05 && math.Abs(mean-truth) > 0.8*math.Abs(configured-truth) {
-				t.Errorf("size %g is at %.2f on average, at %.2f by the configured mean, at %.2f by all tasks",
-					size, mean, configured, truth)
+				t.Errorf("size %g: mean position = %.2f, want closer to %.2f (all tasks) than %.2f (no data) is",
+					size, mean, truth, configured)
 			}
 		}
 	}
@@ -134,11 +138,11 @@
 	task.Resubmitted = true
 	h.step(PlacementRequest{Task: task})
 	if load := h.placer.pools[0].sizes.total; load != 0 {
-		t.Errorf("a load of %g after a resubmitted task, want none", load)
+		t.Errorf("load after a resubmitted task = %g, want 0", load)
 	}
 }
 
-// groupIDs returns the machines of each group of type 0.
+// groupIDs returns the ids of the machines of type 0, by group.
 func groupIDs(p *Placer) [][]MachineID {
 	pool := p.pools[0]
 	n := p.intervalCount(pool)
@@ -165,29 +169,29 @@
 	other.Step(time.Minute, []Event{ListUpdate{Mode: ListSnapshot, Machines: reversed}})
 	want, got := groupIDs(h.placer), groupIDs(other)
 	if !slices.EqualFunc(want, got, slices.Equal) {
-		t.Errorf("groups differ: %v and %v", want, got)
+		t.Errorf("groups of a placer with the list reversed = %v, want %v", got, want)
 	}
 	for i := range machines {
 		machines[i].State = Draining
 		h.step(ListUpdate{Mode: ListDelta, Machines: machines[i : i+1]})
 	}
 	if after := groupIDs(h.placer); !slices.EqualFunc(want, after, slices.Equal) {
-		t.Errorf("draining machines lost their slots: %v, want %v", after, want)
+		t.Errorf("groups with all machines draining = %v, want %v", after, want)
 	}
 }
 
-func TestGroupsCoverFewMachines(t *testing.T) {
+func TestGroupsOfFewMachinesCoverAll(t *testing.T) {
 	for n := range 12 {
 		h := newHarness(t, testSettings(), readyMachines(n))
 		total := 0
 		for _, group := range groupIDs(h.placer) {
 			if len(group) == 0 {
-				t.Errorf("%d machines: an empty group", n)
+				t.Errorf("%d machines: got an empty group, want none", n)
 			}
 			total += len(group)
 		}
 		if total != n {
-			t.Errorf("%d machines: groups hold %d", n, total)
+			t.Errorf("%d machines: groups hold %d machines, want %d", n, total, n)
 		}
 	}
 }
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// invariantChecker checks the events and actions of one placer against what a placer never does. It knows
-// only what crosses the interface, nothing of the placer's state. A violation is described by a text; "" is
+// invariantChecker checks the actions of one placer for violations of its invariants. It sees only the events
+// and actions, not the placer's state. Its methods return a description of the violation, or "" if there is
 // none.
 type invariantChecker struct {
 	settings        Settings
-	machines        map[MachineID]Machine // the latest list entries
+	machines        map[MachineID]Machine // latest list entries
 	drainedAt       map[MachineID]time.Duration
 	tasks           map[TaskID]*observedTask
-	slowStartOffers map[MachineID][]time.Duration // when they were sent
+	slowStartOffers map[MachineID][]time.Duration // times of the offers
 }
 
-// observedTask is a task with all its attempts.
+// observedTask is a requested or handed-over task with all its attempts.
 type observedTask struct {
 	Task
 	deadline time.Duration
@@ -44,7 +44,7 @@
 	}
 }
 
-// observe takes in an event that the placer gets.
+// observe records an event before the placer handles it.
 func (c *invariantChecker) observe(now time.Duration, event Event) {
 	switch event := event.(type) {
 	case ListUpdate:
@@ -98,7 +98,7 @@
 	}
 }
 
-// checkAction returns the violation by an action.
+// checkAction records an action and returns its violation.
 func (c *invariantChecker) checkAction(now time.Duration, action Action) string {
 	switch action := action.(type) {
 	case Offer:
@@ -109,11 +109,11 @@
 		c.tasks[action.Task].answers++
 	case Withdraw:
 		if action.Attempt >= len(c.tasks[action.Task].attempts) {
-			return "withdrew an attempt that was never made"
+			return "withdrew an attempt that was not started"
 		}
 	case Subscribe:
 		if c.settings.ListWatched {
-			return "polled a list that is watched"
+			return "polled a watched list"
 		}
 	}
 	return ""
@@ -126,7 +126,7 @@
 	retryMayHarm := class.Effect == Unsafe || class.Effect == Keyed && class.DedupDomain != AnyDomain
 	for _, a := range t.attempts {
 		if retryMayHarm && (a.mayHaveRun || !a.ended) {
-			return "rejected a task that may have run"
+			return "rejected a task that may have run and must not be retried"
 		}
 	}
 	return ""
@@ -135,13 +135,13 @@
 func (c *invariantChecker) checkOffer(now time.Duration, offer Offer) string {
 	t := c.tasks[offer.Task]
 	if t.answers > 0 || t.canceled {
-		return "offered a task that has its answer"
+		return "offered a task that was answered or canceled"
 	}
 	if drainedAt, drained := c.drainedAt[offer.Machine]; drained && now > drainedAt+c.settings.DrainGrace {
-		return "offered to a machine that drains or is removed"
+		return "offered to a machine that is draining or removed"
 	}
 	if len(t.attempts) >= c.settings.MaxAttempts {
-		return "more attempts than allowed"
+		return "made more than MaxAttempts attempts"
 	}
 	m := c.machines[offer.Machine]
 	if violation := c.checkRetry(now, t, m); violation != "" {
@@ -154,28 +154,28 @@
 	return c.checkSlowStart(now, m)
 }
 
-// checkRetry checks an offer to the machine against the earlier attempts of the task.
+// checkRetry checks that the earlier attempts of the task allow an offer to the machine.
 func (c *invariantChecker) checkRetry(now time.Duration, t *observedTask, m Machine) string {
 	class := c.settings.Classes[t.Class]
 	for _, a := range t.attempts {
 		if !a.ended {
-			return "two attempts in flight at once"
+			return "two attempts of a task in flight at once"
 		}
 		if !a.mayHaveRun {
 			continue
 		}
 		if class.Effect == Unsafe {
-			return "unsafe task sent again after it may have run"
+			return "offered an unsafe task again after it may have run"
 		}
 		deduplicated := now <= a.sentAt+class.DedupWindow && shareDomain(class.DedupDomain, m, c.machines[a.machine])
 		if class.Effect == Keyed && !deduplicated {
-			return "keyed task sent outside its deduplication domain or window"
+			return "offered a keyed task outside its deduplication domain or window after it may have run"
 		}
 	}
 	return ""
 }
 
-// checkSpread checks the spread limit of the task's class in the domain of the machine.
+// checkSpread checks the spread limit of the task's class in the machine's domain, after an offer.
 func (c *invariantChecker) checkSpread(t *observedTask, m Machine) string {
 	class := c.settings.Classes[t.Class]
 	if class.SpreadDomain == AnyDomain {
@@ -190,12 +190,12 @@
 		}
 	}
 	if count > class.MaxPerDomain {
-		return fmt.Sprintf("%d tasks of a service in one domain, at most %d", count, class.MaxPerDomain)
+		return fmt.Sprintf("got %d tasks of a service in one domain, want at most %d", count, class.MaxPerDomain)
 	}
 	return ""
 }
 
-// checkSlowStart counts an offer to the machine against our share of its slow-start budget.
+// checkSlowStart checks that the offers to the machine stay within this placer's share of the slow-start budget.
 func (c *invariantChecker) checkSlowStart(now time.Duration, m Machine) string {
 	if m.StartedAt <= 0 || now >= m.StartedAt+c.settings.SlowStartDuration {
 		return ""
@@ -205,31 +205,32 @@
 		return at <= now-c.settings.SlowStartWindow
 	})
 	if float64(len(inWindow)) > c.settings.SlowStartMaxOffers/float64(c.settings.Placers) {
-		return "over our share of a machine's slow-start budget"
+		return "offers exceed this placer's share of a machine's slow-start budget"
 	}
 	return ""
 }
 
-// shareDomain is the checker's own reading of one machine, cell or zone.
+// shareDomain reports whether two machines are in one domain. It is independent of sameDomain, which it checks.
 func shareDomain(level Domain, a, b Machine) bool {
 	return level == AnyDomain || level == MachineDomain && a.ID == b.ID ||
 		level == CellDomain && a.Cell == b.Cell || level == ZoneDomain && a.Zone == b.Zone
 }
 
-// checkAnswers returns the violation by a task whose answer is overdue, or that has more than one.
+// checkAnswers returns the violation of a task that has more than one answer, or none after its deadline.
 func (c *invariantChecker) checkAnswers(now time.Duration) string {
 	for id, t := range c.tasks {
 		if t.answers > 1 {
-			return fmt.Sprintf("task %d has %d answers", id, t.answers)
+			return fmt.Sprintf("task %d: got %d answers, want 1", id, t.answers)
 		}
 		if t.answers == 0 && !t.canceled && now > t.deadline+c.settings.AnswerSlack {
-			return fmt.Sprintf("task %d has no answer after its deadline", id)
+			return fmt.Sprintf("task %d: got no answer by its deadline, want 1", id)
 		}
 	}
 	return ""
 }
 
-// randomSchedule drives one placer by legal events, all drawn from one generator.
+// randomSchedule passes valid random events to one placer and checks its actions. All are drawn from one
+// generator, so a seed reproduces a schedule.
 type randomSchedule struct {
 	rng      *rand.Rand
 	settings Settings
@@ -239,7 +240,7 @@
 	lastID   TaskID
 	machines []Machine
 
-	// What the placer has asked for and waits for.
+	// Requests of the placer without an answer yet.
 	timers []SetTimer
 	probes []MachineID
 	polls  int
@@ -287,7 +288,7 @@
 	return settings
 }
 
-// run plays a number of steps and returns the first violation.
+// run runs the steps of the schedule and returns the first violation.
 func (s *randomSchedule) run() string {
 	const steps = 600
 	events := []Event{ListUpdate{Mode: ListCached, Machines: slices.Clone(s.machines)}}
@@ -300,7 +301,7 @@
 	return ""
 }
 
-// step hands the events to the placer, checks its actions and lets some time pass.
+// step passes the events to the placer, checks its actions and advances the time.
 func (s *randomSchedule) step(events []Event) string {
 	for _, event := range events {
 		s.checker.observe(s.now, event)
@@ -325,7 +326,7 @@
 	return ""
 }
 
-// nextEvents draws the events of the next moment.
+// nextEvents draws the events of the next step.
 func (s *randomSchedule) nextEvents() []Event {
 	events := s.dueAnswers()
 	if s.rng.IntN(3) == 0 {
@@ -351,7 +352,7 @@
 	return events
 }
 
-// dueAnswers returns the timers that are due and the answers to all probes and polls.
+// dueAnswers returns the due timers and answers to all probes and polls.
 func (s *randomSchedule) dueAnswers() []Event {
 	var events []Event
 	s.timers = slices.DeleteFunc(s.timers, func(timer SetTimer) bool {
@@ -379,7 +380,8 @@
 	}
 }
 
-// listUpdate changes one machine's state, or lists all machines that are not removed.
+// listUpdate changes a machine and returns either its entry as a delta or a snapshot of the machines that are
+// not removed.
 func (s *randomSchedule) listUpdate() Event {
 	m := &s.machines[s.rng.IntN(len(s.machines))]
 	m.State = MachineState(s.rng.IntN(3))
@@ -395,7 +397,7 @@
 	})}
 }
 
-// gossip is a message, complete or cut short, true or not.
+// gossip returns a message with arbitrary content, possibly truncated.
 func (s *randomSchedule) gossip() Event {
 	message := encodeOutlier(s.machines[s.rng.IntN(len(s.machines))].ID, s.rng.IntN(4))
 	if s.rng.IntN(2) == 0 {
@@ -405,7 +407,7 @@
 	return GossipReceived{From: s.rng.IntN(3), Data: message[:s.rng.IntN(len(message)+1)]}
 }
 
-// attemptEvents is what happens to a task's attempt in one moment: mostly nothing.
+// attemptEvents draws an event of a task's last attempt; in most steps there is none.
 func (s *randomSchedule) attemptEvents(t *observedTask) []Event {
 	last := len(t.attempts) - 1
 	if last < 0 || t.attempts[last].ended {
@@ -432,7 +434,7 @@
 	return nil
 }
 
-// checkRandomSchedule plays the schedule of a seed and fails the test at its first violation.
+// checkRandomSchedule runs the schedule of a seed and fails the test at its first violation.
 func checkRandomSchedule(t *testing.T, seed uint64) {
 	t.Helper()
 	schedule, err := newRandomSchedule(seed)
@@ -440,7 +442,7 @@
 		t.Fatal(err)
 	}
 	if violation := schedule.run(); violation != "" {
-		t.Fatalf("seed %d %s", seed, violation)
+		t.Fatalf("schedule of seed %d: %s", seed, violation)
 	}
 }
 
@@ -455,7 +457,7 @@
 	f.Fuzz(checkRandomSchedule)
 }
 
-// The checker must catch a violation of each invariant.
+// TestPlacerKeepsInvariants proves nothing about an invariant whose violation the checker doesn't detect.
 func TestInvariantCheckerCatchesViolations(t *testing.T) {
 	settings := testSettings()
 	settings.SlowStartMaxOffers = 1
@@ -502,7 +504,7 @@
 		c.observe(now, PlacementRequest{Task: Task{ID: 1, Timeout: time.Second}})
 		c.observe(now, PlacementRequest{Task: Task{ID: 2, Service: 1, Timeout: time.Second}})
 		if violate(c) == "" {
-			t.Errorf("%s: not caught", name)
+			t.Errorf("%s: got no violation, want one", name)
 		}
 	}
 }
--- a/machinelist_test.go
+++ b/machinelist_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A machine that failed a connection, left the list and was listed again once got no offers for good.
+// A machine that failed a connection, left the list and came back after a restart must get offers again. If its
+// failed checks still counted, it would stay suspect for good.
 func TestMachineListedAgainIsUsed(t *testing.T) {
 	machines := readyMachines(1)
 	h := newHarness(t, testSettings(), machines)
@@ -43,14 +44,15 @@
 			_, actions := h.request(0, service)
 			for _, offer := range actionsOf[Offer](actions) {
 				if offer.Machine == 1 || offer.Machine == 2 {
-					t.Fatalf("%s: offer to machine %d", name, offer.Machine)
+					t.Fatalf("%s: got an offer to machine %d, want none to 1 and 2", name, offer.Machine)
 				}
 			}
 		}
 	}
 }
 
-// Where machines are replaced all the time, removed ones are forgotten unless a task of ours is on them.
+// Where machines are replaced continually, memory would grow if removed ones were kept. Only those that hold a
+// task of this placer are.
 func TestRemovedMachinesAreForgotten(t *testing.T) {
 	h := newHarness(t, testSettings(), readyMachines(3))
 	task := h.newTask(0, 7)
@@ -63,10 +65,10 @@
 		h.step(ListUpdate{Mode: ListDelta, Machines: []Machine{added, {ID: 99 + i, State: Removed}}})
 	}
 	if n := len(h.placer.machines); n > 70 {
-		t.Errorf("%d machines are known, want the few of the last minute", n)
+		t.Errorf("machines known after 1000 replacements = %d, want at most 70, those of the last minute", n)
 	}
 	if h.placer.machines[1] == nil {
-		t.Error("a machine that holds a task is forgotten")
+		t.Error("removed machine 1 that holds a task is forgotten, want it kept")
 	}
 	h.step(Outcome{Task: task.ID, Machine: 1, Result: Reset, Final: true})
 }
@@ -81,38 +83,40 @@
 	now, logged := time.Hour, 0
 	actions := p.Step(now, []Event{ListUpdate{Mode: ListCached}})
 	if len(actionsOf[Subscribe](actions)) != 1 {
-		t.Fatalf("want a subscription at the start, got %v", formatActions(actions))
+		t.Fatalf("actions of the first step = %v, want one Subscribe", formatActions(actions))
 	}
 	for round := range 12 {
 		actions = p.Step(now, []Event{ListUpdate{Mode: ListFailed}})
 		logged += len(actionsOf[Log](actions))
 		timers := actionsOf[SetTimer](actions)
 		if len(timers) != 1 || timers[0].At <= now || timers[0].At > now+settings.MaxPollInterval {
-			t.Fatalf("round %d: want one timer within %v, got %v", round, settings.MaxPollInterval, formatActions(actions))
+			t.Fatalf("failed poll %d: got actions %v, want one SetTimer within %v",
+				round, formatActions(actions), settings.MaxPollInterval)
 		}
 		now = timers[0].At
 		actions = p.Step(now, []Event{TimerFired{Timer: timers[0].Timer}})
 		if len(actionsOf[Subscribe](actions)) != 1 {
-			t.Fatalf("round %d: not polled again", round)
+			t.Fatalf("timer after failed poll %d: got actions %v, want one Subscribe", round, formatActions(actions))
 		}
 	}
 	if logged != 1 {
-		t.Errorf("%d log messages for one run of failures, want 1", logged)
+		t.Errorf("log messages for 12 consecutive failed polls = %d, want 1", logged)
 	}
 }
 
 func TestWatchedListIsNotPolled(t *testing.T) {
 	h := newHarness(t, testSettings(), readyMachines(3))
 	if got := h.step(); len(actionsOf[Subscribe](got)) > 0 {
-		t.Fatalf("polled a list that is watched: %v", formatActions(got))
+		t.Fatalf("actions with a watched list = %v, want no Subscribe", formatActions(got))
 	}
 }
 
-// Each failed poll once set one timer more than it used, so the polls doubled without end.
+// While the list fails, polls must not multiply. They do if each failed poll sets more than one timer, or if
+// earlier timers still count.
 func TestPollsOfManyPlacersStayFew(t *testing.T) {
 	settings := testSettings()
 	settings.ListWatched, settings.Placers = false, 470
-	const maxPollsPerSecond = 100 // of all placers together, that a list service is taken to bear
+	const maxPollsPerSecond = 100 // by all placers together, that a list service is assumed to handle
 	perSecond := map[time.Duration]int{}
 	for self := range settings.Placers {
 		settings.Self = self
@@ -137,29 +141,32 @@
 			}
 			slices.SortFunc(timers, func(a, b SetTimer) int { return cmp.Compare(a.At, b.At) })
 			if len(timers) == 0 {
-				t.Fatalf("placer %d stopped after %d polls", self, polls)
+				t.Fatalf("placer %d after %d failed polls: got no timer, want one for the next poll", self, polls)
 			}
 			now = max(now, timers[0].At)
 			events = append(events, TimerFired{Timer: timers[0].Timer})
 			timers = timers[1:]
 		}
 		if polls < 2 || polls > 12 {
-			t.Fatalf("placer %d made %d polls in 30 s of failures", self, polls)
+			t.Fatalf("polls of placer %d in 30 s of failures = %d, want 2 to 12", self, polls)
 		}
 	}
 	for second, n := range perSecond {
 		if n > maxPollsPerSecond+maxPollsPerSecond/2 {
-			t.Errorf("%d polls of %d placers in the second at %v", n, settings.Placers, second)
+			t.Errorf("polls of %d placers in the second at %v = %d, want at most %d",
+				settings.Placers, second, n, maxPollsPerSecond+maxPollsPerSecond/2)
 		}
 	}
 }
 
-// Machines in use beyond need have a cost: the emptiest go on standby until the others have no capacity.
+// Surplus machines in use have a cost, so the emptiest go on standby and get tasks only when the others have no
+// capacity.
 func TestStandbyTakesEmptiestMachines(t *testing.T) {
 	settings := testSettings()
 	settings.Costs.SurplusMachine = 0.15
 	machines := readyMachines(6)
-	machines[0].AvailableCores, machines[1].AvailableCores = 4, 4 // 12 of 60 are requested: two machines hold that, one is spare
+	// 12 of 60 cores are requested: two machines hold that, one is spare.
+	machines[0].AvailableCores, machines[1].AvailableCores = 4, 4
 	h := newHarness(t, settings, machines)
 	used, placed := map[MachineID]int{}, 0
 	place := func(n int) {
@@ -177,15 +184,16 @@
 	}
 	place(8)
 	if len(used) > 3 || used[1]+used[2] == 0 {
-		t.Errorf("8 tasks go to %v, want to the two machines in use and one spare at most", used)
+		t.Errorf("tasks by machine of 8 tasks = %v, want at most 3 machines, 1 or 2 among them", used)
 	}
 	place(40)
 	if len(used) != 6 {
-		t.Errorf("48 tasks go to %v, want to all 6", used)
+		t.Errorf("tasks by machine of 48 tasks = %v, want all 6 machines", used)
 	}
 }
 
-// Where all machines are replaced, the oldest go first, and tasks that were packed onto those were lost.
+// Where all machines are replaced, the oldest go first. Tasks that are packed onto those are lost with them, so
+// the oldest go on standby even if they are the fullest.
 func TestStandbyTakesOlderMachinesFirst(t *testing.T) {
 	settings := testSettings()
 	settings.Costs.SurplusMachine = 0.15
@@ -199,7 +207,7 @@
 	for service := range uint64(8) {
 		_, actions := h.request(0, 1000+service)
 		if offer := h.singleOffer(actions); offer.Machine < 4 {
-			t.Errorf("a task goes to machine %d, one of the oldest", offer.Machine)
+			t.Errorf("got an offer to machine %d, one of the oldest, want 4, 5 or 6", offer.Machine)
 		}
 	}
 }
--- a/outliers_test.go
+++ b/outliers_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// leaveTwoUnanswered leaves two attempts of class 0 unanswered on the only machine, which answers
-// probes, and returns the actions of the moments when they were found overdue.
+// leaveTwoUnanswered leaves two attempts of class 0 unanswered on the only machine, which answers probes, and
+// returns the actions of the steps in which the attempts are overdue.
 func leaveTwoUnanswered(h *harness) []Action {
 	h.t.Helper()
 	var all []Action
@@ -30,37 +30,39 @@
 	return settings
 }
 
-// A machine that left one class unanswered was once offered it again and again.
+// A machine that answers probes but leaves attempts of one class unanswered must not get one after the other.
 func TestOutlierIsEjectedForUnansweredClass(t *testing.T) {
 	settings := twoClassSettings()
 	h := newHarness(t, settings, readyMachines(1))
 	actionsWhenOverdue := leaveTwoUnanswered(h)
 	if _, actions := h.request(0, 3); len(actionsOf[Offer](actions)) > 0 {
-		t.Fatal("the class was offered again while the machine is ejected for it")
+		t.Fatalf("request of the ejected class: got actions %v, want no Offer", formatActions(actions))
 	}
 	if _, actions := h.request(1, 4); len(actionsOf[Offer](actions)) != 1 {
-		t.Fatalf("the other class is not offered either: %v", formatActions(actions))
+		t.Fatalf("request of another class: got actions %v, want one Offer", formatActions(actions))
 	}
 	h.now += maxEjectionTime
 	_, actions := h.request(0, 5)
 	if h.step(TimerFired{Timer: timerNumber(timerRetry, 0)}); len(h.placer.queue) > 0 {
-		t.Fatalf("the machine stays ejected for good: %v", formatActions(actions))
+		t.Fatalf("request after maxEjectionTime and a retry is still queued, want an offer; actions of the request: %v",
+			formatActions(actions))
 	}
 	other := newHarness(t, settings, readyMachines(1))
 	messages := actionsOf[Gossip](actionsWhenOverdue)
 	if len(messages) == 0 {
-		t.Fatal("no gossip about the outlier")
+		t.Fatalf("actions for overdue attempts = %v, want Gossip about the outlier", formatActions(actionsWhenOverdue))
 	}
 	for range 2 {
 		other.step(GossipReceived{From: 1, Data: messages[0].Data})
 	}
 	if _, actions := other.request(0, 3); len(actionsOf[Offer](actions)) > 0 {
-		t.Error("a placer that got the message twice offered the class")
+		t.Errorf("request at a placer that received the gossip twice: got actions %v, want no Offer",
+			formatActions(actions))
 	}
 }
 
-// On the platform a machine once answered each offer with an error and, since errors leave its capacity
-// available, drew all four attempts of one task after the other.
+// A machine that answers each offer with an error keeps its capacity available, so it could get all attempts of
+// a task one after the other.
 func TestOutlierIsEjectedAfterErrors(t *testing.T) {
 	h := newHarness(t, testSettings(), readyMachines(6))
 	const broken = MachineID(2)
@@ -74,7 +76,7 @@
 			attempt++
 			offer = h.singleOffer(h.step(Outcome{Task: id, Machine: broken, Result: Errored}))
 			if offer.Machine == broken {
-				t.Fatal("a task is offered again to the machine that returned an error for it")
+				t.Fatalf("offer after an error of machine %d goes to that machine, want another one", broken)
 			}
 		}
 		h.step(
@@ -84,17 +86,18 @@
 		h.now += 10 * time.Millisecond
 	}
 	if errored != 2 {
-		t.Errorf("the machine returned errors for %d tasks, want 2: others took both", errored)
+		t.Errorf("tasks offered to the machine that returns errors = %d, want 2 before its ejection", errored)
 	}
 }
 
-// A client that sends tasks which no machine can run must not get any machine ejected.
+// A client that sends tasks which no machine can run must not cause the ejection of a machine.
 func TestTaskErroringEverywhereEjectsNoMachine(t *testing.T) {
 	h := newHarness(t, testSettings(), readyMachines(6))
 	for range 20 {
 		id, actions := h.request(0, 7)
 		for attempt := 0; len(actionsOf[Offer](actions)) > 0; attempt++ {
-			actions = h.step(Outcome{Task: id, Attempt: attempt, Machine: h.singleOffer(actions).Machine, Result: Errored})
+			machine := h.singleOffer(actions).Machine
+			actions = h.step(Outcome{Task: id, Attempt: attempt, Machine: machine, Result: Errored})
 		}
 	}
 	used := map[MachineID]bool{}
@@ -105,7 +108,7 @@
 		}
 	}
 	if len(used) != 6 {
-		t.Errorf("%d machines get tasks, want all 6", len(used))
+		t.Errorf("machines that get tasks = %d, want all 6", len(used))
 	}
 }
 
@@ -115,7 +118,7 @@
 	first := h.singleOffer(actions)
 	actions = h.step(Outcome{Task: id, Attempt: 0, Machine: first.Machine, Result: ConnectFailed})
 	if len(actionsOf[Offer](actions)) > 0 {
-		t.Fatal("offered again to a suspect machine")
+		t.Fatalf("actions after a failed connection to the only machine = %v, want no Offer", formatActions(actions))
 	}
 	var probes []Probe
 	for _, timer := range actionsOf[SetTimer](actions) {
@@ -126,7 +129,7 @@
 		probes = append(probes, actionsOf[Probe](h.step(TimerFired{Timer: timer.Timer}))...)
 	}
 	if len(probes) != 1 {
-		t.Fatalf("want one probe, got %d", len(probes))
+		t.Fatalf("probes of the suspect machine = %d, want 1", len(probes))
 	}
 	actions = h.step(Probed{Machine: first.Machine, Result: OK})
 	h.now += queueRetryInterval
@@ -134,7 +137,7 @@
 	h.singleOffer(actions)
 }
 
-// Once all placers that had lost a task on a machine went on probing it within the same half second.
+// All placers whose connections to a machine fail at the same time must not go on probing it at the same time.
 func TestProbesOfManyPlacersStayFew(t *testing.T) {
 	const placers, seconds = 470, 20
 	var probes [seconds + 10]int
@@ -144,7 +147,7 @@
 			PlacementRequest{Task: Task{ID: 1, Service: 42, Timeout: time.Second, Cores: 1, Memory: 1}},
 		})
 		if len(actionsOf[Offer](actions)) != 1 {
-			t.Fatalf("not offered: %v", formatActions(actions))
+			t.Fatalf("actions of the request = %v, want one Offer", formatActions(actions))
 		}
 		now, events := time.Hour, []Event{Outcome{Task: 1, Result: ConnectFailed}}
 		for now < time.Hour+seconds*time.Second {
@@ -163,13 +166,13 @@
 			if due > 0 {
 				now = due
 			} else if _, probed := events[0].(Probed); !probed {
-				t.Fatal("the machine is never probed again")
+				t.Fatalf("after the event %T%+v: got no timer and no probe, want one", events[0], events[0])
 			}
 		}
 	}
 	for second, n := range probes {
 		if n > placers/2 {
-			t.Errorf("%d probes of %d placers in second %d", n, placers, second)
+			t.Errorf("probes of %d placers in second %d = %d, want at most %d", placers, second, n, placers/2)
 		}
 	}
 }
--- a/placer_test.go
+++ b/placer_test.go
@@ -26,11 +26,12 @@
 		return text
 	}
 	if first, second := run(), run(); first != second {
-		t.Error("the same events gave different actions")
+		t.Error("two runs with the same events: got different actions, want the same")
 	}
 }
 
-// A placer that was paused once took attempts for overdue whose answers came in the same moment.
+// After a pause, a placer gets the timer of an attempt and its answer in the same step. If it handled the timer
+// first, it would treat the answered attempt as overdue.
 func TestStepHandlesAnswersBeforeTimers(t *testing.T) {
 	h := newHarness(t, testSettings(), readyMachines(1))
 	id, actions := h.request(0, 7)
@@ -40,11 +41,12 @@
 		TimerFired{Timer: timerNumber(timerAttempt, uint32(id))}, Bound{Task: id, Machine: first.Machine},
 	)
 	if len(actionsOf[Probe](actions))+len(actionsOf[Withdraw](actions)) > 0 {
-		t.Errorf("took an answered attempt for overdue: %v", formatActions(actions))
+		t.Errorf("actions for an attempt that is answered in the step of its timer = %v, want no Probe or Withdraw",
+			formatActions(actions))
 	}
 }
 
-// A placer that gets many requests at once, each due soon, still answers each once and in time.
+// A placer that gets many requests with short deadlines in one step must answer each exactly once and in time.
 func TestStepAnswersManyLateRequestsOnce(t *testing.T) {
 	h := newHarness(t, testSettings(), readyMachines(12))
 	const requests = 3000
@@ -75,7 +77,7 @@
 	}
 	for id := TaskID(1); id <= requests; id++ {
 		if answers[id] != 1 {
-			t.Fatalf("task %d has %d answers", id, answers[id])
+			t.Fatalf("task %d: got %d answers, want 1", id, answers[id])
 		}
 	}
 }
@@ -89,7 +91,7 @@
 		ListUpdate{Mode: ListDelta, Machines: []Machine{{ID: 50, Type: 9, State: Ready}}},
 	)
 	if len(actions) > 0 {
-		t.Errorf("want no actions, got %v", formatActions(actions))
+		t.Errorf("actions for events with unknown ids = %v, want none", formatActions(actions))
 	}
 	id, _ := h.request(0, 7)
 	h.step(Bound{Task: id, Attempt: 3}, Outcome{Task: id, Attempt: -1, Result: Rejected})
@@ -97,7 +99,7 @@
 	h.step(end, end)
 }
 
-// benchmarkStep measures steps of one event each by a placer that knows so many machines.
+// benchmarkStep measures steps with one event each, of a placer with the given number of machines.
 func benchmarkStep(b *testing.B, machines int, event func(p *Placer, i int) Event) {
 	settings := testSettings()
 	settings.Placers = 400
--- a/policyfiles_test.go
+++ b/policyfiles_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// policyFiles returns the files that deploy/balancer.toml lists as the policy.
+// policyFiles returns the names of the files that deploy/balancer.toml lists under policy.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("deploy/balancer.toml")
@@ -26,15 +26,15 @@
 		}
 		var files []string
 		if err := json.Unmarshal([]byte(list), &files); err != nil {
-			t.Fatalf("policy in deploy/balancer.toml: %v", err)
+			t.Fatalf("parse the policy list in deploy/balancer.toml: %v", err)
 		}
 		return files
 	}
-	t.Fatal("deploy/balancer.toml lists no policy")
+	t.Fatal("deploy/balancer.toml has no line that starts with \"policy = \", want one")
 	return nil
 }
 
-// Lines of the policy files have at most 110 characters.
+// Lines of the policy files have at most 110 characters; a tab counts as 4.
 func TestPolicyFilesStayReadable(t *testing.T) {
 	const maxLineLength = 110
 	for _, name := range policyFiles(t) {
@@ -44,13 +44,13 @@
 		}
 		for i, line := range strings.Split(string(text), "\n") {
 			if n := len(strings.ReplaceAll(line, "\t", "    ")); n > maxLineLength {
-				t.Errorf("%s:%d has %d characters, at most %d", name, i+1, n, maxLineLength)
+				t.Errorf("%s:%d: got %d characters, want at most %d", name, i+1, n, maxLineLength)
 			}
 		}
 	}
 }
 
-// No other file of the module has a duration of its own.
+// Durations are part of the policy, so files of the package outside the policy must not define any.
 func TestDurationsStayInThePolicy(t *testing.T) {
 	policy := policyFiles(t)
 	names, err := filepath.Glob("*.go")
@@ -67,7 +67,7 @@
 		}
 		ast.Inspect(file, func(node ast.Node) bool {
 			if selector, ok := node.(*ast.SelectorExpr); ok && isDurationUnit(selector) {
-				t.Errorf("%s uses time.%s: durations belong to the policy", name, selector.Sel.Name)
+				t.Errorf("%s uses time.%s, want durations in the policy files only", name, selector.Sel.Name)
 			}
 			return true
 		})
--- a/queue_test.go
+++ b/queue_test.go
@@ -25,18 +25,21 @@
 			}
 		}
 		if len(due) != 1 {
-			t.Fatalf("want one timer just before the deadline, got %v", formatActions(actions))
+			t.Fatalf("effect %d: got actions %v, want one SetTimer in the last second before the deadline",
+				c.effect, formatActions(actions))
 		}
 		h.now = due[0].At
 		actions = h.step(TimerFired{Timer: due[0].Timer})
 		rejections, failures := len(actionsOf[Reject](actions)), len(actionsOf[Fail](actions))
 		if rejections+failures != 1 || (rejections == 1) != c.wantRejected {
-			t.Errorf("effect %d with an attempt in flight: %d rejections, %d failures", c.effect, rejections, failures)
+			t.Errorf("effect %d, attempt in flight: got %d rejections and %d failures, want one answer, rejected: %v",
+				c.effect, rejections, failures, c.wantRejected)
 		}
 		h.now += time.Millisecond
 		late := h.step(Outcome{Task: id, Attempt: 0, Result: TimedOut}, RequestCanceled{Task: id})
 		if len(actionsOf[Offer](late))+len(actionsOf[Reject](late))+len(actionsOf[Fail](late)) > 0 {
-			t.Errorf("a second answer or an offer after the answer: %v", formatActions(late))
+			t.Errorf("effect %d, events after the answer: got actions %v, want no Offer, Reject or Fail",
+				c.effect, formatActions(late))
 		}
 	}
 }
@@ -45,21 +48,21 @@
 	h := newHarness(t, testSettings(), nil)
 	_, actions := h.request(0, 7)
 	if len(actionsOf[Offer](actions)) > 0 {
-		t.Fatalf("offered with no machine: %v", formatActions(actions))
+		t.Fatalf("request with no machine: got actions %v, want no Offer", formatActions(actions))
 	}
 	h.now += 5*time.Second - deadlineMargin
 	for _, timer := range actionsOf[SetTimer](actions) {
 		if timer.At == h.now {
 			if got := h.step(TimerFired{Timer: timer.Timer}); len(actionsOf[Reject](got)) != 1 {
-				t.Fatalf("want one rejection, got %v", formatActions(got))
+				t.Fatalf("timer at the deadline: got actions %v, want one Reject", formatActions(got))
 			}
 			return
 		}
 	}
-	t.Fatal("no timer at the deadline")
+	t.Fatalf("request with no machine: got actions %v, want a SetTimer at the deadline", formatActions(actions))
 }
 
-// A tenant beyond its quota once kept those within theirs waiting.
+// A tenant beyond its quota must not keep tenants within theirs waiting.
 func TestQueuePrefersTenantsWithinQuota(t *testing.T) {
 	settings := testSettings()
 	settings.Tenants = []Tenant{{Quota: 0.5, QuotaCores: 5}, {Quota: 0.5, QuotaCores: 5}}
@@ -74,7 +77,7 @@
 		}
 	}
 	if len(bound) != 10 {
-		t.Fatalf("%d tasks on a machine for ten", len(bound))
+		t.Fatalf("tasks bound on a machine with capacity for 10 = %d, want 10", len(bound))
 	}
 	task := h.newTask(0, 99)
 	task.Tenant = 1
@@ -82,6 +85,6 @@
 	h.now += 100 * time.Millisecond
 	actions := h.step(Outcome{Task: bound[0].Task, Machine: bound[0].Machine, Result: OK, Final: true})
 	if got := h.singleOffer(actions).Task; got != task.ID {
-		t.Errorf("the capacity went to task %d, want %d of the tenant within its quota", got, task.ID)
+		t.Errorf("released capacity: got an offer of task %d, want %d, of the tenant within its quota", got, task.ID)
 	}
 }
--- a/selection_test.go
+++ b/selection_test.go
@@ -28,7 +28,7 @@
 		}
 	}
 	if !isNearest {
-		t.Errorf("spilled from group %d of %v to machine %d", own, groups, got)
+		t.Errorf("offer with group %d of %v full goes to machine %d, want one of an adjacent group", own, groups, got)
 	}
 }
 
@@ -39,7 +39,7 @@
 	group := h.placer.pools[0].order
 	got := h.placer.selectInGroup(&task{Task: h.newTask(0, 7)}, group, &selectionPass{maxStarting: 1})
 	if got == nil || got.ID != 2 {
-		t.Errorf("selected %+v, want the fuller machine 2", got)
+		t.Errorf("selectInGroup() = %+v, want machine 2, the fuller one", got)
 	}
 }
 
@@ -52,12 +52,12 @@
 	for range 5 {
 		_, actions = h.request(0, 7)
 		if got := h.singleOffer(actions).Machine; got != first {
-			t.Fatalf("offered to machine %d, the program is on %d", got, first)
+			t.Fatalf("got an offer to machine %d, want %d, which has the program", got, first)
 		}
 	}
 }
 
-// Placers that see different available capacity once brought one program to many machines.
+// Placers that see different available capacity must still bring a service's program to the same machine.
 func TestSelectionOfManyPlacersAgrees(t *testing.T) {
 	used := map[MachineID]bool{}
 	for i, p := range newPlacers(t, testSettings(), 130) {
@@ -74,11 +74,11 @@
 		}
 	}
 	if len(used) != 1 {
-		t.Errorf("130 placers bring one service to %d machines, want 1", len(used))
+		t.Errorf("machines that get one service from 130 placers = %d, want 1", len(used))
 	}
 }
 
-// A task that requires labels goes only to a machine that carries all, and is queued where none does.
+// A task that requires labels goes only to a machine that has all of them, and is queued if there is none.
 func TestSelectionRequiresLabels(t *testing.T) {
 	machines := readyMachines(6)
 	machines[4].Labels = 0b10
@@ -86,16 +86,16 @@
 	task := h.newTask(0, 7)
 	task.RequiredLabels = 0b10
 	if offer := h.singleOffer(h.step(PlacementRequest{Task: task})); offer.Machine != 5 {
-		t.Fatalf("offered to machine %d, which lacks the label", offer.Machine)
+		t.Fatalf("got an offer to machine %d, want 5, which has the label", offer.Machine)
 	}
 	task = h.newTask(0, 8)
 	task.RequiredLabels = 0b110
 	if offers := actionsOf[Offer](h.step(PlacementRequest{Task: task})); len(offers) != 0 {
-		t.Fatalf("offered to %v, which carries one of two labels", offers)
+		t.Fatalf("task that requires two labels: got offers %v, want none as no machine has both", offers)
 	}
 	machines[1].Labels = 0b111
 	if offer := h.singleOffer(h.step(ListUpdate{Mode: ListDelta, Machines: machines[1:2]})); offer.Machine != 2 {
-		t.Fatalf("offered to machine %d, want 2, which carries both labels", offer.Machine)
+		t.Fatalf("got an offer to machine %d, want 2, which has both labels", offer.Machine)
 	}
 }
 
@@ -120,19 +120,20 @@
 		h.now += 3 * time.Second
 		h.step(ListUpdate{Mode: ListDelta, Machines: []Machine{{ID: 1, State: Ready, AvailableMemory: 10}}})
 		if _, actions := h.request(0, 98); len(actionsOf[Offer](actions)) > 0 {
-			t.Error("a task of the same priority was offered to a full machine")
+			t.Errorf("preemption %v, full machine: got offers %v of a task of the same priority, want none",
+				c.preemption, actionsOf[Offer](actions))
 		}
 		_, actions := h.request(1, 99)
 		h.now += 60 * time.Millisecond
 		actions = append(actions, h.step(ListUpdate{Mode: ListDelta})...)
 		if got := len(actionsOf[Offer](actions)); got != c.wantOffers {
-			t.Errorf("preemption %v: %d offers of the higher priority to a full machine, want %d",
+			t.Errorf("preemption %v, full machine: got %d offers of a task of higher priority, want %d",
 				c.preemption, got, c.wantOffers)
 		}
 	}
 }
 
-// The limit of the service itself and that of its class hold both, so the tighter one counts.
+// The spread limits of the service and of its class both apply.
 func TestSpreadLimitsOfTaskAndClassBothHold(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].SpreadDomain, settings.Classes[0].MaxPerDomain = ZoneDomain, 3
@@ -144,7 +145,7 @@
 		offers += len(actionsOf[Offer](h.step(PlacementRequest{Task: task})))
 	}
 	if offers != 2 {
-		t.Fatalf("%d offers at one task a cell in two cells, want 2", offers)
+		t.Fatalf("offers with a limit of 1 per cell and two cells = %d, want 2", offers)
 	}
 	for range 3 {
 		task := h.newTask(0, 7)
@@ -152,7 +153,7 @@
 		offers += len(actionsOf[Offer](h.step(PlacementRequest{Task: task})))
 	}
 	if offers != 3 {
-		t.Fatalf("%d offers, want the 3 that the class allows in the zone", offers)
+		t.Fatalf("offers with a class limit of 3 per zone and one zone = %d, want 3", offers)
 	}
 }
 
@@ -188,38 +189,41 @@
 				_, actions := h.request(0, 7)
 				for _, offer := range actionsOf[Offer](actions) {
 					if n := count(offer.Machine); n > maxPerDomain {
-						t.Fatalf("an offer makes %d tasks of one service in one %s", n, c.name)
+						t.Fatalf("tasks of a service in one %s after an offer = %d, want at most %d",
+							c.name, n, maxPerDomain)
 					}
 				}
 			}
 			if total != c.wantTasks {
-				t.Errorf("%d tasks placed, the spread limit allows %d", total, c.wantTasks)
+				t.Errorf("tasks placed in total = %d, want %d, as many as the spread limit allows", total, c.wantTasks)
 			}
 		})
 	}
 }
 
-// A restarted placer learns of its running tasks when they are handed over.
+// A restarted placer knows of its running tasks only by hand-over, so these must count for the spread limit.
 func TestHandedOverTaskCountsForSpread(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].SpreadDomain, settings.Classes[0].MaxPerDomain = ZoneDomain, 1
 	h := newHarness(t, settings, readyMachines(6))
 	running := h.newTask(0, 7)
 	if got := h.step(HandedOver{Task: running, Machine: 2}); len(actionsOf[Offer](got)) > 0 {
-		t.Fatalf("a handed-over task was offered: %v", formatActions(got))
+		t.Fatalf("hand-over of a task: got actions %v, want no Offer", formatActions(got))
 	}
 	id, actions := h.request(0, 7)
 	if len(actionsOf[Offer](actions)) > 0 {
-		t.Fatal("the handed-over task was not counted")
+		t.Fatalf("request with the spread limit reached by a handed-over task: got actions %v, want no Offer",
+			formatActions(actions))
 	}
 	actions = h.step(Outcome{Task: running.ID, Machine: 2, Result: OK, Final: true})
 	if got := h.singleOffer(actions); got.Task != id {
-		t.Errorf("offered task %d, want the queued %d", got.Task, id)
+		t.Errorf("end of the handed-over task: got an offer of task %d, want %d, the queued one", got.Task, id)
 	}
 }
 
-// Once all placers offered into the same gap of a list that lags.
-func TestLotteryAdmitsAboutAsManyAsFit(t *testing.T) {
+// Placers with a lagging list see the same available capacity; without the lottery all would offer to it at
+// once.
+func TestLotteryAdmitsAboutAsManyPlacersAsTasksFit(t *testing.T) {
 	machine := readyMachines(1)[0]
 	machine.AvailableCores, machine.AvailableMemory = 4, 8
 	placers := newPlacers(t, testSettings(), 400)
@@ -234,14 +238,14 @@
 				winners++
 			}
 			if !p.winsLottery(notAttempted, p.machines[1]) {
-				t.Fatal("a task that was not rejected takes part in the lottery")
+				t.Fatal("winsLottery(task without attempts) = false, want true: only rejected tasks take part")
 			}
 		}
 		if total += winners; winners > 15 {
-			t.Errorf("%d placers may offer where 4 tasks fit", winners)
+			t.Errorf("slot %d: got %d winners where 4 tasks fit, want at most 15", slot, winners)
 		}
 	}
 	if total < 40 || total > 120 {
-		t.Errorf("%d winners in 20 slots where 4 tasks fit, want about 80", total)
+		t.Errorf("winners in 20 slots where 4 tasks fit = %d, want 40 to 120", total)
 	}
 }
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -24,7 +24,9 @@
 		id, actions := h.request(0, uint64(i))
 		for _, offer := range actionsOf[Offer](actions) {
 			sent = append(sent, h.now)
-			h.step(Outcome{Task: offer.Task, Attempt: 0, Machine: offer.Machine, Result: Rejected, Reason: InsufficientCores})
+			h.step(Outcome{
+				Task: offer.Task, Attempt: 0, Machine: offer.Machine, Result: Rejected, Reason: InsufficientCores,
+			})
 		}
 		h.step(RequestCanceled{Task: id})
 	}
@@ -36,16 +38,16 @@
 			}
 		}
 		if inWindow > 3 {
-			t.Fatalf("%d offers within a window, our share of 12 for 4 placers is 3", inWindow)
+			t.Fatalf("offers within a window = %d, want at most 3, the share of one of 4 placers in 12", inWindow)
 		}
 	}
 	if len(sent) == 0 {
-		t.Fatal("a machine in slow start was never used")
+		t.Fatal("offers to a machine in slow start = 0, want some")
 	}
 }
 
-// slowStartOffers drives n placers that all want the one machine, which has just started, and returns
-// the times of their offers. One in seven learns of the start late; each restarts once.
+// slowStartOffers runs n placers that all have tasks for one machine, which has just started, and returns the
+// times of their offers. One placer in seven learns of the start late; each restarts once.
 func slowStartOffers(t *testing.T, settings Settings, n int) []time.Duration {
 	t.Helper()
 	const tick = 100 * time.Millisecond
@@ -85,8 +87,8 @@
 	return sent
 }
 
-// requestAndComplete hands the events and n requests to a placer, ends the tasks that it offers at once,
-// cancels the others and returns the number of offers.
+// requestAndComplete passes the events and n requests to a placer. It then ends the offered tasks, cancels all
+// requests and returns the number of offers.
 func requestAndComplete(p *Placer, now time.Duration, events []Event, firstID TaskID, n int) int {
 	for i := range TaskID(n) {
 		id := firstID + i
@@ -105,7 +107,7 @@
 	return len(offers)
 }
 
-// maxInWindow returns the most of the sorted times that lie within one window.
+// maxInWindow returns the maximum number of the sorted times within one window.
 func maxInWindow(times []time.Duration, window time.Duration) int {
 	most := 0
 	for i, at := range times {
@@ -115,7 +117,8 @@
 	return most
 }
 
-// Once no placer used a machine in slow start where its share of the offers is below one.
+// If the share of each placer is below one offer per window, the placers take turns. Without turns, none would
+// use a machine in slow start.
 func TestSlowStartGivesTurns(t *testing.T) {
 	for _, n := range []int{1, 3, 130, 470} {
 		for _, budget := range []float64{0, 0.5, 1, 3, 41} {
@@ -127,40 +130,41 @@
 				sent := slowStartOffers(t, settings, n)
 				slices.Sort(sent)
 				if most := maxInWindow(sent, settings.SlowStartWindow); float64(most) > budget {
-					t.Errorf("%d offers in a window, at most %g are allowed", most, budget)
+					t.Errorf("offers in a window = %d, want at most %g", most, budget)
 				}
 				windows := float64(settings.SlowStartDuration / settings.SlowStartWindow)
 				if budget >= 1 && float64(len(sent)) < windows*budget/8 {
-					t.Errorf("%d offers in %g windows of %g", len(sent), windows, budget)
+					t.Errorf("offers in %g windows of %g each = %d, want at least %g",
+						windows, budget, len(sent), windows*budget/8)
 				}
 				if budget < 1 && len(sent) > 0 {
-					t.Errorf("%d offers with a budget below one", len(sent))
+					t.Errorf("offers with a budget below 1 = %d, want 0", len(sent))
 				}
 			})
 		}
 	}
 }
 
-// slowStartRun is a run of many placers, each with a clock of its own, that all want one machine, which has
+// slowStartRun is a run of many placers, each with its own clock, that all have tasks for one machine, which has
 // just started.
 type slowStartRun struct {
 	settings    Settings
 	machine     Machine
-	clockSkew   time.Duration // clocks differ from the true time by at most this
-	latePercent int           // of connections that come up late
+	clockSkew   time.Duration // maximum difference of a clock from the true time
+	latePercent int           // share of connections that are established late
 	drawState   uint64
 	placers     []restartingPlacer
 	lastID      TaskID
 	sent        []time.Duration // true times of offers
-	arrivals    []time.Duration // of the same offers at the machine
+	arrivals    []time.Duration // times at which the same offers reach the machine
 }
 
 // restartingPlacer is a placer that learns of the machine's start late and restarts once.
 type restartingPlacer struct {
-	placer      *Placer // nil: stopped
+	placer      *Placer // nil while stopped
 	clockOffset time.Duration
-	learnsAt    time.Duration // of the machine's start; 0: it has
-	stopsAt     time.Duration // 0: it has
+	learnsAt    time.Duration // when it learns of the machine's start; 0 if it has
+	stopsAt     time.Duration // 0 if it has
 	restartsAt  time.Duration
 }
 
@@ -201,13 +205,13 @@
 	return r
 }
 
-// draw returns a duration of at most so many milliseconds.
+// draw returns a random duration from 0 to maxMillis milliseconds.
 func (r *slowStartRun) draw(maxMillis int) time.Duration {
 	r.drawState = hash64(r.drawState + 1)
 	return time.Duration(r.drawState%uint64(maxMillis+1)) * time.Millisecond
 }
 
-// start starts an incarnation of a placer, which knows the machine as it is given.
+// start starts an incarnation of placer i, whose list has the machine as given.
 func (r *slowStartRun) start(t rapid.TB, i int, now time.Duration, machine Machine) {
 	t.Helper()
 	r.settings.Self = i
@@ -220,7 +224,7 @@
 	placer.Step(now+p.clockOffset, []Event{ListUpdate{Mode: ListCached, Machines: []Machine{machine}}})
 }
 
-// step lets a placer learn, stop or restart when it is time, and has it place a few tasks.
+// step makes placer i learn of the machine's start, stop or restart when that is due, and place a few tasks.
 func (r *slowStartRun) step(t rapid.TB, i int, now time.Duration) {
 	t.Helper()
 	p := &r.placers[i]
@@ -248,7 +252,7 @@
 	}
 }
 
-// connectDelay draws how long an offer waits for its connection.
+// connectDelay draws the time for which an offer waits for its connection.
 func (r *slowStartRun) connectDelay() time.Duration {
 	if r.draw(99) < time.Duration(r.latePercent)*time.Millisecond {
 		return r.draw(int(r.settings.ConnectTimeout / time.Millisecond))
@@ -256,7 +260,7 @@
 	return time.Millisecond
 }
 
-// run plays the run until the machine's slow start ends by every clock.
+// run advances the time until the machine's slow start ends by the first clock.
 func (r *slowStartRun) run(t rapid.TB) {
 	t.Helper()
 	tick := max(r.settings.SlowStartWindow/30, 10*time.Millisecond)
@@ -268,20 +272,21 @@
 	slices.Sort(r.arrivals)
 }
 
-// checkUsed fails the test where the machine got hardly any offers.
+// checkUsed fails the test if the machine got too few offers.
 func (r *slowStartRun) checkUsed(t rapid.TB) {
 	t.Helper()
 	maxOffers := r.settings.SlowStartMaxOffers
 	windows := float64(r.settings.SlowStartDuration/r.settings.SlowStartWindow) - 2
 	if float64(len(r.arrivals)) < windows*min(maxOffers, float64(len(r.placers)))/16-1 {
-		t.Errorf("only %d offers in %g windows of %g", len(r.arrivals), windows, maxOffers)
+		t.Errorf("offers in %g windows of %g each = %d, want at least %g",
+			windows, maxOffers, len(r.arrivals), windows*min(maxOffers, float64(len(r.placers)))/16-1)
 	}
 }
 
-// Offers wait for connections for up to the connect timeout, some placers learn of the machine's start late,
-// and some restart. What reaches the machine in any window stays within what it bears and chance, and the
-// machine is used. The runs are always the same ones, since chance would pass the bound in a few of a
-// thousand others: TestSlowStartNeverSendsMore holds for every run.
+// Offers wait for connections for up to the connect timeout, some placers learn of the machine's start late, and
+// some restart. The offers that reach the machine in any window must stay within the maximum plus a margin for
+// chance, and the machine must be used. The seeds are fixed, since in a few of a thousand other runs chance
+// would exceed the margin; the bounds of TestSlowStartNeverSendsMore hold for every run.
 func TestSlowStartHoldsWithDelaysAndRestarts(t *testing.T) {
 	runs := rapid.Custom(drawSlowStartRun)
 	for seed := range 100 {
@@ -290,21 +295,23 @@
 		maxOffers := r.settings.SlowStartMaxOffers
 		bound := maxOffers + 2*math.Sqrt(maxOffers) + 2
 		if most := maxInWindow(r.arrivals, r.settings.SlowStartWindow); float64(most) > bound {
-			t.Errorf("run %d: %d offers reach the machine in a window, want at most %g and by chance %.1f", seed, most, maxOffers, bound)
+			t.Errorf("seed %d: offers that reach the machine in a window = %d, want at most %.1f (%g and chance)",
+				seed, most, bound, maxOffers)
 		}
 		r.checkUsed(t)
 	}
 }
 
-// maxSentInWindow returns the most offers that the placers may send in a window of true time. It is the
-// maximum itself unless the placers take turns and their clocks differ by more than a slot, or by anything
-// where a slot is as long as two windows.
+// maxSentInWindow returns the maximum number of offers that the placers may send in a window of true time. It
+// exceeds the configured maximum only if the placers take turns and their clocks differ: by more than a slot,
+// or at all where a slot is as long as two windows.
 func (r *slowStartRun) maxSentInWindow() float64 {
 	maxOffers, difference := r.settings.SlowStartMaxOffers, 2*r.clockSkew
 	if maxOffers >= float64(len(r.placers)) || difference == 0 {
 		return maxOffers
 	}
-	const shares = 5 // of the maximum: four slots touch a window where clocks agree, and one share is for late placers
+	// Shares of the maximum: with equal clocks a window overlaps four slots, and one share is for late placers.
+	const shares = 5
 	placersPerSlot := math.Floor(maxOffers / shares)
 	if placersPerSlot == 0 {
 		return 2 * maxOffers
@@ -314,8 +321,8 @@
 	return max(maxOffers, placersPerSlot*slotsTouched)
 }
 
-// In no run do the placers send more in a window than the machine bears. As no offer waits for its
-// connection for more than a window, what reaches the machine is never more than two windows' offers.
+// In no run may the placers send more offers in a window than maxSentInWindow. As no offer waits for its
+// connection for longer than a window, the machine never gets more than the offers of two windows.
 func TestSlowStartNeverSendsMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := drawSlowStartRun(t)
@@ -323,10 +330,10 @@
 		slices.Sort(r.sent)
 		bound := r.maxSentInWindow()
 		if most := maxInWindow(r.sent, r.settings.SlowStartWindow); float64(most) > bound {
-			t.Errorf("%d offers are sent in a window, want at most %g", most, bound)
+			t.Errorf("offers sent in a window = %d, want at most %g", most, bound)
 		}
 		if most := maxInWindow(r.arrivals, r.settings.SlowStartWindow); float64(most) > 2*bound {
-			t.Errorf("%d offers reach the machine in a window, want at most %g", most, 2*bound)
+			t.Errorf("offers that reach the machine in a window = %d, want at most %g", most, 2*bound)
 		}
 		r.checkUsed(t)
 	})
--- a/validate_test.go
+++ b/validate_test.go
@@ -29,7 +29,7 @@
 		settings := testSettings()
 		invalidate(&settings)
 		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v does not name it", field, err)
+			t.Errorf("New(settings with invalid %s): got error %v, want one that contains %q", field, err, field)
 		}
 	}
 }
@@ -48,7 +48,7 @@
 		invalidate(&task)
 		actions := h.step(PlacementRequest{Task: task})
 		if len(actions) != 1 || len(actionsOf[Reject](actions)) != 1 {
-			t.Errorf("%s: want one rejection, got %v", name, formatActions(actions))
+			t.Errorf("request of a task, %s: got actions %v, want one Reject", name, formatActions(actions))
 		}
 	}
 }
