--- a/attempts.go
+++ b/attempts.go
@@ -4,13 +4,13 @@
 
 // Constants of attempts and migrations.
 const (
-	attemptTimeout = 700 * time.Millisecond // after which an unanswered attempt has its machine probed
-	probeBackoff   = 3 * attemptTimeout     // no probe after an answer, with many placers
+	attemptTimeout = 700 * time.Millisecond // time without an answer until the machine is probed
+	probeBackoff   = 3 * attemptTimeout     // with many placers, time without probes after an answer
 	// startTimeP95 estimates the 95th percentile of the time from offer to bind: a start that takes longer
 	// raises it by 1/startTimeP95Rise, any other start lowers it by 1/startTimeP95Fall.
 	initialStartTimeP95                = 1500 * time.Millisecond
 	startTimeP95Rise, startTimeP95Fall = 5, 100
-	unresponsiveStartFactor            = 2 // multiple of startTimeP95: the attempt is unresponsive
+	unresponsiveStartFactor            = 2 // multiple of startTimeP95 until an attempt is unresponsive
 	// A task with a service level below migrateBelow is migrated if one of the first migrationPasses
 	// selection passes finds a machine for it.
 	migrateBelow, migrationPasses = 0.5, 3
--- a/capacity.go
+++ b/capacity.go
@@ -7,11 +7,12 @@
 
 // Constants of the capacity estimate.
 const (
-	changeHistory      = 10 * time.Second       // for which changes are counted: the list may lag that long
-	initialListLag     = 2                      // index into listLags: 1 s
-	listLagErrorDecay  = 0.98                   // factor on the errors of the lags at each observation
-	rejectionLifetime  = 4 * time.Second        // for which a rejection affects the estimate at most
-	rejectedSizeMargin = 0.99                   // of the rejected size, so that it does not fit again
+	changeHistory     = 10 * time.Second // time for which changes are counted, as the list lags
+	initialListLag    = 2                // index into listLags: 1 s
+	listLagErrorDecay = 0.98             // factor on the errors of the lags at each observation
+	rejectionLifetime = 4 * time.Second  // maximum time that a rejection affects the estimate
+	// Share of a rejected size that counts as available, so that the same size does not fit again.
+	rejectedSizeMargin = 0.99
 	queueFullBackoff   = 300 * time.Millisecond // no offers to a machine whose queue was full
 	memorySaturation   = 0.88                   // share of memory in use that slows a machine; more evicts
 	// The share of the requested amount that tasks are assumed to use before notes report it. It weighs as
--- a/outliers.go
+++ b/outliers.go
@@ -12,8 +12,9 @@
 )
 
 // reportOutlier records a failed attempt of the class on a machine that otherwise answers, and gossips it to
-// the other placers, as each sees too few tasks to detect the outlier alone. Such a machine fails tasks of
-// one class, whatever the cause. The cost: machines with slow starts for a while may be ejected too.
+// the other placers, as each sees too few tasks to detect the outlier alone. Without ejection, a machine that
+// fails tasks of one class, whatever the cause, would get more of them. The cost: machines with slow starts
+// for a while may be ejected too.
 func (p *Placer) reportOutlier(m *machine, class int) {
 	p.recordOutlierFailure(m, class)
 	cost := float64(p.settings.Placers-1) * outlierMessageFraction * p.settings.Costs.Gossip
--- a/queue.go
+++ b/queue.go
@@ -63,8 +63,8 @@
 
 // queuePriority returns the priority of a queued task: the weight of its class, higher while a start is still
 // in time, lower if its tenant exceeds this placer's share of the quota, so that tenants within their quota
-// don't wait for those beyond it. The cost: a tenant whose traffic is uneven among placers may be taken to
-// exceed its quota.
+// don't wait for those beyond it. The cost: a tenant whose traffic is uneven among placers may count as
+// beyond its quota.
 func (p *Placer) queuePriority(t *task) float64 {
 	class := &p.settings.Classes[t.Class]
 	priority := class.Weight
--- a/selection_test.go
+++ b/selection_test.go
@@ -221,8 +221,8 @@
 	}
 }
 
-// Placers with a lagging list see the same available capacity; without the lottery all would offer to it at
-// once.
+// Placers with a lagging list see the same available capacity. Without the lottery, all would offer to the same
+// machine.
 func TestLotteryAdmitsAboutAsManyPlacersAsTasksFit(t *testing.T) {
 	machine := readyMachines(1)[0]
 	machine.AvailableCores, machine.AvailableMemory = 4, 8
