--- a/internal/cli/replay.go
+++ b/internal/cli/replay.go
@@ -76,7 +76,7 @@
 }
 
 func (a *app) printNodeReplay(result *platformreplay.Result) {
-	if result.Cut {
+	if result.Truncated {
 		a.println("the trace ends within a step, which is not replayed")
 	}
 	d := result.Difference
@@ -112,7 +112,7 @@
 			return err
 		}
 	}
-	if request.Cut {
+	if request.Truncated {
 		a.warnln("the trace ends within a step, which is not shown")
 	}
 	if len(request.Messages) == 0 {
--- a/internal/server/platform/trace_test.go
+++ b/internal/server/platform/trace_test.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if result.Difference != nil || result.Cut || result.Steps != bytes.Count(trace, []byte(`"way":"step"`)) {
+	if result.Difference != nil || result.Truncated || result.Steps != bytes.Count(trace, []byte(`"way":"step"`)) {
 		t.Errorf("%+v, %+v", result, result.Difference)
 	}
 }
--- a/internal/verify/platformreplay/reader.go
+++ b/internal/verify/platformreplay/reader.go
@@ -11,8 +11,8 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// ErrCut means that a trace ends within a step: its placer was killed while it wrote, or the file is a part of one.
-var ErrCut = errors.New("the trace ends within a step")
+// ErrTruncated means that a trace ends within a step: its placer was killed while it wrote, or the file is a part of one.
+var ErrTruncated = errors.New("the trace ends within a step")
 
 // errNoTrace means that a file does not begin as a trace does.
 var errNoTrace = errors.New("not a trace of forkhead node")
@@ -58,7 +58,7 @@
 	return r, nil
 }
 
-// Next returns the next step. Its error is io.EOF at the end, ErrCut if the trace ends within the step, and otherwise names
+// Next returns the next step. Its error is io.EOF at the end, ErrTruncated if the trace ends within the step, and otherwise names
 // the line that cannot be read.
 func (r *Reader) Next() (*Step, error) {
 	first, err := r.readLine()
@@ -108,7 +108,7 @@
 	for range count {
 		l, err := r.readLine()
 		if errors.Is(err, io.EOF) {
-			return nil, ErrCut
+			return nil, ErrTruncated
 		}
 		if err != nil {
 			return nil, err
@@ -121,11 +121,11 @@
 	return lines, nil
 }
 
-// readLine reads a line. It returns io.EOF at the end of the trace, and ErrCut for a line without a line feed.
+// readLine reads a line. It returns io.EOF at the end of the trace, and ErrTruncated for a line without a line feed.
 func (r *Reader) readLine() (*line, error) {
 	text, err := r.from.ReadBytes('\n')
 	if errors.Is(err, io.EOF) && len(text) > 0 {
-		return nil, ErrCut
+		return nil, ErrTruncated
 	}
 	if err != nil {
 		return nil, err
--- a/internal/verify/platformreplay/replay.go
+++ b/internal/verify/platformreplay/replay.go
@@ -16,7 +16,7 @@
 // Result is what replaying a trace came to.
 type Result struct {
 	Steps      int         `json:"steps"` // that were replayed
-	Cut        bool        `json:"cut"`   // the trace ends within a step, which was not replayed
+	Truncated  bool        `json:"cut"`   // the trace ends within a step, which was not replayed
 	Difference *Difference `json:"difference,omitempty"`
 }
 
@@ -63,8 +63,8 @@
 	result := &Result{}
 	for {
 		s, err := r.Next()
-		if errors.Is(err, io.EOF) || errors.Is(err, ErrCut) {
-			result.Cut = errors.Is(err, ErrCut)
+		if errors.Is(err, io.EOF) || errors.Is(err, ErrTruncated) {
+			result.Truncated = errors.Is(err, ErrTruncated)
 			return result, nil
 		}
 		if err != nil {
--- a/internal/verify/platformreplay/replay_test.go
+++ b/internal/verify/platformreplay/replay_test.go
@@ -37,7 +37,7 @@
 	trace := record(t, nil)
 	for range 20 {
 		result := replay(t, trace, nil)
-		if result.Difference != nil || result.Cut || result.Steps != stepCount(trace) {
+		if result.Difference != nil || result.Truncated || result.Steps != stepCount(trace) {
 			t.Fatalf("%+v, %+v; want %d steps", result, result.Difference, stepCount(trace))
 		}
 	}
@@ -110,8 +110,8 @@
 		if err != nil || result.Difference != nil || result.Steps > stepCount(trace[:size]) || result.Steps < stepCount(trace[:size])-1 {
 			t.Fatalf("%d bytes: %v, %+v", size, err, result)
 		}
-		if result.Cut == (result.Steps == stepCount(trace[:size]) && trace[size-1] == '\n') {
-			t.Fatalf("%d bytes: %d steps replayed, cut: %v", size, result.Steps, result.Cut)
+		if result.Truncated == (result.Steps == stepCount(trace[:size]) && trace[size-1] == '\n') {
+			t.Fatalf("%d bytes: %d steps replayed, truncated: %v", size, result.Steps, result.Truncated)
 		}
 	}
 }
@@ -209,14 +209,14 @@
 		t.Fatal(err)
 	}
 	result := replay(t, trace, offerToHost1)
-	if result.Difference != nil || result.Cut || result.Steps != stepCount(trace) {
+	if result.Difference != nil || result.Truncated || result.Steps != stepCount(trace) {
 		t.Errorf("%+v, %+v", result, result.Difference)
 	}
 }
 
 // The result has these keys.
 func TestResultGoldenForm(t *testing.T) {
-	text, err := json.Marshal(Result{Steps: 3, Cut: true, Difference: &Difference{Step: 2, Now: 7, Output: 1, Inputs: []string{"a"}, Want: []string{"b"}, Got: []string{"c"}}})
+	text, err := json.Marshal(Result{Steps: 3, Truncated: true, Difference: &Difference{Step: 2, Now: 7, Output: 1, Inputs: []string{"a"}, Want: []string{"b"}, Got: []string{"c"}}})
 	const want = `{"steps":3,"cut":true,"difference":{"step":2,"now":7,"output":1,"inputs":["a"],"want":["b"],"got":["c"]}}`
 	if err != nil || string(text) != want {
 		t.Errorf("%v, got %s, want %s", err, text, want)
@@ -244,7 +244,7 @@
 		want := []string{
 			"3 12ms in owner 1  new", "4 15ms out host 1 10.0.0.1:1 new", "5 18ms in host 1 10.0.0.1:1 up", "5 18ms out owner 1  up",
 		}
-		if len(got) < len(want) || strings.Join(got[:len(want)], "\n") != strings.Join(want, "\n") || request.Cut {
+		if len(got) < len(want) || strings.Join(got[:len(want)], "\n") != strings.Join(want, "\n") || request.Truncated {
 			t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 		}
 	}
--- a/internal/verify/platformreplay/request.go
+++ b/internal/verify/platformreplay/request.go
@@ -32,8 +32,8 @@
 
 // Request is the way of one request.
 type Request struct {
-	Messages []Message
-	Cut      bool // the trace ends within a step
+	Messages  []Message
+	Truncated bool // the trace ends within a step
 }
 
 // FollowRequest returns the messages of a trace that name a request by its ref, in their order. Nothing is replayed. Its
@@ -46,8 +46,8 @@
 	f := &requestFollower{ref: ref, splitters: map[connection]*platform.LineSplitter{}, addresses: map[platformcore.ConnectionID]string{}}
 	for {
 		s, err := r.Next()
-		if errors.Is(err, io.EOF) || errors.Is(err, ErrCut) {
-			return &Request{Messages: f.messages, Cut: errors.Is(err, ErrCut)}, nil
+		if errors.Is(err, io.EOF) || errors.Is(err, ErrTruncated) {
+			return &Request{Messages: f.messages, Truncated: errors.Is(err, ErrTruncated)}, nil
 		}
 		if err != nil {
 			return nil, err
