--- a/internal/verify/platformreplay/bench_test.go
+++ b/internal/verify/platformreplay/bench_test.go
@@ -12,8 +12,9 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// BenchmarkRequest takes a request from its owner to a host, its answer and its end back, and what acknowledges that, through
-// a core with the real module, with and without a trace to a file.
+// BenchmarkRequest measures a request's path through a core with the real module, with and without a trace to a file:
+// from the owner to a host, the host's answer and the end of the task back to the owner, and the owner's
+// acknowledgment.
 func BenchmarkRequest(b *testing.B) {
 	for _, traced := range []bool{false, true} {
 		b.Run(fmt.Sprintf("traced=%v", traced), func(b *testing.B) { benchmarkRequest(b, traced) })
@@ -44,7 +45,7 @@
 			if traced {
 				w.Step(now, in, out)
 			}
-			in = answers(out)
+			in = replies(out)
 			placed += len(in)
 		}
 	}
@@ -57,7 +58,7 @@
 		step(platformcore.OwnerData{Owner: 1, Data: fmt.Appendf(nil, `{"t":"ack","ref":"%s","f":{}}`+"\n", ref)})
 	}
 	if placed < b.N {
-		b.Errorf("%d of %d requests are placed", placed, b.N)
+		b.Errorf("%d requests placed, want at least %d", placed, b.N)
 	}
 	if info, err := file.Stat(); traced && err == nil {
 		b.ReportMetric(float64(info.Size())/float64(b.N), "trace-B/op")
@@ -67,8 +68,8 @@
 	}
 }
 
-// answers returns what a network and a host without faults answer.
-func answers(outputs []platformcore.Output) []platformcore.Input {
+// replies returns the inputs with which a network and a host without faults respond to outputs.
+func replies(outputs []platformcore.Output) []platformcore.Input {
 	var in []platformcore.Input
 	for _, output := range outputs {
 		switch out := output.(type) {
--- a/internal/verify/platformreplay/doc.go
+++ b/internal/verify/platformreplay/doc.go
@@ -1,20 +1,21 @@
-// Package platformreplay records what the core of a placer on the users' platform is given and returns, and steps the same
-// core through it again. It is pure: whoever uses it opens the files.
+// Package platformreplay records the inputs and outputs of the core of a platform placer as a trace, and replays a trace
+// through a core of this build. It opens no files: callers pass a reader or a writer.
 //
-// A trace is JSON lines. Each has the members of a line:
+// A trace is in JSON Lines format. Each line is an object with these members:
 //
 //	at     microseconds since the Unix epoch, by the placer's clock
 //	way    "start", "step", "in" or "out"
 //	what   type of the value
-//	value  the value, which depends on the type
+//	value  value of that type
 //
-// The first line is a Head. Each step of the core, also one without inputs and outputs, is a line of its own that says how
-// many inputs and outputs follow it, and these, in their order. Bytes that crossed a connection stand as text in Data or
-// Line; where they are not UTF-8, that is only for the reader, and Bytes has them exactly, in base64.
+// The first line holds a Head. Each step of the core begins with a line that has the number of its inputs and outputs,
+// which follow it in order; a step without any is recorded too. Bytes that crossed a connection are text in Data or
+// Line. Where they are not valid UTF-8, that text is only for people to read, and Bytes holds the exact bytes in
+// base64.
 //
-//	format.go               lines, head and step
+//	format.go               the line format, the head and the step line
 //	inputs.go, outputs.go   the values of inputs and outputs
-//	writer.go, reader.go    a trace written and read
-//	replay.go               a trace replayed through the core
-//	request.go              the messages of one request
+//	writer.go, reader.go    writing and reading a trace
+//	replay.go               replaying a trace through the core
+//	request.go              listing the messages of one request
 package platformreplay
--- a/internal/verify/platformreplay/format.go
+++ b/internal/verify/platformreplay/format.go
@@ -11,54 +11,55 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// Version is that of the format. A reader takes no other: a change of a value's members, or of what a build returns in
-// them, needs a new one.
+// Version is the version of the trace format; a reader rejects any other. It must be raised when the members of a value
+// change, or when a build writes other contents to them.
 const Version = 1
 
-// direction says what a line is.
+// direction is the kind of a line.
 type direction string
 
 const (
 	directionStart direction = "start" // the head
-	directionStep  direction = "step"  // the beginning of a step
-	directionIn    direction = "in"    // an input of the core
-	directionOut   direction = "out"   // an output of the core
+	directionStep  direction = "step"  // beginning of a step
+	directionIn    direction = "in"    // input of the core
+	directionOut   direction = "out"   // output of the core
 )
 
 // Types of the lines that are neither inputs nor outputs.
 const (
-	whatHead = "platform.Trace"
-	whatStep = "platform.Step"
+	typeHead = "platform.Trace"
+	typeStep = "platform.Step"
 )
 
 // line is one line of a trace.
 type line struct {
-	At        int64           `json:"at"` // microseconds
+	At        int64           `json:"at"` // microseconds since the Unix epoch
 	Direction direction       `json:"way"`
-	What      string          `json:"what"`
+	Type      string          `json:"what"`
 	Value     json.RawMessage `json:"value"`
 }
 
-// newLine returns a line with a value as JSON.
-func newLine(at time.Duration, way direction, what string, value any) (*line, error) {
+// newLine returns a line that holds a value as JSON.
+func newLine(at time.Duration, dir direction, lineType string, value any) (*line, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", what, err)
+		return nil, fmt.Errorf("encoding %s: %w", lineType, err)
 	}
-	return &line{At: at.Microseconds(), Direction: way, What: what, Value: text}, nil
+	return &line{At: at.Microseconds(), Direction: dir, Type: lineType, Value: text}, nil
 }
 
-// String is the line without its time, as two outputs are compared and shown.
-func (l *line) String() string { return l.What + " " + string(l.Value) }
+// String returns the line without its time. Outputs are compared and printed in this form.
+func (l *line) String() string { return l.Type + " " + string(l.Value) }
 
-// Head is what the core was started with.
+// Head holds the parameters that the core was started with.
 type Head struct {
 	Version int
-	Start   time.Duration   // of the incarnation, in nanoseconds since the Unix epoch
-	Config  json.RawMessage // the placer's configuration, as it was received
+	Start   time.Duration   // start of the incarnation, in nanoseconds since the Unix epoch
+	Config  json.RawMessage // configuration as the placer received it
 	Seed    Seed
 
-	// What follows is as the shell made it of the configuration; see the core's Config.
+	// The fields below were derived from the configuration by the event loop around the core; they are those of the
+	// core's Config.
 	MaxOwnerConnections       int
 	MaxHostConnections        int
 	MaxConnections            int
@@ -66,20 +67,21 @@
 	InitialEvents             []platform.WatchEvent
 }
 
-// Seed is the seed of the core, in JSON as 16 hex digits: readers that take numbers for floats would change it.
+// Seed is the core's random seed. JSON has it as 16 hex digits, because readers that parse numbers as floats would
+// round it.
 type Seed uint64
 
-// MarshalText returns the hex digits.
+// MarshalText returns the seed as 16 hex digits.
 func (s Seed) MarshalText() ([]byte, error) { return fmt.Appendf(nil, "%016x", uint64(s)), nil }
 
-// UnmarshalText takes the hex digits.
+// UnmarshalText parses hex digits.
 func (s *Seed) UnmarshalText(text []byte) error {
 	n, err := strconv.ParseUint(string(text), 16, 64)
 	*s = Seed(n)
 	return err
 }
 
-// newHead returns the head of a trace that begins now. received is the configuration that core was made of.
+// newHead returns the head of a trace that begins now. received is the configuration that core was derived from.
 func newHead(now time.Duration, received json.RawMessage, core *platformcore.Config) Head {
 	return Head{
 		Version: Version, Start: now, Config: received, Seed: Seed(core.Seed),
@@ -90,18 +92,18 @@
 
 // stepValue is the value of the line that begins a step.
 type stepValue struct {
-	Step        int           // from 0
-	Nanoseconds time.Duration // of the step's time, beyond the microseconds of at
-	Inputs      int           // lines that follow
-	Outputs     int           // lines that follow the inputs
+	Step        int           // counted from 0
+	Nanoseconds time.Duration // part of the step's time below the microseconds of the line
+	Inputs      int           // number of input lines that follow
+	Outputs     int           // number of output lines that follow the inputs
 }
 
-// now returns the time of a step whose line has these microseconds.
+// now returns the time of the step; at is the time of its line in microseconds.
 func (v *stepValue) now(at int64) time.Duration {
 	return time.Duration(at)*time.Microsecond + v.Nanoseconds
 }
 
-// exactBytes returns bytes that JSON cannot hold as text, and nil for those that it can.
+// exactBytes returns data if it is not valid UTF-8, which a JSON string cannot hold, and nil otherwise.
 func exactBytes(data []byte) []byte {
 	if utf8.Valid(data) {
 		return nil
@@ -109,7 +111,7 @@
 	return data
 }
 
-// originalBytes returns the bytes that stand as text, or as exact bytes where these are not nil.
+// originalBytes returns the recorded bytes: exact where it is not nil, and otherwise text.
 func originalBytes(text string, exact []byte) []byte {
 	if exact != nil {
 		return exact
--- a/internal/verify/platformreplay/format_test.go
+++ b/internal/verify/platformreplay/format_test.go
@@ -19,7 +19,7 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// exampleInputs are one of each input, with every field set, and bytes of each kind.
+// exampleInputs returns inputs of each type, with every field set, and with data that is valid UTF-8, invalid, and empty.
 func exampleInputs() []platformcore.Input {
 	return []platformcore.Input{
 		platformcore.OwnerConnected{Owner: 1<<64 - 1},
@@ -38,7 +38,7 @@
 	}
 }
 
-// exampleOutputs are one of each output, with every field set.
+// exampleOutputs returns outputs of each type, with every field set.
 func exampleOutputs() []platformcore.Output {
 	return []platformcore.Output{
 		platformcore.SendToOwner{Owner: 1, Line: []byte("ü\n")},
@@ -58,7 +58,7 @@
 	}
 }
 
-// writeExample returns a trace with the examples in one step.
+// writeExample returns a trace with one step of all example inputs and outputs and one step without any.
 func writeExample(t *testing.T) []byte {
 	t.Helper()
 	head := testHead(t)
@@ -77,26 +77,27 @@
 	return trace.Bytes()
 }
 
-// The form of each line is held.
-func TestFormatGolden(t *testing.T) { goldentest.Check(t, "format.jsonl", writeExample(t)) }
+// The form of each line must not change within a version of the format, because earlier traces have to be read.
+func TestFormatMatchesGoldenFile(t *testing.T) { goldentest.Check(t, "format.jsonl", writeExample(t)) }
 
-// A type of input or output that the core gets anew must be in the format: it is found by its method in the core's source.
-func TestFormatHoldsEveryInputAndOutput(t *testing.T) {
+// A type of input or output that is added to the core must be added to the format. The test finds the types in the core's
+// source by their marker methods.
+func TestFormatCoversEveryInputAndOutput(t *testing.T) {
 	lines := string(writeExample(t))
 	for _, direction := range []string{"input", "output"} {
 		types := typesWithMethod(t, "../../scheduler/platform", direction)
 		if len(types) < 10 {
-			t.Errorf("only %v have the method %s", types, direction)
+			t.Errorf("types with the method %s in the core: %v, want at least 10", direction, types)
 		}
 		for _, name := range types {
 			if !strings.Contains(lines, `"what":"platform.`+name+`"`) {
-				t.Errorf("%s %s is not among the examples", direction, name)
+				t.Errorf("the example trace has no line of %s type platform.%s, want one", direction, name)
 			}
 		}
 	}
 }
 
-// typesWithMethod returns the types of a package whose receiver has a method of this name.
+// typesWithMethod returns the types of a package that have a method of this name on a value receiver.
 func typesWithMethod(t *testing.T, folder, method string) []string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
@@ -122,7 +123,7 @@
 	return types
 }
 
-// What is read is what was written: the head, times in nanoseconds, step boundaries, and every input byte for byte.
+// The reader returns the head, the times in nanoseconds, the step boundaries and each input byte for byte as written.
 func TestReaderReturnsWhatWasWritten(t *testing.T) {
 	r, err := NewReader(bytes.NewReader(writeExample(t)))
 	if err != nil {
@@ -131,25 +132,25 @@
 	want := testHead(t)
 	want.Config = r.Head.Config
 	if !reflect.DeepEqual(r.Head, want) {
-		t.Errorf("head %+v, want %+v", r.Head, want)
+		t.Errorf("NewReader: head %+v, want %+v", r.Head, want)
 	}
 	s, err := r.Next()
 	if err != nil || s.Now != testStart+1 || len(s.outputs) != len(exampleOutputs()) {
-		t.Fatalf("%v, %+v", err, s)
+		t.Fatalf("first Next = %+v, %v, want a step at %v with %d outputs", s, err, testStart+1, len(exampleOutputs()))
 	}
 	if len(s.Inputs) != len(exampleInputs()) {
-		t.Fatalf("%d inputs, want %d", len(s.Inputs), len(exampleInputs()))
+		t.Fatalf("first Next: %d inputs, want %d", len(s.Inputs), len(exampleInputs()))
 	}
 	for i, want := range exampleInputs() {
 		if !reflect.DeepEqual(s.Inputs[i], want) {
-			t.Errorf("%#v, want %#v", s.Inputs[i], want)
+			t.Errorf("first Next: input %d = %#v, want %#v", i, s.Inputs[i], want)
 		}
 	}
 	s, err = r.Next()
 	if err != nil || s.Number != 1 || s.Now != testStart+time.Microsecond || len(s.Inputs)+len(s.outputs) > 0 {
-		t.Errorf("%v, %+v, want an empty step", err, s)
+		t.Errorf("second Next = %+v, %v, want an empty step 1 at %v", s, err, testStart+time.Microsecond)
 	}
 	if _, err = r.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("%v at the end", err)
+		t.Errorf("Next at the end: error %v, want io.EOF", err)
 	}
 }
--- a/internal/verify/platformreplay/inputs.go
+++ b/internal/verify/platformreplay/inputs.go
@@ -7,95 +7,96 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// Types of the lines of inputs.
+// Types of the lines of inputs. They are part of the format and stay when a Go type is renamed.
 const (
-	whatOwnerConnected     = "platform.OwnerConnected"
-	whatOwnerData          = "platform.OwnerData"
-	whatOwnerDisconnected  = "platform.OwnerDisconnected"
-	whatHostConnected      = "platform.HostConnected"
-	whatDialFailed         = "platform.DialFailed"
-	whatHostData           = "platform.HostData"
-	whatHostDisconnected   = "platform.HostDisconnected"
-	whatWatchEventReceived = "platform.WatchEventReceived"
-	whatGossipReceived     = "platform.GossipReceived"
-	whatShutdownRequested  = "platform.ShutdownRequested"
+	typeOwnerConnected     = "platform.OwnerConnected"
+	typeOwnerData          = "platform.OwnerData"
+	typeOwnerDisconnected  = "platform.OwnerDisconnected"
+	typeHostConnected      = "platform.HostConnected"
+	typeDialFailed         = "platform.DialFailed"
+	typeHostData           = "platform.HostData"
+	typeHostDisconnected   = "platform.HostDisconnected"
+	typeWatchEventReceived = "platform.WatchEventReceived"
+	typeGossipReceived     = "platform.GossipReceived"
+	typeShutdownRequested  = "platform.ShutdownRequested"
 )
 
-// ownerData is the value of an OwnerData.
+// ownerData is the value of a line of type platform.OwnerData.
 type ownerData struct {
 	Data  string
 	Owner platformcore.OwnerID
-	Bytes []byte `json:",omitempty"` // nil: Data is exact
+	Bytes []byte `json:",omitempty"` // nil if Data is valid UTF-8
 }
 
-// hostData is the value of a HostData.
+// hostData is the value of a line of type platform.HostData.
 type hostData struct {
 	Connection platformcore.ConnectionID
 	Data       string
-	Bytes      []byte `json:",omitempty"` // nil: Data is exact
+	Bytes      []byte `json:",omitempty"` // nil if Data is valid UTF-8
 }
 
-// encodeInput returns the type and the value of an input's line. The other inputs stand as they are.
-func encodeInput(input platformcore.Input) (what string, value any) {
+// encodeInput returns the type and the value of an input's line. Inputs without a connection's bytes are their own
+// values.
+func encodeInput(input platformcore.Input) (lineType string, value any) {
 	switch in := input.(type) {
 	case platformcore.OwnerConnected:
-		return whatOwnerConnected, in
+		return typeOwnerConnected, in
 	case platformcore.OwnerData:
-		return whatOwnerData, ownerData{Owner: in.Owner, Data: string(in.Data), Bytes: exactBytes(in.Data)}
+		return typeOwnerData, ownerData{Owner: in.Owner, Data: string(in.Data), Bytes: exactBytes(in.Data)}
 	case platformcore.OwnerDisconnected:
-		return whatOwnerDisconnected, in
+		return typeOwnerDisconnected, in
 	case platformcore.HostConnected:
-		return whatHostConnected, in
+		return typeHostConnected, in
 	case platformcore.DialFailed:
-		return whatDialFailed, in
+		return typeDialFailed, in
 	case platformcore.HostData:
-		return whatHostData, hostData{Connection: in.Connection, Data: string(in.Data), Bytes: exactBytes(in.Data)}
+		return typeHostData, hostData{Connection: in.Connection, Data: string(in.Data), Bytes: exactBytes(in.Data)}
 	case platformcore.HostDisconnected:
-		return whatHostDisconnected, in
+		return typeHostDisconnected, in
 	case platformcore.WatchEventReceived:
-		return whatWatchEventReceived, in
+		return typeWatchEventReceived, in
 	case platformcore.GossipReceived:
-		return whatGossipReceived, in
+		return typeGossipReceived, in
 	case platformcore.ShutdownRequested:
-		return whatShutdownRequested, in
+		return typeShutdownRequested, in
 	}
 	return fmt.Sprintf("%T", input), input
 }
 
-// decodeInput returns the input of a line.
+// decodeInput returns the input that a line holds.
 func decodeInput(l *line) (platformcore.Input, error) {
-	switch l.What {
-	case whatOwnerConnected:
+	switch l.Type {
+	case typeOwnerConnected:
 		return decodeAs[platformcore.OwnerConnected](l)
-	case whatOwnerData:
+	case typeOwnerData:
 		v, err := decodeAs[ownerData](l)
 		return platformcore.OwnerData{Owner: v.Owner, Data: originalBytes(v.Data, v.Bytes)}, err
-	case whatOwnerDisconnected:
+	case typeOwnerDisconnected:
 		return decodeAs[platformcore.OwnerDisconnected](l)
-	case whatHostConnected:
+	case typeHostConnected:
 		return decodeAs[platformcore.HostConnected](l)
-	case whatDialFailed:
+	case typeDialFailed:
 		return decodeAs[platformcore.DialFailed](l)
-	case whatHostData:
+	case typeHostData:
 		v, err := decodeAs[hostData](l)
 		return platformcore.HostData{Connection: v.Connection, Data: originalBytes(v.Data, v.Bytes)}, err
-	case whatHostDisconnected:
+	case typeHostDisconnected:
 		return decodeAs[platformcore.HostDisconnected](l)
-	case whatWatchEventReceived:
+	case typeWatchEventReceived:
 		return decodeAs[platformcore.WatchEventReceived](l)
-	case whatGossipReceived:
+	case typeGossipReceived:
 		return decodeAs[platformcore.GossipReceived](l)
-	case whatShutdownRequested:
+	case typeShutdownRequested:
 		return decodeAs[platformcore.ShutdownRequested](l)
 	}
-	return nil, fmt.Errorf("%s is no input of this build", l.What)
+	return nil, fmt.Errorf("%s is not an input type of this build", l.Type)
 }
 
-// decodeAs returns the value of a line as a type.
+// decodeAs parses the value of a line as type T.
 func decodeAs[T any](l *line) (T, error) {
 	var value T
 	if err := json.Unmarshal(l.Value, &value); err != nil {
-		return value, fmt.Errorf("%s: %w", l.What, err)
+		return value, fmt.Errorf("decoding %s: %w", l.Type, err)
 	}
 	return value, nil
 }
--- a/internal/verify/platformreplay/outputs.go
+++ b/internal/verify/platformreplay/outputs.go
@@ -7,73 +7,74 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// Types of the lines of outputs.
+// Types of the lines of outputs. They are part of the format and stay when a Go type is renamed.
 const (
-	whatSendToOwner             = "platform.SendToOwner"
-	whatCloseOwnerConnection    = "platform.CloseOwnerConnection"
-	whatDialHost                = "platform.DialHost"
-	whatSendToHost              = "platform.SendToHost"
-	whatCloseHostConnection     = "platform.CloseHostConnection"
-	whatHalfCloseHostConnection = "platform.HalfCloseHostConnection"
-	whatSendGossip              = "platform.SendGossip"
-	whatCloseListener           = "platform.CloseListener"
-	whatShutdownComplete        = "platform.ShutdownComplete"
-	whatLog                     = "platform.Log"
+	typeSendToOwner             = "platform.SendToOwner"
+	typeCloseOwnerConnection    = "platform.CloseOwnerConnection"
+	typeDialHost                = "platform.DialHost"
+	typeSendToHost              = "platform.SendToHost"
+	typeCloseHostConnection     = "platform.CloseHostConnection"
+	typeHalfCloseHostConnection = "platform.HalfCloseHostConnection"
+	typeSendGossip              = "platform.SendGossip"
+	typeCloseListener           = "platform.CloseListener"
+	typeShutdownComplete        = "platform.ShutdownComplete"
+	typeLog                     = "platform.Log"
 )
 
-// sendToOwner is the value of a SendToOwner.
+// sendToOwner is the value of a line of type platform.SendToOwner.
 type sendToOwner struct {
 	Line  string
 	Owner platformcore.OwnerID
-	Bytes []byte `json:",omitempty"` // nil: Line is exact
+	Bytes []byte `json:",omitempty"` // nil if Line is valid UTF-8
 }
 
-// sendToHost is the value of a SendToHost.
+// sendToHost is the value of a line of type platform.SendToHost.
 type sendToHost struct {
 	Connection platformcore.ConnectionID
 	Line       string
 	Abandons   bool   `json:",omitempty"`
-	Bytes      []byte `json:",omitempty"` // nil: Line is exact
+	Bytes      []byte `json:",omitempty"` // nil if Line is valid UTF-8
 }
 
-// logLine is the value of a Log.
+// logLine is the value of a line of type platform.Log.
 type logLine struct {
-	Attributes         map[string]any // by their keys; an error is its text
+	Attributes         map[string]any // by key; an error is recorded as its text
 	InvariantViolation bool
 	Level              slog.Level
 	Message            string
 }
 
-// encodeOutput returns the type and the value of an output's line. The other outputs stand as they are.
-func encodeOutput(output platformcore.Output) (what string, value any) {
+// encodeOutput returns the type and the value of an output's line. Outputs other than connection data and log messages
+// are their own values.
+func encodeOutput(output platformcore.Output) (lineType string, value any) {
 	switch out := output.(type) {
 	case platformcore.SendToOwner:
-		return whatSendToOwner, sendToOwner{Owner: out.Owner, Line: string(out.Line), Bytes: exactBytes(out.Line)}
+		return typeSendToOwner, sendToOwner{Owner: out.Owner, Line: string(out.Line), Bytes: exactBytes(out.Line)}
 	case platformcore.CloseOwnerConnection:
-		return whatCloseOwnerConnection, out
+		return typeCloseOwnerConnection, out
 	case platformcore.DialHost:
-		return whatDialHost, out
+		return typeDialHost, out
 	case platformcore.SendToHost:
-		return whatSendToHost, sendToHost{Connection: out.Connection, Line: string(out.Line), Abandons: out.Abandons, Bytes: exactBytes(out.Line)}
+		return typeSendToHost, sendToHost{Connection: out.Connection, Line: string(out.Line), Abandons: out.Abandons, Bytes: exactBytes(out.Line)}
 	case platformcore.CloseHostConnection:
-		return whatCloseHostConnection, out
+		return typeCloseHostConnection, out
 	case platformcore.HalfCloseHostConnection:
-		return whatHalfCloseHostConnection, out
+		return typeHalfCloseHostConnection, out
 	case platformcore.SendGossip:
-		return whatSendGossip, out
+		return typeSendGossip, out
 	case platformcore.CloseListener:
-		return whatCloseListener, out
+		return typeCloseListener, out
 	case platformcore.ShutdownComplete:
-		return whatShutdownComplete, out
+		return typeShutdownComplete, out
 	case platformcore.Log:
-		return whatLog, logLine{
+		return typeLog, logLine{
 			Attributes: attributeValues(out.Attributes), InvariantViolation: out.InvariantViolation, Level: out.Level, Message: out.Message,
 		}
 	}
 	return fmt.Sprintf("%T", output), output
 }
 
-// attributeValues maps the keys of attributes to their values: errors as text.
+// attributeValues maps the keys of attributes to their values, with errors as text.
 func attributeValues(attributes []slog.Attr) map[string]any {
 	values := make(map[string]any, len(attributes))
 	for _, attribute := range attributes {
--- a/internal/verify/platformreplay/replay.go
+++ b/internal/verify/platformreplay/replay.go
@@ -13,39 +13,39 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// Result is what replaying a trace came to.
+// Result is the result of replaying a trace.
 type Result struct {
-	Steps      int         `json:"steps"` // that were replayed
-	Truncated  bool        `json:"cut"`   // the trace ends within a step, which was not replayed
+	Steps      int         `json:"steps"` // steps replayed
+	Truncated  bool        `json:"cut"`   // the trace ends within a step, which is not replayed
 	Difference *Difference `json:"difference,omitempty"`
 }
 
-// Difference is the first step whose outputs are not those of the trace, with its lines as type and value. Later steps are
-// not replayed: they follow from another state.
+// Difference describes the first step whose outputs differ from those of the trace. A line is given as its type and
+// value. Later steps are not replayed, because the state of the core differs from the recorded one by then.
 type Difference struct {
-	Step   int           `json:"step"`   // from 0
+	Step   int           `json:"step"`   // counted from 0
 	Now    time.Duration `json:"now"`    // nanoseconds since the Unix epoch
-	Output int           `json:"output"` // first one of the step that differs, from 0
+	Output int           `json:"output"` // index of the first output that differs, from 0
 	Inputs []string      `json:"inputs"`
 	Want   []string      `json:"want"` // outputs in the trace
-	Got    []string      `json:"got"`  // outputs now
+	Got    []string      `json:"got"`  // outputs of this build
 }
 
-// PanicError means that the core panics in a step of a trace.
+// PanicError means that the core panicked in a step of a trace.
 type PanicError struct {
 	Step  int
 	Now   time.Duration // since the Unix epoch
-	Value any           // of the panic
+	Value any           // value passed to panic
 }
 
-// Error names the step and the panic.
+// Error returns a message with the step and the panic's value.
 func (e PanicError) Error() string {
-	return fmt.Sprintf("step %d: the core panics: %v", e.Step, e.Value)
+	return fmt.Sprintf("step %d: the core panicked: %v", e.Step, e.Value)
 }
 
-// Replay steps a core of this build through a trace and compares its outputs byte for byte. decide takes the module's place;
-// nil: the module decides. Its error is a
-// PanicError, or says why the trace cannot be read.
+// Replay steps a core of this build through a trace and compares its outputs with the recorded ones byte for byte.
+// decide replaces the placement module unless it is nil. Replay returns a PanicError if the core panics, and another
+// error if the trace cannot be read.
 func Replay(from io.Reader, decide moduledriver.Decide) (*Result, error) {
 	r, err := NewReader(from)
 	if err != nil {
@@ -82,7 +82,7 @@
 	}
 }
 
-// coreConfig returns what the placer started its core with.
+// coreConfig returns the configuration that the placer started its core with.
 func coreConfig(head *Head) (platformcore.Config, error) {
 	received, err := platform.ParseConfig(head.Config)
 	if err != nil {
@@ -106,7 +106,7 @@
 	return config, nil
 }
 
-// stepCore steps the core. Its error is a PanicError.
+// stepCore steps the core. It returns a PanicError if the core panics.
 func stepCore(core *platformcore.Core, s *Step) (outputs []platformcore.Output, err error) {
 	defer func() {
 		if value := recover(); value != nil {
@@ -116,7 +116,7 @@
 	return core.Step(s.Now, s.Inputs...), nil
 }
 
-// compare returns how outputs differ from those of a step in the trace; nil: not at all.
+// compare returns the difference between outputs and those of a step in the trace, or nil if they are equal.
 func compare(s *Step, outputs []platformcore.Output) *Difference {
 	want := lineTexts(s.outputs)
 	var got []string
@@ -131,10 +131,11 @@
 	}
 }
 
-// outputText returns an output as its line in a trace has it. One that has no such line differs from all that have.
+// outputText returns an output in the form of its line in a trace. An output that cannot be encoded is returned as the
+// error's text, which differs from every line.
 func outputText(now time.Duration, output platformcore.Output) string {
-	what, value := encodeOutput(output)
-	l, err := newLine(now, directionOut, what, value)
+	lineType, value := encodeOutput(output)
+	l, err := newLine(now, directionOut, lineType, value)
 	if err != nil {
 		return err.Error()
 	}
@@ -149,7 +150,7 @@
 	return texts
 }
 
-// firstDifference returns the first index at which two lists differ.
+// firstDifference returns the first index at which two lists differ, or the length of the shorter one.
 func firstDifference(a, b []string) int {
 	for i := range min(len(a), len(b)) {
 		if a[i] != b[i] {
--- a/internal/verify/platformreplay/request.go
+++ b/internal/verify/platformreplay/request.go
@@ -22,22 +22,22 @@
 // Message is one message that names a request.
 type Message struct {
 	Step       int           `json:"step"`
-	Now        time.Duration `json:"now"`       // of the step, in nanoseconds since the Unix epoch
-	Direction  string        `json:"direction"` // in or out, as the placer sees it
+	Now        time.Duration `json:"now"`       // time of the step, in nanoseconds since the Unix epoch
+	Direction  string        `json:"direction"` // "in" or "out", from the placer's side
 	Peer       Peer          `json:"peer"`
-	Connection uint64        `json:"connection"`        // its number among those with such peers
-	Address    string        `json:"address,omitempty"` // of a host
+	Connection uint64        `json:"connection"`        // number of the connection among those with this kind of peer
+	Address    string        `json:"address,omitempty"` // address of the host
 	Line       string        `json:"line"`
 }
 
-// Request is the way of one request.
+// Request has the recorded messages of one request.
 type Request struct {
 	Messages  []Message
 	Truncated bool // the trace ends within a step
 }
 
-// FollowRequest returns the messages of a trace that name a request by its ref, in their order. Nothing is replayed. Its
-// error says why the trace cannot be read.
+// FollowRequest returns the messages of a trace that name a request by its ref, in order, without replaying the trace. It
+// returns an error if the trace cannot be read.
 func FollowRequest(from io.Reader, ref string) (*Request, error) {
 	r, err := NewReader(from)
 	if err != nil {
@@ -58,16 +58,16 @@
 	}
 }
 
-// connection names a connection of the placer.
+// connection identifies a connection of the placer.
 type connection struct {
 	peer   Peer
 	number uint64
 }
 
-// requestFollower finds the messages of a request.
+// requestFollower collects the messages of a request.
 type requestFollower struct {
 	ref       string
-	splitters map[connection]*platform.LineSplitter // nil: the stream cannot be read on
+	splitters map[connection]*platform.LineSplitter // nil after a line that is too long
 	addresses map[platformcore.ConnectionID]string
 	messages  []Message
 }
@@ -93,7 +93,8 @@
 	return nil
 }
 
-// addData takes bytes of a connection, as the core does: a stream with a line that is too long is not read on.
+// addData splits the bytes of a connection into lines. Like the core, it stops reading a stream at a line that is too
+// long.
 func (f *requestFollower) addData(s *Step, from connection, data []byte) {
 	splitter, known := f.splitters[from]
 	if !known {
@@ -113,20 +114,20 @@
 }
 
 func (f *requestFollower) addOutput(s *Step, l *line) error {
-	switch l.What {
-	case whatDialHost:
+	switch l.Type {
+	case typeDialHost:
 		dial, err := decodeAs[platformcore.DialHost](l)
 		if err != nil {
 			return err
 		}
 		f.addresses[dial.Connection] = dial.Address
-	case whatSendToOwner:
+	case typeSendToOwner:
 		sent, err := decodeAs[sendToOwner](l)
 		if err != nil {
 			return err
 		}
 		f.addMessage(s, directionOut, connection{PeerOwner, uint64(sent.Owner)}, originalBytes(sent.Line, sent.Bytes))
-	case whatSendToHost:
+	case typeSendToHost:
 		sent, err := decodeAs[sendToHost](l)
 		if err != nil {
 			return err
@@ -136,14 +137,14 @@
 	return nil
 }
 
-// addMessage keeps a line if it names the request. Of a line that cannot be read beside its ref, the ref counts.
-func (f *requestFollower) addMessage(s *Step, way direction, peer connection, text []byte) {
+// addMessage adds a line that names the request. A line that fails to decode is added too if its ref could be read.
+func (f *requestFollower) addMessage(s *Step, dir direction, peer connection, text []byte) {
 	message, _ := platform.Decode(text)
 	if !strings.EqualFold(message.Ref, f.ref) {
 		return
 	}
 	m := Message{
-		Step: s.Number, Now: s.Now, Direction: string(way), Peer: peer.peer, Connection: peer.number,
+		Step: s.Number, Now: s.Now, Direction: string(dir), Peer: peer.peer, Connection: peer.number,
 		Line: strings.TrimRight(string(text), "\r\n"),
 	}
 	if peer.peer == PeerHost {
--- a/internal/verify/platformreplay/testrecorder_test.go
+++ b/internal/verify/platformreplay/testrecorder_test.go
@@ -14,13 +14,14 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// testStart is when recorded runs start. It has nanoseconds.
+// testStart is the time at which recorded runs start. It is not a whole number of microseconds, the unit of a line's
+// time.
 const testStart = time.Hour + 7
 
-// testRef is the ref of the request that recorded runs place.
+// testRef is the ref of the request that record places.
 const testRef = "9b1f03aa5c7e2d41"
 
-// testHead is the head of a placer with one host.
+// testHead returns the head of a trace of a placer with one host.
 func testHead(t testing.TB) Head {
 	t.Helper()
 	settings, err := os.ReadFile("../../server/platform/testdata/settings.json")
@@ -38,12 +39,12 @@
 	}
 }
 
-// testEvent is an event of the endpoint list about host 1.
+// testEvent returns a watch event about host 1.
 func testEvent(seq uint64, snapshot bool, state platform.EndpointState) platform.WatchEvent {
 	return platform.WatchEvent{Seq: seq, Endpoints: &platform.EndpointList{Snapshot: snapshot, Hosts: []platform.Endpoint{testEndpoint(1, state)}}}
 }
 
-// testEndpoint is a host as the endpoint list has it.
+// testEndpoint returns the endpoint list's entry for a host.
 func testEndpoint(number int, state platform.EndpointState) platform.Endpoint {
 	return platform.Endpoint{
 		Name: fmt.Sprintf("s-%08x", number), Address: fmt.Sprintf("10.0.0.%d:1", number), Zone: "z", MachineType: "std", Cell: number,
@@ -51,14 +52,14 @@
 	}
 }
 
-// testRecorder steps a core and records it.
+// testRecorder steps a core and records its inputs and outputs.
 type testRecorder struct {
 	core   *platformcore.Core
 	writer *Writer
 	now    time.Duration
 }
 
-// step steps the core 3 ms later.
+// step advances the time by 3 ms and steps the core.
 func (r *testRecorder) step(in ...platformcore.Input) []platformcore.Output {
 	r.now += 3 * time.Millisecond
 	out := r.core.Step(r.now, in...)
@@ -66,7 +67,7 @@
 	return out
 }
 
-// advance steps the core whenever it wants to be.
+// advance steps the core at each time that it asks for until d has passed.
 func (r *testRecorder) advance(d time.Duration) {
 	for end := r.now + d; r.now < end; {
 		r.now = max(r.core.Next()-3*time.Millisecond, r.now)
@@ -74,7 +75,7 @@
 	}
 }
 
-// firstOf returns the first output of a type.
+// firstOf returns the first output of type T.
 func firstOf[T any](t *testing.T, outputs []platformcore.Output) T {
 	t.Helper()
 	for _, output := range outputs {
@@ -83,18 +84,18 @@
 		}
 	}
 	var none T
-	t.Fatalf("no %T in %+v", none, outputs)
+	t.Fatalf("outputs %+v, want a %T among them", outputs, none)
 	return none
 }
 
-// testRequest is a placement request with a description.
+// testRequest returns the line of a placement request with a description.
 func testRequest(ref, description string) []byte {
 	return fmt.Appendf(nil, `{"t":"new","ref":"%s","f":{"class":"keyed","left":"1500","tenant":"acme","key":"%s","idem":"aa",`+
 		`"extras":"cores:1;memory:2;service:00000000b4d65521"},"d":"%s"}`+"\n", ref, ref, description)
 }
 
-// record returns the trace of a run that places a task and brings one of each input at least. A decide that is not nil takes
-// the module's place.
+// record returns the trace of a run that places a task and has at least one input of each type. decide replaces the
+// module unless it is nil.
 func record(t *testing.T, decide moduledriver.Decide) []byte {
 	t.Helper()
 	head := testHead(t)
@@ -134,8 +135,9 @@
 	return trace.Bytes()
 }
 
-// recordBusy returns the trace of a run with many hosts, requests and connections open at once, of which some break, through
-// the real module: where the core or the module took an order from a map, a replay would differ.
+// recordBusy returns the trace of a run through the real module with many hosts, requests and connections at once, some
+// of which break. If the outputs of the core or the module depended on the iteration order of a map, a replay would
+// differ.
 func recordBusy(t *testing.T) []byte {
 	t.Helper()
 	const hosts, rounds, requestsPerRound = 60, 60, 8
@@ -162,12 +164,12 @@
 			ref := fmt.Sprintf("%016x", round*requestsPerRound+n)
 			in = append(in, platformcore.OwnerData{Owner: 1, Data: testRequest(ref, "")})
 		}
-		if round%5 == 4 { // many at once, so that they are lost, dialed and released in one step
+		if round%5 == 4 { // many connections are lost, dialed and released in one step
 			for id := range platformcore.ConnectionID(2 * round) {
 				in = append(in, platformcore.HostDisconnected{Connection: id})
 			}
 		}
-		in = answers(r.step(in...))
+		in = replies(r.step(in...))
 	}
 	r.advance(time.Second)
 	if err := r.writer.Err(); err != nil {
@@ -176,7 +178,7 @@
 	return trace.Bytes()
 }
 
-// offerToHost1 takes the module's place: it offers each task to host 1.
+// offerToHost1 replaces the module and offers each task to host 1.
 func offerToHost1(_ time.Duration, events []forkhead.Event) []forkhead.Action {
 	var actions []forkhead.Action
 	for _, event := range events {
--- a/internal/verify/platformreplay/writer_test.go
+++ b/internal/verify/platformreplay/writer_test.go
@@ -10,7 +10,7 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// A trace has one JSON line for each step, input and output, with what crossed the connections as text.
+// Writer.Step writes one JSON line for the step and each of its inputs and outputs, with the data of connections as text.
 func TestWriterWritesLines(t *testing.T) {
 	var written bytes.Buffer
 	w := NewWriter(&written, []byte(`{}`))
@@ -38,14 +38,14 @@
 {"at":1000000,"way":"step","what":"platform.Step","value":{"Step":1,"Nanoseconds":0,"Inputs":0,"Outputs":0}}
 `
 	if got := written.String(); got != want || w.Err() != nil {
-		t.Errorf("%v, written\n%s\nwant\n%s", w.Err(), got, want)
+		t.Errorf("two calls of Step: error %v, got\n%s\nwant no error and\n%s", w.Err(), got, want)
 	}
 }
 
-// fullDisk takes so many bytes and then fails.
+// fullDisk is a writer that fails when it has no space left.
 type fullDisk struct {
 	bytes.Buffer
-	left int
+	left int // bytes
 }
 
 var errFull = errors.New("full")
@@ -60,22 +60,22 @@
 	return d.Buffer.Write(p)
 }
 
-// After an error nothing more is written, so that what follows a gap is not taken for what follows the gap's steps.
+// The writer writes nothing after an error. Otherwise a reader would take the steps after a gap for the next ones.
 func TestWriterStopsAtItsFirstError(t *testing.T) {
 	disk := &fullDisk{left: 150}
 	w := NewWriter(disk, []byte(`{}`))
 	w.Step(time.Second, nil, nil)
-	w.Step(time.Second, nil, nil) // half of it
+	w.Step(time.Second, nil, nil) // the disk is full within this step
 	disk.left = 1000
 	w.Step(time.Second, nil, nil)
 	if !errors.Is(w.Err(), errFull) || disk.Len() != 150 {
-		t.Errorf("%v, %d bytes written, want 150: %s", w.Err(), disk.Len(), disk)
+		t.Errorf("after a write error: error %v, %d bytes %q, want %v and 150 bytes", w.Err(), disk.Len(), disk, errFull)
 	}
 }
 
 func TestAttributeValuesWritesErrorsAsText(t *testing.T) {
 	values := attributeValues([]slog.Attr{slog.Uint64("task", 7), slog.Any("error", errors.New("fit: no"))})
 	if len(values) != 2 || values["task"] != uint64(7) || values["error"] != "fit: no" {
-		t.Errorf("values %v, want task 7 and the error's text", values)
+		t.Errorf("attributeValues = %v, want task 7 and the error's text \"fit: no\"", values)
 	}
 }
