--- a/internal/verify/rules/answers.go
+++ b/internal/verify/rules/answers.go
@@ -7,34 +7,35 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// The outcomes that a client may read.
+// Outcomes that a client may read.
 const (
 	outcomePlaced   = "placed"
 	outcomeRejected = "refused"
 	outcomeFailed   = "failed"
 )
 
-// settleTolerance is by how much an outcome may be settled late by its placer's clock: times are rounded in between.
-const settleTolerance = time.Millisecond
+// decisionTolerance is how late an outcome may be decided by its placer's clock. It covers the rounding of times.
+const decisionTolerance = time.Millisecond
 
 // submission is a client's submission of tasks.
 type submission struct {
 	name    string
 	placer  int
-	count   int           // of tasks
-	timeout time.Duration // an outcome is due so long after the submission
+	count   int           // number of tasks
+	timeout time.Duration // time from the submission until an outcome is due
 
-	submittedAt    time.Duration
-	resubmittedAt  time.Duration // it was submitted last
-	disconnectedAt time.Duration // its stream last broke; 0: it didn't
-	receivedAt     time.Duration // its placer had read it, by that placer's clock; 0: not noted
+	submittedAt     time.Duration
+	lastSubmittedAt time.Duration // time of the latest submission
+	disconnectedAt  time.Duration // when its stream last broke; 0 if it never did
+	receivedAt      time.Duration // when its placer had read it, by that placer's clock; 0 if not captured
 
-	outcomes map[string]string // what the client has read, by task's name; filled by checkOutcome
+	outcomes map[string]string // outcomes that the client has read, by the task's name; filled by checkOutcome
 }
 
+// dueAt returns the time at which the outcomes of the tasks are due.
 func (s *submission) dueAt() time.Duration { return s.submittedAt + s.timeout }
 
-// checkAnswers checks that the client of each task read exactly one outcome, in time, and accounts for all tasks.
+// checkAnswers checks that the client of each task read exactly one outcome in time, and accounts for all tasks.
 func (c *checker) checkAnswers() {
 	end := time.Duration(0)
 	for i := range c.trace.events {
@@ -45,20 +46,21 @@
 		}
 	}
 	for _, s := range c.trace.submissions {
-		c.account(s, end)
+		c.accountForTasks(s, end)
 	}
 }
 
-// checkOutcome checks an outcome that a client has read.
+// checkOutcome checks an outcome that a client read.
 func (c *checker) checkOutcome(e *capture.Event) {
 	s := c.trace.byName[e.Submission]
 	if s == nil {
-		c.breach(invariant.OneAnswer, e.At, "an outcome for %s of submission %s, which nobody made", e.Name, e.Submission)
+		c.breach(invariant.OneAnswer, e.At, "an outcome of %s was read for submission %s, which was never made", e.Name, e.Submission)
 		return
 	}
 	repeatable := c.mayReadAgain(s, e.At)
 	if before, ok := s.outcomes[e.Name]; ok {
 		if before != e.Result || !repeatable {
+			// Stored verdicts hold this text, so that it must not change.
 			c.breach(invariant.OneAnswer, e.At, "%s of submission %s was told %s and then %s", e.Name, e.Submission, before, e.Result)
 		}
 		return
@@ -68,51 +70,51 @@
 	switch e.Result {
 	case outcomePlaced, outcomeRejected, outcomeFailed:
 	default:
-		c.breach(invariant.OneAnswer, e.At, "%s was told %q", e.Name, e.Result)
+		c.breach(invariant.OneAnswer, e.At, "%s of submission %s got the unknown outcome %q", e.Name, e.Submission, e.Result)
 	}
 	if !repeatable {
 		c.checkDelivery(s, e)
 	}
-	c.checkSettled(s, e)
+	c.checkDecisionTime(s, e)
 }
 
-// mayReadAgain reports whether a client may read an outcome again, or late, at a time: its stream broke, or its placer
-// was down and remembers what it has accepted.
+// mayReadAgain reports whether a client may read an outcome again, or late, at a given time: because its stream broke, or
+// because its placer was down and keeps accepted requests over a restart.
 func (c *checker) mayReadAgain(s *submission, at time.Duration) bool {
 	return happenedBy(s.disconnectedAt, at) || c.config.Durable && c.trace.placers[s.placer].wasDown(s.submittedAt, at)
 }
 
-// checkDelivery checks that an outcome reached its client in time. Where it is noted when the placer received the
-// submission, the outcome has Config.MaxOutcomeDelay from when it was settled; whether it was settled in time is up to
-// checkSettled.
+// checkDelivery checks that an outcome reached its client within Config.MaxOutcomeDelay of the time at which it was
+// due. If the capture has the time at which the placer received the submission, an outcome that was decided after it
+// was due is allowed the delay from its decision; checkDecisionTime checks whether the decision was in time.
 func (c *checker) checkDelivery(s *submission, e *capture.Event) {
 	since := s.dueAt()
 	if s.receivedAt > 0 {
 		since = max(since, s.receivedAt+e.Took)
 	}
 	late := e.At - since
-	// While the process stood still it delivered nothing.
+	// A stalled process delivers nothing.
 	if late > c.config.MaxOutcomeDelay && late-c.trace.stalledFor(since, e.At) > c.config.MaxOutcomeDelay {
-		c.breach(invariant.OneAnswer, e.At, "%s of submission %s was told %v after its owner gave up",
+		c.breach(invariant.OneAnswer, e.At, "the outcome of %s of submission %s was read %v after it was due",
 			e.Name, e.Submission, late.Round(time.Millisecond))
 	}
 }
 
-// checkSettled checks that the placer settled an outcome in time by its own clock. Nothing but a step that ran late, or its
-// death, lets it be late.
-func (c *checker) checkSettled(s *submission, e *capture.Event) {
-	if s.receivedAt <= 0 || e.Took <= s.timeout+settleTolerance {
+// checkDecisionTime checks that the placer decided an outcome within the submission's timeout by its own clock. Only a
+// step that ran late, or the placer's death, excuses a late decision.
+func (c *checker) checkDecisionTime(s *submission, e *capture.Event) {
+	if s.receivedAt <= 0 || e.Took <= s.timeout+decisionTolerance {
 		return
 	}
 	due := s.receivedAt + s.timeout
-	if !c.trace.isOverdueAt(s.placer, due) && !c.trace.placers[s.placer].wasDown(due, due) {
-		c.breach(invariant.OneAnswer, e.At, "%s of submission %s was settled %v after its owner gave up",
+	if !c.trace.hasOverdueStep(s.placer, due) && !c.trace.placers[s.placer].wasDown(due, due) {
+		c.breach(invariant.OneAnswer, e.At, "the outcome of %s of submission %s was decided %v after its timeout",
 			e.Name, e.Submission, e.Took-s.timeout)
 	}
 }
 
-// account says what became of the tasks of a submission, in a capture that ends at a time.
-func (c *checker) account(s *submission, end time.Duration) {
+// accountForTasks adds the tasks of a submission to the verdict's accounts. end is the time at which the capture ends.
+func (c *checker) accountForTasks(s *submission, end time.Duration) {
 	accounts := &c.verdict.Accounts
 	c.verdict.Tasks += s.count
 	answered := len(s.outcomes)
@@ -120,28 +122,29 @@
 	missing := s.count - answered
 	switch {
 	case missing < 0:
-		c.breach(invariant.OneAnswer, end, "submission %s of %d tasks was told %d outcomes", s.name, s.count, answered)
+		c.breach(invariant.OneAnswer, end, "submission %s has %d tasks, but outcomes of %d tasks were read", s.name, s.count, answered)
 	case missing == 0:
 	case !c.config.Durable && c.trace.placers[s.placer].diedWithin(s.submittedAt, s.dueAt()):
-		// The client submits again what its placer had when it died. A death after the outcome was due excuses nothing.
+		// The client submits the tasks again that its placer had when it died. A death after the outcome was due
+		// excuses nothing.
 		accounts.PlacerDied += missing
-	case s.disconnectedAt > s.resubmittedAt:
+	case s.disconnectedAt > s.lastSubmittedAt:
 		accounts.Disconnected += missing
 	case end <= s.dueAt()+c.config.MaxOutcomeDelay:
 		accounts.NotDue += missing
 	default:
 		accounts.Unanswered += missing
-		c.breach(invariant.OneAnswer, end, "%d of %d tasks of submission %s were never told an outcome", missing, s.count, s.name)
+		c.breach(invariant.OneAnswer, end, "no outcome was read of %d of the %d tasks of submission %s", missing, s.count, s.name)
 	}
 }
 
-// checkOffersNoted checks that each offer that came to a host is one that its placer noted: no offer escapes what is judged
-// by the placers' views.
-func (c *checker) checkOffersNoted(views map[incarnation]*placerView) {
+// checkOffersCaptured checks that each offer that reached a host is in the capture at its placer, if there is one.
+// Otherwise the checks of the placers' views would miss the offer.
+func (c *checker) checkOffersCaptured(views map[incarnation]*placerView) {
 	for _, a := range c.trace.attempts {
 		view := views[a.sender]
 		if view != nil && !view.hasSent(a.attemptID) {
-			c.breach(invariant.OneAnswer, a.offeredAt, "%s came to %s, and placer %d did not note that it sent it",
+			c.breach(invariant.OneAnswer, a.offeredAt, "an offer of %s reached %s, but the capture at placer %d does not have it",
 				a.name, a.host, a.sender.placer)
 		}
 	}
--- a/internal/verify/rules/answers_test.go
+++ b/internal/verify/rules/answers_test.go
@@ -64,7 +64,7 @@
 	wasDown := []capture.Event{submit, placerDown(50*ms, 0), placerUp(4 * time.Second), late, end}
 	durable := testConfig()
 	durable.Durable = true
-	checkCasesBy(t, durable, nil, []ruleCase{
+	checkCasesWithConfig(t, durable, nil, []ruleCase{
 		{"late, and its placer was down", wasDown, noBreach},
 		{"late, and its placer was not down", []capture.Event{submit, late, end}, invariant.OneAnswer},
 		{"down before the submission", []capture.Event{
@@ -85,8 +85,8 @@
 	return capture.Event{At: 10 * ms, Type: capture.Submit, Submission: name, Placer: 1, Count: 2, Within: time.Second}
 }
 
-// answerOne is the outcome of one task of a submission.
-func answerOne(name string) capture.Event {
+// oneOutcome is the outcome of one task of a submission.
+func oneOutcome(name string) capture.Event {
 	return capture.Event{At: 20 * ms, Type: capture.Outcome, Submission: name, Name: "web/1", Result: "placed", Took: ms}
 }
 
@@ -124,7 +124,7 @@
 
 // Only a death before its outcome was due excuses a missing one.
 func TestAccounts(t *testing.T) {
-	submit, answer, end := submitTwo("s"), answerOne("s"), endAt(time.Minute)
+	submit, answer, end := submitTwo("s"), oneOutcome("s"), endAt(time.Minute)
 	resubmit := capture.Event{At: 40 * ms, Type: capture.Submit, Submission: "s"}
 	checkAccounts(t, []accountsCase{
 		{"died before the submission", []capture.Event{
@@ -165,10 +165,10 @@
 
 // The accounts of two submissions add up.
 func TestAccountsOfTwo(t *testing.T) {
-	both, end := []capture.Event{submitTwo("s"), submitTwo("s2"), answerOne("s")}, endAt(time.Minute)
+	both, end := []capture.Event{submitTwo("s"), submitTwo("s2"), oneOutcome("s")}, endAt(time.Minute)
 	with := func(events ...capture.Event) []capture.Event { return slices.Concat(both, events) }
 	checkAccounts(t, []accountsCase{
-		{"answered and not due yet", with(answerOne("s2")), Accounts{Answered: 2, NotDue: 2}},
+		{"answered and not due yet", with(oneOutcome("s2")), Accounts{Answered: 2, NotDue: 2}},
 		{"died", with(placerDown(50*ms, 1), end), Accounts{Answered: 1, PlacerDied: 3}},
 		{"disconnected", with(disconnect(50*ms, "s"), disconnect(50*ms, "s2"), end), Accounts{Answered: 1, Disconnected: 3}},
 		{"unanswered", with(end), Accounts{Answered: 1, Unanswered: 3}},
--- a/internal/verify/rules/config.go
+++ b/internal/verify/rules/config.go
@@ -7,46 +7,48 @@
 	"forkhead/internal/parse/settings"
 )
 
-// How far the two ends of a connection may lie apart in a capture.
+// Defaults of the bounds on the time between the two ends of a connection in a capture.
 const (
 	defaultMaxTransit      = 200 * time.Millisecond
 	defaultMaxOutcomeDelay = time.Second
 )
 
-// Config has the figures of the rules.
+// Config holds the parameters of the rules.
 type Config struct {
-	Classes map[string]Class // by the name that offers carry
+	Classes map[string]Class // by the name of the class in offers
 
-	Durable          bool          // placers remember accepted requests over a restart: their death excuses no missing outcome
-	ParallelAttempts bool          // one request may have two attempts without an answer
-	BoundWhenRunning bool          // a task is bound when it runs, not when its host accepts it
-	DrainGrace       time.Duration // offers may still be sent so long after the placer was notified of a drain
-	LostAfter        time.Duration // a safe task on an unreachable host counts for its placer so long
-	OwnerBackoff     time.Duration // an owner requests its tasks again no sooner than this after its placer's death
+	Durable          bool          // placers keep accepted requests over a restart, so that their death excuses no missing outcome
+	ParallelAttempts bool          // a request may have two unanswered attempts at once
+	BoundWhenRunning bool          // a task is bound when it runs, not already when its host accepts it
+	DrainGrace       time.Duration // time for which a placer may still send offers after it was notified of a drain
+	LostAfter        time.Duration // time for which a safe task on an unreachable host counts for its placer
+	OwnerBackoff     time.Duration // least time from a placer's death until an owner requests its tasks again
 
 	SlowStartDuration    time.Duration
-	SlowStartInitialRate float64       // share of WarmStartRate that a host bears when it has just started
-	SlowStartWindow      time.Duration // offers to a host that is warming up are counted over this
-	SlowStartMaxOffers   float64       // a window; always borne
-	SlowStartOverload    float64       // multiple of what a host starts in a window that it bears as offers
-	WarmStartRate        float64       // tasks a second that a host starts once it is warm
+	SlowStartInitialRate float64       // fraction of WarmStartRate that a host sustains when it has just started
+	SlowStartWindow      time.Duration // sliding window in which offers to a host that is warming up are counted
+	SlowStartMaxOffers   float64       // offers in a window that are always allowed
+	SlowStartOverload    float64       // offers allowed in a window, as a multiple of the tasks that a host starts in it
+	WarmStartRate        float64       // tasks per second that a warm host starts
 
-	// MaxTransit is the error of the capture itself: what is sent at one end is noted at the other so much later at most.
+	// MaxTransit is the timing error of the capture itself: the longest time from sending a message at one end of a
+	// connection to its record at the other end.
 	MaxTransit time.Duration
-	// MaxOutcomeDelay is the longest that an outcome takes from its placer to its client.
+	// MaxOutcomeDelay is the longest time that an outcome may take from its placer to its client.
 	MaxOutcomeDelay time.Duration
 }
 
-// Class is what the rules need of a class of tasks.
+// Class holds the settings of a class of tasks that the rules need.
 type Class struct {
 	Effect       forkhead.Effect
-	DedupDomain  forkhead.Domain // of a keyed class
-	DedupWindow  time.Duration   // of a keyed class, from the first attempt that may have run
+	DedupDomain  forkhead.Domain // of a keyed class; hosts in which repeats are deduplicated
+	DedupWindow  time.Duration   // of a keyed class; counted from the first attempt that may have run
 	SpreadDomain forkhead.Domain
-	MaxPerDomain int // tasks of one service in a SpreadDomain
+	MaxPerDomain int // most tasks of one service in a SpreadDomain
 }
 
-// ConfigFromSettings returns the figures of settings. warmStartRate is the tasks a second that a warm host starts.
+// ConfigFromSettings returns the parameters of the rules from settings. warmStartRate is the number of tasks per second
+// that a warm host starts.
 func ConfigFromSettings(s *settings.Settings, warmStartRate float64) Config {
 	m := &s.Module
 	classes := map[string]Class{}
--- a/internal/verify/rules/drain.go
+++ b/internal/verify/rules/drain.go
@@ -7,19 +7,19 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// drainNotices is what a placer was notified of hosts that are to get nothing new. A host is in a map while it is so, with
-// the time since when.
+// drainNotices holds the notices that a placer has of hosts that must get no new tasks. notReady and draining map a
+// host to the time since which the notice holds, and have no entry for a host without one.
 type drainNotices struct {
-	known    map[string]bool          // hosts that the endpoint list has ever had
-	notReady map[string]time.Duration // by the endpoint list: it drains, or is gone
-	draining map[string]time.Duration // by the host itself
+	known    map[string]bool          // hosts that an endpoint list has had since the start of the placer
+	notReady map[string]time.Duration // by the endpoint list: draining, or no longer in it
+	draining map[string]time.Duration // by the host's own message
 }
 
 func newDrainNotices() *drainNotices {
 	return &drainNotices{known: map[string]bool{}, notReady: map[string]time.Duration{}, draining: map[string]time.Duration{}}
 }
 
-// listDelivered handles an endpoint list. No host of it is both ready and draining.
+// listDelivered handles an endpoint list. No host in a list is both ready and draining.
 func (n *drainNotices) listDelivered(list *capture.Event) {
 	ready := map[string]bool{}
 	for _, host := range list.Ready {
@@ -32,28 +32,28 @@
 	}
 	for host := range n.known {
 		if !ready[host] {
-			addOnce(n.notReady, host, list.At)
+			setIfAbsent(n.notReady, host, list.At)
 		}
 	}
 }
 
-// hostNotified handles a host's own message on whether it drains.
+// hostNotified handles a message in which a host reports whether it drains.
 func (n *drainNotices) hostNotified(e *capture.Event) {
 	if e.HostDraining {
-		addOnce(n.draining, e.Host, e.At)
+		setIfAbsent(n.draining, e.Host, e.At)
 	} else {
 		delete(n.draining, e.Host)
 	}
 }
 
-// forgetList begins anew without an endpoint list, as a placer that was restarted.
-func (n *drainNotices) forgetList() {
+// clearList discards what endpoint lists said, because a restarted placer has no endpoint list.
+func (n *drainNotices) clearList() {
 	clear(n.known)
 	clear(n.notReady)
 }
 
-// overdue returns how long ago the placer was notified not to send to a host, once for each way in which it was, where that
-// is longer ago than the grace.
+// overdue returns the ages of the notices about a host that are older than the grace: at most one by the endpoint list
+// and one by the host itself.
 func (n *drainNotices) overdue(host string, now, grace time.Duration) []time.Duration {
 	var ages []time.Duration
 	for _, since := range []map[string]time.Duration{n.notReady, n.draining} {
@@ -64,14 +64,15 @@
 	return ages
 }
 
-func addOnce(since map[string]time.Duration, host string, at time.Duration) {
+// setIfAbsent sets a host's time unless it has one.
+func setIfAbsent(since map[string]time.Duration, host string, at time.Duration) {
 	if _, known := since[host]; !known {
 		since[host] = at
 	}
 }
 
-// checkDrains checks, by what hosts and the catalog saw, that a placer sends nothing to a host of which it was notified,
-// longer ago than the grace, that it drains or is gone.
+// checkDrains checks, on the traffic that hosts and the catalog captured, that a placer sends no offer to a host once
+// the grace is over since it was notified that the host drains or has left the endpoint list.
 func (c *checker) checkDrains() {
 	byPlacer := map[int]*drainNotices{}
 	notices := func(placer int) *drainNotices {
@@ -92,7 +93,7 @@
 				delete(n.draining, e.Host)
 			}
 		case capture.PlacerUp:
-			notices(e.Placer).forgetList()
+			notices(e.Placer).clearList()
 		case capture.Offer:
 			c.checkDrain(notices(e.Placer), e)
 		}
@@ -100,19 +101,19 @@
 }
 
 func (c *checker) checkDrain(notices *drainNotices, offer *capture.Event) {
-	if c.trace.byID[attemptIDOf(offer)].judgedAtPlacer {
+	if c.trace.byID[attemptIDOf(offer)].checkedAtPlacer {
 		return
 	}
 	for _, age := range notices.overdue(offer.Host, offer.At, c.config.DrainGrace+c.config.MaxTransit) {
-		c.breach(invariant.Drain, offer.At, "placer %d offered %s to %s %v after it was told that the host drains or is gone",
+		c.breach(invariant.Drain, offer.At, "placer %d offered %s to %s %v after it was notified that the host drains or has left the endpoint list",
 			offer.Placer, offer.Name, offer.Host, age.Round(time.Millisecond))
 	}
 }
 
-// checkSentToDrained checks an offer against what its placer had read of its host.
+// checkSentToDrained checks an offer against the drain notices that its placer had read.
 func (c *checker) checkSentToDrained(view *placerView, offer *capture.Event) {
 	for _, age := range view.notices.overdue(offer.Host, offer.At, c.config.DrainGrace) {
-		c.breach(invariant.Drain, offer.At, "placer %d sent %s to %s %v after it had read that the host drains or is gone",
+		c.breach(invariant.Drain, offer.At, "placer %d sent %s to %s %v after it had read that the host drains or has left the endpoint list",
 			offer.Placer, offer.Name, offer.Host, age.Round(time.Millisecond))
 	}
 }
--- a/internal/verify/rules/helpers_test.go
+++ b/internal/verify/rules/helpers_test.go
@@ -25,11 +25,11 @@
 // checkCases checks each case after the events of its surroundings: the rule that it breaks is found once, and no other.
 func checkCases(t *testing.T, surroundings []capture.Event, cases []ruleCase) {
 	t.Helper()
-	checkCasesBy(t, testConfig(), surroundings, cases)
+	checkCasesWithConfig(t, testConfig(), surroundings, cases)
 }
 
-// checkCasesBy is checkCases with figures of its own.
-func checkCasesBy(t *testing.T, config Config, surroundings []capture.Event, cases []ruleCase) {
+// checkCasesWithConfig is checkCases with figures of its own.
+func checkCasesWithConfig(t *testing.T, config Config, surroundings []capture.Event, cases []ruleCase) {
 	t.Helper()
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/verify/rules/norepeat_test.go
+++ b/internal/verify/rules/norepeat_test.go
@@ -151,7 +151,7 @@
 
 	parallel := testConfig()
 	parallel.ParallelAttempts = true
-	checkCasesBy(t, parallel, testHosts(), []ruleCase{
+	checkCasesWithConfig(t, parallel, testHosts(), []ruleCase{
 		{"safe, parallel", []capture.Event{offer(10*ms, "a", "safe", 1), retry(30*ms, "b", "safe")}, noBreach},
 		{"unsafe, parallel", []capture.Event{unsafe, retry(30*ms, "b", "unsafe")}, invariant.NoRepeat},
 	})
@@ -270,7 +270,7 @@
 func TestCheckRepeatsAtPlacerParallel(t *testing.T) {
 	parallel := testConfig()
 	parallel.ParallelAttempts = true
-	checkCasesBy(t, parallel, append(testHosts(), testPlacer()...), []ruleCase{
+	checkCasesWithConfig(t, parallel, append(testHosts(), testPlacer()...), []ruleCase{
 		{"safe, parallel", atPlacer(offer(10*ms, "a", "safe", 1), retry(11*ms, "b", "safe")), noBreach},
 		{"unsafe, parallel", atPlacer(offer(10*ms, "a", "unsafe", 1), retry(11*ms, "b", "unsafe")), invariant.NoRepeat},
 	})
--- a/internal/verify/rules/placers.go
+++ b/internal/verify/rules/placers.go
@@ -7,10 +7,10 @@
 	"forkhead/internal/protocol/capture"
 )
 
-// recoveryTime is how long a placer that comes back may take to answer what was due while it was down.
+// recoveryTime is the time that a restarted placer may take to answer requests that were due while it was down.
 const recoveryTime = 100 * time.Millisecond
 
-// placerHistory says when a placer ran.
+// placerHistory holds the starts and deaths of a placer.
 type placerHistory struct {
 	starts []time.Duration
 	deaths []placerDeath
@@ -18,10 +18,10 @@
 
 type placerDeath struct {
 	at    time.Duration
-	epoch uint64 // of the incarnation that died; 0: not noted
+	epoch uint64 // of the incarnation that died; 0 if not captured
 }
 
-// with returns the history with one more start or death.
+// with returns the history with the start or death of an event added.
 func (h placerHistory) with(e *capture.Event) placerHistory {
 	if e.Type == capture.PlacerUp {
 		h.starts = append(h.starts, e.At)
@@ -31,7 +31,7 @@
 	return h
 }
 
-// wasDown reports whether the placer was down, or recovering, at some time of an interval.
+// wasDown reports whether the placer was down or recovering at any time of an interval.
 func (h placerHistory) wasDown(from, to time.Duration) bool {
 	for _, death := range h.deaths {
 		if death.at <= to && h.recoveredAfter(death.at) >= from {
@@ -41,7 +41,8 @@
 	return false
 }
 
-// recoveredAfter is when the placer had recovered from a death: the end of time if it didn't come back.
+// recoveredAfter returns the time at which the placer had recovered from a death, or the largest duration if it didn't
+// restart.
 func (h placerHistory) recoveredAfter(death time.Duration) time.Duration {
 	for _, start := range h.starts {
 		if start > death {
@@ -51,7 +52,7 @@
 	return math.MaxInt64
 }
 
-// diedWithin reports whether the placer died in an interval, its ends included.
+// diedWithin reports whether the placer died in a closed interval.
 func (h placerHistory) diedWithin(from, to time.Duration) bool {
 	for _, death := range h.deaths {
 		if from <= death.at && death.at <= to {
@@ -61,14 +62,14 @@
 	return false
 }
 
-// lateStep is a step of a placer's core that ran after it was due: nothing was settled between.
+// lateStep is a step of a placer's core that ran after it was due. The core decided nothing between the two times.
 type lateStep struct {
 	placer       int
 	dueAt, ranAt time.Duration
 }
 
-// isOverdueAt reports whether a step of a placer was overdue at a time.
-func (t *trace) isOverdueAt(placer int, at time.Duration) bool {
+// hasOverdueStep reports whether a step of a placer was overdue at a given time.
+func (t *trace) hasOverdueStep(placer int, at time.Duration) bool {
 	for _, step := range t.lateSteps {
 		if step.placer == placer && step.dueAt <= at && at <= step.ranAt {
 			return true
@@ -77,8 +78,9 @@
 	return false
 }
 
-// stalledFor is how long of an interval any placer waited for a step that was due. All placers of a capture are of one
-// process, so that none of it ran, nor the clients that read outcomes.
+// stalledFor returns for how long within an interval at least one placer had an overdue step. All placers and clients
+// of a capture are in one process, which is taken to be stalled for that time, including the clients that read
+// outcomes.
 func (t *trace) stalledFor(from, to time.Duration) (sum time.Duration) {
 	for _, step := range t.lateSteps {
 		if end := min(step.ranAt, to); end > max(step.dueAt, from) {
--- a/internal/verify/rules/placerview.go
+++ b/internal/verify/rules/placerview.go
@@ -2,29 +2,29 @@
 
 import "forkhead/internal/protocol/capture"
 
-// phaseQueued is the phase of an attempt that a host has queued and not decided. It is a word of the capture format (package
-// capture), which captured files hold, so it differs from the name in package hostproto.
+// phaseQueued is the phase of an attempt that a host has queued and neither accepted nor rejected. The value is that of
+// package capture: stored captures hold it, and it differs from the name in package hostproto.
 const phaseQueued = "in-line"
 
-// placerView is what one incarnation of a placer had read and written at its own sockets by some time. It reconstructs the
-// placer's knowledge from captured traffic, as the rules define it, without access to the placer's own tables.
+// placerView is the knowledge of one incarnation of a placer at some time, as the rules define it. It is reconstructed
+// from the traffic that was captured at the placer's sockets, without access to the placer's memory.
 type placerView struct {
 	boundWhenRunning bool
 
 	hosts   map[string]*hostView
-	listed  map[string]bool // hosts of the last endpoint list
+	listed  map[string]bool // hosts of the latest endpoint list
 	notices *drainNotices
 
-	attempts  map[attemptID]*sentAttempt // the last of each ID
+	attempts  map[attemptID]*sentAttempt // latest attempt of each ID
 	byKey     map[uint64][]*sentAttempt
 	byService map[uint64][]*sentAttempt
 }
 
-// hostView is the last connection to a host.
+// hostView is the latest connection to a host.
 type hostView struct {
 	connection  uint64
-	established bool   // from Welcome until it ends
-	epoch       uint64 // of the host's incarnation, by Welcome
+	established bool   // from Welcome to the end of the connection
+	epoch       uint64 // of the host's incarnation, from Welcome
 }
 
 func newPlacerView(boundWhenRunning bool) *placerView {
@@ -42,13 +42,14 @@
 // hasSent reports whether the placer sent an attempt, or a host reported it to the placer.
 func (v *placerView) hasSent(id attemptID) bool { return v.attempts[id.atPlacer()] != nil }
 
-// atPlacer is the ID of an attempt at the placer's end, which may not know the host's incarnation.
+// atPlacer returns the ID of an attempt as a placerView has it, without the host's incarnation, which a placer may not
+// know.
 func (id attemptID) atPlacer() attemptID {
 	id.hostEpoch = 0
 	return id
 }
 
-// apply handles what was read from or written to a socket.
+// apply handles an event that was captured at the placer's sockets.
 func (v *placerView) apply(e *capture.Event) {
 	switch e.Type {
 	case capture.ListDelivered:
@@ -64,7 +65,7 @@
 	case capture.Withdraw, capture.Stop:
 		v.onSent(e)
 	case capture.Drain, capture.Holds, capture.Accepted, capture.Running, capture.Refused, capture.Ended:
-		// Before Welcome, and on a connection that has ended, the sender is not known.
+		// Before Welcome, and on a connection that has ended, the sending incarnation of the host is not known.
 		if v.isEstablished(e) {
 			v.onReceived(e)
 		}
@@ -80,13 +81,14 @@
 	return h
 }
 
-// isEstablished reports whether an event is of the connection that is established to its host.
+// isEstablished reports whether an event belongs to the established connection to its host.
 func (v *placerView) isEstablished(e *capture.Event) bool {
 	h := v.host(e.Host)
 	return h.established && e.Conn == h.connection
 }
 
-// onList handles an endpoint list. A host that has left it and is unreachable was deregistered: its attempts are over.
+// onList handles an endpoint list. A host that has left the list and is unreachable was deregistered: its attempts have
+// ended.
 func (v *placerView) onList(e *capture.Event) {
 	before := v.listed
 	v.listed = map[string]bool{}
@@ -97,23 +99,23 @@
 	}
 	v.notices.listDelivered(e)
 	for name := range before {
-		v.endIfRemoved(name)
+		v.finishIfRemoved(name)
 	}
 }
 
-// endIfRemoved ends the attempts at a host that is unreachable and has left the endpoint list.
-func (v *placerView) endIfRemoved(name string) {
+// finishIfRemoved finishes the attempts at a host that is unreachable and has left the endpoint list.
+func (v *placerView) finishIfRemoved(name string) {
 	if v.host(name).established || v.listed[name] || !v.notices.known[name] {
 		return
 	}
 	for _, a := range v.attempts {
 		if a.host == name {
-			a.onOver()
+			a.onFinished()
 		}
 	}
 }
 
-// onWelcome handles a host's answer to Hello. A new incarnation of the host has no attempts of the earlier ones.
+// onWelcome handles a host's answer to Hello. A new incarnation of the host has no attempts of earlier incarnations.
 func (v *placerView) onWelcome(e *capture.Event) {
 	h := v.host(e.Host)
 	if e.Conn != h.connection || e.Epoch < h.epoch {
@@ -123,12 +125,12 @@
 	v.notices.hostNotified(e)
 	for _, a := range v.attempts {
 		if a.host == e.Host && a.hostEpoch < e.Epoch {
-			a.onOver()
+			a.onFinished()
 		}
 	}
 }
 
-// onDisconnected handles the end of a connection: an attempt that awaited its answer may run, a bound one is unreachable.
+// onDisconnected handles the end of a connection. An attempt that awaits its answer may run; a bound one is unreachable.
 func (v *placerView) onDisconnected(e *capture.Event) {
 	h := v.host(e.Host)
 	if e.Conn != h.connection {
@@ -140,20 +142,20 @@
 			a.onDisconnected(e.At)
 		}
 	}
-	v.endIfRemoved(e.Host)
+	v.finishIfRemoved(e.Host)
 }
 
 // onOffer handles an offer that the placer sent.
 func (v *placerView) onOffer(e *capture.Event) {
 	a := v.add(e)
 	if !v.isEstablished(e) {
-		// The connection ended in the step that wrote the offer, and the capture has what a step read before what it wrote. No later
-		// event would end the wait for this offer's answer.
+		// The connection ended in the step that wrote the offer, and a capture has the reads of a step before its
+		// writes. No later event would end the wait for the answer to this offer.
 		a.onWithdrawn()
 	}
 }
 
-// onSent handles another message that the placer sent on an attempt.
+// onSent handles a Withdraw or Stop that the placer sent.
 func (v *placerView) onSent(e *capture.Event) {
 	a := v.attempts[attemptIDOf(e).atPlacer()]
 	switch {
@@ -165,7 +167,7 @@
 	}
 }
 
-// onReceived handles a message of a host on its established connection.
+// onReceived handles a message from a host on the established connection.
 func (v *placerView) onReceived(e *capture.Event) {
 	switch e.Type {
 	case capture.Drain:
@@ -187,24 +189,24 @@
 	case capture.Running:
 		a.onBound(e.At)
 	case capture.Refused, capture.Ended:
-		a.onOver()
+		a.onFinished()
 	}
 }
 
-// onHolds handles an attempt that a host reported in the handshake.
+// onHolds handles an attempt that a host reported in a handshake.
 func (v *placerView) onHolds(e *capture.Event) {
 	if e.Result == phaseQueued {
 		return
 	}
 	a := v.attempts[attemptIDOf(e).atPlacer()]
-	if a == nil { // of an earlier incarnation
+	if a == nil { // sent by an earlier incarnation of the placer
 		a = v.add(e)
 		a.state = mayRun
 	}
 	a.onBound(e.At)
 }
 
-// add adds an attempt that awaits its answer.
+// add adds an attempt in state awaitingAnswer.
 func (v *placerView) add(e *capture.Event) *sentAttempt {
 	id := attemptIDOf(e).atPlacer()
 	a := &sentAttempt{host: e.Host, hostEpoch: v.host(e.Host).epoch, class: e.Class, sentAt: e.At}
--- a/internal/verify/rules/placerview_test.go
+++ b/internal/verify/rules/placerview_test.go
@@ -30,19 +30,19 @@
 	return e
 }
 
-// overCase has what comes of unsafe request 1 at host a before its task is offered to host b: a breach unless it is over.
-type overCase struct {
-	name   string
-	events []capture.Event
-	over   bool
+// finishedCase has what comes of unsafe request 1 at host a before its task is offered to host b: a breach unless it is over.
+type finishedCase struct {
+	name     string
+	events   []capture.Event
+	finished bool
 }
 
-func checkOver(t *testing.T, cases []overCase) {
+func checkFinished(t *testing.T, cases []finishedCase) {
 	t.Helper()
 	var ruleCases []ruleCase
 	for _, c := range cases {
 		rule := noBreach
-		if !c.over {
+		if !c.finished {
 			rule = invariant.NoRepeat
 		}
 		ruleCases = append(ruleCases, ruleCase{c.name, atPlacer(append(c.events, resubmitted(60*ms))...), rule})
@@ -60,7 +60,7 @@
 	}
 	held := onConnection(2, 1, message(40*ms, capture.Holds, "a", 1))
 	laterOffer := onConnection(2, 2, offer(40*ms, "a", "unsafe", 1))
-	checkOver(t, []overCase{
+	checkFinished(t, []finishedCase{
 		{"nothing", []capture.Event{unsafe}, false},
 		{"rejected", []capture.Event{unsafe, rejected}, true},
 		{"rejected on another connection", []capture.Event{unsafe, onConnection(2, 1, rejected)}, false},
@@ -100,7 +100,7 @@
 	list := func(ready ...string) capture.Event { return listRead(listDelivered(15*ms, ready...)) }
 	draining := list("b", "c")
 	draining.Draining = []string{"a"}
-	checkOver(t, []overCase{
+	checkFinished(t, []finishedCase{
 		{"gone and connected", []capture.Event{unsafe, list("b", "c")}, false},
 		{"gone, then disconnected", []capture.Event{unsafe, list("b", "c"), disconnected}, true},
 		{"disconnected, then gone", []capture.Event{unsafe, disconnected, listRead(listDelivered(21*ms, "b", "c"))}, true},
@@ -150,7 +150,7 @@
 	})
 	config := testConfig()
 	config.BoundWhenRunning = true
-	checkCasesBy(t, config, surroundings, []ruleCase{
+	checkCasesWithConfig(t, config, surroundings, []ruleCase{
 		{"accepted, and bound when it runs", atPlacer(safe, accepted, next), invariant.NoRepeat},
 		{"running, and bound when it runs", atPlacer(safe, accepted, running, next), noBreach},
 	})
--- a/internal/verify/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -1,9 +1,11 @@
-// Package rules is a trace checker: it checks the scheduler's five rules on captured traffic, and on nothing that a placer
-// reports of itself. It shares no code with what it checks.
+// Package rules is a trace checker: it checks the scheduler's five rules on captured traffic. It uses nothing that a
+// placer reports about itself, and shares no code with the scheduler beyond the types that name rules, effects and
+// domains.
 //
-// Each rule has a file. Most are checked twice. By what hosts and clients saw, a placer is judged from the other end of the
-// wire, with Config.MaxTransit of slack. By what the placer's own sockets carried (placerView), it is judged by exactly what
-// it had read and written before each offer, with no slack; where that was captured, it takes the place of the first.
+// Each rule has a file. Most rules are checked in two ways. The traffic that hosts and clients captured shows a placer
+// from the other end of the wire, which needs a slack of Config.MaxTransit. The traffic that was captured at the
+// placer's own sockets (placerView) shows exactly what the placer had read and written before each offer, which needs
+// no slack; where it was captured, this check replaces the first.
 package rules
 
 import (
@@ -16,14 +18,14 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// checker checks one trace. Its methods stand in the files of the rules.
+// checker checks one trace. Its methods are in the files of the rules.
 type checker struct {
 	config  Config
 	trace   *trace
 	verdict Verdict
 }
 
-// Check judges captured traffic. The events may come in any order; those of one time are taken in theirs.
+// Check checks captured traffic. The events may be in any order; those with equal times are processed in the order given.
 func Check(events []capture.Event, config Config) Verdict {
 	t := newTrace(events, config.BoundWhenRunning)
 	c := &checker{config: config, trace: t, verdict: Verdict{
@@ -33,7 +35,7 @@
 		HostIncarnations: t.hostIncarnations,
 	}}
 	views := c.checkPlacerViews()
-	c.checkOffersNoted(views)
+	c.checkOffersCaptured(views)
 	c.checkAnswers()
 	c.checkRepeats()
 	c.checkDrains()
@@ -43,7 +45,7 @@
 	return c.verdict
 }
 
-// breach counts a breach of a rule, and lists it while there is room.
+// breach counts a breach of a rule, and lists it unless maxBreaches are listed already.
 func (c *checker) breach(rule invariant.Rule, at time.Duration, format string, args ...any) {
 	c.verdict.Counts[rule]++
 	if len(c.verdict.Breaches) < maxBreaches {
@@ -51,12 +53,12 @@
 	}
 }
 
-// checkPlacerViews judges each offer by what its placer knew when it sent it. It returns what each incarnation knew in the
-// end.
+// checkPlacerViews checks each offer against what its placer knew when it sent it. It returns the final view of each
+// incarnation.
 func (c *checker) checkPlacerViews() map[incarnation]*placerView {
 	views := map[incarnation]*placerView{}
-	for i := range c.trace.atPlacers {
-		e := &c.trace.atPlacers[i]
+	for i := range c.trace.placerEvents {
+		e := &c.trace.placerEvents[i]
 		view := views[incarnationOf(e)]
 		if view == nil {
 			view = newPlacerView(c.config.BoundWhenRunning)
@@ -70,11 +72,11 @@
 	return views
 }
 
-// checkSentOffer judges an offer that a placer is about to send.
+// checkSentOffer checks an offer against what its placer had read and written before it.
 func (c *checker) checkSentOffer(view *placerView, offer *capture.Event) {
 	class, known := c.config.Classes[offer.Class]
 	if !known {
-		return // checkRepeats reports it
+		return // checkRepeats reports an unknown class
 	}
 	c.checkSentToDrained(view, offer)
 	c.checkSentRepeat(view, offer, class)
--- a/internal/verify/rules/sentattempt.go
+++ b/internal/verify/rules/sentattempt.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// sentState is how far an attempt is, by what its placer has read and written.
+// sentState is the state of an attempt as far as its placer knows it from what it has read and written.
 type sentState uint8
 
 const (
-	awaitingAnswer sentState = iota // sent, and not answered
-	mayRun                          // withdrawn, or its answer was lost
+	awaitingAnswer sentState = iota // sent and not answered
+	mayRun                          // withdrawn, or the connection ended before the answer
 	bound                           // the host reported that the task is placed
-	unreachable                     // bound, and its connection has ended since
-	over                            // rejected or ended, or its host ended
+	unreachable                     // bound, but its connection has ended since
+	finished                        // rejected or ended, or the host's incarnation ended
 )
 
-// sentAttempt is an attempt as its placer's sockets show it. Its methods are the messages on it.
+// sentAttempt is an attempt as captured at its placer's sockets. Its methods handle the messages and events of the
+// attempt.
 type sentAttempt struct {
 	host             string
 	hostEpoch        uint64 // of the host's incarnation
@@ -21,7 +22,7 @@
 	sentAt           time.Duration
 	state            sentState
 	unreachableSince time.Duration
-	reappearedAt     time.Duration // the host reported that it is bound after it was taken to be mayRun; 0: it never did
+	reappearedAt     time.Duration // when the host reported it as bound in state mayRun; 0 if it never did
 }
 
 // onBound handles the host's message that the task is placed.
@@ -35,19 +36,19 @@
 	}
 }
 
-// onOver handles the host's rejection, its message that the attempt ended, or the end of the host's incarnation. Nothing changes
-// its state after that.
-func (a *sentAttempt) onOver() { a.state = over }
+// onFinished handles the host's rejection, its message that the attempt ended, or the end of the host's incarnation.
+// The state is final.
+func (a *sentAttempt) onFinished() { a.state = finished }
 
-// onWithdrawn records that the placer no longer waits for the answer.
+// onWithdrawn handles the placer's Withdraw: the placer no longer waits for the answer.
 func (a *sentAttempt) onWithdrawn() {
 	if a.state == awaitingAnswer {
 		a.state = mayRun
 	}
 }
 
-// onStop handles the placer's Stop. One that reappeared in the same step is not wanted; all others count until their host
-// says that they ended.
+// onStop handles the placer's Stop. An attempt that reappeared in the same step no longer counts as placed, because the
+// placer doesn't want it; any other counts until its host reports its end.
 func (a *sentAttempt) onStop(at time.Duration) {
 	if a.state == bound && a.reappearedAt == at {
 		a.state = mayRun
--- a/internal/verify/rules/sentattempt_test.go
+++ b/internal/verify/rules/sentattempt_test.go
@@ -9,7 +9,7 @@
 	reappeared := sentAttempt{state: bound, reappearedAt: at}
 	lostBefore := sentAttempt{state: unreachable, unreachableSince: 3 * ms}
 	lostNow := sentAttempt{state: unreachable, unreachableSince: at}
-	states := []sentAttempt{inState(awaitingAnswer), inState(mayRun), inState(bound), lostBefore, inState(over)}
+	states := []sentAttempt{inState(awaitingAnswer), inState(mayRun), inState(bound), lostBefore, inState(finished)}
 	for _, c := range []struct {
 		name    string
 		message func(*sentAttempt)
@@ -17,15 +17,15 @@
 	}{
 		{
 			"bound", func(a *sentAttempt) { a.onBound(at) },
-			[]sentAttempt{inState(bound), reappeared, inState(bound), {state: bound, unreachableSince: 3 * ms}, inState(over)},
+			[]sentAttempt{inState(bound), reappeared, inState(bound), {state: bound, unreachableSince: 3 * ms}, inState(finished)},
 		},
 		{
-			"over", func(a *sentAttempt) { a.onOver() },
-			[]sentAttempt{inState(over), inState(over), inState(over), {state: over, unreachableSince: 3 * ms}, inState(over)},
+			"over", func(a *sentAttempt) { a.onFinished() },
+			[]sentAttempt{inState(finished), inState(finished), inState(finished), {state: finished, unreachableSince: 3 * ms}, inState(finished)},
 		},
 		{
 			"withdrawn", func(a *sentAttempt) { a.onWithdrawn() },
-			[]sentAttempt{inState(mayRun), inState(mayRun), inState(bound), lostBefore, inState(over)},
+			[]sentAttempt{inState(mayRun), inState(mayRun), inState(bound), lostBefore, inState(finished)},
 		},
 		{
 			"stop", func(a *sentAttempt) { a.onStop(at) },
@@ -33,7 +33,7 @@
 		},
 		{
 			"disconnected", func(a *sentAttempt) { a.onDisconnected(at) },
-			[]sentAttempt{inState(mayRun), inState(mayRun), lostNow, lostNow, inState(over)},
+			[]sentAttempt{inState(mayRun), inState(mayRun), lostNow, lostNow, inState(finished)},
 		},
 	} {
 		for i, before := range states {
@@ -54,7 +54,7 @@
 		{sentAttempt{state: bound, reappearedAt: 5 * ms}, mayRun},
 		{sentAttempt{state: bound, reappearedAt: 4 * ms}, bound},
 		{sentAttempt{state: unreachable, reappearedAt: 5 * ms}, unreachable},
-		{sentAttempt{state: over, reappearedAt: 5 * ms}, over},
+		{sentAttempt{state: finished, reappearedAt: 5 * ms}, finished},
 	} {
 		got := c.before
 		if got.onStop(5 * ms); got.state != c.want {
--- a/internal/verify/rules/slowstart.go
+++ b/internal/verify/rules/slowstart.go
@@ -8,23 +8,24 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// startingHost is a host's present incarnation.
-type startingHost struct {
+// hostIncarnation is the current incarnation of a host.
+type hostIncarnation struct {
 	startedAt time.Duration
 	warmingUp bool
-	offeredAt []time.Duration // in the window that ends at the last offer
+	offeredAt []time.Duration // times of the offers in the window that ends at the latest offer
 }
 
-// checkSlowStarts checks that no host that is warming up was offered more than it bears by all placers together, or fell.
+// checkSlowStarts checks that all placers together offered no host that is warming up more tasks than the limit, and
+// that no such host crashed from overload.
 func (c *checker) checkSlowStarts() {
-	hosts := map[string]*startingHost{}
+	hosts := map[string]*hostIncarnation{}
 	for i := range c.trace.events {
 		e := &c.trace.events[i]
 		switch e.Type {
 		case capture.HostUp:
-			hosts[e.Host] = &startingHost{startedAt: e.At, warmingUp: e.WarmingUp}
+			hosts[e.Host] = &hostIncarnation{startedAt: e.At, warmingUp: e.WarmingUp}
 		case capture.Overloaded:
-			c.breach(invariant.SlowStart, e.At, "host %s fell over while cold", e.Host)
+			c.breach(invariant.SlowStart, e.At, "host %s crashed from too many offers while it was warming up", e.Host)
 		case capture.Offer:
 			if host := hosts[e.Host]; host != nil && host.warmingUp {
 				c.checkSlowStart(host, e)
@@ -33,7 +34,7 @@
 	}
 }
 
-func (c *checker) checkSlowStart(host *startingHost, offer *capture.Event) {
+func (c *checker) checkSlowStart(host *hostIncarnation, offer *capture.Event) {
 	age := offer.At - host.startedAt
 	if age >= c.config.SlowStartDuration {
 		return
@@ -42,13 +43,13 @@
 	beforeWindow := func(at time.Duration) bool { return at <= offer.At-window }
 	host.offeredAt = slices.DeleteFunc(append(host.offeredAt, offer.At), beforeWindow)
 	if count, limit := len(host.offeredAt), c.slowStartLimit(age); float64(count) > limit {
-		c.breach(invariant.SlowStart, offer.At, "host %s, up for %v, was offered %d tasks within %v; it bears %.0f",
+		c.breach(invariant.SlowStart, offer.At, "host %s, up for %v, was offered %d tasks within %v; the limit is %.0f",
 			offer.Host, age.Round(time.Millisecond), count, window, limit)
 	}
 }
 
-// slowStartLimit is how many offers in a window a host bears at an age below SlowStartDuration. The tasks that it starts a
-// second grow evenly with its age.
+// slowStartLimit returns the number of offers allowed in a window to a host of an age below SlowStartDuration. The rate
+// at which the host starts tasks grows linearly with its age.
 func (c *checker) slowStartLimit(age time.Duration) float64 {
 	initial := c.config.SlowStartInitialRate
 	rate := c.config.WarmStartRate * (initial + (1-initial)*float64(age)/float64(c.config.SlowStartDuration))
--- a/internal/verify/rules/slowstart_test.go
+++ b/internal/verify/rules/slowstart_test.go
@@ -64,7 +64,7 @@
 		at    time.Duration
 		bears int
 	}{{"at its start", 0, 2}, {"halfway", 2500 * ms, 6}, {"in the end", 4999 * ms, 9}} {
-		checkCasesBy(t, config, nil, []ruleCase{
+		checkCasesWithConfig(t, config, nil, []ruleCase{
 			{c.name + ", as many as it bears", offers(c.at, c.bears), noBreach},
 			{c.name + ", one more", offers(c.at, c.bears+1), invariant.SlowStart},
 		})
--- a/internal/verify/rules/spread_test.go
+++ b/internal/verify/rules/spread_test.go
@@ -37,7 +37,7 @@
 func TestCheckSpreadsBounds(t *testing.T) {
 	first := offer(10*ms, "a", "spread", 1)
 	onFirst := func(at time.Duration, kind capture.EventType) capture.Event { return message(at, kind, "a", 1) }
-	withdrawnByHost := func(at time.Duration) capture.Event {
+	canceledByHost := func(at time.Duration) capture.Event {
 		e := message(at, capture.Ended, "a", 1)
 		e.Result = "called"
 		return e
@@ -53,8 +53,8 @@
 		{"rejected a moment later", []capture.Event{first, second, onFirst(1101*ms, capture.Refused)}, invariant.Spread},
 		{"ended by then", []capture.Event{first, second, onFirst(1100*ms, capture.Ended)}, noBreach},
 		{"ended a moment later", []capture.Event{first, second, onFirst(1101*ms, capture.Ended)}, invariant.Spread},
-		{"ended before it ran by then", []capture.Event{first, second, withdrawnByHost(1100 * ms)}, noBreach},
-		{"ended before it ran, a moment later", []capture.Event{first, second, withdrawnByHost(1101 * ms)}, invariant.Spread},
+		{"ended before it ran by then", []capture.Event{first, second, canceledByHost(1100 * ms)}, noBreach},
+		{"ended before it ran, a moment later", []capture.Event{first, second, canceledByHost(1101 * ms)}, invariant.Spread},
 		{"withdrawn by then", []capture.Event{first, second, onFirst(1100*ms, capture.Withdraw)}, noBreach},
 		{"withdrawn a moment later", []capture.Event{first, second, onFirst(1101*ms, capture.Withdraw)}, invariant.Spread},
 		{"host down by then", []capture.Event{first, second, onFirst(1100*ms, capture.HostDown)}, noBreach},
--- a/internal/verify/rules/trace.go
+++ b/internal/verify/rules/trace.go
@@ -9,34 +9,34 @@
 	"forkhead/internal/protocol/capture"
 )
 
-// trace is captured traffic with what the rules look up in it.
+// trace is captured traffic with the indexes that the rules use.
 type trace struct {
-	events    []capture.Event // noted by hosts, clients and the catalog, by time
-	atPlacers []capture.Event // noted at the placers' own sockets, by time
+	events       []capture.Event // captured by hosts, clients and the catalog, sorted by time
+	placerEvents []capture.Event // captured at the placers' own sockets, sorted by time
 
 	locations        topology
 	hostIncarnations int
 
-	attempts  []*attempt // in the order in which their offers came to hosts
+	attempts  []*attempt // in the order in which their offers reached hosts
 	byID      map[attemptID]*attempt
-	byKey     map[uint64][]*attempt // by the task's key
+	byKey     map[uint64][]*attempt // by the key of the task
 	byService map[uint64][]*attempt
 	rejected  int
-	// holds are the handshakes in which a host reported to a placer that it holds an attempt, by attempt.
+	// holds maps an attempt to the handshakes in which its host reported to a placer that it holds the attempt.
 	holds map[attemptID][]handshake
 
 	placers   map[int]placerHistory
-	lateSteps []lateStep // of all placers, by the time at which they were due
+	lateSteps []lateStep // of all placers, sorted by the time at which they were due
 
-	submissions []*submission // in the order in which they were made
+	submissions []*submission // in the order of submission
 	byName      map[string]*submission
 }
 
 // attemptID identifies an attempt in a trace.
 type attemptID struct {
 	host        string
-	hostEpoch   uint64 // of the host's incarnation; 0 at the placer's end, where it doesn't matter
-	placerEpoch uint64 // of the placer's incarnation that began the attempt
+	hostEpoch   uint64 // of the host's incarnation; 0 in a placerView, which doesn't need it
+	placerEpoch uint64 // of the incarnation of the placer that began the attempt
 	task        uint32
 	number      uint8
 }
@@ -53,44 +53,45 @@
 
 func incarnationOf(e *capture.Event) incarnation { return incarnation{e.Placer, e.PlacerEpoch} }
 
-// attempt is an offer that came to a host, with what became of it at the host's end. A time of 0 says that it hasn't
-// happened.
+// attempt is an offer that reached a host, with the messages on it and its end as captured at the host. A time is 0 if
+// the event has not happened.
 type attempt struct {
 	attemptID
-	sender     incarnation // that sent the offer
+	sender     incarnation // incarnation that sent the offer
 	connection uint64
-	key        uint64 // of the task
+	key        uint64 // key of the task
 	service    uint64
 	name       string
 	class      string
 
 	offeredAt      time.Duration
 	withdrawnAt    time.Duration
-	answeredAt     time.Duration // rejected, accepted, running or ended
-	boundAt        time.Duration // the host reported what makes the task count as placed
+	answeredAt     time.Duration // the host reported that it is rejected, accepted, running or ended
+	boundAt        time.Duration // the host reported the state in which the task counts as placed
 	endedAt        time.Duration // rejected, or the host reported that it ended
-	disconnectedAt time.Duration // its connection ended
+	disconnectedAt time.Duration // the connection of the offer ended
 	hostDownAt     time.Duration
 
-	// judgedAtPlacer says that the sockets of its sender were captured, too: what that placer knew is judged there.
-	judgedAtPlacer bool
+	// checkedAtPlacer means that the sockets of the sender were captured too, so that checkPlacerViews checks the offer
+	// against what that placer knew.
+	checkedAtPlacer bool
 }
 
-// handshake is one between a host and an incarnation of a placer.
+// handshake is a handshake between a host and an incarnation of a placer.
 type handshake struct {
 	placer incarnation
 	at     time.Duration
 }
 
-// happenedBy reports whether something had happened by a time. at is 0 if it never did.
+// happenedBy reports whether an event at time at had happened by a given time. at is 0 if the event never happened.
 func happenedBy(at, by time.Duration) bool { return at > 0 && at <= by }
 
-// topology has each host's location, by its name.
+// topology maps the name of a host to its location.
 type topology map[string]location
 
 type location struct{ zone, rack string }
 
-// sameDomain reports whether two hosts are in one domain of a level.
+// sameDomain reports whether hosts x and y are in the same domain at a level of the topology.
 func (t topology) sameDomain(level forkhead.Domain, x, y string) bool {
 	switch level {
 	case forkhead.MachineDomain:
@@ -103,15 +104,15 @@
 	return true
 }
 
-// traceBuilder makes a trace of events in their order.
+// traceBuilder builds a trace from events sorted by time.
 type traceBuilder struct {
 	*trace
 	boundWhenRunning bool
-	// current has the attempts of each host's present incarnation; nil while the host is down.
+	// current maps a host to the attempts at its current incarnation. The map of a host that is down is nil.
 	current map[string]map[attemptID]*attempt
 }
 
-// newTrace sorts captured events by time, leaving them as they are, and indexes them.
+// newTrace returns the trace of captured events, which it sorts and indexes. It doesn't change the slice captured.
 func newTrace(captured []capture.Event, boundWhenRunning bool) *trace {
 	b := traceBuilder{
 		trace: &trace{
@@ -130,7 +131,7 @@
 	slices.SortStableFunc(sorted, func(a, b capture.Event) int { return cmp.Compare(a.At, b.At) })
 	for i := range sorted {
 		if sorted[i].AtPlacer {
-			b.atPlacers = append(b.atPlacers, sorted[i])
+			b.placerEvents = append(b.placerEvents, sorted[i])
 		} else {
 			b.events = append(b.events, sorted[i])
 		}
@@ -138,7 +139,7 @@
 	for i := range b.events {
 		b.add(&b.events[i])
 	}
-	b.addPlacersEnd()
+	b.addPlacerEvents()
 	return b.trace
 }
 
@@ -150,13 +151,13 @@
 		b.current[e.Host] = map[attemptID]*attempt{}
 	case capture.HostDown:
 		for _, a := range b.current[e.Host] {
-			setOnce(&a.hostDownAt, e.At)
+			setIfZero(&a.hostDownAt, e.At)
 		}
 		b.current[e.Host] = nil
 	case capture.Disconnected:
 		for _, a := range b.current[e.Host] {
 			if a.connection == e.Conn {
-				setOnce(&a.disconnectedAt, e.At)
+				setIfZero(&a.disconnectedAt, e.At)
 			}
 		}
 	case capture.Holds:
@@ -193,25 +194,25 @@
 	}
 }
 
-// addProgress notes a message on an attempt.
+// addProgress records a message on an attempt.
 func (b *traceBuilder) addProgress(a *attempt, e *capture.Event) {
 	switch e.Type {
 	case capture.Withdraw:
-		setOnce(&a.withdrawnAt, e.At)
-		return // not an answer
+		setIfZero(&a.withdrawnAt, e.At)
+		return // a withdrawal is not an answer
 	case capture.Refused:
 		b.rejected++
-		setOnce(&a.endedAt, e.At)
+		setIfZero(&a.endedAt, e.At)
 	case capture.Accepted:
 		if !b.boundWhenRunning {
-			setOnce(&a.boundAt, e.At)
+			setIfZero(&a.boundAt, e.At)
 		}
 	case capture.Running:
-		setOnce(&a.boundAt, e.At)
+		setIfZero(&a.boundAt, e.At)
 	case capture.Ended:
-		setOnce(&a.endedAt, e.At)
+		setIfZero(&a.endedAt, e.At)
 	}
-	setOnce(&a.answeredAt, e.At)
+	setIfZero(&a.answeredAt, e.At)
 }
 
 func (b *traceBuilder) addSubmit(e *capture.Event) {
@@ -223,19 +224,20 @@
 		b.submissions = append(b.submissions, s)
 		b.byName[s.name] = s
 	}
-	s.resubmittedAt = e.At
+	s.lastSubmittedAt = e.At
 }
 
-// addPlacersEnd adds what the placers' own sockets show of submissions, steps and attempts.
-func (b *traceBuilder) addPlacersEnd() {
-	noted := map[incarnation]bool{}
-	for i := range b.atPlacers {
-		e := &b.atPlacers[i]
-		noted[incarnationOf(e)] = true
+// addPlacerEvents adds the submissions and late steps that were captured at the placers' own sockets, and marks the
+// attempts whose sender was captured there.
+func (b *traceBuilder) addPlacerEvents() {
+	captured := map[incarnation]bool{}
+	for i := range b.placerEvents {
+		e := &b.placerEvents[i]
+		captured[incarnationOf(e)] = true
 		switch e.Type {
 		case capture.Submit:
 			if s := b.byName[e.Submission]; s != nil {
-				setOnce(&s.receivedAt, e.At)
+				setIfZero(&s.receivedAt, e.At)
 			}
 		case capture.LateStep:
 			b.lateSteps = append(b.lateSteps, lateStep{placer: e.Placer, dueAt: e.At - e.Within, ranAt: e.At})
@@ -243,12 +245,12 @@
 	}
 	slices.SortStableFunc(b.lateSteps, func(a, b lateStep) int { return cmp.Compare(a.dueAt, b.dueAt) })
 	for _, a := range b.attempts {
-		a.judgedAtPlacer = noted[a.sender]
+		a.checkedAtPlacer = captured[a.sender]
 	}
 }
 
-// setOnce sets a time that is 0.
-func setOnce(at *time.Duration, to time.Duration) {
+// setIfZero sets a time unless it has been set.
+func setIfZero(at *time.Duration, to time.Duration) {
 	if *at == 0 {
 		*at = to
 	}
