--- a/internal/verify/rules/answers_test.go
+++ b/internal/verify/rules/answers_test.go
@@ -28,34 +28,34 @@
 			{At: 50 * ms, Type: capture.Outcome, Submission: "s", Name: "web/3", Result: "failed"},
 			end,
 		}, noBreach},
-		{"one outcome twice", []capture.Event{submit, outcome(50*ms, "placed"), outcome(60*ms, "placed"), end}, invariant.OneAnswer},
+		{"same outcome twice", []capture.Event{submit, outcome(50*ms, "placed"), outcome(60*ms, "placed"), end}, invariant.OneAnswer},
 		{"outcomes of more tasks than were submitted", []capture.Event{
 			submit, outcome(50*ms, "placed"),
 			{At: 60 * ms, Type: capture.Outcome, Submission: "s", Name: "web/2", Result: "placed"},
 		}, invariant.OneAnswer},
-		{"as late as may be", []capture.Event{submit, outcome(2010*ms, "placed"), end}, noBreach},
-		{"a moment later", []capture.Event{submit, outcome(2011*ms, "placed"), end}, invariant.OneAnswer},
+		{"at the latest allowed time", []capture.Event{submit, outcome(2010*ms, "placed"), end}, noBreach},
+		{"1ms after the latest allowed time", []capture.Event{submit, outcome(2011*ms, "placed"), end}, invariant.OneAnswer},
 		{"late after a disconnect", []capture.Event{submit, clientDisconnected, outcome(5*time.Second, "placed"), end}, noBreach},
 		{"late, before a disconnect", []capture.Event{
 			submit, outcome(5*time.Second, "placed"), disconnect(5001*ms, "s"), end,
 		}, invariant.OneAnswer},
 		{"unknown outcome", []capture.Event{submit, outcome(50*ms, "perhaps"), end}, invariant.OneAnswer},
-		{"disconnect of no submission", []capture.Event{submit, outcome(50*ms, "placed"), disconnect(60*ms, "x"), end}, noBreach},
-		{"submission that only its placer noted", []capture.Event{
+		{"disconnect of an unknown submission", []capture.Event{submit, outcome(50*ms, "placed"), disconnect(60*ms, "x"), end}, noBreach},
+		{"submission captured only at its placer", []capture.Event{
 			submit, outcome(50*ms, "placed"), {At: 9 * ms, Type: capture.Submit, Submission: "x", AtPlacer: true}, end,
 		}, noBreach},
-		{"outcome of no submission", []capture.Event{outcome(50*ms, "placed"), end}, invariant.OneAnswer},
+		{"outcome of an unknown submission", []capture.Event{outcome(50*ms, "placed"), end}, invariant.OneAnswer},
 		{"read again after a disconnect", []capture.Event{
 			submit, outcome(50*ms, "placed"), clientDisconnected, outcome(90*ms, "placed"),
 		}, noBreach},
-		{"changed after a disconnect", []capture.Event{
+		{"another outcome after a disconnect", []capture.Event{
 			submit, outcome(50*ms, "placed"), clientDisconnected, outcome(90*ms, "failed"),
 		}, invariant.OneAnswer},
-		{"lost with its placer", []capture.Event{submit, placerDown(60*ms, 0), end}, noBreach},
+		{"missing after the death of its placer", []capture.Event{submit, placerDown(60*ms, 0), end}, noBreach},
 	})
 }
 
-// A placer that remembers what it has accepted may repeat an outcome, or answer late, once it was down.
+// After a restart, a placer that keeps accepted requests may repeat an outcome or answer late.
 func TestCheckAnswersDurable(t *testing.T) {
 	submit := capture.Event{At: 10 * ms, Type: capture.Submit, Submission: "s", Count: 1, Within: time.Second}
 	late := capture.Event{At: 5 * time.Second, Type: capture.Outcome, Submission: "s", Name: "web/1", Result: "placed"}
@@ -76,16 +76,16 @@
 		{"missing, and its placer was down", []capture.Event{submit, placerDown(50*ms, 0), end}, invariant.OneAnswer},
 	})
 	checkCases(t, nil, []ruleCase{
-		{"late, and its placer, which forgets, was down", wasDown, invariant.OneAnswer},
+		{"late, and its placer, which is not durable, was down", wasDown, invariant.OneAnswer},
 	})
 }
 
-// submitTwo is a submission of two tasks to placer 1, due at 1010ms.
+// submitTwo returns a submission of two tasks to placer 1 at 10ms, due at 1010ms.
 func submitTwo(name string) capture.Event {
 	return capture.Event{At: 10 * ms, Type: capture.Submit, Submission: name, Placer: 1, Count: 2, Within: time.Second}
 }
 
-// oneOutcome is the outcome of one task of a submission.
+// oneOutcome returns the outcome of one task of a submission, read at 20ms.
 func oneOutcome(name string) capture.Event {
 	return capture.Event{At: 20 * ms, Type: capture.Outcome, Submission: name, Name: "web/1", Result: "placed", Took: ms}
 }
@@ -94,36 +94,39 @@
 	return capture.Event{At: at, Type: capture.PlacerDown, Placer: placer}
 }
 
-// disconnect is the end of the stream of a submission to its client.
+// disconnect returns the end of the stream of a submission's outcomes to its client.
 func disconnect(at time.Duration, name string) capture.Event {
 	return capture.Event{At: at, Type: capture.ClientDisconnected, Submission: name}
 }
 
-// endAt is the last event of a capture, which concerns no submission.
+// endAt returns an event that concerns no submission, to end a capture at a given time.
 func endAt(at time.Duration) capture.Event {
 	return capture.Event{At: at, Type: capture.PlacerUp, Placer: 9}
 }
 
-// accountsCase is a trace with what becomes of its tasks.
+// accountsCase is a trace with the accounts of its tasks.
 type accountsCase struct {
 	name   string
 	events []capture.Event
 	want   Accounts
 }
 
-// checkAccounts checks that each task is accounted for, and that there is a breach where one is unanswered.
+// checkAccounts checks the accounts of each case, that they cover all tasks, and that there is a breach exactly if a
+// task is unanswered.
 func checkAccounts(t *testing.T, cases []accountsCase) {
 	t.Helper()
 	for _, c := range cases {
 		v := Check(c.events, testConfig())
 		if v.Accounts != c.want || v.Accounts.Sum() != v.Tasks || (v.Counts[invariant.OneAnswer] > 0) != (c.want.Unanswered > 0) {
-			t.Errorf("%s: %+v, want %+v; %v", c.name, v.Accounts, c.want, v.Breaches)
+			t.Errorf("%s: accounts %+v of %d tasks, want %+v; breaches, wanted only for unanswered tasks: %+v",
+				c.name, v.Accounts, v.Tasks, c.want, v.Breaches)
 		}
 	}
 }
 
-// Only a death before its outcome was due excuses a missing one.
-func TestAccounts(t *testing.T) {
+// A missing outcome is excused by the death of its placer before it was due, by a client that did not submit again
+// after a disconnect, or by the end of the capture.
+func TestAccountsExcuseMissingOutcomes(t *testing.T) {
 	submit, answer, end := submitTwo("s"), oneOutcome("s"), endAt(time.Minute)
 	resubmit := capture.Event{At: 40 * ms, Type: capture.Submit, Submission: "s"}
 	checkAccounts(t, []accountsCase{
@@ -135,7 +138,7 @@
 			submit, answer, placerDown(time.Second, 1), end,
 		}, Accounts{Answered: 1, PlacerDied: 1}},
 		{"died when it was due", []capture.Event{submit, answer, placerDown(1010*ms, 1), end}, Accounts{Answered: 1, PlacerDied: 1}},
-		{"died when it was over", []capture.Event{
+		{"died 1ms after it was due", []capture.Event{
 			submit, answer, placerDown(1011*ms, 1), end,
 		}, Accounts{Answered: 1, Unanswered: 1}},
 		{"another placer's death", []capture.Event{submit, answer, placerDown(50*ms, 2), end}, Accounts{Answered: 1, Unanswered: 1}},
@@ -148,7 +151,7 @@
 		{"disconnected, and submitted again", []capture.Event{
 			submit, answer, disconnect(30*ms, "s"), resubmit, end,
 		}, Accounts{Answered: 1, Unanswered: 1}},
-		{"disconnected as it was submitted again", []capture.Event{
+		{"disconnected when it was submitted again", []capture.Event{
 			submit, answer, disconnect(40*ms, "s"), resubmit, end,
 		}, Accounts{Answered: 1, Unanswered: 1}},
 		{"disconnected after it was submitted again", []capture.Event{
@@ -157,26 +160,26 @@
 		{"disconnected before and after it was submitted again", []capture.Event{
 			submit, answer, disconnect(30*ms, "s"), resubmit, disconnect(41*ms, "s"), end,
 		}, Accounts{Answered: 1, Disconnected: 1}},
-		{"not due yet", []capture.Event{submit, answer}, Accounts{Answered: 1, NotDue: 1}},
-		{"not due at the end", []capture.Event{submit, answer, endAt(2010 * ms)}, Accounts{Answered: 1, NotDue: 1}},
-		{"due a moment before the end", []capture.Event{submit, answer, endAt(2011 * ms)}, Accounts{Answered: 1, Unanswered: 1}},
+		{"not due at the last event", []capture.Event{submit, answer}, Accounts{Answered: 1, NotDue: 1}},
+		{"delay ends with the capture", []capture.Event{submit, answer, endAt(2010 * ms)}, Accounts{Answered: 1, NotDue: 1}},
+		{"delay ends 1ms before the capture", []capture.Event{submit, answer, endAt(2011 * ms)}, Accounts{Answered: 1, Unanswered: 1}},
 	})
 }
 
-// The accounts of two submissions add up.
-func TestAccountsOfTwo(t *testing.T) {
+// The accounts of two submissions are added.
+func TestAccountsOfTwoSubmissionsAreAdded(t *testing.T) {
 	both, end := []capture.Event{submitTwo("s"), submitTwo("s2"), oneOutcome("s")}, endAt(time.Minute)
 	with := func(events ...capture.Event) []capture.Event { return slices.Concat(both, events) }
 	checkAccounts(t, []accountsCase{
-		{"answered and not due yet", with(oneOutcome("s2")), Accounts{Answered: 2, NotDue: 2}},
+		{"answered, and not due", with(oneOutcome("s2")), Accounts{Answered: 2, NotDue: 2}},
 		{"died", with(placerDown(50*ms, 1), end), Accounts{Answered: 1, PlacerDied: 3}},
 		{"disconnected", with(disconnect(50*ms, "s"), disconnect(50*ms, "s2"), end), Accounts{Answered: 1, Disconnected: 3}},
 		{"unanswered", with(end), Accounts{Answered: 1, Unanswered: 3}},
 	})
 }
 
-// An outcome that is read twice counts once, and no more tasks are answered than were submitted.
-func TestCheckCounts(t *testing.T) {
+// An outcome that is read twice counts once, and at most as many tasks as were submitted count as answered.
+func TestCheckCountsEachOutcomeOnce(t *testing.T) {
 	outcome := func(at time.Duration, name, result string) capture.Event {
 		return capture.Event{At: at, Type: capture.Outcome, Submission: "s", Name: name, Result: result}
 	}
@@ -191,16 +194,16 @@
 		outcome(42*ms, "web/2", "refused"), outcome(43*ms, "web/3", "placed"),
 	}, testConfig())
 	if want := map[string]int{"placed": 2, "refused": 1}; !maps.Equal(v.Outcomes, want) {
-		t.Errorf("outcomes %v, want %v", v.Outcomes, want)
+		t.Errorf("Check: outcomes %v, want %v", v.Outcomes, want)
 	}
 	if v.Tasks != 2 || v.Accounts.Answered != 2 || v.Offers != 3 || v.Rejected != 2 || v.HostIncarnations != 2 {
-		t.Errorf("%+v", v)
+		t.Errorf("Check = %+v, want 2 tasks, 2 answered, 3 offers, 2 of them rejected, and 2 incarnations of hosts", v)
 	}
 }
 
-// An outcome that is settled late is a breach by the least that a client can see, unless the step that settled it ran late;
-// what is settled in time has MaxOutcomeDelay to be read.
-func TestCheckAnswersSettledLate(t *testing.T) {
+// An outcome that is decided later than decisionTolerance after its timeout is a breach, unless the step that decided
+// it ran late or its placer was down. An outcome that is decided in time has MaxOutcomeDelay to be read.
+func TestCheckAnswersDecidedLate(t *testing.T) {
 	submit := capture.Event{At: 10 * ms, Type: capture.Submit, Submission: "s", Count: 1, Within: time.Second}
 	received := capture.Event{At: 9 * ms, Type: capture.Submit, Submission: "s", AtPlacer: true}
 	late := func(dueAt, ranAt time.Duration) capture.Event {
@@ -213,25 +216,25 @@
 	checkCases(t, []capture.Event{submit, received}, []ruleCase{
 		{"in time", []capture.Event{outcome(1010*ms, time.Second)}, noBreach},
 		{"at the end of the tolerance", []capture.Event{outcome(1010*ms, 1001*ms)}, noBreach},
-		{"a nanosecond later", []capture.Event{outcome(1010*ms, 1001*ms+1)}, invariant.OneAnswer},
+		{"1ns past the tolerance", []capture.Event{outcome(1010*ms, 1001*ms+1)}, invariant.OneAnswer},
 		{"two milliseconds late", []capture.Event{outcome(1012*ms, 1002*ms)}, invariant.OneAnswer},
-		{"the step ran late", []capture.Event{lateStep, outcome(2600*ms, 2491*ms)}, noBreach},
-		{"the step ran late, and its client read late", []capture.Event{lateStep, outcome(3501*ms, 2491*ms)}, invariant.OneAnswer},
-		{"read late while the process stood still", []capture.Event{lateStep, outcome(3500*ms, 900*ms)}, noBreach},
-		{"read late, the later of two late steps due first", []capture.Event{
+		{"decided late by a late step", []capture.Event{lateStep, outcome(2600*ms, 2491*ms)}, noBreach},
+		{"decided late by a late step, and read 1ms too late", []capture.Event{lateStep, outcome(3501*ms, 2491*ms)}, invariant.OneAnswer},
+		{"read late while the process was stalled", []capture.Event{lateStep, outcome(3500*ms, 900*ms)}, noBreach},
+		{"read late, the second of two late steps due first", []capture.Event{
 			late(2000*ms, 2500*ms), late(1100*ms, 3000*ms), outcome(3900*ms, 900*ms),
 		}, noBreach},
-		{"read late, and a moment more", []capture.Event{lateStep, outcome(3501*ms, 900*ms)}, invariant.OneAnswer},
-		{"in time, and read as late as may be", []capture.Event{outcome(2010*ms, 900*ms)}, noBreach},
-		{"in time, and read late", []capture.Event{outcome(2011*ms, 900*ms)}, invariant.OneAnswer},
+		{"read late, 1ms more than the stall", []capture.Event{lateStep, outcome(3501*ms, 900*ms)}, invariant.OneAnswer},
+		{"decided in time, read at the latest allowed time", []capture.Event{outcome(2010*ms, 900*ms)}, noBreach},
+		{"decided in time, read 1ms after the latest allowed time", []capture.Event{outcome(2011*ms, 900*ms)}, invariant.OneAnswer},
 		{"a late step was due when the outcome was", []capture.Event{late(1009*ms, 1500*ms), outcome(1600*ms, 1491*ms)}, noBreach},
-		{"a late step was due a moment after the outcome", []capture.Event{late(1010*ms, 1500*ms), outcome(1600*ms, 1491*ms)}, invariant.OneAnswer},
+		{"a late step was due 1ms after the outcome", []capture.Event{late(1010*ms, 1500*ms), outcome(1600*ms, 1491*ms)}, invariant.OneAnswer},
 		{"a late step ran when the outcome was due", []capture.Event{late(900*ms, 1009*ms), outcome(1600*ms, 1491*ms)}, noBreach},
-		{"a late step ran a moment before the outcome was due", []capture.Event{late(900*ms, 1008*ms), outcome(1600*ms, 1491*ms)}, invariant.OneAnswer},
+		{"a late step ran 1ms before the outcome was due", []capture.Event{late(900*ms, 1008*ms), outcome(1600*ms, 1491*ms)}, invariant.OneAnswer},
 		{"another placer's step ran late", []capture.Event{
 			{At: 2500 * ms, Type: capture.LateStep, AtPlacer: true, Within: 1600 * ms, Placer: 1}, outcome(2600*ms, 2491*ms),
 		}, invariant.OneAnswer},
-		{"its placer's step ran late, not the first placer's", []capture.Event{
+		{"a step of its placer, which is not the first, ran late", []capture.Event{
 			{At: 10 * ms, Type: capture.Submit, Submission: "of 1", Placer: 1, Count: 1, Within: time.Second},
 			{At: 9 * ms, Type: capture.Submit, Submission: "of 1", Placer: 1, AtPlacer: true},
 			{At: 2500 * ms, Type: capture.LateStep, Placer: 1, AtPlacer: true, Within: 1600 * ms},
@@ -240,22 +243,23 @@
 		{"its placer died when it was due", []capture.Event{
 			placerDown(1009*ms, 0), outcome(1600*ms, 1491*ms),
 		}, noBreach},
-		{"its placer died a moment later", []capture.Event{
+		{"its placer died 1ms after it was due", []capture.Event{
 			placerDown(1010*ms, 0), outcome(1600*ms, 1491*ms),
 		}, invariant.OneAnswer},
-		{"its placer came back when it was due", []capture.Event{
+		{"its placer recovered when it was due", []capture.Event{
 			placerDown(20*ms, 0), {At: 909 * ms, Type: capture.PlacerUp}, outcome(1600*ms, 1491*ms),
 		}, noBreach},
-		{"its placer came back a moment earlier", []capture.Event{
+		{"its placer recovered 1ms before it was due", []capture.Event{
 			placerDown(20*ms, 0), {At: 908 * ms, Type: capture.PlacerUp}, outcome(1600*ms, 1491*ms),
 		}, invariant.OneAnswer},
-		{"its placer read it again later", []capture.Event{
+		{"its placer received it again later", []capture.Event{
 			{At: 500 * ms, Type: capture.Submit, Submission: "s", AtPlacer: true}, late(1400*ms, 1500*ms), outcome(1600*ms, 1491*ms),
 		}, invariant.OneAnswer},
 	})
 }
 
-// An outcome has MaxOutcomeDelay from when it was settled, where it is noted when its placer received the submission.
+// If the capture has the time at which the placer received the submission, the outcome has MaxOutcomeDelay from its
+// decision.
 func TestCheckAnswersReadLate(t *testing.T) {
 	submit := capture.Event{At: 10 * ms, Type: capture.Submit, Submission: "s", Count: 1, Within: time.Second}
 	received := capture.Event{At: 500 * ms, Type: capture.Submit, Submission: "s", AtPlacer: true}
@@ -263,35 +267,36 @@
 		return capture.Event{At: at, Type: capture.Outcome, Submission: "s", Name: "web/1", Result: "refused", Took: took}
 	}
 	checkCases(t, []capture.Event{submit}, []ruleCase{
-		{"as late as may be", []capture.Event{received, outcome(2400*ms, 900*ms)}, noBreach},
-		{"a moment later", []capture.Event{received, outcome(2401*ms, 900*ms)}, invariant.OneAnswer},
-		{"settled at once, as late as may be", []capture.Event{received, outcome(2010*ms, 100*ms)}, noBreach},
-		{"settled at once, a moment later", []capture.Event{received, outcome(2011*ms, 100*ms)}, invariant.OneAnswer},
-		{"received in the first nanosecond, settled late", []capture.Event{
+		{"at the latest allowed time", []capture.Event{received, outcome(2400*ms, 900*ms)}, noBreach},
+		{"1ms after the latest allowed time", []capture.Event{received, outcome(2401*ms, 900*ms)}, invariant.OneAnswer},
+		{"decided at once, at the latest allowed time", []capture.Event{received, outcome(2010*ms, 100*ms)}, noBreach},
+		{"decided at once, 1ms after the latest allowed time", []capture.Event{received, outcome(2011*ms, 100*ms)}, invariant.OneAnswer},
+		{"received in the first nanosecond, decided late", []capture.Event{
 			{At: 1, Type: capture.Submit, Submission: "s", AtPlacer: true}, outcome(2011*ms, 1012*ms),
 		}, invariant.OneAnswer},
-		{"not noted when it was received, as late as may be", []capture.Event{outcome(2010*ms, 1500*ms)}, noBreach},
-		{"not noted when it was received, a moment later", []capture.Event{outcome(2011*ms, 1500*ms)}, invariant.OneAnswer},
+		{"receipt not captured, at the latest allowed time", []capture.Event{outcome(2010*ms, 1500*ms)}, noBreach},
+		{"receipt not captured, 1ms after the latest allowed time", []capture.Event{outcome(2011*ms, 1500*ms)}, invariant.OneAnswer},
 	})
 }
 
-// An offer that came to a host and that its placer did not note escapes what is judged at the placer's end.
-func TestCheckOffersNoted(t *testing.T) {
+// An offer that reached a host but is missing in the capture at its placer is a breach: the checks at the placer would
+// miss it.
+func TestCheckOffersCapturedAtPlacer(t *testing.T) {
 	sent := atPlacer(offer(10*ms, "a", "safe", 1))
 	held := atPlacer(message(20*ms, capture.Holds, "a", 1))
 	withoutHost := offer(10*ms, "a", "safe", 1)
 	withoutHost.Epoch = 0
 	checkCases(t, append(testHosts(), testPlacer()...), []ruleCase{
-		{"an offer that is noted", append(sent, offer(11*ms, "a", "safe", 1)), noBreach},
-		{"an offer that is noted without its host's incarnation", append(
+		{"an offer captured at its placer", append(sent, offer(11*ms, "a", "safe", 1)), noBreach},
+		{"an offer captured at its placer without its host's incarnation", append(
 			atPlacer(withoutHost), offer(11*ms, "a", "safe", 1),
 		), noBreach},
-		{"an offer that its host reported", append(held, offer(11*ms, "a", "safe", 1)), noBreach},
+		{"an offer of an attempt that its host reported as held", append(held, offer(11*ms, "a", "safe", 1)), noBreach},
 		{"an offer of an incarnation that is not captured", []capture.Event{ofPlacer(0, 2, offer(11*ms, "a", "safe", 1))}, noBreach},
-		{"an offer of an incarnation that is not captured, on an attempt of one that is", []capture.Event{
+		{"an offer of an incarnation that is not captured, of an attempt of one that is", []capture.Event{
 			sentBy(2, offer(11*ms, "a", "safe", 1)),
 		}, noBreach},
 		{"an offer of another placer, which is not captured", []capture.Event{ofPlacer(1, 1, offer(11*ms, "a", "safe", 1))}, noBreach},
-		{"an offer that is not noted", append(sent, offer(11*ms, "a", "safe", 1), offer(12*ms, "b", "safe", 2)), invariant.OneAnswer},
+		{"an offer not captured at its placer", append(sent, offer(11*ms, "a", "safe", 1), offer(12*ms, "b", "safe", 2)), invariant.OneAnswer},
 	})
 }
--- a/internal/verify/rules/config_test.go
+++ b/internal/verify/rules/config_test.go
@@ -9,8 +9,9 @@
 	"forkhead/internal/parse/settings"
 )
 
-// Each figure of the rules is the one of the settings that has its name; each here is another.
-func TestConfigFromSettings(t *testing.T) {
+// Each parameter of the rules is taken from the setting of its name. All values differ, so that a mix-up of two is
+// noticed.
+func TestConfigFromSettingsTakesEachSettingByName(t *testing.T) {
 	s := &settings.Settings{
 		Module: forkhead.Settings{
 			Classes: []forkhead.Class{
@@ -50,6 +51,6 @@
 		MaxOutcomeDelay:      time.Second,
 	}
 	if got := ConfigFromSettings(s, 10); !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("ConfigFromSettings = %+v, want %+v", got, want)
 	}
 }
--- a/internal/verify/rules/golden_test.go
+++ b/internal/verify/rules/golden_test.go
@@ -15,7 +15,8 @@
 	"forkhead/internal/verify/scenario"
 )
 
-// goldenRecord returns the capture that `forkhead badday testdata/script.sexp --record-on-breach` of an earlier build has stored.
+// goldenRecord returns the capture that an earlier build stored with the command
+// `forkhead badday testdata/script.sexp --record-on-breach`.
 func goldenRecord(t *testing.T) []byte {
 	t.Helper()
 	packed, err := os.ReadFile(filepath.Join("testdata", "record.jsonl.gz"))
@@ -33,7 +34,7 @@
 	return text
 }
 
-// goldenVerdict judges a capture by the figures of testdata/script.sexp.
+// goldenVerdict checks a capture with the settings of testdata/script.sexp.
 func goldenVerdict(t *testing.T, events []capture.Event) Verdict {
 	t.Helper()
 	script, err := os.ReadFile(filepath.Join("testdata", "script.sexp"))
@@ -48,13 +49,14 @@
 	config.Durable = s.Durable
 	v := Check(events, config)
 	for _, kind := range []core.OutcomeKind{core.OutcomePlaced, core.OutcomeRejected, core.OutcomeFailed} {
-		v.Outcomes[string(kind)] += 0 // the kept result names all of them
+		v.Outcomes[string(kind)] += 0 // the stored result lists outcomes that did not occur, too
 	}
 	return v
 }
 
-// The capture of an earlier build is read, is written as it was, and comes to the verdict that was stored with it.
-func TestCheckGoldenRecord(t *testing.T) {
+// The capture of an earlier build can be read, is written again without a difference, and results in the verdict that
+// was stored with it.
+func TestCheckGoldenRecordReturnsStoredVerdict(t *testing.T) {
 	text := goldenRecord(t)
 	events, err := capture.Read(bytes.NewReader(text))
 	if err != nil {
@@ -65,7 +67,8 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again.Bytes(), text) {
-		t.Error("the record is written otherwise than it was")
+		t.Errorf("capture.Write of the record that was read = %d bytes that differ from the record of %d bytes, want the same bytes",
+			again.Len(), len(text))
 	}
 	v := goldenVerdict(t, events)
 	kept, err := os.ReadFile(filepath.Join("testdata", "verdict.json"))
@@ -102,10 +105,10 @@
 		}
 		var compact bytes.Buffer
 		if err := json.Compact(&compact, c.want); err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("stored value of %s: %v", name, err)
 		}
 		if !bytes.Equal(got, compact.Bytes()) {
-			t.Errorf("%s: %s, want %s", name, got, compact.Bytes())
+			t.Errorf("verdict of the record: %s = %s, want %s", name, got, compact.Bytes())
 		}
 	}
 }
--- a/internal/verify/rules/helpers_test.go
+++ b/internal/verify/rules/helpers_test.go
@@ -12,23 +12,24 @@
 
 const ms = time.Millisecond
 
-// noBreach is the rule of a case that breaks none.
+// noBreach is the rule of a ruleCase without a breach.
 const noBreach = invariant.RuleCount
 
-// ruleCase is a trace that breaks one rule, or none.
+// ruleCase is a trace with a breach of one rule, or without a breach.
 type ruleCase struct {
 	name   string
 	events []capture.Event
 	rule   invariant.Rule
 }
 
-// checkCases checks each case after the events of its surroundings: the rule that it breaks is found once, and no other.
+// checkCases checks that the events of each case, added to surroundings, breach the rule of the case once, and no other
+// rule.
 func checkCases(t *testing.T, surroundings []capture.Event, cases []ruleCase) {
 	t.Helper()
 	checkCasesWithConfig(t, testConfig(), surroundings, cases)
 }
 
-// checkCasesWithConfig is checkCases with figures of its own.
+// checkCasesWithConfig is checkCases with a given config instead of testConfig.
 func checkCasesWithConfig(t *testing.T, config Config, surroundings []capture.Event, cases []ruleCase) {
 	t.Helper()
 	for _, c := range cases {
@@ -43,7 +44,7 @@
 	}
 }
 
-// checkBreaches checks which rules a trace breaks: each as often as it is named, and no other.
+// checkBreaches checks that a trace breaches each rule as often as it is named in broken, and no other rule.
 func checkBreaches(t *testing.T, config Config, events []capture.Event, broken ...invariant.Rule) {
 	t.Helper()
 	var want [invariant.RuleCount]int
@@ -51,10 +52,11 @@
 		want[rule]++
 	}
 	if v := Check(events, config); v.Counts != want {
-		t.Errorf("breaches of each rule %v, want %v: %v", v.Counts, want, v.Breaches)
+		t.Errorf("Check: breaches by rule = %v, want %v; breaches: %+v", v.Counts, want, v.Breaches)
 	}
 }
 
+// testConfig returns the config of most tests, with classes named by their settings.
 func testConfig() Config {
 	return Config{
 		Classes: map[string]Class{
@@ -66,9 +68,9 @@
 			},
 			"unsafe, spread": {Effect: forkhead.Unsafe, SpreadDomain: forkhead.CellDomain, MaxPerDomain: 1},
 			"keyed":          {Effect: forkhead.Keyed, DedupWindow: 5 * time.Second},
-			"racked":         {Effect: forkhead.Keyed, DedupDomain: forkhead.CellDomain, DedupWindow: 5 * time.Second},
-			// Figures of a keyed class, which don't concern a safe one.
-			"safe, figures of keyed": {DedupDomain: forkhead.MachineDomain, DedupWindow: time.Millisecond},
+			"keyed, rack":    {Effect: forkhead.Keyed, DedupDomain: forkhead.CellDomain, DedupWindow: 5 * time.Second},
+			// A safe class must ignore the deduplication settings of keyed classes.
+			"safe, dedup settings": {DedupDomain: forkhead.MachineDomain, DedupWindow: time.Millisecond},
 		},
 		DrainGrace:           250 * time.Millisecond,
 		LostAfter:            2 * time.Second,
@@ -84,12 +86,12 @@
 	}
 }
 
-// testHosts are hosts a and b in one rack and c in another.
+// testHosts returns the starts of hosts a and b in one rack and host c in another.
 func testHosts() []capture.Event {
 	return []capture.Event{hostUp(1, "a", "r1"), hostUp(1, "b", "r1"), hostUp(1, "c", "r2")}
 }
 
-// testPlacer is a placer that has read the endpoint list of testHosts and is connected to each of them.
+// testPlacer returns the events of a placer that reads an endpoint list of testHosts and connects to each of them.
 func testPlacer() []capture.Event {
 	list := listDelivered(2*ms, "a", "b", "c")
 	list.PlacerEpoch = 1
@@ -111,8 +113,8 @@
 	return capture.Event{At: at, Type: capture.ListDelivered, Ready: ready}
 }
 
-// message is a message between placer 0 and a host on the only connection between them, or the end of that; about the first
-// attempt of a request if its number isn't 0.
+// message returns a message between placer 0 and a host on the only connection between them, or the end of that
+// connection. It concerns the first attempt of a request, unless request is 0.
 func message(at time.Duration, kind capture.EventType, host string, request uint32) capture.Event {
 	return capture.Event{
 		At: at, Type: kind, Host: host, Epoch: 1, Conn: 1, PlacerEpoch: 1,
@@ -120,53 +122,54 @@
 	}
 }
 
-// offer is the first attempt of a request for a task of the only service. The task's key is the request's number.
+// offer returns the offer of the first attempt of a request, for a task of service 9. The task's key is the request's
+// number.
 func offer(at time.Duration, host, class string, request uint32) capture.Event {
 	e := message(at, capture.Offer, host, request)
 	e.Class = class
 	return e
 }
 
-// retry is the second attempt of request 1.
+// retry returns the offer of the second attempt of request 1.
 func retry(at time.Duration, host, class string) capture.Event {
 	e := offer(at, host, class, 1)
 	e.Attempt = 1
 	return e
 }
 
-// thirdAttempt is the third attempt of request 1, at host c.
+// thirdAttempt returns the offer of the third attempt of request 1, at host c.
 func thirdAttempt(at time.Duration, class string) capture.Event {
 	e := offer(at, "c", class, 1)
 	e.Attempt = 2
 	return e
 }
 
-// resubmitted is the first attempt of another request for the task of request 1, which is unsafe, at host b.
+// resubmitted returns the offer of the first attempt of another request for the unsafe task of request 1, at host b.
 func resubmitted(at time.Duration) capture.Event {
 	e := offer(at, "b", "unsafe", 2)
 	e.Key = 1
 	return e
 }
 
-// ofPlacer makes an event one of another incarnation of a placer, as are the attempts that it offers.
+// ofPlacer returns e as an event of an incarnation of a placer that also began the attempt.
 func ofPlacer(placer int, epoch uint64, e capture.Event) capture.Event {
 	e.Placer, e.PlacerEpoch, e.RefEpoch = placer, epoch, epoch
 	return e
 }
 
-// sentBy makes an incarnation of placer 0 the sender of an offer, whichever began the attempt.
+// sentBy returns e as sent by an incarnation of its placer, which need not have begun the attempt.
 func sentBy(epoch uint64, e capture.Event) capture.Event {
 	e.PlacerEpoch = epoch
 	return e
 }
 
-// ofService makes an offer one of a task of another service.
+// ofService returns e as an offer of a task of another service.
 func ofService(service uint64, e capture.Event) capture.Event {
 	e.Service = service
 	return e
 }
 
-// atPlacer notes events at the placer's own sockets.
+// atPlacer marks events as captured at the placer's own sockets.
 func atPlacer(events ...capture.Event) []capture.Event {
 	for i := range events {
 		events[i].AtPlacer = true
--- a/internal/verify/rules/norepeat_test.go
+++ b/internal/verify/rules/norepeat_test.go
@@ -14,7 +14,7 @@
 		{"rejected, then elsewhere", []capture.Event{
 			offer(10*ms, "a", "unsafe", 1), message(20*ms, capture.Refused, "a", 1), retry(30*ms, "b", "unsafe"),
 		}, noBreach},
-		{"two without an answer", []capture.Event{
+		{"two unanswered attempts", []capture.Event{
 			offer(10*ms, "a", "safe", 1), retry(30*ms, "b", "safe"),
 		}, invariant.NoRepeat},
 		{"safe after a disconnect", []capture.Event{
@@ -34,12 +34,12 @@
 		{"unsafe, its placer died", []capture.Event{
 			offer(10*ms, "a", "unsafe", 1), placerDown(20*ms, 0), resubmitted(4 * time.Second),
 		}, noBreach},
-		{"unsafe, read when its placer was dead", []capture.Event{
+		{"unsafe, read after the death of its placer", []capture.Event{
 			offer(30*ms, "a", "unsafe", 1),
 			{At: 20 * ms, Type: capture.PlacerDown, PlacerEpoch: 1},
 			resubmitted(4 * time.Second),
 		}, noBreach},
-		{"unsafe, its placer died just now", []capture.Event{
+		{"unsafe, its placer died less than the owner's backoff ago", []capture.Event{
 			offer(10*ms, "a", "unsafe", 1), placerDown(20*ms, 0), resubmitted(time.Second),
 		}, invariant.NoRepeat},
 		{"keyed in its window", []capture.Event{
@@ -49,15 +49,16 @@
 			offer(10*ms, "a", "keyed", 1), message(20*ms, capture.Disconnected, "a", 0), retry(6*time.Second, "c", "keyed"),
 		}, invariant.NoRepeat},
 		{"keyed in its domain", []capture.Event{
-			offer(10*ms, "a", "racked", 1), message(20*ms, capture.Disconnected, "a", 0), retry(time.Second, "b", "racked"),
+			offer(10*ms, "a", "keyed, rack", 1), message(20*ms, capture.Disconnected, "a", 0), retry(time.Second, "b", "keyed, rack"),
 		}, noBreach},
 		{"keyed outside its domain", []capture.Event{
-			offer(10*ms, "a", "racked", 1), message(20*ms, capture.Disconnected, "a", 0), retry(time.Second, "c", "racked"),
+			offer(10*ms, "a", "keyed, rack", 1), message(20*ms, capture.Disconnected, "a", 0), retry(time.Second, "c", "keyed, rack"),
 		}, invariant.NoRepeat},
 	})
 }
 
-// Both sides of each bound on what a placer may have known when it sent an offer that came to its host at 1s.
+// Each case puts an event at, or 1ms after, the latest time at which the placer may have known of it when it sent the
+// next offer. Most of these offers reach their host at 1s.
 func TestCheckRepeatsBounds(t *testing.T) {
 	first := func(class string) capture.Event { return offer(10*ms, "a", class, 1) }
 	onFirst := func(at time.Duration, kind capture.EventType) capture.Event { return message(at, kind, "a", 1) }
@@ -65,21 +66,21 @@
 	safe, unsafe := retry(time.Second, "b", "safe"), retry(time.Second, "b", "unsafe")
 	disconnected := onFirst(20*ms, capture.Disconnected)
 	checkCases(t, testHosts(), []ruleCase{
-		{"rejected by then", []capture.Event{first("unsafe"), onFirst(1000*ms, capture.Refused), unsafe}, noBreach},
-		{"rejected a moment later", []capture.Event{first("unsafe"), unsafe, onFirst(1001*ms, capture.Refused)}, invariant.NoRepeat},
-		{"ended by then", []capture.Event{first("unsafe"), onFirst(1000*ms, capture.Ended), unsafe}, noBreach},
-		{"ended a moment later", []capture.Event{first("unsafe"), unsafe, onFirst(1001*ms, capture.Ended)}, invariant.NoRepeat},
-		{"answered by then", []capture.Event{first("safe"), onFirst(1000*ms, capture.Accepted), safe}, noBreach},
-		{"answered a moment later", []capture.Event{first("safe"), safe, onFirst(1001*ms, capture.Accepted)}, invariant.NoRepeat},
-		{"withdrawn by then", []capture.Event{first("safe"), safe, onFirst(1100*ms, capture.Withdraw)}, noBreach},
-		{"withdrawn a moment later", []capture.Event{first("safe"), safe, onFirst(1101*ms, capture.Withdraw)}, invariant.NoRepeat},
-		{"disconnected by then", []capture.Event{first("safe"), safe, onFirst(1100*ms, capture.Disconnected)}, noBreach},
-		{"disconnected a moment later", []capture.Event{first("safe"), safe, onFirst(1101*ms, capture.Disconnected)}, invariant.NoRepeat},
-		{"host down by then", []capture.Event{first("unsafe"), unsafe, onFirst(1100*ms, capture.HostDown)}, noBreach},
-		{"host down a moment later", []capture.Event{first("unsafe"), unsafe, onFirst(1101*ms, capture.HostDown)}, invariant.NoRepeat},
+		{"rejected at the limit", []capture.Event{first("unsafe"), onFirst(1000*ms, capture.Refused), unsafe}, noBreach},
+		{"rejected 1ms after the limit", []capture.Event{first("unsafe"), unsafe, onFirst(1001*ms, capture.Refused)}, invariant.NoRepeat},
+		{"ended at the limit", []capture.Event{first("unsafe"), onFirst(1000*ms, capture.Ended), unsafe}, noBreach},
+		{"ended 1ms after the limit", []capture.Event{first("unsafe"), unsafe, onFirst(1001*ms, capture.Ended)}, invariant.NoRepeat},
+		{"answered at the limit", []capture.Event{first("safe"), onFirst(1000*ms, capture.Accepted), safe}, noBreach},
+		{"answered 1ms after the limit", []capture.Event{first("safe"), safe, onFirst(1001*ms, capture.Accepted)}, invariant.NoRepeat},
+		{"withdrawn at the limit", []capture.Event{first("safe"), safe, onFirst(1100*ms, capture.Withdraw)}, noBreach},
+		{"withdrawn 1ms after the limit", []capture.Event{first("safe"), safe, onFirst(1101*ms, capture.Withdraw)}, invariant.NoRepeat},
+		{"disconnected at the limit", []capture.Event{first("safe"), safe, onFirst(1100*ms, capture.Disconnected)}, noBreach},
+		{"disconnected 1ms after the limit", []capture.Event{first("safe"), safe, onFirst(1101*ms, capture.Disconnected)}, invariant.NoRepeat},
+		{"host down at the limit", []capture.Event{first("unsafe"), unsafe, onFirst(1100*ms, capture.HostDown)}, noBreach},
+		{"host down 1ms after the limit", []capture.Event{first("unsafe"), unsafe, onFirst(1101*ms, capture.HostDown)}, invariant.NoRepeat},
 
-		{"forgotten by then", []capture.Event{first("unsafe"), placerDown(20*ms, 0), resubmitted(2920 * ms)}, noBreach},
-		{"forgotten a moment later", []capture.Event{
+		{"owner's backoff over at the limit", []capture.Event{first("unsafe"), placerDown(20*ms, 0), resubmitted(2920 * ms)}, noBreach},
+		{"owner's backoff over 1ms after the limit", []capture.Event{
 			first("unsafe"), placerDown(20*ms, 0), resubmitted(2919 * ms),
 		}, invariant.NoRepeat},
 		{"its placer died as it was read", []capture.Event{first("unsafe"), placerDown(10*ms, 0), resubmitted(4 * time.Second)}, noBreach},
@@ -98,30 +99,31 @@
 		}, invariant.NoRepeat},
 
 		{"keyed at the end of its window", []capture.Event{first("keyed"), disconnected, retry(5110*ms, "c", "keyed")}, noBreach},
-		{"keyed a moment after its window", []capture.Event{
+		{"keyed 1ms after its window", []capture.Event{
 			first("keyed"), disconnected, retry(5111*ms, "c", "keyed"),
 		}, invariant.NoRepeat},
 		{"safe, of a class with a domain and a window", []capture.Event{
-			first("safe, figures of keyed"), disconnected, retry(1*time.Second, "c", "safe, figures of keyed"),
+			first("safe, dedup settings"), disconnected, retry(1*time.Second, "c", "safe, dedup settings"),
 		}, noBreach},
 	})
 }
 
-func TestCheckRepeatsWhichAttempts(t *testing.T) {
+// An offer is compared with each earlier attempt of its task that may have run, and with no other.
+func TestCheckRepeatsComparesWithEarlierAttempts(t *testing.T) {
 	disconnected := message(20*ms, capture.Disconnected, "a", 0)
 	unsafe := offer(10*ms, "a", "unsafe", 1)
 	checkCases(t, testHosts(), []ruleCase{
-		{"of an unknown class", []capture.Event{offer(10*ms, "a", "odd", 1)}, invariant.NoRepeat},
-		{"of an unknown class, after another", []capture.Event{unsafe, retry(30*ms, "b", "odd")}, invariant.NoRepeat},
+		{"of an unknown class", []capture.Event{offer(10*ms, "a", "unknown", 1)}, invariant.NoRepeat},
+		{"of an unknown class, after another", []capture.Event{unsafe, retry(30*ms, "b", "unknown")}, invariant.NoRepeat},
 		{"after one that ended and one that may have run", []capture.Event{
 			unsafe, message(11*ms, capture.Ended, "a", 1), retry(12*ms, "b", "unsafe"),
 			message(13*ms, capture.Disconnected, "b", 0), thirdAttempt(30*ms, "unsafe"),
 		}, invariant.NoRepeat},
 		{"of other tasks", []capture.Event{unsafe, offer(11*ms, "b", "unsafe", 2)}, noBreach},
-		{"two without an answer, unsafe", []capture.Event{unsafe, retry(30*ms, "b", "unsafe")}, invariant.NoRepeat},
-		{"two of one time, the later number is the later", []capture.Event{unsafe, retry(10*ms, "b", "unsafe")}, invariant.NoRepeat},
-		{"two of one time and number, neither is the later", []capture.Event{unsafe, resubmitted(10 * ms)}, noBreach},
-		{"the later number came first", []capture.Event{retry(10*ms, "b", "unsafe"), offer(30*ms, "a", "unsafe", 1)}, invariant.NoRepeat},
+		{"two unanswered attempts, unsafe", []capture.Event{unsafe, retry(30*ms, "b", "unsafe")}, invariant.NoRepeat},
+		{"two at one time, the higher number is the later attempt", []capture.Event{unsafe, retry(10*ms, "b", "unsafe")}, invariant.NoRepeat},
+		{"two at one time with one number, neither is the later attempt", []capture.Event{unsafe, resubmitted(10 * ms)}, noBreach},
+		{"the higher number reached its host first", []capture.Event{retry(10*ms, "b", "unsafe"), offer(30*ms, "a", "unsafe", 1)}, invariant.NoRepeat},
 		{"safe, of another placer", []capture.Event{
 			offer(10*ms, "a", "safe", 1), ofPlacer(1, 1, retry(30*ms, "b", "safe")),
 		}, noBreach},
@@ -129,22 +131,22 @@
 			offer(10*ms, "a", "safe", 1), ofPlacer(0, 2, retry(30*ms, "b", "safe")),
 		}, invariant.NoRepeat},
 		{"outside the domain, and after the window", []capture.Event{
-			offer(10*ms, "a", "racked", 1), disconnected, retry(6*time.Second, "c", "racked"),
+			offer(10*ms, "a", "keyed, rack", 1), disconnected, retry(6*time.Second, "c", "keyed, rack"),
 		}, invariant.NoRepeat},
-		{"keyed, the first without an answer, after the window", []capture.Event{
+		{"keyed, the first unanswered, after the window", []capture.Event{
 			offer(10*ms, "a", "keyed", 1), retry(6*time.Second, "b", "keyed"),
 		}, invariant.NoRepeat},
 	})
-	// The window begins with the first attempt: the third is late for it and for the second.
+	// The window begins with the first attempt. The third is after its end, which is a breach for each of the two before.
 	checkBreaches(t, testConfig(), slices.Concat(testHosts(), []capture.Event{
 		offer(10*ms, "a", "keyed", 1), disconnected, retry(time.Second, "b", "keyed"),
 		message(1001*ms, capture.Disconnected, "b", 0), thirdAttempt(5111*ms, "keyed"),
 	}), invariant.NoRepeat, invariant.NoRepeat)
-	// An offer of an unknown class hides none that comes after it.
+	// An offer of an unknown class does not hide breaches after it.
 	checkBreaches(t, testConfig(), slices.Concat(testHosts(), []capture.Event{
-		offer(9*ms, "a", "odd", 2), unsafe, retry(30*ms, "b", "unsafe"),
+		offer(9*ms, "a", "unknown", 2), unsafe, retry(30*ms, "b", "unsafe"),
 	}), invariant.NoRepeat, invariant.NoRepeat)
-	// Each attempt that is without an answer, and each that may have run, is a breach.
+	// Each earlier attempt that is unanswered or may have run is a breach.
 	checkBreaches(t, testConfig(), slices.Concat(testHosts(), []capture.Event{
 		offer(10*ms, "a", "unsafe", 1), retry(20*ms, "b", "unsafe"), thirdAttempt(30*ms, "unsafe"),
 	}), invariant.NoRepeat, invariant.NoRepeat, invariant.NoRepeat)
@@ -157,18 +159,18 @@
 	})
 }
 
-// A message is on the attempt that has its host, its incarnations, its request and its number, and on no other.
-func TestCheckRepeatsMessageOfAnotherAttempt(t *testing.T) {
+// A message concerns only the attempt with the same host, incarnations, request and number.
+func TestCheckRepeatsIgnoresMessagesOfOtherAttempts(t *testing.T) {
 	for name, change := range map[string]func(*capture.Event){
-		"host":        func(e *capture.Event) { e.Host = "b" },
-		"host epoch":  func(e *capture.Event) { e.Epoch = 2 },
-		"placer":      func(e *capture.Event) { e.RefEpoch = 2 },
-		"request":     func(e *capture.Event) { e.Task = 2 },
-		"number":      func(e *capture.Event) { e.Attempt = 2 },
-		"not another": nil,
+		"host":         func(e *capture.Event) { e.Host = "b" },
+		"host epoch":   func(e *capture.Event) { e.Epoch = 2 },
+		"placer epoch": func(e *capture.Event) { e.RefEpoch = 2 },
+		"request":      func(e *capture.Event) { e.Task = 2 },
+		"number":       func(e *capture.Event) { e.Attempt = 2 },
+		"nothing":      nil,
 	} {
 		rejected := message(20*ms, capture.Refused, "a", 1)
-		rejected.PlacerEpoch = 9 // whose connection it is doesn't matter
+		rejected.PlacerEpoch = 9 // the incarnation that reads the message doesn't matter
 		want := noBreach
 		if change != nil {
 			change(&rejected)
@@ -180,7 +182,8 @@
 	}
 }
 
-// What is judged at its placer's end is judged there only, but against attempts of others by what hosts saw.
+// An offer of a placer whose sockets were captured is checked against that placer's own attempts only there. It is
+// checked against attempts of other placers on the capture at the hosts.
 func TestCheckRepeatsBothEnds(t *testing.T) {
 	rejectedFirst := atPlacer(
 		offer(10*ms, "a", "unsafe", 1), message(20*ms, capture.Refused, "a", 1), retry(30*ms, "b", "unsafe"),
@@ -190,7 +193,7 @@
 	}
 	surroundings := slices.Concat(testHosts(), testPlacer())
 	checkCases(t, surroundings, []ruleCase{
-		{"no breach at its placer's end", slices.Concat(rejectedFirst, rejectedLater), noBreach},
+		{"breach only in the capture at the hosts", slices.Concat(rejectedFirst, rejectedLater), noBreach},
 		{"of another placer", []capture.Event{
 			ofPlacer(1, 1, rejectedLater[0]), ofPlacer(1, 1, rejectedLater[1]),
 		}, invariant.NoRepeat},
@@ -203,20 +206,21 @@
 	})
 	secondCaptured := append(testHosts(), atPlacer(ofPlacer(0, 2, listDelivered(2*ms, "a", "b", "c")))...)
 	checkCases(t, secondCaptured, []ruleCase{
-		{"of the incarnation before the one that is captured", rejectedLater, invariant.NoRepeat},
+		{"of the incarnation before the captured one", rejectedLater, invariant.NoRepeat},
 	})
 }
 
-// What a placer knew is judged with no slack: each breach is of the least size, and hides behind the slack of the other end.
+// The capture at the placer is checked without slack. Breaches are 1ms in size, which the slack of the checks at the
+// hosts would hide.
 func TestCheckRepeatsAtPlacer(t *testing.T) {
 	checkCases(t, append(testHosts(), testPlacer()...), []ruleCase{
-		{"two without an answer", atPlacer(
+		{"two unanswered attempts", atPlacer(
 			offer(10*ms, "a", "safe", 1), retry(11*ms, "b", "safe"), message(12*ms, capture.Withdraw, "a", 1),
 		), invariant.NoRepeat},
 		{"keyed at the end of its window", atPlacer(
 			offer(10*ms, "a", "keyed", 1), message(11*ms, capture.Disconnected, "a", 0), retry(5010*ms, "c", "keyed"),
 		), noBreach},
-		{"keyed a moment after its window", atPlacer(
+		{"keyed 1ms after its window", atPlacer(
 			offer(10*ms, "a", "keyed", 1), message(11*ms, capture.Disconnected, "a", 0), retry(5011*ms, "c", "keyed"),
 		), invariant.NoRepeat},
 		{"rejected", atPlacer(
@@ -229,7 +233,7 @@
 			offer(10*ms, "a", "unsafe", 1), message(11*ms, capture.Ended, "a", 1), retry(12*ms, "b", "unsafe"),
 			message(13*ms, capture.Disconnected, "b", 0), thirdAttempt(14*ms, "unsafe"),
 		), invariant.NoRepeat},
-		{"two without an answer, unsafe", atPlacer(
+		{"two unanswered attempts, unsafe", atPlacer(
 			offer(10*ms, "a", "unsafe", 1), retry(11*ms, "b", "unsafe"),
 		), invariant.NoRepeat},
 		{"of other tasks", atPlacer(offer(10*ms, "a", "unsafe", 1), offer(11*ms, "b", "unsafe", 2)), noBreach},
@@ -237,27 +241,27 @@
 			offer(10*ms, "a", "safe", 1), message(11*ms, capture.Withdraw, "a", 1), retry(12*ms, "b", "safe"),
 		), noBreach},
 		{"safe, withdrawn, of a class with a domain and a window", atPlacer(
-			offer(10*ms, "a", "safe, figures of keyed", 1), message(11*ms, capture.Withdraw, "a", 1),
-			retry(20*ms, "c", "safe, figures of keyed"),
+			offer(10*ms, "a", "safe, dedup settings", 1), message(11*ms, capture.Withdraw, "a", 1),
+			retry(20*ms, "c", "safe, dedup settings"),
 		), noBreach},
 		{"unsafe, withdrawn", atPlacer(
 			offer(10*ms, "a", "unsafe", 1), message(11*ms, capture.Withdraw, "a", 1), retry(12*ms, "b", "unsafe"),
 		), invariant.NoRepeat},
 		{"keyed in its domain", atPlacer(
-			offer(10*ms, "a", "racked", 1), message(11*ms, capture.Withdraw, "a", 1), retry(12*ms, "b", "racked"),
+			offer(10*ms, "a", "keyed, rack", 1), message(11*ms, capture.Withdraw, "a", 1), retry(12*ms, "b", "keyed, rack"),
 		), noBreach},
 		{"keyed outside its domain", atPlacer(
-			offer(10*ms, "a", "racked", 1), message(11*ms, capture.Withdraw, "a", 1), retry(12*ms, "c", "racked"),
+			offer(10*ms, "a", "keyed, rack", 1), message(11*ms, capture.Withdraw, "a", 1), retry(12*ms, "c", "keyed, rack"),
 		), invariant.NoRepeat},
-		{"keyed, the first without an answer, after its window", atPlacer(
+		{"keyed, the first unanswered, after its window", atPlacer(
 			offer(10*ms, "a", "keyed", 1), retry(6*time.Second, "c", "keyed"),
 		), invariant.NoRepeat},
 		{"keyed after the window of the first of two", atPlacer(
 			offer(10*ms, "a", "keyed", 1), message(11*ms, capture.Withdraw, "a", 1),
 			retry(12*ms, "b", "keyed"), message(13*ms, capture.Disconnected, "b", 0), thirdAttempt(5011*ms, "keyed"),
 		), invariant.NoRepeat},
-		{"of an unknown class", atPlacer(offer(10*ms, "a", "odd", 1), retry(11*ms, "b", "odd")), noBreach},
-		{"unsafe, rejected on a connection that is over", atPlacer(
+		{"of an unknown class", atPlacer(offer(10*ms, "a", "unknown", 1), retry(11*ms, "b", "unknown")), noBreach},
+		{"unsafe, rejected on a connection that has ended", atPlacer(
 			offer(10*ms, "a", "unsafe", 1), message(11*ms, capture.Disconnected, "a", 0), message(12*ms, capture.Refused, "a", 1),
 			resubmitted(13*ms),
 		), invariant.NoRepeat},
@@ -276,8 +280,8 @@
 	})
 }
 
-// Each attempt that is without an answer is a breach.
-func TestCheckRepeatsAtPlacerThree(t *testing.T) {
+// Each unanswered earlier attempt is a breach.
+func TestCheckRepeatsAtPlacerCountsEachUnansweredAttempt(t *testing.T) {
 	checkBreaches(t, testConfig(), slices.Concat(testHosts(), testPlacer(), atPlacer(
 		offer(10*ms, "a", "safe", 1), retry(11*ms, "b", "safe"), thirdAttempt(12*ms, "safe"),
 	)), invariant.NoRepeat, invariant.NoRepeat, invariant.NoRepeat)
--- a/internal/verify/rules/placers_test.go
+++ b/internal/verify/rules/placers_test.go
@@ -11,12 +11,12 @@
 		want   bool
 	}{{0, 5, false}, {1, 5, true}, {4, 5, true}, {5, 5, true}, {6, 5, false}} {
 		if got := happenedBy(c.at, c.by); got != c.want {
-			t.Errorf("happenedBy(%d, %d) = %v", c.at, c.by, got)
+			t.Errorf("happenedBy(%d, %d) = %v, want %v", c.at, c.by, got, c.want)
 		}
 	}
 }
 
-// The placer starts at 0, is down from 1s to 2s and recovers until 2.1s, and is down from 4s on.
+// The placer starts at 0, is down from 1s to 2s, recovers until 2.1s, and is down from 4s on.
 func TestPlacerHistory(t *testing.T) {
 	h := placerHistory{
 		starts: []time.Duration{0, 2 * time.Second, 3 * time.Second},
@@ -36,19 +36,19 @@
 		{time.Hour, time.Hour, true, false},
 	} {
 		if got := h.wasDown(c.from, c.to); got != c.wasDown {
-			t.Errorf("wasDown(%v, %v) = %v", c.from, c.to, got)
+			t.Errorf("wasDown(%v, %v) = %v, want %v", c.from, c.to, got, c.wasDown)
 		}
 		if got := h.diedWithin(c.from, c.to); got != c.hasDied {
-			t.Errorf("diedWithin(%v, %v) = %v", c.from, c.to, got)
+			t.Errorf("diedWithin(%v, %v) = %v, want %v", c.from, c.to, got, c.hasDied)
 		}
 	}
-	again := placerHistory{starts: []time.Duration{time.Second}, deaths: []placerDeath{{at: time.Second}}}
-	if !again.wasDown(time.Minute, time.Minute) {
-		t.Error("a start at the time of a death was taken for the return from it")
+	startedAtDeath := placerHistory{starts: []time.Duration{time.Second}, deaths: []placerDeath{{at: time.Second}}}
+	if !startedAtDeath.wasDown(time.Minute, time.Minute) {
+		t.Error("wasDown after a death at the time of the last start = false, want true: that start is not a restart")
 	}
 }
 
-// Steps are overdue from 1s to 3s, from 2s to 4s and from 6s to 7s; where two overlap, the time counts once.
+// Steps are overdue from 1s to 3s, from 2s to 4s and from 6s to 7s. Time in which two are overdue counts once.
 func TestStalledFor(t *testing.T) {
 	trace := trace{lateSteps: []lateStep{
 		{placer: 0, dueAt: time.Second, ranAt: 3 * time.Second},
--- a/internal/verify/rules/placerview_test.go
+++ b/internal/verify/rules/placerview_test.go
@@ -9,13 +9,13 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// onConnection moves a message to another connection with an incarnation of its host.
+// onConnection returns e as a message on another connection, with an incarnation of its host.
 func onConnection(connection, hostEpoch uint64, e capture.Event) capture.Event {
 	e.Conn, e.Epoch = connection, hostEpoch
 	return e
 }
 
-// reconnect is the end of host a's first connection at 20ms, and its second one, which is established at 30ms.
+// reconnect returns the end of host a's first connection at 20ms and the events of its second one, established at 30ms.
 func reconnect(hostEpoch uint64) []capture.Event {
 	return []capture.Event{
 		message(20*ms, capture.Disconnected, "a", 0),
@@ -24,19 +24,21 @@
 	}
 }
 
-// listRead is an endpoint list that the placer of testPlacer reads.
+// listRead returns e as an endpoint list that the placer of testPlacer reads.
 func listRead(e capture.Event) capture.Event {
 	e.PlacerEpoch = 1
 	return e
 }
 
-// finishedCase has what comes of unsafe request 1 at host a before its task is offered to host b: a breach unless it is over.
+// finishedCase has the events of unsafe request 1 at host a before its task is offered to host b, which is a breach
+// unless the attempt at host a has finished.
 type finishedCase struct {
 	name     string
 	events   []capture.Event
 	finished bool
 }
 
+// checkFinished checks of each case whether the attempt at host a has finished.
 func checkFinished(t *testing.T, cases []finishedCase) {
 	t.Helper()
 	var ruleCases []ruleCase
@@ -50,6 +52,7 @@
 	checkCases(t, append(testHosts(), testPlacer()...), ruleCases)
 }
 
+// A message counts only on the established connection to its host, and a new incarnation of a host finishes its attempts.
 func TestPlacerViewConnections(t *testing.T) {
 	unsafe := offer(10*ms, "a", "unsafe", 1)
 	rejected := message(40*ms, capture.Refused, "a", 1)
@@ -61,7 +64,7 @@
 	held := onConnection(2, 1, message(40*ms, capture.Holds, "a", 1))
 	laterOffer := onConnection(2, 2, offer(40*ms, "a", "unsafe", 1))
 	checkFinished(t, []finishedCase{
-		{"nothing", []capture.Event{unsafe}, false},
+		{"no event", []capture.Event{unsafe}, false},
 		{"rejected", []capture.Event{unsafe, rejected}, true},
 		{"rejected on another connection", []capture.Event{unsafe, onConnection(2, 1, rejected)}, false},
 		{"rejected on the next connection", slices.Concat(
@@ -94,39 +97,40 @@
 	})
 }
 
-// An attempt is over when its host has left the list and is disconnected.
+// An attempt has finished when its host has left the endpoint list and is disconnected.
 func TestPlacerViewListedHosts(t *testing.T) {
 	unsafe, disconnected := offer(10*ms, "a", "unsafe", 1), message(20*ms, capture.Disconnected, "a", 0)
 	list := func(ready ...string) capture.Event { return listRead(listDelivered(15*ms, ready...)) }
 	draining := list("b", "c")
 	draining.Draining = []string{"a"}
 	checkFinished(t, []finishedCase{
-		{"gone and connected", []capture.Event{unsafe, list("b", "c")}, false},
-		{"gone, then disconnected", []capture.Event{unsafe, list("b", "c"), disconnected}, true},
-		{"disconnected, then gone", []capture.Event{unsafe, disconnected, listRead(listDelivered(21*ms, "b", "c"))}, true},
-		{"gone, then another host disconnected", []capture.Event{
+		{"removed and connected", []capture.Event{unsafe, list("b", "c")}, false},
+		{"removed, then disconnected", []capture.Event{unsafe, list("b", "c"), disconnected}, true},
+		{"disconnected, then removed", []capture.Event{unsafe, disconnected, listRead(listDelivered(21*ms, "b", "c"))}, true},
+		{"removed, then another host disconnected", []capture.Event{
 			unsafe, list("b", "c"), message(20*ms, capture.Disconnected, "c", 0),
 		}, false},
-		{"disconnected, then another host gone", []capture.Event{
+		{"disconnected, then another host removed", []capture.Event{
 			unsafe, disconnected, listRead(listDelivered(21*ms, "a", "b")),
 		}, false},
-		{"another host disconnected and gone", []capture.Event{
+		{"another host disconnected and removed", []capture.Event{
 			unsafe, message(20*ms, capture.Disconnected, "c", 0), listRead(listDelivered(21*ms, "a", "b")),
 		}, false},
 		{"draining by the list, and disconnected", []capture.Event{unsafe, draining, disconnected}, false},
-		{"draining by the list, gone, and disconnected", []capture.Event{
+		{"draining by the list, removed, and disconnected", []capture.Event{
 			unsafe, draining, disconnected, listRead(listDelivered(21*ms, "b", "c")),
 		}, true},
-		{"gone and listed again, then disconnected", []capture.Event{unsafe, list("b", "c"), list("a", "b", "c"), disconnected}, false},
+		{"removed and listed again, then disconnected", []capture.Event{unsafe, list("b", "c"), list("a", "b", "c"), disconnected}, false},
 	})
-	// Before the first list, no host is gone.
+	// No host counts as removed before the first list.
 	connected := atPlacer(message(3*ms, capture.Hello, "a", 0), message(3*ms, capture.Welcome, "a", 0))
 	checkCases(t, append(testHosts(), connected...), []ruleCase{
-		{"disconnected, and there is no list yet", atPlacer(unsafe, disconnected, resubmitted(60*ms)), invariant.NoRepeat},
+		{"disconnected, before the first list", atPlacer(unsafe, disconnected, resubmitted(60*ms)), invariant.NoRepeat},
 	})
 }
 
-// What a message makes of safe request 1 at host a, before its next attempt at host c: a breach if its answer is out.
+// Each case has messages on safe request 1 at host a before its next attempt at host c, which is a breach if the first
+// attempt is still unanswered.
 func TestPlacerViewAwaitsAnswer(t *testing.T) {
 	safe := offer(10*ms, "a", "safe", 1)
 	next := retry(60*ms, "c", "safe")
@@ -156,8 +160,8 @@
 	})
 }
 
-// What a message makes of request 1 at host a, before another task of its service is offered to host b: a breach if the
-// placer has placed the first.
+// Each case has messages on request 1 at host a before another task of its service is offered to host b, which is a
+// breach if the first task counts as placed.
 func TestPlacerViewPlaced(t *testing.T) {
 	first := offer(10*ms, "a", "spread", 1)
 	onFirst := func(at time.Duration, kind capture.EventType) capture.Event { return message(at, kind, "a", 1) }
--- a/internal/verify/rules/sentattempt_test.go
+++ b/internal/verify/rules/sentattempt_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// What each message makes of an attempt in each state. The message comes at 5ms.
-func TestSentAttempt(t *testing.T) {
+// Each message is handled in each state, at 5ms.
+func TestSentAttemptStateAfterEachMessage(t *testing.T) {
 	const at = 5 * ms
 	inState := func(state sentState) sentAttempt { return sentAttempt{state: state} }
 	reappeared := sentAttempt{state: bound, reappearedAt: at}
@@ -13,14 +13,14 @@
 	for _, c := range []struct {
 		name    string
 		message func(*sentAttempt)
-		want    []sentAttempt // of each of states
+		want    []sentAttempt // for each element of states
 	}{
 		{
 			"bound", func(a *sentAttempt) { a.onBound(at) },
 			[]sentAttempt{inState(bound), reappeared, inState(bound), {state: bound, unreachableSince: 3 * ms}, inState(finished)},
 		},
 		{
-			"over", func(a *sentAttempt) { a.onFinished() },
+			"finished", func(a *sentAttempt) { a.onFinished() },
 			[]sentAttempt{inState(finished), inState(finished), inState(finished), {state: finished, unreachableSince: 3 * ms}, inState(finished)},
 		},
 		{
@@ -39,14 +39,14 @@
 		for i, before := range states {
 			got := before
 			if c.message(&got); got != c.want[i] {
-				t.Errorf("%s on %+v: %+v, want %+v", c.name, before, got, c.want[i])
+				t.Errorf("message %s on %+v: got %+v, want %+v", c.name, before, got, c.want[i])
 			}
 		}
 	}
 }
 
-// A Stop ends what reappeared in its step, and nothing else.
-func TestSentAttemptStop(t *testing.T) {
+// Stop changes only an attempt that reappeared as bound in the same step.
+func TestSentAttemptStopChangesOnlyReappeared(t *testing.T) {
 	for _, c := range []struct {
 		before sentAttempt
 		want   sentState
@@ -58,7 +58,7 @@
 	} {
 		got := c.before
 		if got.onStop(5 * ms); got.state != c.want {
-			t.Errorf("%+v: state %d, want %d", c.before, got.state, c.want)
+			t.Errorf("onStop(5ms) of %+v: state %d, want %d", c.before, got.state, c.want)
 		}
 	}
 }
--- a/internal/verify/rules/spread_test.go
+++ b/internal/verify/rules/spread_test.go
@@ -33,7 +33,8 @@
 	})
 }
 
-// Both sides of each bound on whether the attempt at a still counts when another is offered to b, in one rack, at 1s.
+// Each case puts an event at, or 1ms after, the latest time at which it ends the count of the attempt at host a, before
+// another offer to host b in the same rack. Most of these offers reach b at 1s.
 func TestCheckSpreadsBounds(t *testing.T) {
 	first := offer(10*ms, "a", "spread", 1)
 	onFirst := func(at time.Duration, kind capture.EventType) capture.Event { return message(at, kind, "a", 1) }
@@ -44,44 +45,44 @@
 	}
 	second := offer(time.Second, "b", "spread", 2)
 	checkCases(t, testHosts(), []ruleCase{
-		{"nothing came of it", []capture.Event{first, second}, invariant.Spread},
-		{"after an offer that may be anywhere", []capture.Event{offer(9*ms, "c", "safe", 3), first, second}, invariant.Spread},
+		{"unanswered", []capture.Event{first, second}, invariant.Spread},
+		{"after an offer of a class without a spread limit", []capture.Event{offer(9*ms, "c", "safe", 3), first, second}, invariant.Spread},
 		{"in another rack", []capture.Event{first, offer(time.Second, "c", "spread", 2)}, noBreach},
 		{"of another service", []capture.Event{ofService(8, first), second}, noBreach},
 		{"of another placer", []capture.Event{ofPlacer(1, 1, first), second}, noBreach},
-		{"rejected by then", []capture.Event{first, second, onFirst(1100*ms, capture.Refused)}, noBreach},
-		{"rejected a moment later", []capture.Event{first, second, onFirst(1101*ms, capture.Refused)}, invariant.Spread},
-		{"ended by then", []capture.Event{first, second, onFirst(1100*ms, capture.Ended)}, noBreach},
-		{"ended a moment later", []capture.Event{first, second, onFirst(1101*ms, capture.Ended)}, invariant.Spread},
-		{"ended before it ran by then", []capture.Event{first, second, canceledByHost(1100 * ms)}, noBreach},
-		{"ended before it ran, a moment later", []capture.Event{first, second, canceledByHost(1101 * ms)}, invariant.Spread},
-		{"withdrawn by then", []capture.Event{first, second, onFirst(1100*ms, capture.Withdraw)}, noBreach},
-		{"withdrawn a moment later", []capture.Event{first, second, onFirst(1101*ms, capture.Withdraw)}, invariant.Spread},
-		{"host down by then", []capture.Event{first, second, onFirst(1100*ms, capture.HostDown)}, noBreach},
-		{"host down a moment later", []capture.Event{first, second, onFirst(1101*ms, capture.HostDown)}, invariant.Spread},
+		{"rejected at the limit", []capture.Event{first, second, onFirst(1100*ms, capture.Refused)}, noBreach},
+		{"rejected 1ms after the limit", []capture.Event{first, second, onFirst(1101*ms, capture.Refused)}, invariant.Spread},
+		{"ended at the limit", []capture.Event{first, second, onFirst(1100*ms, capture.Ended)}, noBreach},
+		{"ended 1ms after the limit", []capture.Event{first, second, onFirst(1101*ms, capture.Ended)}, invariant.Spread},
+		{"canceled before it ran, at the limit", []capture.Event{first, second, canceledByHost(1100 * ms)}, noBreach},
+		{"canceled before it ran, 1ms after the limit", []capture.Event{first, second, canceledByHost(1101 * ms)}, invariant.Spread},
+		{"withdrawn at the limit", []capture.Event{first, second, onFirst(1100*ms, capture.Withdraw)}, noBreach},
+		{"withdrawn 1ms after the limit", []capture.Event{first, second, onFirst(1101*ms, capture.Withdraw)}, invariant.Spread},
+		{"host down at the limit", []capture.Event{first, second, onFirst(1100*ms, capture.HostDown)}, noBreach},
+		{"host down 1ms after the limit", []capture.Event{first, second, onFirst(1101*ms, capture.HostDown)}, invariant.Spread},
 
-		{"disconnected by then, not answered", []capture.Event{first, second, onFirst(1100*ms, capture.Disconnected)}, noBreach},
-		{"disconnected a moment later", []capture.Event{first, second, onFirst(1101*ms, capture.Disconnected)}, invariant.Spread},
-		{"bound in time before it was disconnected", []capture.Event{
+		{"disconnected at the limit, not answered", []capture.Event{first, second, onFirst(1100*ms, capture.Disconnected)}, noBreach},
+		{"disconnected 1ms after the limit", []capture.Event{first, second, onFirst(1101*ms, capture.Disconnected)}, invariant.Spread},
+		{"bound MaxTransit before it was disconnected", []capture.Event{
 			first, onFirst(200*ms, capture.Running), onFirst(300*ms, capture.Disconnected), second,
 		}, invariant.Spread},
-		{"bound just before it was disconnected", []capture.Event{
+		{"bound less than MaxTransit before it was disconnected", []capture.Event{
 			first, onFirst(201*ms, capture.Running), onFirst(300*ms, capture.Disconnected), second,
 		}, noBreach},
-		{"bound, and lost by then", []capture.Event{
+		{"bound, and lost at the limit", []capture.Event{
 			first, onFirst(20*ms, capture.Running), onFirst(300*ms, capture.Disconnected), offer(2200*ms, "b", "spread", 2),
 		}, noBreach},
-		{"bound, and lost a moment later", []capture.Event{
+		{"bound, and lost 1ms after the limit", []capture.Event{
 			first, onFirst(20*ms, capture.Running), onFirst(300*ms, capture.Disconnected), offer(2199*ms, "b", "spread", 2),
 		}, invariant.Spread},
 	})
-	// Two of one time count for each other.
+	// Of two offers at the same time, each counts the other.
 	checkBreaches(t, testConfig(), slices.Concat(testHosts(), []capture.Event{
 		first, offer(10*ms, "b", "spread", 2),
 	}), invariant.Spread, invariant.Spread)
 }
 
-// What an earlier incarnation began counts from when its host has reported it to the next one.
+// An attempt of an earlier incarnation counts from the time at which its host has reported it to the next incarnation.
 func TestCheckSpreadsEarlierIncarnation(t *testing.T) {
 	first := offer(10*ms, "a", "spread", 1)
 	holds := func(at time.Duration, placer int, epoch uint64) capture.Event {
@@ -92,15 +93,15 @@
 	second := ofPlacer(0, 2, offer(time.Second, "b", "spread", 2))
 	checkCases(t, testHosts(), []ruleCase{
 		{"not reported", []capture.Event{first, second}, noBreach},
-		{"reported in time", []capture.Event{first, holds(900*ms, 0, 2), second}, invariant.Spread},
-		{"reported just now", []capture.Event{first, holds(901*ms, 0, 2), second}, noBreach},
-		{"reported in time and again", []capture.Event{first, holds(900*ms, 0, 2), holds(950*ms, 0, 2), second}, invariant.Spread},
+		{"reported MaxTransit before", []capture.Event{first, holds(900*ms, 0, 2), second}, invariant.Spread},
+		{"reported less than MaxTransit before", []capture.Event{first, holds(901*ms, 0, 2), second}, noBreach},
+		{"reported MaxTransit before, and again", []capture.Event{first, holds(900*ms, 0, 2), holds(950*ms, 0, 2), second}, invariant.Spread},
 		{"reported to the first incarnation", []capture.Event{first, holds(900*ms, 0, 1), second}, noBreach},
 		{"reported to another placer", []capture.Event{first, holds(900*ms, 1, 2), second}, noBreach},
 		{"not reported, and the second is sent by the next incarnation as an attempt of the first", []capture.Event{
 			first, sentBy(2, offer(time.Second, "b", "spread", 2)),
 		}, invariant.Spread},
-		{"reported in time, and the second is sent by the first incarnation as an attempt of the next", []capture.Event{
+		{"reported MaxTransit before, and the second is sent by the first incarnation as an attempt of the next", []capture.Event{
 			first, holds(900*ms, 0, 2), sentBy(1, second),
 		}, invariant.Spread},
 		{"reported, and ended", []capture.Event{
@@ -125,13 +126,14 @@
 			forkhead.AnyDomain: c.any, forkhead.MachineDomain: c.machine, forkhead.CellDomain: c.cell, forkhead.ZoneDomain: c.zone,
 		} {
 			if got := hosts.sameDomain(level, "a", c.other); got != want {
-				t.Errorf("a and %s in one %s: %v", c.other, domainNames[level], got)
+				t.Errorf("sameDomain(%s, a, %s) = %v, want %v", domainNames[level], c.other, got, want)
 			}
 		}
 	}
 }
 
-// What a placer knew is judged with no slack: each breach is of the least size, and hides behind the slack of the other end.
+// The capture at the placer is checked without slack. Breaches are as short as possible, so that the slack of the
+// checks at the hosts would hide them.
 func TestCheckSpreadsAtPlacer(t *testing.T) {
 	held := offer(20*ms, "a", "spread", 70)
 	held.Type, held.Key, held.RefEpoch, held.Result = capture.Holds, 7, 9, "running"
@@ -149,14 +151,14 @@
 		{"withdrawn in the same step", atPlacer(
 			offer(10*ms, "a", "spread", 1), message(30*ms, capture.Withdraw, "a", 1), offer(30*ms, "b", "spread", 2),
 		), noBreach},
-		{"its end is read a moment later", atPlacer(
+		{"its end is read 1ms after the offer", atPlacer(
 			offer(10*ms, "a", "spread", 1), message(20*ms, capture.Running, "a", 1), offer(39*ms, "b", "spread", 2), ended,
 		), invariant.Spread},
-		{"its end is read just before", atPlacer(
+		{"its end is read in the step of the offer", atPlacer(
 			offer(10*ms, "a", "spread", 1), message(20*ms, capture.Running, "a", 1), ended, offer(40*ms, "b", "spread", 2),
 		), noBreach},
 		{"of an earlier incarnation, reported in the handshake", atPlacer(held, offer(21*ms, "b", "spread", 2)), invariant.Spread},
-		{"safe, unreachable until it is lost", atPlacer(
+		{"safe, unreachable until LostAfter", atPlacer(
 			offer(10*ms, "a", "spread", 1), message(20*ms, capture.Running, "a", 1),
 			message(100*ms, capture.Disconnected, "a", 0), offer(2100*ms, "b", "spread", 2),
 		), noBreach},
@@ -168,20 +170,20 @@
 			offer(10*ms, "a", "keyed, spread", 1), message(20*ms, capture.Running, "a", 1),
 			message(100*ms, capture.Disconnected, "a", 0), offer(2100*ms, "b", "keyed, spread", 2),
 		), invariant.Spread},
-		{"judged at its placer's end only", append(
+		{"breach only in the capture at the hosts", append(
 			atPlacer(offer(10*ms, "a", "spread", 1), message(20*ms, capture.Withdraw, "a", 1), offer(30*ms, "b", "spread", 2)),
 			offer(11*ms, "a", "spread", 1), offer(31*ms, "b", "spread", 2),
 		), noBreach},
-		{"safe, a moment before it is lost", atPlacer(
+		{"safe, unreachable until 1ms before LostAfter", atPlacer(
 			offer(10*ms, "a", "spread", 1), message(20*ms, capture.Running, "a", 1),
 			message(100*ms, capture.Disconnected, "a", 0), offer(2099*ms, "b", "spread", 2),
 		), invariant.Spread},
 	})
 }
 
-// A task that ended while no incarnation of its placer was there to be notified is not reported when the next one connects:
-// it counts no more. Found by a chaos test, where three of them made a breach of what was none.
-func TestCheckSpreadsEndedUnnoticed(t *testing.T) {
+// A task that ends while no incarnation of its placer is connected is not reported when the next incarnation connects,
+// and no longer counts. A chaos run reported a false breach that came from three such tasks.
+func TestCheckSpreadsIgnoresTasksThatEndedWithoutAPlacer(t *testing.T) {
 	ofSecondIncarnation := func(e capture.Event) capture.Event {
 		e.PlacerEpoch = 2
 		return e
@@ -196,9 +198,9 @@
 		offer(10*ms, "a", "spread", 1), message(20*ms, capture.Running, "a", 1),
 		capture.Event{At: 50 * ms, Type: capture.PlacerDown}, hello)
 	if v := Check(append(before, next), testConfig()); !v.OK() {
-		t.Errorf("not reported to the incarnation that offers: %v", v.Breaches)
+		t.Errorf("Check without a report to the incarnation that offers: breaches %+v, want none", v.Breaches)
 	}
 	if v := Check(append(before, held, next), testConfig()); v.Counts[invariant.Spread] != 1 {
-		t.Errorf("reported to the incarnation that offers: %v", v.Breaches)
+		t.Errorf("Check with a report to the incarnation that offers: breaches %+v, want one of rule %v", v.Breaches, invariant.Spread)
 	}
 }
--- a/internal/verify/rules/trace_test.go
+++ b/internal/verify/rules/trace_test.go
@@ -8,8 +8,9 @@
 	"forkhead/internal/protocol/capture"
 )
 
-// What a trace has of an attempt: the first time of each kind, of its host's incarnation and its connection.
-func TestTraceProgress(t *testing.T) {
+// An attempt in a trace has the first time of each kind of event, from its own connection and its host's incarnation
+// only.
+func TestTraceProgressHasFirstTimes(t *testing.T) {
 	onFirst := func(at time.Duration, kind capture.EventType) capture.Event { return message(at, kind, "a", 1) }
 	otherHost := func(e capture.Event) capture.Event {
 		e.Host = "b"
@@ -20,7 +21,7 @@
 		events []capture.Event
 		want   attempt
 	}{
-		{"nothing", nil, attempt{}},
+		{"no event", nil, attempt{}},
 		{
 			"accepted twice",
 			[]capture.Event{onFirst(20*ms, capture.Accepted), onFirst(30*ms, capture.Accepted)},
@@ -68,35 +69,38 @@
 	} {
 		events := slices.Concat(testHosts(), []capture.Event{offer(10*ms, "a", "safe", 1)}, c.events)
 		checkProgress(t, c.name, newTrace(events, false), c.want)
-		slices.Reverse(events) // no two of them are of one time and one host
-		checkProgress(t, c.name+", noted in reverse", newTrace(events, false), c.want)
+		slices.Reverse(events) // no two events of a host have the same time
+		checkProgress(t, c.name+", captured in reverse", newTrace(events, false), c.want)
 	}
 }
 
+// If tasks are bound when they run, Accepted answers an attempt but doesn't bind it.
 func TestTraceProgressBoundWhenRunning(t *testing.T) {
 	accepted, running := message(20*ms, capture.Accepted, "a", 1), message(30*ms, capture.Running, "a", 1)
 	boundWhenRunning := newTrace([]capture.Event{offer(10*ms, "a", "safe", 1), accepted, running}, true)
 	checkProgress(t, "bound when it runs", boundWhenRunning, attempt{answeredAt: 20 * ms, boundAt: 30 * ms})
 }
 
-func TestTraceProgressHostDown(t *testing.T) {
+// An attempt that is offered to a host that is down belongs to no incarnation, so that a later HostDown does not
+// concern it.
+func TestTraceProgressIgnoresHostDownAfterOfferToDownHost(t *testing.T) {
 	afterDown := newTrace([]capture.Event{
 		hostUp(1*ms, "a", "r1"), message(2*ms, capture.HostDown, "a", 0), offer(10*ms, "a", "safe", 1), message(20*ms, capture.HostDown, "a", 0),
 	}, false)
 	checkProgress(t, "offered to a host that is down", afterDown, attempt{})
 }
 
-// checkProgress checks the times of a trace's only attempt, which was offered at 10ms.
+// checkProgress checks the times of the only attempt in a trace, which was offered at 10ms.
 func checkProgress(t *testing.T, name string, trace *trace, want attempt) {
 	t.Helper()
 	if len(trace.attempts) != 1 {
-		t.Fatalf("%s: %d attempts", name, len(trace.attempts))
+		t.Fatalf("%s: trace has %d attempts, want 1", name, len(trace.attempts))
 	}
 	offered := offer(10*ms, "a", "safe", 1)
 	want.attemptID, want.sender, want.connection = attemptIDOf(&offered), incarnationOf(&offered), offered.Conn
 	want.key, want.service, want.name, want.class, want.offeredAt = 1, 9, "p/s/1", "safe", 10*ms
 	if got := *trace.attempts[0]; got != want {
-		t.Errorf("%s: %+v, want %+v", name, got, want)
+		t.Errorf("%s: attempt %+v, want %+v", name, got, want)
 	}
 }
 
@@ -104,6 +108,6 @@
 	up := hostUp(1, "a", "r1")
 	up.Zone = "z1"
 	if got, want := newTrace([]capture.Event{up}, false).locations["a"], (location{"z1", "r1"}); got != want {
-		t.Errorf("host a is at %v, want %v", got, want)
+		t.Errorf("location of host a = %v, want %v", got, want)
 	}
 }
--- a/internal/verify/rules/verdict_test.go
+++ b/internal/verify/rules/verdict_test.go
@@ -7,21 +7,21 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-func TestVerdictOK(t *testing.T) {
+func TestVerdictIsOKOnlyWithoutBreaches(t *testing.T) {
 	if v := (Verdict{}); !v.OK() {
-		t.Error("no breach is not OK")
+		t.Error("OK of a verdict without breaches = false, want true")
 	}
 	for rule := range invariant.RuleCount {
 		var v Verdict
 		v.Counts[rule] = 1
 		if v.OK() {
-			t.Errorf("a breach of %v is OK", rule)
+			t.Errorf("OK of a verdict with a breach of rule %v = true, want false", rule)
 		}
 	}
 }
 
-// A verdict counts all breaches, and lists the first of them that it has room for.
-func TestBreachesListed(t *testing.T) {
+// A verdict counts all breaches and lists the first 50.
+func TestVerdictCountsAllBreachesAndListsTheFirst(t *testing.T) {
 	var events []capture.Event
 	for range 51 {
 		events = append(events, capture.Event{At: 10 * ms, Type: capture.Overloaded, Host: "a"})
@@ -29,7 +29,8 @@
 	for _, c := range []struct{ count, listed int }{{49, 49}, {50, 50}, {51, 50}} {
 		v := Check(events[:c.count], testConfig())
 		if v.Counts[invariant.SlowStart] != c.count || len(v.Breaches) != c.listed {
-			t.Errorf("%d breaches: %d counted, %d listed", c.count, v.Counts[invariant.SlowStart], len(v.Breaches))
+			t.Errorf("Check of a trace with %d breaches: %d counted and %d listed, want %d listed",
+				c.count, v.Counts[invariant.SlowStart], len(v.Breaches), c.listed)
 		}
 	}
 }
