--- a/internal/server/platform/trace_test.go
+++ b/internal/server/platform/trace_test.go
@@ -71,8 +71,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if result.Difference != nil || result.Cut || result.Steps != bytes.Count(trace, []byte(`"way":"step"`)) {
-		t.Errorf("Replay(trace) = %+v with difference %+v, want no difference, a trace that is not cut and %d steps",
+	if result.Difference != nil || result.Truncated || result.Steps != bytes.Count(trace, []byte(`"way":"step"`)) {
+		t.Errorf("Replay(trace) = %+v with difference %+v, want no difference, a trace that is not truncated and %d steps",
 			result, result.Difference, bytes.Count(trace, []byte(`"way":"step"`)))
 	}
 }
--- a/internal/verify/rules/sentattempt_test.go
+++ b/internal/verify/rules/sentattempt_test.go
@@ -2,30 +2,30 @@
 
 import "testing"
 
-// What each message makes of an attempt in each state. The message comes at 5ms.
-func TestSentAttempt(t *testing.T) {
+// Each message is handled in each state, at 5ms.
+func TestSentAttemptStateAfterEachMessage(t *testing.T) {
 	const at = 5 * ms
 	inState := func(state sentState) sentAttempt { return sentAttempt{state: state} }
 	reappeared := sentAttempt{state: bound, reappearedAt: at}
 	lostBefore := sentAttempt{state: unreachable, unreachableSince: 3 * ms}
 	lostNow := sentAttempt{state: unreachable, unreachableSince: at}
-	states := []sentAttempt{inState(awaitingAnswer), inState(mayRun), inState(bound), lostBefore, inState(over)}
+	states := []sentAttempt{inState(awaitingAnswer), inState(mayRun), inState(bound), lostBefore, inState(finished)}
 	for _, c := range []struct {
 		name    string
 		message func(*sentAttempt)
-		want    []sentAttempt // of each of states
+		want    []sentAttempt // for each element of states
 	}{
 		{
 			"bound", func(a *sentAttempt) { a.onBound(at) },
-			[]sentAttempt{inState(bound), reappeared, inState(bound), {state: bound, unreachableSince: 3 * ms}, inState(over)},
+			[]sentAttempt{inState(bound), reappeared, inState(bound), {state: bound, unreachableSince: 3 * ms}, inState(finished)},
 		},
 		{
-			"over", func(a *sentAttempt) { a.onOver() },
-			[]sentAttempt{inState(over), inState(over), inState(over), {state: over, unreachableSince: 3 * ms}, inState(over)},
+			"finished", func(a *sentAttempt) { a.onFinished() },
+			[]sentAttempt{inState(finished), inState(finished), inState(finished), {state: finished, unreachableSince: 3 * ms}, inState(finished)},
 		},
 		{
 			"withdrawn", func(a *sentAttempt) { a.onWithdrawn() },
-			[]sentAttempt{inState(mayRun), inState(mayRun), inState(bound), lostBefore, inState(over)},
+			[]sentAttempt{inState(mayRun), inState(mayRun), inState(bound), lostBefore, inState(finished)},
 		},
 		{
 			"stop", func(a *sentAttempt) { a.onStop(at) },
@@ -33,20 +33,20 @@
 		},
 		{
 			"disconnected", func(a *sentAttempt) { a.onDisconnected(at) },
-			[]sentAttempt{inState(mayRun), inState(mayRun), lostNow, lostNow, inState(over)},
+			[]sentAttempt{inState(mayRun), inState(mayRun), lostNow, lostNow, inState(finished)},
 		},
 	} {
 		for i, before := range states {
 			got := before
 			if c.message(&got); got != c.want[i] {
-				t.Errorf("%s on %+v: %+v, want %+v", c.name, before, got, c.want[i])
+				t.Errorf("message %s on %+v: got %+v, want %+v", c.name, before, got, c.want[i])
 			}
 		}
 	}
 }
 
-// A Stop ends what reappeared in its step, and nothing else.
-func TestSentAttemptStop(t *testing.T) {
+// Stop changes only an attempt that reappeared as bound in the same step.
+func TestSentAttemptStopChangesOnlyReappeared(t *testing.T) {
 	for _, c := range []struct {
 		before sentAttempt
 		want   sentState
@@ -54,11 +54,11 @@
 		{sentAttempt{state: bound, reappearedAt: 5 * ms}, mayRun},
 		{sentAttempt{state: bound, reappearedAt: 4 * ms}, bound},
 		{sentAttempt{state: unreachable, reappearedAt: 5 * ms}, unreachable},
-		{sentAttempt{state: over, reappearedAt: 5 * ms}, over},
+		{sentAttempt{state: finished, reappearedAt: 5 * ms}, finished},
 	} {
 		got := c.before
 		if got.onStop(5 * ms); got.state != c.want {
-			t.Errorf("%+v: state %d, want %d", c.before, got.state, c.want)
+			t.Errorf("onStop(5ms) of %+v: state %d, want %d", c.before, got.state, c.want)
 		}
 	}
 }
