--- a/internal/server/listwatch/listwatch.go
+++ b/internal/server/listwatch/listwatch.go
@@ -1,4 +1,4 @@
-// Package listwatch watches the endpoint list by blocking queries of Consul's HTTP API.
+// Package listwatch watches the endpoint list in Consul with blocking queries of its HTTP API.
 package listwatch
 
 import (
@@ -16,17 +16,17 @@
 	"forkhead/internal/server/clock"
 )
 
-// Config is what is watched and how.
+// Config describes the endpoint list to watch and how to query it.
 type Config struct {
-	Address     string        // of Consul, HOST:PORT
-	Service     string        // under which hosts are registered
-	MaxWait     time.Duration // how long Consul may hold a query until something changes
-	Timeout     time.Duration // of a query, beyond the time that Consul may hold it
+	Address     string        // of Consul's HTTP API, as HOST:PORT
+	Service     string        // name of the Consul service under which hosts are registered
+	MaxWait     time.Duration // how long Consul may block a query while the list is unchanged
+	Timeout     time.Duration // of a query, in addition to the time that Consul may block it
 	MinInterval time.Duration // from the start of a query to that of the next
 	UserAgent   string
 }
 
-// Watch is one subscription to the endpoint list. It ends with the first query that fails, or by Stop.
+// Watch is one subscription to the endpoint list. It ends when a query fails or Stop is called.
 type Watch struct {
 	cfg    Config
 	client *http.Client
@@ -35,9 +35,9 @@
 	done   sync.WaitGroup
 }
 
-// Start starts a watch on a goroutine of its own, which calls the functions. onList is called with each list that differs from
-// the one before; skipped has a message for each host that is left out, with the reason. onFailure is called once, with the error
-// of the query that ended the watch, and not after Stop.
+// Start starts a watch on a new goroutine, which also calls onList and onFailure. onList is called with each list whose
+// index differs from that of the previous one; skipped has a message with the reason for each entry that was left out.
+// onFailure is called once, with the error of the query that ended the watch, and is not called after Stop.
 func Start(cfg Config, onList func(hosts []consul.Host, skipped []string), onFailure func(error)) *Watch {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Watch{
@@ -48,34 +48,37 @@
 	}
 	w.done.Go(func() {
 		defer w.client.CloseIdleConnections()
-		if err := w.follow(ctx); ctx.Err() == nil {
+		if err := w.run(ctx); ctx.Err() == nil {
 			onFailure(err)
 		}
 	})
 	return w
 }
 
-// Stop ends the watch and waits for its goroutine. It must not be called by the functions that were given to Start.
+// Stop ends the watch and waits for its goroutine. It must not be called from onList or onFailure, which run on that
+// goroutine.
 func (w *Watch) Stop() {
 	w.cancel()
 	w.done.Wait()
 }
 
-// follow queries the endpoint list until a query fails or ctx is canceled, and returns the error.
-func (w *Watch) follow(ctx context.Context) error {
-	index := uint64(0) // of the list that was read last
+// run queries the endpoint list until a query fails or ctx is canceled, and returns the error of either.
+func (w *Watch) run(ctx context.Context) error {
+	index := uint64(0) // index of the last list; 0: the next query does not block
 	for {
 		started := time.Now()
-		answer, err := w.query(ctx, index)
+		response, err := w.query(ctx, index)
 		if err != nil {
 			return err
 		}
-		next := answer.index
+		next := response.index
 		if next < index {
-			next = 0 // Consul's documentation requires this: it has restarted, and a query by an old index may never return
+			// The index went back, as after a restart of Consul. Consul's documentation requires a reset to 0 then, since a
+			// query with the old index may never return.
+			next = 0
 		}
 		if next != index || index == 0 {
-			w.onList(answer.hosts, answer.skipped)
+			w.onList(response.hosts, response.skipped)
 		}
 		index = next
 		if err := clock.Sleep(ctx, w.cfg.MinInterval-time.Since(started)); err != nil {
@@ -84,20 +87,19 @@
 	}
 }
 
-// answer is Consul's answer to a query.
-type answer struct {
+// listResponse is Consul's response to a query.
+type listResponse struct {
 	hosts   []consul.Host
-	skipped []string // entries that cannot be used
-	index   uint64   // of the list; the next query waits until it is another
+	skipped []string // a message with the reason for each unusable entry
+	index   uint64   // of the list; a query with this index blocks until the list has another one
 }
 
-// query requests the endpoint list. If index is not 0, the answer comes once the list has another
-// index, or after MaxWait.
-func (w *Watch) query(ctx context.Context, index uint64) (*answer, error) {
+// query requests the endpoint list. If index is not 0, Consul responds once the list has another index, or after MaxWait.
+func (w *Watch) query(ctx context.Context, index uint64) (*listResponse, error) {
 	timeout := w.cfg.Timeout
 	parameters := url.Values{}
 	if index > 0 {
-		timeout += w.cfg.MaxWait + w.cfg.MaxWait/16 // Consul adds up to a sixteenth, so that clients don't return all at once
+		timeout += w.cfg.MaxWait + w.cfg.MaxWait/16 // Consul adds up to 1/16, to spread its clients' queries
 		parameters.Set("index", strconv.FormatUint(index, 10))
 		parameters.Set("wait", strconv.FormatInt(w.cfg.MaxWait.Milliseconds(), 10)+"ms")
 	}
@@ -113,32 +115,33 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // it was only read
-	return readAnswer(response)
+	defer func() { _ = response.Body.Close() }() // nothing was written that could be lost
+	return readResponse(response)
 }
 
-// errTooLong is the error of an answer that has more than consul.MaxAnswerSize.
-var errTooLong = errors.New("consul's answer is longer than 64 MiB")
+// errResponseTooLarge is the error for a body of more than consul.MaxAnswerSize bytes.
+var errResponseTooLarge = errors.New("consul's response body is larger than 64 MiB")
 
-func readAnswer(response *http.Response) (*answer, error) {
+// readResponse reads and decodes a response. The caller closes its body.
+func readResponse(response *http.Response) (*listResponse, error) {
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("consul answered %s", response.Status)
+		return nil, fmt.Errorf("consul responded with status %s", response.Status)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, consul.MaxAnswerSize+1))
 	if err != nil {
 		return nil, err
 	}
 	if len(body) > consul.MaxAnswerSize {
-		return nil, errTooLong
+		return nil, errResponseTooLarge
 	}
 	header := response.Header.Get("X-Consul-Index")
 	index, err := strconv.ParseUint(header, 10, 64)
 	if err != nil {
-		return nil, fmt.Errorf("consul's answer has no usable X-Consul-Index: %q", header)
+		return nil, fmt.Errorf("consul's response has no valid X-Consul-Index: got %q, want an unsigned integer", header)
 	}
 	hosts, skipped, err := consul.Decode(body)
 	if err != nil {
 		return nil, err
 	}
-	return &answer{hosts: hosts, skipped: skipped, index: index}, nil
+	return &listResponse{hosts: hosts, skipped: skipped, index: index}, nil
 }
--- a/internal/server/listwatch/listwatch_test.go
+++ b/internal/server/listwatch/listwatch_test.go
@@ -16,6 +16,7 @@
 	"forkhead/internal/server/listwatch"
 )
 
+// registration returns the Consul registration of a host with the given free cores.
 func registration(name string, free float64) consul.Registration {
 	r, err := consul.NewRegistration(&consul.Host{
 		Name: name, Address: "127.0.0.1:9", Kind: "k", Zone: "z", Rack: "r", FreeCores: free, Started: time.Hour,
@@ -26,7 +27,7 @@
 	return r
 }
 
-// startWatch starts a watch that ends with the test. It sends each list, and the error that ended the watch.
+// startWatch starts a watch that ends with the test. The channels receive each list, and the error that ended the watch.
 func startWatch(t *testing.T, address string, maxWait time.Duration) (lists chan []consul.Host, failed chan error) {
 	t.Helper()
 	lists, failed = make(chan []consul.Host, 100), make(chan error, 1)
@@ -38,19 +39,20 @@
 	return lists, failed
 }
 
+// nextList returns the next list that the watch delivers, and fails the test after 5 s without one.
 func nextList(t *testing.T, lists chan []consul.Host) []consul.Host {
 	t.Helper()
 	select {
 	case l := <-lists:
 		return l
 	case <-time.After(5 * time.Second):
-		t.Fatal("no list")
+		t.Fatal("the watch delivered no list within 5s")
 		return nil
 	}
 }
 
-// Against the emulator: the query that blocks returns with a change, drains and departures among them, and an outage ends the
-// watch.
+// With Consul's emulator, a blocking query returns when a host is registered, drained or deregistered, and an outage of
+// Consul ends the watch with an error.
 func TestWatchFollowsChanges(t *testing.T) {
 	s, err := consulemulator.Serve("127.0.0.1:0", consulemulator.Policy{CriticalAfter: time.Hour, DeregisterAfter: time.Hour}, clock.New(), nil)
 	if err != nil {
@@ -61,34 +63,34 @@
 	with(func(st *consulemulator.Store, now time.Duration) { st.Register(now, registration("a", 5)) })
 	lists, failed := startWatch(t, s.Address(), 10*time.Second)
 	if l := nextList(t, lists); len(l) != 1 || l[0].FreeCores != 5 || l[0].Started != time.Hour || l[0].State != forkhead.Ready {
-		t.Fatalf("%+v", l)
+		t.Fatalf("first list = %+v, want one ready host with 5 free cores, started at 1h", l)
 	}
 	with(func(st *consulemulator.Store, now time.Duration) { st.Register(now, registration("b", 7)) })
 	if l := nextList(t, lists); len(l) != 2 {
-		t.Fatalf("%+v", l)
+		t.Fatalf("list after b was registered = %+v, want 2 hosts", l)
 	}
 	with(func(st *consulemulator.Store, now time.Duration) { st.SetMaintenance(now, "a", true) })
 	if l := nextList(t, lists); l[0].State != forkhead.Draining {
-		t.Fatalf("%+v", l)
+		t.Fatalf("list after a was put into maintenance = %+v, want the first host draining", l)
 	}
 	with(func(st *consulemulator.Store, now time.Duration) { st.Deregister(now, "a") })
 	if l := nextList(t, lists); len(l) != 1 || l[0].Name != "b" {
-		t.Fatalf("%+v", l)
+		t.Fatalf("list after a was deregistered = %+v, want only b", l)
 	}
 	s.SetOutage(true)
 	select {
 	case err := <-failed:
 		if err == nil {
-			t.Fatal("an outage ends the watch without an error")
+			t.Fatal("onFailure after an outage: got a nil error, want the error of the query")
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("an outage does not end the watch")
+		t.Fatal("the watch did not end within 5s of an outage")
 	}
 }
 
-// After an index that goes back, the watch queries without one instead of blocking for good; an answer without an index ends the
-// watch with the reason.
-func TestWatchHandlesUnusualIndexes(t *testing.T) {
+// After an index that goes back, as after a restart of Consul, a query with the old index could block forever: the watch
+// queries without an index then. A response without an index ends the watch with an error that names the header.
+func TestWatchRestartsAfterIndexDecreases(t *testing.T) {
 	var calls atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); n {
@@ -98,7 +100,7 @@
 			w.Header().Set("X-Consul-Index", "3")
 		case 3:
 			if r.URL.Query().Get("index") != "" {
-				t.Errorf("queried with index %s after it went back", r.URL.Query().Get("index"))
+				t.Errorf("query 3, after the index decreased: got index %q, want none", r.URL.Query().Get("index"))
 			}
 			w.Header().Set("X-Consul-Index", "3")
 		}
@@ -112,22 +114,22 @@
 		nextList(t, lists)
 	}
 	if err := <-failed; !strings.Contains(err.Error(), "X-Consul-Index") {
-		t.Fatal(err)
+		t.Fatalf("error of a response without an index = %q, want one that names X-Consul-Index", err)
 	}
 }
 
-// An answer that cannot be used ends the watch with the reason.
-func TestWatchEndsWithUnusableAnswer(t *testing.T) {
+// An invalid response ends the watch with an error that tells which part of it is invalid.
+func TestWatchEndsAfterInvalidResponse(t *testing.T) {
 	for name, c := range map[string]struct {
 		status    int
 		index     string
 		body      string
 		wantError string
 	}{
-		"status":   {http.StatusInternalServerError, "1", "[]", "500"},
-		"no index": {http.StatusOK, "", "[]", "X-Consul-Index"},
-		"index":    {http.StatusOK, "-1", "[]", "X-Consul-Index"},
-		"body":     {http.StatusOK, "1", "[{", "JSON"},
+		"error status":   {http.StatusInternalServerError, "1", "[]", "500"},
+		"missing index":  {http.StatusOK, "", "[]", "X-Consul-Index"},
+		"negative index": {http.StatusOK, "-1", "[]", "X-Consul-Index"},
+		"truncated body": {http.StatusOK, "1", "[{", "JSON"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -142,12 +144,12 @@
 			select {
 			case err := <-failed:
 				if !strings.Contains(err.Error(), c.wantError) {
-					t.Errorf("failed with %q, which does not mention %q", err, c.wantError)
+					t.Errorf("error of the watch = %q, want one that contains %q", err, c.wantError)
 				}
 			case hosts := <-lists:
-				t.Errorf("read as %+v", hosts)
+				t.Errorf("watch delivered the list %+v, want an error", hosts)
 			case <-time.After(5 * time.Second):
-				t.Error("the watch goes on")
+				t.Error("the watch did not end within 5s of an invalid response")
 			}
 		})
 	}
--- a/internal/server/recorder/recorder.go
+++ b/internal/server/recorder/recorder.go
@@ -1,4 +1,4 @@
-// Package recorder collects the captured traffic of a run from the goroutines that see it.
+// Package recorder collects the captured events of a run from concurrent goroutines, in memory.
 package recorder
 
 import (
@@ -8,19 +8,19 @@
 	"forkhead/internal/protocol/capture"
 )
 
-// Recorder holds captured events up to a bound. It is safe for concurrent use; a nil Recorder takes no events.
+// Recorder holds captured events up to a limit. It is safe for concurrent use. Add on a nil Recorder does nothing.
 type Recorder struct {
 	maxEvents int
 
 	mu        sync.Mutex
 	events    []capture.Event
-	truncated bool // an event was dropped since the bound was reached
+	truncated bool // an event was dropped because the limit was reached
 }
 
 // New returns a recorder that holds at most maxEvents events.
 func New(maxEvents int) *Recorder { return &Recorder{maxEvents: maxEvents} }
 
-// Add records an event. Once the bound is reached, events are dropped, which Events reports.
+// Add records an event. At the limit it drops the event, which Events reports.
 func (r *Recorder) Add(e capture.Event) {
 	if r == nil {
 		return
@@ -34,8 +34,8 @@
 	r.events = append(r.events, e)
 }
 
-// Events returns a copy of the recorded events, in the order in which they were added, and whether they are all that were
-// added: a capture with a gap proves nothing.
+// Events returns a copy of the recorded events in the order in which they were added. complete is false if events were
+// dropped: a capture with a gap proves nothing.
 func (r *Recorder) Events() (events []capture.Event, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
