--- a/internal/server/store/bucket.go
+++ b/internal/server/store/bucket.go
@@ -11,8 +11,8 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// keyCounts is the number of keys in each bucket. It is stored, since a page of the file that lost some of its keys shows no
-// other sign of it.
+// keyCounts holds the number of keys in each bucket. It is stored in the file, because nothing else reveals a damaged page
+// that has lost some of its keys.
 type keyCounts map[durable.Bucket]int
 
 // The key counts are stored under countsKey in a bucket of their own.
@@ -21,6 +21,7 @@
 	countsKey  = "counts"
 )
 
+// putCounts stores the key counts.
 func putCounts(tx *bbolt.Tx, counts keyCounts) error {
 	text, err := json.Marshal(counts)
 	if err != nil {
@@ -29,7 +30,7 @@
 	return tx.Bucket([]byte(metaBucket)).Put([]byte(countsKey), durable.EncodeValue(text))
 }
 
-// getCounts returns the stored key counts; none where the file has no bucket for them.
+// getCounts returns the stored key counts. They are empty if the file has no bucket for them.
 func getCounts(tx *bbolt.Tx) (keyCounts, error) {
 	counts := keyCounts{}
 	meta := tx.Bucket([]byte(metaBucket))
@@ -43,7 +44,7 @@
 	return counts, json.Unmarshal(text, &counts)
 }
 
-// createBuckets creates the buckets of an empty file.
+// createBuckets creates the buckets in an empty file.
 func createBuckets(tx *bbolt.Tx) error {
 	if _, err := tx.CreateBucket([]byte(metaBucket)); err != nil {
 		return fmt.Errorf("create bucket %s: %w", metaBucket, err)
@@ -56,8 +57,8 @@
 	return nil
 }
 
-// apply applies a change and updates counts.
-func apply(tx *bbolt.Tx, counts keyCounts, c durable.Change) error {
+// applyChange applies a change to the file and to counts.
+func applyChange(tx *bbolt.Tx, counts keyCounts, c durable.Change) error {
 	bucket := tx.Bucket([]byte(c.Bucket))
 	key := []byte(c.Key)
 	switch c.Kind {
@@ -76,14 +77,14 @@
 		counts[c.Bucket] -= deleted
 		return err
 	}
-	return fmt.Errorf("change of unknown kind %d", c.Kind)
+	return fmt.Errorf("change bucket %s: unknown kind of change %d", c.Bucket, c.Kind)
 }
 
-// deletePrefix deletes the keys that begin with prefix and returns how many there were.
+// deletePrefix deletes the keys that begin with prefix and returns their number.
 func deletePrefix(bucket *bbolt.Bucket, prefix []byte) (deleted int, err error) {
 	cursor := bucket.Cursor()
 	for {
-		key, _ := cursor.Seek(prefix) // again for each key: a cursor does not survive a deletion
+		key, _ := cursor.Seek(prefix) // sought anew for each key, since a deletion invalidates the cursor
 		if key == nil || !bytes.HasPrefix(key, prefix) {
 			return deleted, nil
 		}
--- a/internal/server/store/file.go
+++ b/internal/server/store/file.go
@@ -13,43 +13,44 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// fileMode is that of a store's file: what clients submit is private.
+// fileMode is the mode of a store's file, which only its owner may read: submissions are private.
 const fileMode = 0o600
 
-// compactTransactionBytes is the most that Compact copies in one transaction.
+// compactTransactionBytes bounds what Compact copies in one transaction.
 const compactTransactionBytes = 1 << 20
 
-// rewrite reads the file at path from end to end and replaces it by a fresh one with all that could be read. So a damaged page
-// is found at the start and not when it is written to, and each start releases unused space. A file that does not exist is
-// created.
+// rewrite reads all of the file at path and replaces it by a new file with the keys whose values are readable. A damaged
+// page is therefore found at the start rather than at a later write, and each start releases unused space. A missing file
+// is created.
 func rewrite(path string) (*durable.Loader, keyCounts, error) {
-	fresh := path + ".new"
-	// A start that was interrupted may have left one.
-	if err := os.Remove(fresh); err != nil && !errors.Is(err, os.ErrNotExist) {
+	newPath := path + ".new"
+	// An interrupted start may have left the new file behind.
+	if err := os.Remove(newPath); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, nil, err
 	}
-	// The file is synced once, when it is complete.
-	db, err := bbolt.Open(fresh, fileMode, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType, NoSync: true})
+	// NoSync: the new file is synced once, when it is complete.
+	db, err := bbolt.Open(newPath, fileMode, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType, NoSync: true})
 	if err != nil {
 		return nil, nil, err
 	}
 	loader, counts := durable.NewLoader(), keyCounts{}
-	err = db.Update(func(tx *bbolt.Tx) error { return copyReadable(tx, counts, loader, path) })
+	err = db.Update(func(tx *bbolt.Tx) error { return copyReadableKeys(tx, counts, loader, path) })
 	if err == nil {
 		err = db.Sync()
 	}
 	if err = errors.Join(err, db.Close()); err != nil {
-		_ = os.Remove(fresh) // the next start removes it otherwise
+		_ = os.Remove(newPath) // if this fails, the next start removes the file
 		return nil, nil, err
 	}
-	if err := os.Rename(fresh, path); err != nil {
+	if err := os.Rename(newPath, path); err != nil {
 		return nil, nil, err
 	}
-	return loader, counts, syncFolder(filepath.Dir(path))
+	return loader, counts, syncDirectory(filepath.Dir(path))
 }
 
-// copyReadable copies the keys of the file at path whose values can be read, and gives all of them to the loader.
-func copyReadable(tx *bbolt.Tx, counts keyCounts, loader *durable.Loader, path string) error {
+// copyReadableKeys copies the keys with readable values from the file at path, and passes all keys to the loader. counts
+// becomes the number of copied keys.
+func copyReadableKeys(tx *bbolt.Tx, counts keyCounts, loader *durable.Loader, path string) error {
 	if err := createBuckets(tx); err != nil {
 		return err
 	}
@@ -59,9 +60,9 @@
 	err := ForEach(path, func(bucket durable.Bucket, key string, value []byte) error {
 		loader.Add(bucket, key, value)
 		if _, _, err := durable.DecodeValue(value); err != nil {
-			return nil // the loader reports it
+			return nil // not copied; the loader has listed the key in Snapshot.Unreadable
 		}
-		return apply(tx, counts, durable.Change{Kind: durable.Put, Bucket: bucket, Key: key, Value: value})
+		return applyChange(tx, counts, durable.Change{Kind: durable.Put, Bucket: bucket, Key: key, Value: value})
 	})
 	if err != nil {
 		return err
@@ -69,17 +70,18 @@
 	return putCounts(tx, counts)
 }
 
-// syncFolder makes the names in a folder durable. A folder that cannot be opened is ignored.
-func syncFolder(path string) error {
-	folder, err := os.Open(path)
+// syncDirectory makes the entries of a directory durable. A directory that cannot be opened is ignored.
+func syncDirectory(path string) error {
+	directory, err := os.Open(path)
 	if err != nil {
 		return nil
 	}
-	return errors.Join(folder.Sync(), folder.Close())
+	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// ForEach calls visit for every key of the file at path, bucket by bucket in order of keys, and checks that no key is missing.
-// It does not write to the file. It fails if the file is damaged, if a process has it open, or with the first error of visit.
+// ForEach calls visit for every key of the file at path, bucket by bucket and in key order, and checks that no key is
+// missing. It does not write to the file. It returns an error if the file is damaged or another process has it open, and
+// else the first error of visit.
 func ForEach(path string, visit func(bucket durable.Bucket, key string, value []byte) error) (err error) {
 	defer recoverDamage(&err)()
 	db, err := bbolt.Open(path, fileMode, &bbolt.Options{ReadOnly: true, Timeout: lockTimeout})
@@ -90,7 +92,7 @@
 	return db.View(func(tx *bbolt.Tx) error {
 		want, err := getCounts(tx)
 		if err != nil {
-			return fmt.Errorf("store %s: its counts: %w", path, err)
+			return fmt.Errorf("store %s: read key counts: %w", path, err)
 		}
 		for _, bucket := range durable.Buckets() {
 			found, err := forEachInBucket(tx, path, bucket, visit)
@@ -98,14 +100,14 @@
 				return err
 			}
 			if found != want[bucket] {
-				return fmt.Errorf("store %s: %s has %d keys of %d", path, bucket, found, want[bucket])
+				return fmt.Errorf("store %s: bucket %s has %d keys, want %d", path, bucket, found, want[bucket])
 			}
 		}
 		return nil
 	})
 }
 
-// forEachInBucket calls visit for every key of a bucket, checks their order, and returns how many there were.
+// forEachInBucket calls visit for every key of a bucket, checks their order, and returns their number.
 func forEachInBucket(
 	tx *bbolt.Tx, path string, name durable.Bucket, visit func(durable.Bucket, string, []byte) error,
 ) (found int, err error) {
@@ -117,7 +119,7 @@
 	err = bucket.ForEach(func(k, value []byte) error {
 		key := string(k)
 		if found > 0 && key <= previous {
-			return fmt.Errorf("store %s: the keys of %s are not in order", path, name)
+			return fmt.Errorf("store %s: bucket %s: key %q follows %q, want ascending keys", path, name, key, previous)
 		}
 		found++
 		previous = key
@@ -126,24 +128,24 @@
 	return found, err
 }
 
-// recoverDamage turns what bbolt does with a damaged page into an error: it panics, or faults where the page points outside
-// of the file, which is mapped into memory. Without it, a truncated file ends the process. The returned function
-// is deferred by the goroutine that called recoverDamage.
+// recoverDamage turns the failures that a damaged page causes in bbolt into an error: a panic, or a memory fault where the
+// page refers to an address beyond the file, which is mapped into memory. Without it, a truncated file would end the
+// process. The goroutine that calls recoverDamage must defer the returned function.
 func recoverDamage(err *error) func() {
 	before := debug.SetPanicOnFault(true)
 	return func() {
 		debug.SetPanicOnFault(before)
 		if r := recover(); r != nil {
-			*err = fmt.Errorf("unreadable: %v", r)
+			*err = fmt.Errorf("damaged store file: %v", r)
 		}
 	}
 }
 
-// closeReadOnly closes a file that was only read, so that nothing is lost where that fails.
+// closeReadOnly closes a file that was opened for reading. An error is ignored, since no write can be lost.
 func closeReadOnly(db *bbolt.DB) { _ = db.Close() }
 
-// Compact copies the file at from to a new file at to, without unused space, and returns the size of each in bytes. No process
-// may have either file open.
+// Compact copies the file at from to a new file at to, without unused space, and returns the sizes of both in bytes. No
+// process may have either file open.
 func Compact(from, to string) (before, after int64, err error) {
 	src, err := bbolt.Open(from, fileMode, &bbolt.Options{ReadOnly: true, Timeout: lockTimeout})
 	if err != nil {
@@ -166,6 +168,7 @@
 	return before, after, nil
 }
 
+// fileSize returns the size of a file in bytes.
 func fileSize(path string) (int64, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/server/store/golden_test.go
+++ b/internal/server/store/golden_test.go
@@ -21,15 +21,15 @@
 )
 
 // testdata/placer.db was written by `forkhead serve --config testdata/settings.sexp --store placer.db`, which was killed
-// after it had placed two projects and removed one of them. A store that an earlier build wrote must stay readable, so the
-// file is never rewritten; -update writes only what is expected of it.
+// after it had placed two projects and removed one of them. Stores of earlier builds must stay readable, so the file is
+// never rewritten: -update writes only the expected results.
 const (
 	goldenStore    = "testdata/placer.db"
 	goldenSettings = "testdata/settings.sexp"
 )
 
-// copyOfGoldenStore returns the path of a copy, which Open may write to.
-func copyOfGoldenStore(t *testing.T) string {
+// copyGoldenStore copies testdata/placer.db, which Open would rewrite, and returns the path of the copy.
+func copyGoldenStore(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(goldenStore)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return path
 }
 
-// dump writes each key of a file with the version and text of its value.
+// dump returns a line for each key of a store file: bucket, key, version and text of the value.
 func dump(t *testing.T, path string) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -56,6 +56,7 @@
 	return b.Bytes()
 }
 
+// openCopy opens and closes a store, checks that all of it was readable, and returns its content.
 func openCopy(t *testing.T, path string) *durable.Snapshot {
 	t.Helper()
 	s, snapshot, err := store.Open(store.Options{Path: path})
@@ -63,7 +64,7 @@
 		t.Fatal(err)
 	}
 	if s.QuarantinedAs != "" || len(snapshot.Unreadable) > 0 {
-		t.Fatalf("quarantined as %q, unreadable: %v", s.QuarantinedAs, snapshot.Unreadable)
+		t.Fatalf("Open(%s): quarantined as %q, unreadable keys %v, want neither", path, s.QuarantinedAs, snapshot.Unreadable)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -71,18 +72,18 @@
 	return snapshot
 }
 
-// The keys and values are the same before and after the file was opened, which rewrites it.
+// A file of an earlier build has the expected keys and values, and still has them after Open has rewritten it.
 func TestStoreReadsGoldenFile(t *testing.T) {
-	path := copyOfGoldenStore(t)
+	path := copyGoldenStore(t)
 	goldentest.Check(t, "placer.dump", dump(t, path))
 	openCopy(t, path)
 	goldentest.Check(t, "placer.dump", dump(t, path))
 }
 
-// recordsOf returns the records that make a snapshot.
+// recordsOf returns records that produce a snapshot when they are committed to an empty store.
 func recordsOf(t *testing.T, snapshot *durable.Snapshot) []durable.Record {
 	t.Helper()
-	specifications := map[string]*servicespec.Description{} // by submission; none where the project was removed
+	specifications := map[string]*servicespec.Description{} // by submission ID; none if the project was removed
 	for _, p := range snapshot.Projects {
 		specifications[p.SubmissionID] = p.Specification
 	}
@@ -108,9 +109,9 @@
 	return records
 }
 
-// What is read from the file and committed once more is stored under the same keys with the same bytes.
+// The content of a file of an earlier build, committed to an empty store, results in the same keys and the same bytes.
 func TestStoreWritesGoldenValues(t *testing.T) {
-	snapshot := openCopy(t, copyOfGoldenStore(t))
+	snapshot := openCopy(t, copyGoldenStore(t))
 	again := filepath.Join(t.TempDir(), "again.db")
 	s, _, err := store.Open(store.Options{Path: again})
 	if err != nil {
@@ -125,16 +126,17 @@
 	goldentest.Check(t, "placer.dump", dump(t, again))
 }
 
-// hostEpoch is the hosts' epoch of the attempts in the file: the hosts have not restarted since.
+// hostEpoch is the epoch of the hosts in the file's attempts. Hosts that answer with it have not restarted since.
 const hostEpoch = 1796191483153710
 
-// fakeHosts answer a placer as hosts that run whatever is queried or offered, and log both.
+// fakeHosts answers a placer for hosts that run every task that it queries or offers, and logs these queries and offers.
 type fakeHosts struct {
 	t       *testing.T
 	log     []string
-	answers []core.Input // to the outputs of the last step
+	answers []core.Input // to the outputs of the last step, as inputs of the next one
 }
 
+// execute answers the outputs of a step. A defect that the core logs fails the test.
 func (h *fakeHosts) execute(outputs []core.Output) {
 	h.answers = nil
 	for _, out := range outputs {
@@ -147,12 +149,13 @@
 			}
 		case core.Log:
 			if out.Defect {
-				h.t.Errorf("defect: %s", out.Text)
+				h.t.Errorf("the core logged a defect: %q, want none", out.Text)
 			}
 		}
 	}
 }
 
+// answer returns the frames with which a host answers a frame. A Stop or Withdraw fails the test.
 func (h *fakeHosts) answer(host string, f hostproto.Frame) (answers []hostproto.Frame) {
 	switch f := f.(type) {
 	case hostproto.Hello:
@@ -171,11 +174,12 @@
 			s.Name, s.Key, s.Service, s.Fingerprint, s.Class, s.Cores, s.Memory, s.Life, f.Payload))
 		answers = append(answers, hostproto.Accepted{Ref: f.Ref}, hostproto.Running{Ref: f.Ref})
 	case hostproto.Stop, hostproto.Withdraw:
-		h.t.Errorf("%T to %s", f, host)
+		h.t.Errorf("the placer sent %T to %s, want no task stopped or withdrawn", f, host)
 	}
 	return answers
 }
 
+// logStatus logs the placer's status with the time at which it was read.
 func (h *fakeHosts) logStatus(placer *core.Core, when string) {
 	h.t.Helper()
 	line, err := json.Marshal(placer.Status())
@@ -185,10 +189,11 @@
 	h.log = append(h.log, when+" "+string(line))
 }
 
-// A placer that starts with the file has the same tasks and submissions: it queries the hosts about the unsafe tasks, which
-// it does not offer again, and offers the safe ones, which nobody has named, under the same identities.
+// A placer that starts with a file of an earlier build restores its tasks and submissions. It queries the hosts about the
+// unsafe tasks and does not offer them again. It offers the safe tasks, which no host has reported, under the same
+// identities.
 func TestPlacerRestoresGoldenFile(t *testing.T) {
-	snapshot := openCopy(t, copyOfGoldenStore(t))
+	snapshot := openCopy(t, copyGoldenStore(t))
 	text, err := os.ReadFile(goldenSettings)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/server/store/store_test.go
+++ b/internal/server/store/store_test.go
@@ -17,6 +17,7 @@
 	"forkhead/internal/scheduler/durable"
 )
 
+// openStore opens a store whose quarantined file would end with "x", and returns it with its content.
 func openStore(t *testing.T, path string, maxBytes int64) (*Store, *durable.Snapshot) {
 	t.Helper()
 	s, snapshot, err := Open(Options{Path: path, MaxBytes: maxBytes, QuarantineSuffix: func(time.Time) string { return "x" }})
@@ -26,6 +27,7 @@
 	return s, snapshot
 }
 
+// closeStore closes a store.
 func closeStore(t testing.TB, s *Store) {
 	t.Helper()
 	if err := s.Close(); err != nil {
@@ -33,6 +35,7 @@
 	}
 }
 
+// commit commits records in one call.
 func commit(t *testing.T, s *Store, records ...durable.Record) {
 	t.Helper()
 	if err := s.Commit(records); err != nil {
@@ -40,13 +43,15 @@
 	}
 }
 
+// checkCommits checks the number of transactions since Open and whether changes are pending.
 func checkCommits(t *testing.T, s *Store, want int, pending bool) {
 	t.Helper()
 	if s.Commits != want || s.HasPending() != pending {
-		t.Fatalf("%d commits, pending %v; want %d, %v", s.Commits, s.HasPending(), want, pending)
+		t.Fatalf("got %d commits, pending changes %v, want %d, %v", s.Commits, s.HasPending(), want, pending)
 	}
 }
 
+// submissionAccepted returns the record of a submission of two tasks; its project is "p-" and the ID.
 func submissionAccepted(id string) durable.SubmissionAccepted {
 	return durable.SubmissionAccepted{
 		Submission: durable.Submission{
@@ -58,6 +63,7 @@
 	}
 }
 
+// outcomeReported returns the record of an outcome of a submission, for the task with replica number index+1.
 func outcomeReported(id string, index int) durable.OutcomeReported {
 	return durable.OutcomeReported{
 		SubmissionID: id, Index: index, Outcome: fmt.Appendf(nil, `{"replica":%d}`, index+1),
@@ -65,24 +71,26 @@
 	}
 }
 
+// attemptOffered returns the record of an attempt at a task.
 func attemptOffered(task uint32) durable.AttemptOffered {
 	return durable.AttemptOffered{Attempt: durable.Attempt{
 		Ref: hostproto.Ref{Epoch: 1, Task: task}, TaskKey: 5, Project: "p-a", Service: "web", Replica: 1, Host: "h",
 	}}
 }
 
-// A store that was closed as by a crash restores what must be durable first, and nothing that was dropped.
-func TestStoreRestoresCommittedRecords(t *testing.T) {
+// A store that was closed without a flush, as by a crash, restores all that Commit made durable, and nothing of a project
+// that was removed or a submission that expired.
+func TestStoreRestoresCommittedRecordsAfterCrash(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
 	s, empty := openStore(t, path, 0)
 	if want := (&durable.Snapshot{Tombstones: map[string]time.Duration{}}); !reflect.DeepEqual(empty, want) {
-		t.Fatalf("a new file holds %+v", empty)
+		t.Fatalf("Open(new file) = %+v, want %+v", empty, want)
 	}
 	commit(t, s, durable.IncarnationStarted{Epoch: 9})
 	commit(t, s, submissionAccepted("a"), submissionAccepted("b"), attemptOffered(1), attemptOffered(2))
 	checkCommits(t, s, 2, false)
 	commit(t, s, outcomeReported("a", 0))
-	commit(t, s, durable.AttemptResolved{Ref: hostproto.Ref{Epoch: 1, Task: 1}}) // need not be durable first
+	commit(t, s, durable.AttemptResolved{Ref: hostproto.Ref{Epoch: 1, Task: 1}}) // outputs need not wait for this record
 	checkCommits(t, s, 3, true)
 	commit(t, s, durable.ProjectRemoved{Project: "p-b", At: 2 * time.Hour}, durable.SubmissionExpired{SubmissionID: "b"})
 	if err := s.CloseWithoutFlush(); err != nil {
@@ -102,20 +110,20 @@
 		Epoch:       9,
 	}
 	if !reflect.DeepEqual(restored, want) {
-		t.Errorf("restored %+v, want %+v", restored, want)
+		t.Errorf("Open(after the crash) = %+v, want %+v", restored, want)
 	}
 }
 
-// At its bound the store refuses what adds to it, and still drops keys.
+// A store that has reached MaxBytes refuses records that add keys, and still deletes keys.
 func TestStoreRefusesGrowthAtMaxBytes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
 	s, _ := openStore(t, path, 1)
 	defer closeStore(t, s)
 	if err := s.Commit([]durable.Record{submissionAccepted("a")}); !errors.Is(err, ErrFull) {
-		t.Fatalf("%v", err)
+		t.Fatalf("Commit(SubmissionAccepted) = %v, want %v", err, ErrFull)
 	}
 	if err := s.Commit([]durable.Record{durable.ProjectRemoved{Project: "p"}}); !errors.Is(err, ErrFull) {
-		t.Fatalf("a tombstone: %v", err) // it adds to the file, too
+		t.Fatalf("Commit(ProjectRemoved) = %v, want %v, since a tombstone adds to the file", err, ErrFull)
 	}
 	commit(t, s, durable.TombstoneExpired{Project: "p"}, durable.SubmissionExpired{SubmissionID: "a"})
 	if err := s.Flush(); err != nil {
@@ -123,18 +131,18 @@
 	}
 }
 
-// damagedFiles opens damaged copies of one file and counts how that was detected.
+// damagedFiles opens damaged copies of one file and counts the ways in which Open reported the damage.
 type damagedFiles struct {
-	folder      string
-	projects    map[string]durable.Project // of the undamaged file, by name
-	quarantined int                        // files
-	reported    int                        // files that were read but for some keys
+	directory   string
+	projects    map[string]durable.Project // content of the undamaged file, by project name
+	quarantined int                        // number of files that Open quarantined
+	reported    int                        // files with unreadable keys, and not quarantined
 }
 
-// open opens a file with the given content. What is read of it must be what the undamaged file holds.
+// open opens a file with the given content and checks that each project read from it is as in the undamaged file.
 func (d *damagedFiles) open(t *testing.T, name string, content []byte) {
 	t.Helper()
-	path := filepath.Join(d.folder, name)
+	path := filepath.Join(d.directory, name)
 	if err := os.WriteFile(path, content, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -148,24 +156,25 @@
 	}
 	for _, p := range snapshot.Projects {
 		if !reflect.DeepEqual(p.Specification, d.projects[p.Specification.Name].Specification) {
-			t.Errorf("%s: %s was read as %+v", name, p.Specification.Name, p.Specification)
+			t.Errorf("Open(%s): project %s = %+v, want %+v",
+				name, p.Specification.Name, p.Specification, d.projects[p.Specification.Name].Specification)
 		}
 	}
 	closeStore(t, s)
 	_ = os.Remove(path)
 }
 
-// checkQuarantined checks that a quarantined file was not truncated, and removes it.
+// checkQuarantined checks that a quarantined file has not been truncated, and removes it.
 func checkQuarantined(t *testing.T, path string, minBytes int) {
 	t.Helper()
 	content, err := os.ReadFile(path)
 	if err != nil || len(content) < minBytes {
-		t.Errorf("%s has %d bytes of %d, %v", path, len(content), minBytes, err)
+		t.Errorf("quarantined file %s: got %d bytes, error %v, want at least %d bytes", path, len(content), err, minBytes)
 	}
 	_ = os.Remove(path)
 }
 
-// writeExampleFile returns the content of a file with twenty projects, and the projects by name.
+// writeExampleFile returns the bytes of a store file with 20 projects, and the projects by name.
 func writeExampleFile(t *testing.T) ([]byte, map[string]durable.Project) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s.db")
@@ -187,11 +196,11 @@
 	return content, projects
 }
 
-// A file that is truncated anywhere, or has a byte changed, is read as a whole, with the keys reported whose values do not hold, or
-// quarantined as a whole; what is read is never another thing than what was stored.
+// A file that is truncated or has a changed byte, at any position, is either quarantined, or read with its unreadable keys
+// reported. Open never returns a project that differs from the stored one.
 func TestOpenReportsDamagedFiles(t *testing.T) {
 	content, projects := writeExampleFile(t)
-	d := &damagedFiles{folder: t.TempDir(), projects: projects}
+	d := &damagedFiles{directory: t.TempDir(), projects: projects}
 	for n := 1; n < len(content); n += 4099 {
 		d.open(t, fmt.Sprintf("cut-%d", n), content[:n])
 	}
@@ -200,15 +209,16 @@
 		changed[n] ^= 0x41
 		d.open(t, fmt.Sprintf("changed-%d", n), changed)
 	}
-	// One byte of each specification: found by its checksum.
+	// One byte of each specification differs, which the checksum of its value reveals.
 	before := d.reported
 	d.open(t, "value", []byte(strings.ReplaceAll(string(content), `"Cores":0.5`, `"Cores":9.5`)))
 	if d.quarantined == 0 || d.reported == before {
-		t.Errorf("%d files quarantined, %d with keys reported: neither may be none", d.quarantined, d.reported)
+		t.Errorf("got %d files quarantined, and unreadable keys reported for %d files before the one with a changed value, "+
+			"%d with it; want at least 1 quarantined, and 1 more reported with it", d.quarantined, before, d.reported)
 	}
 }
 
-// BenchmarkStoreCommit measures a step's records: one fsync, whether it serves one placement request or a hundred.
+// BenchmarkStoreCommit measures the commit of a step's records: one fsync for 1, 10 or 100 placement requests.
 func BenchmarkStoreCommit(b *testing.B) {
 	for _, requests := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint(requests), func(b *testing.B) {
