--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,6 @@
-// Package client submits service specifications to a placer over its HTTP API and follows the outcomes of their tasks.
-// Where a reply is lost or the placer is busy, it sends the submission again under the same Idempotency-Key, so that the
-// placer takes it once.
+// Package client submits service specifications to a placer over its HTTP API and reads the outcomes of their tasks.
+// After a lost response or a rejection that allows a retry, it sends the submission again under the same Idempotency-Key,
+// so that the placer accepts it only once.
 package client
 
 import (
@@ -23,34 +23,34 @@
 )
 
 const (
-	minBackoff       = 10 * time.Millisecond
-	maxOutcomeLength = 64 << 10 // bytes of one line of the stream
-	keyBytes         = 16       // random ones of an Idempotency-Key
+	minBackoff          = 10 * time.Millisecond
+	maxOutcomeLineBytes = 64 << 10 // of one line of the outcome stream
+	idempotencyKeyBytes = 16       // of a random Idempotency-Key
 )
 
-// Client submits to one placer. Its fields must not change during Submit. Submit calls the functions among them on its
-// own goroutine.
+// Client submits to one placer. Its fields must not change during Submit, which calls the functions among them on the
+// caller's goroutine.
 type Client struct {
 	Address        string        // HOST:PORT of the placer
 	HTTPClient     *http.Client  // nil: http.DefaultClient
-	IdempotencyKey string        // "": a random one for each Submit
-	MaxSends       int           // how often a submission is sent at most; less than 1: once
-	Backoff        time.Duration // between two sends, at least; a longer Retry-After takes precedence
-	// OnAccepted is called with the submission's ID in each reply, before its outcomes. nil: not called.
+	IdempotencyKey string        // "": a random one for each call of Submit
+	MaxSends       int           // number of times that a submission is sent at most; less than 1: once
+	Backoff        time.Duration // minimum time before a submission is sent again; a longer Retry-After takes precedence
+	// OnAccepted is called with the submission's ID for each successful response, before its outcomes. nil: not called.
 	OnAccepted func(submission string)
-	// OnOutcome is called with every outcome in every reply, also with those that came before. nil: not called.
+	// OnOutcome is called with each outcome of each response, including those that an earlier response had. nil: not called.
 	OnOutcome func(core.Outcome)
-	// OnBrokenStream is called when a reply ends before it is complete. nil: not called.
+	// OnBrokenStream is called with the submission's ID when a response ends before it is complete. nil: not called.
 	OnBrokenStream func(submission string)
 }
 
-// Submit sends a submission and calls deliver with the outcome of each task, once, in the order of their receipt. It
-// returns nil when the submission is complete, and else the last error: a RejectionError if the placer answered with a
-// problem.
+// Submit sends a submission and calls deliver once with the outcome of each task, in the order of their receipt. It
+// returns nil when all outcomes have been read, and else the last error, which is a RejectionError if the placer responded
+// with a problem.
 func (c *Client) Submit(ctx context.Context, envelope *placer.Envelope, deliver func(core.Outcome)) error {
 	body, err := json.Marshal(envelope)
 	if err != nil {
-		return fmt.Errorf("encode the submission: %w", err)
+		return fmt.Errorf("encode submission: %w", err)
 	}
 	key := c.IdempotencyKey
 	if key == "" {
@@ -79,20 +79,21 @@
 	}
 }
 
-// newIdempotencyKey returns a random key.
+// newIdempotencyKey returns a random Idempotency-Key.
 func newIdempotencyKey() string {
-	var key [keyBytes]byte
-	_, _ = rand.Read(key[:]) // never fails, by its documentation
+	var key [idempotencyKeyBytes]byte
+	_, _ = rand.Read(key[:]) // never fails, according to its documentation
 	return hex.EncodeToString(key[:])
 }
 
-// retryable reports whether sending again may help: the reply was lost, or the placer's answer allows a later retry.
+// retryable reports whether a submission that failed with err may be sent again: the response was lost, or it allows a
+// retry.
 func retryable(err error) bool {
 	var rejection *RejectionError
 	return !errors.As(err, &rejection) || rejection.Retryable()
 }
 
-// backoffAfter returns the time from an error to the next send.
+// backoffAfter returns the time from an error until the submission is sent again.
 func (c *Client) backoffAfter(err error) time.Duration {
 	backoff := max(c.Backoff, minBackoff)
 	var rejection *RejectionError
@@ -102,7 +103,7 @@
 	return backoff
 }
 
-// send sends a submission once and reads the reply to its end.
+// send sends a submission once and reads the response to its end.
 func (c *Client) send(ctx context.Context, key string, body []byte, deliver func(core.Outcome)) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Address+"/v1/submissions", bytes.NewReader(body))
 	if err != nil {
@@ -131,21 +132,21 @@
 
 // readOutcomes reads a stream of outcomes to its end.
 func (c *Client) readOutcomes(stream io.Reader, submission string, deliver func(core.Outcome)) error {
-	lines := bufio.NewReaderSize(stream, maxOutcomeLength)
+	lines := bufio.NewReaderSize(stream, maxOutcomeLineBytes)
 	for {
 		line, err := lines.ReadSlice('\n')
 		if errors.Is(err, io.EOF) && len(line) == 0 {
 			return nil
 		}
-		if err != nil { // a partial line is dropped: the next reply has all of it
+		if err != nil { // a partial line is dropped, since the next response has all of it
 			if c.OnBrokenStream != nil {
 				c.OnBrokenStream(submission)
 			}
-			return fmt.Errorf("the stream of outcomes broke: %w", err)
+			return fmt.Errorf("read outcome stream of submission %q: %w", submission, err)
 		}
 		var o core.Outcome
 		if err := json.Unmarshal(line, &o); err != nil {
-			return fmt.Errorf("the placer sent a line that is not an outcome: %w", err)
+			return fmt.Errorf("decode outcome of submission %q: %w", submission, err)
 		}
 		if c.OnOutcome != nil {
 			c.OnOutcome(o)
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -14,7 +14,7 @@
 	"forkhead/internal/server/placer"
 )
 
-// write writes a part of a response. It may be called on a server's goroutine.
+// write writes a part of a response. It may be called on a server's goroutine, so it does not end the test.
 func write(t *testing.T, w io.Writer, text string) {
 	t.Helper()
 	if _, err := io.WriteString(w, text); err != nil {
@@ -30,7 +30,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// After an answer to try again later and a stream that broke in the middle of a line, the submission is sent again under
+// After a 503 response with Retry-After and a stream that broke in the middle of a line, the submission is sent again under
 // the same key, and each outcome is delivered once.
 func TestClientResumesBrokenStream(t *testing.T) {
 	var keys []string
@@ -61,15 +61,17 @@
 		got = append(got, fmt.Sprintf("%d %s", o.Replica, o.Outcome))
 	})
 	if err != nil || strings.Join(got, ",") != "1 placed,2 refused" || broken != "s-1" {
-		t.Fatalf("%v, broken %q, %v", got, broken, err)
+		t.Fatalf("Submit delivered %v, OnBrokenStream(%q), error %v, want [1 placed 2 refused], OnBrokenStream(\"s-1\"), no error",
+			got, broken, err)
 	}
 	if calls != 3 || keys[0] == "" || keys[0] != keys[1] || keys[1] != keys[2] {
-		t.Fatalf("%d calls under keys %q", calls, keys)
+		t.Fatalf("server got %d requests with keys %q, want 3 with the same key", calls, keys)
 	}
 }
 
-// A rejected submission is not sent again, unless the placer's answer allows a retry.
-func TestClientReturnsRejection(t *testing.T) {
+// A submission that the placer rejects with a status that does not allow a retry is sent once. Submit returns the rejection
+// with the errors of the specification.
+func TestClientReturnsFinalRejection(t *testing.T) {
 	calls := 0
 	address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		calls++
@@ -80,6 +82,7 @@
 	err := c.Submit(t.Context(), &placer.Envelope{}, func(core.Outcome) {})
 	var rejection *RejectionError
 	if !errors.As(err, &rejection) || rejection.Retryable() || len(rejection.Errors) != 1 || rejection.Errors[0].Line != 3 || calls != 1 {
-		t.Fatalf("%v after %d calls", err, calls)
+		t.Fatalf("Submit = %#v after %d requests, want a RejectionError that is not retryable, with 1 error in line 3, after 1 request",
+			err, calls)
 	}
 }
--- a/internal/client/rejection.go
+++ b/internal/client/rejection.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	maxProblemSize = 1 << 20        // bytes of a response's body; the rest is not read
-	maxRetryAfter  = 24 * time.Hour // a Retry-After of so long or longer is taken for none
+	maxProblemBytes = 1 << 20        // of a response's body; the rest is not read
+	maxRetryAfter   = 24 * time.Hour // a Retry-After of this length or more is ignored
 )
 
-// RejectionError is a problem with which the placer answered a submission in place of outcomes.
+// RejectionError is the error of a submission to which the placer responded with a problem instead of outcomes.
 type RejectionError struct {
 	placer.Problem
-	RetryAfter time.Duration // 0: not given
+	RetryAfter time.Duration // 0: not given, or ignored
 }
 
-// Error returns the status, title and detail, or the errors of an invalid specification.
+// Error returns the status, title and detail, or only the detail if the problem lists the errors of a specification.
 func (r *RejectionError) Error() string {
 	if len(r.Errors) > 0 {
 		return r.Detail
@@ -30,17 +30,17 @@
 	return fmt.Sprintf("%d %s: %s", r.Status, r.Title, r.Detail)
 }
 
-// Retryable reports whether the placer's answer allows a later retry.
+// Retryable reports whether the status of the response allows a later retry.
 func (r *RejectionError) Retryable() bool {
 	return r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable
 }
 
-// readRejection returns the RejectionError of a response. It is one also where the body is not a problem: something
-// between may have answered.
+// readRejection returns the RejectionError of a response. Where the body is not a problem, as from a proxy, the error has
+// the response's status.
 func readRejection(resp *http.Response) error {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxProblemSize))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxProblemBytes))
 	if err != nil {
-		return fmt.Errorf("read the placer's answer %s: %w", resp.Status, err)
+		return fmt.Errorf("read response with status %s: %w", resp.Status, err)
 	}
 	r := &RejectionError{}
 	if err := json.Unmarshal(body, &r.Problem); err != nil || r.Status == 0 {
