--- a/internal/server/placer/feasibility.go
+++ b/internal/server/placer/feasibility.go
@@ -14,25 +14,27 @@
 	"forkhead/internal/scheduler/core"
 )
 
-// Bounds of the checks, which must not hold up placement: where one of them is exceeded, the submission is taken.
+// Limits of the feasibility checks, which must not delay placement. Beyond one of them, a submission goes to the core
+// unchecked.
 const (
-	maxFeasibilityChecks    = 4 // at a time
+	maxFeasibilityChecks    = 4 // running at the same time
 	feasibilityCheckTimeout = 100 * time.Millisecond
 )
 
-// feasibilityChecker looks for a proof that a specification cannot be placed completely. Its methods may be called from any
-// goroutine.
+// feasibilityChecker searches for a proof that a specification cannot be placed completely. It is safe for concurrent
+// use.
 type feasibilityChecker struct {
 	settings *settings.Settings
-	machines atomic.Pointer[[]plan.Host] // of the last list; nil: none has come
-	slots    chan struct{}               // one for each running check
+	machines atomic.Pointer[[]plan.Host] // from the last machine list; nil: none has been received
+	slots    chan struct{}               // holds an element for each running check
 }
 
+// newFeasibilityChecker returns a checker without a machine list.
 func newFeasibilityChecker(set *settings.Settings) *feasibilityChecker {
 	return &feasibilityChecker{settings: set, slots: make(chan struct{}, maxFeasibilityChecks)}
 }
 
-// acquire takes a slot for findConflict and reports whether one was available.
+// acquire reserves a slot for a call of findConflict and reports whether one was free.
 func (f *feasibilityChecker) acquire() bool {
 	select {
 	case f.slots <- struct{}{}:
@@ -42,10 +44,10 @@
 	}
 }
 
-// release gives a slot back.
+// release frees a slot that acquire has reserved.
 func (f *feasibilityChecker) release() { <-f.slots }
 
-// setMachines takes a new machine list. Machines of an unknown machine type are left out.
+// setMachines replaces the machine list. It leaves out machines whose machine type is not in the settings.
 func (f *feasibilityChecker) setMachines(entries []core.HostEntry) {
 	machines := make([]plan.Host, 0, len(entries))
 	for i := range entries {
@@ -55,7 +57,7 @@
 			continue
 		}
 		machineType := f.settings.Module.MachineTypes[index]
-		state := "ready" // a draining one may be ready again before the client's timeout is over
+		state := "ready" // also if it is draining: it may be ready again before the client's timeout
 		if entry.State == forkhead.Removed {
 			state = "gone"
 		}
@@ -67,9 +69,9 @@
 	f.machines.Store(&machines)
 }
 
-// findConflict returns the requirements that keep a specification from being placed completely on the machines of the list,
-// even if they were empty. It returns nil where that is not proven: the specification fits, no list has come, ctx is done
-// or the time is over.
+// findConflict returns the requirements that keep a specification from being placed completely on the machines of the
+// list, even if these had no tasks. It returns nil without a proof of that: the specification fits, no list has been
+// received, ctx is done or feasibilityCheckTimeout has passed.
 func (f *feasibilityChecker) findConflict(ctx context.Context, spec *servicespec.Description) []string {
 	machines := f.machines.Load()
 	if machines == nil {
@@ -77,12 +79,12 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, feasibilityCheckTimeout)
 	defer cancel()
-	question := &plan.Problem{Settings: f.settings, Hosts: *machines, Specs: []*servicespec.Description{spec}}
-	result, err := plan.Solve(question, solver.Options{Stop: func() bool { return ctx.Err() != nil }})
+	problem := &plan.Problem{Settings: f.settings, Hosts: *machines, Specs: []*servicespec.Description{spec}}
+	result, err := plan.Solve(problem, solver.Options{Stop: func() bool { return ctx.Err() != nil }})
 	if err != nil || result.Feasible || !result.Optimal {
 		return nil
 	}
-	if len(result.Conflict) == 0 { // proven, but there was no time to reduce it to a conflict
+	if len(result.Conflict) == 0 { // proven infeasible, but without the time to reduce the proof to a conflict
 		return []string{"no placement of all its tasks exists on the hosts of the list"}
 	}
 	return result.Conflict
--- a/internal/server/placer/gossip.go
+++ b/internal/server/placer/gossip.go
@@ -9,22 +9,22 @@
 	"forkhead/internal/parse/settings"
 )
 
-// A datagram is the sender's number, as a little-endian integer, and the message.
+// A datagram consists of the sender's number, as a little-endian 16-bit integer, and the message.
 const (
 	gossipHeaderSize = 2   // bytes
-	maxDatagramSize  = 512 // bytes, with the header
+	maxDatagramSize  = 512 // bytes, including the header
 )
 
-// gossipSocket exchanges datagrams with the other placers. Any message may be lost. The loop sends, a goroutine of the
-// Server's receives; the fields do not change after listenGossip.
+// gossipSocket exchanges datagrams with the other placers. Any message may be lost. The loop sends and a goroutine of
+// the Server receives; both may use the fields, which do not change after listenGossip.
 type gossipSocket struct {
-	self   int
+	self   int // number of this placer
 	socket net.PacketConn
-	peers  []net.Addr          // all placers, by number
-	drop   func(from int) bool // nil: nothing is dropped
+	peers  []net.Addr          // addresses of all placers, by number
+	drop   func(from int) bool // reports whether to drop a message, for tests; nil: none is dropped
 }
 
-// listenGossip opens the socket and resolves the addresses of all placers.
+// listenGossip opens the socket of placer set.Module.Self and resolves the addresses of all placers.
 func listenGossip(set *settings.Settings, drop func(from int) bool) (*gossipSocket, error) {
 	g := &gossipSocket{self: set.Module.Self, drop: drop}
 	for _, p := range set.Placers {
@@ -39,8 +39,8 @@
 	return g, err
 }
 
-// send sends a message to a placer by its number, or to all others for forkhead.AllPlacers. A message over the limit is
-// not sent.
+// send sends a message to the placer with number to, or to all others for forkhead.AllPlacers. A message that does not
+// fit into maxDatagramSize is not sent.
 func (g *gossipSocket) send(to int, message []byte) {
 	if gossipHeaderSize+len(message) > maxDatagramSize {
 		return
@@ -49,14 +49,14 @@
 	datagram = append(datagram, message...)
 	for number, addr := range g.peers {
 		if number != g.self && (to == forkhead.AllPlacers || to == number) {
-			_, _ = g.socket.WriteTo(datagram, addr) // may be lost
+			_, _ = g.socket.WriteTo(datagram, addr) // an error is ignored, since any message may be lost
 		}
 	}
 }
 
-// receive calls deliver with each message of another placer until the socket is closed. deliver may keep the message.
+// receive calls deliver with each message from another placer until the socket is closed. deliver may keep the message.
 func (g *gossipSocket) receive(deliver func(from int, message []byte)) {
-	buffer := make([]byte, maxDatagramSize+1) // a datagram over the limit shows by its length
+	buffer := make([]byte, maxDatagramSize+1) // one byte more than the limit, so that a longer datagram is detected
 	for {
 		n, sender, err := g.socket.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// isPeer reports whether a datagram with this number comes from the address that the settings give that other placer.
+// isPeer reports whether number is that of another placer and sender is that placer's address in the settings.
 func (g *gossipSocket) isPeer(number int, sender net.Addr) bool {
 	return number < len(g.peers) && number != g.self && sender.String() == g.peers[number].String()
 }
--- a/internal/server/placer/helpers_test.go
+++ b/internal/server/placer/helpers_test.go
@@ -45,8 +45,8 @@
 	return fmt.Sprintf("services: {web: {deploy: {replicas: %d, resources: {reservations: {cpus: '0.01', memory: 1m}}}}}", replicas)
 }
 
-// submit submits a specification of one YAML file, under an Idempotency-Key unless that is "". It reads the outcomes if the
-// status is 200.
+// submit submits a specification of one YAML file, under an Idempotency-Key unless that is "". It reads the outcomes if
+// the status is 200.
 func submit(t testing.TB, address, key, spec string) (*http.Response, []core.Outcome) {
 	t.Helper()
 	resp := send(t, newSubmission(t, address, key, "application/yaml", spec))
--- a/internal/server/placer/http_server.go
+++ b/internal/server/placer/http_server.go
@@ -14,21 +14,21 @@
 	"forkhead/internal/server/netio"
 )
 
-// How long a client may take. A slow one holds its connection and nothing else.
+// Timeouts of a client. A slow client holds no more than its connection.
 const (
-	firstRequestTimeout = 10 * time.Second // from the opening of the connection to the end of its first request
-	nextRequestTimeout  = 60 * time.Second // from a response to the end of the next request
-	bodyTimeout         = 30 * time.Second // for a body after 100 (Continue), in place of the two above
-	flushTimeout        = 10 * time.Second // to read the last response of a connection
+	firstRequestTimeout = 10 * time.Second // from the opening of a connection until its first request is complete
+	nextRequestTimeout  = 60 * time.Second // from a response until the next request is complete
+	bodyTimeout         = 30 * time.Second // for the body after 100 Continue, instead of the two above
+	flushTimeout        = 10 * time.Second // for the client to read the last response of a connection
 )
 
 const (
-	// writeBufferReserve is what a connection may hold unwritten beside the outcomes that Limits.Buffer bounds: response
-	// heads, problems and one line more than the bound, in bytes.
+	// writeBufferReserve is the part of a connection's write buffer, in bytes, that is added to Limits.Buffer, which
+	// bounds the outcomes. It holds response heads, problems and the one line of outcomes that may exceed the limit.
 	writeBufferReserve = 1 << 20
-	// rejectedRetryAfter is sent to clients that are to try again later.
+	// rejectedRetryAfter is the Retry-After of responses that this package rejects a request or connection with.
 	rejectedRetryAfter = time.Second
-	// idlePollInterval is how often waitUntilIdle looks.
+	// idlePollInterval is the time between two checks of waitUntilIdle.
 	idlePollInterval = 10 * time.Millisecond
 )
 
@@ -36,22 +36,23 @@
 type httpServer struct {
 	placer      *Server
 	listener    *netio.Listener // set before Start returns
-	connections atomic.Int64    // open ones, without those over the limit
+	connections atomic.Int64    // number of open connections, without those rejected at the limit
 	feasibility *feasibilityChecker
 
 	// The rest belongs to the loop.
-	lastRequest uint64
-	pending     map[uint64]*pendingRequest         // requests that the core has not answered, by their number
-	streams     map[string]map[*outcomeStream]bool // unfinished responses, by submission
+	lastRequest uint64                             // number of the last request in pending
+	pending     map[uint64]*pendingRequest         // requests without a result of the core, by request number
+	streams     map[string]map[*outcomeStream]bool // unfinished outcome streams, by submission ID
 }
 
-// pendingRequest is a request that the core is to answer with Accepted or Rejected.
+// pendingRequest is a request for which the core has not yet emitted Accepted or Rejected.
 type pendingRequest struct {
 	conn       *httpConn
-	closeAfter bool // the connection, once it is answered
-	removal    bool // of a project; else a submission, whose outcomes are the answer
+	closeAfter bool // whether to close the connection after the response
+	removal    bool // true: it removes a project; false: it is a submission, and the response streams its outcomes
 }
 
+// newHTTPServer returns a server that does not listen yet.
 func newHTTPServer(s *Server) *httpServer {
 	return &httpServer{
 		placer: s, feasibility: newFeasibilityChecker(s.settings),
@@ -59,7 +60,7 @@
 	}
 }
 
-// listen opens the listener.
+// listen opens the listener and starts to accept connections.
 func (h *httpServer) listen(address string) error {
 	var err error
 	h.listener, err = h.placer.engine.Listen(address, h.placer.settings.Limits.Buffer+writeBufferReserve, h.accept)
@@ -75,10 +76,10 @@
 	return &httpConn{server: h, conn: c, parser: http1.NewParser(http1.DefaultLimits(h.placer.settings.Limits.Body))}
 }
 
-// stopping reports whether nothing new is taken any more.
+// stopping reports whether the placer accepts no further connections and submissions.
 func (h *httpServer) stopping() bool { return h.placer.accepting.Err() != nil }
 
-// waitUntilIdle returns when no request waits for the core and no stream of outcomes is unfinished, or ctx is done.
+// waitUntilIdle returns when no request is pending and no outcome stream is unfinished, or when ctx is done.
 func (h *httpServer) waitUntilIdle(ctx context.Context) {
 	ticker := time.NewTicker(idlePollInterval)
 	defer ticker.Stop()
@@ -96,7 +97,7 @@
 	}
 }
 
-// rejectedConn is the handler of a connection over the limit: it answers the first bytes and closes.
+// rejectedConn is the handler of a connection beyond the limit: it responds to the first bytes with 503 and closes.
 type rejectedConn struct{}
 
 // Data implements netio.Handler.
@@ -112,22 +113,22 @@
 // Closed implements netio.Handler.
 func (rejectedConn) Closed(*netio.Conn, error) {}
 
-// httpConn is one connection of a client. Its requests are answered one after another; those that are sent ahead wait in
-// the parser, within its bound.
+// httpConn is one connection of a client. Its requests are answered one after another. Pipelined requests wait in the
+// parser, within its limits.
 type httpConn struct {
 	server *httpServer
 	conn   *netio.Conn
 
-	mu     sync.Mutex // held by whoever uses the parser: a poller, or a goroutine of resume
+	mu     sync.Mutex // held by the user of the parser: a poller, or a goroutine of resume
 	parser *http1.Parser
-	busy   bool // a request is being answered
+	busy   bool // whether a request is being answered
 
 	// The rest belongs to the loop.
 	closed bool
-	stream *outcomeStream // being written; nil: none
+	stream *outcomeStream // being written; nil: there is none
 }
 
-// Opened implements netio.Opener: the time for the first request begins.
+// Opened implements netio.Opener: it starts the timeout of the first request.
 func (c *httpConn) Opened(conn *netio.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,7 +137,7 @@
 	}
 }
 
-// Data implements netio.Handler.
+// Data implements netio.Handler: it feeds received bytes to the parser and handles a complete request.
 func (c *httpConn) Data(_ *netio.Conn, data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,7 +145,7 @@
 	c.handleParsed(request, err)
 }
 
-// Drained implements netio.Drainer: a stream of outcomes that waited for its reader goes on.
+// Drained implements netio.Drainer: it continues an outcome stream that waited for the client to read.
 func (c *httpConn) Drained(*netio.Conn) {
 	c.server.placer.loop.Post(func() {
 		if c.stream != nil {
@@ -153,7 +154,8 @@
 	})
 }
 
-// Closed implements netio.Handler: the client's requests are dropped, what it has submitted goes on.
+// Closed implements netio.Handler: it drops the client's requests, but not the submissions that were passed to the
+// core.
 func (c *httpConn) Closed(*netio.Conn, error) {
 	h := c.server
 	h.connections.Add(-1)
@@ -170,12 +172,12 @@
 	})
 }
 
-// handleParsed acts on what the parser returned: a request, an error, or neither as more bytes are needed. c.mu is held.
+// handleParsed handles the result of the parser: a request, an error, or neither if it needs more bytes. c.mu is held.
 func (c *httpConn) handleParsed(request *http1.Request, err error) {
 	var invalid *http1.Error
 	switch {
 	case errors.As(err, &invalid):
-		if c.busy { // the answer would come between others
+		if c.busy { // an error response could be mixed up with the one being written
 			c.conn.CloseWith(err)
 			return
 		}
@@ -193,19 +195,19 @@
 	}
 }
 
-// respond writes a complete response and goes on. c.mu is held.
+// respond writes a complete response and proceeds. c.mu is held.
 func (c *httpConn) respond(response []byte, closeAfter bool) {
-	_ = c.conn.Write(response) // a failed write closes the connection, which Closed reports
+	_ = c.conn.Write(response) // a failed write closes the connection, and netio calls Closed
 	c.proceed(closeAfter)
 }
 
-// respondProblem answers a request with a problem and goes on. c.mu is held.
+// respondProblem responds to a request with a problem and proceeds. c.mu is held.
 func (c *httpConn) respondProblem(request *http1.Request, p problemResponse) {
 	c.respond(p.encode(request.Close), request.Close)
 }
 
-// proceed closes the connection once all is written, or goes on to the next request, which may have been sent ahead. c.mu
-// is held.
+// proceed closes the connection once all is written, or starts with the next request, which may have been received
+// already. c.mu is held.
 func (c *httpConn) proceed(closeAfter bool) {
 	if closeAfter {
 		c.conn.SetReadTimeout(0)
@@ -218,7 +220,8 @@
 	c.handleParsed(request, err)
 }
 
-// resume is proceed for the loop. The loop must not wait for c.mu, whose holder may wait for space in the loop's queue.
+// resume calls proceed from the loop, on another goroutine: the loop must not wait for c.mu, whose holder may be
+// waiting for space in the loop's queue.
 func (c *httpConn) resume(closeAfter bool) {
 	c.server.placer.spawn(func() {
 		c.mu.Lock()
@@ -227,7 +230,7 @@
 	})
 }
 
-// respondFromLoop is respond for the loop.
+// respondFromLoop writes a complete response and proceeds. It runs on the loop.
 func (c *httpConn) respondFromLoop(response []byte, closeAfter bool) {
 	if c.closed {
 		return
@@ -236,20 +239,21 @@
 	c.resume(closeAfter)
 }
 
-// route is a method of a resource. A path that ends with a slash matches all paths below it; handle gets the rest.
+// route is a method of a resource. A path that ends with a slash matches all paths below it; handle gets the rest as
+// name.
 type route struct {
 	path   string
 	method string
 	handle func(c *httpConn, request *http1.Request, name string)
 }
 
-// findRoute returns the route of a path and what follows the route's path.
+// findRoute returns the route that matches a path, and the part of the path after the route's path.
 func findRoute(path string) (r route, name string, ok bool) {
 	for _, r := range []route{
 		{"/v1/submissions", http.MethodPost, (*httpConn).submit},
-		{"/v1/submissions/", http.MethodGet, (*httpConn).readOutcomes},
+		{"/v1/submissions/", http.MethodGet, (*httpConn).getOutcomes},
 		{"/v1/projects/", http.MethodDelete, (*httpConn).removeProject},
-		{"/v1/status", http.MethodGet, (*httpConn).readStatus},
+		{"/v1/status", http.MethodGet, (*httpConn).getStatus},
 	} {
 		name, found := strings.CutPrefix(path, r.path)
 		if found && (name == "" || strings.HasSuffix(r.path, "/")) {
@@ -259,7 +263,7 @@
 	return route{}, "", false
 }
 
-// serve answers a request or hands it to the core. c.mu is held.
+// serve responds to a request or passes it to the core. c.mu is held.
 func (c *httpConn) serve(request *http1.Request) {
 	route, name, ok := findRoute(request.Path)
 	switch {
@@ -274,7 +278,7 @@
 	}
 }
 
-// removeProject hands the removal of a project to the core.
+// removeProject passes the removal of a project to the core. c.mu is held.
 func (c *httpConn) removeProject(request *http1.Request, name string) {
 	h := c.server
 	h.placer.loop.PostBlocking(func() {
@@ -283,8 +287,8 @@
 	})
 }
 
-// readStatus answers with the core's counts.
-func (c *httpConn) readStatus(request *http1.Request, _ string) {
+// getStatus responds with the core's status. c.mu is held.
+func (c *httpConn) getStatus(request *http1.Request, _ string) {
 	s := c.server.placer
 	s.loop.PostBlocking(func() {
 		header := []http1.Field{{Name: "content-type", Value: "application/json"}}
@@ -292,21 +296,21 @@
 	})
 }
 
-// addPending numbers a request that is to be handed to the core. It runs on the loop.
+// addPending registers a request that is about to be passed to the core, and returns its number. It runs on the loop.
 func (h *httpServer) addPending(request *pendingRequest) uint64 {
 	h.lastRequest++
 	h.pending[h.lastRequest] = request
 	return h.lastRequest
 }
 
-// takePending returns a request that the core has answered, or nil if its client has left. It runs on the loop.
+// takePending removes and returns a pending request, or returns nil if its connection is closed. It runs on the loop.
 func (h *httpServer) takePending(number uint64) *pendingRequest {
 	request := h.pending[number]
 	delete(h.pending, number)
 	return request
 }
 
-// requestAccepted answers a request that the core has taken. It runs on the loop.
+// requestAccepted responds to a request that the core has accepted. It runs on the loop.
 func (h *httpServer) requestAccepted(o core.Accepted) {
 	request := h.takePending(o.Request)
 	if request == nil {
@@ -320,7 +324,7 @@
 	h.streamOutcomes(request.conn, o.Submission, request.closeAfter)
 }
 
-// requestRejected answers a request that the core has rejected. It runs on the loop.
+// requestRejected responds to a request that the core has rejected. It runs on the loop.
 func (h *httpServer) requestRejected(o core.Rejected) {
 	request := h.takePending(o.Request)
 	if request == nil {
--- a/internal/server/placer/machine_list.go
+++ b/internal/server/placer/machine_list.go
@@ -8,7 +8,7 @@
 	"forkhead/internal/server/listwatch"
 )
 
-// watchMachineList starts to watch the machine list, unless that is being done. The watch lasts until a poll fails; the
+// watchMachineList starts a watch of the machine list, unless one is running. The watch ends when a poll fails; the
 // core then subscribes again.
 func (s *Server) watchMachineList() {
 	if s.watch != nil {
@@ -27,7 +27,7 @@
 	})
 }
 
-// machineListReceived hands a complete list to the core and to the feasibility checks. It runs on the loop.
+// machineListReceived passes a complete list to the core and to the feasibility checker. It runs on the loop.
 func (s *Server) machineListReceived(machines []core.HostEntry, unusable []string) {
 	if len(unusable) > 0 {
 		s.log.Warn().Strs("entries", unusable).Msg("unusable entries in the machine list")
@@ -36,9 +36,9 @@
 	s.http.feasibility.setMachines(machines)
 }
 
-// machineListFailed notifies the core that its watch has ended with a failed poll. It runs on the loop.
+// machineListFailed notifies the core that a failed poll has ended the watch. It runs on the loop.
 func (s *Server) machineListFailed(err error) {
-	s.watch.Stop() // its goroutine is ending by itself
+	s.watch.Stop() // returns soon: the watch's goroutine is ending
 	s.watch = nil
 	s.log.Debug().Err(err).Str("address", s.settings.ServiceDiscovery.Address).Msg("poll of the machine list failed")
 	s.addInput(core.HostListReceived{Mode: forkhead.ListFailed})
--- a/internal/server/placer/outcomes.go
+++ b/internal/server/placer/outcomes.go
@@ -7,17 +7,18 @@
 	"forkhead/internal/protocol/http1"
 )
 
-// outcomeStream is a response that streams a submission's outcomes, one JSON object a line. It belongs to the loop.
+// outcomeStream is a response that streams the outcomes of a submission, one JSON object per line. It belongs to the
+// loop.
 type outcomeStream struct {
 	conn       *httpConn
-	submission string
-	written    int    // outcomes
-	closeAfter bool   // the connection, once all are written
-	buffer     []byte // reused by each write
+	submission string // ID
+	written    int    // number of outcomes written
+	closeAfter bool   // whether to close the connection after the last outcome
+	buffer     []byte // of the lines of one write, reused by the next
 }
 
-// readOutcomes streams the outcomes of a submission that may have been taken earlier. c.mu is held.
-func (c *httpConn) readOutcomes(request *http1.Request, submission string) {
+// getOutcomes streams the outcomes of a submission that the placer accepted for an earlier request. c.mu is held.
+func (c *httpConn) getOutcomes(request *http1.Request, submission string) {
 	h := c.server
 	h.placer.loop.PostBlocking(func() {
 		if _, _, known := h.placer.core.Outcomes(submission, 0); !known {
@@ -29,7 +30,7 @@
 	})
 }
 
-// streamOutcomes begins to stream a submission's outcomes to a client until it is complete. It runs on the loop.
+// streamOutcomes starts a response that streams the outcomes of a submission until it is complete. It runs on the loop.
 func (h *httpServer) streamOutcomes(c *httpConn, submission string, closeAfter bool) {
 	if c.closed {
 		return
@@ -50,15 +51,15 @@
 	h.writeOutcomes(stream)
 }
 
-// outcomesAdded goes on with the streams of a submission that has more outcomes or is complete. It runs on the loop.
+// outcomesAdded continues the streams of a submission that has more outcomes or is complete. It runs on the loop.
 func (h *httpServer) outcomesAdded(submission string) {
 	for stream := range h.streams[submission] {
 		h.writeOutcomes(stream)
 	}
 }
 
-// writeOutcomes writes as many outcomes as the client's buffer has space for. A client that does not read holds
-// Limits.Buffer bytes and no more: the rest stays with the submission until Drained. It runs on the loop.
+// writeOutcomes writes as many outcomes as fit into Limits.Buffer bytes that are not yet sent. Where the client does
+// not read, the other outcomes stay with the submission until Drained is called. It runs on the loop.
 func (h *httpServer) writeOutcomes(stream *outcomeStream) {
 	s, conn := h.placer, stream.conn.conn
 	outcomes, complete, known := s.core.Outcomes(stream.submission, stream.written)
@@ -66,7 +67,7 @@
 	lines := stream.buffer[:0]
 	written := 0
 	for written < len(outcomes) && len(lines) < space {
-		line, _ := json.Marshal(&outcomes[written]) // strings and integers: never fails
+		line, _ := json.Marshal(&outcomes[written]) // never fails, since the fields are strings and integers
 		lines = append(append(lines, line...), '\n')
 		written++
 	}
@@ -86,7 +87,7 @@
 	}
 }
 
-// endStream removes a stream that is finished or whose client has left. It runs on the loop.
+// endStream removes a stream that is finished or whose connection is closed. It runs on the loop.
 func (h *httpServer) endStream(stream *outcomeStream) {
 	stream.conn.stream = nil
 	streams := h.streams[stream.submission]
--- a/internal/server/placer/persistence.go
+++ b/internal/server/placer/persistence.go
@@ -8,17 +8,17 @@
 	"forkhead/internal/server/store"
 )
 
-// maxFlushDelay bounds how long a record that no output waits for may stay in memory.
+// maxFlushDelay bounds the time for which a record that no output waits for stays in memory.
 const maxFlushDelay = 50 * time.Millisecond
 
 // persister writes the core's records to the store. It belongs to the loop.
 type persister struct {
 	store   *store.Store  // nil: nothing is stored
-	flushBy time.Duration // when what the store holds in memory is to be written at the latest; 0: it holds nothing
+	flushBy time.Duration // when to flush the store's pending changes at the latest; 0: there are none
 }
 
-// persist writes the records among a step's outputs, with one fsync if any of them has to be waited for. It must return
-// before the step's other outputs are executed.
+// persist commits the records among the outputs of a step, with one fsync if an output has to wait for any of them. It
+// must return before the other outputs are executed.
 func (p *persister) persist(now time.Duration, outputs []core.Output) error {
 	if p.store == nil {
 		return nil
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// persist makes a step durable and reports whether its outputs may be executed. Once the store has failed none may ever
-// be: what this incarnation has sent must not differ from what the next one starts with.
+// persist makes a step durable and reports whether its outputs may be executed. It returns false for every step once
+// the store has failed: what this incarnation has sent must not differ from the state with which the next one starts.
 func (s *Server) persist(now time.Duration, outputs []core.Output) bool {
 	if s.storeFailed {
 		return false
--- a/internal/server/placer/problems.go
+++ b/internal/server/placer/problems.go
@@ -11,14 +11,15 @@
 	"forkhead/internal/protocol/http1"
 )
 
-// Types of problems that a client may distinguish by them. All others have about:blank and are distinguished by their status.
+// Types of problems. Problems that a client may need to distinguish have a type of their own; all others have
+// defaultType and are distinguished by their status.
 const (
 	invalidSpecType = "urn:forkhead:bad-description"
 	infeasibleType  = "urn:forkhead:impossible"
-	otherType       = "about:blank"
+	defaultType     = "about:blank"
 )
 
-// Problem is the body of a response with an error, by RFC 9457.
+// Problem is the body of an error response, according to RFC 9457.
 type Problem struct {
 	Type   string      `json:"type"` // "": about:blank
 	Title  string      `json:"title"`
@@ -29,16 +30,16 @@
 	Conflict []string `json:"conflict,omitempty"` // requirements that cannot be met together
 }
 
-// SpecError is one error of a service specification and its position.
+// SpecError is an error in a service specification, with its position.
 type SpecError struct {
 	File   string `json:"file"`
-	Line   int    `json:"line,omitempty"`   // from 1; 0: of the whole file
+	Line   int    `json:"line,omitempty"`   // from 1; 0: the error concerns the whole file
 	Column int    `json:"column,omitempty"` // from 1
 	Detail string `json:"detail"`
-	Want   string `json:"want,omitempty"` // what would be right
+	Want   string `json:"want,omitempty"` // what is valid instead
 }
 
-// InvalidSpecProblem returns the Problem of a parser's error, which may be several joined.
+// InvalidSpecProblem returns the Problem for an error of the specification's parser, which may join several errors.
 func InvalidSpecProblem(err error) Problem {
 	return Problem{
 		Type: invalidSpecType, Title: "The description cannot be used", Status: http.StatusUnprocessableEntity, Detail: err.Error(),
@@ -46,7 +47,7 @@
 	}
 }
 
-// appendSpecErrors appends the errors with a position among those that are joined in err.
+// appendSpecErrors appends the errors joined in err that have a position.
 func appendSpecErrors(list []SpecError, err error) []SpecError {
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
 		for _, e := range joined.Unwrap() {
@@ -60,7 +61,7 @@
 	return list
 }
 
-// infeasibleProblem returns the Problem of a specification that cannot be placed completely.
+// infeasibleProblem returns the Problem for a specification that cannot be placed completely.
 func infeasibleProblem(conflict []string) Problem {
 	return Problem{
 		Type: infeasibleType, Title: "No placement exists", Status: http.StatusUnprocessableEntity,
@@ -72,14 +73,14 @@
 // problemResponse is a response with a Problem.
 type problemResponse struct {
 	Problem
-	header     []http1.Field // beside those of every problem
-	retryAfter time.Duration // rounded up to seconds; 0: not given
+	header     []http1.Field // in addition to the fields of every problem
+	retryAfter time.Duration // sent rounded up to full seconds; 0: not sent
 }
 
-// encode returns the bytes of the response. closeAfter notifies the client that the connection ends with it.
+// encode returns the bytes of the response. closeAfter announces that the connection is closed after it.
 func (p problemResponse) encode(closeAfter bool) []byte {
 	if p.Type == "" {
-		p.Type = otherType
+		p.Type = defaultType
 	}
 	header := append(p.header, http1.Field{Name: "content-type", Value: "application/problem+json"})
 	if p.retryAfter > 0 {
@@ -89,7 +90,7 @@
 	return jsonResponse(p.Status, header, p.Problem, closeAfter)
 }
 
-// jsonResponse returns a response whose body is a value as one line of JSON. The value must be one that can be encoded.
+// jsonResponse returns the bytes of a response with value as one line of JSON. The value must be encodable.
 func jsonResponse(status int, header []http1.Field, value any, closeAfter bool) []byte {
 	body, _ := json.Marshal(value)
 	body = append(body, '\n')
--- a/internal/server/placer/server.go
+++ b/internal/server/placer/server.go
@@ -1,8 +1,8 @@
-// Package placer runs a placer's core: it owns the connections to the hosts, the HTTP server, the watch of the machine
-// list, the gossip socket and the use of the store. It decides nothing.
+// Package placer runs a placer's core. It owns the connections to the hosts, the HTTP server, the watch of the machine
+// list and the gossip socket, and writes to the store. It makes no placement decisions.
 //
-// The core belongs to one goroutine, the loop. Everything that arrives is handed to the loop as an input, and the loop
-// executes the outputs of each step. What else belongs to the loop is noted at each field.
+// The core belongs to one goroutine, the loop. All events are passed to the loop as inputs of the core, and the loop
+// executes the outputs of each step. Fields that belong to the loop, and may be used only on it, are marked as such.
 package placer
 
 import (
@@ -25,33 +25,33 @@
 )
 
 const (
-	pollers       = 2      // goroutines that read the sockets
-	maxQueuedJobs = 20_000 // of the loop; beyond it those that read sockets wait
+	pollers       = 2      // number of goroutines that read the TCP sockets
+	maxQueuedJobs = 20_000 // in the loop's queue; beyond it, PostBlocking makes the readers of sockets wait
 )
 
-// Config is what a placer runs with.
+// Config configures a placer.
 type Config struct {
-	Settings *settings.Settings // by For: Module.Self is this placer
-	Clock    *clock.Clock       // nil: one of its own
+	Settings *settings.Settings // as returned by Settings.For: Module.Self is this placer
+	Clock    *clock.Clock       // nil: a new one
 	Log      zerolog.Logger
 	Seed     uint64 // of the random choices
-	Epoch    uint64 // of this incarnation; 0: by the clock
-	// Store holds what must survive a restart, and Snapshot is what store.Open has read from it. nil: nothing is
-	// stored. The caller closes the store once the placer has been closed.
+	Epoch    uint64 // of this incarnation; 0: taken from the clock
+	// Store holds the state that must survive a restart, and Snapshot is its content as returned by store.Open. nil:
+	// nothing is stored. The caller closes the store after the placer.
 	Store    *store.Store
 	Snapshot *durable.Snapshot
-	// OnStep is called on the loop's goroutine with each step of the core: its time, the time that the core had requested
-	// (0: it had not), its inputs in the order of their receipt and its outputs in the order of their execution. It must
-	// keep neither slice. nil: not called.
+	// OnStep is called on the loop's goroutine for each step of the core: with its time, the time for which the core
+	// had requested a step (0: it had not), its inputs in the order of their receipt and its outputs in the order of
+	// their execution. It must not keep the slices. nil: not called.
 	OnStep func(now, due time.Duration, in []core.Input, out []core.Output)
-	// DropGossip reports whether a datagram of another placer is to be lost, for tests. It is called on the goroutine
-	// that receives gossip. nil: none is lost.
+	// DropGossip reports whether to drop a datagram from another placer, for tests. It is called on the goroutine that
+	// receives gossip. nil: none is dropped.
 	DropGossip func(from int) bool
-	// Decide replaces the module in tests of the invariants and of the rules' checker. nil: the module decides.
+	// Decide replaces the module, in tests of the invariants and of the rules checker. nil: the module decides.
 	Decide func(now time.Duration, events []forkhead.Event) []forkhead.Action
 }
 
-// Server is a running placer. Its exported methods may be called from any goroutine but the loop's.
+// Server is a running placer. Its exported methods may be called from any goroutine except the loop's.
 type Server struct {
 	settings *settings.Settings
 	log      zerolog.Logger
@@ -63,36 +63,36 @@
 	http   *httpServer
 	gossip *gossipSocket
 
-	// Done once the placer takes nothing new: it is shutting down, or its store has failed.
+	// accepting is done once the placer accepts no new submissions: it is shutting down, or its store has failed.
 	accepting     context.Context
 	stopAccepting context.CancelFunc
-	storeError    chan error // receives one error at most
+	storeError    chan error // receives at most one error, that of the store
 
-	// The rest up to mu belongs to the loop. Close uses watch after the loop has ended.
+	// The fields up to mu belong to the loop. Close uses watch after the loop has ended.
 	core        *core.Core
-	inputs      []core.Input  // of the next step
-	stepDue     time.Duration // when the core requested to be stepped; 0: it did not
-	hosts       map[string]*hostConn
-	unflushed   []*hostConn // with frames in their buffers
-	watch       *listwatch.Watch
+	inputs      []core.Input         // of the core's next step
+	stepDue     time.Duration        // time for which the core requested a step; 0: it did not
+	hostConns   map[string]*hostConn // current connections, by host
+	unflushed   []*hostConn          // connections with buffered frames
+	watch       *listwatch.Watch     // of the machine list; nil: not running
 	persister   persister
 	storeFailed bool
 
-	mu         sync.Mutex // guards closed, and goroutines against growing while Close waits
+	mu         sync.Mutex // guards closed, and keeps spawn from adding to goroutines once Close waits for them
 	closed     bool
 	goroutines sync.WaitGroup
 	closeOnce  sync.Once
 }
 
-// Start starts a placer. The HTTP server and the gossip socket accept traffic when it returns.
+// Start starts a placer. Once it has returned, the HTTP server and the gossip socket accept traffic.
 func Start(cfg Config) (*Server, error) {
 	if cfg.Clock == nil {
 		cfg.Clock = clock.New()
 	}
 	s := &Server{
-		settings: cfg.Settings, epoch: firstEpoch(&cfg), onStep: cfg.OnStep,
+		settings: cfg.Settings, epoch: chooseEpoch(&cfg), onStep: cfg.OnStep,
 		log:        cfg.Log.With().Int("placer", cfg.Settings.Module.Self).Logger(),
-		storeError: make(chan error, 1), hosts: map[string]*hostConn{}, persister: persister{store: cfg.Store},
+		storeError: make(chan error, 1), hostConns: map[string]*hostConn{}, persister: persister{store: cfg.Store},
 	}
 	s.accepting, s.stopAccepting = context.WithCancel(context.Background())
 	s.http = newHTTPServer(s)
@@ -113,20 +113,20 @@
 	return s, nil
 }
 
-// firstEpoch returns the epoch of the incarnation that cfg starts.
-func firstEpoch(cfg *Config) uint64 {
+// chooseEpoch returns the epoch of the incarnation that cfg starts.
+func chooseEpoch(cfg *Config) uint64 {
 	epoch := cfg.Epoch
 	if epoch == 0 {
 		epoch = uint64(cfg.Clock.Now().Microseconds())
 	}
 	if cfg.Snapshot != nil {
-		// The clock may have been set back, and hosts reject an earlier epoch.
+		// The clock may have been set back since the last incarnation, and hosts reject an earlier epoch.
 		epoch = max(epoch, cfg.Snapshot.Epoch+1)
 	}
 	return epoch
 }
 
-// open opens the sockets and starts the goroutines. After an error all of them are closed again.
+// open opens the sockets and starts the goroutines. If it fails, it closes and ends those it has opened and started.
 func (s *Server) open(cfg *Config) error {
 	self := s.settings.Module.Self
 	var err error
@@ -156,22 +156,23 @@
 // Address returns the HOST:PORT at which the HTTP server listens.
 func (s *Server) Address() string { return s.http.listener.Addr().String() }
 
-// Status returns the core's counts, or zeros once the placer is closed.
+// Status returns the core's status, or the zero Status once the placer is closed.
 func (s *Server) Status() core.Status {
 	var status core.Status
 	s.loop.Call(func() { status = s.core.Status() })
 	return status
 }
 
-// Failed returns a channel that receives the store's error if the store fails. Nothing leaves the placer after that: the
-// caller is expected to close it.
+// Failed returns a channel that receives the store's error if the store fails. The placer executes no outputs after
+// that, and the caller should close it.
 func (s *Server) Failed() <-chan error { return s.storeError }
 
-// InjectStall blocks the loop for a while, as a long garbage collection or a stopped process would. It is for tests.
+// InjectStall blocks the loop for the duration d, as a long garbage collection or a stopped process would. It is for
+// tests.
 func (s *Server) InjectStall(d time.Duration) { s.loop.Post(func() { time.Sleep(d) }) }
 
-// Shutdown takes no new submission, waits until the open requests are answered or ctx is done, and then closes the
-// placer. Placed tasks keep running.
+// Shutdown stops accepting submissions, waits until the open requests have been answered or ctx is done, and then
+// closes the placer. Placed tasks keep running.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.stopAccepting()
 	_ = s.http.listener.Close()
@@ -179,8 +180,8 @@
 	s.Close()
 }
 
-// Close closes the placer at once, as if its process were killed: requests are cut off and the core's state is lost but
-// for what the store holds. It returns when all goroutines have ended.
+// Close closes the placer immediately, as if its process were killed: it cuts off requests and loses the core's state
+// except for what is in the store. It returns when all goroutines have ended.
 func (s *Server) Close() {
 	s.closeOnce.Do(func() {
 		s.stopAccepting()
@@ -197,7 +198,7 @@
 	})
 }
 
-// spawn runs f on a goroutine for which Close waits. Once Close waits already, f is not run.
+// spawn runs f on a new goroutine for which Close waits. It does not run f if Close is already waiting.
 func (s *Server) spawn(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/server/placer/step.go
+++ b/internal/server/placer/step.go
@@ -6,10 +6,10 @@
 	"forkhead/internal/scheduler/core"
 )
 
-// addInput adds an input to the core's next step. It is called on the loop.
+// addInput adds an input to the core's next step. It runs on the loop.
 func (s *Server) addInput(in core.Input) { s.inputs = append(s.inputs, in) }
 
-// step is the eventloop.Step of the loop: it hands the collected inputs to the core and executes the outputs.
+// step is the eventloop.Step of the loop: it passes the collected inputs to the core and executes the outputs.
 func (s *Server) step(now time.Duration) (time.Duration, bool) {
 	inputs := s.inputs
 	s.inputs = s.inputs[:0]
@@ -24,11 +24,11 @@
 		s.execute(o)
 	}
 	clear(inputs)
-	s.flushHosts()
+	s.flushHostConns()
 	return s.nextStep()
 }
 
-// nextStep returns when the loop is to step again by itself: for a timer of the core or for a delayed write of the store.
+// nextStep returns the time of the next step without an input, if any: for a timer of the core or a flush of the store.
 func (s *Server) nextStep() (time.Duration, bool) {
 	next, ok := s.core.Next()
 	s.stepDue = 0
@@ -47,7 +47,7 @@
 	case core.DialHost:
 		s.dialHost(o)
 	case core.CloseHostConnection:
-		s.closeHost(o)
+		s.closeHostConn(o)
 	case core.SendToHost:
 		s.sendToHost(o)
 	case core.Subscribe:
@@ -60,13 +60,13 @@
 		s.http.requestRejected(o)
 	case core.OutcomesAdded:
 		s.http.outcomesAdded(o.Submission)
-	case core.Persist: // by persist, before any output is executed
+	case core.Persist: // committed by Server.persist before any output is executed
 	case core.Log:
 		s.logOutput(o)
 	}
 }
 
-// logOutput writes a line of the core, whose text is the core's own.
+// logOutput logs a message of the core, with its text unchanged.
 func (s *Server) logOutput(o core.Log) {
 	level := s.log.Info()
 	if o.Defect {
--- a/internal/server/placer/submissions.go
+++ b/internal/server/placer/submissions.go
@@ -14,38 +14,39 @@
 	"forkhead/internal/scheduler/core"
 )
 
-// maxIdempotencyKey bounds an Idempotency-Key, in bytes.
+// maxIdempotencyKey bounds the length of an Idempotency-Key in bytes.
 const maxIdempotencyKey = 200
 
 // EnvelopeMediaType is the media type of an Envelope.
 const EnvelopeMediaType = "application/vnd.forkhead.files+json"
 
-// Envelope is the body of a submission of several files with variables.
+// Envelope is the body of a submission of several files, with the values of the variables in them.
 type Envelope struct {
-	Files     []compose.File    `json:"files"`            // merged in this order
-	Others    []compose.File    `json:"others,omitempty"` // those that Files refer to
+	Files     []compose.File    `json:"files"`            // Compose files, merged in this order
+	Others    []compose.File    `json:"others,omitempty"` // files that Files refer to
 	Variables map[string]string `json:"variables,omitempty"`
 	Profiles  []string          `json:"profiles,omitempty"`
-	Services  []string          `json:"services,omitempty"` // wanted whatever their profiles
-	Project   string            `json:"project,omitempty"`  // "": named by the files
+	Services  []string          `json:"services,omitempty"` // names of services to include whatever their profiles
+	Project   string            `json:"project,omitempty"`  // name of the project; "": named by the files
 }
 
-// submit reads a submission and hands it to the core, which answers with its outcomes. c.mu is held.
+// submit reads a submission and passes it to the core. The response streams its outcomes. c.mu is held.
 func (c *httpConn) submit(request *http1.Request, _ string) {
 	submission, problem := c.server.readSubmission(request)
 	if problem != nil {
 		c.respondProblem(request, *problem)
 		return
 	}
-	if submission.Description.AllOrNothing && c.checkFeasibility(request, submission) {
+	if submission.Description.AllOrNothing && c.startFeasibilityCheck(request, submission) {
 		return
 	}
-	c.handToCore(request, submission)
+	c.submitToCore(request, submission)
 }
 
-// checkFeasibility hands a submission to the core unless it is proven that not all of its tasks can be placed. It returns
-// false, having done nothing, if too many checks are running: the module finds out as well, after some attempts.
-func (c *httpConn) checkFeasibility(request *http1.Request, submission core.Submit) bool {
+// startFeasibilityCheck starts a check on another goroutine, which rejects the submission if it is proven that not all
+// of its tasks can be placed, and otherwise passes it to the core. It returns false, without an effect, if too many
+// checks are running: the module finds an infeasible submission as well, after some attempts.
+func (c *httpConn) startFeasibilityCheck(request *http1.Request, submission core.Submit) bool {
 	s, checker := c.server.placer, c.server.feasibility
 	if !checker.acquire() {
 		return false
@@ -54,7 +55,7 @@
 		defer checker.release()
 		conflict := checker.findConflict(s.accepting, submission.Description)
 		if conflict == nil {
-			c.handToCore(request, submission)
+			c.submitToCore(request, submission)
 			return
 		}
 		p := problemResponse{Problem: infeasibleProblem(conflict)}
@@ -63,8 +64,8 @@
 	return true
 }
 
-// handToCore hands a submission to the core.
-func (c *httpConn) handToCore(request *http1.Request, submission core.Submit) {
+// submitToCore passes a submission to the core.
+func (c *httpConn) submitToCore(request *http1.Request, submission core.Submit) {
 	h := c.server
 	h.placer.loop.PostBlocking(func() {
 		submission.Request = h.addPending(&pendingRequest{conn: c, closeAfter: request.Close})
@@ -72,7 +73,7 @@
 	})
 }
 
-// readSubmission returns the core's input of a request, without its number, or a problem.
+// readSubmission returns the core's input for a request, without the request number, or the problem to respond with.
 func (h *httpServer) readSubmission(request *http1.Request) (core.Submit, *problemResponse) {
 	if h.stopping() {
 		p := Problem{Title: "Stopping", Status: http.StatusServiceUnavailable, Detail: "this placer is being stopped"}
@@ -94,7 +95,7 @@
 	return core.Submit{IdempotencyKey: key, BodyHash: hashSubmission(request), Description: spec}, nil
 }
 
-// hashSubmission returns a hash of all that a submission consists of but its key.
+// hashSubmission returns a hash of a submission without its Idempotency-Key.
 func hashSubmission(request *http1.Request) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(request.Get("content-type") + "\n" + request.Query.Encode() + "\n")) // never fails
@@ -102,7 +103,7 @@
 	return hash.Sum64()
 }
 
-// readComposeInput returns the files, variables and names that a submission consists of, by its media type.
+// readComposeInput returns the files, variables and names of a submission, which it reads according to the media type.
 func (h *httpServer) readComposeInput(request *http1.Request) (*compose.Input, *Problem) {
 	set := h.placer.settings
 	input := &compose.Input{Tenants: set.Tenants, Variables: map[string]string{}}
@@ -118,7 +119,7 @@
 	}
 	switch mediaType {
 	case "application/yaml", "application/x-yaml", "text/yaml", "text/x-yaml", "text/plain", "application/x-www-form-urlencoded":
-		// The last is what curl sends with --data-binary by default.
+		// curl sends the last one with --data-binary by default.
 		readComposeFile(request, input)
 	case EnvelopeMediaType:
 		if err := readEnvelope(request, input); err != nil {
@@ -132,7 +133,7 @@
 	return input, nil
 }
 
-// readComposeFile reads a submission whose body is one file; the query holds all else.
+// readComposeFile reads a submission whose body is one Compose file; all else is in the query.
 func readComposeFile(request *http1.Request, input *compose.Input) {
 	query := request.Query
 	name := query.Get("file")
