--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,6 @@
 // Package client submits service specifications to a placer over its HTTP API and reads the outcomes of their tasks.
-// After a lost response or a rejection that allows a retry, it sends the submission again under the same Idempotency-Key,
-// so that the placer accepts it only once.
+// After a lost response or a rejection that allows a retry, it sends the submission again under the same
+// Idempotency-Key, so that the placer accepts it only once.
 package client
 
 import (
@@ -38,15 +38,16 @@
 	Backoff        time.Duration // minimum time before a submission is sent again; a longer Retry-After takes precedence
 	// OnAccepted is called with the submission's ID for each successful response, before its outcomes. nil: not called.
 	OnAccepted func(submission string)
-	// OnOutcome is called with each outcome of each response, including those that an earlier response had. nil: not called.
+	// OnOutcome is called with each outcome of each response, including those that an earlier response had. nil: not
+	// called.
 	OnOutcome func(core.Outcome)
 	// OnBrokenStream is called with the submission's ID when a response ends before it is complete. nil: not called.
 	OnBrokenStream func(submission string)
 }
 
 // Submit sends a submission and calls deliver once with the outcome of each task, in the order of their receipt. It
-// returns nil when all outcomes have been read, and else the last error, which is a RejectionError if the placer responded
-// with a problem.
+// returns nil when all outcomes have been read, and else the last error, which is a RejectionError if the placer
+// responded with a problem.
 func (c *Client) Submit(ctx context.Context, envelope *placer.Envelope, deliver func(core.Outcome)) error {
 	body, err := json.Marshal(envelope)
 	if err != nil {
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -30,8 +30,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// After a 503 response with Retry-After and a stream that broke in the middle of a line, the submission is sent again under
-// the same key, and each outcome is delivered once.
+// After a 503 response with Retry-After and a stream that broke in the middle of a line, the submission is sent again
+// under the same key, and each outcome is delivered once.
 func TestClientResumesBrokenStream(t *testing.T) {
 	var keys []string
 	calls := 0
@@ -69,8 +69,8 @@
 	}
 }
 
-// A submission that the placer rejects with a status that does not allow a retry is sent once. Submit returns the rejection
-// with the errors of the specification.
+// A submission that the placer rejects with a status that does not allow a retry is sent once. Submit returns the
+// rejection with the errors of the specification.
 func TestClientReturnsFinalRejection(t *testing.T) {
 	calls := 0
 	address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/server/listwatch/listwatch.go
+++ b/internal/server/listwatch/listwatch.go
@@ -73,8 +73,8 @@
 		}
 		next := response.index
 		if next < index {
-			// The index went back, as after a restart of Consul. Consul's documentation requires a reset to 0 then, since a
-			// query with the old index may never return.
+			// The index went back, as after a restart of Consul. Consul's documentation requires a reset to 0 then,
+			// since a query with the old index may never return.
 			next = 0
 		}
 		if next != index || index == 0 {
@@ -94,7 +94,8 @@
 	index   uint64   // of the list; a query with this index blocks until the list has another one
 }
 
-// query requests the endpoint list. If index is not 0, Consul responds once the list has another index, or after MaxWait.
+// query requests the endpoint list. If index is not 0, Consul responds once the list has another index, or after
+// MaxWait.
 func (w *Watch) query(ctx context.Context, index uint64) (*listResponse, error) {
 	timeout := w.cfg.Timeout
 	parameters := url.Values{}
--- a/internal/server/listwatch/listwatch_test.go
+++ b/internal/server/listwatch/listwatch_test.go
@@ -27,7 +27,8 @@
 	return r
 }
 
-// startWatch starts a watch that ends with the test. The channels receive each list, and the error that ended the watch.
+// startWatch starts a watch that ends with the test. The channels receive each list, and the error that ended the
+// watch.
 func startWatch(t *testing.T, address string, maxWait time.Duration) (lists chan []consul.Host, failed chan error) {
 	t.Helper()
 	lists, failed = make(chan []consul.Host, 100), make(chan error, 1)
@@ -88,8 +89,8 @@
 	}
 }
 
-// After an index that goes back, as after a restart of Consul, a query with the old index could block forever: the watch
-// queries without an index then. A response without an index ends the watch with an error that names the header.
+// After an index that goes back, as after a restart of Consul, a query with the old index could block forever: the
+// watch queries without an index then. A response without an index ends the watch with an error that names the header.
 func TestWatchRestartsAfterIndexDecreases(t *testing.T) {
 	var calls atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/server/placer/golden_test.go
+++ b/internal/server/placer/golden_test.go
@@ -18,8 +18,8 @@
 	"forkhead/internal/scheduler/core"
 )
 
-// Responses with a problem have these heads and bodies.
-func TestProblemResponseGolden(t *testing.T) {
+// The bytes of a problem response are as in testdata: status line, header and body.
+func TestProblemResponseEncodesAsGoldenFile(t *testing.T) {
 	pos := diagnostic.Pos{File: "a.yaml", Line: 3, Col: 5}
 	var b bytes.Buffer
 	for _, c := range []struct {
@@ -41,8 +41,9 @@
 	goldentest.Check(t, "problems.txt", b.Bytes())
 }
 
-// A submission of several files has these keys, and what the HTTP server answers these.
-func TestBodiesGolden(t *testing.T) {
+// The JSON of submissions, outcomes and the status is as in testdata, and an envelope in testdata decodes to the same
+// value.
+func TestBodiesEncodeAsGoldenFile(t *testing.T) {
 	envelope := Envelope{
 		Files: []compose.File{{Name: "a.yaml", Text: "services: {}"}}, Others: []compose.File{{Name: "b.env", Text: "A=1"}},
 		Variables: map[string]string{"TAG": "1"}, Profiles: []string{"p"}, Services: []string{"s"}, Project: "shop",
@@ -60,7 +61,7 @@
 	enc := json.NewEncoder(&b)
 	for _, body := range []any{envelope, Envelope{}, outcome, core.Outcome{}, status} {
 		if err := enc.Encode(body); err != nil {
-			t.Fatal(err)
+			t.Fatalf("Encode(%T): %v", body, err)
 		}
 	}
 	goldentest.Check(t, "bodies.jsonl", b.Bytes())
@@ -71,6 +72,6 @@
 	}
 	var got Envelope
 	if err := json.Unmarshal(bytes.Split(kept, []byte("\n"))[1], &got); err != nil || !reflect.DeepEqual(got, envelope) {
-		t.Errorf("read as %+v, %v; want %+v", got, err, envelope)
+		t.Errorf("Unmarshal(envelope of bodies.jsonl) = %+v, %v, want %+v", got, err, envelope)
 	}
 }
--- a/internal/server/placer/gossip_test.go
+++ b/internal/server/placer/gossip_test.go
@@ -20,7 +20,7 @@
 	return socket
 }
 
-// newGossipSocket returns placer 0's socket. Placer 1 is the peer; drop is as in Config.DropGossip.
+// newGossipSocket returns the socket of placer 0, whose only peer is placer 1. drop is as in Config.DropGossip.
 func newGossipSocket(t *testing.T, peer net.PacketConn, drop func(from int) bool) *gossipSocket {
 	t.Helper()
 	set := &settings.Settings{Placers: []settings.Placer{{GossipAddress: "127.0.0.1:0"}, {GossipAddress: peer.LocalAddr().String()}}}
@@ -32,7 +32,8 @@
 	return g
 }
 
-// Messages that are not from a placer of the settings, or are of a wrong size, are not delivered.
+// A socket delivers no message that is empty, too long, dropped by the test, or not from the address of another placer
+// in the settings.
 func TestGossipSocketDeliversMessagesOfPeersOnly(t *testing.T) {
 	peer, stranger := listenUDP(t), listenUDP(t)
 	drops := 0
@@ -64,7 +65,7 @@
 		defer close(received)
 		g.receive(func(from int, message []byte) {
 			if from != 1 {
-				t.Errorf("a message of placer %d", from)
+				t.Errorf("receive delivered a message from placer %d, want only from placer 1", from)
 			}
 			got = append(got, string(message))
 			if string(message) == "last" {
@@ -75,15 +76,16 @@
 	select {
 	case <-received:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the last message is not delivered")
+		t.Fatal("receive did not deliver the last message within 10s")
 	}
 	if want := []string{"first", "last"}; !slices.Equal(got, want) {
-		t.Errorf("delivered %q; want %q", got, want)
+		t.Errorf("receive delivered %q, want %q", got, want)
 	}
 }
 
-// A message over the limit is not sent; others have the sender's number in front.
-func TestGossipSocketSend(t *testing.T) {
+// A socket sends no message that is too long or addressed to itself, and puts the sender's number in front of the
+// others.
+func TestGossipSocketSendsOnlyValidMessages(t *testing.T) {
 	peer := listenUDP(t)
 	g := newGossipSocket(t, peer, nil)
 	g.send(1, make([]byte, maxDatagramSize-gossipHeaderSize+1))
@@ -98,6 +100,6 @@
 		t.Fatal(err)
 	}
 	if got, want := string(buffer[:n]), "\x00\x00message"; got != want {
-		t.Errorf("sent %q; want %q", got, want)
+		t.Errorf("first datagram = %q, want %q", got, want)
 	}
 }
--- a/internal/server/placer/helpers_test.go
+++ b/internal/server/placer/helpers_test.go
@@ -18,10 +18,11 @@
 	"forkhead/internal/verify/testcluster"
 )
 
-// startPlacer starts one placer with four hosts and returns it with the address of its HTTP server.
+// startPlacer starts one placer with four hosts and returns the cluster and the address of the placer's HTTP server.
+// limits is a (limits ...) clause of the settings, or empty.
 func startPlacer(t testing.TB, limits string) (*testcluster.Cluster, string) {
 	t.Helper()
-	//nolint:misspell // keys of scripts keep their spelling
+	//nolint:misspell // keys of scenarios keep their spelling
 	text := `(badday (settings (forkhead (placer (zone a))
 	  (kind k (cores 64) (memory 256GiB)) (class web (effect safe) (wait 5s) (patience 30s)) (bound running) ` + limits + `))
 	  (hosts 4 (kind k) (zone a) (racks 2)) (catalogue (lag 0ms)) (host (start 1ms) (look 100us) (line 5000) (starts 64)))`
@@ -40,13 +41,13 @@
 	return cluster, cluster.Settings.Placers[0].HTTPAddress
 }
 
-// webSpec returns a specification of one service, web, that fits.
+// webSpec returns a specification of one service, web, which the hosts of startPlacer have room for.
 func webSpec(replicas int) string {
 	return fmt.Sprintf("services: {web: {deploy: {replicas: %d, resources: {reservations: {cpus: '0.01', memory: 1m}}}}}", replicas)
 }
 
-// submit submits a specification of one YAML file, under an Idempotency-Key unless that is "". It reads the outcomes if
-// the status is 200.
+// submit submits a specification of one YAML file, with an Idempotency-Key unless key is "". If the status is 200, it
+// returns the outcomes.
 func submit(t testing.TB, address, key, spec string) (*http.Response, []core.Outcome) {
 	t.Helper()
 	resp := send(t, newSubmission(t, address, key, "application/yaml", spec))
@@ -56,7 +57,7 @@
 	return resp, readOutcomes(t, resp.Body)
 }
 
-// newSubmission returns a request to submit a body, under an Idempotency-Key unless that is "".
+// newSubmission returns a request to submit a body, with an Idempotency-Key unless key is "".
 func newSubmission(t testing.TB, address, key, contentType, body string) *http.Request {
 	t.Helper()
 	req := newRequest(t, http.MethodPost, address, "/v1/submissions", strings.NewReader(body))
@@ -67,7 +68,7 @@
 	return req
 }
 
-// newRequest returns a request that ends with the test.
+// newRequest returns a request that is canceled at the end of the test.
 func newRequest(t testing.TB, method, address, path string, body io.Reader) *http.Request {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+address+path, body)
@@ -88,7 +89,7 @@
 	return resp
 }
 
-// readOutcomes reads a stream of outcomes to its end.
+// readOutcomes reads an outcome stream to its end.
 func readOutcomes(t testing.TB, stream io.Reader) []core.Outcome {
 	t.Helper()
 	var outcomes []core.Outcome
@@ -100,13 +101,13 @@
 			return outcomes
 		}
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("read outcome %d of the stream: %v", len(outcomes), err)
 		}
 		outcomes = append(outcomes, o)
 	}
 }
 
-// dial opens a connection for bytes that http.Client would not write. It is closed at the end of the test.
+// dial opens a connection, for requests that http.Client cannot send. It is closed at the end of the test.
 func dial(t testing.TB, address string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
--- a/internal/server/placer/http_server_test.go
+++ b/internal/server/placer/http_server_test.go
@@ -14,21 +14,23 @@
 	"forkhead/internal/server/placer"
 )
 
-func TestServerProblems(t *testing.T) {
+// Invalid submissions get a problem response with a suitable status and detail, and requests get the status of their
+// resource and method.
+func TestServerRespondsWithProblemToInvalidRequest(t *testing.T) {
 	_, address := startPlacer(t, "(limits (body 4096) (per-submit 50))")
 	for name, c := range map[string]struct {
 		contentType, key, body string
 		status                 int
 		want                   string
 	}{
-		"unreadable":     {"application/yaml", "", "a: [", 422, `"line":1`},
-		"unknown":        {"application/yaml", "", "services:\n  a: {imgae: x}", 422, `"file":"compose.yaml","line":2,"column":7`},
-		"too many tasks": {"application/yaml", "", webSpec(51), 413, "at most 50"},
-		"too long":       {"application/yaml", "", strings.Repeat("#", 5000), 413, "4096"},
-		"media type":     {"image/png", "", "x", 415, placer.EnvelopeMediaType},
-		"bad envelope":   {placer.EnvelopeMediaType, "", `{"fils":[]}`, 400, "unknown field"},
-		"empty envelope": {placer.EnvelopeMediaType, "", `{}`, 422, "there is nothing in it"},
-		"long key":       {"application/yaml", strings.Repeat("k", 300), webSpec(1), 400, "at most 200"},
+		"malformed YAML":            {"application/yaml", "", "a: [", 422, `"line":1`},
+		"unknown key":               {"application/yaml", "", "services:\n  a: {imgae: x}", 422, `"file":"compose.yaml","line":2,"column":7`},
+		"too many tasks":            {"application/yaml", "", webSpec(51), 413, "at most 50"},
+		"oversized body":            {"application/yaml", "", strings.Repeat("#", 5000), 413, "4096"},
+		"unknown media type":        {"image/png", "", "x", 415, placer.EnvelopeMediaType},
+		"unknown envelope key":      {placer.EnvelopeMediaType, "", `{"fils":[]}`, 400, "unknown field"},
+		"empty envelope":            {placer.EnvelopeMediaType, "", `{}`, 422, "there is nothing in it"},
+		"oversized idempotency key": {"application/yaml", strings.Repeat("k", 300), webSpec(1), 400, "at most 200"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			resp := send(t, newSubmission(t, address, c.key, c.contentType, c.body))
@@ -37,10 +39,10 @@
 				t.Fatal(err)
 			}
 			if got := resp.Header.Get("Content-Type"); got != "application/problem+json" {
-				t.Errorf("Content-Type %q", got)
+				t.Errorf("Content-Type = %q, want application/problem+json", got)
 			}
 			if resp.StatusCode != c.status || !bytes.Contains(body, []byte(c.want)) {
-				t.Errorf("%s %s; want %d with %s", resp.Status, body, c.status, c.want)
+				t.Errorf("response = %s with body %s, want status %d and a body with %s", resp.Status, body, c.status, c.want)
 			}
 		})
 	}
@@ -57,13 +59,14 @@
 	} {
 		t.Run(c.method+" "+c.path, func(t *testing.T) {
 			if resp := send(t, newRequest(t, c.method, address, c.path, nil)); resp.StatusCode != c.status {
-				t.Errorf("%s; want %d", resp.Status, c.status)
+				t.Errorf("status = %s, want %d", resp.Status, c.status)
 			}
 		})
 	}
 }
 
-// Requests sent ahead on one connection are answered one after another, in order.
+// Pipelined requests on one connection are answered in order, and the connection is closed after one with Connection:
+// close.
 func TestServerAnswersPipelinedRequestsInOrder(t *testing.T) {
 	_, address := startPlacer(t, "")
 	c := dial(t, address)
@@ -75,34 +78,36 @@
 	for i, want := range []int{200, 200, 200, 404} {
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
-			t.Fatalf("response %d: %v", i, err)
+			t.Fatalf("read response %d: %v", i, err)
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.StatusCode != want {
-			t.Fatalf("response %d: %s, %v", i, resp.Status, err)
+			t.Fatalf("response %d = %s, body error %v, want status %d, no error", i, resp.Status, err, want)
 		}
 	}
 	if _, err := r.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Fatalf("the connection is not closed: %v", err)
+		t.Fatalf("read after the last response: error %v, want EOF, as the connection is closed", err)
 	}
 }
 
-func TestServerSendsContinue(t *testing.T) {
+// A request with Expect: 100-continue gets 100 Continue before its body, and then its response.
+func TestServerSendsContinueWhenExpected(t *testing.T) {
 	_, address := startPlacer(t, "")
 	c := dial(t, address)
 	body := webSpec(1)
 	write(t, c, "POST /v1/submissions HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", len(body))
 	r := bufio.NewReader(c)
 	if line, err := r.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 100 ") {
-		t.Fatalf("%q, %v", line, err)
+		t.Fatalf("line after the request head = %q, %v, want status 100", line, err)
 	}
 	_, _ = r.ReadString('\n')
 	write(t, c, "%s", body)
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 {
-		t.Fatalf("%v, %v", resp, err)
+		t.Fatalf("response after the body = %v, %v, want status 200", resp, err)
 	}
 }
 
-// A request that the parser rejects is answered and the connection closed; so are bytes of another protocol.
+// A request that the parser rejects, or bytes of another protocol, get a 400 problem response, and the connection is
+// closed.
 func TestServerRejectsMalformedRequests(t *testing.T) {
 	_, address := startPlacer(t, "")
 	for _, text := range []string{"GET / HTTP/1.1\nHost: a\n\n", "\x16\x03\x01\x02\x00\x01\r\n\r\n", "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n"} {
@@ -110,12 +115,13 @@
 		write(t, c, "%s", text)
 		all, err := io.ReadAll(c)
 		if err != nil || !bytes.HasPrefix(all, []byte("HTTP/1.1 400 ")) || !bytes.Contains(all, []byte("problem+json")) {
-			t.Errorf("%q: %q, %v", text, all, err)
+			t.Errorf("response to %q = %q, %v, want a 400 problem and EOF", text, all, err)
 		}
 	}
 }
 
-func TestServerLimitsConnections(t *testing.T) {
+// A connection beyond the limit gets a 503 response with Retry-After.
+func TestServerRejectsConnectionBeyondLimit(t *testing.T) {
 	_, address := startPlacer(t, "(limits (connections 2))")
 	for range 2 {
 		dial(t, address)
@@ -123,8 +129,8 @@
 	time.Sleep(50 * time.Millisecond)
 	c := dial(t, address)
 	write(t, c, "GET /v1/status HTTP/1.1\r\nHost: a\r\n\r\n")
-	all, _ := io.ReadAll(c) // the connection may be reset behind the answer
+	all, _ := io.ReadAll(c) // an error is ignored: the connection may be reset after the response
 	if !bytes.HasPrefix(all, []byte("HTTP/1.1 503 ")) || !bytes.Contains(bytes.ToLower(all), []byte("retry-after: 1")) {
-		t.Fatalf("%q", all)
+		t.Fatalf("response on connection 3 of at most 2 = %q, want status 503 with Retry-After: 1", all)
 	}
 }
--- a/internal/server/placer/server_test.go
+++ b/internal/server/placer/server_test.go
@@ -18,8 +18,8 @@
 	"forkhead/internal/verify/scenario"
 )
 
-// Shutdown lets open requests end and takes nothing new.
-func TestServerShutdown(t *testing.T) {
+// Shutdown waits until the open requests have been answered and accepts no new connections.
+func TestServerShutdownCompletesOpenRequests(t *testing.T) {
 	cluster, address := startPlacer(t, "")
 	done := make(chan int)
 	req := newSubmission(t, address, "", "application/yaml", webSpec(200))
@@ -39,14 +39,15 @@
 	defer cancel()
 	cluster.Placer(0).Shutdown(ctx)
 	if n := <-done; n != 200 {
-		t.Fatalf("%d outcomes of 200", n)
+		t.Fatalf("the client read %d outcomes (-1: request failed), want 200", n)
 	}
 	if _, err := net.Dial("tcp", address); err == nil {
-		t.Fatal("the HTTP server still listens")
+		t.Fatalf("Dial(%s) after Shutdown succeeded, want an error", address)
 	}
 }
 
-// A placer whose store fails reports that once, takes no submission and steps on without any further output.
+// A placer whose store fails reports the error once and executes no outputs from then on, so it accepts no submission:
+// what it sends must not differ from the state with which its next incarnation starts. Its loop keeps running.
 func TestServerStopsAnsweringWhenStoreFails(t *testing.T) {
 	script, err := scenario.Read("test", []byte(`(badday (settings (forkhead (placer (zone a) (http "127.0.0.1:0") (tell "127.0.0.1:0"))
 	  (kind k (cores 64) (memory 256GiB)) (class web (effect safe)))) (hosts 1 (kind k) (zone a)))`))
@@ -70,19 +71,19 @@
 	select {
 	case err := <-p.Failed():
 		if !errors.Is(err, store.ErrFull) {
-			t.Errorf("failed with %v; want %v", err, store.ErrFull)
+			t.Errorf("Failed() received %v, want %v", err, store.ErrFull)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("the store's error is not reported")
+		t.Fatal("Failed() received no error within 10s of the store's failure")
 	}
-	p.Status() // the loop still runs
+	p.Status() // would block forever if the loop were stuck
 	p.Close()
 	if answer, _ := io.ReadAll(c); bytes.HasPrefix(answer, []byte("HTTP/1.1 200 ")) {
-		t.Errorf("answered %q after the store had failed", answer)
+		t.Errorf("response after the store failed = %q, want none with status 200", answer)
 	}
 	select {
 	case err := <-p.Failed():
-		t.Errorf("failed again with %v", err)
+		t.Errorf("Failed() received a second error %v, want one error", err)
 	default:
 	}
 }
--- a/internal/server/store/bucket.go
+++ b/internal/server/store/bucket.go
@@ -11,8 +11,8 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// keyCounts holds the number of keys in each bucket. It is stored in the file, because nothing else reveals a damaged page
-// that has lost some of its keys.
+// keyCounts holds the number of keys in each bucket. It is stored in the file, because nothing else reveals a damaged
+// page that has lost some of its keys.
 type keyCounts map[durable.Bucket]int
 
 // The key counts are stored under countsKey in a bucket of their own.
--- a/internal/server/store/file.go
+++ b/internal/server/store/file.go
@@ -19,9 +19,9 @@
 // compactTransactionBytes bounds what Compact copies in one transaction.
 const compactTransactionBytes = 1 << 20
 
-// rewrite reads all of the file at path and replaces it by a new file with the keys whose values are readable. A damaged
-// page is therefore found at the start rather than at a later write, and each start releases unused space. A missing file
-// is created.
+// rewrite reads all of the file at path and replaces it by a new file with the keys whose values are readable. A
+// damaged page is therefore found at the start rather than at a later write, and each start releases unused space. A
+// missing file is created.
 func rewrite(path string) (*durable.Loader, keyCounts, error) {
 	newPath := path + ".new"
 	// An interrupted start may have left the new file behind.
@@ -48,8 +48,8 @@
 	return loader, counts, syncDirectory(filepath.Dir(path))
 }
 
-// copyReadableKeys copies the keys with readable values from the file at path, and passes all keys to the loader. counts
-// becomes the number of copied keys.
+// copyReadableKeys copies the keys with readable values from the file at path, and passes all keys to the loader.
+// counts becomes the number of copied keys.
 func copyReadableKeys(tx *bbolt.Tx, counts keyCounts, loader *durable.Loader, path string) error {
 	if err := createBuckets(tx); err != nil {
 		return err
@@ -80,8 +80,8 @@
 }
 
 // ForEach calls visit for every key of the file at path, bucket by bucket and in key order, and checks that no key is
-// missing. It does not write to the file. It returns an error if the file is damaged or another process has it open, and
-// else the first error of visit.
+// missing. It does not write to the file. It returns an error if the file is damaged or another process has it open,
+// and else the first error of visit.
 func ForEach(path string, visit func(bucket durable.Bucket, key string, value []byte) error) (err error) {
 	defer recoverDamage(&err)()
 	db, err := bbolt.Open(path, fileMode, &bbolt.Options{ReadOnly: true, Timeout: lockTimeout})
@@ -128,9 +128,9 @@
 	return found, err
 }
 
-// recoverDamage turns the failures that a damaged page causes in bbolt into an error: a panic, or a memory fault where the
-// page refers to an address beyond the file, which is mapped into memory. Without it, a truncated file would end the
-// process. The goroutine that calls recoverDamage must defer the returned function.
+// recoverDamage turns the failures that a damaged page causes in bbolt into an error: a panic, or a memory fault where
+// the page refers to an address beyond the file, which is mapped into memory. Without it, a truncated file would end
+// the process. The goroutine that calls recoverDamage must defer the returned function.
 func recoverDamage(err *error) func() {
 	before := debug.SetPanicOnFault(true)
 	return func() {
--- a/internal/server/store/golden_test.go
+++ b/internal/server/store/golden_test.go
@@ -20,9 +20,9 @@
 	"forkhead/internal/server/store"
 )
 
-// testdata/placer.db was written by `forkhead serve --config testdata/settings.sexp --store placer.db`, which was killed
-// after it had placed two projects and removed one of them. Stores of earlier builds must stay readable, so the file is
-// never rewritten: -update writes only the expected results.
+// testdata/placer.db was written by `forkhead serve --config testdata/settings.sexp --store placer.db`, which was
+// killed after it had placed two projects and removed one of them. Stores of earlier builds must stay readable, so the
+// file is never rewritten: -update writes only the expected results.
 const (
 	goldenStore    = "testdata/placer.db"
 	goldenSettings = "testdata/settings.sexp"
@@ -129,7 +129,8 @@
 // hostEpoch is the epoch of the hosts in the file's attempts. Hosts that answer with it have not restarted since.
 const hostEpoch = 1796191483153710
 
-// fakeHosts answers a placer for hosts that run every task that it queries or offers, and logs these queries and offers.
+// fakeHosts answers a placer for hosts that run every task that it queries or offers, and logs these queries and
+// offers.
 type fakeHosts struct {
 	t       *testing.T
 	log     []string
@@ -189,8 +190,8 @@
 	h.log = append(h.log, when+" "+string(line))
 }
 
-// A placer that starts with a file of an earlier build restores its tasks and submissions. It queries the hosts about the
-// unsafe tasks and does not offer them again. It offers the safe tasks, which no host has reported, under the same
+// A placer that starts with a file of an earlier build restores its tasks and submissions. It queries the hosts about
+// the unsafe tasks and does not offer them again. It offers the safe tasks, which no host has reported, under the same
 // identities.
 func TestPlacerRestoresGoldenFile(t *testing.T) {
 	snapshot := openCopy(t, copyGoldenStore(t))
--- a/internal/server/store/store.go
+++ b/internal/server/store/store.go
@@ -1,5 +1,5 @@
-// Package store keeps a placer's durable records on disk in a bbolt file. A commit takes one transaction and one fsync for
-// any number of records. A file that cannot be read is quarantined: it is renamed and never written to again.
+// Package store keeps a placer's durable records on disk in a bbolt file. A commit takes one transaction and one fsync
+// for any number of records. A file that cannot be read is quarantined: it is renamed and never written to again.
 package store
 
 import (
@@ -20,7 +20,8 @@
 type Options struct {
 	Path     string
 	MaxBytes int64 // file size at which Commit starts to refuse records that add to the file; 0: DefaultMaxBytes
-	// QuarantineSuffix returns the end of a quarantined file's name, for tests. nil: the name ends with the time in UTC.
+	// QuarantineSuffix returns the end of a quarantined file's name, for tests. nil: the name ends with the time in
+	// UTC.
 	QuarantineSuffix func(now time.Time) string
 }
 
@@ -44,9 +45,9 @@
 	counts  keyCounts        // as stored in the file
 }
 
-// Open opens the store at options.Path, or creates it, and returns its content. Keys whose values cannot be read are listed
-// in Snapshot.Unreadable and dropped. A file that cannot be read at all is quarantined, and the store starts empty. Open fails
-// if another process has the file open for longer than lockTimeout, 2 seconds.
+// Open opens the store at options.Path, or creates it, and returns its content. Keys whose values cannot be read are
+// listed in Snapshot.Unreadable and dropped. A file that cannot be read at all is quarantined, and the store starts
+// empty. Open fails if another process has the file open for longer than lockTimeout, 2 seconds.
 func Open(options Options) (*Store, *durable.Snapshot, error) {
 	if options.MaxBytes == 0 {
 		options.MaxBytes = DefaultMaxBytes
@@ -93,8 +94,9 @@
 	return loader.Snapshot(), err
 }
 
-// Commit makes records durable in one transaction. If none of them must be durable before its step's outputs are executed,
-// they stay in memory until the next transaction or Flush. After an error, which may wrap ErrFull, no record is stored.
+// Commit makes records durable in one transaction. If none of them must be durable before its step's outputs are
+// executed, they stay in memory until the next transaction or Flush. After an error, which may wrap ErrFull, no record
+// is stored.
 func (s *Store) Commit(records []durable.Record) error {
 	mustBeDurable := false
 	var changes []durable.Change
--- a/internal/server/store/store_test.go
+++ b/internal/server/store/store_test.go
@@ -78,8 +78,8 @@
 	}}
 }
 
-// A store that was closed without a flush, as by a crash, restores all that Commit made durable, and nothing of a project
-// that was removed or a submission that expired.
+// A store that was closed without a flush, as by a crash, restores all that Commit made durable, and nothing of a
+// project that was removed or a submission that expired.
 func TestStoreRestoresCommittedRecordsAfterCrash(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
 	s, empty := openStore(t, path, 0)
@@ -196,8 +196,8 @@
 	return content, projects
 }
 
-// A file that is truncated or has a changed byte, at any position, is either quarantined, or read with its unreadable keys
-// reported. Open never returns a project that differs from the stored one.
+// A file that is truncated or has a changed byte, at any position, is either quarantined, or read with its unreadable
+// keys reported. Open never returns a project that differs from the stored one.
 func TestOpenReportsDamagedFiles(t *testing.T) {
 	content, projects := writeExampleFile(t)
 	d := &damagedFiles{directory: t.TempDir(), projects: projects}
