--- a/internal/server/placer/hosts.go
+++ b/internal/server/placer/hosts.go
@@ -18,7 +18,7 @@
 
 	decoder hostproto.Decoder // used by the poller's goroutine
 
-	// The rest belongs to the loop.
+	// The remaining fields belong to the loop.
 	conn      *netio.Conn // nil while it is being dialed
 	buffer    []byte      // frames of the current step
 	unflushed bool        // whether it is in Server.unflushed
--- a/internal/server/placer/http_server.go
+++ b/internal/server/placer/http_server.go
@@ -39,7 +39,7 @@
 	connections atomic.Int64    // number of open connections, without those rejected at the limit
 	feasibility *feasibilityChecker
 
-	// The rest belongs to the loop.
+	// The remaining fields belong to the loop.
 	lastRequest uint64                             // number of the last request in pending
 	pending     map[uint64]*pendingRequest         // requests without a result of the core, by request number
 	streams     map[string]map[*outcomeStream]bool // unfinished outcome streams, by submission ID
@@ -123,7 +123,7 @@
 	parser *http1.Parser
 	busy   bool // whether a request is being answered
 
-	// The rest belongs to the loop.
+	// The remaining fields belong to the loop.
 	closed bool
 	stream *outcomeStream // being written; nil: there is none
 }
