--- a/internal/protocol/consul/consul.go
+++ b/internal/protocol/consul/consul.go
@@ -73,8 +73,8 @@
 	ServiceID string
 }
 
-// MaxAnswerSize bounds an answer that is read, in bytes.
-const MaxAnswerSize = 64 << 20
+// MaxResponseSize bounds a response from Consul, in bytes.
+const MaxResponseSize = 64 << 20
 
 // Keys of metadata. A node's describe the machine, a service's what was available there a while ago.
 const (
--- a/internal/protocol/http1/http1.go
+++ b/internal/protocol/http1/http1.go
@@ -14,15 +14,15 @@
 
 // Limits bound a request.
 type Limits struct {
-	Line    int // bytes of the request line
-	Headers int // bytes of all fields, trailers included
-	Fields  int // number of header fields
-	Body    int // bytes of the body
+	RequestLine int // bytes of the request line
+	Headers     int // bytes of all fields, trailers included
+	Fields      int // number of header fields
+	Body        int // bytes of the body
 }
 
 // DefaultLimits returns usual limits, with a body of at most so many bytes.
 func DefaultLimits(body int) Limits {
-	return Limits{Line: 8 << 10, Headers: 16 << 10, Fields: 64, Body: body}
+	return Limits{RequestLine: 8 << 10, Headers: 16 << 10, Fields: 64, Body: body}
 }
 
 // MaxPipelinedBytes is how many bytes a client may send ahead of the response.
@@ -33,14 +33,14 @@
 
 // Request is a complete request.
 type Request struct {
-	Method  string
-	Path    string // decoded
-	Query   url.Values
-	Fields  []Field // without trailers
-	Body    []byte
-	Minor   int  // of the version: 0 or 1
-	Close   bool // the connection ends after the response
-	Chunked bool // the body came in chunks
+	Method       string
+	Path         string // decoded
+	Query        url.Values
+	Fields       []Field // without trailers
+	Body         []byte
+	MinorVersion int  // of the version: 0 or 1
+	Close        bool // the connection ends after the response
+	Chunked      bool // the body came in chunks
 }
 
 // Get returns the value of the first field of that name, which is in lower case, or "".
--- a/internal/protocol/http1/parser.go
+++ b/internal/protocol/http1/parser.go
@@ -73,8 +73,8 @@
 // Idle reports whether no part of a request has come.
 func (p *Parser) Idle() bool { return p.state == stateRequestLine && len(p.unread) == 0 }
 
-// Expects reports, once for each request, that the client waits for 100 (Continue) before it sends the body.
-func (p *Parser) Expects() bool {
+// ShouldSendContinue reports, once for each request, that the client waits for 100 (Continue) before it sends the body.
+func (p *Parser) ShouldSendContinue() bool {
 	waits := p.expectsContinue && (p.state == stateBody || p.state == stateChunkSize)
 	if waits {
 		p.expectsContinue = false
@@ -159,7 +159,7 @@
 }
 
 func (p *Parser) readRequestLine() (bool, *Error) {
-	line, ok, err := p.takeLine(p.limits.Line, 414, "the request line")
+	line, ok, err := p.takeLine(p.limits.RequestLine, 414, "the request line")
 	if err != nil || !ok {
 		return false, err
 	}
@@ -190,7 +190,7 @@
 	request := &Request{Method: method}
 	switch version {
 	case "HTTP/1.1":
-		request.Minor = 1
+		request.MinorVersion = 1
 	case "HTTP/1.0":
 		request.Close = true
 	default:
@@ -294,11 +294,11 @@
 	if err != nil {
 		return err
 	}
-	if err := framing.check(p.request.Minor); err != nil {
+	if err := framing.check(p.request.MinorVersion); err != nil {
 		return err
 	}
 	p.request.Close = p.request.Close || framing.closes
-	p.expectsContinue = framing.expectsContinue && p.request.Minor == 1
+	p.expectsContinue = framing.expectsContinue && p.request.MinorVersion == 1
 	switch {
 	case framing.transferCoding != "":
 		p.request.Chunked = true
--- a/internal/protocol/http1/parser_test.go
+++ b/internal/protocol/http1/parser_test.go
@@ -22,7 +22,7 @@
 
 // feed gives the pieces of a stream to a parser and returns all requests, or the error of the first malformed one.
 func feed(pieces []string) (out []*Request, err error) {
-	p := NewParser(Limits{Line: 200, Headers: 400, Fields: 6, Body: 100})
+	p := NewParser(Limits{RequestLine: 200, Headers: 400, Fields: 6, Body: 100})
 	take := func(r *Request, e error) {
 		for r != nil && e == nil {
 			out = append(out, r)
--- a/internal/protocol/platform/sequence.go
+++ b/internal/protocol/platform/sequence.go
@@ -3,14 +3,14 @@
 // maxBufferedEvents bounds the events that are buffered until it shows whether the sequence was restarted.
 const maxBufferedEvents = 1024
 
-// EventVerdict is what to do with an event of the watch.
-type EventVerdict int
+// EventAction is what to do with an event of the watch.
+type EventAction int
 
-// The verdicts of Sequence.Next.
+// The actions that Sequence.Next returns.
 const (
-	SkipEvent   EventVerdict = iota // it was applied before, or is buffered
-	ApplyEvent                      // it is the next
-	Resubscribe                     // events between are missing: subscribe again after Last
+	SkipEvent   EventAction = iota // it was applied before, or is buffered
+	ApplyEvent                     // it is the next
+	Resubscribe                    // events between are missing: subscribe again after Last
 )
 
 // Sequence keeps the events of the watch in order by their numbers: each is applied once, and a gap is requested
@@ -34,7 +34,7 @@
 
 // Next returns what to do with an event. If a gap persists after resubscribing, numbers were skipped and no event is
 // missing.
-func (s *Sequence) Next(event WatchEvent) EventVerdict {
+func (s *Sequence) Next(event WatchEvent) EventAction {
 	streamFresh := s.streamFresh
 	s.streamFresh = false
 	if n := len(s.buffered); n > 0 {
--- a/internal/protocol/platform/sequence_test.go
+++ b/internal/protocol/platform/sequence_test.go
@@ -10,7 +10,7 @@
 	s := Sequence{Last: 3}
 	for i, c := range []struct {
 		seq  uint64
-		want EventVerdict
+		want EventAction
 	}{
 		{3, SkipEvent}, {4, ApplyEvent}, {4, SkipEvent}, {7, Resubscribe}, // the stream is opened again:
 		{5, ApplyEvent}, {6, ApplyEvent}, {7, ApplyEvent}, {9, Resubscribe}, // and again, and it is a gap of numbers only:
--- a/internal/server/listwatch/listwatch.go
+++ b/internal/server/listwatch/listwatch.go
@@ -117,18 +117,18 @@
 	return readAnswer(response)
 }
 
-// errTooLong is the error of an answer that has more than consul.MaxAnswerSize.
+// errTooLong is the error of an answer that has more than consul.MaxResponseSize.
 var errTooLong = errors.New("consul's answer is longer than 64 MiB")
 
 func readAnswer(response *http.Response) (*answer, error) {
 	if response.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("consul answered %s", response.Status)
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, consul.MaxAnswerSize+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, consul.MaxResponseSize+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > consul.MaxAnswerSize {
+	if len(body) > consul.MaxResponseSize {
 		return nil, errTooLong
 	}
 	header := response.Header.Get("X-Consul-Index")
--- a/internal/server/placer/http_server.go
+++ b/internal/server/placer/http_server.go
@@ -185,7 +185,7 @@
 		c.busy = true
 		c.conn.SetReadTimeout(0)
 		c.serve(request)
-	case c.parser.Expects():
+	case c.parser.ShouldSendContinue():
 		_ = c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		c.conn.SetReadTimeout(bodyTimeout)
 	case !c.busy && c.parser.Idle():
