--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,7 +1,7 @@
-// Package protocol is the layer of what crosses sockets, one package for each protocol: hostproto between placers and
-// hosts, http1 for owners, consul for Consul's API, platform for the users' platform, and capture for captured traffic.
-// It holds no code itself.
+// Package protocol contains the wire formats, one package for each protocol: hostproto between placers and hosts, http1
+// for owners, consul for Consul's API, platform for the users' platform, and capture for captured traffic. It has no code
+// of its own.
 //
-// Its packages may import parse, and are imported by scheduler and what lies above it. All of them are pure: bytes in,
-// values out; they start no goroutine and read no clock.
+// These packages may import parse, and are imported by scheduler and the layers above it. All of them are pure: they
+// convert between bytes and values, start no goroutine and read no clock.
 package protocol
--- a/internal/protocol/platform/config.go
+++ b/internal/protocol/platform/config.go
@@ -7,34 +7,34 @@
 	"strconv"
 )
 
-// Config is what a placer is given when it starts, as JSON.
+// Config is the JSON configuration that a placer is started with.
 type Config struct {
 	Name           string          `json:"name"`
 	Listen         string          `json:"listen"` // host:port where owners connect
-	Seed           string          `json:"seed"`   // hex; see SeedNumber
+	Seed           string          `json:"seed"`   // hex digits; see SeedNumber
 	Limits         Limits          `json:"limits"`
-	PeerListen     string          `json:"peer_listen"` // host:port for datagrams of other placers; empty: none
-	Peers          []string        `json:"peers"`       // host:port, by their numbers in the settings, this placer's own included
-	PeersBroadcast string          `json:"peers_all"`   // host:port that reaches all peers; empty: none
+	PeerListen     string          `json:"peer_listen"` // host:port for gossip datagrams from other placers; empty: none
+	Peers          []string        `json:"peers"`       // host:port of all placers, by their numbers in the settings
+	PeersBroadcast string          `json:"peers_all"`   // broadcast host:port that reaches all peers; empty: none
 	WatchAddress   string          `json:"changelog"`   // host:port of the watch
 	Initial        InitialList     `json:"known"`
-	Settings       json.RawMessage `json:"settings"` // as parse/platformconfig reads it
+	Settings       json.RawMessage `json:"settings"` // read by parse/platformconfig
 }
 
-// Limits are what a placer may use of its own machine; 0 is no limit.
+// Limits bound the resources of its own machine that a placer may use; 0 means no limit.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"` // descriptors
+	Sockets  int     `json:"sockets"` // file descriptors
 }
 
-// InitialList is the endpoint list's events up to the start.
+// InitialList holds the events of the endpoint list up to the placer's start.
 type InitialList struct {
-	Seq    uint64       `json:"seq"` // number of the event to subscribe after
+	Seq    uint64       `json:"seq"` // number of the event after which to subscribe
 	Events []WatchEvent `json:"results"`
 }
 
-// ParseConfig reads a configuration. Its error names what is missing or out of range; unknown keys are ignored.
+// ParseConfig parses a configuration. Its error says what is missing or out of range; unknown keys are ignored.
 func ParseConfig(text []byte) (*Config, error) {
 	var c Config
 	if err := json.Unmarshal(text, &c); err != nil {
@@ -60,9 +60,9 @@
 	return nil
 }
 
-// SeedNumber is the seed as a number; one that is not hex of at most 64 bits is hashed.
+// SeedNumber returns the seed as a number. A seed that is not a hex number of at most 64 bits is hashed.
 func (c *Config) SeedNumber() uint64 {
-	const prime = 1099511628211 // of FNV-1
+	const prime = 1099511628211 // the 64-bit prime of FNV-1
 	n, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
 		for _, b := range []byte(c.Seed) {
--- a/internal/protocol/platform/doc.go
+++ b/internal/protocol/platform/doc.go
@@ -1,9 +1,10 @@
-// Package platform is the users' platform as it is on the wire: the messages between owners, placers and hosts as JSON
-// lines, the watch of the endpoint list as server-sent events, and the configuration that a placer is started with. All of
-// it is pure; no type is safe for use by several goroutines at once.
+// Package platform implements the wire formats of the users' platform: the messages between owners, placers and hosts
+// as JSON lines, the watch of the endpoint list as server-sent events, and the configuration that a placer is started
+// with. The package is pure: it does no I/O. No type is safe for concurrent use.
 //
-// The platform's wording is translated here and nowhere else in the protocol. Words are those of the wire, names are
-// those of this package, and the doc comments of the names define them.
+// This is the only package of the protocol layer that translates between the platform's terms and those of this
+// program. In the tables below, "word" is the term on the wire and "name" is the identifier in this package, whose doc
+// comment defines it.
 //
 //	part of a message       word        name
 //	----------------------  ----------  ------------------------
@@ -16,7 +17,7 @@
 //	                        hb_ok       TypeProbeResult
 //	                        tell        TypeNote
 //	                        shift       TypeMigrate
-//	number, ref             16 digits   Message.Ref
+//	number, ref             hex digits  Message.Ref
 //	cause, c                16          CauseOK
 //	                        31          CauseMigrated
 //	                        34          CauseRejected
--- a/internal/protocol/platform/golden_test.go
+++ b/internal/protocol/platform/golden_test.go
@@ -13,7 +13,7 @@
 	"forkhead/internal/goldentest"
 )
 
-// The package's names are these words and numbers on the wire.
+// The constants of the package have these values on the wire.
 func TestWireWordsGolden(t *testing.T) {
 	got := fmt.Sprint(
 		[]MessageType{TypeRequest, TypeProgress, TypeBound, TypeRelease, TypeAck, TypeProbe, TypeProbeResult, TypeNote, TypeMigrate},
@@ -21,7 +21,7 @@
 		[]EndpointState{InService, Terminating, Terminated}, MaxLineSize, MaxDatagramSize, MaxEventSize,
 	)
 	if want := "[new wait up down ack hb hb_ok tell shift] [16 31 34 41 42 47 102] [in_service terminating terminated] 16384 256 1048576"; got != want {
-		t.Errorf("got %s, want %s", got, want)
+		t.Errorf("types, causes, states and sizes: got %s, want %s", got, want)
 	}
 	got = fmt.Sprint(
 		[]Cause{CauseUnhealthy, CauseHealthy, NoCause},
@@ -40,12 +40,12 @@
 	want := "[0 1 -1] [class left tenant key idem extras hint wait note value load] [cores memory service again at] " +
 		"[running use_cpu use_ram health ram_high] [lack_cpu lack_ram backlog unfit killed displaced dismissed] [x0 x1 queue util]"
 	if got != want {
-		t.Errorf("got %s, want %s", got, want)
+		t.Errorf("other causes, fields, extras, notes, reasons and load fields: got %s, want %s", got, want)
 	}
 }
 
-// testdata/messages.jsonl holds messages as they cross, one of each type. Each is read with all its parts, and what is
-// written of these parts is what came.
+// testdata/messages.jsonl contains messages as they are on the wire, one of each type. Each is decoded with all its
+// parts, and encoding these parts yields the same bytes.
 func TestMessagesGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "messages.jsonl"))
 	if err != nil {
@@ -67,18 +67,18 @@
 		written.Write(Append(nil, m.Type, m.Ref, m.Cause, m.Description, fields...))
 		return nil
 	}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("decode messages.jsonl: %v", err)
 	}
 	goldentest.Check(t, "messages.decoded", decoded.Bytes())
 	if !bytes.Equal(written.Bytes(), text) {
-		t.Errorf("written as\n%s\nwant\n%s", written.Bytes(), text)
+		t.Errorf("messages.jsonl decoded and encoded again: got\n%s\nwant\n%s", written.Bytes(), text)
 	}
 	if got, want := string(Append(nil, TypeNote, "0000000000000001", NoCause, nil, TextField("k", "a\"b"))), `{"t":"tell","ref":"0000000000000001","f":{"k":"a\"b"}}`+"\n"; got != want {
-		t.Errorf("got %s, want %s", got, want)
+		t.Errorf("Append of a field with a quote: got %s, want %s", got, want)
 	}
 }
 
-// testdata/changelog.sse is a stream of the watch.
+// testdata/changelog.sse is a stream of the watch, with events, comments and events that cannot be decoded.
 func TestWatchEventsGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "changelog.sse"))
 	if err != nil {
@@ -94,12 +94,12 @@
 		}
 		fmt.Fprintln(&b, goldentest.Values(reflect.ValueOf(c)))
 	}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("read changelog.sse: %v", err)
 	}
 	goldentest.Check(t, "changelog.decoded", b.Bytes())
 }
 
-// testdata/config.json is a configuration with every key.
+// testdata/config.json is a configuration with every key and one that is unknown.
 func TestConfigGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "config.json"))
 	if err != nil {
@@ -107,7 +107,7 @@
 	}
 	c, err := ParseConfig(text)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ParseConfig of config.json: %v", err)
 	}
 	goldentest.Check(t, "config.decoded", []byte(fmt.Sprintln(goldentest.Values(reflect.ValueOf(c)))+fmt.Sprintln(c.SeedNumber())))
 }
--- a/internal/protocol/platform/lines.go
+++ b/internal/protocol/platform/lines.go
@@ -5,18 +5,18 @@
 	"fmt"
 )
 
-// ErrLineTooLong means that a stream of messages contained a line of more than MaxLineSize bytes.
+// ErrLineTooLong is the error of a stream of messages with a line of more than MaxLineSize bytes.
 var ErrLineTooLong = fmt.Errorf("a line holds more than %d bytes", MaxLineSize)
 
-// LineSplitter cuts a stream into lines. It holds at most MaxLineSize bytes of a line that has not ended.
+// LineSplitter splits a stream into lines. It buffers at most MaxLineSize bytes of an incomplete line.
 type LineSplitter struct {
-	partial []byte // the line that has not ended
+	partial []byte // the incomplete line
 }
 
-// Feed takes bytes as they come and calls line for each complete line, without its line feed and a carriage return
-// before it; what line gets is valid until it returns. It stops at the first error of line, which it returns, and at a
-// line that is too long, with ErrLineTooLong; the stream cannot be read on after that.
-func (s *LineSplitter) Feed(p []byte, line func([]byte) error) error {
+// Feed splits the next bytes of the stream and calls handle for each complete line, without its line feed and a
+// carriage return before it; the slice is valid until handle returns. Feed stops at the first error of handle, which it
+// returns, and at a line that is too long, with ErrLineTooLong; the rest of the stream cannot be read after that.
+func (s *LineSplitter) Feed(p []byte, handle func(line []byte) error) error {
 	for {
 		end := bytes.IndexByte(p, '\n')
 		size := end
@@ -37,11 +37,11 @@
 			s.partial = nil
 		}
 		p = p[end+1:]
-		if err := line(bytes.TrimSuffix(complete, []byte("\r"))); err != nil {
+		if err := handle(bytes.TrimSuffix(complete, []byte("\r"))); err != nil {
 			return err
 		}
 	}
 }
 
-// HasPartialLine reports whether a line has begun that has not ended.
+// HasPartialLine reports whether the splitter has buffered an incomplete line.
 func (s *LineSplitter) HasPartialLine() bool { return len(s.partial) > 0 }
--- a/internal/protocol/platform/lines_test.go
+++ b/internal/protocol/platform/lines_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// feed gives a stream in chunks and returns its lines.
-func feed(s *LineSplitter, stream []byte, cuts []int) (lines []string, err error) {
+// feed feeds a stream in chunks of the given sizes, with the rest in one chunk, and returns its lines.
+func feed(s *LineSplitter, stream []byte, sizes []int) (lines []string, err error) {
 	for len(stream) > 0 && err == nil {
 		n := len(stream)
-		if len(cuts) > 0 {
-			n = min(max(cuts[0], 1), n)
-			cuts = cuts[1:]
+		if len(sizes) > 0 {
+			n = min(max(sizes[0], 1), n)
+			sizes = sizes[1:]
 		}
 		err = s.Feed(stream[:n], func(line []byte) error {
 			lines = append(lines, string(line))
@@ -26,35 +26,36 @@
 	return lines, err
 }
 
-// However a stream is cut, its lines are the same, and no more than a line is buffered.
-func TestLineSplitterIgnoresChunks(t *testing.T) {
+// However a stream is split into chunks, its lines are the same, and no more than one line is buffered.
+func TestLineSplitterReadsSameLinesFromAnyChunks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stream := rapid.SliceOfN(rapid.SampledFrom([]byte("ab\r\n{}")), 0, 300).Draw(t, "stream")
 		if rapid.Bool().Draw(t, "long") {
 			stream = append(stream, bytes.Repeat([]byte("x"), MaxLineSize+1)...)
 		}
-		cuts := rapid.SliceOfN(rapid.IntRange(1, 40), 0, 50).Draw(t, "cuts")
-		var whole, parts LineSplitter
-		a, errA := feed(&whole, stream, nil)
-		b, errB := feed(&parts, stream, cuts)
-		if !slices.Equal(a, b) || !errors.Is(errB, errA) {
-			t.Fatalf("%q and %v in one piece, %q and %v in parts", a, errA, b, errB)
+		sizes := rapid.SliceOfN(rapid.IntRange(1, 40), 0, 50).Draw(t, "sizes")
+		var whole, chunked LineSplitter
+		want, wantErr := feed(&whole, stream, nil)
+		got, err := feed(&chunked, stream, sizes)
+		if !slices.Equal(want, got) || !errors.Is(err, wantErr) {
+			t.Fatalf("lines of %q in chunks: got %q, error %v; want %q, error %v, as in one chunk", stream, got, err, want, wantErr)
 		}
-		if len(parts.partial) > MaxLineSize {
-			t.Fatalf("%d bytes are buffered", len(parts.partial))
+		if len(chunked.partial) > MaxLineSize {
+			t.Fatalf("buffered bytes after the stream: got %d, want at most %d", len(chunked.partial), MaxLineSize)
 		}
 	})
 }
 
-func TestLineSplitterBoundsLines(t *testing.T) {
+// A line of MaxLineSize bytes is read. A longer one is an error, with or without its end, and is not buffered.
+func TestLineSplitterRejectsLinesOverMaxLineSize(t *testing.T) {
 	var s LineSplitter
 	if lines, err := feed(&s, append(bytes.Repeat([]byte("x"), MaxLineSize), '\n'), []int{5}); err != nil || len(lines) != 1 {
-		t.Errorf("a line of just the bound: %v", err)
+		t.Errorf("line of MaxLineSize bytes: got %d lines, error %v; want 1 line, no error", len(lines), err)
 	}
 	if err := s.Feed(bytes.Repeat([]byte("x"), 60<<20), nil); !errors.Is(err, ErrLineTooLong) || s.HasPartialLine() {
-		t.Errorf("60 MiB without an end: %v", err)
+		t.Errorf("60 MiB without a line feed: got error %v, partial line %t; want %v, none", err, s.HasPartialLine(), ErrLineTooLong)
 	}
 	if err := s.Feed(append(bytes.Repeat([]byte("x"), MaxLineSize+1), '\n'), nil); !errors.Is(err, ErrLineTooLong) {
-		t.Errorf("a line past the bound that ends: %v", err)
+		t.Errorf("complete line of MaxLineSize+1 bytes: got error %v, want %v", err, ErrLineTooLong)
 	}
 }
--- a/internal/protocol/platform/message.go
+++ b/internal/protocol/platform/message.go
@@ -7,20 +7,21 @@
 	"strconv"
 )
 
-// maxCause is the highest cause that Decode accepts.
+// maxCause is the largest cause that Decode accepts.
 const maxCause = 1 << 20
 
-// Message is one line. Its parts are kept as they came, so that they can be forwarded byte for byte.
+// Message is one line of a stream. Fields and Description are kept as received, so that they can be forwarded byte for
+// byte.
 type Message struct {
 	Type        MessageType
-	Ref         string // 16 hex digits that number the request at its sender
+	Ref         string // 16 hex digits that identify the request at its sender
 	Fields      map[FieldName]json.RawMessage
-	Cause       Cause  // NoCause where there is none
-	Description []byte // a JSON string with its quotes; nil for none
+	Cause       Cause  // NoCause if the message has none
+	Description []byte // a JSON string with its quotes; nil if the message has none
 }
 
-// Decode reads a line without its line feed. The Message shares no memory with it. Where only the parts beside type and
-// ref cannot be read, these two are set though there is an error.
+// Decode decodes a line without its line feed. The Message shares no memory with the line. If type and ref are valid
+// and another part is not, Decode returns an error and a Message in which these two are set.
 func Decode(line []byte) (Message, error) {
 	m := Message{Cause: NoCause}
 	var parts map[string]json.RawMessage
@@ -56,7 +57,7 @@
 	return m, nil
 }
 
-// decodeFields sets Fields, each of which must be a string or a number.
+// decodeFields sets Fields. Each field must be a string or a number.
 func (m *Message) decodeFields(raw []byte) error {
 	if err := json.Unmarshal(raw, &m.Fields); err != nil {
 		return errors.New("its fields are not an object")
@@ -87,7 +88,8 @@
 	return len(raw) > 0 && (raw[0] == '"' || raw[0] == '-' || raw[0] >= '0' && raw[0] <= '9')
 }
 
-// Text is a field as text: a string without its quotes, or a number as it was written; ok is false if there is none.
+// Text returns a field as text: a string without its quotes, or a number as it was written. ok is false if the message
+// has no such field.
 func (m *Message) Text(name FieldName) (text string, ok bool) {
 	raw, ok := m.Fields[name]
 	if !ok {
@@ -102,13 +104,13 @@
 	return text, true
 }
 
-// Field is a field to be written. Raw is a JSON string or number; a field without it is left out.
+// Field is a field for Append. Raw is a JSON string or number; a field with an empty Raw is left out.
 type Field struct {
 	Name FieldName
 	Raw  []byte
 }
 
-// TextField returns a field that holds text.
+// TextField returns a field whose value is text.
 func TextField(name FieldName, text string) Field {
 	raw, err := json.Marshal(text)
 	if err != nil {
@@ -117,10 +119,10 @@
 	return Field{name, raw}
 }
 
-// Append appends a message to buf as a line with its line feed. NoCause and a nil description are left out.
-func Append(buf []byte, kind MessageType, ref string, cause Cause, description []byte, fields ...Field) []byte {
+// Append appends a message to buf as a line with its line feed. NoCause and a nil description are omitted.
+func Append(buf []byte, messageType MessageType, ref string, cause Cause, description []byte, fields ...Field) []byte {
 	buf = append(buf, `{"t":"`...)
-	buf = append(buf, kind...)
+	buf = append(buf, messageType...)
 	buf = append(buf, `","ref":"`...)
 	buf = append(buf, ref...)
 	buf = append(buf, `","f":{`...)
--- a/internal/protocol/platform/sequence.go
+++ b/internal/protocol/platform/sequence.go
@@ -1,6 +1,6 @@
 package platform
 
-// maxBufferedEvents bounds the events that are buffered until it shows whether the sequence was restarted.
+// maxBufferedEvents bounds the number of events that are buffered until it is known whether the sequence was restarted.
 const maxBufferedEvents = 1024
 
 // EventAction is what to do with an event of the watch.
@@ -8,32 +8,32 @@
 
 // The actions that Sequence.Next returns.
 const (
-	SkipEvent   EventAction = iota // it was applied before, or is buffered
-	ApplyEvent                     // it is the next
-	Resubscribe                    // events between are missing: subscribe again after Last
+	SkipEvent   EventAction = iota // the event was applied before, or is buffered
+	ApplyEvent                     // the event is the next one
+	Resubscribe                    // events before this one are missing: subscribe again after Last
 )
 
-// Sequence keeps the events of the watch in order by their numbers: each is applied once, and a gap is requested
-// once more.
+// Sequence orders the events of the watch by their numbers. Each event is applied once; missing events are requested
+// again once.
 //
-// A watch whose sequence was restarted answers the next subscription with a snapshot under a number that was applied
-// before; so does a watch that repeats everything. Such events are buffered. If they reach the number that was
-// subscribed after, they are a repetition; if the stream goes idle before, the sequence was restarted. A snapshot
-// under an old number at any other moment is outdated.
+// After its sequence was restarted, a watch answers the next subscription with a snapshot whose number has already been
+// applied. So does a watch that sends all its events again. Such a snapshot and the events that follow it are buffered.
+// If they reach Last, the number after which the stream was subscribed to, they are a repetition; if the stream becomes
+// idle before that, the sequence was restarted. A snapshot with an old number at any other time is outdated.
 //
-// The zero value expects number 1. It is not safe for use by several goroutines at once.
+// The zero value expects number 1. A Sequence is not safe for concurrent use.
 type Sequence struct {
 	Last        uint64       // number of the last event that was applied
-	requested   uint64       // the missing number that the stream was last opened again for; 0: none
-	streamFresh bool         // nothing has come on the stream
+	requested   uint64       // first missing event for which the stream was last opened again; 0: none
+	streamFresh bool         // no event has been received on the stream
 	buffered    []WatchEvent // a snapshot and the events that follow it without a gap
 }
 
-// StreamOpened begins a stream that was subscribed to after Last.
+// StreamOpened starts a new stream, subscribed to after Last.
 func (s *Sequence) StreamOpened() { s.streamFresh, s.buffered = true, nil }
 
-// Next returns what to do with an event. If a gap persists after resubscribing, numbers were skipped and no event is
-// missing.
+// Next returns what to do with an event. A gap that is still there after resubscribing means that the watch skipped
+// numbers: no event is missing, and the event is applied.
 func (s *Sequence) Next(event WatchEvent) EventAction {
 	streamFresh := s.streamFresh
 	s.streamFresh = false
@@ -59,8 +59,8 @@
 	return ApplyEvent
 }
 
-// StreamIdle means that the watch has nothing more for now. It returns the events of a restarted sequence, which are to
-// be applied in their order; usually there are none.
+// StreamIdle handles a stream that is idle: the watch has no further events at present. It returns the events of a
+// restarted sequence, which the caller applies in order; usually there are none.
 func (s *Sequence) StreamIdle() []WatchEvent {
 	restarted := s.buffered
 	s.buffered = nil
--- a/internal/protocol/platform/sequence_test.go
+++ b/internal/protocol/platform/sequence_test.go
@@ -5,34 +5,35 @@
 	"testing"
 )
 
-// Each number is applied once; a gap is requested once; if it persists, no event is missing.
+// Each event is applied once. A gap is requested again once; if it persists, numbers were skipped and no event is
+// missing.
 func TestSequenceAppliesEachEventOnce(t *testing.T) {
 	s := Sequence{Last: 3}
 	for i, c := range []struct {
 		seq  uint64
 		want EventAction
 	}{
-		{3, SkipEvent}, {4, ApplyEvent}, {4, SkipEvent}, {7, Resubscribe}, // the stream is opened again:
-		{5, ApplyEvent}, {6, ApplyEvent}, {7, ApplyEvent}, {9, Resubscribe}, // and again, and it is a gap of numbers only:
+		{3, SkipEvent}, {4, ApplyEvent}, {4, SkipEvent}, {7, Resubscribe}, // the stream is opened again and has 5 and 6:
+		{5, ApplyEvent}, {6, ApplyEvent}, {7, ApplyEvent}, {9, Resubscribe}, // opened again, and number 8 was skipped:
 		{9, ApplyEvent}, {10, ApplyEvent}, {12, Resubscribe},
 	} {
 		if got := s.Next(WatchEvent{Seq: c.seq}); got != c.want {
-			t.Errorf("%d: the verdict on %d is %v, want %v", i, c.seq, got, c.want)
+			t.Errorf("step %d: Next(event %d) = %v, want %v", i, c.seq, got, c.want)
 		}
 	}
 }
 
-// What a watch repeats is skipped, a restarted sequence is applied once the stream is idle, and a snapshot under an old number
-// in the middle of a stream is skipped.
+// Events that a watch repeats are skipped, a restarted sequence is applied once the stream is idle, and a snapshot with
+// an old number in the middle of a stream is skipped.
 func TestSequenceRestarts(t *testing.T) {
 	ev := func(seq uint64, snapshot bool) WatchEvent {
 		return WatchEvent{Seq: seq, Endpoints: &EndpointList{Snapshot: snapshot}}
 	}
 	for name, c := range map[string]struct {
 		events    []WatchEvent
-		applied   []uint64 // at once
-		restarted []uint64 // when the stream is idle
-		last      uint64
+		applied   []uint64 // numbers of the events that are applied at once
+		restarted []uint64 // numbers of the events that are applied when the stream is idle
+		last      uint64   // Sequence.Last at the end
 	}{
 		"repeated":                      {[]WatchEvent{ev(1, true), ev(2, false), ev(3, false), ev(4, false), ev(5, false), ev(6, false)}, []uint64{6}, nil, 6},
 		"repeated, the newest at once":  {[]WatchEvent{ev(4, true), ev(5, true), ev(6, false)}, []uint64{6}, nil, 6},
@@ -44,19 +45,19 @@
 		s := Sequence{Last: 5}
 		s.StreamOpened()
 		var applied, restarted []uint64
-		for _, ch := range c.events {
-			switch s.Next(ch) {
+		for _, event := range c.events {
+			switch s.Next(event) {
 			case Resubscribe:
-				t.Errorf("%s: %d is requested again", name, ch.Seq)
+				t.Errorf("%s: Next(event %d) = Resubscribe, want ApplyEvent or SkipEvent", name, event.Seq)
 			case ApplyEvent:
-				applied = append(applied, ch.Seq)
+				applied = append(applied, event.Seq)
 			}
 		}
-		for _, ch := range s.StreamIdle() {
-			restarted = append(restarted, ch.Seq)
+		for _, event := range s.StreamIdle() {
+			restarted = append(restarted, event.Seq)
 		}
 		if !slices.Equal(applied, c.applied) || !slices.Equal(restarted, c.restarted) || s.Last != c.last {
-			t.Errorf("%s: applied %v, restarted %v, last %d; want %v, %v, %d", name, applied, restarted, s.Last, c.applied, c.restarted, c.last)
+			t.Errorf("%s: got applied %v, restarted %v, last %d; want %v, %v, %d", name, applied, restarted, s.Last, c.applied, c.restarted, c.last)
 		}
 	}
 }
--- a/internal/protocol/platform/sse.go
+++ b/internal/protocol/platform/sse.go
@@ -6,31 +6,31 @@
 	"strconv"
 )
 
-// MaxEventSize is the most bytes that one server-sent event of the watch may hold.
+// MaxEventSize is the maximum size of a server-sent event of the watch, in bytes.
 const MaxEventSize = 1 << 20
 
-// ErrEventTooLarge means that the watch sent a line or an event of more than MaxEventSize bytes.
+// ErrEventTooLarge is the error of a watch that sends a line or an event of more than MaxEventSize bytes.
 var ErrEventTooLarge = fmt.Errorf("an event of the change log holds more than %d bytes", MaxEventSize)
 
 // ServerSentEvent is one server-sent event.
 type ServerSentEvent struct {
-	ID   uint64 // 0: it has none, or none that is a number
-	Data []byte // its data lines, with a line feed between each two
+	ID   uint64 // 0 if the event has no ID or its ID is not a number
+	Data []byte // the data lines, joined with line feeds
 }
 
-// EventReader splits a stream into server-sent events. An event that the stream ends within is dropped.
+// EventReader splits a stream into server-sent events. An incomplete event at the end of the stream is dropped.
 type EventReader struct {
-	line        []byte // the line that has not ended
-	afterReturn bool   // the last byte was a carriage return: a line feed that follows belongs to it
-	data        []byte // of the event that has not ended
+	line        []byte // the incomplete line
+	afterReturn bool   // the last byte was a carriage return: a line feed that follows is part of the same line end
+	data        []byte // data of the incomplete event
 	hasData     bool
 	id          uint64
-	// OnComment is called at each comment, which the watch sends when it has nothing more for now. It may be nil.
+	// OnComment is called for each comment, which the watch sends when it is idle. It may be nil.
 	OnComment func()
 }
 
-// Feed takes bytes as they come and calls handle for each complete event, which handle may keep. After an error, which
-// is ErrEventTooLarge, the stream cannot be read on.
+// Feed parses the next bytes of the stream and calls handle for each complete event, which handle may retain. Its only
+// error is ErrEventTooLarge, after which the rest of the stream cannot be read.
 func (e *EventReader) Feed(p []byte, handle func(ServerSentEvent)) error {
 	for _, b := range p {
 		if e.afterReturn && b == '\n' {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// endLine interprets the line that has just ended.
+// endLine processes the line that has just ended.
 func (e *EventReader) endLine(handle func(ServerSentEvent)) {
 	if len(e.line) == 0 {
 		e.endEvent(handle)
@@ -76,7 +76,7 @@
 	}
 }
 
-// endEvent hands the event over if it has data, and begins the next.
+// endEvent passes the event to handle if it has data, and begins the next one.
 func (e *EventReader) endEvent(handle func(ServerSentEvent)) {
 	if e.hasData {
 		handle(ServerSentEvent{ID: e.id, Data: bytes.Clone(e.data)})
--- a/internal/protocol/platform/watch.go
+++ b/internal/protocol/platform/watch.go
@@ -10,30 +10,30 @@
 
 // WatchEvent is one numbered event of the watch.
 type WatchEvent struct {
-	Seq       uint64        `json:"seq"`   // from 1
-	Endpoints *EndpointList `json:"fleet"` // nil: the event is about something else
+	Seq       uint64        `json:"seq"`   // the first event has number 1
+	Endpoints *EndpointList `json:"fleet"` // nil if the event does not concern the endpoint list
 }
 
-// EndpointList is a snapshot of the endpoint list, or the entries of it that have changed.
+// EndpointList is a snapshot of the endpoint list, or its entries that have changed.
 type EndpointList struct {
-	Snapshot bool       `json:"whole"` // the complete list: a host that it lacks is removed
+	Snapshot bool       `json:"whole"` // the list is complete: a host that is missing from it is removed
 	Hosts    []Endpoint `json:"hosts"`
 }
 
 // Endpoint is one host in the endpoint list.
 type Endpoint struct {
 	Name        string        `json:"host"` // see HostNumber
-	Address     string        `json:"dial"` // host:port; may be empty in a change
+	Address     string        `json:"dial"` // host:port; may be empty unless the list is a snapshot
 	Zone        string        `json:"site"`
 	MachineType string        `json:"class"`
 	Cell        int           `json:"block"`
 	State       EndpointState `json:"health"`
-	StartedAtMS float64       `json:"born_ms"` // Unix milliseconds of a start after that of the cluster, or 0
-	Available   []float64     `json:"free"`    // cores and memory that nobody has requested; may be empty
+	StartedAtMS float64       `json:"born_ms"` // Unix time in milliseconds; 0 if it started with the cluster
+	Available   []float64     `json:"free"`    // cores and memory that no task has requested; may be empty
 }
 
-// DecodeWatchEvent reads the data of an event of the watch. An event whose data has no number takes its ID; one
-// without either is an error.
+// DecodeWatchEvent decodes the data of an event of the watch. If the data has no number, the event's ID is used; an
+// event with neither is an error.
 func DecodeWatchEvent(event ServerSentEvent) (WatchEvent, error) {
 	var w WatchEvent
 	if err := json.Unmarshal(event.Data, &w); err != nil {
@@ -48,11 +48,11 @@
 	return w, nil
 }
 
-// IsSnapshot reports whether the event holds the complete list, which makes all events before it irrelevant.
+// IsSnapshot reports whether the event contains the complete list, which supersedes all earlier events.
 func (w *WatchEvent) IsSnapshot() bool { return w.Endpoints != nil && w.Endpoints.Snapshot }
 
-// HostNumber is the number in a host's name, by which all placers know it: the hex digits after the name's last dash,
-// of at most 32 bits. ok is false if it has none.
+// HostNumber returns the number in a host's name, by which all placers identify the host: the hex digits after the last
+// dash of the name, of at most 32 bits. ok is false if the name has no such number.
 func HostNumber(name string) (number uint32, ok bool) {
 	digits := name[strings.LastIndexByte(name, '-')+1:]
 	n, err := strconv.ParseUint(digits, 16, 32)
--- a/internal/protocol/platform/wire.go
+++ b/internal/protocol/platform/wire.go
@@ -1,42 +1,42 @@
 package platform
 
-// MaxLineSize is the most bytes that a message may hold, without its line feed.
+// MaxLineSize is the maximum size of a message in bytes, without its line feed.
 const MaxLineSize = 16 << 10
 
-// MaxDatagramSize is the most bytes of a message between placers.
+// MaxDatagramSize is the maximum size of a gossip message between placers, in bytes.
 const MaxDatagramSize = 256
 
-// MessageType is what a message is for: the JSON member t.
+// MessageType is the type of a message: the JSON member t.
 type MessageType string
 
-// The types of messages.
+// Message types.
 const (
-	TypeRequest     MessageType = "new"   // a placement request from an owner, an offer to a host
+	TypeRequest     MessageType = "new"   // a placement request from an owner, or an offer to a host
 	TypeProgress    MessageType = "wait"  // a keep-alive without content
 	TypeBound       MessageType = "up"    // the host runs the task
-	TypeRelease     MessageType = "down"  // a rejection, a withdrawal or the end of a task, by its cause and the moment
-	TypeAck         MessageType = "ack"   // confirms a TypeRelease
+	TypeRelease     MessageType = "down"  // a rejection, a withdrawal or the end of a task, by its cause and time
+	TypeAck         MessageType = "ack"   // acknowledges a TypeRelease
 	TypeProbe       MessageType = "hb"    // a health check
 	TypeProbeResult MessageType = "hb_ok" // answers a TypeProbe with CauseHealthy or CauseUnhealthy
-	TypeNote        MessageType = "tell"  // a host's note on a task that it runs
-	TypeMigrate     MessageType = "shift" // notifies the owner that the task ends and is to be requested again
+	TypeNote        MessageType = "tell"  // a host's Note on a task that it runs
+	TypeMigrate     MessageType = "shift" // notifies the owner that the task will end and has to be requested again
 )
 
 // Cause is a message's numeric code: the JSON member c.
 type Cause int
 
-// The causes of a TypeRelease.
+// Causes of a TypeRelease.
 const (
-	CauseOK       Cause = 16  // the task has ended; before the answer: the request is withdrawn
-	CauseMigrated Cause = 31  // migrated, or ended by its owner
-	CauseRejected Cause = 34  // rejected: it never ran
-	CauseReset    Cause = 41  // the task or its connection broke
+	CauseOK       Cause = 16  // the task has ended; if sent before the request is answered: the request is withdrawn
+	CauseMigrated Cause = 31  // the task was migrated, or ended by its owner
+	CauseRejected Cause = 34  // rejected: the task never ran
+	CauseReset    Cause = 41  // the task or its connection failed
 	CauseBusy     Cause = 42  // rejected: too many open requests
-	CauseFailed   Cause = 47  // an error that leaves open what ran
-	CauseNotSent  Cause = 102 // the attempt never left its sender
+	CauseFailed   Cause = 47  // an error after which the task may have run
+	CauseNotSent  Cause = 102 // the attempt was never sent
 )
 
-// The causes of a TypeProbeResult.
+// Causes of a TypeProbeResult.
 const (
 	CauseUnhealthy Cause = 0
 	CauseHealthy   Cause = 1
@@ -45,40 +45,40 @@
 // NoCause is the cause of a message without one.
 const NoCause Cause = -1
 
-// FieldName is the name of one of a message's fields: a key of the JSON member f.
+// FieldName is the name of a field of a message: a key of the JSON member f.
 type FieldName string
 
-// The fields of messages.
+// Message fields.
 const (
-	FieldClass          FieldName = "class"  // class of the request, by its name in the settings
+	FieldClass          FieldName = "class"  // name of the request's class in the settings
 	FieldTimeout        FieldName = "left"   // milliseconds until the owner stops waiting
-	FieldTenant         FieldName = "tenant" // tenant, by its name in the settings
-	FieldTaskKey        FieldName = "key"    // identity of the task, hex
-	FieldIdempotencyKey FieldName = "idem"   // what hosts deduplicate starts by
-	FieldExtras         FieldName = "extras" // list of Extra and its value, NAME:VALUE;NAME:VALUE
-	FieldLifetime       FieldName = "hint"   // milliseconds that the task is expected to run
-	FieldRetryAfter     FieldName = "wait"   // milliseconds after which a rejected request may come again
-	FieldNote           FieldName = "note"   // a Note of a TypeNote, a RejectReason of a TypeRelease
-	FieldValue          FieldName = "value"  // the amount of a Note
-	FieldLoad           FieldName = "load"   // list of LoadField and its value, NAME:VALUE;NAME:VALUE
+	FieldTenant         FieldName = "tenant" // name of the tenant in the settings
+	FieldTaskKey        FieldName = "key"    // identity of the task, in hex
+	FieldIdempotencyKey FieldName = "idem"   // key by which hosts deduplicate starts
+	FieldExtras         FieldName = "extras" // Extra names with their values, as NAME:VALUE;NAME:VALUE
+	FieldLifetime       FieldName = "hint"   // expected run time of the task in milliseconds
+	FieldRetryAfter     FieldName = "wait"   // milliseconds after which a rejected request may be sent again
+	FieldNote           FieldName = "note"   // the Note of a TypeNote, or the RejectReason of a TypeRelease
+	FieldValue          FieldName = "value"  // the value of a Note
+	FieldLoad           FieldName = "load"   // LoadField names with their values, as NAME:VALUE;NAME:VALUE
 )
 
-// Extra is a name within FieldExtras.
+// Extra is the name of an item in FieldExtras.
 type Extra string
 
-// What FieldExtras holds of a task.
+// Items of FieldExtras, which describe the task.
 const (
 	ExtraCores       Extra = "cores"
 	ExtraMemory      Extra = "memory"
-	ExtraService     Extra = "service" // identity of the service, hex
-	ExtraResubmitted Extra = "again"   // other than 0: an earlier request for the task failed
-	ExtraHost        Extra = "at"      // name of the host that runs the task already: a hand-over
+	ExtraService     Extra = "service" // identity of the service, in hex
+	ExtraResubmitted Extra = "again"   // any value but 0: an earlier request for the task failed
+	ExtraHost        Extra = "at"      // hand-over: name of the host that already runs the task
 )
 
-// Note is what a TypeNote reports of a running task.
+// Note is the kind of measurement that a TypeNote reports of a running task.
 type Note string
 
-// The notes.
+// Notes on a running task.
 const (
 	NoteRunning        Note = "running"
 	NoteCoresUsed      Note = "use_cpu"
@@ -87,10 +87,10 @@
 	NoteMemoryPressure Note = "ram_high"
 )
 
-// RejectReason is why a host rejected or ended a task.
+// RejectReason is the reason for which a host rejected or ended a task.
 type RejectReason string
 
-// The reasons of hosts.
+// Reasons that hosts report.
 const (
 	ReasonInsufficientCores  RejectReason = "lack_cpu"
 	ReasonInsufficientMemory RejectReason = "lack_ram"
@@ -101,23 +101,23 @@
 	ReasonDismissed          RejectReason = "dismissed"
 )
 
-// LoadField is a name within FieldLoad.
+// LoadField is the name of an item in FieldLoad.
 type LoadField string
 
-// What FieldLoad holds of a host.
+// Items of FieldLoad, which describe the load of the host.
 const (
 	LoadAvailableCores  LoadField = "x0"
 	LoadAvailableMemory LoadField = "x1"
-	LoadQueue           LoadField = "queue" // offers that wait there
+	LoadQueue           LoadField = "queue" // number of offers in the host's queue
 	LoadUtilization     LoadField = "util"
 )
 
 // EndpointState is the state of an Endpoint in the endpoint list.
 type EndpointState string
 
-// The states of an endpoint.
+// Endpoint states.
 const (
-	InService   EndpointState = "in_service"  // it takes tasks
-	Terminating EndpointState = "terminating" // it drains
-	Terminated  EndpointState = "terminated"  // it is removed
+	InService   EndpointState = "in_service"  // the host takes tasks
+	Terminating EndpointState = "terminating" // the host drains
+	Terminated  EndpointState = "terminated"  // the host is removed
 )
--- a/internal/protocol/platform/wire_test.go
+++ b/internal/protocol/platform/wire_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// wireConstants returns the typed constants of wire.go with what they are on the wire.
+// wireConstants returns the typed constants of wire.go by name, with their values on the wire.
 func wireConstants(t *testing.T) map[string]string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "wire.go", nil, parser.SkipObjectResolution)
@@ -28,7 +28,7 @@
 		for _, spec := range group.Specs {
 			value := spec.(*ast.ValueSpec)
 			literal, ok := value.Values[0].(*ast.BasicLit)
-			if !ok || value.Type == nil { // NoCause and sizes, which are not on the wire
+			if !ok || value.Type == nil { // NoCause and the sizes, which are not on the wire
 				continue
 			}
 			words[value.Names[0].Name] = strings.Trim(literal.Value, `"`)
@@ -37,7 +37,7 @@
 	return words
 }
 
-// packageTable returns the package comment, which holds the table.
+// packageTable returns the package comment, which contains the table of terms.
 func packageTable(t *testing.T) string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "doc.go", nil, parser.ParseComments|parser.SkipObjectResolution)
@@ -47,21 +47,21 @@
 	return file.Doc.Text()
 }
 
-// The package comment's table translates each constant of the wire.
+// The table in the package comment has a row for each wire constant, with its value on the wire.
 func TestPackageTableHoldsWireConstants(t *testing.T) {
 	constants, table := wireConstants(t), packageTable(t)
 	if len(constants) < 40 {
-		t.Fatalf("%d constants are found in wire.go; this tests nothing", len(constants))
+		t.Fatalf("constants found in wire.go: got %d, want at least 40; the test would check nothing", len(constants))
 	}
 	for name, word := range constants {
 		row := regexp.MustCompile(`(?m)^.*\b` + name + `\b.*$`).FindString(table)
 		if !regexp.MustCompile(`\b` + regexp.QuoteMeta(word) + `\b`).MatchString(row) {
-			t.Errorf("%s is %q on the wire; its row is %q", name, word, row)
+			t.Errorf("table row of %s: got %q, want a row with its value on the wire, %q", name, row, word)
 		}
 	}
 }
 
-// The package comment's table translates each JSON key of the watch that has another name here.
+// The table in the package comment has a row for each JSON key of the watch, with its field.
 func TestPackageTableHoldsWatchKeys(t *testing.T) {
 	table := packageTable(t)
 	for _, value := range []any{WatchEvent{}, EndpointList{}, Endpoint{}} {
@@ -70,7 +70,7 @@
 			field := owner.Field(i)
 			row := fmt.Sprintf(`(?m)\b%s +%s\.%s$`, field.Tag.Get("json"), owner.Name(), field.Name)
 			if !regexp.MustCompile(row).MatchString(table) {
-				t.Errorf("no row %s for %s", strconv.Quote(row), field.Name)
+				t.Errorf("table row of %s.%s: got none, want one that matches %s", owner.Name(), field.Name, strconv.Quote(row))
 			}
 		}
 	}
