--- a/internal/protocol/hostproto/decode.go
+++ b/internal/protocol/hostproto/decode.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Decode reads one frame, which is given without its length: a code and the fields of this code. A frame that cannot be
-// read is a *FrameError. What it allocates is bounded by the length of body.
+// Decode decodes one frame. body is the frame without its length: a code and the fields of that code. The error of a
+// malformed frame is a *FrameError. The memory that Decode allocates is bounded by the length of body.
 func Decode(body []byte) (Frame, error) {
 	if len(body) == 0 {
 		return nil, &FrameError{Reason: ErrTruncated, Offset: lengthSize}
@@ -34,8 +34,8 @@
 	return frame, nil
 }
 
-// decodePlacerFrame reads the fields of a frame that placers send, or returns nil for another code. Here and below, the
-// fields of a literal are read in the order in which they are written.
+// decodePlacerFrame decodes the fields of a frame that placers send. It returns nil for any other code. Here and below,
+// the calls in a composite literal read the fields in the order in which they are written.
 func decodePlacerFrame(code uint8, r *fieldReader) Frame {
 	switch code {
 	case codeHello:
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// decodeHostFrame reads the fields of a frame that hosts send, Bye among them, or returns nil for another code.
+// decodeHostFrame decodes the fields of a frame that hosts send, including Bye, which placers send too. It returns nil
+// for any other code.
 func decodeHostFrame(code uint8, r *fieldReader) Frame {
 	switch code {
 	case codeWelcome:
@@ -83,14 +84,14 @@
 	return nil
 }
 
-// fieldReader reads the fields of a frame one after another. After the first error every field is zero.
+// fieldReader reads the fields of a frame one after another. After the first error, every field it returns is zero.
 type fieldReader struct {
 	unread []byte
-	offset int // of unread, from the frame's length
+	offset int // offset of unread from the start of the frame's length
 	err    *FrameError
 }
 
-// fail records the first error and skips the remaining bytes.
+// fail records the error, unless there is an earlier one, and discards the remaining bytes.
 func (r *fieldReader) fail(reason error, detail string) {
 	r.failAt(r.offset, reason, detail)
 }
@@ -102,7 +103,7 @@
 	r.unread = nil
 }
 
-// take returns the next n bytes, or nil if there are less.
+// take returns the next n bytes, or nil if there are fewer.
 func (r *fieldReader) take(n int) []byte {
 	if len(r.unread) < n {
 		r.fail(ErrTruncated, "")
@@ -148,11 +149,11 @@
 	return time.Duration(r.uint32()) * time.Millisecond
 }
 
-// uint8UpTo reads a number that is at most highest.
-func (r *fieldReader) uint8UpTo(highest uint8) uint8 {
+// uint8UpTo reads a number that must be at most maxValue.
+func (r *fieldReader) uint8UpTo(maxValue uint8) uint8 {
 	start := r.offset
 	v := r.uint8()
-	if v > highest {
+	if v > maxValue {
 		r.failAt(start, ErrInvalidValue, "")
 		return 0
 	}
@@ -161,21 +162,23 @@
 
 func (r *fieldReader) bool() bool { return r.uint8UpTo(1) == 1 }
 
-// sized reads a field with its length of at most highest before it.
-func (r *fieldReader) sized(highest int) []byte {
+// lengthPrefixed reads a field that is preceded by its length, which must be at most maxSize.
+func (r *fieldReader) lengthPrefixed(maxSize int) []byte {
 	start := r.offset
 	size := int(r.uint16())
-	if size > highest {
+	if size > maxSize {
 		r.failAt(start, ErrInvalidValue, "")
 		return nil
 	}
 	return r.take(size)
 }
 
-func (r *fieldReader) text() string { return string(r.sized(MaxTextSize)) }
+func (r *fieldReader) text() string { return string(r.lengthPrefixed(MaxTextSize)) }
 
-// payload returns a copy, or nil for an empty payload.
-func (r *fieldReader) payload() []byte { return append([]byte(nil), r.sized(MaxPayloadSize)...) }
+// payload returns a copy of the payload, or nil for an empty one.
+func (r *fieldReader) payload() []byte {
+	return append([]byte(nil), r.lengthPrefixed(MaxPayloadSize)...)
+}
 
 func (r *fieldReader) ref() Ref {
 	return Ref{Epoch: r.uint64(), Task: r.uint32(), Attempt: r.uint8()}
@@ -188,7 +191,7 @@
 	}
 }
 
-// report reads a report, or nil where the frame has none.
+// report reads a report, or returns nil if the frame has none.
 func (r *fieldReader) report() *Report {
 	if !r.bool() {
 		return nil
@@ -210,7 +213,7 @@
 	return refs
 }
 
-// heldList compares the count with the bytes that follow before it allocates.
+// heldList reads a list of attempts. It checks the count against the bytes that follow before it allocates.
 func (r *fieldReader) heldList() []Held {
 	start := r.offset
 	count := int(r.uint16())
--- a/internal/protocol/hostproto/encode.go
+++ b/internal/protocol/hostproto/encode.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// Append appends a frame as it is sent. It panics if the frame is over a bound: senders check what users gave them before.
+// Append appends the encoded frame to dst. It panics if the frame exceeds a limit: senders check users' input before
+// they send it.
 func Append(dst []byte, f Frame) []byte {
 	start := len(dst)
-	dst = append(dst, 0, 0, 0, 0, f.code()) // the length is known at the end
+	dst = append(dst, 0, 0, 0, 0, f.code()) // the length is set below
 	dst = f.appendFields(dst)
 	size := len(dst) - start - lengthSize
 	if size > MaxFrameSize {
-		panic(fmt.Sprintf("hostproto: a %T of %d bytes", f, size))
+		panic(fmt.Sprintf("hostproto: %T frame of %d bytes exceeds the limit of %d", f, size, MaxFrameSize))
 	}
 	binary.LittleEndian.PutUint32(dst[start:], uint32(size))
 	return dst
@@ -101,7 +102,7 @@
 
 func (f Drain) appendFields(dst []byte) []byte { return appendBool(dst, f.On) }
 
-// appendFields cuts the text of a Bye at its bound: it may be the error of a peer's input.
+// appendFields truncates the text of a Bye to MaxTextSize: the text may be an error that contains a peer's input.
 func (f Bye) appendFields(dst []byte) []byte {
 	return appendText(dst, f.Text[:min(len(f.Text), MaxTextSize)])
 }
@@ -117,14 +118,14 @@
 	return binary.LittleEndian.AppendUint32(dst, math.Float32bits(v))
 }
 
-// appendMilliseconds appends a duration. What the field cannot hold becomes the nearest that it can.
+// appendMilliseconds appends a duration in milliseconds. A duration outside the range of the field is clamped to it.
 func appendMilliseconds(dst []byte, d time.Duration) []byte {
 	return binary.LittleEndian.AppendUint32(dst, uint32(min(max(d/time.Millisecond, 0), math.MaxUint32)))
 }
 
 func appendText(dst []byte, text string) []byte {
 	if len(text) > MaxTextSize {
-		panic("hostproto: a text over its limit")
+		panic(fmt.Sprintf("hostproto: text of %d bytes exceeds the limit of %d", len(text), MaxTextSize))
 	}
 	dst = binary.LittleEndian.AppendUint16(dst, uint16(len(text)))
 	return append(dst, text...)
@@ -132,7 +133,7 @@
 
 func appendPayload(dst, payload []byte) []byte {
 	if len(payload) > MaxPayloadSize {
-		panic("hostproto: a payload over its limit")
+		panic(fmt.Sprintf("hostproto: payload of %d bytes exceeds the limit of %d", len(payload), MaxPayloadSize))
 	}
 	dst = binary.LittleEndian.AppendUint16(dst, uint16(len(payload)))
 	return append(dst, payload...)
@@ -157,7 +158,7 @@
 	return appendMilliseconds(dst, spec.Life)
 }
 
-// appendReport appends whether there is a report, and the report.
+// appendReport appends a bool that tells whether there is a report, and the report if there is one.
 func appendReport(dst []byte, report *Report) []byte {
 	if report == nil {
 		return appendBool(dst, false)
--- a/internal/protocol/hostproto/errors.go
+++ b/internal/protocol/hostproto/errors.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// What can be wrong with a stream; the reasons of a FrameError.
+// Reasons of a FrameError. Their texts are sent in Bye.
 var (
 	ErrFrameTooLong  = errors.New("a frame is longer than allowed")
 	ErrTruncated     = errors.New("a frame ends before its fields do")
@@ -11,15 +11,15 @@
 	ErrInvalidValue  = errors.New("a field has a value that is not allowed")
 )
 
-// FrameError is what is wrong with a frame. What follows it in the stream cannot be decoded. A host sends its
-// text to the placer, in Bye.
+// FrameError describes a malformed frame. The rest of the stream after it cannot be decoded. The end that receives the
+// frame sends the text of the error to its peer, in Bye.
 type FrameError struct {
 	Reason error  // one of the variables above
-	Offset int    // where the field begins that cannot be read, in bytes from the frame's length
-	Detail string // follows the text of Reason; may be empty
+	Offset int    // start of the malformed field, in bytes from the start of the frame's length
+	Detail string // appended to the text of Reason; may be empty
 }
 
-// Error returns the text of the reason with its detail.
+// Error returns the text of the reason, followed by the detail.
 func (e *FrameError) Error() string { return e.Reason.Error() + e.Detail }
 
 // Unwrap returns the reason.
--- a/internal/protocol/hostproto/errors_test.go
+++ b/internal/protocol/hostproto/errors_test.go
@@ -5,20 +5,21 @@
 	"testing"
 )
 
-// malformed returns the bytes of an Offer with one field cut or changed.
-func malformed(cutTo int, change map[int]byte) []byte {
-	stream := Append(nil, Offer{Ref: Ref{1, 2, 3}, Spec: Spec{Name: "a/b/1"}})[:cutTo]
-	stream[0] = byte(cutTo - lengthSize)
-	for offset, value := range change {
+// malformed returns an Offer frame that is truncated to size bytes and in which the bytes at some offsets are replaced.
+func malformed(size int, replaced map[int]byte) []byte {
+	stream := Append(nil, Offer{Ref: Ref{1, 2, 3}, Spec: Spec{Name: "a/b/1"}})[:size]
+	stream[0] = byte(size - lengthSize)
+	for offset, value := range replaced {
 		stream[offset] = value
 	}
 	return stream
 }
 
-// The texts reach the peer, in Bye.
+// A malformed frame is an error with the offset of the malformed field. The text of the error is sent to the peer in
+// Bye, so the test compares it in full.
 func TestFrameErrorTextAndOffset(t *testing.T) {
 	const (
-		keyOffset    = lengthSize + codeSize + refSize + 4 // behind the ref and a duration
+		keyOffset    = lengthSize + codeSize + refSize + 4 // after the ref and a duration
 		effectOffset = keyOffset + 3*8 + len("..a/b/1") + len("..") + len("..")
 	)
 	for name, c := range map[string]struct {
@@ -43,13 +44,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var d Decoder
-			err := d.Feed(c.stream, func(f Frame) error { t.Errorf("read as %+v", f); return nil })
+			err := d.Feed(c.stream, func(f Frame) error { t.Errorf("Feed(%x): got frame %+v, want none", c.stream, f); return nil })
 			var got *FrameError
 			if !errors.As(err, &got) || !errors.Is(err, c.reason) {
-				t.Fatalf("%v, want a FrameError for %v", err, c.reason)
+				t.Fatalf("Feed(%x): got error %v, want a FrameError with reason %q", c.stream, err, c.reason)
 			}
 			if got.Offset != c.offset || err.Error() != c.text {
-				t.Errorf("%q at %d, want %q at %d", err, got.Offset, c.text, c.offset)
+				t.Errorf("Feed(%x): got error %q at offset %d, want %q at offset %d", c.stream, err, got.Offset, c.text, c.offset)
 			}
 		})
 	}
--- a/internal/protocol/hostproto/frames.go
+++ b/internal/protocol/hostproto/frames.go
@@ -6,7 +6,7 @@
 type Frame interface {
 	// code is the frame's code on the wire.
 	code() uint8
-	// appendFields appends the frame's fields as on the wire.
+	// appendFields appends the frame's fields in their wire encoding.
 	appendFields(dst []byte) []byte
 }
 
@@ -20,7 +20,7 @@
 	codeQuery    = 6
 )
 
-// Codes of the frames that a host sends, and of Bye, which both send.
+// Codes of the frames that a host sends, and of Bye, which both ends send.
 const (
 	codeWelcome  = 32
 	codeHolds    = 33
@@ -36,8 +36,8 @@
 
 // Frames that a placer sends.
 type (
-	// Hello opens a session. Of two connections of one incarnation of a placer the one with the higher Conn counts, and
-	// a later incarnation ends an earlier one.
+	// Hello opens a session. Of two connections from the same incarnation of a placer, the one with the higher Conn is
+	// valid. The session of a later incarnation replaces that of an earlier one.
 	Hello struct {
 		Version uint8
 		Placer  uint16 // number of the placer
@@ -47,66 +47,67 @@
 	// Offer offers a task to the host.
 	Offer struct {
 		Ref     Ref
-		Wait    time.Duration // an answer later than this is of no use; whole milliseconds
+		Wait    time.Duration // how long the placer waits for an answer, in whole milliseconds
 		Spec    Spec
-		Payload []byte // JSON that only the host reads
+		Payload []byte // JSON that only the host interprets
 	}
-	// Withdraw withdraws an offer. The host answers with Ended and the result Canceled, or goes on if it has accepted.
+	// Withdraw withdraws an offer. The host answers with Ended and the result Canceled. If it has already accepted the
+	// offer, the attempt continues.
 	Withdraw struct{ Ref Ref }
 	// Stop ends a task.
 	Stop struct {
 		Ref   Ref
-		Grace time.Duration // time that the task has to end by itself, in whole milliseconds; 0: what the host grants
+		Grace time.Duration // time that the task has to end by itself, in whole milliseconds; 0: the host's default
 	}
-	// Probe requests a Probed with the same ID. The ID 0 only keeps the connection from being idle.
+	// Probe requests a Probed with the same ID. A Probe with ID 0 only keeps the connection from becoming idle.
 	Probe struct{ ID uint32 }
-	// Query requests what became of attempts that Holds did not list. Each is answered by Refused (it never came), by Ended,
-	// or by Accepted or Running.
+	// Query requests the state of attempts that Holds did not list. The host answers for each with Refused (the offer
+	// never arrived), Ended, Accepted or Running.
 	Query struct{ Refs []Ref }
 )
 
 // Frames that a host sends.
 type (
-	// Welcome answers Hello. Frames of Holds with Count attempts in all follow.
+	// Welcome answers Hello. It is followed by Holds frames that list Count attempts in total.
 	Welcome struct {
 		Version  uint8
-		Host     string // name of the host
-		Epoch    uint64 // incarnation of the host; a later one has a higher number
-		Started  time.Duration
+		Host     string        // name of the host
+		Epoch    uint64        // incarnation of the host; a later one has a higher number
+		Started  time.Duration // start of the host; 0: long ago
 		Draining bool
 		Count    uint32
 	}
-	// Holds lists attempts that the host has from this placer, of any incarnation of it.
+	// Holds lists attempts that the host has from any incarnation of this placer.
 	Holds struct{ Held []Held }
-	// Refused reports that an offer was rejected: the task never ran.
+	// Refused reports that the host rejected an offer: the task never ran.
 	Refused struct {
 		Ref    Ref
 		Reason Reason
-		Report *Report // nil: none
+		Report *Report // nil if the frame has none
 	}
 	// Accepted reports that the host has bound the task.
 	Accepted struct{ Ref Ref }
 	// Running reports that the task runs.
 	Running struct{ Ref Ref }
-	// Note reports a measurement of a running task: its usage of cores or memory, the share of full service that it gets, or the
-	// memory pressure of its host.
+	// Note reports a measurement of a running task: its usage of cores or memory, the share of full service that it
+	// gets, or the memory pressure of its host.
 	Note struct {
 		Ref    Ref
-		Kind   uint8   // forkhead.NoteKind
-		Amount float32 // as forkhead.NoteKind says
+		Kind   uint8   // a forkhead.NoteKind
+		Amount float32 // in the unit of the forkhead.NoteKind
 	}
-	// Ended reports that an attempt is over.
+	// Ended reports that an attempt has ended.
 	Ended struct {
 		Ref    Ref
 		Result Result
-		Report *Report // nil: none
+		Report *Report // nil if the frame has none
 	}
 	// Probed answers Probe.
 	Probed struct {
 		ID     uint32
-		Report *Report // nil: none
+		Report *Report // nil if the frame has none
 	}
-	// Drain reports that the host drains from now on, or no longer.
+	// Drain reports that the host has started to drain, or has stopped draining.
 	Drain struct{ On bool }
 	// Bye gives the reason for which its sender, a placer or a host, is about to close the connection.
 	Bye struct{ Text string }
@@ -132,65 +133,65 @@
 // Ref identifies an attempt.
 type Ref struct {
 	Epoch   uint64 // incarnation of the placer that made the attempt
-	Task    uint32 // placement request within the incarnation
+	Task    uint32 // number of the placement request within the incarnation
 	Attempt uint8  // number of the attempt within the request
 }
 
-// Spec is what an offer describes of a task.
+// Spec is the description of a task in an offer.
 type Spec struct {
-	Key         uint64 // the task: the same in every attempt and request
+	Key         uint64 // identity of the task, the same in every attempt and request
 	Service     uint64
-	Fingerprint uint64 // changes with the task's specification
+	Fingerprint uint64 // hash that changes with the task's specification
 	Name        string // PROJECT/SERVICE/REPLICA
 	Class       string
 	Tenant      string
-	Effect      uint8 // forkhead.Effect
+	Effect      uint8 // a forkhead.Effect
 	Priority    uint8
 	Cores       uint32        // thousandths of a core
 	Memory      uint32        // MiB
-	Life        time.Duration // how long it runs, roughly, in whole milliseconds; 0: unknown
+	Life        time.Duration // expected run time of the task in whole milliseconds; 0: unknown
 }
 
 // Held is an attempt that a host has.
 type Held struct {
 	Ref   Ref
 	Phase Phase
-	Left  time.Duration // until the task ends, in whole milliseconds; 0: unknown
+	Left  time.Duration // remaining run time of the task in whole milliseconds; 0: unknown
 	Spec  Spec
 }
 
-// HeldSize returns an upper bound of the bytes that a Held with this Spec takes in a Holds frame.
+// HeldSize returns an upper bound on the size, in bytes, of a Held with this Spec in a Holds frame.
 func HeldSize(s *Spec) int { return maxHeldBase + len(s.Name) + len(s.Class) + len(s.Tenant) }
 
-// Phase is how far a host is with an attempt.
+// Phase is the state of an attempt at its host.
 type Phase uint8
 
-// The phases.
+// Phases of an attempt.
 const (
-	PhaseQueued   Phase = iota // not decided
+	PhaseQueued   Phase = iota // not answered yet
 	PhaseStarting              // accepted
 	PhaseRunning
 )
 
-// Result is how an attempt ended.
+// Result is the way in which an attempt ended.
 type Result uint8
 
-// The results.
+// Results of an attempt.
 const (
-	Done      Result = iota // without an error
-	Failed                  // with an error
-	Evicted                 // the host's memory ran short
-	Preempted               // by a task of a higher priority
-	Dismissed               // the host drains
-	Stopped                 // by the placer
-	Canceled                // withdrawn before it was accepted: it never ran
+	Done      Result = iota // the task ended without an error
+	Failed                  // the task ended with an error
+	Evicted                 // the host ended the task because its memory ran short
+	Preempted               // the host ended the task for one of a higher priority
+	Dismissed               // the host ended the task because it drains
+	Stopped                 // the placer stopped the task
+	Canceled                // the offer was withdrawn before it was accepted: the task never ran
 	Forgotten               // the host has dropped its record of how the attempt ended: the task may have run
 )
 
-// Reason is why an offer was rejected. The values are those of forkhead.RejectReason.
+// Reason is the reason for which an offer was rejected. The values are those of forkhead.RejectReason.
 type Reason uint8
 
-// The reasons.
+// Reasons of a rejection.
 const (
 	NoReason Reason = iota
 	InsufficientCores
@@ -199,9 +200,9 @@
 	Unsuitable // the host may not run the task
 )
 
-// Report is the load of a host. A value that is not reported is NaN.
+// Report describes the load of a host. A value that is not reported is NaN.
 type Report struct {
-	Cores, Memory float32 // available, Memory in GiB
-	Queue         float32 // offers and starts that wait
+	Cores, Memory float32 // available cores, and available memory in GiB
+	Queue         float32 // number of queued offers and starts
 	Util          float32 // fraction of the cores in use
 }
--- a/internal/protocol/hostproto/golden_test.go
+++ b/internal/protocol/hostproto/golden_test.go
@@ -15,7 +15,8 @@
 	"forkhead/internal/goldentest"
 )
 
-// exampleFrames are one of each kind with every field set, and those whose optional parts are left out.
+// exampleFrames returns a frame of each type with every field set, frames without their optional parts, and frames with
+// each phase, reason and result.
 func exampleFrames() []Frame {
 	ref := Ref{Epoch: 0x0102030405060708, Task: 0x11121314, Attempt: 0x15}
 	spec := Spec{
@@ -60,7 +61,7 @@
 	}
 }
 
-// Every kind of frame has the same bytes on the wire, and these bytes are read as that frame.
+// Frames of every type are encoded to the bytes of testdata/frames.hex, and these bytes are decoded to the same frames.
 func TestFramesGolden(t *testing.T) {
 	var b bytes.Buffer
 	for _, f := range exampleFrames() {
@@ -74,14 +75,14 @@
 	}
 	wire, err := hex.DecodeString(strings.Join(strings.Fields(string(golden)), ""))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("hex digits of frames.hex: %v", err)
 	}
 	var got []Frame
 	var d Decoder
 	if err := d.Feed(wire, func(f Frame) error { got = append(got, f); return nil }); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Feed of frames.hex: %v", err)
 	}
 	if diff := cmp.Diff(exampleFrames(), got); diff != "" {
-		t.Error(diff)
+		t.Errorf("frames decoded from frames.hex (-want +got):\n%s", diff)
 	}
 }
--- a/internal/protocol/hostproto/stream.go
+++ b/internal/protocol/hostproto/stream.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// Decoder cuts a stream into frames. The zero value is ready. It keeps at most one incomplete frame, in a buffer of its
-// own. It is for one goroutine at a time.
+// Decoder splits a stream into frames and decodes them. The zero value is ready to use. It buffers at most one
+// incomplete frame. It is not safe for concurrent use.
 type Decoder struct {
-	partial []byte // the beginning of a frame whose end has not come
+	partial []byte // the incomplete frame
 	err     error
 }
 
-// Feed takes the next bytes of the stream and calls handle for each frame that is complete with them. It returns the
-// first error, a *FrameError or what handle returned, and the same one from then on. It does not keep p.
+// Feed processes the next bytes of the stream and calls handle for each frame that they complete. It stops at the first
+// error, a *FrameError or an error of handle, and returns this error from then on. It does not retain p.
 func (d *Decoder) Feed(p []byte, handle func(Frame) error) error {
 	if d.err != nil {
 		return d.err
@@ -26,17 +26,17 @@
 
 func (d *Decoder) feed(p []byte, handle func(Frame) error) error {
 	if len(d.partial) > 0 {
-		body, following, err := d.completePartial(p)
+		body, rest, err := d.completePartial(p)
 		if err != nil || body == nil {
 			return err
 		}
 		if err := decodeAndHandle(body, handle); err != nil {
 			return err
 		}
-		p = following
+		p = rest
 	}
 	for {
-		body, following, err := firstFrame(p)
+		body, rest, err := firstFrame(p)
 		if err != nil {
 			return err
 		}
@@ -46,16 +46,16 @@
 		if err := decodeAndHandle(body, handle); err != nil {
 			return err
 		}
-		p = following
+		p = rest
 	}
 	d.partial = append(d.partial[:0], p...)
 	return nil
 }
 
-// completePartial adds bytes to the partial frame, as many as complete it, and returns the frame without its length and
-// the bytes that follow it, or nil if the frame is still not complete. The frame is valid until the partial frame is
-// written to again.
-func (d *Decoder) completePartial(p []byte) (body, following []byte, err error) {
+// completePartial appends to the partial frame as many bytes of p as complete it. It returns the frame without its
+// length and the rest of p, or nil if the frame is still incomplete. body is valid until the buffer of the partial
+// frame is written to again.
+func (d *Decoder) completePartial(p []byte) (body, rest []byte, err error) {
 	p = d.fillPartial(lengthSize, p)
 	if len(d.partial) < lengthSize {
 		return nil, nil, nil
@@ -64,24 +64,24 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	following = d.fillPartial(lengthSize+size, p)
+	rest = d.fillPartial(lengthSize+size, p)
 	if len(d.partial) < lengthSize+size {
 		return nil, nil, nil
 	}
 	body = d.partial[lengthSize:]
 	d.partial = d.partial[:0]
-	return body, following, nil
+	return body, rest, nil
 }
 
-// fillPartial copies bytes to the partial frame until it has n, and returns the others.
-func (d *Decoder) fillPartial(n int, p []byte) (following []byte) {
+// fillPartial appends bytes of p to the partial frame until it has n bytes, and returns the rest of p.
+func (d *Decoder) fillPartial(n int, p []byte) (rest []byte) {
 	missing := min(max(n-len(d.partial), 0), len(p))
 	d.partial = append(d.partial, p[:missing]...)
 	return p[missing:]
 }
 
-// firstFrame returns the first frame of p, without its length, and what follows it, or nil if p does not hold all of it.
-func firstFrame(p []byte) (body, following []byte, err error) {
+// firstFrame returns the first frame of p, without its length, and the rest of p, or nil if the frame is incomplete.
+func firstFrame(p []byte) (body, rest []byte, err error) {
 	if len(p) < lengthSize {
 		return nil, nil, nil
 	}
@@ -95,7 +95,7 @@
 	return p[lengthSize : lengthSize+size], p[lengthSize+size:], nil
 }
 
-// frameSize reads the length of a frame.
+// frameSize reads the length at the start of a frame and checks it.
 func frameSize(p []byte) (int, error) {
 	size := binary.LittleEndian.Uint32(p)
 	if size > MaxFrameSize {
--- a/internal/protocol/hostproto/stream_test.go
+++ b/internal/protocol/hostproto/stream_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func ms(t *rapid.T, name string) time.Duration {
+func drawMilliseconds(t *rapid.T, name string) time.Duration {
 	return time.Duration(rapid.Uint32().Draw(t, name)) * time.Millisecond
 }
 
@@ -21,7 +21,7 @@
 	return Spec{
 		Key: rapid.Uint64().Draw(t, "key"), Service: rapid.Uint64().Draw(t, "service"),
 		Name: rapid.StringN(0, 100, MaxTextSize).Draw(t, "name"), Class: rapid.StringN(0, 20, 80).Draw(t, "class"),
-		Effect: rapid.Uint8Range(0, 2).Draw(t, "effect"), Cores: rapid.Uint32().Draw(t, "cores"), Life: ms(t, "life"),
+		Effect: rapid.Uint8Range(0, 2).Draw(t, "effect"), Cores: rapid.Uint32().Draw(t, "cores"), Life: drawMilliseconds(t, "life"),
 	}
 }
 
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// drawers has one function for each kind of frame.
-var drawers = []func(t *rapid.T) Frame{
+// frameDrawers has a function for each type of frame, which draws a frame of that type.
+var frameDrawers = []func(t *rapid.T) Frame{
 	func(t *rapid.T) Frame {
 		return Hello{1, rapid.Uint16().Draw(t, "placer"), rapid.Uint64().Draw(t, "epoch"), rapid.Uint32().Draw(t, "conn")}
 	},
@@ -42,10 +42,10 @@
 		if len(payload) == 0 {
 			payload = nil
 		}
-		return Offer{drawRef(t), ms(t, "wait"), drawSpec(t), payload}
+		return Offer{drawRef(t), drawMilliseconds(t, "wait"), drawSpec(t), payload}
 	},
 	func(t *rapid.T) Frame { return Withdraw{drawRef(t)} },
-	func(t *rapid.T) Frame { return Stop{drawRef(t), ms(t, "grace")} },
+	func(t *rapid.T) Frame { return Stop{drawRef(t), drawMilliseconds(t, "grace")} },
 	func(t *rapid.T) Frame { return Probe{rapid.Uint32().Draw(t, "id")} },
 	func(t *rapid.T) Frame {
 		refs := make([]Ref, rapid.IntRange(0, 20).Draw(t, "refs"))
@@ -63,7 +63,7 @@
 	func(t *rapid.T) Frame {
 		held := make([]Held, rapid.IntRange(0, 5).Draw(t, "held"))
 		for i := range held {
-			held[i] = Held{drawRef(t), Phase(rapid.IntRange(0, 2).Draw(t, "phase")), ms(t, "left"), drawSpec(t)}
+			held[i] = Held{drawRef(t), Phase(rapid.IntRange(0, 2).Draw(t, "phase")), drawMilliseconds(t, "left"), drawSpec(t)}
 		}
 		return Holds{held}
 	},
@@ -84,11 +84,11 @@
 }
 
 func drawFrame(t *rapid.T) Frame {
-	return drawers[rapid.IntRange(0, len(drawers)-1).Draw(t, "frame")](t)
+	return frameDrawers[rapid.IntRange(0, len(frameDrawers)-1).Draw(t, "frame")](t)
 }
 
-// Frames come out as they went in, wherever the stream is cut.
-func TestDecoderRoundTrip(t *testing.T) {
+// Encoded frames are decoded to the same frames, wherever the stream is split into chunks.
+func TestDecoderReadsEncodedFramesFromAnyChunks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want, got []Frame
 		var stream []byte
@@ -99,18 +99,19 @@
 		}
 		var d Decoder
 		for len(stream) > 0 {
-			n := min(rapid.IntRange(1, 60).Draw(t, "cut"), len(stream))
+			n := min(rapid.IntRange(1, 60).Draw(t, "size"), len(stream))
 			if err := d.Feed(stream[:n], func(f Frame) error { got = append(got, f); return nil }); err != nil {
-				t.Fatal(err)
+				t.Fatalf("Feed(%x): %v", stream[:n], err)
 			}
 			stream = stream[n:]
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Fatal(diff)
+			t.Fatalf("frames decoded from chunks (-want +got):\n%s", diff)
 		}
 	})
 }
 
+// A malformed frame is an error, and no frame after it is decoded.
 func TestDecoderRejectsMalformedStreams(t *testing.T) {
 	good := Append(nil, Offer{Ref: Ref{1, 2, 3}, Spec: Spec{Name: "a/b/1"}, Payload: []byte("{}")})
 	for name, c := range map[string]struct {
@@ -130,14 +131,18 @@
 		var d Decoder
 		err := d.Feed(c.stream, func(Frame) error { return nil })
 		if !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
+			t.Errorf("%s: Feed(%x): got error %v, want %v", name, c.stream, err, c.want)
 		}
-		if again := d.Feed(good, func(Frame) error { t.Errorf("%s: a frame behind a fault", name); return nil }); !errors.Is(again, c.want) {
-			t.Errorf("%s: the fault did not last", name)
+		if again := d.Feed(good, func(f Frame) error {
+			t.Errorf("%s: Feed after the error: got frame %+v, want none", name, f)
+			return nil
+		}); !errors.Is(again, c.want) {
+			t.Errorf("%s: Feed after the error: got error %v, want %v again", name, again, c.want)
 		}
 	}
 }
 
+// A frame that is decoded can be encoded and decoded again, and no more than one frame is buffered.
 func FuzzDecode(f *testing.F) {
 	f.Add(Append(nil, Hello{1, 2, 3, 4}))
 	f.Add(Append(nil, Offer{Ref: Ref{1, 2, 3}, Spec: Spec{Name: "a/b/1"}, Payload: []byte("{}")}))
@@ -148,13 +153,13 @@
 		_ = d.Feed(data, func(f Frame) error {
 			again, err := Decode(Append(nil, f)[4:])
 			if err != nil {
-				t.Fatalf("%+v does not come back: %v", f, err)
+				t.Fatalf("Decode after Append of %+v: %v", f, err)
 			}
 			_ = again
 			return nil
 		})
 		if len(d.partial) > MaxFrameSize+4 {
-			t.Fatalf("%d bytes buffered", len(d.partial))
+			t.Fatalf("buffered bytes: got %d, want at most %d", len(d.partial), MaxFrameSize+4)
 		}
 	})
 }
