--- a/internal/protocol/http1/framing.go
+++ b/internal/protocol/http1/framing.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// framing is how the header fields delimit the request's body.
+// framing is the information in the header fields that determines how the body is read and when the connection ends.
 type framing struct {
 	hostFields       int
 	hasContentLength bool
 	contentLength    string
-	transferCoding   string // "" if there is no such field
-	closes           bool   // the client closes the connection after the response
+	transferCoding   string // "" without a Transfer-Encoding field
+	closes           bool   // the client asks to close the connection after the response
 	expectsContinue  bool
 }
 
-// readFraming reads the fields that matter for the framing and checks each by itself.
+// readFraming returns the framing that the header fields specify. It checks each field on its own.
 func readFraming(fields []Field) (framing, *Error) {
 	var f framing
 	for _, field := range fields {
@@ -34,7 +34,7 @@
 			return reject(400, "the Host field is not a host")
 		}
 	case "content-length":
-		// Two lengths, even equal ones, are a way to smuggle a request past a proxy.
+		// Two lengths, even equal ones, can be used to smuggle a request past a proxy.
 		if f.hasContentLength {
 			return reject(400, "two Content-Length fields")
 		}
@@ -67,7 +67,7 @@
 	return false
 }
 
-// check checks the fields against each other and against the minor version.
+// check checks that the fields are consistent with each other and with the minor version.
 func (f *framing) check(minor int) *Error {
 	if f.hostFields > 1 || f.hostFields == 0 && minor == 1 {
 		return reject(400, "%d Host fields, where one belongs", f.hostFields)
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// parseDigits parses a number of plain digits: no sign, no space. A number of more than maxDigits is not one.
+// parseDigits parses a number that consists of digits only, without a sign or spaces. It returns false for any other
+// string and for a number of more than maxDigits digits.
 func parseDigits(s string, base, maxDigits int) (int, bool) {
 	if s == "" || len(s) > maxDigits {
 		return 0, false
--- a/internal/protocol/http1/http1.go
+++ b/internal/protocol/http1/http1.go
@@ -1,9 +1,9 @@
-// Package http1 reads HTTP/1.1 requests from a stream that may come in any pieces, and writes responses (RFC 9112). It
-// holds no connection. It is strict: what RFC 9112 lets a server reject, and what has been used to smuggle requests past
-// a server, is rejected.
+// Package http1 parses HTTP/1.1 requests from a stream that may arrive in arbitrary chunks, and encodes responses
+// (RFC 9112). It has no connections. The parser is strict: it rejects all that RFC 9112 allows a server to reject, and
+// all constructs that are known from request smuggling.
 //
-//	parser.go    the state machine of a connection, and what it reads line by line
-//	framing.go   how the header fields delimit the body
+//	parser.go    state machine that parses the requests of a connection
+//	framing.go   header fields that delimit the body
 //	response.go  heads and chunks of responses
 package http1
 
@@ -12,38 +12,38 @@
 	"net/url"
 )
 
-// Limits bound a request.
+// Limits are the limits of a request.
 type Limits struct {
 	RequestLine int // bytes of the request line
-	Headers     int // bytes of all fields, trailers included
+	Headers     int // bytes of all header and trailer fields
 	Fields      int // number of header fields
 	Body        int // bytes of the body
 }
 
-// DefaultLimits returns usual limits, with a body of at most so many bytes.
+// DefaultLimits returns common limits, with a body of at most the given number of bytes.
 func DefaultLimits(body int) Limits {
 	return Limits{RequestLine: 8 << 10, Headers: 16 << 10, Fields: 64, Body: body}
 }
 
-// MaxPipelinedBytes is how many bytes a client may send ahead of the response.
+// MaxPipelinedBytes is the maximum number of bytes that a client may send ahead of the response.
 const MaxPipelinedBytes = 64 << 10
 
-// Field is a header field. A parsed field has its name in lower case.
+// Field is a header field. The name of a parsed field is in lower case.
 type Field struct{ Name, Value string }
 
 // Request is a complete request.
 type Request struct {
 	Method       string
-	Path         string // decoded
+	Path         string // percent-decoded
 	Query        url.Values
-	Fields       []Field // without trailers
+	Fields       []Field // header fields; trailer fields are dropped
 	Body         []byte
-	MinorVersion int  // of the version: 0 or 1
-	Close        bool // the connection ends after the response
-	Chunked      bool // the body came in chunks
+	MinorVersion int  // 0 for HTTP/1.0, 1 for HTTP/1.1
+	Close        bool // the connection is to be closed after the response
+	Chunked      bool // the body was sent in chunks
 }
 
-// Get returns the value of the first field of that name, which is in lower case, or "".
+// Get returns the value of the first field with the given name, in lower case, or "" if there is none.
 func (r *Request) Get(name string) string {
 	for _, f := range r.Fields {
 		if f.Name == name {
@@ -53,9 +53,9 @@
 	return ""
 }
 
-// Error is the rejection of a request. The connection has to be closed after the response.
+// Error is the reason for which a request is rejected. The connection has to be closed after the response.
 type Error struct {
-	Status int // of the response
+	Status int // status code of the response
 	Detail string
 }
 
--- a/internal/protocol/http1/parser.go
+++ b/internal/protocol/http1/parser.go
@@ -6,50 +6,50 @@
 	"strings"
 )
 
-// state is what the parser reads next.
+// state is the part of a request that the parser reads next.
 type state uint8
 
 const (
 	stateRequestLine state = iota
 	stateHeader            // a header field, or the empty line that ends the header
-	stateBody              // the rest of a body of known length
+	stateBody              // the rest of a body with a Content-Length
 	stateChunkSize         // the line with a chunk's size
 	stateChunkData         // the rest of a chunk
 	stateChunkEnd          // the CRLF that ends a chunk
 	stateTrailer           // a trailer field, or the empty line that ends the request
-	stateComplete          // nothing: the request waits for Next
+	stateComplete          // nothing until Next is called: the request is complete
 )
 
 // maxChunkLine bounds the line with a chunk's size and extensions, in bytes.
 const maxChunkLine = 256
 
-// Digits of numbers that are accepted: neither can overflow.
+// Maximum number of digits in a number. Numbers within these limits cannot overflow.
 const (
-	maxLengthDigits    = 18 // decimal, of a Content-Length
-	maxChunkSizeDigits = 8  // hexadecimal, of a chunk's size
+	maxLengthDigits    = 18 // decimal digits of a Content-Length
+	maxChunkSizeDigits = 8  // hexadecimal digits of a chunk's size
 )
 
-// Parser reads the requests of one connection. After a complete request it reads no further until Next; what comes
-// meanwhile is buffered, up to MaxPipelinedBytes. It is for one goroutine at a time.
+// Parser parses the requests of one connection. After a complete request it parses nothing until Next is called; up to
+// MaxPipelinedBytes that arrive in the meantime are buffered. A Parser is not safe for concurrent use.
 type Parser struct {
 	limits Limits
 	state  state
 	unread []byte
-	err    *Error // the first; no more is read
+	err    *Error // the first error, after which nothing is parsed
 
-	// Of the present request:
+	// State of the current request:
 	request         *Request
-	sawEmptyLine    bool // before the request line
-	headerBytes     int  // of the fields read so far, trailers included
-	missing         int  // bytes of the body, or of the chunk, that have not come
+	sawEmptyLine    bool // an empty line preceded the request line
+	headerBytes     int  // bytes of the header and trailer fields read so far
+	remaining       int  // bytes of the body or of the chunk that have not been read
 	expectsContinue bool
 }
 
 // NewParser returns a parser for a new connection.
 func NewParser(limits Limits) *Parser { return &Parser{limits: limits} }
 
-// Feed takes the next bytes of the stream and returns the request once it is complete, or nil. The first error, a
-// *Error, is returned from then on. It does not keep data.
+// Feed parses the next bytes of the stream. It returns the request once it is complete, and nil before. After the first
+// error, an *Error, it returns that error from then on. It does not retain data.
 func (p *Parser) Feed(data []byte) (*Request, error) {
 	if p.err != nil {
 		return nil, p.err
@@ -61,7 +61,7 @@
 	return p.run()
 }
 
-// Next goes on to the next request of the connection, and returns it if it is already complete.
+// Next starts to parse the next request of the connection, and returns it if it is already complete.
 func (p *Parser) Next() (*Request, error) {
 	if p.err != nil {
 		return nil, p.err
@@ -70,10 +70,11 @@
 	return p.run()
 }
 
-// Idle reports whether no part of a request has come.
+// Idle reports whether the parser is between requests: no byte of the next request has been received.
 func (p *Parser) Idle() bool { return p.state == stateRequestLine && len(p.unread) == 0 }
 
-// ShouldSendContinue reports, once for each request, that the client waits for 100 (Continue) before it sends the body.
+// ShouldSendContinue reports whether the client waits for 100 (Continue) before it sends the body. It returns true at
+// most once for each request.
 func (p *Parser) ShouldSendContinue() bool {
 	waits := p.expectsContinue && (p.state == stateBody || p.state == stateChunkSize)
 	if waits {
@@ -94,10 +95,10 @@
 	return nil
 }
 
-// run steps until the request is complete or needs more bytes.
+// run parses until the request is complete or more bytes are needed.
 func (p *Parser) run() (*Request, error) {
 	for {
-		stepped, err := p.step()
+		progressed, err := p.step()
 		if err != nil {
 			return nil, p.fail(err)
 		}
@@ -107,13 +108,14 @@
 			}
 			return p.request, nil
 		}
-		if !stepped {
+		if !progressed {
 			return nil, nil
 		}
 	}
 }
 
-// step reads what the state expects and goes on to the next state. It returns false if more bytes are needed for that.
+// step reads the part of the request that the state names and moves to the next state. It returns false if more bytes
+// are needed.
 func (p *Parser) step() (bool, *Error) {
 	switch p.state {
 	case stateRequestLine:
@@ -134,25 +136,25 @@
 	return false, nil
 }
 
-// takeLine returns the next line without its CRLF, or false if it has not come in full. A longer line than maxBytes is
-// rejected with the status; what names the line in errors.
-func (p *Parser) takeLine(maxBytes, status int, what string) (line []byte, ok bool, err *Error) {
+// takeLine returns the next line without its CRLF. ok is false if the line is incomplete. A line of more than maxBytes
+// is rejected with the status; lineName is the name of the line in errors.
+func (p *Parser) takeLine(maxBytes, status int, lineName string) (line []byte, ok bool, err *Error) {
 	end := bytes.IndexByte(p.unread, '\n')
 	if end > maxBytes || end < 0 && len(p.unread) > maxBytes {
-		return nil, false, reject(status, "%s is longer than %d bytes", what, maxBytes)
+		return nil, false, reject(status, "%s is longer than %d bytes", lineName, maxBytes)
 	}
 	if end < 0 {
 		if cr := bytes.IndexByte(p.unread, '\r'); cr >= 0 && cr < len(p.unread)-1 {
-			return nil, false, reject(400, "a CR without its LF in %s", what)
+			return nil, false, reject(400, "a CR without its LF in %s", lineName)
 		}
 		return nil, false, nil
 	}
 	if end == 0 || p.unread[end-1] != '\r' {
-		return nil, false, reject(400, "a LF without its CR in %s", what)
+		return nil, false, reject(400, "a LF without its CR in %s", lineName)
 	}
 	line = p.unread[:end-1]
 	if bytes.IndexByte(line, '\r') >= 0 {
-		return nil, false, reject(400, "a CR without its LF in %s", what)
+		return nil, false, reject(400, "a CR without its LF in %s", lineName)
 	}
 	p.unread = p.unread[end+1:]
 	return line, true, nil
@@ -164,7 +166,7 @@
 		return false, err
 	}
 	if len(line) == 0 {
-		if p.sawEmptyLine { // RFC 9112, 2.2: one empty line before a request is ignored
+		if p.sawEmptyLine { // one empty line before a request is ignored (RFC 9112, 2.2)
 			return false, reject(400, "empty lines before the request line")
 		}
 		p.sawEmptyLine = true
@@ -227,7 +229,7 @@
 	return nil
 }
 
-// takeFieldLine returns the next line of the header or the trailer.
+// takeFieldLine returns the next line of the header or trailer section, as takeLine does.
 func (p *Parser) takeFieldLine() (line []byte, ok bool, err *Error) {
 	line, ok, err = p.takeLine(p.limits.Headers-p.headerBytes, 431, "the header section")
 	if ok {
@@ -266,7 +268,7 @@
 	return true, err
 }
 
-// parseField parses the line of a field, which is not empty.
+// parseField parses the line of a field. The line must not be empty.
 func (p *Parser) parseField(line string) (Field, *Error) {
 	if line[0] == ' ' || line[0] == '\t' {
 		return Field{}, reject(400, "a header field is folded over lines")
@@ -288,7 +290,7 @@
 	return Field{Name: strings.ToLower(name), Value: value}, nil
 }
 
-// endHeader decides by the header fields how the body is read.
+// endHeader determines from the header fields how the body is read.
 func (p *Parser) endHeader() *Error {
 	framing, err := readFraming(p.request.Fields)
 	if err != nil {
@@ -311,7 +313,7 @@
 	return nil
 }
 
-// beginBody begins a body of known length.
+// beginBody begins a body with a Content-Length.
 func (p *Parser) beginBody(contentLength string) *Error {
 	length, ok := parseDigits(contentLength, 10, maxLengthDigits)
 	if !ok {
@@ -320,19 +322,19 @@
 	if length > p.limits.Body {
 		return reject(413, "the body is longer than %d bytes", p.limits.Body)
 	}
-	p.missing, p.state = length, stateBody
+	p.remaining, p.state = length, stateBody
 	if length == 0 {
 		p.state = stateComplete
 	}
 	return nil
 }
 
-// readBody reads what is missing of the body or of a chunk, and goes on to the next state once nothing is.
+// readBody reads the rest of the body or of a chunk, and moves to the next state once it is complete.
 func (p *Parser) readBody(next state) bool {
-	n := min(p.missing, len(p.unread))
+	n := min(p.remaining, len(p.unread))
 	p.request.Body = append(p.request.Body, p.unread[:n]...)
-	p.unread, p.missing = p.unread[n:], p.missing-n
-	if p.missing > 0 {
+	p.unread, p.remaining = p.unread[n:], p.remaining-n
+	if p.remaining > 0 {
 		return false
 	}
 	p.state = next
@@ -348,7 +350,7 @@
 	if hasControlCharacter(extensions) {
 		return false, reject(400, "a chunk extension has a control character")
 	}
-	// No space is allowed behind the size: a peer that reads on to the ";" would see another one.
+	// No space is allowed after the size: a peer that reads up to the ";" would see a different size.
 	size, ok := parseDigits(digits, 16, maxChunkSizeDigits)
 	if !ok {
 		return false, reject(400, "a chunk's size is %q", digits)
@@ -356,7 +358,7 @@
 	if len(p.request.Body)+size > p.limits.Body {
 		return false, reject(413, "the body is longer than %d bytes", p.limits.Body)
 	}
-	p.missing, p.state = size, stateChunkData
+	p.remaining, p.state = size, stateChunkData
 	if size == 0 {
 		p.state = stateTrailer
 	}
@@ -375,7 +377,7 @@
 	return true, nil
 }
 
-// tokenMarks are the characters of a token beside letters and digits (RFC 9110, 5.6.2).
+// tokenMarks are the characters that a token may contain besides letters and digits (RFC 9110, 5.6.2).
 const tokenMarks = "!#$%&'*+-.^_`|~"
 
 func isToken(s string) bool {
@@ -388,7 +390,7 @@
 	return s != ""
 }
 
-// hasControlCharacter reports whether s has a control character other than a tab.
+// hasControlCharacter reports whether s contains a control character other than a tab.
 func hasControlCharacter(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
--- a/internal/protocol/http1/parser_test.go
+++ b/internal/protocol/http1/parser_test.go
@@ -12,16 +12,17 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// pieces cuts a stream into pieces of n bytes.
-func pieces(stream string, n int) (out []string) {
+// chunksOf splits a stream into chunks of n bytes.
+func chunksOf(stream string, n int) (out []string) {
 	for len(stream) > n {
 		out, stream = append(out, stream[:n]), stream[n:]
 	}
 	return append(out, stream)
 }
 
-// feed gives the pieces of a stream to a parser and returns all requests, or the error of the first malformed one.
-func feed(pieces []string) (out []*Request, err error) {
+// feed feeds the chunks of a stream to a parser. It returns all requests before the first malformed one, and the error
+// of that one.
+func feed(chunks []string) (out []*Request, err error) {
 	p := NewParser(Limits{RequestLine: 200, Headers: 400, Fields: 6, Body: 100})
 	take := func(r *Request, e error) {
 		for r != nil && e == nil {
@@ -30,9 +31,9 @@
 		}
 		err = e
 	}
-	for _, piece := range pieces {
+	for _, chunk := range chunks {
 		if err == nil {
-			take(p.Feed([]byte(piece)))
+			take(p.Feed([]byte(chunk)))
 		}
 	}
 	return out, err
@@ -42,7 +43,7 @@
 
 const postHead = "POST /a HTTP/1.1\r\nHost: a\r\n"
 
-// validStreams are streams with the requests that they hold, each as METHOD PATH BODY.
+// validStreams are streams with the requests that they contain, each as METHOD PATH BODY.
 var validStreams = map[string]struct {
 	stream string
 	want   []string
@@ -102,9 +103,9 @@
 func TestParserAcceptsValidStreams(t *testing.T) {
 	for name, c := range validStreams {
 		for _, n := range []int{1, 2, 7, 1000} {
-			got, err := feed(pieces(c.stream, n))
+			got, err := feed(chunksOf(c.stream, n))
 			if err != nil {
-				t.Errorf("%s by %d: %v", name, n, err)
+				t.Errorf("%s: feed(%q in chunks of %d bytes): %v", name, c.stream, n, err)
 				continue
 			}
 			var requests []string
@@ -112,7 +113,7 @@
 				requests = append(requests, r.Method+" "+r.Path+" "+string(r.Body))
 			}
 			if strings.Join(requests, "|") != strings.Join(c.want, "|") {
-				t.Errorf("%s by %d: %q, want %q", name, n, requests, c.want)
+				t.Errorf("%s: feed(%q in chunks of %d bytes) = %q, want %q", name, c.stream, n, requests, c.want)
 			}
 		}
 	}
@@ -121,17 +122,18 @@
 func TestParserRejectsInvalidStreams(t *testing.T) {
 	for name, c := range invalidStreams {
 		for _, n := range []int{1, 1000} {
-			got, err := feed(pieces(c.stream, n))
+			got, err := feed(chunksOf(c.stream, n))
 			var e *Error
 			if !errors.As(err, &e) || e.Status != c.status || len(got) > 0 {
-				t.Errorf("%s by %d: %v and %d requests, want status %d", name, n, err, len(got), c.status)
+				t.Errorf("%s: feed(%q in chunks of %d bytes): got error %v and %d requests, want status %d and no request",
+					name, c.stream, n, err, len(got), c.status)
 			}
 		}
 	}
 }
 
-// A stream has the same requests, and is or is not rejected, wherever it is cut.
-func TestParserIgnoresSplits(t *testing.T) {
+// The requests of a stream, and whether it is rejected, do not depend on how it is split into chunks.
+func TestParserReadsSameRequestsFromAnyChunks(t *testing.T) {
 	streams := map[string]string{}
 	for name, c := range validStreams {
 		streams[name] = c.stream
@@ -141,13 +143,13 @@
 	}
 	for name, stream := range streams {
 		want, wantErr := feed([]string{stream})
-		check := func(pieces []string) {
-			got, err := feed(pieces)
+		check := func(chunks []string) {
+			got, err := feed(chunks)
 			if diff := cmp.Diff(want, got); diff != "" || (err == nil) != (wantErr == nil) {
-				t.Errorf("%s as %q: error %v, uncut %v; requests: %s", name, pieces, err, wantErr, diff)
+				t.Errorf("%s: feed(%q): got error %v, want %v as in one chunk; requests (-want +got):\n%s", name, chunks, err, wantErr, diff)
 			}
 		}
-		check(pieces(stream, 1))
+		check(chunksOf(stream, 1))
 		for first := range stream {
 			check([]string{stream[:first], stream[first:]})
 			check([]string{stream[:first], stream[first : first+1], stream[first+1:]})
@@ -155,11 +157,11 @@
 	}
 }
 
-// What is sent ahead of the response is bounded.
+// A client that sends more than MaxPipelinedBytes ahead of the response is rejected, and no more than that is buffered.
 func TestParserBoundsPipelinedBytes(t *testing.T) {
 	p := NewParser(DefaultLimits(100))
 	if r, err := p.Feed([]byte(get)); r == nil || err != nil {
-		t.Fatal(err)
+		t.Fatalf("Feed(%q) = %v, %v, want a request", get, r, err)
 	}
 	var err error
 	for range 1000 {
@@ -168,21 +170,24 @@
 		}
 	}
 	if err == nil || len(p.unread) > MaxPipelinedBytes {
-		t.Fatalf("%d bytes buffered, %v", len(p.unread), err)
+		t.Fatalf("after 1000000 bytes ahead of the response: got error %v with %d bytes buffered, want an error with at most %d",
+			err, len(p.unread), MaxPipelinedBytes)
 	}
 }
 
-// A peer that reads a size up to its first space sees another chunk than one that reads on.
+// A chunk size with a space is rejected: a peer that reads the size up to the space and one that reads further would
+// see different chunks.
 func TestParserRejectsSpaceInChunkSize(t *testing.T) {
 	for _, size := range []string{"3 ", "3\t;a=b", "3 ;a=b", " 3"} {
-		ours, err := feed(pieces("POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"+size+"\r\nabc\r\n0\r\n\r\n", 13))
-		if len(ours) > 0 || err == nil {
-			t.Errorf("a chunk's size of %q: %d requests, %v", size, len(ours), err)
+		requests, err := feed(chunksOf("POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"+size+"\r\nabc\r\n0\r\n\r\n", 13))
+		if len(requests) > 0 || err == nil {
+			t.Errorf("feed of a chunk size of %q: got %d requests, error %v; want none, an error", size, len(requests), err)
 		}
 	}
 }
 
-// Whatever is accepted here, net/http reads the same way: nothing can be smuggled between them.
+// Every request that the parser accepts is read in the same way by net/http, so that no request can be smuggled between
+// the two.
 func FuzzAgainstNetHTTP(f *testing.F) {
 	f.Add(get)
 	f.Add("POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n0\r\nX: y\r\n\r\n")
@@ -190,22 +195,22 @@
 	f.Add("POST /b HTTP/1.0\r\nContent-Length: 3\r\nConnection: close, x\r\n\r\nxyz")
 	f.Add("POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0   ;00\r\n\r\n")
 	f.Fuzz(func(t *testing.T, stream string) {
-		ours, _ := feed(pieces(stream, 13))
-		theirs := bufio.NewReader(strings.NewReader(stream))
-		for _, r := range ours {
-			if lead, _ := theirs.Peek(2); string(lead) == "\r\n" {
-				_, _ = theirs.Discard(2) // one empty line is ignored, by RFC 9112, 2.2
+		requests, _ := feed(chunksOf(stream, 13))
+		reader := bufio.NewReader(strings.NewReader(stream))
+		for _, got := range requests {
+			if start, _ := reader.Peek(2); string(start) == "\r\n" {
+				_, _ = reader.Discard(2) // one empty line before a request is ignored (RFC 9112, 2.2)
 			}
-			q, err := http.ReadRequest(theirs)
+			want, err := http.ReadRequest(reader)
 			if err != nil {
-				t.Fatalf("accepted here, %v there", err)
+				t.Fatalf("feed(%q) accepted %s %s; net/http: %v", stream, got.Method, got.Path, err)
 			}
-			body, err := io.ReadAll(q.Body)
+			body, err := io.ReadAll(want.Body)
 			if err != nil {
-				t.Fatalf("body accepted here, %v there", err)
+				t.Fatalf("feed(%q) accepted the body of %s %s; net/http: %v", stream, got.Method, got.Path, err)
 			}
-			if q.Method != r.Method || q.URL.Path != r.Path || !bytes.Equal(body, r.Body) {
-				t.Fatalf("%s %s %q here, %s %s %q there", r.Method, r.Path, r.Body, q.Method, q.URL.Path, body)
+			if want.Method != got.Method || want.URL.Path != got.Path || !bytes.Equal(body, got.Body) {
+				t.Fatalf("feed(%q): got %s %s %q, want %s %s %q as net/http", stream, got.Method, got.Path, got.Body, want.Method, want.URL.Path, body)
 			}
 		}
 	})
@@ -217,10 +222,10 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if r, err := p.Feed(req); r == nil || err != nil {
-			b.Fatal(err)
+			b.Fatalf("Feed(%q) = %v, %v, want a request", req, r, err)
 		}
 		if _, err := p.Next(); err != nil {
-			b.Fatal(err)
+			b.Fatalf("Next after %q: %v", req, err)
 		}
 	}
 }
--- a/internal/protocol/http1/response.go
+++ b/internal/protocol/http1/response.go
@@ -10,12 +10,12 @@
 	503: "Service Unavailable", 505: "HTTP Version Not Supported",
 }
 
-// StatusText returns the reason phrase of a status that this package knows, else "".
+// StatusText returns the reason phrase of a status code, or "" if this package does not know the code.
 func StatusText(status int) string { return statusText[status] }
 
-// AppendHead appends the head of a response. A length below 0 means that the body comes in chunks; closes means that the
-// connection ends after it.
-func AppendHead(dst []byte, status int, fields []Field, length int, closes bool) []byte {
+// AppendHead appends the head of a response: its status line and header fields. A negative length means that the body
+// is sent in chunks; closeAfter means that the connection is closed after the response.
+func AppendHead(dst []byte, status int, fields []Field, length int, closeAfter bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(dst, ' ')
@@ -34,13 +34,13 @@
 	} else {
 		dst = append(dst, "transfer-encoding: chunked\r\n"...)
 	}
-	if closes {
+	if closeAfter {
 		dst = append(dst, "connection: close\r\n"...)
 	}
 	return append(dst, "\r\n"...)
 }
 
-// AppendChunk appends a chunk of a body. An empty one is left out: it would end the body.
+// AppendChunk appends a chunk of a body. Empty data is not appended, since an empty chunk would end the body.
 func AppendChunk(dst, data []byte) []byte {
 	if len(data) == 0 {
 		return dst
@@ -51,5 +51,5 @@
 	return append(dst, "\r\n"...)
 }
 
-// LastChunk ends a body that is sent in chunks.
+// LastChunk is the chunk that ends a chunked body.
 const LastChunk = "0\r\n\r\n"
