--- a/internal/protocol/capture/event.go
+++ b/internal/protocol/capture/event.go
@@ -1,5 +1,6 @@
-// Package capture is the traffic of a run, as seen at the ends of the hosts, the clients and the emulated Consul, and at the
-// placers' own sockets: what the rules are checked on. It holds nothing of what placers have in memory.
+// Package capture defines the captured traffic of a run, on which the rules are checked. Traffic is captured at the
+// hosts, the clients and the emulated Consul, and at the sockets of the placers. A capture contains nothing of the
+// internal state of placers.
 package capture
 
 import (
@@ -11,45 +12,46 @@
 	"time"
 )
 
-// EventType is what happened. Its values are in captures.
+// EventType is the type of an event. Stored captures contain its values.
 type EventType string
 
-// Events of hosts and of the frames that come to them and leave them. Each has the Host; where it names a frame, also the
-// Placer, its epoch and the attempt.
+// Events of hosts and of the frames that hosts receive and send. Each event has the Host; that of a frame also has the
+// Placer, the PlacerEpoch and, if the frame concerns an attempt, RefEpoch, Task and Attempt. The comments name the other
+// fields of an event.
 const (
-	HostUp       EventType = "host-up"   // an incarnation of a host begins: Epoch, WarmingUp, Zone, Rack
-	HostDown     EventType = "host-down" // and ends
-	Overloaded   EventType = "fell"      // it crashed from too many offers while it was warming up
+	HostUp       EventType = "host-up"   // an incarnation of a host started: Epoch, WarmingUp, Zone, Rack
+	HostDown     EventType = "host-down" // an incarnation of a host ended
+	Overloaded   EventType = "fell"      // the host crashed from too many offers while it was warming up
 	Hello        EventType = "hello"     // a placer opened a session: PlacerEpoch, Conn
-	Disconnected EventType = "gone"      // the host saw a placer's connection end: Conn
+	Disconnected EventType = "gone"      // a placer's connection ended, as seen by the host: Conn
 	Welcome      EventType = "welcome"   // the host answered a Hello: Epoch, HostDraining
-	Holds        EventType = "held"      // and listed an attempt that it has: Result is how far it is
+	Holds        EventType = "held"      // the host listed an attempt that it has: Result is the phase of the attempt
 	Offer        EventType = "offer"
 	Withdraw     EventType = "withdraw"
 	Stop         EventType = "stop"
 	Refused      EventType = "refused"
 	Accepted     EventType = "accepted"
 	Running      EventType = "running"
-	Ended        EventType = "ended" // Result is how
-	Drain        EventType = "drain" // the host drains, or no longer: HostDraining
+	Ended        EventType = "ended" // the attempt ended: Result
+	Drain        EventType = "drain" // the host started or stopped draining: HostDraining
 )
 
-// Events of the others.
+// Events of placers, clients and the emulated Consul.
 const (
-	ListDelivered      EventType = "told"        // a placer was sent the endpoint list: Ready, Draining
-	Submit             EventType = "submit"      // a client submitted: Submission, Count, Within
+	ListDelivered      EventType = "told"        // the endpoint list was sent to a placer: Ready, Draining
+	Submit             EventType = "submit"      // a client submitted tasks: Submission, Count, Within
 	Outcome            EventType = "outcome"     // a client read an outcome: Submission, Name, Result, Took
-	ClientDisconnected EventType = "client-cut"  // a client's stream broke: it reads no more of the Submission
-	PlacerUp           EventType = "placer-up"   // PlacerEpoch
-	PlacerDown         EventType = "placer-down" // PlacerEpoch
-	LateStep           EventType = "late"        // at a placer: a step ran Within after it was due
+	ClientDisconnected EventType = "client-cut"  // a client's stream broke: it reads no more outcomes of the Submission
+	PlacerUp           EventType = "placer-up"   // an incarnation of a placer started: PlacerEpoch
+	PlacerDown         EventType = "placer-down" // an incarnation of a placer ended: PlacerEpoch
+	LateStep           EventType = "late"        // a placer ran a step later than it was due: Within is the delay
 )
 
-// Event is one thing that happened. It is recorded at the end of the host, the client or the emulated Consul, or, with
-// AtPlacer, at the placer's own: in the order in which its loop took what had come and wrote what it sent. Only there is it
-// known what a placer could know when it sent something.
+// Event is an event of a run. It is captured at the host, the client or the emulated Consul, or, with AtPlacer, at the
+// sockets of the placer. The events at a placer are in the order in which its event loop processed input and wrote
+// output: only this order shows what a placer could know when it sent something.
 type Event struct {
-	At           time.Duration `json:"at"` // since the epoch of the run's clock
+	At           time.Duration `json:"at"` // time since the epoch of the run's clock
 	Type         EventType     `json:"what"`
 	AtPlacer     bool          `json:"near,omitempty"`
 	Host         string        `json:"host,omitempty"`
@@ -60,21 +62,21 @@
 	Placer       int           `json:"placer"`
 	PlacerEpoch  uint64        `json:"placer_epoch,omitempty"` // incarnation of the placer
 	Conn         uint64        `json:"conn,omitempty"`
-	RefEpoch     uint64        `json:"ref_epoch,omitempty"` // with Task and Attempt: hostproto.Ref
+	RefEpoch     uint64        `json:"ref_epoch,omitempty"` // RefEpoch, Task and Attempt are the hostproto.Ref
 	Task         uint32        `json:"task,omitempty"`
 	Attempt      uint8         `json:"attempt,omitempty"`
-	Key          uint64        `json:"key,omitempty"` // with Service, Name and Class: of hostproto.Spec
+	Key          uint64        `json:"key,omitempty"` // Key, Service, Name and Class are from the hostproto.Spec
 	Service      uint64        `json:"service,omitempty"`
 	Name         string        `json:"name,omitempty"`
 	Class        string        `json:"class,omitempty"`
 	Result       string        `json:"result,omitempty"`
 	HostDraining bool          `json:"on,omitempty"`
-	Ready        []string      `json:"ready,omitempty"`    // hosts
-	Draining     []string      `json:"draining,omitempty"` // hosts
+	Ready        []string      `json:"ready,omitempty"`    // names of the hosts that are ready
+	Draining     []string      `json:"draining,omitempty"` // names of the hosts that drain
 	Submission   string        `json:"submission,omitempty"`
-	Count        int           `json:"count,omitempty"`  // tasks of a submission
-	Within       time.Duration `json:"within,omitempty"` // how long a client waits for outcomes, or a step's delay
-	Took         time.Duration `json:"took,omitempty"`   // from the submission to the outcome, by the placer's clock
+	Count        int           `json:"count,omitempty"`  // number of tasks of a submission
+	Within       time.Duration `json:"within,omitempty"` // how long a client waits for outcomes, or the delay of a step
+	Took         time.Duration `json:"took,omitempty"`   // time from the submission to the outcome, by the placer's clock
 }
 
 // Write writes events as JSON lines.
@@ -89,7 +91,7 @@
 	return b.Flush()
 }
 
-// Read reads what Write wrote. An error names the number of the event that cannot be read, counted from 1.
+// Read reads events that Write wrote. If an event cannot be decoded, the error contains its number, counted from 1.
 func Read(r io.Reader) ([]Event, error) {
 	var out []Event
 	dec := json.NewDecoder(bufio.NewReader(r))
--- a/internal/protocol/capture/frames.go
+++ b/internal/protocol/capture/frames.go
@@ -2,9 +2,9 @@
 
 import "forkhead/internal/protocol/hostproto"
 
-// FrameEvents returns the events of a frame between a placer and a host: each is e, which names the two and the time, with
-// what the frame says. Holds is one event for each attempt, and a frame that no rule is about is none. Both ends record
-// their frames by it, so that the two records can be compared.
+// FrameEvents returns the events of a frame between a placer and a host. e names the two and the time; each event is a
+// copy of e with the content of the frame. A Holds frame has one event for each attempt, and a frame to which no rule
+// applies has none. Both ends capture their frames with FrameEvents, so that the two captures can be compared.
 func FrameEvents(e Event, f hostproto.Frame) []Event {
 	switch f := f.(type) {
 	case hostproto.Hello:
--- a/internal/protocol/capture/golden_test.go
+++ b/internal/protocol/capture/golden_test.go
@@ -12,8 +12,8 @@
 	"forkhead/internal/protocol/hostproto"
 )
 
-// Every event is a line with these keys: one with all fields, one of each type, and what the frames of the hosts' protocol
-// come to.
+// Events are encoded to the lines of testdata/events.jsonl, and these lines are decoded to the same events: an event
+// with all fields, one of each type, and the events of the frames of hostproto.
 func TestEventsGolden(t *testing.T) {
 	events := []Event{{
 		At: 1, Type: Offer, AtPlacer: true, Host: "h", Epoch: 2, Zone: "z", Rack: "r", WarmingUp: true, Placer: 3, PlacerEpoch: 4, Conn: 5, RefEpoch: 6,
@@ -57,7 +57,7 @@
 	}
 	var b bytes.Buffer
 	if err := Write(&b, events); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Write: %v", err)
 	}
 	goldentest.Check(t, "events.jsonl", b.Bytes())
 
@@ -67,9 +67,9 @@
 	}
 	got, err := Read(bytes.NewReader(golden))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Read of events.jsonl: %v", err)
 	}
 	if !reflect.DeepEqual(got, events) {
-		t.Errorf("read as %+v, want %+v", got, events)
+		t.Errorf("Read of events.jsonl = %+v, want %+v", got, events)
 	}
 }
--- a/internal/protocol/consul/consul.go
+++ b/internal/protocol/consul/consul.go
@@ -1,22 +1,22 @@
-// Package consul reads and writes the endpoint list in the form of Consul's HTTP API, as published at
+// Package consul decodes and encodes the endpoint list in the format of Consul's HTTP API, as published at
 // developer.hashicorp.com/consul/api-docs: /v1/health/service/:service with blocking queries, and /v1/catalog/register.
-// The package is pure: server/listwatch is the client, emulator/consul an emulator of the service.
+// The package is pure: the client is server/listwatch, and emulator/consul emulates the service.
 //
-//	consul.go  the types of the API, as they are in JSON
-//	host.go    hosts from and to these types
+//	consul.go  JSON types of the API
+//	host.go    conversion of these types to hosts and back
 package consul
 
-// Entry is an element of the answer to /v1/health/service/:service.
+// Entry is an element of the response to /v1/health/service/:service.
 type Entry struct {
 	Node    Node
 	Service Service
 	Checks  []Check
 }
 
-// Node is the machine that a service is registered on.
+// Node is the machine on which a service is registered.
 type Node struct {
 	ID         string
-	Node       string // name
+	Node       string // name of the node
 	Address    string
 	Datacenter string
 	Meta       map[string]string
@@ -25,8 +25,8 @@
 // Service is the registration of a service on a node.
 type Service struct {
 	ID      string
-	Service string // name
-	Address string // "": the node's
+	Service string // name of the service
+	Address string // if empty, the address of the node applies
 	Port    int
 	Meta    map[string]string
 	Tags    []string
@@ -41,19 +41,19 @@
 	ServiceID string
 }
 
-// Statuses of a check.
+// Statuses of a health check.
 const (
 	StatusPassing  = "passing"
 	StatusCritical = "critical"
 )
 
-// Ids of checks.
+// IDs of health checks.
 const (
-	HealthCheckID          = "serfHealth"        // whether the node is up
+	HealthCheckID          = "serfHealth"        // passing while the node is up
 	NodeMaintenanceCheckID = "_node_maintenance" // critical while the node is in maintenance
 )
 
-// HealthCheckName is the name of the check HealthCheckID.
+// HealthCheckName is the name of the health check HealthCheckID.
 const HealthCheckName = "Serf Health Status"
 
 // Registration is the body of PUT /v1/catalog/register.
@@ -73,19 +73,20 @@
 	ServiceID string
 }
 
-// MaxResponseSize bounds a response from Consul, in bytes.
+// MaxResponseSize is the maximum size of a response from Consul, in bytes.
 const MaxResponseSize = 64 << 20
 
-// Keys of metadata. A node's describe the machine, a service's what was available there a while ago.
+// Keys of metadata. The first group, of the node, describes the machine. The second group, of the service, gives the
+// start of the host and the resources that were available on it a while ago.
 const (
 	MetaMachineType = "kind"
 	MetaZone        = "zone"
 	MetaRack        = "rack"
 	MetaOS          = "os"
 	MetaArch        = "arch"
-	LabelPrefix     = "label-" // of labels for placement constraints, in the node's
+	LabelPrefix     = "label-" // prefix of the labels for placement constraints
 
 	MetaStarted    = "started"     // microseconds since the Unix epoch
-	MetaFreeCores  = "free-cores"  // may be below 0
-	MetaFreeMemory = "free-memory" // GiB; may be below 0
+	MetaFreeCores  = "free-cores"  // may be negative
+	MetaFreeMemory = "free-memory" // GiB; may be negative
 )
--- a/internal/protocol/consul/golden_test.go
+++ b/internal/protocol/consul/golden_test.go
@@ -14,15 +14,15 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// testdata/service.json is an answer to /v1/health/service/:service.
-func TestAnswerGolden(t *testing.T) {
+// testdata/service.json is a response to /v1/health/service/:service with usable and unusable entries.
+func TestServiceResponseGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "service.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	hosts, skipped, err := Decode(text)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Decode of service.json: %v", err)
 	}
 	var b bytes.Buffer
 	for i := range hosts {
@@ -33,26 +33,26 @@
 	}
 	goldentest.Check(t, "service.decoded", b.Bytes())
 
-	// The emulator writes what it reads.
+	// The emulator encodes the same types that Decode reads.
 	var entries []Entry
 	if err := json.Unmarshal(text, &entries); err != nil {
-		t.Fatal(err)
+		t.Fatalf("json.Unmarshal of service.json: %v", err)
 	}
 	again, err := json.MarshalIndent(entries, "", " ")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("json.MarshalIndent of the entries: %v", err)
 	}
 	goldentest.Check(t, "service.written.json", append(again, '\n'))
 }
 
-// Requests to Consul have these bodies.
+// The requests that register and deregister a host have the bodies of testdata/requests.jsonl.
 func TestRegistrationGolden(t *testing.T) {
 	r, err := NewRegistration(&Host{
 		Name: "north-1", Address: "10.1.0.1:7000", Kind: "std-28", Zone: "north", Rack: "r1", Started: 1500 * time.Microsecond,
 		FreeCores: 1.25, FreeMemory: -2.5, Attributes: map[servicespec.Attribute]string{"label.disk": "ssd", "os": "linux"},
 	}, "forkhead-host")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("NewRegistration: %v", err)
 	}
 	var b bytes.Buffer
 	enc := json.NewEncoder(&b)
--- a/internal/protocol/consul/host.go
+++ b/internal/protocol/consul/host.go
@@ -14,34 +14,34 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// Host is a host as the endpoint list names it. The state of a placer and recorded runs hold it by the names of its fields, so
-// these stay as they are.
+// Host is an entry of the endpoint list. The stored state of a placer and recorded runs contain it under the names of
+// its fields, so these must not change.
 type Host struct {
 	Name       string
-	Address    string // host and port
+	Address    string // host:port
 	Kind       string // machine type
 	Zone       string
 	Rack       string
 	State      forkhead.MachineState
-	Started    time.Duration                    // since the Unix epoch; 0: long ago
-	FreeCores  float64                          // available; may be below 0
-	FreeMemory float64                          // available, in GiB; may be below 0
+	Started    time.Duration                    // time of the start since the Unix epoch; 0: long ago
+	FreeCores  float64                          // available cores; may be negative
+	FreeMemory float64                          // available memory in GiB; may be negative
 	Attributes map[servicespec.Attribute]string // id, hostname, role, os, arch, label.NAME
 }
 
-// labelAttribute begins the attributes that are labels.
-const labelAttribute = "label."
+// labelAttributePrefix is the prefix of attributes that are labels.
+const labelAttributePrefix = "label."
 
-// maxSkipped bounds the messages about entries that are not usable.
+// maxSkipped bounds the number of messages about entries that cannot be used.
 const maxSkipped = 20
 
-// Decode reads an answer to /v1/health/service/:service. Entries that are no usable host (without a name, an address, a
-// port or a machine type) are left out; skipped has a message for each of the first maxSkipped of them. An answer that is
-// not JSON of this form is an error.
+// Decode decodes a response to /v1/health/service/:service. Entries that are not usable hosts (without a name, an
+// address, a port or a machine type) are left out; skipped contains a message for each of the first maxSkipped of them.
+// A response that is not JSON of this form is an error.
 func Decode(data []byte) (hosts []Host, skipped []string, err error) {
 	var entries []Entry
 	if err := json.Unmarshal(data, &entries); err != nil {
-		return nil, nil, fmt.Errorf("the catalogue's answer is not readable: %w", err)
+		return nil, nil, fmt.Errorf("decode response from Consul: %w", err)
 	}
 	for i := range entries {
 		h, err := newHost(&entries[i])
@@ -65,11 +65,11 @@
 	}
 	switch {
 	case h.Name == "":
-		return h, errors.New("an entry without a node name")
+		return h, errors.New("entry has no node name")
 	case address == "" || e.Service.Port < 1 || e.Service.Port > math.MaxUint16:
-		return h, fmt.Errorf("%s: no address and port", h.Name)
+		return h, fmt.Errorf("node %s: entry has no valid address and port", h.Name)
 	case h.Kind == "":
-		return h, fmt.Errorf("%s: node metadata has no %s", h.Name, MetaMachineType)
+		return h, fmt.Errorf("node %s: metadata has no key %q", h.Name, MetaMachineType)
 	}
 	if h.Zone == "" {
 		h.Zone = e.Node.Datacenter
@@ -82,8 +82,8 @@
 	return h, nil
 }
 
-// stateOf returns whether a host may be offered tasks. With a critical check, as in maintenance, it drains, until it is
-// dropped from the endpoint list.
+// stateOf returns the state of a host by its checks. A host with a critical check, for example during maintenance,
+// drains until it is removed from the endpoint list.
 func stateOf(checks []Check) forkhead.MachineState {
 	for _, c := range checks {
 		if c.Status == StatusCritical {
@@ -93,7 +93,7 @@
 	return forkhead.Ready
 }
 
-// parseStarted returns the time of a host's start, or 0 if it is not a time.
+// parseStarted parses the start time of a host. It returns 0 if the text is not a valid time.
 func parseStarted(text string) time.Duration {
 	us, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || us <= 0 || us >= math.MaxInt64/int64(time.Microsecond) {
@@ -102,7 +102,7 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-// parseAmount returns an amount of cores or memory, or 0 if it is not one.
+// parseAmount parses an amount of cores or memory. It returns 0 if the text is not a valid amount.
 func parseAmount(text string) float64 {
 	const maxAmount = 1e9
 	v, err := strconv.ParseFloat(text, 64)
@@ -119,13 +119,14 @@
 	}
 	for key, value := range n.Meta {
 		if label, ok := strings.CutPrefix(key, LabelPrefix); ok {
-			attributes[servicespec.Attribute(labelAttribute+label)] = value
+			attributes[servicespec.Attribute(labelAttributePrefix+label)] = value
 		}
 	}
 	return attributes
 }
 
-// NewRegistration returns the registration of a host under a service's name. A host's address without a port is an error.
+// NewRegistration returns the registration of a host under the given service name. An address without a port is an
+// error.
 func NewRegistration(h *Host, service string) (Registration, error) {
 	address, port, err := hostport.Split(h.Address)
 	if err != nil {
@@ -133,7 +134,7 @@
 	}
 	nodeMeta := map[string]string{MetaMachineType: h.Kind, MetaZone: h.Zone, MetaRack: h.Rack, MetaOS: "linux", MetaArch: "amd64"}
 	for attribute, value := range h.Attributes {
-		if label, ok := strings.CutPrefix(string(attribute), labelAttribute); ok {
+		if label, ok := strings.CutPrefix(string(attribute), labelAttributePrefix); ok {
 			nodeMeta[LabelPrefix+label] = value
 		}
 	}
