--- a/internal/server/listwatch/listwatch.go
+++ b/internal/server/listwatch/listwatch.go
@@ -120,7 +120,7 @@
 	return readResponse(response)
 }
 
-// errResponseTooLarge is the error for a body of more than consul.MaxAnswerSize bytes.
+// errResponseTooLarge is the error for a body of more than consul.MaxResponseSize bytes.
 var errResponseTooLarge = errors.New("consul's response body is larger than 64 MiB")
 
 // readResponse reads and decodes a response. The caller closes its body.
@@ -128,11 +128,11 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("consul responded with status %s", response.Status)
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, consul.MaxAnswerSize+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, consul.MaxResponseSize+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > consul.MaxAnswerSize {
+	if len(body) > consul.MaxResponseSize {
 		return nil, errResponseTooLarge
 	}
 	header := response.Header.Get("X-Consul-Index")
