--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -44,7 +44,7 @@
 		return badInput(fmt.Errorf("--self is %d, and the settings name placers 0 to %d", f.self, len(s.Placers)-1))
 	}
 	c := clock.New()
-	cfg := placer.Config{Settings: s.For(f.self), Clock: c, Log: a.log, Seed: uint64(c.Now())}
+	cfg := placer.Config{Settings: s.ForPlacer(f.self), Clock: c, Log: a.log, Seed: uint64(c.Now())}
 	if f.storeFile != "" {
 		if cfg.Store, cfg.Snapshot, err = store.Open(store.Options{Path: f.storeFile}); err != nil {
 			return err
--- a/internal/cli/specification.go
+++ b/internal/cli/specification.go
@@ -84,7 +84,7 @@
 	f := compose.File{Name: name, Text: string(text)}
 	*into = append(*into, f)
 	for _, reference := range compose.References(f) {
-		if err := l.load(compose.Resolve(name, reference), &l.envelope.Others, false); err != nil {
+		if err := l.load(compose.ResolvePath(name, reference), &l.envelope.Others, false); err != nil {
 			return err
 		}
 	}
@@ -135,7 +135,7 @@
 // parseSpecification parses an envelope as a placer with these settings would.
 func parseSpecification(e *placer.Envelope, s *settings.Settings) (*servicespec.Description, error) {
 	in := &compose.Input{
-		Files: e.Files, Others: e.Others, Variables: e.Variables, Profiles: e.Profiles, Services: e.Services, Project: e.Project,
+		Files: e.Files, ReferencedFiles: e.Others, Variables: e.Variables, Profiles: e.Profiles, Services: e.Services, Project: e.Project,
 		Tenants: s.Tenants,
 	}
 	for _, c := range s.Classes {
--- a/internal/parse/compose/compose.go
+++ b/internal/parse/compose/compose.go
@@ -31,12 +31,12 @@
 
 // Input is all that a description is parsed from.
 type Input struct {
-	Files     []File            // merged in this order
-	Others    []File            // that extends, env_file and label_file may name
-	Variables map[string]string // for interpolation
-	Profiles  []string          // active ones; "*" for all
-	Services  []string          // services requested by name: active whatever their profiles
-	Project   string            // project name that comes before the files'; "": theirs
+	Files           []File            // merged in this order
+	ReferencedFiles []File            // that extends, env_file and label_file may name
+	Variables       map[string]string // for interpolation
+	Profiles        []string          // active ones; "*" for all
+	Services        []string          // services requested by name: active whatever their profiles
+	Project         string            // project name that comes before the files'; "": theirs
 
 	Classes []string // names the settings know
 	Tenants []string // names the settings know
@@ -70,8 +70,8 @@
 // checkInput checks the size of a submission and the name that it gives its project.
 func checkInput(in *Input) error {
 	pos := diagnostic.Pos{File: "submission"}
-	size, count := 0, len(in.Files)+len(in.Others)
-	for _, f := range slices.Concat(in.Files, in.Others) {
+	size, count := 0, len(in.Files)+len(in.ReferencedFiles)
+	for _, f := range slices.Concat(in.Files, in.ReferencedFiles) {
 		size += len(f.Text)
 	}
 	if size > MaxBytes || count > maxFiles {
@@ -85,8 +85,8 @@
 
 // find returns the name and text of a file of the submission that the file from names at pos.
 func (in *Input) find(from, name string, pos diagnostic.Pos) (file, text string, err error) {
-	resolved := Resolve(from, name)
-	for _, files := range [][]File{in.Others, in.Files} {
+	resolved := ResolvePath(from, name)
+	for _, files := range [][]File{in.ReferencedFiles, in.Files} {
 		for _, f := range files {
 			if f.Name == resolved || f.Name == name {
 				return f.Name, f.Text, nil
@@ -96,8 +96,8 @@
 	return "", "", diagnostic.Wantf(pos, "the file with the submission: forkhead submit sends it along", "%s was not given", resolved)
 }
 
-// Resolve returns the path of a file that the file from names.
-func Resolve(from, name string) string {
+// ResolvePath returns the path of a file that the file from names.
+func ResolvePath(from, name string) string {
 	if path.IsAbs(name) {
 		return path.Clean(name)
 	}
--- a/internal/parse/compose/compose_test.go
+++ b/internal/parse/compose/compose_test.go
@@ -218,7 +218,7 @@
   gone: !reset null
 `},
 	}
-	in.Others = []File{{"common/base.yaml", "services: {api: {extends: root, image: api}, root: {environment: {A: base, B: base}, init: true}}"}}
+	in.ReferencedFiles = []File{{"common/base.yaml", "services: {api: {extends: root, image: api}, root: {environment: {A: base, B: base}, init: true}}"}}
 	d := read(t, in)
 	got := map[string]string{}
 	for _, s := range d.Services {
@@ -252,7 +252,7 @@
 }
 
 // docs/compose.md and the parser use one table.
-func TestTableOnPage(t *testing.T) { doccheck.Contains(t, "docs/compose.md", Table()) }
+func TestTableOnPage(t *testing.T) { doccheck.Contains(t, "docs/compose.md", ElementTable()) }
 
 func FuzzParse(f *testing.F) {
 	f.Add("services: {a: {image: '${A:-b}', deploy: {replicas: 2}}}")
--- a/internal/parse/compose/elements.go
+++ b/internal/parse/compose/elements.go
@@ -178,8 +178,8 @@
 	ownIndex     = indexByName(ownElements)
 )
 
-// Table writes the rows of docs/compose.md.
-func Table() string {
+// ElementTable writes the rows of docs/compose.md.
+func ElementTable() string {
 	out := ""
 	for _, part := range []struct {
 		title, prefix string
--- a/internal/parse/compose/golden_test.go
+++ b/internal/parse/compose/golden_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	d, err := Parse(&Input{
-		Files: []File{{Name: "all.yaml", Text: string(text)}}, Others: []File{{Name: "b.env", Text: "B=2\n"}},
+		Files: []File{{Name: "all.yaml", Text: string(text)}}, ReferencedFiles: []File{{Name: "b.env", Text: "B=2\n"}},
 		Variables: map[string]string{"TAG": "3"}, Classes: []string{"web", "batch"}, Tenants: []string{"courts"},
 	})
 	if err != nil {
--- a/internal/parse/hostport/hostport.go
+++ b/internal/parse/hostport/hostport.go
@@ -9,22 +9,22 @@
 	"strings"
 )
 
-// ErrForm means that an address has not the form HOST:PORT, or [HOST]:PORT where HOST holds colons.
-var ErrForm = errors.New("not of the form HOST:PORT")
+// ErrFormat means that an address has not the form HOST:PORT, or [HOST]:PORT where HOST holds colons.
+var ErrFormat = errors.New("not of the form HOST:PORT")
 
 // Split takes an address apart. The port is from 0 to 65535.
 func Split(address string) (host string, port int, err error) {
 	i := strings.LastIndexByte(address, ':')
 	if i < 0 {
-		return "", 0, fmt.Errorf("%q: %w", address, ErrForm)
+		return "", 0, fmt.Errorf("%q: %w", address, ErrFormat)
 	}
 	host = address[:i]
 	if inner, ok := strings.CutPrefix(host, "["); ok {
 		if host, ok = strings.CutSuffix(inner, "]"); !ok {
-			return "", 0, fmt.Errorf("%q: %w", address, ErrForm)
+			return "", 0, fmt.Errorf("%q: %w", address, ErrFormat)
 		}
 	} else if strings.ContainsAny(host, ":]") {
-		return "", 0, fmt.Errorf("%q: %w", address, ErrForm)
+		return "", 0, fmt.Errorf("%q: %w", address, ErrFormat)
 	}
 	n, err := strconv.ParseUint(address[i+1:], 10, 16)
 	if err != nil {
--- a/internal/parse/settings/defaults.go
+++ b/internal/parse/settings/defaults.go
@@ -57,8 +57,8 @@
 }
 
 var defaultLimits = Limits{
-	Body: 1 << 20, Tasks: 100_000, PerSubmit: 10_000, Submissions: 10_000, Retention: 10 * time.Minute,
-	Connections: 1000, Buffer: 4 << 20, Hosts: 10_000, Labels: 64,
+	BodyBytes: 1 << 20, Tasks: 100_000, TasksPerSubmission: 10_000, Submissions: 10_000, Retention: 10 * time.Minute,
+	Connections: 1000, BufferBytes: 4 << 20, Hosts: 10_000, PlacementConstraints: 64,
 }
 
 const defaultRequestTimeout = 5 * time.Second
--- a/internal/parse/settings/golden_test.go
+++ b/internal/parse/settings/golden_test.go
@@ -38,13 +38,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		goldentest.Check(t, name+".values", lines(reflect.ValueOf(*s.For(0))))
+		goldentest.Check(t, name+".values", lines(reflect.ValueOf(*s.ForPlacer(0))))
 	}
 	s, err := Parse("default settings", Default)
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Check(t, "default.values", lines(reflect.ValueOf(*s.For(1))))
+	goldentest.Check(t, "default.values", lines(reflect.ValueOf(*s.ForPlacer(1))))
 }
 
 // testdata/faults.sexp has a fault of each kind; all are reported, with their positions and what is wanted.
--- a/internal/parse/settings/parser.go
+++ b/internal/parse/settings/parser.go
@@ -115,7 +115,7 @@
 		s.Module.Classes[m.class].MachineType = index
 	}
 	if p.defaultClass != nil {
-		index, ok := s.Class(p.defaultClass.Atom)
+		index, ok := s.ClassIndex(p.defaultClass.Atom)
 		if !ok {
 			p.errs.Add(diagnostic.Errorf(p.defaultClass.Pos, "class %q is not named", p.defaultClass.Atom))
 		}
--- a/internal/parse/settings/sections.go
+++ b/internal/parse/settings/sections.go
@@ -102,14 +102,14 @@
 
 func limitFields(l *Limits) map[string]sexp.Field {
 	return map[string]sexp.Field{
-		"body":        sexp.Int(&l.Body, 1024, 64<<20),
+		"body":        sexp.Int(&l.BodyBytes, 1024, 64<<20),
 		"tasks":       sexp.Int(&l.Tasks, 1, 1e7),
-		"per-submit":  sexp.Int(&l.PerSubmit, 1, 1e6),
+		"per-submit":  sexp.Int(&l.TasksPerSubmission, 1, 1e6),
 		"submissions": sexp.Int(&l.Submissions, 1, 1e6),
 		"keep":        sexp.Duration(&l.Retention, time.Second, maxTime),
 		"connections": sexp.Int(&l.Connections, 1, 1e6),
-		"buffer":      sexp.Int(&l.Buffer, 4096, 1<<30),
+		"buffer":      sexp.Int(&l.BufferBytes, 4096, 1<<30),
 		"hosts":       sexp.Int(&l.Hosts, 1, 1e6),
-		"labels":      sexp.Int(&l.Labels, 1, 64),
+		"labels":      sexp.Int(&l.PlacementConstraints, 1, 64),
 	}
 }
--- a/internal/parse/settings/settings.go
+++ b/internal/parse/settings/settings.go
@@ -18,7 +18,7 @@
 var Default []byte
 
 // Settings are what a placer service starts with. Figures that the module decides by are in Module and are passed
-// on unchanged; Module.Self and Module.Placers are set by For.
+// on unchanged; Module.Self and Module.Placers are set by ForPlacer.
 type Settings struct {
 	Module           forkhead.Settings
 	MachineTypeNames []string // by place in Module.MachineTypes
@@ -78,15 +78,15 @@
 
 // Limits bound memory and work. What happens at each is in docs/ops/placer.md.
 type Limits struct {
-	Body        int           // bytes of a submission
-	Tasks       int           // tasks that one placer holds
-	PerSubmit   int           // tasks of one submission
-	Submissions int           // submissions in memory
-	Retention   time.Duration // how long a finished submission can be read again
-	Connections int           // to the front
-	Buffer      int           // bytes waiting for one reader
-	Hosts       int           // hosts in the endpoint list
-	Labels      int           // different placement constraints at once
+	BodyBytes            int           // bytes of a submission
+	Tasks                int           // tasks that one placer holds
+	TasksPerSubmission   int           // tasks of one submission
+	Submissions          int           // submissions in memory
+	Retention            time.Duration // how long a finished submission can be read again
+	Connections          int           // to the front
+	BufferBytes          int           // bytes waiting for one reader
+	Hosts                int           // hosts in the endpoint list
+	PlacementConstraints int           // different placement constraints at once
 }
 
 // SavedHostList is how far a placer that starts relies on the endpoint list that it has stored.
@@ -119,21 +119,21 @@
 	if err := p.errs.Err(); err != nil {
 		return nil, err
 	}
-	if _, err := forkhead.New(s.For(0).Module, 0); err != nil {
+	if _, err := forkhead.New(s.ForPlacer(0).Module, 0); err != nil {
 		return nil, diagnostic.Errorf(n.Pos, "%s", strings.TrimPrefix(err.Error(), "forkhead: "))
 	}
 	return s, nil
 }
 
-// For returns the settings of one placer: Module.Self and Module.Placers are set.
-func (s *Settings) For(self int) *Settings {
+// ForPlacer returns the settings of one placer: Module.Self and Module.Placers are set.
+func (s *Settings) ForPlacer(self int) *Settings {
 	c := *s
 	c.Module.Self, c.Module.Placers = self, len(s.Placers)
 	return &c
 }
 
-// Class returns the place of a class by name.
-func (s *Settings) Class(name string) (index int, ok bool) {
+// ClassIndex returns the place of a class by name.
+func (s *Settings) ClassIndex(name string) (index int, ok bool) {
 	for i, c := range s.Classes {
 		if c.Name == name {
 			return i, true
--- a/internal/parse/settings/settings_test.go
+++ b/internal/parse/settings/settings_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := s.For(1).Module
+	m := s.ForPlacer(1).Module
 	c := m.Classes[0]
 	if m.Self != 1 || m.Placers != 2 || m.MachineTypes[0].Memory != 0.5 || c.Effect != forkhead.Unsafe || c.SpreadDomain != forkhead.CellDomain ||
 		c.MaxPerDomain != 3 || c.MachineType != 0 || m.Tenants[0].QuotaCores != 9 || s.Limits.Tasks != 7 {
--- a/internal/planning/plan/instance.go
+++ b/internal/planning/plan/instance.go
@@ -66,7 +66,7 @@
 
 // newService returns a service of a specification with its class; nothing runs of it yet.
 func (p *Problem) newService(spec *servicespec.Service) service {
-	index, ok := p.Settings.Class(spec.Class)
+	index, ok := p.Settings.ClassIndex(spec.Class)
 	if !ok {
 		index = p.Settings.DefaultClass
 	}
--- a/internal/scheduler/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -107,7 +107,7 @@
 		hostIDs:     ids.NewTable(hash),
 		zoneIndexes: map[string]int{set.Placers[set.Module.Self].Zone: 0},
 		rackIndexes: map[string]int{},
-		labels:      labelTable{maxLabels: set.Limits.Labels, index: map[string]int{}},
+		labels:      labelTable{maxLabels: set.Limits.PlacementConstraints, index: map[string]int{}},
 
 		requests:         map[forkhead.TaskID]*placementRequest{},
 		canceledRequests: map[forkhead.TaskID]*placementRequest{},
--- a/internal/scheduler/core/orphans.go
+++ b/internal/scheduler/core/orphans.go
@@ -95,7 +95,7 @@
 
 // handleInherited settles a task that a host has had since an earlier incarnation of this placer.
 func (c *Core) handleInherited(h *host, reported *hostproto.Held) {
-	class, known := c.settings.Class(reported.Spec.Class)
+	class, known := c.settings.ClassIndex(reported.Spec.Class)
 	name, err := parseTaskName(reported.Spec.Name)
 	switch {
 	case !known || errors.Is(err, errNameParts):
--- a/internal/scheduler/core/replicas.go
+++ b/internal/scheduler/core/replicas.go
@@ -119,7 +119,7 @@
 }
 
 func (c *Core) classIndex(s *servicespec.Service) int {
-	if i, ok := c.settings.Class(s.Class); ok {
+	if i, ok := c.settings.ClassIndex(s.Class); ok {
 		return i
 	}
 	return c.settings.DefaultClass
--- a/internal/scheduler/core/submissions.go
+++ b/internal/scheduler/core/submissions.go
@@ -62,7 +62,7 @@
 	labels, ok := c.takeServiceLabels(p, in.Description)
 	if !ok {
 		c.reject(in.Request, newRejection(statusServiceUnavailable, "Too many constraints",
-			"more than %d different placement constraints are in use", c.settings.Limits.Labels))
+			"more than %d different placement constraints are in use", c.settings.Limits.PlacementConstraints))
 		return
 	}
 	c.projects[p.name] = p
@@ -131,9 +131,9 @@
 // where that lets the new one in.
 func (c *Core) admit(tasks int) *Rejected {
 	limits := &c.settings.Limits
-	if tasks > limits.PerSubmit {
+	if tasks > limits.TasksPerSubmission {
 		return newRejection(statusRequestEntityTooLarge, "Too many tasks",
-			"the description asks for %d tasks, at most %d are taken at once", tasks, limits.PerSubmit)
+			"the description asks for %d tasks, at most %d are taken at once", tasks, limits.TasksPerSubmission)
 	}
 	if c.replicaCount+tasks > limits.Tasks {
 		return newRejection(statusServiceUnavailable, "Full",
--- a/internal/server/placer/http_server.go
+++ b/internal/server/placer/http_server.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	// writeBufferReserve is what a connection may hold unwritten beside the outcomes that Limits.Buffer bounds: response
+	// writeBufferReserve is what a connection may hold unwritten beside the outcomes that Limits.BufferBytes bounds: response
 	// heads, problems and one line more than the bound, in bytes.
 	writeBufferReserve = 1 << 20
 	// rejectedRetryAfter is sent to clients that are to try again later.
@@ -62,7 +62,7 @@
 // listen opens the listener.
 func (h *httpServer) listen(address string) error {
 	var err error
-	h.listener, err = h.placer.engine.Listen(address, h.placer.settings.Limits.Buffer+writeBufferReserve, h.accept)
+	h.listener, err = h.placer.engine.Listen(address, h.placer.settings.Limits.BufferBytes+writeBufferReserve, h.accept)
 	return err
 }
 
@@ -72,7 +72,7 @@
 		h.connections.Add(-1)
 		return rejectedConn{}
 	}
-	return &httpConn{server: h, conn: c, parser: http1.NewParser(http1.DefaultLimits(h.placer.settings.Limits.Body))}
+	return &httpConn{server: h, conn: c, parser: http1.NewParser(http1.DefaultLimits(h.placer.settings.Limits.BodyBytes))}
 }
 
 // stopping reports whether nothing new is taken any more.
--- a/internal/server/placer/outcomes.go
+++ b/internal/server/placer/outcomes.go
@@ -58,11 +58,11 @@
 }
 
 // writeOutcomes writes as many outcomes as the client's buffer has space for. A client that does not read holds
-// Limits.Buffer bytes and no more: the rest stays with the submission until Drained. It runs on the loop.
+// Limits.BufferBytes and no more: the rest stays with the submission until Drained. It runs on the loop.
 func (h *httpServer) writeOutcomes(stream *outcomeStream) {
 	s, conn := h.placer, stream.conn.conn
 	outcomes, complete, known := s.core.Outcomes(stream.submission, stream.written)
-	space := s.settings.Limits.Buffer - conn.PendingBytes()
+	space := s.settings.Limits.BufferBytes - conn.PendingBytes()
 	lines := stream.buffer[:0]
 	written := 0
 	for written < len(outcomes) && len(lines) < space {
--- a/internal/server/placer/server.go
+++ b/internal/server/placer/server.go
@@ -31,7 +31,7 @@
 
 // Config is what a placer runs with.
 type Config struct {
-	Settings *settings.Settings // by For: Module.Self is this placer
+	Settings *settings.Settings // by ForPlacer: Module.Self is this placer
 	Clock    *clock.Clock       // nil: one of its own
 	Log      zerolog.Logger
 	Seed     uint64 // of the random choices
--- a/internal/server/placer/server_test.go
+++ b/internal/server/placer/server_test.go
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = full.Close() })
-	p, err := placer.Start(placer.Config{Settings: script.Settings.For(0), Log: zerolog.Nop(), Store: full, Snapshot: saved})
+	p, err := placer.Start(placer.Config{Settings: script.Settings.ForPlacer(0), Log: zerolog.Nop(), Store: full, Snapshot: saved})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/placer/submissions.go
+++ b/internal/server/placer/submissions.go
@@ -156,7 +156,7 @@
 	if err := decoder.Decode(&e); err != nil {
 		return err
 	}
-	input.Files, input.Others = e.Files, e.Others
+	input.Files, input.ReferencedFiles = e.Files, e.Others
 	input.Profiles, input.Services, input.Project = e.Profiles, e.Services, e.Project
 	if e.Variables != nil {
 		input.Variables = e.Variables
--- a/internal/server/store/golden_test.go
+++ b/internal/server/store/golden_test.go
@@ -197,7 +197,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	placer, err := core.New(core.Config{Settings: set.For(0), Seed: 1, Epoch: snapshot.Epoch + 1, Durable: true})
+	placer, err := core.New(core.Config{Settings: set.ForPlacer(0), Seed: 1, Epoch: snapshot.Epoch + 1, Durable: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/verify/chaos/submission.go
+++ b/internal/verify/chaos/submission.go
@@ -66,7 +66,7 @@
 
 // placementTimeout returns how long a task of a class is requested.
 func (r *runner) placementTimeout(class string) time.Duration {
-	i, _ := r.scenario.Settings.Class(class) // the scenario has been checked
+	i, _ := r.scenario.Settings.ClassIndex(class) // the scenario has been checked
 	return r.scenario.Settings.Classes[i].PlacementTimeout
 }
 
--- a/internal/verify/modelcheck/replay.go
+++ b/internal/verify/modelcheck/replay.go
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	r := &replayer{
-		cfg: t.Config, settings: s.For(0), now: replayStart, result: &ReplayResult{}, tasks: make([]replayTask, t.Config.Tasks),
+		cfg: t.Config, settings: s.ForPlacer(0), now: replayStart, result: &ReplayResult{}, tasks: make([]replayTask, t.Config.Tasks),
 	}
 	for i := range t.Config.Hosts {
 		r.hosts = append(r.hosts, newReplayHost(i))
--- a/internal/verify/replay/play.go
+++ b/internal/verify/replay/play.go
@@ -90,7 +90,7 @@
 		return nil, fmt.Errorf("the tape is of placer %d, which its script does not have", head.Placer)
 	}
 	p.core, err = core.New(core.Config{
-		Settings: settings.For(head.Placer), Seed: head.Seed, Epoch: head.Epoch, Durable: head.Durable,
+		Settings: settings.ForPlacer(head.Placer), Seed: head.Seed, Epoch: head.Epoch, Durable: head.Durable,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/verify/replay/recording_test.go
+++ b/internal/verify/replay/recording_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := core.New(core.Config{Settings: s.Settings.For(0), Seed: 5, Epoch: 9})
+	c, err := core.New(core.Config{Settings: s.Settings.ForPlacer(0), Seed: 5, Epoch: 9})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/verify/scenario/read.go
+++ b/internal/verify/scenario/read.go
@@ -267,7 +267,7 @@
 		}
 	}
 	for _, l := range s.Loads {
-		if _, ok := s.Settings.Class(l.Class); !ok {
+		if _, ok := s.Settings.ClassIndex(l.Class); !ok {
 			r.errs.Add(diagnostic.Errorf(l.Pos, "load of class %q, which the settings do not name", l.Class))
 		}
 		if l.Tenant != "" && !slices.Contains(s.Settings.Tenants, l.Tenant) {
--- a/internal/verify/simulation/simulation.go
+++ b/internal/verify/simulation/simulation.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s.For(0)
+	return s.ForPlacer(0)
 }
 
 // New starts a placer and so many hosts, h0, h1, ...: the even ones small, the odd ones large, two to a rack. change, if
--- a/internal/verify/testcluster/placers.go
+++ b/internal/verify/testcluster/placers.go
@@ -61,7 +61,7 @@
 // placerConfig returns the configuration of a placer's next incarnation and opens its store.
 func (c *Cluster) placerConfig(i int) (placer.Config, error) {
 	slot := &c.placers[i]
-	set := c.Settings.For(i)
+	set := c.Settings.ForPlacer(i)
 	cfg := placer.Config{
 		Settings:   set,
 		Clock:      c.Clock,
