--- a/internal/parse/compose/compose.go
+++ b/internal/parse/compose/compose.go
@@ -51,7 +51,7 @@
 	d := &decoder{in: in, errs: errs, out: &servicespec.Description{}}
 	l := &loader{
 		in: in, budget: maxNodes, errs: errs, trees: map[string]*value{},
-		interpolator: &interpolator{vars: in.Variables, errs: errs, warned: map[string]bool{}, addNote: d.addNote},
+		interpolator: &interpolator{vars: in.Variables, errs: errs, notedUnset: map[string]bool{}, addNote: d.addNote},
 	}
 	tree, err := l.loadAll()
 	if err != nil {
--- a/internal/parse/compose/compose_test.go
+++ b/internal/parse/compose/compose_test.go
@@ -13,11 +13,11 @@
 	"forkhead/internal/verify/doccheck"
 )
 
-func input(text string) *Input {
+func newInput(text string) *Input {
 	return &Input{Files: []File{{Name: "a.yaml", Text: text}}, Classes: []string{"web", "batch"}, Tenants: []string{"courts"}}
 }
 
-func read(t *testing.T, in *Input) *servicespec.Description {
+func mustParse(t *testing.T, in *Input) *servicespec.Description {
 	t.Helper()
 	d, err := Parse(in)
 	if err != nil {
@@ -27,7 +27,7 @@
 }
 
 func TestHonored(t *testing.T) {
-	d := read(t, input(`
+	d := mustParse(t, newInput(`
 name: calendar
 x-forkhead: {tenant: courts}
 services:
@@ -157,7 +157,7 @@
 
 func TestErrors(t *testing.T) {
 	for name, c := range errorCases {
-		_, err := Parse(input(c.text))
+		_, err := Parse(newInput(c.text))
 		switch {
 		case c.want == "" && err != nil:
 			t.Errorf("%s: %v", name, err)
@@ -175,7 +175,7 @@
 		"$A": "one", "${A}": "one", "x${A}y": "xoney", "$$A": "$A", "${B:-d}": "d", "${EMPTY:-d}": "d", "${EMPTY-d}": "",
 		"${B-d}": "d", "${A:+r}": "r", "${B:+r}": "", "${EMPTY+r}": "r", "${EMPTY:+r}": "", "${B:-${A}}": "one", "${A:?x}": "one",
 	} {
-		in := input("services: {a: {image: '" + text + "'}}")
+		in := newInput("services: {a: {image: '" + text + "'}}")
 		in.Variables = vars
 		d, err := Parse(in)
 		if err != nil {
@@ -189,7 +189,7 @@
 }
 
 func TestMergeAndExtends(t *testing.T) {
-	in := input("")
+	in := newInput("")
 	in.Files = []File{
 		{"a.yaml", `
 name: p
@@ -219,7 +219,7 @@
 `},
 	}
 	in.ReferencedFiles = []File{{"common/base.yaml", "services: {api: {extends: root, image: api}, root: {environment: {A: base, B: base}, init: true}}"}}
-	d := read(t, in)
+	d := mustParse(t, in)
 	got := map[string]string{}
 	for _, s := range d.Services {
 		got[s.Name] = string(s.Payload)
@@ -237,13 +237,13 @@
 }
 
 func TestProfilesAndNotes(t *testing.T) {
-	in := input("version: '3'\nservices: {a: {}, b: {profiles: [debug], build: .}, c: {depends_on: {b: {condition: service_started, required: false}}}}")
-	d := read(t, in)
+	in := newInput("version: '3'\nservices: {a: {}, b: {profiles: [debug], build: .}, c: {depends_on: {b: {condition: service_started, required: false}}}}")
+	d := mustParse(t, in)
 	if len(d.Services) != 2 || len(d.Service("c").DependsOn) != 0 {
 		t.Fatalf("services: %+v", d.Services)
 	}
 	in.Profiles = []string{"debug"}
-	if d = read(t, in); len(d.Services) != 3 || len(d.Service("c").DependsOn) != 1 {
+	if d = mustParse(t, in); len(d.Services) != 3 || len(d.Service("c").DependsOn) != 1 {
 		t.Fatalf("services: %+v", d.Services)
 	}
 	if len(d.Notes) != 2 {
@@ -259,7 +259,7 @@
 	f.Add("x: &x {a: 1}\nservices:\n  a: {<<: *x, extends: b}\n  b: {depends_on: [a]}")
 	f.Add("services: {a: {ports: [{mode: host, published: 80, target: 80}], volumes: [a:/b]}}\nvolumes: {a: }")
 	f.Fuzz(func(t *testing.T, text string) {
-		d, err := Parse(input(text))
+		d, err := Parse(newInput(text))
 		if (d == nil) == (err == nil) {
 			t.Fatal("neither a description nor an error, or both")
 		}
@@ -274,7 +274,7 @@
 	for i := range 50 {
 		text += "  s" + string(rune('a'+i%26)) + string(rune('a'+i/26)) + ": {image: 'x:${T:-1}', deploy: {replicas: 3, resources: {reservations: {cpus: '0.5', memory: 256m}}}}\n"
 	}
-	in := input(text)
+	in := newInput(text)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := Parse(in); err != nil {
--- a/internal/parse/compose/decode.go
+++ b/internal/parse/compose/decode.go
@@ -24,11 +24,11 @@
 
 // decoder turns a merged tree into a description. Its methods add what is wrong to errs and go on.
 type decoder struct {
-	in   *Input
-	errs *diagnostic.List
-	out  *servicespec.Description
-	top  *value
-	own  *value // x-forkhead of the top level; nil if there is none
+	in           *Input
+	errs         *diagnostic.List
+	out          *servicespec.Description
+	top          *value
+	topExtension *value // x-forkhead of the top level; nil if there is none
 }
 
 // errorf adds an error at a position.
@@ -104,8 +104,8 @@
 func (d *decoder) project(tree *value) {
 	d.top = tree
 	d.checkElements(tree, topIndex, "", "the file")
-	d.own = d.extension(tree, "the file")
-	if whole := d.own.get("whole"); whole != nil {
+	d.topExtension = d.extension(tree, "the file")
+	if whole := d.topExtension.get("whole"); whole != nil {
 		d.out.AllOrNothing = d.boolean(whole, "whole")
 	}
 	d.out.Name = d.in.Project
@@ -173,12 +173,12 @@
 	}
 	where := "service " + strconv.Quote(name)
 	d.checkElements(v, serviceIndex, "", where)
-	d.extensionFields(&s, d.own)
-	own := d.extension(v, where)
-	if whole := own.get("whole"); whole != nil {
+	d.extensionFields(&s, d.topExtension)
+	ext := d.extension(v, where)
+	if whole := ext.get("whole"); whole != nil {
 		d.wantf(whole.pos, "it at the top level", "whole is of all services together")
 	}
-	d.extensionFields(&s, own)
+	d.extensionFields(&s, ext)
 	deploy := d.ofKind(v.get("deploy"), mapping, "deploy")
 	d.resources(&s, v, deploy)
 	d.replicas(&s, v, deploy)
--- a/internal/parse/compose/usedparts.go
+++ b/internal/parse/compose/definitions.go
@@ -6,9 +6,9 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// usedParts returns the project's networks, volumes, configs or secrets that a service names, each with its description. One
+// usedDefinitions returns the project's networks, volumes, configs or secrets that a service names, each with its description. One
 // that is named and not described is an error, but for the default network.
-func (d *decoder) usedParts(service *value, part string) map[string]any {
+func (d *decoder) usedDefinitions(service *value, part string) map[string]any {
 	described := d.ofKind(d.top.get(part), mapping, part)
 	used := service.get(part)
 	if used.isEmpty() || used.kind == scalar {
@@ -28,16 +28,16 @@
 		add(key, used.keyPos[key])
 	}
 	for _, item := range used.items {
-		if name, pos, ok := d.partName(item, part); ok {
+		if name, pos, ok := d.definitionName(item, part); ok {
 			add(name, pos)
 		}
 	}
 	return parts
 }
 
-// partName returns the name in an entry of a list of networks, volumes, configs or secrets. ok is false where the entry names
+// definitionName returns the name in an entry of a list of networks, volumes, configs or secrets. ok is false where the entry names
 // none, or is in error.
-func (d *decoder) partName(item *value, part string) (name string, pos diagnostic.Pos, ok bool) {
+func (d *decoder) definitionName(item *value, part string) (name string, pos diagnostic.Pos, ok bool) {
 	switch {
 	case item.kind == mapping:
 		source := item.get("source")
--- a/internal/parse/compose/elements.go
+++ b/internal/parse/compose/elements.go
@@ -151,7 +151,7 @@
 	{"update_config", honored, "`parallelism`, `delay`, `failure_action`, `monitor`, `max_failure_ratio`, `order`"},
 }
 
-var ownElements = []element{
+var extensionElements = []element{
 	{"class", honored, "a class of the settings; default the settings' `default-class`"},
 	{"tenant", honored, "a tenant of the settings; default none"},
 	{"life", honored, "how long a task runs, roughly"},
@@ -172,10 +172,10 @@
 }
 
 var (
-	topIndex     = indexByName(topElements)
-	serviceIndex = indexByName(serviceElements)
-	deployIndex  = indexByName(deployElements)
-	ownIndex     = indexByName(ownElements)
+	topIndex       = indexByName(topElements)
+	serviceIndex   = indexByName(serviceElements)
+	deployIndex    = indexByName(deployElements)
+	extensionIndex = indexByName(extensionElements)
 )
 
 // ElementTable writes the rows of docs/compose.md.
@@ -188,7 +188,7 @@
 		{"Top level", "", topElements},
 		{"Services", "services.*.", serviceElements},
 		{"Deploy", "services.*.deploy.", deployElements},
-		{"x-forkhead", "x-forkhead.", ownElements},
+		{"x-forkhead", "x-forkhead.", extensionElements},
 	} {
 		out += "\n## " + part.title + "\n\n| element | treatment | remark |\n| --- | --- | --- |\n"
 		for _, e := range part.rows {
--- a/internal/parse/compose/extension.go
+++ b/internal/parse/compose/extension.go
@@ -11,7 +11,7 @@
 
 const (
 	extensionPrefix = "x-" // keys with it are extensions, by the Compose Specification
-	ownExtension    = "x-forkhead"
+	extensionKey    = "x-forkhead"
 
 	maxExtensionTime = 365 * 24 * time.Hour // of the durations in x-forkhead
 )
@@ -19,39 +19,39 @@
 // extension returns x-forkhead of a mapping, checked for unknown keys; nil if there is none. where names the mapping in errors.
 func (d *decoder) extension(v *value, where string) *value {
 	for _, key := range v.keys {
-		isMisspelled := key != ownExtension && diagnostic.Nearest(key, []string{ownExtension}) != ""
+		isMisspelled := key != extensionKey && diagnostic.Nearest(key, []string{extensionKey}) != ""
 		if isMisspelled && strings.HasPrefix(key, extensionPrefix) {
 			d.addNote(v.keyPos[key], key+" is passed over; x-forkhead is the extension read here")
 		}
 	}
-	own := d.ofKind(v.get(ownExtension), mapping, ownExtension)
-	if own != nil {
-		d.checkElements(own, ownIndex, "", "x-forkhead of "+where)
+	ext := d.ofKind(v.get(extensionKey), mapping, extensionKey)
+	if ext != nil {
+		d.checkElements(ext, extensionIndex, "", "x-forkhead of "+where)
 	}
-	return own
+	return ext
 }
 
 // extensionFields sets what an x-forkhead says; nil says nothing.
-func (d *decoder) extensionFields(s *servicespec.Service, own *value) {
-	if own == nil {
+func (d *decoder) extensionFields(s *servicespec.Service, ext *value) {
+	if ext == nil {
 		return
 	}
-	if class := d.nameFromSettings(own, "class", d.in.Classes); class != "" {
+	if class := d.nameFromSettings(ext, "class", d.in.Classes); class != "" {
 		s.Class = class
 	}
-	if tenant := d.nameFromSettings(own, "tenant", d.in.Tenants); tenant != "" {
+	if tenant := d.nameFromSettings(ext, "tenant", d.in.Tenants); tenant != "" {
 		s.Tenant = tenant
 	}
-	d.durationField(&s.ExpectedRuntime, own, "life", time.Millisecond, maxExtensionTime)
-	d.durationField(&s.RequestTimeout, own, "wait", time.Millisecond, maxExtensionTime)
-	d.durationField(&s.PlacementTimeout, own, "patience", time.Millisecond, maxExtensionTime)
-	d.near(s, own)
-	d.spread(s, own)
+	d.durationField(&s.ExpectedRuntime, ext, "life", time.Millisecond, maxExtensionTime)
+	d.durationField(&s.RequestTimeout, ext, "wait", time.Millisecond, maxExtensionTime)
+	d.durationField(&s.PlacementTimeout, ext, "patience", time.Millisecond, maxExtensionTime)
+	d.near(s, ext)
+	d.spread(s, ext)
 }
 
 // nameFromSettings returns a name that the settings must know; "" if none is given.
-func (d *decoder) nameFromSettings(own *value, key string, known []string) string {
-	name := d.ofKind(own.get(key), scalar, key)
+func (d *decoder) nameFromSettings(ext *value, key string, known []string) string {
+	name := d.ofKind(ext.get(key), scalar, key)
 	if name == nil {
 		return ""
 	}
@@ -62,8 +62,8 @@
 }
 
 // near sets the services that the service's tasks have to be beside.
-func (d *decoder) near(s *servicespec.Service, own *value) {
-	near := d.ofKind(own.get("near"), mapping, "near")
+func (d *decoder) near(s *servicespec.Service, ext *value) {
+	near := d.ofKind(ext.get("near"), mapping, "near")
 	if near == nil {
 		return
 	}
@@ -80,8 +80,8 @@
 }
 
 // spread sets the limits in each domain, in place of those that the top level sets.
-func (d *decoder) spread(s *servicespec.Service, own *value) {
-	spread := d.ofKind(own.get("spread"), mapping, "spread")
+func (d *decoder) spread(s *servicespec.Service, ext *value) {
+	spread := d.ofKind(ext.get("spread"), mapping, "spread")
 	if spread == nil {
 		return
 	}
--- a/internal/parse/compose/interpolate.go
+++ b/internal/parse/compose/interpolate.go
@@ -15,11 +15,11 @@
 // interpolator replaces variables in values, as the Compose Specification's chapter on interpolation says: $V, ${V}, ${V:-d},
 // ${V-d}, ${V:?e}, ${V?e}, ${V:+r}, ${V+r} and $$. What follows the operator may contain variables itself.
 type interpolator struct {
-	vars    map[string]string
-	size    int // bytes of the values replaced so far
-	errs    *diagnostic.List
-	warned  map[string]bool // variables that are not set and have a note
-	addNote func(pos diagnostic.Pos, text string)
+	vars       map[string]string
+	size       int // bytes of the values replaced so far
+	errs       *diagnostic.List
+	notedUnset map[string]bool // variables that are not set and have a note
+	addNote    func(pos diagnostic.Pos, text string)
 }
 
 // interpolate returns the value with its scalars interpolated; keys stay as they are.
@@ -188,8 +188,8 @@
 // lookUp returns the value of a variable; "" with a note, once for each, if it is not set.
 func (in *interpolator) lookUp(pos diagnostic.Pos, name string) string {
 	val, ok := in.vars[name]
-	if !ok && !in.warned[name] {
-		in.warned[name] = true
+	if !ok && !in.notedUnset[name] {
+		in.notedUnset[name] = true
 		in.addNote(pos, "variable "+name+" is not set; the empty string stands for it")
 	}
 	return val
--- a/internal/parse/compose/payload.go
+++ b/internal/parse/compose/payload.go
@@ -13,8 +13,8 @@
 	gibibyte   = 1 << 30  // bytes
 )
 
-// passedToo are the elements of a service that are acted on here and passed to the host as well.
-var passedToo = map[string]bool{
+// alsoPassed are the elements of a service that are acted on here and passed to the host as well.
+var alsoPassed = map[string]bool{
 	"ipc": true, "pid": true, "network_mode": true, "ports": true, "container_name": true, "platform": true,
 }
 
@@ -33,7 +33,7 @@
 		out["pids"] = toJSON(pids)
 	}
 	for _, part := range []string{"networks", "volumes", "configs", "secrets"} {
-		addIfAny(out, "project_"+part, d.usedParts(v, part))
+		addIfAny(out, "project_"+part, d.usedDefinitions(v, part))
 	}
 	data, err := json.Marshal(out)
 	if err != nil {
@@ -70,8 +70,8 @@
 	passedOn := map[string]any{}
 	for _, key := range service.keys {
 		e, known := serviceIndex[key]
-		isExtension := strings.HasPrefix(key, extensionPrefix) && key != ownExtension
-		if isExtension || known && e.treatment == passed || passedToo[key] {
+		isExtension := strings.HasPrefix(key, extensionPrefix) && key != extensionKey
+		if isExtension || known && e.treatment == passed || alsoPassed[key] {
 			passedOn[key] = toJSON(service.fields[key])
 		}
 	}
--- a/internal/parse/compose/resources.go
+++ b/internal/parse/compose/resources.go
@@ -39,12 +39,12 @@
 	d.checkKeys(resources, "resources", "limits", "reservations")
 	limits = d.ofKind(resources.get("limits"), mapping, "limits")
 	reserved = d.ofKind(resources.get("reservations"), mapping, "reservations")
-	d.checkDeployPart(limits, "resources.limits.")
-	d.checkDeployPart(reserved, "resources.reservations.")
+	d.checkDeployElements(limits, "resources.limits.")
+	d.checkDeployElements(reserved, "resources.reservations.")
 	return limits, reserved
 }
 
-func (d *decoder) checkDeployPart(v *value, prefix string) {
+func (d *decoder) checkDeployElements(v *value, prefix string) {
 	if v != nil {
 		d.checkElements(v, deployIndex, prefix, strings.TrimSuffix(prefix, "."))
 	}
@@ -52,7 +52,7 @@
 
 // cores returns the first number of cores that is given; 0 if none is.
 func (d *decoder) cores(alternatives ...*value) float64 {
-	if v := firstGiven(alternatives); v != nil {
+	if v := firstNonEmpty(alternatives); v != nil {
 		return d.number(v, "cpus", 0.001, 1e5)
 	}
 	return 0
@@ -60,13 +60,13 @@
 
 // memory returns the first amount of memory that is given, in GiB; 0 if none is.
 func (d *decoder) memory(alternatives ...*value) float64 {
-	if v := firstGiven(alternatives); v != nil {
+	if v := firstNonEmpty(alternatives); v != nil {
 		return d.bytes(v, "memory")
 	}
 	return 0
 }
 
-func firstGiven(alternatives []*value) *value {
+func firstNonEmpty(alternatives []*value) *value {
 	for _, v := range alternatives {
 		if !v.isEmpty() {
 			return v
--- a/internal/parse/compose/yaml.go
+++ b/internal/parse/compose/yaml.go
@@ -37,7 +37,7 @@
 		if len(docs) >= maxDocuments {
 			return nil, diagnostic.Wantf(diagnostic.Pos{File: file, Line: n.Line, Col: n.Column}, "at most 64", "too many documents")
 		}
-		b := &builder{file: file, budget: *budget, open: map[*yaml.Node]bool{}}
+		b := &builder{file: file, budget: *budget, building: map[*yaml.Node]bool{}}
 		v, err := b.build(&n, 0)
 		if err != nil {
 			return nil, err
@@ -66,9 +66,9 @@
 
 // builder expands YAML nodes into values.
 type builder struct {
-	file   string
-	budget int                 // nodes that may still be built
-	open   map[*yaml.Node]bool // lists and mappings that are being built: an alias to one would not end
+	file     string
+	budget   int                 // nodes that may still be built
+	building map[*yaml.Node]bool // lists and mappings that are being built: an alias to one would not end
 }
 
 func (b *builder) posOf(n *yaml.Node) diagnostic.Pos {
@@ -91,7 +91,7 @@
 			return b.build(n.Content[0], depth)
 		}
 	case yaml.AliasNode:
-		if b.open[n.Alias] {
+		if b.building[n.Alias] {
 			return nil, diagnostic.Errorf(pos, "the alias *%s stands inside what it names", n.Value)
 		}
 		return b.build(n.Alias, depth+1)
@@ -127,8 +127,8 @@
 }
 
 func (b *builder) sequence(n *yaml.Node, depth int) (*value, error) {
-	b.open[n] = true
-	defer delete(b.open, n)
+	b.building[n] = true
+	defer delete(b.building, n)
 	v := &value{pos: b.posOf(n), kind: sequence, tag: mergeTagOf(n)}
 	for _, c := range n.Content {
 		item, err := b.build(c, depth+1)
@@ -142,8 +142,8 @@
 
 // mapping builds a mapping; merge keys give what the mapping itself does not name.
 func (b *builder) mapping(n *yaml.Node, depth int) (*value, error) {
-	b.open[n] = true
-	defer delete(b.open, n)
+	b.building[n] = true
+	defer delete(b.building, n)
 	v := newMap(b.posOf(n))
 	v.tag = mergeTagOf(n)
 	var merged []*value
--- a/internal/parse/platformconfig/check.go
+++ b/internal/parse/platformconfig/check.go
@@ -25,7 +25,7 @@
 	c.oneOf("loadInfo.how", "answers", "probe", "none")
 	c.capabilities()
 	c.rules()
-	c.family(machineTypes)
+	c.familyInfo(machineTypes)
 	c.classes(machineTypes)
 	c.tenants()
 	return c.err
@@ -44,27 +44,27 @@
 		c.flag(flag)
 	}
 	c.number("caps.maxAttempts", integer, 1, 1e6)
-	c.number("caps.connectTimeout", fraction, 1, math.MaxFloat32)
-	c.number("caps.connIdle", fraction, 0, math.MaxFloat32)
+	c.number("caps.connectTimeout", decimal, 1, math.MaxFloat32)
+	c.number("caps.connIdle", decimal, 0, math.MaxFloat32)
 }
 
 func (c *checker) rules() {
 	for _, name := range []string{"rules.stopSendingWithin", "rules.cold", "rules.fall"} {
-		c.number(name, fraction, 0, math.MaxFloat32)
+		c.number(name, decimal, 0, math.MaxFloat32)
 	}
 	if c.err == nil && c.numberAt("rules.cold") > 0 && c.numberAt("rules.fall") == 0 {
 		c.fail("rules.fall", "is 0, want a window over which offers to cold hosts count, as rules.cold is %v", c.numberAt("rules.cold"))
 	}
 }
 
-func (c *checker) family(machineTypes int) {
-	c.number("familyInfo.coldSends", fraction, 0, math.MaxFloat32)
-	c.number("familyInfo.acceptsCores", fraction, 0, math.MaxFloat32)
-	c.number("familyInfo.memBooking", fraction, 0, math.MaxFloat32)
-	c.number("familyInfo.unitCores", fraction, 0, math.MaxFloat32)
+func (c *checker) familyInfo(machineTypes int) {
+	c.number("familyInfo.coldSends", decimal, 0, math.MaxFloat32)
+	c.number("familyInfo.acceptsCores", decimal, 0, math.MaxFloat32)
+	c.number("familyInfo.memBooking", decimal, 0, math.MaxFloat32)
+	c.number("familyInfo.unitCores", decimal, 0, math.MaxFloat32)
 	c.oneOf("familyInfo.saysYes", "accepted", "running")
 	for _, name := range []string{"familyInfo.kindCores", "familyInfo.memoryByKind"} {
-		c.numbers(name, machineTypes, fraction, math.SmallestNonzeroFloat32, math.MaxFloat32)
+		c.numbers(name, machineTypes, decimal, math.SmallestNonzeroFloat32, math.MaxFloat32)
 	}
 }
 
@@ -72,7 +72,7 @@
 func (c *checker) classes(machineTypes int) {
 	count := c.names("classes.name", 1)
 	for _, name := range []string{"easyUntil", "classFade", "promptStartS"} {
-		c.numbers("familyInfo."+name, count, fraction, 0, math.MaxFloat32)
+		c.numbers("familyInfo."+name, count, decimal, 0, math.MaxFloat32)
 	}
 	c.numbers("familyInfo.classPriority", count, integer, 0, 1e6)
 	c.numbers("familyInfo.kindByClass", count, integer, -1, float64(machineTypes-1))
@@ -99,10 +99,10 @@
 	c.oneOf("effect", slices.Sorted(maps.Keys(effects))...)
 	if c.err == nil && fields["effect"] == "dedup" {
 		c.oneOf("group", slices.Sorted(maps.Keys(domains))...)
-		c.number("memorySpan", fraction, 1, math.MaxFloat32)
+		c.number("memorySpan", decimal, 1, math.MaxFloat32)
 	}
-	c.number("aim", fraction, 0, math.MaxFloat32)
-	c.number("points", fraction, 0, math.MaxFloat32)
+	c.number("aim", decimal, 0, math.MaxFloat32)
+	c.number("points", decimal, 0, math.MaxFloat32)
 	return c.err
 }
 
@@ -131,6 +131,6 @@
 		return
 	}
 	for i, tenant := range c.at("tenants").([]any) {
-		c.inRange(fmt.Sprintf("tenants[%d].share", i), tenant.(map[string]any)["share"], fraction, 0, 1)
+		c.inRange(fmt.Sprintf("tenants[%d].share", i), tenant.(map[string]any)["share"], decimal, 0, 1)
 	}
 }
--- a/internal/parse/platformconfig/checker.go
+++ b/internal/parse/platformconfig/checker.go
@@ -43,7 +43,7 @@
 
 const (
 	integer numberKind = iota
-	fraction
+	decimal
 )
 
 // number checks that there is a number from lo to hi at a path.
--- a/internal/parse/platformconfig/modulesettings.go
+++ b/internal/parse/platformconfig/modulesettings.go
@@ -8,7 +8,7 @@
 
 // ModuleSettings translates for the module, or returns an error that names the part it cannot use.
 func ModuleSettings(in *Info) (forkhead.Settings, error) {
-	s := simpleSettings(in)
+	s := scalarSettings(in)
 	f := &in.FamilyInfo
 	if len(f.MachineCores) != len(f.MachineMemory) {
 		return s, fmt.Errorf("settings: %d kinds have cores, %d memory", len(f.MachineCores), len(f.MachineMemory))
@@ -28,8 +28,8 @@
 	return s, err
 }
 
-// simpleSettings are the settings that are no lists.
-func simpleSettings(in *Info) forkhead.Settings {
+// scalarSettings are the settings that are no lists.
+func scalarSettings(in *Info) forkhead.Settings {
 	f := in.FamilyInfo
 	return forkhead.Settings{
 		Placers: in.Placers, Self: in.Self, Zone: in.Zone,
--- a/internal/parse/settings/parser.go
+++ b/internal/parse/settings/parser.go
@@ -12,8 +12,8 @@
 
 // Bounds of values that several settings have.
 const (
-	maxTime   = 24 * time.Hour
-	maxAmount = 1e9 // of weights and cores
+	maxDuration = 24 * time.Hour
+	maxAmount   = 1e9 // of weights and cores
 )
 
 // parser fills settings from nodes. It adds what is wrong to errs and goes on.
@@ -22,12 +22,12 @@
 	errs     *diagnostic.List
 
 	// Names that are looked up once all are known.
-	defaultClass  *sexp.Node // nil: not given
-	machineTypeOf []classMachineType
+	defaultClass    *sexp.Node // nil: not given
+	machineTypeRefs []machineTypeRef
 }
 
-// classMachineType is the name of a class's machine type.
-type classMachineType struct {
+// machineTypeRef is the name of a class's machine type.
+type machineTypeRef struct {
 	class int // place in Settings.Classes
 	name  *sexp.Node
 }
@@ -94,7 +94,7 @@
 	if len(s.Classes) == 0 {
 		p.errs.Add(diagnostic.Wantf(n.Pos, "(class NAME ...)", "no class of task is named"))
 	}
-	p.lookUpNames()
+	p.resolveNames()
 	if s.Owner.MaxBackoff < s.Owner.MinBackoff {
 		p.errs.Add(diagnostic.Wantf(n.Pos, fmt.Sprintf("at least first, %v", s.Owner.MinBackoff), "owner: most is %v", s.Owner.MaxBackoff))
 	}
@@ -104,10 +104,10 @@
 	p.checkQuotas(n)
 }
 
-// lookUpNames sets the machine types of classes and the default class.
-func (p *parser) lookUpNames() {
+// resolveNames sets the machine types of classes and the default class.
+func (p *parser) resolveNames() {
 	s := p.settings
-	for _, m := range p.machineTypeOf {
+	for _, m := range p.machineTypeRefs {
 		index := slices.Index(s.MachineTypeNames, m.name.Atom)
 		if index < 0 {
 			p.errs.Add(diagnostic.Wantf(m.name.Pos, strings.Join(s.MachineTypeNames, ", "), "kind %q is not named", m.name.Atom))
--- a/internal/parse/settings/settings_test.go
+++ b/internal/parse/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"forkhead"
 )
 
-const base = `(kind k (cores 4) (memory 8GiB)) (class c)`
+const minimalFields = `(kind k (cores 4) (memory 8GiB)) (class c)`
 
 func TestParse(t *testing.T) {
 	s, err := Parse("f", []byte(`(forkhead
@@ -33,29 +33,29 @@
 		"":                      "f:1:1: the file holds something else",
 		"(forkhead) (forkhead)": "the file holds something else",
 		"(forkhead)":            "no kind of host is named",
-		"(forkhead " + base + " (kind k (cores 1) (memory 1GiB)))":              `kind "k" is named a second time`,
-		"(forkhead (kind k (cores 4)) (class c))":                               "lacks its cores or memory",
-		"(forkhead (kind k (cores -4) (memory 1GiB)) (class c))":                `f:1:26: "-4"; want a number from 0.001`,
-		"(forkhead (kind k (cores NaN) (memory 1GiB)) (class c))":               "want a number",
-		"(forkhead (kind k (cores 4) (memory 12)) (class c))":                   "want an amount as 512MiB or 64GiB",
-		"(forkhead " + base + " (class d (kind z)))":                            `kind "z" is not named; want k`,
-		"(forkhead " + base + " (class d (effect mostly)))":                     `"mostly"; want keyed, safe, unsafe`,
-		"(forkhead " + base + " (class d (spread rack)))":                       "want (spread machine|rack|zone MOST)",
-		"(forkhead " + base + " (class d (spread rack 0)))":                     "want a whole number from 1",
-		"(forkhead " + base + " (class d (wait 5s) (patience 1s)))":             "patience is 1s; want at least its wait",
-		"(forkhead " + base + " (class d (wait 5)))":                            "want a duration",
-		"(forkhead " + base + " (default-class z))":                             `class "z" is not named`,
-		"(forkhead " + base + " (drain-grce 1s))":                               `unknown setting "drain-grce"; want drain-grace`,
-		"(forkhead " + base + " (placer (http nowhere)))":                       "want ADDRESS:PORT",
-		"(forkhead " + base + " (tenant t (share 0.7)) (tenant u (share 0.7)))": "the tenants' shares sum to 1.4",
-		"(forkhead " + base + " (owner (first 5s) (most 1s)))":                  "owner: most is 1s",
-		"(forkhead " + base + " (tell maybe))":                                  "want yes or no",
-		"(forkhead " + base + " (attempts 1 2))":                                "want exactly one value",
-		"(forkhead " + base + " stray)":                                         "this is not a setting",
-		"(forkhead " + base + " \"\\q\")":                                       `unknown escape \q`,
-		"(forkhead " + base + "))":                                              "a ) without its (",
-		strings.Repeat("(", 100):                                                "nested too deep",
-		"(forkhead \xff)":                                                       "not valid UTF-8",
+		"(forkhead " + minimalFields + " (kind k (cores 1) (memory 1GiB)))":              `kind "k" is named a second time`,
+		"(forkhead (kind k (cores 4)) (class c))":                                        "lacks its cores or memory",
+		"(forkhead (kind k (cores -4) (memory 1GiB)) (class c))":                         `f:1:26: "-4"; want a number from 0.001`,
+		"(forkhead (kind k (cores NaN) (memory 1GiB)) (class c))":                        "want a number",
+		"(forkhead (kind k (cores 4) (memory 12)) (class c))":                            "want an amount as 512MiB or 64GiB",
+		"(forkhead " + minimalFields + " (class d (kind z)))":                            `kind "z" is not named; want k`,
+		"(forkhead " + minimalFields + " (class d (effect mostly)))":                     `"mostly"; want keyed, safe, unsafe`,
+		"(forkhead " + minimalFields + " (class d (spread rack)))":                       "want (spread machine|rack|zone MOST)",
+		"(forkhead " + minimalFields + " (class d (spread rack 0)))":                     "want a whole number from 1",
+		"(forkhead " + minimalFields + " (class d (wait 5s) (patience 1s)))":             "patience is 1s; want at least its wait",
+		"(forkhead " + minimalFields + " (class d (wait 5)))":                            "want a duration",
+		"(forkhead " + minimalFields + " (default-class z))":                             `class "z" is not named`,
+		"(forkhead " + minimalFields + " (drain-grce 1s))":                               `unknown setting "drain-grce"; want drain-grace`,
+		"(forkhead " + minimalFields + " (placer (http nowhere)))":                       "want ADDRESS:PORT",
+		"(forkhead " + minimalFields + " (tenant t (share 0.7)) (tenant u (share 0.7)))": "the tenants' shares sum to 1.4",
+		"(forkhead " + minimalFields + " (owner (first 5s) (most 1s)))":                  "owner: most is 1s",
+		"(forkhead " + minimalFields + " (tell maybe))":                                  "want yes or no",
+		"(forkhead " + minimalFields + " (attempts 1 2))":                                "want exactly one value",
+		"(forkhead " + minimalFields + " stray)":                                         "this is not a setting",
+		"(forkhead " + minimalFields + " \"\\q\")":                                       `unknown escape \q`,
+		"(forkhead " + minimalFields + "))":                                              "a ) without its (",
+		strings.Repeat("(", 100):                                                         "nested too deep",
+		"(forkhead \xff)":                                                                "not valid UTF-8",
 	} {
 		if _, err := Parse("f", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v\nwant %s", text, err, want)
--- a/internal/parse/sexp/sexp.go
+++ b/internal/parse/sexp/sexp.go
@@ -60,8 +60,8 @@
 			return nil, err
 		}
 	}
-	if len(p.open) > 0 {
-		return nil, diagnostic.Errorf(p.open[len(p.open)-1].Pos, "this ( is never closed")
+	if len(p.openLists) > 0 {
+		return nil, diagnostic.Errorf(p.openLists[len(p.openLists)-1].Pos, "this ( is never closed")
 	}
 	return p.top, nil
 }
@@ -69,9 +69,9 @@
 // parser builds nodes of what it scans.
 type parser struct {
 	scanner
-	top    []*Node
-	open   []*Node // lists that are not closed yet, the innermost last
-	tokens int     // parsed so far, ) among them
+	top       []*Node
+	openLists []*Node // lists that are not closed yet, the innermost last
+	tokens    int     // parsed so far, ) among them
 }
 
 // parseToken parses a ( or ) or an atom. There is one.
@@ -83,19 +83,19 @@
 	p.tokens++
 	switch p.peek() {
 	case '(':
-		if len(p.open) >= MaxDepth {
+		if len(p.openLists) >= MaxDepth {
 			return diagnostic.Wantf(pos, "at most 64 levels", "lists are nested too deep")
 		}
 		p.next()
 		list := &Node{Pos: pos, List: true}
 		p.add(list)
-		p.open = append(p.open, list)
+		p.openLists = append(p.openLists, list)
 	case ')':
-		if len(p.open) == 0 {
+		if len(p.openLists) == 0 {
 			return diagnostic.Errorf(pos, "a ) without its (")
 		}
 		p.next()
-		p.open = p.open[:len(p.open)-1]
+		p.openLists = p.openLists[:len(p.openLists)-1]
 	case '"':
 		text, err := p.quoted()
 		if err != nil {
@@ -110,10 +110,10 @@
 
 // add appends a node to the innermost open list, or to the top level.
 func (p *parser) add(n *Node) {
-	if len(p.open) == 0 {
+	if len(p.openLists) == 0 {
 		p.top = append(p.top, n)
 		return
 	}
-	list := p.open[len(p.open)-1]
+	list := p.openLists[len(p.openLists)-1]
 	list.Items = append(list.Items, n)
 }
