--- a/internal/parse/diagnostic/diagnostic.go
+++ b/internal/parse/diagnostic/diagnostic.go
@@ -1,4 +1,4 @@
-// Package diagnostic has positions in the files that users write, and the errors found there.
+// Package diagnostic defines positions in the files that users write, and errors at these positions.
 package diagnostic
 
 import (
@@ -7,13 +7,13 @@
 	"slices"
 )
 
-// Pos is a position in a file. Line and Col count from 1; Col counts bytes. A zero Line means the file as a whole.
+// Pos is a position in a file. Line and Col count from 1, Col in bytes. If Line is 0, the position is the whole file.
 type Pos struct {
 	File      string
 	Line, Col int
 }
 
-// String gives FILE:LINE:COL, or FILE alone where no line is known.
+// String returns FILE:LINE:COL, or FILE alone if Line is 0.
 func (p Pos) String() string {
 	if p.Line == 0 {
 		return p.File
@@ -21,14 +21,15 @@
 	return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col)
 }
 
-// Error is what is wrong at a position, and what would be right where that is known.
+// Error describes a fault at a position and, where it is known, what would be valid there.
 type Error struct {
 	Pos     Pos
 	Message string
-	Want    string // what would be right; "": not known
+	Want    string // what would be valid; "": not known
 }
 
-// Error gives the form that compilers use: FILE:LINE:COL: message; want what would be right.
+// Error returns the error in the form that compilers use, FILE:LINE:COL: MESSAGE; want WANT. The last part is left out if
+// Want is empty.
 func (e *Error) Error() string {
 	text := e.Pos.String() + ": " + e.Message
 	if e.Want != "" {
@@ -37,26 +38,26 @@
 	return text
 }
 
-// Errorf returns an Error without what would be right. Its message is formatted as by fmt.Sprintf.
+// Errorf returns an Error with an empty Want. Its message is formatted as by fmt.Sprintf.
 func Errorf(p Pos, format string, args ...any) *Error {
 	return &Error{Pos: p, Message: fmt.Sprintf(format, args...)}
 }
 
-// Wantf returns an Error with what would be right. Its message is formatted as by fmt.Sprintf.
+// Wantf returns an Error that also says what would be valid. Its message is formatted as by fmt.Sprintf.
 func Wantf(p Pos, want, format string, args ...any) *Error {
 	return &Error{Pos: p, Message: fmt.Sprintf(format, args...), Want: want}
 }
 
-// MaxErrors is how many errors a List keeps; further ones are counted.
+// MaxErrors is the number of errors that a List keeps; further ones are only counted.
 const MaxErrors = 20
 
-// List gathers the errors of one file. The zero value is empty.
+// List collects the errors of one file. The zero value is an empty list.
 type List struct {
 	errs    []error
-	dropped int // beyond MaxErrors
+	dropped int // errors added beyond MaxErrors
 }
 
-// Add keeps an error, or counts it where there are MaxErrors; nil is ignored.
+// Add appends an error, or only counts it if the list holds MaxErrors already. A nil error is ignored.
 func (l *List) Add(err error) {
 	if err == nil {
 		return
@@ -68,7 +69,7 @@
 	l.errs = append(l.errs, err)
 }
 
-// Err returns nil if nothing was added, else all of it joined, with the number of those that were dropped.
+// Err returns nil for an empty list, else its errors joined, followed by the number of those that were dropped.
 func (l *List) Err() error {
 	if len(l.errs) == 0 {
 		return nil
@@ -80,7 +81,7 @@
 	return errors.Join(errs...)
 }
 
-// First returns the first Error within err, or nil.
+// First returns the first Error that err is, wraps or joins, or nil if there is none.
 func First(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/parse/diagnostic/diagnostic_test.go
+++ b/internal/parse/diagnostic/diagnostic_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestError(t *testing.T) {
+func TestErrorStringHasPositionMessageAndWant(t *testing.T) {
 	pos := Pos{File: "f", Line: 2, Col: 3}
 	for want, err := range map[string]error{
 		"f:2:3: 4 is odd":              Errorf(pos, "%d is odd", 4),
@@ -15,50 +15,51 @@
 		"f: the file is empty":         Errorf(Pos{File: "f"}, "the file is empty"),
 		"f:2:3: empty; want something": Wantf(pos, "something", "empty"),
 	} {
-		if err.Error() != want {
-			t.Errorf("%s, want %s", err, want)
+		if got := err.Error(); got != want {
+			t.Errorf("Error() = %q, want %q", got, want)
 		}
 	}
 }
 
-func TestList(t *testing.T) {
+func TestListKeepsMaxErrorsAndCountsRest(t *testing.T) {
 	l := &List{}
 	l.Add(nil)
 	if err := l.Err(); err != nil {
-		t.Errorf("an empty list is the error %v", err)
+		t.Errorf("Err() of an empty list = %v, want nil", err)
 	}
 	for i := range MaxErrors + 2 {
 		l.Add(Errorf(Pos{File: "f", Line: i + 1, Col: 1}, "bad"))
 	}
-	for range 2 { // Err leaves the list as it is
+	for range 2 { // a second Err returns the same: the list is not changed
 		lines := strings.Split(l.Err().Error(), "\n")
 		if len(lines) != MaxErrors+1 || lines[0] != "f:1:1: bad" || lines[MaxErrors] != "and 2 more" {
-			t.Errorf("%d lines: %q", len(lines), lines)
+			t.Errorf("Err() after %d errors has %d lines %q, want %d, from \"f:1:1: bad\" to \"and 2 more\"",
+				MaxErrors+2, len(lines), lines, MaxErrors+1)
 		}
 	}
 	if first := First(l.Err()); first == nil || first.Pos.Line != 1 {
-		t.Errorf("first is %v", first)
+		t.Errorf("First(Err()) = %v, want the error of line 1", first)
 	}
 }
 
-func TestFirst(t *testing.T) {
+func TestFirstFindsWrappedError(t *testing.T) {
 	inner := Errorf(Pos{File: "f"}, "bad")
 	if got := First(fmt.Errorf("while parsing: %w", inner)); got != inner {
-		t.Errorf("got %v", got)
+		t.Errorf("First(an error that wraps %q) = %v, want the wrapped error", inner, got)
 	}
 	if got := First(errors.New("other")); got != nil {
-		t.Errorf("got %v", got)
+		t.Errorf("First(an error without a position) = %v, want nil", got)
 	}
 }
 
-func TestNearest(t *testing.T) {
+func TestNearestFindsMisspelledName(t *testing.T) {
 	known := []string{"replicas", "resources", "restart"}
 	for name, want := range map[string]string{
 		"replica": "replicas", "REPLICAS": "replicas", "resorces": "resources", "retsart": "restart", "image": "", "": "",
 		strings.Repeat("r", 65): "",
 	} {
 		if got := Nearest(name, known); got != want {
-			t.Errorf("%q: nearest is %q, want %q", name, got, want)
+			t.Errorf("Nearest(%q, %q) = %q, want %q", name, known, got, want)
 		}
 	}
 }
--- a/internal/parse/diagnostic/nearest.go
+++ b/internal/parse/diagnostic/nearest.go
@@ -3,12 +3,12 @@
 import "strings"
 
 const (
-	maxEdits       = 2  // a name further off than that is no misspelling
-	maxNameToMatch = 64 // bytes: longer names are never near to any
+	maxEdits       = 2  // a name with more edits is not a misspelling
+	maxNameToMatch = 64 // bytes; longer names are close to no name
 )
 
-// Nearest returns the known name that is closest to the one given, or "" if none is close. known are in lower case; the first
-// of those equally close is returned.
+// Nearest returns the entry of known that is closest to name, or "" if none is close; of equally close entries the first.
+// Letter case of name is ignored. The entries of known must be in lower case.
 func Nearest(name string, known []string) string {
 	nearest, minEdits := "", maxEdits+1
 	for _, k := range known {
@@ -19,13 +19,12 @@
 	return nearest
 }
 
-// editDistance returns the Levenshtein distance of two names of at most maxNameToMatch bytes, and maxNameToMatch for longer
-// ones.
+// editDistance returns the Levenshtein distance of two names, or maxNameToMatch if one is longer than maxNameToMatch bytes.
 func editDistance(a, b string) int {
 	if len(a) > maxNameToMatch || len(b) > maxNameToMatch {
 		return maxNameToMatch
 	}
-	row := make([]int, len(b)+1) // distances of a[:i] to each prefix of b
+	row := make([]int, len(b)+1) // row[j] is the distance of a[:i] and b[:j]
 	for j := range row {
 		row[j] = j
 	}
--- a/internal/parse/doc.go
+++ b/internal/parse/doc.go
@@ -1,5 +1,6 @@
-// Package parse is the layer of what users write: service descriptions, settings and scripts are parsed here, with the
-// position of each error.
+// Package parse is the layer that parses what users write: service specifications, settings and scripts. Each error is
+// reported with its position.
 //
-// It may import the module and its own packages. All of it is pure.
+// Its packages may import the module and each other. All of them are pure: text in, values out; they open no file or
+// socket and read no clock.
 package parse
--- a/internal/parse/hostport/hostport.go
+++ b/internal/parse/hostport/hostport.go
@@ -1,5 +1,5 @@
-// Package hostport splits and joins addresses of the form HOST:PORT, without a socket library:
-// what reads a file or a list must be able to check how one is written.
+// Package hostport splits and joins addresses of the form HOST:PORT. It does not use package net, so that pure packages,
+// which must not import net, can check the addresses in a file or an endpoint list.
 package hostport
 
 import (
@@ -9,10 +9,10 @@
 	"strings"
 )
 
-// ErrFormat means that an address has not the form HOST:PORT, or [HOST]:PORT where HOST holds colons.
+// ErrFormat means that an address is not of the form HOST:PORT, or [HOST]:PORT if HOST contains colons.
 var ErrFormat = errors.New("not of the form HOST:PORT")
 
-// Split takes an address apart. The port is from 0 to 65535.
+// Split returns the host, without brackets, and the port of an address. The port is from 0 to 65535.
 func Split(address string) (host string, port int, err error) {
 	i := strings.LastIndexByte(address, ':')
 	if i < 0 {
@@ -33,7 +33,7 @@
 	return host, int(n), nil
 }
 
-// Join returns the address of a host and a port, with the host in brackets where it has colons.
+// Join returns the address of a host and a port, with the host in brackets if it contains colons.
 func Join(host string, port int) string {
 	if strings.Contains(host, ":") {
 		host = "[" + host + "]"
