--- a/internal/parse/settings/defaults.go
+++ b/internal/parse/settings/defaults.go
@@ -6,7 +6,7 @@
 	"forkhead"
 )
 
-// defaults returns the settings that apply where a file sets nothing.
+// defaults returns the settings that apply unless a file sets others.
 func defaults() *Settings {
 	return &Settings{
 		Module:           defaultModule(),
@@ -18,9 +18,10 @@
 	}
 }
 
-// defaultPlacer applies if the file names no placer, and without (mean-cores ...) and (mean-memory ...).
+// defaultPlacer is the only placer if the file has no (placer ...).
 var defaultPlacer = Placer{HTTPAddress: "127.0.0.1:7070", GossipAddress: "127.0.0.1:7071"}
 
+// The means that apply without (mean-cores ...) and (mean-memory ...).
 const (
 	defaultMeanCores  = 1
 	defaultMeanMemory = 2 // GiB
@@ -61,9 +62,10 @@
 	Connections: 1000, BufferBytes: 4 << 20, Hosts: 10_000, PlacementConstraints: 64,
 }
 
+// defaultRequestTimeout applies to classes without (wait ...).
 const defaultRequestTimeout = 5 * time.Second
 
-// defaultClass returns what the module knows of a class that has its name only. Its machine type is none, -1.
+// defaultClass returns the module's settings for a class of which only the name is set. Machine type -1 means any.
 func defaultClass() forkhead.Class {
 	return forkhead.Class{
 		DedupWindow: 8 * time.Second, LatencyObjective: time.Second, Weight: 1, LateWeight: 0.1, StartWeight: 10, MachineType: -1,
--- a/internal/parse/settings/entries.go
+++ b/internal/parse/settings/entries.go
@@ -10,20 +10,21 @@
 	"forkhead/internal/parse/sexp"
 )
 
-// Bounds of entries that a file may have several of.
+// The limits of entries that may be repeated.
 const (
 	maxPlacers = 4096
-	maxNames   = 250 // of machine types, classes or tenants
+	maxNames   = 250 // machine types, classes or tenants each
 )
 
-// Domains are the keywords for domains, in settings and descriptions.
+// Domains has the domains by their keywords in settings and descriptions.
 var Domains = map[string]forkhead.Domain{
 	"anywhere": forkhead.AnyDomain, "machine": forkhead.MachineDomain, "rack": forkhead.CellDomain, "zone": forkhead.ZoneDomain,
 }
 
+// effects has the effects by their keywords.
 var effects = map[string]forkhead.Effect{"safe": forkhead.Safe, "keyed": forkhead.Keyed, "unsafe": forkhead.Unsafe}
 
-// placer adds a placer of (placer fields...).
+// placer adds the placer that (placer fields...) defines.
 func (p *parser) placer(n *sexp.Node) error {
 	placer := Placer{}
 	sexp.Fields(n.Args(), map[string]sexp.Field{
@@ -38,14 +39,14 @@
 	return nil
 }
 
-// splitName splits (head NAME fields...), and rejects a name that is taken.
+// splitName returns the name and the fields of (head NAME fields...). A name in taken is an error.
 func splitName(n *sexp.Node, taken []string) (name string, fields []*sexp.Node, err error) {
 	args := n.Args()
 	if len(args) == 0 || args[0].List || args[0].Atom == "" {
 		return "", nil, diagnostic.Wantf(n.Pos, "("+n.Head()+" NAME ...)", "the %s has no name", n.Head())
 	}
 	if slices.Index(taken, args[0].Atom) >= 0 {
-		return "", nil, diagnostic.Errorf(args[0].Pos, "%s %q is named a second time", n.Head(), args[0].Atom)
+		return "", nil, diagnostic.Errorf(args[0].Pos, "%s %q is defined twice", n.Head(), args[0].Atom)
 	}
 	if len(taken) >= maxNames {
 		return "", nil, diagnostic.Wantf(n.Pos, "at most 250", "too many of %s", n.Head())
@@ -53,7 +54,7 @@
 	return args[0].Atom, args[1:], nil
 }
 
-// machineType adds a machine type of (kind NAME fields...).
+// machineType adds the machine type that (kind NAME fields...) defines.
 func (p *parser) machineType(n *sexp.Node) error {
 	s := p.settings
 	name, fields, err := splitName(n, s.MachineTypeNames)
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// class adds a class of (class NAME fields...).
+// class adds the class that (class NAME fields...) defines.
 func (p *parser) class(n *sexp.Node) error {
 	s := p.settings
 	var names []string
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// classFields are the fields of the class that comes next.
+// classFields returns the fields of the class that is added next. They set c and m.
 func (p *parser) classFields(c *Class, m *forkhead.Class) map[string]sexp.Field {
 	index := len(p.settings.Classes)
 	return map[string]sexp.Field{
@@ -117,7 +118,7 @@
 	}
 }
 
-// spreadField sets the spread limit of (spread DOMAIN MAX).
+// spreadField returns a field (spread DOMAIN MAX) that sets the spread limit.
 func spreadField(m *forkhead.Class) sexp.Field {
 	return func(n *sexp.Node) error {
 		if len(n.Args()) != 2 {
@@ -133,7 +134,7 @@
 	}
 }
 
-// tenant adds a tenant of (tenant NAME fields...).
+// tenant adds the tenant that (tenant NAME fields...) defines.
 func (p *parser) tenant(n *sexp.Node) error {
 	s := p.settings
 	name, fields, err := splitName(n, s.Tenants)
--- a/internal/parse/settings/fields.go
+++ b/internal/parse/settings/fields.go
@@ -8,7 +8,7 @@
 	"forkhead/internal/parse/sexp"
 )
 
-// addressField sets an address of the form HOST:PORT.
+// addressField returns a field that stores an address of the form HOST:PORT.
 func addressField(to *string) sexp.Field {
 	return sexp.SingleValue(func(v *sexp.Node) error {
 		address, err := v.Text()
@@ -23,10 +23,11 @@
 	})
 }
 
-// memoryUnits are the units of memory, in GiB.
+// memoryUnits has the units of memory, in GiB.
 var memoryUnits = map[string]float64{"MiB": 1. / 1024, "GiB": 1, "TiB": 1024}
 
-// memoryField sets an amount of memory in GiB. It is written as a number from 0.001 to 10^6 with its unit behind it.
+// memoryField returns a field that stores an amount of memory in GiB. It is written as a number from 0.001 to 10^6 followed by
+// a unit.
 func memoryField(to *float64) sexp.Field {
 	return sexp.SingleValue(func(v *sexp.Node) error {
 		text, err := v.Text()
--- a/internal/parse/settings/golden_test.go
+++ b/internal/parse/settings/golden_test.go
@@ -11,7 +11,7 @@
 	"forkhead/internal/goldentest"
 )
 
-// lines puts each element of the outermost level of values on a line.
+// lines formats each field of a struct, and of the structs in it, on a line of its own.
 func lines(v reflect.Value) []byte {
 	var b bytes.Buffer
 	for i := range v.NumField() {
@@ -24,9 +24,9 @@
 	return b.Bytes()
 }
 
-// testdata/all.sexp gives every setting a value of its own, and testdata/least.sexp those that have no default. Each is
-// decoded to its place among the values, whose order is that of the fields: where the fields are reordered, the values
-// have to move with them.
+// TestParseGolden checks that each key sets the same field as before. testdata/all.sexp has a distinct value for every
+// setting, testdata/least.sexp only the settings without a default. The golden files list the values in the order of the
+// fields, so they change when fields are reordered.
 func TestParseGolden(t *testing.T) {
 	for _, name := range []string{"all", "least"} {
 		file := filepath.Join("testdata", name+".sexp")
@@ -36,26 +36,27 @@
 		}
 		s, err := Parse(file, text)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("Parse of %s = error %v, want none", file, err)
 		}
 		goldentest.Check(t, name+".values", lines(reflect.ValueOf(*s.ForPlacer(0))))
 	}
 	s, err := Parse("default settings", Default)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Parse(Default) = error %v, want none", err)
 	}
 	goldentest.Check(t, "default.values", lines(reflect.ValueOf(*s.ForPlacer(1))))
 }
 
-// testdata/faults.sexp has a fault of each kind; all are reported, with their positions and what is wanted.
-func TestFaultsGolden(t *testing.T) {
+// TestParseErrorsGolden checks the errors of testdata/faults.sexp, which has a fault of each kind: each error has a position
+// and what would be valid.
+func TestParseErrorsGolden(t *testing.T) {
 	file := filepath.Join("testdata", "faults.sexp")
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err = Parse("faults.sexp", text); err == nil {
-		t.Fatal("no fault is found")
+		t.Fatalf("Parse of %s = no error, want its faults", file)
 	}
 	goldentest.Check(t, "faults.txt", []byte(err.Error()+"\n"))
 }
--- a/internal/parse/settings/parser.go
+++ b/internal/parse/settings/parser.go
@@ -10,28 +10,29 @@
 	"forkhead/internal/parse/sexp"
 )
 
-// Bounds of values that several settings have.
+// The upper bounds of values that several settings share.
 const (
 	maxDuration = 24 * time.Hour
-	maxAmount   = 1e9 // of weights and cores
+	maxAmount   = 1e9 // weights and cores
 )
 
-// parser fills settings from nodes. It adds what is wrong to errs and goes on.
+// parser sets settings from nodes. It adds faults to errs and continues.
 type parser struct {
 	settings *Settings
 	errs     *diagnostic.List
 
-	// Names that are looked up once all are known.
-	defaultClass    *sexp.Node // nil: not given
+	// Names that are resolved at the end, when all machine types and classes are known.
+	defaultClass    *sexp.Node // nil: not set
 	machineTypeRefs []machineTypeRef
 }
 
-// machineTypeRef is the name of a class's machine type.
+// machineTypeRef is a reference from a class to its machine type.
 type machineTypeRef struct {
-	class int // place in Settings.Classes
+	class int // index in Settings.Classes
 	name  *sexp.Node
 }
 
+// parse sets and checks the settings of n, a list (forkhead ...).
 func (p *parser) parse(n *sexp.Node) {
 	fields := p.moduleFields()
 	for name, field := range map[string]sexp.Field{
@@ -53,7 +54,7 @@
 	p.check(n)
 }
 
-// section parses a list of fields.
+// section returns a field (NAME fields...) that sets the given fields.
 func (p *parser) section(fields map[string]sexp.Field) sexp.Field {
 	return func(n *sexp.Node) error {
 		sexp.Fields(n.Args(), fields, nil, p.errs)
@@ -61,7 +62,7 @@
 	}
 }
 
-// nameField keeps a name that is looked up later.
+// nameField returns a field that passes a name to keep, which stores it until it is resolved.
 func nameField(keep func(name *sexp.Node)) sexp.Field {
 	return sexp.SingleValue(func(v *sexp.Node) error {
 		keep(v)
@@ -70,7 +71,7 @@
 	})
 }
 
-// addDefaults adds what the file does not set.
+// addDefaults sets the placers and means that the file does not set.
 func (p *parser) addDefaults() {
 	s := p.settings
 	if len(s.Placers) == 0 {
@@ -85,7 +86,8 @@
 	}
 }
 
-// check checks what concerns several settings, and looks names up. n is the list of all settings.
+// check checks rules between several settings and resolves names. Errors are at n, the list of all settings, unless they
+// concern a name.
 func (p *parser) check(n *sexp.Node) {
 	s := p.settings
 	if len(s.MachineTypeNames) == 0 {
@@ -104,28 +106,28 @@
 	p.checkQuotas(n)
 }
 
-// resolveNames sets the machine types of classes and the default class.
+// resolveNames sets the machine types of the classes and the default class from their names.
 func (p *parser) resolveNames() {
 	s := p.settings
 	for _, m := range p.machineTypeRefs {
 		index := slices.Index(s.MachineTypeNames, m.name.Atom)
 		if index < 0 {
-			p.errs.Add(diagnostic.Wantf(m.name.Pos, strings.Join(s.MachineTypeNames, ", "), "kind %q is not named", m.name.Atom))
+			p.errs.Add(diagnostic.Wantf(m.name.Pos, strings.Join(s.MachineTypeNames, ", "), "kind %q is not defined", m.name.Atom))
 		}
 		s.Module.Classes[m.class].MachineType = index
 	}
 	if p.defaultClass != nil {
 		index, ok := s.ClassIndex(p.defaultClass.Atom)
 		if !ok {
-			p.errs.Add(diagnostic.Errorf(p.defaultClass.Pos, "class %q is not named", p.defaultClass.Atom))
+			p.errs.Add(diagnostic.Errorf(p.defaultClass.Pos, "class %q is not defined", p.defaultClass.Atom))
 		}
 		s.DefaultClass = index
 	}
 }
 
-// checkQuotas checks that the tenants' quotas are no more than the cluster.
+// checkQuotas checks that the quotas of the tenants sum to at most the whole cluster.
 func (p *parser) checkQuotas(n *sexp.Node) {
-	const maxTotal = 1.001 // quotas such as 1/3 are rounded
+	const maxTotal = 1.001 // allows for rounded quotas such as 0.334 for 1/3
 	total := 0.0
 	for _, t := range p.settings.Module.Tenants {
 		total += t.Quota
--- a/internal/parse/settings/sections.go
+++ b/internal/parse/settings/sections.go
@@ -7,10 +7,10 @@
 	"forkhead/internal/parse/sexp"
 )
 
-// Each function here returns the fields of one section, by their keys, which set what they are handed. Keys stay as they
-// are in files that exist.
+// Each function in this file returns the fields of one section by their keys, which store into the argument. Existing files
+// have these keys, so they do not change with the names of the fields that they set.
 
-// moduleFields are the fields at the top level that are passed on to the module.
+// moduleFields returns the fields at the top level that set the module's settings.
 func (p *parser) moduleFields() map[string]sexp.Field {
 	m := &p.settings.Module
 	return map[string]sexp.Field{
@@ -59,7 +59,7 @@
 	}
 }
 
-// ownerFields are what the module and the service know of owners.
+// ownerFields returns the fields for owners, which set settings of the module and of the service.
 func (p *parser) ownerFields() map[string]sexp.Field {
 	m, o := &p.settings.Module, &p.settings.Owner
 	return map[string]sexp.Field{
--- a/internal/parse/settings/settings.go
+++ b/internal/parse/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings parses a placer's settings, which are S-expressions, and checks every field. docs/ops/placer.md lists what
-// each setting does.
+// Package settings parses the settings of a placer, which are S-expressions, and checks every field. docs/ops/placer.md
+// describes each setting.
 package settings
 
 import (
@@ -12,20 +12,20 @@
 	"forkhead/internal/parse/sexp"
 )
 
-// Default is the text of the settings that hold where a user gives none.
+// Default is the text of the settings that apply if the user provides none.
 //
 //go:embed default.sexp
 var Default []byte
 
-// Settings are what a placer service starts with. Figures that the module decides by are in Module and are passed
-// on unchanged; Module.Self and Module.Placers are set by ForPlacer.
+// Settings are the settings that a placer service starts with. Module has those that the module decides by, which are passed
+// to it unchanged. ForPlacer sets Module.Self and Module.Placers.
 type Settings struct {
 	Module           forkhead.Settings
-	MachineTypeNames []string // by place in Module.MachineTypes
-	Classes          []Class  // by place in Module.Classes
-	Tenants          []string // names, by place in Module.Tenants
+	MachineTypeNames []string // parallel to Module.MachineTypes
+	Classes          []Class  // parallel to Module.Classes
+	Tenants          []string // names, parallel to Module.Tenants
 
-	DefaultClass int // place in Classes of the class of services that name none
+	DefaultClass int // index in Classes of the class for services that name none
 
 	Placers          []Placer
 	ServiceDiscovery ServiceDiscovery
@@ -35,67 +35,67 @@
 	SavedHostList    SavedHostList
 }
 
-// Class is what the service knows of a class beside what the module does.
+// Class has the settings of a class that the module does not use.
 type Class struct {
 	Name             string
 	RequestTimeout   time.Duration // of one placement request
-	PlacementTimeout time.Duration // a task is requested again and again for so long
+	PlacementTimeout time.Duration // how long the placement of a task is requested again
 }
 
 // Placer is one placer of the service.
 type Placer struct {
 	Zone          string
-	HTTPAddress   string // of its front
-	GossipAddress string // for UDP messages between placers
+	HTTPAddress   string // of the HTTP server for owners
+	GossipAddress string // UDP address for messages between placers
 }
 
-// ServiceDiscovery is where the endpoint list comes from.
+// ServiceDiscovery determines how the endpoint list is queried from service discovery.
 type ServiceDiscovery struct {
 	Address     string
 	Service     string        // name under which hosts are registered
-	MaxWait     time.Duration // longest wait of a blocking query
-	Timeout     time.Duration // beyond MaxWait; then the query has failed
-	MinInterval time.Duration // least time between two queries
+	MaxWait     time.Duration // longest duration of a blocking query
+	Timeout     time.Duration // a query has failed this long after MaxWait
+	MinInterval time.Duration // minimum time between two queries
 }
 
-// Owner is how a task that was rejected, failed, migrated or lost is requested again.
+// Owner determines how a task that was rejected, failed, migrated or lost is requested again.
 type Owner struct {
-	MinBackoff       time.Duration // mean wait after the first rejection
-	MaxBackoff       time.Duration // mean waits double up to this
-	MigrationBackoff time.Duration // mean wait after a migration or a loss
-	MaxRequests      int           // placement requests for one outcome
-	MaxPlacements    int           // a task that was placed so often is not placed again when it is lost
+	MinBackoff       time.Duration // mean backoff after the first rejection
+	MaxBackoff       time.Duration // the mean backoff doubles up to this
+	MigrationBackoff time.Duration // mean backoff after a migration or a loss
+	MaxRequests      int           // most placement requests for one outcome
+	MaxPlacements    int           // a lost task that was placed this many times is not placed again
 }
 
-// HostConnections is how connections to hosts are maintained.
+// HostConnections determines how connections to hosts are maintained.
 type HostConnections struct {
-	ConnectTimeout time.Duration // a connection that is not there within it has failed
-	MinBackoff     time.Duration // mean wait before the first reconnect
-	MaxBackoff     time.Duration // mean waits double up to this
-	LostAfter      time.Duration // a host that is unreachable for so long has lost its tasks, where a repeat is harmless
-	ProbeTimeout   time.Duration // a probe without an answer for so long has failed
+	ConnectTimeout time.Duration // a connection not established within this has failed
+	MinBackoff     time.Duration // mean backoff before the first reconnect
+	MaxBackoff     time.Duration // the mean backoff doubles up to this
+	LostAfter      time.Duration // tasks that can be repeated safely count as lost once their host is unreachable for this long
+	ProbeTimeout   time.Duration // a probe without an answer for this long has failed
 }
 
-// Limits bound memory and work. What happens at each is in docs/ops/placer.md.
+// Limits bound memory and work. docs/ops/placer.md describes what happens when each is reached.
 type Limits struct {
 	BodyBytes            int           // bytes of a submission
 	Tasks                int           // tasks that one placer holds
 	TasksPerSubmission   int           // tasks of one submission
-	Submissions          int           // submissions in memory
-	Retention            time.Duration // how long a finished submission can be read again
-	Connections          int           // to the front
-	BufferBytes          int           // bytes waiting for one reader
+	Submissions          int           // submissions held in memory
+	Retention            time.Duration // how long a finished submission can still be read
+	Connections          int           // connections to the HTTP server
+	BufferBytes          int           // bytes that wait to be written to one client
 	Hosts                int           // hosts in the endpoint list
-	PlacementConstraints int           // different placement constraints at once
+	PlacementConstraints int           // distinct placement constraints in use at one time
 }
 
-// SavedHostList is how far a placer that starts relies on the endpoint list that it has stored.
+// SavedHostList determines how far a starting placer relies on the endpoint list that it has stored.
 type SavedHostList struct {
-	FreshAge time.Duration // up to this age as good as one from service discovery
-	MaxAge   time.Duration // beyond it of no use; between the two a host counts once its handshake is done
+	FreshAge time.Duration // up to this age, the list is used as one from service discovery
+	MaxAge   time.Duration // an older list is not used; between the two ages, a host is used once its handshake is done
 }
 
-// Parse parses and checks a file of settings. The error lists all faults with their positions.
+// Parse parses and checks a settings file. The error lists the faults with their positions.
 func Parse(file string, text []byte) (*Settings, error) {
 	nodes, err := sexp.Parse(file, text)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return FromNode(nodes[0])
 }
 
-// FromNode parses and checks settings in a (forkhead ...) list that is part of a larger file.
+// FromNode parses and checks settings in a list (forkhead ...) that is part of a larger file.
 func FromNode(n *sexp.Node) (*Settings, error) {
 	s := defaults()
 	p := parser{settings: s, errs: &diagnostic.List{}}
@@ -125,14 +125,14 @@
 	return s, nil
 }
 
-// ForPlacer returns the settings of one placer: Module.Self and Module.Placers are set.
+// ForPlacer returns a copy of the settings for the placer with index self: Module.Self and Module.Placers are set.
 func (s *Settings) ForPlacer(self int) *Settings {
 	c := *s
 	c.Module.Self, c.Module.Placers = self, len(s.Placers)
 	return &c
 }
 
-// ClassIndex returns the place of a class by name.
+// ClassIndex returns the index of the class of a name in Classes.
 func (s *Settings) ClassIndex(name string) (index int, ok bool) {
 	for i, c := range s.Classes {
 		if c.Name == name {
--- a/internal/parse/sexp/fields.go
+++ b/internal/parse/sexp/fields.go
@@ -9,11 +9,11 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// Field takes the values of a list (NAME values...).
+// Field parses a list (NAME values...) that sets one field, and stores its values.
 type Field func(n *Node) error
 
-// Fields hands each item, a list, to the field that its head names. It adds an error for an unknown head, for a head that
-// is duplicated unless repeatable names it, and all errors of the fields.
+// Fields parses each item, which must be a list, by the entry of fields that its head names. It adds the errors of the
+// fields to errs, and an error for an unknown head and for a duplicate of a head that is not in repeatable.
 func Fields(items []*Node, fields map[string]Field, repeatable map[string]bool, errs *diagnostic.List) {
 	seen := map[string]bool{}
 	for _, item := range items {
@@ -37,7 +37,7 @@
 	}
 }
 
-// SingleValue returns a Field that hands on the value of a list with exactly one.
+// SingleValue returns a Field that calls take with the value of a list that must have exactly one.
 func SingleValue(take func(v *Node) error) Field {
 	return func(n *Node) error {
 		if args := n.Args(); len(args) == 1 {
@@ -47,28 +47,28 @@
 	}
 }
 
-// Number returns a Field that sets a number from lo to hi.
+// Number returns a Field that stores a number from lo to hi.
 func Number(to *float64, lo, hi float64) Field {
 	return setting(to, func(v *Node) (float64, error) { return v.Number(lo, hi) })
 }
 
-// Int returns a Field that sets a whole number from lo to hi.
+// Int returns a Field that stores a whole number from lo to hi.
 func Int(to *int, lo, hi int) Field {
 	return setting(to, func(v *Node) (int, error) { return v.Int(lo, hi) })
 }
 
-// Duration returns a Field that sets a duration from lo to hi.
+// Duration returns a Field that stores a duration from lo to hi.
 func Duration(to *time.Duration, lo, hi time.Duration) Field {
 	return setting(to, func(v *Node) (time.Duration, error) { return v.Duration(lo, hi) })
 }
 
-// Bool returns a Field that sets yes or no.
+// Bool returns a Field that stores a boolean, which is written yes or no.
 func Bool(to *bool) Field { return setting(to, (*Node).Bool) }
 
-// Text returns a Field that sets the text of an atom.
+// Text returns a Field that stores the text of an atom.
 func Text(to *string) Field { return setting(to, (*Node).Text) }
 
-// Choice returns a Field that sets what an atom means by a table.
+// Choice returns a Field that stores the value that meanings has for an atom.
 func Choice[T any](to *T, meanings map[string]T) Field {
 	return setting(to, func(v *Node) (T, error) {
 		var none T
@@ -84,7 +84,7 @@
 	})
 }
 
-// setting returns a Field that sets what read makes of a single value, and leaves it as it is in case of an error.
+// setting returns a Field that stores what read returns for a single value. After an error, to is unchanged.
 func setting[T any](to *T, read func(v *Node) (T, error)) Field {
 	return SingleValue(func(v *Node) error {
 		got, err := read(v)
--- a/internal/parse/sexp/scanner.go
+++ b/internal/parse/sexp/scanner.go
@@ -6,12 +6,12 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// scanner goes through the text of a file byte by byte.
+// scanner reads the text of a file byte by byte.
 type scanner struct {
 	file      string
 	text      []byte
 	offset    int
-	line, col int // of offset, from 1
+	line, col int // position of offset, from 1
 }
 
 func (s *scanner) pos() diagnostic.Pos { return diagnostic.Pos{File: s.file, Line: s.line, Col: s.col} }
@@ -20,7 +20,7 @@
 
 func (s *scanner) peek() byte { return s.text[s.offset] }
 
-// next returns the byte that peek does and goes past it.
+// next returns the current byte and advances to the one after it.
 func (s *scanner) next() byte {
 	c := s.text[s.offset]
 	s.offset++
@@ -31,7 +31,7 @@
 	return c
 }
 
-// skipSpace goes past white space and comments.
+// skipSpace advances past white space and comments.
 func (s *scanner) skipSpace() {
 	for !s.atEnd() {
 		switch s.peek() {
@@ -47,7 +47,7 @@
 	}
 }
 
-// symbol returns the atom that begins here.
+// symbol reads the symbol that begins at the current byte.
 func (s *scanner) symbol() string {
 	start := s.offset
 	for !s.atEnd() && !strings.ContainsRune(" \t\r\n();\"", rune(s.peek())) {
@@ -56,7 +56,7 @@
 	return string(s.text[start:s.offset])
 }
 
-// quoted returns the text of the string whose opening quote is here.
+// quoted reads the string whose opening quote is the current byte, and returns its text without quotes and escapes.
 func (s *scanner) quoted() (string, error) {
 	start := s.pos()
 	s.next()
@@ -84,7 +84,7 @@
 	return "", diagnostic.Errorf(start, "this string is never closed")
 }
 
-// unescape returns what a backslash at pos and the byte behind it represent.
+// unescape returns the byte that an escape stands for: a backslash, which is at pos, followed by c.
 func unescape(c byte, pos diagnostic.Pos) (byte, error) {
 	switch c {
 	case '"', '\\':
--- a/internal/parse/sexp/sexp.go
+++ b/internal/parse/sexp/sexp.go
@@ -1,7 +1,7 @@
 // Package sexp parses S-expressions and keeps the position of each node.
 //
-// The form: lists in parentheses, symbols, strings in double quotes with the escapes \" \\ \n \t, and comments from ; to the
-// end of the line. Numbers, durations and yes or no are symbols that the methods of Node give meaning to.
+// The syntax has lists in parentheses, symbols, strings in double quotes with the escapes \" \\ \n \t, and comments from ;
+// to the end of the line. Numbers, durations and booleans are atoms that the methods of Node convert.
 package sexp
 
 import (
@@ -10,23 +10,23 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// Bounds of one file.
+// The limits of one file.
 const (
 	MaxBytes = 1 << 20
-	MaxDepth = 64 // levels of lists
-	MaxNodes = 200_000
+	MaxDepth = 64      // levels of nested lists
+	MaxNodes = 200_000 // tokens: (, ) and atoms
 )
 
 // Node is an atom or a list.
 type Node struct {
 	Pos    diagnostic.Pos
-	Atom   string // where List is false
-	Quoted bool   // the atom was quoted
-	List   bool
+	Atom   string // text of an atom; "" for a list
+	Quoted bool   // the atom is a string in quotes, not a symbol
+	List   bool   // the node is a list, not an atom
 	Items  []*Node
 }
 
-// Head is the leading symbol of a list, or "".
+// Head returns the symbol that a list begins with, or "" if there is none.
 func (n *Node) Head() string {
 	if n.List && len(n.Items) > 0 && !n.Items[0].List && !n.Items[0].Quoted {
 		return n.Items[0].Atom
@@ -34,7 +34,7 @@
 	return ""
 }
 
-// Args are the items behind the head.
+// Args returns the items of a list after the first.
 func (n *Node) Args() []*Node {
 	if len(n.Items) == 0 {
 		return nil
@@ -42,7 +42,7 @@
 	return n.Items[1:]
 }
 
-// Parse parses all top-level nodes of a file. It returns a *diagnostic.Error at the first fault.
+// Parse parses all top-level nodes of a file. It stops at the first syntax error, which it returns as a *diagnostic.Error.
 func Parse(file string, text []byte) ([]*Node, error) {
 	if len(text) > MaxBytes {
 		return nil, diagnostic.Wantf(diagnostic.Pos{File: file}, "at most 1 MiB", "the file has %d bytes", len(text))
@@ -66,25 +66,25 @@
 	return p.top, nil
 }
 
-// parser builds nodes of what it scans.
+// parser builds the nodes of one file.
 type parser struct {
 	scanner
 	top       []*Node
-	openLists []*Node // lists that are not closed yet, the innermost last
-	tokens    int     // parsed so far, ) among them
+	openLists []*Node // lists whose ) has not been reached, the innermost last
+	tokens    int     // parsed so far, with each ) counted
 }
 
-// parseToken parses a ( or ) or an atom. There is one.
+// parseToken parses one (, ) or atom. The scanner must be at its first byte.
 func (p *parser) parseToken() error {
 	pos := p.pos()
 	if p.tokens >= MaxNodes {
-		return diagnostic.Wantf(pos, "at most 200000 nodes", "the file holds too much")
+		return diagnostic.Wantf(pos, "at most 200000 nodes", "the file has too many nodes")
 	}
 	p.tokens++
 	switch p.peek() {
 	case '(':
 		if len(p.openLists) >= MaxDepth {
-			return diagnostic.Wantf(pos, "at most 64 levels", "lists are nested too deep")
+			return diagnostic.Wantf(pos, "at most 64 levels", "lists are nested too deeply")
 		}
 		p.next()
 		list := &Node{Pos: pos, List: true}
@@ -92,7 +92,7 @@
 		p.openLists = append(p.openLists, list)
 	case ')':
 		if len(p.openLists) == 0 {
-			return diagnostic.Errorf(pos, "a ) without its (")
+			return diagnostic.Errorf(pos, "this ) closes no list")
 		}
 		p.next()
 		p.openLists = p.openLists[:len(p.openLists)-1]
--- a/internal/parse/sexp/sexp_test.go
+++ b/internal/parse/sexp/sexp_test.go
@@ -12,7 +12,7 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-func TestParse(t *testing.T) {
+func TestParseKeepsPositionsAndQuotes(t *testing.T) {
 	got, err := Parse("f", []byte("; a comment\n(a \"b c\" (d)) ; another\ne"))
 	if err != nil {
 		t.Fatal(err)
@@ -27,44 +27,45 @@
 		{Pos: at(3, 1), Atom: "e"},
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("Parse of an example differs (-want +got):\n%s", diff)
 	}
 	if got[0].Head() != "a" || len(got[0].Args()) != 2 || got[1].Head() != "" || got[1].Args() != nil {
-		t.Errorf("head %q with %d arguments, head %q", got[0].Head(), len(got[0].Args()), got[1].Head())
+		t.Errorf("the list has Head() = %q and %d Args(), want \"a\" and 2; the symbol has Head() = %q and Args() = %v, want \"\" and nil",
+			got[0].Head(), len(got[0].Args()), got[1].Head(), got[1].Args())
 	}
 }
 
-func TestParseEscapes(t *testing.T) {
+func TestParseUnescapesStrings(t *testing.T) {
 	got, err := Parse("f", []byte(`"\"\\\n\t"`))
 	if err != nil || len(got) != 1 || got[0].Atom != "\"\\\n\t" {
-		t.Errorf("got %+v, %v", got, err)
+		t.Errorf("Parse of a string with each escape = %+v, %v, want one atom, a quote, a backslash, a line feed and a tab", got, err)
 	}
 }
 
-func TestParseErrors(t *testing.T) {
+func TestParseErrorHasPosition(t *testing.T) {
 	for text, want := range map[string]string{
 		"(a":                                "f:1:1: this ( is never closed",
-		"a)":                                "f:1:2: a ) without its (",
+		"a)":                                "f:1:2: this ) closes no list",
 		"\n \"a":                            "f:2:2: this string is never closed",
 		"\"a\\":                             "f:1:1: this string is never closed",
 		"\"a\n\"":                           "f:1:1: this string is not closed on its line",
 		`"a\q"`:                             `f:1:3: unknown escape \q; want \" \\ \n or \t`,
 		"\xff":                              "f: the file is not valid UTF-8; want UTF-8",
-		strings.Repeat("(", MaxDepth+1):     "f:1:65: lists are nested too deep; want at most 64 levels",
-		strings.Repeat("a ", MaxNodes+1):    "f:1:400001: the file holds too much; want at most 200000 nodes",
+		strings.Repeat("(", MaxDepth+1):     "f:1:65: lists are nested too deeply; want at most 64 levels",
+		strings.Repeat("a ", MaxNodes+1):    "f:1:400001: the file has too many nodes; want at most 200000 nodes",
 		strings.Repeat(" ", MaxBytes) + "a": "f: the file has 1048577 bytes; want at most 1 MiB",
 	} {
 		_, err := Parse("f", []byte(text))
 		if err == nil || err.Error() != want {
-			t.Errorf("%.20q: %v, want %s", text, err, want)
+			t.Errorf("Parse(%.20q) = error %v, want %s", text, err, want)
 		}
 		if e := new(diagnostic.Error); !errors.As(err, &e) {
-			t.Errorf("%.20q: the error has no position", text)
+			t.Errorf("Parse(%.20q) = error of type %T, want a *diagnostic.Error, which has a position", text, err)
 		}
 	}
 }
 
-// settings are what the fields of TestFields set.
+// settings has a field of each kind, for parseFields.
 type settings struct {
 	Number   float64
 	Int      int
@@ -74,7 +75,7 @@
 	Choice   int
 }
 
-// parseFields parses a text with one field of each kind, which are named after it.
+// parseFields parses a text with fields that are named after their kinds.
 func parseFields(t *testing.T, text string) (settings, error) {
 	t.Helper()
 	nodes, err := Parse("f", []byte(text))
@@ -90,26 +91,26 @@
 	return s, errs.Err()
 }
 
-func TestFields(t *testing.T) {
+func TestFieldsStoresEachKind(t *testing.T) {
 	got, err := parseFields(t, `(number 1.5) (int 3) (duration 2s) (bool yes) (text a) (text "b c") (choice two)`)
 	want := settings{Number: 1.5, Int: 3, Duration: 2 * time.Second, Bool: true, Text: "b c", Choice: 2}
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("Fields with a field of each kind stored other values (-want +got):\n%s", diff)
 	}
 }
 
-// What is in error leaves the setting as it is.
-func TestFieldsErrors(t *testing.T) {
+// TestFieldsErrorLeavesValueUnchanged checks the error of each fault, and that a field in error stores nothing.
+func TestFieldsErrorLeavesValueUnchanged(t *testing.T) {
 	for text, want := range map[string]string{
 		"a":                  "f:1:1: this is not a setting; want (name value ...)",
 		"(tex a)":            `f:1:2: unknown setting "tex"; want text`,
 		"(unheard-of a)":     `f:1:2: unknown setting "unheard-of"`,
 		"(bool no)(bool no)": "f:1:10: bool stands here a second time",
 		"(int)":              "f:1:1: int has 0; want exactly one value",
-		"(int (a))":          "f:1:6: a list stands where a word belongs",
+		"(int (a))":          "f:1:6: found a list in place of a word",
 		"(number nan)":       `f:1:9: "nan"; want a number from 0.5 to 2`,
 		"(number 0.4)":       `f:1:9: "0.4"; want a number from 0.5 to 2`,
 		"(int 4)":            `f:1:6: "4"; want a whole number from 1 to 3`,
@@ -119,10 +120,10 @@
 	} {
 		got, err := parseFields(t, text)
 		if err == nil || err.Error() != want {
-			t.Errorf("%s: %v, want %s", text, err, want)
+			t.Errorf("Fields of %s = error %v, want %s", text, err, want)
 		}
 		if diff := cmp.Diff(settings{}, got, cmpopts.EquateEmpty()); diff != "" {
-			t.Errorf("%s: %s", text, diff)
+			t.Errorf("Fields of %s stored a value in spite of the error (-want +got):\n%s", text, diff)
 		}
 	}
 }
--- a/internal/parse/sexp/values.go
+++ b/internal/parse/sexp/values.go
@@ -8,15 +8,15 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// Text returns the atom, or an error if the node is a list.
+// Text returns the text of an atom, or an error if the node is a list.
 func (n *Node) Text() (string, error) {
 	if n.List {
-		return "", diagnostic.Errorf(n.Pos, "a list stands where a word belongs")
+		return "", diagnostic.Errorf(n.Pos, "found a list in place of a word")
 	}
 	return n.Atom, nil
 }
 
-// Number returns a finite number from lo to hi.
+// Number converts an atom to a finite number from lo to hi.
 func (n *Node) Number(lo, hi float64) (float64, error) {
 	text, err := n.Text()
 	if err != nil {
@@ -31,7 +31,7 @@
 
 func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
-// Int returns an integer from lo to hi.
+// Int converts an atom to an integer from lo to hi.
 func (n *Node) Int(lo, hi int) (int, error) {
 	text, err := n.Text()
 	if err != nil {
@@ -44,7 +44,7 @@
 	return v, nil
 }
 
-// Duration returns a duration from lo to hi. It is written with its unit in Go's form: 250ms, 1.5s, 2m.
+// Duration converts an atom in the syntax of time.ParseDuration, such as 250ms, 1.5s or 2m, to a duration from lo to hi.
 func (n *Node) Duration(lo, hi time.Duration) (time.Duration, error) {
 	text, err := n.Text()
 	if err != nil {
@@ -57,7 +57,7 @@
 	return d, nil
 }
 
-// Bool returns true for yes or true, false for no or false.
+// Bool converts yes and true to true, and no and false to false.
 func (n *Node) Bool() (bool, error) {
 	text, err := n.Text()
 	if err != nil {
