--- a/internal/parse/compose/compose.go
+++ b/internal/parse/compose/compose.go
@@ -1,6 +1,6 @@
-// Package compose parses service descriptions by the Compose Specification into the model of package servicespec. It reads
-// no file, socket or environment itself: files and variables are handed in. docs/compose.md lists what becomes of each
-// element.
+// Package compose parses service descriptions of the Compose Specification into the model of package servicespec. It reads
+// no file, socket or environment variable itself: the caller passes files and variables in. docs/compose.md lists how each
+// element is treated.
 package compose
 
 import (
@@ -12,9 +12,9 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// Bounds of one submission.
+// The limits of one submission.
 const (
-	MaxBytes = 4 << 20 // of the texts of all files
+	MaxBytes = 4 << 20 // of all files together
 	maxFiles = 64
 )
 
@@ -29,20 +29,20 @@
 	Text string `json:"text"`
 }
 
-// Input is all that a description is parsed from.
+// Input is everything that a description is parsed from.
 type Input struct {
 	Files           []File            // merged in this order
-	ReferencedFiles []File            // that extends, env_file and label_file may name
-	Variables       map[string]string // for interpolation
-	Profiles        []string          // active ones; "*" for all
-	Services        []string          // services requested by name: active whatever their profiles
-	Project         string            // project name that comes before the files'; "": theirs
+	ReferencedFiles []File            // files that extends, env_file and label_file may refer to
+	Variables       map[string]string // values for interpolation
+	Profiles        []string          // active profiles; "*": all
+	Services        []string          // services that are active whatever their profiles
+	Project         string            // overrides the project name in the files; "": no override
 
-	Classes []string // names the settings know
-	Tenants []string // names the settings know
+	Classes []string // names of the classes in the settings
+	Tenants []string // names of the tenants in the settings
 }
 
-// Parse parses a description. The error lists what is wrong with file, line and column.
+// Parse parses a description. The error lists the faults with file, line and column.
 func Parse(in *Input) (*servicespec.Description, error) {
 	if err := checkInput(in); err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 	return d.out, nil
 }
 
-// checkInput checks the size of a submission and the name that it gives its project.
+// checkInput checks the size of a submission and its project name.
 func checkInput(in *Input) error {
 	pos := diagnostic.Pos{File: "submission"}
 	size, count := 0, len(in.Files)+len(in.ReferencedFiles)
@@ -83,7 +83,8 @@
 	return nil
 }
 
-// find returns the name and text of a file of the submission that the file from names at pos.
+// find returns the name and text of the file of the submission that the file from refers to as name. The reference is at
+// pos.
 func (in *Input) find(from, name string, pos diagnostic.Pos) (file, text string, err error) {
 	resolved := ResolvePath(from, name)
 	for _, files := range [][]File{in.ReferencedFiles, in.Files} {
@@ -93,10 +94,10 @@
 			}
 		}
 	}
-	return "", "", diagnostic.Wantf(pos, "the file with the submission: forkhead submit sends it along", "%s was not given", resolved)
+	return "", "", diagnostic.Wantf(pos, "the file with the submission: forkhead submit sends it along", "%s is missing from the submission", resolved)
 }
 
-// ResolvePath returns the path of a file that the file from names.
+// ResolvePath returns the path of the file that the file from refers to as name.
 func ResolvePath(from, name string) string {
 	if path.IsAbs(name) {
 		return path.Clean(name)
--- a/internal/parse/compose/compose_test.go
+++ b/internal/parse/compose/compose_test.go
@@ -13,20 +13,22 @@
 	"forkhead/internal/verify/doccheck"
 )
 
+// newInput returns the input of one file a.yaml, with the classes web and batch and the tenant courts.
 func newInput(text string) *Input {
 	return &Input{Files: []File{{Name: "a.yaml", Text: text}}, Classes: []string{"web", "batch"}, Tenants: []string{"courts"}}
 }
 
+// mustParse parses an input, and fails the test on an error.
 func mustParse(t *testing.T, in *Input) *servicespec.Description {
 	t.Helper()
 	d, err := Parse(in)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Parse = error %v, want none", err)
 	}
 	return d
 }
 
-func TestHonored(t *testing.T) {
+func TestParseDecodesHonoredElements(t *testing.T) {
 	d := mustParse(t, newInput(`
 name: calendar
 x-forkhead: {tenant: courts}
@@ -81,14 +83,14 @@
 		},
 	}}
 	if diff := cmp.Diff(want, d, cmpopts.IgnoreTypes(diagnostic.Pos{}), cmpopts.EquateEmpty()); diff != "" {
-		t.Fatal(diff)
+		t.Fatalf("Parse of honored elements differs (-want +got):\n%s", diff)
 	}
 }
 
-// tooDeep returns mappings of 80 levels.
+// tooDeep returns 80 levels of mappings, more than maxDepth.
 func tooDeep() string { return strings.Repeat("a: {", 80) + strings.Repeat("}", 80) }
 
-// aliasBomb returns lists of aliases that unfold to 9^9 values.
+// aliasBomb returns lists of aliases that expand to 9^9 values.
 func aliasBomb() string {
 	text := "a: &a [x,x,x,x,x,x,x,x,x]\n"
 	for i := 'b'; i <= 'i'; i++ {
@@ -97,16 +99,16 @@
 	return text
 }
 
-// Each case is a file and what it must yield: the error's place and text, or "" for none.
+// errorCases has files, each with a part of the error that Parse must return for it, or "" for no error.
 var errorCases = map[string]struct{ text, want string }{
 	"unreadable":           {"services: [", "a.yaml:1:1: not readable as YAML"},
 	"unreadable, line 3":   {"services:\n  a: {}\n\tb: {}\n", "a.yaml:3:1: not readable as YAML"},
 	"empty":                {"", "a.yaml:1:1: there is nothing in it; want a Compose file"},
 	"a list":               {"- a", "a.yaml:1:1: the file is a list"},
 	"no services":          {"name: a", "describes no services"},
-	"alias bomb":           {aliasBomb(), "the files unfold to too much"},
-	"alias to itself":      {"services: &s {a: *s}", "stands inside what it names"},
-	"too deep":             {tooDeep(), "nested too deep"},
+	"alias bomb":           {aliasBomb(), "the files have too many nodes, with aliases expanded"},
+	"alias to itself":      {"services: &s {a: *s}", "refers to a node that contains it"},
+	"too deep":             {tooDeep(), "nested too deeply"},
 	"key twice":            {"services:\n  a: {}\n  a: {}", `a.yaml:3:3`},
 	"unknown element":      {"services:\n  a: {imgae: x}", `a.yaml:2:7: unknown element "imgae" in service "a"; want image`},
 	"unknown in deploy":    {"services: {a: {deploy: {replica: 2}}}", `unknown element "replica" in deploy; want replicas`},
@@ -124,52 +126,52 @@
 	"include":              {"include: [b.yaml]\nservices: {a: {}}", "include is refused: give the files together"},
 	"tied":                 {"services: {a: {network_mode: 'service:b'}, b: {}}", "ties two tasks to one host"},
 	"bad constraint":       {"services: {a: {deploy: {placement: {constraints: [fast]}}}}", "ATTRIBUTE == VALUE"},
-	"unknown attribute":    {"services: {a: {deploy: {placement: {constraints: ['engine.labels.x == y']}}}}", "no host tells"},
+	"unknown attribute":    {"services: {a: {deploy: {placement: {constraints: ['engine.labels.x == y']}}}}", "hosts have no attribute"},
 	"unknown spread":       {"services: {a: {deploy: {placement: {preferences: [{spread: node.labels.floor}]}}}}", "node.labels.zone or node.labels.rack"},
 	"unknown class":        {"services: {a: {x-forkhead: {class: fast}}}", `class "fast" is not in the settings; want web, batch`},
-	"unknown own key":      {"services: {a: {x-forkhead: {clas: web}}}", `unknown element "clas" in x-forkhead of service "a"; want class`}, //nolint:misspell // the misspelt key is the case
-	"depends on nothing":   {"services: {a: {depends_on: [b]}}", `service "a" depends on "b", which is not here`},
-	"depends in a circle":  {"services: {a: {depends_on: [b]}, b: {depends_on: [c]}, c: {depends_on: [a]}}", "depends_on goes round: a -> b -> c -> a"},
-	"extends in a circle":  {"services: {a: {extends: b}, b: {extends: {service: a}}}", "extends goes round: a -> b -> a"},
-	"extends nothing":      {"services: {a: {extends: {service: z}}}", `extends names service "z"`},
-	"extends no file":      {"services: {a: {extends: {file: base.yaml, service: z}}}", "base.yaml was not given"},
+	"misspelled extension": {"services: {a: {x-forkhead: {clas: web}}}", `unknown element "clas" in x-forkhead of service "a"; want class`}, //nolint:misspell // the misspelt key is the case
+	"depends on nothing":   {"services: {a: {depends_on: [b]}}", `service "a" depends on "b", which is not defined`},
+	"depends in a cycle":   {"services: {a: {depends_on: [b]}, b: {depends_on: [c]}, c: {depends_on: [a]}}", "depends_on forms a cycle: a -> b -> c -> a"},
+	"extends in a cycle":   {"services: {a: {extends: b}, b: {extends: {service: a}}}", "extends forms a cycle: a -> b -> a"},
+	"extends nothing":      {"services: {a: {extends: {service: z}}}", `extends refers to service "z"`},
+	"extends no file":      {"services: {a: {extends: {file: base.yaml, service: z}}}", "base.yaml is missing from the submission"},
 	"scale and replicas":   {"services: {a: {scale: 2, deploy: {replicas: 3}}}", "scale is 2 and deploy.replicas 3"},
 	"global with replicas": {"services: {a: {deploy: {mode: global, replicas: 3}}}", "exclude each other"},
 	"reserves over limit":  {"services: {a: {deploy: {resources: {limits: {cpus: 1}, reservations: {cpus: 2}}}}}", "over its limit"},
 	"container_name":       {"services: {a: {container_name: x, deploy: {replicas: 2}}}", "allows one task"},
-	"no such network":      {"services: {a: {networks: [back]}}", `networks names "back", which the file does not describe`},
-	"no such volume":       {"services: {a: {volumes: ['data:/x']}}", `volumes names "data"`},
+	"no such network":      {"services: {a: {networks: [back]}}", `networks refers to "back", which the file does not define`},
+	"no such volume":       {"services: {a: {volumes: ['data:/x']}}", `volumes refers to "data"`},
 	"required variable":    {"services: {a: {image: '${X:?say which}'}}", "variable X is not set: say which"},
-	"bad variable":         {"services: {a: {image: '${X!}'}}", "is not a form of variable"},
+	"bad variable":         {"services: {a: {image: '${X!}'}}", "has no valid operator"},
 	"open variable":        {"services: {a: {image: '${X'}}", "is never closed"},
 	"merge of a word":      {"services: {a: {<<: x}}", "<< is given a single value"},
-	"all behind profiles":  {"services: {a: {profiles: [x]}}", "every service stands behind a profile"},
-	"env_file missing":     {"services: {a: {env_file: .env.x}}", ".env.x was not given"},
+	"no active profile":    {"services: {a: {profiles: [x]}}", "every service has a profile"},
+	"env_file missing":     {"services: {a: {env_file: .env.x}}", ".env.x is missing from the submission"},
 	"payload":              {"services: {a: {command: '" + strings.Repeat("x", 40<<10) + "'}}", "at most 32 KiB"},
-	"whole of a service":   {"services: {a: {x-forkhead: {whole: true}}}", "whole is of all services together"},
-	"near nothing":         {"services: {a: {x-forkhead: {near: {b: zone}}}}", `service "a" depends on "b", which is not here`},
-	"near in a circle":     {"services: {a: {x-forkhead: {near: {b: zone}}}, b: {x-forkhead: {near: {a: rack}}}}", "goes round"},
+	"whole of a service":   {"services: {a: {x-forkhead: {whole: true}}}", "whole applies to all services together"},
+	"near nothing":         {"services: {a: {x-forkhead: {near: {b: zone}}}}", `service "a" depends on "b", which is not defined`},
+	"near in a cycle":      {"services: {a: {x-forkhead: {near: {b: zone}}}, b: {x-forkhead: {near: {a: rack}}}}", "forms a cycle"},
 	"near where":           {"services: {a: {x-forkhead: {near: {b: town}}}, b: {}}", "want machine, rack or zone"},
 	"good, whole":          {"x-forkhead: {whole: true}\nservices: {a: {}}", ""},
 	"good":                 {"services: {a: {}}", ""},
 	"good, plain":          {"services: {a: {image: nginx, ports: ['80:80'], environment: [A=1]}}", ""},
 }
 
-func TestErrors(t *testing.T) {
+func TestParseErrorNamesPositionAndFault(t *testing.T) {
 	for name, c := range errorCases {
 		_, err := Parse(newInput(c.text))
 		switch {
 		case c.want == "" && err != nil:
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: Parse = error %v, want none", name, err)
 		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)):
-			t.Errorf("%s: %v\nwant %s", name, err, c.want)
+			t.Errorf("%s: Parse = error %v\nwant an error with %s", name, err, c.want)
 		case c.want != "" && diagnostic.First(err) == nil:
-			t.Errorf("%s: the error has no place: %v", name, err)
+			t.Errorf("%s: Parse = error %v, want one with a position", name, err)
 		}
 	}
 }
 
-func TestInterpolation(t *testing.T) {
+func TestParseInterpolatesVariables(t *testing.T) {
 	vars := map[string]string{"A": "one", "EMPTY": ""}
 	for text, want := range map[string]string{
 		"$A": "one", "${A}": "one", "x${A}y": "xoney", "$$A": "$A", "${B:-d}": "d", "${EMPTY:-d}": "d", "${EMPTY-d}": "",
@@ -179,16 +181,16 @@
 		in.Variables = vars
 		d, err := Parse(in)
 		if err != nil {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("Parse of image %s = error %v, want none", text, err)
 			continue
 		}
 		if got := string(d.Services[0].Payload); got != `{"image":"`+want+`"}` {
-			t.Errorf("%s: payload %s, want image %q", text, got, want)
+			t.Errorf("Parse of image %s = payload %s, want one with image %q only", text, got, want)
 		}
 	}
 }
 
-func TestMergeAndExtends(t *testing.T) {
+func TestParseMergesFilesAndExtends(t *testing.T) {
 	in := newInput("")
 	in.Files = []File{
 		{"a.yaml", `
@@ -229,31 +231,32 @@
 		"api": `{"environment":{"A":"base","B":"3"},"image":"api","init":true}`,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Fatal(diff)
+		t.Fatalf("payloads after merging two files differ (-want +got):\n%s", diff)
 	}
-	if d.Service("web").Replicas != 2 {
-		t.Fatal("the later file's replicas are lost")
+	if replicas := d.Service("web").Replicas; replicas != 2 {
+		t.Fatalf("after merging two files web has %d replicas, want 2 as in the later file", replicas)
 	}
 }
 
-func TestProfilesAndNotes(t *testing.T) {
+func TestParseAppliesProfilesAndAddsNotes(t *testing.T) {
 	in := newInput("version: '3'\nservices: {a: {}, b: {profiles: [debug], build: .}, c: {depends_on: {b: {condition: service_started, required: false}}}}")
 	d := mustParse(t, in)
 	if len(d.Services) != 2 || len(d.Service("c").DependsOn) != 0 {
-		t.Fatalf("services: %+v", d.Services)
+		t.Fatalf("Parse without profiles = services %+v, want a and c without dependencies", d.Services)
 	}
 	in.Profiles = []string{"debug"}
 	if d = mustParse(t, in); len(d.Services) != 3 || len(d.Service("c").DependsOn) != 1 {
-		t.Fatalf("services: %+v", d.Services)
+		t.Fatalf("Parse with profile debug = services %+v, want a, b, and c with one dependency", d.Services)
 	}
 	if len(d.Notes) != 2 {
-		t.Fatalf("notes: %+v", d.Notes)
+		t.Fatalf("Parse with profile debug = notes %+v, want 2, of version and build", d.Notes)
 	}
 }
 
-// docs/compose.md and the parser use one table.
-func TestTableOnPage(t *testing.T) { doccheck.Contains(t, "docs/compose.md", ElementTable()) }
+// TestElementTableIsOnPage checks that docs/compose.md has the tables that the parser uses.
+func TestElementTableIsOnPage(t *testing.T) { doccheck.Contains(t, "docs/compose.md", ElementTable()) }
 
+// FuzzParse checks that Parse returns either a description or an error, for any text.
 func FuzzParse(f *testing.F) {
 	f.Add("services: {a: {image: '${A:-b}', deploy: {replicas: 2}}}")
 	f.Add("x: &x {a: 1}\nservices:\n  a: {<<: *x, extends: b}\n  b: {depends_on: [a]}")
@@ -261,14 +264,15 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		d, err := Parse(newInput(text))
 		if (d == nil) == (err == nil) {
-			t.Fatal("neither a description nor an error, or both")
+			t.Fatalf("Parse(%q) = %+v, error %v, want either a description or an error", text, d, err)
 		}
 		if d != nil && d.Tasks() < 0 {
-			t.Fatal("negative tasks")
+			t.Fatalf("Parse(%q) has Tasks() = %d, want at least 0", text, d.Tasks())
 		}
 	})
 }
 
+// BenchmarkParse parses a file of 50 services.
 func BenchmarkParse(b *testing.B) {
 	text := "services:\n"
 	for i := range 50 {
@@ -278,7 +282,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := Parse(in); err != nil {
-			b.Fatal(err)
+			b.Fatalf("Parse of 50 services = error %v, want none", err)
 		}
 	}
 }
--- a/internal/parse/compose/decode.go
+++ b/internal/parse/compose/decode.go
@@ -11,24 +11,24 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// Bounds of one description.
+// The limits of one description.
 const (
 	maxServices = 5_000
-	maxReplicas = 100_000 // of one service
+	maxReplicas = 100_000 // tasks of one service
 	maxNotes    = 1_000   // further ones are dropped
 
-	maxTaskTime = 24 * time.Hour // of the durations that a task's stop, restart and update have
+	maxTaskTime = 24 * time.Hour // longest duration in the settings for stop, restart and update
 )
 
 var serviceName = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,127}$`)
 
-// decoder turns a merged tree into a description. Its methods add what is wrong to errs and go on.
+// decoder decodes a merged tree into a description. Its methods add faults to errs and continue.
 type decoder struct {
 	in           *Input
 	errs         *diagnostic.List
 	out          *servicespec.Description
-	top          *value
-	topExtension *value // x-forkhead of the top level; nil if there is none
+	top          *value // the tree
+	topExtension *value // x-forkhead of the top level, or nil
 }
 
 // errorf adds an error at a position.
@@ -36,19 +36,20 @@
 	d.errs.Add(diagnostic.Errorf(pos, format, args...))
 }
 
-// wantf adds an error at a position with what would be right.
+// wantf adds an error at a position that also says what would be valid.
 func (d *decoder) wantf(pos diagnostic.Pos, want, format string, args ...any) {
 	d.errs.Add(diagnostic.Wantf(pos, want, format, args...))
 }
 
-// addNote adds a note at a position.
+// addNote adds a note at a position, unless there are maxNotes.
 func (d *decoder) addNote(pos diagnostic.Pos, text string) {
 	if len(d.out.Notes) < maxNotes {
 		d.out.Notes = append(d.out.Notes, servicespec.Note{Pos: pos, Text: text})
 	}
 }
 
-// ofKind checks that a value has the wanted kind, and returns nil if it has another. An absent or empty one passes as nil.
+// ofKind returns v if it has the kind k. It returns nil for an absent or null value, and adds an error and returns nil for a
+// value of another kind. name names the value in the error.
 func (d *decoder) ofKind(v *value, k kind, name string) *value {
 	if v.isEmpty() {
 		return nil
@@ -60,8 +61,8 @@
 	return v
 }
 
-// checkElements checks the keys of a mapping against the elements of a table whose names begin with prefix, and adds a note
-// for each that is noted. where names the mapping in errors.
+// checkElements checks the keys of a mapping, with prefix before them, against the elements of a table. It adds an error for
+// each that is unknown or refused and a note for each that is noted. where names the mapping in errors.
 func (d *decoder) checkElements(v *value, table map[string]element, prefix, where string) {
 	for _, key := range v.keys {
 		if strings.HasPrefix(key, extensionPrefix) {
@@ -79,7 +80,7 @@
 	}
 }
 
-// addUnknown adds an error for a key, with the name in the table that is closest.
+// addUnknown adds an error for an unknown key, with the closest name in the table.
 func (d *decoder) addUnknown(v *value, key, where string, table map[string]element, prefix string) {
 	var names []string
 	for element := range table {
@@ -91,7 +92,7 @@
 	d.wantf(v.keyPos[key], diagnostic.Nearest(key, names), "unknown element %q in %s", key, where)
 }
 
-// checkKeys checks that a small mapping has none but the listed keys.
+// checkKeys adds an error for each key of a mapping that is neither in keys nor an extension.
 func (d *decoder) checkKeys(v *value, where string, keys ...string) {
 	for _, key := range v.keys {
 		if !strings.HasPrefix(key, extensionPrefix) && !slices.Contains(keys, key) {
@@ -127,7 +128,7 @@
 	d.services(services)
 }
 
-// services decodes the services that are active.
+// services decodes the active services.
 func (d *decoder) services(services *value) {
 	inactive := map[string]bool{}
 	for _, name := range services.keys {
@@ -150,11 +151,11 @@
 		}
 	}
 	if len(d.out.Services) == 0 {
-		d.wantf(services.pos, "--profile NAME", "every service stands behind a profile, and none is active")
+		d.wantf(services.pos, "--profile NAME", "every service has a profile, and none of them is active")
 	}
 }
 
-// isActive reports whether the service or one of its profiles is requested, or it has no profile.
+// isActive reports whether the service or one of its profiles is requested, or the service has no profile.
 func (d *decoder) isActive(name string, service *value) bool {
 	if slices.Contains(d.in.Services, name) {
 		return true
@@ -165,7 +166,7 @@
 	})
 }
 
-// service decodes one service. inactive are the services behind profiles that are not active.
+// service decodes one service. inactive has the services that are left out for lack of an active profile.
 func (d *decoder) service(name string, pos diagnostic.Pos, v *value, inactive map[string]bool) servicespec.Service {
 	s := servicespec.Service{
 		Name: name, Pos: pos, Replicas: 1,
@@ -176,7 +177,7 @@
 	d.extensionFields(&s, d.topExtension)
 	ext := d.extension(v, where)
 	if whole := ext.get("whole"); whole != nil {
-		d.wantf(whole.pos, "it at the top level", "whole is of all services together")
+		d.wantf(whole.pos, "it at the top level", "whole applies to all services together")
 	}
 	d.extensionFields(&s, ext)
 	deploy := d.ofKind(v.get("deploy"), mapping, "deploy")
--- a/internal/parse/compose/definitions.go
+++ b/internal/parse/compose/definitions.go
@@ -6,63 +6,63 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// usedDefinitions returns the project's networks, volumes, configs or secrets that a service names, each with its description. One
-// that is named and not described is an error, but for the default network.
-func (d *decoder) usedDefinitions(service *value, part string) map[string]any {
-	described := d.ofKind(d.top.get(part), mapping, part)
-	used := service.get(part)
+// usedDefinitions returns the definitions of the networks, volumes, configs or secrets, as section says, that a service
+// refers to. A reference to an undefined one is an error, except to the network default.
+func (d *decoder) usedDefinitions(service *value, section string) map[string]any {
+	defined := d.ofKind(d.top.get(section), mapping, section)
+	used := service.get(section)
 	if used.isEmpty() || used.kind == scalar {
 		return nil
 	}
-	parts := map[string]any{}
+	definitions := map[string]any{}
 	add := func(name string, pos diagnostic.Pos) {
-		description := described.get(name)
+		definition := defined.get(name)
 		switch {
-		case description != nil:
-			parts[name] = toJSON(description)
+		case definition != nil:
+			definitions[name] = toJSON(definition)
 		case name != "default":
-			d.errorf(pos, "%s names %q, which the file does not describe", part, name)
+			d.errorf(pos, "%s refers to %q, which the file does not define", section, name)
 		}
 	}
 	for _, key := range used.keys {
 		add(key, used.keyPos[key])
 	}
 	for _, item := range used.items {
-		if name, pos, ok := d.definitionName(item, part); ok {
+		if name, pos, ok := d.definitionName(item, section); ok {
 			add(name, pos)
 		}
 	}
-	return parts
+	return definitions
 }
 
-// definitionName returns the name in an entry of a list of networks, volumes, configs or secrets. ok is false where the entry names
-// none, or is in error.
-func (d *decoder) definitionName(item *value, part string) (name string, pos diagnostic.Pos, ok bool) {
+// definitionName returns the name that an entry of a list of networks, volumes, configs or secrets refers to. ok is false if
+// the entry refers to none or is in error.
+func (d *decoder) definitionName(item *value, section string) (name string, pos diagnostic.Pos, ok bool) {
 	switch {
 	case item.kind == mapping:
 		source := item.get("source")
-		if source == nil || source.kind != scalar || part == "volumes" && !isNamedVolume(item) {
+		if source == nil || source.kind != scalar || section == "volumes" && !isNamedVolume(item) {
 			return "", item.pos, false
 		}
 		return source.text, source.pos, true
 	case item.kind != scalar:
-		d.wantf(item.pos, "a name or a mapping", "an entry of %s is %s", part, item.kind)
+		d.wantf(item.pos, "a name or a mapping", "an entry of %s is %s", section, item.kind)
 		return "", item.pos, false
-	case part == "volumes":
+	case section == "volumes":
 		name, ok := volumeName(item.text)
 		return name, item.pos, ok
 	}
 	return item.text, item.pos, true
 }
 
-// isNamedVolume reports whether the long form of a volume means one of the project, not a path of the host.
+// isNamedVolume reports whether the long form of a volume refers to a volume of the project, not to a path of the host.
 func isNamedVolume(v *value) bool {
 	typ := v.get("type")
 	return typ != nil && typ.text == "volume"
 }
 
-// volumeName returns the name in the short form of a volume, NAME:TARGET. ok is false if it has a path of the host in place of
-// the name, or neither.
+// volumeName returns the name in the short form of a volume, NAME:TARGET. ok is false if the form has a path of the host in
+// place of the name, or only a target.
 func volumeName(text string) (name string, ok bool) {
 	source, _, hasTarget := strings.Cut(text, ":")
 	return source, hasTarget && !strings.ContainsAny(source, "/.~")
--- a/internal/parse/compose/dependencies.go
+++ b/internal/parse/compose/dependencies.go
@@ -7,13 +7,14 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// dependencyConditions are the conditions of depends_on.
+// dependencyConditions has the values of condition in depends_on.
 var dependencyConditions = map[string]servicespec.DependencyCondition{
 	"service_started": servicespec.Started, "service_healthy": servicespec.Healthy,
 	"service_completed_successfully": servicespec.Completed,
 }
 
-// dependsOn sets what the service depends on. inactive are the services behind profiles that are not active.
+// dependsOn sets the dependencies of the service. inactive has the services that are left out for lack of an active profile.
+// A dependency on one of these is an error unless it is optional.
 func (d *decoder) dependsOn(s *servicespec.Service, service *value, inactive map[string]bool) {
 	deps := service.get("depends_on")
 	if deps.isEmpty() {
@@ -25,7 +26,7 @@
 	}
 	deps = asMap(deps)
 	if deps.kind != mapping {
-		d.wantf(deps.pos, "a list of names", "depends_on holds something else")
+		d.wantf(deps.pos, "a list of names", "an entry of depends_on is not a name")
 		return
 	}
 	for _, name := range deps.keys {
@@ -37,12 +38,12 @@
 		case !inactive[name]:
 			s.DependsOn = append(s.DependsOn, dep)
 		case !dep.Optional:
-			d.wantf(dep.Pos, "its profile, or required: false", "service %q depends on %q, which no active profile holds", s.Name, name)
+			d.wantf(dep.Pos, "its profile, or required: false", "service %q depends on %q, which is in no active profile", s.Name, name)
 		}
 	}
 }
 
-// dependencyOptions sets what the long form of a dependency of the service says.
+// dependencyOptions decodes the options in the long form of a dependency of the service.
 func (d *decoder) dependencyOptions(dep *servicespec.Dependency, service string, options *value) {
 	d.checkKeys(options, "a dependency", "condition", "restart", "required")
 	choiceField(d, &dep.When, options, "condition", dependencyConditions,
@@ -58,7 +59,7 @@
 	}
 }
 
-// dependOnNear adds the services that the service's tasks have to be beside: they go first.
+// dependOnNear adds a dependency on each service in s.Near, since the domains of its tasks must be known first.
 func dependOnNear(s *servicespec.Service) {
 	for _, near := range s.Near {
 		isNear := func(dep servicespec.Dependency) bool { return dep.Service == near.Service }
@@ -68,7 +69,7 @@
 	}
 }
 
-// rejectSharedNamespaces rejects what would need two tasks on one host.
+// rejectSharedNamespaces rejects namespaces shared with another task, which would need both tasks on one host.
 func (d *decoder) rejectSharedNamespaces(service *value) {
 	for _, key := range []string{"network_mode", "pid", "ipc"} {
 		v := d.ofKind(service.get(key), scalar, key)
--- a/internal/parse/compose/elements.go
+++ b/internal/parse/compose/elements.go
@@ -1,29 +1,30 @@
 package compose
 
-// treatment is what becomes of an element.
+// treatment is how an element is treated.
 type treatment uint8
 
 const (
 	honored treatment = iota // affects placement, restarts or updates here
-	passed                   // passed to the host in the task's payload, acted on there
-	noted                    // of no meaning for a cluster of hosts: reported in a note
+	passed                   // passed to the host in the task's payload, takes effect there
+	noted                    // has no effect in a cluster of hosts: reported in a note
 	refused                  // cannot be honored: an error
 )
 
-// String returns the term in docs/compose.md.
+// String returns the word for the treatment in docs/compose.md.
 func (t treatment) String() string {
 	//nolint:misspell // the page is published with this spelling
 	return [...]string{"honoured", "passed to the host", "noted", "refused"}[t]
 }
 
-// element is a row of docs/compose.md. The decoder uses these tables, and a test checks the page against
-// them, so the two agree.
+// element is a row of the tables in docs/compose.md. The decoder checks keys against the same rows, and a test compares them
+// with the page.
 type element struct {
 	name      string
 	treatment treatment
 	remark    string
 }
 
+// topElements has the elements at the top level of a file.
 var topElements = []element{
 	{"name", honored, "the project's name; `--project` and `?project=` come before it"},
 	{"services", honored, ""},
@@ -36,6 +37,7 @@
 	{"include", refused, "give the files together: `submit A B`"},
 }
 
+// serviceElements has the elements of a service.
 var serviceElements = []element{
 	{"annotations", passed, ""},
 	{"attach", noted, "concerns a terminal"},
@@ -131,6 +133,7 @@
 	{"working_dir", passed, ""},
 }
 
+// deployElements has the elements of deploy, and paths of elements further down.
 var deployElements = []element{
 	{"endpoint_mode", passed, ""},
 	{"labels", passed, "of the service, as `service_labels`"},
@@ -151,6 +154,7 @@
 	{"update_config", honored, "`parallelism`, `delay`, `failure_action`, `monitor`, `max_failure_ratio`, `order`"},
 }
 
+// extensionElements has the elements of x-forkhead.
 var extensionElements = []element{
 	{"class", honored, "a class of the settings; default the settings' `default-class`"},
 	{"tenant", honored, "a tenant of the settings; default none"},
@@ -162,7 +166,7 @@
 	{"spread", honored, "`machine`, `rack`, `zone`: the most tasks of the service in one; the class's limit holds beside it"},
 }
 
-// indexByName returns the rows of a table by their names.
+// indexByName returns the rows of a table by name.
 func indexByName(elements []element) map[string]element {
 	m := make(map[string]element, len(elements))
 	for _, e := range elements {
@@ -178,10 +182,10 @@
 	extensionIndex = indexByName(extensionElements)
 )
 
-// ElementTable writes the rows of docs/compose.md.
+// ElementTable returns the tables in docs/compose.md, in Markdown.
 func ElementTable() string {
 	out := ""
-	for _, part := range []struct {
+	for _, table := range []struct {
 		title, prefix string
 		rows          []element
 	}{
@@ -190,9 +194,9 @@
 		{"Deploy", "services.*.deploy.", deployElements},
 		{"x-forkhead", "x-forkhead.", extensionElements},
 	} {
-		out += "\n## " + part.title + "\n\n| element | treatment | remark |\n| --- | --- | --- |\n"
-		for _, e := range part.rows {
-			out += "| `" + part.prefix + e.name + "` | " + e.treatment.String() + " | " + e.remark + " |\n"
+		out += "\n## " + table.title + "\n\n| element | treatment | remark |\n| --- | --- | --- |\n"
+		for _, e := range table.rows {
+			out += "| `" + table.prefix + e.name + "` | " + e.treatment.String() + " | " + e.remark + " |\n"
 		}
 	}
 	return out
--- a/internal/parse/compose/extends.go
+++ b/internal/parse/compose/extends.go
@@ -7,22 +7,23 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// maxExtends bounds how many services may extend each other in a row.
+// maxExtends is the maximum length of a chain of services that extend each other.
 const maxExtends = 32
 
-// serviceID names a service of a file.
+// serviceID identifies a service by its file and its name.
 type serviceID struct{ file, name string }
 
 // extender resolves the element extends of services.
 type extender struct {
-	files    map[string]*value    // tree of each file that was loaded
-	resolved map[serviceID]*value // services with all that they extend
-	// load adds a file that the file from names at pos to files, and returns its name.
+	files    map[string]*value    // trees of the loaded files, by file name
+	resolved map[serviceID]*value // services with their bases merged in
+	// load loads the file that the file from refers to as name into files, and returns its key there. The reference is at
+	// pos.
 	load func(from, name string, pos diagnostic.Pos) (file string, err error)
 }
 
-// service returns a service with all that it extends merged in. It is named at pos, by the last of chain, the services that
-// are being resolved; none for a service that the submission itself holds.
+// service returns a service with all its bases merged in. chain lists the services that are being resolved, the last of
+// which extends this one; it is empty for a service of the submission's own files. pos is the position of the reference.
 func (e *extender) service(id serviceID, pos diagnostic.Pos, chain []serviceID) (*value, error) {
 	if v, ok := e.resolved[id]; ok {
 		return v, nil
@@ -32,7 +33,7 @@
 	}
 	v := e.files[id.file].get("services").get(id.name)
 	if v == nil {
-		return nil, diagnostic.Errorf(pos, "extends names service %q, which %s does not hold", id.name, id.file)
+		return nil, diagnostic.Errorf(pos, "extends refers to service %q, which %s does not define", id.name, id.file)
 	}
 	extends := v.get("extends")
 	if extends == nil {
@@ -56,23 +57,23 @@
 	return merged, nil
 }
 
-// checkChain returns an error if a service extends itself, or too many extend each other.
+// checkChain returns an error if a service extends itself, directly or through others, or if the chain is too long.
 func checkChain(chain []serviceID, id serviceID, pos diagnostic.Pos) error {
 	if slices.Contains(chain, id) {
 		var names []string
 		for _, link := range chain {
 			names = append(names, link.name)
 		}
-		return diagnostic.Errorf(pos, "extends goes round: %s", strings.Join(append(names, id.name), " -> "))
+		return diagnostic.Errorf(pos, "extends forms a cycle: %s", strings.Join(append(names, id.name), " -> "))
 	}
 	if len(chain) >= maxExtends {
-		return diagnostic.Wantf(pos, "at most 32 steps", "extends goes on too long")
+		return diagnostic.Wantf(pos, "at most 32 steps", "the chain of extends is too long")
 	}
 	return nil
 }
 
-// baseOf returns the service that an element extends names: NAME, or {service: NAME, file: PATH}. The file is loaded; without
-// one, the service is in the same file as the element.
+// baseOf returns the service that an element extends refers to, which is NAME or {service: NAME, file: PATH}, and loads the
+// file. Without a file, the service is in the file of the element.
 func (e *extender) baseOf(file string, extends *value) (serviceID, error) {
 	base := serviceID{file: file}
 	switch extends.kind {
@@ -96,12 +97,12 @@
 		}
 	}
 	if base.name == "" {
-		return serviceID{}, diagnostic.Wantf(extends.pos, "the name of a service", "extends names none")
+		return serviceID{}, diagnostic.Wantf(extends.pos, "the name of a service", "extends names no service")
 	}
 	return base, nil
 }
 
-// withoutKey returns a copy of a mapping without one key and without its tag.
+// withoutKey returns a copy of a mapping without one key and without the mapping's tag.
 func withoutKey(v *value, key string) *value {
 	rest := newMap(v.pos)
 	for _, k := range v.keys {
--- a/internal/parse/compose/extension.go
+++ b/internal/parse/compose/extension.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	extensionPrefix = "x-" // keys with it are extensions, by the Compose Specification
+	extensionPrefix = "x-" // prefix of extension keys in the Compose Specification
 	extensionKey    = "x-forkhead"
 
-	maxExtensionTime = 365 * 24 * time.Hour // of the durations in x-forkhead
+	maxExtensionTime = 365 * 24 * time.Hour // longest duration in x-forkhead
 )
 
-// extension returns x-forkhead of a mapping, checked for unknown keys; nil if there is none. where names the mapping in errors.
+// extension returns the element x-forkhead of a mapping, or nil if there is none. It adds an error for each unknown key in it,
+// and a note for each extension of the mapping whose key may be a misspelled x-forkhead. where names the mapping in errors.
 func (d *decoder) extension(v *value, where string) *value {
 	for _, key := range v.keys {
 		isMisspelled := key != extensionKey && diagnostic.Nearest(key, []string{extensionKey}) != ""
 		if isMisspelled && strings.HasPrefix(key, extensionPrefix) {
-			d.addNote(v.keyPos[key], key+" is passed over; x-forkhead is the extension read here")
+			d.addNote(v.keyPos[key], key+" is ignored; the extension that is read is x-forkhead")
 		}
 	}
 	ext := d.ofKind(v.get(extensionKey), mapping, extensionKey)
@@ -31,7 +32,7 @@
 	return ext
 }
 
-// extensionFields sets what an x-forkhead says; nil says nothing.
+// extensionFields sets the fields that ext, an x-forkhead element, has values for. ext may be nil.
 func (d *decoder) extensionFields(s *servicespec.Service, ext *value) {
 	if ext == nil {
 		return
@@ -49,7 +50,7 @@
 	d.spread(s, ext)
 }
 
-// nameFromSettings returns a name that the settings must know; "" if none is given.
+// nameFromSettings returns the name in the field key, which must be one of known, or "" if there is no such field.
 func (d *decoder) nameFromSettings(ext *value, key string, known []string) string {
 	name := d.ofKind(ext.get(key), scalar, key)
 	if name == nil {
@@ -61,7 +62,7 @@
 	return name.text
 }
 
-// near sets the services that the service's tasks have to be beside.
+// near adds the services whose domains the service's tasks must share.
 func (d *decoder) near(s *servicespec.Service, ext *value) {
 	near := d.ofKind(ext.get("near"), mapping, "near")
 	if near == nil {
@@ -79,7 +80,7 @@
 	}
 }
 
-// spread sets the limits in each domain, in place of those that the top level sets.
+// spread sets the spread limits, which replace those of the top level.
 func (d *decoder) spread(s *servicespec.Service, ext *value) {
 	spread := d.ofKind(ext.get("spread"), mapping, "spread")
 	if spread == nil {
--- a/internal/parse/compose/golden_test.go
+++ b/internal/parse/compose/golden_test.go
@@ -12,8 +12,9 @@
 	"forkhead/internal/goldentest"
 )
 
-// testdata/all.yaml has the elements that placement uses and some of those that hosts get. It is decoded to the same description,
-// with the same places and payloads, in the order of the fields.
+// TestParseGolden checks that testdata/all.yaml, which has the elements that affect placement and some that are passed to
+// hosts, is decoded to the same description as before, with the same positions and payloads. Values are in the order of the
+// fields.
 func TestParseGolden(t *testing.T) {
 	file := filepath.Join("testdata", "all.yaml")
 	text, err := os.ReadFile(file)
@@ -25,7 +26,7 @@
 		Variables: map[string]string{"TAG": "3"}, Classes: []string{"web", "batch"}, Tenants: []string{"courts"},
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Parse of %s = error %v, want none", file, err)
 	}
 	var b bytes.Buffer
 	for i := range reflect.ValueOf(*d).NumField() {
--- a/internal/parse/compose/interpolate.go
+++ b/internal/parse/compose/interpolate.go
@@ -6,23 +6,23 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// Bounds of variables.
+// The limits of interpolation.
 const (
-	maxInterpolated  = 1 << 20 // bytes that the values with variables add up to in all files
-	maxVariableDepth = 16      // defaults and messages that hold variables themselves
+	maxInterpolated  = 1 << 20 // bytes of all interpolated values in all files
+	maxVariableDepth = 16      // levels of variables in the defaults and messages of other variables
 )
 
-// interpolator replaces variables in values, as the Compose Specification's chapter on interpolation says: $V, ${V}, ${V:-d},
-// ${V-d}, ${V:?e}, ${V?e}, ${V:+r}, ${V+r} and $$. What follows the operator may contain variables itself.
+// interpolator replaces variables in values by the rules of the Compose Specification: $V, ${V}, ${V:-d}, ${V-d}, ${V:?e},
+// ${V?e}, ${V:+r}, ${V+r} and $$. The text after the operator may contain variables itself.
 type interpolator struct {
 	vars       map[string]string
-	size       int // bytes of the values replaced so far
+	size       int // bytes of the values interpolated so far
 	errs       *diagnostic.List
-	notedUnset map[string]bool // variables that are not set and have a note
+	notedUnset map[string]bool // unset variables that a note was added for
 	addNote    func(pos diagnostic.Pos, text string)
 }
 
-// interpolate returns the value with its scalars interpolated; keys stay as they are.
+// interpolate returns the value with its scalars interpolated. Keys are not interpolated.
 func (in *interpolator) interpolate(v *value) *value {
 	if v == nil {
 		return nil
@@ -38,7 +38,7 @@
 			return v
 		}
 		if in.size += len(text); in.size > maxInterpolated {
-			in.errs.Add(diagnostic.Wantf(v.pos, "at most 1 MiB", "the variables unfold to too much"))
+			in.errs.Add(diagnostic.Wantf(v.pos, "at most 1 MiB", "the interpolated values are too large"))
 			in.size = 0
 			return v
 		}
@@ -63,7 +63,7 @@
 	return v
 }
 
-// expand returns a text with its variables replaced.
+// expand returns a text with its variables replaced. depth is the level of nesting within other variables.
 func (in *interpolator) expand(pos diagnostic.Pos, text string, depth int) (string, error) {
 	if depth > maxVariableDepth {
 		return "", diagnostic.Wantf(pos, "at most 16 levels", "variables are nested too deep")
@@ -84,7 +84,7 @@
 	}
 }
 
-// variable returns the value of the variable whose $ is before text, and how many bytes of text belong to it.
+// variable returns the value of a variable and how many bytes of text, which begins after the $, belong to it.
 func (in *interpolator) variable(pos diagnostic.Pos, text string, depth int) (replacement string, length int, err error) {
 	switch {
 	case strings.HasPrefix(text, "$"):
@@ -104,7 +104,7 @@
 	return in.lookUp(pos, text[:length]), length, nil
 }
 
-// closingBrace returns the index of the } that belongs to the { at the start, or -1.
+// closingBrace returns the index of the } that matches the { at the start of text, or -1.
 func closingBrace(text string) int {
 	depth := 0
 	for i := range len(text) {
@@ -120,7 +120,7 @@
 	return -1
 }
 
-// nameLength returns how many bytes at the start of text are a variable's name: letters, _ and, but for the first, digits.
+// nameLength returns how many bytes at the start of text are a variable's name: letters, _ and, except at the start, digits.
 func nameLength(text string) int {
 	for i := range len(text) {
 		c := text[i]
@@ -133,8 +133,8 @@
 	return len(text)
 }
 
-// braced returns the value of the text between braces: NAME, or NAME[:]OPERATOR with a text behind it. With : an empty
-// variable counts as one that is not set.
+// braced returns the value of the text between braces, which is NAME or NAME[:]OPERATOR followed by the operand. With a : an
+// empty variable is treated as unset.
 func (in *interpolator) braced(pos diagnostic.Pos, text string, depth int) (string, error) {
 	n := nameLength(text)
 	if n == 0 {
@@ -149,7 +149,7 @@
 		isSet = isSet && val != ""
 		rest = rest[1:]
 	}
-	errForm := diagnostic.Wantf(pos, "one of - ? + behind the name", "${%s} is not a form of variable", text)
+	errForm := diagnostic.Wantf(pos, "one of - ? + after the name", "${%s} has no valid operator", text)
 	if rest == "" {
 		return "", errForm
 	}
@@ -173,7 +173,8 @@
 	return "", errForm
 }
 
-// notSet returns the error for a required variable that is not set. message may hold variables itself; "" is a usual one.
+// notSet returns the error for a required variable that is not set. message may contain variables itself; if it is empty, a
+// default message is used.
 func (in *interpolator) notSet(pos diagnostic.Pos, name, message string, depth int) error {
 	message, err := in.expand(pos, message, depth+1)
 	if err != nil {
@@ -185,12 +186,12 @@
 	return diagnostic.Errorf(pos, "variable %s is not set: %s", name, message)
 }
 
-// lookUp returns the value of a variable; "" with a note, once for each, if it is not set.
+// lookUp returns the value of a variable. An unset variable is "", and the first use of it adds a note.
 func (in *interpolator) lookUp(pos diagnostic.Pos, name string) string {
 	val, ok := in.vars[name]
 	if !ok && !in.notedUnset[name] {
 		in.notedUnset[name] = true
-		in.addNote(pos, "variable "+name+" is not set; the empty string stands for it")
+		in.addNote(pos, "variable "+name+" is not set; the empty string is used")
 	}
 	return val
 }
--- a/internal/parse/compose/keyvalues.go
+++ b/internal/parse/compose/keyvalues.go
@@ -6,9 +6,9 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// keyValueFiles parses the files of KEY=VALUE lines that an element of a service names: a path, a mapping with the path, or a
-// list of these. Later files win. what is such a file in errors.
-func (d *decoder) keyValueFiles(service *value, key, what string) map[string]string {
+// keyValueFiles parses the files of KEY=VALUE lines that the element key of a service names: a path, a mapping with the path,
+// or a list of these. Later files override earlier ones. fileKind names such a file in errors.
+func (d *decoder) keyValueFiles(service *value, key, fileKind string) map[string]string {
 	pairs := map[string]string{}
 	v := service.get(key)
 	if v.isEmpty() {
@@ -19,13 +19,13 @@
 		entries = v.items
 	}
 	for _, entry := range entries {
-		d.keyValueFile(entry, key, what, pairs)
+		d.keyValueFile(entry, key, fileKind, pairs)
 	}
 	return pairs
 }
 
-// keyValueFile adds the lines of one file to pairs.
-func (d *decoder) keyValueFile(entry *value, key, what string, pairs map[string]string) {
+// keyValueFile adds the lines of one file to pairs. A missing file is an error unless the entry has required: false.
+func (d *decoder) keyValueFile(entry *value, key, fileKind string, pairs map[string]string) {
 	path, required := entry, true
 	if entry.kind == mapping {
 		d.checkKeys(entry, key, "path", "required", "format")
@@ -46,13 +46,13 @@
 		return
 	}
 	for i, line := range strings.Split(text, "\n") {
-		d.keyValueLine(line, diagnostic.Pos{File: file, Line: i + 1, Col: 1}, what, pairs)
+		d.keyValueLine(line, diagnostic.Pos{File: file, Line: i + 1, Col: 1}, fileKind, pairs)
 	}
 }
 
-// keyValueLine adds one line to pairs: [export ]KEY=VALUE with the value in quotes or without, or KEY, which takes the
-// variable's value. Empty lines and those that begin with # are ignored.
-func (d *decoder) keyValueLine(line string, pos diagnostic.Pos, what string, pairs map[string]string) {
+// keyValueLine adds one line to pairs: [export ]KEY=VALUE, with or without quotes around the value, or KEY alone, which takes
+// the value of the variable KEY. Empty lines and lines that begin with # are ignored.
+func (d *decoder) keyValueLine(line string, pos diagnostic.Pos, fileKind string, pairs map[string]string) {
 	line = strings.TrimSpace(strings.TrimSuffix(line, "\r"))
 	if line == "" || line[0] == '#' {
 		return
@@ -60,7 +60,7 @@
 	key, val, hasValue := strings.Cut(line, "=")
 	key = strings.TrimSpace(strings.TrimPrefix(key, "export "))
 	if key == "" || strings.ContainsAny(key, " \t") {
-		d.wantf(pos, "KEY=VALUE", "a line of the %s", what)
+		d.wantf(pos, "KEY=VALUE", "invalid line in the %s", fileKind)
 		return
 	}
 	if !hasValue {
@@ -70,7 +70,7 @@
 	pairs[key] = unquote(strings.TrimSpace(val))
 }
 
-// unquote returns the text between two equal quotes, or the text itself.
+// unquote returns the text without the quotes around it, if it has a pair of the same kind.
 func unquote(text string) string {
 	if len(text) > 1 && (text[0] == '"' || text[0] == '\'') && text[len(text)-1] == text[0] {
 		return text[1 : len(text)-1]
--- a/internal/parse/compose/loader.go
+++ b/internal/parse/compose/loader.go
@@ -4,16 +4,17 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// loader turns the files of a submission into one tree: variables, merge keys, extends and merges are resolved.
+// loader combines the files of a submission into one tree. It interpolates variables, expands merge keys, resolves extends
+// and merges the files.
 type loader struct {
 	in           *Input
-	budget       int // nodes that the files may still have
+	budget       int // number of nodes that further files may have
 	errs         *diagnostic.List
 	interpolator *interpolator
-	trees        map[string]*value // of the files loaded so far, by name
+	trees        map[string]*value // trees of the files loaded so far, by file name
 }
 
-// loadAll returns the one tree that all files make.
+// loadAll returns the merged tree of all files.
 func (l *loader) loadAll() (*value, error) {
 	ext := &extender{files: l.trees, resolved: map[serviceID]*value{}, load: l.loadReferenced}
 	var all *value
@@ -26,7 +27,7 @@
 			continue
 		}
 		l.trees[f.Name] = tree
-		// An extends without a file means the file that it is in, so it is resolved before files are merged.
+		// An extends without a file refers to its own file, so it is resolved before the files are merged.
 		resolved, err := resolveExtends(ext, f.Name, tree)
 		if err != nil {
 			return nil, err
@@ -43,7 +44,7 @@
 	return all, l.errs.Err()
 }
 
-// load returns the tree that a file's documents make; nil if there are none.
+// load returns the merged tree of the documents of a file, or nil if all are empty.
 func (l *loader) load(f File) (*value, error) {
 	docs, err := parseYAML(f.Name, []byte(f.Text), &l.budget)
 	if err != nil {
@@ -59,7 +60,8 @@
 	return all, nil
 }
 
-// loadReferenced loads a file that the file from names at pos, unless it is loaded, and returns its name.
+// loadReferenced loads the file that the file from refers to as name, unless it is loaded already, and returns its name in
+// the submission. The reference is at pos.
 func (l *loader) loadReferenced(from, name string, pos diagnostic.Pos) (string, error) {
 	file, text, err := l.in.find(from, name, pos)
 	if err != nil {
@@ -79,7 +81,7 @@
 	return file, nil
 }
 
-// resolveExtends returns the tree of a file with the extends of its services resolved.
+// resolveExtends returns the tree of a file with the element extends of its services resolved.
 func resolveExtends(ext *extender, file string, tree *value) (*value, error) {
 	services := tree.get("services")
 	if services == nil || services.kind != mapping {
--- a/internal/parse/compose/merge.go
+++ b/internal/parse/compose/merge.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// merge merges the tree override into base by the Compose Specification's chapter on merging: mappings are merged, lists
-// appended, single values replaced; mergeRules has the exceptions. path is the path of both in the document, with * for a
-// service's name. The result may share nodes with both trees. nil is an absent value.
+// merge returns the tree base with the tree override merged into it by the rules of the Compose Specification: mappings are
+// merged, lists are appended and single values are replaced. mergeRules has the exceptions. path is the path of both values
+// in the document, with * for a service's name. The result may share nodes with both trees. nil is an absent value.
 func merge(base, override *value, path string) *value {
 	switch {
 	case override == nil:
@@ -34,7 +34,7 @@
 	return mergeByKind(base, override, path)
 }
 
-// mergeByKind merges two values that have no rule of their own.
+// mergeByKind merges two values that no entry of mergeRules applies to.
 func mergeByKind(base, override *value, path string) *value {
 	switch {
 	case base.kind != override.kind:
@@ -47,6 +47,7 @@
 	return override
 }
 
+// mergeMappings merges two mappings by key. Keys of base come first.
 func mergeMappings(base, override *value, path string) *value {
 	merged := newMap(override.pos)
 	for _, key := range base.keys {
@@ -73,17 +74,17 @@
 	return path + "." + key
 }
 
-// mergeRule is how two values at one path are merged.
+// mergeRule determines how two values at one path are merged.
 type mergeRule uint8
 
 const (
-	byKind   mergeRule = iota // as mergeByKind does
+	byKind   mergeRule = iota // see mergeByKind
 	replaced                  // the later value replaces the earlier
-	keyed                     // a list of KEY=VALUE is read as a mapping first
-	unique                    // entries with one target replace each other
+	keyed                     // lists of KEY=VALUE are converted to mappings, which are merged
+	unique                    // an entry replaces an earlier one with the same target
 )
 
-// mergeRules are the rules of elements of a service; all other values are merged by kind.
+// mergeRules has the rules for elements of a service. All other values are merged by kind.
 var mergeRules = map[string]mergeRule{
 	"command": replaced, "entrypoint": replaced, "healthcheck.test": replaced,
 	"environment": keyed, "labels": keyed, "annotations": keyed, "extra_hosts": keyed, "sysctls": keyed,
@@ -99,8 +100,8 @@
 	return mergeRules[element]
 }
 
-// asMap reads a list of KEY=VALUE, or of plain names, as a mapping; a name alone has a value of kind null. It returns the
-// value itself if it is no list, or a list with an entry that is not a single value.
+// asMap converts a list of KEY=VALUE or KEY to a mapping, in which a KEY alone has a value of kind null. It returns v itself
+// if v is not a list or has an entry that is not a single value.
 func asMap(v *value) *value {
 	if v.kind != sequence {
 		return v
@@ -120,11 +121,11 @@
 	return m
 }
 
-// mergeUnique appends two lists whose entries are identified by their target: a later entry replaces an earlier one with the
-// same target.
+// mergeUnique appends two lists whose entries are identified by their targets: an entry replaces an earlier one with the
+// same target, in its place.
 func mergeUnique(base, override *value) *value {
 	merged := &value{pos: override.pos, kind: sequence}
-	indexes := map[string]int{} // by target
+	indexes := map[string]int{} // indexes in merged.items, by target
 	for _, item := range slices.Concat(base.items, override.items) {
 		target := targetOf(item)
 		if i, ok := indexes[target]; ok {
@@ -137,7 +138,7 @@
 	return merged
 }
 
-// targetOf returns what identifies a port, volume, device, secret or config inside the task.
+// targetOf returns the text that identifies a port, volume, device, secret or config inside the task.
 func targetOf(v *value) string {
 	if v.kind == mapping {
 		return targetOfMapping(v)
@@ -152,8 +153,8 @@
 	return v.text // a port: [IP:]PUBLISHED:TARGET
 }
 
-// targetOfMapping returns PUBLISHED:TARGET/PROTOCOL of an entry in the long form, each part only where it is given.
-// Without a target the source is used; without either the target is "".
+// targetOfMapping returns PUBLISHED:TARGET/PROTOCOL of an entry in the long form. PUBLISHED and PROTOCOL are left out where
+// the entry has none or the protocol is tcp. Without a target the source is used; without either the result is "".
 func targetOfMapping(v *value) string {
 	for _, key := range []string{"target", "source"} {
 		target := v.get(key)
--- a/internal/parse/compose/payload.go
+++ b/internal/parse/compose/payload.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	maxPayload = 32 << 10 // bytes that are passed to the host for one service
+	maxPayload = 32 << 10 // bytes of JSON for one service
 	gibibyte   = 1 << 30  // bytes
 )
 
-// alsoPassed are the elements of a service that are acted on here and passed to the host as well.
+// alsoPassed has the elements of a service that take effect here and are passed to the host as well.
 var alsoPassed = map[string]bool{
 	"ipc": true, "pid": true, "network_mode": true, "ports": true, "container_name": true, "platform": true,
 }
 
-// payload returns the JSON object of what only the host acts on; nil if it is too large. v is the service, deploy its element
-// of that name.
+// payload returns the JSON object that is passed to the host with each task, or nil if it is too large. v is the service,
+// deploy its element of that name.
 func (d *decoder) payload(s *servicespec.Service, v, deploy *value) []byte {
 	out := passedElements(v)
 	addIfAny(out, "limits", payloadLimits(s))
@@ -32,28 +32,28 @@
 	if pids := deploy.get("resources").get("limits").get("pids"); pids != nil {
 		out["pids"] = toJSON(pids)
 	}
-	for _, part := range []string{"networks", "volumes", "configs", "secrets"} {
-		addIfAny(out, "project_"+part, d.usedDefinitions(v, part))
+	for _, section := range []string{"networks", "volumes", "configs", "secrets"} {
+		addIfAny(out, "project_"+section, d.usedDefinitions(v, section))
 	}
 	data, err := json.Marshal(out)
 	if err != nil {
-		d.errorf(v.pos, "service %q cannot be passed on: %v", s.Name, err)
+		d.errorf(v.pos, "the payload of service %q cannot be encoded: %v", s.Name, err)
 	}
 	if len(data) > maxPayload {
-		d.wantf(v.pos, "at most 32 KiB", "service %q passes %d bytes to its host", s.Name, len(data))
+		d.wantf(v.pos, "at most 32 KiB", "the payload of service %q has %d bytes", s.Name, len(data))
 		return nil
 	}
 	return data
 }
 
-// addIfAny adds a map to a payload unless it is empty.
+// addIfAny adds a map to a payload unless the map is empty.
 func addIfAny[V any](payload map[string]any, key string, m map[string]V) {
 	if len(m) > 0 {
 		payload[key] = m
 	}
 }
 
-// payloadLimits returns what a task is limited to, in cores and bytes.
+// payloadLimits returns the limits of a task, in cores and bytes.
 func payloadLimits(s *servicespec.Service) map[string]any {
 	limits := map[string]any{}
 	if s.LimitCores > 0 {
@@ -67,21 +67,21 @@
 
 // passedElements returns the elements of a service that are passed to the host unchanged.
 func passedElements(service *value) map[string]any {
-	passedOn := map[string]any{}
+	out := map[string]any{}
 	for _, key := range service.keys {
 		e, known := serviceIndex[key]
 		isExtension := strings.HasPrefix(key, extensionPrefix) && key != extensionKey
 		if isExtension || known && e.treatment == passed || alsoPassed[key] {
-			passedOn[key] = toJSON(service.fields[key])
+			out[key] = toJSON(service.fields[key])
 		}
 	}
-	return passedOn
+	return out
 }
 
-// withFiles returns values and what the files that the element key names have beside them; a value given in both is that of
-// values.
-func (d *decoder) withFiles(values map[string]string, service *value, key, what string) map[string]string {
-	all := d.keyValueFiles(service, key, what)
+// withFiles returns values together with those of the files that the element key names. values take precedence. fileKind
+// names such a file in errors.
+func (d *decoder) withFiles(values map[string]string, service *value, key, fileKind string) map[string]string {
+	all := d.keyValueFiles(service, key, fileKind)
 	maps.Copy(all, values)
 	return all
 }
--- a/internal/parse/compose/placement.go
+++ b/internal/parse/compose/placement.go
@@ -8,13 +8,15 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// deployKeys are the elements of deploy. Some have rows for their own elements only, such as resources.limits.cpus.
+// deployKeys has the keys of deploy. For some of them deployElements has only rows of elements below them, such as
+// resources.limits.cpus for resources.
 var deployKeys = []string{
 	"endpoint_mode", "labels", "mode", "placement", "replicas", "resources", "restart_policy", "rollback_config",
 	"update_config",
 }
 
-// placement sets what affects where the service's tasks are placed. service is its mapping, deploy the element of that name.
+// placement sets the constraints, preferences and spread limits. service is the mapping of the service, deploy its element of
+// that name, or nil.
 func (d *decoder) placement(s *servicespec.Service, service, deploy *value) {
 	d.platform(s, service)
 	d.hostPorts(s, service)
@@ -44,7 +46,7 @@
 	}
 }
 
-// platform adds a platform, OS[/ARCHITECTURE[/VARIANT]], as constraints.
+// platform adds the constraints of a platform OS[/ARCHITECTURE[/VARIANT]]. The variant is ignored.
 func (d *decoder) platform(s *servicespec.Service, service *value) {
 	platform := d.ofKind(service.get("platform"), scalar, "platform")
 	if platform == nil {
@@ -57,7 +59,7 @@
 	}
 }
 
-// hostPorts limits a service that publishes a port of its host to one task a host.
+// hostPorts limits a service that publishes a port of the host to one task per host, since a port can be bound only once.
 func (d *decoder) hostPorts(s *servicespec.Service, service *value) {
 	ports := d.ofKind(service.get("ports"), sequence, "ports")
 	if ports == nil {
@@ -71,7 +73,7 @@
 	}
 }
 
-// preferences adds the attributes that the service's tasks are to be spread over.
+// preferences adds the attributes whose values the service's tasks should be spread over.
 func (d *decoder) preferences(s *servicespec.Service, placement *value) {
 	list := d.ofKind(placement.get("preferences"), sequence, "preferences")
 	if list == nil {
@@ -96,19 +98,19 @@
 	}
 }
 
-// labelPrefix is what the labels of hosts begin with in constraints and preferences.
+// labelPrefix is the prefix of host labels in constraints and preferences.
 const labelPrefix = "node.labels."
 
-// constraintForm is ATTRIBUTE == VALUE or ATTRIBUTE != VALUE; its groups are these three.
+// constraintForm matches ATTRIBUTE == VALUE and ATTRIBUTE != VALUE. Its groups are the attribute, the operator and the value.
 var constraintForm = regexp.MustCompile(`^\s*([A-Za-z0-9._/-]+)\s*(==|!=)\s*(.*?)\s*$`)
 
-// constraintAttributes are the attributes of hosts by their names in constraints.
+// constraintAttributes has the attributes of hosts, by their names in constraints.
 var constraintAttributes = map[string]servicespec.Attribute{
 	"node.id": "id", "node.hostname": "hostname", "node.role": "role",
 	"node.platform.os": "os", "node.platform.arch": "arch",
 }
 
-// constraint decodes one entry of constraints. ok is false where it is in error.
+// constraint decodes one entry of constraints. ok is false if it is in error.
 func (d *decoder) constraint(v *value) (c servicespec.Constraint, ok bool) {
 	groups := constraintForm.FindStringSubmatch(v.text)
 	if groups == nil || groups[3] == "" {
@@ -122,7 +124,7 @@
 	}
 	if !ok {
 		d.wantf(v.pos, "node.id, node.hostname, node.role, node.platform.os, node.platform.arch or node.labels.NAME",
-			"no host tells %q", name)
+			"hosts have no attribute %q", name)
 	}
 	return servicespec.Constraint{Attribute: attribute, Not: operator == "!=", Value: text, Pos: v.pos}, ok
 }
--- a/internal/parse/compose/policies.go
+++ b/internal/parse/compose/policies.go
@@ -7,12 +7,12 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// restartConditions are the values of restart_policy.condition.
+// restartConditions has the values of restart_policy.condition.
 var restartConditions = map[string]servicespec.RestartCondition{
 	"any": servicespec.Always, "on-failure": servicespec.OnFailure, "none": servicespec.Never,
 }
 
-// restart sets what follows the end of a task: deploy.restart_policy, or restart where that says nothing.
+// restart sets the restart policy. Fields of deploy.restart_policy override the element restart of the service.
 func (d *decoder) restart(s *servicespec.Service, service, deploy *value) {
 	if s.Mode.Job() {
 		s.Restart.When = servicespec.OnFailure
@@ -25,7 +25,8 @@
 	}
 }
 
-// shortRestart decodes the element restart of a service: a condition, with a number of restarts where it is on-failure.
+// shortRestart decodes the element restart of a service: a condition, which for on-failure may have a maximum number of
+// restarts.
 func (d *decoder) shortRestart(r *servicespec.Restart, v *value) {
 	condition, count, hasCount := strings.Cut(v.text, ":")
 	switch condition {
@@ -48,6 +49,7 @@
 	r.MaxRestarts = n
 }
 
+// restartPolicy decodes the fields of deploy.restart_policy.
 func (d *decoder) restartPolicy(r *servicespec.Restart, policy *value) {
 	d.checkKeys(policy, "restart_policy", "condition", "delay", "max_attempts", "window")
 	choiceField(d, &r.When, policy, "condition", restartConditions, "any, on-failure or none")
@@ -58,15 +60,15 @@
 	d.durationField(&r.Window, policy, "window", 0, maxTaskTime)
 }
 
-// failureActions are the values of update_config.failure_action.
+// failureActions has the values of update_config.failure_action.
 var failureActions = map[string]servicespec.FailureAction{
 	"pause": servicespec.Pause, "continue": servicespec.Continue, "rollback": servicespec.Rollback,
 }
 
-// updateKeys are the elements of update_config and rollback_config.
+// updateKeys has the keys of update_config and rollback_config.
 var updateKeys = []string{"parallelism", "delay", "failure_action", "monitor", "max_failure_ratio", "order"}
 
-// update sets how the service's running tasks are replaced when it has changed.
+// update sets how running tasks are replaced after a change of the service. rollback_config is only checked.
 func (d *decoder) update(s *servicespec.Service, deploy *value) {
 	config := d.ofKind(deploy.get("update_config"), mapping, "update_config")
 	if rollback := d.ofKind(deploy.get("rollback_config"), mapping, "rollback_config"); rollback != nil {
--- a/internal/parse/compose/references.go
+++ b/internal/parse/compose/references.go
@@ -2,8 +2,9 @@
 
 import "strings"
 
-// References lists the other files that a file names by extends, env_file and label_file, as written, so that a client can
-// send them along. A file that cannot be parsed names none, and neither does a name that holds a variable.
+// References returns the names, as written, of the other files that a file refers to by extends, env_file and label_file,
+// for a client that adds these files to the submission. There are none if the file cannot be parsed. A name that contains a
+// variable is left out.
 func References(f File) []string {
 	budget := maxNodes
 	docs, err := parseYAML(f.Name, []byte(f.Text), &budget)
@@ -23,6 +24,7 @@
 	return names
 }
 
+// appendServiceReferences appends the names of the files that a service refers to.
 func appendServiceReferences(names []string, service *value) []string {
 	names = appendReference(names, service.get("extends").get("file"))
 	for _, key := range []string{"env_file", "label_file"} {
@@ -39,7 +41,7 @@
 	return names
 }
 
-// appendReference appends the text of v if it is a literal name.
+// appendReference appends the text of v if it is a name without variables.
 func appendReference(names []string, v *value) []string {
 	if v == nil || v.kind != scalar || v.text == "" || strings.Contains(v.text, "$") {
 		return names
--- a/internal/parse/compose/replicas.go
+++ b/internal/parse/compose/replicas.go
@@ -2,13 +2,14 @@
 
 import "forkhead/internal/parse/servicespec"
 
-// modes are the values of deploy.mode.
+// modes has the values of deploy.mode.
 var modes = map[string]servicespec.Mode{
 	"replicated": servicespec.Replicated, "global": servicespec.Global,
 	"replicated-job": servicespec.ReplicatedJob, "global-job": servicespec.GlobalJob,
 }
 
-// replicas sets how many tasks the service has. service is its mapping, deploy the element of that name.
+// replicas sets the mode and the number of tasks. service is the mapping of the service, deploy its element of that name, or
+// nil.
 func (d *decoder) replicas(s *servicespec.Service, service, deploy *value) {
 	choiceField(d, &s.Mode, deploy, "mode", modes, "replicated, global, replicated-job, global-job")
 	replicas := deploy.get("replicas")
--- a/internal/parse/compose/resources.go
+++ b/internal/parse/compose/resources.go
@@ -7,13 +7,13 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// What a task reserves where the description has neither a reservation nor a limit.
+// The reservations of a task for which the description has neither a reservation nor a limit.
 const (
 	defaultCores  = 0.25
 	defaultMemory = 0.25 // GiB
 )
 
-// resources sets what the service's tasks reserve and are limited to.
+// resources sets the reservations and limits of the service's tasks.
 func (d *decoder) resources(s *servicespec.Service, service, deploy *value) {
 	limits, reserved := d.resourceParts(deploy)
 	s.LimitCores = d.cores(limits.get("cpus"), service.get("cpus"))
@@ -30,7 +30,8 @@
 	s.Memory = cmp.Or(s.Memory, s.LimitMemory, defaultMemory)
 }
 
-// resourceParts returns the limits and reservations of deploy, their keys checked; nil where there are none.
+// resourceParts returns the limits and reservations of deploy, or nil for those that deploy does not have. It checks their
+// keys.
 func (d *decoder) resourceParts(deploy *value) (limits, reserved *value) {
 	resources := d.ofKind(deploy.get("resources"), mapping, "resources")
 	if resources == nil {
@@ -50,7 +51,7 @@
 	}
 }
 
-// cores returns the first number of cores that is given; 0 if none is.
+// cores returns the number of cores in the first alternative that is present, or 0 if none is.
 func (d *decoder) cores(alternatives ...*value) float64 {
 	if v := firstNonEmpty(alternatives); v != nil {
 		return d.number(v, "cpus", 0.001, 1e5)
@@ -58,7 +59,7 @@
 	return 0
 }
 
-// memory returns the first amount of memory that is given, in GiB; 0 if none is.
+// memory returns the amount of memory in the first alternative that is present, in GiB, or 0 if none is.
 func (d *decoder) memory(alternatives ...*value) float64 {
 	if v := firstNonEmpty(alternatives); v != nil {
 		return d.bytes(v, "memory")
--- a/internal/parse/compose/value.go
+++ b/internal/parse/compose/value.go
@@ -12,26 +12,26 @@
 	sequence
 )
 
-// String returns the kind as errors name it.
+// String returns the kind in the wording of errors.
 func (k kind) String() string {
 	return [...]string{"nothing", "a single value", "a mapping", "a list"}[k]
 }
 
-// The tags of YAML that the chapter on merging defines.
+// The YAML tags that the Compose Specification defines for merging.
 const (
-	tagReset    = "!reset"    // removes the values of earlier files
-	tagOverride = "!override" // replaces the values of earlier files
+	tagReset    = "!reset"    // removes the value of earlier files
+	tagOverride = "!override" // replaces the value of earlier files, without merging
 )
 
-// value is a node of a tree whose aliases and merge keys are expanded. Trees are not changed once built, so that merged
-// trees share nodes.
+// value is a node of a tree whose aliases and merge keys are expanded. Trees are not modified once they are built, since
+// merged trees share nodes.
 type value struct {
 	pos    diagnostic.Pos
 	kind   kind
-	text   string // of a scalar
-	plain  bool   // the scalar was written without quotes
-	tag    string // tagReset or tagOverride, else ""
-	items  []*value
+	text   string   // text of a scalar
+	plain  bool     // the scalar was written without quotes
+	tag    string   // tagReset or tagOverride, else ""
+	items  []*value // of a sequence
 	keys   []string // of a mapping, in the order of the file
 	fields map[string]*value
 	keyPos map[string]diagnostic.Pos
@@ -42,7 +42,7 @@
 	return &value{pos: pos, kind: mapping, fields: map[string]*value{}, keyPos: map[string]diagnostic.Pos{}}
 }
 
-// get returns a field of a mapping; nil if there is none, or the value is absent or no mapping.
+// get returns a field of a mapping, or nil if there is no such field or v is nil or not a mapping.
 func (v *value) get(key string) *value {
 	if v == nil || v.kind != mapping {
 		return nil
@@ -58,5 +58,5 @@
 	v.fields[key], v.keyPos[key] = field, pos
 }
 
-// isEmpty reports whether a value is absent or empty.
+// isEmpty reports whether a value is absent or null.
 func (v *value) isEmpty() bool { return v == nil || v.kind == null }
--- a/internal/parse/compose/values.go
+++ b/internal/parse/compose/values.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// pairs decodes a mapping, or a list of KEY=VALUE, of single values. In an environment a name alone takes the variable's
-// value, and is left out without one; elsewhere its value is "".
+// pairs decodes a mapping of single values or a list of KEY=VALUE. In an environment, a KEY alone takes the value of the
+// variable KEY and is left out if that is not set. Elsewhere the value of a KEY alone is "".
 func (d *decoder) pairs(v *value, name string) map[string]string {
 	out := map[string]string{}
 	if v == nil || v.kind == null {
@@ -54,7 +54,7 @@
 	return out
 }
 
-// texts decodes a list of single values into their texts.
+// texts decodes a list of single values and returns their texts.
 func (d *decoder) texts(v *value, name string) []string {
 	var out []string
 	for _, item := range d.list(v, name) {
@@ -63,7 +63,7 @@
 	return out
 }
 
-// integer decodes a whole number from lo to hi. ok is false where it is in error.
+// integer decodes a whole number from lo to hi. ok is false if it is in error.
 func (d *decoder) integer(v *value, name string, lo, hi int) (n int, ok bool) {
 	if v.kind == scalar {
 		if n, err := strconv.Atoi(strings.TrimSpace(v.text)); err == nil && n >= lo && n <= hi {
@@ -74,7 +74,7 @@
 	return 0, false
 }
 
-// number decodes a number from lo to hi.
+// number decodes a number from lo to hi, and returns 0 if it is in error.
 func (d *decoder) number(v *value, name string, lo, hi float64) float64 {
 	if v.kind == scalar {
 		x, err := strconv.ParseFloat(strings.TrimSpace(v.text), 64)
@@ -86,7 +86,7 @@
 	return 0
 }
 
-// boolean decodes a truth value by its text.
+// boolean decodes a boolean, with or without quotes.
 func (d *decoder) boolean(v *value, name string) bool {
 	switch v.text {
 	case "true", "yes", "on":
@@ -98,13 +98,13 @@
 	return false
 }
 
-// durationForm has a group for each of durationUnits.
+// durationForm matches durations of the Compose Specification. It has a group for each of durationUnits.
 var (
 	durationForm  = regexp.MustCompile(`^(?:(\d+)h)?(?:(\d+)m)?(?:(\d+)s)?(?:(\d+)ms)?(?:(\d+)us)?$`)
 	durationUnits = []time.Duration{time.Hour, time.Minute, time.Second, time.Millisecond, time.Microsecond}
 )
 
-// duration decodes a duration from lo to hi.
+// duration decodes a duration from lo to hi, and returns 0 if it is in error.
 func (d *decoder) duration(v *value, name string, lo, hi time.Duration) time.Duration {
 	if v.kind == scalar {
 		if sum, ok := parseDuration(v.text); ok && sum >= lo && sum <= hi {
@@ -115,16 +115,16 @@
 	return 0
 }
 
-// durationField sets a duration to what a field of a mapping says, and leaves it as it is where there is no such field.
+// durationField stores the duration in the field key of m, which must be from lo to hi. Without that field, to is unchanged.
 func (d *decoder) durationField(to *time.Duration, m *value, key string, lo, hi time.Duration) {
 	if v := m.get(key); v != nil {
 		*to = d.duration(v, key, lo, hi)
 	}
 }
 
-// parseDuration parses the specification's form: 1h30m, 90s, 500ms, 20us and their sums, or 0.
+// parseDuration parses a duration of the Compose Specification: 1h30m, 90s, 500ms, 20us and their sums, or 0.
 func parseDuration(text string) (sum time.Duration, ok bool) {
-	const longest = 1 << 62 // of one unit: the sum of all may overflow, which shows as a negative number
+	const longest = 1 << 62 // ns per unit; the sum of several may overflow to a negative number, which is detected below
 	if text == "0" {
 		return 0, true
 	}
@@ -148,13 +148,13 @@
 	return sum, true
 }
 
-// bytesForm has groups for the number and the unit.
+// bytesForm matches byte values of the Compose Specification. Its groups are the number and the unit.
 var bytesForm = regexp.MustCompile(`^(?i)\s*(\d+(?:\.\d+)?)\s*(b|k|kb|kib|m|mb|mib|g|gb|gib|t|tb|tib)?\s*$`)
 
-// unitShifts are the binary logarithms of the units of bytes, by their first letter.
+// unitShifts has the binary logarithms of the units of bytes, by first letter.
 var unitShifts = map[string]int{"": 0, "b": 0, "k": 10, "m": 20, "g": 30, "t": 40}
 
-// bytes decodes an amount of bytes, of at least one, into GiB.
+// bytes decodes an amount of at least one byte, and returns it in GiB.
 func (d *decoder) bytes(v *value, name string) float64 {
 	const maxBytes = 1 << 50
 	if v.kind == scalar {
@@ -166,7 +166,7 @@
 	return 0
 }
 
-// parseBytes parses a byte value of the specification, whose units count by 1024.
+// parseBytes parses a byte value of the Compose Specification, whose units are powers of 1024.
 func parseBytes(text string) (amount float64, ok bool) {
 	groups := bytesForm.FindStringSubmatch(text)
 	if groups == nil {
@@ -178,8 +178,8 @@
 	return amount * float64(int64(1)<<shift), err == nil
 }
 
-// choiceField sets to what a field of a mapping means by a table, and leaves it as it is where there is no such
-// field. want lists the values in an error.
+// choiceField stores the value that meanings has for the field key of m. Without that field, to is unchanged. want lists the
+// valid texts in an error.
 func choiceField[T any](d *decoder, to *T, m *value, key string, meanings map[string]T, want string) {
 	v := d.ofKind(m.get(key), scalar, key)
 	if v == nil {
@@ -192,7 +192,7 @@
 	*to = choice
 }
 
-// describe returns a value as errors show it.
+// describe returns the form of a value that is shown in errors.
 func describe(v *value) string {
 	if v.kind == scalar {
 		return strconv.Quote(v.text)
@@ -200,8 +200,8 @@
 	return v.kind.String()
 }
 
-// toJSON turns a value into what encoding/json writes. Scalars without quotes that YAML reads as numbers or truth values are
-// written as such.
+// toJSON converts a value for encoding/json. Unquoted scalars that are numbers or booleans in YAML are converted to these
+// types, all others to strings.
 func toJSON(v *value) any {
 	if v == nil {
 		return nil
--- a/internal/parse/compose/yaml.go
+++ b/internal/parse/compose/yaml.go
@@ -10,18 +10,18 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// Bounds of the YAML of one submission.
+// The limits of the YAML in one submission.
 const (
-	maxNodes     = 50_000 // of all files, after aliases and merge keys are expanded
+	maxNodes     = 50_000 // in all files, after expansion of aliases and merge keys
 	maxDepth     = 64     // levels of nesting
 	maxDocuments = 64     // in one file
 )
 
-// mergeKey is YAML's key for fields that are taken over from other mappings.
+// mergeKey is the YAML key whose value is a mapping, or a list of mappings, that fields are copied from.
 const mergeKey = "<<"
 
-// parseYAML reads all documents of one file that are not empty. budget is how many more nodes the submission may have; the
-// file's are taken off.
+// parseYAML returns the documents of one file that are not empty. budget is the number of nodes that the submission may still
+// have, from which those of the file are subtracted.
 func parseYAML(file string, text []byte, budget *int) ([]*value, error) {
 	decoder := yaml.NewDecoder(strings.NewReader(string(text)))
 	var docs []*value
@@ -49,9 +49,9 @@
 	}
 }
 
-// syntaxError gives an error of the YAML parser the line that its text names, and the first line where it names none.
+// syntaxError returns an error of the YAML parser at the line that its text begins with, or else at the first line.
 func syntaxError(file string, err error) error {
-	const maxLine = 1 << 24 // larger numbers are truncated
+	const maxLine = 1 << 24 // further digits are not read, to avoid an overflow
 	text := strings.TrimPrefix(err.Error(), "yaml: ")
 	pos := diagnostic.Pos{File: file, Line: 1, Col: 1}
 	if rest, ok := strings.CutPrefix(text, "line "); ok {
@@ -64,26 +64,26 @@
 	return diagnostic.Errorf(pos, "not readable as YAML: %s", text)
 }
 
-// builder expands YAML nodes into values.
+// builder converts YAML nodes to values, with aliases and merge keys expanded.
 type builder struct {
 	file     string
 	budget   int                 // nodes that may still be built
-	building map[*yaml.Node]bool // lists and mappings that are being built: an alias to one would not end
+	building map[*yaml.Node]bool // lists and mappings being built: an alias to one would expand without end
 }
 
 func (b *builder) posOf(n *yaml.Node) diagnostic.Pos {
 	return diagnostic.Pos{File: b.file, Line: n.Line, Col: n.Column}
 }
 
-// build returns the value of a node at a depth of nesting.
+// build returns the value of a node. depth is its level of nesting.
 func (b *builder) build(n *yaml.Node, depth int) (*value, error) {
 	pos := b.posOf(n)
-	// Aliases can unfold into more than memory holds.
+	// Without a limit, aliases could expand to more than memory holds.
 	if b.budget--; b.budget < 0 {
-		return nil, diagnostic.Wantf(pos, "at most 50000 nodes", "the files unfold to too much")
+		return nil, diagnostic.Wantf(pos, "at most 50000 nodes", "the files have too many nodes, with aliases expanded")
 	}
 	if depth > maxDepth {
-		return nil, diagnostic.Wantf(pos, "at most 64 levels", "nested too deep")
+		return nil, diagnostic.Wantf(pos, "at most 64 levels", "nested too deeply")
 	}
 	switch n.Kind {
 	case yaml.DocumentNode:
@@ -92,7 +92,7 @@
 		}
 	case yaml.AliasNode:
 		if b.building[n.Alias] {
-			return nil, diagnostic.Errorf(pos, "the alias *%s stands inside what it names", n.Value)
+			return nil, diagnostic.Errorf(pos, "the alias *%s refers to a node that contains it", n.Value)
 		}
 		return b.build(n.Alias, depth+1)
 	case yaml.ScalarNode:
@@ -140,7 +140,7 @@
 	return v, nil
 }
 
-// mapping builds a mapping; merge keys give what the mapping itself does not name.
+// mapping builds a mapping. Fields from merge keys are added unless the mapping has fields of these names itself.
 func (b *builder) mapping(n *yaml.Node, depth int) (*value, error) {
 	b.building[n] = true
 	defer delete(b.building, n)
@@ -166,7 +166,7 @@
 			continue
 		}
 		if _, ok := v.fields[key.Value]; ok {
-			return nil, diagnostic.Errorf(keyPos, "%q stands here a second time", key.Value)
+			return nil, diagnostic.Errorf(keyPos, "duplicate key %q", key.Value)
 		}
 		v.set(key.Value, keyPos, field)
 	}
@@ -174,7 +174,7 @@
 	return v, nil
 }
 
-// mergeSources returns the mappings that a merge key names: one, or a list.
+// mergeSources returns the mappings in the value of a merge key, which is one mapping or a list of them.
 func mergeSources(v *value) ([]*value, error) {
 	sources := []*value{v}
 	if v.kind == sequence {
@@ -188,7 +188,7 @@
 	return sources, nil
 }
 
-// addMissingFields adds the fields of the sources that v does not have; earlier sources win over later ones.
+// addMissingFields adds the fields of the sources that v does not have. Earlier sources take precedence over later ones.
 func addMissingFields(v *value, sources []*value) {
 	for _, source := range sources {
 		for _, key := range source.keys {
--- a/internal/parse/servicespec/check.go
+++ b/internal/parse/servicespec/check.go
@@ -7,8 +7,8 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// Check sorts the services by name. It returns an error if a service depends on one that is missing, or on itself by way of
-// others.
+// Check sorts the services by name. It returns an error if a service depends on a missing one, or if dependencies form a
+// cycle.
 func (d *Description) Check() error {
 	slices.SortFunc(d.Services, func(a, b Service) int { return strings.Compare(a.Name, b.Name) })
 	if err := d.checkDependencies(); err != nil {
@@ -23,42 +23,42 @@
 	return nil
 }
 
-// checkDependencies returns all dependencies that are missing and not optional.
+// checkDependencies returns an error that lists the dependencies on missing services, except for optional ones.
 func (d *Description) checkDependencies() error {
 	errs := &diagnostic.List{}
 	for i := range d.Services {
 		for _, dep := range d.Services[i].DependsOn {
 			if d.Service(dep.Service) == nil && !dep.Optional {
-				errs.Add(diagnostic.Errorf(dep.Pos, "service %q depends on %q, which is not here", d.Services[i].Name, dep.Service))
+				errs.Add(diagnostic.Errorf(dep.Pos, "service %q depends on %q, which is not defined", d.Services[i].Name, dep.Service))
 			}
 		}
 	}
 	return errs.Err()
 }
 
-// visitState is how far a depth-first search is with a service.
+// visitState is the progress of a depth-first search at one service.
 type visitState uint8
 
 const (
 	unvisited visitState = iota
-	visiting             // on the path to the service that is visited now
-	visited              // neither it nor what it depends on is on a cycle
+	visiting             // on the path to the service that is being visited
+	visited              // neither the service nor any of its dependencies is on a cycle
 )
 
-// cycleSearch is a depth-first search for services that depend on each other.
+// cycleSearch is a depth-first search for dependency cycles.
 type cycleSearch struct {
 	description *Description
-	states      map[string]visitState // by name
+	states      map[string]visitState // by service name
 }
 
-// visit returns an error if a cycle can be reached from the service. path has the names on the way to it.
+// visit returns an error if a cycle can be reached from the service. path lists the names of the services that lead to it.
 func (c *cycleSearch) visit(s *Service, path []string) error {
 	switch c.states[s.Name] {
 	case visited:
 		return nil
 	case visiting:
 		cycle := append(path[slices.Index(path, s.Name):], s.Name)
-		return diagnostic.Errorf(s.Pos, "depends_on goes round: %s", strings.Join(cycle, " -> "))
+		return diagnostic.Errorf(s.Pos, "depends_on forms a cycle: %s", strings.Join(cycle, " -> "))
 	}
 	c.states[s.Name] = visiting
 	for _, dep := range s.DependsOn {
--- a/internal/parse/servicespec/keys.go
+++ b/internal/parse/servicespec/keys.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Fingerprint returns a number that changes with anything that a running task of the service is made of. Replicas, waits and
-// what affects only the next placement are left out.
+// Fingerprint returns a hash of the fields that determine a running task of the service. The number of replicas, the
+// timeouts and whatever affects only the next placement are left out.
 func (s *Service) Fingerprint() uint64 {
 	text := fmt.Appendf(nil, "%s|%s|%g|%g|%g|%g|%d|%s", s.Class, s.Tenant, s.Cores, s.Memory, s.LimitCores, s.LimitMemory,
 		s.StopGrace, s.Payload)
@@ -21,13 +21,13 @@
 	return hash(text)
 }
 
-// TaskKey returns the number under which a task is known at every host and placer, the same each time that its project is
-// submitted. It is never 0.
+// TaskKey returns the key that identifies a task at every host and placer. It is the same each time that the project is
+// submitted, and never 0.
 func TaskKey(tenant, project, service string, replica int) uint64 {
 	return max(hash(fmt.Appendf(nil, "%q %q %q %d", tenant, project, service, replica)), 1)
 }
 
-// ServiceKey returns the number under which a service is known. It is never 0.
+// ServiceKey returns the key that identifies a service. It is never 0.
 func ServiceKey(tenant, project, service string) uint64 {
 	return TaskKey(tenant, project, service, -1)
 }
--- a/internal/parse/servicespec/servicespec.go
+++ b/internal/parse/servicespec/servicespec.go
@@ -1,7 +1,7 @@
-// Package servicespec is the model of a service specification that every source format is parsed into: what is to run, how
-// many times, and what affects where.
+// Package servicespec is the model of a service specification, which every source format is parsed into: what to run, how
+// many tasks of it, and what affects their placement.
 //
-// Specifications are stored as JSON. Fields keep the names of the first stored ones there.
+// Specifications are stored as JSON. The tags of renamed fields keep the names that stored specifications have.
 package servicespec
 
 import (
@@ -14,33 +14,33 @@
 
 // Description is the specification of one project.
 type Description struct {
-	Name         string    // of the project; "" if the source names none
+	Name         string    // name of the project; "" if the source has none
 	Services     []Service // sorted by name, once Check has passed
-	Notes        []Note    // elements that are not acted on
-	AllOrNothing bool      `json:"Whole"` // place all of its tasks, or none
+	Notes        []Note    // elements of the source that have no effect
+	AllOrNothing bool      `json:"Whole"` // place all tasks or none: reject a project proven not to fit
 }
 
-// Note reports an element that is not acted on.
+// Note reports an element of the source that has no effect.
 type Note struct {
 	Pos  diagnostic.Pos
 	Text string
 }
 
-// Mode is how many tasks a service has and whether they end by themselves. It is stored as a number.
+// Mode determines how many tasks a service has and whether they end by themselves. It is stored as a number.
 type Mode uint8
 
 // The modes.
 const (
-	Replicated    Mode = iota // Replicas tasks that run on
-	Global                    // one task on each fitting host
+	Replicated    Mode = iota // Replicas tasks that run until they are stopped
+	Global                    // one task that runs until it is stopped, on each host that fits
 	ReplicatedJob             // Replicas tasks that end by themselves
-	GlobalJob                 // one that ends, on each fitting host
+	GlobalJob                 // one task that ends by itself, on each host that fits
 )
 
-// Job reports whether the tasks are meant to end.
+// Job reports whether the tasks end by themselves.
 func (m Mode) Job() bool { return m == ReplicatedJob || m == GlobalJob }
 
-// PerHost reports whether the number of tasks follows the hosts.
+// PerHost reports whether the number of tasks follows from the number of hosts.
 func (m Mode) PerHost() bool { return m == Global || m == GlobalJob }
 
 // Service is one service of a project.
@@ -55,23 +55,23 @@
 	Memory           float64       // GiB reserved for each task
 	LimitCores       float64       // 0: none
 	LimitMemory      float64       // GiB; 0: none
-	ExpectedRuntime  time.Duration `json:"Life"`     // how long a task runs, roughly; 0: not known
-	RequestTimeout   time.Duration `json:"Wait"`     // of one placement request; 0: the class's
-	PlacementTimeout time.Duration `json:"Patience"` // how long a task is requested again and again; 0: the class's
+	ExpectedRuntime  time.Duration `json:"Life"`     // approximate run time of a task; 0: not known
+	RequestTimeout   time.Duration `json:"Wait"`     // timeout of one placement request; 0: that of the class
+	PlacementTimeout time.Duration `json:"Patience"` // how long the placement of a task is requested again; 0: that of the class
 	Constraints      []Constraint
-	Preferences      []Attribute   // spread evenly over these, as far as it goes
+	Preferences      []Attribute   // best effort: tasks are spread evenly over the values of each
 	SpreadLimits     []SpreadLimit `json:"Limits"`
-	Near             []Near        // services that its tasks have to be beside
+	Near             []Near        // services whose domains its tasks must share
 	Restart          Restart
 	Update           Update
 	DependsOn        []Dependency
 	Labels           map[string]string
-	StopGrace        time.Duration // between a stop and the kill; 0: the host's
-	Payload          []byte        // JSON of what only the host acts on
+	StopGrace        time.Duration // time between the request to stop and the kill; 0: that of the host
+	Payload          []byte        // JSON object that is passed to the host and has no other use
 }
 
-// Attribute names something of a host: id, hostname, role, os, arch or label.NAME. Its kind, zone and rack are label.kind,
-// label.zone and label.rack.
+// Attribute names an attribute of a host: id, hostname, role, os, arch or label.NAME. The machine type, zone and rack of a
+// host are label.kind, label.zone and label.rack.
 type Attribute string
 
 // Constraint is a condition on a host's attribute.
@@ -82,7 +82,7 @@
 	Pos       diagnostic.Pos
 }
 
-// String gives the constraint in Compose's form.
+// String returns the constraint in the syntax of Compose, but with the attribute names of this package.
 func (c Constraint) String() string {
 	op := "=="
 	if c.Not {
@@ -91,78 +91,78 @@
 	return string(c.Attribute) + " " + op + " " + c.Value
 }
 
-// SpreadLimit is the most tasks of the service in one domain.
+// SpreadLimit is the maximum number of tasks of the service in one domain.
 type SpreadLimit struct {
 	Domain   string `json:"Place"` // machine, rack or zone
 	MaxTasks int    `json:"Most"`
 	Pos      diagnostic.Pos
 }
 
-// Near keeps a service's tasks to domains where another service of the project has one.
+// Near restricts a service's tasks to domains in which another service of the project has a task.
 type Near struct {
 	Service string
 	Domain  string `json:"Place"` // machine, rack or zone
 	Pos     diagnostic.Pos
 }
 
-// RestartCondition is when an ended task is started again. It is stored as a number.
+// RestartCondition determines whether an ended task is restarted. It is stored as a number.
 type RestartCondition uint8
 
-// The conditions of a restart.
+// The restart conditions.
 const (
 	Always RestartCondition = iota
 	OnFailure
 	Never
 )
 
-// Restart is what follows the end of a task.
+// Restart is the policy for restarting an ended task.
 type Restart struct {
 	When        RestartCondition
-	Delay       time.Duration
+	Delay       time.Duration // before a restart
 	MaxRestarts int           `json:"Most"` // restarts in Window; 0: no limit
 	Window      time.Duration // 0: unlimited
 }
 
-// FailureAction is what an update does when too many tasks fail. It is stored as a number.
+// FailureAction is how an update reacts to too many failed tasks. It is stored as a number.
 type FailureAction uint8
 
-// The actions.
+// The failure actions.
 const (
 	Pause FailureAction = iota
 	Continue
 	Rollback
 )
 
-// Update is how a changed service replaces its running tasks.
+// Update determines how the running tasks of a changed service are replaced.
 type Update struct {
-	Parallel        int           // tasks at a time; 0: all
-	Delay           time.Duration // between one group of tasks and the next
+	Parallel        int           // tasks replaced at a time; 0: all
+	Delay           time.Duration // between one batch of tasks and the next
 	FailureAction   FailureAction `json:"OnTrouble"`
-	Monitor         time.Duration // how long a replaced task is watched for a failure
-	MaxFailureRatio float64       `json:"MaxFailed"` // share of tasks that may fail, 0 to 1
-	StartFirst      bool          // start a task's successor before the task is stopped
+	Monitor         time.Duration // how long a replaced task is monitored for a failure
+	MaxFailureRatio float64       `json:"MaxFailed"` // ratio of tasks that may fail, 0 to 1
+	StartFirst      bool          // start the new task before the old one is stopped
 }
 
-// DependencyCondition is what a dependency must have reached. It is stored as a number.
+// DependencyCondition is the state that a dependency must have reached. It is stored as a number.
 type DependencyCondition uint8
 
-// The conditions.
+// The dependency conditions.
 const (
 	Started   DependencyCondition = iota // all its tasks are placed
-	Healthy                              // as Started: hosts report that a task runs, not that it is well
-	Completed                            // all its tasks ended well
+	Healthy                              // same as Started: hosts report that a task runs, not that it is healthy
+	Completed                            // all its tasks ended successfully
 )
 
-// Dependency is a service that goes first.
+// Dependency is a service that must reach a condition first.
 type Dependency struct {
 	Service  string
 	When     DependencyCondition
-	Optional bool
-	Restart  bool // replaced when the dependency is; not acted on
+	Optional bool // the service may be missing
+	Restart  bool // replace the tasks when the dependency is replaced; has no effect
 	Pos      diagnostic.Pos
 }
 
-// Service returns a service by name, or nil.
+// Service returns the service of a name, or nil. The services must be sorted, as by Check.
 func (d *Description) Service(name string) *Service {
 	i, ok := slices.BinarySearchFunc(d.Services, name, func(s Service, n string) int { return strings.Compare(s.Name, n) })
 	if !ok {
@@ -171,7 +171,7 @@
 	return &d.Services[i]
 }
 
-// Tasks counts the tasks of services whose number does not follow the hosts.
+// Tasks returns the number of tasks, without those of services whose mode is per host.
 func (d *Description) Tasks() int {
 	n := 0
 	for _, s := range d.Services {
--- a/internal/parse/servicespec/servicespec_test.go
+++ b/internal/parse/servicespec/servicespec_test.go
@@ -7,7 +7,7 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// dependingOn returns a service that depends on others.
+// dependingOn returns a service that depends on the others.
 func dependingOn(name string, others ...string) Service {
 	s := Service{Name: name, Pos: diagnostic.Pos{File: "f", Line: 1, Col: 1}}
 	for _, other := range others {
@@ -23,50 +23,50 @@
 	}
 	for _, name := range []string{"a", "b", "c"} {
 		if s := d.Service(name); s == nil || s.Name != name {
-			t.Errorf("service %s is %+v", name, s)
+			t.Errorf("Service(%q) = %+v after Check, want the service of that name", name, s)
 		}
 	}
 	if s := d.Service("d"); s != nil {
-		t.Errorf("service d is %+v", s)
+		t.Errorf("Service(\"d\") = %+v, want nil for an unknown name", s)
 	}
 }
 
-func TestCheckDependencies(t *testing.T) {
+func TestCheckRejectsMissingAndCyclicDependencies(t *testing.T) {
 	optional := dependingOn("a", "b")
 	optional.DependsOn[0].Optional = true
 	for name, c := range map[string]struct {
 		services []Service
 		want     string
 	}{
-		"missing":           {[]Service{dependingOn("a", "b")}, `f:2:1: service "a" depends on "b", which is not here`},
+		"missing":           {[]Service{dependingOn("a", "b")}, `f:2:1: service "a" depends on "b", which is not defined`},
 		"missing, optional": {[]Service{optional}, ""},
-		"itself":            {[]Service{dependingOn("a", "a")}, "f:1:1: depends_on goes round: a -> a"},
-		"cycle":             {[]Service{dependingOn("a", "b"), dependingOn("b", "c"), dependingOn("c", "b")}, "f:1:1: depends_on goes round: b -> c -> b"},
+		"itself":            {[]Service{dependingOn("a", "a")}, "f:1:1: depends_on forms a cycle: a -> a"},
+		"cycle":             {[]Service{dependingOn("a", "b"), dependingOn("b", "c"), dependingOn("c", "b")}, "f:1:1: depends_on forms a cycle: b -> c -> b"},
 		"diamond":           {[]Service{dependingOn("a", "b", "c"), dependingOn("b", "d"), dependingOn("c", "d"), dependingOn("d")}, ""},
 	} {
 		err := (&Description{Services: c.services}).Check()
 		if c.want == "" && err != nil || c.want != "" && (err == nil || err.Error() != c.want) {
-			t.Errorf("%s: %v, want %q", name, err, c.want)
+			t.Errorf("%s: Check() = %v, want %q (\"\": no error)", name, err, c.want)
 		}
 	}
 }
 
-func TestTasksLeavesOutThosePerHost(t *testing.T) {
+func TestDescriptionTasksOmitsPerHostServices(t *testing.T) {
 	d := &Description{Services: []Service{
 		{Replicas: 2}, {Mode: ReplicatedJob, Replicas: 3}, {Mode: Global, Replicas: 1}, {Mode: GlobalJob, Replicas: 1},
 	}}
 	if got := d.Tasks(); got != 5 {
-		t.Errorf("%d tasks, want 5", got)
+		t.Errorf("Tasks() = %d, want 5: 2 replicated and 3 of a replicated job", got)
 	}
 }
 
-// Hosts and stores know tasks by these numbers: they stay.
-func TestKeysGolden(t *testing.T) {
+// TestTaskAndServiceKeysGolden checks that keys do not change: hosts and stores identify tasks by them.
+func TestTaskAndServiceKeysGolden(t *testing.T) {
 	if got, want := TaskKey("courts", "calendar", "web", 3), uint64(17376663113988466486); got != want {
-		t.Errorf("task key %d, want %d", got, want)
+		t.Errorf("TaskKey(courts, calendar, web, 3) = %d, want %d", got, want)
 	}
 	if got, want := ServiceKey("courts", "calendar", "web"), uint64(12568227090542649615); got != want {
-		t.Errorf("service key %d, want %d", got, want)
+		t.Errorf("ServiceKey(courts, calendar, web) = %d, want %d", got, want)
 	}
 }
 
@@ -78,15 +78,16 @@
 	}
 }
 
-// Running tasks carry the number of the build that started them: it stays.
+// TestFingerprintGolden checks that fingerprints do not change: a running task carries that of the specification which it
+// was started with.
 func TestFingerprintGolden(t *testing.T) {
 	s := exampleService()
 	if got, want := s.Fingerprint(), uint64(16992245385699774695); got != want {
-		t.Errorf("fingerprint %d, want %d", got, want)
+		t.Errorf("Fingerprint() of the example service = %d, want %d", got, want)
 	}
 }
 
-func TestFingerprintFollowsRunningTask(t *testing.T) {
+func TestFingerprintChangesOnlyWithRunningTask(t *testing.T) {
 	example := exampleService()
 	for name, c := range map[string]struct {
 		change  func(s *Service)
@@ -103,17 +104,17 @@
 		s := exampleService()
 		c.change(&s)
 		if differs := s.Fingerprint() != example.Fingerprint(); differs != c.differs {
-			t.Errorf("%s: differs %v, want %v", name, differs, c.differs)
+			t.Errorf("after a change of %s, Fingerprint() differs = %v, want %v", name, differs, c.differs)
 		}
 	}
 }
 
-func TestConstraintString(t *testing.T) {
+func TestConstraintStringHasComposeSyntax(t *testing.T) {
 	var texts []string
 	for _, c := range exampleService().Constraints {
 		texts = append(texts, c.String())
 	}
 	if got, want := strings.Join(texts, ", "), "os == linux, label.disk != hdd"; got != want {
-		t.Errorf("%s, want %s", got, want)
+		t.Errorf("String() of the example constraints = %q, want %q", got, want)
 	}
 }
