--- a/internal/parse/platformconfig/check.go
+++ b/internal/parse/platformconfig/check.go
@@ -8,9 +8,9 @@
 	"slices"
 )
 
-// Check returns what of a settings text a placer cannot use: a field that a decision depends on and that is missing, of
-// another type or out of range, an unknown keyword, and parts that contradict each other. Unknown fields are
-// ignored. The error is one line that names the field.
+// Check returns an error if a placer cannot use a settings text: if a field that decisions depend on is missing, of another
+// type or out of range, if a keyword is unknown, or if fields contradict each other. Unknown fields are ignored. The error is
+// one line that names the first such field.
 func Check(text []byte) error {
 	var root map[string]any
 	if err := json.Unmarshal(text, &root); err != nil {
@@ -31,6 +31,7 @@
 	return c.err
 }
 
+// placers checks the number of placers and the index of this one.
 func (c *checker) placers() {
 	c.number("balancers", integer, 1, 1e6)
 	c.number("me", integer, 0, 1e6)
@@ -39,6 +40,7 @@
 	}
 }
 
+// capabilities checks the fields of caps, and familyInfo.listsFree.
 func (c *checker) capabilities() {
 	for _, flag := range []string{"caps.cancel", "caps.probing", "caps.peers", "familyInfo.listsFree"} {
 		c.flag(flag)
@@ -48,6 +50,7 @@
 	c.number("caps.connIdle", decimal, 0, math.MaxFloat32)
 }
 
+// rules checks the fields of rules.
 func (c *checker) rules() {
 	for _, name := range []string{"rules.stopSendingWithin", "rules.cold", "rules.fall"} {
 		c.number(name, decimal, 0, math.MaxFloat32)
@@ -57,6 +60,7 @@
 	}
 }
 
+// familyInfo checks the fields of familyInfo, except for those that belong to classes or tenants.
 func (c *checker) familyInfo(machineTypes int) {
 	c.number("familyInfo.coldSends", decimal, 0, math.MaxFloat32)
 	c.number("familyInfo.acceptsCores", decimal, 0, math.MaxFloat32)
@@ -68,7 +72,7 @@
 	}
 }
 
-// classes checks the classes, and the lists of familyInfo that have an entry for each.
+// classes checks the classes, and the lists of familyInfo that have one entry per class.
 func (c *checker) classes(machineTypes int) {
 	count := c.names("classes.name", 1)
 	for _, name := range []string{"easyUntil", "classFade", "promptStartS"} {
@@ -86,7 +90,7 @@
 	}
 	maxPerDomain := c.at("familyInfo.classMost").([]any)
 	for i, class := range c.at("classes").([]any) {
-		// FIXME: this forgets a fault that spread found for an earlier class.
+		// FIXME: the assignment overwrites an error that spread found for an earlier class.
 		if c.err = checkClass(i, class.(map[string]any)); c.err != nil {
 			return
 		}
@@ -94,6 +98,7 @@
 	}
 }
 
+// checkClass checks the fields of the class of an index. Only a keyed class (dedup) needs group and memorySpan.
 func checkClass(index int, fields map[string]any) error {
 	c := checker{root: fields, prefix: fmt.Sprintf("classes[%d].", index)}
 	c.oneOf("effect", slices.Sorted(maps.Keys(effects))...)
@@ -106,7 +111,7 @@
 	return c.err
 }
 
-// spread checks the spread limit of the class of an index: a domain, and the most tasks of a service in one.
+// spread checks the spread limit of the class of an index: the domain, and the maximum number of tasks of a service in one.
 func (c *checker) spread(index int, spread any, maxTasks float64) {
 	name, isText := spread.(string)
 	domain, isKnown := domains[name]
@@ -118,7 +123,7 @@
 	}
 }
 
-// tenants checks the tenants; there may be none.
+// tenants checks the tenants, which are optional.
 func (c *checker) tenants() {
 	if c.err != nil || c.at("tenants") == nil {
 		return
--- a/internal/parse/platformconfig/check_test.go
+++ b/internal/parse/platformconfig/check_test.go
@@ -9,8 +9,8 @@
 
 type list = []any
 
-// withValue returns a settings text with a value replaced, or dropped if it is nil. path has the names from the root to it, and
-// 0 for the first entry of a list.
+// withValue returns a settings text with the value at a path replaced, or removed if value is nil. path has the names from the
+// root to the value, with dots between them and 0 for the first entry of a list.
 func withValue(t *testing.T, text []byte, path string, value any) []byte {
 	t.Helper()
 	var root map[string]any
@@ -37,7 +37,7 @@
 	return changed
 }
 
-// Each case is a value that does not pass, and a part of the error.
+// checkCases has values that Check rejects at a path, each with a part of the error.
 var checkCases = []struct {
 	path  string
 	value any
@@ -51,7 +51,7 @@
 	{"me", -1, "me is -1"},
 	{"az", 1, "az is 1"},
 	{"dcs", list{}, "dcs is []"},
-	{"dcs", list{"a", "a"}, `dcs[1] is "a" a second time`},
+	{"dcs", list{"a", "a"}, `dcs[1] is "a", want distinct names`},
 	{"dcs", list{""}, "dcs[0]"},
 	{"kinds", nil, "kinds is missing"},
 	{"kinds", list{"a", "b"}, "familyInfo.kindCores is [400], want a list of 2 numbers"},
@@ -86,9 +86,9 @@
 	{"familyInfo.tenantQuotaCores", list{1, 2}, "familyInfo.tenantQuotaCores has 2 entries for 1 tenants"},
 }
 
-// What a decision depends on is there, of its type, in range and without contradiction, or one line names the field; what is
-// not known is ignored.
-func TestCheck(t *testing.T) {
+// TestCheckNamesUnusableField checks that a field that decisions depend on must be present, of its type, in range and free of
+// contradiction, and that otherwise the error is one line that names it. Unknown and optional fields pass.
+func TestCheckNamesUnusableField(t *testing.T) {
 	good, err := os.ReadFile("../../server/platform/testdata/settings.json")
 	if err != nil {
 		t.Fatal(err)
@@ -96,23 +96,23 @@
 	set := func(path string, value any) []byte { return withValue(t, good, path, value) }
 	for _, ok := range [][]byte{good, set("unheard_of", map[string]any{"a": 1}), set("tenants", nil), set("rules.stopSendingWithin", 0), set("rules.cold", 0), set("caps.connIdle", 0)} {
 		if err := Check(ok); err != nil {
-			t.Errorf("%s: %v", ok, err)
+			t.Errorf("Check(%s) = %v, want nil", ok, err)
 		}
 	}
 	for _, c := range checkCases {
 		err := Check(set(c.path, c.value))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s = %v: %v, want %q", c.path, c.value, err, c.want)
+			t.Errorf("Check with %s = %v: error %v, want one line with %q", c.path, c.value, err, c.want)
 		}
 	}
 	for _, text := range []string{"", "[]", "null", `{"classes":{"a":1}}`, `{"balancers":[1]}`} {
 		if Check([]byte(text)) == nil {
-			t.Errorf("%q passes", text)
+			t.Errorf("Check(%q) = nil, want an error", text)
 		}
 	}
 }
 
-// No text makes the check panic.
+// FuzzCheck checks that Check does not panic, for any text.
 func FuzzCheck(f *testing.F) {
 	if good, err := os.ReadFile("../../server/platform/testdata/settings.json"); err == nil {
 		f.Add(string(good))
--- a/internal/parse/platformconfig/checker.go
+++ b/internal/parse/platformconfig/checker.go
@@ -8,21 +8,22 @@
 	"strings"
 )
 
-// checker checks values of an object by their paths, the names from the root to them with dots between. It keeps the first
-// error.
+// checker checks the values of an object. A path to a value has the names from the root to it, with dots between them. Only
+// the first error is kept.
 type checker struct {
 	root   map[string]any
-	prefix string // of paths in errors
+	prefix string // put before paths in errors
 	err    error
 }
 
+// fail records an error at a path, unless there is one already.
 func (c *checker) fail(path, format string, args ...any) {
 	if c.err == nil {
 		c.err = fmt.Errorf("settings: %s%s %s", c.prefix, path, fmt.Sprintf(format, args...))
 	}
 }
 
-// at returns the value at a path; nil if there is none.
+// at returns the value at a path, or nil if there is none.
 func (c *checker) at(path string) any {
 	var v any = c.root
 	for name := range strings.SplitSeq(path, ".") {
@@ -32,13 +33,13 @@
 	return v
 }
 
-// numberAt returns the number at a path; 0 if there is none.
+// numberAt returns the number at a path, or 0 if there is none.
 func (c *checker) numberAt(path string) float64 {
 	n, _ := c.at(path).(float64)
 	return n
 }
 
-// numberKind is which numbers a field may have.
+// numberKind is the kind of numbers that a field accepts.
 type numberKind uint8
 
 const (
@@ -46,12 +47,12 @@
 	decimal
 )
 
-// number checks that there is a number from lo to hi at a path.
+// number checks that the value at a path is a number from lo to hi.
 func (c *checker) number(path string, kind numberKind, lo, hi float64) {
 	c.inRange(path, c.at(path), kind, lo, hi)
 }
 
-// inRange checks that a value is a number from lo to hi.
+// inRange checks that a value is a number from lo to hi. path names it in errors.
 func (c *checker) inRange(path string, v any, kind numberKind, lo, hi float64) {
 	n, ok := v.(float64)
 	switch {
@@ -68,7 +69,7 @@
 	}
 }
 
-// numbers checks that there is a list of count numbers from lo to hi at a path.
+// numbers checks that the value at a path is a list of count numbers from lo to hi.
 func (c *checker) numbers(path string, count int, kind numberKind, lo, hi float64) {
 	all, ok := c.at(path).([]any)
 	if !ok || len(all) != count {
@@ -80,22 +81,22 @@
 	}
 }
 
-// flag checks that there is a truth value at a path.
+// flag checks that the value at a path is a boolean.
 func (c *checker) flag(path string) {
 	if _, ok := c.at(path).(bool); !ok {
 		c.fail(path, "is %s, want true or false", describe(c.at(path)))
 	}
 }
 
-// oneOf checks that there is one of several texts at a path.
+// oneOf checks that the value at a path is one of several texts.
 func (c *checker) oneOf(path string, choices ...string) {
 	if text, ok := c.at(path).(string); !ok || !slices.Contains(choices, text) {
 		c.fail(path, "is %s, want one of %s", describe(c.at(path)), quoteAll(choices))
 	}
 }
 
-// names checks a list of at least minCount names, or with a path LIST.FIELD of objects that have one each, for names that are
-// missing or duplicated. It returns how many there are.
+// names checks that the value at a path is a list of at least minCount distinct names. If the path is LIST.FIELD, the names
+// are in the field of each object of a list. It returns the length of the list.
 func (c *checker) names(path string, minCount int) int {
 	path, field, ofObjects := strings.Cut(path, ".")
 	all, ok := c.at(path).([]any)
@@ -115,14 +116,14 @@
 		case !ok || name == "":
 			c.fail(entry, "is %s, want a name", describe(v))
 		case seen[name]:
-			c.fail(entry, "is %q a second time", name)
+			c.fail(entry, "is %q, want distinct names", name)
 		}
 		seen[name] = true
 	}
 	return len(all)
 }
 
-// quoteAll lists texts in an error; "" is left out.
+// quoteAll returns the quoted texts with commas between them, for an error. An empty text is left out.
 func quoteAll(texts []string) string {
 	var quoted []string
 	for _, text := range texts {
@@ -133,7 +134,7 @@
 	return strings.Join(quoted, ", ")
 }
 
-// describe returns a value for an error of one line, truncated where it is long.
+// describe returns the JSON of a value for an error of one line, truncated to maxBytes, or "missing" for nil.
 func describe(v any) string {
 	const maxBytes = 60
 	text, err := json.Marshal(v)
--- a/internal/parse/platformconfig/config.go
+++ b/internal/parse/platformconfig/config.go
@@ -1,5 +1,5 @@
-// Package platformconfig parses the settings object that a placer of the platform is started with, in the simulator's first
-// message as in the configuration of a real placer, and translates it for the module. Times are in milliseconds there.
+// Package platformconfig parses the settings object that the platform starts a placer with, and converts it to settings of the
+// module. The object is the same in the simulator's first message and in the configuration of a real placer.
 package platformconfig
 
 import (
@@ -7,8 +7,9 @@
 	"fmt"
 )
 
-// Info is the settings object as the platform writes it, with the names that the module has for the same things. Times are in
-// milliseconds, cores and memory in the units of the module. Its type name is in errors of encoding/json.
+// Info is the settings object of the platform. Its tags have the platform's keys, its fields the names that the module uses
+// for the same settings. Times are in milliseconds, cores and memory in the units of the module. The name Info appears in
+// errors of encoding/json, so it must not change.
 type Info struct {
 	Zone    int      `json:"az"`
 	Zones   []string `json:"dcs"`
@@ -91,7 +92,7 @@
 	} `json:"tenants"`
 }
 
-// Parse parses a settings text; unknown keys are ignored. It does not check values: see Check.
+// Parse parses a settings text. Unknown keys are ignored. Check checks the values.
 func Parse(text []byte) (*Info, error) {
 	var in Info
 	if err := json.Unmarshal(text, &in); err != nil {
--- a/internal/parse/platformconfig/golden_test.go
+++ b/internal/parse/platformconfig/golden_test.go
@@ -11,7 +11,7 @@
 	"forkhead/internal/goldentest"
 )
 
-// lines puts each field's values on a line.
+// lines formats each field of a struct on a line of its own.
 func lines(v reflect.Value) string {
 	var b strings.Builder
 	for i := range v.NumField() {
@@ -20,31 +20,31 @@
 	return b.String()
 }
 
-// testdata/all.json has every key with a value of its own. Each is decoded to its place among the values of the object and of
-// the module's settings, whose order is that of the fields: where the fields are reordered, the values have
-// to move with them.
+// TestSettingsGolden checks that each key sets the same fields as before, both of Info and of the module's settings.
+// testdata/all.json has a distinct value for every key. The golden files list the values in the order of the fields, so they
+// change when fields are reordered.
 func TestSettingsGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "all.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := Check(text); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Check of all.json = error %v, want none", err)
 	}
 	in, err := Parse(text)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Parse of all.json = error %v, want none", err)
 	}
 	goldentest.Check(t, "all.parsed", []byte(lines(reflect.ValueOf(*in))))
 	s, err := ModuleSettings(in)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ModuleSettings of all.json = error %v, want none", err)
 	}
 	goldentest.Check(t, "all.settings", []byte(lines(reflect.ValueOf(s))))
 }
 
-// The fields of a load report have these names.
-func TestReportGoldenWords(t *testing.T) {
+// TestSetReportedGoldenNames checks that each field of a load report keeps its name and that other names set nothing.
+func TestSetReportedGoldenNames(t *testing.T) {
 	r := EmptyReport()
 	got := goldentest.Values(reflect.ValueOf(r))
 	for i, word := range []string{"x0", "x1", "backlog", "utilization", "unheard-of"} {
@@ -53,6 +53,6 @@
 	}
 	want := "(NaN NaN NaN NaN) (0.5 NaN NaN NaN) (0.5 1.5 NaN NaN) (0.5 1.5 2.5 NaN) (0.5 1.5 2.5 3.5) (0.5 1.5 2.5 3.5)"
 	if got != want {
-		t.Errorf("got %s, want %s", got, want)
+		t.Errorf("a report before and after each SetReported = %s, want %s", got, want)
 	}
 }
--- a/internal/parse/platformconfig/modulesettings.go
+++ b/internal/parse/platformconfig/modulesettings.go
@@ -6,7 +6,7 @@
 	"forkhead"
 )
 
-// ModuleSettings translates for the module, or returns an error that names the part it cannot use.
+// ModuleSettings converts a settings object to settings of the module. The error names the field that cannot be converted.
 func ModuleSettings(in *Info) (forkhead.Settings, error) {
 	s := scalarSettings(in)
 	f := &in.FamilyInfo
@@ -28,7 +28,7 @@
 	return s, err
 }
 
-// scalarSettings are the settings that are no lists.
+// scalarSettings returns the settings that are not lists.
 func scalarSettings(in *Info) forkhead.Settings {
 	f := in.FamilyInfo
 	return forkhead.Settings{
@@ -53,6 +53,7 @@
 	}
 }
 
+// moduleCosts returns the costs, some of which the platform has in familyInfo.
 func moduleCosts(in *Info) forkhead.Costs {
 	return forkhead.Costs{
 		SurplusMachine: in.Costs.SurplusMachine, Migration: in.Costs.Migration, EvictionMigrations: in.FamilyInfo.EvictionMigrations,
@@ -61,7 +62,7 @@
 	}
 }
 
-// moduleClasses returns the classes up to the first that the module cannot use.
+// moduleClasses returns the classes. After an error, these are the classes before the one in error.
 func moduleClasses(in *Info) ([]forkhead.Class, error) {
 	f := &in.FamilyInfo
 	for _, n := range []int{
@@ -94,18 +95,18 @@
 	return classes, nil
 }
 
-// effects are the platform's names of effects.
+// effects has the effects by their names on the platform.
 var effects = map[string]forkhead.Effect{
 	"retryable": forkhead.Safe, "dedup": forkhead.Keyed, "fragile": forkhead.Unsafe,
 }
 
-// domains are the platform's names of domains.
+// domains has the domains by their names on the platform.
 var domains = map[string]forkhead.Domain{
 	"": forkhead.AnyDomain, "all": forkhead.AnyDomain, "none": forkhead.AnyDomain,
 	"machine": forkhead.MachineDomain, "cell": forkhead.CellDomain, "zone": forkhead.ZoneDomain,
 }
 
-// translate looks a name of the platform up. field is its place, for errors.
+// translate returns the value of a name of the platform. field names its field in errors.
 func translate[T any](field string, table map[string]T, name string) (T, error) {
 	v, ok := table[name]
 	if !ok {
--- a/internal/parse/platformconfig/report.go
+++ b/internal/parse/platformconfig/report.go
@@ -6,14 +6,14 @@
 	"forkhead"
 )
 
-// EmptyReport returns a load report in which nothing is reported: each value is NaN.
+// EmptyReport returns a load report without values: each is NaN.
 func EmptyReport() *forkhead.LoadReport {
 	nan := math.NaN()
 	return &forkhead.LoadReport{AvailableCores: nan, AvailableMemory: nan, Queue: nan, Utilization: nan}
 }
 
-// SetReported sets a value of a load report by the name that loadInfo.fields has for it. Values that the module does not
-// use are ignored.
+// SetReported sets the value of a load report that field names, as in loadInfo.fields. Fields that the module does not use
+// are ignored.
 func SetReported(r *forkhead.LoadReport, field string, value float64) {
 	switch field {
 	case "x0":
--- a/internal/parse/platformconfig/times.go
+++ b/internal/parse/platformconfig/times.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// maxMicroseconds bounds durations to about 32 years; a time.Duration holds 292.
+// maxMicroseconds limits durations to about 32 years. The limit of time.Duration is 292 years.
 const maxMicroseconds = 1e15
 
-// Duration turns milliseconds into a duration of whole microseconds, of at most 10^15 either way; NaN into 0.
+// Duration converts milliseconds to a duration of whole microseconds, from -maxMicroseconds to maxMicroseconds. NaN becomes 0.
 func Duration(ms float64) time.Duration {
 	us := math.Round(ms * 1000)
 	if math.IsNaN(us) {
@@ -18,5 +18,5 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-// Milliseconds turns a duration into milliseconds.
+// Milliseconds converts a duration to milliseconds.
 func Milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
