--- a/internal/parse/compose/compose_test.go
+++ b/internal/parse/compose/compose_test.go
@@ -256,7 +256,8 @@
 // TestElementTableIsOnPage checks that docs/compose.md has the tables that the parser uses.
 func TestElementTableIsOnPage(t *testing.T) { doccheck.Contains(t, "docs/compose.md", ElementTable()) }
 
-// FuzzParse checks that Parse returns either a description or an error, for any text.
+// FuzzParse checks that Parse returns either a description or an error, for any text, and that no description has a negative
+// number of tasks.
 func FuzzParse(f *testing.F) {
 	f.Add("services: {a: {image: '${A:-b}', deploy: {replicas: 2}}}")
 	f.Add("x: &x {a: 1}\nservices:\n  a: {<<: *x, extends: b}\n  b: {depends_on: [a]}")
--- a/internal/parse/compose/decode.go
+++ b/internal/parse/compose/decode.go
@@ -62,7 +62,8 @@
 }
 
 // checkElements checks the keys of a mapping, with prefix before them, against the elements of a table. It adds an error for
-// each that is unknown or refused and a note for each that is noted. where names the mapping in errors.
+// each that is unknown or refused and a note for each that is noted. Extension keys are skipped. where names the mapping in
+// errors.
 func (d *decoder) checkElements(v *value, table map[string]element, prefix, where string) {
 	for _, key := range v.keys {
 		if strings.HasPrefix(key, extensionPrefix) {
--- a/internal/parse/servicespec/servicespec.go
+++ b/internal/parse/servicespec/servicespec.go
@@ -67,7 +67,7 @@
 	DependsOn        []Dependency
 	Labels           map[string]string
 	StopGrace        time.Duration // time between the request to stop and the kill; 0: that of the host
-	Payload          []byte        // JSON object that is passed to the host and has no other use
+	Payload          []byte        // JSON object that is passed to the host and not interpreted here
 }
 
 // Attribute names an attribute of a host: id, hostname, role, os, arch or label.NAME. The machine type, zone and rack of a
--- a/internal/parse/sexp/fields.go
+++ b/internal/parse/sexp/fields.go
@@ -9,7 +9,7 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// Field parses a list (NAME values...) that sets one field, and stores its values.
+// Field parses a list (NAME values...) and stores its values.
 type Field func(n *Node) error
 
 // Fields parses each item, which must be a list, by the entry of fields that its head names. It adds the errors of the
