--- /dev/null
+++ b/internal/parse/compose/definitions.go
@@ -0,0 +1,69 @@
+package compose
+
+import (
+	"strings"
+
+	"forkhead/internal/parse/diagnostic"
+)
+
+// usedDefinitions returns the definitions of the networks, volumes, configs or secrets, as section says, that a service
+// refers to. A reference to an undefined one is an error, except to the network default.
+func (d *decoder) usedDefinitions(service *value, section string) map[string]any {
+	defined := d.ofKind(d.top.get(section), mapping, section)
+	used := service.get(section)
+	if used.isEmpty() || used.kind == scalar {
+		return nil
+	}
+	definitions := map[string]any{}
+	add := func(name string, pos diagnostic.Pos) {
+		definition := defined.get(name)
+		switch {
+		case definition != nil:
+			definitions[name] = toJSON(definition)
+		case name != "default":
+			d.errorf(pos, "%s refers to %q, which the file does not define", section, name)
+		}
+	}
+	for _, key := range used.keys {
+		add(key, used.keyPos[key])
+	}
+	for _, item := range used.items {
+		if name, pos, ok := d.definitionName(item, section); ok {
+			add(name, pos)
+		}
+	}
+	return definitions
+}
+
+// definitionName returns the name that an entry of a list of networks, volumes, configs or secrets refers to. ok is false if
+// the entry refers to none or is in error.
+func (d *decoder) definitionName(item *value, section string) (name string, pos diagnostic.Pos, ok bool) {
+	switch {
+	case item.kind == mapping:
+		source := item.get("source")
+		if source == nil || source.kind != scalar || section == "volumes" && !isNamedVolume(item) {
+			return "", item.pos, false
+		}
+		return source.text, source.pos, true
+	case item.kind != scalar:
+		d.wantf(item.pos, "a name or a mapping", "an entry of %s is %s", section, item.kind)
+		return "", item.pos, false
+	case section == "volumes":
+		name, ok := volumeName(item.text)
+		return name, item.pos, ok
+	}
+	return item.text, item.pos, true
+}
+
+// isNamedVolume reports whether the long form of a volume refers to a volume of the project, not to a path of the host.
+func isNamedVolume(v *value) bool {
+	typ := v.get("type")
+	return typ != nil && typ.text == "volume"
+}
+
+// volumeName returns the name in the short form of a volume, NAME:TARGET. ok is false if the form has a path of the host in
+// place of the name, or only a target.
+func volumeName(text string) (name string, ok bool) {
+	source, _, hasTarget := strings.Cut(text, ":")
+	return source, hasTarget && !strings.ContainsAny(source, "/.~")
+}
--- a/internal/parse/platformconfig/check.go
+++ b/internal/parse/platformconfig/check.go
@@ -8,9 +8,9 @@
 	"slices"
 )
 
-// Check returns what of a settings text a placer cannot use: a field that a decision depends on and that is missing, of
-// another type or out of range, an unknown keyword, and parts that contradict each other. Unknown fields are
-// ignored. The error is one line that names the field.
+// Check returns an error if a placer cannot use a settings text: if a field that decisions depend on is missing, of another
+// type or out of range, if a keyword is unknown, or if fields contradict each other. Unknown fields are ignored. The error is
+// one line that names the first such field.
 func Check(text []byte) error {
 	var root map[string]any
 	if err := json.Unmarshal(text, &root); err != nil {
@@ -25,12 +25,13 @@
 	c.oneOf("loadInfo.how", "answers", "probe", "none")
 	c.capabilities()
 	c.rules()
-	c.family(machineTypes)
+	c.familyInfo(machineTypes)
 	c.classes(machineTypes)
 	c.tenants()
 	return c.err
 }
 
+// placers checks the number of placers and the index of this one.
 func (c *checker) placers() {
 	c.number("balancers", integer, 1, 1e6)
 	c.number("me", integer, 0, 1e6)
@@ -39,40 +40,43 @@
 	}
 }
 
+// capabilities checks the fields of caps, and familyInfo.listsFree.
 func (c *checker) capabilities() {
 	for _, flag := range []string{"caps.cancel", "caps.probing", "caps.peers", "familyInfo.listsFree"} {
 		c.flag(flag)
 	}
 	c.number("caps.maxAttempts", integer, 1, 1e6)
-	c.number("caps.connectTimeout", fraction, 1, math.MaxFloat32)
-	c.number("caps.connIdle", fraction, 0, math.MaxFloat32)
+	c.number("caps.connectTimeout", decimal, 1, math.MaxFloat32)
+	c.number("caps.connIdle", decimal, 0, math.MaxFloat32)
 }
 
+// rules checks the fields of rules.
 func (c *checker) rules() {
 	for _, name := range []string{"rules.stopSendingWithin", "rules.cold", "rules.fall"} {
-		c.number(name, fraction, 0, math.MaxFloat32)
+		c.number(name, decimal, 0, math.MaxFloat32)
 	}
 	if c.err == nil && c.numberAt("rules.cold") > 0 && c.numberAt("rules.fall") == 0 {
 		c.fail("rules.fall", "is 0, want a window over which offers to cold hosts count, as rules.cold is %v", c.numberAt("rules.cold"))
 	}
 }
 
-func (c *checker) family(machineTypes int) {
-	c.number("familyInfo.coldSends", fraction, 0, math.MaxFloat32)
-	c.number("familyInfo.acceptsCores", fraction, 0, math.MaxFloat32)
-	c.number("familyInfo.memBooking", fraction, 0, math.MaxFloat32)
-	c.number("familyInfo.unitCores", fraction, 0, math.MaxFloat32)
+// familyInfo checks the fields of familyInfo, except for those that belong to classes or tenants.
+func (c *checker) familyInfo(machineTypes int) {
+	c.number("familyInfo.coldSends", decimal, 0, math.MaxFloat32)
+	c.number("familyInfo.acceptsCores", decimal, 0, math.MaxFloat32)
+	c.number("familyInfo.memBooking", decimal, 0, math.MaxFloat32)
+	c.number("familyInfo.unitCores", decimal, 0, math.MaxFloat32)
 	c.oneOf("familyInfo.saysYes", "accepted", "running")
 	for _, name := range []string{"familyInfo.kindCores", "familyInfo.memoryByKind"} {
-		c.numbers(name, machineTypes, fraction, math.SmallestNonzeroFloat32, math.MaxFloat32)
+		c.numbers(name, machineTypes, decimal, math.SmallestNonzeroFloat32, math.MaxFloat32)
 	}
 }
 
-// classes checks the classes, and the lists of familyInfo that have an entry for each.
+// classes checks the classes, and the lists of familyInfo that have one entry per class.
 func (c *checker) classes(machineTypes int) {
 	count := c.names("classes.name", 1)
 	for _, name := range []string{"easyUntil", "classFade", "promptStartS"} {
-		c.numbers("familyInfo."+name, count, fraction, 0, math.MaxFloat32)
+		c.numbers("familyInfo."+name, count, decimal, 0, math.MaxFloat32)
 	}
 	c.numbers("familyInfo.classPriority", count, integer, 0, 1e6)
 	c.numbers("familyInfo.kindByClass", count, integer, -1, float64(machineTypes-1))
@@ -86,7 +90,7 @@
 	}
 	maxPerDomain := c.at("familyInfo.classMost").([]any)
 	for i, class := range c.at("classes").([]any) {
-		// FIXME: this forgets a fault that spread found for an earlier class.
+		// FIXME: the assignment overwrites an error that spread found for an earlier class.
 		if c.err = checkClass(i, class.(map[string]any)); c.err != nil {
 			return
 		}
@@ -94,19 +98,20 @@
 	}
 }
 
+// checkClass checks the fields of the class of an index. Only a keyed class (dedup) needs group and memorySpan.
 func checkClass(index int, fields map[string]any) error {
 	c := checker{root: fields, prefix: fmt.Sprintf("classes[%d].", index)}
 	c.oneOf("effect", slices.Sorted(maps.Keys(effects))...)
 	if c.err == nil && fields["effect"] == "dedup" {
 		c.oneOf("group", slices.Sorted(maps.Keys(domains))...)
-		c.number("memorySpan", fraction, 1, math.MaxFloat32)
+		c.number("memorySpan", decimal, 1, math.MaxFloat32)
 	}
-	c.number("aim", fraction, 0, math.MaxFloat32)
-	c.number("points", fraction, 0, math.MaxFloat32)
+	c.number("aim", decimal, 0, math.MaxFloat32)
+	c.number("points", decimal, 0, math.MaxFloat32)
 	return c.err
 }
 
-// spread checks the spread limit of the class of an index: a domain, and the most tasks of a service in one.
+// spread checks the spread limit of the class of an index: the domain, and the maximum number of tasks of a service in one.
 func (c *checker) spread(index int, spread any, maxTasks float64) {
 	name, isText := spread.(string)
 	domain, isKnown := domains[name]
@@ -118,7 +123,7 @@
 	}
 }
 
-// tenants checks the tenants; there may be none.
+// tenants checks the tenants, which are optional.
 func (c *checker) tenants() {
 	if c.err != nil || c.at("tenants") == nil {
 		return
@@ -131,6 +136,6 @@
 		return
 	}
 	for i, tenant := range c.at("tenants").([]any) {
-		c.inRange(fmt.Sprintf("tenants[%d].share", i), tenant.(map[string]any)["share"], fraction, 0, 1)
+		c.inRange(fmt.Sprintf("tenants[%d].share", i), tenant.(map[string]any)["share"], decimal, 0, 1)
 	}
 }
--- a/internal/parse/settings/sections.go
+++ b/internal/parse/settings/sections.go
@@ -7,10 +7,10 @@
 	"forkhead/internal/parse/sexp"
 )
 
-// Each function here returns the fields of one section, by their keys, which set what they are handed. Keys stay as they
-// are in files that exist.
+// Each function in this file returns the fields of one section by their keys, which store into the argument. Existing files
+// have these keys, so they do not change with the names of the fields that they set.
 
-// moduleFields are the fields at the top level that are passed on to the module.
+// moduleFields returns the fields at the top level that set the module's settings.
 func (p *parser) moduleFields() map[string]sexp.Field {
 	m := &p.settings.Module
 	return map[string]sexp.Field{
@@ -59,14 +59,14 @@
 	}
 }
 
-// ownerFields are what the module and the service know of owners.
+// ownerFields returns the fields for owners, which set settings of the module and of the service.
 func (p *parser) ownerFields() map[string]sexp.Field {
 	m, o := &p.settings.Module, &p.settings.Owner
 	return map[string]sexp.Field{
 		"wait":            sexp.Duration(&m.OwnerBackoff, 0, time.Hour),
 		"max-retry-after": sexp.Duration(&m.MaxRetryAfter, 0, time.Hour),
 		"first":           sexp.Duration(&o.MinBackoff, time.Millisecond, time.Hour),
-		"most":            sexp.Duration(&o.MaxBackoff, time.Millisecond, maxTime),
+		"most":            sexp.Duration(&o.MaxBackoff, time.Millisecond, maxDuration),
 		"soon":            sexp.Duration(&o.MigrationBackoff, time.Millisecond, time.Hour),
 		"asks":            sexp.Int(&o.MaxRequests, 1, 1e6),
 		"lives":           sexp.Int(&o.MaxPlacements, 1, 1e6),
@@ -102,14 +102,14 @@
 
 func limitFields(l *Limits) map[string]sexp.Field {
 	return map[string]sexp.Field{
-		"body":        sexp.Int(&l.Body, 1024, 64<<20),
+		"body":        sexp.Int(&l.BodyBytes, 1024, 64<<20),
 		"tasks":       sexp.Int(&l.Tasks, 1, 1e7),
-		"per-submit":  sexp.Int(&l.PerSubmit, 1, 1e6),
+		"per-submit":  sexp.Int(&l.TasksPerSubmission, 1, 1e6),
 		"submissions": sexp.Int(&l.Submissions, 1, 1e6),
-		"keep":        sexp.Duration(&l.Retention, time.Second, maxTime),
+		"keep":        sexp.Duration(&l.Retention, time.Second, maxDuration),
 		"connections": sexp.Int(&l.Connections, 1, 1e6),
-		"buffer":      sexp.Int(&l.Buffer, 4096, 1<<30),
+		"buffer":      sexp.Int(&l.BufferBytes, 4096, 1<<30),
 		"hosts":       sexp.Int(&l.Hosts, 1, 1e6),
-		"labels":      sexp.Int(&l.Labels, 1, 64),
+		"labels":      sexp.Int(&l.PlacementConstraints, 1, 64),
 	}
 }
--- a/internal/scheduler/core/orphans.go
+++ b/internal/scheduler/core/orphans.go
@@ -96,7 +96,7 @@
 // handleInherited adopts or stops a task that a host has held since an earlier incarnation of this placer. It leaves a
 // task alone whose class or name it does not know.
 func (c *Core) handleInherited(h *host, reported *hostproto.Held) {
-	class, known := c.settings.Class(reported.Spec.Class)
+	class, known := c.settings.ClassIndex(reported.Spec.Class)
 	name, err := parseTaskName(reported.Spec.Name)
 	switch {
 	case !known || errors.Is(err, errNameParts):
--- a/internal/server/placer/http_server.go
+++ b/internal/server/placer/http_server.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	// writeBufferReserve is the part of a connection's write buffer, in bytes, that is added to Limits.Buffer, which
+	// writeBufferReserve is the part of a connection's write buffer, in bytes, that is added to Limits.BufferBytes, which
 	// bounds the outcomes. It holds response heads, problems and the one line of outcomes that may exceed the limit.
 	writeBufferReserve = 1 << 20
 	// rejectedRetryAfter is the Retry-After of responses that this package rejects a request or connection with.
@@ -63,7 +63,7 @@
 // listen opens the listener and starts to accept connections.
 func (h *httpServer) listen(address string) error {
 	var err error
-	h.listener, err = h.placer.engine.Listen(address, h.placer.settings.Limits.Buffer+writeBufferReserve, h.accept)
+	h.listener, err = h.placer.engine.Listen(address, h.placer.settings.Limits.BufferBytes+writeBufferReserve, h.accept)
 	return err
 }
 
@@ -73,7 +73,7 @@
 		h.connections.Add(-1)
 		return rejectedConn{}
 	}
-	return &httpConn{server: h, conn: c, parser: http1.NewParser(http1.DefaultLimits(h.placer.settings.Limits.Body))}
+	return &httpConn{server: h, conn: c, parser: http1.NewParser(http1.DefaultLimits(h.placer.settings.Limits.BodyBytes))}
 }
 
 // stopping reports whether the placer accepts no further connections and submissions.
--- a/internal/server/placer/outcomes.go
+++ b/internal/server/placer/outcomes.go
@@ -58,12 +58,12 @@
 	}
 }
 
-// writeOutcomes writes as many outcomes as fit into Limits.Buffer bytes that are not yet sent. Where the client does
+// writeOutcomes writes as many outcomes as fit into Limits.BufferBytes bytes that are not yet sent. Where the client does
 // not read, the other outcomes stay with the submission until Drained is called. It runs on the loop.
 func (h *httpServer) writeOutcomes(stream *outcomeStream) {
 	s, conn := h.placer, stream.conn.conn
 	outcomes, complete, known := s.core.Outcomes(stream.submission, stream.written)
-	space := s.settings.Limits.Buffer - conn.PendingBytes()
+	space := s.settings.Limits.BufferBytes - conn.PendingBytes()
 	lines := stream.buffer[:0]
 	written := 0
 	for written < len(outcomes) && len(lines) < space {
--- a/internal/server/placer/server.go
+++ b/internal/server/placer/server.go
@@ -31,7 +31,7 @@
 
 // Config configures a placer.
 type Config struct {
-	Settings *settings.Settings // as returned by Settings.For: Module.Self is this placer
+	Settings *settings.Settings // as returned by Settings.ForPlacer: Module.Self is this placer
 	Clock    *clock.Clock       // nil: a new one
 	Log      zerolog.Logger
 	Seed     uint64 // of the random choices
