--- a/internal/verify/simulation/crashes_test.go
+++ b/internal/verify/simulation/crashes_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// A placer that is killed at each point of its steps, and while it recovers, forgets nothing that it acknowledged.
-func TestDurableRuns(t *testing.T) {
+// A placer that crashes at any crash point of its steps, or during recovery, must restore every submission that it
+// acknowledged.
+func TestRunDurableKeepsAcknowledgedSubmissions(t *testing.T) {
 	var all CrashCounts
 	for seed := range 15 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -16,7 +17,7 @@
 		})
 	}
 	if min(all.BeforeCommit, all.AfterCommit, all.AfterHalfOutputs, all.BetweenSteps, all.DuringRecovery) < 5 {
-		t.Errorf("hardly any crashes prove nothing: %+v", all)
+		t.Errorf("RunDurable over all seeds: got crashes %+v, want at least 5 of each kind", all)
 	}
-	t.Logf("%+v", all)
+	t.Logf("crashes: %+v", all)
 }
--- a/internal/verify/simulation/disk.go
+++ b/internal/verify/simulation/disk.go
@@ -7,11 +7,11 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// Disk is what a placer has stored, and what it would lose in a crash.
+// Disk simulates the placer's store. It holds the committed records and those that a crash would still lose.
 type Disk struct {
-	Values  map[durable.Bucket]map[string][]byte // by bucket and key
-	Commits int                                  // so far
-	pending []durable.Change                     // not committed yet
+	Values  map[durable.Bucket]map[string][]byte // committed values by bucket and key
+	Commits int                                  // number of commits so far
+	pending []durable.Change                     // changes that are not yet committed
 }
 
 // NewDisk returns an empty disk.
@@ -23,8 +23,8 @@
 	return d
 }
 
-// Persist takes the records of a step. Like package store, it commits them, with all that is pending, if one of them must be
-// durable before the step's outputs are executed; else they stay pending.
+// Persist adds the records of a step to the pending changes. Like package store, it commits all pending changes if one
+// of the records must be durable before the step's outputs are executed; otherwise they stay pending.
 func (d *Disk) Persist(records []durable.Record) {
 	commit := false
 	for _, r := range records {
@@ -41,6 +41,7 @@
 	d.pending = nil
 }
 
+// apply applies a change to the committed values.
 func (d *Disk) apply(c durable.Change) {
 	switch c.Kind {
 	case durable.DeletePrefix:
@@ -52,7 +53,8 @@
 	}
 }
 
-// Snapshot returns what was committed, as the next incarnation restores it. What is pending is lost.
+// Snapshot returns the committed state, from which the next incarnation restores. It discards the pending changes, as a
+// crash does.
 func (d *Disk) Snapshot() *durable.Snapshot {
 	d.pending = nil
 	l := durable.NewLoader()
--- a/internal/verify/simulation/hosts.go
+++ b/internal/verify/simulation/hosts.go
@@ -7,28 +7,31 @@
 	"forkhead/internal/scheduler/core"
 )
 
-// hostSeed determines, with the epoch of its incarnation, what a host draws.
+// hostSeed is the seed of every host. Together with the epoch of the host's incarnation it determines the host's random
+// choices.
 const hostSeed = 3
 
 // Host is an emulated host with its connections.
 type Host struct {
 	Config     hostmodel.Config
-	Model      *hostmodel.Host // the present incarnation
-	Listed     bool            // in the endpoint list
+	Model      *hostmodel.Host // the current incarnation
+	Listed     bool            // the endpoint list contains the host
 	State      forkhead.MachineState
-	Blackholed bool // frames are lost both ways, and connections stay open
+	Blackholed bool // frames are dropped in both directions while connections stay open
 
-	epoch          uint64          // of the incarnation
-	conns          map[uint32]bool // open, by the number that the placer gave them
-	connGeneration int             // raised when all connections end, so that what was sent on them is lost
+	epoch          uint64          // epoch of the current incarnation
+	conns          map[uint32]bool // open connections by the placer's connection number
+	connGeneration int             // incremented when all connections end, so that frames in flight on them are dropped
 }
 
-// carries reports whether a frame that was sent on a connection, at a generation of the connections, gets through.
+// carries reports whether a frame that was sent on a connection arrives. generation is the value of connGeneration when
+// the frame was sent.
 func (h *Host) carries(conn uint32, generation int) bool {
 	return h.conns[conn] && !h.Blackholed && generation == h.connGeneration
 }
 
-// AddHost adds a host that has been up for long. The placer gets it when the endpoint list is next sent.
+// AddHost adds a host that has been up for a long time, so that it is not warming up. The placer learns of it when the
+// endpoint list is next sent.
 func (s *Sim) AddHost(cfg hostmodel.Config) {
 	h := &Host{Config: cfg, Listed: true, State: forkhead.Ready, epoch: 1, conns: map[uint32]bool{}}
 	h.Model = hostmodel.New(cfg, h.epoch, hostSeed, s.Now, false)
@@ -36,13 +39,14 @@
 	s.HostNames = append(s.HostNames, cfg.Name)
 }
 
-// KillHost ends a host's incarnation; its connections are reset.
+// KillHost crashes a host and resets its connections.
 func (s *Sim) KillHost(name string) {
 	s.Hosts[name].Model.Crash()
 	s.dropConnections(name)
 }
 
-// RestartHost starts a new incarnation of a host; with warmingUp it has just come up.
+// RestartHost starts a new incarnation of a host and sends the endpoint list. If warmingUp is set, the host has just
+// come up and warms up; otherwise it counts as up for a long time.
 func (s *Sim) RestartHost(name string, warmingUp bool) {
 	h := s.Hosts[name]
 	h.epoch++
@@ -50,8 +54,8 @@
 	s.SendHostList()
 }
 
-// SendHostList sends a snapshot of the endpoint list to the core, or an error if the catalog is down. It does nothing until
-// the core has subscribed.
+// SendHostList sends a snapshot of the endpoint list to the core. If the catalog is down, it sends an error instead and
+// ends the core's subscription. It does nothing while the core is not subscribed.
 func (s *Sim) SendHostList() {
 	if !s.subscribed {
 		return
@@ -82,7 +86,7 @@
 	}
 }
 
-// RunningTasks returns the number of tasks that hosts have bound and not ended.
+// RunningTasks returns the number of tasks that are bound to hosts and have not ended.
 func (s *Sim) RunningTasks() int {
 	n := 0
 	for _, h := range s.Hosts {
--- a/internal/verify/simulation/network.go
+++ b/internal/verify/simulation/network.go
@@ -9,17 +9,18 @@
 	"forkhead/internal/scheduler/core"
 )
 
-// connID returns the hosts' name of a connection of this incarnation of the placer, which numbers its own from 1.
+// connID returns the ID by which hosts know a connection of the current placer incarnation. It contains the placer's
+// epoch, since every incarnation numbers its connections from 1.
 func (s *Sim) connID(conn uint32) hostmodel.ConnID {
 	return hostmodel.ConnID(s.Epoch<<32 | uint64(conn))
 }
 
-// splitConnID returns the placer's epoch and its number of a connection.
+// splitConnID returns the placer's epoch and the placer's connection number of a connection ID.
 func splitConnID(id hostmodel.ConnID) (epoch uint64, conn uint32) {
 	return uint64(id) >> 32, uint32(id)
 }
 
-// afterDelay calls do after the network's delay, unless the core that runs now has ended by then.
+// afterDelay calls do after the network delay, unless the placer's current incarnation has ended by then.
 func (s *Sim) afterDelay(do func()) {
 	c := s.Core
 	s.After(s.Delay, func() {
@@ -29,7 +30,7 @@
 	})
 }
 
-// dial opens a connection, if its host can be reached when the dial arrives.
+// dial opens a connection if the host is reachable when the dial arrives; otherwise the core receives HostDisconnected.
 func (s *Sim) dial(o core.DialHost) {
 	h := s.Hosts[o.Host]
 	generation := h.connGeneration
@@ -44,7 +45,7 @@
 	})
 }
 
-// closeConnection closes a connection on the placer's side; its host notices after the delay.
+// closeConnection closes a connection on the placer's side. The host is notified after the network delay.
 func (s *Sim) closeConnection(o core.CloseHostConnection) {
 	h := s.Hosts[o.Host]
 	if !h.conns[o.Conn] {
@@ -55,13 +56,13 @@
 	s.After(s.Delay, func() { s.ExecuteHostOutputs(o.Host, h.Model.ConnectionClosed(s.Now, id)) })
 }
 
-// sendToHost delivers a frame to its host, unless it gets lost.
+// sendToHost delivers a frame to its host after the network delay, unless the frame is lost.
 func (s *Sim) sendToHost(o core.SendToHost) {
 	h := s.Hosts[o.Host]
 	if f, ok := o.Frame.(hostproto.Offer); ok {
 		s.Offers = append(s.Offers, Offer{s.Now, o.Host, f})
 	}
-	f := recode(s.t, o.Frame)
+	f := roundTripFrame(s.t, o.Frame)
 	id, generation := s.connID(o.Conn), h.connGeneration
 	s.After(s.Delay, func() {
 		if !h.carries(o.Conn, generation) || s.ToHost != nil && !s.ToHost(o.Host, f) {
@@ -71,8 +72,8 @@
 	})
 }
 
-// ExecuteHostOutputs executes the outputs of a host: its frames are delivered to the placer, unless they get lost, and its
-// connections closed. The connections of a host that is down are reset.
+// ExecuteHostOutputs executes the outputs of a host: it sends the host's frames to the placer and closes the
+// connections that the host closes. The connections of a host that is down are reset instead.
 func (s *Sim) ExecuteHostOutputs(name string, out []hostmodel.Output) {
 	h := s.Hosts[name]
 	if h.Model.Dead() {
@@ -82,7 +83,7 @@
 	for _, o := range out {
 		epoch, conn := splitConnID(o.Conn)
 		switch {
-		case epoch != s.Epoch: // of an earlier incarnation of the placer
+		case epoch != s.Epoch: // a connection of an earlier placer incarnation
 		case o.Frame == nil:
 			delete(h.conns, conn)
 			s.notifyDisconnected(name, conn)
@@ -92,11 +93,11 @@
 	}
 }
 
-// sendToPlacer delivers a frame of a host to the placer, unless it gets lost.
+// sendToPlacer delivers a frame of a host to the placer after the network delay, unless the frame is lost.
 func (s *Sim) sendToPlacer(name string, conn uint32, frame hostproto.Frame) {
 	h := s.Hosts[name]
 	generation := h.connGeneration
-	f := recode(s.t, frame)
+	f := roundTripFrame(s.t, frame)
 	s.afterDelay(func() {
 		if !h.carries(conn, generation) || s.FromHost != nil && !s.FromHost(name, f) {
 			return
@@ -105,12 +106,12 @@
 	})
 }
 
-// notifyDisconnected notifies the placer that a connection has ended.
+// notifyDisconnected notifies the placer, after the network delay, that a connection has ended.
 func (s *Sim) notifyDisconnected(name string, conn uint32) {
 	s.afterDelay(func() { s.Step(core.HostDisconnected{Host: name, Conn: conn}) })
 }
 
-// ResetConnections resets a host's connections; what is on its way is lost.
+// ResetConnections resets a host's connections. Frames in flight are lost.
 func (s *Sim) ResetConnections(name string) {
 	h := s.Hosts[name]
 	for _, conn := range slices.Sorted(maps.Keys(h.conns)) {
@@ -119,7 +120,7 @@
 	s.dropConnections(name)
 }
 
-// dropConnections ends a host's connections on the placer's side.
+// dropConnections ends all connections of a host on the placer's side and notifies the placer.
 func (s *Sim) dropConnections(name string) {
 	h := s.Hosts[name]
 	if len(h.conns) == 0 {
@@ -133,12 +134,13 @@
 	}
 }
 
-// recode encodes and decodes a frame, so that each side works on what crosses a socket.
-func recode(t TB, f hostproto.Frame) hostproto.Frame {
+// roundTripFrame encodes and decodes a frame, so that the receiver gets the frame as a socket would transfer it. It fails
+// the test if the encoding cannot be decoded.
+func roundTripFrame(t TB, f hostproto.Frame) hostproto.Frame {
 	const lengthPrefix = 4 // bytes
 	out, err := hostproto.Decode(hostproto.Append(nil, f)[lengthPrefix:])
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("hostproto.Decode of encoded frame %+v: %v", f, err)
 	}
 	return out
 }
--- a/internal/verify/simulation/placer.go
+++ b/internal/verify/simulation/placer.go
@@ -12,28 +12,29 @@
 	"forkhead/internal/verify/replay"
 )
 
-// CrashPoint is where in a step that has durable records the placer crashes.
+// CrashPoint is the point of a step with durable records at which the placer crashes.
 type CrashPoint uint8
 
 // The crash points.
 const (
-	NoCrash          CrashPoint = iota // it doesn't
-	BeforeCommit                       // no record of the step is stored, and no output executed
-	AfterCommit                        // the records are stored, and no output executed
-	AfterHalfOutputs                   // the records are stored, and half of the outputs executed
+	NoCrash          CrashPoint = iota // the placer does not crash
+	BeforeCommit                       // no record of the step is stored and no output is executed
+	AfterCommit                        // the records are stored and no output is executed
+	AfterHalfOutputs                   // the records are stored and the first half of the outputs is executed
 )
 
-// Offer is an offer that the core has sent.
+// Offer is an offer that the core has sent to a host.
 type Offer struct {
 	At    time.Duration
 	Host  string
 	Offer hostproto.Offer
 }
 
-// coreSeed determines what every core draws.
+// coreSeed is the seed of every core. Together with the epoch of the placer's incarnation it determines the core's
+// random choices.
 const coreSeed = 7
 
-// startCore starts an incarnation of the placer.
+// startCore starts an incarnation of the placer. The functions in change modify the core's configuration.
 func (s *Sim) startCore(change ...func(*core.Config)) {
 	cfg := core.Config{Settings: s.Settings, Seed: coreSeed, Epoch: s.Epoch, Durable: s.Durable}
 	for _, c := range change {
@@ -47,6 +48,7 @@
 	s.Step()
 }
 
+// newCore returns a new core. It fails the test if the configuration is invalid.
 func (s *Sim) newCore(cfg core.Config) *core.Core {
 	c, err := core.New(cfg)
 	if err != nil {
@@ -55,7 +57,7 @@
 	return c
 }
 
-// RestartPlacer kills the placer and starts its next incarnation.
+// RestartPlacer kills the placer, which ends all its connections, and starts its next incarnation.
 func (s *Sim) RestartPlacer() {
 	for _, name := range s.HostNames {
 		h := s.Hosts[name]
@@ -69,11 +71,12 @@
 	s.startCore()
 }
 
-// Crashed reports whether the placer has crashed at a crash point. RestartPlacer starts its next incarnation.
+// Crashed reports whether the placer has crashed at a crash point and has not been restarted by RestartPlacer.
 func (s *Sim) Crashed() bool { return s.crashed }
 
-// Step hands inputs to the core, stores the durable records of the step and executes its outputs, as far as the step's
-// crash point allows. A placer that has crashed does nothing.
+// Step passes inputs to the core, stores the durable records of the step and executes its outputs. If NextCrash returns
+// a crash point, Step stops there and the placer is crashed. After a crash, Step does nothing until RestartPlacer is
+// called.
 func (s *Sim) Step(in ...core.Input) {
 	if s.crashed {
 		return
@@ -102,7 +105,7 @@
 	}
 }
 
-// splitRecords separates the durable records of a step from its other outputs.
+// splitRecords separates the durable records among the outputs of a step from the other outputs.
 func splitRecords(out []core.Output) (records []durable.Record, others []core.Output) {
 	for _, o := range out {
 		if p, ok := o.(core.Persist); ok {
@@ -114,13 +117,14 @@
 	return records, others
 }
 
-// crash ends the incarnation. The next one can't start here, since the caller may still be handling outputs of this one; until
-// it does, Core is one that has received nothing and does nothing.
+// crash ends the current incarnation. The next one cannot start here because callers may still be executing outputs of
+// this one. Until RestartPlacer starts it, Core is a new core without inputs, which Step does not run.
 func (s *Sim) crash() {
 	s.crashed = true
 	s.Core = s.newCore(core.Config{Settings: s.Settings, Seed: coreSeed, Epoch: s.Epoch})
 }
 
+// execute executes an output of the core.
 func (s *Sim) execute(o core.Output) {
 	switch o := o.(type) {
 	case core.DialHost:
--- a/internal/verify/simulation/random.go
+++ b/internal/verify/simulation/random.go
@@ -9,16 +9,16 @@
 	"forkhead/internal/scheduler/core"
 )
 
-// Mix is what a random run submits.
+// Mix determines which classes a run of RunRandom submits, and how often its placer is restarted.
 type Mix struct {
 	Name          string
-	classes       []string // drawn from; those listed twice are drawn twice as often
-	extraSettings string
-	restartOneIn  int // of the times when the placer may be restarted, it is at one in so many
+	classes       []string // submissions draw from them; one that is listed twice is drawn twice as often
+	extraSettings string   // clauses that are added to the settings
+	restartOneIn  int      // a restart action restarts the placer with a probability of 1/restartOneIn
 }
 
-// The mixes. Ordinary has tasks of every class. Nearly all tasks of Spread have a spread limit, and its placer is restarted
-// often.
+// The mixes. Ordinary submits tasks of every class. In Spread, nearly all tasks have a spread limit and the placer is
+// restarted often.
 var (
 	Ordinary = Mix{"ordinary", []string{"web", "keyed", "cell", "ledger", "ledger", "batch"}, "", 6}
 	Spread   = Mix{"spread", []string{"listing", "listing", "listing", "batch", "books"}, `
@@ -29,33 +29,34 @@
 
 const (
 	randomSettings = "(owner (first 200ms) (wait 20s)) (cold (for 2s) (window 500ms) (offers 12))"
-	randomProjects = 6                     // that random runs submit and remove
-	faultTime      = 25 * time.Second      // submissions and faults come for so long
-	settleTime     = 30 * time.Second      // after the faults, until all submissions must be complete
-	checkInterval  = 25 * time.Millisecond // of the hosts meanwhile
-	removalTime    = 20 * time.Second      // until no task of removed projects may run
-	maxOutcomeTime = 41 * time.Second      // the attempt timeout of the old copy's end, and then of the new one's start
+	randomProjects = 6                     // number of project names that runs submit and remove
+	faultTime      = 25 * time.Second      // duration of submissions and faults
+	settleTime     = 30 * time.Second      // from the end of the faults until all submissions must be complete
+	checkInterval  = 25 * time.Millisecond // time between two checks during the settle time
+	removalTime    = 20 * time.Second      // from the removal of all projects until no task may run
+	maxOutcomeTime = 41 * time.Second      // attempt timeouts of ending the old copy and then starting the new one
 )
 
-// randomRun is a run of RunRandom.
+// randomRun is the state of a run of RunRandom.
 type randomRun struct {
 	faultInjector
 	t           TB
 	mix         Mix
-	submitted   int // so far, accepted or not
+	submitted   int // number of submissions so far, accepted or not
 	submissions []randomSubmission
 }
 
 // randomSubmission is a submission that was accepted.
 type randomSubmission struct {
 	id    string
-	epoch uint64 // of the placer, whose restart forgets it
+	epoch uint64 // epoch of the placer incarnation that accepted it; later ones do not know it
 }
 
-// RunRandom runs a random schedule, which the seed determines: projects are submitted, changed and removed while hosts
-// crash, stop answering, drain and come back, frames are lost with their connections, and the placer is restarted. It fails
-// t on a veto or an invariant violation of the core, if a task has two outcomes, or none in time, if an unsafe task runs
-// twice, if the placer's traffic breaks a rule, or if its tables are not empty when all projects are removed.
+// RunRandom runs a random schedule that is determined by the seed: projects are submitted, changed and removed while
+// hosts crash, stop answering, drain and come back, frames are lost with their connections, and the placer is
+// restarted. It fails t if the core vetoes an output or logs an invariant violation, if a task has two outcomes or none
+// in time, if an unsafe task runs twice, if the placer's traffic breaks a rule, or if the core's tables are not empty
+// after all projects are removed.
 func RunRandom(t TB, mix Mix, seed uint64) {
 	r := newRandomRun(t, mix, seed)
 	r.injectFaults()
@@ -73,14 +74,14 @@
 	r.s.RequireNoViolations()
 }
 
-// newRandomRun starts a placer and 4 to 8 hosts over connections that are reset at random.
+// newRandomRun starts a placer and 4 to 8 hosts. Random frames are lost, each with its connection.
 func newRandomRun(t TB, mix Mix, seed uint64) *randomRun {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	s := New(t, Settings(t, randomSettings+mix.extraSettings), 4+rng.IntN(5))
 	s.Delay = time.Duration(1+rng.IntN(30)) * time.Millisecond
 	lossRate := rng.Float64() * 0.02
 	deliver := func(host string, _ hostproto.Frame) bool {
-		if rng.Float64() < lossRate { // on TCP a frame is lost only with its connection
+		if rng.Float64() < lossRate { // TCP loses a frame only with its connection
 			s.After(0, func() { s.ResetConnections(host) })
 			return false
 		}
@@ -90,15 +91,15 @@
 	return &randomRun{faultInjector: faultInjector{s, rng}, t: t, mix: mix}
 }
 
-// injectFaults does something to a host, or to the placer, again and again.
+// injectFaults performs random actions (submissions, removals and faults of a host or the placer) for faultTime.
 func (r *randomRun) injectFaults() {
-	actions := []func(host string){ // each is as likely as another: one that is listed twice is drawn twice as often
+	actions := []func(host string){ // drawn evenly; an action that is listed twice is drawn twice as often
 		r.submit, r.submit, r.submit, r.submit,
 		r.removeProject,
 		r.s.ResetConnections,
 		func(host string) { r.crashHost(host, 3000) },
 		func(host string) { r.blackhole(host, 5000) },
-		r.drainOrNot,
+		r.setRandomDrain,
 		func(host string) { r.pauseHost(host, 1500) },
 		func(string) { r.s.SendHostList() },
 		r.maybeRestartPlacer,
@@ -115,7 +116,8 @@
 	}
 }
 
-// submit submits a new project, or a new version of an old one.
+// submit submits a new project or a new version of an earlier one. A quarter of the submissions have a second service
+// that is placed near the first.
 func (r *randomRun) submit(string) {
 	r.submitted++
 	text := fmt.Sprintf("name: p%d\nservices:\n  a: {x-forkhead: {class: %s, life: %dms}, deploy: {replicas: %d, restart_policy: {condition: on-failure}, resources: {reservations: {cpus: '%.1f'}}}}\n",
@@ -129,30 +131,32 @@
 	}
 }
 
+// removeProject removes a random project, which may not exist.
 func (r *randomRun) removeProject(string) {
 	r.s.Step(core.RemoveProject{Request: 9, Project: fmt.Sprintf("p%d", r.rng.IntN(randomProjects))})
 }
 
-// drainOrNot makes a host drain, with or without the end of its tasks, or no longer.
-func (r *randomRun) drainOrNot(host string) {
+// setRandomDrain makes a host start or stop draining, and end its running tasks or not.
+func (r *randomRun) setRandomDrain(host string) {
 	on := r.rng.IntN(2) == 0
 	r.s.ExecuteHostOutputs(host, r.s.Hosts[host].Model.Drain(r.s.Now, on, r.rng.IntN(2) == 0))
 }
 
+// maybeRestartPlacer restarts the placer with a probability of 1/restartOneIn.
 func (r *randomRun) maybeRestartPlacer(string) {
 	if r.rng.IntN(r.mix.restartOneIn) == 0 {
 		r.s.RestartPlacer()
 	}
 }
 
-// toggleListed removes a host that is down from the endpoint list, or puts it back.
+// toggleListed removes a host that is down from the endpoint list, or adds a removed host again, and sends the list.
 func (r *randomRun) toggleListed(host string) {
 	h := r.s.Hosts[host]
 	h.Listed = !h.Listed || !h.Model.Dead()
 	r.s.SendHostList()
 }
 
-// recoverAll ends all faults.
+// recoverAll ends all faults: no frame is lost any more, and all hosts are up, listed and not draining.
 func (r *randomRun) recoverAll() {
 	r.s.ToHost, r.s.FromHost = nil, nil
 	for _, name := range r.s.HostNames {
@@ -162,32 +166,34 @@
 	r.s.SendHostList()
 }
 
-// checkOutcomes fails the test unless a submission is complete, with one outcome a task, each in time.
+// checkOutcomes fails the test unless a submission is complete and each of its tasks has one outcome, within
+// maxOutcomeTime.
 func (r *randomRun) checkOutcomes(id string) {
 	list, complete, known := r.s.Core.Outcomes(id, 0)
 	seen := map[string]bool{}
 	for _, o := range list {
 		name := replicaName(o)
 		if seen[name] {
-			r.t.Fatalf("submission %s: %s has two outcomes", id, name)
+			r.t.Fatalf("Outcomes(%s): task %s has two outcomes, want one", id, name)
 		}
 		seen[name] = true
 		if took := time.Duration(o.TookMS) * time.Millisecond; took > maxOutcomeTime {
-			r.t.Fatalf("submission %s: %s was told after %v", id, name, took)
+			r.t.Fatalf("Outcomes(%s): outcome of task %s took %v, want at most %v", id, name, took, maxOutcomeTime)
 		}
 	}
 	if !complete || !known {
-		r.t.Fatalf("submission %s is not complete: %+v", id, list)
+		r.t.Fatalf("Outcomes(%s): complete = %v, known = %v, want true for both; outcomes %+v", id, complete, known, list)
 	}
 }
 
-// checkRemoval fails the test unless nothing but the hosts is left when all projects are removed.
+// checkRemoval removes all projects and fails the test unless, removalTime later, no task runs and the core's tables
+// are empty except for the hosts.
 func (r *randomRun) checkRemoval() {
 	for i := range randomProjects + 1 {
 		r.s.Step(core.RemoveProject{Request: 10, Project: fmt.Sprintf("p%d", i)})
 	}
 	r.s.Advance(removalTime)
 	if sizes := r.s.Core.TableSizes(); sizes != (core.TableSizes{Hosts: sizes.Hosts}) || r.s.RunningTasks() != 0 {
-		r.t.Fatalf("left over: %+v, %d running", sizes, r.s.RunningTasks())
+		r.t.Fatalf("%v after all projects were removed: got table sizes %+v and %d running tasks, want 0 except for hosts", removalTime, sizes, r.s.RunningTasks())
 	}
 }
--- a/internal/verify/simulation/random_test.go
+++ b/internal/verify/simulation/random_test.go
@@ -9,22 +9,24 @@
 	"forkhead/internal/protocol/capture"
 )
 
-func TestRandomRuns(t *testing.T) {
-	var which []int
+// Random runs keep the rules. Besides consecutive seeds, the test runs the seeds of earlier failures.
+func TestRunRandomKeepsTheRules(t *testing.T) {
+	var seeds []int
 	for seed := range 60 {
-		which = append(which, seed)
+		seeds = append(seeds, seed)
 	}
-	// Runs that once broke a rule: a task dropped with an attempt unknown and started again under its
-	// key, a group checked without a host that had left the endpoint list, a Welcome whose Holds were lost, an
-	// update that waited for good for one of its tasks, a stop that was requested too early.
-	which = append(which, 1126, 3490, 5312, 1739, 669, 744, 957, 1605, 1746, 1902, 2119, 2581, 2793, 3399, 3788)
-	for _, seed := range which {
+	// Seeds whose runs broke a rule before a fix. The faults were: a task was dropped while the state of an attempt was
+	// unknown, and was started again under its key; a group check left out a host that was no longer in the endpoint
+	// list; the Holds frames after a Welcome were lost; an update waited forever for one of its tasks; a stop was
+	// requested too early.
+	seeds = append(seeds, 1126, 3490, 5312, 1739, 669, 744, 957, 1605, 1746, 1902, 2119, 2581, 2793, 3399, 3788)
+	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { RunRandom(t, Ordinary, uint64(seed)) })
 	}
-	// And runs whose placer broke one by what crossed its own sockets: an offer that waited for its
-	// connection while tasks of an earlier incarnation turned up, or to a host whose handshake reported that it
-	// drains after it was removed; a copy whose Stop was lost; a keyed task that expired as the safe one it
-	// had become.
+	// Seeds whose runs broke a rule in the placer's captured traffic before a fix. The faults were: an offer was queued
+	// for its connection while tasks of an earlier incarnation were reported; an offer went to a host whose handshake
+	// reported, after the host's removal from the list, that it drains; the Stop for a copy was lost; a keyed task
+	// whose class had become safe expired as a safe one.
 	for _, seed := range []int{10150, 10587, 10641, 10986, 11370, 11409, 11418} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { RunRandom(t, Ordinary, uint64(seed)) })
 	}
@@ -36,7 +38,7 @@
 	}
 }
 
-// randomTraffic returns the traffic of a placer in a random run, until the faults are over.
+// randomTraffic returns the captured traffic of the placer in a random run until the faults end.
 func randomTraffic(t *testing.T, mix Mix, seed uint64) []capture.Event {
 	t.Helper()
 	r := newRandomRun(t, mix, seed)
@@ -45,7 +47,7 @@
 	return r.s.Captured
 }
 
-// firstDifference returns the index of the first event that is not in both, or -1.
+// firstDifference returns the index of the first event in which a and b differ, or -1 if they are equal.
 func firstDifference(a, b []capture.Event) int {
 	for i := range min(len(a), len(b)) {
 		if !cmp.Equal(a[i], b[i]) {
@@ -58,9 +60,9 @@
 	return -1
 }
 
-// A run that broke a rule can be repeated. These seeds' runs took several courses while hosts added up their tasks in the
-// order of a map.
-func TestRandomRunFollowsFromSeed(t *testing.T) {
+// A run with the same seed has the same traffic, so that a failed run can be repeated. With these seeds, runs differed
+// when hosts added up their tasks in the iteration order of a map.
+func TestRandomRunIsDeterministicForSeed(t *testing.T) {
 	for _, c := range []struct {
 		mix   Mix
 		seeds []uint64
@@ -73,7 +75,7 @@
 			for range 3 {
 				repeated := randomTraffic(t, c.mix, seed)
 				if i := firstDifference(first, repeated); i >= 0 {
-					t.Errorf("%s %d, repeated: parts at event %d of %d", c.mix.Name, seed, i, len(first))
+					t.Errorf("randomTraffic(%s, %d) repeated: got traffic that differs from event %d on, want the same %d events", c.mix.Name, seed, i, len(first))
 					break
 				}
 			}
--- a/internal/verify/simulation/simulation.go
+++ b/internal/verify/simulation/simulation.go
@@ -1,6 +1,7 @@
 // Package simulation tests a placer by deterministic simulation: it runs the placer's real core, with the real module,
-// against emulated hosts on a clock of its own. Frames cross as bytes, connections break, hosts crash and stop answering,
-// and all that is random is drawn from a seed, which determines a run. Tests of the core and `forkhead explore --lives` run it.
+// against emulated hosts on a simulated clock. Frames are transferred as bytes, connections break, and hosts crash and
+// stop answering. All random choices are drawn from a seed, so the seed determines the run. The package is used by the
+// tests of the core and by `forkhead explore --lives`.
 package simulation
 
 import (
@@ -16,52 +17,53 @@
 	"forkhead/internal/scheduler/timerqueue"
 )
 
-// Sim runs the core of one placer against emulated hosts on a clock of its own. Frames cross as bytes, in order and with
-// a delay each way; what is on its way is lost with its connection. A Sim is not safe for concurrent use.
+// Sim runs the core of one placer against emulated hosts on a simulated clock. Frames are transferred as bytes, in
+// order and with a delay in each direction; frames in flight are lost when their connection ends. A Sim is not safe for
+// concurrent use.
 type Sim struct {
 	t        TB
 	Settings *settings.Settings
-	Now      time.Duration // the time of the simulated clock; it starts at startTime
+	Now      time.Duration // time of the simulated clock, which starts at startTime
 	timers   timerqueue.Queue[func()]
 
-	// The placer.
+	// Fields of the placer.
 	Core      *core.Core
-	Epoch     uint64            // of the placer's incarnation
-	Durable   bool              // the placer stores durable records, and its next incarnation restores them
-	Disk      *Disk             // what was stored; nil unless Durable
-	Accepted  []core.Accepted   // submissions
-	Rejected  []core.Rejected   // submissions
-	Offers    []Offer           // sent to hosts
-	Logs      []string          // every line that the core logged
-	Defects   []string          // those of Logs that are invariant violations
-	Captured  []capture.Event   // the traffic of the placer, as it would be captured at its sockets
-	crashed   bool              // at a crash point; RestartPlacer begins the next incarnation
-	NextCrash func() CrashPoint // called at each step that has durable records; nil: the placer never crashes
+	Epoch     uint64            // epoch of the placer's current incarnation
+	Durable   bool              // the placer stores durable records and restores them after a restart
+	Disk      *Disk             // the placer's store; nil unless Durable
+	Accepted  []core.Accepted   // answers to the accepted submissions
+	Rejected  []core.Rejected   // answers to the rejected submissions
+	Offers    []Offer           // offers that were sent to hosts
+	Logs      []string          // texts of all messages that the core logged
+	Defects   []string          // texts of the logged invariant violations, which are in Logs too
+	Captured  []capture.Event   // the placer's traffic, as a capture at its sockets would show it
+	crashed   bool              // the placer crashed at a crash point and was not restarted yet
+	NextCrash func() CrashPoint // called in each step with durable records; if nil, the placer never crashes
 
-	// The hosts, their list and the network.
+	// Fields of the hosts, the endpoint list and the network.
 	Hosts      map[string]*Host
-	HostNames  []string                                  // in the order in which they were added
+	HostNames  []string                                  // names in the order in which the hosts were added
 	CatalogUp  bool                                      // the endpoint list can be read
 	subscribed bool                                      // the core has subscribed to the endpoint list
-	Delay      time.Duration                             // of a frame, each way
-	ToHost     func(host string, f hostproto.Frame) bool // called for each frame that arrives; false loses it; may be nil
-	FromHost   func(host string, f hostproto.Frame) bool // the same for frames from hosts
+	Delay      time.Duration                             // network delay in each direction
+	ToHost     func(host string, f hostproto.Frame) bool // if not nil, called for each arriving frame; false drops it
+	FromHost   func(host string, f hostproto.Frame) bool // like ToHost, for frames from hosts that reach the placer
 }
 
 const (
-	startTime = time.Hour              // so that hosts may have started long ago
-	warmUp    = 200 * time.Millisecond // by then all hosts are connected
+	startTime = time.Hour              // not 0, so that hosts can have started long before
+	warmUp    = 200 * time.Millisecond // time in which the placer connects to all hosts
 )
 
-// TB is as much of testing.TB as a Sim needs.
+// TB is the subset of testing.TB that a Sim uses. It is implemented outside tests too (see CheckRandom).
 type TB interface {
 	Helper()
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
 }
 
-// Settings returns settings of one placer with a class of each kind, to which extra adds clauses. It fails the test if the
-// settings can't be parsed.
+// Settings returns the settings of a single placer with classes of each effect. extra holds clauses to add. Settings
+// fails the test if the text cannot be parsed.
 func Settings(t TB, extra string) *settings.Settings {
 	t.Helper()
 	text := `(forkhead (placer (zone a) (http "127.0.0.1:1") (tell "127.0.0.1:2"))
@@ -78,23 +80,23 @@
 	}
 	s, err := settings.Parse("test", []byte(text))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("settings.Parse(%s): %v", text, err)
 	}
 	return s.For(0)
 }
 
-// New starts a placer and so many hosts, h0, h1, ...: the even ones small, the odd ones large, two to a rack. change, if
-// any, changes the configuration of the core.
+// New starts a placer and the given number of hosts, h0, h1, ... Even hosts are small and odd ones large; a rack holds
+// two hosts. The functions in change modify the core's configuration.
 func New(t TB, set *settings.Settings, hosts int, change ...func(*core.Config)) *Sim {
 	return start(&Sim{t: t, Settings: set}, hosts, change...)
 }
 
-// NewDurable is New with a placer that stores durable records and restores them when it is restarted.
+// NewDurable is like New, with a placer that stores durable records and restores them after a restart.
 func NewDurable(t TB, set *settings.Settings, hosts int) *Sim {
 	return start(&Sim{t: t, Settings: set, Durable: true, Disk: NewDisk()}, hosts)
 }
 
-// start adds the hosts, starts the core and lets it connect.
+// start adds the hosts, starts the core and advances the clock by warmUp, in which the core connects to the hosts.
 func start(s *Sim, hosts int, change ...func(*core.Config)) *Sim {
 	s.Now, s.Delay, s.Epoch = startTime, time.Millisecond, 1
 	s.Hosts, s.CatalogUp = map[string]*Host{}, true
@@ -110,17 +112,17 @@
 	return s
 }
 
-// After calls do when d has passed on the simulated clock.
+// After calls do when the simulated clock has advanced by d.
 func (s *Sim) After(d time.Duration, do func()) {
 	s.timers.Add(s.Now+d, do)
 }
 
-// Advance advances the clock by d and does all that is due until then.
+// Advance advances the clock by d and runs all events that are due until then.
 func (s *Sim) Advance(d time.Duration) {
 	end := s.Now + d
 	for {
 		at, do := s.nextEvent(end)
-		s.Now = max(s.Now, at) // what is overdue is done now
+		s.Now = max(s.Now, at) // the time of an overdue event is in the past
 		if do == nil {
 			return
 		}
@@ -128,8 +130,9 @@
 	}
 }
 
-// nextEvent returns the earliest event until end, or end and nil. Of one time the timers come first, then the core, then
-// the hosts. A timer of end itself is returned; the core and the hosts do what is due then when the clock advances.
+// nextEvent returns the time and function of the earliest event that is due until end, or end and nil if there is none.
+// At the same time, timers come before the core, and the core before the hosts. Timers that are due at end itself are
+// included; events of the core and the hosts at end are not, and run when the clock next advances.
 func (s *Sim) nextEvent(end time.Duration) (at time.Duration, do func()) {
 	at = end
 	if due, ok := s.timers.Next(); ok && due <= at {
@@ -147,7 +150,7 @@
 	return at, do
 }
 
-// fireTimer does what the first timer is for.
+// fireTimer calls the function of the first timer if it is due.
 func (s *Sim) fireTimer() {
 	if do, due := s.timers.PopDue(s.Now); due {
 		do()
