--- a/internal/verify/platformsim/checks.go
+++ b/internal/verify/platformsim/checks.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	slack         = 50 * time.Millisecond          // that placers have beyond what the rules give them
-	answerGrace   = 500*time.Millisecond + 2*slack // after a request's timeout, until it must be answered
-	releaseCounts = time.Second                    // after a placer ended a task, which then counts as ended
+	slack             = 50 * time.Millisecond          // tolerance that is added to the time limits of the rules
+	answerGrace       = 500*time.Millisecond + 2*slack // from a request's timeout until it must be answered
+	releaseSettleTime = time.Second                    // from a placer's release of a bound task until it counts as ended
 )
 
-// ---- What placers write to hosts.
+// ---- Checks of messages to hosts.
 
-// checkOffer checks an offer as it is written to a host, and notes it as an attempt.
+// checkOffer checks an offer when it is written to a host, and records it as an attempt.
 func (p *placer) checkOffer(c *conn, ref string) {
 	w := p.w
 	w.report.Offers++
 	r := w.requests[ref]
 	if r == nil {
-		w.breach("an offer of %s, which nobody asked for", ref)
+		w.breach("offer of %s, which no owner requested", ref)
 		return
 	}
 	w.checkStillWanted(r)
@@ -35,50 +35,53 @@
 	c.attempts = append(c.attempts, t)
 }
 
-// checkStillWanted checks that the owner waits for an answer, and that attempts are left.
+// checkStillWanted checks that the owner of a request still waits for an answer and that the request has attempts left.
 func (w *world) checkStillWanted(r *request) {
 	switch {
 	case r.canceled:
-		w.breach("an offer of %s for an owner that has left", r.ref)
+		w.breach("offer of %s, which is canceled", r.ref)
 	case r.answer != "":
-		w.breach("an offer of %s, which is answered", r.ref)
+		w.breach("offer of %s, which is already answered", r.ref)
 	case len(r.attempts) >= w.Settings.MaxAttempts:
-		w.breach("attempt %d of %s", len(r.attempts)+1, r.ref)
+		w.breach("offer is attempt %d of %s, at most %d are allowed", len(r.attempts)+1, r.ref, w.Settings.MaxAttempts)
 	}
 }
 
-// checkNoRepeat checks that no earlier attempt forbids one on a host, by the effect of the class.
+// checkNoRepeat checks that the earlier attempts of a request allow one on a host, given the effect of the request's
+// class.
 func (w *world) checkNoRepeat(r *request, h *host) {
 	class := &w.Settings.Classes[r.class]
-	first := true // of those that may have run, which begins the deduplication window
+	first := true // t is the first attempt that may have run, which starts the deduplication window
 	for _, t := range r.attempts {
 		if t.mayRun() {
-			w.breach("no repeat: two attempts of %s are out", r.ref)
+			w.breach("no repeat: two attempts of %s may run at once", r.ref)
 		}
 		if t.knownNotRun {
 			continue
 		}
 		switch {
 		case class.Effect == forkhead.Unsafe:
-			w.breach("no repeat: %s may have run", r.ref)
+			w.breach("no repeat: offer of unsafe task %s, which may have run", r.ref)
 		case class.Effect == forkhead.Keyed && !w.sameDomain(class.DedupDomain, t.host, h):
-			w.breach("no repeat: %s may have run in another group", r.ref)
+			w.breach("no repeat: offer of keyed task %s, which may have run in another group", r.ref)
 		case class.Effect == forkhead.Keyed && first && w.now > t.sentAt+class.DedupWindow+slack:
-			w.breach("no repeat: %s may have run %v ago", r.ref, w.now-t.sentAt)
+			w.breach("no repeat: offer of keyed task %s, which may have run %v ago, with a deduplication window of %v", r.ref, w.now-t.sentAt, class.DedupWindow)
 		}
 		first = false
 	}
 }
 
-// checkDrain checks that the placer doesn't know for long that a host drains or is down.
+// checkDrain checks, when an offer is written, that the placer has not known for longer than the drain grace period
+// that the host drains or is down.
 func (p *placer) checkDrain(h *host) {
 	known := p.hostStates[uint32(h.number)]
 	if known.state != platform.InService && p.w.now > known.since+p.w.Settings.DrainGrace+slack {
-		p.w.breach("drain: an offer to %s, told %s %v ago", h.name(), known.state, p.w.now-known.since)
+		p.w.breach("drain: offer to %s, which the placer has known as %s for %v", h.name(), known.state, p.w.now-known.since)
 	}
 }
 
-// checkSpread checks that one more task of a service may run in a host's domain.
+// checkSpread checks that the spread limit of a request's class allows one more task of its service in the domain of a
+// host.
 func (p *placer) checkSpread(r *request, h *host) {
 	class := &p.w.Settings.Classes[r.class]
 	if class.SpreadDomain == forkhead.AnyDomain {
@@ -90,26 +93,27 @@
 			continue
 		}
 		for _, t := range other.attempts {
-			released := t.releasedAt > 0 && p.w.now >= t.releasedAt+releaseCounts
+			released := t.releasedAt > 0 && p.w.now >= t.releasedAt+releaseSettleTime
 			if t.mayRun() && p.w.sameDomain(class.SpreadDomain, t.host, h) && !released {
 				n++
 			}
 		}
 	}
 	if n > class.MaxPerDomain {
-		p.w.breach("spread: number %d of service %d of at most %d", n, r.service, class.MaxPerDomain)
+		p.w.breach("spread: offer of task number %d of service %d in one domain, at most %d are allowed", n, r.service, class.MaxPerDomain)
 	}
 }
 
-// countsWith reports whether a request counts for the spread limit of another, as far as the placer knows.
+// countsWith reports whether the tasks of request other count, as far as the placer knows, for the spread limit of r.
 func (p *placer) countsWith(other, r *request) bool {
 	return other.placer == p && other.incarnation == r.incarnation && other.service == r.service && other.class == r.class &&
-		other.final == "" && !other.canceled && p.w.now >= other.countsFrom
+		other.finalMessage == "" && !other.canceled && p.w.now >= other.spreadCountsFrom
 }
 
-// ---- What placers write to owners.
+// ---- Checks of messages to owners.
 
-// checkOwnerMessage checks what the owner of a request is sent: one answer, and one release after it.
+// checkOwnerMessage checks a message to the owner of a request: the owner gets one answer and, if that says that the
+// task is bound, one release later.
 func (w *world) checkOwnerMessage(r *request, m *platform.Message) {
 	switch m.Type {
 	case platform.TypeAck, platform.TypeProbeResult:
@@ -117,14 +121,14 @@
 		w.checkBound(r)
 	case platform.TypeMigrate:
 		if r.answer != platform.TypeBound {
-			w.breach("%s is moved and does not stand", r.ref)
+			w.breach("migrate message for %s, which is not bound", r.ref)
 		}
 	default:
 		w.checkRelease(r, m)
 	}
 }
 
-// checkBound checks the answer that a task is bound.
+// checkBound checks an answer that says that the task of a request is bound.
 func (w *world) checkBound(r *request) {
 	if r.answer != "" {
 		w.breach("one answer: %s is answered a second time", r.ref)
@@ -133,20 +137,20 @@
 	r.answer = platform.TypeBound
 	w.report.Placed++
 	if r.boundAttempt() == nil {
-		w.breach("one answer: %s is said to stand by no host's word", r.ref)
+		w.breach("one answer: %s is answered as bound, but no host has reported that", r.ref)
 	}
 }
 
-// checkRelease checks the release of a request, which is its answer if the task was never bound.
+// checkRelease checks the release of a request. If the request has no answer yet, the release is the answer.
 func (w *world) checkRelease(r *request, m *platform.Message) {
 	switch {
-	case r.final != "" || r.answer == platform.TypeRelease:
+	case r.finalMessage != "" || r.answer == platform.TypeRelease:
 		w.breach("one answer: %s is released a second time", r.ref)
 	case r.answer != "":
-		r.final = m.Type
+		r.finalMessage = m.Type
 		w.report.Ended++
 	default:
-		r.answer, r.final = m.Type, m.Type
+		r.answer, r.finalMessage = m.Type, m.Type
 		if m.Cause == platform.CauseRejected || m.Cause == platform.CauseBusy || m.Cause == platform.CauseNotSent {
 			w.report.Rejected++
 			w.checkNeverRan(r)
@@ -156,8 +160,8 @@
 	}
 }
 
-// checkNeverRan checks a refusal, after which the owner may request the task again: no attempt may have run, unless a repeat
-// is harmless wherever it runs.
+// checkNeverRan checks a rejection, after which the owner may request the task again: no attempt may have run, unless
+// the class allows a repeat on any host.
 func (w *world) checkNeverRan(r *request) {
 	class := &w.Settings.Classes[r.class]
 	if class.Effect != forkhead.Unsafe && (class.Effect != forkhead.Keyed || class.DedupDomain == forkhead.AnyDomain) {
@@ -165,36 +169,36 @@
 	}
 	for _, t := range r.attempts {
 		if !t.knownNotRun {
-			w.breach("no repeat: %s is refused and may have run", r.ref)
+			w.breach("no repeat: %s is rejected, but an attempt may have run", r.ref)
 		}
 	}
 }
 
-// checkAnswered checks that a request whose time is over has an answer, if its owner still waits for it.
+// checkAnswered checks that a request is answered if its owner still waits. It is called answerGrace after the timeout.
 func (w *world) checkAnswered(r *request) {
-	waits := !r.canceled && !r.cancelSent && r.owner.open && r.placer.runs(r.incarnation)
+	waits := !r.canceled && !r.cancelSent && r.owner.open && r.placer.isRunning(r.incarnation)
 	if r.answer == "" && waits {
-		w.breach("one answer: %s has none %v after its time", r.ref, w.now-r.createdAt-r.timeout)
+		w.breach("one answer: %s has none %v after its timeout", r.ref, w.now-r.createdAt-r.timeout)
 	}
 }
 
-// checkOwnerClosed checks that nobody waited for an answer on a connection that the placer closes.
+// checkOwnerClosed checks that no request waits for an answer on an owner's connection that the placer closes.
 func (p *placer) checkOwnerClosed(o *ownerConn) {
 	for _, r := range p.w.requests {
 		if r.owner == o && r.answer == "" && r.incarnation == p.incarnation && !r.cancelSent && p.w.now > r.createdAt+slack {
-			p.w.breach("one answer: the connection of %s is closed", r.ref)
+			p.w.breach("one answer: the placer closed the owner's connection before it answered %s", r.ref)
 		}
 	}
 }
 
-// ---- What is left at the end.
+// ---- Checks at the end of a run.
 
-// checkEnd checks what is left when a run is over: no owner takes a task for bound that has ended, and no host had too many
+// checkEnd checks the state at the end of a run: owners know of each task that has ended, and no host received too many
 // offers during a slow start.
 func (w *world) checkEnd() {
 	for _, r := range w.sortedRequests() {
 		if len(w.report.Breaches) == 0 {
-			w.checkEndKnown(r)
+			w.checkEndReported(r)
 		}
 	}
 	for _, h := range w.hosts {
@@ -202,27 +206,28 @@
 	}
 }
 
-// checkEndKnown checks that an owner who still follows its task knows that it has ended.
-func (w *world) checkEndKnown(r *request) {
-	if r.answer != platform.TypeBound || r.final != "" || r.cancelSent || !r.owner.open {
+// checkEndReported checks that an owner that is still connected and has not canceled its task knows if the task has
+// ended. An end that the placer itself requested does not count.
+func (w *world) checkEndReported(r *request) {
+	if r.answer != platform.TypeBound || r.finalMessage != "" || r.cancelSent || !r.owner.open {
 		return
 	}
 	t := r.boundAttempt()
 	if t != nil && t.ended && t.cause != platform.CauseMigrated && r.placer.core != nil {
-		w.breach("one answer: %s is over at its host and its owner takes it for standing", r.ref)
+		w.breach("one answer: %s has ended at its host, but its owner still takes it as bound", r.ref)
 	}
 }
 
-// checkSlowStart checks the offers that came to the host during its last slow start. Several placers share the bound without
-// a common count, so that by chance a few more may come.
+// checkSlowStart checks the offers that the host received during its last slow start. Several placers share the limit
+// without a common counter, so the check allows a few more than SlowStartMaxOffers by chance.
 func (h *host) checkSlowStart() {
 	w := h.w
 	w.report.SlowStartOffers += len(h.slowStartOffers)
-	bound := w.Settings.SlowStartMaxOffers + 2*math.Sqrt(w.Settings.SlowStartMaxOffers) + 2
+	limit := w.Settings.SlowStartMaxOffers + 2*math.Sqrt(w.Settings.SlowStartMaxOffers) + 2
 	for i, at := range h.slowStartOffers {
 		first, _ := slices.BinarySearch(h.slowStartOffers, at-w.Settings.SlowStartWindow+1)
-		if n := float64(i - first + 1); n > bound {
-			w.breach("cold: %v offers to %s in a window that bears %v", n, h.name(), w.Settings.SlowStartMaxOffers)
+		if n := float64(i - first + 1); n > limit {
+			w.breach("slow start: got %v offers to %s within %v, want at most %.1f (%v plus tolerance)", n, h.name(), w.Settings.SlowStartWindow, limit, w.Settings.SlowStartMaxOffers)
 			return
 		}
 	}
--- a/internal/verify/platformsim/conn.go
+++ b/internal/verify/platformsim/conn.go
@@ -7,22 +7,23 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// conn is a connection of an incarnation of a placer to an incarnation of a host.
+// conn is a connection from an incarnation of a placer to an incarnation of a host.
 type conn struct {
 	placer            *placer
 	id                platformcore.ConnectionID
 	placerIncarnation int
-	host              *host // nil: nothing has the address
+	host              *host // nil if no host has the dialed address
 	hostIncarnation   int
 	established       bool
-	closed            bool // on the placer's side
-	blackholed        bool // the host has vanished, and nobody resets the connection
-	attempts          []*attempt
+	closed            bool       // closed on the placer's side
+	blackholed        bool       // the host's machine is gone and the connection is not reset
+	attempts          []*attempt // attempts that were sent on the connection
 
-	lastToHost, lastToPlacer time.Duration // when the last message of each direction arrives
+	lastToHost, lastToPlacer time.Duration // arrival time of the last message in each direction
 }
 
-// dial opens a connection to the host that has an address, or lets the dial fail.
+// dial opens a connection to the host with the dialed address. The dial is refused if the host does not serve. It times
+// out if no host has the address, if the host is isolated, or by an injected fault.
 func (p *placer) dial(o platformcore.DialHost) {
 	w := p.w
 	c := &conn{placer: p, id: o.Connection, placerIncarnation: p.incarnation, host: w.hostAt(o.Address)}
@@ -32,20 +33,20 @@
 	}
 	h := c.host
 	switch {
-	case h == nil || h.isolated || h.up && w.fails(30):
+	case h == nil || h.isolated || h.up && w.faultOneIn(30):
 		w.after(w.Settings.ConnectTimeout, func() { c.failDial(false) })
 	case !h.up || !h.ready:
 		c.failDial(true)
 	default:
-		late := time.Duration(0)
-		if w.fails(15) {
-			late = time.Duration(w.rng.Int64N(int64(w.Settings.ConnectTimeout)))
+		extraDelay := time.Duration(0)
+		if w.faultOneIn(15) {
+			extraDelay = time.Duration(w.rng.Int64N(int64(w.Settings.ConnectTimeout)))
 		}
-		w.after(late, func() { c.deliver(c.establish) })
+		w.after(extraDelay, func() { c.deliver(c.establish) })
 	}
 }
 
-// hostAt returns the host that has an address, or nil.
+// hostAt returns the host that currently has the address, or nil.
 func (w *world) hostAt(address string) *host {
 	for _, h := range w.hosts {
 		if h.address() == address {
@@ -55,7 +56,8 @@
 	return nil
 }
 
-// deliver calls do on the placer's side, in order, if the connection isn't closed there by then.
+// deliver calls do on the placer's side after the delay of a message, in the order of the calls, unless the connection
+// is closed there by then.
 func (c *conn) deliver(do func()) {
 	c.placer.deliver(c.placerIncarnation, &c.lastToPlacer, func() {
 		if c.placer.conns[c.id] == c {
@@ -64,16 +66,17 @@
 	})
 }
 
-// failDial lets the dial fail: it is refused, or nothing answers.
+// failDial reports to the placer that the dial failed: the host refused it, or else nothing answered or the cause is
+// local to the placer.
 func (c *conn) failDial(refused bool) {
 	c.deliver(func() {
 		delete(c.placer.conns, c.id)
-		local := !refused && c.placer.w.fails(4)
+		local := !refused && c.placer.w.faultOneIn(4)
 		c.placer.step(platformcore.DialFailed{Connection: c.id, Refused: refused, Local: local})
 	})
 }
 
-// establish ends the dial: the connection is established, if the host is still up.
+// establish completes the dial. The dial fails if the host is down by now.
 func (c *conn) establish() {
 	if !c.host.up {
 		delete(c.placer.conns, c.id)
@@ -85,7 +88,7 @@
 	c.host.sendUndelivered(c)
 }
 
-// close closes the connection on the placer's side; its attempts are abandoned.
+// close closes the connection on the placer's side and abandons its attempts that the placer does not know as bound.
 func (c *conn) close() {
 	if c.closed {
 		return
@@ -97,13 +100,14 @@
 			continue
 		}
 		t.knownOver = true
-		if t.bound { // the answer is on its way, and nobody reads it
+		if t.bound { // the host's answer is in flight and will not be read
 			t.host.end(t, platform.CauseMigrated, false)
 		}
 	}
 }
 
-// reset ends the connection from the host's side, or between.
+// reset ends an established connection from the host's side or in the network. The placer notices after the delay of a
+// message.
 func (c *conn) reset() {
 	if c.closed || !c.established {
 		return
@@ -115,7 +119,7 @@
 	})
 }
 
-// disconnect lets the placer notice the end of the connection.
+// disconnect reports the end of the connection to the placer. Attempts that the placer does not know as bound are over.
 func (c *conn) disconnect() {
 	c.closed = true
 	delete(c.placer.conns, c.id)
@@ -125,7 +129,7 @@
 	c.placer.step(platformcore.HostDisconnected{Connection: c.id})
 }
 
-// sendToHost sends a message to the host.
+// sendToHost sends a message to the host. An offer is not delivered if the placer has closed the connection by then.
 func (c *conn) sendToHost(m platform.Message) {
 	w := c.placer.w
 	if w.manual {
@@ -133,17 +137,18 @@
 	}
 	c.lastToHost = max(c.lastToHost, w.now+w.delay())
 	w.timers.Add(c.lastToHost, func() {
-		requestOfClosed := c.closed && m.Type == platform.TypeRequest
-		if c.host != nil && c.established && c.reachesHost() && c.host.incarnation == c.hostIncarnation && !requestOfClosed {
+		abandonedOffer := c.closed && m.Type == platform.TypeRequest
+		if c.host != nil && c.established && c.reachesHost() && c.host.incarnation == c.hostIncarnation && !abandonedOffer {
 			c.host.receive(c, m)
 		}
 	})
 }
 
-// reachesHost reports whether a message to the host gets through.
+// reachesHost reports whether a message reaches the host.
 func (c *conn) reachesHost() bool { return !c.blackholed && !c.host.isolated && c.host.up }
 
-// sendToPlacer sends a line to the placer. onArrival, if not nil, is called when it arrives.
+// sendToPlacer sends a line to the placer. onArrival, if not nil, is called when the line arrives, before the placer
+// handles it.
 func (c *conn) sendToPlacer(line string, onArrival func()) {
 	if c.closed || c.blackholed || c.host.isolated {
 		return
@@ -159,7 +164,7 @@
 	})
 }
 
-// lastAttempt returns the last attempt of a request that was sent on the connection, or nil.
+// lastAttempt returns the last attempt on the connection of the request with a ref, or nil.
 func (c *conn) lastAttempt(ref string) *attempt {
 	var last *attempt
 	for _, t := range c.attempts {
--- a/internal/verify/platformsim/faults.go
+++ b/internal/verify/platformsim/faults.go
@@ -6,19 +6,19 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// minRestartTime is the least time from the end of a host's process until the next one serves. It is longer than any message
-// takes to arrive (world.delay, 203.1 ms at most): as on real machines, what was sent before the end of a process does not
-// find the next one.
+// minRestartTime is the minimum time from the end of a host's process until the next one serves. It is longer than the
+// delay of any message (world.delay, 203.1 ms at most), so that, as on real machines, a message that was sent before
+// the end of a process does not reach the next process.
 const minRestartTime = 250 * time.Millisecond
 
-// injectFault makes one thing go wrong.
+// injectFault injects a random fault.
 func (w *world) injectFault() {
 	h := w.hosts[w.rng.IntN(len(w.hosts))]
 	faults := []func(*host){w.drainHost, w.crashHost, w.isolateHost, w.killPlacer, w.delayWatch, w.resetConnections}
 	faults[w.rng.IntN(len(faults))](h)
 }
 
-// drainHost makes a host drain; its machine goes away, and warms up when it is back.
+// drainHost makes a host drain. Its machine vanishes soon after and comes back later, warming up.
 func (w *world) drainHost(h *host) {
 	if !h.ready {
 		return
@@ -29,19 +29,19 @@
 	w.after(4*time.Second, h.start)
 }
 
-// crashHost ends a host's process, which starts again.
+// crashHost ends a host's process, which starts again later.
 func (w *world) crashHost(h *host) {
 	h.crash()
 	w.after(minRestartTime+w.randomMS(2000), h.start)
 }
 
-// isolateHost cuts a host off from all placers for a while.
+// isolateHost partitions a host from all placers for a random time.
 func (w *world) isolateHost(h *host) {
 	h.isolated = true
 	w.after(w.randomMS(6000), func() { h.isolated = false })
 }
 
-// killPlacer kills a placer, which starts again.
+// killPlacer kills a random placer, which starts again later.
 func (w *world) killPlacer(*host) {
 	p := w.randomPlacer()
 	if p.core != nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// delayWatch makes a placer receive no event for a while.
+// delayWatch delays the watch events of a random placer for a random time.
 func (w *world) delayWatch(*host) {
 	p := w.randomPlacer()
 	p.watchDelayedUntil = w.now + w.randomMS(3000)
@@ -63,6 +63,7 @@
 	}
 }
 
+// randomPlacer returns a random placer, which may be down.
 func (w *world) randomPlacer() *placer { return w.placers[w.rng.IntN(len(w.placers))] }
 
 // connectionsTo returns the connections of all placers to a host.
@@ -78,9 +79,9 @@
 	return all
 }
 
-// endFaults lets nothing more go wrong, and starts all that is down, hosts after the least time of a restart.
+// endFaults ends all faults and starts what is down: placers at once, hosts after minRestartTime.
 func (w *world) endFaults() {
-	w.faultsOff = true
+	w.faultsDisabled = true
 	for _, h := range w.hosts {
 		h.isolated = false
 		w.after(minRestartTime, h.start)
--- a/internal/verify/platformsim/faults_test.go
+++ b/internal/verify/platformsim/faults_test.go
@@ -7,32 +7,33 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// runFor runs a world for a time.
+// runFor advances the clock of a world by d and runs what is due.
 func (w *world) runFor(d time.Duration) {
 	for end := w.now + d; w.runNext(end); {
 	}
 }
 
-// placeOne has a placer place a task that ends much later, and returns its request.
+// placeOne places a task and returns its request, whose task is still running.
 func placeOne(t *testing.T, w *world) *request {
 	t.Helper()
 	for range 20 { // hosts reject some offers
-		w.arrive()
+		w.sendNewRequest()
 		w.runFor(200 * time.Millisecond)
 		for _, r := range w.sortedRequests() {
-			if r.final == "" && r.boundAttempt() != nil {
+			if r.finalMessage == "" && r.boundAttempt() != nil {
 				return r
 			}
 		}
 	}
-	t.Fatal("no task is placed")
+	t.Fatal("placeOne: no task is bound after 20 requests, want one")
 	return nil
 }
 
-// A host that dies while the hand-over of its task is on the way, as faults end, is back only later than that arrives: the
-// start that its placer learns of then shows that the task is over, and its owner is told.
+// A host that crashes while the hand-over of its task is in flight, just before faults end, must come back only after
+// the hand-over has arrived. The host's start then shows the placer that the task is over, and the owner gets a
+// release.
 func TestHostDiesWhileItsTaskIsHandedOver(t *testing.T) {
-	for _, hasEnded := range []bool{true, false} { // before the hand-over, while its placer was down
+	for _, hasEnded := range []bool{true, false} { // whether the task ends while its placer is down, before the hand-over
 		cfg := busyConfig(1)
 		cfg.Placers, cfg.Hosts, cfg.Faults = 1, 1, 0
 		w := newWorld(cfg)
@@ -47,7 +48,7 @@
 		p.start()
 		for r.incarnation != p.incarnation {
 			if !w.runNext(w.now + time.Second) {
-				t.Fatal("the task is not handed over")
+				t.Fatalf("task ended before the hand-over: %v: the task was not handed over, want a hand-over to the new incarnation", hasEnded)
 			}
 		}
 		h.crash()
@@ -55,10 +56,10 @@
 		w.runFor(settleTime)
 		w.checkEnd()
 		for _, b := range w.report.Breaches {
-			t.Errorf("ended %v: %s", hasEnded, b)
+			t.Errorf("task ended before the hand-over: %v: got a breach, want none: %s", hasEnded, b)
 		}
-		if r.final == "" {
-			t.Errorf("ended %v: the owner is not told", hasEnded)
+		if r.finalMessage == "" {
+			t.Errorf("task ended before the hand-over: %v: the owner got no release, want one", hasEnded)
 		}
 	}
 }
--- a/internal/verify/platformsim/host.go
+++ b/internal/verify/platformsim/host.go
@@ -8,26 +8,26 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// hostsPerCell is how many hosts a cell has.
+// hostsPerCell is the number of consecutive host numbers that form a cell.
 const hostsPerCell = 3
 
-// host is one machine, with its incarnations one after the other.
+// host is a machine, on which incarnations of a host run one after the other.
 type host struct {
 	w               *world
 	number          int // from 1
 	incarnation     int
 	machineType     int
-	startedAt       time.Duration // 0: long ago
+	startedAt       time.Duration // start of the incarnation; 0 means long ago
 	up              bool
-	ready           bool // by the endpoint list
-	isolated        bool // cut off from all placers
+	ready           bool // in service by the endpoint list; if not, dials are refused and offers rejected
+	isolated        bool // partitioned from all placers
 	restarts        int
-	tasks           map[string]*attempt // bound, by ref
-	undelivered     []release           // releases that their placers have not acknowledged
-	slowStartOffers []time.Duration     // when offers came during the slow start
+	tasks           map[string]*attempt // bound tasks by ref
+	undelivered     []release           // releases that were not acknowledged by their placers
+	slowStartOffers []time.Duration     // arrival times of the offers during the last slow start
 }
 
-// release is the end of a task that its placer has not acknowledged.
+// release is a message about the end of a task that the placer has not acknowledged.
 type release struct {
 	placer  *placer
 	line    string
@@ -48,13 +48,14 @@
 	}
 }
 
-// crash ends the host's process; its connections are reset.
+// crash ends the host's process and resets its connections.
 func (h *host) crash() { h.stop((*conn).reset) }
 
-// vanish takes the machine away; nobody resets its connections.
+// vanish removes the machine. Its connections are not reset.
 func (h *host) vanish() { h.stop(func(c *conn) { c.blackholed = true }) }
 
-// stop ends the incarnation, if the host is up. The endpoint list is updated some time later.
+// stop ends the incarnation if the host is up, and calls endConn for each of its connections. The endpoint list is
+// updated after less than 2 s if the host is still down.
 func (h *host) stop(endConn func(*conn)) {
 	if !h.up {
 		return
@@ -75,7 +76,7 @@
 	})
 }
 
-// start starts a host that is down; it warms up.
+// start starts a host that is down, which then warms up, and publishes its new address.
 func (h *host) start() {
 	if h.up {
 		return
@@ -87,7 +88,7 @@
 	h.w.publish(false, h.endpoint(platform.InService))
 }
 
-// sendUndelivered sends on a new connection what its placer has not acknowledged.
+// sendUndelivered sends the releases that the placer of a new connection has not acknowledged.
 func (h *host) sendUndelivered(c *conn) {
 	for _, u := range h.undelivered {
 		if u.placer == c.placer {
@@ -96,12 +97,12 @@
 	}
 }
 
-// awaitsAck reports whether the end of an attempt is not acknowledged.
+// awaitsAck reports whether the placer has yet to acknowledge the end of an attempt.
 func (h *host) awaitsAck(t *attempt) bool {
 	return slices.ContainsFunc(h.undelivered, func(u release) bool { return u.attempt == t })
 }
 
-// receive handles a message of a placer.
+// receive handles a message from a placer.
 func (h *host) receive(c *conn, m platform.Message) {
 	switch m.Type {
 	case platform.TypeProbe:
@@ -118,7 +119,7 @@
 	}
 }
 
-// receiveRelease ends a bound task, or what was canceled before the host decided about it.
+// receiveRelease ends a bound task, or cancels offers that the host has not decided on.
 func (h *host) receiveRelease(c *conn, ref string) {
 	if t := h.tasks[ref]; t != nil {
 		h.end(t, platform.CauseMigrated, true)
@@ -131,7 +132,7 @@
 	}
 }
 
-// receiveOffer takes an offer, to decide about it soon.
+// receiveOffer receives an offer. The host decides on it 1 to 40 ms later.
 func (h *host) receiveOffer(c *conn, ref string) {
 	w := h.w
 	if h.startedAt > 0 && w.now < h.startedAt+w.Settings.SlowStartDuration {
@@ -142,7 +143,7 @@
 	}
 }
 
-// decide binds a task or not.
+// decide answers an offer: it binds the task, rejects it, or fails in one of several ways.
 func (h *host) decide(c *conn, t *attempt) {
 	w := h.w
 	if t.ended || !h.up || h.incarnation != c.hostIncarnation || c.closed {
@@ -154,25 +155,25 @@
 	switch {
 	case !h.ready || w.rng.IntN(12) == 0:
 		c.sendToPlacer(release(platform.CauseRejected, platform.CauseNotSent), func() { t.knownNotRun, t.knownOver = true, true })
-	case w.fails(15):
+	case w.faultOneIn(15):
 		c.sendToPlacer(release(platform.CauseFailed, platform.CauseReset), func() { t.knownOver = true })
-	case w.fails(15):
+	case w.faultOneIn(15):
 		c.reset()
-	case w.fails(20):
+	case w.faultOneIn(20):
 		c.sendToPlacer("\x00 not a message\n", nil)
-	case w.fails(20): // it never answers
+	case w.faultOneIn(20): // the host never answers
 	default:
 		h.bind(c, t)
 	}
 }
 
-// bind starts a task, which ends some time later.
+// bind starts a task, which ends by itself after 300 ms to 6.3 s. The answer is sometimes sent twice.
 func (h *host) bind(c *conn, t *attempt) {
 	w, ref := h.w, t.request.ref
 	t.bound = true
 	h.tasks[ref] = t
 	c.sendToPlacer(encodeLine(platform.TypeBound, ref, platform.NoCause), func() { t.knownBound = t.knownBound || !t.knownOver })
-	if w.fails(8) {
+	if w.faultOneIn(8) {
 		c.sendToPlacer(encodeLine(platform.TypeBound, ref, platform.NoCause), nil)
 	}
 	incarnation := h.incarnation
@@ -183,7 +184,8 @@
 	})
 }
 
-// end ends a bound task. With notify, its placer is sent the end.
+// end ends a bound task. If notify is set, the host sends a release to the task's placer, and again on each new
+// connection until the placer acknowledges it.
 func (h *host) end(t *attempt, cause platform.Cause, notify bool) {
 	if t.ended {
 		return
@@ -202,7 +204,7 @@
 	}
 }
 
-// connFor returns a connection on which the placer of an attempt can be reached, the attempt's own if possible, or nil.
+// connFor returns a connection that reaches the placer of an attempt, or nil. It prefers the attempt's own connection.
 func (h *host) connFor(t *attempt) *conn {
 	p := t.request.placer
 	reaches := func(c *conn) bool { return c.established && !c.blackholed && !h.isolated }
--- a/internal/verify/platformsim/injected_test.go
+++ b/internal/verify/platformsim/injected_test.go
@@ -8,26 +8,26 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// toHost returns whether an output is a message to a host that contains text.
-func toHost(text string) func(platformcore.Output) bool {
+// messageToHost returns a function that reports whether an output is a message to a host that contains text.
+func messageToHost(text string) func(platformcore.Output) bool {
 	return func(o platformcore.Output) bool {
-		x, ok := o.(platformcore.SendToHost)
-		return ok && bytes.Contains(x.Line, []byte(text))
+		sent, ok := o.(platformcore.SendToHost)
+		return ok && bytes.Contains(sent.Line, []byte(text))
 	}
 }
 
-// toOwner returns whether an output is a message to an owner that contains text.
-func toOwner(text string) func(platformcore.Output) bool {
+// messageToOwner returns a function that reports whether an output is a message to an owner that contains text.
+func messageToOwner(text string) func(platformcore.Output) bool {
 	return func(o platformcore.Output) bool {
-		x, ok := o.(platformcore.SendToOwner)
-		return ok && bytes.Contains(x.Line, []byte(text))
+		sent, ok := o.(platformcore.SendToOwner)
+		return ok && bytes.Contains(sent.Line, []byte(text))
 	}
 }
 
-// repeat outputs some outputs so many times; 0 drops them.
-func repeat(some func(platformcore.Output) bool, times int) OutputFilter {
+// repeat returns a filter that outputs each matching output the given number of times; 0 drops it.
+func repeat(matches func(platformcore.Output) bool, times int) OutputFilter {
 	return func(o platformcore.Output) []platformcore.Output {
-		if !some(o) {
+		if !matches(o) {
 			return []platformcore.Output{o}
 		}
 		var all []platformcore.Output
@@ -38,32 +38,33 @@
 	}
 }
 
-// dropReleases drops the releases of tasks that were bound.
+// dropReleases returns a filter that drops the releases of tasks that were reported to their owners as bound.
 func dropReleases() OutputFilter {
 	bound := map[string]bool{}
 	return func(o platformcore.Output) []platformcore.Output {
-		x, ok := o.(platformcore.SendToOwner)
+		sent, ok := o.(platformcore.SendToOwner)
 		if !ok {
 			return []platformcore.Output{o}
 		}
-		ref := string(x.Line[bytes.Index(x.Line, []byte(`"ref"`)):][:24])
-		if bound[ref] && toOwner(`"down"`)(o) {
+		ref := string(sent.Line[bytes.Index(sent.Line, []byte(`"ref"`)):][:24])
+		if bound[ref] && messageToOwner(`"down"`)(o) {
 			return nil
 		}
-		bound[ref] = bound[ref] || toOwner(`"up"`)(o)
+		bound[ref] = bound[ref] || messageToOwner(`"up"`)(o)
 		return []platformcore.Output{o}
 	}
 }
 
+// Each injected fault is found in at least one of 30 runs.
 func TestRunFindsInjectedFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault func() OutputFilter
 		want  string
 	}{
-		"an answer twice": {func() OutputFilter { return repeat(toOwner(`"up"`), 2) }, "a second time"},
-		"an answer never": {func() OutputFilter { return repeat(toOwner(`"down"`), 0) }, "has none"},
-		"an offer twice":  {func() OutputFilter { return repeat(toHost(`"new"`), 2) }, "two attempts"},
-		"a release kept":  {dropReleases, "takes it for standing"},
+		"bound answer repeated":           {func() OutputFilter { return repeat(messageToOwner(`"up"`), 2) }, "a second time"},
+		"releases dropped":                {func() OutputFilter { return repeat(messageToOwner(`"down"`), 0) }, "has none"},
+		"offer repeated":                  {func() OutputFilter { return repeat(messageToHost(`"new"`), 2) }, "two attempts"},
+		"releases of bound tasks dropped": {dropReleases, "still takes it as bound"},
 	} {
 		found := false
 		for seed := uint64(0); seed < 30 && !found; seed++ {
@@ -74,12 +75,12 @@
 			}
 		}
 		if !found {
-			t.Errorf("%s is not found", name)
+			t.Errorf("Run with fault %q: got no breach in 30 runs that contains %q, want one", name, c.want)
 		}
 	}
 }
 
-// An injected fault is found in a few events.
+// Each injected fault is found by interleavings of two events.
 func TestExploreInterleavingsFindsInjectedFaults(t *testing.T) {
 	cfg := busyConfig(1)
 	cfg.Settings.MaxAttempts = 2
@@ -87,13 +88,13 @@
 		fault OutputFilter
 		want  string
 	}{
-		"an offer twice":  {repeat(toHost(`"new"`), 2), "two attempts"},
-		"an answer never": {repeat(toOwner(`"down"`), 0), "one answer"},
-		"an answer twice": {repeat(toOwner(`"down"`), 2), "a second time"},
+		"offer repeated":   {repeat(messageToHost(`"new"`), 2), "two attempts"},
+		"releases dropped": {repeat(messageToOwner(`"down"`), 0), "one answer"},
+		"release repeated": {repeat(messageToOwner(`"down"`), 2), "a second time"},
 	} {
 		_, breaches := ExploreInterleavings(cfg.Settings, cfg.WireNames, 2, func() OutputFilter { return c.fault })
 		if len(breaches) == 0 || !strings.Contains(strings.Join(breaches, "\n"), c.want) {
-			t.Errorf("%s is not found: %v", name, breaches)
+			t.Errorf("ExploreInterleavings with fault %q: got breaches %q, want one that contains %q", name, breaches, c.want)
 		}
 	}
 }
--- a/internal/verify/platformsim/interleavingevents.go
+++ b/internal/verify/platformsim/interleavingevents.go
@@ -8,29 +8,29 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// eventKind is what happens in an interleaving, as it is printed with a breach.
+// eventKind is the kind of an event in an interleaving. Its value is the name that is printed with a breach.
 type eventKind string
 
-// waitTime is how long eventWait lets pass: at least as long as the core's shortest delays, minRedialBackoff and probeRetryAfter,
-// and short enough that several waits fit in requestTimeout.
+// waitTime is the time by which eventWait advances the clock. It is at least as long as the core's shortest delays,
+// minRedialBackoff and probeRetryAfter, and short enough that several waits fit in requestTimeout.
 const waitTime = 120 * time.Millisecond
 
 // The kinds of events.
 const (
 	eventWait     eventKind = "wait"
-	eventDeadline eventKind = "deadline" // of the request
-	eventDrain    eventKind = "drain"    // of the first host
+	eventDeadline eventKind = "deadline" // the request's deadline passes
+	eventDrain    eventKind = "drain"    // the first host drains
 
 	eventOwnerDisconnected eventKind = "owner-gone"
 	eventCancel            eventKind = "give-up"
 	eventHandOver          eventKind = "hand-over"
 
-	// Of a connection.
+	// Events of a connection to a host.
 	eventEstablished  eventKind = "made"
 	eventRefused      eventKind = "refused"
 	eventDisconnected eventKind = "gone"
 
-	// What a host answers to an attempt.
+	// Messages of a host about an attempt.
 	eventBound    eventKind = "up"
 	eventRejected eventKind = "full"
 	eventFailed   eventKind = "error"
@@ -41,8 +41,8 @@
 // interleavingEvent is one event of an interleaving.
 type interleavingEvent struct {
 	kind    eventKind
-	conn    platformcore.ConnectionID // of an event of a connection
-	attempt int                       // index, of an event of an attempt
+	conn    platformcore.ConnectionID // the connection, for events of a connection
+	attempt int                       // the index of the attempt, for messages about an attempt
 }
 
 // String returns the event as it is printed with a breach.
@@ -56,7 +56,7 @@
 	return string(e.kind)
 }
 
-// possibleEvents lists what can happen next.
+// possibleEvents returns the events that can happen next.
 func (run *interleavingRun) possibleEvents() []interleavingEvent {
 	all := []interleavingEvent{{kind: eventWait}}
 	all = append(all, run.ownerEvents()...)
@@ -79,22 +79,22 @@
 	return all
 }
 
-// ownerEvents lists what the owner can do.
+// ownerEvents returns the possible events of the owner.
 func (run *interleavingRun) ownerEvents() []interleavingEvent {
 	if !run.r.owner.open {
 		return nil
 	}
 	all := []interleavingEvent{{kind: eventOwnerDisconnected}}
-	if run.r.final == "" && !run.r.cancelSent {
+	if run.r.finalMessage == "" && !run.r.cancelSent {
 		all = append(all, interleavingEvent{kind: eventCancel})
 	}
-	if run.r.answer == platform.TypeBound && run.r.final == "" {
+	if run.r.answer == platform.TypeBound && run.r.finalMessage == "" {
 		all = append(all, interleavingEvent{kind: eventHandOver})
 	}
 	return all
 }
 
-// attemptEvents lists what the host of an attempt can answer.
+// attemptEvents returns the messages that the host of an attempt can send about it.
 func attemptEvents(index int, t *attempt) []interleavingEvent {
 	if t.conn.closed || t.ended {
 		return nil
@@ -110,7 +110,7 @@
 	return all
 }
 
-// apply lets an event happen.
+// apply makes an event happen.
 func (run *interleavingRun) apply(e interleavingEvent) {
 	switch e.kind {
 	case eventWait:
@@ -119,7 +119,7 @@
 		run.runUntil(run.r.createdAt + requestTimeout)
 	case eventDrain:
 		event := run.w.nextEvent(false, run.w.hosts[0].endpoint(platform.Terminating))
-		run.p.noteEvent(event)
+		run.p.recordEvent(event)
 		run.p.step(platformcore.WatchEventReceived{Event: event})
 	case eventOwnerDisconnected, eventCancel, eventHandOver:
 		run.applyOwnerEvent(e.kind)
@@ -130,6 +130,7 @@
 	}
 }
 
+// applyOwnerEvent makes an event of the owner happen.
 func (run *interleavingRun) applyOwnerEvent(kind eventKind) {
 	switch kind {
 	case eventOwnerDisconnected:
@@ -145,11 +146,12 @@
 	}
 }
 
-// sendAsOwner sends a line of the owner to the placer.
+// sendAsOwner passes a line from the owner to the placer.
 func (run *interleavingRun) sendAsOwner(line string) {
 	run.p.step(platformcore.OwnerData{Owner: requestOwner, Data: []byte(line)})
 }
 
+// applyConnEvent makes an event of a connection to a host happen.
 func (run *interleavingRun) applyConnEvent(kind eventKind, c *conn) {
 	switch kind {
 	case eventEstablished:
@@ -163,7 +165,7 @@
 	}
 }
 
-// applyAttemptEvent records what a host's answer implies and sends the answer to the placer.
+// applyAttemptEvent records what a host's message implies for an attempt and passes the message to the placer.
 func (run *interleavingRun) applyAttemptEvent(kind eventKind, t *attempt) {
 	messageType, cause := platform.TypeRelease, platform.NoCause
 	switch kind {
--- a/internal/verify/platformsim/interleavings.go
+++ b/internal/verify/platformsim/interleavings.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	requestTimeout                      = 1500 * time.Millisecond // of the request whose interleavings are explored
-	requestOwner   platformcore.OwnerID = 1                       // the connection that it came on
+	requestTimeout                      = 1500 * time.Millisecond // timeout of the explored request
+	requestOwner   platformcore.OwnerID = 1                       // owner connection of the explored request
 )
 
-// ExploreInterleavings runs every interleaving of depth events around one request of each class of the settings, with one
-// placer and two hosts: connections established, refused and ended, every message of a host on any attempt, late ones too,
-// the owner's cancel and disconnect, a hand-over, a drain, a host's loss and the deadline. injectFault, if not nil, is
-// called for the Config.InjectFault of each interleaving. ExploreInterleavings returns how many interleavings it ran and
-// the first breaches, each with the events that led to it.
+// ExploreInterleavings runs every interleaving of depth events on one request of each class of the settings, with one
+// placer and two hosts. The events are connections that are established, refused and ended, every message of a host on
+// any attempt, including late ones, the owner's cancel and disconnect, a hand-over, a drain, a host's loss and the
+// deadline. injectFault, if not nil, returns the Config.InjectFault of each interleaving. ExploreInterleavings returns
+// the number of interleavings that it ran and the first breaches, each with the events that led to it.
 func ExploreInterleavings(set forkhead.Settings, names platformcore.WireNames, depth int, injectFault func() OutputFilter) (runs int, breaches []string) {
 	e := explorer{settings: set, names: names, depth: depth, injectFault: injectFault}
 	for class := range set.Classes {
@@ -29,7 +29,7 @@
 	return e.runs, e.breaches
 }
 
-// explorer explores interleavings of events, depth first.
+// explorer explores interleavings of events in depth-first order.
 type explorer struct {
 	settings    forkhead.Settings
 	names       platformcore.WireNames
@@ -39,7 +39,8 @@
 	breaches    []string
 }
 
-// explore runs all interleavings that begin with the events of prefix. A world can't be copied, so each is run from its start.
+// explore runs all interleavings that begin with the events of prefix. Each is run from its start, since a world cannot
+// be copied.
 func (e *explorer) explore(class int, prefix []interleavingEvent) {
 	if len(e.breaches) >= maxBreaches {
 		return
@@ -51,7 +52,7 @@
 	if len(prefix) == e.depth {
 		e.runs++
 		run.settle()
-		e.recordBreach(run, class, prefix, ", and rest")
+		e.recordBreach(run, class, prefix, ", then settle")
 		return
 	}
 	for _, event := range run.possibleEvents() {
@@ -59,7 +60,8 @@
 	}
 }
 
-// recordBreach records the first breach of an interleaving, and reports whether there is one.
+// recordBreach records the first breach of a run, if any, with the events of its interleaving and suffix, and reports
+// whether there is one.
 func (e *explorer) recordBreach(run *interleavingRun, class int, interleaving []interleavingEvent, suffix string) bool {
 	if len(run.w.report.Breaches) == 0 {
 		return false
@@ -72,10 +74,10 @@
 	return true
 }
 
-// runInterleaving runs events from the start, in their order.
+// runInterleaving runs the events of an interleaving in order in a new world.
 func (e *explorer) runInterleaving(class int, interleaving []interleavingEvent) *interleavingRun {
 	w := newWorld(Config{Settings: e.settings, WireNames: e.names, Placers: 1, Hosts: 2, MaxConnections: 40})
-	w.faultsOff, w.manual = true, true
+	w.faultsDisabled, w.manual = true, true
 	if e.injectFault != nil {
 		w.InjectFault = e.injectFault()
 	}
@@ -98,14 +100,14 @@
 	return run
 }
 
-// interleavingRun is one interleaving as it runs: a world with one placer and one request.
+// interleavingRun is the run of one interleaving: a world with one placer and one request.
 type interleavingRun struct {
 	w *world
 	p *placer
 	r *request
 }
 
-// runUntil lets time pass with nothing but what the placer does by itself.
+// runUntil advances the clock. Only the placer's timers run meanwhile, and the placer makes a step at the end.
 func (run *interleavingRun) runUntil(at time.Duration) {
 	for run.w.runNext(at) {
 	}
@@ -113,7 +115,8 @@
 	run.p.step()
 }
 
-// settle lets the run come to its end: no host answers or accepts a connection.
+// settle advances the clock by 20 s, in which no host answers or accepts a connection. The request must have an answer
+// at the end, and its owner a release if the task was bound, unless the owner has canceled it or disconnected.
 func (run *interleavingRun) settle() {
 	for range 200 {
 		run.runUntil(run.w.now + 100*time.Millisecond)
@@ -125,9 +128,9 @@
 		}
 	}
 	if run.r.answer == "" && !run.r.canceled {
-		run.w.breach("one answer: it has none")
+		run.w.breach("one answer: %s has none after all hosts stopped answering", run.r.ref)
 	}
-	if run.r.answer == platform.TypeBound && run.r.final == "" && !run.r.cancelSent && run.r.owner.open {
-		run.w.breach("one answer: its owner takes it for standing")
+	if run.r.answer == platform.TypeBound && run.r.finalMessage == "" && !run.r.cancelSent && run.r.owner.open {
+		run.w.breach("one answer: the owner still takes %s as bound after all hosts stopped answering", run.r.ref)
 	}
 }
--- a/internal/verify/platformsim/outputs.go
+++ b/internal/verify/platformsim/outputs.go
@@ -8,7 +8,7 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// execute executes an output of the core, and checks what is written.
+// execute executes an output of the core and checks the messages that it writes.
 func (p *placer) execute(o platformcore.Output) {
 	switch o := o.(type) {
 	case platformcore.DialHost:
@@ -21,7 +21,7 @@
 		}
 	case platformcore.HalfCloseHostConnection:
 		if c := p.conns[o.Connection]; c != nil && c.established {
-			p.w.after(p.w.delay(), c.reset) // its host closes too, after what it has sent
+			p.w.after(p.w.delay(), c.reset) // the host closes its side after the messages that it has sent
 		}
 	case platformcore.SendToOwner:
 		p.sendToOwner(o)
@@ -36,12 +36,12 @@
 	}
 }
 
-// decodeLine decodes a line that the placer writes.
+// decodeLine decodes a line that a placer writes.
 func decodeLine(line []byte) (platform.Message, error) {
 	return platform.Decode(bytes.TrimSuffix(line, []byte("\n")))
 }
 
-// sendToHost delivers a message to a host.
+// sendToHost checks a message to a host and sends it.
 func (p *placer) sendToHost(o platformcore.SendToHost) {
 	c := p.conns[o.Connection]
 	if c == nil {
@@ -49,20 +49,20 @@
 	}
 	m, err := decodeLine(o.Line)
 	if err != nil {
-		p.w.breach("a host is sent what cannot be read: %s", o.Line)
+		p.w.breach("message to a host cannot be decoded: %v: %q", err, o.Line)
 		return
 	}
 	switch m.Type {
 	case platform.TypeRequest:
 		p.checkOffer(c, m.Ref)
 	case platform.TypeRelease:
-		p.noteRelease(c.host, m.Ref)
+		p.recordRelease(c.host, m.Ref)
 	}
 	c.sendToHost(m)
 }
 
-// noteRelease notes that the placer withdraws an attempt, or ends a bound task.
-func (p *placer) noteRelease(h *host, ref string) {
+// recordRelease records that the placer withdraws an attempt at a host, or ends the bound task there.
+func (p *placer) recordRelease(h *host, ref string) {
 	r := p.w.requests[ref]
 	if r == nil {
 		return
@@ -78,11 +78,11 @@
 	}
 }
 
-// sendToOwner checks what an owner is sent; owners do nothing else with it.
+// sendToOwner checks a message to an owner. Owners do not react to messages.
 func (p *placer) sendToOwner(o platformcore.SendToOwner) {
 	m, err := decodeLine(o.Line)
 	if err != nil {
-		p.w.breach("an owner is sent what cannot be read: %s", o.Line)
+		p.w.breach("message to an owner cannot be decoded: %v: %q", err, o.Line)
 		return
 	}
 	if r := p.w.requests[m.Ref]; r != nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-// closeOwner closes the connection of an owner, which may not wait for an answer.
+// closeOwner closes an owner's connection and checks that no request on it waits for an answer.
 func (p *placer) closeOwner(id platformcore.OwnerID) {
 	for _, o := range p.owners {
 		if o.id == id {
@@ -100,10 +100,10 @@
 	}
 }
 
-// sendGossip delivers a gossip message to other placers; it may get lost.
+// sendGossip sends a gossip message to one or all other placers. For each it may be lost.
 func (p *placer) sendGossip(o platformcore.SendGossip) {
 	for _, other := range p.w.placers {
-		if other == p || o.To != forkhead.AllPlacers && o.To != other.number || p.w.fails(5) {
+		if other == p || o.To != forkhead.AllPlacers && o.To != other.number || p.w.faultOneIn(5) {
 			continue
 		}
 		p.w.after(p.w.delay(), func() {
--- a/internal/verify/platformsim/placer.go
+++ b/internal/verify/platformsim/placer.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	handOverDelay = 200 * time.Millisecond // after the start of a placer, and until what was handed over counts
-	watchRetry    = 10 * time.Millisecond  // until an event is sent again that came ahead of an earlier one
+	handOverDelay = 200 * time.Millisecond // from a placer's start to hand-overs, and until those count for spread limits
+	watchRetry    = 10 * time.Millisecond  // time until an event that overtook an earlier one is sent again
 )
 
-// placer is one placer, with its incarnations one after the other.
+// placer is a placer, whose incarnations run one after the other.
 type placer struct {
 	w           *world
 	number      int
-	incarnation int // raised at its start and at its end
+	incarnation int // incremented at each start and each end
 	core        *platformcore.Core
-	wakeAt      time.Duration // when the core is stepped next if nothing comes
+	nextStepAt  time.Duration // time of the core's next step if it gets no input before
 
 	owners     map[platformcore.OwnerID]*ownerConn
 	conns      map[platformcore.ConnectionID]*conn
-	hostStates map[uint32]hostState // by the number of the host, as the placer was notified
+	hostStates map[uint32]hostState // host states that the placer was notified of, by host number
 
-	lastSeq           uint64        // of the events that it received
-	lastEventArrival  time.Duration // of those that were sent
-	watchDelayedUntil time.Duration
+	lastSeq           uint64        // sequence number of the last event that was received
+	lastEventArrival  time.Duration // arrival time of the last event that was sent
+	watchDelayedUntil time.Duration // events that arrive before are delayed until then
 }
 
-// hostState is the state of a host, and since when the placer knows of it.
+// hostState is the state of a host and the time since which the placer knows it.
 type hostState struct {
 	state platform.EndpointState
 	since time.Duration
 }
 
-// start starts an incarnation, unless one runs. Owners hand over to it what runs.
+// start starts an incarnation unless one is running. Owners hand over to it their running tasks after handOverDelay.
 func (p *placer) start() {
 	if p.core != nil {
 		return
@@ -49,22 +49,23 @@
 	p.hostStates = map[uint32]hostState{}
 	core, err := platformcore.New(p.coreConfig())
 	if err != nil {
-		p.w.breach("a core does not start: %v", err)
+		p.w.breach("placer %d does not start: %v", p.number, err)
 		return
 	}
 	p.core = core
 	for _, event := range p.w.events {
-		p.noteEvent(event)
+		p.recordEvent(event)
 	}
 	p.step()
 	incarnation := p.incarnation
 	p.w.after(handOverDelay, func() {
-		if p.runs(incarnation) {
+		if p.isRunning(incarnation) {
 			p.handOverAll()
 		}
 	})
 }
 
+// coreConfig returns the configuration of the core of the current incarnation.
 func (p *placer) coreConfig() platformcore.Config {
 	w := p.w
 	set := w.Settings
@@ -78,13 +79,15 @@
 	}
 }
 
-// runs reports whether an incarnation still runs.
-func (p *placer) runs(incarnation int) bool { return p.incarnation == incarnation && p.core != nil }
+// isRunning reports whether the given incarnation is running.
+func (p *placer) isRunning(incarnation int) bool {
+	return p.incarnation == incarnation && p.core != nil
+}
 
-// handOverAll lets owners hand over the tasks that run as reported by their hosts.
+// handOverAll makes owners hand over the tasks that the placer had answered as bound and that have not been released.
 func (p *placer) handOverAll() {
 	for _, r := range p.w.sortedRequests() {
-		if r.placer != p || r.answer != platform.TypeBound || r.final != "" {
+		if r.placer != p || r.answer != platform.TypeBound || r.finalMessage != "" {
 			continue
 		}
 		if t := r.boundAttempt(); t != nil {
@@ -93,21 +96,22 @@
 	}
 }
 
-// handOver lets an owner hand over a task, unless its host holds nothing of it any more.
+// handOver makes an owner hand over a task. If the task has ended and its host has no release to deliver, the task is
+// counted as lost instead.
 func (p *placer) handOver(r *request, t *attempt) {
 	if r.incarnation != p.incarnation && t.ended && !t.host.awaitsAck(t) {
-		r.final = finalLost
+		r.finalMessage = finalLost
 		p.w.report.Lost++
 		return
 	}
 	r.incarnation, r.owner = p.incarnation, p.ownerConn()
 	r.owner.send(r.handOverLine())
-	r.countsFrom = time.Duration(math.MaxInt64)
-	p.deliver(p.incarnation, &r.owner.lastArrival, func() { r.countsFrom = p.w.now + handOverDelay })
+	r.spreadCountsFrom = time.Duration(math.MaxInt64)
+	p.deliver(p.incarnation, &r.owner.lastArrival, func() { r.spreadCountsFrom = p.w.now + handOverDelay })
 	p.w.report.HandedOver++
 }
 
-// kill ends the incarnation. Its owners get no answers any more.
+// kill ends the incarnation. Its unanswered requests count as canceled, since no answer will come.
 func (p *placer) kill() {
 	p.w.report.Kills++
 	conns := p.sortedConns()
@@ -123,7 +127,7 @@
 	}
 }
 
-// step hands inputs to the core and executes its outputs. Then it sets the timer of the next step.
+// step passes inputs to the core, executes its outputs and sets the timer of the next step.
 func (p *placer) step(in ...platformcore.Input) {
 	if p.core == nil {
 		return
@@ -139,26 +143,27 @@
 		}
 	}
 	at, incarnation := max(p.core.Next(), p.w.now+time.Microsecond), p.incarnation
-	p.wakeAt = at
+	p.nextStepAt = at
 	p.w.timers.Add(at, func() {
-		if p.incarnation == incarnation && p.wakeAt == at {
+		if p.incarnation == incarnation && p.nextStepAt == at {
 			p.step()
 		}
 	})
 }
 
-// deliver calls do after the delay of a message, and not before what was sent earlier on the same connection, if the
-// incarnation still runs. lastArrival is when the last message of the connection arrives.
+// deliver calls do after the delay of a message, but not before earlier messages of the same connection arrive, if the
+// incarnation is still running then. lastArrival is the arrival time of the connection's last message, which deliver
+// updates.
 func (p *placer) deliver(incarnation int, lastArrival *time.Duration, do func()) {
 	*lastArrival = max(*lastArrival, p.w.now+p.w.delay())
 	p.w.timers.Add(*lastArrival, func() {
-		if p.runs(incarnation) {
+		if p.isRunning(incarnation) {
 			do()
 		}
 	})
 }
 
-// ownerConn returns one of a few connections of owners, and opens it if it isn't open.
+// ownerConn returns one of four owner connections, drawn at random, and opens it if it is not open.
 func (p *placer) ownerConn() *ownerConn {
 	slot := platformcore.OwnerID(1 + p.w.rng.IntN(4))
 	if o := p.owners[slot]; o != nil && o.open {
@@ -171,14 +176,15 @@
 	return o
 }
 
-// sortedConns returns the connections to hosts by ID.
+// sortedConns returns the connections to hosts, sorted by ID.
 func (p *placer) sortedConns() []*conn {
 	all := slices.Collect(maps.Values(p.conns))
 	slices.SortFunc(all, func(a, b *conn) int { return cmp.Compare(a.id, b.id) })
 	return all
 }
 
-// sendEvent sends a watch event to the placer. One that is down reads the endpoint list when it starts.
+// sendEvent sends a watch event to the placer. A placer that is down needs no event, since it reads the endpoint list
+// when it starts.
 func (p *placer) sendEvent(event platform.WatchEvent) {
 	if p.core == nil {
 		return
@@ -186,7 +192,8 @@
 	p.deliver(p.incarnation, &p.lastEventArrival, func() { p.receiveEvent(event) })
 }
 
-// receiveEvent hands the next event to the core. One that comes too early is sent again; one that came before is dropped.
+// receiveEvent passes an event to the core if it is the next one in sequence. Events that overtook others, or arrive
+// while the watch is delayed, are sent again later; duplicates are dropped.
 func (p *placer) receiveEvent(event platform.WatchEvent) {
 	switch {
 	case p.w.now < p.watchDelayedUntil:
@@ -194,26 +201,26 @@
 	case event.Seq > p.lastSeq+1:
 		p.w.after(watchRetry, func() { p.sendEvent(event) })
 	case event.Seq == p.lastSeq+1:
-		p.noteEvent(event)
+		p.recordEvent(event)
 		p.step(platformcore.WatchEventReceived{Event: event})
 	}
 }
 
-// noteEvent notes what the placer knows from an event on: the states of hosts, and that what ran on an earlier incarnation
-// of a host is over.
-func (p *placer) noteEvent(event platform.WatchEvent) {
+// recordEvent records what the placer learns from an event: the states of hosts, and which hosts have restarted, so
+// that their earlier attempts are over.
+func (p *placer) recordEvent(event platform.WatchEvent) {
 	p.lastSeq = event.Seq
 	for _, endpoint := range event.Endpoints.Hosts {
 		n, _ := platform.HostNumber(endpoint.Name)
 		if p.hostStates[n].state != endpoint.State {
 			p.hostStates[n] = hostState{endpoint.State, p.w.now}
 		}
-		p.noteHostStart(int(n), endpoint.StartedAtMS)
+		p.recordHostStart(int(n), endpoint.StartedAtMS)
 	}
 }
 
-// noteHostStart notes that what a host bound before it started is over.
-func (p *placer) noteHostStart(number int, startedAtMS float64) {
+// recordHostStart records that the attempts that a host bound before its start are over.
+func (p *placer) recordHostStart(number int, startedAtMS float64) {
 	for _, r := range p.w.requests {
 		if r.placer != p {
 			continue
--- a/internal/verify/platformsim/request.go
+++ b/internal/verify/platformsim/request.go
@@ -10,49 +10,49 @@
 
 // request is a placement request of an owner.
 type request struct {
-	ref         string
-	placer      *placer
-	incarnation int // of the placer that the owner requested it of, last
-	class       int
-	service     uint64
-	cores       float64
-	createdAt   time.Duration
-	timeout     time.Duration
-	owner       *ownerConn
-	cancelSent  bool                 // its owner cancels it, which the placer may not have received
-	canceled    bool                 // and has
-	answer      platform.MessageType // empty: none was sent
-	final       platform.MessageType // the release; empty: none was sent
-	attempts    []*attempt
-	countsFrom  time.Duration // when it was handed over: from then on it counts for the placer's spread limit
+	ref              string
+	placer           *placer
+	incarnation      int // placer incarnation to which the request was last sent
+	class            int
+	service          uint64
+	cores            float64
+	createdAt        time.Duration
+	timeout          time.Duration
+	owner            *ownerConn
+	cancelSent       bool                 // the owner has sent a cancel, which the placer may not have received
+	canceled         bool                 // the placer has received a cancel, or cannot answer any more
+	answer           platform.MessageType // type of the answer; empty if none was sent
+	finalMessage     platform.MessageType // type of the release, or finalLost; empty if there is none
+	attempts         []*attempt
+	spreadCountsFrom time.Duration // from when a task that was handed over counts for the placer's spread limit
 }
 
-// finalLost is the release of a task that ended with its host while its placer was down.
+// finalLost is set instead of a release for a task that ended with its host while its placer was down.
 const finalLost platform.MessageType = "lost"
 
-// attempt is an offer as its placer wrote it. What the placer knows of it is noted when it is delivered.
+// attempt is an offer that a placer has written. The placer's knowledge of it is updated when messages are delivered.
 type attempt struct {
 	request *request
 	host    *host
 	conn    *conn
 	sentAt  time.Duration
 
-	// What its placer knows.
-	knownNotRun bool          // the host reported that the task never ran by this attempt
-	knownOver   bool          // the host reported its end, it was canceled, or its connection is closed
+	// State that the placer knows.
+	knownNotRun bool          // the host reported that this attempt never ran
+	knownOver   bool          // the host reported the end, the attempt was canceled, or its connection is closed
 	knownBound  bool          // the host reported that it bound the task
-	releasedAt  time.Duration // when the placer ended the bound task; 0: it has not
+	releasedAt  time.Duration // when the placer released the bound task; 0 if it has not
 
-	// What is so at the host.
+	// State at the host.
 	bound bool
 	ended bool
-	cause platform.Cause // of the end
+	cause platform.Cause // cause of the end
 }
 
-// mayRun reports whether the task may run by this attempt, as far as its placer knows.
+// mayRun reports whether, as far as the placer knows, the task may be running by this attempt.
 func (t *attempt) mayRun() bool { return !t.knownOver && !t.knownNotRun }
 
-// boundAttempt returns the attempt that its placer knows to be bound, or nil.
+// boundAttempt returns the attempt that the placer knows as bound, or nil.
 func (r *request) boundAttempt() *attempt {
 	for _, t := range r.attempts {
 		if t.knownBound {
@@ -62,33 +62,34 @@
 	return nil
 }
 
-// line returns the request as a message. at, if not empty, is where the task runs that is handed over.
-func (r *request) line(at string) string {
+// line returns the request as a message. For a task that is handed over, runsAt is the field with the name of its host;
+// otherwise it is empty.
+func (r *request) line(runsAt string) string {
 	names := r.placer.w.WireNames
 	tenant := ""
 	if n := len(names.Tenants); n > 0 {
 		tenant = fmt.Sprintf(`"tenant":%q,`, names.Tenants[int(r.service)%n])
 	}
 	return fmt.Sprintf(`{"t":"new","ref":"%s","f":{"class":%q,%s"left":"%d","key":"%s","idem":"i%s","extras":"cores:%g;memory:%g;service:%016x%s"},"d":"x"}`+"\n",
-		r.ref, names.Classes[r.class], tenant, r.timeout.Milliseconds(), r.ref, r.ref, r.cores, r.cores, r.service, at)
+		r.ref, names.Classes[r.class], tenant, r.timeout.Milliseconds(), r.ref, r.ref, r.cores, r.cores, r.service, runsAt)
 }
 
-// handOverLine returns the request as a message of a task that runs already.
+// handOverLine returns the request as a message that hands over a running task.
 func (r *request) handOverLine() string {
 	return r.line(";at:" + r.boundAttempt().host.name())
 }
 
-// encodeLine returns a message as a line; an answer that a task is bound has a description.
-func encodeLine(kind platform.MessageType, ref string, cause platform.Cause, fields ...platform.Field) string {
+// encodeLine returns a message as a line. A message that a task is bound has a description.
+func encodeLine(messageType platform.MessageType, ref string, cause platform.Cause, fields ...platform.Field) string {
 	var description []byte
-	if kind == platform.TypeBound {
+	if messageType == platform.TypeBound {
 		description = []byte(`"y"`)
 	}
-	return string(platform.Append(nil, kind, ref, cause, description, fields...))
+	return string(platform.Append(nil, messageType, ref, cause, description, fields...))
 }
 
-// arrive lets an owner send a request to a placer, and perhaps give it up.
-func (w *world) arrive() {
+// sendNewRequest makes an owner send a new request to a random placer, unless that is down, and perhaps cancel it later.
+func (w *world) sendNewRequest() {
 	p := w.randomPlacer()
 	if p.core == nil {
 		return
@@ -103,15 +104,15 @@
 	w.report.Requests++
 	r.owner = p.ownerConn()
 	r.owner.send(r.line(""))
-	if w.fails(8) {
+	if w.faultOneIn(8) {
 		w.after(time.Duration(w.rng.IntN(int(r.timeout))), func() { w.cancel(r) })
 	}
 	w.after(r.timeout+answerGrace, func() { w.checkAnswered(r) })
 }
 
-// cancel lets an owner cancel a request, by a message or by the end of its connection.
+// cancel makes an owner cancel a request, either by a message or by closing its connection.
 func (w *world) cancel(r *request) {
-	if r.final != "" || r.canceled || !r.owner.open || r.placer.incarnation != r.incarnation {
+	if r.finalMessage != "" || r.canceled || !r.owner.open || r.placer.incarnation != r.incarnation {
 		return
 	}
 	if w.rng.IntN(2) != 0 {
@@ -119,23 +120,23 @@
 		return
 	}
 	r.cancelSent = true
-	r.owner.sendNoting(encodeLine(platform.TypeRelease, r.ref, platform.CauseOK), func() { r.canceled = r.canceled || r.answer == "" })
+	r.owner.sendWithCallback(encodeLine(platform.TypeRelease, r.ref, platform.CauseOK), func() { r.canceled = r.canceled || r.answer == "" })
 }
 
-// ownerConn is a connection of an owner to an incarnation of a placer.
+// ownerConn is a connection from an owner to an incarnation of a placer.
 type ownerConn struct {
 	placer      *placer
 	id          platformcore.OwnerID
-	incarnation int // of the placer
+	incarnation int // incarnation of the placer
 	open        bool
-	lastArrival time.Duration // of what was sent on it
+	lastArrival time.Duration // arrival time of the last message that was sent
 }
 
 // send sends a line to the placer.
-func (o *ownerConn) send(line string) { o.sendNoting(line, func() {}) }
+func (o *ownerConn) send(line string) { o.sendWithCallback(line, func() {}) }
 
-// sendNoting sends a line to the placer. onArrival is called when it arrives, before the placer acts on it.
-func (o *ownerConn) sendNoting(line string, onArrival func()) {
+// sendWithCallback sends a line to the placer. onArrival is called when the line arrives, before the placer handles it.
+func (o *ownerConn) sendWithCallback(line string, onArrival func()) {
 	o.placer.deliver(o.incarnation, &o.lastArrival, func() {
 		if o.open {
 			onArrival()
@@ -144,7 +145,7 @@
 	})
 }
 
-// close closes the connection, which cancels the requests on it that are not answered.
+// close closes the connection, which cancels its unanswered requests.
 func (o *ownerConn) close() {
 	o.placer.deliver(o.incarnation, &o.lastArrival, func() {
 		if !o.open {
--- a/internal/verify/platformsim/request_test.go
+++ b/internal/verify/platformsim/request_test.go
@@ -8,8 +8,9 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// A request that its owner cancels counts as canceled from the moment in which its placer reads that, and not before.
-func TestCancelCountsWhenItArrives(t *testing.T) {
+// A request that its owner cancels counts as canceled from the moment when the placer reads the cancel message, not
+// before.
+func TestRequestIsCanceledWhenPlacerReadsCancel(t *testing.T) {
 	var w *world
 	canceled, read := 0, 0
 	cfg := busyConfig(1)
@@ -21,11 +22,11 @@
 		}
 		m, err := decodeLine(sent.Line)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("decodeLine(%q): %v", sent.Line, err)
 		}
 		read++
 		if !w.requests[m.Ref].canceled {
-			t.Errorf("%s is read as canceled and does not count as that", m.Ref)
+			t.Errorf("request %s: got canceled = false when the placer acknowledges its cancel, want true", m.Ref)
 		}
 		return []platformcore.Output{o}
 	}
@@ -34,18 +35,18 @@
 	w.placers = append(w.placers, p)
 	p.start()
 	for range 40 {
-		w.arrive()
-		r := w.sortedRequests()[len(w.requests)-1] // the one that has just come
+		w.sendNewRequest()
+		r := w.sortedRequests()[len(w.requests)-1] // the request that was just sent
 		w.cancel(r)
 		if r.cancelSent {
 			canceled++
 		}
 		if r.canceled {
-			t.Errorf("%s counts as canceled while that is on the way", r.ref)
+			t.Errorf("request %s: got canceled = true while its cancel is in flight, want false", r.ref)
 		}
 		w.runFor(100 * time.Millisecond)
 	}
 	if canceled == 0 || read != canceled {
-		t.Errorf("%d requests are canceled by a message, %d such messages are read", canceled, read)
+		t.Errorf("placer read %d cancel messages, want the %d that were sent, and at least one", read, canceled)
 	}
 }
--- a/internal/verify/platformsim/run.go
+++ b/internal/verify/platformsim/run.go
@@ -1,7 +1,7 @@
-// Package platformsim tests pure cores of the platform's placer by deterministic simulation: several placers over a few
-// hosts on a clock of its own, with connections that deliver late, break, become unresponsive and corrupt what they
-// carry, hosts that drain, crash, warm up after a restart and are partitioned, a watch that lags, owners that cancel
-// requests, and placers that are killed. The rules are checked on what is written and delivered.
+// Package platformsim tests the pure core of the platform's placer by deterministic simulation. It runs several placers
+// over a few hosts on a simulated clock. Connections deliver late, break, become unresponsive and corrupt messages;
+// hosts drain, crash, warm up after a restart and are partitioned; the watch lags; owners cancel requests; and placers
+// are killed. The rules are checked on the messages that are written and delivered.
 package platformsim
 
 import (
@@ -11,40 +11,40 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// Config is what is simulated.
+// Config configures a run.
 type Config struct {
-	Settings       forkhead.Settings // Placers and Self are filled in
+	Settings       forkhead.Settings // Placers and Self are set for each placer
 	WireNames      platformcore.WireNames
 	IdleTimeout    time.Duration
 	Placers        int
 	Hosts          int
 	Tasks          int
-	MaxConnections int     // of a placer
-	Faults         float64 // how much goes wrong, from 0 to 1
+	MaxConnections int     // maximum number of connections of a placer; less than 8 counts as 8
+	Faults         float64 // frequency of faults, from 0 to 1
 	Seed           uint64
-	InjectFault    OutputFilter // nil: none
+	InjectFault    OutputFilter // nil injects no fault into outputs
 }
 
-// OutputFilter returns what a placer is taken to have output in place of an output. It injects a fault, to see that the
-// checks find it.
+// OutputFilter returns the outputs that replace an output of a placer. It injects a fault to test that the checks find
+// it.
 type OutputFilter func(platformcore.Output) []platformcore.Output
 
 // Report is the result of a run.
 type Report struct {
-	Breaches                                     []string // of the rules; the first maxBreaches of them
-	Requests, Placed, Rejected, Failed, Canceled int
-	Offers, HandedOver, Kills, SlowStartOffers   int
-	Lost, Ended                                  int
-	Steps                                        int
+	Breaches                                     []string // the first maxBreaches breaches of the rules
+	Requests, Placed, Rejected, Failed, Canceled int      // Canceled counts requests whose owner disconnected
+	Offers, HandedOver, Kills, SlowStartOffers   int      // SlowStartOffers counts the offers to hosts in a slow start
+	Lost, Ended                                  int      // bound tasks: lost while the placer was down, or released
+	Steps                                        int      // steps of all cores
 }
 
 const (
-	arrivalTime = 12 * time.Second // requests and faults come for so long
-	settleTime  = 30 * time.Second // and the run ends so long after
-	maxBreaches = 20               // a run with so many ends
+	arrivalTime = 12 * time.Second // duration of requests and faults
+	settleTime  = 30 * time.Second // from the end of the faults to the end of the run
+	maxBreaches = 20               // number of breaches at which a run ends
 )
 
-// Run simulates what cfg says. The same cfg gives the same report.
+// Run runs the simulation that cfg describes. The report is determined by cfg.
 func Run(cfg Config) Report {
 	w := newWorld(cfg)
 	for i := range cfg.Placers {
@@ -53,7 +53,7 @@
 		p.start()
 	}
 	for range cfg.Tasks {
-		w.after(time.Duration(w.rng.Int64N(int64(arrivalTime))), w.arrive)
+		w.after(time.Duration(w.rng.Int64N(int64(arrivalTime))), w.sendNewRequest)
 	}
 	for range int(cfg.Faults * 30) {
 		w.after(time.Duration(w.rng.Int64N(int64(arrivalTime))), w.injectFault)
--- a/internal/verify/platformsim/run_test.go
+++ b/internal/verify/platformsim/run_test.go
@@ -13,7 +13,7 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// drawnConfig draws a run and its settings from all that the platform allows.
+// drawnConfig draws the configuration of a run and its settings from the ranges that the platform allows.
 func drawnConfig(t *rapid.T) Config {
 	num := func(name string, least, most int) int { return rapid.IntRange(least, most).Draw(t, name) }
 	ms := func(name string, least, most int) time.Duration {
@@ -21,73 +21,74 @@
 	}
 	flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
 	cfg := Config{
-		Placers: num("placers", 1, 5), Hosts: num("hosts", 1, 12), Tasks: num("tasks", 1, 150), MaxConnections: num("room", 12, 200),
+		Placers: num("placers", 1, 5), Hosts: num("hosts", 1, 12), Tasks: num("tasks", 1, 150), MaxConnections: num("max connections", 12, 200),
 		Faults: float64(num("faults, percent", 0, 100)) / 100, Seed: rapid.Uint64().Draw(t, "seed"),
 	}
 	if flag("connections close when idle") {
-		cfg.IdleTimeout = ms("idle", 2000, 60000)
+		cfg.IdleTimeout = ms("idle timeout", 2000, 60000)
 	}
 	for i := range num("zones", 1, 3) {
 		cfg.WireNames.Zones = append(cfg.WireNames.Zones, fmt.Sprintf("zone %d: ü/%d", i, i))
 	}
-	for i := range num("kinds", 1, 2) {
+	for i := range num("machine types", 1, 2) {
 		cfg.WireNames.MachineTypes = append(cfg.WireNames.MachineTypes, fmt.Sprintf("kind\"%d", i))
 		cfg.Settings.MachineTypes = append(cfg.Settings.MachineTypes, forkhead.MachineType{Cores: float64(num("cores", 2, 40)), Memory: float64(num("memory", 2, 40))})
 	}
 	for i := range num("tenants", 0, 3) {
 		cfg.WireNames.Tenants = append(cfg.WireNames.Tenants, fmt.Sprintf("tenant %d", i))
-		cfg.Settings.Tenants = append(cfg.Settings.Tenants, forkhead.Tenant{Quota: 0.3, QuotaCores: float64(num("quota", 0, 50))})
+		cfg.Settings.Tenants = append(cfg.Settings.Tenants, forkhead.Tenant{Quota: 0.3, QuotaCores: float64(num("quota cores", 0, 50))})
 	}
 	for i := range num("classes", 1, 4) {
 		cfg.WireNames.Classes = append(cfg.WireNames.Classes, strings.Repeat("class ", 1+i*4)+fmt.Sprint(i))
 		c := forkhead.Class{
 			Effect:      rapid.SampledFrom([]forkhead.Effect{forkhead.Safe, forkhead.Keyed, forkhead.Unsafe}).Draw(t, "effect"),
-			DedupDomain: rapid.SampledFrom([]forkhead.Domain{forkhead.AnyDomain, forkhead.ZoneDomain, forkhead.CellDomain}).Draw(t, "group"),
-			DedupWindow: ms("window", 200, 8000), LatencyObjective: ms("aim", 50, 2000), Weight: float64(num("worth", 0, 9)), MachineType: num("kind", -1, len(cfg.WireNames.MachineTypes)-1),
-			SaturationThreshold: float64(num("calm, percent", 10, 100)) / 100, DegradationRange: float64(num("fade, percent", 0, 100)) / 100, Priority: num("priority", 0, 3),
-			SpreadDomain: rapid.SampledFrom([]forkhead.Domain{forkhead.AnyDomain, forkhead.MachineDomain, forkhead.CellDomain, forkhead.ZoneDomain}).Draw(t, "spread"),
-			MaxPerDomain: num("most", 1, 4),
+			DedupDomain: rapid.SampledFrom([]forkhead.Domain{forkhead.AnyDomain, forkhead.ZoneDomain, forkhead.CellDomain}).Draw(t, "dedup domain"),
+			DedupWindow: ms("dedup window", 200, 8000), LatencyObjective: ms("latency objective", 50, 2000), Weight: float64(num("weight", 0, 9)), MachineType: num("machine type", -1, len(cfg.WireNames.MachineTypes)-1),
+			SaturationThreshold: float64(num("saturation threshold, percent", 10, 100)) / 100, DegradationRange: float64(num("degradation range, percent", 0, 100)) / 100, Priority: num("priority", 0, 3),
+			SpreadDomain: rapid.SampledFrom([]forkhead.Domain{forkhead.AnyDomain, forkhead.MachineDomain, forkhead.CellDomain, forkhead.ZoneDomain}).Draw(t, "spread domain"),
+			MaxPerDomain: num("max per domain", 1, 4),
 		}
 		cfg.Settings.Classes = append(cfg.Settings.Classes, c)
 	}
 	s := &cfg.Settings
 	s.MeanCores, s.MeanMemory = 1, 1
-	s.CoresOvercommit, s.MemoryOvercommit = 1+float64(num("accepts cores, percent more", 0, 150))/100, 1+float64(num("accepts memory, percent more", 0, 50))/100
-	s.BoundWhenRunning, s.ServiceAffinity, s.Preemption = flag("bound when running"), flag("services stick"), flag("preempts")
-	s.ListReportsAvailable, s.ListWatched, s.ReportsInOutcomes = flag("lists free"), flag("list pushed"), flag("reports in answers")
-	s.MaxAttempts = num("attempts", 1, 5)
-	s.MayWithdraw, s.MayProbe, s.MayGossip = flag("may withdraw"), flag("may probe"), flag("may tell")
-	s.DrainGrace = ms("grace", 0, 2000)
-	s.ConnectTimeout = ms("connect time-out", 50, 500)
-	s.SlowStartDuration, s.SlowStartWindow, s.SlowStartMaxOffers = ms("cold for", 0, 6000), ms("cold window", 200, 2000), float64(num("cold offers", 0, 40))
+	s.CoresOvercommit, s.MemoryOvercommit = 1+float64(num("extra cores overcommit, percent", 0, 150))/100, 1+float64(num("extra memory overcommit, percent", 0, 50))/100
+	s.BoundWhenRunning, s.ServiceAffinity, s.Preemption = flag("bound when running"), flag("service affinity"), flag("preemption")
+	s.ListReportsAvailable, s.ListWatched, s.ReportsInOutcomes = flag("list reports available"), flag("list watched"), flag("reports in outcomes")
+	s.MaxAttempts = num("max attempts", 1, 5)
+	s.MayWithdraw, s.MayProbe, s.MayGossip = flag("may withdraw"), flag("may probe"), flag("may gossip")
+	s.DrainGrace = ms("drain grace", 0, 2000)
+	s.ConnectTimeout = ms("connect timeout", 50, 500)
+	s.SlowStartDuration, s.SlowStartWindow, s.SlowStartMaxOffers = ms("slow start duration", 0, 6000), ms("slow start window", 200, 2000), float64(num("slow start max offers", 0, 40))
 	s.MaxPollInterval, s.OwnerBackoff = 10*time.Second, 3*time.Second
 	return cfg
 }
 
-// Whatever the settings and whatever goes wrong: the rules hold on what is written, nothing panics, and every request is
-// answered. The runs are the same each time; -rapid.checks runs so many others (TestOtherDrawnSettings).
+// For all settings and faults, the rules hold on the messages that are written, nothing panics, and every request is
+// answered. The runs are the same each time; TestNewDrawnSettingsKeepTheRules runs others.
 func TestDrawnSettingsKeepTheRules(t *testing.T) {
 	configs := rapid.Custom(drawnConfig)
 	for seed := range 150 {
 		for _, b := range Run(configs.Example(seed)).Breaches {
-			t.Errorf("run %d: %s", seed, b)
+			t.Errorf("Run with the settings drawn from seed %d: got a breach, want none: %s", seed, b)
 		}
 	}
 }
 
-// TestOtherDrawnSettings does runs with other seeds, on request: NODELIVES=1 go test -run Other -rapid.checks=3000.
-func TestOtherDrawnSettings(t *testing.T) {
-	if os.Getenv("NODELIVES") == "" {
-		t.Skip("NODELIVES is not set")
+// TestNewDrawnSettingsKeepTheRules runs settings that are drawn from a new seed each time, as many as -rapid.checks
+// says. It runs on request only: PLATFORMSIM_NEW_SETTINGS=1 go test -run NewDrawnSettings -rapid.checks=3000.
+func TestNewDrawnSettingsKeepTheRules(t *testing.T) {
+	if os.Getenv("PLATFORMSIM_NEW_SETTINGS") == "" {
+		t.Skip("PLATFORMSIM_NEW_SETTINGS is not set")
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		for _, b := range Run(drawnConfig(t)).Breaches {
-			t.Errorf("%s", b)
+			t.Errorf("Run with drawn settings: got a breach, want none: %s", b)
 		}
 	})
 }
 
-// busyConfig returns a run in which much happens.
+// busyConfig returns the configuration of a run under load in which most kinds of events occur.
 func busyConfig(seed uint64) Config {
 	cfg := Config{Placers: 3, Hosts: 6, Tasks: 150, MaxConnections: 100, Faults: 0.6, Seed: seed}
 	cfg.WireNames = platformcore.WireNames{Zones: []string{"a", "b"}, MachineTypes: []string{"std"}, Classes: []string{"safe", "keyed", "unsafe"}}
@@ -104,22 +105,23 @@
 	return cfg
 }
 
-// In runs under load all that is simulated happens, and each run is the same each time.
-func TestRunCoversEverything(t *testing.T) {
+// Runs under load have every kind of outcome, hand-overs, kills of placers and slow starts, break no rule, and give the
+// same report when they are repeated.
+func TestRunCoversAllOutcomesAndIsDeterministic(t *testing.T) {
 	var sum Report
 	for seed := range uint64(20) {
 		r := Run(busyConfig(seed))
 		for _, b := range r.Breaches {
-			t.Errorf("seed %d: %s", seed, b)
+			t.Errorf("Run(busyConfig(%d)): got a breach, want none: %s", seed, b)
 		}
 		if again := Run(busyConfig(seed)); fmt.Sprint(again) != fmt.Sprint(r) {
-			t.Fatalf("seed %d: %+v, and then %+v", seed, r, again)
+			t.Fatalf("Run(busyConfig(%d)) repeated = %+v, want %+v as the first time", seed, again, r)
 		}
 		sum.Placed, sum.Rejected, sum.Failed, sum.Canceled = sum.Placed+r.Placed, sum.Rejected+r.Rejected, sum.Failed+r.Failed, sum.Canceled+r.Canceled
 		sum.HandedOver, sum.Kills, sum.SlowStartOffers, sum.Ended = sum.HandedOver+r.HandedOver, sum.Kills+r.Kills, sum.SlowStartOffers+r.SlowStartOffers, sum.Ended+r.Ended
 	}
 	if sum.Placed < 500 || sum.Rejected == 0 || sum.Failed == 0 || sum.Canceled == 0 || sum.HandedOver == 0 || sum.Kills == 0 || sum.SlowStartOffers == 0 || sum.Ended == 0 {
-		t.Errorf("something never happens: %+v", sum)
+		t.Errorf("sum of all reports = %+v, want Placed at least 500, and Rejected, Failed, Canceled, HandedOver, Kills, SlowStartOffers and Ended above 0", sum)
 	}
-	t.Logf("%+v", sum)
+	t.Logf("sum of all reports: %+v", sum)
 }
--- a/internal/verify/platformsim/world.go
+++ b/internal/verify/platformsim/world.go
@@ -12,26 +12,26 @@
 	"forkhead/internal/scheduler/timerqueue"
 )
 
-// startTime is when the clock starts, so that hosts may have started long ago.
+// startTime is the initial time of the clock. It is not 0, so that hosts can have started long before.
 const startTime = time.Hour
 
-// world is all that a run simulates, with its clock.
+// world is the simulated system of a run: the clock, the hosts, the placers and the requests.
 type world struct {
 	Config
-	rng       *rand.Rand
-	now       time.Duration
-	timers    timerqueue.Queue[func()]
-	hosts     []*host
-	placers   []*placer
-	events    []platform.WatchEvent // all that were published
-	requests  map[string]*request   // by ref
-	report    Report
-	lastRef   int
-	faultsOff bool // nothing goes wrong any more
-	manual    bool // hosts and connections do nothing by themselves: ExploreInterleavings decides what happens
+	rng            *rand.Rand
+	now            time.Duration
+	timers         timerqueue.Queue[func()]
+	hosts          []*host
+	placers        []*placer
+	events         []platform.WatchEvent // all published watch events, in order
+	requests       map[string]*request   // requests by ref
+	report         Report
+	lastRef        int
+	faultsDisabled bool // no more faults occur
+	manual         bool // hosts and connections do nothing by themselves; ExploreInterleavings chooses the events
 }
 
-// newWorld returns a world with its hosts, listed, and no placer yet.
+// newWorld returns a world with all hosts up and listed, and without placers.
 func newWorld(cfg Config) *world {
 	w := &world{Config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 5)), now: startTime, requests: map[string]*request{}}
 	var all []platform.Endpoint
@@ -47,10 +47,10 @@
 	return w
 }
 
-// after calls do when d has passed.
+// after calls do when the clock has advanced by d.
 func (w *world) after(d time.Duration, do func()) { w.timers.Add(w.now+d, do) }
 
-// runNext does what is due next, and reports whether anything is due until end.
+// runNext advances the clock to the next timer and runs it, if that is due until end, and reports whether it did.
 func (w *world) runNext(end time.Duration) bool {
 	at, pending := w.timers.Next()
 	if !pending || at > end {
@@ -62,36 +62,39 @@
 	return true
 }
 
-// breach notes a breach of a rule, unless there are maxBreaches of them.
+// breach records a breach of a rule with the time since the start, unless maxBreaches are recorded.
 func (w *world) breach(format string, args ...any) {
 	if len(w.report.Breaches) < maxBreaches {
 		w.report.Breaches = append(w.report.Breaches, fmt.Sprintf("%v: ", w.now-startTime)+fmt.Sprintf(format, args...))
 	}
 }
 
-// fails draws whether something goes wrong: with Faults at 1, once in oneIn times.
-func (w *world) fails(oneIn float64) bool { return !w.faultsOff && w.rng.Float64() < w.Faults/oneIn }
+// faultOneIn draws whether a fault occurs. With Config.Faults at 1, it occurs once in oneIn times; with less,
+// proportionally less often.
+func (w *world) faultOneIn(oneIn float64) bool {
+	return !w.faultsDisabled && w.rng.Float64() < w.Faults/oneIn
+}
 
-// delay draws how long a message takes.
+// delay draws the delay of a message: 0.1 to 3.1 ms, and up to 200 ms more by a fault.
 func (w *world) delay() time.Duration {
 	d := time.Duration(100+w.rng.IntN(3000)) * time.Microsecond
-	if w.fails(20) {
+	if w.faultOneIn(20) {
 		d += w.randomMS(200)
 	}
 	return d
 }
 
-// randomMS draws a duration of whole milliseconds below n of them.
+// randomMS returns a random duration of 0 to n-1 milliseconds.
 func (w *world) randomMS(n int) time.Duration { return time.Duration(w.rng.IntN(n)) * time.Millisecond }
 
-// nextEvent adds an event to those that were published and returns it.
+// nextEvent creates the next watch event, adds it to the published events and returns it.
 func (w *world) nextEvent(snapshot bool, hosts ...platform.Endpoint) platform.WatchEvent {
 	event := platform.WatchEvent{Seq: uint64(len(w.events) + 1), Endpoints: &platform.EndpointList{Snapshot: snapshot, Hosts: hosts}}
 	w.events = append(w.events, event)
 	return event
 }
 
-// publish publishes a watch event; placers receive it in order, sometimes late.
+// publish sends a watch event to all placers, which receive events in order and sometimes late.
 func (w *world) publish(snapshot bool, hosts ...platform.Endpoint) {
 	event := w.nextEvent(snapshot, hosts...)
 	for _, p := range w.placers {
@@ -99,7 +102,7 @@
 	}
 }
 
-// sortedRequests returns all requests by ref.
+// sortedRequests returns all requests, sorted by ref.
 func (w *world) sortedRequests() []*request {
 	all := make([]*request, 0, len(w.requests))
 	for _, ref := range slices.Sorted(maps.Keys(w.requests)) {
@@ -108,7 +111,7 @@
 	return all
 }
 
-// sameDomain reports whether two hosts are in one domain of a level.
+// sameDomain reports whether two hosts are in the same domain of a level.
 func (w *world) sameDomain(level forkhead.Domain, a, b *host) bool {
 	switch level {
 	case forkhead.MachineDomain:
