--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -9,14 +9,15 @@
 	"forkhead/internal/simadapter"
 )
 
-// maxLists is how many endpoint lists can be referred to at a time.
+// maxLists is the number of endpoint lists that can be stored. Their numbers are 0 to maxLists-1.
 const maxLists = 16
 
-// adapter is the state of one process: the endpoint lists that came, and its placers, which share nothing else.
+// adapter is the state of one process: the endpoint lists that it has received, and its placers. Placers share nothing but
+// these lists.
 type adapter struct {
-	lists   [maxLists]*simadapter.EndpointList // by number; nil: has not come
+	lists   [maxLists]*simadapter.EndpointList // by number; nil if the list has not been received
 	placers map[uint32]*placer                 // by number
-	pending []*placer                          // those with events of the current batch, in order of their first
+	pending []*placer                          // placers with events in the current batch, ordered by their first event
 	reply   simadapter.Reply
 }
 
@@ -24,14 +25,14 @@
 type placer struct {
 	id           uint32
 	module       *forkhead.Placer
-	reportFields []string         // names of a load report's values
-	events       []forkhead.Event // of the current batch
+	reportFields []string         // names of a load report's values, in the order of the values
+	events       []forkhead.Event // events of the current batch
 }
 
 func newAdapter() *adapter { return &adapter{placers: map[uint32]*placer{}} }
 
-// handleBatch hands the events of a batch to the placers and collects their actions in a.reply. Each placer gets all of its
-// events at once, after the batch's lists, starts and teardowns.
+// handleBatch passes the events of a batch to the placers and collects their actions in a.reply. Endpoint lists, starts and
+// teardowns take effect in their order; after all of them, each placer gets all of its events in one step.
 func (a *adapter) handleBatch(batch *simadapter.Batch) error {
 	now := platformconfig.Duration(batch.Clock)
 	a.reply.Reset()
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// step hands a placer its events, unless it was torn down in this batch.
+// step passes a placer its events of the batch, unless it was torn down or replaced in this batch.
 func (a *adapter) step(now time.Duration, p *placer) {
 	if len(p.events) == 0 || a.placers[p.id] != p {
 		return
@@ -74,13 +75,13 @@
 
 func (a *adapter) storeList(list simadapter.EndpointList) error {
 	if int(list.Number) >= len(a.lists) {
-		return fmt.Errorf("list number %d is not within 0 to %d", list.Number, len(a.lists)-1)
+		return fmt.Errorf("endpoint list number %d, want 0 to %d", list.Number, len(a.lists)-1)
 	}
 	a.lists[list.Number] = &list
 	return nil
 }
 
-// startPlacer starts a placer. One that runs under its number is dropped.
+// startPlacer starts a placer. It replaces a running placer with the same number.
 func (a *adapter) startPlacer(start simadapter.Start) error {
 	config, err := platformconfig.Parse(start.Config)
 	if err != nil {
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// queueEvent appends an event to those of its placer.
+// queueEvent translates an event and appends it to those of its placer.
 func (a *adapter) queueEvent(event simadapter.Event) error {
 	id, translated, err := a.translate(event)
 	if err != nil {
@@ -106,7 +107,7 @@
 	}
 	p := a.placers[id]
 	if p == nil {
-		return fmt.Errorf("%T for instance %d, which has not been started", event, id)
+		return fmt.Errorf("%T for placer %d, which has not been started", event, id)
 	}
 	if len(p.events) == 0 {
 		a.pending = append(a.pending, p)
--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -13,10 +13,10 @@
 	"forkhead/internal/goldentest"
 )
 
-// testdata/batches.hex is one placer from its start to its teardown, with one of each event of the wire; the replies, one a line, are the same
-// to the byte. That fixes the translation both ways and what the module decides there: a change of a decision changes the
-// replies, one of a name does not.
-func TestRepliesGolden(t *testing.T) {
+// testdata/batches.hex covers one placer from its start to its teardown, with one of each event of the wire. The replies
+// must stay byte for byte the same; replies.hex has one a line. The test therefore fails if the translation in either
+// direction changes, or a decision of the module in this input. Renaming Go identifiers does not affect it.
+func TestRunRepliesGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "batches.hex"))
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 	}
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(batches), &out); err != nil {
-		t.Fatal(err)
+		t.Fatalf("run(testdata/batches.hex): %v", err)
 	}
 	var b bytes.Buffer
 	for replies := out.Bytes(); len(replies) > 0; {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Simadapter runs placers behind the simulator's wire: batches of events on standard input, a reply to each on standard
-// output. It translates and decides nothing. It exits with 0 at the end of input and with 1 on malformed input, with one
-// line on standard error.
+// Simadapter runs placers for the simulator. It reads batches of events from standard input and writes one reply for each
+// batch to standard output, both in the format of package simadapter. It only translates; the placers make all decisions.
+// It exits with 0 at the end of input, and with 1 and one line on standard error on malformed input.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"forkhead/internal/simadapter"
 )
 
-const bufferSize = 64 << 10 // bytes, of input and output each
+const bufferSize = 64 << 10 // size of each of the input and output buffers, in bytes
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
@@ -22,7 +22,7 @@
 	}
 }
 
-// run answers batches until input ends between frames.
+// run replies to each batch of in until in ends between two frames.
 func run(in io.Reader, out io.Writer) error {
 	a := newAdapter()
 	r, w := bufio.NewReaderSize(in, bufferSize), bufio.NewWriterSize(out, bufferSize)
--- a/cmd/simadapter/translate.go
+++ b/cmd/simadapter/translate.go
@@ -8,7 +8,7 @@
 	"forkhead/internal/simadapter"
 )
 
-// translate returns an event of the wire as one of the module, and the number of its placer.
+// translate returns the module's event for an event of the wire, and the number of the placer that it is for.
 func (a *adapter) translate(event simadapter.Event) (placer uint32, translated forkhead.Event, err error) {
 	switch e := event.(type) {
 	case simadapter.ListUpdate:
@@ -74,7 +74,7 @@
 	}, err
 }
 
-// results has the results of attempts and probes, by code.
+// results maps codes of the wire to results of attempts and probes.
 var results = map[uint8]forkhead.Result{
 	10: forkhead.OK, 20: forkhead.Errored, 30: forkhead.Rejected, 40: forkhead.TimedOut,
 	50: forkhead.ConnectFailed, 60: forkhead.Reset, 70: forkhead.Withdrawn, 80: forkhead.NotSent,
@@ -83,13 +83,13 @@
 func translateResult(code uint8) (forkhead.Result, error) {
 	result, ok := results[code]
 	if !ok {
-		return result, fmt.Errorf("unknown outcome code %d", code)
+		return result, fmt.Errorf("unknown result code %d", code)
 	}
 	return result, nil
 }
 
-// loadReport returns a load report with the names that the placer's settings give its values; those that are not reported
-// are NaN. It is nil where there are none.
+// loadReport returns a load report whose values are named by the placer's settings. Values that are not reported are NaN.
+// It returns nil if the placer is unknown or there are no values.
 func (a *adapter) loadReport(placer uint32, values []float32) *forkhead.LoadReport {
 	p := a.placers[placer]
 	if p == nil || len(values) == 0 {
@@ -105,30 +105,30 @@
 	return report
 }
 
-// listModes has the modes of a list update, by code.
+// listModes maps codes of the wire to modes of a list update.
 var listModes = map[uint8]forkhead.ListMode{
 	0: forkhead.ListCached, 2: forkhead.ListSnapshot, 3: forkhead.ListDelta, 4: forkhead.ListFailed,
 }
 
-// machineStates has the states of a machine, by code.
+// machineStates maps codes of the wire to states of a machine.
 var machineStates = map[uint8]forkhead.MachineState{0: forkhead.Draining, 1: forkhead.Ready, 2: forkhead.Removed}
 
 func (a *adapter) listUpdate(e simadapter.ListUpdate) (forkhead.Event, error) {
 	mode, ok := listModes[e.Mode]
 	if !ok {
-		return nil, fmt.Errorf("unknown kind of list %d", e.Mode)
+		return nil, fmt.Errorf("unknown mode %d of a list update", e.Mode)
 	}
 	update := forkhead.ListUpdate{Mode: mode}
 	if mode == forkhead.ListFailed {
 		return update, nil
 	}
 	if int(e.List) >= len(a.lists) || a.lists[e.List] == nil {
-		return nil, fmt.Errorf("list number %d has not been sent", e.List)
+		return nil, fmt.Errorf("endpoint list number %d has not been received", e.List)
 	}
 	for i, m := range a.lists[e.List].Machines {
 		state, ok := machineStates[m.State]
 		if !ok {
-			return nil, fmt.Errorf("entry %d of list %d: unknown readiness %d", i, e.List, m.State)
+			return nil, fmt.Errorf("endpoint list number %d: machine %d at index %d: unknown state %d", e.List, m.ID, i, m.State)
 		}
 		update.Machines = append(update.Machines, forkhead.Machine{
 			ID: forkhead.MachineID(m.ID), State: state, Type: int(m.Type), Zone: int(m.Zone), Cell: int(m.Cell),
@@ -168,6 +168,6 @@
 	case forkhead.Log:
 		r.Log(placer, action.Message)
 	default:
-		r.Crash(placer, fmt.Sprintf("action %T has no form on the wire", action))
+		r.Crash(placer, fmt.Sprintf("action %T has no encoding on the wire", action))
 	}
 }
--- a/internal/simadapter/decode.go
+++ b/internal/simadapter/decode.go
@@ -13,8 +13,8 @@
 	// MaxFrame is the longest frame that ReadBatch accepts.
 	MaxFrame = 256 << 20
 
-	batchHeaderSize  = 12 // clock, number of records
-	recordHeaderSize = 5  // code, length
+	batchHeaderSize  = 12 // clock and number of records
+	recordHeaderSize = 5  // code and length
 	machineSize      = 30
 )
 
@@ -35,35 +35,35 @@
 	codeListUpdate       = 13
 )
 
-// ReadBatch reads one frame. It returns io.EOF where input ends between frames, and for anything malformed an error that
-// says what is wrong and where.
+// ReadBatch reads one frame. It returns io.EOF if the input ends before the frame's first byte, and an error that says what
+// is wrong and where if the frame is malformed.
 func ReadBatch(r io.Reader) (*Batch, error) {
 	var header [4]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return nil, io.EOF
 		}
-		return nil, fmt.Errorf("frame: length cut short: %w", err)
+		return nil, fmt.Errorf("frame: reading the length field: %w", err)
 	}
 	length := binary.LittleEndian.Uint32(header[:])
 	if length < batchHeaderSize || length > MaxFrame {
-		return nil, fmt.Errorf("frame: length %d is not within %d to %d", length, batchHeaderSize, MaxFrame)
+		return nil, fmt.Errorf("frame: length is %d bytes, want %d to %d", length, batchHeaderSize, MaxFrame)
 	}
-	// The length is only a claim: the buffer grows with what has come.
+	// The length may be wrong, so the buffer grows with the bytes that arrive instead of being allocated at once.
 	frame, err := io.ReadAll(io.LimitReader(r, int64(length)))
 	if err != nil {
 		return nil, fmt.Errorf("frame: %w", err)
 	}
 	if len(frame) < int(length) {
-		return nil, fmt.Errorf("frame: %d bytes of %d, then the input ends", len(frame), length)
+		return nil, fmt.Errorf("frame: input ends after %d of %d bytes", len(frame), length)
 	}
 	return DecodeBatch(frame)
 }
 
-// DecodeBatch decodes a frame without its length field. The batch refers to the frame's memory.
+// DecodeBatch decodes a frame without its length field. The events of the batch share memory with frame.
 func DecodeBatch(frame []byte) (*Batch, error) {
 	if len(frame) < batchHeaderSize {
-		return nil, fmt.Errorf("frame: %d bytes, fewer than its header", len(frame))
+		return nil, fmt.Errorf("frame: %d bytes, want at least %d for the header", len(frame), batchHeaderSize)
 	}
 	b := &Batch{Clock: math.Float64frombits(binary.LittleEndian.Uint64(frame))}
 	if math.IsNaN(b.Clock) || math.IsInf(b.Clock, 0) {
@@ -74,12 +74,12 @@
 	for i := range records {
 		offset := len(frame) - len(rest)
 		if len(rest) < recordHeaderSize {
-			return nil, fmt.Errorf("record %d at byte %d: header cut short", i, offset)
+			return nil, fmt.Errorf("record %d at byte %d: header needs %d bytes, %d left", i, offset, recordHeaderSize, len(rest))
 		}
 		code, length := rest[0], binary.LittleEndian.Uint32(rest[1:])
 		rest = rest[recordHeaderSize:]
 		if uint64(length) > uint64(len(rest)) {
-			return nil, fmt.Errorf("record %d at byte %d: %d bytes claimed, %d left", i, offset, length, len(rest))
+			return nil, fmt.Errorf("record %d at byte %d: length is %d bytes, %d left", i, offset, length, len(rest))
 		}
 		event, err := decodeEvent(code, rest[:length])
 		if err != nil {
@@ -99,49 +99,52 @@
 	if int(code) >= len(decoders) || decoders[code] == nil {
 		return nil, errors.New("unknown event code")
 	}
-	f := &fields{buf: record}
+	f := &fieldReader{buf: record}
 	event := decoders[code](f)
 	if f.overrun {
-		return nil, fmt.Errorf("its fields need more than its %d bytes", len(record))
+		return nil, fmt.Errorf("fields extend beyond the record's %d bytes", len(record))
 	}
 	if len(f.buf) > 0 {
-		return nil, fmt.Errorf("%d bytes after its fields", len(f.buf))
+		return nil, fmt.Errorf("%d bytes left after the last field", len(f.buf))
 	}
 	return event, nil
 }
 
-// decoders has the function that decodes an event's fields, by code. Fields are taken in the order in which they are written.
-var decoders = [...]func(f *fields) Event{
-	codeHandOver: func(f *fields) Event { return HandOver{PlacementRequest: f.placementRequest(), Machine: f.uint32()} },
-	codeBound: func(f *fields) Event {
+// decoders maps an event's code to the function that decodes its fields. The order of the fields in each composite literal
+// is their order on the wire, because Go evaluates the calls in that order.
+var decoders = [...]func(f *fieldReader) Event{
+	codeHandOver: func(f *fieldReader) Event {
+		return HandOver{PlacementRequest: f.placementRequest(), Machine: f.uint32()}
+	},
+	codeBound: func(f *fieldReader) Event {
 		return Bound{Placer: f.uint32(), Task: f.uint32(), Took: f.float64(), Machine: f.uint32(), Attempt: f.uint8()}
 	},
-	codeRequestCanceled: func(f *fields) Event { return RequestCanceled{Placer: f.uint32(), Task: f.uint32()} },
-	codeOutcome: func(f *fields) Event {
+	codeRequestCanceled: func(f *fieldReader) Event { return RequestCanceled{Placer: f.uint32(), Task: f.uint32()} },
+	codeOutcome: func(f *fieldReader) Event {
 		return Outcome{
 			Placer: f.uint32(), Task: f.uint32(), Attempt: f.uint8(), Machine: f.uint32(), Result: f.uint8(), Took: f.float64(),
 			Final: f.uint8() != 0, Reason: f.uint8(), Report: f.report(),
 		}
 	},
-	codeProbed: func(f *fields) Event {
+	codeProbed: func(f *fieldReader) Event {
 		return Probed{Placer: f.uint32(), Machine: f.uint32(), Result: f.uint8(), Took: f.float64(), Report: f.report()}
 	},
-	codePlacementRequest: func(f *fields) Event { return f.placementRequest() },
-	codeStart: func(f *fields) Event {
+	codePlacementRequest: func(f *fieldReader) Event { return f.placementRequest() },
+	codeStart: func(f *fieldReader) Event {
 		return Start{Placer: f.uint32(), Seed: f.uint64(), Config: f.bytes(f.uint32())}
 	},
-	codeTeardown:     func(f *fields) Event { return Teardown{Placer: f.uint32()} },
-	codeTimerFired:   func(f *fields) Event { return TimerFired{Placer: f.uint32(), Timer: f.uint64()} },
-	codeEndpointList: func(f *fields) Event { return f.endpointList() },
-	codeNote: func(f *fields) Event {
+	codeTeardown:     func(f *fieldReader) Event { return Teardown{Placer: f.uint32()} },
+	codeTimerFired:   func(f *fieldReader) Event { return TimerFired{Placer: f.uint32(), Timer: f.uint64()} },
+	codeEndpointList: func(f *fieldReader) Event { return f.endpointList() },
+	codeNote: func(f *fieldReader) Event {
 		return Note{
 			Placer: f.uint32(), Task: f.uint32(), Attempt: f.uint8(), Machine: f.uint32(), Kind: f.uint8(), Amount: f.float32(),
 		}
 	},
-	codeReceived: func(f *fields) Event {
+	codeReceived: func(f *fieldReader) Event {
 		return Received{Placer: f.uint32(), From: f.uint32(), Data: f.bytes(uint32(f.uint16()))}
 	},
-	codeListUpdate: func(f *fields) Event {
+	codeListUpdate: func(f *fieldReader) Event {
 		return ListUpdate{Placer: f.uint32(), Mode: f.uint8(), Epoch: f.uint32(), List: f.uint8()}
 	},
 }
--- a/internal/simadapter/decode_test.go
+++ b/internal/simadapter/decode_test.go
@@ -41,7 +41,7 @@
 	return append(out, b...)
 }
 
-func TestReadBatchReadsTheEventsOfTwoInstances(t *testing.T) {
+func TestReadBatchReadsEventsOfTwoPlacers(t *testing.T) {
 	got, err := ReadBatch(bytes.NewReader(unhex(t, eventsHex)))
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 		RequestCanceled{Placer: 5, Task: 0x0e6f2b19},
 	}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v\nwant %+v", got, want)
+		t.Errorf("ReadBatch(frame of two placers)\ngot  %+v\nwant %+v", got, want)
 	}
 }
 
@@ -77,17 +77,17 @@
 		},
 	}
 	if !reflect.DeepEqual(got.Events, want) {
-		t.Errorf("got %+v\nwant %+v", got.Events, want)
+		t.Errorf("events of ReadBatch(list, update, note, outcome)\ngot  %+v\nwant %+v", got.Events, want)
 	}
 }
 
-func TestReadBatchReadsAnEmptyBatch(t *testing.T) {
+func TestReadBatchReadsEmptyBatchAndThenEOF(t *testing.T) {
 	r := bytes.NewReader(unhex(t, "0c000000 00000000206ec040 00000000"))
 	if got, err := ReadBatch(r); err != nil || len(got.Events) > 0 {
-		t.Fatalf("got %+v, %v", got, err)
+		t.Fatalf("ReadBatch(frame without records) = %+v, %v, want a batch without events", got, err)
 	}
-	if _, err := ReadBatch(r); err != io.EOF { //nolint:errorlint // the very value is documented
-		t.Errorf("at the end of input: %v, want io.EOF", err)
+	if _, err := ReadBatch(r); err != io.EOF { //nolint:errorlint // io.EOF itself is documented, not an error that wraps it
+		t.Errorf("ReadBatch(end of input) = error %v, want io.EOF", err)
 	}
 }
 
@@ -95,7 +95,7 @@
 	whole := unhex(t, eventsHex)
 	for n := 1; n < len(whole); n++ {
 		if _, err := ReadBatch(bytes.NewReader(whole[:n])); err == nil || errors.Is(err, io.EOF) {
-			t.Fatalf("truncated after %d bytes: %v", n, err)
+			t.Fatalf("ReadBatch(frame cut after %d of %d bytes) = error %v, want one that is not io.EOF", n, len(whole), err)
 		}
 	}
 	for name, body := range map[string]string{
@@ -108,14 +108,14 @@
 		"text overruns":      "07 10000000 03000000 0000000000000000 ffffffff",
 	} {
 		if _, err := ReadBatch(bytes.NewReader(frame(t, 1, body))); err == nil || !strings.Contains(err.Error(), "record 0") {
-			t.Errorf("%s: %v, want an error that names the record", name, err)
+			t.Errorf("ReadBatch(%s) = error %v, want one that contains %q", name, err, "record 0")
 		}
 	}
 	for name, head := range map[string]string{
 		"too short": "0b000000", "too long": "ffffffff", "clock": "0c000000 000000000000f87f 00000000",
 	} {
 		if _, err := ReadBatch(bytes.NewReader(unhex(t, head))); err == nil || errors.Is(err, io.EOF) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("ReadBatch(frame with bad header: %s) = error %v, want one that is not io.EOF", name, err)
 		}
 	}
 }
@@ -126,10 +126,10 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		b, err := DecodeBatch(data)
 		if (b == nil) == (err == nil) {
-			t.Fatalf("batch %v with error %v", b, err)
+			t.Fatalf("DecodeBatch(%x) = %v, %v, want either a batch or an error", data, b, err)
 		}
 		if b != nil && math.IsNaN(b.Clock) {
-			t.Fatal("a clock that is not a number was let through")
+			t.Fatalf("DecodeBatch(%x) accepts the clock NaN, want an error", data)
 		}
 	})
 }
--- a/internal/simadapter/doc.go
+++ b/internal/simadapter/doc.go
@@ -1,8 +1,9 @@
-// Package simadapter reads batches of events and writes replies in the binary frames of the simulator. It knows nothing of
-// placement. All numbers are little endian; times and durations are float64 milliseconds, cores are float32, and memory is
+// Package simadapter reads batches of events and writes replies in the simulator's binary frames. It contains no placement
+// logic. All numbers are little endian; times and durations are float64 milliseconds, cores are float32, and memory is
 // float32 GiB.
 //
-// The simulator's wording is translated here. A code is that of a record on the wire, a name is that of this package.
+// The simulator has its own names for events, actions and fields. These tables give the code of each record on the wire,
+// the simulator's name, and the name in this package:
 //
 //	code  event             name
 //	----  ----------------  ----------------
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -2,47 +2,47 @@
 
 // Batch is one frame of events.
 type Batch struct {
-	Clock  float64 // time of all its events, in milliseconds
+	Clock  float64 // time of all events of the batch, in milliseconds
 	Events []Event
 }
 
-// Event is an event of a batch. All but EndpointList belong to one placer. Placers, tasks and machines are named by numbers
-// of the simulator.
+// Event is an event of a batch. Each event except EndpointList is for one placer. The simulator assigns the numbers of
+// placers, tasks and machines.
 type Event interface{ isEvent() }
 
-// The events. Times and durations are in milliseconds, memory in GiB.
+// The types of events. Times and durations are in milliseconds, memory is in GiB.
 type (
 	// Start starts a placer.
 	Start struct {
 		Placer uint32
 		Seed   uint64
-		Config []byte // the platform's settings object, JSON
+		Config []byte // the platform's settings, a JSON object
 	}
 	// Teardown ends a placer's incarnation.
 	Teardown struct{ Placer uint32 }
-	// EndpointList has machines under a number that a ListUpdate refers to.
+	// EndpointList defines a list of machines. ListUpdate refers to it by its number.
 	EndpointList struct {
 		Number   uint8
 		Machines []Machine
 	}
-	// ListUpdate hands a placer the EndpointList of a number.
+	// ListUpdate gives a placer the EndpointList whose number is List.
 	ListUpdate struct {
 		Placer, Epoch uint32
 		Mode, List    uint8
 	}
-	// PlacementRequest requests a task's placement.
+	// PlacementRequest requests the placement of a task.
 	PlacementRequest struct {
 		Placer, Task      uint32
 		Class             uint8
 		Tenant            uint16
 		Key               uint64
 		Timeout           float64
-		RemainingLifetime float64 // valid with FlagLifetimeKnown
+		RemainingLifetime float64 // valid if FlagLifetimeKnown is set
 		Service           uint64
 		Cores, Memory     float32
-		Flags             uint8 // bits Flag...
+		Flags             uint8 // FlagLifetimeKnown, FlagsResubmitted
 	}
-	// HandOver hands a placer a task that runs.
+	// HandOver hands over a running task to a placer. Machine is the machine that runs it.
 	HandOver struct {
 		PlacementRequest
 		Machine uint32
@@ -54,7 +54,7 @@
 		Machine      uint32
 		Attempt      uint8
 	}
-	// Note is what a machine reports of a task.
+	// Note is a machine's report about an attempt of a task.
 	Note struct {
 		Placer, Task uint32
 		Attempt      uint8
@@ -71,11 +71,11 @@
 		Took         float64
 		Final        bool
 		Reason       uint8
-		Report       []float32 // the machine's load, in the order that Start.Config says; may be empty
+		Report       []float32 // the machine's load report, in the order of the fields in Start.Config; may be empty
 	}
-	// RequestCanceled reports that nobody waits for a request any more.
+	// RequestCanceled reports that the owner no longer waits for the result of a request.
 	RequestCanceled struct{ Placer, Task uint32 }
-	// TimerFired is a timer that Reply.SetTimer set.
+	// TimerFired reports that a timer set by Reply.SetTimer has expired.
 	TimerFired struct {
 		Placer uint32
 		Timer  uint64
@@ -97,7 +97,7 @@
 // Bits of PlacementRequest.Flags.
 const (
 	FlagLifetimeKnown = 1 << 0
-	FlagsResubmitted  = 1<<1 | 1<<4 // any of them: the task was requested before
+	FlagsResubmitted  = 1<<1 | 1<<4 // either bit means that the task was requested before
 )
 
 // Machine is one entry of an EndpointList.
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -5,15 +5,15 @@
 	"math"
 )
 
-// fields takes a record's fields one after the other. The first that overruns the record sets overrun, and all after it are
-// zero.
-type fields struct {
-	buf     []byte // what has not been taken
+// fieldReader decodes the fields of a record in order. A field that extends beyond the record sets overrun; it and all
+// fields after it are read as zero.
+type fieldReader struct {
+	buf     []byte // the part of the record that has not been read
 	overrun bool
 }
 
-// take returns the next n bytes, at most 8; zeros where the record has fewer.
-func (f *fields) take(n int) []byte {
+// take returns the next n bytes, or n zero bytes if the record has fewer left.
+func (f *fieldReader) take(n int) []byte {
 	if f.overrun || n > len(f.buf) {
 		f.overrun = true
 		return make([]byte, n)
@@ -23,31 +23,32 @@
 	return taken
 }
 
-func (f *fields) uint8() uint8     { return f.take(1)[0] }
-func (f *fields) uint16() uint16   { return binary.LittleEndian.Uint16(f.take(2)) }
-func (f *fields) uint32() uint32   { return binary.LittleEndian.Uint32(f.take(4)) }
-func (f *fields) uint64() uint64   { return binary.LittleEndian.Uint64(f.take(8)) }
-func (f *fields) float32() float32 { return math.Float32frombits(f.uint32()) }
-func (f *fields) float64() float64 { return math.Float64frombits(f.uint64()) }
+func (f *fieldReader) uint8() uint8     { return f.take(1)[0] }
+func (f *fieldReader) uint16() uint16   { return binary.LittleEndian.Uint16(f.take(2)) }
+func (f *fieldReader) uint32() uint32   { return binary.LittleEndian.Uint32(f.take(4)) }
+func (f *fieldReader) uint64() uint64   { return binary.LittleEndian.Uint64(f.take(8)) }
+func (f *fieldReader) float32() float32 { return math.Float32frombits(f.uint32()) }
+func (f *fieldReader) float64() float64 { return math.Float64frombits(f.uint64()) }
 
-// fits reports whether the record has count more elements of a size. It sets overrun if not.
-func (f *fields) fits(count uint32, size int) bool {
+// fits reports whether the record has at least count more elements of size bytes. It sets overrun if not. It must be called
+// before memory is allocated for a count that was read from the record.
+func (f *fieldReader) fits(count uint32, size int) bool {
 	if uint64(count)*uint64(size) > uint64(len(f.buf)) {
 		f.overrun = true
 	}
 	return !f.overrun
 }
 
-// bytes returns the next n bytes, or nil where the record has fewer.
-func (f *fields) bytes(n uint32) []byte {
+// bytes returns the next n bytes, or nil if the record has fewer left.
+func (f *fieldReader) bytes(n uint32) []byte {
 	if !f.fits(n, 1) {
 		return nil
 	}
 	return f.take(int(n))
 }
 
-// report takes the number of a load report's values and the values.
-func (f *fields) report() []float32 {
+// report reads a load report: the number of its values, then the values.
+func (f *fieldReader) report() []float32 {
 	n := f.uint8()
 	if !f.fits(uint32(n), 4) {
 		return nil
@@ -59,7 +60,7 @@
 	return values
 }
 
-func (f *fields) placementRequest() PlacementRequest {
+func (f *fieldReader) placementRequest() PlacementRequest {
 	return PlacementRequest{
 		Placer: f.uint32(), Task: f.uint32(), Class: f.uint8(), Tenant: f.uint16(), Key: f.uint64(),
 		Timeout: f.float64(), RemainingLifetime: f.float64(), Service: f.uint64(),
@@ -67,7 +68,7 @@
 	}
 }
 
-func (f *fields) endpointList() EndpointList {
+func (f *fieldReader) endpointList() EndpointList {
 	list := EndpointList{Number: f.uint8()}
 	n := f.uint32()
 	if !f.fits(n, machineSize) {
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -12,15 +12,15 @@
 	"forkhead/internal/goldentest"
 )
 
-// testdata/events.hex is a batch with one of each event, a record a line.
-func TestEventsGolden(t *testing.T) {
+// testdata/events.hex is a batch with one of each event, one record a line. events.decoded has the decoded values.
+func TestReadBatchEventsGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "events.hex"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	batch, err := ReadBatch(bytes.NewReader(unhex(t, string(text))))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ReadBatch(testdata/events.hex): %v", err)
 	}
 	var b bytes.Buffer
 	fmt.Fprintln(&b, batch.Clock)
@@ -30,8 +30,8 @@
 	goldentest.Check(t, "events.decoded", b.Bytes())
 }
 
-// Each action has these bytes, a record a line.
-func TestActionsGolden(t *testing.T) {
+// testdata/actions.hex has the encoding of each action, one reply a line.
+func TestReplyActionsGolden(t *testing.T) {
 	var b bytes.Buffer
 	for _, act := range []func(r *Reply){
 		func(r *Reply) { r.Offer(0x01020304, 0x11121314, 0x21222324, 2500.5) },
--- a/internal/simadapter/reply.go
+++ b/internal/simadapter/reply.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// Codes of actions.
+// Codes of actions on the wire.
 const (
 	codeOffer     = 1
 	codeReject    = 2
@@ -21,20 +21,20 @@
 	codeStop      = 13
 )
 
-// AllPlacers as the receiver of a gossip message means all other placers.
+// AllPlacers is the receiver of a gossip message that goes to all other placers.
 const AllPlacers = math.MaxUint32
 
-// maxText is the longest text or message of an action, in bytes. A longer one is truncated.
+// maxText is the maximum length of a log line or gossip message, in bytes. Longer ones are truncated.
 const maxText = math.MaxUint16
 
-// Sizes of fields, in bytes. Placers, tasks and machines are numbers of idSize.
+// Sizes of fields, in bytes.
 const (
-	idSize     = 4
-	numberSize = 8 // uint64, float64
-	lengthSize = 2 // of a text
+	idSize     = 4 // number of a placer, task or machine
+	numberSize = 8 // uint64 or float64
+	lengthSize = 2 // length of a text
 )
 
-// frameLengthSize is the size of a frame's length field, which does not count itself.
+// frameLengthSize is the size of a frame's length field, in bytes. The length does not include the field itself.
 const frameLengthSize = 4
 
 // Reply collects the actions that answer one batch. Its zero value is an empty reply. It is not safe for concurrent use.
@@ -53,7 +53,7 @@
 	return int64(n), err
 }
 
-// begin writes the header of an action of a placer, whose fields have a size in all.
+// begin writes the header of an action and its first field, the placer. size is the total size of the other fields.
 func (r *Reply) begin(code uint8, placer uint32, size int) {
 	r.frame = append(r.frame, code)
 	r.uint32(uint32(idSize + size))
@@ -65,7 +65,7 @@
 func (r *Reply) uint64(v uint64)   { r.frame = binary.LittleEndian.AppendUint64(r.frame, v) }
 func (r *Reply) float64(v float64) { r.uint64(math.Float64bits(v)) }
 
-// text writes the length of a text and the text, which has at most maxText bytes.
+// text writes the length of a text, then the text. It must not be longer than maxText.
 func (r *Reply) text(text []byte) {
 	r.frame = binary.LittleEndian.AppendUint16(r.frame, uint16(len(text)))
 	r.frame = append(r.frame, text...)
@@ -81,20 +81,20 @@
 	r.float64(timeout)
 }
 
-// Reject rejects a request. Its owner may try again after some milliseconds.
+// Reject ends a request without a placement. Its owner may safely request it again after retryAfter milliseconds.
 func (r *Reply) Reject(placer, task uint32, retryAfter float64) {
 	r.begin(codeReject, placer, idSize+numberSize)
 	r.uint32(task)
 	r.float64(retryAfter)
 }
 
-// Fail fails a request.
+// Fail ends a request without a placement. Unlike Reject, it does not say that requesting it again is safe.
 func (r *Reply) Fail(placer, task uint32) {
 	r.begin(codeFail, placer, idSize)
 	r.uint32(task)
 }
 
-// Withdraw stops waiting for an attempt.
+// Withdraw stops waiting for an attempt. The machine may still accept it.
 func (r *Reply) Withdraw(placer, task uint32, attempt uint8) {
 	r.begin(codeWithdraw, placer, idSize+1)
 	r.uint32(task)
@@ -120,7 +120,7 @@
 	r.uint32(machine)
 }
 
-// Gossip sends a message to another placer or to AllPlacers.
+// Gossip sends a message to one placer or to AllPlacers. Data beyond maxText bytes is dropped.
 func (r *Reply) Gossip(placer, receiver uint32, data []byte) {
 	data = truncate(data)
 	r.begin(codeGossip, placer, idSize+lengthSize+len(data))
@@ -140,10 +140,10 @@
 	r.uint8(0)
 }
 
-// Log writes a line into the simulator's report.
+// Log adds a line to the simulator's report.
 func (r *Reply) Log(placer uint32, line string) { r.line(codeLog, placer, line) }
 
-// Crash reports that the placer's code failed.
+// Crash reports that the placer's code has failed.
 func (r *Reply) Crash(placer uint32, line string) { r.line(codeCrash, placer, line) }
 
 func (r *Reply) line(code uint8, placer uint32, line string) {
