--- a/internal/cli/catalog.go
+++ b/internal/cli/catalog.go
@@ -10,7 +10,7 @@
 	"forkhead/internal/server/clock"
 )
 
-// catalogFlags are the flags of the emulated catalog.
+// catalogFlags are the flags of the command that runs the emulated catalog.
 type catalogFlags struct {
 	listen string
 	policy consulemulator.Policy
@@ -25,8 +25,8 @@
 	}
 	flags := c.Flags()
 	flags.StringVar(&f.listen, "listen", "127.0.0.1:8500", "address to listen at")
-	flags.DurationVar(&f.policy.CriticalAfter, "critical", 2*time.Second, "a host that has not registered for so long is critical")
-	flags.DurationVar(&f.policy.DeregisterAfter, "deregister", 6*time.Second, "a host that has not registered for so long is removed")
+	flags.DurationVar(&f.policy.CriticalAfter, "critical", 2*time.Second, "time without a registration after which a host is critical")
+	flags.DurationVar(&f.policy.DeregisterAfter, "deregister", 6*time.Second, "time without a registration after which a host is removed")
 	return c
 }
 
--- a/internal/cli/chaos.go
+++ b/internal/cli/chaos.go
@@ -19,10 +19,10 @@
 	"forkhead/internal/verify/scenario"
 )
 
-// recoveryScenario is the argument that stands for the built-in scenario of restarts.
+// recoveryScenario is the argument that selects the built-in scenario of restarts.
 const recoveryScenario = "recovery"
 
-// Permissions of what chaos keeps: captured traffic is for its user alone.
+// Permissions of the files and folders that chaos writes. Only their owner may read captured traffic.
 const (
 	captureFileMode   = 0o600
 	captureFolderMode = 0o700
@@ -30,16 +30,16 @@
 
 // chaosFlags are the flags of chaos.
 type chaosFlags struct {
-	captureFile   string // to write the traffic to; "": none
-	breachFolder  string // for all of a run that broke a rule; "": none
-	replayFile    string // recording to replay instead of a run
-	seed          int
-	times         int // runs, each in a process of its own; 0: one, in this process
-	parallel      int
-	busyLoops     int
-	maxStop       time.Duration
-	seedIsGiven   bool
-	scenarioGiven string // the argument, or ""
+	captureFile  string // file to write the captured traffic to; "" for none
+	breachFolder string // folder to write the files of a run that broke a rule to; "" for none
+	replayFile   string // recording to replay instead of running a scenario; "" for none
+	seed         int
+	runs         int // number of runs, each in its own process; 0 for one run in this process
+	parallel     int
+	busyLoops    int
+	maxStop      time.Duration
+	seedGiven    bool   // whether the command line sets seed
+	scenarioArg  string // the command's argument, "" without one
 }
 
 func (a *app) chaosCommand() *cobra.Command {
@@ -47,27 +47,27 @@
 	c := &cobra.Command{
 		Use: "chaos [SCENARIO | recovery]", Aliases: []string{"badday"},
 		Short: "run a chaos test on loopback and check the rules on its traffic", Args: cobra.MaximumNArgs(1),
-		Long: "chaos runs a scenario: hosts and placers on loopback sockets, clients with load, and faults at their times. The\n" +
-			"five rules are then checked on the captured traffic. --repeat runs it many times, each with the next seed and\n" +
-			"in a process of its own; --replay steps a placer's core once more through the recorded inputs of one of its\n" +
-			"incarnations, and checks that its outputs are the same.",
+		Long: "chaos runs a scenario: hosts and placers on loopback sockets, clients that generate load, and scheduled faults.\n" +
+			"It then checks the five rules on the captured traffic. --repeat runs the scenario many times, each time with the\n" +
+			"next seed and in its own process; --replay steps a placer's core through the recorded inputs of one of its\n" +
+			"incarnations, and checks that its outputs are the same as recorded.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) > 0 {
-				f.scenarioGiven = args[0]
+				f.scenarioArg = args[0]
 			}
-			f.seedIsGiven = cmd.Flags().Changed("seed")
+			f.seedGiven = cmd.Flags().Changed("seed")
 			return a.chaos(cmd.Context(), &f)
 		},
 	}
 	flags := c.Flags()
 	flags.StringVar(&f.captureFile, "record", "", "file to write the captured traffic to, as JSON lines")
-	flags.StringVar(&f.breachFolder, "record-on-breach", "", "folder for the captured traffic and each placer's recording, of a run that breaks a rule")
-	flags.StringVar(&f.replayFile, "replay", "", "recording of a placer's incarnation to replay, without sockets")
+	flags.StringVar(&f.breachFolder, "record-on-breach", "", "folder for the captured traffic and the placers' recordings of a run that breaks a rule")
+	flags.StringVar(&f.replayFile, "replay", "", "recording of a placer's incarnation to replay, without sockets, instead of a run")
 	flags.IntVar(&f.seed, "seed", 0, "seed of the run (default: the scenario's)")
-	flags.IntVar(&f.times, "repeat", 0, "run so many times, with this seed and those after it")
-	flags.IntVar(&f.parallel, "parallel", 1, "with --repeat: so many runs at once")
-	flags.IntVar(&f.busyLoops, "busy", 0, "with --repeat: so many loops beside them that keep processors busy")
-	flags.DurationVar(&f.maxStop, "stop", 0, "with --repeat: stop each run for up to so long, about once a second")
+	flags.IntVar(&f.runs, "repeat", 0, "number of runs, with this seed and the ones after it")
+	flags.IntVar(&f.parallel, "parallel", 1, "with --repeat: number of runs at once")
+	flags.IntVar(&f.busyLoops, "busy", 0, "with --repeat: number of busy loops that compete with the runs for processors")
+	flags.DurationVar(&f.maxStop, "stop", 0, "with --repeat: about once a second, stop each run for up to this time")
 	return c
 }
 
@@ -75,7 +75,7 @@
 	if f.replayFile != "" {
 		return a.replayRecording(f.replayFile)
 	}
-	name, builtIn := f.scenarioGiven, scenario.Default
+	name, builtIn := f.scenarioArg, scenario.Default
 	if name == recoveryScenario {
 		name, builtIn = "", scenario.Recovery
 	}
@@ -83,16 +83,16 @@
 	if err != nil {
 		return err
 	}
-	if f.seedIsGiven {
+	if f.seedGiven {
 		s.Seed = f.seed
 	}
-	if f.times > 0 {
+	if f.runs > 0 {
 		return a.repeatChaos(ctx, s, f)
 	}
 	return a.runChaos(ctx, s, f)
 }
 
-// runChaos runs a scenario once; it returns errNo if a rule was broken or an action vetoed.
+// runChaos runs a scenario once. It returns errNegativeResult if a rule was broken or an action vetoed.
 func (a *app) runChaos(ctx context.Context, s *scenario.Scenario, f *chaosFlags) error {
 	start := time.Now()
 	r, err := chaos.Run(ctx, s, chaos.Options{Log: a.log, RecordSteps: f.breachFolder != "", OnFault: func(fault scenario.Fault) {
@@ -127,12 +127,12 @@
 		a.printf("%s", r.Summary())
 	}
 	if !r.OK() {
-		return errNo
+		return errNegativeResult
 	}
 	return nil
 }
 
-// breachLine is the line of a broken rule.
+// breachLine is the JSON output for a breach of a rule.
 type breachLine struct {
 	At   time.Duration `json:"at"`
 	Rule string        `json:"breach"`
@@ -153,21 +153,21 @@
 	if err := capture.Write(&text, events); err != nil {
 		return err
 	}
-	return badInput(os.WriteFile(name, text.Bytes(), captureFileMode))
+	return asInputError(os.WriteFile(name, text.Bytes(), captureFileMode))
 }
 
-// runVerdict is the file of a run that broke a rule: its result and each breach.
+// runVerdict is the content of verdict.json: the result and the breaches of a run that broke a rule.
 type runVerdict struct {
 	Breaches []rules.Breach `json:"breaches"`
 	Result   *chaos.Result  `json:"result"`
 }
 
-// writeRun writes all of a run into a folder of its own below folder: its scenario, its traffic, its verdict, and the
-// recording of each placer's incarnation, which --replay reads.
+// writeRun writes a run into a new folder below folder: its scenario, its captured traffic, its verdict, and a recording of
+// each incarnation of a placer, which --replay reads.
 func writeRun(folder string, s *scenario.Scenario, r *chaos.Result) error {
 	folder = filepath.Join(folder, fmt.Sprintf("seed-%d", s.Seed))
 	if err := os.MkdirAll(folder, captureFolderMode); err != nil {
-		return badInput(err)
+		return asInputError(err)
 	}
 	if err := writeCapture(filepath.Join(folder, "record.jsonl"), r.Captured); err != nil {
 		return err
@@ -179,14 +179,14 @@
 	files := map[string][]byte{"script.sexp": s.Text, "verdict.json": verdict}
 	for _, recording := range r.Recordings {
 		text, err := recording.Bytes()
-		if err != nil && !errors.Is(err, replay.ErrFull) { // a full recording replays up to where it ends
+		if err != nil && !errors.Is(err, replay.ErrFull) { // a recording that reached its size limit replays up to its end
 			return fmt.Errorf("tape of placer %d: %w", recording.Placer, err)
 		}
 		files[fmt.Sprintf("placer-%d-life-%d.tape", recording.Placer, recording.Incarnation)] = text
 	}
 	for name, text := range files {
 		if err := os.WriteFile(filepath.Join(folder, name), text, captureFileMode); err != nil {
-			return badInput(err)
+			return asInputError(err)
 		}
 	}
 	return nil
--- a/internal/cli/chaos_repeat.go
+++ b/internal/cli/chaos_repeat.go
@@ -10,14 +10,15 @@
 	"forkhead/internal/verify/scenario"
 )
 
-// repeatChaos runs a scenario many times, each in a process of its own.
+// repeatChaos runs a scenario f.runs times, each time in its own process. It returns errNegativeResult if a run broke a rule
+// or had a veto.
 func (a *app) repeatChaos(ctx context.Context, s *scenario.Scenario, f *chaosFlags) error {
 	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	r := chaos.Repeat{
-		Runs: f.times, Parallel: f.parallel, Seed: s.Seed, BusyLoops: f.busyLoops, MaxStop: f.maxStop,
+		Runs: f.runs, Parallel: f.parallel, Seed: s.Seed, BusyLoops: f.busyLoops, MaxStop: f.maxStop,
 		Command: func(seed int) []string { return f.runCommand(program, seed) },
 		OnDone:  a.writeRepeatedRun,
 	}
@@ -27,28 +28,28 @@
 	}
 	switch {
 	case totals.Broken > 0:
-		return errNo
+		return errNegativeResult
 	case totals.Failed > 0 || ctx.Err() != nil:
-		return fmt.Errorf("%d of %d plays were not played to the end", totals.Failed+f.times-totals.Runs, f.times)
+		return fmt.Errorf("%d of %d plays were not played to the end", totals.Failed+f.runs-totals.Runs, f.runs)
 	}
 	return nil
 }
 
-// runCommand is the command line of one run.
+// runCommand returns the command line of one run.
 func (f *chaosFlags) runCommand(program string, seed int) []string {
 	command := []string{program, "chaos", "--output", formatJSON, "--log", "error", "--seed", strconv.Itoa(seed)}
 	if f.breachFolder != "" {
 		command = append(command, "--record-on-breach", f.breachFolder)
 	}
-	if f.scenarioGiven != "" {
-		command = append(command, f.scenarioGiven)
+	if f.scenarioArg != "" {
+		command = append(command, f.scenarioArg)
 	}
 	return command
 }
 
 func (a *app) writeRepeatedRun(run chaos.ProcessResult) {
 	if a.wantsJSON() {
-		_ = a.writeJSON(run) // the totals, which come last, report that standard output cannot be written
+		_ = a.writeJSON(run) // an error of standard output is returned when the totals are written
 		return
 	}
 	a.printf("seed %d: exit %d, %d breaches told %s\n", run.Seed, run.ExitCode, len(run.Breaches), run.Error)
--- a/internal/cli/chaos_replay.go
+++ b/internal/cli/chaos_replay.go
@@ -11,7 +11,7 @@
 	"forkhead/internal/verify/rules"
 )
 
-// replayResult is the JSON output for a replayed recording.
+// replayResult is the JSON output of chaos --replay.
 type replayResult struct {
 	Epoch  uint64         `json:"epoch"`
 	Placer int            `json:"placer"`
@@ -19,9 +19,8 @@
 	Rules  map[string]int `json:"rules"` // number of breaches, by rule
 }
 
-// replayRecording steps a placer's core through the recording in a file, and prints the result. It returns errNo if the core's
-// outputs diverge from the recorded ones, or if what it sent and received breaks a rule. The printed texts call a recording a
-// tape.
+// replayRecording steps a placer's core through the recording in a file, and prints the result. It returns
+// errNegativeResult if the core's outputs diverge from the recorded ones, or if the replayed traffic breaks a rule.
 func (a *app) replayRecording(name string) error {
 	recording, err := readFile(name, "a tape that badday --record-on-breach has kept")
 	if err != nil {
@@ -32,7 +31,7 @@
 		locations = append(locations, replay.HostLocations(s.In)...)
 	})
 	if err != nil {
-		return badInput(fmt.Errorf("%s: %w", name, err))
+		return asInputError(fmt.Errorf("%s: %w", name, err))
 	}
 	host := r.Scenario.Host
 	config := rules.ConfigFromSettings(r.Scenario.Settings, float64(host.MaxStarting)/host.StartTime.Seconds())
@@ -45,7 +44,7 @@
 		a.printReplay(r, &verdict)
 	}
 	if r.Divergence != nil || !verdict.OK() {
-		return errNo
+		return errNegativeResult
 	}
 	return nil
 }
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -13,10 +13,10 @@
 	"forkhead/internal/verify/scenario"
 )
 
-// First words of the files that hold S-expressions.
+// Keywords that begin the files that hold S-expressions.
 const (
-	settingsHead = "forkhead"
-	scenarioHead = "badday"
+	settingsKeyword = "forkhead"
+	scenarioKeyword = "badday"
 )
 
 // checkFlags are the flags of check.
@@ -25,19 +25,19 @@
 	settingsFile  string
 }
 
-// checkResult is the line of a file, or of several that make one specification, in which nothing is wrong.
+// checkResult is the JSON output for a valid file, or for several files that make one valid specification.
 type checkResult struct {
 	File string `json:"file"`
 	OK   bool   `json:"ok"`
-	What string `json:"what"` // what the files hold, or ""
+	What string `json:"what"` // numbers of services and tasks; "" for settings and scenarios
 }
 
 func (a *app) checkCommand() *cobra.Command {
 	var f checkFlags
 	c := &cobra.Command{
 		Use: "check FILE...", Short: "check settings, scenarios or service specifications", Args: cobra.MinimumNArgs(1),
-		Long: "check reads files and reports what is wrong with them; nothing is sent. Files that hold (forkhead ...) are\n" +
-			"settings, those that hold (badday ...) scenarios; all others together are one service specification in the\n" +
+		Long: "check reads files and reports their errors; it sends nothing. Files that contain (forkhead ...) are settings, and\n" +
+			"files that contain (badday ...) are scenarios; all other files together make one service specification in the\n" +
 			"Compose format.",
 		RunE: func(_ *cobra.Command, names []string) error { return a.check(&f, names) },
 	}
@@ -59,10 +59,10 @@
 		if err != nil {
 			return err
 		}
-		switch head(name, text) {
-		case settingsHead:
+		switch sexpKeyword(name, text) {
+		case settingsKeyword:
 			_, err = settings.Parse(name, text)
-		case scenarioHead:
+		case scenarioKeyword:
 			_, err = scenario.Read(name, text)
 		default:
 			specification = append(specification, name)
@@ -70,7 +70,7 @@
 		}
 		errs.Add(err)
 		if err == nil {
-			a.reportGood(name, "")
+			a.reportValid(name, "")
 		}
 	}
 	if len(specification) > 0 {
@@ -80,10 +80,10 @@
 		}
 		errs.Add(a.checkSpecification(envelope, s, specification))
 	}
-	return badInput(errs.Err())
+	return asInputError(errs.Err())
 }
 
-// checkSpecification parses an envelope whose files have these names.
+// checkSpecification parses an envelope and reports that it is valid. names are the names of its files.
 func (a *app) checkSpecification(envelope *placer.Envelope, s *settings.Settings, names []string) error {
 	description, err := parseSpecification(envelope, s)
 	if err != nil {
@@ -92,12 +92,12 @@
 	for _, n := range description.Notes {
 		a.warnf("%s: note: %s\n", n.Pos, n.Text)
 	}
-	a.reportGood(strings.Join(names, ", "), fmt.Sprintf("%d services, %d tasks", len(description.Services), description.Tasks()))
+	a.reportValid(strings.Join(names, ", "), fmt.Sprintf("%d services, %d tasks", len(description.Services), description.Tasks()))
 	return nil
 }
 
-// head returns the first word of a file that holds an S-expression, or "" for any other file.
-func head(name string, text []byte) string {
+// sexpKeyword returns the keyword that begins a file with an S-expression, or "" for any other file.
+func sexpKeyword(name string, text []byte) string {
 	trimmed := strings.TrimSpace(string(text))
 	if !strings.HasPrefix(trimmed, "(") && !strings.HasPrefix(trimmed, ";") {
 		return ""
@@ -105,17 +105,17 @@
 	nodes, err := sexp.Parse(name, text)
 	if err != nil || len(nodes) == 0 {
 		if strings.HasSuffix(name, ".sexp") {
-			return settingsHead // reading it as settings reports the error
+			return settingsKeyword // parsing it as settings reports the error
 		}
 		return ""
 	}
 	return nodes[0].Head()
 }
 
-// reportGood writes that nothing is wrong with a file.
-func (a *app) reportGood(name, what string) {
+// reportValid writes that a file is valid. what summarizes its content and may be empty.
+func (a *app) reportValid(name, what string) {
 	if a.wantsJSON() {
-		_ = a.writeJSON(checkResult{File: name, OK: true, What: what}) // as text, which nobody checks either
+		_ = a.writeJSON(checkResult{File: name, OK: true, What: what}) // errors of standard output are ignored, as in printf
 		return
 	}
 	if what != "" {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of forkhead: one file a command, and the exit codes.
+// Package cli implements the command line of forkhead. Each command has a file of its own.
 package cli
 
 import (
@@ -19,39 +19,40 @@
 
 // Exit codes.
 const (
-	exitOK      = 0
-	exitFailure = 1 // a failure of the program itself
-	exitInput   = 2 // bad usage or input
-	exitNo      = 3 // the answer is no
+	exitOK             = 0
+	exitFailure        = 1 // a failure that the command line and its input did not cause
+	exitInput          = 2 // invalid command line or input
+	exitNegativeResult = 3 // the command completed with a negative result
 )
 
-// errNo ends a command that did its work and whose answer is no.
-var errNo = errors.New("the answer is no")
+// errNegativeResult is returned by a command that completed with a negative result, for example a rule that was broken or a
+// task that was not placed. The command has printed the result.
+var errNegativeResult = errors.New("negative result")
 
-// inputError is an error of the user's: bad usage or bad input.
+// inputError is an error that an invalid command line or invalid input caused.
 type inputError struct{ err error }
 
 func (e inputError) Error() string { return e.err.Error() }
 func (e inputError) Unwrap() error { return e.err }
 
-// badInput marks an error as the user's; nil stays nil.
-func badInput(err error) error {
+// asInputError wraps an error in an inputError. It returns nil for nil.
+func asInputError(err error) error {
 	if err == nil {
 		return nil
 	}
 	return inputError{err}
 }
 
-// app is what all commands share: where they write, and the flags of the root command.
+// app holds the output streams, the log and the flags of the root command, which all commands share.
 type app struct {
-	out, errs io.Writer
-	output    string // formatText or formatJSON
+	out, errs io.Writer // standard output and standard error
+	output    string    // formatText or formatJSON
 	logLevel  string
 	log       zerolog.Logger
 }
 
-// Run runs the command line args, which do not include the program's name, and returns the exit code. SIGINT and SIGTERM
-// cancel the command's context.
+// Run runs the command line args, without the program's name, and returns the exit code. SIGINT and SIGTERM cancel the
+// command's context.
 func Run(args []string, out, errs io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -62,8 +63,8 @@
 	switch {
 	case err == nil:
 		return exitOK
-	case errors.Is(err, errNo):
-		return exitNo
+	case errors.Is(err, errNegativeResult):
+		return exitNegativeResult
 	case isInputError(err):
 		a.warnln(err)
 		return exitInput
@@ -73,7 +74,8 @@
 	}
 }
 
-// isInputError reports whether the user can mend what err says. Cobra has no type for an unknown command.
+// isInputError reports whether an invalid command line or invalid input caused err. Cobra has no error type for an unknown
+// command, hence the comparison of the text.
 func isInputError(err error) bool {
 	return errors.As(err, &inputError{}) || diagnostic.First(err) != nil || strings.HasPrefix(err.Error(), "unknown command")
 }
@@ -88,9 +90,9 @@
 	root.SetOut(a.errs)
 	root.SetErr(a.errs)
 	flags := root.PersistentFlags()
-	flags.StringVar(&a.output, "output", formatText, "text or json: one object a line on standard output")
-	flags.StringVar(&a.logLevel, "log", "warn", "lowest level of the log on standard error: debug, info, warn, error")
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return badInput(err) })
+	flags.StringVar(&a.output, "output", formatText, "format of standard output: text, or json with one object per line")
+	flags.StringVar(&a.logLevel, "log", "warn", "lowest level that is logged on standard error: debug, info, warn, error")
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return asInputError(err) })
 	root.AddCommand(
 		a.serveCommand(), a.nodeCommand(), a.hostCommand(), a.catalogCommand(),
 		a.tryCommand(), a.submitCommand(), a.checkCommand(), a.planCommand(), a.storeCommand(),
@@ -98,20 +100,20 @@
 	)
 	for _, c := range root.Commands() {
 		if check := c.Args; check != nil {
-			c.Args = func(cmd *cobra.Command, args []string) error { return badInput(check(cmd, args)) }
+			c.Args = func(cmd *cobra.Command, args []string) error { return asInputError(check(cmd, args)) }
 		}
 	}
 	return root
 }
 
-// applyRootFlags checks the flags of the root command and opens the log.
+// applyRootFlags checks the flags of the root command and sets a.log.
 func (a *app) applyRootFlags() error {
 	if a.output != formatText && a.output != formatJSON {
-		return badInput(fmt.Errorf("--output is %q, want text or json", a.output))
+		return asInputError(fmt.Errorf("--output is %q, want text or json", a.output))
 	}
 	level, err := zerolog.ParseLevel(a.logLevel)
 	if err != nil {
-		return badInput(fmt.Errorf("--log is %q, want debug, info, warn or error", a.logLevel))
+		return asInputError(fmt.Errorf("--log is %q, want debug, info, warn or error", a.logLevel))
 	}
 	a.log = zerolog.New(a.errs).Level(level).With().Timestamp().Logger()
 	return nil
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -32,7 +32,7 @@
 	for name, c := range map[string]struct {
 		args []string
 		code int
-		want string // on standard error or output
+		want string // part of standard output or standard error
 	}{
 		"good file":        {[]string{"check", good}, 0, "good: 1 services, 1 tasks"},
 		"good settings":    {[]string{"check", settings}, 0, "good"},
@@ -71,27 +71,30 @@
 	} {
 		code, out, errs := run(c.args...)
 		if code != c.code || !strings.Contains(out+errs, c.want) {
-			t.Errorf("%s: exit %d, want %d; %q %q", name, code, c.code, out, errs)
+			t.Errorf("%s: forkhead %q: exit code %d, output %q, standard error %q; want exit code %d and text with %q",
+				name, c.args, code, out, errs, c.code, c.want)
 		}
 	}
 	if code, _, errs := run("chekc", good); code != 2 {
-		t.Errorf("an unknown command: exit %d: %s", code, errs)
+		t.Errorf("unknown command: forkhead chekc: exit code %d, standard error %q; want exit code 2", code, errs)
 	}
 }
 
-// A trace that the search writes can be replayed through the real core, which vetoes what the injected bug does.
-func TestTraceAndReplay(t *testing.T) {
+// The trace that a search writes must be replayable through the real core, which vetoes the action of the injected bug.
+func TestExploreTraceReplaysWithVeto(t *testing.T) {
 	trace := filepath.Join(t.TempDir(), "trace.json")
 	if code, out, errs := run("explore", "--plant", "double-send", "--trace", trace); code != 3 || !strings.Contains(out, "BROKEN one-out") {
-		t.Fatalf("exit %d: %s %s", code, out, errs)
+		t.Fatalf("explore --plant double-send: exit code %d, output %q, standard error %q; want exit code 3 and output with %q",
+			code, out, errs, "BROKEN one-out")
 	}
 	if code, out, errs := run("explore", "--replay", trace); code != 0 || !strings.Contains(out, "1 vetoes, 1 offers written") {
-		t.Fatalf("exit %d: %s %s", code, out, errs)
+		t.Fatalf("explore --replay: exit code %d, output %q, standard error %q; want exit code 0 and output with %q",
+			code, out, errs, "1 vetoes, 1 offers written")
 	}
 }
 
-// The two examples of the README: all placed, and some refused with their reason.
-func TestTry(t *testing.T) {
+// Two examples of the README: in calendar, all tasks are placed; in overspread, some are refused because of the spread limit.
+func TestTryReportsPlacedAndRefusedTasks(t *testing.T) {
 	for file, c := range map[string]struct{ code, placed, refused int }{
 		"calendar": {0, 8, 0}, "overspread": {3, 6, 2},
 	} {
@@ -100,23 +103,24 @@
 		for _, line := range strings.Split(strings.TrimSpace(out), "\n") {
 			var o core.Outcome
 			if err := json.Unmarshal([]byte(line), &o); err != nil {
-				t.Fatalf("%s: %q: %v %s", file, line, err, errs)
+				t.Fatalf("try %s: output line %q is no outcome: %v; standard error %q", file, line, err, errs)
 			}
 			switch o.Outcome {
 			case core.OutcomePlaced:
 				placed++
 				if o.Host == "" || o.Attempts < 1 {
-					t.Errorf("%s: %+v", file, o)
+					t.Errorf("try %s: placed task %+v, want a host and at least 1 attempt", file, o)
 				}
 			case core.OutcomeRejected:
 				refused++
 				if !strings.Contains(o.Reason, "spread") {
-					t.Errorf("%s: %+v", file, o)
+					t.Errorf("try %s: refused task %+v, want a reason with %q", file, o, "spread")
 				}
 			}
 		}
 		if code != c.code || placed != c.placed || refused != c.refused {
-			t.Errorf("%s: exit %d, %d placed, %d refused; %s", file, code, placed, refused, errs)
+			t.Errorf("try %s: exit code %d, %d placed, %d refused, want %d, %d, %d; standard error %q",
+				file, code, placed, refused, c.code, c.placed, c.refused, errs)
 		}
 	}
 }
--- a/internal/cli/explore.go
+++ b/internal/cli/explore.go
@@ -14,28 +14,28 @@
 // exploreFlags are the flags of explore.
 type exploreFlags struct {
 	search     modelcheck.Config
-	effect     string
-	traceFile  string // to write a violation to; "": none
-	replayFile string // trace to replay instead of a search
-	listBugs   bool   // list the injectable bugs instead
-	runs       int    // number of simulated runs instead of a search; 0: search
-	firstSeed  uint64 // of these runs
+	effect     string // value of --effect
+	traceFile  string // file to write the trace of a violation to; "" for none
+	replayFile string // trace to replay instead of searching; "" for none
+	listBugs   bool   // list the injectable bugs instead of searching
+	runs       int    // number of simulated runs instead of a search; 0 to search
+	firstSeed  uint64 // seed of the first simulated run
 }
 
-// allEffects as the value of --effect stands for each of effectNames, one after another.
+// allEffects is the value of --effect that selects all effects, which are searched one after another.
 const allEffects = "all"
 
-// effectNames are the names of the effects, by their value.
+// effectNames are the names of the effects in --effect and in the output.
 var effectNames = [...]string{forkhead.Safe: "safe", forkhead.Keyed: "keyed", forkhead.Unsafe: "unsafe"}
 
 func (a *app) exploreCommand() *cobra.Command {
 	var f exploreFlags
 	c := &cobra.Command{
 		Use: "explore", Short: "model-check attempts, connections and hosts: search all their states", Args: cobra.NoArgs,
-		Long: "explore searches every order of events of a small service over the state machines that placers and hosts run\n" +
-			"on: with faults, with timers that fire at any time, and with every legal action in place of the policy's\n" +
-			"choice. --replay plays a violation's trace through the placer's real core; --lives runs deterministic\n" +
-			"simulations of the real core with the real policy instead.",
+		Long: "explore searches all orders of events of a small service on the state machines of placers and hosts: with faults,\n" +
+			"with timers that fire at any time, and with each legal action instead of only the one that the policy chooses.\n" +
+			"--replay replays a violation's trace through the placer's real core; --lives runs deterministic simulations of\n" +
+			"the real core with the real policy instead.",
 		RunE: func(cmd *cobra.Command, _ []string) error { return a.explore(cmd.Context(), &f, cmd.Flags()) },
 	}
 	flags := c.Flags()
@@ -43,18 +43,18 @@
 	flags.IntVar(&f.search.Hosts, "hosts", 2, "hosts, 1 or 2")
 	flags.IntVar(&f.search.Requests, "asks", 1, "placement requests of a task in one incarnation of the placer")
 	flags.IntVar(&f.search.Attempts, "attempts", 2, "attempts of a task, 1 to 3")
-	flags.IntVar(&f.search.Faults, "faults", 1, "faults in all: connections cut, hosts that die or drain, crashes of the placer")
-	flags.BoolVar(&f.search.TasksEnd, "ends", false, "tasks may end by themselves")
+	flags.IntVar(&f.search.Faults, "faults", 1, "total number of faults: broken connections, hosts that crash or drain, crashes of the placer")
+	flags.BoolVar(&f.search.TasksEnd, "ends", false, "let tasks end by themselves")
 	flags.BoolVar(&f.search.FindCycles, "cycles", false, "also search for cycles of fair steps (takes more memory)")
-	flags.IntVar(&f.search.SpreadLimit, "spread", 0, "spread limit: all tasks are of one service, of which a host may have so many; 0: no limit")
-	flags.IntVar(&f.search.Workers, "workers", 0, "goroutines (default: one a processor)")
-	flags.IntVar(&f.search.MaxStates, "most", 0, "stop after so many states (default: 100 million, about 8 GiB)")
-	flags.StringVar(&f.search.InjectedBug, "plant", "", "name of a bug to inject; sets the other flags to what shows it, unless they are given")
-	flags.StringVar(&f.effect, "effect", "unsafe", "effect of a repeated start of the tasks: safe, keyed, unsafe, or all, one after another")
-	flags.StringVar(&f.traceFile, "trace", "", "file to write a violation's trace to")
+	flags.IntVar(&f.search.SpreadLimit, "spread", 0, "spread limit: all tasks belong to one service, of which a host may have at most this many; 0: no limit")
+	flags.IntVar(&f.search.Workers, "workers", 0, "number of goroutines (default: one per processor)")
+	flags.IntVar(&f.search.MaxStates, "most", 0, "maximum number of states (default: 100 million, about 8 GiB)")
+	flags.StringVar(&f.search.InjectedBug, "plant", "", "name of a bug to inject; flags that are not given get values with which the search finds it")
+	flags.StringVar(&f.effect, "effect", "unsafe", "effect of a repeated start of the tasks: safe, keyed, unsafe, or all for one search after another")
+	flags.StringVar(&f.traceFile, "trace", "", "file to write the first violation's trace to")
 	flags.StringVar(&f.replayFile, "replay", "", "trace to replay through the placer's real core")
-	flags.IntVar(&f.runs, "lives", 0, "instead of the search, simulate so many random runs of the real core with the real policy")
-	flags.Uint64Var(&f.firstSeed, "from", 0, "seed of the first run; --lives 1 repeats a run")
+	flags.IntVar(&f.runs, "lives", 0, "instead of the search, simulate this number of random runs of the real core with the real policy")
+	flags.Uint64Var(&f.firstSeed, "from", 0, "with --lives: seed of the first run; --lives 1 repeats a single run")
 	flags.BoolVar(&f.listBugs, "list-plants", false, "list the bugs that can be injected")
 	return c
 }
@@ -75,17 +75,17 @@
 	if f.search.InjectedBug != "" {
 		bug, ok := modelcheck.FindInjectedBug(f.search.InjectedBug)
 		if !ok {
-			return badInput(fmt.Errorf("no plant is named %q; see --list-plants", f.search.InjectedBug))
+			return asInputError(fmt.Errorf("no plant is named %q; see --list-plants", f.search.InjectedBug))
 		}
 		if !given.Changed("effect") {
 			effects = []forkhead.Effect{bug.Effect}
-			f.showBug(bug, given)
+			f.setInjectedBugBounds(bug, given)
 		}
 	}
 	return a.searchEach(f, effects)
 }
 
-// effects returns the effects that --effect stands for.
+// effects returns the effects that --effect selects.
 func (f *exploreFlags) effects() ([]forkhead.Effect, error) {
 	var effects []forkhead.Effect
 	for effect, name := range effectNames {
@@ -94,18 +94,19 @@
 		}
 	}
 	if len(effects) == 0 {
-		return nil, badInput(fmt.Errorf("--effect is %q, want safe, keyed, unsafe or all", f.effect))
+		return nil, asInputError(fmt.Errorf("--effect is %q, want safe, keyed, unsafe or all", f.effect))
 	}
 	return effects, nil
 }
 
-// showBug bounds the search so that it is large enough for the bug to show, except where a flag was given.
-func (f *exploreFlags) showBug(bug *modelcheck.InjectedBug, given *pflag.FlagSet) {
+// setInjectedBugBounds sets the bounds of the search to values that are large enough to find the injected bug. It does not
+// change bounds that were set by a flag.
+func (f *exploreFlags) setInjectedBugBounds(bug *modelcheck.InjectedBug, given *pflag.FlagSet) {
 	f.search.FindCycles = f.search.FindCycles || bug.Property == "liveness"
 	for _, bound := range []struct {
 		flag   string
 		value  *int
-		enough int
+		enough int // value with which the search finds the bug
 	}{
 		{"faults", &f.search.Faults, bug.Faults},
 		{"tasks", &f.search.Tasks, 1 + bug.SpreadLimit},
@@ -119,10 +120,10 @@
 	}
 }
 
-// injectableBug is a line of explore --list-plants.
+// injectableBug is a line of the JSON output of explore --list-plants.
 type injectableBug struct {
 	Name     string `json:"plant"`
-	Property string `json:"property"` // that it breaks
+	Property string `json:"property"` // name of the property that the bug violates
 	What     string `json:"what"`
 }
 
--- a/internal/cli/explore_replay.go
+++ b/internal/cli/explore_replay.go
@@ -8,7 +8,8 @@
 	"forkhead/internal/verify/modelcheck"
 )
 
-// replayTrace replays a violation's trace through the placer's real core. It returns errNo if an unsafe task was held twice.
+// replayTrace replays a violation's trace through the placer's real core. It returns errNegativeResult if an unsafe task was
+// bound twice at one moment.
 func (a *app) replayTrace(name string) error {
 	trace, err := readTrace(name)
 	if err != nil {
@@ -26,12 +27,12 @@
 		a.printReplayedTrace(r)
 	}
 	if r.BoundTwice && trace.Config.Effect == forkhead.Unsafe {
-		return errNo
+		return errNegativeResult
 	}
 	return nil
 }
 
-// readTrace reads a trace and checks that its bounds are those of a search.
+// readTrace reads a trace and checks that its configuration is one that a search can have.
 func readTrace(name string) (*modelcheck.Trace, error) {
 	text, err := readFile(name, "a trace that explore has written")
 	if err != nil {
@@ -39,11 +40,12 @@
 	}
 	var trace modelcheck.Trace
 	if err := json.Unmarshal(text, &trace); err != nil {
-		return nil, badInput(fmt.Errorf("%s: not a trace: %w", name, err))
+		return nil, asInputError(fmt.Errorf("%s: not a trace of explore: %w", name, err))
 	}
 	cfg := &trace.Config
 	if cfg.Tasks < 1 || cfg.Tasks > 3 || cfg.Hosts < 1 || cfg.Hosts > 2 || cfg.Effect > forkhead.Unsafe {
-		return nil, badInput(fmt.Errorf("%s: not a trace of 1 to 3 tasks and 1 or 2 hosts", name))
+		return nil, asInputError(fmt.Errorf("%s: trace has %d tasks, %d hosts and effect %d; want 1 to 3 tasks, 1 or 2 hosts and effect 0 to %d",
+			name, cfg.Tasks, cfg.Hosts, cfg.Effect, forkhead.Unsafe))
 	}
 	return &trace, nil
 }
--- a/internal/cli/explore_search.go
+++ b/internal/cli/explore_search.go
@@ -11,10 +11,10 @@
 	"forkhead/internal/verify/modelcheck"
 )
 
-// progressInterval is the least time between two lines of a search's progress.
+// progressInterval is the minimum time between two progress lines of a search.
 const progressInterval = 2 * time.Second
 
-// searchResult is the line of a search.
+// searchResult is the JSON output of a search.
 type searchResult struct {
 	Effect     string                 `json:"effect"`
 	Tasks      int                    `json:"tasks"`
@@ -31,7 +31,7 @@
 	Violations []modelcheck.Violation `json:"violations"`
 }
 
-// searchEach searches once an effect; it returns errNo if a property was violated.
+// searchEach runs one search for each effect. It returns errNegativeResult if a property was violated.
 func (a *app) searchEach(f *exploreFlags, effects []forkhead.Effect) error {
 	violated := false
 	for _, effect := range effects {
@@ -44,18 +44,18 @@
 		violated = violated || violations > 0
 	}
 	if violated {
-		return errNo
+		return errNegativeResult
 	}
 	return nil
 }
 
-// search runs one search and writes its result; it returns the number of violations. The trace of the first one goes to
-// traceFile, unless that is "".
+// search runs one search, writes its result and returns the number of violations. It writes the trace of the first
+// violation to traceFile, unless that is "".
 func (a *app) search(cfg modelcheck.Config, traceFile string) (violations int, err error) {
 	cfg.Progress = a.reportProgress()
 	r, err := modelcheck.Run(cfg)
 	if err != nil {
-		return 0, badInput(err)
+		return 0, asInputError(err)
 	}
 	if traceFile != "" && len(r.Violations) > 0 {
 		if err := writeTrace(traceFile, modelcheck.Trace{Config: cfg, Violation: r.Violations[0]}); err != nil {
@@ -75,7 +75,7 @@
 	return len(r.Violations), nil
 }
 
-// reportProgress returns a function that writes a search's progress to standard error, at most once each progressInterval.
+// reportProgress returns a function that writes a search's progress to standard error, at most once per progressInterval.
 func (a *app) reportProgress() func(states, depth int) {
 	last := time.Now()
 	return func(states, depth int) {
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	return badInput(os.WriteFile(name, append(text, '\n'), 0o644))
+	return asInputError(os.WriteFile(name, append(text, '\n'), 0o644))
 }
 
 func (a *app) printSearch(r *searchResult) {
@@ -108,7 +108,8 @@
 	}
 }
 
-// sequenceChart lays a trace out by who acts: the placer on the left, hosts and the network on the right.
+// sequenceChart formats a trace in two columns: steps at the placer on the left, steps at hosts and on the network on the
+// right.
 func sequenceChart(trace []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "  %3s  %-46s| %s\n", "", "placer, owner, module", "hosts, network")
--- a/internal/cli/explore_simulation.go
+++ b/internal/cli/explore_simulation.go
@@ -10,17 +10,18 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// runsPerProgress is the number of simulated runs after which their count is written to standard error.
-const runsPerProgress = 1000
+// seedsPerProgress is the number of seeds between two progress lines on standard error. Each seed is run once per mix.
+const seedsPerProgress = 1000
 
-// simulationResult is the line of all simulated runs.
+// simulationResult is the JSON output of explore --lives.
 type simulationResult struct {
-	Failed []string `json:"failed"`
-	From   uint64   `json:"from"`  // seed of the first run
-	Runs   int64    `json:"lives"` // of all mixes
+	Failed []string `json:"failed"` // mix, seed and failed check of each run that failed
+	From   uint64   `json:"from"`   // seed of the first run
+	Runs   int64    `json:"lives"`  // number of runs of all mixes
 }
 
-// simulate runs the simulation with n seeds from firstSeed on, of each mix of work once, on all processors.
+// simulate runs the simulation with n seeds from firstSeed on, once with each mix of work, on all processors. It returns
+// errNegativeResult if a run failed.
 func (a *app) simulate(ctx context.Context, firstSeed uint64, n int) error {
 	failed, done := a.simulateSeeds(ctx, firstSeed, n)
 	runs := done * int64(len(simulation.Mixes))
@@ -35,12 +36,12 @@
 		a.printf("%d lives, %d went wrong\n", runs, len(failed))
 	}
 	if len(failed) > 0 {
-		return errNo
+		return errNegativeResult
 	}
 	return ctx.Err()
 }
 
-// simulateSeeds returns the failures in order, and the number of seeds that were run before ctx ended.
+// simulateSeeds returns the sorted failures, and the number of seeds that were run before ctx ended.
 func (a *app) simulateSeeds(ctx context.Context, firstSeed uint64, n int) (failed []string, seeds int64) {
 	var next, done atomic.Int64
 	var mu sync.Mutex // guards failed
@@ -55,7 +56,7 @@
 						mu.Unlock()
 					}
 				}
-				if d := done.Add(1); d%runsPerProgress == 0 {
+				if d := done.Add(1); d%seedsPerProgress == 0 {
 					a.warnf("%d lives\n", d)
 				}
 			}
--- a/internal/cli/explore_test.go
+++ b/internal/cli/explore_test.go
@@ -8,7 +8,7 @@
 	"forkhead"
 )
 
-func TestExploreEffects(t *testing.T) {
+func TestExploreFlagsEffects(t *testing.T) {
 	for name, want := range map[string][]forkhead.Effect{
 		"safe": {forkhead.Safe}, "keyed": {forkhead.Keyed}, "unsafe": {forkhead.Unsafe},
 		"all": {forkhead.Safe, forkhead.Keyed, forkhead.Unsafe}, "odd": nil,
@@ -16,13 +16,13 @@
 		f := exploreFlags{effect: name}
 		got, err := f.effects()
 		if !slices.Equal(got, want) || (err == nil) != (want != nil) {
-			t.Errorf("%s: %v, %v, want %v", name, got, err, want)
+			t.Errorf("effects() with --effect %s = %v, error %v; want %v, and an error only if that is empty", name, got, err, want)
 		}
 	}
 }
 
-// An injected bug sets the bounds of its search to what shows it, except where a flag was given.
-func TestExploreInjectedBugSetsBounds(t *testing.T) {
+// --plant sets the bounds of the search to values with which it finds the bug, except for bounds that a flag sets.
+func TestExploreInjectedBugSetsBoundsWithoutFlags(t *testing.T) {
 	for _, c := range []struct {
 		args []string
 		want string
@@ -32,8 +32,9 @@
 		{[]string{"--plant", "drain-at-write", "--hosts", "2"}, `{"effect":"safe","tasks":1,"hosts":2,"faults":2,`},
 	} {
 		code, out, errs := run(append([]string{"explore", "--output", "json"}, c.args...)...)
-		if code != exitNo || !strings.HasPrefix(out, c.want) {
-			t.Errorf("%v: exit %d, %.120s %s, want exit %d and %s", c.args, code, out, errs, exitNo, c.want)
+		if code != exitNegativeResult || !strings.HasPrefix(out, c.want) {
+			t.Errorf("explore %v: exit code %d, output %.120s, standard error %q; want exit code %d and output that begins with %s",
+				c.args, code, out, errs, exitNegativeResult, c.want)
 		}
 	}
 }
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -11,17 +11,18 @@
 	"forkhead/internal/goldentest"
 )
 
-// goldenRun runs the command line, wants the exit code and nothing on standard error, and returns standard output.
+// goldenRun runs the command line and returns standard output. The test fails unless the exit code is want and standard error
+// is empty.
 func goldenRun(t *testing.T, want int, args ...string) string {
 	t.Helper()
 	code, out, errs := run(args...)
 	if code != want || errs != "" {
-		t.Fatalf("%v: exit %d, want %d; %s", args, code, want, errs)
+		t.Fatalf("forkhead %v: exit code %d, standard error %q; want exit code %d, no standard error", args, code, errs, want)
 	}
 	return out
 }
 
-// The store of an earlier build is verified and dumped byte for byte.
+// The output of verify and dump for the store of an earlier build must stay the same.
 func TestStoreCommandGolden(t *testing.T) {
 	const file = "../server/store/testdata/placer.db"
 	goldentest.Check(t, "store-verify.txt", goldenRun(t, exitOK, "store", "verify", file))
@@ -30,29 +31,30 @@
 	goldentest.Check(t, "store-dump.jsonl", goldenRun(t, exitOK, "store", "dump", file, "--output", "json"))
 }
 
-// A copy without free space holds the same.
-func TestStoreCompactGolden(t *testing.T) {
+// A compacted copy must have the same content as its store.
+func TestStoreCompactCommandGolden(t *testing.T) {
 	compact := filepath.Join(t.TempDir(), "copy.db")
 	out := goldenRun(t, exitOK, "store", "compact", "../server/store/testdata/placer.db", compact, "--output", "json")
-	// Sizes are whole pages of the machine's.
+	// Sizes depend on the machine's page size.
 	if got, want := regexp.MustCompile(`\d+`).ReplaceAllString(out, "N"), `{"after":N,"before":N}`+"\n"; got != want {
-		t.Errorf("got %s, want %s", got, want)
+		t.Errorf("output of store compact, with N for numbers: got %q, want %q", got, want)
 	}
 	goldentest.Check(t, "store-dump.jsonl", goldenRun(t, exitOK, "store", "dump", compact, "--output", "json"))
 }
 
-// Recordings of an earlier build replay to the same verdict.
-func TestReplayCommandGolden(t *testing.T) {
+// Recordings of an earlier build must replay to the same verdict. badday is the earlier name of the chaos command.
+func TestChaosReplayCommandGolden(t *testing.T) {
 	for _, name := range []string{"placer-0-life-2", "placer-1-life-1"} {
 		file := "../verify/replay/testdata/" + name + ".tape"
 		goldentest.Check(t, "replay-"+name+".jsonl", goldenRun(t, exitOK, "chaos", "--replay", file, "--output", "json"))
 		goldentest.Check(t, "replay-"+name+".txt", goldenRun(t, exitOK, "chaos", "--replay", file))
-		goldentest.Check(t, "replay-"+name+".txt", goldenRun(t, exitOK, "badday", "--replay", file)) // the command's earlier name
+		goldentest.Check(t, "replay-"+name+".txt", goldenRun(t, exitOK, "badday", "--replay", file))
 	}
 }
 
-// masked hides what differs from run to run: the values of the keys, the ids of submissions and, with numbers, all numbers.
-func masked(text string, numbers bool, keys ...string) string {
+// maskVarying replaces the parts of a text that differ from run to run: the values of the JSON keys, the IDs of submissions
+// and, if numbers is set, all numbers.
+func maskVarying(text string, numbers bool, keys ...string) string {
 	for _, key := range keys {
 		text = regexp.MustCompile(`"`+key+`":("[^"]*"|[^,}]*)`).ReplaceAllString(text, `"`+key+`":"*"`)
 	}
@@ -63,8 +65,8 @@
 	return text
 }
 
-// sortedOnce returns the different lines of a text in order.
-func sortedOnce(text string) string {
+// sortedUniqueLines returns the lines of a text in sorted order, without duplicates.
+func sortedUniqueLines(text string) string {
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 	slices.Sort(lines)
 	return strings.Join(slices.Compact(lines), "\n") + "\n"
@@ -78,7 +80,7 @@
 	goldentest.Check(t, "check.txt", goldenRun(t, exitOK, "check", settings+"all.sexp", examples+"calendar.compose.yaml"))
 	code, out, errs := run("check", examples+"broken.compose.yaml", "--output", "json")
 	if code != exitInput || out != "" {
-		t.Errorf("exit %d, %s", code, out)
+		t.Errorf("check broken.compose.yaml: exit code %d, output %q; want exit code %d, no output", code, out, exitInput)
 	}
 	goldentest.Check(t, "check-broken.txt", errs)
 }
@@ -88,28 +90,28 @@
 		t.Helper()
 		args = append([]string{"plan", "--hosts", examples + "hosts.json"}, args...)
 		goldentest.Check(t, "plan-"+name+".txt", goldenRun(t, code, args...))
-		goldentest.Check(t, "plan-"+name+".jsonl", masked(goldenRun(t, code, append(args, "--output", "json")...), false, "nodes"))
+		goldentest.Check(t, "plan-"+name+".jsonl", maskVarying(goldenRun(t, code, append(args, "--output", "json")...), false, "nodes"))
 	}
 	plan("calendar", exitOK, examples+"calendar.compose.yaml")
 	plan("running", exitOK, "--running", "testdata/running.json", "--move", "2", "--home", "south", "--cross", "9", examples+"calendar.compose.yaml")
-	plan("impossible", exitNo, examples+"impossible.compose.yaml")
+	plan("impossible", exitNegativeResult, examples+"impossible.compose.yaml")
 	plan("shares", exitOK, "--shares", "--config", "../parse/settings/testdata/all.sexp")
 	goldentest.Check(t, "plan-selfcheck.jsonl", goldenRun(t, exitOK, "plan", "--selfcheck", "5", "--output", "json"))
 }
 
 func TestExploreCommandGolden(t *testing.T) {
 	const varying = `states_per_second`
-	goldentest.Check(t, "explore.jsonl", masked(goldenRun(t, exitOK, "explore", "--tasks", "1", "--hosts", "1", "--output", "json"), false, varying, "mib"))
-	goldentest.Check(t, "explore-plant.jsonl", masked(goldenRun(t, exitNo, "explore", "--plant", "double-send", "--output", "json"), false, varying, "mib"))
-	goldentest.Check(t, "explore-plants.jsonl", masked(goldenRun(t, exitOK, "explore", "--list-plants", "--output", "json"), false, "what"))
+	goldentest.Check(t, "explore.jsonl", maskVarying(goldenRun(t, exitOK, "explore", "--tasks", "1", "--hosts", "1", "--output", "json"), false, varying, "mib"))
+	goldentest.Check(t, "explore-plant.jsonl", maskVarying(goldenRun(t, exitNegativeResult, "explore", "--plant", "double-send", "--output", "json"), false, varying, "mib"))
+	goldentest.Check(t, "explore-plants.jsonl", maskVarying(goldenRun(t, exitOK, "explore", "--list-plants", "--output", "json"), false, "what"))
 	goldentest.Check(t, "explore-lives.jsonl", goldenRun(t, exitOK, "explore", "--lives", "1", "--output", "json"))
 }
 
-// A trace is written as an earlier build did, and an earlier build's is replayed through the core.
-func TestTraceGolden(t *testing.T) {
+// The trace file of a violation must stay the same, and the trace of an earlier build must still replay through the core.
+func TestExploreTraceGolden(t *testing.T) {
 	const kept = "double-send.trace.json"
 	trace := filepath.Join(t.TempDir(), "trace.json")
-	goldenRun(t, exitNo, "explore", "--plant", "double-send", "--trace", trace, "--output", "json")
+	goldenRun(t, exitNegativeResult, "explore", "--plant", "double-send", "--trace", trace, "--output", "json")
 	text, err := os.ReadFile(trace)
 	if err != nil {
 		t.Fatal(err)
@@ -121,20 +123,20 @@
 
 func TestTryCommandGolden(t *testing.T) {
 	out := goldenRun(t, exitOK, "try", examples+"calendar.compose.yaml", "--output", "json")
-	goldentest.Check(t, "try.jsonl", sortedOnce(masked(out, false, "host", "zone", "rack", "attempts", "took_ms")))
+	goldentest.Check(t, "try.jsonl", sortedUniqueLines(maskVarying(out, false, "host", "zone", "rack", "attempts", "took_ms")))
 }
 
-// A short run on sockets whose placer is built to report an outcome twice: the lines of its breaches and its result, and
-// the files that are written of it.
+// A short run on sockets in which the scenario makes the placer report an outcome twice. The test compares the JSON output,
+// which is the breaches and the result, the names of the files that --record-on-breach writes, and verdict.json.
 func TestChaosCommandGolden(t *testing.T) {
 	dir := t.TempDir()
-	script := filepath.Join(dir, "day.sexp")
-	if err := os.WriteFile(script, []byte(`(badday (seed 3) (length 500ms) (settle 500ms) (hosts 2 (kind std-28) (zone north))
+	scenarioFile := filepath.Join(dir, "day.sexp")
+	if err := os.WriteFile(scenarioFile, []byte(`(badday (seed 3) (length 500ms) (settle 500ms) (hosts 2 (kind std-28) (zone north))
 		(load web (class web) (rate 20) (replicas 1 1)) (plant one-answer))`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out := goldenRun(t, exitNo, "chaos", script, "--record-on-breach", dir, "--output", "json")
-	goldentest.Check(t, "chaos.jsonl", sortedOnce(masked(out, true)))
+	out := goldenRun(t, exitNegativeResult, "chaos", scenarioFile, "--record-on-breach", dir, "--output", "json")
+	goldentest.Check(t, "chaos.jsonl", sortedUniqueLines(maskVarying(out, true)))
 
 	var kept []string
 	files, err := os.ReadDir(filepath.Join(dir, "seed-3"))
@@ -145,13 +147,13 @@
 		kept = append(kept, f.Name())
 	}
 	if got, want := strings.Join(kept, " "), "placer-0-life-1.tape placer-1-life-1.tape placer-2-life-1.tape record.jsonl script.sexp verdict.json"; got != want {
-		t.Errorf("kept %s, want %s", got, want)
+		t.Errorf("files of --record-on-breach: got %s, want %s", got, want)
 	}
 	verdict, err := os.ReadFile(filepath.Join(dir, "seed-3", "verdict.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Breaches are as many as the machine was fast: one stands for all.
-	text := regexp.MustCompile(`(?s)(\{[^{}]*\}),\n    \{.*?\n  \]`).ReplaceAllString(masked(string(verdict), true), "$1\n  ]")
+	// The number of breaches depends on the machine's speed, so only the first one is compared.
+	text := regexp.MustCompile(`(?s)(\{[^{}]*\}),\n    \{.*?\n  \]`).ReplaceAllString(maskVarying(string(verdict), true), "$1\n  ]")
 	goldentest.Check(t, "chaos-verdict.json", text)
 }
--- a/internal/cli/host.go
+++ b/internal/cli/host.go
@@ -18,15 +18,16 @@
 	// hostPollers is the number of goroutines that read the sockets of all hosts.
 	hostPollers = 2
 
-	// groupSeeds is the distance between the first seeds of two groups of hosts, more than a group has hosts.
-	groupSeeds = 10_000
+	// groupSeedStride is the difference between the first seeds of two consecutive groups of hosts. It is larger than the
+	// number of hosts in a group, so that no two hosts have the same seed.
+	groupSeedStride = 10_000
 )
 
 // hostFlags are the flags of host.
 type hostFlags struct {
-	scenarioFile string
-	catalog      string // address of Consul's API
-	listen       string
+	scenarioFile string // "" for the built-in scenario
+	catalog      string // address of Consul's HTTP API
+	listen       string // address; each host takes its own port
 }
 
 func (a *app) hostCommand() *cobra.Command {
@@ -36,9 +37,9 @@
 		RunE: func(cmd *cobra.Command, _ []string) error { return a.runHosts(cmd.Context(), &f) },
 	}
 	flags := c.Flags()
-	flags.StringVar(&f.scenarioFile, "script", "", "scenario whose hosts are run (default: the hosts of try)")
+	flags.StringVar(&f.scenarioFile, "script", "", "scenario whose hosts to run (default: the built-in one of try)")
 	flags.StringVar(&f.catalog, "catalogue", "127.0.0.1:8500", "address of the service catalog where the hosts register") //nolint:misspell // the flag's name
-	flags.StringVar(&f.listen, "listen", "127.0.0.1:0", "address to listen at; each host takes a port of its own")
+	flags.StringVar(&f.listen, "listen", "127.0.0.1:0", "address to listen at; each host takes its own free port")
 	return c
 }
 
@@ -50,7 +51,7 @@
 	}
 	address, _, err := net.SplitHostPort(f.listen)
 	if err != nil {
-		return badInput(fmt.Errorf("--listen: %w", err))
+		return asInputError(fmt.Errorf("--listen: %w", err))
 	}
 	engine, err := netio.New("hosts", hostPollers)
 	if err != nil {
@@ -67,7 +68,7 @@
 				CatalogAddress:       f.catalog,
 				Service:              s.Settings.ServiceDiscovery.Service,
 				RegistrationInterval: s.Host.RegistrationInterval,
-				Seed:                 uint64(gi*groupSeeds + i),
+				Seed:                 uint64(gi*groupSeedStride + i),
 				WarmingUp:            g.WarmingUp,
 				Clock:                c,
 				Engine:               engine,
@@ -76,7 +77,7 @@
 				return err
 			}
 			defer h.Stop()
-			a.log.Info().Str("host", h.Name()).Str("address", h.Address()).Msg("the host is up")
+			a.log.Info().Str("host", h.Name()).Str("address", h.Address()).Msg("host started")
 		}
 	}
 	<-ctx.Done()
--- a/internal/cli/input.go
+++ b/internal/cli/input.go
@@ -8,21 +8,21 @@
 	"forkhead/internal/verify/scenario"
 )
 
-// readFile reads a file of the user's. want says what should be in it; the error of a file that cannot be read repeats it.
+// readFile reads an input file. want describes its expected content, for the error of a file that cannot be read.
 func readFile(name, want string) ([]byte, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
-		return nil, unreadable(err, want)
+		return nil, unreadableFileError(err, want)
 	}
 	return text, nil
 }
 
-// unreadable is the error of a file that cannot be read.
-func unreadable(err error, want string) error {
-	return badInput(fmt.Errorf("%w; want a file that can be read, with %s", err, want))
+// unreadableFileError returns the input error for a file that cannot be read. want describes its expected content.
+func unreadableFileError(err error, want string) error {
+	return asInputError(fmt.Errorf("%w; want a file that can be read, with %s", err, want))
 }
 
-// readSettings reads a file of settings; an empty name stands for the built-in ones.
+// readSettings reads a settings file, or returns the built-in settings if name is "".
 func readSettings(name string) (*settings.Settings, error) {
 	if name == "" {
 		return settings.Parse("default settings", settings.Default)
@@ -34,10 +34,10 @@
 	return settings.Parse(name, text)
 }
 
-// readScenario reads a file of a scenario; an empty name stands for the built-in one.
+// readScenario reads a scenario file, or returns the built-in scenario builtIn if name is "".
 func readScenario(name string, builtIn []byte) (*scenario.Scenario, error) {
 	if name == "" {
-		return scenario.Read("built-in script", builtIn)
+		return scenario.Read("built-in script", builtIn) // recordings hold this name
 	}
 	text, err := readFile(name, "a script: (badday ...)")
 	if err != nil {
--- a/internal/cli/names_test.go
+++ b/internal/cli/names_test.go
@@ -13,18 +13,20 @@
 const (
 	sitesFolder = "../../deploy/sites"
 
-	// minNameLength is in bytes: shorter names are words of any text.
+	// minNameLength is the minimum length of a name that is searched for, in bytes. Shorter names also occur as ordinary
+	// words.
 	minNameLength = 4
 
-	// minNames is the number of names that the sites have at least: with fewer, they are not read as they are written.
+	// minNames is the minimum number of names in the site files. If fewer are found, the files are not read correctly.
 	minNames = 12
 )
 
-// The program serves any deployment from its configuration: no source file outside tests holds a name of one in deploy/sites.
-func TestNoDeploymentNames(t *testing.T) {
+// The program must serve any deployment from its configuration alone. No source file outside tests may therefore contain a
+// name from deploy/sites.
+func TestSourceContainsNoDeploymentNames(t *testing.T) {
 	names := deploymentNames(t)
 	if len(names) < minNames {
-		t.Fatalf("only %d names are found: %v", len(names), names)
+		t.Fatalf("deploymentNames() has %d names, want at least %d: %v", len(names), minNames, names)
 	}
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
@@ -35,7 +37,7 @@
 			return err
 		}
 		switch {
-		case d.IsDir() && namesMayStand(rel):
+		case d.IsDir() && mayHoldNames(rel):
 			return filepath.SkipDir
 		case d.IsDir() || !isSource(rel):
 			return nil
@@ -46,7 +48,7 @@
 		}
 		for name, site := range names {
 			if strings.Contains(string(text), name) {
-				t.Errorf("%s holds %q of %s", rel, name, site)
+				t.Errorf("%s contains the name %q from %s, want no name of a deployment", rel, name, site)
 			}
 		}
 		return nil
@@ -56,12 +58,12 @@
 	}
 }
 
-// deploymentNames returns the names in the files of deploy/sites, with the file of each.
+// deploymentNames maps each name in the files of deploy/sites to its file.
 func deploymentNames(t *testing.T) map[string]string {
 	t.Helper()
 	sites, err := filepath.Glob(filepath.Join(sitesFolder, "*.toml"))
 	if err != nil || len(sites) == 0 {
-		t.Fatalf("no site files: %v", err)
+		t.Fatalf("no *.toml files in %s: error %v", sitesFolder, err)
 	}
 	setting := regexp.MustCompile(`(?m)^(?:name|zones) = (.*)$`)
 	quoted := regexp.MustCompile(`"((?:[^"\\]|\\.)*)"`)
@@ -71,7 +73,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// Troubles are the bench's, not the deployment's.
+		// The sections [[trouble]] configure the bench, not the deployment.
 		body, _, _ := strings.Cut(string(text), "[[trouble]]")
 		for _, line := range setting.FindAllStringSubmatch(body, -1) {
 			for _, name := range quoted.FindAllStringSubmatch(line[1], -1) {
@@ -84,12 +86,12 @@
 	return names
 }
 
-// namesMayStand says whether a folder may hold names of deployments.
-func namesMayStand(folder string) bool {
+// mayHoldNames reports whether files in a folder may contain names of deployments.
+func mayHoldNames(folder string) bool {
 	return slices.Contains([]string{".git", "journal", "bin", "docs", filepath.Join("deploy", "sites")}, folder)
 }
 
-// isSource says whether a file is Go source outside tests, or one of the deployment's.
+// isSource reports whether a file is Go source outside tests, or a file of the deploy folder.
 func isSource(file string) bool {
 	return !strings.HasSuffix(file, "_test.go") && (strings.HasSuffix(file, ".go") || strings.HasPrefix(file, "deploy"))
 }
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -17,32 +17,32 @@
 	"forkhead/internal/verify/platformreplay"
 )
 
-// heapShare is how much of the platform's memory limit the collector is given: the rest is for the program itself and its
-// sockets.
+// heapShare is the fraction of the platform's memory limit that is the Go runtime's memory limit. The rest is for the
+// program itself and its sockets.
 const heapShare = 0.5
 
-// maxPendingSignals bounds the signals that wait while the command is busy.
+// maxPendingSignals is the number of SIGHUPs that can be pending while the command is busy. Further ones are dropped.
 const maxPendingSignals = 16
 
 func (a *app) nodeCommand() *cobra.Command {
 	var traceFile string
 	c := &cobra.Command{
-		Use: "node", Short: "run a placer on the users' platform, by the variables BALANCER_CONFIG and BALANCER_LISTEN", Args: cobra.NoArgs,
+		Use: "node", Short: "run a placer on the users' platform, configured by the variables BALANCER_CONFIG and BALANCER_LISTEN", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return a.runNode(cmd.Context(), traceFile) },
 	}
-	c.Flags().StringVar(&traceFile, "trace", "", "file to write each step of the core to, for replay; it grows without a bound (default: none)")
+	c.Flags().StringVar(&traceFile, "trace", "", "file to write each step of the core to, for replay; its size is not limited (default: none)")
 	return c
 }
 
-// runNode runs a placer until it has shut down, which ctx's end asks it to: SIGTERM and SIGINT end it, also those from
-// before the command began.
+// runNode runs a placer until it has shut down. The end of ctx, on SIGTERM or SIGINT, requests the shutdown, also if it
+// comes before the placer serves. SIGHUP reloads the configuration.
 func (a *app) runNode(ctx context.Context, traceFile string) error {
 	reload := make(chan os.Signal, maxPendingSignals)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
-	received, cfg, err := platformConfig()
+	configText, cfg, err := platformConfig()
 	if err != nil {
-		return badInput(err)
+		return asInputError(err)
 	}
 	limitRuntime(cfg)
 	options := platformserver.Options{Config: cfg, Log: a.log}
@@ -51,13 +51,13 @@
 		if err != nil {
 			return err
 		}
-		trace := platformreplay.NewWriter(f, received)
+		trace := platformreplay.NewWriter(f, configText)
 		defer func() { a.endTrace(trace, f) }()
 		options.Tap = trace
 	}
 	server, err := platformserver.Start(options)
 	if errors.As(err, &platformserver.ConfigError{}) {
-		return badInput(err)
+		return asInputError(err)
 	}
 	if err != nil {
 		return err
@@ -79,14 +79,14 @@
 	}
 }
 
-// endTrace closes a trace once its placer has ended.
+// endTrace closes a trace after its placer has ended, and logs an error if the trace is incomplete.
 func (a *app) endTrace(trace *platformreplay.Writer, file *os.File) {
 	if err := errors.Join(trace.Err(), file.Close()); err != nil {
 		a.log.Error().Err(err).Msg("trace incomplete")
 	}
 }
 
-// limitRuntime holds the Go runtime to the platform's limits.
+// limitRuntime sets the Go runtime's limits from the platform's. The number of cores is rounded up.
 func limitRuntime(cfg *platform.Config) {
 	if cfg.Limits.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores+0.999)))
@@ -96,7 +96,8 @@
 	}
 }
 
-// reloadNode reads the configuration again and has the placer follow it. One that cannot be used changes nothing.
+// reloadNode reads the configuration again and applies it to the server. A configuration that cannot be used is logged and
+// changes nothing.
 func (a *app) reloadNode(server *platformserver.Server) {
 	_, cfg, err := platformConfig()
 	if err == nil {
@@ -110,22 +111,23 @@
 	server.Reload(cfg)
 }
 
-// platformConfig reads the configuration that the environment names. received is its text.
-func platformConfig() (received []byte, cfg *platform.Config, err error) {
+// platformConfig reads the configuration file that BALANCER_CONFIG names. configText is the file's content. BALANCER_LISTEN,
+// if it is set, overrides the listen address in cfg.
+func platformConfig() (configText []byte, cfg *platform.Config, err error) {
 	name := os.Getenv("BALANCER_CONFIG")
 	if name == "" {
 		return nil, nil, errors.New("BALANCER_CONFIG is not set; want the path of the platform's configuration")
 	}
-	received, err = os.ReadFile(name)
+	configText, err = os.ReadFile(name)
 	if err != nil {
 		return nil, nil, fmt.Errorf("BALANCER_CONFIG: %w", err)
 	}
-	cfg, err = platform.ParseConfig(received)
+	cfg, err = platform.ParseConfig(configText)
 	if err != nil {
 		return nil, nil, err
 	}
 	if listen := os.Getenv("BALANCER_LISTEN"); listen != "" {
 		cfg.Listen = listen
 	}
-	return received, cfg, nil
+	return configText, cfg, nil
 }
--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// A configuration that cannot be used is one clear line and exit 2.
-func TestNodeBadConfiguration(t *testing.T) {
+// An invalid or missing configuration must end the command with exit code 2 and an error of one line.
+func TestNodeInvalidConfigurationReturnsOneLineError(t *testing.T) {
 	dir := t.TempDir()
-	for name, text := range map[string]string{
+	for want, text := range map[string]string{
 		"BALANCER_CONFIG is not set": "", "no such file": "-", "configuration:": "{", "listen": `{"settings":{},"changelog":"x"}`,
 		"balancers is missing": `{"listen":"127.0.0.1:0","changelog":"127.0.0.1:1","settings":{}}`,
 	} {
@@ -36,23 +36,24 @@
 		t.Setenv("BALANCER_CONFIG", file)
 		t.Setenv("BALANCER_LISTEN", "")
 		var out, errs bytes.Buffer
-		if code := Run([]string{"node"}, &out, &errs); code != exitInput || strings.Count(errs.String(), "\n") != 1 || !strings.Contains(errs.String(), name) {
-			t.Errorf("%s: exit %d, %q", name, code, errs.String())
+		if code := Run([]string{"node"}, &out, &errs); code != exitInput || strings.Count(errs.String(), "\n") != 1 || !strings.Contains(errs.String(), want) {
+			t.Errorf("forkhead node with configuration %q: exit code %d, standard error %q; want exit code %d and one line with %q",
+				text, code, errs.String(), exitInput, want)
 		}
 	}
 }
 
-// nodeProcess is the built program as the platform runs it, with a configuration file and a listener for each address of
-// the endpoint list's watch.
+// nodeProcess runs the built program as the platform does, with a configuration file. watches are listeners that stand for two
+// addresses from which the endpoint list can be watched.
 type nodeProcess struct {
 	process    *exec.Cmd
 	configFile string
 	traceFile  string
-	address    string // where it listens
+	address    string // address that the program listens at
 	watches    [2]net.Listener
 }
 
-// startNode builds and starts the program with settings and the first watch.
+// startNode builds and starts the program with settings and the address of the first watch.
 func startNode(t *testing.T, settings string) *nodeProcess {
 	t.Helper()
 	n := buildNode(t)
@@ -61,13 +62,13 @@
 	return n
 }
 
-// buildNode builds the program. It has no configuration yet.
+// buildNode builds the program and prepares its process. It does not write a configuration.
 func buildNode(t *testing.T) *nodeProcess {
 	t.Helper()
 	dir := t.TempDir()
 	program := filepath.Join(dir, "forkhead")
 	if text, err := exec.Command("go", "build", "-o", program, "forkhead/cmd/forkhead").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, text)
+		t.Fatalf("go build forkhead/cmd/forkhead: %v: %s", err, text)
 	}
 	n := &nodeProcess{configFile: filepath.Join(dir, "config.json"), traceFile: filepath.Join(dir, "trace.jsonl")}
 	for i := range n.watches {
@@ -83,7 +84,7 @@
 	return n
 }
 
-// start starts the program.
+// start starts the process, which is killed at the end of the test.
 func (n *nodeProcess) start(t *testing.T) {
 	t.Helper()
 	if err := n.process.Start(); err != nil {
@@ -101,7 +102,7 @@
 	return listener
 }
 
-// writeConfig writes a configuration whose list was watched up to event 7.
+// writeConfig writes a configuration with the address of a watch, and with an endpoint list that is known up to event 7.
 func (n *nodeProcess) writeConfig(t *testing.T, watch net.Listener, settings string) {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{
@@ -116,10 +117,9 @@
 	}
 }
 
-// signal sends a signal.
 func (n *nodeProcess) signal(s os.Signal) { _ = n.process.Process.Signal(s) }
 
-// awaitPoll waits until a watch is polled behind event 7. The connection stays open and silent.
+// awaitPoll waits until the program polls a watch for events after event 7. The poll stays open without a reply.
 func (n *nodeProcess) awaitPoll(t *testing.T, watch net.Listener) {
 	t.Helper()
 	_ = watch.(*net.TCPListener).SetDeadline(time.Now().Add(30 * time.Second))
@@ -139,18 +139,18 @@
 	}
 }
 
-// awaitHealthy waits until the placer answers a probe.
+// awaitHealthy waits until the placer replies to a health probe with the expected message.
 func (n *nodeProcess) awaitHealthy(t *testing.T) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no probe is passed")
+			t.Fatalf("no reply hb_ok to a probe of %s within 30 s", n.address)
 		}
 		conn, err := net.Dial("tcp", n.address)
 		if err != nil {
 			continue
 		}
-		_, _ = fmt.Fprintln(conn, `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`) // a failure shows in the answer
+		_, _ = fmt.Fprintln(conn, `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`) // an error shows in the reply
 		line, _ := bufio.NewReader(conn).ReadString('\n')
 		_ = conn.Close()
 		if strings.Contains(line, `"hb_ok"`) && strings.Contains(line, `"c":1`) {
@@ -159,8 +159,8 @@
 	}
 }
 
-// The built program serves at BALANCER_LISTEN, goes on after SIGHUP with a file that cannot be used and with one that can,
-// follows the new watch, and ends with 0 on SIGTERM. Its trace replays.
+// The built program must serve at BALANCER_LISTEN. On SIGHUP it must ignore a file that is invalid, and watch the endpoint
+// list at the new address if the file is valid. SIGTERM must end it with exit code 0, and its trace must replay.
 func TestNodeSignals(t *testing.T) {
 	settings, err := os.ReadFile("../server/platform/testdata/settings.json")
 	if err != nil {
@@ -174,29 +174,29 @@
 	}
 	n.signal(syscall.SIGHUP)
 	n.awaitHealthy(t)
-	n.writeConfig(t, n.watches[1], `{"balancers":0}`) // the address is good, the settings are not: the old configuration stays
+	n.writeConfig(t, n.watches[1], `{"balancers":0}`) // valid address, invalid settings: the old configuration stays in use
 	n.signal(syscall.SIGHUP)
 	n.awaitHealthy(t)
 	_ = n.watches[1].(*net.TCPListener).SetDeadline(time.Now().Add(300 * time.Millisecond))
 	if conn, err := n.watches[1].Accept(); err == nil {
 		_ = conn.Close()
-		t.Error("a configuration that cannot be used is followed")
+		t.Error("after SIGHUP with invalid settings, the program polls the new watch address, want the old configuration kept")
 	}
 	n.writeConfig(t, n.watches[1], string(settings))
 	n.signal(syscall.SIGHUP)
 	n.awaitPoll(t, n.watches[1])
 	n.awaitHealthy(t)
 	n.signal(syscall.SIGTERM)
-	n.signal(syscall.SIGHUP) // and what comes behind it changes nothing
+	n.signal(syscall.SIGHUP) // signals after the first SIGTERM must have no effect
 	n.signal(syscall.SIGTERM)
 	if err := n.process.Wait(); err != nil {
-		t.Errorf("it ends with %v", err)
+		t.Errorf("after SIGTERM: process ended with %v, want exit code 0", err)
 	}
 	checkTrace(t, n.traceFile)
 }
 
-// The program serves when SIGTERM has come before its listener was open, here while it read its configuration, and ends with
-// 0: connections that come as it starts are answered.
+// A SIGTERM that arrives before the listener is open, here while the program reads its configuration, must not end the
+// program at once: it must serve the connections that are made while it starts, and then end with exit code 0.
 func TestNodeSignalBeforeListening(t *testing.T) {
 	settings, err := os.ReadFile("../server/platform/testdata/settings.json")
 	if err != nil {
@@ -207,24 +207,25 @@
 		t.Fatal(err)
 	}
 	n.start(t)
-	// Opening the pipe takes until the program opens it too: it handles signals by then, and reads until the pipe closes.
+	// Opening the pipe blocks until the program opens it too. By then the program handles signals, and it reads until the pipe
+	// is closed.
 	pipe, err := os.OpenFile(n.configFile, os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.signal(syscall.SIGTERM)
-	time.Sleep(50 * time.Millisecond) // the signal has been delivered
+	time.Sleep(50 * time.Millisecond) // time for the signal to be delivered
 	n.writeConfig(t, n.watches[0], string(settings))
 	if err := pipe.Close(); err != nil {
 		t.Fatal(err)
 	}
 	n.awaitHealthy(t)
 	if err := n.process.Wait(); err != nil {
-		t.Errorf("it ends with %v", err)
+		t.Errorf("after SIGTERM: process ended with %v, want exit code 0", err)
 	}
 }
 
-// checkTrace replays a trace of a placer that answered a probe, as it is, cut, and with one byte changed.
+// checkTrace replays the trace of a placer that replied to a probe: unchanged, truncated, and with a changed output.
 func checkTrace(t *testing.T, name string) {
 	t.Helper()
 	trace, err := os.ReadFile(name)
@@ -240,7 +241,7 @@
 	}
 	cut := write(string(trace[:len(trace)-1]))
 	changed := write(strings.Replace(string(trace), `"Line":"{\"t\":\"hb_ok`, `"Line":"{\"t\":\"hb_no`, 1))
-	const probe, strange = "0000000000000001", "00000000000000ff"
+	const probeRef, unknownRef = "0000000000000001", "00000000000000ff"
 	for _, c := range []struct {
 		args []string
 		code int
@@ -249,11 +250,11 @@
 		{[]string{name}, exitOK, " steps replayed, the outputs are the same"},
 		{[]string{name, "--output", "json"}, exitOK, `,"cut":false}`},
 		{[]string{cut}, exitOK, "the trace ends within a step, which is not replayed"},
-		{[]string{changed}, exitNo, "differs from output 0 on\ninputs:\n  platform.Owner"},
-		{[]string{changed, "--output", "json"}, exitNo, `"want":["platform.SendToOwner {\"Line\":`},
-		{[]string{name, "--request", probe}, exitOK, `out  owner 1  {"t":"hb_ok","ref":"0000000000000001"`},
-		{[]string{cut, "--request", probe, "--output", "json"}, exitOK, `"direction":"out","peer":"owner","connection":1,"line":"{`},
-		{[]string{cut, "--request", strange}, exitNo, "the trace ends within a step"},
+		{[]string{changed}, exitNegativeResult, "differs from output 0 on\ninputs:\n  platform.Owner"},
+		{[]string{changed, "--output", "json"}, exitNegativeResult, `"want":["platform.SendToOwner {\"Line\":`},
+		{[]string{name, "--request", probeRef}, exitOK, `out  owner 1  {"t":"hb_ok","ref":"0000000000000001"`},
+		{[]string{cut, "--request", probeRef, "--output", "json"}, exitOK, `"direction":"out","peer":"owner","connection":1,"line":"{`},
+		{[]string{cut, "--request", unknownRef}, exitNegativeResult, "the trace ends within a step"},
 		{[]string{name, "--request", "1"}, exitInput, `--request is "1", want 16 hex digits`},
 		{[]string{write("")}, exitInput, "changed.jsonl: not a trace of forkhead node"},
 		{[]string{write(strings.Replace(string(trace), `"Version":1`, `"Version":9`, 1))}, exitInput, "the trace is of version 9; want 1"},
@@ -262,7 +263,8 @@
 	} {
 		code, out, errs := run(append([]string{"replay"}, c.args...)...)
 		if code != c.code || !strings.Contains(out+errs, c.want) {
-			t.Errorf("%v: exit %d, want %d and %q; %q %q", c.args, code, c.code, c.want, out, errs)
+			t.Errorf("forkhead replay %q: exit code %d, output %q, standard error %q; want exit code %d and text with %q",
+				c.args, code, out, errs, c.code, c.want)
 		}
 	}
 }
--- a/internal/cli/outcomes.go
+++ b/internal/cli/outcomes.go
@@ -4,12 +4,12 @@
 	"forkhead/internal/scheduler/core"
 )
 
-// outcomeWriter writes the outcomes of tasks and counts them: as JSON as they come, as text in a table at the end.
+// outcomeWriter writes and counts the outcomes of tasks. It writes JSON as outcomes arrive, and text as a table at the end.
 type outcomeWriter struct {
 	app    *app
-	table  *table // nil: JSON
+	table  *table // nil if the output is JSON
 	counts map[core.OutcomeKind]int
-	err    error // the first failure to write JSON
+	err    error // first error of writing JSON
 }
 
 func (a *app) newOutcomeWriter() *outcomeWriter {
@@ -20,7 +20,7 @@
 	return w
 }
 
-// add writes an outcome.
+// add counts an outcome, and writes it or adds it to the table.
 func (w *outcomeWriter) add(o core.Outcome) {
 	w.counts[o.Outcome]++
 	if w.table == nil {
@@ -33,7 +33,7 @@
 		orDash(o.Host), orDash(o.Zone), orDash(o.Rack), o.Attempts, o.TookMS, o.Reason)
 }
 
-// orDash returns s, or a dash for a column that would be empty.
+// orDash returns s, or a dash if s is empty.
 func orDash(s string) string {
 	if s == "" {
 		return "-"
@@ -41,7 +41,7 @@
 	return s
 }
 
-// finish writes the table; it returns errNo if any task was not placed.
+// finish writes the table and the counts. It returns errNegativeResult if any task was not placed.
 func (w *outcomeWriter) finish() error {
 	rejected, failed := w.counts[core.OutcomeRejected], w.counts[core.OutcomeFailed]
 	if w.table != nil {
@@ -54,7 +54,7 @@
 		return w.err
 	}
 	if rejected+failed > 0 {
-		return errNo
+		return errNegativeResult
 	}
 	return nil
 }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -15,7 +15,7 @@
 
 func (a *app) wantsJSON() bool { return a.output == formatJSON }
 
-// writeJSON writes one object as a line on standard output.
+// writeJSON writes v to standard output as one line of JSON.
 func (a *app) writeJSON(v any) error {
 	line, err := json.Marshal(v)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return err
 }
 
-// printf writes text to standard output. As with fmt.Printf in other programs, a failure to write text is nobody's to handle.
+// printf writes text to standard output. It ignores errors of writing, as most callers of fmt.Printf do.
 func (a *app) printf(format string, args ...any) { _, _ = fmt.Fprintf(a.out, format, args...) }
 
 // println writes a line of text to standard output.
@@ -37,19 +37,19 @@
 // warnln writes a line of text to standard error.
 func (a *app) warnln(args ...any) { _, _ = fmt.Fprintln(a.errs, args...) }
 
-// table aligns columns of text. Nothing is written before flush, which also returns what went wrong until then.
+// table aligns columns of text. All output is written by flush, which also returns earlier errors.
 type table struct{ w *tabwriter.Writer }
 
 const columnPadding = 2 // spaces between two columns
 
-// newTable begins a table with a header whose cells are parted by tabs. flags are those of tabwriter.
+// newTable returns a table with a header whose cells are separated by tabs. flags are those of tabwriter.
 func newTable(out io.Writer, flags uint, header string) *table {
 	t := &table{tabwriter.NewWriter(out, 0, 4, columnPadding, ' ', flags)}
 	t.printf("%s\n", header)
 	return t
 }
 
-// printf writes cells, each ended by a tab, and rows, each ended by a line feed.
+// printf adds cells and rows. Each cell ends with a tab and each row with a line feed.
 func (t *table) printf(format string, args ...any) { _, _ = fmt.Fprintf(t.w, format, args...) }
 
 func (t *table) flush() error { return t.w.Flush() }
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -14,7 +14,8 @@
 	"forkhead/internal/planning/solver"
 )
 
-// noPlacementFormat reports why there is no placement: the conflicting requirements, one a line.
+// noPlacementFormat is the message for a specification that has no placement. Its argument is a minimal set of conflicting
+// requirements, one per line.
 const noPlacementFormat = "no placement exists. These cannot be met together, and could without any one of them:\n  %s\n"
 
 // planFlags are the flags of plan.
@@ -22,32 +23,32 @@
 	specification   specificationFlags
 	settingsFile    string
 	hostsFile       string
-	runningFile     string // "": nothing runs
+	runningFile     string // "" if no tasks are running
 	limit           time.Duration
 	migrationCost   int64
-	homeZone        string // "": none
-	outsideHomeCost int64  // of a task outside homeZone
+	homeZone        string // "" for none
+	outsideHomeCost int64  // cost of each task outside homeZone
 	quotas          bool   // print the tenants' quotas instead of a plan
-	selfcheck       int    // number of random instances to check the solver on, instead of a plan; 0: none
+	selfcheck       int    // number of random instances to check the solver on instead of planning; 0 for none
 }
 
 func (a *app) planCommand() *cobra.Command {
 	var f planFlags
 	c := &cobra.Command{
-		Use: "plan --hosts HOSTS FILE...", Short: "compute an optimal placement ahead of time, or what conflicts if there is none", Args: cobra.ArbitraryArgs,
+		Use: "plan --hosts HOSTS FILE...", Short: "compute an optimal placement ahead of time, or the conflicting requirements if there is none", Args: cobra.ArbitraryArgs,
 		RunE: func(cmd *cobra.Command, names []string) error { return a.plan(cmd.Context(), &f, names) },
 	}
 	f.specification.add(c.Flags())
 	flags := c.Flags()
 	flags.StringVar(&f.hostsFile, "hosts", "", `hosts: {"hosts":[{"id","kind","zone","rack","cores","memory","cost","state"}]}`)
-	flags.StringVar(&f.runningFile, "running", "", `running tasks: {"running":[{"service","replica","host"}]}; migrations are then listed and cost`)
+	flags.StringVar(&f.runningFile, "running", "", `running tasks: {"running":[{"service","replica","host"}]}; migrations are then listed and add to the cost`)
 	flags.StringVar(&f.settingsFile, "config", "", settingsFlagUsage)
-	flags.DurationVar(&f.limit, "limit", 10*time.Second, "time after which the best plan found so far is the answer")
+	flags.DurationVar(&f.limit, "limit", 10*time.Second, "time limit, after which the best plan found so far is printed")
 	flags.Int64Var(&f.migrationCost, "move", 1, "cost of a migration, in the unit of the hosts' costs")
 	flags.StringVar(&f.homeZone, "home", "", "zone that tasks should be in")
 	flags.Int64Var(&f.outsideHomeCost, "cross", 1, "cost of each task outside --home")
-	flags.BoolVar(&f.quotas, "shares", false, "print each tenant's quota of the hosts' cores at each placer instead, by the settings' shares")
-	flags.IntVar(&f.selfcheck, "selfcheck", 0, "compare the solver with brute force on so many random instances instead")
+	flags.BoolVar(&f.quotas, "shares", false, "instead of a plan, print each tenant's quota of the hosts' cores at each placer, by the shares in the settings")
+	flags.IntVar(&f.selfcheck, "selfcheck", 0, "instead of a plan, compare the solver with brute force on this number of random instances")
 	return c
 }
 
@@ -56,7 +57,7 @@
 		return a.selfcheck(f.selfcheck)
 	}
 	if f.hostsFile == "" || len(names) == 0 && !f.quotas {
-		return badInput(errors.New("plan wants --hosts HOSTS and at least one FILE or --shares, or --selfcheck N"))
+		return asInputError(errors.New("plan wants --hosts HOSTS and at least one FILE or --shares, or --selfcheck N"))
 	}
 	s, err := readSettings(f.settingsFile)
 	if err != nil {
@@ -76,30 +77,30 @@
 	end := time.Now().Add(f.limit)
 	p, err := plan.Solve(problem, solver.Options{Stop: func() bool { return time.Now().After(end) || ctx.Err() != nil }})
 	if err != nil {
-		return badInput(err)
+		return asInputError(err)
 	}
 	return a.printPlan(p)
 }
 
 func readHosts(name string) ([]plan.Host, error) {
-	text, err := readFile(name, `the fleet as {"hosts":[{"id":...}]}`)
+	text, err := readFile(name, `hosts: {"hosts":[{"id":...}]}`)
 	if err != nil {
 		return nil, err
 	}
 	hosts, err := plan.ReadHosts(name, text)
-	return hosts, badInput(err)
+	return hosts, asInputError(err)
 }
 
 func readRunning(name string) ([]plan.Running, error) {
-	text, err := readFile(name, `what runs as {"running":[{"service":...}]}`)
+	text, err := readFile(name, `running tasks: {"running":[{"service":...}]}`)
 	if err != nil {
 		return nil, err
 	}
 	running, err := plan.ReadRunning(name, text)
-	return running, badInput(err)
+	return running, asInputError(err)
 }
 
-// problem reads the specification and the running tasks, and returns the placement problem for the solver.
+// problem reads the specification and the running tasks, and returns the placement problem.
 func (f *planFlags) problem(s *settings.Settings, hosts []plan.Host, names []string) (*plan.Problem, error) {
 	problem := &plan.Problem{Settings: s, Hosts: hosts, MigrationCost: f.migrationCost, HomeZone: f.homeZone, OutsideHomeCost: f.outsideHomeCost}
 	if f.runningFile != "" {
@@ -120,7 +121,7 @@
 	return problem, nil
 }
 
-// printPlan prints a plan, and returns errNo if the plan has no placement.
+// printPlan prints a plan. It returns errNegativeResult if the plan has no placement.
 func (a *app) printPlan(p *plan.Plan) error {
 	write := a.writePlanText
 	if a.wantsJSON() {
@@ -130,7 +131,7 @@
 		return err
 	}
 	if !p.Feasible {
-		return errNo
+		return errNegativeResult
 	}
 	return nil
 }
@@ -142,7 +143,7 @@
 	case p.Optimal:
 		a.printf(noPlacementFormat, strings.Join(p.Conflict, "\n  "))
 	default:
-		a.println("undecided: no placement was found and none was ruled out within the limit")
+		a.println("undecided: within the time limit, no placement was found, and it was not proven that none exists")
 	}
 	return nil
 }
--- a/internal/cli/plan_quotas.go
+++ b/internal/cli/plan_quotas.go
@@ -10,22 +10,22 @@
 	"forkhead/internal/planning/quota"
 )
 
-const millicores = 1000 // of a core: quotas are whole numbers of them
+const millicores = 1000 // per core; quotas are integer numbers of millicores
 
-// tenantQuota is a line of what a tenant gets at a placer.
+// tenantQuota is the JSON output for the quota of one tenant at one placer.
 type tenantQuota struct {
 	Cores  float64 `json:"cores"`
 	Placer int     `json:"placer"`
 	Tenant string  `json:"tenant"`
 }
 
-// quotaTotal is the line of all hosts.
+// quotaTotal is the JSON output for the usable cores of all hosts.
 type quotaTotal struct {
 	Cores float64 `json:"cores"`
-	Free  float64 `json:"free"` // in no tenant's quota
+	Free  float64 `json:"free"` // cores in no tenant's quota
 }
 
-// printQuotas writes each tenant's quota at each placer. All placers of the settings have the same weight.
+// printQuotas writes each tenant's quota at each placer. All placers in the settings get the same weight.
 func (a *app) printQuotas(s *settings.Settings, hosts []plan.Host) error {
 	total := usableCores(hosts)
 	var tenants []quota.Tenant
@@ -38,7 +38,7 @@
 	}
 	quotas, err := quota.NewTable(int64(total*millicores+0.5), tenants, placers, nil)
 	if err != nil {
-		return badInput(err)
+		return asInputError(err)
 	}
 	if a.wantsJSON() {
 		return a.writeQuotasJSON(quotas, total)
@@ -46,7 +46,7 @@
 	return a.writeQuotasText(quotas, total)
 }
 
-// usableCores adds up the cores of hosts that take tasks.
+// usableCores returns the total cores of the hosts that accept tasks. A host without a state counts as ready.
 func usableCores(hosts []plan.Host) float64 {
 	total := 0.0
 	for i := range hosts {
@@ -84,5 +84,5 @@
 	return err
 }
 
-// cores returns a whole number of millicores in cores.
+// cores converts millicores to cores.
 func cores(n int64) float64 { return float64(n) / millicores }
--- a/internal/cli/plan_selfcheck.go
+++ b/internal/cli/plan_selfcheck.go
@@ -7,18 +7,18 @@
 	"forkhead/internal/verify/bruteforce"
 )
 
-// selfcheckSeed is the seed of the first instance: the same ones are drawn each time.
+// selfcheckSeed is the seed of the first instance. It is constant, so that each run draws the same instances.
 const selfcheckSeed = 1
 
-// selfcheckResult is the line that plan --selfcheck writes.
+// selfcheckResult is the JSON output of plan --selfcheck.
 type selfcheckResult struct {
 	Agree      bool   `json:"agree"`
-	Difference string `json:"difference,omitempty"` // of the first instance with one
+	Difference string `json:"difference,omitempty"` // description of the first instance with a difference
 	Feasible   int    `json:"feasible"`
 	Instances  int    `json:"instances"`
 }
 
-// selfcheck compares the solver with brute force on random instances.
+// selfcheck compares the solver with brute force on random instances. It returns errNegativeResult if they differ.
 func (a *app) selfcheck(instances int) error {
 	start := time.Now()
 	feasible, difference := bruteforce.Compare(selfcheckSeed, instances, solver.Options{})
@@ -32,12 +32,12 @@
 			return err
 		}
 	case difference == nil:
-		a.printf("%d instances, %d with an answer: solver and brute force agree on all; %.1f s\n", instances, feasible, time.Since(start).Seconds())
+		a.printf("%d instances, %d feasible: solver and brute force agree on all; %.1f s\n", instances, feasible, time.Since(start).Seconds())
 	default:
 		a.println(difference)
 	}
 	if difference != nil {
-		return errNo
+		return errNegativeResult
 	}
 	return nil
 }
--- a/internal/cli/replay.go
+++ b/internal/cli/replay.go
@@ -13,10 +13,10 @@
 	"forkhead/internal/verify/platformreplay"
 )
 
-// replayTimeFormat is how the times of a trace are shown, in UTC.
+// replayTimeFormat is the format in which the times of a trace are printed, in UTC.
 const replayTimeFormat = "2006-01-02T15:04:05.000000"
 
-// requestRefPattern matches what numbers a placement request on the platform's wire.
+// requestRefPattern matches the ref that identifies a placement request on the platform's wire.
 var requestRefPattern = regexp.MustCompile(`^[0-9a-fA-F]{16}$`)
 
 func (a *app) replayCommand() *cobra.Command {
@@ -24,9 +24,10 @@
 	c := &cobra.Command{
 		Use: "replay FILE", Args: cobra.ExactArgs(1),
 		Short: "step the platform placer's core through a trace that node --trace has written",
-		Long: "replay gives the core of this build the inputs of each step of a trace, and compares its outputs with those of\n" +
-			"the trace. It ends with 0 if all are the same, byte for byte, and with 3 and both outputs at the first step that\n" +
-			"differs. With two builds, that is the first step at which they decide differently.",
+		Long: "replay passes the inputs of each step of a trace to the core of this build, and compares its outputs with those in\n" +
+			"the trace. It exits with 0 if all outputs are the same, byte for byte. At the first step that differs, it prints\n" +
+			"both outputs and exits with 3; with a trace of another build, it is the first step at which the builds decide\n" +
+			"differently.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			if ref != "" {
 				return a.followRequest(args[0], ref)
@@ -34,21 +35,21 @@
 			return a.replayNode(args[0])
 		},
 	}
-	c.Flags().StringVar(&ref, "request", "", "show the messages that name this request (16 hex digits) instead of a replay; exit 3 if none does")
+	c.Flags().StringVar(&ref, "request", "", "instead of replaying, show the messages that name this request (16 hex digits); exit 3 if there are none")
 	return c
 }
 
-// readNodeTrace opens a trace and has read read it.
+// readNodeTrace opens a trace and returns the result of read. Errors are input errors, except for a panic of the core.
 func readNodeTrace[T any](name string, read func(io.Reader) (T, error)) (T, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		var none T
-		return none, unreadable(err, "a trace that node --trace has written")
+		return none, unreadableFileError(err, "a trace that node --trace has written")
 	}
 	defer func() { _ = f.Close() }()
 	result, err := read(f)
 	if err != nil && !errors.As(err, &platformreplay.PanicError{}) {
-		err = badInput(err)
+		err = asInputError(err)
 	}
 	if err != nil {
 		err = fmt.Errorf("%s: %w", name, err)
@@ -56,7 +57,7 @@
 	return result, err
 }
 
-// replayNode replays a trace. It returns errNo if the outputs differ.
+// replayNode replays a trace. It returns errNegativeResult if the outputs differ.
 func (a *app) replayNode(name string) error {
 	result, err := readNodeTrace(name, func(from io.Reader) (*platformreplay.Result, error) { return platformreplay.Replay(from, nil) })
 	if err != nil {
@@ -70,7 +71,7 @@
 		a.printNodeReplay(result)
 	}
 	if result.Difference != nil {
-		return errNo
+		return errNegativeResult
 	}
 	return nil
 }
@@ -96,10 +97,10 @@
 	}
 }
 
-// followRequest shows the messages of one request. It returns errNo if no message names it.
+// followRequest prints the messages of one request. It returns errNegativeResult if no message names the request.
 func (a *app) followRequest(name, ref string) error {
 	if !requestRefPattern.MatchString(ref) {
-		return badInput(fmt.Errorf("--request is %q, want 16 hex digits", ref))
+		return asInputError(fmt.Errorf("--request is %q, want 16 hex digits", ref))
 	}
 	request, err := readNodeTrace(name, func(from io.Reader) (*platformreplay.Request, error) {
 		return platformreplay.FollowRequest(from, ref)
@@ -116,7 +117,7 @@
 		a.warnln("the trace ends within a step, which is not shown")
 	}
 	if len(request.Messages) == 0 {
-		return errNo
+		return errNegativeResult
 	}
 	return nil
 }
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// replayTime shows a time since the Unix epoch.
+// replayTime formats a time that is given as a duration since the Unix epoch.
 func replayTime(at time.Duration) string {
 	return time.Unix(0, int64(at)).UTC().Format(replayTimeFormat)
 }
--- a/internal/cli/replay_test.go
+++ b/internal/cli/replay_test.go
@@ -9,8 +9,8 @@
 	"forkhead/internal/verify/platformreplay"
 )
 
-// A trace that cannot be read is the user's to mend; a core that panics is not.
-func TestReadNodeTraceErrors(t *testing.T) {
+// A trace that cannot be read is an input error, but a panic of the core during the replay is a failure of the program.
+func TestReadNodeTraceClassifiesErrors(t *testing.T) {
 	const file = "../verify/platformreplay/testdata/trace.jsonl"
 	for _, c := range []struct {
 		name, file string
@@ -24,7 +24,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := readNodeTrace(c.file, func(io.Reader) (int, error) { return 0, c.err })
 			if err == nil || isInputError(err) != c.isInput {
-				t.Errorf("%v, an input error: %v; want %v", err, isInputError(err), c.isInput)
+				t.Errorf("readNodeTrace(%q) with read error %v = error %v, want an error with isInputError %v", c.file, c.err, err, c.isInput)
 			}
 		})
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -15,9 +15,9 @@
 // serveFlags are the flags of serve.
 type serveFlags struct {
 	settingsFile string
-	storeFile    string // "": nothing is stored
-	self         int    // index of the placer in the settings
-	grace        time.Duration
+	storeFile    string        // "" to store nothing
+	self         int           // index of the placer in the settings
+	grace        time.Duration // time for work in progress to finish at shutdown
 }
 
 func (a *app) serveCommand() *cobra.Command {
@@ -28,7 +28,7 @@
 	}
 	flags := c.Flags()
 	flags.StringVar(&f.storeFile, "store", "", "file for the state that survives a restart (default: nothing is stored)")
-	flags.StringVar(&f.settingsFile, "config", "", "file of settings (default: built-in ones)")
+	flags.StringVar(&f.settingsFile, "config", "", "settings file (default: built-in settings)")
 	flags.IntVar(&f.self, "self", 0, "index of this placer in the settings, from 0")
 	flags.DurationVar(&f.grace, "grace", 5*time.Second, "time for work in progress to finish at shutdown")
 	return c
@@ -41,7 +41,7 @@
 		return err
 	}
 	if f.self < 0 || f.self >= len(s.Placers) {
-		return badInput(fmt.Errorf("--self is %d, and the settings name placers 0 to %d", f.self, len(s.Placers)-1))
+		return asInputError(fmt.Errorf("--self is %d, but the settings have placers 0 to %d", f.self, len(s.Placers)-1))
 	}
 	c := clock.New()
 	cfg := placer.Config{Settings: s.For(f.self), Clock: c, Log: a.log, Seed: uint64(c.Now())}
@@ -55,15 +55,15 @@
 	if err != nil {
 		return err
 	}
-	// The address is logged at whatever level was asked for.
-	a.log.WithLevel(a.log.GetLevel()).Int("placer", f.self).Str("http", p.Address()).Msg("the placer serves")
+	// Logged at the configured level, so that the log has the address at any level.
+	a.log.WithLevel(a.log.GetLevel()).Int("placer", f.self).Str("http", p.Address()).Msg("placer serving")
 	select {
 	case err := <-p.Failed():
 		p.Close()
 		return err
 	case <-ctx.Done():
 	}
-	// The command's context has ended: the shutdown needs one that has not.
+	// ctx has ended, so the shutdown needs a context that is not canceled with it.
 	shutdown, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.grace)
 	defer cancel()
 	p.Shutdown(shutdown)
--- a/internal/cli/specification.go
+++ b/internal/cli/specification.go
@@ -15,25 +15,26 @@
 	"forkhead/internal/server/placer"
 )
 
-// settingsFlagUsage is the help of a flag of settings that a specification is checked against.
-const settingsFlagUsage = "settings whose classes and tenants the specification may name (default: built-in ones)"
+// settingsFlagUsage is the help text of --config in commands that check a specification against settings.
+const settingsFlagUsage = "settings file with the classes and tenants that the specification may name (default: built-in settings)"
 
 // specificationFlags are the flags of all commands that read a service specification.
 type specificationFlags struct {
-	project  string // "": the file's own name, else that of its folder
+	project  string // "" for the name in the file, else that of its folder
 	profiles []string
 	services []string
-	envFile  string // "": .env beside the first file, if there is one
+	envFile  string // "" for .env in the folder of the first file, if it exists
 }
 
 func (s *specificationFlags) add(f *pflag.FlagSet) {
-	f.StringVarP(&s.project, "project", "p", "", "name of the project (default: the file's own, else that of its folder)")
-	f.StringSliceVar(&s.profiles, "profile", nil, "an active profile; * for all")
-	f.StringSliceVar(&s.services, "service", nil, "a service that is wanted whatever its profiles")
-	f.StringVar(&s.envFile, "env-file", "", "variables as NAME=VALUE lines (default: .env beside the first file)")
+	f.StringVarP(&s.project, "project", "p", "", "name of the project (default: the name in the file, else that of its folder)")
+	f.StringSliceVar(&s.profiles, "profile", nil, "profile to activate; * for all")
+	f.StringSliceVar(&s.services, "service", nil, "service to include regardless of its profiles")
+	f.StringVar(&s.envFile, "env-file", "", "file of variables, as NAME=VALUE lines (default: .env in the folder of the first file)")
 }
 
-// envelope gathers the files of a submission, the files that these name, and the variables.
+// envelope reads the named files, the files that they refer to, and the variables, and returns them as an envelope to
+// submit.
 func (s *specificationFlags) envelope(names []string) (*placer.Envelope, error) {
 	e := &placer.Envelope{Profiles: s.profiles, Services: s.services, Project: s.project, Variables: map[string]string{}}
 	loader := fileLoader{envelope: e, seen: map[string]bool{}}
@@ -53,18 +54,19 @@
 	return e, nil
 }
 
-// fileLoader puts files into an envelope, each once.
+// fileLoader adds files to an envelope, each of them once.
 type fileLoader struct {
 	envelope *placer.Envelope
-	seen     map[string]bool
+	seen     map[string]bool // names of files that load was called with
 }
 
-// loadNamed loads a file that the user names, which has to be there, and all that it refers to.
+// loadNamed loads a file that the command line names, and all files that it refers to. The file must exist.
 func (l *fileLoader) loadNamed(name string) error {
 	return l.load(name, &l.envelope.Files, true)
 }
 
-// load appends a file to a list of the envelope, and the files that it refers to to the others.
+// load appends a file to into, and the files that it refers to to envelope.Others. A file that is not required and cannot be
+// read is skipped.
 func (l *fileLoader) load(name string, into *[]compose.File, required bool) error {
 	name = filepath.ToSlash(name)
 	if l.seen[name] {
@@ -74,12 +76,12 @@
 	text, err := os.ReadFile(name)
 	if err != nil {
 		if required {
-			return unreadable(err, "a Compose description")
+			return unreadableFileError(err, "a Compose description")
 		}
-		return nil // the parser reports it where the file is referred to
+		return nil // the parser reports the missing file at the reference to it
 	}
 	if len(text) > compose.MaxBytes {
-		return badInput(fmt.Errorf("%s: %d bytes, at most %d are read", name, len(text), compose.MaxBytes))
+		return asInputError(fmt.Errorf("%s: file has %d bytes, want at most %d", name, len(text), compose.MaxBytes))
 	}
 	f := compose.File{Name: name, Text: string(text)}
 	*into = append(*into, f)
@@ -91,11 +93,12 @@
 	return nil
 }
 
-// readEnvFile reads variables from lines NAME=VALUE; empty lines and those that begin with # are skipped.
+// readEnvFile adds the variables in a file of NAME=VALUE lines to variables. It skips empty lines and lines that begin with
+// #. A file that is not required may be missing.
 func readEnvFile(variables map[string]string, name string, required bool) error {
 	text, err := os.ReadFile(name)
 	if err != nil && (required || !errors.Is(err, os.ErrNotExist)) {
-		return badInput(err)
+		return asInputError(err)
 	}
 	for i, line := range strings.Split(string(text), "\n") {
 		line = strings.TrimSpace(line)
@@ -104,26 +107,26 @@
 		}
 		key, value, ok := strings.Cut(line, "=")
 		if !ok {
-			return badInput(fmt.Errorf("%s:%d:1: %q; want NAME=VALUE", name, i+1, line))
+			return asInputError(fmt.Errorf("%s:%d:1: %q; want NAME=VALUE", name, i+1, line))
 		}
 		variables[strings.TrimSpace(key)] = strings.Trim(strings.TrimSpace(value), `"'`)
 	}
 	return nil
 }
 
-// addEnvironment adds the environment's variables that a file may use, over those of the same names: the others stay in
-// this process.
+// addEnvironment adds the environment variables whose names occur in a file to the envelope; they override variables of the
+// same names. All other environment variables stay in this process.
 func addEnvironment(e *placer.Envelope) {
 	for _, variable := range os.Environ() {
 		key, value, _ := strings.Cut(variable, "=")
-		if mentions(e.Files, key) || mentions(e.Others, key) {
+		if anyFileContains(e.Files, key) || anyFileContains(e.Others, key) {
 			e.Variables[key] = value
 		}
 	}
 }
 
-// mentions reports whether a name stands anywhere in files.
-func mentions(files []compose.File, name string) bool {
+// anyFileContains reports whether name occurs anywhere in the text of files.
+func anyFileContains(files []compose.File, name string) bool {
 	for _, f := range files {
 		if strings.Contains(f.Text, name) {
 			return true
@@ -142,10 +145,10 @@
 		in.Classes = append(in.Classes, c.Name)
 	}
 	d, err := compose.Parse(in)
-	return d, badInput(err)
+	return d, asInputError(err)
 }
 
-// nameProject gives a project without a name that of the first file's folder, as the Compose specification has it.
+// nameProject names a project without a name after the folder of its first file, as the Compose specification requires.
 func nameProject(e *placer.Envelope, d *servicespec.Description, first string) {
 	if d.Name != "" || e.Project != "" {
 		return
@@ -157,8 +160,8 @@
 	e.Project = projectName(filepath.Base(folder))
 }
 
-// projectName makes a valid name of a project from a folder's: lower case letters, digits, - and _, beginning with a letter
-// or a digit. It may be empty.
+// projectName returns the valid project name for a folder's name: lower case letters, digits, - and _, beginning with a
+// letter or a digit. Other characters are dropped, so the result may be empty.
 func projectName(folder string) string {
 	name := strings.Map(func(r rune) rune {
 		switch {
--- a/internal/cli/specification_test.go
+++ b/internal/cli/specification_test.go
@@ -11,7 +11,7 @@
 	"forkhead/internal/parse/compose"
 )
 
-// writeFiles writes files into a new folder and returns it.
+// writeFiles writes files into a new temporary folder and returns its path.
 func writeFiles(t *testing.T, files map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -28,14 +28,14 @@
 		"shop": "shop", "Web Shop": "webshop", "_-shop-2": "shop-2", "9lives": "9lives", "Ünder": "nder", "...": "",
 	} {
 		if got := projectName(folder); got != want {
-			t.Errorf("projectName(%q) is %q, want %q", folder, got, want)
+			t.Errorf("projectName(%q) = %q, want %q", folder, got, want)
 		}
 	}
 }
 
-// Variables come from the file beside the first one; those of the environment come before them, but only names that a file
-// mentions leave the process.
-func TestEnvelopeVariables(t *testing.T) {
+// Variables come from .env in the folder of the first file. Environment variables override them, but only those whose names
+// occur in a file may be sent.
+func TestEnvelopeSendsOnlyReferencedVariables(t *testing.T) {
 	dir := writeFiles(t, map[string]string{
 		"compose.yaml": "services: {a: {image: '${FORKHEAD_TEST_TAG}', labels: ['${FORKHEAD_TEST_HOME}']}}",
 		".env":         "# comment\n\nFORKHEAD_TEST_TAG=file\nFORKHEAD_TEST_HOME = \"quoted\"\n",
@@ -50,11 +50,11 @@
 	want := map[string]string{"FORKHEAD_TEST_TAG": "environment", "FORKHEAD_TEST_HOME": "quoted"}
 	maps.DeleteFunc(envelope.Variables, func(key, _ string) bool { return !strings.HasPrefix(key, "FORKHEAD_TEST_") })
 	if !maps.Equal(envelope.Variables, want) {
-		t.Errorf("variables are %v, want %v", envelope.Variables, want)
+		t.Errorf("envelope(compose.yaml): variables FORKHEAD_TEST_* are %v, want %v", envelope.Variables, want)
 	}
 }
 
-func TestEnvelopeRejectsFiles(t *testing.T) {
+func TestEnvelopeUnreadableFileIsInputError(t *testing.T) {
 	dir := writeFiles(t, map[string]string{"compose.yaml": "services: {}", "bad.env": "A=1\nno value\n"})
 	file := filepath.Join(dir, "compose.yaml")
 	for name, c := range map[string]struct {
@@ -68,13 +68,14 @@
 	} {
 		_, err := c.flags.envelope([]string{c.file})
 		if err == nil || !isInputError(err) || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want an input error with %q", name, err, c.want)
+			t.Errorf("%s: envelope(%q) = error %v, want an input error with %q", name, c.file, err, c.want)
 		}
 	}
 }
 
-// Files that others refer to are sent along, each once; one that is missing is left for the parser to report.
-func TestEnvelopeFollowsReferences(t *testing.T) {
+// The envelope contains the files that the named files refer to, each of them once. A missing one is skipped; the parser
+// reports it.
+func TestEnvelopeContainsReferencedFilesOnce(t *testing.T) {
 	dir := writeFiles(t, map[string]string{
 		"a.yaml": "services:\n  x: {extends: {file: b.yaml, service: y}}\n  z: {extends: {file: none.yaml, service: y}}\n",
 		"b.yaml": "services: {y: {extends: {file: a.yaml, service: x}}}\n",
@@ -92,9 +93,9 @@
 		return names
 	}
 	if got, want := names(envelope.Files), []string{"a.yaml"}; !slices.Equal(got, want) {
-		t.Errorf("files are %v, want %v", got, want)
+		t.Errorf("envelope(a.yaml): Files are %v, want %v", got, want)
 	}
 	if got, want := names(envelope.Others), []string{"b.yaml"}; !slices.Equal(got, want) {
-		t.Errorf("others are %v, want %v", got, want)
+		t.Errorf("envelope(a.yaml): Others are %v, want %v", got, want)
 	}
 }
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -10,10 +10,10 @@
 	"forkhead/internal/server/store"
 )
 
-// storeContent says what a store's file should hold, for the error of one that cannot be read.
-const storeContent = "what serve --store keeps"
+// storeContent describes the content of a store's file, for the error of a file that cannot be read.
+const storeContent = "a store that serve --store has written"
 
-// storedValue is the line of a value in store dump.
+// storedValue is the JSON output of store dump for one value.
 type storedValue struct {
 	Bucket  durable.Bucket `json:"bucket"`
 	Key     string         `json:"key"`
@@ -21,13 +21,13 @@
 	Version int            `json:"version"`
 }
 
-// storeCounts is the line of store verify.
+// storeCounts is the JSON output of store verify.
 type storeCounts struct {
-	Bad  int                    `json:"bad"` // values that cannot be decoded
-	Keys map[durable.Bucket]int `json:"keys"`
+	Bad  int                    `json:"bad"`  // number of values that cannot be decoded
+	Keys map[durable.Bucket]int `json:"keys"` // number of keys in each bucket
 }
 
-// compactedSizes is the line of store compact, in bytes.
+// compactedSizes is the JSON output of store compact: the sizes of both files in bytes.
 type compactedSizes struct {
 	After  int64 `json:"after"`
 	Before int64 `json:"before"`
@@ -36,8 +36,8 @@
 func (a *app) storeCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "store", Short: "verify, dump or compact a placer's store while the placer is down",
-		Long: "store reads the file of serve --store. The placer that writes it must be down. verify reads every page and every\n" +
-			"value; dump writes each key with its value; compact writes a copy without the free space.",
+		Long: "store reads the file that serve --store writes, while its placer is down. verify reads every page and every value;\n" +
+			"dump prints each key with its value; compact writes a copy without the free space.",
 	}
 	c.AddCommand(
 		&cobra.Command{
@@ -45,7 +45,7 @@
 			RunE: func(_ *cobra.Command, args []string) error { return a.verifyStore(args[0]) },
 		},
 		&cobra.Command{
-			Use: "dump FILE", Short: "write each key with its value", Args: cobra.ExactArgs(1),
+			Use: "dump FILE", Short: "print each key with its value", Args: cobra.ExactArgs(1),
 			RunE: func(_ *cobra.Command, args []string) error { return a.dumpStore(args[0]) },
 		},
 		&cobra.Command{
@@ -56,7 +56,8 @@
 	return c
 }
 
-// verifyStore reads a whole store and writes how many values it holds. It returns errNo if anything cannot be read.
+// verifyStore reads a whole store and prints the number of values in each bucket. It returns errNegativeResult if any part of
+// the store cannot be read or decoded.
 func (a *app) verifyStore(path string) error {
 	counts, err := a.readStore(path, func(storedValue) error { return nil })
 	if err != nil {
@@ -70,10 +71,10 @@
 	if err != nil {
 		return err
 	}
-	return counts.answer()
+	return counts.err()
 }
 
-// dumpStore writes all values of a store. It returns errNo if anything cannot be read.
+// dumpStore prints all values of a store. It returns errNegativeResult if any part of the store cannot be read or decoded.
 func (a *app) dumpStore(path string) error {
 	counts, err := a.readStore(path, func(v storedValue) error {
 		if a.wantsJSON() {
@@ -85,15 +86,15 @@
 	if err != nil {
 		return err
 	}
-	return counts.answer()
+	return counts.err()
 }
 
-// readStore visits each value of a store that can be decoded, reports the others on standard error, and counts both. It
-// returns errNo if the file cannot be read to its end.
+// readStore calls visit for each value of a store that can be decoded, reports the other values on standard error, and counts
+// both. It returns errNegativeResult if the file cannot be read to its end.
 func (a *app) readStore(path string, visit func(storedValue) error) (storeCounts, error) {
 	counts := storeCounts{Keys: map[durable.Bucket]int{}}
 	if _, err := os.Stat(path); err != nil {
-		return counts, unreadable(err, storeContent)
+		return counts, unreadableFileError(err, storeContent)
 	}
 	err := store.ForEach(path, func(bucket durable.Bucket, key string, value []byte) error {
 		counts.Keys[bucket]++
@@ -107,26 +108,26 @@
 	})
 	if err != nil {
 		a.warnln(err)
-		return counts, errNo
+		return counts, errNegativeResult
 	}
 	return counts, nil
 }
 
-// answer is errNo if a value cannot be decoded.
-func (c storeCounts) answer() error {
+// err returns errNegativeResult if a value could not be decoded.
+func (c storeCounts) err() error {
 	if c.Bad > 0 {
-		return errNo
+		return errNegativeResult
 	}
 	return nil
 }
 
-// compactStore copies a store into a new file and writes the sizes of both.
+// compactStore copies a store into a new file without the free space, and prints the sizes of both files.
 func (a *app) compactStore(path, copied string) error {
 	if _, err := os.Stat(path); err != nil {
-		return unreadable(err, storeContent)
+		return unreadableFileError(err, storeContent)
 	}
 	if _, err := os.Stat(copied); err == nil {
-		return badInput(fmt.Errorf("%s exists; want a name that is free", copied))
+		return asInputError(fmt.Errorf("%s already exists; want the name of a new file", copied))
 	}
 	before, after, err := store.Compact(path, copied)
 	if err != nil {
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -13,14 +13,14 @@
 	"forkhead/internal/server/placer"
 )
 
-// sendBackoff is the wait before a submission is sent again.
+// sendBackoff is the minimum time before a submission is sent again.
 const sendBackoff = 500 * time.Millisecond
 
 // submitFlags are the flags of submit.
 type submitFlags struct {
 	specification specificationFlags
 	address       string
-	key           string // "": a random one
+	key           string // "" for a random key
 	maxSends      int
 }
 
@@ -34,18 +34,18 @@
 	flags := c.Flags()
 	flags.StringVar(&f.address, "to", "127.0.0.1:7070", "address of the placer's HTTP API")
 	flags.StringVar(&f.key, "key", "", "Idempotency-Key (default: a random one)")
-	flags.IntVar(&f.maxSends, "tries", 5, "how often at most the submission is sent when the reply is lost or the placer is busy")
+	flags.IntVar(&f.maxSends, "tries", 5, "maximum number of times to send the submission if the reply is lost or the placer is busy")
 	return c
 }
 
-// submit sends the files to a placer and follows the tasks to their outcomes.
+// submit submits files to a placer and writes the outcomes of the tasks.
 func (a *app) submit(ctx context.Context, f *submitFlags, names []string) error {
 	envelope, err := f.specification.envelope(names)
 	if err != nil {
 		return err
 	}
-	// Only the placer knows its classes and tenants: here the files are parsed for the project's name alone, and errors are
-	// left for the placer to report.
+	// Only the placer knows its classes and tenants. The files are parsed here only to name the project; the placer reports
+	// errors.
 	if envelope.Project == "" && !strings.Contains(envelope.Files[0].Text, "name:") {
 		s, err := readSettings("")
 		if err != nil {
@@ -58,7 +58,8 @@
 	return a.submitAndFollow(ctx, &client.Client{Address: f.address, IdempotencyKey: f.key, MaxSends: f.maxSends, Backoff: sendBackoff}, envelope)
 }
 
-// submitAndFollow submits an envelope and writes each outcome as it comes. It returns errNo if any task was not placed.
+// submitAndFollow submits an envelope and writes the outcomes of its tasks as they arrive. It returns errNegativeResult if any
+// task was not placed.
 func (a *app) submitAndFollow(ctx context.Context, c *client.Client, envelope *placer.Envelope) error {
 	outcomes := a.newOutcomeWriter()
 	if err := c.Submit(ctx, envelope, outcomes.add); err != nil {
@@ -67,7 +68,9 @@
 	return outcomes.finish()
 }
 
-// submissionError sorts a submission that failed into bad input, an answer of no, which it prints, and a failure.
+// submissionError classifies the error of a submission. If the input is invalid, it returns an input error. If the tasks
+// cannot be placed, or the placer rejects the submission as too large or for the moment, it prints the reason and returns
+// errNegativeResult. Otherwise it returns err.
 func (a *app) submissionError(err error) error {
 	var r *client.RejectionError
 	if !errors.As(err, &r) {
@@ -76,12 +79,12 @@
 	switch {
 	case len(r.Conflict) > 0:
 		a.warnf(noPlacementFormat, strings.Join(r.Conflict, "\n  "))
-		return errNo
+		return errNegativeResult
 	case len(r.Errors) > 0, r.Status == http.StatusBadRequest, r.Status == http.StatusUnsupportedMediaType, r.Status == http.StatusUnprocessableEntity:
-		return badInput(err)
+		return asInputError(err)
 	case r.Retryable(), r.Status == http.StatusRequestEntityTooLarge:
 		a.warnln(err)
-		return errNo
+		return errNegativeResult
 	}
 	return err
 }
--- a/internal/cli/try.go
+++ b/internal/cli/try.go
@@ -11,7 +11,7 @@
 	"forkhead/internal/verify/testcluster"
 )
 
-// readyTimeout bounds the wait until the placers of a test cluster know its hosts.
+// readyTimeout is the maximum time until the placers of a test cluster know its hosts.
 const readyTimeout = 10 * time.Second
 
 func (a *app) tryCommand() *cobra.Command {
@@ -24,11 +24,11 @@
 		},
 	}
 	spec.add(c.Flags())
-	c.Flags().StringVar(&scenarioFile, "script", "", "scenario whose hosts and placers are used (default: a built-in one of ten hosts)")
+	c.Flags().StringVar(&scenarioFile, "script", "", "scenario whose hosts and placers to use (default: a built-in one with ten hosts)")
 	return c
 }
 
-// try starts the cluster of a scenario, submits the files to its first placer and follows the tasks to their outcomes.
+// try starts the cluster of a scenario, submits the files to its first placer and writes the outcomes of the tasks.
 func (a *app) try(ctx context.Context, spec *specificationFlags, scenarioFile string, names []string) error {
 	s, err := readScenario(scenarioFile, scenario.FaultFree)
 	if err != nil {
