--- a/internal/cli/chaos.go
+++ b/internal/cli/chaos.go
@@ -180,7 +180,7 @@
 	for _, recording := range r.Recordings {
 		text, err := recording.Bytes()
 		if err != nil && !errors.Is(err, replay.ErrFull) { // a recording that reached its size limit replays up to its end
-			return fmt.Errorf("tape of placer %d: %w", recording.Placer, err)
+			return fmt.Errorf("recording of placer %d, incarnation %d: %w", recording.Placer, recording.Incarnation, err)
 		}
 		files[fmt.Sprintf("placer-%d-life-%d.tape", recording.Placer, recording.Incarnation)] = text
 	}
--- a/internal/cli/chaos_repeat.go
+++ b/internal/cli/chaos_repeat.go
@@ -30,7 +30,7 @@
 	case totals.Broken > 0:
 		return errNegativeResult
 	case totals.Failed > 0 || ctx.Err() != nil:
-		return fmt.Errorf("%d of %d plays were not played to the end", totals.Failed+f.runs-totals.Runs, f.runs)
+		return fmt.Errorf("%d of %d runs did not complete", totals.Failed+f.runs-totals.Runs, f.runs)
 	}
 	return nil
 }
@@ -52,14 +52,14 @@
 		_ = a.writeJSON(run) // an error of standard output is returned when the totals are written
 		return
 	}
-	a.printf("seed %d: exit %d, %d breaches told %s\n", run.Seed, run.ExitCode, len(run.Breaches), run.Error)
+	a.printf("seed %d: exit code %d, %d breaches reported %s\n", run.Seed, run.ExitCode, len(run.Breaches), run.Error)
 }
 
 func (a *app) writeRepeatTotals(t chaos.Totals) error {
 	if a.wantsJSON() {
 		return a.writeJSON(t)
 	}
-	_, err := fmt.Fprintf(a.out, "%d plays, %d broken, %d not played to the end; %d tasks, %d offers; %d breaches, %d vetoes, %d defects\n",
+	_, err := fmt.Fprintf(a.out, "%d runs, %d with breaches or vetoes, %d incomplete; %d tasks, %d offers; %d breaches, %d vetoes, %d defects\n",
 		t.Runs, t.Broken, t.Failed, t.Tasks, t.Offers, t.Breaches, t.Vetoes, t.Defects)
 	return err
 }
--- a/internal/cli/chaos_replay.go
+++ b/internal/cli/chaos_replay.go
@@ -22,7 +22,7 @@
 // replayRecording steps a placer's core through the recording in a file, and prints the result. It returns
 // errNegativeResult if the core's outputs diverge from the recorded ones, or if the replayed traffic breaks a rule.
 func (a *app) replayRecording(name string) error {
-	recording, err := readFile(name, "a tape that badday --record-on-breach has kept")
+	recording, err := readFile(name, "a recording that chaos --record-on-breach has written")
 	if err != nil {
 		return err
 	}
@@ -63,12 +63,12 @@
 func (a *app) printReplay(r *replay.Result, verdict *rules.Verdict) {
 	a.printf("placer %d: %d steps, %d offers, %d vetoes, %d defects\n", r.Head.Placer, r.Steps, r.Offers, r.Vetoes, r.Defects)
 	if r.Truncated {
-		a.println("the tape ends in the middle of a step")
+		a.println("the recording ends in the middle of a step")
 	}
 	if d := r.Divergence; d != nil {
-		a.printf("step %d parts from the tape:\n  tape: %s\n  now:  %s\n", d.Step, d.Want, d.Got)
+		a.printf("step %d diverges from the recording:\n  recorded: %s\n  replayed: %s\n", d.Step, d.Want, d.Got)
 	} else {
-		a.println("the core said the same at every step")
+		a.println("the core's outputs are the same at every step")
 	}
 	for _, b := range verdict.Breaches {
 		a.printf("  %v: %s\n", b.Rule, b.Text)
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -55,7 +55,7 @@
 	var specification []string
 	errs := &diagnostic.List{}
 	for _, name := range names {
-		text, err := readFile(name, "settings, a script or a Compose description")
+		text, err := readFile(name, "settings, a scenario or a Compose file")
 		if err != nil {
 			return err
 		}
--- a/internal/cli/explore.go
+++ b/internal/cli/explore.go
@@ -75,7 +75,7 @@
 	if f.search.InjectedBug != "" {
 		bug, ok := modelcheck.FindInjectedBug(f.search.InjectedBug)
 		if !ok {
-			return asInputError(fmt.Errorf("no plant is named %q; see --list-plants", f.search.InjectedBug))
+			return asInputError(fmt.Errorf("--plant is %q, want a name that --list-plants shows", f.search.InjectedBug))
 		}
 		if !given.Changed("effect") {
 			effects = []forkhead.Effect{bug.Effect}
@@ -136,7 +136,7 @@
 		}
 		return nil
 	}
-	t := newTable(a.out, 0, "PLANT\tBREAKS\tWHAT")
+	t := newTable(a.out, 0, "PLANT\tVIOLATES\tDESCRIPTION")
 	for _, p := range modelcheck.InjectedBugs {
 		t.printf("%s\t%s\t%s\n", p.Name, p.Property, p.Description)
 	}
--- a/internal/cli/explore_replay.go
+++ b/internal/cli/explore_replay.go
@@ -57,8 +57,8 @@
 			a.printf("       %s\n", did)
 		}
 	}
-	a.printf("%d vetoes, %d offers written, %d starts, held twice: %v\n", r.Vetoes, r.Offers, r.Starts, r.BoundTwice)
+	a.printf("%d vetoes, %d offers written, %d starts, bound twice: %v\n", r.Vetoes, r.Offers, r.Starts, r.BoundTwice)
 	if r.Divergence != "" {
-		a.printf("the core parts from the trace at %s\n", r.Divergence)
+		a.printf("the core diverges from the trace at %s\n", r.Divergence)
 	}
 }
--- a/internal/cli/explore_search.go
+++ b/internal/cli/explore_search.go
@@ -95,7 +95,7 @@
 }
 
 func (a *app) printSearch(r *searchResult) {
-	a.printf("%d tasks, %d hosts, %s, %d faults: %d states, %d steps, depth %d, %d ends, %d states/s, %d MiB, complete: %v\n",
+	a.printf("%d tasks, %d hosts, %s, %d faults: %d states, %d steps, depth %d, %d end states, %d states/s, %d MiB, complete: %v\n",
 		r.Tasks, r.Hosts, r.Effect, r.Faults, r.States, r.Steps, r.Depth, r.Ends, r.PerSecond, r.MiB, r.Complete)
 	if len(r.Violations) == 0 {
 		for _, p := range modelcheck.Properties {
--- a/internal/cli/explore_simulation.go
+++ b/internal/cli/explore_simulation.go
@@ -33,7 +33,7 @@
 		for _, failure := range failed {
 			a.println(failure)
 		}
-		a.printf("%d lives, %d went wrong\n", runs, len(failed))
+		a.printf("%d runs, %d failed\n", runs, len(failed))
 	}
 	if len(failed) > 0 {
 		return errNegativeResult
@@ -57,7 +57,7 @@
 					}
 				}
 				if d := done.Add(1); d%seedsPerProgress == 0 {
-					a.warnf("%d lives\n", d)
+					a.warnf("%d seeds done\n", d)
 				}
 			}
 		})
--- a/internal/cli/input.go
+++ b/internal/cli/input.go
@@ -39,7 +39,7 @@
 	if name == "" {
 		return scenario.Read("built-in script", builtIn) // recordings hold this name
 	}
-	text, err := readFile(name, "a script: (badday ...)")
+	text, err := readFile(name, "a scenario: (badday ...)")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cli/plan_quotas.go
+++ b/internal/cli/plan_quotas.go
@@ -80,7 +80,7 @@
 	if err := t.flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(a.out, "%.3f cores in all, %.3f of them nobody's\n", total, cores(quotas.Unassigned))
+	_, err := fmt.Fprintf(a.out, "%.3f cores in all, %.3f of them in no tenant's quota\n", total, cores(quotas.Unassigned))
 	return err
 }
 
--- a/internal/cli/specification.go
+++ b/internal/cli/specification.go
@@ -76,7 +76,7 @@
 	text, err := os.ReadFile(name)
 	if err != nil {
 		if required {
-			return unreadableFileError(err, "a Compose description")
+			return unreadableFileError(err, "a Compose file")
 		}
 		return nil // the parser reports the missing file at the reference to it
 	}
--- a/internal/cli/specification_test.go
+++ b/internal/cli/specification_test.go
@@ -62,7 +62,7 @@
 		file  string
 		want  string
 	}{
-		"no such file":          {specificationFlags{}, filepath.Join(dir, "none.yaml"), "want a file that can be read, with a Compose description"},
+		"no such file":          {specificationFlags{}, filepath.Join(dir, "none.yaml"), "want a file that can be read, with a Compose file"},
 		"no such env file":      {specificationFlags{envFile: filepath.Join(dir, "none.env")}, file, "no such file"},
 		"env line has no value": {specificationFlags{envFile: filepath.Join(dir, "bad.env")}, file, `bad.env:2:1: "no value"; want NAME=VALUE`},
 	} {
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -66,7 +66,7 @@
 	if a.wantsJSON() {
 		err = a.writeJSON(counts)
 	} else {
-		_, err = fmt.Fprintf(a.out, "%v, %d that do not hold\n", counts.Keys, counts.Bad)
+		_, err = fmt.Fprintf(a.out, "%v, %d that cannot be decoded\n", counts.Keys, counts.Bad)
 	}
 	if err != nil {
 		return err
