--- a/internal/cli/chaos_replay.go
+++ b/internal/cli/chaos_replay.go
@@ -11,7 +11,7 @@
 	"forkhead/internal/verify/rules"
 )
 
-// replayResult is the JSON output for a replayed recording.
+// replayResult is the JSON output of chaos --replay.
 type replayResult struct {
 	Epoch  uint64         `json:"epoch"`
 	Placer int            `json:"placer"`
@@ -19,11 +19,10 @@
 	Rules  map[string]int `json:"rules"` // number of breaches, by rule
 }
 
-// replayRecording steps a placer's core through the recording in a file, and prints the result. It returns errNo if the core's
-// outputs diverge from the recorded ones, or if what it sent and received breaks a rule. The printed texts call a recording a
-// tape.
+// replayRecording steps a placer's core through the recording in a file, and prints the result. It returns
+// errNegativeResult if the core's outputs diverge from the recorded ones, or if the replayed traffic breaks a rule.
 func (a *app) replayRecording(name string) error {
-	recording, err := readFile(name, "a tape that badday --record-on-breach has kept")
+	recording, err := readFile(name, "a recording that chaos --record-on-breach has written")
 	if err != nil {
 		return err
 	}
@@ -32,7 +31,7 @@
 		locations = append(locations, replay.HostLocations(s.In)...)
 	})
 	if err != nil {
-		return badInput(fmt.Errorf("%s: %w", name, err))
+		return asInputError(fmt.Errorf("%s: %w", name, err))
 	}
 	host := r.Scenario.Host
 	config := rules.ConfigFromSettings(r.Scenario.Settings, float64(host.MaxStarting)/host.StartTime.Seconds())
@@ -45,7 +44,7 @@
 		a.printReplay(r, &verdict)
 	}
 	if r.Divergence != nil || !verdict.OK() {
-		return errNo
+		return errNegativeResult
 	}
 	return nil
 }
@@ -64,12 +63,12 @@
 func (a *app) printReplay(r *replay.Result, verdict *rules.Verdict) {
 	a.printf("placer %d: %d steps, %d offers, %d vetoes, %d defects\n", r.Head.Placer, r.Steps, r.Offers, r.Vetoes, r.Defects)
 	if r.Truncated {
-		a.println("the tape ends in the middle of a step")
+		a.println("the recording ends in the middle of a step")
 	}
 	if d := r.Divergence; d != nil {
-		a.printf("step %d parts from the tape:\n  tape: %s\n  now:  %s\n", d.Step, d.Want, d.Got)
+		a.printf("step %d diverges from the recording:\n  recorded: %s\n  replayed: %s\n", d.Step, d.Want, d.Got)
 	} else {
-		a.println("the core said the same at every step")
+		a.println("the core's outputs are the same at every step")
 	}
 	for _, b := range verdict.Breaches {
 		a.printf("  %v: %s\n", b.Rule, b.Text)
