--- a/internal/verify/modelcheck/actions.go
+++ b/internal/verify/modelcheck/actions.go
@@ -26,31 +26,31 @@
 func (m *model) actions(s *state, buf []action) []action {
 	l := actionList{model: m, state: s, actions: buf[:0]}
 	for hi := range m.cfg.Hosts {
-		l.addNetwork(hi)
-		l.addHost(hi)
-		l.addPlacerOfHost(hi)
+		l.addNetworkActions(hi)
+		l.addHostActions(hi)
+		l.addPlacerActions(hi)
 	}
 	for ti := range m.cfg.Tasks {
-		l.addOwner(ti)
-		l.addModule(ti)
+		l.addOwnerActions(ti)
+		l.addModuleActions(ti)
 	}
-	if l.mayFail() && !m.cfg.NoCrash {
+	if l.faultAllowed() && !m.cfg.NoCrash {
 		l.add(false, (*step).crashPlacer, "placer crashes")
 	}
 	return l.actions
 }
 
 func (l *actionList) add(fair bool, do func(st *step), format string, args ...any) {
-	if len(args) > 0 && l.model.named {
+	if len(args) > 0 && l.model.formatNames {
 		format = fmt.Sprintf(format, args...)
 	}
 	l.actions = append(l.actions, action{format, fair, do})
 }
 
-func (l *actionList) mayFail() bool { return int(l.state.faults) < l.model.cfg.Faults }
+func (l *actionList) faultAllowed() bool { return int(l.state.faults) < l.model.cfg.Faults }
 
-// addPlacerOfHost adds what the placer does about a host by itself.
-func (l *actionList) addPlacerOfHost(hi int) {
+// addPlacerActions adds what the placer does about a host by itself.
+func (l *actionList) addPlacerActions(hi int) {
 	h := &l.state.hosts[hi]
 	if h.connState == hostconn.Down && h.up && h.streams[1].conn == 0 {
 		l.add(true, func(st *step) { st.connect(hi) }, "placer connects to host %d", hi)
@@ -80,7 +80,7 @@
 	for ti := range st.cfg.Tasks {
 		t := &s.tasks[ti]
 		t.owner, t.outcome, t.requests, t.lastRejected = ownerWaiting, outcomeNone, 0, false
-		for ai := range t.made() {
+		for ai := range t.attemptsMade() {
 			t.attempts[ai].phase = forgotten
 		}
 	}
--- a/internal/verify/modelcheck/actions_host.go
+++ b/internal/verify/modelcheck/actions_host.go
@@ -2,28 +2,28 @@
 
 import "forkhead/internal/scheduler/hostsession"
 
-// addHost adds what a host does by itself: it restarts, handles its attempts, crashes and drains.
-func (l *actionList) addHost(hi int) {
+// addHostActions adds what a host does by itself: it restarts, handles its attempts, crashes and drains.
+func (l *actionList) addHostActions(hi int) {
 	h := &l.state.hosts[hi]
 	if !h.up {
-		l.add(true, func(st *step) { st.s.hosts[hi].start() }, "host %d comes back", hi)
+		l.add(true, func(st *step) { st.s.hosts[hi].restart() }, "host %d comes back", hi)
 		return
 	}
 	for ti := range l.model.cfg.Tasks {
 		for ai := range maxAttempts {
-			l.addHostAttempt(hi, ti, ai)
+			l.addHostAttemptActions(hi, ti, ai)
 		}
 	}
-	if l.mayFail() {
-		l.add(false, func(st *step) { st.killHost(hi) }, "host %d dies", hi)
+	if l.faultAllowed() {
+		l.add(false, func(st *step) { st.crashHost(hi) }, "host %d dies", hi)
 	}
-	if !h.draining && l.mayFail() {
+	if !h.draining && l.faultAllowed() {
 		l.add(false, func(st *step) { st.drainHost(hi) }, "host %d drains", hi)
 	}
 }
 
-// addHostAttempt adds what a host does with an attempt.
-func (l *actionList) addHostAttempt(hi, ti, ai int) {
+// addHostAttemptActions adds what a host does with an attempt.
+func (l *actionList) addHostAttemptActions(hi, ti, ai int) {
 	h := &l.state.hosts[hi]
 	switch h.attempts[ti][ai] {
 	case hostsession.Queued:
@@ -57,12 +57,12 @@
 	return false
 }
 
-func (h *host) start() {
+func (h *host) restart() {
 	h.up = true
 	h.epoch++
 }
 
-func (st *step) killHost(hi int) {
+func (st *step) crashHost(hi int) {
 	h := &st.s.hosts[hi]
 	h.up, h.sessionOpen, h.draining = false, false, false
 	h.attempts = [maxTasks][maxAttempts]hostsession.State{}
--- a/internal/verify/modelcheck/actions_network.go
+++ b/internal/verify/modelcheck/actions_network.go
@@ -2,8 +2,8 @@
 
 import "forkhead/internal/scheduler/hostconn"
 
-// addNetwork adds what may happen to a host's connections: messages arrive, ends are seen, connections break.
-func (l *actionList) addNetwork(hi int) {
+// addNetworkActions adds what may happen to a host's connections: messages arrive, ends are seen, connections break.
+func (l *actionList) addNetworkActions(hi int) {
 	for i := range l.state.hosts[hi].streams {
 		if l.state.hosts[hi].streams[i].conn != 0 {
 			l.addDeliveries(hi, i)
@@ -36,7 +36,7 @@
 
 func (l *actionList) addBreak(hi, i int) {
 	s := &l.state.hosts[hi].streams[i]
-	if !s.broken && s.placerOpen && s.hostOpen && l.mayFail() {
+	if !s.broken && s.placerOpen && s.hostOpen && l.faultAllowed() {
 		l.add(false, func(st *step) { st.breakStream(hi, i) }, "the connection to host %d is cut", hi)
 	}
 }
@@ -52,7 +52,7 @@
 	s := &st.s.hosts[hi].streams[i]
 	conn := s.conn
 	m := pop(&s.toPlacer, &s.toPlacerCount)
-	if conn == st.s.hosts[hi].conn || st.machines.acceptOldConnection {
+	if conn == st.s.hosts[hi].conn || st.stateMachines.acceptOldConnection {
 		st.receiveFromHost(hi, m)
 	}
 }
--- a/internal/verify/modelcheck/actions_placer.go
+++ b/internal/verify/modelcheck/actions_placer.go
@@ -9,9 +9,9 @@
 	"forkhead/internal/scheduler/hostconn"
 )
 
-// addOwner adds what a task's owner does: it requests the task and stops waiting, by timers that may fire at any time; and what
+// addOwnerActions adds what a task's owner does: it requests the task and stops waiting, by timers that may fire at any time; and what
 // the time does to the task.
-func (l *actionList) addOwner(ti int) {
+func (l *actionList) addOwnerActions(ti int) {
 	t := &l.state.tasks[ti]
 	if t.owner == ownerWaiting {
 		if l.mayRequest(t) {
@@ -37,14 +37,14 @@
 	const waited = false
 	m := l.model
 	st := step{model: m, s: l.state}
-	_, allowed := m.machines.mayRequest(&m.rules, t.now(), st.unknownAttempts(t), 0)
-	return int(t.requests) < m.cfg.Requests && allowed && !m.machines.mustWaitForHosts(&m.rules, allHostsListed, waited)
+	_, allowed := m.stateMachines.mayRequest(&m.rules, t.now(), st.unknownAttempts(t), 0)
+	return int(t.requests) < m.cfg.Requests && allowed && !m.stateMachines.mustWaitForHosts(&m.rules, allHostsListed, waited)
 }
 
 // addExpiries adds that unreachable attempts of a task count as lost.
 func (l *actionList) addExpiries(ti int) {
 	t := &l.state.tasks[ti]
-	for ai := range t.made() {
+	for ai := range t.attemptsMade() {
 		if a := &t.attempts[ai]; a.isKnown(l.state.incarnation) && a.phase == attempt.Unreachable {
 			l.add(true, func(st *step) { st.applyInput(ti, ai, attempt.Expired) }, "task %d on host %d counts as lost", ti, a.host)
 		}
@@ -54,7 +54,7 @@
 func (st *step) openRequest(ti int) {
 	t := &st.s.tasks[ti]
 	t.owner = ownerRequested
-	if !st.machines.retryForever || t.requests == 0 {
+	if !st.stateMachines.retryForever || t.requests == 0 {
 		t.requests++
 	}
 }
@@ -66,7 +66,7 @@
 	if t.outcome != outcomeNone {
 		return
 	}
-	if !st.machines.rejectionIsHarmless(&st.rules, t.lastRejected, t.attemptCount > 0, st.unknownAttempts(t)) {
+	if !st.stateMachines.rejectionIsHarmless(&st.rules, t.lastRejected, t.attemptCount > 0, st.unknownAttempts(t)) {
 		st.notifyOwner(t, outcomeFailed)
 		return
 	}
@@ -74,8 +74,8 @@
 	st.notifyOwner(t, outcomeRejected)
 }
 
-// addModule adds everything that the module may do about a task.
-func (l *actionList) addModule(ti int) {
+// addModuleActions adds everything that the module may do about a task.
+func (l *actionList) addModuleActions(ti int) {
 	t := &l.state.tasks[ti]
 	if t.owner != ownerRequested {
 		return
@@ -103,7 +103,7 @@
 		switch {
 		case h.connState == hostconn.Down: // the attempt would be over before it began
 		case st.drainGraceExpired(h):
-		case l.model.machines.mayOffer(r, t.now(), attempt.HostID(hi)) != nil:
+		case l.model.stateMachines.mayOffer(r, t.now(), attempt.HostID(hi)) != nil:
 		case st.atSpreadLimit(hi, noAttempt, noAttempt):
 		default:
 			l.add(false, func(st *step) { st.offer(ti, hi) }, "module offers task %d to host %d", ti, hi)
@@ -118,10 +118,10 @@
 	withdrawn.Attempts = slices.Clone(r.Attempts)
 	for i := range withdrawn.Attempts {
 		if a := &withdrawn.Attempts[i]; a.Phase.IsInFlight() {
-			a.Phase, _ = l.model.machines.transition(a.Phase, attempt.Abandoned)
+			a.Phase, _ = l.model.stateMachines.transition(a.Phase, attempt.Abandoned)
 		}
 	}
-	if l.model.machines.mayAnswer(&withdrawn, reject) != nil {
+	if l.model.stateMachines.mayAnswer(&withdrawn, reject) != nil {
 		return
 	}
 	l.add(true, func(st *step) {
--- a/internal/verify/modelcheck/canonical.go
+++ b/internal/verify/modelcheck/canonical.go
@@ -30,7 +30,7 @@
 	c := *s
 	for from, to := range taskOrder {
 		c.tasks[to] = s.tasks[from]
-		attempts := c.tasks[to].made()
+		attempts := c.tasks[to].attemptsMade()
 		for i := range attempts {
 			attempts[i].host = uint8(hostOrder[attempts[i].host])
 		}
@@ -63,7 +63,7 @@
 	case helloMessage:
 		return m
 	case welcomeMessage:
-		c := message{kind: m.kind, about: m.about}
+		c := message{kind: m.kind, attemptOrEpoch: m.attemptOrEpoch}
 		for from, to := range taskOrder {
 			for ai := range maxAttempts {
 				if m.lists(from, ai) {
--- a/internal/verify/modelcheck/host.go
+++ b/internal/verify/modelcheck/host.go
@@ -19,7 +19,7 @@
 func (st *step) applyHostInput(hi, ti, ai int, in hostsession.Input) {
 	h := &st.s.hosts[hi]
 	var reply hostsession.Reply
-	h.attempts[ti][ai], reply = st.machines.hostTransition(h.attempts[ti][ai], in)
+	h.attempts[ti][ai], reply = st.stateMachines.hostTransition(h.attempts[ti][ai], in)
 	if kind := replyMessages[reply]; kind != 0 {
 		st.sendToPlacer(h, newMessage(kind, ti, ai))
 	}
@@ -35,12 +35,12 @@
 // endSession ends the session at a host: what is queued there is dropped.
 func (st *step) endSession(h *host) {
 	h.sessionOpen = false
-	if st.machines.keepQueueOnBreak {
+	if st.stateMachines.keepQueueOnBreak {
 		return
 	}
 	for ti := range st.cfg.Tasks {
 		for ai := range maxAttempts {
-			h.attempts[ti][ai], _ = st.machines.hostTransition(h.attempts[ti][ai], hostsession.ConnectionLost)
+			h.attempts[ti][ai], _ = st.stateMachines.hostTransition(h.attempts[ti][ai], hostsession.ConnectionLost)
 		}
 	}
 }
@@ -69,20 +69,20 @@
 	last := hostsession.Session{
 		Epoch: uint64(h.sessionIncarnation), Conn: uint32(h.sessionConn), Connected: h.sessionOpen,
 	}
-	if st.machines.checkHello(last, uint64(s.incarnation), uint32(s.conn)) == hostsession.HelloStale {
+	if st.stateMachines.checkHello(last, uint64(s.incarnation), uint32(s.conn)) == hostsession.HelloStale {
 		s.hostOpen = false
 		return
 	}
 	if h.sessionOpen {
 		old := h.stream(h.sessionConn, h.sessionIncarnation)
-		if old != nil && !st.machines.acceptOldConnection {
+		if old != nil && !st.stateMachines.acceptOldConnection {
 			old.hostOpen = false
 			old.discardUndeliverable()
 		}
 		st.endSession(h)
 	}
 	h.sessionIncarnation, h.sessionConn, h.sessionOpen = s.incarnation, s.conn, true
-	welcome := message{kind: welcomeMessage, about: h.epoch}
+	welcome := message{kind: welcomeMessage, attemptOrEpoch: h.epoch}
 	for ti := range st.cfg.Tasks {
 		for ai := range maxAttempts {
 			if h.attempts[ti][ai].HoldsCapacity() {
--- a/internal/verify/modelcheck/modelcheck_test.go
+++ b/internal/verify/modelcheck/modelcheck_test.go
@@ -13,8 +13,8 @@
 	return Config{Tasks: 1, Hosts: 2, Effect: effect, Requests: 2, Attempts: 2, Faults: 1}
 }
 
-// configShowing returns the smallest search that shows a bug.
-func configShowing(bug *InjectedBug) Config {
+// smallestConfigFor returns the smallest search that shows a bug.
+func smallestConfigFor(bug *InjectedBug) Config {
 	cfg := smallConfig(bug.Effect)
 	cfg.InjectedBug, cfg.Faults, cfg.SpreadLimit = bug.Name, bug.Faults, bug.SpreadLimit
 	if bug.Faults > 1 {
@@ -75,7 +75,7 @@
 // Each injected bug is found, as the property that it breaks.
 func TestRunFindsInjectedBugs(t *testing.T) {
 	for _, bug := range InjectedBugs {
-		cfg := configShowing(&bug)
+		cfg := smallestConfigFor(&bug)
 		r, err := Run(cfg)
 		if err != nil {
 			t.Fatal(err)
@@ -103,7 +103,7 @@
 // A state is its bytes: two tasks, or two hosts, that change places are one state.
 func TestStateCanonical(t *testing.T) {
 	cfg := Config{Tasks: 3, Hosts: 2, Requests: 1, Attempts: 2, Faults: 1}
-	m := model{machines: productionMachines(), cfg: cfg}
+	m := model{stateMachines: productionStateMachines(), cfg: cfg}
 	s := initialState(&cfg)
 	for i := range 40 {
 		actions := m.actions(&s, nil)
@@ -146,7 +146,7 @@
 // the step that broke a property is vetoed, or leads to nothing that should not be.
 func TestReplayInjectedBugTraces(t *testing.T) {
 	for _, bug := range InjectedBugs {
-		cfg := configShowing(&bug)
+		cfg := smallestConfigFor(&bug)
 		r, err := Run(cfg)
 		if err != nil || len(r.Violations) == 0 {
 			t.Fatalf("%s: %v, %v", bug.Name, r, err)
@@ -210,7 +210,7 @@
 	for _, effect := range []forkhead.Effect{forkhead.Safe, forkhead.Keyed, forkhead.Unsafe} {
 		cfg := Config{Tasks: 1, Hosts: 1, Effect: effect, Requests: 1, Attempts: 1, Faults: 1, TasksEnd: true}
 		m := newModel(cfg)
-		m.named = true
+		m.formatNames = true
 		states := []state{initialState(&cfg)}
 		known := map[state]bool{states[0]: true}
 		for len(states) > 0 {
--- a/internal/verify/modelcheck/placer.go
+++ b/internal/verify/modelcheck/placer.go
@@ -19,7 +19,7 @@
 	}
 	before := a.phase
 	var effect attempt.Effect
-	a.phase, effect = st.machines.transition(before, in)
+	a.phase, effect = st.stateMachines.transition(before, in)
 	switch effect {
 	case attempt.ReportBound:
 		t.owner = ownerPlaced
@@ -60,7 +60,7 @@
 
 // handleOrphan adopts or stops the task of an abandoned attempt that a host turns out to run.
 func (st *step) handleOrphan(ti, ai int) {
-	if st.machines.ignoreOrphans {
+	if st.stateMachines.ignoreOrphans {
 		return
 	}
 	t := &st.s.tasks[ti]
@@ -68,7 +68,7 @@
 		st.sendToHost(&st.s.hosts[t.attempts[ai].host], newMessage(stopMessage, ti, ai))
 		return
 	}
-	if !st.machines.skipWithdrawal {
+	if !st.stateMachines.skipWithdrawal {
 		st.abandonInFlight(ti, func(other int) bool { return other != ai })
 	}
 	t.attempts[ai].phase = attempt.Placed
@@ -93,13 +93,13 @@
 func (st *step) shouldAdopt(t *task) bool {
 	var buf [maxAttempts]attempt.Attempt
 	r := st.request(t, &buf)
-	return st.machines.shouldAdopt(t.isWanted(), t.owner == ownerRequested && r.HasAttemptInFlight())
+	return st.stateMachines.shouldAdopt(t.isWanted(), t.owner == ownerRequested && r.HasAttemptInFlight())
 }
 
 // abandonInFlight abandons a task's attempts that are in flight and that selected returns true for.
 func (st *step) abandonInFlight(ti int, selected func(ai int) bool) {
 	t := &st.s.tasks[ti]
-	for ai := range t.made() {
+	for ai := range t.attemptsMade() {
 		if a := &t.attempts[ai]; a.isKnown(st.s.incarnation) && a.phase.IsInFlight() && selected(ai) {
 			st.applyInput(ti, ai, attempt.Abandoned)
 		}
@@ -143,16 +143,16 @@
 func (st *step) mayWrite(ti, ai int) bool {
 	t := &st.s.tasks[ti]
 	hi := int(t.attempts[ai].host)
-	if !st.machines.skipDrainRecheck && st.drainGraceExpired(&st.s.hosts[hi]) {
+	if !st.stateMachines.skipDrainRecheck && st.drainGraceExpired(&st.s.hosts[hi]) {
 		return false
 	}
 	var buf [maxAttempts]attempt.Attempt
 	r := st.request(t, &buf)
 	number := len(r.Attempts) - 1 // the one that waits is the last
-	if st.machines.mayWrite(&r, t.now(), number) != nil {
+	if st.stateMachines.mayWrite(&r, t.now(), number) != nil {
 		return false
 	}
-	return st.machines.skipSpreadRecheck || !st.atSpreadLimit(hi, ti, ai)
+	return st.stateMachines.skipSpreadRecheck || !st.atSpreadLimit(hi, ti, ai)
 }
 
 // noAttempt as an index means that no attempt is left out.
@@ -181,7 +181,7 @@
 	if h.drainView == drainGraceOver {
 		now = afterDrainGrace
 	}
-	return st.machines.drainGraceExpired(now, machineState, 0, drainGrace)
+	return st.stateMachines.drainGraceExpired(now, machineState, 0, drainGrace)
 }
 
 // isReady reports whether the placer may write offers to a host.
@@ -204,7 +204,7 @@
 		State: h.connState, Listed: true, Address: hostAddress, Conn: uint32(h.conn), Epoch: uint64(h.knownEpoch),
 	}
 	in.Address = hostAddress
-	out := st.machines.handleConnection(&c, in)
+	out := st.stateMachines.handleConnection(&c, in)
 	h.connState, h.conn, h.knownEpoch = c.State, uint8(c.Conn), uint8(c.Epoch)
 	if out.CloseConn {
 		st.closeAtPlacer(h, uint8(out.ConnToClose))
@@ -266,7 +266,7 @@
 	}
 	switch m.kind {
 	case rejectedMessage:
-		st.applyInput(ti, ai, st.machines.rejectionInput(a.phase))
+		st.applyInput(ti, ai, st.stateMachines.rejectionInput(a.phase))
 	case canceledMessage:
 		st.applyInput(ti, ai, attempt.Rejected)
 	case runningMessage:
@@ -280,7 +280,7 @@
 // written, and attempts that should be among them and are not are queried.
 func (st *step) receiveWelcome(hi int, m message) {
 	h := &st.s.hosts[hi]
-	st.applyConnectionInput(hi, hostconn.Input{Kind: hostconn.Welcomed, Conn: uint32(h.conn), Epoch: uint64(m.about)})
+	st.applyConnectionInput(hi, hostconn.Input{Kind: hostconn.Welcomed, Conn: uint32(h.conn), Epoch: uint64(m.attemptOrEpoch)})
 	if h.connState != hostconn.Up {
 		return
 	}
@@ -297,7 +297,7 @@
 		switch {
 		case a.phase == attempt.Waiting:
 			st.writeOffer(ti, ai)
-		case !m.lists(ti, ai) && a.hostEpoch == h.knownEpoch && a.conn != h.conn && !st.machines.skipQuery:
+		case !m.lists(ti, ai) && a.hostEpoch == h.knownEpoch && a.conn != h.conn && !st.stateMachines.skipQuery:
 			st.sendToHost(h, newMessage(queryMessage, ti, ai))
 		}
 	})
--- a/internal/verify/modelcheck/properties.go
+++ b/internal/verify/modelcheck/properties.go
@@ -71,7 +71,7 @@
 	if t.outcome == outcomeRejected || t.outcome == outcomeFailed {
 		st.violate("after-outcome", "an offer of a task that was told its outcome")
 	}
-	for other := range t.made() {
+	for other := range t.attemptsMade() {
 		if other != ai {
 			st.checkOneInFlight(t, ai, other)
 			st.checkNoRepeat(ti, ai, other)
@@ -117,15 +117,15 @@
 	if st.rules.Effect != forkhead.Unsafe {
 		return
 	}
-	for other := range st.s.tasks[ti].made() {
-		if other != ai && st.s.runs(ti, other) {
+	for other := range st.s.tasks[ti].attemptsMade() {
+		if other != ai && st.s.holdsCapacity(ti, other) {
 			st.violate("no-repeat", "an unsafe task starts while another start of it runs")
 		}
 	}
 }
 
-// runs reports whether an attempt holds capacity at its host.
-func (s *state) runs(ti, ai int) bool {
+// holdsCapacity reports whether an attempt holds capacity at its host.
+func (s *state) holdsCapacity(ti, ai int) bool {
 	h := &s.hosts[s.tasks[ti].attempts[ai].host]
 	return h.up && h.attempts[ti][ai].HoldsCapacity()
 }
@@ -136,7 +136,7 @@
 		return
 	}
 	t := &st.s.tasks[ti]
-	for ai := range t.made() {
+	for ai := range t.attemptsMade() {
 		a := &t.attempts[ai]
 		if a.isKnown(st.s.incarnation) && a.phase == attempt.Unknown && st.mayRun(ti, ai) {
 			st.violate("promise", "a task is told refused while attempt %d may run", ai)
@@ -162,7 +162,7 @@
 func (s *state) findLeak(ti int) string {
 	t := &s.tasks[ti]
 	placements := 0
-	for ai := range t.made() {
+	for ai := range t.attemptsMade() {
 		a := &t.attempts[ai]
 		known := a.isKnown(s.incarnation)
 		placed := known && a.phase == attempt.Placed
@@ -176,7 +176,7 @@
 			return fmt.Sprintf("attempt %d of task %d stays %v for good", ai, ti, a.phase)
 		}
 		owned := placed && t.owner == ownerPlaced
-		runs := s.runs(ti, ai)
+		runs := s.holdsCapacity(ti, ai)
 		if runs && !owned {
 			return fmt.Sprintf("attempt %d of task %d runs on, and nobody has it", ai, ti)
 		}
--- a/internal/verify/modelcheck/replay.go
+++ b/internal/verify/modelcheck/replay.go
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// takeModuleActions has the module take actions: a gossip message makes the core run it.
-func (r *replayer) takeModuleActions(actions ...forkhead.Action) {
+// runModule has the module take actions: a gossip message makes the core run it.
+func (r *replayer) runModule(actions ...forkhead.Action) {
 	r.pending = actions
 	r.stepCore(core.GossipReceived{From: 0, Data: []byte{0}})
 }
--- a/internal/verify/modelcheck/replay_actions.go
+++ b/internal/verify/modelcheck/replay_actions.go
@@ -15,8 +15,8 @@
 	"forkhead/internal/scheduler/ids"
 )
 
-// subject is what a line of a trace is about.
-type subject struct {
+// actionArgs is what a line of a trace is about.
+type actionArgs struct {
 	task    int
 	host    *replayHost
 	message string // name of a frame
@@ -25,7 +25,7 @@
 // replayActions are the lines of a trace: TASK, HOST and MESSAGE are placeholders for what a line is about.
 var replayActions = []struct {
 	pattern string
-	replay  func(*replayer, subject) error
+	replay  func(*replayer, actionArgs) error
 }{
 	{"placer connects to host HOST", (*replayer).connect},
 	{"host HOST reads MESSAGE", (*replayer).deliverToHost},
@@ -33,8 +33,8 @@
 	{"placer sees the connection to host HOST end", (*replayer).closeSeenByPlacer},
 	{"host HOST sees its connection end", (*replayer).closeSeenByHost},
 	{"the connection to host HOST is cut", (*replayer).breakConnection},
-	{"host HOST dies", (*replayer).killHost},
-	{"host HOST comes back", (*replayer).startHost},
+	{"host HOST dies", (*replayer).crashHost},
+	{"host HOST comes back", (*replayer).restartHost},
 	{"host HOST drains", (*replayer).drainHost},
 	{"placer is told that host HOST drains", (*replayer).listHosts},
 	{"grace of host HOST is over", (*replayer).endDrainGrace},
@@ -56,39 +56,39 @@
 // replayAction replays a line of a trace. It returns an error if the core is not in a state in which the line is possible.
 func (r *replayer) replayAction(line string) error {
 	for _, a := range replayActions {
-		if on, ok := r.match(a.pattern, line); ok {
-			return a.replay(r, on)
+		if args, ok := r.match(a.pattern, line); ok {
+			return a.replay(r, args)
 		}
 	}
 	return errors.New("not a step of a trace")
 }
 
 // match compares a line with a pattern, word for word, and returns what it is about.
-func (r *replayer) match(pattern, line string) (on subject, ok bool) {
+func (r *replayer) match(pattern, line string) (args actionArgs, ok bool) {
 	patternTokens, tokens := strings.Split(pattern, " "), strings.Split(line, " ")
 	if len(tokens) != len(patternTokens) {
-		return subject{}, false
+		return actionArgs{}, false
 	}
 	host := noHost
 	for i, token := range tokens {
 		switch patternTokens[i] {
 		case "TASK":
-			on.task, ok = parseIndex(token)
+			args.task, ok = parseIndex(token)
 		case "HOST":
 			host, ok = parseIndex(token)
 		case "MESSAGE":
-			on.message, ok = token, token != ""
+			args.message, ok = token, token != ""
 		default:
 			ok = token == patternTokens[i]
 		}
 		if !ok {
-			return subject{}, false
+			return actionArgs{}, false
 		}
 	}
 	if host != noHost {
-		on.host = r.hosts[host]
+		args.host = r.hosts[host]
 	}
-	return on, true
+	return args, true
 }
 
 // noHost as an index means that a pattern has no host.
@@ -102,8 +102,8 @@
 
 // Connections.
 
-func (r *replayer) connect(on subject) error {
-	h := on.host
+func (r *replayer) connect(args actionArgs) error {
+	h := args.host
 	if h.dialing == 0 {
 		r.advance(retryTime)
 	}
@@ -117,35 +117,35 @@
 	return nil
 }
 
-func (r *replayer) deliverToPlacer(on subject) error {
-	for _, s := range on.host.streams {
-		if s.placerOpen && !s.broken && len(s.toPlacer) > 0 && frameName(s.toPlacer[0]) == on.message {
-			for _, f := range s.takeMessage() {
-				r.stepCore(core.FrameReceived{Host: on.host.name, Conn: s.conn, Frame: f})
+func (r *replayer) deliverToPlacer(args actionArgs) error {
+	for _, s := range args.host.streams {
+		if s.placerOpen && !s.broken && len(s.toPlacer) > 0 && frameName(s.toPlacer[0]) == args.message {
+			for _, f := range s.dequeueMessage() {
+				r.stepCore(core.FrameReceived{Host: args.host.name, Conn: s.conn, Frame: f})
 			}
 			return nil
 		}
 	}
-	return fmt.Errorf("no %s is on its way from %s", on.message, on.host.name)
+	return fmt.Errorf("no %s is on its way from %s", args.message, args.host.name)
 }
 
-func (r *replayer) deliverToHost(on subject) error {
-	for _, s := range on.host.streams {
-		if s.hostOpen && !s.broken && len(s.toHost) > 0 && frameName(s.toHost[0]) == on.message {
+func (r *replayer) deliverToHost(args actionArgs) error {
+	for _, s := range args.host.streams {
+		if s.hostOpen && !s.broken && len(s.toHost) > 0 && frameName(s.toHost[0]) == args.message {
 			f := s.toHost[0]
 			s.toHost = s.toHost[1:]
-			r.receiveAtHost(on.host, s, f)
+			r.receiveAtHost(args.host, s, f)
 			return nil
 		}
 	}
-	return fmt.Errorf("no %s is on its way to %s", on.message, on.host.name)
+	return fmt.Errorf("no %s is on its way to %s", args.message, args.host.name)
 }
 
-func (r *replayer) closeSeenByPlacer(on subject) error {
-	for _, s := range on.host.streams {
+func (r *replayer) closeSeenByPlacer(args actionArgs) error {
+	for _, s := range args.host.streams {
 		if s.placerOpen && (s.broken || !s.hostOpen) {
 			s.placerOpen = false
-			r.stepCore(core.HostDisconnected{Host: on.host.name, Conn: s.conn})
+			r.stepCore(core.HostDisconnected{Host: args.host.name, Conn: s.conn})
 			return nil
 		}
 	}
@@ -153,12 +153,12 @@
 }
 
 // closeSeenByHost closes the first stream that has ended. There may be none: the host may have closed it by itself.
-func (r *replayer) closeSeenByHost(on subject) error {
-	for _, s := range on.host.streams {
+func (r *replayer) closeSeenByHost(args actionArgs) error {
+	for _, s := range args.host.streams {
 		if s.hostOpen && (s.broken || !s.placerOpen) {
 			s.hostOpen = false
-			if on.host.session == s {
-				on.host.endSession()
+			if args.host.session == s {
+				args.host.endSession()
 			}
 			return nil
 		}
@@ -166,8 +166,8 @@
 	return nil
 }
 
-func (r *replayer) breakConnection(on subject) error {
-	for _, s := range on.host.streams {
+func (r *replayer) breakConnection(args actionArgs) error {
+	for _, s := range args.host.streams {
 		if s.placerOpen && s.hostOpen && !s.broken {
 			s.broken, s.toHost, s.toPlacer = true, nil, nil
 		}
@@ -177,8 +177,8 @@
 
 // Hosts.
 
-func (r *replayer) killHost(on subject) error {
-	h := on.host
+func (r *replayer) crashHost(args actionArgs) error {
+	h := args.host
 	h.up, h.draining, h.session, h.lastSession = false, false, nil, hostsession.Session{}
 	h.attempts = map[hostproto.Ref]*replayAttempt{}
 	for _, s := range h.streams {
@@ -187,60 +187,60 @@
 	return nil
 }
 
-func (r *replayer) startHost(on subject) error {
-	on.host.up = true
-	on.host.epoch++
+func (r *replayer) restartHost(args actionArgs) error {
+	args.host.up = true
+	args.host.epoch++
 	return nil
 }
 
-func (r *replayer) drainHost(on subject) error {
-	on.host.draining = true
+func (r *replayer) drainHost(args actionArgs) error {
+	args.host.draining = true
 	return nil
 }
 
-func (r *replayer) acceptAtHost(on subject) error {
-	err := r.applyHostInput(on, hostsession.Queued, hostsession.Accept)
+func (r *replayer) acceptAtHost(args actionArgs) error {
+	err := r.applyHostInput(args, hostsession.Queued, hostsession.Accept)
 	if err == nil {
 		r.result.Starts++
 	}
 	return err
 }
 
-func (r *replayer) rejectAtHost(on subject) error {
-	return r.applyHostInput(on, hostsession.Queued, hostsession.Reject)
+func (r *replayer) rejectAtHost(args actionArgs) error {
+	return r.applyHostInput(args, hostsession.Queued, hostsession.Reject)
 }
 
-func (r *replayer) startAtHost(on subject) error {
-	return r.applyHostInput(on, hostsession.Starting, hostsession.Start)
+func (r *replayer) startAtHost(args actionArgs) error {
+	return r.applyHostInput(args, hostsession.Starting, hostsession.Start)
 }
 
-func (r *replayer) finishAtHost(on subject) error {
-	return r.applyHostInput(on, hostsession.Running, hostsession.Finish)
+func (r *replayer) finishAtHost(args actionArgs) error {
+	return r.applyHostInput(args, hostsession.Running, hostsession.Finish)
 }
 
 // The placer and its clock.
 
-func (r *replayer) listHosts(subject) error {
+func (r *replayer) listHosts(actionArgs) error {
 	r.stepCore(r.hostList())
 	return nil
 }
 
-func (r *replayer) endDrainGrace(subject) error {
+func (r *replayer) endDrainGrace(actionArgs) error {
 	r.advance(r.settings.Module.DrainGrace + time.Millisecond)
 	return nil
 }
 
-func (r *replayer) expireUnreachable(subject) error {
+func (r *replayer) expireUnreachable(actionArgs) error {
 	r.advance(r.settings.HostConnections.LostAfter + time.Second)
 	return nil
 }
 
-func (r *replayer) endDedupWindow(subject) error {
+func (r *replayer) endDedupWindow(actionArgs) error {
 	r.advance(r.settings.Module.Classes[forkhead.Keyed].DedupWindow)
 	return nil
 }
 
-func (r *replayer) crashPlacer(subject) error {
+func (r *replayer) crashPlacer(actionArgs) error {
 	for _, h := range r.hosts {
 		h.dialing = 0
 		for _, s := range h.streams {
@@ -257,15 +257,15 @@
 
 // openRequest requests a task: by a submission the first time in an incarnation of the core; later the core does it, when
 // a retry is due.
-func (r *replayer) openRequest(on subject) error {
-	t := &r.tasks[on.task]
+func (r *replayer) openRequest(args actionArgs) error {
+	t := &r.tasks[args.task]
 	before := t.request
 	if !t.submitted {
 		t.submitted = true
 		r.stepCore(core.Submit{
-			Request: 1, IdempotencyKey: fmt.Sprintf("%d-%d", r.incarnation, on.task), BodyHash: 1,
+			Request: 1, IdempotencyKey: fmt.Sprintf("%d-%d", r.incarnation, args.task), BodyHash: 1,
 			Description: &servicespec.Description{
-				Name: projectName(on.task),
+				Name: projectName(args.task),
 				Services: []servicespec.Service{{
 					Name: taskService, Class: classNames[r.cfg.Effect], Replicas: 1, Cores: 1, Memory: 1,
 				}},
@@ -278,31 +278,31 @@
 	return nil
 }
 
-func (r *replayer) giveUp(subject) error {
+func (r *replayer) giveUp(actionArgs) error {
 	r.advance(r.settings.Classes[forkhead.Safe].PlacementTimeout) // of all classes
 	return nil
 }
 
 // The module.
 
-func (r *replayer) offer(on subject) error {
-	machine := forkhead.MachineID(ids.FNV(on.host.name, 0))
-	r.takeModuleActions(forkhead.Offer{Task: r.tasks[on.task].request, Machine: machine})
+func (r *replayer) offer(args actionArgs) error {
+	machine := forkhead.MachineID(ids.FNV(args.host.name, 0))
+	r.runModule(forkhead.Offer{Task: r.tasks[args.task].request, Machine: machine})
 	return nil
 }
 
-func (r *replayer) reject(on subject) error {
-	r.takeModuleActions(append(r.withdrawals(on.task), forkhead.Reject{Task: r.tasks[on.task].request})...)
+func (r *replayer) reject(args actionArgs) error {
+	r.runModule(append(r.withdrawals(args.task), forkhead.Reject{Task: r.tasks[args.task].request})...)
 	return nil
 }
 
-func (r *replayer) fail(on subject) error {
-	r.takeModuleActions(append(r.withdrawals(on.task), forkhead.Fail{Task: r.tasks[on.task].request})...)
+func (r *replayer) fail(args actionArgs) error {
+	r.runModule(append(r.withdrawals(args.task), forkhead.Fail{Task: r.tasks[args.task].request})...)
 	return nil
 }
 
-func (r *replayer) withdraw(on subject) error {
-	r.takeModuleActions(r.withdrawals(on.task)...)
+func (r *replayer) withdraw(args actionArgs) error {
+	r.runModule(r.withdrawals(args.task)...)
 	return nil
 }
 
--- a/internal/verify/modelcheck/replay_host.go
+++ b/internal/verify/modelcheck/replay_host.go
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// takeMessage takes the first frame to the placer. The Holds of a Welcome come with it, as traces have one message for both.
-func (s *replayStream) takeMessage() []hostproto.Frame {
+// dequeueMessage takes the first frame to the placer. The Holds of a Welcome come with it, as traces have one message for both.
+func (s *replayStream) dequeueMessage() []hostproto.Frame {
 	n := 1
 	if _, ok := s.toPlacer[0].(hostproto.Welcome); ok {
 		for n < len(s.toPlacer) && frameName(s.toPlacer[n]) == "Holds" {
@@ -80,14 +80,14 @@
 }
 
 // applyHostInput gives an input to an attempt of the task at the host that is in a state.
-func (r *replayer) applyHostInput(on subject, in hostsession.State, input hostsession.Input) error {
-	for ref, a := range on.host.attempts {
-		if a.task == on.task && a.state == in {
-			r.transitionAtHost(on.host, ref, input)
+func (r *replayer) applyHostInput(args actionArgs, in hostsession.State, input hostsession.Input) error {
+	for ref, a := range args.host.attempts {
+		if a.task == args.task && a.state == in {
+			r.transitionAtHost(args.host, ref, input)
 			return nil
 		}
 	}
-	return fmt.Errorf("%s has no attempt of task %d that is %v", on.host.name, on.task, in)
+	return fmt.Errorf("%s has no attempt of task %d that is %v", args.host.name, args.task, in)
 }
 
 // transitionAtHost gives an attempt an input and sends the reply. An attempt that is not known is one that is absent.
--- a/internal/verify/modelcheck/search.go
+++ b/internal/verify/modelcheck/search.go
@@ -49,13 +49,13 @@
 // finding is a property that does not hold.
 type finding struct {
 	hash     uint64 // of the state from which the action leads
-	action   int    // index in the state's list; inState: the state itself breaks the property
+	action   int    // index in the state's list; noAction: the state itself breaks the property
 	property string
 	message  string
 }
 
-// inState as the action of a finding means that no action is needed.
-const inState = -1
+// noAction as the action of a finding means that no action is needed.
+const noAction = -1
 
 // maxFindings bounds what is kept of one level of the search: one is reported.
 const maxFindings = 100
@@ -72,7 +72,7 @@
 		if !ok {
 			return nil, fmt.Errorf("no plant is named %q", cfg.InjectedBug)
 		}
-		bug.inject(&s.machines)
+		bug.inject(&s.stateMachines)
 	}
 	for i := range s.known {
 		s.known[i].origins = map[uint64]origin{}
@@ -104,7 +104,7 @@
 	s.searchLevels(root, r)
 	if s.cfg.FindCycles && len(s.findings) == 0 && r.Complete {
 		if hash, ok := findCycle(s.fairSteps); ok {
-			s.addFinding(finding{hash, inState, "liveness", "fair steps lead from this state back to it: the service may go round for good"})
+			s.addFinding(finding{hash, noAction, "liveness", "fair steps lead from this state back to it: the service may go round for good"})
 		}
 	}
 	if len(s.findings) > 0 { // all are at one depth: one is enough
@@ -210,7 +210,7 @@
 	if !hasFair {
 		w.endStates.Add(1)
 		if property, message := w.checkEndState(from); property != "" {
-			w.addFinding(finding{hash, inState, property, message})
+			w.addFinding(finding{hash, noAction, property, message})
 		}
 	}
 }
--- a/internal/verify/modelcheck/state.go
+++ b/internal/verify/modelcheck/state.go
@@ -113,9 +113,9 @@
 
 // message is a frame in transit between placer and host.
 type message struct {
-	kind   messageKind
-	about  uint8    // task<<4 | attempt; of a Welcome the host's epoch
-	listed [2]uint8 // of a Welcome: the attempts that hold capacity at the host, one bit each
+	kind           messageKind
+	attemptOrEpoch uint8    // task<<4 | attempt; of a Welcome the host's epoch
+	listed         [2]uint8 // of a Welcome: the attempts that hold capacity at the host, one bit each
 }
 
 type messageKind uint8
@@ -139,11 +139,13 @@
 }
 
 func newMessage(kind messageKind, ti, ai int) message {
-	return message{kind: kind, about: uint8(ti<<4 | ai)}
+	return message{kind: kind, attemptOrEpoch: uint8(ti<<4 | ai)}
 }
 
 // attempt returns the indexes of the task and the attempt that a message is about.
-func (m message) attempt() (ti, ai int) { return int(m.about >> 4), int(m.about & 15) }
+func (m message) attempt() (ti, ai int) {
+	return int(m.attemptOrEpoch >> 4), int(m.attemptOrEpoch & 15)
+}
 
 // lists reports whether a Welcome lists an attempt.
 func (m *message) lists(ti, ai int) bool {
@@ -167,8 +169,8 @@
 	return unsafe.Slice((*byte)(unsafe.Pointer(s)), int(unsafe.Sizeof(*s)))
 }
 
-// made returns the attempts of the task that were made.
-func (t *task) made() []taskAttempt { return t.attempts[:t.attemptCount] }
+// attemptsMade returns the attempts of the task that were attemptsMade.
+func (t *task) attemptsMade() []taskAttempt { return t.attempts[:t.attemptCount] }
 
 // isKnown reports whether the placer's present incarnation knows the attempt.
 func (a *taskAttempt) isKnown(incarnation uint8) bool {
--- a/internal/verify/modelcheck/statemachines.go
+++ b/internal/verify/modelcheck/statemachines.go
@@ -42,8 +42,8 @@
 
 var connectionPolicy = hostconn.Policy{ConnectTimeout: time.Second, MinBackoff: time.Second, MaxBackoff: time.Second}
 
-// productionMachines returns the functions that the programs use.
-func productionMachines() stateMachines {
+// productionStateMachines returns the functions that the programs use.
+func productionStateMachines() stateMachines {
 	return stateMachines{
 		transition:          attempt.Transition,
 		mayOffer:            mayOffer,
--- a/internal/verify/modelcheck/step.go
+++ b/internal/verify/modelcheck/step.go
@@ -9,16 +9,16 @@
 
 // model is the configuration of one search.
 type model struct {
-	machines stateMachines
-	rules    attempt.Rules
-	cfg      Config
-	named    bool // actions get their names, which takes time: for traces only
+	stateMachines stateMachines
+	rules         attempt.Rules
+	cfg           Config
+	formatNames   bool // actions get their names, which takes time: for traces only
 }
 
 // newModel returns the model without an injected bug.
 func newModel(cfg Config) model {
 	return model{
-		machines: productionMachines(), cfg: cfg,
+		stateMachines: productionStateMachines(), cfg: cfg,
 		rules: attempt.Rules{Effect: cfg.Effect, DedupWindow: dedupWindow, MaxAttempts: maxRequestAttempts},
 	}
 }
@@ -62,7 +62,7 @@
 // request returns the task's present request in the form of package attempt. Its attempts are in buf.
 func (st *step) request(t *task, buf *[maxAttempts]attempt.Attempt) attempt.Request {
 	r := attempt.Request{Rules: st.rules, Deadline: requestDeadline, Attempts: buf[:0]}
-	for i := range t.made() {
+	for i := range t.attemptsMade() {
 		a := &t.attempts[i]
 		if !a.isKnown(st.s.incarnation) {
 			continue
@@ -72,7 +72,7 @@
 			continue
 		}
 		// A request beside an unknown attempt ends before the task's key expires.
-		remaining, _ := st.machines.mayRequest(&st.rules, beforeWindowEnd, 1, 0)
+		remaining, _ := st.stateMachines.mayRequest(&st.rules, beforeWindowEnd, 1, 0)
 		if a.phase == attempt.Unknown && remaining > 0 {
 			r.Deadline = beforeWindowEnd + remaining
 		}
@@ -83,7 +83,7 @@
 // unknownAttempts counts the attempts of a task whose outcome the placer does not know.
 func (st *step) unknownAttempts(t *task) int {
 	n := 0
-	for i := range t.made() {
+	for i := range t.attemptsMade() {
 		if a := &t.attempts[i]; a.isKnown(st.s.incarnation) && a.phase == attempt.Unknown {
 			n++
 		}
@@ -109,7 +109,7 @@
 func (st *step) forEachUnsettled(hi int, f func(ti, ai int)) {
 	for ti := range st.cfg.Tasks {
 		t := &st.s.tasks[ti]
-		for ai := range t.made() {
+		for ai := range t.attemptsMade() {
 			if a := &t.attempts[ai]; a.isKnown(st.s.incarnation) && int(a.host) == hi && !a.phase.IsSettled() {
 				f(ti, ai)
 			}
--- a/internal/verify/modelcheck/trace.go
+++ b/internal/verify/modelcheck/trace.go
@@ -12,8 +12,8 @@
 // trace returns the names of the actions that lead from the root to a finding. They are found on states as they are, not
 // on canonical ones, so that task 1 stays task 1 throughout.
 func (s *search) trace(root state, f finding) []string {
-	s.named = true
-	defer func() { s.named = false }()
+	s.formatNames = true
+	defer func() { s.formatNames = false }()
 	at := root
 	var names []string
 	take := func(accept func(st *step) bool) {
@@ -31,7 +31,7 @@
 			return st.property == "" && xxhash.Sum64(c.bytes()) == hash
 		})
 	}
-	if f.action != inState {
+	if f.action != noAction {
 		take(func(st *step) bool { return st.property == f.property })
 	}
 	return names
