--- a/internal/verify/modelcheck/injectedbugs.go
+++ b/internal/verify/modelcheck/injectedbugs.go
@@ -9,30 +9,31 @@
 	"forkhead/internal/scheduler/hostsession"
 )
 
-// InjectedBug is a bug that a search can be run with, to show that the search finds what it is for.
+// InjectedBug is a bug that can be injected into a search, to show that the search finds violations of a property.
 type InjectedBug struct {
 	Name        string
 	Description string
-	Property    string // name of the one of Properties that it breaks
+	Property    string // name of the one of Properties that the bug violates
 
-	// The smallest search that shows it.
-	Effect      forkhead.Effect // of the tasks
-	Faults      int             // that it takes
-	SpreadLimit int             // 0: none
+	// Bounds of a small search that finds the bug.
+	Effect      forkhead.Effect // effect of a repeated start of the tasks
+	Faults      int             // number of faults that the violation takes
+	SpreadLimit int             // as in Config; 0: no limit
 
 	inject func(*stateMachines)
 }
 
-// InjectedBugs are the bugs that can be injected. Their names and descriptions are printed, and stay.
+// InjectedBugs are the bugs that can be injected. Stored traces and docs/design/attempts.md contain their names, so the
+// names stay; the page also contains the descriptions.
 var InjectedBugs = []InjectedBug{
 	{
 		Name: "double-send", Property: "one-out", Effect: forkhead.Safe, Faults: 1,
-		Description: "an offer is legal while another is out",
+		Description: "an offer is legal while another is in flight",
 		inject:      func(m *stateMachines) { m.mayOffer = mayOfferExcept(attempt.ErrAttemptInFlight) },
 	},
 	{
 		Name: "unsafe-repeat", Property: "no-repeat", Effect: forkhead.Unsafe, Faults: 1,
-		Description: "an unsafe task is offered again in one ask after an attempt that may have run",
+		Description: "an unsafe task is offered again in one placement request after an attempt that may have run",
 		inject:      func(m *stateMachines) { m.mayOffer = mayOfferExcept(attempt.ErrMayHaveRun) },
 	},
 	{
@@ -42,7 +43,7 @@
 	},
 	{
 		Name: "promise", Property: "promise", Effect: forkhead.Unsafe, Faults: 1,
-		Description: "a task that may run is told refused",
+		Description: "a task that may run is reported as rejected",
 		inject: func(m *stateMachines) {
 			m.rejectionIsHarmless = func(*attempt.Rules, bool, bool, int) bool { return true }
 		},
@@ -54,54 +55,54 @@
 	},
 	{
 		Name: "call-off-is-never", Property: "no-repeat", Effect: forkhead.Unsafe, Faults: 1,
-		Description: "an offer that was called off is taken never to have run",
+		Description: "an offer that was withdrawn is taken never to have run",
 		inject:      replaceTransition(attempt.InFlight, attempt.Abandoned, attempt.NeverRan, attempt.ReportWithdrawn),
 	},
 	{
 		Name: "late-bind", Property: "one-outcome", Effect: forkhead.Safe, Faults: 1,
-		Description: "the reply to an attempt that was given up binds it",
+		Description: "the reply to an abandoned attempt binds it",
 		inject:      replaceTransition(attempt.Unknown, attempt.Accepted, attempt.Placed, attempt.ReportBound),
 	},
 	{
 		Name: "silent-is-lost", Property: "no-repeat", Effect: forkhead.Unsafe, Faults: 1,
-		Description: "a task on a host out of reach is taken to have ended",
+		Description: "a task on an unreachable host is taken to have ended",
 		inject:      replaceTransition(attempt.Placed, attempt.ConnectionLost, attempt.Finished, attempt.ReportLost),
 	},
 	{
 		Name: "no-stray", Property: "no-leak", Effect: forkhead.Safe, Faults: 1,
-		Description: "an attempt that was given up and shows itself is neither adopted nor stopped",
+		Description: "an abandoned attempt that runs is neither adopted nor stopped",
 		inject:      func(m *stateMachines) { m.ignoreOrphans = true },
 	},
 	{
 		Name: "no-query", Property: "no-leak", Effect: forkhead.Unsafe, Faults: 1,
-		Description: "what a host does not list after a break is not asked about",
+		Description: "what a host does not list after a break is not queried",
 		inject:      func(m *stateMachines) { m.skipQuery = true },
 	},
 	{
 		Name: "ask-early", Property: "no-repeat", Effect: forkhead.Unsafe, Faults: 1,
-		Description: "a task is asked for again while an attempt of an earlier ask is unknown",
+		Description: "a task is requested again while an attempt of an earlier placement request is unknown",
 		inject:      func(m *stateMachines) { m.mayRequest = mayAlwaysRequest },
 	},
 	{
 		Name: "no-gate", Property: "no-repeat", Effect: forkhead.Unsafe, Faults: 1,
-		Description: "a new life of the placer does not wait for what hosts run",
+		Description: "a new incarnation of the placer does not wait for what hosts run",
 		inject: func(m *stateMachines) {
 			m.mustWaitForHosts = func(*attempt.Rules, bool, bool) bool { return false }
 		},
 	},
 	{
 		Name: "drain-at-write", Property: "drain", Effect: forkhead.Safe, Faults: 2,
-		Description: "a drain told between choosing and writing is not looked for again",
+		Description: "a drain received between choosing and writing is not checked again",
 		inject:      func(m *stateMachines) { m.skipDrainRecheck = true },
 	},
 	{
 		Name: "crowd-at-write", Property: "spread", Effect: forkhead.Safe, Faults: 1, SpreadLimit: 1,
-		Description: "a task of an earlier life that turned up between choosing and writing is not counted",
+		Description: "a task of an earlier incarnation that turned up between choosing and writing is not counted",
 		inject:      func(m *stateMachines) { m.skipSpreadRecheck = true },
 	},
 	{
 		Name: "keeps-line", Property: "no-repeat", Effect: forkhead.Unsafe, Faults: 1,
-		Description: "a host keeps offers in line whose connection ended, and says that it never saw them",
+		Description: "a host keeps offers queued whose connection ended, and reports that it never saw them",
 		inject: func(m *stateMachines) {
 			m.keepQueueOnBreak = true
 			m.hostTransition = func(s hostsession.State, in hostsession.Input) (hostsession.State, hostsession.Reply) {
@@ -119,7 +120,7 @@
 	},
 	{
 		Name: "adopt-beside", Property: "no-leak", Effect: forkhead.Safe, Faults: 1,
-		Description: "a stray is adopted while another attempt is out, which is not called off",
+		Description: "an orphan is adopted while another attempt is in flight, which is not withdrawn",
 		inject: func(m *stateMachines) {
 			m.shouldAdopt = func(wanted, _ bool) bool { return wanted }
 			m.skipWithdrawal = true
@@ -134,12 +135,12 @@
 	},
 	{
 		Name: "ask-for-good", Property: "liveness", Effect: forkhead.Safe, Faults: 1,
-		Description: "an owner asks again for good",
+		Description: "an owner requests again forever",
 		inject:      func(m *stateMachines) { m.retryForever = true },
 	},
 	{
 		Name: "died-ignored", Property: "no-leak", Effect: forkhead.Unsafe, Faults: 1,
-		Description: "the end of a host's life settles nothing",
+		Description: "the end of a host's incarnation settles nothing",
 		inject:      replaceTransition(attempt.Unknown, attempt.HostRestarted, attempt.Unknown, attempt.NoEffect),
 	},
 }
@@ -154,11 +155,12 @@
 	return nil, false
 }
 
+// mayAlwaysRequest replaces attempt.Rules.MayRequest: it allows every request.
 func mayAlwaysRequest(*attempt.Rules, time.Duration, int, time.Duration) (time.Duration, bool) {
 	return 0, true
 }
 
-// mayOfferExcept returns mayOffer without one of its errors.
+// mayOfferExcept returns a mayOffer that ignores one of its errors.
 func mayOfferExcept(ignored error) func(*attempt.Request, time.Duration, attempt.HostID) error {
 	return func(r *attempt.Request, now time.Duration, to attempt.HostID) error {
 		if err := mayOffer(r, now, to); !errors.Is(err, ignored) {
@@ -168,7 +170,7 @@
 	}
 }
 
-// replaceTransition injects another result of one input in one phase of an attempt.
+// replaceTransition returns an injection of another result for one input in one phase of an attempt.
 func replaceTransition(
 	phase attempt.Phase, input attempt.Input, next attempt.Phase, effect attempt.Effect,
 ) func(*stateMachines) {
--- a/internal/verify/modelcheck/modelcheck_test.go
+++ b/internal/verify/modelcheck/modelcheck_test.go
@@ -13,8 +13,8 @@
 	return Config{Tasks: 1, Hosts: 2, Effect: effect, Requests: 2, Attempts: 2, Faults: 1}
 }
 
-// smallestConfigFor returns the smallest search that shows a bug.
-func smallestConfigFor(bug *InjectedBug) Config {
+// configForBug returns the configuration of a small search that finds the injected bug.
+func configForBug(bug *InjectedBug) Config {
 	cfg := smallConfig(bug.Effect)
 	cfg.InjectedBug, cfg.Faults, cfg.SpreadLimit = bug.Name, bug.Faults, bug.SpreadLimit
 	if bug.Faults > 1 {
@@ -29,8 +29,8 @@
 	return cfg
 }
 
-// No fair run has a cycle: with the states in which nothing fair is left, that is liveness.
-func TestRunFindsNoFairCycle(t *testing.T) {
+// Fair steps form no cycle. Together with the check of the states without a fair step this shows liveness.
+func TestRunWithoutBugFindsNoFairCycle(t *testing.T) {
 	for _, effect := range []forkhead.Effect{forkhead.Safe, forkhead.Keyed, forkhead.Unsafe} {
 		cfg := smallConfig(effect)
 		cfg.Hosts, cfg.FindCycles = 1, true
@@ -39,59 +39,62 @@
 		}
 		r, err := Run(cfg)
 		if err != nil || !r.Complete {
-			t.Fatalf("effect %d: %+v, %v", effect, r, err)
+			t.Fatalf("effect %d: Run(%+v) = %+v, %v, want a complete search without an error", effect, cfg, r, err)
 		}
 	}
 }
 
-// Without an injected bug every state is reached and no property is broken.
-func TestRunFindsNoViolation(t *testing.T) {
+// Without an injected bug, a search reaches all states and finds no violation.
+func TestRunWithoutBugFindsNoViolation(t *testing.T) {
 	for _, effect := range []forkhead.Effect{forkhead.Safe, forkhead.Keyed, forkhead.Unsafe} {
 		r, err := Run(smallConfig(effect))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("effect %d: Run() error = %v, want nil", effect, err)
 		}
 		for _, v := range r.Violations {
-			t.Errorf("effect %d: %s: %s\n  %s", effect, v.Property, v.Message, strings.Join(v.Trace, "\n  "))
+			t.Errorf("effect %d: got a violation of %s, want none: %s\n  %s", effect, v.Property, v.Message, strings.Join(v.Trace, "\n  "))
 		}
 		if !r.Complete || r.States < 1000 || r.EndStates == 0 {
-			t.Errorf("effect %d: %d states, %d ends, complete %v", effect, r.States, r.EndStates, r.Complete)
+			t.Errorf("effect %d: got %d states, %d end states, complete %v, want at least 1000, at least 1, true",
+				effect, r.States, r.EndStates, r.Complete)
 		}
-		t.Logf("effect %d: %d states, depth %d, %v, %.0f states/s", effect, r.States, r.Depth, r.Duration, float64(r.States)/r.Duration.Seconds())
+		t.Logf("effect %d: %d states, depth %d, %v, %.0f states/s",
+			effect, r.States, r.Depth, r.Duration, float64(r.States)/r.Duration.Seconds())
 	}
 }
 
-// The spread limit holds over a crash of the placer: two tasks of a service, of which a host may have one.
-func TestRunKeepsSpreadLimit(t *testing.T) {
+// No property is violated, even after a crash of the placer, where a host may have one of two tasks of a service.
+func TestRunWithSpreadLimitFindsNoViolation(t *testing.T) {
 	for _, effect := range []forkhead.Effect{forkhead.Safe, forkhead.Unsafe} {
 		r, err := Run(Config{Tasks: 2, Hosts: 1, Effect: effect, Requests: 1, Attempts: 1, Faults: 1, SpreadLimit: 1})
 		if err != nil || !r.Complete || len(r.Violations) > 0 {
-			t.Errorf("effect %d: %+v, %v", effect, r, err)
+			t.Errorf("effect %d: got result %+v and error %v, want a complete search without a violation or an error", effect, r, err)
 		}
 		t.Logf("effect %d: %d states", effect, r.States)
 	}
 }
 
-// Each injected bug is found, as the property that it breaks.
-func TestRunFindsInjectedBugs(t *testing.T) {
+// A search finds each injected bug as a violation of the property that the bug is declared with.
+func TestRunFindsEachInjectedBugAsItsProperty(t *testing.T) {
 	for _, bug := range InjectedBugs {
-		cfg := smallestConfigFor(&bug)
+		cfg := configForBug(&bug)
 		r, err := Run(cfg)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("bug %s: Run() error = %v, want nil", bug.Name, err)
 		}
 		if len(r.Violations) == 0 {
-			t.Errorf("%s: not found in %d states", bug.Name, r.States)
+			t.Errorf("bug %s: got no violation in %d states, want one of %s", bug.Name, r.States, bug.Property)
 			continue
 		}
 		if v := r.Violations[0]; v.Property != bug.Property {
-			t.Errorf("%s: found as %s (%s), want %s\n  %s", bug.Name, v.Property, v.Message, bug.Property, strings.Join(v.Trace, "\n  "))
+			t.Errorf("bug %s: got a violation of %s (%s), want one of %s\n  %s",
+				bug.Name, v.Property, v.Message, bug.Property, strings.Join(v.Trace, "\n  "))
 		}
 	}
 }
 
-// The page lists what is searched for as the code names it.
-func TestPropertiesOnPage(t *testing.T) {
+// docs/design/attempts.md has each property with its text and each injected bug by its name.
+func TestPropertiesAndInjectedBugsAreOnPage(t *testing.T) {
 	for _, p := range Properties {
 		doccheck.Contains(t, "docs/design/attempts.md", "| "+p.Name+" | "+p.Text+" |")
 	}
@@ -100,8 +103,8 @@
 	}
 }
 
-// A state is its bytes: two tasks, or two hosts, that change places are one state.
-func TestStateCanonical(t *testing.T) {
+// A state and all states that differ from it only in the order of tasks and hosts have one canonical state.
+func TestStateCanonicalIgnoresOrderOfTasksAndHosts(t *testing.T) {
 	cfg := Config{Tasks: 3, Hosts: 2, Requests: 1, Attempts: 2, Faults: 1}
 	m := model{stateMachines: productionStateMachines(), cfg: cfg}
 	s := initialState(&cfg)
@@ -122,7 +125,7 @@
 			for _, tp := range permutations[3] {
 				c := s.permuted(tp, hp)
 				if got := c.canonical(3, 2); got != want {
-					t.Fatalf("step %d: tasks %v and hosts %v change the canonical state", i, tp, hp)
+					t.Fatalf("step %d: permuted(%v, %v).canonical() = %+v, want %+v", i, tp, hp, got, want)
 				}
 			}
 		}
@@ -142,31 +145,32 @@
 	b.ReportMetric(float64(states)/b.Elapsed().Seconds(), "states/s")
 }
 
-// The traces of injected bugs, replayed through the placer's real core, which does not have them:
-// the step that broke a property is vetoed, or leads to nothing that should not be.
-func TestReplayInjectedBugTraces(t *testing.T) {
+// Traces of injected bugs are replayed through the placer's real core, which does not have the bugs. The core either
+// vetoes the step that violated a property, or the step does no harm: no unsafe task is placed twice.
+func TestReplayOfInjectedBugTracesPlacesNoUnsafeTaskTwice(t *testing.T) {
 	for _, bug := range InjectedBugs {
-		cfg := smallestConfigFor(&bug)
+		cfg := configForBug(&bug)
 		r, err := Run(cfg)
 		if err != nil || len(r.Violations) == 0 {
-			t.Fatalf("%s: %v, %v", bug.Name, r, err)
+			t.Fatalf("bug %s: got result %+v and error %v, want a violation", bug.Name, r, err)
 		}
 		out, err := Replay(&Trace{Config: cfg, Violation: r.Violations[0]})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("bug %s: Replay() error = %v, want nil", bug.Name, err)
 		}
 		if out.BoundTwice && bug.Effect == forkhead.Unsafe {
-			t.Errorf("%s: the real core lets an unsafe task be placed twice: %+v", bug.Name, out)
+			t.Errorf("bug %s: got BoundTwice for an unsafe task, want each task bound at most once: %+v", bug.Name, out)
 		}
-		t.Logf("%s: %d vetoes, %d offers, %d starts, parted %q", bug.Name, out.Vetoes, out.Offers, out.Starts, out.Divergence)
+		t.Logf("bug %s: %d vetoes, %d offers, %d starts, divergence %q", bug.Name, out.Vetoes, out.Offers, out.Starts, out.Divergence)
 		if bug.Name == "double-send" && out.Vetoes != 1 {
-			t.Errorf("%d vetoes of an offer beside one that is out", out.Vetoes)
+			t.Errorf("bug %s: got %d vetoes of an offer while another is in flight, want 1", bug.Name, out.Vetoes)
 		}
 	}
 }
 
-// A run without a bug, replayed through the core, ends as the search says: placed, once.
-func TestReplayFollowsTrace(t *testing.T) {
+// The real core follows a trace without a bug, in which the connection breaks before the host reports the task as
+// running: the task is placed once.
+func TestReplayWithoutBugFollowsTrace(t *testing.T) {
 	cfg := Config{Tasks: 1, Hosts: 2, Effect: forkhead.Unsafe, Requests: 2, Attempts: 2, Faults: 1}
 	out, err := Replay(&Trace{Config: cfg, Violation: Violation{Trace: []string{
 		"task 0 is asked for", "module offers task 0 to host 0", "host 0 reads Offer", "host 0 accepts task 0",
@@ -174,15 +178,15 @@
 		"host 0 sees its connection end", "placer connects to host 0", "host 0 reads Hello", "placer reads Welcome of host 0",
 	}}})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Replay() error = %v, want nil", err)
 	}
 	if out.Divergence != "" || out.Vetoes != 0 || out.Offers != 1 || out.Starts != 1 || out.BoundTwice {
-		t.Fatalf("%+v", out)
+		t.Fatalf("Replay() = %+v, want no divergence, 0 vetoes, 1 offer, 1 start, and no task bound twice", out)
 	}
 }
 
-// Every line that a trace may have is known to the replay, as one action; and the replay knows no other.
-func TestReplayActionsMatchActions(t *testing.T) {
+// Each line that a trace may have matches exactly one of replayActions, and each of replayActions matches a line.
+func TestReplayActionsMatchEachLineOnce(t *testing.T) {
 	r := &replayer{hosts: []*replayHost{newReplayHost(0), newReplayHost(1)}}
 	used := map[string]bool{}
 	for name := range allActionNames() {
@@ -194,12 +198,12 @@
 			}
 		}
 		if len(patterns) != 1 {
-			t.Errorf("%q is of the patterns %q, want one", name, patterns)
+			t.Errorf("line %q: got matching patterns %q, want exactly one", name, patterns)
 		}
 	}
 	for _, known := range replayActions {
 		if !used[known.pattern] {
-			t.Errorf("no action is of the pattern %q", known.pattern)
+			t.Errorf("pattern %q: got no matching line, want at least one", known.pattern)
 		}
 	}
 }
--- a/internal/verify/modelcheck/properties.go
+++ b/internal/verify/modelcheck/properties.go
@@ -8,22 +8,23 @@
 	"forkhead/internal/scheduler/hostsession"
 )
 
-// Properties are what a search checks: the name of each, and what it says.
+// Properties are the properties that a search checks, each with its name and a description. docs/design/attempts.md
+// lists them; stored traces contain the names.
 var Properties = []struct{ Name, Text string }{
-	{"one-outcome", "A task is told one outcome in one life of its placer."},
-	{"liveness", "Where nothing fair is left to happen, every task has been told its outcome; and fair steps never lead round in a circle, so a fair run comes there."},
-	{"one-out", "No offer is written while another of the same ask is waiting or unanswered."},
-	{"no-repeat", "No offer of an unsafe task, or of a keyed one after its window, is written while an earlier attempt of any ask or life may run or have run, unless the placer knows that it is over and the ask is a new one; and no unsafe task starts while another start of it runs."},
-	{"drain", "No offer is written to a host after the grace of a drain that the placer was told of."},
-	{"spread", "Where the search has a spread, no offer is written to a host that has as many of the service's tasks, waiting, out, placed or silent, as it may."},
-	{"after-outcome", "No offer is written for a task that was told refused or failed."},
-	{"promise", "No unsafe task is told refused while an attempt that the placer does not know the fate of may run."},
-	{"no-leak", "Where nothing fair is left to happen, every attempt is settled or placed, every task that a host holds is some owner's placed one, and every placed one is held."},
-	{"absurd", "No host that follows its machine says what the placer's machine calls absurd."},
+	{"one-outcome", "In one incarnation of the placer, the owner of a task is notified of one outcome."},
+	{"liveness", "In a state without a fair step, the owner of every task has been notified of an outcome; and fair steps form no cycle, so a fair run reaches such a state."},
+	{"one-out", "No offer is written while another offer of the same placement request is waiting or unanswered."},
+	{"no-repeat", "No offer of an unsafe task, or of a keyed task after its deduplication window, is written while an earlier attempt of any placement request or incarnation of the placer may run or may have run, unless the placer knows that the attempt has finished and the offer is of a new placement request; and no unsafe task starts while another start of it runs."},
+	{"drain", "No offer is written to a host after the grace of a drain that the placer was notified of."},
+	{"spread", "With a spread limit, no offer is written to a host that has as many attempts of the service, waiting, in flight, placed or unreachable, as the limit allows."},
+	{"after-outcome", "No offer is written for a task whose owner was notified that it was rejected or that it failed."},
+	{"promise", "The owner of an unsafe task is not notified of a rejection while an attempt of which the placer does not know the outcome may run."},
+	{"no-leak", "In a state without a fair step, every attempt is settled or placed, every task that a host holds is the placed task of an owner, and every placed task is held by its host."},
+	{"absurd", "No host that follows its state machine sends a message that is a protocol violation to the placer's state machine."},
 }
 
-// mayRun reports whether an attempt may have started its task, or may yet, whatever the placer knows of it: it looks at
-// what really is at the host and in transit.
+// mayRun reports whether an attempt may have started its task or may still start it. It looks at the state of the host
+// and the messages in transit, not at what the placer knows.
 func (st *step) mayRun(ti, ai int) bool {
 	a := &st.s.tasks[ti].attempts[ai]
 	h := &st.s.hosts[a.host]
@@ -34,7 +35,8 @@
 	case hostsession.Queued, hostsession.Starting, hostsession.Running:
 		return true
 	case hostsession.Ended:
-		// What ended in an earlier incarnation of the placer is its client's to judge, by the terms.
+		// By the terms of the service, an attempt that ended in an earlier incarnation of the placer is for the client to
+		// judge.
 		return a.isKnown(st.s.incarnation)
 	}
 	for i := range h.streams {
@@ -58,18 +60,18 @@
 	return false
 }
 
-// checkOffer checks an offer that is being written.
+// checkOffer checks an offer that is written in this step.
 func (st *step) checkOffer(ti, ai int) {
 	t := &st.s.tasks[ti]
 	hi := int(t.attempts[ai].host)
 	if st.s.hosts[hi].drainView == drainGraceOver {
-		st.violate("drain", "an offer to a host after the grace of its drain")
+		st.violate("drain", "an offer is written to a host after the grace of its drain")
 	}
 	if st.atSpreadLimit(hi, ti, ai) {
-		st.violate("spread", "an offer to a host that has as many of its service as it may")
+		st.violate("spread", "an offer is written to a host that is at its spread limit")
 	}
 	if t.outcome == outcomeRejected || t.outcome == outcomeFailed {
-		st.violate("after-outcome", "an offer of a task that was told its outcome")
+		st.violate("after-outcome", "an offer is written for a task whose owner was notified of a rejection or a failure")
 	}
 	for other := range t.attemptsMade() {
 		if other != ai {
@@ -83,6 +85,7 @@
 func (st *step) checkOneInFlight(t *task, ai, other int) {
 	o := &t.attempts[other]
 	if o.isKnown(st.s.incarnation) && o.request == t.attempts[ai].request && o.phase.IsInFlight() {
+		// Stored traces and internal/cli/testdata contain this text. An ask is a placement request; out means in flight.
 		st.violate("one-out", "an offer while another of the same ask is out")
 	}
 }
@@ -94,14 +97,14 @@
 	case st.rules.Effect == forkhead.Safe:
 		return
 	case st.rules.Effect == forkhead.Keyed && !t.windowExpired:
-		return // hosts drop the repeat
+		return // hosts drop the repeated start by its key
 	case !st.mayRun(ti, other):
 		return
 	}
 	o := &t.attempts[other]
 	knownFinished := o.isKnown(st.s.incarnation) && o.phase == attempt.Finished
 	if !knownFinished || o.request == t.attempts[ai].request {
-		st.violate("no-repeat", "an offer while attempt %d, which the placer has as %v, may run or have run", other, o.phaseName())
+		st.violate("no-repeat", "an offer is written while attempt %d, which the placer has as %v, may run or may have run", other, o.phaseName())
 	}
 }
 
@@ -112,7 +115,7 @@
 	return a.phase.String()
 }
 
-// checkStart checks that an attempt starts while no other of its task runs, where the task is unsafe.
+// checkStart checks, for an unsafe task, that no other attempt of it runs when an attempt starts.
 func (st *step) checkStart(ti, ai int) {
 	if st.rules.Effect != forkhead.Unsafe {
 		return
@@ -130,7 +133,8 @@
 	return h.up && h.attempts[ti][ai].HoldsCapacity()
 }
 
-// checkRejection checks the rejection of a task, which means that a further request is harmless.
+// checkRejection checks that a task's owner may be notified of a rejection, which states that a further request is
+// harmless.
 func (st *step) checkRejection(ti int) {
 	if st.rules.RetryIsHarmless() {
 		return
@@ -139,17 +143,17 @@
 	for ai := range t.attemptsMade() {
 		a := &t.attempts[ai]
 		if a.isKnown(st.s.incarnation) && a.phase == attempt.Unknown && st.mayRun(ti, ai) {
-			st.violate("promise", "a task is told refused while attempt %d may run", ai)
+			st.violate("promise", "the owner is notified of a rejection while attempt %d may run", ai)
 		}
 	}
 }
 
-// checkEndState checks a state without a fair step: nothing more happens there unless a fault or the module makes it. It
-// returns the property that does not hold and what breaks it, or "" and "".
+// checkEndState checks a state without a fair step, from which only a fault, a timer or the module leads on. It returns
+// the property that is violated and a description of the violation, or "" and "".
 func (m *model) checkEndState(s *state) (property, message string) {
 	for ti := range m.cfg.Tasks {
 		if s.tasks[ti].outcome == outcomeNone {
-			return "liveness", fmt.Sprintf("task %d is never told an outcome", ti)
+			return "liveness", fmt.Sprintf("the owner of task %d is never notified of an outcome", ti)
 		}
 		if message := s.findLeak(ti); message != "" {
 			return "no-leak", message
@@ -158,7 +162,7 @@
 	return "", ""
 }
 
-// findLeak returns what breaks the property no-leak for a task in a state without a fair step, or "".
+// findLeak returns a description of how a task violates the property no-leak in a state without a fair step, or "".
 func (s *state) findLeak(ti int) string {
 	t := &s.tasks[ti]
 	placements := 0
@@ -173,15 +177,15 @@
 			return fmt.Sprintf("task %d is placed twice", ti)
 		}
 		if known && !placed && !a.phase.IsSettled() {
-			return fmt.Sprintf("attempt %d of task %d stays %v for good", ai, ti, a.phase)
+			return fmt.Sprintf("attempt %d of task %d stays %v forever", ai, ti, a.phase)
 		}
 		owned := placed && t.owner == ownerPlaced
 		runs := s.holdsCapacity(ti, ai)
 		if runs && !owned {
-			return fmt.Sprintf("attempt %d of task %d runs on, and nobody has it", ai, ti)
+			return fmt.Sprintf("attempt %d of task %d runs, but is not placed for an owner", ai, ti)
 		}
 		if owned && !runs && s.hosts[a.host].up {
-			return fmt.Sprintf("attempt %d of task %d is placed, and its host does not have it", ai, ti)
+			return fmt.Sprintf("attempt %d of task %d is placed, but its host does not hold it", ai, ti)
 		}
 	}
 	return ""
