--- a/internal/verify/doccheck/doccheck.go
+++ b/internal/verify/doccheck/doccheck.go
@@ -1,4 +1,4 @@
-// Package doccheck compares the pages under docs with the code, in tests.
+// Package doccheck lets tests compare the pages under docs with the code.
 package doccheck
 
 import (
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Contains fails the test unless a page contains each of the texts. The page is named by its path from the repository's
-// root, with slashes.
+// Contains fails the test unless a page contains each of the texts. The page is given by its slash-separated path
+// from the repository's root.
 func Contains(t testing.TB, page string, texts ...string) {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join(repositoryRoot(t), filepath.FromSlash(page)))
@@ -18,12 +18,12 @@
 	}
 	for _, want := range texts {
 		if !strings.Contains(string(content), want) {
-			t.Errorf("%s does not hold:\n%s", page, want)
+			t.Errorf("%s: text not found, want:\n%s", page, want)
 		}
 	}
 }
 
-// repositoryRoot is the nearest folder above the test's that has a go.mod.
+// repositoryRoot returns the nearest directory with a go.mod, from the test's working directory upwards.
 func repositoryRoot(t testing.TB) string {
 	t.Helper()
 	dir, err := os.Getwd()
@@ -36,7 +36,7 @@
 		}
 		parent := filepath.Dir(dir)
 		if parent == dir {
-			t.Fatal("no go.mod above the test's folder")
+			t.Fatal("no go.mod in the test's working directory or above it")
 		}
 		dir = parent
 	}
--- a/internal/verify/modelcheck/actions.go
+++ b/internal/verify/modelcheck/actions.go
@@ -6,23 +6,23 @@
 	"forkhead/internal/scheduler/hostconn"
 )
 
-// action is one thing that may happen in a state. A fair one happens sooner or later, unless something else makes it
-// impossible; the others are faults, timers and the module's choices.
+// action is a transition that is possible in a state. A fair action happens eventually, unless another action makes it
+// impossible. The other actions are faults, timers and choices of the module.
 type action struct {
-	name string // as in traces, which are stored; in a search that is not named, a format
+	name string // the line in stored traces; the format of the line unless model.formatNames is set
 	fair bool
 	do   func(st *step)
 }
 
-// actionList collects the actions of a state. Their order is part of a search: a state's hash is stored with the index
-// of the action that led there.
+// actionList collects the actions of a state. Their order must be the same each time, because a search stores the index
+// of the action that led to a state.
 type actionList struct {
 	model   *model
 	state   *state
 	actions []action
 }
 
-// actions lists what may happen in a state, in a fixed order. It reuses buf.
+// actions returns the actions that are possible in a state, in a fixed order. It overwrites buf.
 func (m *model) actions(s *state, buf []action) []action {
 	l := actionList{model: m, state: s, actions: buf[:0]}
 	for hi := range m.cfg.Hosts {
@@ -47,9 +47,11 @@
 	l.actions = append(l.actions, action{format, fair, do})
 }
 
+// faultAllowed reports whether another fault is within Config.Faults.
 func (l *actionList) faultAllowed() bool { return int(l.state.faults) < l.model.cfg.Faults }
 
-// addPlacerActions adds what the placer does about a host by itself.
+// addPlacerActions adds the placer's own actions for a host: it connects, is notified of a drain, and the drain's grace
+// ends.
 func (l *actionList) addPlacerActions(hi int) {
 	h := &l.state.hosts[hi]
 	if h.connState == hostconn.Down && h.up && h.streams[1].conn == 0 {
@@ -63,7 +65,8 @@
 	}
 }
 
-// crashPlacer ends the placer's incarnation: all of its memory is lost, owners request again, and hosts go on.
+// crashPlacer ends the placer's incarnation. Its whole state is lost, owners request their tasks again, and hosts
+// continue.
 func (st *step) crashPlacer() {
 	s := st.s
 	s.incarnation++
--- a/internal/verify/modelcheck/actions_host.go
+++ b/internal/verify/modelcheck/actions_host.go
@@ -2,7 +2,7 @@
 
 import "forkhead/internal/scheduler/hostsession"
 
-// addHostActions adds what a host does by itself: it restarts, handles its attempts, crashes and drains.
+// addHostActions adds the actions of a host: it restarts, handles its attempts, crashes and drains.
 func (l *actionList) addHostActions(hi int) {
 	h := &l.state.hosts[hi]
 	if !h.up {
@@ -22,7 +22,7 @@
 	}
 }
 
-// addHostAttemptActions adds what a host does with an attempt.
+// addHostAttemptActions adds the actions of a host on one attempt.
 func (l *actionList) addHostAttemptActions(hi, ti, ai int) {
 	h := &l.state.hosts[hi]
 	switch h.attempts[ti][ai] {
@@ -47,7 +47,7 @@
 	l.add(fair, func(st *step) { st.applyHostInput(hi, ti, ai, in) }, format, args...)
 }
 
-// holdsOther reports whether another attempt of a task holds capacity at the host.
+// holdsOther reports whether an attempt of the task other than ai holds capacity at the host.
 func (h *host) holdsOther(ti, ai int) bool {
 	for other := range maxAttempts {
 		if other != ai && h.attempts[ti][other].HoldsCapacity() {
@@ -57,11 +57,13 @@
 	return false
 }
 
+// restart brings a crashed host up in a new epoch.
 func (h *host) restart() {
 	h.up = true
 	h.epoch++
 }
 
+// crashHost crashes a host: its attempts and its session are lost, and its ends of the connections are closed.
 func (st *step) crashHost(hi int) {
 	h := &st.s.hosts[hi]
 	h.up, h.sessionOpen, h.draining = false, false, false
--- a/internal/verify/modelcheck/actions_network.go
+++ b/internal/verify/modelcheck/actions_network.go
@@ -2,7 +2,8 @@
 
 import "forkhead/internal/scheduler/hostconn"
 
-// addNetworkActions adds what may happen to a host's connections: messages arrive, ends are seen, connections break.
+// addNetworkActions adds the actions on a host's connections: messages are delivered, the placer and the host notice
+// that a connection has ended, and connections break.
 func (l *actionList) addNetworkActions(hi int) {
 	for i := range l.state.hosts[hi].streams {
 		if l.state.hosts[hi].streams[i].conn != 0 {
@@ -24,6 +25,7 @@
 	}
 }
 
+// addCloses adds that an end which is still open notices the end of the connection.
 func (l *actionList) addCloses(hi, i int) {
 	s := &l.state.hosts[hi].streams[i]
 	if s.placerOpen && (!s.hostOpen && s.toPlacerCount == 0 || s.broken) {
@@ -48,6 +50,7 @@
 	s.discardUndeliverable()
 }
 
+// deliverToPlacer delivers the first message to the placer, which drops it unless the connection is the current one.
 func (st *step) deliverToPlacer(hi, i int) {
 	s := &st.s.hosts[hi].streams[i]
 	conn := s.conn
@@ -75,7 +78,7 @@
 	s.discardUndeliverable()
 }
 
-// breakStream loses all that is in transit; either end sees it some time later.
+// breakStream breaks a connection. All messages in transit are lost, and each end notices the break at a later step.
 func (st *step) breakStream(hi, i int) {
 	s := &st.s.hosts[hi].streams[i]
 	s.broken = true
--- a/internal/verify/modelcheck/actions_placer.go
+++ b/internal/verify/modelcheck/actions_placer.go
@@ -9,8 +9,9 @@
 	"forkhead/internal/scheduler/hostconn"
 )
 
-// addOwnerActions adds what a task's owner does: it requests the task and stops waiting, by timers that may fire at any time; and what
-// the time does to the task.
+// addOwnerActions adds the actions of a task's owner and of the task's timers. The owner requests the task and gives
+// up. The deduplication window may end at any time, and so may the time after which an unreachable attempt counts as
+// lost.
 func (l *actionList) addOwnerActions(ti int) {
 	t := &l.state.tasks[ti]
 	if t.owner == ownerWaiting {
@@ -27,13 +28,13 @@
 	}
 }
 
-// mayRequest reports whether a task's owner may request it now.
+// mayRequest reports whether a task's owner may request the task now.
 func (l *actionList) mayRequest(t *task) bool {
 	allHostsListed := true
 	for hi := range l.model.cfg.Hosts {
 		allHostsListed = allHostsListed && l.state.hosts[hi].knownEpoch > 0
 	}
-	// How long an owner waits for hosts that stay down is a matter of the rules, and outside this search: it waits for all.
+	// The time that an owner waits for hosts that stay down is not modeled: the owner waits for all hosts.
 	const waited = false
 	m := l.model
 	st := step{model: m, s: l.state}
@@ -41,7 +42,7 @@
 	return int(t.requests) < m.cfg.Requests && allowed && !m.stateMachines.mustWaitForHosts(&m.rules, allHostsListed, waited)
 }
 
-// addExpiries adds that unreachable attempts of a task count as lost.
+// addExpiries adds, for each unreachable attempt of a task, the expiry by which it counts as lost.
 func (l *actionList) addExpiries(ti int) {
 	t := &l.state.tasks[ti]
 	for ai := range t.attemptsMade() {
@@ -51,6 +52,7 @@
 	}
 }
 
+// openRequest opens a placement request. With the injected bug retryForever, only a task's first request is counted.
 func (st *step) openRequest(ti int) {
 	t := &st.s.tasks[ti]
 	t.owner = ownerRequested
@@ -59,7 +61,7 @@
 	}
 }
 
-// giveUp ends what an owner wants of a task, and notifies it unless it has an outcome.
+// giveUp makes an owner stop waiting for a task, and notifies the owner unless the task has an outcome.
 func (st *step) giveUp(ti int) {
 	t := &st.s.tasks[ti]
 	t.owner = ownerDone
@@ -74,7 +76,7 @@
 	st.notifyOwner(t, outcomeRejected)
 }
 
-// addModuleActions adds everything that the module may do about a task.
+// addModuleActions adds every legal action of the module on a task.
 func (l *actionList) addModuleActions(ti int) {
 	t := &l.state.tasks[ti]
 	if t.owner != ownerRequested {
@@ -91,7 +93,7 @@
 	}
 }
 
-// addOffers adds the offers of a task that are legal.
+// addOffers adds the legal offers of a task.
 func (l *actionList) addOffers(ti int, r *attempt.Request) {
 	t := &l.state.tasks[ti]
 	if int(t.attemptCount) >= l.model.cfg.Attempts {
@@ -101,7 +103,7 @@
 	for hi := range l.model.cfg.Hosts {
 		h := &l.state.hosts[hi]
 		switch {
-		case h.connState == hostconn.Down: // the attempt would be over before it began
+		case h.connState == hostconn.Down: // the attempt would end at once
 		case st.drainGraceExpired(h):
 		case l.model.stateMachines.mayOffer(r, t.now(), attempt.HostID(hi)) != nil:
 		case st.atSpreadLimit(hi, noAttempt, noAttempt):
@@ -111,8 +113,8 @@
 	}
 }
 
-// addAnswer adds the rejection or the failure of a request, if it would be legal once what is in flight is withdrawn. It
-// is fair: the request's deadline may come at any time.
+// addAnswer adds the rejection or the failure of a request, if it is legal after the attempts in flight are withdrawn.
+// It is a fair action, because the request's deadline may be reached at any time.
 func (l *actionList) addAnswer(ti int, r *attempt.Request, reject bool, format string) {
 	withdrawn := *r
 	withdrawn.Attempts = slices.Clone(r.Attempts)
--- a/internal/verify/modelcheck/canonical.go
+++ b/internal/verify/modelcheck/canonical.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// permutations of no, one, two and three things.
+// permutations lists the permutations of 0, 1, 2 and 3 elements.
 var permutations = [][][]int{
 	{{}},
 	{{0}},
@@ -10,8 +10,8 @@
 	{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}},
 }
 
-// canonical returns the least of all states that differ only in which task or host is which: tasks are of one class and
-// hosts alike, so what holds of one of these states holds of all.
+// canonical returns the least of all states that differ from the state only in the order of tasks and hosts. All tasks
+// are of one class and all hosts are alike, so a property holds in either all or none of these states.
 func (s *state) canonical(tasks, hosts int) state {
 	best := *s
 	for _, hostOrder := range permutations[hosts] {
@@ -25,7 +25,7 @@
 	return best
 }
 
-// permuted moves task i to taskOrder[i] and host i to hostOrder[i].
+// permuted returns the state with task i moved to taskOrder[i] and host i to hostOrder[i].
 func (s *state) permuted(taskOrder, hostOrder []int) state {
 	c := *s
 	for from, to := range taskOrder {
--- a/internal/verify/modelcheck/config.go
+++ b/internal/verify/modelcheck/config.go
@@ -9,33 +9,33 @@
 	"forkhead"
 )
 
-// Config bounds a search. It is stored with a violation's trace: the names in its tags are those of traces that exist.
+// Config bounds a search. It is stored with a violation's trace, so its JSON names stay those of existing traces.
 type Config struct {
 	Tasks, Hosts int             // at least 1; at most maxTasks and maxHosts
-	Effect       forkhead.Effect // of a repeated start of a task
-	Requests     int             `json:"Asks"` // most placement requests of a task in one incarnation of the placer
-	Attempts     int             // most attempts of a task in all requests and incarnations; 1 to maxAttempts
-	Faults       int             // most faults in all: connections broken, hosts that crash or drain, crashes of the placer
+	Effect       forkhead.Effect // effect of a repeated start of a task
+	Requests     int             `json:"Asks"` // maximum of placement requests of a task in one incarnation of the placer
+	Attempts     int             // maximum of attempts of a task over all requests and incarnations; 1 to maxAttempts
+	Faults       int             // maximum of faults: broken connections, crashes and drains of hosts, crashes of the placer
 	NoCrash      bool            // the placer does not crash
 	TasksEnd     bool            `json:"Ends"`   // tasks may end by themselves
-	FindCycles   bool            `json:"Cycles"` // also search for cycles of fair steps; takes 16 bytes more a step
-	SpreadLimit  int             `json:"Spread"` // all tasks are of one service, of which a host may have so many; 0: no limit
-	InjectedBug  string          `json:"Plant"`  // name of one of InjectedBugs; "": none
-	Workers      int             // goroutines; 0: one a processor
-	MaxStates    int             `json:"MostStates"` // the search stops after so many; 0: defaultMaxStates
+	FindCycles   bool            `json:"Cycles"` // also search for cycles of fair steps, which takes 16 bytes more for each fair step
+	SpreadLimit  int             `json:"Spread"` // maximum of tasks on one host, with all tasks of one service; 0: no limit
+	InjectedBug  string          `json:"Plant"`  // name of one of InjectedBugs; "": no bug
+	Workers      int             // number of goroutines; 0: GOMAXPROCS
+	MaxStates    int             `json:"MostStates"` // the search stops after the level that exceeds it; 0: defaultMaxStates
 
-	// Progress, unless it is nil, is called after each level of the search.
+	// Progress is called after each level of the search, unless it is nil.
 	Progress func(states, depth int) `json:"-"`
 }
 
-// Violation is a property that does not hold, with a shortest trace to where it breaks.
+// Violation is a violated property with a shortest trace that leads to the violation.
 type Violation struct {
 	Property string   `json:"property"`
 	Message  string   `json:"why"`
 	Trace    []string `json:"trace"`
 }
 
-// Trace is a violation with the search that found it, as it is stored in a file.
+// Trace is the file format of a violation, with the configuration of the search that found it.
 type Trace struct {
 	Config    Config
 	Violation Violation
@@ -46,20 +46,21 @@
 	States      int           `json:"states"`
 	Steps       int           `json:"steps"` // transitions between states
 	EndStates   int           `json:"ends"`  // states without a fair step
-	Depth       int           `json:"depth"` // of the search: steps from the first state to the farthest
+	Depth       int           `json:"depth"` // number of steps from the initial state to the farthest state found
 	Complete    bool          `json:"complete"`
 	Violations  []Violation   `json:"violations"`
 	Duration    time.Duration `json:"took"`
-	MemoryBytes uint64        `json:"bytes"` // obtained from the operating system by the end
+	MemoryBytes uint64        `json:"bytes"` // obtained from the operating system until the end of the search
 }
 
-// defaultMaxStates bounds a search whose Config does not; so many take about 8 GiB.
+// defaultMaxStates is used where Config.MaxStates is 0. That many states take about 8 GiB of memory.
 const defaultMaxStates = 100_000_000
 
-// withDefaults returns the configuration with the defaults of what is not set, or an error.
+// withDefaults returns the configuration with defaults in place of unset fields, or an error if a bound is out of
+// range.
 func (c Config) withDefaults() (Config, error) {
 	if c.Tasks < 1 || c.Tasks > maxTasks || c.Hosts < 1 || c.Hosts > maxHosts || c.Attempts < 1 || c.Attempts > maxAttempts {
-		return c, fmt.Errorf("%d tasks, %d hosts and %d attempts: want 1 to %d, 1 to %d and 1 to %d",
+		return c, fmt.Errorf("the search has %d tasks, %d hosts and %d attempts, want 1 to %d, 1 to %d and 1 to %d",
 			c.Tasks, c.Hosts, c.Attempts, maxTasks, maxHosts, maxAttempts)
 	}
 	c.Workers = cmp.Or(c.Workers, runtime.GOMAXPROCS(0))
--- a/internal/verify/modelcheck/cycle.go
+++ b/internal/verify/modelcheck/cycle.go
@@ -3,9 +3,9 @@
 // fairStep is a fair step between two states, by their hashes.
 type fairStep struct{ from, to uint64 }
 
-// findCycle returns the least hash of the states that lie on a cycle of fair steps or behind one, if there is any. It
-// removes states as long as no step from one that is left leads to them (Kahn's topological sort): the rest cannot be
-// sorted.
+// findCycle returns the least hash of the states that are on a cycle of fair steps, or are reachable from one and have
+// a fair step, if there are any. It repeatedly removes states that no step from a remaining state leads to (Kahn's
+// topological sort); the states that remain are those that cannot be sorted.
 func findCycle(parts [][]fairStep) (hash uint64, found bool) {
 	incoming := map[uint64]int32{}
 	next := map[uint64][]uint64{}
--- a/internal/verify/modelcheck/doc.go
+++ b/internal/verify/modelcheck/doc.go
@@ -1,9 +1,11 @@
-// Package modelcheck searches all states of a small service: the state machines that placers and hosts run on (packages
-// attempt, hostconn and hostsession, and invariant's rule for drains), composed with a network that loses, delays and cuts,
-// hosts that crash and restart, a placer that crashes, drains, and timers that may fire at any time. In place of the module,
-// every legal action is taken at any moment.
+// Package modelcheck searches all reachable states of a small system. It composes the state machines that placers and
+// hosts run on (packages attempt, hostconn and hostsession, and the drain rule of package invariant) with a network
+// that loses and delays messages and breaks connections, with hosts that crash, restart and drain, with a placer that
+// crashes, and with timers that may fire at any time. The module is replaced by a choice of every legal action at any
+// time.
 //
-// A state (state.go) is a few hundred bytes. Which actions are possible in it is in actions*.go, what they do at the placer
-// in placer.go and at a host in host.go. The search (search.go) tries all of them, breadth first, and checks properties.go.
-// A trace that breaks a property can be replayed through the placer's real core (replay.go).
+// A state (state.go) is a few hundred bytes. actions*.go lists the actions that are possible in a state; placer.go and
+// host.go define their effects at the placer and at a host. The search (search.go) takes all actions, breadth first,
+// and checks the properties of properties.go. A trace that violates a property can be replayed through the placer's
+// real core (replay.go).
 package modelcheck
--- a/internal/verify/modelcheck/host.go
+++ b/internal/verify/modelcheck/host.go
@@ -4,10 +4,10 @@
 	"forkhead/internal/scheduler/hostsession"
 )
 
-// This file has what a host does with its state machines.
+// This file defines how a host uses its state machines.
 
-// replyMessages are the messages that a host sends for the replies of its state machine. Accepted is not sent: where bound
-// means running it has no effect at the placer.
+// replyMessages maps the replies of a host's state machine to messages. Accepted is not sent: it has no effect at the
+// placer where a task counts as bound only when it runs.
 var replyMessages = [...]messageKind{
 	hostsession.SendRejected: rejectedMessage,
 	hostsession.SendRunning:  runningMessage,
@@ -15,7 +15,7 @@
 	hostsession.SendCanceled: canceledMessage,
 }
 
-// applyHostInput gives an attempt at a host an input and sends the reply.
+// applyHostInput applies an input to an attempt at a host and sends the reply.
 func (st *step) applyHostInput(hi, ti, ai int, in hostsession.Input) {
 	h := &st.s.hosts[hi]
 	var reply hostsession.Reply
@@ -32,7 +32,7 @@
 	}
 }
 
-// endSession ends the session at a host: what is queued there is dropped.
+// endSession ends the session at a host, which drops its queued offers.
 func (st *step) endSession(h *host) {
 	h.sessionOpen = false
 	if st.stateMachines.keepQueueOnBreak {
@@ -45,7 +45,7 @@
 	}
 }
 
-// receiveAtHost handles a message of a placer that a host reads from a stream.
+// receiveAtHost handles a placer's message that a host reads from a stream.
 func (st *step) receiveAtHost(hi int, s *stream, m message) {
 	if m.kind == helloMessage {
 		st.receiveHello(&st.s.hosts[hi], s)
@@ -64,7 +64,8 @@
 	}
 }
 
-// receiveHello begins a session on a stream, in place of an earlier one, and sends Welcome; or it closes a stale stream.
+// receiveHello starts a session on a stream, in place of an earlier session, and sends Welcome; or closes a stale
+// stream.
 func (st *step) receiveHello(h *host, s *stream) {
 	last := hostsession.Session{
 		Epoch: uint64(h.sessionIncarnation), Conn: uint32(h.sessionConn), Connected: h.sessionOpen,
--- a/internal/verify/modelcheck/placer.go
+++ b/internal/verify/modelcheck/placer.go
@@ -8,9 +8,9 @@
 	"forkhead/internal/scheduler/hostconn"
 )
 
-// This file has what the placer's core does with its state machines.
+// This file defines how the placer's core uses its state machines.
 
-// applyInput gives an attempt an input and does what the core does for the effect.
+// applyInput applies an input to an attempt and executes the effect as the core does.
 func (st *step) applyInput(ti, ai int, in attempt.Input) {
 	t := &st.s.tasks[ti]
 	a := &t.attempts[ai]
@@ -37,11 +37,11 @@
 			st.sendToHost(&st.s.hosts[a.host], newMessage(stopMessage, ti, ai))
 		}
 	case attempt.ProtocolViolation:
-		st.violate("absurd", "%v of an attempt that is %v", in, before)
+		st.violate("absurd", "input %v of an attempt in phase %v is a protocol violation", in, before)
 	}
 }
 
-// sendWithdraw withdraws an offer that was written on the host's present connection.
+// sendWithdraw withdraws an offer that was written on the host's current connection.
 func (st *step) sendWithdraw(ti, ai int, before attempt.Phase) {
 	a := &st.s.tasks[ti].attempts[ai]
 	h := &st.s.hosts[a.host]
@@ -50,7 +50,8 @@
 	}
 }
 
-// endPlacement ends a task's placement by the end of an attempt that was in the phase before.
+// endPlacement ends a task's placement, if it is placed, because an attempt ended that was in the phase before. The
+// owner's next state is next.
 func (t *task) endPlacement(before attempt.Phase, next ownerState) {
 	wasPlaced := before == attempt.Placed || before == attempt.Unreachable
 	if wasPlaced && t.owner == ownerPlaced {
@@ -58,7 +59,7 @@
 	}
 }
 
-// handleOrphan adopts or stops the task of an abandoned attempt that a host turns out to run.
+// handleOrphan adopts or stops the task of an abandoned attempt that a host reports to hold.
 func (st *step) handleOrphan(ti, ai int) {
 	if st.stateMachines.ignoreOrphans {
 		return
@@ -76,7 +77,7 @@
 	st.notifyOwner(t, outcomePlaced)
 }
 
-// handleInherited adopts or stops what an earlier incarnation of the placer started.
+// handleInherited adopts or stops the task of an attempt that an earlier incarnation of the placer made.
 func (st *step) handleInherited(ti, ai int) {
 	t := &st.s.tasks[ti]
 	a := &t.attempts[ai]
@@ -96,7 +97,7 @@
 	return st.stateMachines.shouldAdopt(t.isWanted(), t.owner == ownerRequested && r.HasAttemptInFlight())
 }
 
-// abandonInFlight abandons a task's attempts that are in flight and that selected returns true for.
+// abandonInFlight abandons a task's attempts that are in flight and for which selected returns true.
 func (st *step) abandonInFlight(ti int, selected func(ai int) bool) {
 	t := &st.s.tasks[ti]
 	for ai := range t.attemptsMade() {
@@ -106,13 +107,14 @@
 	}
 }
 
-// withdrawRequest abandons what is in flight of a task's present request.
+// withdrawRequest abandons the attempts of a task's current request that are in flight.
 func (st *step) withdrawRequest(ti int) {
 	t := &st.s.tasks[ti]
 	st.abandonInFlight(ti, func(ai int) bool { return t.attempts[ai].request == t.requests })
 }
 
-// offer makes an attempt at a host. It is written at once where the connection allows it, or else once it does.
+// offer makes an attempt at a host. Its offer is written at once if the host is ready, and otherwise when it becomes
+// ready.
 func (st *step) offer(ti, hi int) {
 	t := &st.s.tasks[ti]
 	ai := int(t.attemptCount)
@@ -125,7 +127,7 @@
 	}
 }
 
-// writeOffer writes an offer, if it may still be sent.
+// writeOffer writes an offer. If it may not be sent any more, the attempt ends as if the connection had been lost.
 func (st *step) writeOffer(ti, ai int) {
 	a := &st.s.tasks[ti].attempts[ai]
 	h := &st.s.hosts[a.host]
@@ -139,7 +141,8 @@
 	st.sendToHost(h, newMessage(offerMessage, ti, ai))
 }
 
-// mayWrite checks an offer again that was decided on some time ago.
+// mayWrite reports whether an offer may still be written: the drain, the request and the spread limit may have changed
+// since the module made it.
 func (st *step) mayWrite(ti, ai int) bool {
 	t := &st.s.tasks[ti]
 	hi := int(t.attempts[ai].host)
@@ -148,17 +151,18 @@
 	}
 	var buf [maxAttempts]attempt.Attempt
 	r := st.request(t, &buf)
-	number := len(r.Attempts) - 1 // the one that waits is the last
+	number := len(r.Attempts) - 1 // the waiting attempt is the last one
 	if st.stateMachines.mayWrite(&r, t.now(), number) != nil {
 		return false
 	}
 	return st.stateMachines.skipSpreadRecheck || !st.atSpreadLimit(hi, ti, ai)
 }
 
-// noAttempt as an index means that no attempt is left out.
+// noAttempt as an index means that no attempt is excluded.
 const noAttempt = -1
 
-// atSpreadLimit reports whether a host has as many of the service's tasks as it may, not counting one attempt.
+// atSpreadLimit reports whether a host has as many live attempts of the service as the spread limit allows, without the
+// excepted attempt.
 func (st *step) atSpreadLimit(hi, exceptTask, exceptAttempt int) bool {
 	if st.cfg.SpreadLimit == 0 {
 		return false
@@ -172,7 +176,7 @@
 	return n >= st.cfg.SpreadLimit
 }
 
-// drainGraceExpired reports whether the placer must not write offers to a host any more.
+// drainGraceExpired reports whether the placer may not write offers to a host any more because of its drain.
 func (st *step) drainGraceExpired(h *host) bool {
 	machineState, now := forkhead.Ready, time.Duration(0)
 	if h.drainView != drainUnknown {
@@ -194,10 +198,10 @@
 	}
 }
 
-// hostAddress of any host: addresses do not change.
+// hostAddress is the address of every host. Addresses do not change in the model.
 const hostAddress = "a"
 
-// applyConnectionInput gives the connection to a host an input and does what its output says.
+// applyConnectionInput applies an input to the connection to a host and executes its output.
 func (st *step) applyConnectionInput(hi int, in hostconn.Input) {
 	h := &st.s.hosts[hi]
 	c := hostconn.Connection{
@@ -218,7 +222,7 @@
 	}
 	if out.Dial {
 		if h.streams[1].conn != 0 {
-			st.queueFull = true // the older connection still lingers
+			st.queueFull = true // the connection before the last one is not closed yet
 			return
 		}
 		h.streams[1], h.streams[0] = h.streams[0], stream{}
@@ -229,7 +233,7 @@
 	}
 }
 
-// endEarlierEpochs ends the attempts that were written to an earlier epoch of a host.
+// endEarlierEpochs ends the attempts whose offers were written to an earlier epoch of a host.
 func (st *step) endEarlierEpochs(hi int) {
 	st.forEachUnsettled(hi, func(ti, ai int) {
 		a := &st.s.tasks[ti].attempts[ai]
@@ -239,8 +243,8 @@
 	})
 }
 
-// connect dials a host and writes Hello, in one step: a dial that fails is a connection that breaks before anything is
-// read from it.
+// connect dials a host and writes Hello, in one step. A failed dial is the same as a connection that breaks before
+// anything is read from it.
 func (st *step) connect(hi int) {
 	st.applyConnectionInput(hi, hostconn.Input{Kind: hostconn.RetryDue})
 	st.applyConnectionInput(hi, hostconn.Input{Kind: hostconn.Dialed, Conn: uint32(st.s.hosts[hi].conn)})
@@ -253,7 +257,7 @@
 	}
 }
 
-// receiveFromHost handles a message of a host at the placer.
+// receiveFromHost handles a host's message that the placer reads.
 func (st *step) receiveFromHost(hi int, m message) {
 	if m.kind == welcomeMessage {
 		st.receiveWelcome(hi, m)
@@ -276,8 +280,8 @@
 	}
 }
 
-// receiveWelcome handles a Welcome with the attempts that the host has. Then offers that waited for the connection are
-// written, and attempts that should be among them and are not are queried.
+// receiveWelcome handles a Welcome and the attempts that it lists. It then writes the offers that waited for the
+// connection and queries the attempts of the same epoch that the host does not list.
 func (st *step) receiveWelcome(hi int, m message) {
 	h := &st.s.hosts[hi]
 	st.applyConnectionInput(hi, hostconn.Input{Kind: hostconn.Welcomed, Conn: uint32(h.conn), Epoch: uint64(m.attemptOrEpoch)})
@@ -303,7 +307,7 @@
 	})
 }
 
-// receiveListed handles an attempt that a host lists.
+// receiveListed handles an attempt that a Welcome lists.
 func (st *step) receiveListed(h *host, ti, ai int) {
 	switch a := &st.s.tasks[ti].attempts[ai]; {
 	case !a.isKnown(st.s.incarnation):
--- a/internal/verify/modelcheck/replay.go
+++ b/internal/verify/modelcheck/replay.go
@@ -11,51 +11,53 @@
 	"forkhead/internal/scheduler/core"
 )
 
-// ReplayResult is the result of the replay of a trace through the placer's real core.
+// ReplayResult is the result of replaying a trace through the placer's real core.
 type ReplayResult struct {
 	Steps      []ReplayStep `json:"steps"`
 	Vetoes     uint64       `json:"vetoes"` // invariant violations that the core prevented
-	Offers     int          `json:"offers"` // written to hosts
-	Starts     int          `json:"starts"` // offers that hosts accepted
-	Divergence string       `json:"parted"` // the step at which the core does not follow the trace; "": none
-	BoundTwice bool         `json:"twice"`  // at some moment one task was bound by two hosts, or twice by one
+	Offers     int          `json:"offers"` // offers written to hosts
+	Starts     int          `json:"starts"` // offers accepted by hosts
+	Divergence string       `json:"parted"` // the step at which the core does not follow the trace, and why; "": none
+	BoundTwice bool         `json:"twice"`  // at some time two attempts of one task held capacity, at two hosts or at one
 }
 
-// ReplayStep is one step of a trace with its effects: what the core and the hosts sent and logged.
+// ReplayStep is a step of a trace with its effects: the frames that the core and the hosts sent, and the core's log
+// messages.
 type ReplayStep struct {
 	Action  string   `json:"what"`
 	Effects []string `json:"did"`
 }
 
-// replayer replays a trace: the core is the program's own, hosts run on package hostsession, and frames move only where the
-// trace says so. The module does nothing but what is in the trace.
+// replayer replays a trace. It runs the placer's real core with hosts that run on package hostsession. Frames are
+// delivered only by the lines of the trace, and the module takes only the actions in the trace.
 type replayer struct {
 	cfg         Config
 	settings    *settings.Settings
 	core        *core.Core
 	now         time.Duration
-	incarnation uint64            // of the core, counted from 1
-	pending     []forkhead.Action // of the module, for the core's next step
+	incarnation uint64            // the core's incarnation, counted from 1
+	pending     []forkhead.Action // the module's actions in the core's next step
 	tasks       []replayTask
 	hosts       []*replayHost
 	result      *ReplayResult
-	effects     []string // of the present step
+	effects     []string // effects of the current step
 }
 
 type replayTask struct {
-	submitted bool            // in this incarnation of the core
-	request   forkhead.TaskID // the present one
+	submitted bool            // submitted in the current incarnation of the core
+	request   forkhead.TaskID // the current placement request
 }
 
-// Times of a replay.
+// Points in time and periods of a replay.
 const (
-	replayStart = time.Hour              // on the core's clock
-	stepTime    = time.Millisecond       // between two steps of a trace
-	retryTime   = 100 * time.Millisecond // long enough for a retry of a request or a connection, by replaySettings
+	replayStart = time.Hour              // the core's clock at the start
+	stepTime    = time.Millisecond       // time between two steps of a trace
+	retryTime   = 100 * time.Millisecond // longer than the backoff of a request or a connection in replaySettings
 )
 
-// replaySettings are the settings of the core: nothing happens by itself in the milliseconds that a trace takes, except
-// retries, which are due at once. Where a line of a trace is the end of a time, the replay advances the clock by it.
+// replaySettings are the settings of the core. No timer fires in the milliseconds that a trace takes, except those of
+// retries, which are due after about 1ms. Where a line of a trace is the end of a period, the replay advances the clock
+// by it.
 const replaySettings = `(forkhead (placer (zone a) (http "127.0.0.1:1") (tell "127.0.0.1:2"))
   (kind k (cores 100) (memory 100GiB))
   (class safe (effect safe) (wait 1h) (patience 20h))
@@ -64,11 +66,11 @@
   (attempts 2) (bound running) (drain-grace 1s) (owner (wait 30m) (first 1ms) (most 1ms) (soon 1ms))
   (links (connect 1m) (first 1ms) (most 1ms) (lost-after 1h) (probe 1m)))`
 
-// classNames are the names in replaySettings by their effect.
+// classNames are the names of the classes in replaySettings, by effect.
 var classNames = [...]string{forkhead.Safe: "safe", forkhead.Keyed: "keyed", forkhead.Unsafe: "unsafe"}
 
-// Replay replays a trace through the placer's real core, without the bug that the trace may be of. Where the core does not
-// follow the trace, the replay ends with a Divergence.
+// Replay replays a trace through the placer's real core, without the injected bug that the trace may come from. If the
+// core does not follow the trace, the replay ends and the result has a Divergence.
 func Replay(t *Trace) (*ReplayResult, error) {
 	s, err := settings.Parse("replay", []byte(replaySettings))
 	if err != nil {
@@ -93,7 +95,7 @@
 	return r.result, nil
 }
 
-// connectAll starts the core and connects it to all hosts, as a search begins.
+// connectAll starts the core and connects it to all hosts, as in the initial state of a search.
 func (r *replayer) connectAll() error {
 	if err := r.startCore(); err != nil {
 		return err
@@ -132,7 +134,7 @@
 	return err
 }
 
-// checkBoundTwice looks for a task that is bound twice.
+// checkBoundTwice sets BoundTwice if two attempts of a task hold capacity.
 func (r *replayer) checkBoundTwice() {
 	bound := make([]int, len(r.tasks))
 	for _, h := range r.hosts {
@@ -145,7 +147,7 @@
 	}
 }
 
-// decide replaces the module.
+// decide replaces the module: it notes the requests of the tasks and returns the pending actions.
 func (r *replayer) decide(_ time.Duration, events []forkhead.Event) []forkhead.Action {
 	for _, event := range events {
 		if request, ok := event.(forkhead.PlacementRequest); ok && r.core != nil {
@@ -159,12 +161,12 @@
 	return actions
 }
 
-// taskService is the service that each task is of, in a project of its own.
+// taskService is the name of each task's service. Each task has a project of its own.
 const taskService = "s"
 
 func projectName(task int) string { return fmt.Sprintf("t%d", task) }
 
-// taskOfService returns the task whose service has that key.
+// taskOfService returns the task whose service has the key.
 func (r *replayer) taskOfService(key uint64) (task int, ok bool) {
 	for i := range r.tasks {
 		if key == servicespec.ServiceKey("", projectName(i), taskService) {
@@ -174,7 +176,7 @@
 	return 0, false
 }
 
-// hostList returns the endpoint list.
+// hostList returns a snapshot of the endpoint list with all hosts.
 func (r *replayer) hostList() core.HostListReceived {
 	list := core.HostListReceived{Mode: forkhead.ListSnapshot}
 	for _, h := range r.hosts {
@@ -189,7 +191,7 @@
 	return list
 }
 
-// stepCore gives the core inputs and executes its outputs.
+// stepCore runs a step of the core with inputs and executes its outputs.
 func (r *replayer) stepCore(inputs ...core.Input) {
 	for _, out := range r.core.Step(r.now, inputs...) {
 		switch out := out.(type) {
@@ -229,13 +231,13 @@
 	return nil
 }
 
-// runModule has the module take actions: a gossip message makes the core run it.
+// runModule makes the module take actions. It sends the core a gossip message, which makes the core run the module.
 func (r *replayer) runModule(actions ...forkhead.Action) {
 	r.pending = actions
 	r.stepCore(core.GossipReceived{From: 0, Data: []byte{0}})
 }
 
-// advance advances the clock, timer by timer.
+// advance advances the clock by d and runs a step of the core for each timer that fires.
 func (r *replayer) advance(d time.Duration) {
 	end := r.now + d
 	for at, ok := r.core.Next(); ok && at <= end; at, ok = r.core.Next() {
--- a/internal/verify/modelcheck/replay_actions.go
+++ b/internal/verify/modelcheck/replay_actions.go
@@ -15,14 +15,15 @@
 	"forkhead/internal/scheduler/ids"
 )
 
-// actionArgs is what a line of a trace is about.
+// actionArgs are the arguments of a line of a trace.
 type actionArgs struct {
 	task    int
 	host    *replayHost
-	message string // name of a frame
+	message string // name of a frame, as in messageNames
 }
 
-// replayActions are the lines of a trace: TASK, HOST and MESSAGE are placeholders for what a line is about.
+// replayActions are the patterns of the lines of a trace and the functions that replay them. TASK, HOST and MESSAGE are
+// placeholders for the arguments. Traces are stored, so the patterns stay.
 var replayActions = []struct {
 	pattern string
 	replay  func(*replayer, actionArgs) error
@@ -53,17 +54,17 @@
 	{"placer crashes", (*replayer).crashPlacer},
 }
 
-// replayAction replays a line of a trace. It returns an error if the core is not in a state in which the line is possible.
+// replayAction replays a line of a trace. It returns an error if the line is not possible in the current state.
 func (r *replayer) replayAction(line string) error {
 	for _, a := range replayActions {
 		if args, ok := r.match(a.pattern, line); ok {
 			return a.replay(r, args)
 		}
 	}
-	return errors.New("not a step of a trace")
+	return errors.New("the line matches no action of a trace")
 }
 
-// match compares a line with a pattern, word for word, and returns what it is about.
+// match reports whether a line matches a pattern, word by word, and returns the line's arguments.
 func (r *replayer) match(pattern, line string) (args actionArgs, ok bool) {
 	patternTokens, tokens := strings.Split(pattern, " "), strings.Split(line, " ")
 	if len(tokens) != len(patternTokens) {
@@ -94,13 +95,13 @@
 // noHost as an index means that a pattern has no host.
 const noHost = -1
 
-// parseIndex reads an index in the form in which it is written.
+// parseIndex parses an index. It accepts only the decimal form that traces contain.
 func parseIndex(digits string) (int, bool) {
 	n, err := strconv.Atoi(digits)
 	return n, err == nil && strconv.Itoa(n) == digits
 }
 
-// Connections.
+// The following functions replay the actions on connections.
 
 func (r *replayer) connect(args actionArgs) error {
 	h := args.host
@@ -126,7 +127,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("no %s is on its way from %s", args.message, args.host.name)
+	return fmt.Errorf("no %s is in transit from %s", args.message, args.host.name)
 }
 
 func (r *replayer) deliverToHost(args actionArgs) error {
@@ -138,7 +139,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("no %s is on its way to %s", args.message, args.host.name)
+	return fmt.Errorf("no %s is in transit to %s", args.message, args.host.name)
 }
 
 func (r *replayer) closeSeenByPlacer(args actionArgs) error {
@@ -149,10 +150,11 @@
 			return nil
 		}
 	}
-	return errors.New("no connection has ended")
+	return fmt.Errorf("no connection to %s has ended", args.host.name)
 }
 
-// closeSeenByHost closes the first stream that has ended. There may be none: the host may have closed it by itself.
+// closeSeenByHost closes the first stream that has ended. It is not an error if there is none, because the host may
+// have closed the stream by itself.
 func (r *replayer) closeSeenByHost(args actionArgs) error {
 	for _, s := range args.host.streams {
 		if s.hostOpen && (s.broken || !s.placerOpen) {
@@ -175,7 +177,7 @@
 	return nil
 }
 
-// Hosts.
+// The following functions replay the actions of hosts.
 
 func (r *replayer) crashHost(args actionArgs) error {
 	h := args.host
@@ -218,7 +220,7 @@
 	return r.applyHostInput(args, hostsession.Running, hostsession.Finish)
 }
 
-// The placer and its clock.
+// The following functions replay the actions of the placer and its timers.
 
 func (r *replayer) listHosts(actionArgs) error {
 	r.stepCore(r.hostList())
@@ -253,10 +255,10 @@
 	return r.startCore()
 }
 
-// Owners.
+// The following functions replay the actions of owners.
 
-// openRequest requests a task: by a submission the first time in an incarnation of the core; later the core does it, when
-// a retry is due.
+// openRequest makes the core request a task. The first time in an incarnation of the core it submits the task's
+// project; later it advances the clock until the core's retry is due.
 func (r *replayer) openRequest(args actionArgs) error {
 	t := &r.tasks[args.task]
 	before := t.request
@@ -279,11 +281,11 @@
 }
 
 func (r *replayer) giveUp(actionArgs) error {
-	r.advance(r.settings.Classes[forkhead.Safe].PlacementTimeout) // of all classes
+	r.advance(r.settings.Classes[forkhead.Safe].PlacementTimeout) // the same in all classes
 	return nil
 }
 
-// The module.
+// The following functions replay the actions of the module.
 
 func (r *replayer) offer(args actionArgs) error {
 	machine := forkhead.MachineID(ids.FNV(args.host.name, 0))
@@ -306,7 +308,7 @@
 	return nil
 }
 
-// withdrawals withdraw all attempts of a task's request. The core ignores those that are not in flight.
+// withdrawals returns actions that withdraw all attempts of a task's request. The core ignores those not in flight.
 func (r *replayer) withdrawals(task int) (actions []forkhead.Action) {
 	for n := range maxAttempts {
 		actions = append(actions, forkhead.Withdraw{Task: r.tasks[task].request, Attempt: n})
--- a/internal/verify/modelcheck/replay_host.go
+++ b/internal/verify/modelcheck/replay_host.go
@@ -13,9 +13,9 @@
 	up          bool
 	epoch       uint64
 	draining    bool
-	dialing     uint32 // a connection that the core wants made; 0: none
+	dialing     uint32 // number of the connection that the core is dialing; 0: none
 	streams     []*replayStream
-	session     *replayStream // on which the session is; nil: none
+	session     *replayStream // stream of the current session; nil: no session
 	lastSession hostsession.Session
 	attempts    map[hostproto.Ref]*replayAttempt
 }
@@ -23,7 +23,7 @@
 // replayStream is a connection with the frames that are in transit on it.
 type replayStream struct {
 	conn        uint32
-	incarnation uint64 // of the placer
+	incarnation uint64 // the placer's incarnation
 	placerOpen  bool
 	hostOpen    bool
 	broken      bool
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// dequeueMessage takes the first frame to the placer. The Holds of a Welcome come with it, as traces have one message for both.
+// dequeueMessage removes the first frame to the placer and returns it. It returns a Welcome together with the Holds
+// that follow it, because traces have one message for both.
 func (s *replayStream) dequeueMessage() []hostproto.Frame {
 	n := 1
 	if _, ok := s.toPlacer[0].(hostproto.Welcome); ok {
@@ -64,7 +65,7 @@
 	return frames
 }
 
-// frameName returns the name of a frame in traces.
+// frameName returns the name that a frame has in traces.
 func frameName(f hostproto.Frame) string {
 	if e, ok := f.(hostproto.Ended); ok && e.Result == hostproto.Canceled {
 		return "Ended(called)"
@@ -79,7 +80,7 @@
 	}
 }
 
-// applyHostInput gives an input to an attempt of the task at the host that is in a state.
+// applyHostInput applies an input to an attempt of the task that is in the given state at the host.
 func (r *replayer) applyHostInput(args actionArgs, in hostsession.State, input hostsession.Input) error {
 	for ref, a := range args.host.attempts {
 		if a.task == args.task && a.state == in {
@@ -87,10 +88,11 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s has no attempt of task %d that is %v", args.host.name, args.task, in)
+	return fmt.Errorf("%s has no attempt of task %d in state %v", args.host.name, args.task, in)
 }
 
-// transitionAtHost gives an attempt an input and sends the reply. An attempt that is not known is one that is absent.
+// transitionAtHost applies an input to an attempt and sends the reply. An attempt that the host does not know is in the
+// state Absent.
 func (r *replayer) transitionAtHost(h *replayHost, ref hostproto.Ref, in hostsession.Input) {
 	a := h.attempts[ref]
 	if a == nil {
@@ -143,7 +145,8 @@
 	}
 }
 
-// receiveHello begins a session, in place of an earlier one, and lists what the host holds; or it closes a stale stream.
+// receiveHello starts a session, in place of an earlier session, and sends the attempts that hold capacity; or it
+// closes a stale stream.
 func (r *replayer) receiveHello(h *replayHost, s *replayStream, f hostproto.Hello) {
 	if hostsession.CheckHello(h.lastSession, f.Epoch, f.Conn) == hostsession.HelloStale {
 		s.hostOpen = false
@@ -163,7 +166,7 @@
 	}
 }
 
-// holding returns the attempts that hold capacity.
+// holding returns the attempts that hold capacity at the host.
 func (h *replayHost) holding() []hostproto.Held {
 	var holding []hostproto.Held
 	for ref, a := range h.attempts {
--- a/internal/verify/modelcheck/search.go
+++ b/internal/verify/modelcheck/search.go
@@ -16,11 +16,11 @@
 // StateSize is the size of a state in bytes.
 const StateSize = int(unsafe.Sizeof(state{}))
 
-// search is a breadth-first search of all states. States are known by their hashes: two that share one are taken for one.
-// At 100 million states the chance that any two do is 3 in 10,000.
+// search is a breadth-first search of all states. It identifies states by their hashes, so two states with the same
+// hash are taken for one. At 100 million states the probability that any two have the same hash is 3 in 10,000.
 type search struct {
 	model
-	known [shardCount]shard // by hash
+	known [shardCount]shard // known states, by hash modulo shardCount
 
 	states    atomic.Int64
 	steps     atomic.Int64
@@ -29,38 +29,38 @@
 	mu       sync.Mutex
 	findings []finding
 
-	fairSteps [][]fairStep // by worker; only for Config.FindCycles
+	fairSteps [][]fairStep // fair steps by worker; only with Config.FindCycles
 }
 
 const shardCount = 256
 
-// shard is a part of the known states.
+// shard holds a part of the known states, each with its origin. Shards reduce the contention between workers.
 type shard struct {
 	mu      sync.Mutex
 	origins map[uint64]origin
 }
 
-// origin is how a state was reached first: by the action with that index in the parent's list.
+// origin records how a state was first reached: by the action with this index in the list of its parent state.
 type origin struct {
 	parent uint64
 	action uint16
 }
 
-// finding is a property that does not hold.
+// finding is a violated property.
 type finding struct {
-	hash     uint64 // of the state from which the action leads
-	action   int    // index in the state's list; noAction: the state itself breaks the property
+	hash     uint64 // hash of the state in which the action is taken
+	action   int    // index in the state's list of actions; noAction: the state itself violates the property
 	property string
 	message  string
 }
 
-// noAction as the action of a finding means that no action is needed.
+// noAction as the action of a finding means that the state itself violates the property.
 const noAction = -1
 
-// maxFindings bounds what is kept of one level of the search: one is reported.
+// maxFindings bounds the findings that a search keeps. It ends after the first level with a finding and reports one.
 const maxFindings = 100
 
-// Run searches breadth first, so that the first violation has a shortest trace.
+// Run searches all states breadth first, so that the trace of the violation that it reports is a shortest one.
 func Run(cfg Config) (*Result, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -70,7 +70,7 @@
 	if cfg.InjectedBug != "" {
 		bug, ok := FindInjectedBug(cfg.InjectedBug)
 		if !ok {
-			return nil, fmt.Errorf("no plant is named %q", cfg.InjectedBug)
+			return nil, fmt.Errorf("no injected bug is named %q", cfg.InjectedBug)
 		}
 		bug.inject(&s.stateMachines)
 	}
@@ -81,8 +81,8 @@
 	return s.run(), nil
 }
 
-// initialState has a placer that is connected to all its hosts: how that came to be is part of what follows each break, so
-// nothing is missed by a search that begins there.
+// initialState returns the state in which the placer is connected to all hosts. Hosts are also connected after each
+// break of a connection, so a search from this state covers connecting, too.
 func initialState(cfg *Config) state {
 	var s state
 	for hi := range cfg.Hosts {
@@ -104,10 +104,10 @@
 	s.searchLevels(root, r)
 	if s.cfg.FindCycles && len(s.findings) == 0 && r.Complete {
 		if hash, ok := findCycle(s.fairSteps); ok {
-			s.addFinding(finding{hash, noAction, "liveness", "fair steps lead from this state back to it: the service may go round for good"})
+			s.addFinding(finding{hash, noAction, "liveness", "this state is on a cycle of fair steps, or is reachable from one: a fair run may never end"})
 		}
 	}
-	if len(s.findings) > 0 { // all are at one depth: one is enough
+	if len(s.findings) > 0 { // all findings have the same depth: one is enough
 		f := s.findings[0]
 		r.Complete = false
 		r.Violations = append(r.Violations, Violation{Property: f.property, Message: f.message, Trace: s.trace(root, f)})
@@ -120,8 +120,8 @@
 	return r
 }
 
-// searchLevels expands level after level until there are no further states, or a property is broken, or there are too many
-// states.
+// searchLevels expands level after level until there are no further states, a property is violated, or there are more
+// than Config.MaxStates states.
 func (s *search) searchLevels(root state, r *Result) {
 	frontier := []state{root}
 	for len(frontier) > 0 && len(s.findings) == 0 {
@@ -139,9 +139,9 @@
 	}
 }
 
-// expandLevel expands the states of a level on all workers and returns the next level.
+// expandLevel expands the states of a level with all workers and returns the next level.
 func (s *search) expandLevel(frontier []state) []state {
-	const chunk = 256 // states that a worker takes at once
+	const chunk = 256 // number of states that a worker takes at once
 	var taken atomic.Int64
 	workers := make([]worker, s.cfg.Workers)
 	var wait sync.WaitGroup
@@ -172,12 +172,12 @@
 // worker expands states of one level.
 type worker struct {
 	*search
-	next      []state    // states of the next level that it found first
-	fairSteps []fairStep // only for Config.FindCycles
-	actions   []action   // reused
+	next      []state    // states of the next level that this worker found first
+	fairSteps []fairStep // only with Config.FindCycles
+	actions   []action   // buffer for the actions of a state
 }
 
-// expand takes all actions that are possible in a state.
+// expand takes each action that is possible in a state and records the states that it leads to.
 func (w *worker) expand(from *state) {
 	hash := xxhash.Sum64(from.bytes())
 	w.actions = w.model.actions(from, w.actions)
@@ -189,8 +189,8 @@
 		st := step{model: &w.model, s: &to}
 		a.do(&st)
 		if st.queueFull {
-			// The programs' queues are longer, and end their connection when they are full. So a state that goes on only
-			// by such an action is not an end state.
+			// Queues of placers and hosts are longer, and a connection is closed when its queue is full. So a state whose
+			// only fair actions are like this one is not an end state.
 			continue
 		}
 		w.steps.Add(1)
@@ -223,7 +223,7 @@
 	}
 }
 
-// addState makes a state known by its hash. It returns false if it is known already.
+// addState adds the hash of a state to the known states. It returns false if the hash is known already.
 func (s *search) addState(hash uint64, o origin) bool {
 	sh := &s.known[hash%shardCount]
 	sh.mu.Lock()
--- a/internal/verify/modelcheck/state.go
+++ b/internal/verify/modelcheck/state.go
@@ -12,31 +12,31 @@
 const (
 	maxTasks    = 3
 	maxHosts    = 2
-	maxAttempts = 3 // of one task, in all requests and incarnations
+	maxAttempts = 3 // of one task, over all requests and incarnations
 	maxQueue    = 4 // messages in transit on one connection in one direction
 )
 
-// state is a state of the whole system: owners, placer, network and hosts. It has no pointers and no padding: all fields
-// are single bytes, so that it is hashed, compared and copied as bytes. The order of the fields decides which of several
-// symmetric states is the canonical one.
+// state is a state of the whole system: owners, placer, network and hosts. All fields are single bytes, so a state has
+// no pointers and no padding and can be hashed, compared and copied as bytes. The order of the fields decides which of
+// several symmetric states is the canonical one.
 type state struct {
 	tasks       [maxTasks]task
 	hosts       [maxHosts]host
-	incarnation uint8 // of the placer, counted from 0
-	faults      uint8 // that have happened
+	incarnation uint8 // incarnation of the placer, counted from 0
+	faults      uint8 // number of faults so far
 }
 
 // ownerState is the state of a task at its owner.
 type ownerState uint8
 
 const (
-	ownerWaiting   ownerState = iota // wants the task placed, without a request
-	ownerRequested                   // has a placement request open
-	ownerPlaced                      // has the task placed
-	ownerDone                        // wants nothing any more
+	ownerWaiting   ownerState = iota // the owner wants the task placed and has no open request
+	ownerRequested                   // the owner has an open placement request
+	ownerPlaced                      // the task is placed
+	ownerDone                        // the owner does not want the task any more
 )
 
-// outcome is what an owner was notified of, in one incarnation of the placer.
+// outcome is the outcome that an owner was notified of by the current incarnation of the placer.
 type outcome uint8
 
 const (
@@ -49,9 +49,9 @@
 type task struct {
 	owner         ownerState
 	outcome       outcome
-	attemptCount  uint8 // attempts made
-	requests      uint8 // made in this incarnation of the placer
-	lastRejected  bool  // its last request was rejected, not failed
+	attemptCount  uint8 // attempts made so far
+	requests      uint8 // requests made in the current incarnation of the placer
+	lastRejected  bool  // the last request was rejected, not failed
 	windowExpired bool  // hosts have forgotten its deduplication key
 	attempts      [maxAttempts]taskAttempt
 }
@@ -59,16 +59,17 @@
 type taskAttempt struct {
 	phase       attempt.Phase // or forgotten
 	host        uint8
-	hostEpoch   uint8 // when the offer was written
-	conn        uint8 // on which the offer was written
-	request     uint8 // of its task, counted from 1
-	incarnation uint8 // of the placer that made it
+	hostEpoch   uint8 // the host's epoch when the offer was written or the task adopted
+	conn        uint8 // the connection on which the offer was written or the task adopted
+	request     uint8 // the task's request, counted from 1
+	incarnation uint8 // the placer's incarnation that made the attempt or adopted its task
 }
 
-// forgotten is the phase of an attempt that an earlier incarnation of the placer made.
+// forgotten is the phase of an attempt that an earlier incarnation of the placer made. It is not a phase of package
+// attempt.
 const forgotten attempt.Phase = 7
 
-// drainView is what the placer knows of a host's drain.
+// drainView is the placer's knowledge of a host's drain.
 type drainView uint8
 
 const (
@@ -82,29 +83,29 @@
 	epoch    uint8
 	draining bool
 
-	// At the placer.
+	// State at the placer.
 	drainView     drainView
 	connState     hostconn.State
 	conn          uint8
 	knownEpoch    uint8
-	holdsReceived bool // after Welcome: offers may be written
+	holdsReceived bool // the host's attempts were received after Welcome: offers may be written
 
-	// At the host.
-	sessionIncarnation uint8 // of the placer
+	// State at the host.
+	sessionIncarnation uint8 // the placer's incarnation
 	sessionConn        uint8
 	sessionOpen        bool
 	attempts           [maxTasks][maxAttempts]hostsession.State
 
-	streams [2]stream // the newest first
+	streams [2]stream // connections, the newest first
 }
 
-// stream is one TCP connection: it may be closed at one end and not yet at the other.
+// stream is a TCP connection. It may be closed at one end and still be open at the other.
 type stream struct {
 	conn          uint8 // 0: no stream
-	incarnation   uint8 // of the placer
+	incarnation   uint8 // the placer's incarnation
 	placerOpen    bool
 	hostOpen      bool
-	broken        bool // nothing gets through any more
+	broken        bool // no message is delivered any more
 	toHostCount   uint8
 	toPlacerCount uint8
 	toHost        [maxQueue]message
@@ -114,8 +115,8 @@
 // message is a frame in transit between placer and host.
 type message struct {
 	kind           messageKind
-	attemptOrEpoch uint8    // task<<4 | attempt; of a Welcome the host's epoch
-	listed         [2]uint8 // of a Welcome: the attempts that hold capacity at the host, one bit each
+	attemptOrEpoch uint8    // task<<4 | attempt; in a Welcome, the host's epoch
+	listed         [2]uint8 // in a Welcome, the attempts that hold capacity at the host, one bit each
 }
 
 type messageKind uint8
@@ -126,14 +127,14 @@
 	withdrawMessage
 	stopMessage
 	queryMessage
-	welcomeMessage // with Holds, which follows it at once
+	welcomeMessage // a Welcome and the Holds that follows it
 	rejectedMessage
 	runningMessage
 	endedMessage
 	canceledMessage
 )
 
-// messageNames are the names in traces, which are stored.
+// messageNames are the names of messages in traces. Traces are stored, so the names stay.
 var messageNames = [...]string{
 	"", "Hello", "Offer", "Withdraw", "Stop", "Query", "Welcome", "Refused", "Running", "Ended", "Ended(called)",
 }
@@ -142,7 +143,7 @@
 	return message{kind: kind, attemptOrEpoch: uint8(ti<<4 | ai)}
 }
 
-// attempt returns the indexes of the task and the attempt that a message is about.
+// attempt returns the indexes of the task and the attempt that a message refers to.
 func (m message) attempt() (ti, ai int) {
 	return int(m.attemptOrEpoch >> 4), int(m.attemptOrEpoch & 15)
 }
@@ -153,31 +154,32 @@
 	return m.listed[i]&bit != 0
 }
 
+// list adds an attempt to the ones that a Welcome lists.
 func (m *message) list(ti, ai int) {
 	i, bit := listedBit(ti, ai)
 	m.listed[i] |= bit
 }
 
-// listedBit returns where message.listed has an attempt.
+// listedBit returns the byte and the bit of message.listed that stand for an attempt.
 func listedBit(ti, ai int) (index int, bit uint8) {
 	i := ti*maxAttempts + ai
 	return i / 8, 1 << (i % 8)
 }
 
-// bytes returns the state as it lies in memory.
+// bytes returns the memory of the state, without copying it.
 func (s *state) bytes() []byte {
 	return unsafe.Slice((*byte)(unsafe.Pointer(s)), int(unsafe.Sizeof(*s)))
 }
 
-// attemptsMade returns the attempts of the task that were attemptsMade.
+// attemptsMade returns the attempts of the task made so far.
 func (t *task) attemptsMade() []taskAttempt { return t.attempts[:t.attemptCount] }
 
-// isKnown reports whether the placer's present incarnation knows the attempt.
+// isKnown reports whether an incarnation of the placer, the current one, knows the attempt.
 func (a *taskAttempt) isKnown(incarnation uint8) bool {
 	return a.incarnation == incarnation && a.phase != forgotten
 }
 
-// stream returns the host's stream with that number, or nil.
+// stream returns the host's stream with a connection number of a placer's incarnation, or nil.
 func (h *host) stream(conn, incarnation uint8) *stream {
 	for i := range h.streams {
 		if s := &h.streams[i]; s.conn == conn && s.incarnation == incarnation && conn > 0 {
@@ -187,12 +189,13 @@
 	return nil
 }
 
-// sendToHost queues a message to the host, unless nothing gets through. It returns false if the queue is full.
+// sendToHost queues a message to the host, or drops it if the host cannot receive it. It returns false if the queue is
+// full.
 func (s *stream) sendToHost(m message) bool {
 	return s.broken || !s.hostOpen || push(&s.toHost, &s.toHostCount, m)
 }
 
-// sendToPlacer is sendToHost in the other direction.
+// sendToPlacer queues a message to the placer, as sendToHost does in the other direction.
 func (s *stream) sendToPlacer(m message) bool {
 	return s.broken || !s.placerOpen || push(&s.toPlacer, &s.toPlacerCount, m)
 }
@@ -206,8 +209,8 @@
 	return true
 }
 
-// pop takes the first message of a queue. What is behind it moves up, and the free end is zero, as equal queues must be
-// equal bytes.
+// pop removes the first message of a queue and returns it. The other messages move up and the free slot is zeroed,
+// because equal queues must have equal bytes.
 func pop(queue *[maxQueue]message, count *uint8) message {
 	m := queue[0]
 	copy(queue[:], queue[1:])
@@ -216,7 +219,8 @@
 	return m
 }
 
-// discardUndeliverable drops what a closed end will not read, and a stream that is closed at both ends.
+// discardUndeliverable drops the messages that a closed end will not read, and clears a stream that is closed at both
+// ends.
 func (s *stream) discardUndeliverable() {
 	if !s.placerOpen && !s.hostOpen {
 		*s = stream{}
--- a/internal/verify/modelcheck/statemachines.go
+++ b/internal/verify/modelcheck/statemachines.go
@@ -10,10 +10,10 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// stateMachines are the functions under test, which placers and hosts run on. An injected bug replaces one of them, or
-// sets one of the flags, which change how the model puts them together.
+// stateMachines are the functions under test, which placers and hosts run on. An injected bug replaces functions, or
+// sets flags, which change how the model composes them.
 type stateMachines struct {
-	// Attempts.
+	// Functions for attempts and requests.
 	transition          func(attempt.Phase, attempt.Input) (attempt.Phase, attempt.Effect)
 	mayOffer            func(r *attempt.Request, now time.Duration, to attempt.HostID) error
 	mayWrite            func(r *attempt.Request, now time.Duration, number int) error
@@ -24,25 +24,26 @@
 	mayRequest          func(r *attempt.Rules, now time.Duration, unknown int, first time.Duration) (time.Duration, bool)
 	rejectionIsHarmless func(r *attempt.Rules, rejected, offered bool, unknown int) bool
 
-	// Connections and hosts.
+	// Functions for connections and hosts.
 	handleConnection  func(c *hostconn.Connection, in hostconn.Input) hostconn.Output
 	hostTransition    func(hostsession.State, hostsession.Input) (hostsession.State, hostsession.Reply)
 	checkHello        func(last hostsession.Session, epoch uint64, conn uint32) hostsession.HelloResult
 	drainGraceExpired func(now time.Duration, s forkhead.MachineState, since, grace time.Duration) bool
 
 	skipQuery           bool // attempts that a host does not list are not queried
-	ignoreOrphans       bool // an orphan is neither adopted nor stopped
-	skipWithdrawal      bool // an orphan is adopted without withdrawing what is in flight
+	ignoreOrphans       bool // orphans are neither adopted nor stopped
+	skipWithdrawal      bool // an orphan is adopted without withdrawing the attempts in flight
 	keepQueueOnBreak    bool // a host keeps queued offers when their connection ends
-	acceptOldConnection bool // frames of an older connection are taken for ones of the present
-	retryForever        bool // an owner requests again for good, whatever came of it
+	acceptOldConnection bool // messages of an older connection are handled like those of the current one
+	retryForever        bool // an owner requests its task again without a limit, whatever the outcomes were
 	skipSpreadRecheck   bool // the spread limit is not checked again when an offer is written
 	skipDrainRecheck    bool // a drain is not checked again when an offer is written
 }
 
+// connectionPolicy has arbitrary values, because the model ignores the times that connections return.
 var connectionPolicy = hostconn.Policy{ConnectTimeout: time.Second, MinBackoff: time.Second, MaxBackoff: time.Second}
 
-// productionStateMachines returns the functions that the programs use.
+// productionStateMachines returns the functions that placers and hosts use, without an injected bug.
 func productionStateMachines() stateMachines {
 	return stateMachines{
 		transition:          attempt.Transition,
@@ -64,7 +65,7 @@
 	}
 }
 
-// mayOffer is attempt.Request.MayOffer where all hosts are in one domain.
+// mayOffer calls attempt.Request.MayOffer with all hosts in one domain.
 func mayOffer(r *attempt.Request, now time.Duration, to attempt.HostID) error {
 	sameDomain := func(forkhead.Domain, attempt.HostID, attempt.HostID) bool { return true }
 	return r.MayOffer(now, to, sameDomain)
--- a/internal/verify/modelcheck/step.go
+++ b/internal/verify/modelcheck/step.go
@@ -7,12 +7,12 @@
 	"forkhead/internal/scheduler/attempt"
 )
 
-// model is the configuration of one search.
+// model is the system that a search explores.
 type model struct {
 	stateMachines stateMachines
 	rules         attempt.Rules
 	cfg           Config
-	formatNames   bool // actions get their names, which takes time: for traces only
+	formatNames   bool // the names of actions are formatted; only traces need them, and it takes time
 }
 
 // newModel returns the model without an injected bug.
@@ -23,24 +23,24 @@
 	}
 }
 
-// step is a transition that is being applied: it changes s, a copy of the state from which it leads.
+// step is a transition that is being applied. It changes s, a copy of the state that it starts from.
 type step struct {
 	*model
 	s         *state
-	property  string // the first that the step breaks; "": none
-	message   string // what breaks it
-	queueFull bool   // a message queue was full: the step cannot be taken now
+	property  string // the first property that the step violates; "": none
+	message   string // describes the violation
+	queueFull bool   // a message queue is full or no stream is free: the step is not possible in this state
 }
 
-// violate records that the step breaks a property, unless it has broken one already.
+// violate records that the step violates a property, unless it has violated one already.
 func (st *step) violate(property, format string, args ...any) {
 	if st.property == "" {
 		st.property, st.message = property, fmt.Sprintf(format, args...)
 	}
 }
 
-// The clock matters only in what has passed by: a task's time is before or after the end of its deduplication window, a
-// host's before or after the end of its drain's grace.
+// The model has no clock, only two points in time for each period: before and after the end of a task's deduplication
+// window, and before and after the end of the grace of a host's drain.
 const (
 	beforeWindowEnd    = time.Second
 	dedupWindow        = 10 * time.Second
@@ -51,7 +51,7 @@
 	maxRequestAttempts = 2 // of one request
 )
 
-// now is the time as the task's window has it.
+// now returns a time before or after the end of the task's deduplication window.
 func (t *task) now() time.Duration {
 	if t.windowExpired {
 		return afterWindowEnd
@@ -59,7 +59,7 @@
 	return beforeWindowEnd
 }
 
-// request returns the task's present request in the form of package attempt. Its attempts are in buf.
+// request returns the task's current request as a value of package attempt. Its attempts are stored in buf.
 func (st *step) request(t *task, buf *[maxAttempts]attempt.Attempt) attempt.Request {
 	r := attempt.Request{Rules: st.rules, Deadline: requestDeadline, Attempts: buf[:0]}
 	for i := range t.attemptsMade() {
@@ -71,7 +71,7 @@
 			r.Attempts = append(r.Attempts, attempt.Attempt{Host: attempt.HostID(a.host), Phase: a.phase})
 			continue
 		}
-		// A request beside an unknown attempt ends before the task's key expires.
+		// Beside an unknown attempt of an earlier request, a request must end before the task's key expires.
 		remaining, _ := st.stateMachines.mayRequest(&st.rules, beforeWindowEnd, 1, 0)
 		if a.phase == attempt.Unknown && remaining > 0 {
 			r.Deadline = beforeWindowEnd + remaining
@@ -80,7 +80,7 @@
 	return r
 }
 
-// unknownAttempts counts the attempts of a task whose outcome the placer does not know.
+// unknownAttempts returns the number of a task's attempts that the placer has as Unknown.
 func (st *step) unknownAttempts(t *task) int {
 	n := 0
 	for i := range t.attemptsMade() {
@@ -94,18 +94,19 @@
 // isWanted reports whether a task's owner still wants it placed.
 func (t *task) isWanted() bool { return t.owner == ownerWaiting || t.owner == ownerRequested }
 
-// notifyOwner notifies a task's owner of an outcome. A task that was placed and lost is placed again without notice.
+// notifyOwner notifies a task's owner of an outcome. A task that was placed and lost is placed again without a second
+// notification.
 func (st *step) notifyOwner(t *task, o outcome) {
 	if t.outcome == outcomeNone {
 		t.outcome = o
 		return
 	}
 	if t.outcome != outcomePlaced || o != outcomePlaced {
-		st.violate("one-outcome", "a task that was told %d is told %d", t.outcome, o)
+		st.violate("one-outcome", "an owner that was notified of outcome %d is notified of outcome %d", t.outcome, o)
 	}
 }
 
-// forEachUnsettled calls f for the attempts at a host that the placer knows and that are not settled.
+// forEachUnsettled calls f for each attempt at a host that the placer knows and that is not settled.
 func (st *step) forEachUnsettled(hi int, f func(ti, ai int)) {
 	for ti := range st.cfg.Tasks {
 		t := &st.s.tasks[ti]
--- a/internal/verify/modelcheck/trace.go
+++ b/internal/verify/modelcheck/trace.go
@@ -6,11 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// lostTrace is printed in a trace where no action leads to the state that is known to follow.
+// lostTrace stands in a trace where no action leads to the next state on the path, because another state has its hash.
 const lostTrace = "(two states share a hash: the trace is lost here)"
 
-// trace returns the names of the actions that lead from the root to a finding. They are found on states as they are, not
-// on canonical ones, so that task 1 stays task 1 throughout.
+// trace returns the names of the actions that lead from the root to a finding. It takes the actions on states that are
+// not made canonical, so that task 1 stays task 1 in the whole trace.
 func (s *search) trace(root state, f finding) []string {
 	s.formatNames = true
 	defer func() { s.formatNames = false }()
@@ -37,7 +37,7 @@
 	return names
 }
 
-// path returns the hashes of the states from the one after the root to the last.
+// path returns the hashes of the states on the way from the root to the last state, without the root.
 func (s *search) path(root, last uint64) []uint64 {
 	var hashes []uint64
 	for hash := last; hash != root; hash = s.known[hash%shardCount].origins[hash].parent {
@@ -47,7 +47,8 @@
 	return hashes
 }
 
-// takeAction takes the first action in a state whose step is accepted.
+// takeAction takes the first action in a state for whose step accept returns true. It returns the action's name and the
+// next state.
 func (s *search) takeAction(from *state, accept func(st *step) bool) (name string, next state, ok bool) {
 	for _, a := range s.actions(from, nil) {
 		next = *from
