--- a/internal/verify/modelcheck/actions.go
+++ b/internal/verify/modelcheck/actions.go
@@ -6,51 +6,53 @@
 	"forkhead/internal/scheduler/hostconn"
 )
 
-// action is one thing that may happen in a state. A fair one happens sooner or later, unless something else makes it
-// impossible; the others are faults, timers and the module's choices.
+// action is a transition that is possible in a state. A fair action happens eventually, unless another action makes it
+// impossible. The other actions are faults, timers and choices of the module.
 type action struct {
-	name string // as in traces, which are stored; in a search that is not named, a format
+	name string // the line in stored traces; the format of the line unless model.formatNames is set
 	fair bool
 	do   func(st *step)
 }
 
-// actionList collects the actions of a state. Their order is part of a search: a state's hash is stored with the index
-// of the action that led there.
+// actionList collects the actions of a state. Their order must be the same each time, because a search stores the index
+// of the action that led to a state.
 type actionList struct {
 	model   *model
 	state   *state
 	actions []action
 }
 
-// actions lists what may happen in a state, in a fixed order. It reuses buf.
+// actions returns the actions that are possible in a state, in a fixed order. It overwrites buf.
 func (m *model) actions(s *state, buf []action) []action {
 	l := actionList{model: m, state: s, actions: buf[:0]}
 	for hi := range m.cfg.Hosts {
-		l.addNetwork(hi)
-		l.addHost(hi)
-		l.addPlacerOfHost(hi)
+		l.addNetworkActions(hi)
+		l.addHostActions(hi)
+		l.addPlacerActions(hi)
 	}
 	for ti := range m.cfg.Tasks {
-		l.addOwner(ti)
-		l.addModule(ti)
+		l.addOwnerActions(ti)
+		l.addModuleActions(ti)
 	}
-	if l.mayFail() && !m.cfg.NoCrash {
+	if l.faultAllowed() && !m.cfg.NoCrash {
 		l.add(false, (*step).crashPlacer, "placer crashes")
 	}
 	return l.actions
 }
 
 func (l *actionList) add(fair bool, do func(st *step), format string, args ...any) {
-	if len(args) > 0 && l.model.named {
+	if len(args) > 0 && l.model.formatNames {
 		format = fmt.Sprintf(format, args...)
 	}
 	l.actions = append(l.actions, action{format, fair, do})
 }
 
-func (l *actionList) mayFail() bool { return int(l.state.faults) < l.model.cfg.Faults }
+// faultAllowed reports whether another fault is within Config.Faults.
+func (l *actionList) faultAllowed() bool { return int(l.state.faults) < l.model.cfg.Faults }
 
-// addPlacerOfHost adds what the placer does about a host by itself.
-func (l *actionList) addPlacerOfHost(hi int) {
+// addPlacerActions adds the placer's own actions for a host: it connects, is notified of a drain, and the drain's grace
+// ends.
+func (l *actionList) addPlacerActions(hi int) {
 	h := &l.state.hosts[hi]
 	if h.connState == hostconn.Down && h.up && h.streams[1].conn == 0 {
 		l.add(true, func(st *step) { st.connect(hi) }, "placer connects to host %d", hi)
@@ -63,7 +65,8 @@
 	}
 }
 
-// crashPlacer ends the placer's incarnation: all of its memory is lost, owners request again, and hosts go on.
+// crashPlacer ends the placer's incarnation. Its whole state is lost, owners request their tasks again, and hosts
+// continue.
 func (st *step) crashPlacer() {
 	s := st.s
 	s.incarnation++
@@ -80,7 +83,7 @@
 	for ti := range st.cfg.Tasks {
 		t := &s.tasks[ti]
 		t.owner, t.outcome, t.requests, t.lastRejected = ownerWaiting, outcomeNone, 0, false
-		for ai := range t.made() {
+		for ai := range t.attemptsMade() {
 			t.attempts[ai].phase = forgotten
 		}
 	}
--- a/internal/verify/modelcheck/actions_host.go
+++ b/internal/verify/modelcheck/actions_host.go
@@ -2,28 +2,28 @@
 
 import "forkhead/internal/scheduler/hostsession"
 
-// addHost adds what a host does by itself: it restarts, handles its attempts, crashes and drains.
-func (l *actionList) addHost(hi int) {
+// addHostActions adds the actions of a host: it restarts, handles its attempts, crashes and drains.
+func (l *actionList) addHostActions(hi int) {
 	h := &l.state.hosts[hi]
 	if !h.up {
-		l.add(true, func(st *step) { st.s.hosts[hi].start() }, "host %d comes back", hi)
+		l.add(true, func(st *step) { st.s.hosts[hi].restart() }, "host %d comes back", hi)
 		return
 	}
 	for ti := range l.model.cfg.Tasks {
 		for ai := range maxAttempts {
-			l.addHostAttempt(hi, ti, ai)
+			l.addHostAttemptActions(hi, ti, ai)
 		}
 	}
-	if l.mayFail() {
-		l.add(false, func(st *step) { st.killHost(hi) }, "host %d dies", hi)
+	if l.faultAllowed() {
+		l.add(false, func(st *step) { st.crashHost(hi) }, "host %d dies", hi)
 	}
-	if !h.draining && l.mayFail() {
+	if !h.draining && l.faultAllowed() {
 		l.add(false, func(st *step) { st.drainHost(hi) }, "host %d drains", hi)
 	}
 }
 
-// addHostAttempt adds what a host does with an attempt.
-func (l *actionList) addHostAttempt(hi, ti, ai int) {
+// addHostAttemptActions adds the actions of a host on one attempt.
+func (l *actionList) addHostAttemptActions(hi, ti, ai int) {
 	h := &l.state.hosts[hi]
 	switch h.attempts[ti][ai] {
 	case hostsession.Queued:
@@ -47,7 +47,7 @@
 	l.add(fair, func(st *step) { st.applyHostInput(hi, ti, ai, in) }, format, args...)
 }
 
-// holdsOther reports whether another attempt of a task holds capacity at the host.
+// holdsOther reports whether an attempt of the task other than ai holds capacity at the host.
 func (h *host) holdsOther(ti, ai int) bool {
 	for other := range maxAttempts {
 		if other != ai && h.attempts[ti][other].HoldsCapacity() {
@@ -57,12 +57,14 @@
 	return false
 }
 
-func (h *host) start() {
+// restart brings a crashed host up in a new epoch.
+func (h *host) restart() {
 	h.up = true
 	h.epoch++
 }
 
-func (st *step) killHost(hi int) {
+// crashHost crashes a host: its attempts and its session are lost, and its ends of the connections are closed.
+func (st *step) crashHost(hi int) {
 	h := &st.s.hosts[hi]
 	h.up, h.sessionOpen, h.draining = false, false, false
 	h.attempts = [maxTasks][maxAttempts]hostsession.State{}
--- a/internal/verify/modelcheck/actions_network.go
+++ b/internal/verify/modelcheck/actions_network.go
@@ -2,8 +2,9 @@
 
 import "forkhead/internal/scheduler/hostconn"
 
-// addNetwork adds what may happen to a host's connections: messages arrive, ends are seen, connections break.
-func (l *actionList) addNetwork(hi int) {
+// addNetworkActions adds the actions on a host's connections: messages are delivered, the placer and the host notice
+// that a connection has ended, and connections break.
+func (l *actionList) addNetworkActions(hi int) {
 	for i := range l.state.hosts[hi].streams {
 		if l.state.hosts[hi].streams[i].conn != 0 {
 			l.addDeliveries(hi, i)
@@ -24,6 +25,7 @@
 	}
 }
 
+// addCloses adds that an end which is still open notices the end of the connection.
 func (l *actionList) addCloses(hi, i int) {
 	s := &l.state.hosts[hi].streams[i]
 	if s.placerOpen && (!s.hostOpen && s.toPlacerCount == 0 || s.broken) {
@@ -36,7 +38,7 @@
 
 func (l *actionList) addBreak(hi, i int) {
 	s := &l.state.hosts[hi].streams[i]
-	if !s.broken && s.placerOpen && s.hostOpen && l.mayFail() {
+	if !s.broken && s.placerOpen && s.hostOpen && l.faultAllowed() {
 		l.add(false, func(st *step) { st.breakStream(hi, i) }, "the connection to host %d is cut", hi)
 	}
 }
@@ -48,11 +50,12 @@
 	s.discardUndeliverable()
 }
 
+// deliverToPlacer delivers the first message to the placer, which drops it unless the connection is the current one.
 func (st *step) deliverToPlacer(hi, i int) {
 	s := &st.s.hosts[hi].streams[i]
 	conn := s.conn
 	m := pop(&s.toPlacer, &s.toPlacerCount)
-	if conn == st.s.hosts[hi].conn || st.machines.acceptOldConnection {
+	if conn == st.s.hosts[hi].conn || st.stateMachines.acceptOldConnection {
 		st.receiveFromHost(hi, m)
 	}
 }
@@ -75,7 +78,7 @@
 	s.discardUndeliverable()
 }
 
-// breakStream loses all that is in transit; either end sees it some time later.
+// breakStream breaks a connection. All messages in transit are lost, and each end notices the break at a later step.
 func (st *step) breakStream(hi, i int) {
 	s := &st.s.hosts[hi].streams[i]
 	s.broken = true
--- a/internal/verify/modelcheck/host.go
+++ b/internal/verify/modelcheck/host.go
@@ -4,10 +4,10 @@
 	"forkhead/internal/scheduler/hostsession"
 )
 
-// This file has what a host does with its state machines.
+// This file defines how a host uses its state machines.
 
-// replyMessages are the messages that a host sends for the replies of its state machine. Accepted is not sent: where bound
-// means running it has no effect at the placer.
+// replyMessages maps the replies of a host's state machine to messages. Accepted is not sent: it has no effect at the
+// placer where a task counts as bound only when it runs.
 var replyMessages = [...]messageKind{
 	hostsession.SendRejected: rejectedMessage,
 	hostsession.SendRunning:  runningMessage,
@@ -15,11 +15,11 @@
 	hostsession.SendCanceled: canceledMessage,
 }
 
-// applyHostInput gives an attempt at a host an input and sends the reply.
+// applyHostInput applies an input to an attempt at a host and sends the reply.
 func (st *step) applyHostInput(hi, ti, ai int, in hostsession.Input) {
 	h := &st.s.hosts[hi]
 	var reply hostsession.Reply
-	h.attempts[ti][ai], reply = st.machines.hostTransition(h.attempts[ti][ai], in)
+	h.attempts[ti][ai], reply = st.stateMachines.hostTransition(h.attempts[ti][ai], in)
 	if kind := replyMessages[reply]; kind != 0 {
 		st.sendToPlacer(h, newMessage(kind, ti, ai))
 	}
@@ -32,20 +32,20 @@
 	}
 }
 
-// endSession ends the session at a host: what is queued there is dropped.
+// endSession ends the session at a host, which drops its queued offers.
 func (st *step) endSession(h *host) {
 	h.sessionOpen = false
-	if st.machines.keepQueueOnBreak {
+	if st.stateMachines.keepQueueOnBreak {
 		return
 	}
 	for ti := range st.cfg.Tasks {
 		for ai := range maxAttempts {
-			h.attempts[ti][ai], _ = st.machines.hostTransition(h.attempts[ti][ai], hostsession.ConnectionLost)
+			h.attempts[ti][ai], _ = st.stateMachines.hostTransition(h.attempts[ti][ai], hostsession.ConnectionLost)
 		}
 	}
 }
 
-// receiveAtHost handles a message of a placer that a host reads from a stream.
+// receiveAtHost handles a placer's message that a host reads from a stream.
 func (st *step) receiveAtHost(hi int, s *stream, m message) {
 	if m.kind == helloMessage {
 		st.receiveHello(&st.s.hosts[hi], s)
@@ -64,25 +64,26 @@
 	}
 }
 
-// receiveHello begins a session on a stream, in place of an earlier one, and sends Welcome; or it closes a stale stream.
+// receiveHello starts a session on a stream, in place of an earlier session, and sends Welcome; or closes a stale
+// stream.
 func (st *step) receiveHello(h *host, s *stream) {
 	last := hostsession.Session{
 		Epoch: uint64(h.sessionIncarnation), Conn: uint32(h.sessionConn), Connected: h.sessionOpen,
 	}
-	if st.machines.checkHello(last, uint64(s.incarnation), uint32(s.conn)) == hostsession.HelloStale {
+	if st.stateMachines.checkHello(last, uint64(s.incarnation), uint32(s.conn)) == hostsession.HelloStale {
 		s.hostOpen = false
 		return
 	}
 	if h.sessionOpen {
 		old := h.stream(h.sessionConn, h.sessionIncarnation)
-		if old != nil && !st.machines.acceptOldConnection {
+		if old != nil && !st.stateMachines.acceptOldConnection {
 			old.hostOpen = false
 			old.discardUndeliverable()
 		}
 		st.endSession(h)
 	}
 	h.sessionIncarnation, h.sessionConn, h.sessionOpen = s.incarnation, s.conn, true
-	welcome := message{kind: welcomeMessage, about: h.epoch}
+	welcome := message{kind: welcomeMessage, attemptOrEpoch: h.epoch}
 	for ti := range st.cfg.Tasks {
 		for ai := range maxAttempts {
 			if h.attempts[ti][ai].HoldsCapacity() {
