--- a/internal/emulator/platform/server_test.go
+++ b/internal/emulator/platform/server_test.go
@@ -271,7 +271,7 @@
 
 // What a host does not read fills the buffers of the connection, so that its placer can't write on.
 func TestConnectionStopsReading(t *testing.T) {
-	s, address := startWithFault(t, platformmodel.FaultUnread, time.Hour)
+	s, address := startWithFault(t, platformmodel.FaultNotReading, time.Hour)
 	s.Begin()
 	eventually(t, "a connection that nobody reads", func() bool {
 		conn, err := net.Dial("tcp", address)
--- a/internal/emulator/platformmodel/emulator.go
+++ b/internal/emulator/platformmodel/emulator.go
@@ -209,7 +209,7 @@
 		e.handleDisconnected(in.Conn)
 	case Data:
 		if l := e.links[in.Conn]; l != nil {
-			e.record(RecordArrived, l, in.Bytes)
+			e.record(RecordRead, l, in.Bytes)
 			l.toModel.push(e.now, in.Bytes)
 			e.flush(l)
 		}
@@ -331,7 +331,7 @@
 // openLink tells a model of a connection.
 func (e *Emulator) openLink(l *link) {
 	e.record(RecordOpened, l, nil)
-	if l.party.active[FaultUnread] > 0 {
+	if l.party.active[FaultNotReading] > 0 {
 		e.emit(StopReading{l.id})
 	}
 	e.execute(l.party, l.party.model.ConnectionOpened(e.now, l.id, l.placer))
@@ -343,7 +343,7 @@
 	if l == nil {
 		return
 	}
-	e.record(RecordClosed, l, nil)
+	e.record(RecordClosedByPlacer, l, nil)
 	if l.dead {
 		e.endLink(l, ResetConnection{l.id})
 		return
--- a/internal/emulator/platformmodel/faults.go
+++ b/internal/emulator/platformmodel/faults.go
@@ -15,14 +15,14 @@
 
 // The types of faults. What a fault affects is in force for its duration, unless it says "once".
 const (
-	FaultLate            FaultType = iota // what the target sends is written Amount later
+	FaultDelayed         FaultType = iota // what the target sends is written Amount later
 	FaultSilent                           // what the target sends is held back until the end
 	FaultHalfOpen                         // open connections pass nothing any more, not even their end; new ones are not made
 	FaultReset                            // once: the target's connections are reset
-	FaultSpoilt                           // what the target sends is garbled
-	FaultDoubled                          // what the target sends is written twice
+	FaultCorrupted                        // what the target sends is garbled
+	FaultDuplicated                       // what the target sends is written twice
 	FaultReordered                        // of each two messages that the target sends on a connection, the second goes first
-	FaultUnread                           // the target reads nothing
+	FaultNotReading                       // the target reads nothing
 	FaultRefused                          // new connections to the target are refused
 	FaultClockSkew                        // the target's clock is ahead by Amount
 	FaultMassKill                         // the targets' processes are killed at once, and start again at the end
@@ -62,7 +62,7 @@
 	Duration time.Duration
 	Type     FaultType
 	Target   Target
-	Amount   time.Duration // of FaultLate and FaultClockSkew
+	Amount   time.Duration // of FaultDelayed and FaultClockSkew
 }
 
 // includes reports whether a party is a target.
@@ -86,7 +86,7 @@
 	if f.At < 0 || f.Duration < 0 {
 		return errors.New("a time is below 0")
 	}
-	if f.Type == FaultLate && f.Amount <= 0 {
+	if f.Type == FaultDelayed && f.Amount <= 0 {
 		return errors.New("how late is not above 0")
 	}
 	if !slices.Contains(injectorOf(f.Type).kinds, f.Target.Kind) {
--- a/internal/emulator/platformmodel/faults_test.go
+++ b/internal/emulator/platformmodel/faults_test.go
@@ -162,14 +162,14 @@
 		fault Fault // begins after 1 s and lasts for 2 s
 		check func(r *rig, conn, other ConnID)
 	}{
-		{Fault{Type: FaultLate, Target: host0, Amount: 300 * time.Millisecond}, checkLate},
+		{Fault{Type: FaultDelayed, Target: host0, Amount: 300 * time.Millisecond}, checkLate},
 		{Fault{Type: FaultSilent, Target: host0}, checkSilent},
 		{Fault{Type: FaultHalfOpen, Target: host0}, checkHalfOpen},
 		{Fault{Type: FaultReset, Target: host0}, checkReset},
-		{Fault{Type: FaultSpoilt, Target: host0}, checkSpoilt},
-		{Fault{Type: FaultDoubled, Target: host0}, checkDoubled},
+		{Fault{Type: FaultCorrupted, Target: host0}, checkSpoilt},
+		{Fault{Type: FaultDuplicated, Target: host0}, checkDoubled},
 		{Fault{Type: FaultReordered, Target: host0}, checkReordered},
-		{Fault{Type: FaultUnread, Target: host0}, checkUnread},
+		{Fault{Type: FaultNotReading, Target: host0}, checkUnread},
 		{Fault{Type: FaultRefused, Target: host0}, checkRefused},
 		{Fault{Type: FaultMassKill, Target: allHosts}, checkMassKill},
 		{Fault{Type: FaultMassRestart, Target: allHosts}, checkMassRestart},
@@ -390,11 +390,11 @@
 	for want, f := range map[string]Fault{
 		"there is no":           {Type: faultTypeCount},
 		"below 0":               {At: -1},
-		"how late":              {Type: FaultLate, Target: host0},
+		"how late":              {Type: FaultDelayed, Target: host0},
 		"does not befall":       {Type: FaultMassHandOver, Target: host0},
 		"has no target":         {Type: FaultReset, Target: Target{Kind: HostParty, Number: 9}},
 		"zone partition has no": {Type: FaultZonePartition, Target: Target{Kind: HostParty, Zone: "z"}},
-		"late does not be":      {Type: FaultLate, Amount: 1, Target: Target{Kind: 9}},
+		"late does not be":      {Type: FaultDelayed, Amount: 1, Target: Target{Kind: 9}},
 	} {
 		if _, err := New(testNetworkConfig(1, 2, 1, f).Emulator, rigStart); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v, want %s", f, err, want)
--- a/internal/emulator/platformmodel/injectors.go
+++ b/internal/emulator/platformmodel/injectors.go
@@ -29,14 +29,14 @@
 		return injector{kinds, (*Emulator).beginActive, (*Emulator).endActive}
 	}
 	return [faultTypeCount]injector{
-		FaultLate:            {anyParty, (*Emulator).beginLate, (*Emulator).endLate},
+		FaultDelayed:         {anyParty, (*Emulator).beginLate, (*Emulator).endLate},
 		FaultSilent:          active(anyParty),
 		FaultHalfOpen:        {anyParty, (*Emulator).beginHalfOpen, (*Emulator).endHalfOpen},
 		FaultReset:           {anyParty, (*Emulator).beginReset, nil},
-		FaultSpoilt:          active(anyParty),
-		FaultDoubled:         active(anyParty),
+		FaultCorrupted:       active(anyParty),
+		FaultDuplicated:      active(anyParty),
 		FaultReordered:       active(messaging),
-		FaultUnread:          {anyParty, (*Emulator).beginUnread, (*Emulator).endUnread},
+		FaultNotReading:      {anyParty, (*Emulator).beginUnread, (*Emulator).endUnread},
 		FaultRefused:         active(listening),
 		FaultClockSkew:       {onlyHosts, (*Emulator).beginClockSkew, (*Emulator).endClockSkew},
 		FaultMassKill:        {onlyHosts, (*Emulator).beginMassKill, (*Emulator).endMassKill},
@@ -97,7 +97,7 @@
 
 func (e *Emulator) endUnread(f *Fault, p *party) {
 	e.endActive(f, p)
-	if p.active[FaultUnread] > 0 {
+	if p.active[FaultNotReading] > 0 {
 		return
 	}
 	for _, l := range p.sortedLinks() {
--- a/internal/emulator/platformmodel/journal.go
+++ b/internal/emulator/platformmodel/journal.go
@@ -32,16 +32,16 @@
 // What is recorded. What a party sends and what is written differ by the faults in force; so do what arrives and what a
 // party receives.
 const (
-	RecordSent       RecordEvent = iota // a party sent a message
-	RecordWritten                       // bytes went out on the connection
-	RecordArrived                       // bytes came in on the connection
-	RecordReceived                      // a party received bytes
-	RecordOpened                        // a connection was made
-	RecordClosed                        // the placer's side has ended a connection, or it was never made
-	RecordEnded                         // the emulator's side has closed or reset a connection
-	RecordHostUp                        // an incarnation of a host has begun
-	RecordHostDown                      // an incarnation of a host has ended
-	RecordFaultBegan                    // of the Fault, at each of its targets
+	RecordSent             RecordEvent = iota // a party sent a message
+	RecordWritten                             // bytes went out on the connection
+	RecordRead                                // bytes came in on the connection
+	RecordReceived                            // a party received bytes
+	RecordOpened                              // a connection was made
+	RecordClosedByPlacer                      // the placer's side has ended a connection, or it was never made
+	RecordClosedByEmulator                    // the emulator's side has closed or reset a connection
+	RecordHostUp                              // an incarnation of a host has begun
+	RecordHostDown                            // an incarnation of a host has ended
+	RecordFaultBegan                          // of the Fault, at each of its targets
 	RecordFaultEnded
 	RecordPlacerStarted
 	RecordPlacerStopped
--- a/internal/emulator/platformmodel/link.go
+++ b/internal/emulator/platformmodel/link.go
@@ -69,7 +69,7 @@
 }
 
 func (l *link) blocksToModel() bool {
-	return l.dead || l.party.active[FaultUnread] > 0 || l.party.active[FaultZonePartition] > 0
+	return l.dead || l.party.active[FaultNotReading] > 0 || l.party.active[FaultZonePartition] > 0
 }
 
 // next returns when the link is to be flushed.
@@ -97,10 +97,10 @@
 	active := &l.party.active
 	units := [][]byte{message.Data}
 	if !message.Head {
-		if active[FaultSpoilt] > 0 {
+		if active[FaultCorrupted] > 0 {
 			units[0] = e.spoil(message.Data)
 		}
-		if active[FaultDoubled] > 0 {
+		if active[FaultDuplicated] > 0 {
 			units = append(units, units[0])
 		}
 		if active[FaultReordered] > 0 {
@@ -233,7 +233,7 @@
 
 // endLink ends a connection on the emulator's side.
 func (e *Emulator) endLink(l *link, how Output) {
-	e.record(RecordEnded, l, nil)
+	e.record(RecordClosedByEmulator, l, nil)
 	e.emit(how)
 	e.forgetLink(l)
 }
--- a/internal/emulator/platformmodel/network_test.go
+++ b/internal/emulator/platformmodel/network_test.go
@@ -171,7 +171,7 @@
 		}
 		f.At, f.Duration = time.Duration(rng.Int64N(int64(5*time.Second))), time.Duration(rng.Int64N(int64(4*time.Second)))
 		kinds := injectorOf(f.Type).kinds
-		if f.Type == FaultHalfOpen || f.Type == FaultSpoilt {
+		if f.Type == FaultHalfOpen || f.Type == FaultCorrupted {
 			kinds = onlyHosts
 		}
 		f.Target = Target{Kind: kinds[rng.IntN(len(kinds))], All: rng.IntN(3) == 0}
