--- a/internal/emulator/platformmodel/emulator.go
+++ b/internal/emulator/platformmodel/emulator.go
@@ -96,7 +96,7 @@
 		}
 		e.lastHostNumber++
 		p := e.addParty(HostParty, i)
-		p.host = &hostPlace{spec: spec, name: hostName(e.lastHostNumber)}
+		p.host = &hostState{spec: spec, name: hostName(e.lastHostNumber)}
 		p.listener = e.newListener(p)
 		e.startHost(p)
 	}
@@ -348,7 +348,7 @@
 		e.endLink(l, ResetConnection{l.id})
 		return
 	}
-	l.closed = true
+	l.closedByPlacer = true
 	e.flush(l)
 }
 
@@ -362,7 +362,7 @@
 			}
 		case Close:
 			if l := e.links[a.Conn]; l != nil {
-				e.sendEnd(l)
+				e.sendClose(l)
 			}
 		case Connect:
 			e.dial(p, a)
--- a/internal/emulator/platformmodel/endpointlog.go
+++ b/internal/emulator/platformmodel/endpointlog.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	commentInterval = time.Second // between comments on a stream
-	maxLoggedEvents = 4096        // whoever asks after an older one gets a snapshot
-	watchPath       = "/changes"
-	lastEventField  = "last-event-id"
-	streamHead      = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
+	commentInterval    = time.Second // between comments on a stream
+	maxLoggedEvents    = 4096        // whoever asks after an older one gets a snapshot
+	watchPath          = "/changes"
+	lastEventIDHeader  = "last-event-id"
+	streamResponseHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
 )
 
 // EndpointLog is the watch of the endpoint list: it numbers the changes and streams them to whoever asks. It is for one
@@ -28,13 +28,13 @@
 	AddressFor func(placer int, address string) string
 
 	actionQueue
-	now       time.Duration
-	last      uint64 // number of the last event
-	endpoints map[string]platform.Endpoint
-	events    []platform.WatchEvent // without a gap up to last
-	streams   map[ConnID]*logStream
-	restarts  int         // of the sequence
-	asked     map[int]int // by placer: how many restarts there were when it last asked
+	now               time.Duration
+	lastSeq           uint64 // number of the last event
+	endpoints         map[string]platform.Endpoint
+	events            []platform.WatchEvent // without a gap up to last
+	streams           map[ConnID]*logStream
+	sequenceRestarts  int         // of the sequence
+	restartsAtRequest map[int]int // by placer: how many restarts there were when it last asked
 }
 
 // logStream is a connection of a placer.
@@ -42,13 +42,13 @@
 	id            ConnID
 	placer        int
 	parser        *http1.Parser
-	open          bool // the request has come and is answered
+	subscribed    bool // the request has come and is answered
 	nextCommentAt time.Duration
 }
 
 // NewEndpointLog returns a log whose first event is a snapshot of some endpoints.
 func NewEndpointLog(now time.Duration, endpoints ...platform.Endpoint) *EndpointLog {
-	l := &EndpointLog{now: now, endpoints: map[string]platform.Endpoint{}, streams: map[ConnID]*logStream{}, asked: map[int]int{}}
+	l := &EndpointLog{now: now, endpoints: map[string]platform.Endpoint{}, streams: map[ConnID]*logStream{}, restartsAtRequest: map[int]int{}}
 	for _, e := range endpoints {
 		l.endpoints[e.Name] = e
 	}
@@ -60,13 +60,13 @@
 func (l *EndpointLog) Events(placer int) []platform.WatchEvent {
 	events := make([]platform.WatchEvent, len(l.events))
 	for i, e := range l.events {
-		events[i] = l.seenBy(placer, e)
+		events[i] = l.eventForPlacer(placer, e)
 	}
 	return events
 }
 
-// seenBy returns an event with the addresses at which a placer reaches the hosts.
-func (l *EndpointLog) seenBy(placer int, event platform.WatchEvent) platform.WatchEvent {
+// eventForPlacer returns an event with the addresses at which a placer reaches the hosts.
+func (l *EndpointLog) eventForPlacer(placer int, event platform.WatchEvent) platform.WatchEvent {
 	if l.AddressFor == nil {
 		return event
 	}
@@ -99,7 +99,7 @@
 			l.add(Close{s.id})
 		}
 		l.streams = map[ConnID]*logStream{}
-		l.restarts++
+		l.sequenceRestarts++
 		l.restartSequence()
 	})
 }
@@ -120,7 +120,7 @@
 func (l *EndpointLog) Received(now time.Duration, conn ConnID, data []byte) []Action {
 	return l.handle(now, func() {
 		s := l.streams[conn]
-		if s == nil || s.open {
+		if s == nil || s.subscribed {
 			return
 		}
 		request, err := s.parser.Feed(data)
@@ -131,7 +131,7 @@
 		case request.Method != "GET" || request.Path != watchPath:
 			l.refuse(s, 404)
 		default:
-			last, _ := strconv.ParseUint(request.Get(lastEventField), 10, 64) // none, or none that is a number: from the start
+			last, _ := strconv.ParseUint(request.Get(lastEventIDHeader), 10, 64) // none, or none that is a number: from the start
 			l.openStream(s, last)
 		}
 	})
@@ -159,7 +159,7 @@
 			l.add(Send{Conn: s.id, Data: []byte(":\n\n")})
 		}
 	}
-	return l.take()
+	return l.takeActions()
 }
 
 func (l *EndpointLog) sortedStreams() []*logStream {
@@ -176,40 +176,40 @@
 // that asks for the first time since the numbers began again gets all events of the new sequence. The body has no length and
 // ends with its connection.
 func (l *EndpointLog) openStream(s *logStream, last uint64) {
-	s.open, s.nextCommentAt = true, l.now+commentInterval
-	l.add(Send{Conn: s.id, Data: []byte(streamHead), Head: true})
-	if asked, known := l.asked[s.placer]; last > l.last || known && asked != l.restarts { // of an earlier sequence
+	s.subscribed, s.nextCommentAt = true, l.now+commentInterval
+	l.add(Send{Conn: s.id, Data: []byte(streamResponseHead), Head: true})
+	if restarts, known := l.restartsAtRequest[s.placer]; last > l.lastSeq || known && restarts != l.sequenceRestarts { // of an earlier sequence
 		last = 0
 	}
-	l.asked[s.placer] = l.restarts
+	l.restartsAtRequest[s.placer] = l.sequenceRestarts
 	if first := l.events[0].Seq; last+1 < first {
-		l.add(Send{Conn: s.id, Data: encodeEvent(l.seenBy(s.placer, l.snapshot(l.last)))})
+		l.add(Send{Conn: s.id, Data: encodeEvent(l.eventForPlacer(s.placer, l.snapshot(l.lastSeq)))})
 		return
 	}
 	for _, e := range l.events {
 		if e.Seq > last {
-			l.add(Send{Conn: s.id, Data: encodeEvent(l.seenBy(s.placer, e))})
+			l.add(Send{Conn: s.id, Data: encodeEvent(l.eventForPlacer(s.placer, e))})
 		}
 	}
 }
 
 // append logs an event and streams it.
 func (l *EndpointLog) append(list *platform.EndpointList) {
-	l.last++
-	event := platform.WatchEvent{Seq: l.last, Endpoints: list}
+	l.lastSeq++
+	event := platform.WatchEvent{Seq: l.lastSeq, Endpoints: list}
 	l.events = append(l.events, event)
 	if len(l.events) > maxLoggedEvents {
 		l.events = l.events[1:]
 	}
 	for _, s := range l.sortedStreams() {
-		if s.open {
-			l.add(Send{Conn: s.id, Data: encodeEvent(l.seenBy(s.placer, event))})
+		if s.subscribed {
+			l.add(Send{Conn: s.id, Data: encodeEvent(l.eventForPlacer(s.placer, event))})
 		}
 	}
 }
 
 func (l *EndpointLog) restartSequence() {
-	l.last = 1
+	l.lastSeq = 1
 	l.events = []platform.WatchEvent{l.snapshot(1)}
 }
 
--- a/internal/emulator/platformmodel/faults_test.go
+++ b/internal/emulator/platformmodel/faults_test.go
@@ -11,44 +11,44 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// rig is an Emulator whose placer is the test. The listeners of its two hosts are 1 and 2, in the zones a and b; 3 is the
+// emulatorRig is an Emulator whose placer is the test. The listeners of its two hosts are 1 and 2, in the zones a and b; 3 is the
 // endpoint log's.
-type rig struct {
-	t         *testing.T
-	e         *Emulator
-	now       time.Duration
-	written   map[ConnID][]string // messages, as type and ref, or the whole if they can't be read
-	ended     map[ConnID]Output
-	listeners map[ListenerID]string // state
-	addresses map[ListenerID]string
-	unread    map[ConnID]bool
-	dialed    []ConnID
+type emulatorRig struct {
+	t              *testing.T
+	e              *Emulator
+	now            time.Duration
+	written        map[ConnID][]string // messages, as type and ref, or the whole if they can't be read
+	closed         map[ConnID]Output
+	listeners      map[ListenerID]string // state
+	addresses      map[ListenerID]string
+	readingStopped map[ConnID]bool
+	dialed         []ConnID
 }
 
-const rigStart = time.Hour
+const testStart = time.Hour
 
-// newRig returns a rig that has begun. Answers of its hosts take 10 ms.
-func newRig(t *testing.T, faults ...Fault) *rig {
+// newEmulatorRig returns a rig that has begun. Answers of its hosts take 10 ms.
+func newEmulatorRig(t *testing.T, faults ...Fault) *emulatorRig {
 	t.Helper()
 	cfg := testNetworkConfig(1, 2, 1, faults...).Emulator
 	cfg.Owners[0].Requests[0].ReleaseAfter = 0
 	for i := range cfg.Hosts {
 		cfg.Hosts[i].Config.AnswerTime = Range{10 * time.Millisecond, 10 * time.Millisecond}
 	}
-	e, err := New(cfg, rigStart)
+	e, err := New(cfg, testStart)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{
-		t: t, e: e, now: rigStart, written: map[ConnID][]string{}, ended: map[ConnID]Output{}, listeners: map[ListenerID]string{},
-		addresses: map[ListenerID]string{}, unread: map[ConnID]bool{},
+	r := &emulatorRig{
+		t: t, e: e, now: testStart, written: map[ConnID][]string{}, closed: map[ConnID]Output{}, listeners: map[ListenerID]string{},
+		addresses: map[ListenerID]string{}, readingStopped: map[ConnID]bool{},
 	}
 	r.step()
 	r.step(Begin{})
 	return r
 }
 
-func (r *rig) step(in ...Input) {
+func (r *emulatorRig) step(in ...Input) {
 	for _, o := range r.e.Step(r.now, in...) {
 		switch o := o.(type) {
 		case OpenListener:
@@ -64,13 +64,13 @@
 		case Write:
 			r.written[o.Conn] = append(r.written[o.Conn], describe(o.Bytes))
 		case CloseConnection:
-			r.ended[o.Conn] = o
+			r.closed[o.Conn] = o
 		case ResetConnection:
-			r.ended[o.Conn] = o
+			r.closed[o.Conn] = o
 		case StopReading:
-			r.unread[o.Conn] = true
+			r.readingStopped[o.Conn] = true
 		case ResumeReading:
-			r.unread[o.Conn] = false
+			r.readingStopped[o.Conn] = false
 		case Dial:
 			r.dialed = append(r.dialed, o.Conn)
 		}
@@ -86,57 +86,57 @@
 	return string(m.Type) + " " + m.Ref
 }
 
-// until lets time pass up to a time since the beginning.
-func (r *rig) until(d time.Duration) {
-	for end := rigStart + d; r.now < end; r.step() {
+// advanceTo lets time pass up to a time since the beginning.
+func (r *emulatorRig) advanceTo(d time.Duration) {
+	for end := testStart + d; r.now < end; r.step() {
 		r.now = min(end, max(r.e.Next(), r.now+time.Millisecond))
 	}
 }
 
 // connect opens a connection to a listener.
-func (r *rig) connect(l ListenerID) ConnID {
+func (r *emulatorRig) connect(l ListenerID) ConnID {
 	id := r.e.NewConnID()
 	r.step(Accepted{l, id, 0})
 	return id
 }
 
 // probe sends probes, numbered by refs.
-func (r *rig) probe(conn ConnID, refs ...int) {
+func (r *emulatorRig) probe(conn ConnID, refs ...int) {
 	for _, ref := range refs {
 		r.step(Data{conn, platform.Append(nil, platform.TypeProbe, fmt.Sprintf("%016x", ref), 0, nil)})
 	}
 }
 
-// want checks which probes are answered on a connection, in their order.
-func (r *rig) want(conn ConnID, refs ...int) {
+// wantProbesAnswered checks which probes are answered on a connection, in their order.
+func (r *emulatorRig) wantProbesAnswered(conn ConnID, refs ...int) {
 	r.t.Helper()
 	var want []string
 	for _, ref := range refs {
 		want = append(want, fmt.Sprintf("%s %016x", platform.TypeProbeResult, ref))
 	}
 	if got := r.written[conn]; !slices.Equal(got, want) {
-		r.t.Errorf("at %v: written %q, want %q", r.now-rigStart, got, want)
+		r.t.Errorf("at %v: written %q, want %q", r.now-testStart, got, want)
 	}
 }
 
 // wantListener checks the state of a listener.
-func (r *rig) wantListener(l ListenerID, state string) {
+func (r *emulatorRig) wantListener(l ListenerID, state string) {
 	r.t.Helper()
 	if r.listeners[l] != state {
-		r.t.Errorf("at %v: listener %d is %s, want %s", r.now-rigStart, l, r.listeners[l], state)
+		r.t.Errorf("at %v: listener %d is %s, want %s", r.now-testStart, l, r.listeners[l], state)
 	}
 }
 
 // wantReset checks whether a connection was reset.
-func (r *rig) wantReset(conn ConnID, want bool) {
+func (r *emulatorRig) wantReset(conn ConnID, want bool) {
 	r.t.Helper()
-	if got := r.ended[conn] == (ResetConnection{conn}); got != want {
-		r.t.Errorf("at %v: reset %v, want %v", r.now-rigStart, got, want)
+	if got := r.closed[conn] == (ResetConnection{conn}); got != want {
+		r.t.Errorf("at %v: reset %v, want %v", r.now-testStart, got, want)
 	}
 }
 
 // lastEntry returns the last entry of a host in the endpoint list.
-func (r *rig) lastEntry(name string) (last platform.Endpoint) {
+func (r *emulatorRig) lastEntry(name string) (last platform.Endpoint) {
 	for _, event := range r.e.InitialEvents(0) {
 		for _, entry := range event.Endpoints.Hosts {
 			if entry.Name == name {
@@ -160,16 +160,16 @@
 func TestInjectors(t *testing.T) {
 	for _, c := range []struct {
 		fault Fault // begins after 1 s and lasts for 2 s
-		check func(r *rig, conn, other ConnID)
+		check func(r *emulatorRig, conn, other ConnID)
 	}{
-		{Fault{Type: FaultDelayed, Target: host0, Amount: 300 * time.Millisecond}, checkLate},
+		{Fault{Type: FaultDelayed, Target: host0, Amount: 300 * time.Millisecond}, checkDelayed},
 		{Fault{Type: FaultSilent, Target: host0}, checkSilent},
 		{Fault{Type: FaultHalfOpen, Target: host0}, checkHalfOpen},
 		{Fault{Type: FaultReset, Target: host0}, checkReset},
-		{Fault{Type: FaultCorrupted, Target: host0}, checkSpoilt},
-		{Fault{Type: FaultDuplicated, Target: host0}, checkDoubled},
+		{Fault{Type: FaultCorrupted, Target: host0}, checkCorrupted},
+		{Fault{Type: FaultDuplicated, Target: host0}, checkDuplicated},
 		{Fault{Type: FaultReordered, Target: host0}, checkReordered},
-		{Fault{Type: FaultNotReading, Target: host0}, checkUnread},
+		{Fault{Type: FaultNotReading, Target: host0}, checkNotReading},
 		{Fault{Type: FaultRefused, Target: host0}, checkRefused},
 		{Fault{Type: FaultMassKill, Target: allHosts}, checkMassKill},
 		{Fault{Type: FaultMassRestart, Target: allHosts}, checkMassRestart},
@@ -179,54 +179,54 @@
 	} {
 		t.Run(c.fault.Type.String(), func(t *testing.T) {
 			c.fault.At, c.fault.Duration = second, 2*second
-			r := newRig(t, c.fault)
+			r := newEmulatorRig(t, c.fault)
 			conn, other := r.connect(1), r.connect(2)
-			r.until(second)
+			r.advanceTo(second)
 			c.check(r, conn, other)
 		})
 	}
 }
 
-func checkLate(r *rig, conn, other ConnID) {
+func checkDelayed(r *emulatorRig, conn, other ConnID) {
 	r.probe(conn, 1)
 	r.probe(other, 1)
-	r.want(other, 1)
-	r.until(second + 299*time.Millisecond)
-	r.want(conn)
-	r.until(second + 300*time.Millisecond)
-	r.want(conn, 1)
+	r.wantProbesAnswered(other, 1)
+	r.advanceTo(second + 299*time.Millisecond)
+	r.wantProbesAnswered(conn)
+	r.advanceTo(second + 300*time.Millisecond)
+	r.wantProbesAnswered(conn, 1)
 }
 
-func checkSilent(r *rig, conn, other ConnID) {
+func checkSilent(r *emulatorRig, conn, other ConnID) {
 	r.probe(conn, 1, 2)
 	r.probe(other, 1)
-	r.want(other, 1)
-	r.until(3*second - 1)
-	r.want(conn)
-	r.until(3 * second)
-	r.want(conn, 1, 2)
+	r.wantProbesAnswered(other, 1)
+	r.advanceTo(3*second - 1)
+	r.wantProbesAnswered(conn)
+	r.advanceTo(3 * second)
+	r.wantProbesAnswered(conn, 1, 2)
 }
 
-func checkHalfOpen(r *rig, conn, other ConnID) {
+func checkHalfOpen(r *emulatorRig, conn, other ConnID) {
 	r.probe(conn, 1)
 	r.probe(other, 1)
-	r.want(other, 1)
+	r.wantProbesAnswered(other, 1)
 	r.wantListener(1, "stopped")
-	r.until(3*second - 1)
+	r.advanceTo(3*second - 1)
 	r.wantReset(conn, false)
-	r.until(3 * second)
+	r.advanceTo(3 * second)
 	r.wantReset(conn, true)
-	r.want(conn)
+	r.wantProbesAnswered(conn)
 	r.wantListener(1, "open")
 	r.wantListener(2, "open")
 }
 
-func checkReset(r *rig, conn, other ConnID) {
+func checkReset(r *emulatorRig, conn, other ConnID) {
 	r.wantReset(conn, true)
 	r.wantReset(other, false)
 }
 
-func checkSpoilt(r *rig, conn, other ConnID) {
+func checkCorrupted(r *emulatorRig, conn, other ConnID) {
 	for range 20 {
 		r.probe(conn, 1)
 		r.probe(other, 1)
@@ -237,90 +237,90 @@
 	}
 }
 
-func checkDoubled(r *rig, conn, other ConnID) {
+func checkDuplicated(r *emulatorRig, conn, other ConnID) {
 	r.probe(conn, 1, 2)
 	r.probe(other, 1)
-	r.want(conn, 1, 1, 2, 2)
-	r.want(other, 1)
+	r.wantProbesAnswered(conn, 1, 1, 2, 2)
+	r.wantProbesAnswered(other, 1)
 }
 
-func checkReordered(r *rig, conn, other ConnID) {
+func checkReordered(r *emulatorRig, conn, other ConnID) {
 	r.probe(conn, 1, 2, 3)
 	r.probe(other, 1, 2)
-	r.want(conn, 2, 1)
-	r.want(other, 1, 2)
-	r.until(3 * second)
-	r.want(conn, 2, 1, 3)
+	r.wantProbesAnswered(conn, 2, 1)
+	r.wantProbesAnswered(other, 1, 2)
+	r.advanceTo(3 * second)
+	r.wantProbesAnswered(conn, 2, 1, 3)
 }
 
-func checkUnread(r *rig, conn, other ConnID) {
+func checkNotReading(r *emulatorRig, conn, other ConnID) {
 	r.probe(conn, 1)
 	r.probe(other, 1)
-	r.want(conn)
-	r.want(other, 1)
-	if later := r.connect(1); !r.unread[conn] || !r.unread[later] || r.unread[other] {
-		r.t.Errorf("unread %v", r.unread)
+	r.wantProbesAnswered(conn)
+	r.wantProbesAnswered(other, 1)
+	if later := r.connect(1); !r.readingStopped[conn] || !r.readingStopped[later] || r.readingStopped[other] {
+		r.t.Errorf("unread %v", r.readingStopped)
 	}
-	r.until(3 * second)
-	r.want(conn, 1)
-	if r.unread[conn] {
+	r.advanceTo(3 * second)
+	r.wantProbesAnswered(conn, 1)
+	if r.readingStopped[conn] {
 		r.t.Error("it still does not read")
 	}
 }
 
-func checkRefused(r *rig, conn, _ ConnID) {
+func checkRefused(r *emulatorRig, conn, _ ConnID) {
 	r.wantListener(1, "closed")
 	r.wantListener(2, "open")
 	r.probe(conn, 1)
-	r.want(conn, 1)
-	r.until(3 * second)
+	r.wantProbesAnswered(conn, 1)
+	r.advanceTo(3 * second)
 	r.wantListener(1, "open")
 }
 
-func checkMassKill(r *rig, conn, other ConnID) {
+func checkMassKill(r *emulatorRig, conn, other ConnID) {
 	r.wantReset(conn, true)
 	r.wantReset(other, true)
 	r.wantListener(1, "closed")
-	r.until(second + 300*time.Millisecond)
+	r.advanceTo(second + 300*time.Millisecond)
 	if got := r.lastEntry("s-00000002").State; got != platform.Terminated {
 		r.t.Errorf("the list says %s", got)
 	}
-	r.until(3*second + 300*time.Millisecond)
+	r.advanceTo(3*second + 300*time.Millisecond)
 	r.wantListener(1, "open")
 	if got := r.lastEntry("s-00000002"); got.State != platform.InService || got.StartedAtMS != 3_603_000 {
 		r.t.Errorf("the list says %+v", got)
 	}
 }
 
-func checkMassRestart(r *rig, conn, other ConnID) {
+func checkMassRestart(r *emulatorRig, conn, other ConnID) {
 	r.wantReset(conn, true)
 	r.wantReset(other, false)
-	r.until(second + restartTime)
+	r.advanceTo(second + massRestartDowntime)
 	r.wantListener(1, "open")
-	r.until(2 * second)
+	r.advanceTo(2 * second)
 	r.wantReset(other, true)
-	r.until(2*second + restartTime)
+	r.advanceTo(2*second + massRestartDowntime)
 	r.wantListener(2, "open")
 }
 
-func checkZonePartition(r *rig, conn, other ConnID) {
+func checkZonePartition(r *emulatorRig, conn, other ConnID) {
 	r.probe(conn, 1)
 	r.probe(other, 1)
-	r.want(other, 1)
+	r.wantProbesAnswered(other, 1)
 	r.wantListener(1, "stopped")
-	r.until(3*second - 1)
-	r.want(conn)
-	r.until(3 * second)
-	r.want(conn, 1)
+	r.advanceTo(3*second - 1)
+	r.wantProbesAnswered(conn)
+	r.advanceTo(3 * second)
+	r.wantProbesAnswered(conn, 1)
 	r.wantListener(1, "open")
 }
 
-func checkHostReplaced(r *rig, conn, other ConnID) {
+func checkHostReplaced(r *emulatorRig, conn, other ConnID) {
 	r.probe(conn, 1)
 	r.wantListener(1, "stopped")
 	r.wantReset(conn, false)
-	r.until(4 * second)
-	r.want(conn)
+	r.advanceTo(4 * second)
+	r.wantProbesAnswered(conn)
 	r.wantReset(conn, true)
 	r.wantListener(1, "open")
 	r.wantReset(other, false)
@@ -330,9 +330,9 @@
 	}
 }
 
-func checkHostReaddressed(r *rig, conn, _ ConnID) {
+func checkHostReaddressed(r *emulatorRig, conn, _ ConnID) {
 	before := r.lastEntry("s-00000001")
-	r.until(4 * second)
+	r.advanceTo(4 * second)
 	r.wantReset(conn, false)
 	r.wantListener(1, "stopped")
 	r.wantListener(4, "open")
@@ -342,18 +342,18 @@
 }
 
 // A host whose clock is ahead says that it started later.
-func TestInjectorClockSkew(t *testing.T) {
-	r := newRig(t, Fault{Duration: 5 * second, Type: FaultClockSkew, Target: host0, Amount: 7 * second},
+func TestInjectorClockSkewShiftsReportedStartTime(t *testing.T) {
+	r := newEmulatorRig(t, Fault{Duration: 5 * second, Type: FaultClockSkew, Target: host0, Amount: 7 * second},
 		Fault{At: second, Duration: second, Type: FaultMassKill, Target: allHosts})
-	r.until(3 * second)
+	r.advanceTo(3 * second)
 	if a, b := r.lastEntry("s-00000001").StartedAtMS, r.lastEntry("s-00000002").StartedAtMS; a != 3_609_000 || b != 3_602_000 {
 		t.Errorf("started at %v and %v", a, b)
 	}
 }
 
 // The owner of the rig hands over the task that runs, on a connection that has passed a probe.
-func TestInjectorMassHandOver(t *testing.T) {
-	r := newRig(t, Fault{At: second, Type: FaultMassHandOver, Target: Target{Kind: OwnerParty}})
+func TestInjectorMassHandOverResendsRunningTask(t *testing.T) {
+	r := newEmulatorRig(t, Fault{At: second, Type: FaultMassHandOver, Target: Target{Kind: OwnerParty}})
 	r.step(PlacerStarted{0})
 	conn := r.dialed[0]
 	r.step(Connected{conn})
@@ -361,7 +361,7 @@
 	r.step(Data{conn, platform.Append(nil, platform.TypeProbeResult, probe, platform.CauseHealthy, nil)})
 	ref := r.e.Requests()[0][0].Refs[0]
 	r.step(Data{conn, platform.Append(nil, platform.TypeBound, ref, platform.NoCause, boundDescription("s-00000001", ref))})
-	r.until(second)
+	r.advanceTo(second)
 	if got := r.written[conn]; len(got) != 3 || got[2] != fmt.Sprintf("%s %s", platform.TypeRequest, ref) {
 		t.Errorf("written %q", got)
 	}
@@ -371,12 +371,12 @@
 }
 
 // A log whose sequence has restarted ends its streams and begins again with a snapshot, whatever is asked for.
-func TestInjectorSequenceRestart(t *testing.T) {
-	r := newRig(t, Fault{At: second, Type: FaultSequenceRestart, Target: Target{Kind: EndpointLogParty}})
+func TestInjectorSequenceRestartClosesStreamsAndSendsSnapshot(t *testing.T) {
+	r := newEmulatorRig(t, Fault{At: second, Type: FaultSequenceRestart, Target: Target{Kind: EndpointLogParty}})
 	conn := r.connect(3)
-	r.until(second)
-	if r.ended[conn] != (CloseConnection{conn}) {
-		t.Errorf("ended %v", r.ended)
+	r.advanceTo(second)
+	if r.closed[conn] != (CloseConnection{conn}) {
+		t.Errorf("ended %v", r.closed)
 	}
 	again := r.connect(3)
 	r.step(Data{again, []byte("GET /changes HTTP/1.1\r\nHost: x\r\nLast-Event-ID: 3\r\n\r\n")})
@@ -386,7 +386,7 @@
 }
 
 // A schedule that cannot be followed is an error.
-func TestValidateFault(t *testing.T) {
+func TestNewRejectsInvalidFault(t *testing.T) {
 	for want, f := range map[string]Fault{
 		"there is no":           {Type: faultTypeCount},
 		"below 0":               {At: -1},
@@ -396,7 +396,7 @@
 		"zone partition has no": {Type: FaultZonePartition, Target: Target{Kind: HostParty, Zone: "z"}},
 		"late does not be":      {Type: FaultDelayed, Amount: 1, Target: Target{Kind: 9}},
 	} {
-		if _, err := New(testNetworkConfig(1, 2, 1, f).Emulator, rigStart); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := New(testNetworkConfig(1, 2, 1, f).Emulator, testStart); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v, want %s", f, err, want)
 		}
 	}
--- a/internal/emulator/platformmodel/host.go
+++ b/internal/emulator/platformmodel/host.go
@@ -63,7 +63,7 @@
 	queue          []*offer // not decided; the first is decided at decisionAt
 	decisionAt     time.Duration
 	recentOffers   []time.Duration      // within the slow start's window
-	tasks          map[string]*hostTask // that run, by ref
+	runningTasks   map[string]*hostTask // that run, by ref
 	unacknowledged []unacknowledgedEnd  // ends that no placer has acknowledged, the latest last
 }
 
@@ -88,7 +88,7 @@
 func NewHost(cfg HostConfig, name string, seed uint64, now time.Duration, cold bool) *Host {
 	h := &Host{
 		cfg: cfg, name: name, rng: rand.New(rand.NewPCG(seed, 1)), now: now, decisionAt: never,
-		conns: map[ConnID]*hostConnection{}, tasks: map[string]*hostTask{},
+		conns: map[ConnID]*hostConnection{}, runningTasks: map[string]*hostTask{},
 	}
 	if cold {
 		h.started = now
@@ -103,7 +103,7 @@
 func (h *Host) Started() time.Duration { return h.started }
 
 // Running returns the refs of the tasks that run, sorted.
-func (h *Host) Running() []string { return slices.Sorted(maps.Keys(h.tasks)) }
+func (h *Host) Running() []string { return slices.Sorted(maps.Keys(h.runningTasks)) }
 
 // Available returns the cores and the memory that no running task has requested.
 func (h *Host) Available() (cores, memory float64) {
@@ -155,7 +155,7 @@
 		return never
 	}
 	next := h.decisionAt
-	for _, t := range h.tasks {
+	for _, t := range h.runningTasks {
 		next = earliest(next, t.endsAt, t.nextNoteAt)
 	}
 	if h.cfg.IdleTimeout > 0 {
@@ -176,13 +176,13 @@
 	h.advanceTasks()
 	h.closeIdle()
 	input()
-	return h.take()
+	return h.takeActions()
 }
 
 func (h *Host) handleMessage(c *hostConnection, m *platform.Message) {
 	switch m.Type {
 	case platform.TypeProbe:
-		h.sendMessage(c.id, platform.TypeProbeResult, m.Ref, platform.CauseHealthy, h.loadField())
+		h.sendMessage(c.id, platform.TypeProbeResult, m.Ref, platform.CauseHealthy, h.loadReport())
 	case platform.TypeRequest:
 		h.receiveOffer(c, m)
 	case platform.TypeRelease:
@@ -196,17 +196,17 @@
 func (h *Host) receiveRelease(c *hostConnection, ref string) {
 	h.queue = slices.DeleteFunc(h.queue, func(o *offer) bool { return o.ref == ref })
 	h.scheduleDecision()
-	t := h.tasks[ref]
+	t := h.runningTasks[ref]
 	if t == nil {
 		h.sendMessage(c.id, platform.TypeAck, ref, platform.NoCause)
 		return
 	}
-	delete(h.tasks, ref)
-	h.sendMessage(c.id, platform.TypeRelease, ref, platform.CauseMigrated, h.loadField())
+	delete(h.runningTasks, ref)
+	h.sendMessage(c.id, platform.TypeRelease, ref, platform.CauseMigrated, h.loadReport())
 }
 
-// loadField is the report of the host's load.
-func (h *Host) loadField() platform.Field {
+// loadReport is the report of the host's load.
+func (h *Host) loadReport() platform.Field {
 	cores, memory := h.Available()
 	return platform.TextField(platform.FieldLoad, fmt.Sprintf("%s:%g;%s:%g;%s:%d",
 		platform.LoadAvailableCores, cores, platform.LoadAvailableMemory, memory, platform.LoadQueue, len(h.queue)))
--- a/internal/emulator/platformmodel/host_test.go
+++ b/internal/emulator/platformmodel/host_test.go
@@ -24,12 +24,12 @@
 	if change != nil {
 		change(&cfg)
 	}
-	r := &hostRig{t: t, host: NewHost(cfg, "s-00000001", 1, rigStart, cold), now: rigStart}
-	r.take(r.host.ConnectionOpened(r.now, 1, 0))
+	r := &hostRig{t: t, host: NewHost(cfg, "s-00000001", 1, testStart, cold), now: testStart}
+	r.collectSent(r.host.ConnectionOpened(r.now, 1, 0))
 	return r
 }
 
-func (r *hostRig) take(actions []Action) {
+func (r *hostRig) collectSent(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
@@ -48,25 +48,25 @@
 
 // offer offers a task of so many cores, with an idempotency key.
 func (r *hostRig) offer(ref int, cores float64, key string) {
-	r.take(r.host.Received(r.now, 1, platform.Append(nil, platform.TypeRequest, fmt.Sprintf("%016x", ref), platform.NoCause,
+	r.collectSent(r.host.Received(r.now, 1, platform.Append(nil, platform.TypeRequest, fmt.Sprintf("%016x", ref), platform.NoCause,
 		taskSize{cores, 1}.description(), platform.TextField(platform.FieldIdempotencyKey, key))))
 }
 
-func (r *hostRig) message(kind platform.MessageType, ref int) {
-	r.take(r.host.Received(r.now, 1, platform.Append(nil, kind, fmt.Sprintf("%016x", ref), platform.CauseOK, nil)))
+func (r *hostRig) receive(kind platform.MessageType, ref int) {
+	r.collectSent(r.host.Received(r.now, 1, platform.Append(nil, kind, fmt.Sprintf("%016x", ref), platform.CauseOK, nil)))
 }
 
 func (r *hostRig) advance(d time.Duration) {
-	for end := r.now + d; r.now < end; r.take(r.host.Step(r.now)) {
+	for end := r.now + d; r.now < end; r.collectSent(r.host.Step(r.now)) {
 		r.now = min(end, max(r.host.Next(), r.now+1))
 	}
 }
 
-// want checks what was sent since the last call.
-func (r *hostRig) want(want ...string) {
+// wantSent checks what was sent since the last call.
+func (r *hostRig) wantSent(want ...string) {
 	r.t.Helper()
 	if !slices.Equal(r.sent, want) {
-		r.t.Errorf("at %v: sent %q, want %q", r.now-rigStart, r.sent, want)
+		r.t.Errorf("at %v: sent %q, want %q", r.now-testStart, r.sent, want)
 	}
 	r.sent = nil
 }
@@ -78,47 +78,47 @@
 	r.offer(2, 10, "")
 	r.offer(3, 6, "")
 	r.offer(4, 1, "")
-	r.want("down 04 34")
+	r.wantSent("down 04 34")
 	r.advance(10 * time.Millisecond)
-	r.want("up 01 -1")
+	r.wantSent("up 01 -1")
 	r.advance(10 * time.Millisecond)
-	r.want("down 02 34")
+	r.wantSent("down 02 34")
 	r.advance(10 * time.Millisecond)
-	r.want("up 03 -1")
+	r.wantSent("up 03 -1")
 	if cores, memory := r.host.Available(); cores != 0 || memory != 14 {
 		t.Errorf("%v cores and %v of memory are available", cores, memory)
 	}
 }
 
 // The end of a task is sent on each connection that opens until the placer acknowledges it.
-func TestHostResendsRelease(t *testing.T) {
+func TestHostResendsTaskEndUntilAcknowledged(t *testing.T) {
 	r := newHostRig(t, false, nil)
 	r.offer(1, 1, "")
 	r.advance(10 * time.Millisecond)
-	r.take(r.host.ConnectionClosed(r.now, 1, false))
+	r.collectSent(r.host.ConnectionClosed(r.now, 1, false))
 	r.advance(2 * second)
-	r.want("up 01 -1")
-	r.take(r.host.ConnectionOpened(r.now, 1, 0))
-	r.want("down 01 16")
-	r.take(r.host.ConnectionOpened(r.now, 2, 1))
-	r.want()
-	r.message(platform.TypeAck, 1)
-	r.take(r.host.ConnectionOpened(r.now, 3, 0))
-	r.want()
+	r.wantSent("up 01 -1")
+	r.collectSent(r.host.ConnectionOpened(r.now, 1, 0))
+	r.wantSent("down 01 16")
+	r.collectSent(r.host.ConnectionOpened(r.now, 2, 1))
+	r.wantSent()
+	r.receive(platform.TypeAck, 1)
+	r.collectSent(r.host.ConnectionOpened(r.now, 3, 0))
+	r.wantSent()
 }
 
 // A release cuts a task that runs, withdraws an offer that is not decided, and is acknowledged where there is neither.
-func TestHostReceivesRelease(t *testing.T) {
+func TestHostReleaseEndsTaskOrWithdrawsOffer(t *testing.T) {
 	r := newHostRig(t, false, nil)
 	r.offer(1, 1, "")
 	r.advance(10 * time.Millisecond)
-	r.message(platform.TypeRelease, 1)
-	r.want("up 01 -1", "down 01 31")
+	r.receive(platform.TypeRelease, 1)
+	r.wantSent("up 01 -1", "down 01 31")
 	r.offer(2, 1, "")
-	r.message(platform.TypeRelease, 2)
-	r.want("ack 02 -1")
+	r.receive(platform.TypeRelease, 2)
+	r.wantSent("ack 02 -1")
 	r.advance(second)
-	r.want()
+	r.wantSent()
 }
 
 // A task that runs is not started again: neither under its ref, nor under another with its idempotency key.
@@ -128,21 +128,21 @@
 		r.offer(ref, 1, "key")
 		r.advance(10 * time.Millisecond)
 	}
-	r.want("up 01 -1", "up 01 -1", "up 02 -1")
+	r.wantSent("up 01 -1", "up 01 -1", "up 02 -1")
 	if got := r.host.Running(); len(got) != 1 {
 		t.Errorf("%q run", got)
 	}
 }
 
 // A host that has just started answers late, and crashes from too many offers in a while.
-func TestHostSlowStart(t *testing.T) {
+func TestHostSlowStartDelaysAnswersAndCrashesFromOverload(t *testing.T) {
 	r := newHostRig(t, true, func(c *HostConfig) { c.SlowStartMaxOffers, c.SlowStartFactor = 2, 3 })
 	r.offer(1, 1, "")
 	r.offer(2, 1, "")
 	r.advance(29 * time.Millisecond)
-	r.want()
+	r.wantSent()
 	r.advance(time.Millisecond)
-	r.want("up 01 -1")
+	r.wantSent("up 01 -1")
 	r.advance(470 * time.Millisecond)
 	r.offer(3, 1, "")
 	r.offer(4, 1, "")
@@ -156,13 +156,13 @@
 }
 
 // A connection without messages is closed; one that brings what can't be read is closed at once.
-func TestHostClosesConnections(t *testing.T) {
+func TestHostClosesIdleAndUnreadableConnections(t *testing.T) {
 	r := newHostRig(t, false, nil)
-	r.take(r.host.ConnectionOpened(r.now, 2, 0))
-	r.take(r.host.Received(r.now, 2, []byte("no message\n")))
-	r.want("close 2")
+	r.collectSent(r.host.ConnectionOpened(r.now, 2, 0))
+	r.collectSent(r.host.Received(r.now, 2, []byte("no message\n")))
+	r.wantSent("close 2")
 	r.advance(30*second - 1)
-	r.want()
+	r.wantSent()
 	r.advance(1)
-	r.want("close 1")
+	r.wantSent("close 1")
 }
--- a/internal/emulator/platformmodel/hostoffers.go
+++ b/internal/emulator/platformmodel/hostoffers.go
@@ -36,8 +36,8 @@
 	return fmt.Appendf(nil, `"host=%s task=%s"`, host, ref)
 }
 
-// hostOfDescription returns the host's name in a description of boundDescription; ok is false for any other.
-func hostOfDescription(description []byte) (host string, ok bool) {
+// parseBoundDescription returns the host's name in a description of boundDescription; ok is false for any other.
+func parseBoundDescription(description []byte) (host string, ok bool) {
 	var text string
 	if json.Unmarshal(description, &text) != nil {
 		return "", false
@@ -58,7 +58,7 @@
 
 // receiveOffer queues an offer, or rejects it if too many wait. During the slow start too many offers crash the host.
 func (h *Host) receiveOffer(c *hostConnection, m *platform.Message) {
-	if h.overloadedByOffer() {
+	if h.exceedsSlowStartLimit() {
 		h.crashed = true
 		return
 	}
@@ -71,8 +71,8 @@
 	h.scheduleDecision()
 }
 
-// overloadedByOffer counts an offer during the slow start and reports whether it is one too many.
-func (h *Host) overloadedByOffer() bool {
+// exceedsSlowStartLimit counts an offer during the slow start and reports whether it is one too many.
+func (h *Host) exceedsSlowStartLimit() bool {
 	if !h.inSlowStart() || h.cfg.SlowStartMaxOffers == 0 {
 		return false
 	}
@@ -89,16 +89,16 @@
 	case len(h.queue) == 0:
 		h.decisionAt = never
 	case h.decisionAt == never:
-		h.decisionAt = h.now + h.answerTime()
+		h.decisionAt = h.now + h.drawAnswerTime()
 	}
 }
 
-func (h *Host) answerTime() time.Duration {
-	took := h.cfg.AnswerTime.draw(h.rng)
+func (h *Host) drawAnswerTime() time.Duration {
+	answerTime := h.cfg.AnswerTime.draw(h.rng)
 	if h.inSlowStart() && h.cfg.SlowStartFactor > 1 {
-		took = time.Duration(float64(took) * h.cfg.SlowStartFactor)
+		answerTime = time.Duration(float64(answerTime) * h.cfg.SlowStartFactor)
 	}
-	return took
+	return answerTime
 }
 
 // decideDue decides the offers whose time has come, in the order in which they came. Each takes its time after the one
@@ -108,17 +108,17 @@
 		first := h.queue[0]
 		h.queue = h.queue[1:]
 		h.decide(first)
-		h.decisionAt += h.answerTime()
+		h.decisionAt += h.drawAnswerTime()
 	}
 	h.scheduleDecision()
 }
 
 // decide binds a task if there is space for it. An offer of a task that runs is answered again.
 func (h *Host) decide(o *offer) {
-	if t := h.runningTask(o); t != nil {
-		delete(h.tasks, t.ref)
+	if t := h.findRunningTask(o); t != nil {
+		delete(h.runningTasks, t.ref)
 		t.ref, t.conn, t.placer = o.ref, o.conn, o.placer
-		h.tasks[t.ref] = t
+		h.runningTasks[t.ref] = t
 		h.sendBound(t)
 		return
 	}
@@ -128,16 +128,16 @@
 		h.reject(o.conn, o.ref, platform.ReasonInsufficientCores)
 	case o.size.Memory > memory:
 		h.reject(o.conn, o.ref, platform.ReasonInsufficientMemory)
-	case len(h.tasks) >= maxHostTasks:
+	case len(h.runningTasks) >= maxHostTasks:
 		h.reject(o.conn, o.ref, platform.ReasonQueueFull)
 	default:
 		h.bind(o)
 	}
 }
 
-// runningTask returns the task that an offer would start a second time: it has the same ref or idempotency key; nil: none.
-func (h *Host) runningTask(o *offer) *hostTask {
-	if t := h.tasks[o.ref]; t != nil {
+// findRunningTask returns the task that an offer would start a second time: it has the same ref or idempotency key; nil: none.
+func (h *Host) findRunningTask(o *offer) *hostTask {
+	if t := h.runningTasks[o.ref]; t != nil {
 		return t
 	}
 	if o.idempotencyKey == "" {
@@ -152,5 +152,5 @@
 }
 
 func (h *Host) reject(conn ConnID, ref string, reason platform.RejectReason) {
-	h.sendMessage(conn, platform.TypeRelease, ref, platform.CauseRejected, platform.TextField(platform.FieldNote, string(reason)), h.loadField())
+	h.sendMessage(conn, platform.TypeRelease, ref, platform.CauseRejected, platform.TextField(platform.FieldNote, string(reason)), h.loadReport())
 }
--- a/internal/emulator/platformmodel/hosttasks.go
+++ b/internal/emulator/platformmodel/hosttasks.go
@@ -22,7 +22,7 @@
 }
 
 func (h *Host) sortedTasks() []*hostTask {
-	return slices.SortedFunc(maps.Values(h.tasks), func(a, b *hostTask) int { return cmp.Compare(a.ref, b.ref) })
+	return slices.SortedFunc(maps.Values(h.runningTasks), func(a, b *hostTask) int { return cmp.Compare(a.ref, b.ref) })
 }
 
 // bind starts a task.
@@ -34,7 +34,7 @@
 	if h.cfg.NoteInterval > 0 {
 		t.nextNoteAt = h.now + h.cfg.NoteInterval
 	}
-	h.tasks[t.ref] = t
+	h.runningTasks[t.ref] = t
 	h.sendBound(t)
 	h.sendNote(t, platform.NoteRunning, "")
 }
@@ -62,7 +62,7 @@
 	for _, t := range h.sortedTasks() {
 		switch {
 		case t.endsAt <= h.now:
-			h.end(t, platform.CauseOK)
+			h.endTask(t, platform.CauseOK)
 		case t.nextNoteAt <= h.now:
 			t.nextNoteAt = h.now + h.cfg.NoteInterval
 			h.sendNote(t, platform.NoteCoresUsed, strconv.FormatFloat(t.size.Cores, 'g', -1, 64))
@@ -70,10 +70,10 @@
 	}
 }
 
-// end ends a task by itself. It is sent again until its placer acknowledges it.
-func (h *Host) end(t *hostTask, cause platform.Cause) {
-	delete(h.tasks, t.ref)
-	line := platform.Append(nil, platform.TypeRelease, t.ref, cause, nil, h.loadField())
+// endTask ends a task by itself. It is sent again until its placer acknowledges it.
+func (h *Host) endTask(t *hostTask, cause platform.Cause) {
+	delete(h.runningTasks, t.ref)
+	line := platform.Append(nil, platform.TypeRelease, t.ref, cause, nil, h.loadReport())
 	if c := h.connectionFor(t); c != nil {
 		c.lastUsed = h.now
 		h.add(Send{Conn: c.id, Data: line})
--- a/internal/emulator/platformmodel/injectors.go
+++ b/internal/emulator/platformmodel/injectors.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// restartTime is how long a process takes to start again in a FaultMassRestart.
-const restartTime = 200 * time.Millisecond
+// massRestartDowntime is how long a process takes to start again in a FaultMassRestart.
+const massRestartDowntime = 200 * time.Millisecond
 
 // injector is what a type of fault does to each of its targets.
 type injector struct {
@@ -16,10 +16,10 @@
 }
 
 var (
-	anyParty  = []PartyKind{HostParty, OwnerParty, EndpointLogParty}
-	listening = []PartyKind{HostParty, EndpointLogParty}
-	messaging = []PartyKind{HostParty, OwnerParty} // an endpoint log that swaps events loses some: its numbers have gaps
-	onlyHosts = []PartyKind{HostParty}
+	allParties       = []PartyKind{HostParty, OwnerParty, EndpointLogParty}
+	listeningParties = []PartyKind{HostParty, EndpointLogParty}
+	messagingParties = []PartyKind{HostParty, OwnerParty} // an endpoint log that swaps events loses some: its numbers have gaps
+	onlyHosts        = []PartyKind{HostParty}
 )
 
 // injectorOf returns what a type of fault does. A fault that is only counted as active takes effect where messages pass, in
@@ -29,15 +29,15 @@
 		return injector{kinds, (*Emulator).beginActive, (*Emulator).endActive}
 	}
 	return [faultTypeCount]injector{
-		FaultDelayed:         {anyParty, (*Emulator).beginLate, (*Emulator).endLate},
-		FaultSilent:          active(anyParty),
-		FaultHalfOpen:        {anyParty, (*Emulator).beginHalfOpen, (*Emulator).endHalfOpen},
-		FaultReset:           {anyParty, (*Emulator).beginReset, nil},
-		FaultCorrupted:       active(anyParty),
-		FaultDuplicated:      active(anyParty),
-		FaultReordered:       active(messaging),
-		FaultNotReading:      {anyParty, (*Emulator).beginUnread, (*Emulator).endUnread},
-		FaultRefused:         active(listening),
+		FaultDelayed:         {allParties, (*Emulator).beginDelayed, (*Emulator).endDelayed},
+		FaultSilent:          active(allParties),
+		FaultHalfOpen:        {allParties, (*Emulator).beginHalfOpen, (*Emulator).endHalfOpen},
+		FaultReset:           {allParties, (*Emulator).beginReset, nil},
+		FaultCorrupted:       active(allParties),
+		FaultDuplicated:      active(allParties),
+		FaultReordered:       active(messagingParties),
+		FaultNotReading:      {allParties, (*Emulator).beginNotReading, (*Emulator).endNotReading},
+		FaultRefused:         active(listeningParties),
 		FaultClockSkew:       {onlyHosts, (*Emulator).beginClockSkew, (*Emulator).endClockSkew},
 		FaultMassKill:        {onlyHosts, (*Emulator).beginMassKill, (*Emulator).endMassKill},
 		FaultMassRestart:     {onlyHosts, (*Emulator).beginMassRestart, nil},
@@ -67,8 +67,8 @@
 	}
 }
 
-func (e *Emulator) beginLate(f *Fault, p *party) { p.delay += f.Amount }
-func (e *Emulator) endLate(f *Fault, p *party)   { p.delay -= f.Amount }
+func (e *Emulator) beginDelayed(f *Fault, p *party) { p.delay += f.Amount }
+func (e *Emulator) endDelayed(f *Fault, p *party)   { p.delay -= f.Amount }
 
 // beginHalfOpen makes the open connections dead. Neither side notices.
 func (e *Emulator) beginHalfOpen(f *Fault, p *party) {
@@ -88,14 +88,14 @@
 
 func (e *Emulator) beginReset(_ *Fault, p *party) { e.resetLinks(p) }
 
-func (e *Emulator) beginUnread(f *Fault, p *party) {
+func (e *Emulator) beginNotReading(f *Fault, p *party) {
 	e.beginActive(f, p)
 	for _, l := range p.sortedLinks() {
 		e.emit(StopReading{l.id})
 	}
 }
 
-func (e *Emulator) endUnread(f *Fault, p *party) {
+func (e *Emulator) endNotReading(f *Fault, p *party) {
 	e.endActive(f, p)
 	if p.active[FaultNotReading] > 0 {
 		return
@@ -106,8 +106,8 @@
 }
 
 // beginClockSkew shifts the clock by which a host says when it has started.
-func (e *Emulator) beginClockSkew(f *Fault, p *party) { p.host.skew += f.Amount }
-func (e *Emulator) endClockSkew(f *Fault, p *party)   { p.host.skew -= f.Amount }
+func (e *Emulator) beginClockSkew(f *Fault, p *party) { p.host.clockSkew += f.Amount }
+func (e *Emulator) endClockSkew(f *Fault, p *party)   { p.host.clockSkew -= f.Amount }
 
 func (e *Emulator) beginMassKill(_ *Fault, p *party) { e.killHost(p) }
 func (e *Emulator) endMassKill(_ *Fault, p *party)   { e.startHost(p) }
@@ -117,27 +117,27 @@
 	targets := e.targets(f)
 	turn := f.Duration * time.Duration(slices.Index(targets, p)) / time.Duration(len(targets))
 	e.after(turn, func() { e.killHost(p) })
-	e.after(turn+restartTime, func() { e.startHost(p) })
+	e.after(turn+massRestartDowntime, func() { e.startHost(p) })
 }
 
 // beginMachineLoss takes the machine away; nobody ends its connections.
-func (e *Emulator) beginMachineLoss(_ *Fault, p *party) { e.vanishHost(p) }
+func (e *Emulator) beginMachineLoss(_ *Fault, p *party) { e.loseMachine(p) }
 
 // endHostReplaced gives the address to another machine, which resets the connections of the one that was there.
 func (e *Emulator) endHostReplaced(_ *Fault, p *party) {
-	if p.host.vanished {
+	if p.host.machineLost {
 		e.lastHostNumber++
 		p.host.name = hostName(e.lastHostNumber)
 		e.resetDeadLinks(p)
-		e.returnHost(p)
+		e.restoreMachine(p)
 	}
 }
 
 // endHostReaddressed brings the machine back at another address. Nothing ever answers at the old one.
 func (e *Emulator) endHostReaddressed(_ *Fault, p *party) {
-	if p.host.vanished {
+	if p.host.machineLost {
 		p.listener = e.newListener(p)
-		e.returnHost(p)
+		e.restoreMachine(p)
 	}
 }
 
--- a/internal/emulator/platformmodel/link.go
+++ b/internal/emulator/platformmodel/link.go
@@ -15,11 +15,11 @@
 
 // link is one connection of a party, with what is held back on it.
 type link struct {
-	id     ConnID
-	party  *party
-	placer int  // at the other end
-	dead   bool // nothing passes any more
-	closed bool // the placer has closed it, and the model is not told yet: it has not received all
+	id             ConnID
+	party          *party
+	placer         int  // at the other end
+	dead           bool // nothing passes any more
+	closedByPlacer bool // the placer has closed it, and the model is not told yet: it has not received all
 
 	toPlacer  pipe
 	toModel   pipe
@@ -28,9 +28,9 @@
 
 // pipe is one direction of a link.
 type pipe struct {
-	items []pipeItem
-	bytes int
-	last  time.Duration // when the last item is due
+	items     []pipeItem
+	bytes     int
+	lastDueAt time.Duration // when the last item is due
 }
 
 // pipeItem is what is to pass at a time: bytes, or the end of the connection.
@@ -40,8 +40,8 @@
 }
 
 func (p *pipe) push(at time.Duration, data []byte) {
-	p.last = max(p.last, at)
-	p.items = append(p.items, pipeItem{p.last, data})
+	p.lastDueAt = max(p.lastDueAt, at)
+	p.items = append(p.items, pipeItem{p.lastDueAt, data})
 	p.bytes += len(data)
 }
 
@@ -98,7 +98,7 @@
 	units := [][]byte{message.Data}
 	if !message.Head {
 		if active[FaultCorrupted] > 0 {
-			units[0] = e.spoil(message.Data)
+			units[0] = e.corrupt(message.Data)
 		}
 		if active[FaultDuplicated] > 0 {
 			units = append(units, units[0])
@@ -113,8 +113,8 @@
 	e.flush(l)
 }
 
-// sendEnd ends a connection after what was sent on it.
-func (e *Emulator) sendEnd(l *link) {
+// sendClose ends a connection after what was sent on it.
+func (e *Emulator) sendClose(l *link) {
 	if l.dead {
 		return
 	}
@@ -142,17 +142,17 @@
 	}
 }
 
-// spoil makes a message unreadable in one of several ways.
-func (e *Emulator) spoil(data []byte) []byte {
+// corrupt makes a message unreadable in one of several ways.
+func (e *Emulator) corrupt(data []byte) []byte {
 	switch e.rng.IntN(4) {
 	case 0:
 		return []byte("\x00\xff not a message\n")
 	case 1:
 		return slices.Concat(data[:len(data)/2], []byte("\n")) // cut in the middle
 	case 2:
-		spoilt := bytes.Clone(data)
-		spoilt[e.rng.IntN(len(spoilt)/2)] = 0 // which JSON allows nowhere
-		return spoilt
+		corrupted := bytes.Clone(data)
+		corrupted[e.rng.IntN(len(corrupted)/2)] = 0 // which JSON allows nowhere
+		return corrupted
 	default:
 		return bytes.Repeat([]byte("x"), platform.MaxLineSize+1) // a line that does not end
 	}
@@ -180,19 +180,19 @@
 		e.record(RecordReceived, l, item.data)
 		e.execute(l.party, l.party.model.Received(e.now, l.id, item.data))
 	}
-	e.settle(l)
+	e.finishFlush(l)
 }
 
-// settle notes that something is held back on a link, or tells the model that its placer has closed it.
-func (e *Emulator) settle(l *link) {
+// finishFlush notes that something is held back on a link, or tells the model that its placer has closed it.
+func (e *Emulator) finishFlush(l *link) {
 	switch {
 	case e.links[l.id] != l:
 	case l.toPlacer.bytes > maxDelayedBytes || l.toModel.bytes > maxDelayedBytes:
 		e.resetLink(l)
-	case l.closed && len(l.toModel.items) == 0 && !l.blocksToModel():
-		l.closed = false
-		e.closeModelSide(l, false)
-		e.sendEnd(l)
+	case l.closedByPlacer && len(l.toModel.items) == 0 && !l.blocksToModel():
+		l.closedByPlacer = false
+		e.notifyModelClosed(l, false)
+		e.sendClose(l)
 	case len(l.toPlacer.items) > 0 || len(l.toModel.items) > 0:
 		e.delayed[l.id] = l
 	default:
@@ -200,8 +200,8 @@
 	}
 }
 
-// closeModelSide tells the model that a connection has ended. One that has closed it itself takes no notice.
-func (e *Emulator) closeModelSide(l *link, reset bool) {
+// notifyModelClosed tells the model that a connection has ended. One that has closed it itself takes no notice.
+func (e *Emulator) notifyModelClosed(l *link, reset bool) {
 	if l.party.model != nil {
 		e.execute(l.party, l.party.model.ConnectionClosed(e.now, l.id, reset))
 	}
@@ -210,7 +210,7 @@
 // resetLink resets a connection; the model is told.
 func (e *Emulator) resetLink(l *link) {
 	e.endLink(l, ResetConnection{l.id})
-	e.closeModelSide(l, true)
+	e.notifyModelClosed(l, true)
 }
 
 // resetLinks resets the connections of a party; the model is told, if the party is up.
@@ -232,9 +232,9 @@
 }
 
 // endLink ends a connection on the emulator's side.
-func (e *Emulator) endLink(l *link, how Output) {
+func (e *Emulator) endLink(l *link, output Output) {
 	e.record(RecordClosedByEmulator, l, nil)
-	e.emit(how)
+	e.emit(output)
 	e.forgetLink(l)
 }
 
--- a/internal/emulator/platformmodel/model.go
+++ b/internal/emulator/platformmodel/model.go
@@ -75,8 +75,8 @@
 	q.add(Send{Conn: conn, Data: platform.Append(nil, kind, ref, cause, nil, fields...)})
 }
 
-// take returns what was collected.
-func (q *actionQueue) take() []Action {
+// takeActions returns what was collected.
+func (q *actionQueue) takeActions() []Action {
 	taken := q.actions
 	q.actions = nil
 	return taken
--- a/internal/emulator/platformmodel/network.go
+++ b/internal/emulator/platformmodel/network.go
@@ -38,10 +38,10 @@
 
 // networkListener is a listener of the Emulator.
 type networkListener struct {
-	id      ListenerID
-	address string
-	open    bool
-	accepts bool // false: connections are neither made nor refused
+	id        ListenerID
+	address   string
+	open      bool
+	accepting bool // false: connections are neither made nor refused
 }
 
 // networkPlacer is a placer through all of its incarnations.
@@ -50,7 +50,7 @@
 	number      int
 	incarnation int
 	core        *platformcore.Core // nil: it is down
-	listens     bool
+	listening   bool
 	wakeAt      time.Duration
 	hosts       map[platformcore.ConnectionID]*networkConn // open, or being opened
 	owners      map[platformcore.OwnerID]*networkConn
@@ -71,7 +71,7 @@
 	closed   bool // the placer has closed it, or noticed its end
 
 	readPaused bool     // the Emulator reads nothing
-	queued     [][]byte // sent and not read by it; nil: EOF
+	unread     [][]byte // sent and not read by it; nil: EOF
 }
 
 // NewNetwork returns a network whose placers run and whose emulator has begun.
@@ -149,8 +149,8 @@
 	})
 }
 
-// toEmulator brings an input to the Emulator after the latency.
-func (n *Network) toEmulator(in Input) { n.after(n.cfg.Latency, func() { n.stepEmulator(in) }) }
+// sendToEmulator brings an input to the Emulator after the latency.
+func (n *Network) sendToEmulator(in Input) { n.after(n.cfg.Latency, func() { n.stepEmulator(in) }) }
 
 func (n *Network) execute(o Output) {
 	switch o := o.(type) {
@@ -159,9 +159,9 @@
 	case CloseListener:
 		n.listeners[o.Listener].open = false
 	case StopAccepting:
-		n.listeners[o.Listener].accepts = false
+		n.listeners[o.Listener].accepting = false
 	case ResumeAccepting:
-		n.listeners[o.Listener].accepts = true
+		n.listeners[o.Listener].accepting = true
 	case Dial:
 		n.dialPlacer(o)
 	case Write:
@@ -188,7 +188,7 @@
 	if l.address == "" {
 		l.address = fmt.Sprintf("10.0.%d.%d:1", o.Listener>>8, o.Listener&0xff)
 	}
-	l.open, l.accepts = true, true
+	l.open, l.accepting = true, true
 	n.after(0, func() { n.stepEmulator(ListenerOpened{l.id, l.address}) })
 }
 
@@ -228,14 +228,14 @@
 func (n *Network) dialPlacer(o Dial) {
 	p := n.placers[o.Placer]
 	n.after(n.cfg.Latency, func() {
-		if p.core == nil || !p.listens {
-			n.toEmulator(Disconnected{o.Conn})
+		if p.core == nil || !p.listening {
+			n.sendToEmulator(Disconnected{o.Conn})
 			return
 		}
 		owner := platformcore.OwnerID(o.Conn)
 		c := &networkConn{id: o.Conn, placer: p, endpoint: ownerEndpoint{p, owner}}
 		n.conns[o.Conn], p.owners[owner] = c, c
-		n.toEmulator(Connected{o.Conn})
+		n.sendToEmulator(Connected{o.Conn})
 		p.step(platformcore.OwnerConnected{Owner: owner})
 	})
 }
@@ -248,7 +248,7 @@
 			opened(err)
 		}
 	}
-	if l := n.listenerAt(address); l != nil && !l.accepts {
+	if l := n.listenerAt(address); l != nil && !l.accepting {
 		n.after(n.cfg.ConnectTimeout, func() { finish(errNoAnswer) })
 		return
 	}
@@ -260,7 +260,7 @@
 		case l == nil:
 			finish(errRefused)
 			return
-		case !l.accepts:
+		case !l.accepting:
 			n.after(n.cfg.ConnectTimeout, func() { finish(errNoAnswer) })
 			return
 		}
@@ -280,7 +280,7 @@
 func (n *Network) send(c *networkConn, data []byte) {
 	n.after(n.cfg.Latency, func() {
 		if c.readPaused {
-			c.queued = append(c.queued, data)
+			c.unread = append(c.unread, data)
 			return
 		}
 		n.deliver(c, data)
@@ -304,8 +304,8 @@
 		return
 	}
 	c.readPaused = false
-	queued := c.queued
-	c.queued = nil
+	queued := c.unread
+	c.unread = nil
 	n.after(0, func() {
 		for _, data := range queued {
 			n.deliver(c, data)
@@ -325,7 +325,7 @@
 	if err != nil {
 		return fmt.Errorf("placer %d: %w", number, err)
 	}
-	p.core, p.listens, p.wakeAt = core, true, 0
+	p.core, p.listening, p.wakeAt = core, true, 0
 	p.hosts, p.owners = map[platformcore.ConnectionID]*networkConn{}, map[platformcore.OwnerID]*networkConn{}
 	p.watch = newNetworkWatch(p, initial)
 	n.stepEmulator(PlacerStarted{number})
@@ -417,7 +417,7 @@
 	case platformcore.SendGossip:
 		p.sendGossip(o)
 	case platformcore.CloseListener:
-		p.listens = false
+		p.listening = false
 	case platformcore.ShutdownComplete:
 		n.KillPlacer(p.number)
 	}
--- a/internal/emulator/platformmodel/network_test.go
+++ b/internal/emulator/platformmodel/network_test.go
@@ -98,7 +98,7 @@
 }
 
 // Without a fault each task runs until it ends or its owner releases it, and a run is the same each time.
-func TestNetworkWithoutFaults(t *testing.T) {
+func TestNetworkWithoutFaultsPlacesEachRequestOnce(t *testing.T) {
 	cfg := testNetworkConfig(2, 4, 80)
 	n, counts := runNetwork(t, cfg, nil)
 	if counts[OutcomeEnded]+counts[OutcomeReleased] != 80 || counts[OutcomeReleased] < 20 || counts[OutcomeEnded] < 20 {
@@ -117,7 +117,7 @@
 
 // Under each type of fault every request has an outcome in time, and owners get no second answer. What may be lost is lost
 // only where a fault takes it.
-func TestNetworkUnderEachFault(t *testing.T) {
+func TestNetworkFinishesRequestsUnderEachFaultType(t *testing.T) {
 	for fault := range faultTypeCount {
 		t.Run(fault.String(), func(t *testing.T) {
 			f := Fault{At: time.Second, Duration: 2 * time.Second, Type: fault, Amount: 200 * time.Millisecond}
@@ -140,7 +140,7 @@
 }
 
 // The tasks that a killed placer had placed are handed over to its next incarnation, and have their ends.
-func TestNetworkRestartsPlacer(t *testing.T) {
+func TestNetworkRestartedPlacerReceivesHandOvers(t *testing.T) {
 	n, counts := runNetwork(t, testNetworkConfig(2, 4, 80), func(n *Network) {
 		n.Run(2 * time.Second)
 		n.KillPlacer(1)
@@ -159,9 +159,9 @@
 	t.Log(handOvers, counts)
 }
 
-// drawSchedule draws faults. Left out are those after which a placer cannot know, or say, that a task is over: owners whose
+// randomFaults draws faults. Left out are those after which a placer cannot know, or say, that a task is over: owners whose
 // messages or connections are lost unnoticed, and a list whose numbers begin again.
-func drawSchedule(seed uint64) []Fault {
+func randomFaults(seed uint64) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	var faults []Fault
 	for range 1 + rng.IntN(8) {
@@ -184,10 +184,10 @@
 }
 
 // Whatever faults come together, every request has an outcome.
-func TestNetworkUnderDrawnFaults(t *testing.T) {
+func TestNetworkFinishesRequestsUnderRandomFaults(t *testing.T) {
 	sum := map[Outcome]int{}
 	for seed := range uint64(40) {
-		cfg := testNetworkConfig(2, 4, 80, drawSchedule(seed)...)
+		cfg := testNetworkConfig(2, 4, 80, randomFaults(seed)...)
 		cfg.Emulator.Seed = seed
 		_, counts := runNetwork(t, cfg, func(n *Network) {
 			if seed%2 == 0 {
--- a/internal/emulator/platformmodel/networkwatch.go
+++ b/internal/emulator/platformmodel/networkwatch.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	watchRedialAfter = 50 * time.Millisecond   // after a stream that has ended
+	watchRedialDelay = 50 * time.Millisecond   // after a stream that has ended
 	watchIdleTimeout = 1500 * time.Millisecond // after which a stream without a byte is given up
 )
 
@@ -40,7 +40,7 @@
 	c := &networkConn{placer: w.placer}
 	c.endpoint = watchEndpoint{w, c}
 	w.conn, w.head, w.lastData = c, []byte{}, n.now
-	w.events = platform.EventReader{OnComment: w.takeComment}
+	w.events = platform.EventReader{OnComment: w.handleComment}
 	w.sequence.StreamOpened()
 	n.dial(c, n.Emulator.WatchAddress(), func(err error) {
 		if err != nil {
@@ -58,10 +58,10 @@
 		return
 	}
 	w.placer.close(c)
-	w.conn = &networkConn{closed: true} // none until then
-	none := w.conn
-	w.placer.network.after(watchRedialAfter, func() {
-		if w.conn == none {
+	w.conn = &networkConn{closed: true} // placeholder until then
+	placeholder := w.conn
+	w.placer.network.after(watchRedialDelay, func() {
+		if w.conn == placeholder {
 			w.open()
 		}
 	})
@@ -83,15 +83,15 @@
 	})
 }
 
-// takeComment delivers the events with which the numbers begin again, if that shows now.
-func (w *networkWatch) takeComment() {
+// handleComment delivers the events with which the numbers begin again, if that shows now.
+func (w *networkWatch) handleComment() {
 	for i, event := range w.sequence.StreamIdle() {
 		w.placer.step(platformcore.WatchEventReceived{Event: event, SequenceRestarted: i == 0})
 	}
 }
 
-// takeEvent delivers an event if it counts.
-func (w *networkWatch) takeEvent(c *networkConn, encoded platform.ServerSentEvent) {
+// handleEvent delivers an event if it counts.
+func (w *networkWatch) handleEvent(c *networkConn, encoded platform.ServerSentEvent) {
 	if w.conn != c {
 		return
 	}
@@ -128,7 +128,7 @@
 		}
 		w.head, data = nil, body
 	}
-	if err := w.events.Feed(data, func(event platform.ServerSentEvent) { w.takeEvent(e.conn, event) }); err != nil {
+	if err := w.events.Feed(data, func(event platform.ServerSentEvent) { w.handleEvent(e.conn, event) }); err != nil {
 		w.reopen(e.conn)
 	}
 }
--- a/internal/emulator/platformmodel/owner.go
+++ b/internal/emulator/platformmodel/owner.go
@@ -15,8 +15,8 @@
 // Times of an owner.
 const (
 	ownerIdleTimeout  = 4 * time.Second        // after which a connection without requests and tasks is closed
-	ownerRedialAfter  = 100 * time.Millisecond // after a connection that failed or ended
-	crossingWindow    = 50 * time.Millisecond  // a request sent so shortly before the placer closed goes out again
+	ownerRedialDelay  = 100 * time.Millisecond // after a connection that failed or ended
+	inFlightWindow    = 50 * time.Millisecond  // a request sent so shortly before the placer closed goes out again
 	defaultRetryAfter = 100 * time.Millisecond // after a rejection that names no time
 )
 
@@ -56,19 +56,19 @@
 // Owner requests tasks of placers and releases them. It is for one goroutine at a time.
 type Owner struct {
 	actionQueue
-	cfg        OwnerConfig
-	newConn    func() ConnID
-	now        time.Duration
-	requests   []*ownerRequest
-	timers     timerqueue.Queue[*ownerRequest]
-	byRef      map[string]*ownerRequest
-	conns      map[ConnID]*ownerConnection
-	placers    map[int]*knownPlacer
-	lastNumber uint64 // of refs
+	cfg           OwnerConfig
+	newConn       func() ConnID
+	now           time.Duration
+	requests      []*ownerRequest
+	timers        timerqueue.Queue[*ownerRequest]
+	byRef         map[string]*ownerRequest
+	conns         map[ConnID]*ownerConnection
+	placers       map[int]*placerState
+	lastRefNumber uint64 // of refs
 }
 
-// knownPlacer is what an owner knows of a placer.
-type knownPlacer struct {
+// placerState is what an owner knows of a placer.
+type placerState struct {
 	number       int
 	running      bool
 	conn         *ownerConnection // nil: none is open or being opened
@@ -104,7 +104,7 @@
 // ownerConnection is a connection to a placer.
 type ownerConnection struct {
 	id       ConnID
-	placer   *knownPlacer
+	placer   *placerState
 	state    ownerConnectionState
 	lines    platform.LineSplitter
 	lastUsed time.Duration
@@ -115,7 +115,7 @@
 func NewOwner(cfg OwnerConfig, now time.Duration, newConn func() ConnID) *Owner {
 	o := &Owner{
 		cfg: cfg, newConn: newConn, now: now,
-		byRef: map[string]*ownerRequest{}, conns: map[ConnID]*ownerConnection{}, placers: map[int]*knownPlacer{},
+		byRef: map[string]*ownerRequest{}, conns: map[ConnID]*ownerConnection{}, placers: map[int]*placerState{},
 	}
 	for i, r := range cfg.Requests {
 		request := &ownerRequest{RequestReport: RequestReport{Request: r}, number: i}
@@ -141,7 +141,7 @@
 		p := o.placer(number)
 		p.running, p.redialAt = true, now
 		if p.incarnations++; p.incarnations > 1 {
-			o.handOverAll(number)
+			o.queueHandOvers(number)
 		}
 	})
 }
@@ -155,7 +155,7 @@
 func (o *Owner) HandOver(now time.Duration) []Action {
 	return o.handle(now, func() {
 		for _, p := range o.sortedPlacers() {
-			o.handOverAll(p.number)
+			o.queueHandOvers(p.number)
 		}
 	})
 }
@@ -226,31 +226,31 @@
 	for _, p := range o.sortedPlacers() {
 		o.advancePlacer(p)
 	}
-	return o.take()
+	return o.takeActions()
 }
 
-func (o *Owner) placer(number int) *knownPlacer {
+func (o *Owner) placer(number int) *placerState {
 	p := o.placers[number]
 	if p == nil {
-		p = &knownPlacer{number: number}
+		p = &placerState{number: number}
 		o.placers[number] = p
 	}
 	return p
 }
 
-func (o *Owner) sortedPlacers() []*knownPlacer {
-	return slices.SortedFunc(maps.Values(o.placers), func(a, b *knownPlacer) int { return cmp.Compare(a.number, b.number) })
+func (o *Owner) sortedPlacers() []*placerState {
+	return slices.SortedFunc(maps.Values(o.placers), func(a, b *placerState) int { return cmp.Compare(a.number, b.number) })
 }
 
 // nextRef returns a ref that no owner has used.
 func (o *Owner) nextRef() string {
-	o.lastNumber++
-	return fmt.Sprintf("%04x%012x", o.cfg.Number, o.lastNumber)
+	o.lastRefNumber++
+	return fmt.Sprintf("%04x%012x", o.cfg.Number, o.lastRefNumber)
 }
 
 // advancePlacer connects where something waits to be sent, sends it once the placer has passed a probe, and closes an
 // idle connection.
-func (o *Owner) advancePlacer(p *knownPlacer) {
+func (o *Owner) advancePlacer(p *placerState) {
 	c := p.conn
 	switch {
 	case c == nil:
@@ -280,7 +280,7 @@
 		switch {
 		case r.Outcome == OutcomeOpen:
 			o.handleLostConnection(r)
-		case r.releaseUnheard:
+		case r.releaseUnacknowledged:
 			o.enqueue(sendRelease, r)
 		case r.Outcome == OutcomeRunning && reset:
 			o.enqueue(sendHandOver, r)
@@ -291,7 +291,7 @@
 func (o *Owner) forgetConnection(c *ownerConnection) {
 	delete(o.conns, c.id)
 	if c.placer.conn == c {
-		c.placer.conn, c.placer.redialAt = nil, o.now+ownerRedialAfter
+		c.placer.conn, c.placer.redialAt = nil, o.now+ownerRedialDelay
 	}
 }
 
@@ -311,7 +311,7 @@
 		o.handleMigrate(m)
 	case platform.TypeAck:
 		if r := o.byRef[m.Ref]; r != nil {
-			r.releaseUnheard = false
+			r.releaseUnacknowledged = false
 		}
 	}
 }
--- a/internal/emulator/platformmodel/ownertasks.go
+++ b/internal/emulator/platformmodel/ownertasks.go
@@ -9,8 +9,8 @@
 
 // submitAt sets when a request is submitted, and how long it may wait for its answer.
 func (o *Owner) submitAt(r *ownerRequest, at time.Duration) {
-	r.Outcome, r.dueAt, r.cancelAt, r.releaseAt = OutcomePending, at, at+r.Request.Timeout+o.cfg.AnswerGrace, never
-	o.timers.Add(r.dueAt, r)
+	r.Outcome, r.submissionDueAt, r.cancelAt, r.releaseAt = OutcomePending, at, at+r.Request.Timeout+o.cfg.AnswerGrace, never
+	o.timers.Add(r.submissionDueAt, r)
 	o.timers.Add(r.cancelAt, r)
 }
 
@@ -18,7 +18,7 @@
 func (o *Owner) advanceRequests() {
 	for r := range o.timers.Due(o.now) {
 		switch {
-		case r.Outcome == OutcomePending && r.dueAt <= o.now && r.ref == "":
+		case r.Outcome == OutcomePending && r.submissionDueAt <= o.now && r.ref == "":
 			o.submit(r)
 		case (r.Outcome == OutcomePending || r.Outcome == OutcomeOpen) && r.cancelAt <= o.now:
 			o.cancel(r)
@@ -30,7 +30,7 @@
 
 // submit gives a request a new ref and queues it for its placer.
 func (o *Owner) submit(r *ownerRequest) {
-	r.ref, r.sentAgain = o.nextRef(), false
+	r.ref, r.resent = o.nextRef(), false
 	r.Refs = append(r.Refs, r.ref)
 	o.byRef[r.ref] = r
 	o.enqueue(sendSubmission, r)
@@ -48,16 +48,16 @@
 	switch {
 	case message.kind == sendSubmission && (r.Outcome == OutcomePending || r.Outcome == OutcomeOpen):
 		r.Outcome, r.sentAt = OutcomeOpen, o.now
-		o.moveTo(r, c)
+		o.assignConnection(r, c)
 		if r.SubmittedAt == 0 {
 			r.SubmittedAt = o.now
 		}
-		o.add(Send{Conn: c.id, Data: r.line(o.cfg.Number, class, o.cfg.Tenant, "")})
+		o.add(Send{Conn: c.id, Data: r.encode(o.cfg.Number, class, o.cfg.Tenant, "")})
 	case message.kind == sendHandOver && r.Outcome == OutcomeRunning:
 		r.HandOvers++
-		o.moveTo(r, c)
-		o.add(Send{Conn: c.id, Data: r.line(o.cfg.Number, class, o.cfg.Tenant, r.Host)})
-	case message.kind == sendRelease && r.releaseUnheard:
+		o.assignConnection(r, c)
+		o.add(Send{Conn: c.id, Data: r.encode(o.cfg.Number, class, o.cfg.Tenant, r.Host)})
+	case message.kind == sendRelease && r.releaseUnacknowledged:
 		r.conn = c.id
 		o.sendMessage(c.id, platform.TypeRelease, r.ref, platform.CauseOK)
 	}
@@ -69,8 +69,8 @@
 	r.Outcome, r.FinishedAt = outcome, o.now
 }
 
-// moveTo makes a connection the one of a request.
-func (o *Owner) moveTo(r *ownerRequest, c *ownerConnection) {
+// assignConnection makes a connection the one of a request.
+func (o *Owner) assignConnection(r *ownerRequest, c *ownerConnection) {
 	o.removeFromConnection(r)
 	r.conn = c.id
 	c.requests[r] = struct{}{}
@@ -87,14 +87,14 @@
 func (o *Owner) cancel(r *ownerRequest) {
 	if c := o.conns[r.conn]; c != nil && r.Outcome == OutcomeOpen {
 		o.sendMessage(c.id, platform.TypeRelease, r.ref, platform.CauseOK)
-		r.releaseUnheard = true
+		r.releaseUnacknowledged = true
 	}
 	o.finish(r, OutcomeGaveUp)
 }
 
 // release releases a task that runs, on any connection to its placer.
 func (o *Owner) release(r *ownerRequest) {
-	r.releaseUnheard = true
+	r.releaseUnacknowledged = true
 	o.finish(r, OutcomeReleased)
 	o.enqueue(sendRelease, r)
 }
@@ -107,13 +107,13 @@
 	}
 	r.Answers++
 	if r.Outcome != OutcomeOpen || r.ref != m.Ref {
-		if !r.releaseUnheard { // else its answer has crossed that the owner gives it up
+		if !r.releaseUnacknowledged { // else its answer has crossed that the owner gives it up
 			r.Unexpected++
 		}
 		return
 	}
 	r.Outcome = OutcomeRunning
-	r.Host, _ = hostOfDescription(m.Description)
+	r.Host, _ = parseBoundDescription(m.Description)
 	if r.Request.ReleaseAfter > 0 {
 		r.releaseAt = o.now + r.Request.ReleaseAfter
 		o.timers.Add(r.releaseAt, r)
@@ -126,7 +126,7 @@
 	switch {
 	case r == nil:
 	case r.ref != m.Ref || r.Outcome.IsFinal() || r.Outcome == OutcomePending:
-		if !r.releaseUnheard { // else the release of the task, or of the request, has crossed its end
+		if !r.releaseUnacknowledged { // else the release of the task, or of the request, has crossed its end
 			r.Unexpected++
 		}
 	case r.Outcome == OutcomeRunning && m.Cause == platform.CauseOK:
@@ -167,8 +167,8 @@
 // handleLostConnection handles the end of the connection that a request waits on. A request that may have crossed it goes
 // out again once.
 func (o *Owner) handleLostConnection(r *ownerRequest) {
-	if o.now < r.sentAt+crossingWindow && !r.sentAgain {
-		r.sentAgain = true
+	if o.now < r.sentAt+inFlightWindow && !r.resent {
+		r.resent = true
 		o.enqueue(sendSubmission, r)
 		return
 	}
@@ -194,8 +194,8 @@
 	o.submitAt(r, o.now)
 }
 
-// handOverAll queues the hand-over of all tasks that run.
-func (o *Owner) handOverAll(placer int) {
+// queueHandOvers queues the hand-over of all tasks that run.
+func (o *Owner) queueHandOvers(placer int) {
 	for _, r := range o.requests {
 		if r.Outcome == OutcomeRunning && r.Request.Placer == placer && r.Host != "" {
 			o.enqueue(sendHandOver, r)
--- a/internal/emulator/platformmodel/parties.go
+++ b/internal/emulator/platformmodel/parties.go
@@ -16,17 +16,17 @@
 	active   [faultTypeCount]int // faults in force
 	delay    time.Duration       // of what it sends
 	listener *listener           // nil: it does not listen
-	host     *hostPlace          // nil: it is no host
+	host     *hostState          // nil: it is no host
 }
 
-// hostPlace is what outlives the incarnations of a host.
-type hostPlace struct {
+// hostState is what outlives the incarnations of a host.
+type hostState struct {
 	spec        HostSpec
 	name        string
 	incarnation int
 	startedAtMS float64       // of the present incarnation by its own clock; 0: long ago
-	skew        time.Duration // of its clock
-	vanished    bool          // its machine is gone, and nobody says so
+	clockSkew   time.Duration // of its clock
+	machineLost bool          // its machine is gone, and nobody says so
 	published   platform.Endpoint
 }
 
@@ -56,10 +56,10 @@
 	return l
 }
 
-// listenerState returns what a party's listener is to be.
-func (p *party) listenerState() listenerState {
+// wantedListenerState returns what a party's listener is to be.
+func (p *party) wantedListenerState() listenerState {
 	switch {
-	case p.active[FaultHalfOpen] > 0 || p.active[FaultZonePartition] > 0 || p.host != nil && p.host.vanished:
+	case p.active[FaultHalfOpen] > 0 || p.active[FaultZonePartition] > 0 || p.host != nil && p.host.machineLost:
 		return listenerStopped
 	case p.model == nil || p.active[FaultRefused] > 0:
 		return listenerClosed
@@ -75,7 +75,7 @@
 		return
 	}
 	before := l.state
-	l.state = p.listenerState()
+	l.state = p.wantedListenerState()
 	if l.state == before {
 		return
 	}
@@ -95,7 +95,7 @@
 // startHost starts the next incarnation of a host that is down.
 func (e *Emulator) startHost(p *party) {
 	h := p.host
-	if p.model != nil || h.vanished {
+	if p.model != nil || h.machineLost {
 		return
 	}
 	cold := h.incarnation > 0 || h.spec.Cold
@@ -103,7 +103,7 @@
 	p.model = NewHost(h.spec.Config, h.name, e.rng.Uint64(), e.now, cold)
 	h.startedAtMS = 0
 	if cold {
-		h.startedAtMS = float64((e.now + h.skew).Milliseconds())
+		h.startedAtMS = float64((e.now + h.clockSkew).Milliseconds())
 	}
 	e.recordParty(RecordHostUp, p)
 	e.updateListener(p)
@@ -119,12 +119,12 @@
 	e.resetLinks(p)
 }
 
-// vanishHost takes a host's machine away: nobody ends its connections.
-func (e *Emulator) vanishHost(p *party) {
+// loseMachine takes a host's machine away: nobody ends its connections.
+func (e *Emulator) loseMachine(p *party) {
 	if p.model == nil {
 		return
 	}
-	p.host.vanished = true
+	p.host.machineLost = true
 	for _, l := range p.links {
 		l.dead = true
 	}
@@ -139,9 +139,9 @@
 	e.publishLater(p)
 }
 
-// returnHost starts a host whose machine had vanished.
-func (e *Emulator) returnHost(p *party) {
-	p.host.vanished = false
+// restoreMachine starts a host whose machine had vanished.
+func (e *Emulator) restoreMachine(p *party) {
+	p.host.machineLost = false
 	e.startHost(p)
 }
 
--- a/internal/emulator/platformmodel/request.go
+++ b/internal/emulator/platformmodel/request.go
@@ -73,18 +73,18 @@
 // ownerRequest is a request and its state.
 type ownerRequest struct {
 	RequestReport
-	number     int
-	ref        string // of the latest submission
-	conn       ConnID // of the latest submission
-	dueAt      time.Duration
-	sentAt     time.Duration
-	cancelAt   time.Duration
-	releaseAt  time.Duration
-	migrations int
-	failed     bool // an earlier submission failed: it may have run
-	sentAgain  bool // the latest submission has crossed the close of its connection and was sent once more
-
-	releaseUnheard bool // the owner has released the task, or given the request up, and that is not acknowledged
+	number          int
+	ref             string // of the latest submission
+	conn            ConnID // of the latest submission
+	submissionDueAt time.Duration
+	sentAt          time.Duration
+	cancelAt        time.Duration
+	releaseAt       time.Duration
+	migrations      int
+	failed          bool // an earlier submission failed: it may have run
+	resent          bool // the latest submission has crossed the close of its connection and was sent once more
+
+	releaseUnacknowledged bool // the owner has released the task, or given the request up, and that is not acknowledged
 }
 
 // isRejection reports whether a release without an answer before says that nothing ran.
@@ -107,8 +107,8 @@
 // identity is a number that stays the same for all submissions of a request.
 func (r *ownerRequest) identity(owner int) uint64 { return uint64(owner)<<32 | uint64(r.number) }
 
-// line returns the request as a message. host, if not empty, runs the task already.
-func (r *ownerRequest) line(owner int, class *Class, tenant, host string) []byte {
+// encode returns the request as a message. host, if not empty, runs the task already.
+func (r *ownerRequest) encode(owner int, class *Class, tenant, host string) []byte {
 	extras := fmt.Sprintf("%s:%g;%s:%g;%s:%016x", platform.ExtraCores, r.Request.Cores, platform.ExtraMemory, r.Request.Memory,
 		platform.ExtraService, r.Request.Service)
 	if r.failed {
