--- a/internal/emulator/platformmodel/hostoffers.go
+++ b/internal/emulator/platformmodel/hostoffers.go
@@ -10,15 +10,15 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// taskSize is what a task requests. Placers do not forward the figures of a request to hosts, so that the emulated owners
-// repeat them in the description, which goes to hosts as it is.
+// taskSize is the cores and the memory that a task requests. Placers don't forward these figures of a request to hosts.
+// Therefore the emulated owners repeat them in the description, which placers pass on unchanged.
 type taskSize struct{ Cores, Memory float64 }
 
 func (s taskSize) description() []byte {
 	return fmt.Appendf(nil, `"cores=%g memory=%g"`, s.Cores, s.Memory)
 }
 
-// parseTaskSize reads a description; one that is not from an emulated owner counts as 1 core and 1 of memory.
+// parseTaskSize parses a description. For one that is not from an emulated owner it returns 1 core and 1 unit of memory.
 func parseTaskSize(description []byte) taskSize {
 	var text string
 	var size taskSize
@@ -31,12 +31,12 @@
 	return size
 }
 
-// boundDescription is what a host describes a task with; owners read from it which host runs the task.
+// boundDescription returns the description of a running task in its TypeBound message. Owners parse the host from it.
 func boundDescription(host, ref string) []byte {
 	return fmt.Appendf(nil, `"host=%s task=%s"`, host, ref)
 }
 
-// parseBoundDescription returns the host's name in a description of boundDescription; ok is false for any other.
+// parseBoundDescription returns the name of the host in a result of boundDescription. ok is false for any other description.
 func parseBoundDescription(description []byte) (host string, ok bool) {
 	var text string
 	if json.Unmarshal(description, &text) != nil {
@@ -47,7 +47,7 @@
 	return host, ok && found
 }
 
-// offer is an offer that is not decided.
+// offer is an offer that waits for its decision.
 type offer struct {
 	ref            string
 	conn           ConnID
@@ -56,7 +56,7 @@
 	size           taskSize
 }
 
-// receiveOffer queues an offer, or rejects it if too many wait. During the slow start too many offers crash the host.
+// receiveOffer queues an offer, or rejects it if the queue is full. During the slow start too many offers crash the host.
 func (h *Host) receiveOffer(c *hostConnection, m *platform.Message) {
 	if h.exceedsSlowStartLimit() {
 		h.crashed = true
@@ -71,7 +71,7 @@
 	h.scheduleDecision()
 }
 
-// exceedsSlowStartLimit counts an offer during the slow start and reports whether it is one too many.
+// exceedsSlowStartLimit counts an offer during the slow start and reports whether it exceeds SlowStartMaxOffers.
 func (h *Host) exceedsSlowStartLimit() bool {
 	if !h.inSlowStart() || h.cfg.SlowStartMaxOffers == 0 {
 		return false
@@ -83,7 +83,7 @@
 
 func (h *Host) inSlowStart() bool { return h.started > 0 && h.now < h.started+h.cfg.SlowStartDuration }
 
-// scheduleDecision draws when the first queued offer is decided, unless that is so already.
+// scheduleDecision draws the time of the decision on the first queued offer, unless that is set already.
 func (h *Host) scheduleDecision() {
 	switch {
 	case len(h.queue) == 0:
@@ -101,8 +101,8 @@
 	return answerTime
 }
 
-// decideDue decides the offers whose time has come, in the order in which they came. Each takes its time after the one
-// before, however late this is called.
+// decideDue decides the offers that are due, in the order of their arrival. The time of each decision counts from the one
+// before, no matter how late decideDue is called.
 func (h *Host) decideDue() {
 	for len(h.queue) > 0 && h.decisionAt <= h.now {
 		first := h.queue[0]
@@ -113,7 +113,8 @@
 	h.scheduleDecision()
 }
 
-// decide binds a task if there is space for it. An offer of a task that runs is answered again.
+// decide starts the task of an offer if the host has room for it, and rejects the offer otherwise. An offer of a running
+// task is answered again without a second start.
 func (h *Host) decide(o *offer) {
 	if t := h.findRunningTask(o); t != nil {
 		delete(h.runningTasks, t.ref)
@@ -135,7 +136,7 @@
 	}
 }
 
-// findRunningTask returns the task that an offer would start a second time: it has the same ref or idempotency key; nil: none.
+// findRunningTask returns the running task with the ref or the idempotency key of an offer, or nil.
 func (h *Host) findRunningTask(o *offer) *hostTask {
 	if t := h.runningTasks[o.ref]; t != nil {
 		return t
--- a/internal/emulator/platformmodel/hosttasks.go
+++ b/internal/emulator/platformmodel/hosttasks.go
@@ -10,22 +10,22 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// hostTask is a task that runs.
+// hostTask is a running task.
 type hostTask struct {
 	ref            string
-	conn           ConnID // of its offer
+	conn           ConnID // connection of its offer
 	placer         int
 	idempotencyKey string
 	size           taskSize
 	endsAt         time.Duration
-	nextNoteAt     time.Duration // never: it has no notes
+	nextNoteAt     time.Duration // never: the host sends no notes
 }
 
 func (h *Host) sortedTasks() []*hostTask {
 	return slices.SortedFunc(maps.Values(h.runningTasks), func(a, b *hostTask) int { return cmp.Compare(a.ref, b.ref) })
 }
 
-// bind starts a task.
+// bind starts the task of an offer and answers the offer.
 func (h *Host) bind(o *offer) {
 	t := &hostTask{
 		ref: o.ref, conn: o.conn, placer: o.placer, idempotencyKey: o.idempotencyKey, size: o.size,
@@ -43,7 +43,7 @@
 	h.add(Send{Conn: t.conn, Data: platform.Append(nil, platform.TypeBound, t.ref, platform.NoCause, boundDescription(h.name, t.ref))})
 }
 
-// sendNote sends a note on a task, if a connection of its placer is open. value may be empty.
+// sendNote sends a note on a task, if a connection of its placer is open. The field of an empty value is left out.
 func (h *Host) sendNote(t *hostTask, note platform.Note, value string) {
 	c := h.connectionFor(t)
 	if c == nil {
@@ -57,7 +57,7 @@
 	h.sendMessage(c.id, platform.TypeNote, t.ref, platform.NoCause, fields...)
 }
 
-// advanceTasks ends the tasks whose time has come, and sends the notes that are due.
+// advanceTasks ends the tasks whose run time is over and sends the notes that are due.
 func (h *Host) advanceTasks() {
 	for _, t := range h.sortedTasks() {
 		switch {
@@ -70,7 +70,7 @@
 	}
 }
 
-// endTask ends a task by itself. It is sent again until its placer acknowledges it.
+// endTask ends a task that has run to its end. The message is repeated on new connections until its placer acknowledges it.
 func (h *Host) endTask(t *hostTask, cause platform.Cause) {
 	delete(h.runningTasks, t.ref)
 	line := platform.Append(nil, platform.TypeRelease, t.ref, cause, nil, h.loadReport())
--- a/internal/emulator/platformmodel/injectors.go
+++ b/internal/emulator/platformmodel/injectors.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// massRestartDowntime is how long a process takes to start again in a FaultMassRestart.
+// massRestartDowntime is the time from the kill of a host to its start in a FaultMassRestart.
 const massRestartDowntime = 200 * time.Millisecond
 
-// injector is what a type of fault does to each of its targets.
+// injector implements a type of fault.
 type injector struct {
-	kinds []PartyKind // that it can befall
-	begin func(e *Emulator, f *Fault, p *party)
-	end   func(e *Emulator, f *Fault, p *party) // nil: nothing
+	kinds []PartyKind                           // the kinds of parties that the fault applies to
+	begin func(e *Emulator, f *Fault, p *party) // called for each target
+	end   func(e *Emulator, f *Fault, p *party) // called for each target after the duration; nil: nothing to undo
 }
 
 var (
 	allParties       = []PartyKind{HostParty, OwnerParty, EndpointLogParty}
 	listeningParties = []PartyKind{HostParty, EndpointLogParty}
-	messagingParties = []PartyKind{HostParty, OwnerParty} // an endpoint log that swaps events loses some: its numbers have gaps
+	// messagingParties leaves out the endpoint log: it would lose the events that are swapped, as its sequence would have gaps.
+	messagingParties = []PartyKind{HostParty, OwnerParty}
 	onlyHosts        = []PartyKind{HostParty}
 )
 
-// injectorOf returns what a type of fault does. A fault that is only counted as active takes effect where messages pass, in
-// link.go, or where listeners change.
+// injectorOf returns the injector of a type of fault. Faults that are only counted as active take effect in the functions
+// that pass messages, in link.go, and in wantedListenerState.
 func injectorOf(t FaultType) injector {
 	active := func(kinds []PartyKind) injector {
 		return injector{kinds, (*Emulator).beginActive, (*Emulator).endActive}
@@ -49,13 +50,13 @@
 	}[t]
 }
 
-// beginActive counts a fault as active.
+// beginActive counts a fault as active at a party.
 func (e *Emulator) beginActive(f *Fault, p *party) {
 	p.active[f.Type]++
 	e.updateListener(p)
 }
 
-// endActive ends an active fault and lets pass what it held back.
+// endActive ends an active fault and passes on the messages that it held back.
 func (e *Emulator) endActive(f *Fault, p *party) {
 	p.active[f.Type]--
 	e.updateListener(p)
@@ -70,7 +71,7 @@
 func (e *Emulator) beginDelayed(f *Fault, p *party) { p.delay += f.Amount }
 func (e *Emulator) endDelayed(f *Fault, p *party)   { p.delay -= f.Amount }
 
-// beginHalfOpen makes the open connections dead. Neither side notices.
+// beginHalfOpen marks the open connections as dead. Neither side is notified.
 func (e *Emulator) beginHalfOpen(f *Fault, p *party) {
 	for _, l := range p.links {
 		l.dead = true
@@ -78,7 +79,7 @@
 	e.beginActive(f, p)
 }
 
-// endHalfOpen resets the dead connections, as a machine does that no longer knows them.
+// endHalfOpen resets the dead connections, as a machine does that has lost their state.
 func (e *Emulator) endHalfOpen(f *Fault, p *party) {
 	e.endActive(f, p)
 	if p.active[FaultHalfOpen] == 0 {
@@ -105,14 +106,15 @@
 	}
 }
 
-// beginClockSkew shifts the clock by which a host says when it has started.
+// beginClockSkew shifts the clock from which a host reports its start time.
 func (e *Emulator) beginClockSkew(f *Fault, p *party) { p.host.clockSkew += f.Amount }
 func (e *Emulator) endClockSkew(f *Fault, p *party)   { p.host.clockSkew -= f.Amount }
 
 func (e *Emulator) beginMassKill(_ *Fault, p *party) { e.killHost(p) }
 func (e *Emulator) endMassKill(_ *Fault, p *party)   { e.startHost(p) }
 
-// beginMassRestart kills a target when its turn comes, and starts it again.
+// beginMassRestart schedules the kill and the start of a target. The kills of all targets are spread evenly over the
+// duration of the fault.
 func (e *Emulator) beginMassRestart(f *Fault, p *party) {
 	targets := e.targets(f)
 	turn := f.Duration * time.Duration(slices.Index(targets, p)) / time.Duration(len(targets))
@@ -120,10 +122,11 @@
 	e.after(turn+massRestartDowntime, func() { e.startHost(p) })
 }
 
-// beginMachineLoss takes the machine away; nobody ends its connections.
+// beginMachineLoss removes the machine of a host without closing its connections.
 func (e *Emulator) beginMachineLoss(_ *Fault, p *party) { e.loseMachine(p) }
 
-// endHostReplaced gives the address to another machine, which resets the connections of the one that was there.
+// endHostReplaced starts another machine at the address. It resets the connections of the lost machine, as it does not know
+// them.
 func (e *Emulator) endHostReplaced(_ *Fault, p *party) {
 	if p.host.machineLost {
 		e.lastHostNumber++
@@ -133,7 +136,7 @@
 	}
 }
 
-// endHostReaddressed brings the machine back at another address. Nothing ever answers at the old one.
+// endHostReaddressed starts the machine again at another address. The old address never answers again.
 func (e *Emulator) endHostReaddressed(_ *Fault, p *party) {
 	if p.host.machineLost {
 		p.listener = e.newListener(p)
--- a/internal/emulator/platformmodel/io.go
+++ b/internal/emulator/platformmodel/io.go
@@ -1,38 +1,40 @@
 package platformmodel
 
-// ListenerID numbers a listener of an Emulator, from 1 on.
+// ListenerID identifies a listener of an Emulator; the first one is 1.
 type ListenerID uint64
 
-// Input is something that has happened on the network.
+// Input is an event on the network, or a command to the Emulator.
 type Input interface{ input() }
 
-// The inputs.
+// The inputs of an Emulator.
 type (
-	// ListenerOpened answers an OpenListener with the address that the listener has.
+	// ListenerOpened reports the address at which a listener is open after an OpenListener.
 	ListenerOpened struct {
 		Listener ListenerID
 		Address  string
 	}
-	// Begin starts the run: requests and faults count from now. All listeners of the start must have been opened.
+	// Begin starts the run: the times of requests and faults count from this input. The listeners that the first Step opens
+	// must be open.
 	Begin struct{}
-	// Accepted says that a listener has accepted a connection, numbered by NewConnID, of a placer.
+	// Accepted reports that a listener has accepted a connection of a placer. The number of the connection comes from
+	// NewConnID.
 	Accepted struct {
 		Listener ListenerID
 		Conn     ConnID
 		Placer   int
 	}
-	// Connected says that a Dial has succeeded.
+	// Connected reports that a Dial has succeeded.
 	Connected struct{ Conn ConnID }
-	// Disconnected says that a Dial has failed, or that the placer has ended a connection.
+	// Disconnected reports that a Dial has failed, or that the placer has closed or reset a connection.
 	Disconnected struct{ Conn ConnID }
-	// Data brings bytes, which the Emulator keeps.
+	// Data carries bytes received on a connection. The Emulator retains Bytes.
 	Data struct {
 		Conn  ConnID
 		Bytes []byte
 	}
-	// PlacerStarted says that a placer accepts connections.
+	// PlacerStarted reports that a placer accepts connections.
 	PlacerStarted struct{ Placer int }
-	// PlacerStopped says that a placer has ended.
+	// PlacerStopped reports that a placer has exited.
 	PlacerStopped struct{ Placer int }
 )
 
@@ -45,39 +47,40 @@
 func (PlacerStarted) input()  {}
 func (PlacerStopped) input()  {}
 
-// Output is something that the shell is to do.
+// Output is an operation that the caller of Emulator.Step must perform.
 type Output interface{ output() }
 
-// The outputs, to be executed in their order.
+// The outputs of an Emulator, to be performed in order.
 type (
-	// OpenListener listens at an address, or at any if that is empty; ListenerOpened follows.
+	// OpenListener opens a listener at an address, or at any free one if Address is empty. The input ListenerOpened must
+	// follow.
 	OpenListener struct {
 		Listener ListenerID
 		Address  string
 	}
-	// CloseListener closes a listener: connections are refused.
+	// CloseListener closes a listener, so that connections to its address are refused.
 	CloseListener struct{ Listener ListenerID }
-	// StopAccepting makes a listener neither accept connections nor refuse them.
+	// StopAccepting makes a listener neither accept nor refuse connections: connection attempts get no answer.
 	StopAccepting struct{ Listener ListenerID }
-	// ResumeAccepting ends that.
+	// ResumeAccepting makes a listener accept connections again after StopAccepting.
 	ResumeAccepting struct{ Listener ListenerID }
-	// Dial connects to a placer; Connected or Disconnected follows.
+	// Dial connects to a placer. The input Connected or Disconnected must follow.
 	Dial struct {
 		Conn   ConnID
 		Placer int
 	}
-	// Write writes bytes.
+	// Write writes bytes to a connection.
 	Write struct {
 		Conn  ConnID
 		Bytes []byte
 	}
-	// CloseConnection closes a connection after what was written.
+	// CloseConnection closes a connection after the bytes of earlier Writes have been sent.
 	CloseConnection struct{ Conn ConnID }
-	// ResetConnection resets a connection.
+	// ResetConnection resets a connection; unsent bytes may be lost.
 	ResetConnection struct{ Conn ConnID }
-	// StopReading reads nothing more of a connection; bytes that were read already may still come.
+	// StopReading stops reading from a connection. Bytes that were read before may still arrive as Data.
 	StopReading struct{ Conn ConnID }
-	// ResumeReading ends that.
+	// ResumeReading makes a connection read again after StopReading.
 	ResumeReading struct{ Conn ConnID }
 )
 
--- a/internal/emulator/platformmodel/journal.go
+++ b/internal/emulator/platformmodel/journal.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// PartyKind says what a party is.
+// PartyKind is the kind of a party of an Emulator.
 type PartyKind uint8
 
 // The kinds of parties.
@@ -15,53 +15,54 @@
 	EndpointLogParty
 )
 
-// PartyID names a party of an Emulator.
+// PartyID identifies a party of an Emulator.
 type PartyID struct {
 	Kind   PartyKind
-	Number int // place in the configuration
+	Number int // index in the configuration; 0 for the endpoint log
 }
 
-// String returns the kind and the number.
+// String returns the kind and the number, such as "host 3".
 func (p PartyID) String() string {
 	return fmt.Sprintf("%s %d", [...]string{"host", "owner", "endpoint log"}[p.Kind], p.Number)
 }
 
-// RecordEvent says what a Record is about.
+// RecordEvent is the type of event of a Record.
 type RecordEvent uint8
 
-// What is recorded. What a party sends and what is written differ by the faults in force; so do what arrives and what a
-// party receives.
+// The recorded events. Faults in force can make the bytes written to a connection differ from the messages that its party
+// sent, and the bytes read from a connection differ from those that its party received.
 const (
-	RecordSent             RecordEvent = iota // a party sent a message
-	RecordWritten                             // bytes went out on the connection
-	RecordRead                                // bytes came in on the connection
-	RecordReceived                            // a party received bytes
-	RecordOpened                              // a connection was made
-	RecordClosedByPlacer                      // the placer's side has ended a connection, or it was never made
-	RecordClosedByEmulator                    // the emulator's side has closed or reset a connection
-	RecordHostUp                              // an incarnation of a host has begun
+	RecordSent             RecordEvent = iota // a party sent a message, before the effect of faults
+	RecordWritten                             // bytes were written to a connection
+	RecordRead                                // bytes were read from a connection
+	RecordReceived                            // a party received bytes, after the effect of faults
+	RecordOpened                              // a connection was established
+	RecordClosedByPlacer                      // the placer has closed a connection, or a Dial has failed
+	RecordClosedByEmulator                    // the emulator has closed or reset a connection
+	RecordHostUp                              // an incarnation of a host has started
 	RecordHostDown                            // an incarnation of a host has ended
-	RecordFaultBegan                          // of the Fault, at each of its targets
-	RecordFaultEnded
-	RecordPlacerStarted
-	RecordPlacerStopped
+	RecordFaultBegan                          // a fault has begun at a target; one record for each target
+	RecordFaultEnded                          // a fault has ended at a target; one record for each target
+	RecordPlacerStarted                       // a placer accepts connections
+	RecordPlacerStopped                       // a placer has exited
 )
 
-// Record is one thing that has happened to a party.
+// Record is one event at a party or a placer.
 type Record struct {
 	At     time.Duration
 	Event  RecordEvent
 	Party  PartyID
-	Conn   ConnID // 0: it is about no connection
-	Placer int    // at the other end of the connection, or that has started or stopped
+	Conn   ConnID // 0: the event concerns no connection
+	Placer int    // the placer at the other end of the connection, or that has started or stopped
 	Fault  FaultType
 	Data   []byte
 }
 
-// Journal is the record of a run, in the order of events. It holds at most its bound; further records are only counted.
+// Journal holds the records of a run in the order of events. Once it has reached its limit, further records are only
+// counted.
 type Journal struct {
 	Records    []Record
-	Dropped    int
+	Dropped    int // records beyond the limit
 	maxRecords int
 }
 
--- a/internal/emulator/platformmodel/model.go
+++ b/internal/emulator/platformmodel/model.go
@@ -8,26 +8,28 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// never is a time that does not come.
+// never is the due time of something that is not scheduled.
 const never time.Duration = math.MaxInt64
 
-// ConnID numbers a connection. The Emulator chooses those that it dials, its shell those that it accepts; none is used twice.
+// ConnID identifies a connection. Emulator.NewConnID returns the numbers, both for connections that the Emulator dials and
+// for those that its caller accepts; none is used twice.
 type ConnID uint64
 
-// Action is something that a model does on a connection.
+// Action is an operation of a model on a connection.
 type Action interface{ action() }
 
-// The actions, to be executed in their order.
+// The actions of a model, which are executed in order.
 type (
-	// Send sends one message: a line, or a piece of the watch's stream. Faults that change messages leave a Head as it is.
+	// Send sends one message: a line of the protocol, or a part of the watch's response. Faults that change, repeat or
+	// reorder messages don't apply to a Head.
 	Send struct {
 		Conn ConnID
 		Data []byte
-		Head bool // it begins a stream
+		Head bool // the data is the HTTP response head of a watch stream
 	}
-	// Close closes a connection after what was sent on it.
+	// Close closes a connection after the messages sent before have been written.
 	Close struct{ Conn ConnID }
-	// Connect connects to a placer; ConnectionOpened or ConnectionClosed of the model follows.
+	// Connect connects to a placer. The model's ConnectionOpened or ConnectionClosed is called with the result.
 	Connect struct {
 		Conn   ConnID
 		Placer int // number of the placer
@@ -38,22 +40,23 @@
 func (Close) action()   {}
 func (Connect) action() {}
 
-// model is what a Host, an Owner and an EndpointLog have in common. Times never go back.
+// model is the interface that Host, Owner and EndpointLog share. Each method takes the current time, which never decreases,
+// and returns the actions that follow from the call.
 type model interface {
-	// ConnectionOpened says that a connection to or from a placer is open.
+	// ConnectionOpened handles a connection to or from a placer that has been established.
 	ConnectionOpened(now time.Duration, conn ConnID, placer int) []Action
-	// Received brings bytes in any pieces, which the model does not keep.
+	// Received handles bytes of a connection, split at any boundaries. It does not retain data.
 	Received(now time.Duration, conn ConnID, data []byte) []Action
-	// ConnectionClosed says that a connection has ended that the model has not closed. reset says that what its placer sent
-	// last may be lost.
+	// ConnectionClosed handles the end of a connection that the model has not closed itself. After a reset the last messages
+	// of the placer may be lost.
 	ConnectionClosed(now time.Duration, conn ConnID, reset bool) []Action
-	// Step does what is due.
+	// Step handles the timers that are due.
 	Step(now time.Duration) []Action
-	// Next returns when Step is to be called at the latest.
+	// Next returns the time by which Step must be called.
 	Next() time.Duration
 }
 
-// Range is a range of times to draw from, both ends included.
+// Range is a range of durations to draw from uniformly; both bounds are included.
 type Range struct{ Min, Max time.Duration }
 
 func (r Range) draw(rng *rand.Rand) time.Duration {
@@ -65,24 +68,24 @@
 
 func (r Range) valid() bool { return r.Min >= 0 && r.Max >= r.Min }
 
-// actionQueue collects the actions of one input.
+// actionQueue collects the actions that a model performs while it handles one input.
 type actionQueue struct{ actions []Action }
 
 func (q *actionQueue) add(a Action) { q.actions = append(q.actions, a) }
 
-// sendMessage sends a message without a description.
+// sendMessage queues a Send of a message that has no description.
 func (q *actionQueue) sendMessage(conn ConnID, kind platform.MessageType, ref string, cause platform.Cause, fields ...platform.Field) {
 	q.add(Send{Conn: conn, Data: platform.Append(nil, kind, ref, cause, nil, fields...)})
 }
 
-// takeActions returns what was collected.
+// takeActions returns the collected actions and empties the queue.
 func (q *actionQueue) takeActions() []Action {
 	taken := q.actions
 	q.actions = nil
 	return taken
 }
 
-// earliest returns the first of some times.
+// earliest returns the smallest of the given times, or never without any.
 func earliest(times ...time.Duration) time.Duration {
 	first := never
 	for _, t := range times {
@@ -91,7 +94,8 @@
 	return first
 }
 
-// feedMessages reads the messages that bytes complete. It stops at the first line that can't be read, with an error.
+// feedMessages calls handle with each message that data completes. It stops at the first line that cannot be decoded and
+// returns the error.
 func feedMessages(lines *platform.LineSplitter, data []byte, handle func(*platform.Message)) error {
 	return lines.Feed(data, func(line []byte) error {
 		m, err := platform.Decode(line)
--- a/internal/emulator/platformmodel/parties.go
+++ b/internal/emulator/platformmodel/parties.go
@@ -7,56 +7,56 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// party is a model in its place.
+// party is a host, an owner or the endpoint log with its connections, its listener and the faults in force on it.
 type party struct {
 	id       PartyID
-	model    model // nil: it is down, or has not begun
-	next     time.Duration
+	model    model         // nil: the host is down, or the owner has not started
+	next     time.Duration // when the model is to be stepped
 	links    map[ConnID]*link
-	active   [faultTypeCount]int // faults in force
-	delay    time.Duration       // of what it sends
-	listener *listener           // nil: it does not listen
-	host     *hostState          // nil: it is no host
+	active   [faultTypeCount]int // number of faults in force, by type
+	delay    time.Duration       // of the messages that the party sends
+	listener *listener           // nil: the party accepts no connections
+	host     *hostState          // nil: the party is not a host
 }
 
-// hostState is what outlives the incarnations of a host.
+// hostState is the state of a host that outlives its incarnations.
 type hostState struct {
 	spec        HostSpec
 	name        string
-	incarnation int
-	startedAtMS float64       // of the present incarnation by its own clock; 0: long ago
-	clockSkew   time.Duration // of its clock
-	machineLost bool          // its machine is gone, and nobody says so
-	published   platform.Endpoint
+	incarnation int               // number of the current or latest incarnation, from 1
+	startedAtMS float64           // start of the incarnation by the host's clock; 0: long ago
+	clockSkew   time.Duration     // offset of the host's clock
+	machineLost bool              // the machine has been removed without closing its connections
+	published   platform.Endpoint // latest entry in the endpoint list
 }
 
-// listenerState is what the other end sees of a listener.
+// listenerState is the behavior of a listener towards new connections.
 type listenerState uint8
 
 const (
-	listenerClosed listenerState = iota // connections are refused
-	listenerOpen
-	listenerStopped // connections are not made and not refused
+	listenerClosed  listenerState = iota // connections are refused
+	listenerOpen                         // connections are accepted
+	listenerStopped                      // connections are neither accepted nor refused
 )
 
-// listener is a listener of a party.
+// listener is a listener of a party. Only a FaultHostReaddressed gives a party another one.
 type listener struct {
 	id      ListenerID
 	party   *party
-	address string // empty: any; set once it was open
+	address string // empty: any, until the listener has been opened
 	state   listenerState
 }
 
 func hostName(number int) string { return fmt.Sprintf("s-%08x", number) }
 
-// newListener returns a listener that is closed.
+// newListener adds a closed listener for a party.
 func (e *Emulator) newListener(p *party) *listener {
 	l := &listener{id: ListenerID(len(e.listeners) + 1), party: p}
 	e.listeners[l.id] = l
 	return l
 }
 
-// wantedListenerState returns what a party's listener is to be.
+// wantedListenerState returns the state that the party's listener should have, from its model and the faults in force.
 func (p *party) wantedListenerState() listenerState {
 	switch {
 	case p.active[FaultHalfOpen] > 0 || p.active[FaultZonePartition] > 0 || p.host != nil && p.host.machineLost:
@@ -68,7 +68,7 @@
 	}
 }
 
-// updateListener makes a party's listener what it is to be.
+// updateListener changes a party's listener to its wanted state.
 func (e *Emulator) updateListener(p *party) {
 	l := p.listener
 	if l == nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-// startHost starts the next incarnation of a host that is down.
+// startHost starts the next incarnation of a host. It does nothing if the host is up or its machine is lost.
 func (e *Emulator) startHost(p *party) {
 	h := p.host
 	if p.model != nil || h.machineLost {
@@ -110,7 +110,7 @@
 	e.publishLater(p)
 }
 
-// killHost ends a host's process: its connections are reset.
+// killHost ends the process of a host that is up and resets its connections.
 func (e *Emulator) killHost(p *party) {
 	if p.model == nil {
 		return
@@ -119,7 +119,7 @@
 	e.resetLinks(p)
 }
 
-// loseMachine takes a host's machine away: nobody ends its connections.
+// loseMachine removes the machine of a host that is up. Its connections pass nothing more, and no close either.
 func (e *Emulator) loseMachine(p *party) {
 	if p.model == nil {
 		return
@@ -131,7 +131,7 @@
 	e.endIncarnation(p)
 }
 
-// endIncarnation ends an incarnation of a host with its tasks.
+// endIncarnation ends an incarnation of a host with its tasks and publishes that.
 func (e *Emulator) endIncarnation(p *party) {
 	p.model = nil
 	e.recordParty(RecordHostDown, p)
@@ -139,7 +139,7 @@
 	e.publishLater(p)
 }
 
-// restoreMachine starts a host whose machine had vanished.
+// restoreMachine starts a host whose machine was lost.
 func (e *Emulator) restoreMachine(p *party) {
 	p.host.machineLost = false
 	e.startHost(p)
@@ -159,18 +159,19 @@
 	return e
 }
 
-// publishLater publishes the state that a host has after the delay of the endpoint list.
+// publishLater schedules a publish of a host after Config.ListDelay. It publishes the state that the host has by then.
 func (e *Emulator) publishLater(p *party) {
 	if e.log != nil {
 		e.after(e.cfg.ListDelay, func() { e.publish(p) })
 	}
 }
 
-// publish publishes a host's entry if it has changed, and the end of its former name.
+// publish publishes a host's entry in the endpoint list if it has changed. If the host has
+// another name than before, an entry of the former name that was in service is published as terminated.
 func (e *Emulator) publish(p *party) {
 	before, entry := p.host.published, p.endpoint()
 	if entry.Address == "" {
-		return // its listener is being opened; it is published then
+		return // handleListenerOpened publishes the host once it has an address
 	}
 	if before.Name == entry.Name && before.State == entry.State && before.Address == entry.Address && before.StartedAtMS == entry.StartedAtMS {
 		return
