--- a/internal/emulator/platformmodel/doc.go
+++ b/internal/emulator/platformmodel/doc.go
@@ -1,7 +1,8 @@
-// Package platformmodel emulates the environment of placers on the users' platform: hosts, owners of tasks and the watch of
-// the endpoint list, with faults injected by a schedule. The package is pure: its inputs are times and network events, its
-// outputs are the network operations to perform. The same Emulator runs on sockets, in package emulator/platform, and on
-// the in-memory Network of this package, which connects it to placer cores under a simulated clock.
+// Package platformmodel emulates the environment of placers on the users' platform: hosts, owners of tasks and the
+// watch of the endpoint list, with faults injected by a schedule. The package is pure: its inputs are times and network
+// events, its outputs are the network operations to perform. The same Emulator runs on sockets, in package
+// emulator/platform, and on the in-memory Network of this package, which connects it to placer cores under a simulated
+// clock.
 //
 //	model.go        what the models share: connection numbers, actions, ranges of times
 //	host.go         Host: its connections, probes, load reports and unacknowledged task ends
--- a/internal/emulator/platformmodel/emulator.go
+++ b/internal/emulator/platformmodel/emulator.go
@@ -33,15 +33,15 @@
 	Placers   int
 	Faults    []Fault
 	ListDelay time.Duration // from a change of a host to its event in the endpoint list
-	// AddressFor returns the address at which a placer reaches the listener at an address. Nil means that all placers use
-	// the listener's own address.
+	// AddressFor returns the address at which a placer reaches the listener at an address. Nil means that all placers
+	// use the listener's own address.
 	AddressFor func(placer int, address string) string
 	Seed       uint64
 	MaxRecords int // limit of the journal; 0: 1,000,000
 }
 
-// Emulator emulates the environment of the placers of a platform: hosts, owners and the endpoint log, with the faults of a
-// schedule. It is not safe for concurrent use. Times are those of the caller's clock and must not decrease.
+// Emulator emulates the environment of the placers of a platform: hosts, owners and the endpoint log, with the faults
+// of a schedule. It is not safe for concurrent use. Times are those of the caller's clock and must not decrease.
 type Emulator struct {
 	cfg      Config
 	rng      *rand.Rand
@@ -62,8 +62,8 @@
 	lastHostNumber int
 }
 
-// New returns an emulator whose hosts are up; the first Step opens the listeners. It returns an error if the configuration
-// is invalid.
+// New returns an emulator whose hosts are up; the first Step opens the listeners. It returns an error if the
+// configuration is invalid.
 func New(cfg Config, now time.Duration) (*Emulator, error) {
 	if cfg.MaxRecords == 0 {
 		cfg.MaxRecords = defaultMaxRecords
@@ -88,7 +88,7 @@
 
 func (e *Emulator) addParties() error {
 	if e.cfg.Placers < 1 || len(e.cfg.Hosts) == 0 || e.cfg.ListDelay < 0 {
-		return fmt.Errorf("got %d placers, %d hosts and ListDelay %v; want at least 1 placer, at least 1 host and a delay of at least 0",
+		return fmt.Errorf("got %d placers, %d hosts and ListDelay %v, want at least 1, 1 and 0",
 			e.cfg.Placers, len(e.cfg.Hosts), e.cfg.ListDelay)
 	}
 	for i, spec := range e.cfg.Hosts {
@@ -221,8 +221,8 @@
 	}
 }
 
-// handleListenerOpened stores the address of a listener. A host is published in the endpoint list once its listener has an
-// address.
+// handleListenerOpened stores the address of a listener. A host is published in the endpoint list once its listener has
+// an address.
 func (e *Emulator) handleListenerOpened(in ListenerOpened) {
 	l := e.listeners[in.Listener]
 	if l == nil {
@@ -340,7 +340,8 @@
 	e.execute(l.party, l.party.model.ConnectionOpened(e.now, l.id, l.placer))
 }
 
-// handleDisconnected handles the end of a connection by its placer. The model is notified once it has received all data.
+// handleDisconnected handles the end of a connection by its placer. The model is notified once it has received
+// all data.
 func (e *Emulator) handleDisconnected(conn ConnID) {
 	l := e.links[conn]
 	if l == nil {
@@ -355,8 +356,8 @@
 	e.flush(l)
 }
 
-// execute executes the actions of a model and updates the time of its next step. It ends the incarnation of a host that has
-// crashed.
+// execute executes the actions of a model and updates the time of its next step. It ends the incarnation of a host that
+// has crashed.
 func (e *Emulator) execute(p *party, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
--- a/internal/emulator/platformmodel/endpointlog.go
+++ b/internal/emulator/platformmodel/endpointlog.go
@@ -14,39 +14,40 @@
 )
 
 const (
-	commentInterval    = time.Second // between comments on a stream
-	maxLoggedEvents    = 4096        // whoever asks after an older one gets a snapshot
+	commentInterval    = time.Second // between the comments on a stream
+	maxLoggedEvents    = 4096        // limit of the retained events; a request after an older one gets a snapshot
 	watchPath          = "/changes"
 	lastEventIDHeader  = "last-event-id"
 	streamResponseHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
 )
 
-// EndpointLog is the watch of the endpoint list: it numbers the changes and streams them to whoever asks. It is for one
-// goroutine at a time.
+// EndpointLog emulates the watch of the endpoint list: it numbers the changes and streams them to the subscribed
+// placers. It is not safe for concurrent use.
 type EndpointLog struct {
-	// AddressFor returns the address at which a placer reaches what listens at an address; nil: the same for all.
+	// AddressFor returns the address at which a placer reaches the listener at an address. Nil means that all placers
+	// use the listener's own address.
 	AddressFor func(placer int, address string) string
 
 	actionQueue
 	now               time.Duration
-	lastSeq           uint64 // number of the last event
+	lastSeq           uint64 // number of the latest event
 	endpoints         map[string]platform.Endpoint
-	events            []platform.WatchEvent // without a gap up to last
+	events            []platform.WatchEvent // retained events, numbered without a gap up to lastSeq
 	streams           map[ConnID]*logStream
-	sequenceRestarts  int         // of the sequence
-	restartsAtRequest map[int]int // by placer: how many restarts there were when it last asked
+	sequenceRestarts  int         // number of restarts of the sequence
+	restartsAtRequest map[int]int // by placer: sequenceRestarts at its latest request
 }
 
-// logStream is a connection of a placer.
+// logStream is a connection from a placer.
 type logStream struct {
 	id            ConnID
 	placer        int
 	parser        *http1.Parser
-	subscribed    bool // the request has come and is answered
+	subscribed    bool // the request has arrived and is answered
 	nextCommentAt time.Duration
 }
 
-// NewEndpointLog returns a log whose first event is a snapshot of some endpoints.
+// NewEndpointLog returns a log whose first event is a snapshot of the given endpoints.
 func NewEndpointLog(now time.Duration, endpoints ...platform.Endpoint) *EndpointLog {
 	l := &EndpointLog{now: now, endpoints: map[string]platform.Endpoint{}, streams: map[ConnID]*logStream{}, restartsAtRequest: map[int]int{}}
 	for _, e := range endpoints {
@@ -56,7 +57,7 @@
 	return l
 }
 
-// Events returns the events that are kept as a placer sees them, which it may be started with.
+// Events returns the retained events with the addresses for a placer, which can be started with them.
 func (l *EndpointLog) Events(placer int) []platform.WatchEvent {
 	events := make([]platform.WatchEvent, len(l.events))
 	for i, e := range l.events {
@@ -65,7 +66,7 @@
 	return events
 }
 
-// eventForPlacer returns an event with the addresses at which a placer reaches the hosts.
+// eventForPlacer returns a copy of an event with the addresses at which a placer reaches the hosts.
 func (l *EndpointLog) eventForPlacer(placer int, event platform.WatchEvent) platform.WatchEvent {
 	if l.AddressFor == nil {
 		return event
@@ -79,7 +80,7 @@
 	return event
 }
 
-// Publish logs changes of endpoints as one event.
+// Publish appends changes of endpoints as one event.
 func (l *EndpointLog) Publish(now time.Duration, endpoints ...platform.Endpoint) []Action {
 	return l.handle(now, func() {
 		for _, e := range endpoints {
@@ -92,7 +93,8 @@
 	})
 }
 
-// RestartSequence begins the numbers again from 1 with a snapshot, as a log does that has lost its state. Its streams end.
+// RestartSequence closes all streams and numbers the events from 1 again, beginning with a snapshot, as a log does that
+// has lost its state.
 func (l *EndpointLog) RestartSequence(now time.Duration) []Action {
 	return l.handle(now, func() {
 		for _, s := range l.sortedStreams() {
@@ -104,19 +106,19 @@
 	})
 }
 
-// ConnectionOpened takes a connection of a placer.
+// ConnectionOpened handles a new connection from a placer.
 func (l *EndpointLog) ConnectionOpened(now time.Duration, conn ConnID, placer int) []Action {
 	return l.handle(now, func() {
 		l.streams[conn] = &logStream{id: conn, placer: placer, parser: http1.NewParser(http1.DefaultLimits(0)), nextCommentAt: never}
 	})
 }
 
-// ConnectionClosed forgets a stream.
+// ConnectionClosed removes a stream.
 func (l *EndpointLog) ConnectionClosed(now time.Duration, conn ConnID, _ bool) []Action {
 	return l.handle(now, func() { delete(l.streams, conn) })
 }
 
-// Received takes the request of a stream and answers it with the events after the one that it names.
+// Received handles the HTTP request of a stream. It answers with the events after the one that the request names.
 func (l *EndpointLog) Received(now time.Duration, conn ConnID, data []byte) []Action {
 	return l.handle(now, func() {
 		s := l.streams[conn]
@@ -127,11 +129,11 @@
 		switch {
 		case err != nil:
 			l.refuse(s, 400)
-		case request == nil: // more is to come
+		case request == nil: // the request is not complete
 		case request.Method != "GET" || request.Path != watchPath:
 			l.refuse(s, 404)
 		default:
-			last, _ := strconv.ParseUint(request.Get(lastEventIDHeader), 10, 64) // none, or none that is a number: from the start
+			last, _ := strconv.ParseUint(request.Get(lastEventIDHeader), 10, 64) // missing or invalid: 0
 			l.openStream(s, last)
 		}
 	})
@@ -140,7 +142,7 @@
 // Step sends the comments that are due.
 func (l *EndpointLog) Step(now time.Duration) []Action { return l.handle(now, func() {}) }
 
-// Next returns when Step is to be called at the latest.
+// Next returns the time by which Step must be called.
 func (l *EndpointLog) Next() time.Duration {
 	next := never
 	for _, s := range l.streams {
@@ -149,7 +151,7 @@
 	return next
 }
 
-// handle takes an input and sends the comments that are due.
+// handle handles the input, sends the comments that are due, and returns the actions.
 func (l *EndpointLog) handle(now time.Duration, input func()) []Action {
 	l.now = now
 	input()
@@ -172,14 +174,14 @@
 	delete(l.streams, s.id)
 }
 
-// openStream answers a request: with the events after last, or with a snapshot if one of them is not kept any more. A placer
-// that asks for the first time since the numbers began again gets all events of the new sequence. The body has no length and
-// ends with its connection.
+// openStream answers a request with the events after last, or with a snapshot if one of them is no longer retained. The
+// first request of a placer after a restart of the sequence gets all events of the new sequence. The response has no
+// length and ends with the connection.
 func (l *EndpointLog) openStream(s *logStream, last uint64) {
 	s.subscribed, s.nextCommentAt = true, l.now+commentInterval
 	l.add(Send{Conn: s.id, Data: []byte(streamResponseHead), Head: true})
-	if restarts, known := l.restartsAtRequest[s.placer]; last > l.lastSeq || known && restarts != l.sequenceRestarts { // of an earlier sequence
-		last = 0
+	if restarts, known := l.restartsAtRequest[s.placer]; last > l.lastSeq || known && restarts != l.sequenceRestarts {
+		last = 0 // the requested number is of an earlier sequence
 	}
 	l.restartsAtRequest[s.placer] = l.sequenceRestarts
 	if first := l.events[0].Seq; last+1 < first {
@@ -193,7 +195,7 @@
 	}
 }
 
-// append logs an event and streams it.
+// append appends an event to the log and sends it on all streams.
 func (l *EndpointLog) append(list *platform.EndpointList) {
 	l.lastSeq++
 	event := platform.WatchEvent{Seq: l.lastSeq, Endpoints: list}
@@ -213,7 +215,7 @@
 	l.events = []platform.WatchEvent{l.snapshot(1)}
 }
 
-// snapshot returns the complete list as an event.
+// snapshot returns an event with the complete list of endpoints.
 func (l *EndpointLog) snapshot(seq uint64) platform.WatchEvent {
 	hosts := []platform.Endpoint{}
 	for _, name := range slices.Sorted(maps.Keys(l.endpoints)) {
@@ -222,11 +224,11 @@
 	return platform.WatchEvent{Seq: seq, Endpoints: &platform.EndpointList{Snapshot: true, Hosts: hosts}}
 }
 
-// encodeEvent returns an event as it is streamed.
+// encodeEvent returns the encoding of an event on a stream.
 func encodeEvent(event platform.WatchEvent) []byte {
 	data, err := json.Marshal(event)
 	if err != nil {
-		return []byte(":\n\n") // cannot be: an event holds nothing that JSON has no form for
+		return []byte(":\n\n") // unreachable: all values of an event can be encoded as JSON
 	}
 	return fmt.Appendf(nil, "id: %d\ndata: %s\n\n", event.Seq, data)
 }
--- a/internal/emulator/platformmodel/endpointlog_test.go
+++ b/internal/emulator/platformmodel/endpointlog_test.go
@@ -8,12 +8,13 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// subscribe opens a stream after an event and returns what comes at once.
+// subscribe opens a stream that requests the events after number last, and returns the immediate response.
 func subscribe(l *EndpointLog, conn ConnID, last string) string {
 	l.ConnectionOpened(testStart, conn, 0)
 	return sentText(l.Received(testStart, conn, []byte("GET /changes HTTP/1.1\r\nHost: x\r\nLast-Event-ID: "+last+"\r\n\r\n")))
 }
 
+// sentText returns the data of all Send actions as one text.
 func sentText(actions []Action) string {
 	var all strings.Builder
 	for _, a := range actions {
@@ -24,7 +25,8 @@
 	return all.String()
 }
 
-// A stream has the events after the one that it asks for, then those that are published, and a comment each second.
+// A stream starts with the retained events after its Last-Event-ID. Published events and a comment each second follow.
+// A missing number, or one that the log has not reached, yields all events.
 func TestEndpointLogStreamsEventsAfterLastEventID(t *testing.T) {
 	l := NewEndpointLog(testStart, platform.Endpoint{Name: "s-00000001", State: platform.InService})
 	l.Publish(testStart, platform.Endpoint{Name: "s-00000002", State: platform.InService})
@@ -36,42 +38,43 @@
 			}
 		}
 		if got := strings.Join(ids, " "); got != want {
-			t.Errorf("after %q: %q, want %q", last, got, want)
+			t.Errorf("subscription with Last-Event-ID %q: got events %q, want %q", last, got, want)
 		}
 	}
 	if got := sentText(l.Publish(testStart, platform.Endpoint{Name: "s-00000002", State: platform.Terminated})); !strings.HasPrefix(got, "id: 3\ndata: {") {
-		t.Errorf("published %q", got)
+		t.Errorf("Publish of a terminated endpoint: sent %q, want a text that begins with %q", got, "id: 3\ndata: {")
 	}
 	if at := l.Next(); at != testStart+time.Second || sentText(l.Step(at)) != ":\n\n" || l.Next() != at+time.Second {
-		t.Errorf("the next comment is due at %v", at)
+		t.Errorf("got the next comment at %v, want one at %v and the following one a second later", at, testStart+time.Second)
 	}
 }
 
-// Whoever asks after an event that is not kept has a snapshot, without hosts that are gone.
+// A subscription after an event that is no longer retained is answered with a snapshot, which leaves out terminated
+// hosts.
 func TestEndpointLogSendsSnapshotInsteadOfDroppedEvents(t *testing.T) {
 	l := NewEndpointLog(testStart)
 	for range maxLoggedEvents {
 		l.Publish(testStart, platform.Endpoint{Name: "s-00000001", State: platform.InService}, platform.Endpoint{Name: "s-00000002", State: platform.Terminated})
 	}
 	if got := subscribe(l, 1, "0"); strings.Count(got, "id: ") != 1 || !strings.Contains(got, `"whole":true`) || strings.Contains(got, "s-00000002") {
-		t.Errorf("%.300q", got)
+		t.Errorf("subscription after event 0: got %.300q, want one snapshot without s-00000002", got)
 	}
 }
 
-// What asks for something else is refused.
+// A request for another path, or one that is not HTTP, is answered with an error status and a close.
 func TestEndpointLogRefusesInvalidRequests(t *testing.T) {
 	for request, want := range map[string]string{"GET /x HTTP/1.1\r\nHost: x\r\n\r\n": "404", "nonsense\r\n\r\n": "400"} {
 		l := NewEndpointLog(testStart)
 		l.ConnectionOpened(testStart, 1, 0)
 		actions := l.Received(testStart, 1, []byte(request))
 		if got := sentText(actions); !strings.HasPrefix(got, "HTTP/1.1 "+want) || len(actions) != 2 {
-			t.Errorf("%q: %q", request, got)
+			t.Errorf("Received(%q): got %d actions that send %q, want status %s and a close", request, len(actions), got, want)
 		}
 	}
 }
 
-// A placer that asks for the first time since the numbers began again gets the new sequence, even if that has come as far
-// as the old one; when it asks again it gets what is new.
+// The first subscription of a placer after a restart of the sequence gets the whole new sequence, even if that has
+// reached the number up to which the placer knows the old one. The next subscription gets only newer events.
 func TestEndpointLogSendsNewSequenceAfterRestart(t *testing.T) {
 	l := NewEndpointLog(testStart)
 	host := platform.Endpoint{Name: "s-00000001", State: platform.InService}
@@ -81,7 +84,7 @@
 	l.Publish(testStart, host)
 	for _, want := range []int{2, 0} {
 		if got := subscribe(l, 2, "2"); strings.Count(got, "id: ") != want {
-			t.Errorf("%q, want %d events", got, want)
+			t.Errorf("subscription after event 2: got %q, want %d events", got, want)
 		}
 	}
 }
--- a/internal/emulator/platformmodel/faults.go
+++ b/internal/emulator/platformmodel/faults.go
@@ -26,9 +26,9 @@
 	FaultClockSkew                        // the target's clock is ahead by Amount
 	FaultMassKill                         // all targets are killed at once and started again at the end
 	FaultMassRestart                      // the targets restart one after another, spread over the duration
-	FaultZonePartition                    // data between the targets and placers is held back until the end
+	FaultZonePartition                    // nothing passes between the targets and placers until the end
 	FaultHostReplaced                     // the target's machine is lost; at the end another one has its address
-	FaultHostReaddressed                  // the target's machine is lost; at the end it is back under its name at another address
+	FaultHostReaddressed                  // the target's machine is lost; it is back under its name at another address
 	FaultMassHandOver                     // once: the target hands over all its running tasks
 	FaultSequenceRestart                  // once: the endpoint log numbers its events from 1 again
 	faultTypeCount
--- a/internal/emulator/platformmodel/faults_test.go
+++ b/internal/emulator/platformmodel/faults_test.go
@@ -11,15 +11,15 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// emulatorRig is an Emulator whose placer is the test. The listeners of its two hosts are 1 and 2, in the zones a and b; 3 is the
-// endpoint log's.
+// emulatorRig is an Emulator with the test as its only placer. Listeners 1 and 2 are those of its two hosts, in the
+// zones a and b; listener 3 is that of the endpoint log.
 type emulatorRig struct {
 	t              *testing.T
 	e              *Emulator
 	now            time.Duration
-	written        map[ConnID][]string // messages, as type and ref, or the whole if they can't be read
-	closed         map[ConnID]Output
-	listeners      map[ListenerID]string // state
+	written        map[ConnID][]string   // written messages in the form of describe
+	closed         map[ConnID]Output     // the output that closed or reset the connection
+	listeners      map[ListenerID]string // open, closed or stopped
 	addresses      map[ListenerID]string
 	readingStopped map[ConnID]bool
 	dialed         []ConnID
@@ -27,7 +27,7 @@
 
 const testStart = time.Hour
 
-// newEmulatorRig returns a rig that has begun. Answers of its hosts take 10 ms.
+// newEmulatorRig returns a rig that has begun. Its hosts take 10 ms to decide an offer.
 func newEmulatorRig(t *testing.T, faults ...Fault) *emulatorRig {
 	t.Helper()
 	cfg := testNetworkConfig(1, 2, 1, faults...).Emulator
@@ -37,7 +37,7 @@
 	}
 	e, err := New(cfg, testStart)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: %v", err)
 	}
 	r := &emulatorRig{
 		t: t, e: e, now: testStart, written: map[ConnID][]string{}, closed: map[ConnID]Output{}, listeners: map[ListenerID]string{},
@@ -48,6 +48,7 @@
 	return r
 }
 
+// step steps the Emulator and records its outputs. Listeners open at once.
 func (r *emulatorRig) step(in ...Input) {
 	for _, o := range r.e.Step(r.now, in...) {
 		switch o := o.(type) {
@@ -77,7 +78,7 @@
 	}
 }
 
-// describe returns the type and the ref of a message, or the whole if it can't be read.
+// describe returns the type and the ref of a message, or the whole line if it cannot be decoded.
 func describe(line []byte) string {
 	m, err := platform.Decode(bytes.TrimSuffix(line, []byte("\n")))
 	if err != nil {
@@ -86,28 +87,29 @@
 	return string(m.Type) + " " + m.Ref
 }
 
-// advanceTo lets time pass up to a time since the beginning.
+// advanceTo lets time pass until d after the start and steps the Emulator whenever a timer is due.
 func (r *emulatorRig) advanceTo(d time.Duration) {
 	for end := testStart + d; r.now < end; r.step() {
 		r.now = min(end, max(r.e.Next(), r.now+time.Millisecond))
 	}
 }
 
-// connect opens a connection to a listener.
+// connect opens a connection of the placer to a listener.
 func (r *emulatorRig) connect(l ListenerID) ConnID {
 	id := r.e.NewConnID()
 	r.step(Accepted{l, id, 0})
 	return id
 }
 
-// probe sends probes, numbered by refs.
+// probe sends probes with the given refs on a connection.
 func (r *emulatorRig) probe(conn ConnID, refs ...int) {
 	for _, ref := range refs {
 		r.step(Data{conn, platform.Append(nil, platform.TypeProbe, fmt.Sprintf("%016x", ref), 0, nil)})
 	}
 }
 
-// wantProbesAnswered checks which probes are answered on a connection, in their order.
+// wantProbesAnswered checks that the messages written to a connection are the answers to the probes with these refs, in
+// order.
 func (r *emulatorRig) wantProbesAnswered(conn ConnID, refs ...int) {
 	r.t.Helper()
 	var want []string
@@ -115,7 +117,7 @@
 		want = append(want, fmt.Sprintf("%s %016x", platform.TypeProbeResult, ref))
 	}
 	if got := r.written[conn]; !slices.Equal(got, want) {
-		r.t.Errorf("at %v: written %q, want %q", r.now-testStart, got, want)
+		r.t.Errorf("%v after the start: connection %d: got messages %q, want %q", r.now-testStart, conn, got, want)
 	}
 }
 
@@ -123,7 +125,7 @@
 func (r *emulatorRig) wantListener(l ListenerID, state string) {
 	r.t.Helper()
 	if r.listeners[l] != state {
-		r.t.Errorf("at %v: listener %d is %s, want %s", r.now-testStart, l, r.listeners[l], state)
+		r.t.Errorf("%v after the start: listener %d is %q, want %q", r.now-testStart, l, r.listeners[l], state)
 	}
 }
 
@@ -131,11 +133,11 @@
 func (r *emulatorRig) wantReset(conn ConnID, want bool) {
 	r.t.Helper()
 	if got := r.closed[conn] == (ResetConnection{conn}); got != want {
-		r.t.Errorf("at %v: reset %v, want %v", r.now-testStart, got, want)
+		r.t.Errorf("%v after the start: connection %d: got reset %v, want %v", r.now-testStart, conn, got, want)
 	}
 }
 
-// lastEntry returns the last entry of a host in the endpoint list.
+// lastEntry returns the latest entry of a host in the events of the endpoint list.
 func (r *emulatorRig) lastEntry(name string) (last platform.Endpoint) {
 	for _, event := range r.e.InitialEvents(0) {
 		for _, entry := range event.Endpoints.Hosts {
@@ -147,7 +149,7 @@
 	return last
 }
 
-// Hosts of the rig as targets, and times of its faults.
+// Targets of faults of an emulatorRig.
 var (
 	host0    = Target{Kind: HostParty, Number: 0}
 	zoneA    = Target{Kind: HostParty, Zone: "a"}
@@ -156,10 +158,10 @@
 
 const second = time.Second
 
-// Each type of fault does what it says to its targets, and nothing to others.
+// Each type of fault has its effect on the targets, from its beginning to its end, and none on other parties.
 func TestInjectors(t *testing.T) {
 	for _, c := range []struct {
-		fault Fault // begins after 1 s and lasts for 2 s
+		fault Fault // At and Duration are set to 1 s and 2 s
 		check func(r *emulatorRig, conn, other ConnID)
 	}{
 		{Fault{Type: FaultDelayed, Target: host0, Amount: 300 * time.Millisecond}, checkDelayed},
@@ -233,7 +235,7 @@
 	}
 	good := r.written[other][0]
 	if len(r.written[conn]) != 20 || slices.Contains(r.written[conn], good) {
-		r.t.Errorf("written %q", r.written[conn])
+		r.t.Errorf("answers to 20 probes: got %q, want 20 other than %q", r.written[conn], good)
 	}
 }
 
@@ -259,12 +261,12 @@
 	r.wantProbesAnswered(conn)
 	r.wantProbesAnswered(other, 1)
 	if later := r.connect(1); !r.readingStopped[conn] || !r.readingStopped[later] || r.readingStopped[other] {
-		r.t.Errorf("unread %v", r.readingStopped)
+		r.t.Errorf("reading stopped by connection: got %v, want it for %d and %d but not for %d", r.readingStopped, conn, later, other)
 	}
 	r.advanceTo(3 * second)
 	r.wantProbesAnswered(conn, 1)
 	if r.readingStopped[conn] {
-		r.t.Error("it still does not read")
+		r.t.Errorf("connection %d: reading is stopped after the end of the fault, want it resumed", conn)
 	}
 }
 
@@ -283,12 +285,12 @@
 	r.wantListener(1, "closed")
 	r.advanceTo(second + 300*time.Millisecond)
 	if got := r.lastEntry("s-00000002").State; got != platform.Terminated {
-		r.t.Errorf("the list says %s", got)
+		r.t.Errorf("entry of the killed host has state %s, want %s", got, platform.Terminated)
 	}
 	r.advanceTo(3*second + 300*time.Millisecond)
 	r.wantListener(1, "open")
 	if got := r.lastEntry("s-00000002"); got.State != platform.InService || got.StartedAtMS != 3_603_000 {
-		r.t.Errorf("the list says %+v", got)
+		r.t.Errorf("entry of the restarted host is %+v, want state %s and StartedAtMS 3603000", got, platform.InService)
 	}
 }
 
@@ -326,7 +328,8 @@
 	r.wantReset(other, false)
 	before, after := r.lastEntry("s-00000001"), r.lastEntry("s-00000003")
 	if before.State != platform.Terminated || after.State != platform.InService || before.Address != after.Address {
-		r.t.Errorf("before %+v, after %+v", before, after)
+		r.t.Errorf("got entries %+v of the lost and %+v of the new machine, want states %s and %s at one address",
+			before, after, platform.Terminated, platform.InService)
 	}
 }
 
@@ -337,21 +340,21 @@
 	r.wantListener(1, "stopped")
 	r.wantListener(4, "open")
 	if after := r.lastEntry("s-00000001"); after.State != platform.InService || before.Address == after.Address {
-		r.t.Errorf("before %+v, after %+v", before, after)
+		r.t.Errorf("got entries %+v before and %+v after, want another address and state %s", before, after, platform.InService)
 	}
 }
 
-// A host whose clock is ahead says that it started later.
+// A host whose clock is ahead is listed with a later start time.
 func TestInjectorClockSkewShiftsReportedStartTime(t *testing.T) {
 	r := newEmulatorRig(t, Fault{Duration: 5 * second, Type: FaultClockSkew, Target: host0, Amount: 7 * second},
 		Fault{At: second, Duration: second, Type: FaultMassKill, Target: allHosts})
 	r.advanceTo(3 * second)
 	if a, b := r.lastEntry("s-00000001").StartedAtMS, r.lastEntry("s-00000002").StartedAtMS; a != 3_609_000 || b != 3_602_000 {
-		t.Errorf("started at %v and %v", a, b)
+		t.Errorf("hosts are listed with StartedAtMS %v and %v, want 3609000 and 3602000", a, b)
 	}
 }
 
-// The owner of the rig hands over the task that runs, on a connection that has passed a probe.
+// The owner hands over its running task: it sends the request again under the same ref.
 func TestInjectorMassHandOverResendsRunningTask(t *testing.T) {
 	r := newEmulatorRig(t, Fault{At: second, Type: FaultMassHandOver, Target: Target{Kind: OwnerParty}})
 	r.step(PlacerStarted{0})
@@ -363,29 +366,30 @@
 	r.step(Data{conn, platform.Append(nil, platform.TypeBound, ref, platform.NoCause, boundDescription("s-00000001", ref))})
 	r.advanceTo(second)
 	if got := r.written[conn]; len(got) != 3 || got[2] != fmt.Sprintf("%s %s", platform.TypeRequest, ref) {
-		t.Errorf("written %q", got)
+		t.Errorf("owner sent %q, want a probe, a request and the hand-over of %s", got, ref)
 	}
 	if got := r.e.Requests()[0][0]; got.HandOvers != 1 || got.Host != "s-00000001" || got.Outcome != OutcomeRunning {
-		t.Errorf("%+v", got)
+		t.Errorf("got report %+v, want HandOvers 1, Host s-00000001 and Outcome %v", got, OutcomeRunning)
 	}
 }
 
-// A log whose sequence has restarted ends its streams and begins again with a snapshot, whatever is asked for.
+// An endpoint log whose sequence restarts closes its streams. A later request gets the new sequence, which begins with
+// a snapshot, whatever its Last-Event-ID.
 func TestInjectorSequenceRestartClosesStreamsAndSendsSnapshot(t *testing.T) {
 	r := newEmulatorRig(t, Fault{At: second, Type: FaultSequenceRestart, Target: Target{Kind: EndpointLogParty}})
 	conn := r.connect(3)
 	r.advanceTo(second)
 	if r.closed[conn] != (CloseConnection{conn}) {
-		t.Errorf("ended %v", r.closed)
+		t.Errorf("closed connections are %v, want a close of %d", r.closed, conn)
 	}
 	again := r.connect(3)
 	r.step(Data{again, []byte("GET /changes HTTP/1.1\r\nHost: x\r\nLast-Event-ID: 3\r\n\r\n")})
 	if got := strings.Join(r.written[again], ""); !strings.Contains(got, "id: 1\ndata:") || !strings.Contains(got, `"whole":true`) {
-		t.Errorf("written %q", got)
+		t.Errorf("response to a request after event 3: got %q, want a snapshot with id 1", got)
 	}
 }
 
-// A schedule that cannot be followed is an error.
+// A fault with an unknown type, invalid times or an unsuitable target is rejected.
 func TestNewRejectsInvalidFault(t *testing.T) {
 	for want, f := range map[string]Fault{
 		"unknown fault type":     {Type: faultTypeCount},
--- a/internal/emulator/platformmodel/host.go
+++ b/internal/emulator/platformmodel/host.go
@@ -27,8 +27,8 @@
 	NoteInterval  time.Duration // between the notes on a running task; 0: no notes
 	IdleTimeout   time.Duration // after which a connection without messages is closed; 0: never
 
-	// A host that has just started takes SlowStartFactor times as long to answer for SlowStartDuration, and crashes if it
-	// receives more than SlowStartMaxOffers offers within SlowStartWindow. SlowStartMaxOffers 0: it never crashes.
+	// A host that has just started takes SlowStartFactor times as long to answer for SlowStartDuration, and crashes if
+	// it receives more than SlowStartMaxOffers offers within SlowStartWindow. SlowStartMaxOffers 0: it never crashes.
 	SlowStartDuration  time.Duration
 	SlowStartFactor    float64
 	SlowStartWindow    time.Duration
@@ -75,16 +75,16 @@
 	lastUsed time.Duration
 }
 
-// unacknowledgedEnd is the end of a task that its placer has not acknowledged. It is sent again on each connection that the
-// placer opens.
+// unacknowledgedEnd is the end of a task that its placer has not acknowledged. It is sent again on each connection that
+// the placer opens.
 type unacknowledgedEnd struct {
 	placer int
 	ref    string
 	line   []byte
 }
 
-// NewHost returns an incarnation of a host. If cold is true it starts now and is in its slow start; otherwise it has been up
-// for long. The seed determines all random draws.
+// NewHost returns an incarnation of a host. If cold is true it starts now and is in its slow start; otherwise it has
+// been up for long. The seed determines all random draws.
 func NewHost(cfg HostConfig, name string, seed uint64, now time.Duration, cold bool) *Host {
 	h := &Host{
 		cfg: cfg, name: name, rng: rand.New(rand.NewPCG(seed, 1)), now: now, decisionAt: never,
@@ -96,7 +96,8 @@
 	return h
 }
 
-// Crashed reports whether the host has crashed from too many offers in its slow start. A crashed host ignores all inputs.
+// Crashed reports whether the host has crashed from too many offers in its slow start. A crashed host ignores all
+// inputs.
 func (h *Host) Crashed() bool { return h.crashed }
 
 // Started returns the time at which the incarnation started, or 0 if that was long ago.
@@ -114,7 +115,8 @@
 	return cores, memory
 }
 
-// ConnectionOpened handles a new connection from a placer. Task ends that the placer has not acknowledged are sent on it.
+// ConnectionOpened handles a new connection from a placer. Task ends that the placer has not acknowledged are sent on
+// it.
 func (h *Host) ConnectionOpened(now time.Duration, conn ConnID, placer int) []Action {
 	return h.handle(now, func() {
 		h.conns[conn] = &hostConnection{id: conn, placer: placer, lastUsed: now}
@@ -213,8 +215,8 @@
 		platform.LoadAvailableCores, cores, platform.LoadAvailableMemory, memory, platform.LoadQueue, len(h.queue)))
 }
 
-// connectionFor returns the connection for messages on a task: that of its offer, else any open one of its placer, or nil if
-// there is none.
+// connectionFor returns the connection for messages on a task: that of its offer, else any open one of its placer, or
+// nil if there is none.
 func (h *Host) connectionFor(t *hostTask) *hostConnection {
 	if c := h.conns[t.conn]; c != nil {
 		return c
@@ -231,7 +233,8 @@
 	return slices.SortedFunc(maps.Values(h.conns), func(a, b *hostConnection) int { return cmp.Compare(a.id, b.id) })
 }
 
-// closeIdle closes the connections that have been unused for IdleTimeout. A connection with undecided offers stays open.
+// closeIdle closes the connections that have been unused for IdleTimeout. A connection with undecided offers stays
+// open.
 func (h *Host) closeIdle() {
 	if h.cfg.IdleTimeout == 0 {
 		return
--- a/internal/emulator/platformmodel/host_test.go
+++ b/internal/emulator/platformmodel/host_test.go
@@ -9,14 +9,16 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// hostRig is a host whose placer is the test. Its offers take 10 ms to decide, and its tasks run for 2 s.
+// hostRig is a host with the test as its placer, over connection 1. The host takes 10 ms to decide an offer, and its
+// tasks run for 2 s.
 type hostRig struct {
 	t    *testing.T
 	host *Host
 	now  time.Duration
-	sent []string // type, ref and cause of each message, or "close" and the connection
+	sent []string // type, end of the ref and cause of each message, or "close" and the connection
 }
 
+// newHostRig returns a rig whose connection is open. change, if not nil, modifies the configuration of the host.
 func newHostRig(t *testing.T, cold bool, change func(*HostConfig)) *hostRig {
 	t.Helper()
 	cfg := testHostConfig()
@@ -29,13 +31,14 @@
 	return r
 }
 
+// collectSent appends the actions of the host to sent. Notes are left out.
 func (r *hostRig) collectSent(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
 			m, err := platform.Decode(a.Data[:len(a.Data)-1])
 			if err != nil {
-				r.t.Fatal(err)
+				r.t.Fatalf("Decode(%q) of a message of the host: %v", a.Data, err)
 			}
 			if m.Type != platform.TypeNote {
 				r.sent = append(r.sent, fmt.Sprintf("%s %s %d", m.Type, m.Ref[14:], m.Cause))
@@ -46,32 +49,35 @@
 	}
 }
 
-// offer offers a task of so many cores, with an idempotency key.
+// offer sends an offer of a task to the host.
 func (r *hostRig) offer(ref int, cores float64, key string) {
 	r.collectSent(r.host.Received(r.now, 1, platform.Append(nil, platform.TypeRequest, fmt.Sprintf("%016x", ref), platform.NoCause,
 		taskSize{cores, 1}.description(), platform.TextField(platform.FieldIdempotencyKey, key))))
 }
 
+// receive passes a message to the host.
 func (r *hostRig) receive(kind platform.MessageType, ref int) {
 	r.collectSent(r.host.Received(r.now, 1, platform.Append(nil, kind, fmt.Sprintf("%016x", ref), platform.CauseOK, nil)))
 }
 
+// advance lets time pass and steps the host whenever a timer is due.
 func (r *hostRig) advance(d time.Duration) {
 	for end := r.now + d; r.now < end; r.collectSent(r.host.Step(r.now)) {
 		r.now = min(end, max(r.host.Next(), r.now+1))
 	}
 }
 
-// wantSent checks what was sent since the last call.
+// wantSent checks the messages and closes since the last call.
 func (r *hostRig) wantSent(want ...string) {
 	r.t.Helper()
 	if !slices.Equal(r.sent, want) {
-		r.t.Errorf("at %v: sent %q, want %q", r.now-testStart, r.sent, want)
+		r.t.Errorf("%v after the start: host sent %q, want %q", r.now-testStart, r.sent, want)
 	}
 	r.sent = nil
 }
 
-// Offers are decided one after another; what the host has no cores for, or no place in its queue, is rejected.
+// Offers are decided one after another. An offer is rejected if the queue is full, or if the host has too few cores
+// left.
 func TestHostDecidesOffersInOrder(t *testing.T) {
 	r := newHostRig(t, false, func(c *HostConfig) { c.MaxQueued = 3 })
 	r.offer(1, 10, "")
@@ -86,11 +92,12 @@
 	r.advance(10 * time.Millisecond)
 	r.wantSent("up 03 -1")
 	if cores, memory := r.host.Available(); cores != 0 || memory != 14 {
-		t.Errorf("%v cores and %v of memory are available", cores, memory)
+		t.Errorf("Available() = %v cores, %v memory, want 0 and 14", cores, memory)
 	}
 }
 
-// The end of a task is sent on each connection that opens until the placer acknowledges it.
+// The end of a task is sent on each new connection of its placer until the placer acknowledges it, as it may have been
+// lost with a connection.
 func TestHostResendsTaskEndUntilAcknowledged(t *testing.T) {
 	r := newHostRig(t, false, nil)
 	r.offer(1, 1, "")
@@ -107,7 +114,7 @@
 	r.wantSent()
 }
 
-// A release cuts a task that runs, withdraws an offer that is not decided, and is acknowledged where there is neither.
+// A release ends a running task, or withdraws an undecided offer. If no task runs under the ref it is acknowledged.
 func TestHostReleaseEndsTaskOrWithdrawsOffer(t *testing.T) {
 	r := newHostRig(t, false, nil)
 	r.offer(1, 1, "")
@@ -121,7 +128,8 @@
 	r.wantSent()
 }
 
-// A task that runs is not started again: neither under its ref, nor under another with its idempotency key.
+// A running task is not started a second time by an offer with its ref, nor by one with its idempotency key under
+// another ref.
 func TestHostDeduplicatesOffers(t *testing.T) {
 	r := newHostRig(t, false, nil)
 	for _, ref := range []int{1, 1, 2} {
@@ -130,11 +138,12 @@
 	}
 	r.wantSent("up 01 -1", "up 01 -1", "up 02 -1")
 	if got := r.host.Running(); len(got) != 1 {
-		t.Errorf("%q run", got)
+		t.Errorf("Running() = %q, want one task", got)
 	}
 }
 
-// A host that has just started answers late, and crashes from too many offers in a while.
+// A host in its slow start takes SlowStartFactor times as long to answer, and crashes from more than SlowStartMaxOffers
+// offers within SlowStartWindow.
 func TestHostSlowStartDelaysAnswersAndCrashesFromOverload(t *testing.T) {
 	r := newHostRig(t, true, func(c *HostConfig) { c.SlowStartMaxOffers, c.SlowStartFactor = 2, 3 })
 	r.offer(1, 1, "")
@@ -147,15 +156,15 @@
 	r.offer(3, 1, "")
 	r.offer(4, 1, "")
 	if r.host.Crashed() {
-		t.Error("it has crashed from 2 offers in a window")
+		t.Error("after 2 offers within SlowStartWindow: Crashed() = true, want false")
 	}
 	r.offer(5, 1, "")
 	if !r.host.Crashed() {
-		t.Error("it has not crashed from 3 offers in a window")
+		t.Error("after 3 offers within SlowStartWindow: Crashed() = false, want true")
 	}
 }
 
-// A connection without messages is closed; one that brings what can't be read is closed at once.
+// A connection without messages is closed after IdleTimeout. One with an undecodable message is closed at once.
 func TestHostClosesIdleAndUnreadableConnections(t *testing.T) {
 	r := newHostRig(t, false, nil)
 	r.collectSent(r.host.ConnectionOpened(r.now, 2, 0))
--- a/internal/emulator/platformmodel/hostoffers.go
+++ b/internal/emulator/platformmodel/hostoffers.go
@@ -18,7 +18,8 @@
 	return fmt.Appendf(nil, `"cores=%g memory=%g"`, s.Cores, s.Memory)
 }
 
-// parseTaskSize parses a description. For one that is not from an emulated owner it returns 1 core and 1 unit of memory.
+// parseTaskSize parses a description. For one that is not from an emulated owner it returns 1 core and 1 unit of
+// memory.
 func parseTaskSize(description []byte) taskSize {
 	var text string
 	var size taskSize
@@ -36,7 +37,8 @@
 	return fmt.Appendf(nil, `"host=%s task=%s"`, host, ref)
 }
 
-// parseBoundDescription returns the name of the host in a result of boundDescription. ok is false for any other description.
+// parseBoundDescription returns the name of the host in a result of boundDescription. ok is false for any other
+// description.
 func parseBoundDescription(description []byte) (host string, ok bool) {
 	var text string
 	if json.Unmarshal(description, &text) != nil {
@@ -56,7 +58,8 @@
 	size           taskSize
 }
 
-// receiveOffer queues an offer, or rejects it if the queue is full. During the slow start too many offers crash the host.
+// receiveOffer queues an offer, or rejects it if the queue is full. During the slow start too many offers crash the
+// host.
 func (h *Host) receiveOffer(c *hostConnection, m *platform.Message) {
 	if h.exceedsSlowStartLimit() {
 		h.crashed = true
@@ -101,8 +104,8 @@
 	return answerTime
 }
 
-// decideDue decides the offers that are due, in the order of their arrival. The time of each decision counts from the one
-// before, no matter how late decideDue is called.
+// decideDue decides the offers that are due, in the order of their arrival. The time of each decision counts from the
+// one before, no matter how late decideDue is called.
 func (h *Host) decideDue() {
 	for len(h.queue) > 0 && h.decisionAt <= h.now {
 		first := h.queue[0]
@@ -113,8 +116,8 @@
 	h.scheduleDecision()
 }
 
-// decide starts the task of an offer if the host has room for it, and rejects the offer otherwise. An offer of a running
-// task is answered again without a second start.
+// decide starts the task of an offer if the host has room for it, and rejects the offer otherwise. An offer of a
+// running task is answered again without a second start.
 func (h *Host) decide(o *offer) {
 	if t := h.findRunningTask(o); t != nil {
 		delete(h.runningTasks, t.ref)
--- a/internal/emulator/platformmodel/hosttasks.go
+++ b/internal/emulator/platformmodel/hosttasks.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// endTask ends a task that has run to its end. The message is repeated on new connections until its placer acknowledges it.
+// endTask ends a task that has run to its end. The message is repeated on new connections until its placer acknowledges
+// it.
 func (h *Host) endTask(t *hostTask, cause platform.Cause) {
 	delete(h.runningTasks, t.ref)
 	line := platform.Append(nil, platform.TypeRelease, t.ref, cause, nil, h.loadReport())
--- a/internal/emulator/platformmodel/injectors.go
+++ b/internal/emulator/platformmodel/injectors.go
@@ -18,13 +18,14 @@
 var (
 	allParties       = []PartyKind{HostParty, OwnerParty, EndpointLogParty}
 	listeningParties = []PartyKind{HostParty, EndpointLogParty}
-	// messagingParties leaves out the endpoint log: it would lose the events that are swapped, as its sequence would have gaps.
+	// messagingParties leaves out the endpoint log: it would lose the events that are swapped, as its sequence would
+	// have gaps.
 	messagingParties = []PartyKind{HostParty, OwnerParty}
 	onlyHosts        = []PartyKind{HostParty}
 )
 
-// injectorOf returns the injector of a type of fault. Faults that are only counted as active take effect in the functions
-// that pass messages, in link.go, and in wantedListenerState.
+// injectorOf returns the injector of a type of fault. Faults that are only counted as active take effect in the
+// functions that pass messages, in link.go, and in wantedListenerState.
 func injectorOf(t FaultType) injector {
 	active := func(kinds []PartyKind) injector {
 		return injector{kinds, (*Emulator).beginActive, (*Emulator).endActive}
@@ -125,8 +126,8 @@
 // beginMachineLoss removes the machine of a host without closing its connections.
 func (e *Emulator) beginMachineLoss(_ *Fault, p *party) { e.loseMachine(p) }
 
-// endHostReplaced starts another machine at the address. It resets the connections of the lost machine, as it does not know
-// them.
+// endHostReplaced starts another machine at the address. It resets the connections of the lost machine, as it does not
+// know them.
 func (e *Emulator) endHostReplaced(_ *Fault, p *party) {
 	if p.host.machineLost {
 		e.lastHostNumber++
--- a/internal/emulator/platformmodel/io.go
+++ b/internal/emulator/platformmodel/io.go
@@ -13,8 +13,8 @@
 		Listener ListenerID
 		Address  string
 	}
-	// Begin starts the run: the times of requests and faults count from this input. The listeners that the first Step opens
-	// must be open.
+	// Begin starts the run: the times of requests and faults count from this input. The listeners that the first Step
+	// opens must be open.
 	Begin struct{}
 	// Accepted reports that a listener has accepted a connection of a placer. The number of the connection comes from
 	// NewConnID.
@@ -52,8 +52,8 @@
 
 // The outputs of an Emulator, to be performed in order.
 type (
-	// OpenListener opens a listener at an address, or at any free one if Address is empty. The input ListenerOpened must
-	// follow.
+	// OpenListener opens a listener at an address, or at any free one if Address is empty. The input ListenerOpened
+	// must follow.
 	OpenListener struct {
 		Listener ListenerID
 		Address  string
--- a/internal/emulator/platformmodel/journal.go
+++ b/internal/emulator/platformmodel/journal.go
@@ -29,8 +29,8 @@
 // RecordEvent is the type of event of a Record.
 type RecordEvent uint8
 
-// The recorded events. Faults in force can make the bytes written to a connection differ from the messages that its party
-// sent, and the bytes read from a connection differ from those that its party received.
+// The recorded events. Faults in force can make the bytes written to a connection differ from the messages that its
+// party sent, and the bytes read from a connection differ from those that its party received.
 const (
 	RecordSent             RecordEvent = iota // a party sent a message, before the effect of faults
 	RecordWritten                             // bytes were written to a connection
--- a/internal/emulator/platformmodel/link.go
+++ b/internal/emulator/platformmodel/link.go
@@ -124,8 +124,8 @@
 	e.flush(l)
 }
 
-// reorder holds a message back if the link holds none back. Otherwise it returns the message followed by the one that was
-// held back.
+// reorder holds a message back if the link holds none back. Otherwise it returns the message followed by the one that
+// was held back.
 func reorder(l *link, units [][]byte) [][]byte {
 	if l.reordered == nil {
 		l.reordered = bytes.Join(units, nil)
@@ -185,8 +185,8 @@
 	e.finishFlush(l)
 }
 
-// finishFlush updates whether a link has data held back. It resets a link that exceeds maxDelayedBytes, and completes the
-// close by the placer once the model has received all data.
+// finishFlush updates whether a link has data held back. It resets a link that exceeds maxDelayedBytes, and completes
+// the close by the placer once the model has received all data.
 func (e *Emulator) finishFlush(l *link) {
 	switch {
 	case e.links[l.id] != l:
--- a/internal/emulator/platformmodel/model.go
+++ b/internal/emulator/platformmodel/model.go
@@ -11,8 +11,8 @@
 // never is the due time of something that is not scheduled.
 const never time.Duration = math.MaxInt64
 
-// ConnID identifies a connection. Emulator.NewConnID returns the numbers, both for connections that the Emulator dials and
-// for those that its caller accepts; none is used twice.
+// ConnID identifies a connection. Emulator.NewConnID returns the numbers, both for connections that the Emulator dials
+// and for those that its caller accepts; none is used twice.
 type ConnID uint64
 
 // Action is an operation of a model on a connection.
@@ -40,15 +40,15 @@
 func (Close) action()   {}
 func (Connect) action() {}
 
-// model is the interface that Host, Owner and EndpointLog share. Each method takes the current time, which never decreases,
-// and returns the actions that follow from the call.
+// model is the interface that Host, Owner and EndpointLog share. Each method takes the current time, which never
+// decreases, and returns the actions that follow from the call.
 type model interface {
 	// ConnectionOpened handles a connection to or from a placer that has been established.
 	ConnectionOpened(now time.Duration, conn ConnID, placer int) []Action
 	// Received handles bytes of a connection, split at any boundaries. It does not retain data.
 	Received(now time.Duration, conn ConnID, data []byte) []Action
-	// ConnectionClosed handles the end of a connection that the model has not closed itself. After a reset the last messages
-	// of the placer may be lost.
+	// ConnectionClosed handles the end of a connection that the model has not closed itself. After a reset the last
+	// messages of the placer may be lost.
 	ConnectionClosed(now time.Duration, conn ConnID, reset bool) []Action
 	// Step handles the timers that are due.
 	Step(now time.Duration) []Action
@@ -94,8 +94,8 @@
 	return first
 }
 
-// feedMessages calls handle with each message that data completes. It stops at the first line that cannot be decoded and
-// returns the error.
+// feedMessages calls handle with each message that data completes. It stops at the first line that cannot be decoded
+// and returns the error.
 func feedMessages(lines *platform.LineSplitter, data []byte, handle func(*platform.Message)) error {
 	return lines.Feed(data, func(line []byte) error {
 		m, err := platform.Decode(line)
--- a/internal/emulator/platformmodel/network.go
+++ b/internal/emulator/platformmodel/network.go
@@ -13,24 +13,24 @@
 	"forkhead/internal/scheduler/timerqueue"
 )
 
-// NetworkConfig is what a Network runs with.
+// NetworkConfig configures a Network.
 type NetworkConfig struct {
 	Emulator Config
-	// Core returns what an incarnation of a placer, from 1 on, runs with.
+	// Core returns the configuration of an incarnation of a placer. The first incarnation is 1.
 	Core           func(placer, incarnation int, initial []platform.WatchEvent) platformcore.Config
-	Latency        time.Duration // of everything that passes; above 0
-	ConnectTimeout time.Duration // after which a placer gives up a connection that is not made
-	Start          time.Duration // time at the beginning; above 0
+	Latency        time.Duration // of all data, connects and closes, in each direction; above 0
+	ConnectTimeout time.Duration // after which a connection attempt of a placer fails; above 0
+	Start          time.Duration // initial time of the clock; above 0
 }
 
-// Network joins an Emulator to placer cores without sockets, under a clock of its own. It is for one goroutine at a time.
+// Network connects an Emulator to placer cores in memory, under a simulated clock. It is not safe for concurrent use.
 type Network struct {
 	Emulator *Emulator
 
 	cfg       NetworkConfig
 	now       time.Duration
 	timers    timerqueue.Queue[func()]
-	wakeAt    time.Duration // when the Emulator is stepped next
+	wakeAt    time.Duration // when the Emulator is stepped next; never: no timer is set
 	placers   []*networkPlacer
 	listeners map[ListenerID]*networkListener
 	conns     map[ConnID]*networkConn
@@ -41,23 +41,23 @@
 	id        ListenerID
 	address   string
 	open      bool
-	accepting bool // false: connections are neither made nor refused
+	accepting bool // false: connections are neither accepted nor refused
 }
 
-// networkPlacer is a placer through all of its incarnations.
+// networkPlacer is a placer. It outlives its incarnations.
 type networkPlacer struct {
 	network     *Network
 	number      int
 	incarnation int
-	core        *platformcore.Core // nil: it is down
+	core        *platformcore.Core // nil: the placer is down
 	listening   bool
 	wakeAt      time.Duration
-	hosts       map[platformcore.ConnectionID]*networkConn // open, or being opened
+	hosts       map[platformcore.ConnectionID]*networkConn // open or being opened
 	owners      map[platformcore.OwnerID]*networkConn
 	watch       *networkWatch
 }
 
-// placerEndpoint is the placer's end of a connection.
+// placerEndpoint handles the events at the placer's end of a connection.
 type placerEndpoint interface {
 	received(data []byte)
 	disconnected()
@@ -65,19 +65,19 @@
 
 // networkConn is a connection between the Emulator and a placer.
 type networkConn struct {
-	id       ConnID // 0: it is being opened
+	id       ConnID // 0: the connection is being opened
 	placer   *networkPlacer
 	endpoint placerEndpoint
-	closed   bool // the placer has closed it, or noticed its end
+	closed   bool // the placer has closed the connection or has been notified of its end
 
-	readPaused bool     // the Emulator reads nothing
-	unread     [][]byte // sent and not read by it; nil: EOF
+	readPaused bool     // the Emulator does not read
+	unread     [][]byte // data sent by the placer that the Emulator has not read; a nil item is EOF
 }
 
-// NewNetwork returns a network whose placers run and whose emulator has begun.
+// NewNetwork returns a network with running placers, whose Emulator has received Begin.
 func NewNetwork(cfg NetworkConfig) (*Network, error) {
 	if cfg.Latency <= 0 || cfg.Start <= 0 || cfg.ConnectTimeout <= 0 {
-		return nil, errors.New("latency, connect time-out and start must be above 0")
+		return nil, fmt.Errorf("got Latency %v, ConnectTimeout %v and Start %v, want all above 0", cfg.Latency, cfg.ConnectTimeout, cfg.Start)
 	}
 	emulator, err := New(cfg.Emulator, cfg.Start)
 	if err != nil {
@@ -98,10 +98,11 @@
 	return n, nil
 }
 
-// Now returns the time.
+// Now returns the simulated time.
 func (n *Network) Now() time.Duration { return n.now }
 
-// Run lets time pass until each request has its final outcome, or a duration is over. It reports which.
+// Run advances the time until each request has its final outcome, but at most by limit. It reports whether all are
+// final.
 func (n *Network) Run(limit time.Duration) (done bool) {
 	const interval = 100 * time.Millisecond
 	for end := n.now + limit; n.now < end; {
@@ -113,7 +114,7 @@
 	return n.Emulator.Done()
 }
 
-// advanceTo does all that is due up to a time.
+// advanceTo executes the timers that are due up to a time and sets the clock to it.
 func (n *Network) advanceTo(end time.Duration) {
 	for {
 		at, ok := n.timers.Next()
@@ -130,7 +131,7 @@
 
 func (n *Network) after(d time.Duration, do func()) { n.timers.Add(n.now+d, do) }
 
-// stepEmulator hands inputs to the Emulator, executes its outputs and sets the timer of the next step.
+// stepEmulator passes inputs to the Emulator, executes its outputs and sets the timer of the next step.
 func (n *Network) stepEmulator(inputs ...Input) {
 	for _, o := range n.Emulator.Step(n.now, inputs...) {
 		n.execute(o)
@@ -149,7 +150,7 @@
 	})
 }
 
-// sendToEmulator brings an input to the Emulator after the latency.
+// sendToEmulator passes an input to the Emulator after the latency.
 func (n *Network) sendToEmulator(in Input) { n.after(n.cfg.Latency, func() { n.stepEmulator(in) }) }
 
 func (n *Network) execute(o Output) {
@@ -202,7 +203,8 @@
 	return nil
 }
 
-// deliverToPlacer calls deliver at the placer's end of a connection after the latency, unless it is closed by then.
+// deliverToPlacer calls deliver with the placer's end of a connection after the latency, unless that is closed or the
+// placer is down by then.
 func (n *Network) deliverToPlacer(id ConnID, deliver func(*networkConn)) {
 	c := n.conns[id]
 	if c == nil {
@@ -215,7 +217,7 @@
 	})
 }
 
-// endConn ends a connection from the Emulator's end.
+// endConn closes a connection from the Emulator's end.
 func (n *Network) endConn(id ConnID) {
 	n.deliverToPlacer(id, func(c *networkConn) {
 		c.closed = true
@@ -224,7 +226,7 @@
 	delete(n.conns, id)
 }
 
-// dialPlacer makes a connection of an owner.
+// dialPlacer connects an owner to a placer.
 func (n *Network) dialPlacer(o Dial) {
 	p := n.placers[o.Placer]
 	n.after(n.cfg.Latency, func() {
@@ -240,8 +242,8 @@
 	})
 }
 
-// dial makes a connection of a placer to a listener. opened is called with the error, which is errRefused or errNoAnswer,
-// unless the placer has closed the connection meanwhile.
+// dial connects a placer to the listener at an address. It calls opened with nil, errRefused or errNoAnswer, unless the
+// placer has closed the connection in the meantime.
 func (n *Network) dial(c *networkConn, address string, opened func(error)) {
 	finish := func(err error) {
 		if !c.closed {
@@ -266,17 +268,17 @@
 		}
 		c.id = n.Emulator.NewConnID()
 		n.conns[c.id] = c
-		n.after(n.cfg.Latency, func() { finish(nil) }) // before anything that the listener's side sends
+		n.after(n.cfg.Latency, func() { finish(nil) }) // scheduled first: precedes data from the listener
 		n.stepEmulator(Accepted{Listener: l.id, Conn: c.id, Placer: c.placer.number})
 	})
 }
 
 var (
-	errRefused  = errors.New("the connection is refused")
-	errNoAnswer = errors.New("nothing answers")
+	errRefused  = errors.New("connection refused")
+	errNoAnswer = errors.New("connection attempt timed out")
 )
 
-// send brings bytes of a placer to the Emulator; nil: EOF.
+// send passes bytes from a placer to the Emulator after the latency. Nil data is EOF.
 func (n *Network) send(c *networkConn, data []byte) {
 	n.after(n.cfg.Latency, func() {
 		if c.readPaused {
@@ -287,7 +289,7 @@
 	})
 }
 
-// deliver hands to the Emulator what a placer has sent; nil: EOF.
+// deliver passes bytes from a placer to the Emulator now. Nil data is EOF.
 func (n *Network) deliver(c *networkConn, data []byte) {
 	switch {
 	case c.id == 0:
@@ -304,16 +306,16 @@
 		return
 	}
 	c.readPaused = false
-	queued := c.unread
+	unread := c.unread
 	c.unread = nil
 	n.after(0, func() {
-		for _, data := range queued {
+		for _, data := range unread {
 			n.deliver(c, data)
 		}
 	})
 }
 
-// StartPlacer starts the next incarnation of a placer, unless it runs.
+// StartPlacer starts the next incarnation of a placer, unless the placer is running.
 func (n *Network) StartPlacer(number int) error {
 	p := n.placers[number]
 	if p.core != nil {
@@ -333,7 +335,7 @@
 	return nil
 }
 
-// KillPlacer ends a placer, if it runs: its connections end.
+// KillPlacer ends a running placer and closes its connections.
 func (n *Network) KillPlacer(number int) {
 	p := n.placers[number]
 	if p.core == nil {
@@ -346,16 +348,16 @@
 			p.close(c)
 		}
 	}
-	for _, c := range p.hosts { // those that are being opened
+	for _, c := range p.hosts { // connections that are being opened
 		c.closed = true
 	}
 	p.watch.stop()
 }
 
-// ShutDown asks a placer to end as it does at a planned restart.
+// ShutDown asks a placer to shut down as for a planned restart.
 func (n *Network) ShutDown(number int) { n.placers[number].step(platformcore.ShutdownRequested{}) }
 
-// close closes a connection at the placer's end.
+// close closes a connection from the placer's end.
 func (p *networkPlacer) close(c *networkConn) {
 	if !c.closed {
 		c.closed = true
@@ -363,7 +365,8 @@
 	}
 }
 
-// step hands inputs to the core, executes its outputs and sets the timer of the next step.
+// step passes inputs to the core, executes its outputs and sets the timer of the next step. It does nothing while the
+// placer is down.
 func (p *networkPlacer) step(inputs ...platformcore.Input) {
 	n, core := p.network, p.core
 	if core == nil {
@@ -407,7 +410,7 @@
 		}
 	case platformcore.HalfCloseHostConnection:
 		if c := p.hosts[o.Connection]; c != nil {
-			n.send(c, nil) // its host closes too, after what it has sent
+			n.send(c, nil) // the host closes the connection in turn, after its pending messages
 		}
 	case platformcore.CloseOwnerConnection:
 		if c := p.owners[o.Owner]; c != nil {
@@ -436,7 +439,7 @@
 	})
 }
 
-// sendGossip brings a message to other placers.
+// sendGossip sends a message to one or all other placers.
 func (p *networkPlacer) sendGossip(o platformcore.SendGossip) {
 	for _, other := range p.network.placers {
 		if other != p && (o.To == forkhead.AllPlacers || o.To == other.number) {
@@ -445,7 +448,7 @@
 	}
 }
 
-// ownerEndpoint is a placer's end of a connection of an owner.
+// ownerEndpoint is the placer's end of a connection from an owner.
 type ownerEndpoint struct {
 	placer *networkPlacer
 	id     platformcore.OwnerID
@@ -460,7 +463,7 @@
 	e.placer.step(platformcore.OwnerDisconnected{Owner: e.id})
 }
 
-// hostEndpoint is a placer's end of a connection to a host.
+// hostEndpoint is the placer's end of a connection to a host.
 type hostEndpoint struct {
 	placer *networkPlacer
 	id     platformcore.ConnectionID
--- a/internal/emulator/platformmodel/network_test.go
+++ b/internal/emulator/platformmodel/network_test.go
@@ -11,15 +11,16 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// testClasses are the classes of testNetworkConfig.
+// testClasses are the classes of testNetworkConfig and ownerRig.
 var testClasses = []Class{
 	{Name: "safe", Effect: forkhead.Safe},
 	{Name: "keyed", Effect: forkhead.Keyed, DedupWindow: 8 * time.Second},
 	{Name: "unsafe", Effect: forkhead.Unsafe},
 }
 
-// testHostConfig is a host that answers soon and whose tasks end after some seconds. After its start it can take twice as many
-// offers as placers send within a window: those of two windows come together where the first have waited for their connection.
+// testHostConfig returns the configuration of a host that decides an offer within 20 ms, or 40 ms in its slow start,
+// and whose tasks run for 2 to 4 s. In its slow start it can take twice as many offers as placers send within a window:
+// the offers of two windows arrive together if the first have waited for their connection.
 func testHostConfig() HostConfig {
 	return HostConfig{
 		Cores: 16, Memory: 16, AnswerTime: Range{time.Millisecond, 20 * time.Millisecond}, MaxQueued: 50,
@@ -28,7 +29,7 @@
 	}
 }
 
-// testCoreConfig is what placers run with.
+// testCoreConfig returns the configuration of an incarnation of a placer.
 func testCoreConfig(placers, placer, incarnation int, initial []platform.WatchEvent) platformcore.Config {
 	class := forkhead.Class{MachineType: -1, Weight: 1, LatencyObjective: time.Second, SaturationThreshold: 1}
 	settings := forkhead.Settings{
@@ -50,7 +51,8 @@
 	}
 }
 
-// testNetworkConfig is a platform with hosts in two zones in turn, and an owner with requests of all classes, 50 ms apart.
+// testNetworkConfig returns a platform with hosts that alternate between two zones, and one owner whose requests
+// alternate between the placers and the classes, 50 ms apart.
 func testNetworkConfig(placers, hosts, requests int, faults ...Fault) NetworkConfig {
 	cfg := Config{Placers: placers, Faults: faults, ListDelay: 300 * time.Millisecond, Seed: 7}
 	for i := range hosts {
@@ -72,51 +74,53 @@
 	}
 }
 
-// runNetwork runs a network until each request has its final outcome, and returns the number of each.
+// runNetwork runs a network until each request has its final outcome, for a minute at most. It calls during, if not
+// nil, at the beginning, and returns the number of requests by outcome.
 func runNetwork(t *testing.T, cfg NetworkConfig, during func(*Network)) (*Network, map[Outcome]int) {
 	t.Helper()
 	n, err := NewNetwork(cfg)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("NewNetwork: %v", err)
 	}
 	if during != nil {
 		during(n)
 	}
 	if !n.Run(time.Minute) {
-		t.Errorf("requests are open after a minute")
+		t.Error("Run(1m) = false, want a final outcome of each request")
 	}
 	counts := map[Outcome]int{}
 	for _, reports := range n.Emulator.Requests() {
 		for _, r := range reports {
 			counts[r.Outcome]++
 			if !r.Outcome.IsFinal() {
-				t.Errorf("%+v", r)
+				t.Errorf("got report %+v, want a final outcome", r)
 			}
 		}
 	}
 	return n, counts
 }
 
-// Without a fault each task runs until it ends or its owner releases it, and a run is the same each time.
+// Without faults each request is answered once, and its task runs until it ends or its owner releases it. A second run
+// has the same journal.
 func TestNetworkWithoutFaultsPlacesEachRequestOnce(t *testing.T) {
 	cfg := testNetworkConfig(2, 4, 80)
 	n, counts := runNetwork(t, cfg, nil)
 	if counts[OutcomeEnded]+counts[OutcomeReleased] != 80 || counts[OutcomeReleased] < 20 || counts[OutcomeEnded] < 20 {
-		t.Errorf("outcomes %v", counts)
+		t.Errorf("got outcomes %v, want 80 ended or released, at least 20 of each", counts)
 	}
 	for _, r := range n.Emulator.Requests()[0] {
 		if r.Unexpected != 0 || r.Answers != 1 || len(r.Refs) != 1 {
-			t.Errorf("%+v", r)
+			t.Errorf("got report %+v, want 1 ref, 1 answer and no unexpected message", r)
 		}
 	}
 	again, _ := runNetwork(t, cfg, nil)
 	if a, b := fmt.Sprint(n.Emulator.Journal()), fmt.Sprint(again.Emulator.Journal()); a != b {
-		t.Error("the second run differs")
+		t.Error("the second run has another journal, want the same")
 	}
 }
 
-// Under each type of fault every request has an outcome in time, and owners get no second answer. What may be lost is lost
-// only where a fault takes it.
+// Under each type of fault each request gets a final outcome within a minute, at least 30 of 80 tasks end or are
+// released, and no request has more answers than submissions.
 func TestNetworkFinishesRequestsUnderEachFaultType(t *testing.T) {
 	for fault := range faultTypeCount {
 		t.Run(fault.String(), func(t *testing.T) {
@@ -127,11 +131,11 @@
 			}
 			n, counts := runNetwork(t, testNetworkConfig(2, 4, 80, f), nil)
 			if done := counts[OutcomeEnded] + counts[OutcomeReleased]; done < 30 {
-				t.Errorf("outcomes %v", counts)
+				t.Errorf("got outcomes %v, want at least 30 ended or released", counts)
 			}
 			for _, r := range n.Emulator.Requests()[0] {
 				if r.Answers > len(r.Refs) {
-					t.Errorf("%+v", r)
+					t.Errorf("got report %+v, want at most %d answers", r, len(r.Refs))
 				}
 			}
 			t.Log(counts)
@@ -139,14 +143,14 @@
 	}
 }
 
-// The tasks that a killed placer had placed are handed over to its next incarnation, and have their ends.
+// The running tasks of a killed placer are handed over to its next incarnation, which reports their ends.
 func TestNetworkRestartedPlacerReceivesHandOvers(t *testing.T) {
 	n, counts := runNetwork(t, testNetworkConfig(2, 4, 80), func(n *Network) {
 		n.Run(2 * time.Second)
 		n.KillPlacer(1)
 		n.Run(300 * time.Millisecond)
 		if err := n.StartPlacer(1); err != nil {
-			t.Fatal(err)
+			t.Fatalf("StartPlacer(1): %v", err)
 		}
 	})
 	handOvers := 0
@@ -154,13 +158,13 @@
 		handOvers += r.HandOvers
 	}
 	if handOvers == 0 || counts[OutcomeEnded]+counts[OutcomeReleased] < 60 {
-		t.Errorf("%d hand-overs, outcomes %v", handOvers, counts)
+		t.Errorf("got %d hand-overs and outcomes %v, want at least 1 and at least 60 ended or released", handOvers, counts)
 	}
 	t.Log(handOvers, counts)
 }
 
-// randomFaults draws faults. Left out are those after which a placer cannot know, or say, that a task is over: owners whose
-// messages or connections are lost unnoticed, and a list whose numbers begin again.
+// randomFaults draws up to 8 faults. It leaves out those after which a placer cannot learn, or report, that a task is
+// over: lost messages or half-open connections of owners, and a restart of the sequence of the endpoint log.
 func randomFaults(seed uint64) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	var faults []Fault
@@ -183,7 +187,8 @@
 	return faults
 }
 
-// Whatever faults come together, every request has an outcome.
+// Under random combinations of faults, and restarts of a placer, each request gets a final outcome. Each final outcome
+// occurs in some run.
 func TestNetworkFinishesRequestsUnderRandomFaults(t *testing.T) {
 	sum := map[Outcome]int{}
 	for seed := range uint64(40) {
@@ -197,7 +202,7 @@
 			n.KillPlacer(1)
 			n.Run(time.Second)
 			if err := n.StartPlacer(1); err != nil {
-				t.Fatal(err)
+				t.Fatalf("StartPlacer(1): %v", err)
 			}
 		})
 		for outcome, count := range counts {
@@ -206,7 +211,7 @@
 	}
 	for outcome := OutcomeEnded; outcome < outcomeCount; outcome++ {
 		if sum[outcome] == 0 {
-			t.Errorf("no request has the outcome %v: %v", outcome, sum)
+			t.Errorf("sum of the outcomes of all runs is %v, want at least one %v", sum, outcome)
 		}
 	}
 }
--- a/internal/emulator/platformmodel/networkwatch.go
+++ b/internal/emulator/platformmodel/networkwatch.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	watchRedialDelay = 50 * time.Millisecond   // after a stream that has ended
-	watchIdleTimeout = 1500 * time.Millisecond // after which a stream without a byte is given up
+	watchRedialDelay = 50 * time.Millisecond   // from the end of a stream to the next attempt
+	watchIdleTimeout = 1500 * time.Millisecond // after which a stream without data is closed
 )
 
-// networkWatch follows the watch for an incarnation of a placer.
+// networkWatch is the watch client of an incarnation of a placer.
 type networkWatch struct {
 	placer   *networkPlacer
 	sequence platform.Sequence
-	conn     *networkConn // nil: stopped
-	head     []byte       // of the response, as far as it has come; nil: it is complete
+	conn     *networkConn // current stream; nil: stopped
+	head     []byte       // received part of the response head; nil: the head is complete
 	events   platform.EventReader
-	lastData time.Duration
+	lastData time.Duration // when data was received last, or the stream was opened
 }
 
-// newNetworkWatch follows the watch after the events that a placer was started with.
+// newNetworkWatch opens a watch that continues after the events that a placer was started with.
 func newNetworkWatch(p *networkPlacer, initial []platform.WatchEvent) *networkWatch {
 	w := &networkWatch{placer: p}
 	for _, e := range initial {
@@ -52,13 +52,14 @@
 	})
 }
 
-// reopen closes a stream and opens the next one a little later, if that was not done yet.
+// reopen closes a stream and schedules the next one after watchRedialDelay. It does nothing if the stream is not the
+// current one.
 func (w *networkWatch) reopen(c *networkConn) {
 	if w.conn != c {
 		return
 	}
 	w.placer.close(c)
-	w.conn = &networkConn{closed: true} // placeholder until then
+	w.conn = &networkConn{closed: true} // stands for no stream until then
 	placeholder := w.conn
 	w.placer.network.after(watchRedialDelay, func() {
 		if w.conn == placeholder {
@@ -69,7 +70,7 @@
 
 func (w *networkWatch) stop() { w.conn = nil }
 
-// checkIdle gives a stream up when nothing has come for too long.
+// checkIdle reopens the watch when a stream has received no data for watchIdleTimeout.
 func (w *networkWatch) checkIdle(c *networkConn) {
 	n := w.placer.network
 	n.after(w.lastData+watchIdleTimeout-n.now, func() {
@@ -83,14 +84,15 @@
 	})
 }
 
-// handleComment delivers the events with which the numbers begin again, if that shows now.
+// handleComment handles a comment, which means that the stream is idle. It delivers the events of a restarted sequence,
+// if there is one.
 func (w *networkWatch) handleComment() {
 	for i, event := range w.sequence.StreamIdle() {
 		w.placer.step(platformcore.WatchEventReceived{Event: event, SequenceRestarted: i == 0})
 	}
 }
 
-// handleEvent delivers an event if it counts.
+// handleEvent delivers an event to the core if it is the next of the sequence, and reopens the watch after a gap.
 func (w *networkWatch) handleEvent(c *networkConn, encoded platform.ServerSentEvent) {
 	if w.conn != c {
 		return
@@ -108,7 +110,7 @@
 	}
 }
 
-// watchEndpoint is a placer's end of a stream of the watch.
+// watchEndpoint is the placer's end of a stream of the watch.
 type watchEndpoint struct {
 	watch *networkWatch
 	conn  *networkConn
--- a/internal/emulator/platformmodel/owner.go
+++ b/internal/emulator/platformmodel/owner.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -12,48 +11,50 @@
 	"forkhead/internal/scheduler/timerqueue"
 )
 
-// Times of an owner.
+// Timeouts and delays of an owner.
 const (
-	ownerIdleTimeout  = 4 * time.Second        // after which a connection without requests and tasks is closed
-	ownerRedialDelay  = 100 * time.Millisecond // after a connection that failed or ended
-	inFlightWindow    = 50 * time.Millisecond  // a request sent so shortly before the placer closed goes out again
-	defaultRetryAfter = 100 * time.Millisecond // after a rejection that names no time
+	ownerIdleTimeout  = 4 * time.Second        // of a connection without open requests and running tasks
+	ownerRedialDelay  = 100 * time.Millisecond // from the failure or the end of a connection to the next attempt
+	inFlightWindow    = 50 * time.Millisecond  // a request sent this shortly before its connection ended is sent again
+	defaultRetryAfter = 100 * time.Millisecond // after a failure, or a rejection without FieldRetryAfter
 )
 
-// Bounds of an owner.
+// Limits of an owner.
 const (
 	maxOwnerRequests = 100_000
-	maxMigrations    = 16 // of one request; with a further one it is broken
+	maxMigrations    = 16 // of one request; a further one ends it as OutcomeBroken
 )
 
-// OwnerConfig says what an owner requests and how it behaves.
+// OwnerConfig configures the requests and the behavior of an owner.
 type OwnerConfig struct {
-	Number         int    // among the owners; part of refs and keys
+	Number         int    // unique among the owners; part of refs and keys
 	Tenant         string // "": the platform has no tenants
 	Classes        []Class
 	Requests       []Request
-	MaxSubmissions int           // of a request
-	AnswerGrace    time.Duration // that it waits for an answer beyond a request's time-out
+	MaxSubmissions int           // limit of the submissions of each request
+	AnswerGrace    time.Duration // how long the owner waits for an answer beyond a request's Timeout
 }
 
 func (c *OwnerConfig) validate(placers int) error {
 	switch {
 	case c.Number < 0 || c.Number >= 1<<16:
-		return fmt.Errorf("number %d is out of range", c.Number)
+		return fmt.Errorf("number is %d, want 0 to %d", c.Number, 1<<16-1)
 	case c.MaxSubmissions < 1:
-		return errors.New("a request must have a submission")
+		return fmt.Errorf("MaxSubmissions is %d, want at least 1", c.MaxSubmissions)
 	case len(c.Requests) > maxOwnerRequests:
-		return fmt.Errorf("%d requests; at most %d", len(c.Requests), maxOwnerRequests)
+		return fmt.Errorf("got %d requests, want at most %d", len(c.Requests), maxOwnerRequests)
 	}
 	for i, r := range c.Requests {
 		if r.Class < 0 || r.Class >= len(c.Classes) || r.Placer < 0 || r.Placer >= placers || r.Timeout < time.Millisecond {
-			return fmt.Errorf("request %d: class, placer or time-out is out of range", i)
+			return fmt.Errorf("request %d: got Class %d, Placer %d and Timeout %v; want Class below %d, Placer below %d and Timeout at least 1ms",
+				i, r.Class, r.Placer, r.Timeout, len(c.Classes), placers)
 		}
 	}
 	return nil
 }
 
-// Owner requests tasks of placers and releases them. It is for one goroutine at a time.
+// Owner emulates an owner of tasks, which submits requests to placers and releases the tasks. It is not safe for
+// concurrent use.
 type Owner struct {
 	actionQueue
 	cfg           OwnerConfig
@@ -64,20 +65,20 @@
 	byRef         map[string]*ownerRequest
 	conns         map[ConnID]*ownerConnection
 	placers       map[int]*placerState
-	lastRefNumber uint64 // of refs
+	lastRefNumber uint64 // number of the last ref
 }
 
-// placerState is what an owner knows of a placer.
+// placerState is the state that an owner keeps of a placer.
 type placerState struct {
 	number       int
-	running      bool
-	conn         *ownerConnection // nil: none is open or being opened
-	redialAt     time.Duration
-	incarnations int
-	outgoing     []outgoingMessage // that wait until the placer has passed a probe
+	running      bool              // it accepts connections
+	conn         *ownerConnection  // nil: none is open or being opened
+	redialAt     time.Duration     // earliest time of the next connection
+	incarnations int               // number of starts that the owner was notified of
+	outgoing     []outgoingMessage // messages that wait until the placer has answered a probe
 }
 
-// outgoingKind says what an owner sends about a request.
+// outgoingKind is the kind of a message that an owner sends about a request.
 type outgoingKind uint8
 
 const (
@@ -86,7 +87,7 @@
 	sendRelease
 )
 
-// outgoingMessage is a message that is made when it is sent.
+// outgoingMessage is a queued message. It is encoded when it is sent.
 type outgoingMessage struct {
 	kind    outgoingKind
 	request *ownerRequest
@@ -97,7 +98,7 @@
 
 const (
 	ownerConnecting ownerConnectionState = iota
-	ownerProbing                         // the placer has not passed a probe on it
+	ownerProbing                         // the placer has not answered the probe on it
 	ownerReady
 )
 
@@ -108,10 +109,10 @@
 	state    ownerConnectionState
 	lines    platform.LineSplitter
 	lastUsed time.Duration
-	requests map[*ownerRequest]struct{} // that wait for their answer on it, or whose tasks run
+	requests map[*ownerRequest]struct{} // requests that wait for their answer on it, or whose task runs
 }
 
-// NewOwner returns an owner that has not connected. newConn numbers its connections.
+// NewOwner returns an owner without connections. newConn returns the numbers of its connections.
 func NewOwner(cfg OwnerConfig, now time.Duration, newConn func() ConnID) *Owner {
 	o := &Owner{
 		cfg: cfg, newConn: newConn, now: now,
@@ -125,7 +126,7 @@
 	return o
 }
 
-// Reports accounts for the requests, in the order of the configuration.
+// Reports returns the reports on the requests, in the order of the configuration.
 func (o *Owner) Reports() []RequestReport {
 	reports := make([]RequestReport, len(o.requests))
 	for i, r := range o.requests {
@@ -135,7 +136,8 @@
 	return reports
 }
 
-// PlacerStarted says that a placer has started. A placer that was started before is handed over what it had placed.
+// PlacerStarted handles the start of a placer. A later incarnation is handed over the running tasks that the earlier
+// ones have placed.
 func (o *Owner) PlacerStarted(now time.Duration, number int) []Action {
 	return o.handle(now, func() {
 		p := o.placer(number)
@@ -146,12 +148,12 @@
 	})
 }
 
-// PlacerStopped says that a placer has ended: the owner connects to it no more until it starts again.
+// PlacerStopped handles the exit of a placer. The owner does not connect to it until it starts again.
 func (o *Owner) PlacerStopped(now time.Duration, number int) []Action {
 	return o.handle(now, func() { o.placer(number).running = false })
 }
 
-// HandOver hands over all tasks that run to their placers.
+// HandOver hands over all running tasks to their placers.
 func (o *Owner) HandOver(now time.Duration) []Action {
 	return o.handle(now, func() {
 		for _, p := range o.sortedPlacers() {
@@ -160,18 +162,19 @@
 	})
 }
 
-// ConnectionOpened says that a connection is made: the placer is probed before anything else is sent.
+// ConnectionOpened handles an established connection. It sends a probe, which the placer must answer before anything
+// else is sent.
 func (o *Owner) ConnectionOpened(now time.Duration, conn ConnID, _ int) []Action {
 	return o.handle(now, func() {
 		if c := o.conns[conn]; c != nil {
 			c.state, c.lastUsed = ownerProbing, now
-			o.sendMessage(conn, platform.TypeProbe, o.nextRef(), platform.CauseUnhealthy) // the cause of a probe means nothing
+			o.sendMessage(conn, platform.TypeProbe, o.nextRef(), platform.CauseUnhealthy) // the cause of a probe has no meaning
 		}
 	})
 }
 
-// ConnectionClosed says that a connection has failed or ended. After a reset the owner connects again and hands over the
-// tasks that run, as it may have missed the ends of some.
+// ConnectionClosed handles the failure or the end of a connection. After a reset the owner connects again and hands
+// over the running tasks of the connection, as messages on their ends may have been lost.
 func (o *Owner) ConnectionClosed(now time.Duration, conn ConnID, reset bool) []Action {
 	return o.handle(now, func() {
 		if c := o.conns[conn]; c != nil {
@@ -180,7 +183,7 @@
 	})
 }
 
-// Received takes bytes of a placer. What cannot be read closes the connection.
+// Received handles bytes from a placer. It closes the connection if a message cannot be decoded.
 func (o *Owner) Received(now time.Duration, conn ConnID, data []byte) []Action {
 	return o.handle(now, func() {
 		c := o.conns[conn]
@@ -196,10 +199,10 @@
 	})
 }
 
-// Step does what is due.
+// Step handles the timers that are due.
 func (o *Owner) Step(now time.Duration) []Action { return o.handle(now, func() {}) }
 
-// Next returns when Step is to be called at the latest.
+// Next returns the time by which Step must be called.
 func (o *Owner) Next() time.Duration {
 	next := never
 	if at, ok := o.timers.Next(); ok {
@@ -218,7 +221,7 @@
 	return next
 }
 
-// handle lets the owner take the input, and then do what is due.
+// handle handles the input, then the timers that are due, and returns the actions.
 func (o *Owner) handle(now time.Duration, input func()) []Action {
 	o.now = now
 	input()
@@ -242,14 +245,14 @@
 	return slices.SortedFunc(maps.Values(o.placers), func(a, b *placerState) int { return cmp.Compare(a.number, b.number) })
 }
 
-// nextRef returns a ref that no owner has used.
+// nextRef returns a ref that is unique among all owners.
 func (o *Owner) nextRef() string {
 	o.lastRefNumber++
 	return fmt.Sprintf("%04x%012x", o.cfg.Number, o.lastRefNumber)
 }
 
-// advancePlacer connects where something waits to be sent, sends it once the placer has passed a probe, and closes an
-// idle connection.
+// advancePlacer connects to a placer if messages wait for it, sends them once the placer has answered a probe, and
+// closes an idle connection.
 func (o *Owner) advancePlacer(p *placerState) {
 	c := p.conn
 	switch {
@@ -270,7 +273,8 @@
 	}
 }
 
-// loseConnection handles the end of a connection that the owner has not closed.
+// loseConnection handles the end of a connection that the placer has closed or reset, or that the owner has closed
+// because of an unreadable message.
 func (o *Owner) loseConnection(c *ownerConnection, reset bool) {
 	o.forgetConnection(c)
 	for _, r := range o.requests {
--- a/internal/emulator/platformmodel/owner_test.go
+++ b/internal/emulator/platformmodel/owner_test.go
@@ -9,17 +9,17 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// ownerRig is an owner whose placer is the test.
+// ownerRig is an owner with the test as its placer.
 type ownerRig struct {
 	t      *testing.T
 	owner  *Owner
 	now    time.Duration
-	conn   ConnID // the latest that it opens
-	closed bool   // it has closed that
-	sent   []platform.Message
+	conn   ConnID             // latest connection that the owner has opened
+	closed bool               // the owner has closed conn
+	sent   []platform.Message // by the owner, except for probes
 }
 
-// newOwnerRig returns an owner with one request, that has sent it.
+// newOwnerRig returns an owner with one request, which it has submitted.
 func newOwnerRig(t *testing.T, class int, releaseAfter time.Duration) *ownerRig {
 	t.Helper()
 	r := &ownerRig{t: t, now: testStart}
@@ -32,7 +32,7 @@
 	return r
 }
 
-// handleActions notes what the owner does; connections that it makes pass a probe at once.
+// handleActions records the actions of the owner. It opens the connections that the owner makes and answers its probes.
 func (r *ownerRig) handleActions(actions []Action) {
 	r.t.Helper()
 	for _, a := range actions {
@@ -45,7 +45,7 @@
 		case Send:
 			m, err := platform.Decode(bytes.TrimSuffix(a.Data, []byte("\n")))
 			if err != nil {
-				r.t.Fatal(err)
+				r.t.Fatalf("Decode(%q) of a message of the owner: %v", a.Data, err)
 			}
 			if m.Type == platform.TypeProbe {
 				r.answer(platform.TypeProbeResult, m.Ref, platform.CauseHealthy)
@@ -56,10 +56,12 @@
 	}
 }
 
+// answer passes a message of the placer to the owner on its latest connection.
 func (r *ownerRig) answer(kind platform.MessageType, ref string, cause platform.Cause) {
 	r.handleActions(r.owner.Received(r.now, r.conn, platform.Append(nil, kind, ref, cause, boundDescription("s-00000001", ref))))
 }
 
+// advance lets time pass and steps the owner whenever a timer is due.
 func (r *ownerRig) advance(d time.Duration) {
 	for end := r.now + d; r.now < end; r.handleActions(r.owner.Step(r.now)) {
 		r.now = min(end, max(r.owner.Next(), r.now+1))
@@ -68,14 +70,16 @@
 
 func (r *ownerRig) lastSent() platform.Message { return r.sent[len(r.sent)-1] }
 
+// wantOutcome checks the outcome of the request and the number of messages that the owner has sent.
 func (r *ownerRig) wantOutcome(outcome Outcome, messages int) {
 	r.t.Helper()
 	if got := r.owner.Reports()[0]; got.Outcome != outcome || len(r.sent) != messages {
-		r.t.Errorf("%+v after %d messages, want %v after %d", got, len(r.sent), outcome, messages)
+		r.t.Errorf("got report %+v and %d sent messages, want outcome %v and %d messages", got, len(r.sent), outcome, messages)
 	}
 }
 
-// A request is submitted again after a rejection, and after a failure if its class allows that, under another ref.
+// A request is submitted again under another ref after a rejection, and after a failure if its class allows that. Only
+// after a failure is it marked as resubmitted, as it may have run.
 func TestOwnerResubmitsAfterRejectionOrRetryableFailure(t *testing.T) {
 	for _, c := range []struct {
 		class    int
@@ -102,12 +106,14 @@
 		extras, _ := r.sent[1].Text(platform.FieldExtras)
 		resubmitted := strings.HasSuffix(extras, string(platform.ExtraResubmitted)+":1")
 		if r.lastSent().Ref == first.Ref || resubmitted == isRejection(c.cause) {
-			t.Errorf("class %d, cause %d: submitted again as %+v", c.class, c.cause, r.lastSent())
+			t.Errorf("class %d, cause %d: second submission is %+v, want a ref other than %s and resubmitted %v",
+				c.class, c.cause, r.lastSent(), first.Ref, !isRejection(c.cause))
 		}
 	}
 }
 
-// A keyed request is not submitted again once hosts may have forgotten it, and none too often.
+// A failed keyed request is not submitted again after its DedupWindow, when hosts may have forgotten its key. No
+// request is submitted more than MaxSubmissions times.
 func TestOwnerStopsResubmittingAfterDedupWindowOrMaxSubmissions(t *testing.T) {
 	r := newOwnerRig(t, 1, 0)
 	r.owner.cfg.Classes = []Class{testClasses[0], {Name: "keyed", Effect: testClasses[1].Effect, DedupWindow: 500 * time.Millisecond}}
@@ -122,7 +128,8 @@
 	r.wantOutcome(OutcomeRejected, 3)
 }
 
-// A request that crosses the end of its connection goes out again once under its ref; else it may have run.
+// A request sent shortly before its connection ends is sent again under the same ref, but only once: a request that may
+// have run is lost if its class is unsafe.
 func TestOwnerResendsRequestOnceWhenConnectionCloses(t *testing.T) {
 	r := newOwnerRig(t, 2, 0)
 	first := r.lastSent()
@@ -131,13 +138,14 @@
 	r.advance(ownerRedialDelay)
 	r.wantOutcome(OutcomeOpen, 2)
 	if r.lastSent().Ref != first.Ref {
-		t.Errorf("sent again as %s, want %s", r.lastSent().Ref, first.Ref)
+		t.Errorf("request sent again with ref %s, want %s", r.lastSent().Ref, first.Ref)
 	}
 	r.handleActions(r.owner.ConnectionClosed(r.now, r.conn, false))
 	r.wantOutcome(OutcomeLost, 2)
 }
 
-// A request without an answer is given up, and a task is released after its time; a release that was not heard is sent again.
+// A request without an answer is withdrawn after its Timeout and AnswerGrace, and a task is released after
+// ReleaseAfter. A release without an acknowledgment is sent again on the next connection.
 func TestOwnerCancelsUnansweredRequestAndReleasesTask(t *testing.T) {
 	r := newOwnerRig(t, 0, 0)
 	r.advance(1100 * time.Millisecond)
@@ -154,11 +162,12 @@
 	r.answer(platform.TypeAck, ref, platform.NoCause)
 	r.advance(ownerIdleTimeout)
 	if !r.closed {
-		t.Error("its connection is idle and open")
+		t.Errorf("idle connection is open after %v, want it closed", ownerIdleTimeout)
 	}
 }
 
-// A task that its placer migrates is requested again, and one that ended is not.
+// A task that its placer migrates is submitted again, even if its class is unsafe. A task that has ended is not. A
+// second answer counts as unexpected.
 func TestOwnerResubmitsMigratedTask(t *testing.T) {
 	r := newOwnerRig(t, 2, 0)
 	r.answer(platform.TypeBound, r.lastSent().Ref, platform.NoCause)
@@ -169,21 +178,22 @@
 	r.answer(platform.TypeRelease, r.lastSent().Ref, platform.CauseOK)
 	r.wantOutcome(OutcomeEnded, 2)
 	if got := r.owner.Reports()[0]; got.Unexpected != 1 || got.Answers != 3 {
-		t.Errorf("%+v", got)
+		t.Errorf("got report %+v, want Unexpected 1 and Answers 3", got)
 	}
 }
 
-// After a reset the owner connects again and hands over its tasks; after a plain close it has nothing to send.
+// After a reset the owner connects again and hands over its running tasks, as it may have missed their ends. After a
+// close it does not.
 func TestOwnerHandsOverTasksOnlyAfterReset(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		r := newOwnerRig(t, 0, 0)
 		r.answer(platform.TypeBound, r.lastSent().Ref, platform.NoCause)
-		r.advance(10 * second) // its connection is not idle: a task of it runs
+		r.advance(10 * second) // the connection is not idle, as its task runs
 		r.handleActions(r.owner.ConnectionClosed(r.now, r.conn, reset))
 		r.advance(ownerRedialDelay)
 		last := r.lastSent()
 		if extras, _ := last.Text(platform.FieldExtras); strings.Contains(extras, string(platform.ExtraHost)+":s-00000001") != reset || r.closed {
-			t.Errorf("reset %v: the last message has %q; closed %v", reset, extras, r.closed)
+			t.Errorf("reset %v: last message has extras %q and closed is %v, want a hand-over %v and closed false", reset, extras, r.closed, reset)
 		}
 	}
 }
--- a/internal/emulator/platformmodel/ownertasks.go
+++ b/internal/emulator/platformmodel/ownertasks.go
@@ -7,14 +7,14 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// submitAt sets when a request is submitted, and how long it may wait for its answer.
+// submitAt schedules the submission of a request and the end of the wait for its answer.
 func (o *Owner) submitAt(r *ownerRequest, at time.Duration) {
 	r.Outcome, r.submissionDueAt, r.cancelAt, r.releaseAt = OutcomePending, at, at+r.Request.Timeout+o.cfg.AnswerGrace, never
 	o.timers.Add(r.submissionDueAt, r)
 	o.timers.Add(r.cancelAt, r)
 }
 
-// advanceRequests does what is due for requests.
+// advanceRequests handles the timers of requests that are due.
 func (o *Owner) advanceRequests() {
 	for r := range o.timers.Due(o.now) {
 		switch {
@@ -28,7 +28,7 @@
 	}
 }
 
-// submit gives a request a new ref and queues it for its placer.
+// submit assigns a new ref to a request and queues the submission for its placer.
 func (o *Owner) submit(r *ownerRequest) {
 	r.ref, r.resent = o.nextRef(), false
 	r.Refs = append(r.Refs, r.ref)
@@ -41,7 +41,7 @@
 	p.outgoing = append(p.outgoing, outgoingMessage{kind, r})
 }
 
-// send sends a message if its request is still as it was when the message was queued.
+// send sends a queued message, unless the state of its request no longer calls for it.
 func (o *Owner) send(c *ownerConnection, message outgoingMessage) {
 	r := message.request
 	class := &o.cfg.Classes[r.Request.Class]
@@ -63,27 +63,27 @@
 	}
 }
 
-// finish ends a request for good.
+// finish sets the final outcome of a request.
 func (o *Owner) finish(r *ownerRequest, outcome Outcome) {
 	o.removeFromConnection(r)
 	r.Outcome, r.FinishedAt = outcome, o.now
 }
 
-// assignConnection makes a connection the one of a request.
+// assignConnection moves a request to a connection.
 func (o *Owner) assignConnection(r *ownerRequest, c *ownerConnection) {
 	o.removeFromConnection(r)
 	r.conn = c.id
 	c.requests[r] = struct{}{}
 }
 
-// removeFromConnection takes a request from those of its connection.
+// removeFromConnection removes a request from the set of its connection.
 func (o *Owner) removeFromConnection(r *ownerRequest) {
 	if c := o.conns[r.conn]; c != nil {
 		delete(c.requests, r)
 	}
 }
 
-// cancel ends a request that has waited for too long. What was sent is withdrawn.
+// cancel ends a request that has waited too long for its answer. A submission that was sent is withdrawn.
 func (o *Owner) cancel(r *ownerRequest) {
 	if c := o.conns[r.conn]; c != nil && r.Outcome == OutcomeOpen {
 		o.sendMessage(c.id, platform.TypeRelease, r.ref, platform.CauseOK)
@@ -92,14 +92,14 @@
 	o.finish(r, OutcomeGaveUp)
 }
 
-// release releases a task that runs, on any connection to its placer.
+// release releases a running task. The message is sent on the current connection to the placer, or on the next one.
 func (o *Owner) release(r *ownerRequest) {
 	r.releaseUnacknowledged = true
 	o.finish(r, OutcomeReleased)
 	o.enqueue(sendRelease, r)
 }
 
-// handleBound takes the answer that a task runs.
+// handleBound handles the answer that a task runs.
 func (o *Owner) handleBound(m *platform.Message) {
 	r := o.byRef[m.Ref]
 	if r == nil {
@@ -107,7 +107,7 @@
 	}
 	r.Answers++
 	if r.Outcome != OutcomeOpen || r.ref != m.Ref {
-		if !r.releaseUnacknowledged { // else its answer has crossed that the owner gives it up
+		if !r.releaseUnacknowledged { // otherwise the answer has crossed the owner's release or withdrawal
 			r.Unexpected++
 		}
 		return
@@ -120,13 +120,13 @@
 	}
 }
 
-// handleRelease takes a rejection, a failure or the end of a task.
+// handleRelease handles a rejection, a failure or the end of a task.
 func (o *Owner) handleRelease(m *platform.Message) {
 	r := o.byRef[m.Ref]
 	switch {
 	case r == nil:
 	case r.ref != m.Ref || r.Outcome.IsFinal() || r.Outcome == OutcomePending:
-		if !r.releaseUnacknowledged { // else the release of the task, or of the request, has crossed its end
+		if !r.releaseUnacknowledged { // otherwise the message has crossed the owner's release or withdrawal
 			r.Unexpected++
 		}
 	case r.Outcome == OutcomeRunning && m.Cause == platform.CauseOK:
@@ -140,7 +140,7 @@
 	}
 }
 
-// retryAfter returns how long a rejection wants the owner to stay away.
+// retryAfter returns the time that a rejection asks the owner to wait before the next submission.
 func retryAfter(m *platform.Message) time.Duration {
 	text, _ := m.Text(platform.FieldRetryAfter)
 	millis, err := strconv.ParseUint(text, 10, 31)
@@ -150,8 +150,8 @@
 	return time.Duration(millis) * time.Millisecond
 }
 
-// resubmit submits a request again after a while if its class allows that, and ends it with an outcome otherwise. neverRan
-// says that the last submission proves to have had no effect.
+// resubmit schedules another submission of a request, or ends it with the outcome otherwise if MaxSubmissions or its
+// class don't allow one. neverRan means that the last submission is known to have had no effect.
 func (o *Owner) resubmit(r *ownerRequest, neverRan bool, otherwise Outcome, after time.Duration) {
 	o.removeFromConnection(r)
 	class := &o.cfg.Classes[r.Request.Class]
@@ -164,8 +164,8 @@
 	o.submitAt(r, o.now+after)
 }
 
-// handleLostConnection handles the end of the connection that a request waits on. A request that may have crossed it goes
-// out again once.
+// handleLostConnection handles the end of the connection on which a request waits for its answer. A request that the
+// placer may not have read before it closed the connection is sent again under the same ref, once.
 func (o *Owner) handleLostConnection(r *ownerRequest) {
 	if o.now < r.sentAt+inFlightWindow && !r.resent {
 		r.resent = true
@@ -175,7 +175,7 @@
 	o.resubmit(r, false, OutcomeLost, defaultRetryAfter)
 }
 
-// handleMigrate requests a task again that its placer moves: it ends where it runs.
+// handleMigrate submits the request again for a task that its placer migrates. The task ends at its present host.
 func (o *Owner) handleMigrate(m *platform.Message) {
 	r := o.byRef[m.Ref]
 	if r == nil {
@@ -194,7 +194,7 @@
 	o.submitAt(r, o.now)
 }
 
-// queueHandOvers queues the hand-over of all tasks that run.
+// queueHandOvers queues the hand-overs of all running tasks of a placer.
 func (o *Owner) queueHandOvers(placer int) {
 	for _, r := range o.requests {
 		if r.Outcome == OutcomeRunning && r.Request.Placer == placer && r.Host != "" {
--- a/internal/emulator/platformmodel/parties.go
+++ b/internal/emulator/platformmodel/parties.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// publish publishes a host's entry in the endpoint list if it has changed. If the host has
-// another name than before, an entry of the former name that was in service is published as terminated.
+// publish publishes a host's entry in the endpoint list if it has changed. If the host has another name than before, an
+// entry of the former name that was in service is published as terminated.
 func (e *Emulator) publish(p *party) {
 	before, entry := p.host.published, p.endpoint()
 	if entry.Address == "" {
--- a/internal/emulator/platformmodel/request.go
+++ b/internal/emulator/platformmodel/request.go
@@ -8,45 +8,47 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// Class is a class of requests as an owner knows it.
+// Class is a class of requests in the configuration of an owner.
 type Class struct {
-	Name        string
-	Effect      forkhead.Effect
-	DedupWindow time.Duration // Keyed: how long a request may be submitted again after a failure
+	Name   string
+	Effect forkhead.Effect
+	// DedupWindow is the time after its first submission in which a request of a Keyed class that may have run may be
+	// submitted again.
+	DedupWindow time.Duration
 }
 
-// Request is a task that an owner wants to be placed.
+// Request is a placement request: one task that an owner wants to have placed.
 type Request struct {
-	At            time.Duration // of the first submission
+	At            time.Duration // time of the first submission
 	Placer        int           // number of the placer
-	Class         int           // in the owner's classes
+	Class         int           // index in OwnerConfig.Classes
 	Cores, Memory float64
 	Service       uint64
-	Timeout       time.Duration // that the owner waits for an answer to each submission
-	ReleaseAfter  time.Duration // after its answer its owner releases the task; 0: never
+	Timeout       time.Duration // of each submission, to the answer; OwnerConfig.AnswerGrace is added
+	ReleaseAfter  time.Duration // from the answer to the release of the task by the owner; 0: no release
 }
 
-// Outcome is what has become of a request.
+// Outcome is the state of a request.
 type Outcome uint8
 
-// The outcomes. All but the first three are final.
+// The outcomes. All except the first three are final.
 const (
-	OutcomePending  Outcome = iota // it is not submitted, or is to be submitted again
-	OutcomeOpen                    // it waits for its answer
-	OutcomeRunning                 // it is placed
-	OutcomeEnded                   // its task has come to its end
-	OutcomeBroken                  // its task was cut
+	OutcomePending  Outcome = iota // it is not submitted yet, or waits to be submitted again
+	OutcomeOpen                    // it is submitted and has no answer
+	OutcomeRunning                 // its task is placed
+	OutcomeEnded                   // its task has run to its end
+	OutcomeBroken                  // its task ended early, or was migrated too often
 	OutcomeReleased                // its owner has released its task
-	OutcomeRejected                // it was rejected for the last time
-	OutcomeFailed                  // it failed and may not be submitted again
-	OutcomeGaveUp                  // its owner has stopped waiting
-	OutcomeLost                    // its connection ended without an answer, and it may not be submitted again
+	OutcomeRejected                // its last allowed submission was rejected
+	OutcomeFailed                  // it failed and cannot be submitted again
+	OutcomeGaveUp                  // its owner has stopped waiting for the answer
+	OutcomeLost                    // its connection ended before the answer, and it cannot be submitted again
 	outcomeCount
 )
 
 var outcomeNames = [outcomeCount]string{"pending", "open", "running", "ended", "broken", "released", "rejected", "failed", "gave up", "lost"}
 
-// String returns the outcome's name.
+// String returns the name of the outcome.
 func (o Outcome) String() string {
 	if o < outcomeCount {
 		return outcomeNames[o]
@@ -54,45 +56,49 @@
 	return fmt.Sprintf("Outcome(%d)", uint8(o))
 }
 
-// IsFinal reports whether nothing more comes of the request.
+// IsFinal reports whether the outcome can no longer change.
 func (o Outcome) IsFinal() bool { return o > OutcomeRunning }
 
-// RequestReport accounts for one request.
+// RequestReport is the result of one request so far.
 type RequestReport struct {
 	Request     Request
 	Outcome     Outcome
-	Refs        []string // of its submissions, the latest last
-	Answers     int      // that say that its task runs, over all submissions
-	HandOvers   int      // of its task
-	Unexpected  int      // messages that it can't have: a second answer, or any after its end
-	Host        string   // that runs its task, or ran it last; "": none
-	SubmittedAt time.Duration
-	FinishedAt  time.Duration // of its final outcome; 0: it has none
+	Refs        []string      // refs of its submissions, oldest first
+	Answers     int           // answers that its task runs, over all submissions
+	HandOvers   int           // number of hand-overs of its task
+	Unexpected  int           // messages that violate the protocol: a second answer, or a message after the end
+	Host        string        // host that runs its task or ran it last; "": none
+	SubmittedAt time.Duration // time of the first submission; 0: none
+	FinishedAt  time.Duration // time of the final outcome; 0: none
 }
 
 // ownerRequest is a request and its state.
 type ownerRequest struct {
 	RequestReport
-	number          int
-	ref             string // of the latest submission
-	conn            ConnID // of the latest submission
+	number          int    // index in OwnerConfig.Requests
+	ref             string // of the latest submission; "": the request waits for the next one
+	conn            ConnID // on which the latest message about it was sent
 	submissionDueAt time.Duration
 	sentAt          time.Duration
 	cancelAt        time.Duration
 	releaseAt       time.Duration
 	migrations      int
-	failed          bool // an earlier submission failed: it may have run
-	resent          bool // the latest submission has crossed the close of its connection and was sent once more
-
-	releaseUnacknowledged bool // the owner has released the task, or given the request up, and that is not acknowledged
+	failed          bool // an earlier submission failed and may have run
+
+	// resent means that the latest submission was sent a second time, as the placer may have closed the connection
+	// before it read the first.
+	resent bool
+	// releaseUnacknowledged means that the owner has released the task or withdrawn the request, and that the placer
+	// has not acknowledged it.
+	releaseUnacknowledged bool
 }
 
-// isRejection reports whether a release without an answer before says that nothing ran.
+// isRejection reports whether a release of an unanswered request with this cause means that nothing ran.
 func isRejection(cause platform.Cause) bool {
 	return cause == platform.CauseRejected || cause == platform.CauseBusy || cause == platform.CauseNotSent
 }
 
-// maySubmitAgain reports whether a request that may have run may be submitted again.
+// maySubmitAgain reports whether the effect of its class allows another submission of a request that may have run.
 func (r *ownerRequest) maySubmitAgain(class *Class, now time.Duration) bool {
 	switch class.Effect {
 	case forkhead.Safe:
@@ -104,10 +110,12 @@
 	}
 }
 
-// identity is a number that stays the same for all submissions of a request.
+// identity returns a number that is the same for all submissions of a request. It is sent as the task key and, for a
+// Keyed class, as the idempotency key.
 func (r *ownerRequest) identity(owner int) uint64 { return uint64(owner)<<32 | uint64(r.number) }
 
-// encode returns the request as a message. host, if not empty, runs the task already.
+// encode returns the latest submission as a message. A host that is not empty makes it a hand-over of the task, which
+// runs there.
 func (r *ownerRequest) encode(owner int, class *Class, tenant, host string) []byte {
 	extras := fmt.Sprintf("%s:%g;%s:%g;%s:%016x", platform.ExtraCores, r.Request.Cores, platform.ExtraMemory, r.Request.Memory,
 		platform.ExtraService, r.Request.Service)
