--- a/internal/emulator/platformmodel/host_test.go
+++ b/internal/emulator/platformmodel/host_test.go
@@ -9,14 +9,16 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// hostRig is a host whose placer is the test. Its offers take 10 ms to decide, and its tasks run for 2 s.
+// hostRig is a host with the test as its placer, over connection 1. The host takes 10 ms to decide an offer, and its
+// tasks run for 2 s.
 type hostRig struct {
 	t    *testing.T
 	host *Host
 	now  time.Duration
-	sent []string // type, ref and cause of each message, or "close" and the connection
+	sent []string // type, end of the ref and cause of each message, or "close" and the connection
 }
 
+// newHostRig returns a rig whose connection is open. change, if not nil, modifies the configuration of the host.
 func newHostRig(t *testing.T, cold bool, change func(*HostConfig)) *hostRig {
 	t.Helper()
 	cfg := testHostConfig()
@@ -24,18 +26,19 @@
 	if change != nil {
 		change(&cfg)
 	}
-	r := &hostRig{t: t, host: NewHost(cfg, "s-00000001", 1, rigStart, cold), now: rigStart}
-	r.take(r.host.ConnectionOpened(r.now, 1, 0))
+	r := &hostRig{t: t, host: NewHost(cfg, "s-00000001", 1, testStart, cold), now: testStart}
+	r.collectSent(r.host.ConnectionOpened(r.now, 1, 0))
 	return r
 }
 
-func (r *hostRig) take(actions []Action) {
+// collectSent appends the actions of the host to sent. Notes are left out.
+func (r *hostRig) collectSent(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
 			m, err := platform.Decode(a.Data[:len(a.Data)-1])
 			if err != nil {
-				r.t.Fatal(err)
+				r.t.Fatalf("Decode(%q) of a message of the host: %v", a.Data, err)
 			}
 			if m.Type != platform.TypeNote {
 				r.sent = append(r.sent, fmt.Sprintf("%s %s %d", m.Type, m.Ref[14:], m.Cause))
@@ -46,123 +49,129 @@
 	}
 }
 
-// offer offers a task of so many cores, with an idempotency key.
+// offer sends an offer of a task to the host.
 func (r *hostRig) offer(ref int, cores float64, key string) {
-	r.take(r.host.Received(r.now, 1, platform.Append(nil, platform.TypeRequest, fmt.Sprintf("%016x", ref), platform.NoCause,
+	r.collectSent(r.host.Received(r.now, 1, platform.Append(nil, platform.TypeRequest, fmt.Sprintf("%016x", ref), platform.NoCause,
 		taskSize{cores, 1}.description(), platform.TextField(platform.FieldIdempotencyKey, key))))
 }
 
-func (r *hostRig) message(kind platform.MessageType, ref int) {
-	r.take(r.host.Received(r.now, 1, platform.Append(nil, kind, fmt.Sprintf("%016x", ref), platform.CauseOK, nil)))
+// receive passes a message to the host.
+func (r *hostRig) receive(kind platform.MessageType, ref int) {
+	r.collectSent(r.host.Received(r.now, 1, platform.Append(nil, kind, fmt.Sprintf("%016x", ref), platform.CauseOK, nil)))
 }
 
+// advance lets time pass and steps the host whenever a timer is due.
 func (r *hostRig) advance(d time.Duration) {
-	for end := r.now + d; r.now < end; r.take(r.host.Step(r.now)) {
+	for end := r.now + d; r.now < end; r.collectSent(r.host.Step(r.now)) {
 		r.now = min(end, max(r.host.Next(), r.now+1))
 	}
 }
 
-// want checks what was sent since the last call.
-func (r *hostRig) want(want ...string) {
+// wantSent checks the messages and closes since the last call.
+func (r *hostRig) wantSent(want ...string) {
 	r.t.Helper()
 	if !slices.Equal(r.sent, want) {
-		r.t.Errorf("at %v: sent %q, want %q", r.now-rigStart, r.sent, want)
+		r.t.Errorf("%v after the start: host sent %q, want %q", r.now-testStart, r.sent, want)
 	}
 	r.sent = nil
 }
 
-// Offers are decided one after another; what the host has no cores for, or no place in its queue, is rejected.
+// Offers are decided one after another. An offer is rejected if the queue is full, or if the host has too few cores
+// left.
 func TestHostDecidesOffersInOrder(t *testing.T) {
 	r := newHostRig(t, false, func(c *HostConfig) { c.MaxQueued = 3 })
 	r.offer(1, 10, "")
 	r.offer(2, 10, "")
 	r.offer(3, 6, "")
 	r.offer(4, 1, "")
-	r.want("down 04 34")
+	r.wantSent("down 04 34")
 	r.advance(10 * time.Millisecond)
-	r.want("up 01 -1")
+	r.wantSent("up 01 -1")
 	r.advance(10 * time.Millisecond)
-	r.want("down 02 34")
+	r.wantSent("down 02 34")
 	r.advance(10 * time.Millisecond)
-	r.want("up 03 -1")
+	r.wantSent("up 03 -1")
 	if cores, memory := r.host.Available(); cores != 0 || memory != 14 {
-		t.Errorf("%v cores and %v of memory are available", cores, memory)
+		t.Errorf("Available() = %v cores, %v memory, want 0 and 14", cores, memory)
 	}
 }
 
-// The end of a task is sent on each connection that opens until the placer acknowledges it.
-func TestHostResendsRelease(t *testing.T) {
+// The end of a task is sent on each new connection of its placer until the placer acknowledges it, as it may have been
+// lost with a connection.
+func TestHostResendsTaskEndUntilAcknowledged(t *testing.T) {
 	r := newHostRig(t, false, nil)
 	r.offer(1, 1, "")
 	r.advance(10 * time.Millisecond)
-	r.take(r.host.ConnectionClosed(r.now, 1, false))
+	r.collectSent(r.host.ConnectionClosed(r.now, 1, false))
 	r.advance(2 * second)
-	r.want("up 01 -1")
-	r.take(r.host.ConnectionOpened(r.now, 1, 0))
-	r.want("down 01 16")
-	r.take(r.host.ConnectionOpened(r.now, 2, 1))
-	r.want()
-	r.message(platform.TypeAck, 1)
-	r.take(r.host.ConnectionOpened(r.now, 3, 0))
-	r.want()
+	r.wantSent("up 01 -1")
+	r.collectSent(r.host.ConnectionOpened(r.now, 1, 0))
+	r.wantSent("down 01 16")
+	r.collectSent(r.host.ConnectionOpened(r.now, 2, 1))
+	r.wantSent()
+	r.receive(platform.TypeAck, 1)
+	r.collectSent(r.host.ConnectionOpened(r.now, 3, 0))
+	r.wantSent()
 }
 
-// A release cuts a task that runs, withdraws an offer that is not decided, and is acknowledged where there is neither.
-func TestHostReceivesRelease(t *testing.T) {
+// A release ends a running task, or withdraws an undecided offer. If no task runs under the ref it is acknowledged.
+func TestHostReleaseEndsTaskOrWithdrawsOffer(t *testing.T) {
 	r := newHostRig(t, false, nil)
 	r.offer(1, 1, "")
 	r.advance(10 * time.Millisecond)
-	r.message(platform.TypeRelease, 1)
-	r.want("up 01 -1", "down 01 31")
+	r.receive(platform.TypeRelease, 1)
+	r.wantSent("up 01 -1", "down 01 31")
 	r.offer(2, 1, "")
-	r.message(platform.TypeRelease, 2)
-	r.want("ack 02 -1")
+	r.receive(platform.TypeRelease, 2)
+	r.wantSent("ack 02 -1")
 	r.advance(second)
-	r.want()
+	r.wantSent()
 }
 
-// A task that runs is not started again: neither under its ref, nor under another with its idempotency key.
+// A running task is not started a second time by an offer with its ref, nor by one with its idempotency key under
+// another ref.
 func TestHostDeduplicatesOffers(t *testing.T) {
 	r := newHostRig(t, false, nil)
 	for _, ref := range []int{1, 1, 2} {
 		r.offer(ref, 1, "key")
 		r.advance(10 * time.Millisecond)
 	}
-	r.want("up 01 -1", "up 01 -1", "up 02 -1")
+	r.wantSent("up 01 -1", "up 01 -1", "up 02 -1")
 	if got := r.host.Running(); len(got) != 1 {
-		t.Errorf("%q run", got)
+		t.Errorf("Running() = %q, want one task", got)
 	}
 }
 
-// A host that has just started answers late, and crashes from too many offers in a while.
-func TestHostSlowStart(t *testing.T) {
+// A host in its slow start takes SlowStartFactor times as long to answer, and crashes from more than SlowStartMaxOffers
+// offers within SlowStartWindow.
+func TestHostSlowStartDelaysAnswersAndCrashesFromOverload(t *testing.T) {
 	r := newHostRig(t, true, func(c *HostConfig) { c.SlowStartMaxOffers, c.SlowStartFactor = 2, 3 })
 	r.offer(1, 1, "")
 	r.offer(2, 1, "")
 	r.advance(29 * time.Millisecond)
-	r.want()
+	r.wantSent()
 	r.advance(time.Millisecond)
-	r.want("up 01 -1")
+	r.wantSent("up 01 -1")
 	r.advance(470 * time.Millisecond)
 	r.offer(3, 1, "")
 	r.offer(4, 1, "")
 	if r.host.Crashed() {
-		t.Error("it has crashed from 2 offers in a window")
+		t.Error("after 2 offers within SlowStartWindow: Crashed() = true, want false")
 	}
 	r.offer(5, 1, "")
 	if !r.host.Crashed() {
-		t.Error("it has not crashed from 3 offers in a window")
+		t.Error("after 3 offers within SlowStartWindow: Crashed() = false, want true")
 	}
 }
 
-// A connection without messages is closed; one that brings what can't be read is closed at once.
-func TestHostClosesConnections(t *testing.T) {
+// A connection without messages is closed after IdleTimeout. One with an undecodable message is closed at once.
+func TestHostClosesIdleAndUnreadableConnections(t *testing.T) {
 	r := newHostRig(t, false, nil)
-	r.take(r.host.ConnectionOpened(r.now, 2, 0))
-	r.take(r.host.Received(r.now, 2, []byte("no message\n")))
-	r.want("close 2")
+	r.collectSent(r.host.ConnectionOpened(r.now, 2, 0))
+	r.collectSent(r.host.Received(r.now, 2, []byte("no message\n")))
+	r.wantSent("close 2")
 	r.advance(30*second - 1)
-	r.want()
+	r.wantSent()
 	r.advance(1)
-	r.want("close 1")
+	r.wantSent("close 1")
 }
--- a/internal/emulator/platformmodel/networkwatch.go
+++ b/internal/emulator/platformmodel/networkwatch.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	watchRedialAfter = 50 * time.Millisecond   // after a stream that has ended
-	watchIdleTimeout = 1500 * time.Millisecond // after which a stream without a byte is given up
+	watchRedialDelay = 50 * time.Millisecond   // from the end of a stream to the next attempt
+	watchIdleTimeout = 1500 * time.Millisecond // after which a stream without data is closed
 )
 
-// networkWatch follows the watch for an incarnation of a placer.
+// networkWatch is the watch client of an incarnation of a placer.
 type networkWatch struct {
 	placer   *networkPlacer
 	sequence platform.Sequence
-	conn     *networkConn // nil: stopped
-	head     []byte       // of the response, as far as it has come; nil: it is complete
+	conn     *networkConn // current stream; nil: stopped
+	head     []byte       // received part of the response head; nil: the head is complete
 	events   platform.EventReader
-	lastData time.Duration
+	lastData time.Duration // when data was received last, or the stream was opened
 }
 
-// newNetworkWatch follows the watch after the events that a placer was started with.
+// newNetworkWatch opens a watch that continues after the events that a placer was started with.
 func newNetworkWatch(p *networkPlacer, initial []platform.WatchEvent) *networkWatch {
 	w := &networkWatch{placer: p}
 	for _, e := range initial {
@@ -40,7 +40,7 @@
 	c := &networkConn{placer: w.placer}
 	c.endpoint = watchEndpoint{w, c}
 	w.conn, w.head, w.lastData = c, []byte{}, n.now
-	w.events = platform.EventReader{OnComment: w.takeComment}
+	w.events = platform.EventReader{OnComment: w.handleComment}
 	w.sequence.StreamOpened()
 	n.dial(c, n.Emulator.WatchAddress(), func(err error) {
 		if err != nil {
@@ -52,16 +52,17 @@
 	})
 }
 
-// reopen closes a stream and opens the next one a little later, if that was not done yet.
+// reopen closes a stream and schedules the next one after watchRedialDelay. It does nothing if the stream is not the
+// current one.
 func (w *networkWatch) reopen(c *networkConn) {
 	if w.conn != c {
 		return
 	}
 	w.placer.close(c)
-	w.conn = &networkConn{closed: true} // none until then
-	none := w.conn
-	w.placer.network.after(watchRedialAfter, func() {
-		if w.conn == none {
+	w.conn = &networkConn{closed: true} // stands for no stream until then
+	placeholder := w.conn
+	w.placer.network.after(watchRedialDelay, func() {
+		if w.conn == placeholder {
 			w.open()
 		}
 	})
@@ -69,7 +70,7 @@
 
 func (w *networkWatch) stop() { w.conn = nil }
 
-// checkIdle gives a stream up when nothing has come for too long.
+// checkIdle reopens the watch when a stream has received no data for watchIdleTimeout.
 func (w *networkWatch) checkIdle(c *networkConn) {
 	n := w.placer.network
 	n.after(w.lastData+watchIdleTimeout-n.now, func() {
@@ -83,15 +84,16 @@
 	})
 }
 
-// takeComment delivers the events with which the numbers begin again, if that shows now.
-func (w *networkWatch) takeComment() {
+// handleComment handles a comment, which means that the stream is idle. It delivers the events of a restarted sequence,
+// if there is one.
+func (w *networkWatch) handleComment() {
 	for i, event := range w.sequence.StreamIdle() {
 		w.placer.step(platformcore.WatchEventReceived{Event: event, SequenceRestarted: i == 0})
 	}
 }
 
-// takeEvent delivers an event if it counts.
-func (w *networkWatch) takeEvent(c *networkConn, encoded platform.ServerSentEvent) {
+// handleEvent delivers an event to the core if it is the next of the sequence, and reopens the watch after a gap.
+func (w *networkWatch) handleEvent(c *networkConn, encoded platform.ServerSentEvent) {
 	if w.conn != c {
 		return
 	}
@@ -108,7 +110,7 @@
 	}
 }
 
-// watchEndpoint is a placer's end of a stream of the watch.
+// watchEndpoint is the placer's end of a stream of the watch.
 type watchEndpoint struct {
 	watch *networkWatch
 	conn  *networkConn
@@ -128,7 +130,7 @@
 		}
 		w.head, data = nil, body
 	}
-	if err := w.events.Feed(data, func(event platform.ServerSentEvent) { w.takeEvent(e.conn, event) }); err != nil {
+	if err := w.events.Feed(data, func(event platform.ServerSentEvent) { w.handleEvent(e.conn, event) }); err != nil {
 		w.reopen(e.conn)
 	}
 }
