--- a/internal/verify/chaos/faults.go
+++ b/internal/verify/chaos/faults.go
@@ -19,18 +19,18 @@
 // injectors holds the method for each kind of fault. Each injects the fault and returns when it is over and undone as far
 // as it can be. A canceled run ends the waits in between, not the undoing.
 var injectors = map[scenario.FaultKind]func(*runner, *activeFault){
-	scenario.Crash:           (*runner).crashHosts,
-	scenario.Vanish:          (*runner).vanishAndRestartHosts,
-	scenario.MassRestart:     (*runner).restartRack,
-	scenario.DieMidStart:     (*runner).crashDuringStart,
-	scenario.DieAfterBind:    (*runner).crashAfterBind,
-	scenario.HostPauses:      (*runner).pauseHosts,
-	scenario.HotKey:          (*runner).slowHosts,
-	scenario.HostDegradation: (*runner).degradeHosts,
-	scenario.ClassUnanswered: (*runner).suppressStarts,
-	scenario.ClassRejected:   (*runner).rejectClass,
-	scenario.Shrink:          (*runner).removeHosts,
-	scenario.Deploy:          (*runner).replaceHosts,
+	scenario.Crash:            (*runner).crashHosts,
+	scenario.HostUnresponsive: (*runner).vanishAndRestartHosts,
+	scenario.MassRestart:      (*runner).restartRack,
+	scenario.CrashDuringStart: (*runner).crashDuringStart,
+	scenario.CrashAfterBind:   (*runner).crashAfterBind,
+	scenario.HostPauses:       (*runner).pauseHosts,
+	scenario.HostSlowdown:     (*runner).slowHosts,
+	scenario.HostDegradation:  (*runner).degradeHosts,
+	scenario.ClassUnanswered:  (*runner).suppressStarts,
+	scenario.ClassRejected:    (*runner).rejectClass,
+	scenario.HostRemoval:      (*runner).removeHosts,
+	scenario.RollingRestart:   (*runner).replaceHosts,
 
 	scenario.ConnectionResets:    (*runner).resetConnections,
 	scenario.HalfOpenConnections: (*runner).muteConnections,
@@ -47,10 +47,10 @@
 	scenario.PlacerKill:  (*runner).killPlacer,
 	scenario.GossipLoss:  (*runner).dropGossip,
 
-	scenario.Burst:             (*runner).raiseLoad,
-	scenario.Reconnect:         (*runner).resubmitProjects,
-	scenario.ClientDisconnects: (*runner).breakStreams,
-	scenario.SlowReader:        (*runner).slowReading,
+	scenario.Burst:               (*runner).raiseLoad,
+	scenario.ProjectResubmission: (*runner).resubmitProjects,
+	scenario.ClientDisconnects:   (*runner).breakStreams,
+	scenario.SlowReader:          (*runner).slowReading,
 }
 
 // injectFault injects a fault and returns when it is over. All its random draws come from rng, those of the hosts first.
--- a/internal/verify/scenario/faults.go
+++ b/internal/verify/scenario/faults.go
@@ -13,17 +13,17 @@
 const (
 	Crash               FaultKind = "crash"           // hosts crash, with resets, and restart
 	HostPauses          FaultKind = "pauses"          // hosts stall again and again
-	Vanish              FaultKind = "vanish"          // hosts become unresponsive, with open connections, and restart
+	HostUnresponsive    FaultKind = "vanish"          // hosts become unresponsive, with open connections, and restart
 	LateReports         FaultKind = "report-late"     // hosts register, and report what is available, late
-	Shrink              FaultKind = "shrink"          // hosts drain and are removed for good
-	Deploy              FaultKind = "deploy"          // hosts drain and restart, one after the other
-	HotKey              FaultKind = "hot-key"         // starts and service slow down
+	HostRemoval         FaultKind = "shrink"          // hosts drain and are removed for good
+	RollingRestart      FaultKind = "deploy"          // hosts drain and restart, one after the other
+	HostSlowdown        FaultKind = "hot-key"         // starts and service slow down
 	StaleDiscovery      FaultKind = "discovery-stale" // the endpoint list lags
 	ListOutage          FaultKind = "list-outage"     // the endpoint list does not answer
 	ListFrozen          FaultKind = "list-frozen"     // the endpoint list stays what it was
 	ZoneLoss            FaultKind = "zone-loss"       // a zone is lost with its placers, and restarts
 	Burst               FaultKind = "burst"           // the load rises
-	Reconnect           FaultKind = "reconnect"       // owners delete projects and submit them again
+	ProjectResubmission FaultKind = "reconnect"       // owners delete projects and submit them again
 	HostDegradation     FaultKind = "ageing"          //nolint:misspell // the spelling in scenarios. Hosts slow down more and more, crash and restart
 	MassRestart         FaultKind = "mass-restart"    // all hosts of a rack restart at once
 	ClassUnanswered     FaultKind = "class-fail"      // starts of a class do not end on some hosts
@@ -36,16 +36,16 @@
 	GossipLoss          FaultKind = "tell-loss"       // messages between placers are lost
 	ClientDisconnects   FaultKind = "client-cut"      // clients' streams break, and they submit again
 	SlowReader          FaultKind = "slow-reader"     // clients read late
-	DieMidStart         FaultKind = "die-mid-start"   // hosts crash while a task starts
-	DieAfterBind        FaultKind = "die-after-bind"  // hosts crash when a task runs and they have not reported it yet
+	CrashDuringStart    FaultKind = "die-mid-start"   // hosts crash while a task starts
+	CrashAfterBind      FaultKind = "die-after-bind"  // hosts crash when a task runs and they have not reported it yet
 	ClassRejected       FaultKind = "refuse"          // hosts reject a class
 )
 
 // FaultKinds lists all kinds of faults.
 var FaultKinds = []FaultKind{
-	Crash, HostPauses, Vanish, LateReports, Shrink, Deploy, HotKey, StaleDiscovery, ListOutage, ListFrozen, ZoneLoss, Burst, Reconnect,
+	Crash, HostPauses, HostUnresponsive, LateReports, HostRemoval, RollingRestart, HostSlowdown, StaleDiscovery, ListOutage, ListFrozen, ZoneLoss, Burst, ProjectResubmission,
 	HostDegradation, MassRestart, ClassUnanswered, PlacerStall, PlacerKill, ConnectionResets, HalfOpenConnections, TruncatedFrames, DelayedFrames, GossipLoss, ClientDisconnects, SlowReader,
-	DieMidStart, DieAfterBind, ClassRejected,
+	CrashDuringStart, CrashAfterBind, ClassRejected,
 }
 
 // Fault is one fault of a schedule. Which fields matter depends on its kind.
