--- a/internal/verify/scenario/default.sexp
+++ b/internal/verify/scenario/default.sexp
@@ -1,5 +1,5 @@
 ; The scenario that CI runs: every kind of fault, three placers, fourteen hosts in two zones.
-; Faults overlap on purpose. Figures are this project's own.
+; Faults overlap on purpose.
 (badday
   (settings
     (forkhead
--- a/internal/verify/scenario/faultfree.sexp
+++ b/internal/verify/scenario/faultfree.sexp
@@ -1,4 +1,4 @@
-; The hosts that `forkhead try` places on: two zones, three racks with both machine types.
+; The hosts that `forkhead try` places tasks on: two zones, three racks, two machine types.
 (badday
   (hosts 4 (kind std-28) (zone north) (racks 2) (prefix north-std-) (label disk ssd))
   (hosts 2 (kind large-56) (zone north) (racks 2) (prefix north-large-) (label disk ssd))
--- a/internal/verify/scenario/golden_test.go
+++ b/internal/verify/scenario/golden_test.go
@@ -12,8 +12,9 @@
 	"forkhead/internal/goldentest"
 )
 
-// testdata/all.sexp gives every element of a scenario a value of its own; it and the built-in scenarios are decoded to the same values,
-// in the order of the fields.
+// A change of the reader or of a default would change what existing scenario files mean. testdata/all.sexp sets every
+// element of a scenario to a value that no other element has; the golden files hold the values that it and the built-in
+// scenarios decode to, in the order of the fields.
 func TestReadGolden(t *testing.T) {
 	file := filepath.Join("testdata", "all.sexp")
 	all, err := os.ReadFile(file)
@@ -26,9 +27,9 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(s.Text, text) {
-			t.Errorf("%s: Text is not what was read", name)
+			t.Errorf("Read(%q).Text = %q, want the text that was read, %q", name, s.Text, text)
 		}
-		s.Text, s.Settings = nil, nil // package settings has a test of its own
+		s.Text, s.Settings = nil, nil // package settings tests the decoding of settings
 		var b bytes.Buffer
 		for i := range reflect.ValueOf(*s).NumField() {
 			fmt.Fprintln(&b, strings.ReplaceAll(goldentest.Values(reflect.ValueOf(*s).Field(i)), ") (", ")\n\t("))
@@ -37,7 +38,7 @@
 	}
 }
 
-// The keywords of faults and injected bugs are these.
-func TestWordsGolden(t *testing.T) {
+// Scenario files contain the keywords of faults and injected bugs, so they must not change with the Go names.
+func TestKeywordsGolden(t *testing.T) {
 	goldentest.Check(t, "words.txt", []byte(fmt.Sprintln(FaultKinds, InjectedBugs)))
 }
--- a/internal/verify/scenario/read.go
+++ b/internal/verify/scenario/read.go
@@ -16,28 +16,28 @@
 const (
 	day                  = 24 * time.Hour
 	minLength            = 100 * time.Millisecond
-	minInterval          = 10 * time.Millisecond // of what is repeated
-	maxHostGroup         = 10_000                // hosts of a group, and its racks
-	maxReplicas          = 10_000                // of one submission
-	maxHostCount         = 1e6                   // of tasks or programs at a host
+	minInterval          = 10 * time.Millisecond // between repetitions, and of the catalog's timeouts
+	maxHostGroup         = 10_000                // hosts of a group, and racks of a group
+	maxReplicas          = 10_000                // tasks of one submission
+	maxHostCount         = 1e6                   // tasks or programs at a host
 	maxSeed              = 1 << 30
 	maxPlacer            = 4095
 	minAmount, maxAmount = 0.001, 1e4 // cores and GiB of memory of a task
 	minRate, maxRate     = 0.001, 1e5 // submissions a second
-	minFactor, maxFactor = 0.01, 1000 // of a fault
-	minHostShare         = 0.001      // of a fault
-	minUsage, maxUsage   = 0.01, 10   // of the requested resources
+	minFactor, maxFactor = 0.01, 1000 // Fault.Factor
+	minHostShare         = 0.001      // Fault.HostShare
+	minUsage, maxUsage   = 0.01, 10   // fraction of the requested resources that tasks use
 	maxUncachedFactor    = 1000
 )
 
-// Read parses and checks a scenario. Errors name the file, the line and the column, and what was wanted.
+// Read parses and checks a scenario. Its errors have the file, the line and the column, and what was wanted there.
 func Read(file string, text []byte) (*Scenario, error) {
 	nodes, err := sexp.Parse(file, text)
 	if err != nil {
 		return nil, err
 	}
 	if len(nodes) != 1 || nodes[0].Head() != "badday" {
-		return nil, diagnostic.Wantf(diagnostic.Pos{File: file, Line: 1, Col: 1}, "one (badday ...)", "the file holds something else")
+		return nil, diagnostic.Wantf(diagnostic.Pos{File: file, Line: 1, Col: 1}, "one (badday ...)", "the file does not hold exactly one scenario")
 	}
 	r := &reader{scenario: newScenario(file, text), errs: &diagnostic.List{}}
 	r.readScenario(nodes[0])
@@ -47,7 +47,7 @@
 	return r.scenario, nil
 }
 
-// newScenario returns a scenario with the defaults of what need not be given.
+// newScenario returns a scenario with the defaults of the optional elements.
 func newScenario(file string, text []byte) *Scenario {
 	return &Scenario{
 		File: file, Text: text, Seed: 1, Length: 20 * time.Second, Settle: 15 * time.Second,
@@ -63,7 +63,7 @@
 // reader reads a scenario and collects its errors.
 type reader struct {
 	scenario *Scenario
-	settings *sexp.Node // (settings ...); nil: not given
+	settings *sexp.Node // the element (settings ...); nil: the scenario has none
 	errs     *diagnostic.List
 }
 
@@ -89,7 +89,7 @@
 	}
 }
 
-// readSettings reads the placers' settings, once all other elements have been read.
+// readSettings reads the placers' settings, or the default settings. It is called after all elements have been read.
 func (r *reader) readSettings() {
 	var err error
 	switch n := r.settings; {
@@ -98,7 +98,7 @@
 	case len(n.Args()) == 1 && n.Args()[0].Head() == "forkhead":
 		r.scenario.Settings, err = settings.FromNode(n.Args()[0])
 	default:
-		err = diagnostic.Wantf(n.Pos, "(settings (forkhead ...))", "the settings are something else")
+		err = diagnostic.Wantf(n.Pos, "(settings (forkhead ...))", "settings does not hold exactly one (forkhead ...)")
 	}
 	r.errs.Add(err)
 }
@@ -106,7 +106,7 @@
 func (r *reader) readHostGroup(n *sexp.Node) error {
 	args := n.Args()
 	if len(args) == 0 {
-		return diagnostic.Wantf(n.Pos, "(hosts COUNT (kind NAME) ...)", "no count of hosts")
+		return diagnostic.Wantf(n.Pos, "(hosts COUNT (kind NAME) ...)", "the count of hosts is missing")
 	}
 	g := HostGroup{Racks: 1, Labels: map[string]string{}}
 	var err error
@@ -164,7 +164,7 @@
 func (r *reader) readLoad(n *sexp.Node) error {
 	args := n.Args()
 	if len(args) == 0 || args[0].List {
-		return diagnostic.Wantf(n.Pos, "(load NAME ...)", "the load has no name")
+		return diagnostic.Wantf(n.Pos, "(load NAME ...)", "the name of the load is missing")
 	}
 	l := Load{
 		Name: args[0].Atom, Rate: 1, Replicas: [2]int{1, 1}, Cores: [2]float64{0.5, 0.5}, Memory: [2]float64{1, 1},
@@ -188,12 +188,12 @@
 	return nil
 }
 
-// rangeField returns a Field that sets a range: one value for both ends, or the lowest and the highest.
+// rangeField returns a Field that sets a range from one value, which is both ends, or from the minimum and the maximum.
 func rangeField[T cmp.Ordered](to *[2]T, read func(v *sexp.Node) (T, error)) sexp.Field {
 	return func(n *sexp.Node) error {
 		args := n.Args()
 		if len(args) < 1 || len(args) > 2 {
-			return diagnostic.Wantf(n.Pos, "one value, or least and most", "%s has %d", n.Head(), len(args))
+			return diagnostic.Wantf(n.Pos, "one value, or minimum and maximum", "%s has %d values", n.Head(), len(args))
 		}
 		for i := range to {
 			v, err := read(args[min(i, len(args)-1)])
@@ -203,19 +203,19 @@
 			to[i] = v
 		}
 		if to[1] < to[0] {
-			return diagnostic.Errorf(n.Pos, "the most of %s is below the least", n.Head())
+			return diagnostic.Errorf(n.Pos, "the maximum of %s is below the minimum", n.Head())
 		}
 		return nil
 	}
 }
 
 func (r *reader) readInjectedBug(n *sexp.Node) error {
-	words := map[string]InjectedBug{}
+	byKeyword := map[string]InjectedBug{}
 	for _, bug := range InjectedBugs {
-		words[string(bug)] = bug
+		byKeyword[string(bug)] = bug
 	}
 	var bug InjectedBug
-	if err := sexp.Choice(&bug, words)(n); err != nil {
+	if err := sexp.Choice(&bug, byKeyword)(n); err != nil {
 		return err
 	}
 	r.scenario.InjectedBugs = append(r.scenario.InjectedBugs, bug)
@@ -254,11 +254,11 @@
 	return nil
 }
 
-// check checks the elements against each other and against the settings.
+// check checks that the elements are consistent with each other and with the settings.
 func (r *reader) check(n *sexp.Node) {
 	s := r.scenario
 	if len(s.HostGroups) == 0 {
-		r.errs.Add(diagnostic.Wantf(n.Pos, "(hosts COUNT (kind NAME) ...)", "the day has no hosts"))
+		r.errs.Add(diagnostic.Wantf(n.Pos, "(hosts COUNT (kind NAME) ...)", "the scenario has no hosts"))
 	}
 	for _, g := range s.HostGroups {
 		if slices.Index(s.Settings.MachineTypeNames, g.MachineType) < 0 {
@@ -276,10 +276,10 @@
 	}
 	for _, f := range s.Faults {
 		if f.At > s.Length {
-			r.errs.Add(diagnostic.Wantf(f.Pos, fmt.Sprintf("at most the length, %v", s.Length), "%s begins at %v", f.Kind, f.At))
+			r.errs.Add(diagnostic.Wantf(f.Pos, fmt.Sprintf("at most the length, %v", s.Length), "fault %s begins at %v", f.Kind, f.At))
 		}
 		if f.Placer >= len(s.Settings.Placers) {
-			r.errs.Add(diagnostic.Wantf(f.Pos, fmt.Sprintf("0 to %d", len(s.Settings.Placers)-1), "placer %d", f.Placer))
+			r.errs.Add(diagnostic.Wantf(f.Pos, fmt.Sprintf("0 to %d", len(s.Settings.Placers)-1), "fault %s names placer %d", f.Kind, f.Placer))
 		}
 	}
 }
--- a/internal/verify/scenario/recovery.sexp
+++ b/internal/verify/scenario/recovery.sexp
@@ -1,5 +1,5 @@
-; Placers are killed again and again while they place, two of them with discovery unresponsive, and hosts crash and restart
-; under them. The placers keep stores: a crash excuses no missing outcome.
+; Placers are killed repeatedly while they place tasks, two of the kills while service discovery is unresponsive, and hosts
+; crash and restart meanwhile. The placers keep stores, so a kill excuses no missing outcome.
 (badday
   (settings
     (forkhead
--- a/internal/verify/scenario/scenario.go
+++ b/internal/verify/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads scenarios of chaos tests: a cluster, the load on it and a schedule of faults, written as one
-// S-expression.
+// Package scenario reads the scenarios of chaos tests. A scenario is one S-expression that describes a cluster, the
+// load on it and a schedule of faults.
 package scenario
 
 import (
@@ -11,18 +11,18 @@
 	"forkhead/internal/parse/settings"
 )
 
-// Default is the scenario that CI runs: all kinds of faults, three placers, fourteen hosts.
+// Default is the scenario that CI runs. It has all kinds of faults, three placers and fourteen hosts.
 //
 //go:embed default.sexp
 var Default []byte
 
-// Recovery is a scenario in which placers that keep a store are killed again and again, at times while service discovery
-// is unresponsive.
+// Recovery is a scenario in which placers that keep a store are killed repeatedly, sometimes while service discovery is
+// unresponsive.
 //
 //go:embed recovery.sexp
 var Recovery []byte
 
-// FaultFree is a scenario of hosts only: what the command try places on.
+// FaultFree is a scenario that has hosts and neither load nor faults. The command try places tasks on these hosts.
 //
 //go:embed faultfree.sexp
 var FaultFree []byte
@@ -30,12 +30,12 @@
 // Scenario is a cluster with its load and its faults.
 type Scenario struct {
 	File         string
-	Text         []byte // as it was read
+	Text         []byte // the text that the scenario was read from
 	Settings     *settings.Settings
-	Seed         int           // of all random draws
-	Length       time.Duration // in which loads submit and faults begin
-	Durable      bool          // placers keep a store that survives their death
-	Settle       time.Duration // that submissions may take beyond twice the timeout of their class
+	Seed         int           // seed of all random draws
+	Length       time.Duration // time from the start in which loads submit and faults begin
+	Durable      bool          // placers keep a store that survives a kill
+	Settle       time.Duration // time that submissions may take beyond twice the placement timeout of their class
 	HostGroups   []HostGroup
 	Catalog      CatalogBehavior
 	Host         HostBehavior
@@ -48,32 +48,32 @@
 type HostGroup struct {
 	Count, Racks      int // the hosts are spread over the racks in turn
 	MachineType, Zone string
-	Prefix            string // of the hosts' names, before their number
+	Prefix            string // of the hosts' names; the number of the host follows it
 	Labels            map[string]string
 	WarmingUp         bool // the hosts have just started when the scenario begins
 }
 
-// HostName returns the name of a host of the group, counted from 0.
+// HostName returns the name of the group's host i, counted from 0.
 func (g *HostGroup) HostName(i int) string { return fmt.Sprintf("%s%d", g.Prefix, i) }
 
-// HostRack returns the rack of a host of the group, counted from 0.
+// HostRack returns the rack of the group's host i, counted from 0.
 func (g *HostGroup) HostRack(i int) string { return fmt.Sprintf("%s-r%d", g.Zone, i%g.Racks) }
 
-// HostBehavior is how all hosts behave. Counts are for each host.
+// HostBehavior is the behavior of the emulated hosts, the same for all of them. Counts are per host.
 type HostBehavior struct {
 	DecisionTime, StartTime, NoteInterval, RegistrationInterval time.Duration
 	MaxQueued, MaxStarting, MaxCachedPrograms                   int
-	UncachedStartFactor                                         float64 // times as long takes a start without the program
+	UncachedStartFactor                                         float64 // multiplier of StartTime when the host has not cached the program
 	MeanUsage, UsageSwing                                       float64 // fraction of the requested resources that tasks use
 }
 
-// CatalogBehavior is how the endpoint list behaves: how long it lags behind the hosts, and how long after its last
-// registration a host is critical and is then dropped.
+// CatalogBehavior is the behavior of the endpoint list: how long it lags behind the hosts, and how long after its last
+// registration a host becomes critical and how long after that registration it is dropped.
 type CatalogBehavior struct {
 	Lag, CriticalAfter, DeregisterAfter time.Duration
 }
 
-// Load is a stream of submissions. Ranges hold the lowest and the highest value.
+// Load is a stream of submissions. The arrays are ranges: the minimum and the maximum.
 type Load struct {
 	Name         string
 	Class        string
@@ -83,6 +83,6 @@
 	Cores        [2]float64
 	Memory       [2]float64 // GiB
 	TaskDuration [2]time.Duration
-	From, To     time.Duration // since the start of the run
+	From, To     time.Duration // period in which it submits, since the start of the run
 	Pos          diagnostic.Pos
 }
