--- a/internal/verify/chaos/bugs.go
+++ b/internal/verify/chaos/bugs.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	bugSettleTime      = 500 * time.Millisecond // for the last frames to reach the hosts
-	helloSettleTime    = 100 * time.Millisecond // for the Hello to reach a host
+	bugSettleTime      = 500 * time.Millisecond // until the last frames have reached the hosts
+	helloSettleTime    = 100 * time.Millisecond // until the Hello has reached a host
 	repeatedOfferPause = 500 * time.Millisecond // between two offers of one task
-	drainMargin        = 500 * time.Millisecond // beyond the grace of a draining host
-	floodOffers        = 5000                   // to a host in its slow start
+	drainMargin        = 500 * time.Millisecond // beyond the grace period of a draining host
+	floodOffers        = 5000                   // offers to a host in its slow start
 )
 
 // The tasks that a misbehaving placer offers.
@@ -27,7 +27,7 @@
 	firstSpread    = offeredTask{key: 100, service: 99}
 )
 
-// bugInjectors holds what each injected bug does.
+// bugInjectors holds the method that commits each injected bug.
 var bugInjectors = map[scenario.InjectedBug]func(*runner, *misbehavingPlacer) error{
 	scenario.BugTwoOutcomes:        (*runner).reportTwoOutcomes,
 	scenario.BugRepeatedOffer:      (*runner).repeatUnsafeOffer,
@@ -36,7 +36,7 @@
 	scenario.BugSpreadExceeded:     (*runner).exceedSpreadLimit,
 }
 
-// injectBug breaks a rule on the sockets, to show that the checker catches it.
+// injectBug breaks a rule on the sockets, to show that the checker detects it.
 func (r *runner) injectBug(bug scenario.InjectedBug) error {
 	p := newMisbehavingPlacer()
 	defer p.close()
@@ -47,13 +47,13 @@
 	return nil
 }
 
-// reportTwoOutcomes lets clients see two outcomes of a task.
+// reportTwoOutcomes makes clients read two outcomes of a task.
 func (r *runner) reportTwoOutcomes(*misbehavingPlacer) error {
 	r.duplicateOutcomes.Store(true)
 	return nil
 }
 
-// repeatUnsafeOffer offers a task whose starts must not be repeated to two hosts.
+// repeatUnsafeOffer offers one task of a class with an unsafe effect to two hosts.
 func (r *runner) repeatUnsafeOffer(p *misbehavingPlacer) error {
 	class, _ := r.findClass(func(c *forkhead.Class) bool { return c.Effect == forkhead.Unsafe })
 	for _, h := range r.cluster.Hosts[:2] {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// offerToDrainingHost offers to a host that has drained for longer than the grace.
+// offerToDrainingHost offers a task to a host that has been draining for longer than the grace period.
 func (r *runner) offerToDrainingHost(p *misbehavingPlacer) error {
 	host := r.cluster.Hosts[0]
 	if _, err := p.connect(host); err != nil {
@@ -77,7 +77,7 @@
 	return p.offer(host, r.scenario.Settings.Classes[0].Name, drainTask)
 }
 
-// overloadStartedHost offers more to a host that has just started than it withstands.
+// overloadStartedHost offers a host in its slow start so many tasks that it is overloaded.
 func (r *runner) overloadStartedHost(p *misbehavingPlacer) error {
 	host := r.cluster.Hosts[0]
 	host.Kill()
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// exceedSpreadLimit offers one host a task more than a class may have in its domain.
+// exceedSpreadLimit offers one host one task more than its domain may have of a class.
 func (r *runner) exceedSpreadLimit(p *misbehavingPlacer) error {
 	class, i := r.findClass(func(c *forkhead.Class) bool { return c.SpreadDomain != forkhead.AnyDomain })
 	for n := range r.scenario.Settings.Module.Classes[i].MaxPerDomain + 1 {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// findClass returns the name and the index of the first class that is suitable, or else of the first one.
+// findClass returns the name and the index of the first suitable class, or of the first class if none is suitable.
 func (r *runner) findClass(suitable func(c *forkhead.Class) bool) (name string, index int) {
 	set := r.scenario.Settings
 	for i, c := range set.Classes {
@@ -114,11 +114,11 @@
 	return set.Classes[0].Name, 0
 }
 
-// duplicatingTransport repeats the first outcome of each response as a failure, like a server that reports two outcomes of
-// one task.
+// duplicatingTransport appends the first outcome of each response to it again, with the result failed, as a server would
+// that reports two outcomes of one task.
 type duplicatingTransport struct{ http.RoundTripper }
 
-// RoundTrip reads the whole response and appends the changed outcome.
+// RoundTrip performs the request, reads the whole response and appends the changed outcome.
 func (t duplicatingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := t.RoundTripper.RoundTrip(r)
 	if err != nil || resp.StatusCode != http.StatusOK {
--- a/internal/verify/chaos/faults.go
+++ b/internal/verify/chaos/faults.go
@@ -9,15 +9,15 @@
 	"forkhead/internal/verify/testcluster"
 )
 
-// activeFault is a fault of the scenario while it is injected.
+// activeFault is a fault of the scenario that is being injected.
 type activeFault struct {
 	scenario.Fault
 	rng   *rand.Rand
-	hosts []*testcluster.Host // drawn for it, in the order in which they are affected
+	hosts []*testcluster.Host // the affected hosts, in the order in which they are affected
 }
 
-// injectors holds the method for each kind of fault. Each injects the fault and returns when it is over and undone as far
-// as it can be. A canceled run ends the waits in between, not the undoing.
+// injectors holds the method that injects each kind of fault. The method returns when the fault is over and undone as
+// far as it can be. If the run is canceled, the method waits no longer but still undoes the fault.
 var injectors = map[scenario.FaultKind]func(*runner, *activeFault){
 	scenario.Crash:            (*runner).crashHosts,
 	scenario.HostUnresponsive: (*runner).vanishAndRestartHosts,
@@ -53,14 +53,14 @@
 	scenario.SlowReader:          (*runner).slowReading,
 }
 
-// injectFault injects a fault and returns when it is over. All its random draws come from rng, those of the hosts first.
+// injectFault injects a fault and returns when it is over. All random draws come from rng, first those of the hosts.
 func (r *runner) injectFault(fault scenario.Fault, rng *rand.Rand) {
 	f := &activeFault{Fault: fault, rng: rng}
 	f.drawHosts(r.cluster.Hosts)
 	injectors[fault.Kind](r, f)
 }
 
-// drawHosts draws the fault's fraction of all hosts, at least one, from those in its zone and rack.
+// drawHosts draws the affected hosts: the fault's share of all hosts, at least one, from those in its zone and rack.
 func (f *activeFault) drawHosts(all []*testcluster.Host) {
 	var candidates []*testcluster.Host
 	for _, h := range all {
@@ -73,14 +73,14 @@
 	f.hosts = candidates[:min(count, len(candidates))]
 }
 
-// during sets a condition for the duration of a fault.
+// during turns a condition on for the duration of a fault.
 func (r *runner) during(f *activeFault, set func(on bool)) {
 	set(true)
 	r.sleep(f.Duration)
 	set(false)
 }
 
-// repeat calls do at the fault's interval until the fault is over.
+// repeat calls do at the fault's interval until the fault is over or the run is canceled.
 func (r *runner) repeat(f *activeFault, do func()) {
 	for end := time.Now().Add(f.Duration); time.Now().Before(end); {
 		do()
--- a/internal/verify/chaos/faults_clients.go
+++ b/internal/verify/chaos/faults_clients.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// deleteTimeout is how long a client waits for the reply to a deletion.
+// deleteTimeout bounds the wait for the reply to the deletion of a project.
 const deleteTimeout = 5 * time.Second
 
-// raiseLoad multiplies the rates of all loads.
+// raiseLoad multiplies the rates of all loads by the fault's factor.
 func (r *runner) raiseLoad(f *activeFault) {
 	r.loadPerMille.Store(uint64(normalLoadPerMille * f.Factor))
 	r.sleep(f.Duration)
@@ -21,7 +21,7 @@
 
 func (r *runner) slowReading(f *activeFault) { r.during(f, r.slowReaders.Store) }
 
-// resubmitProjects lets owners delete some of the projects that run and submit each again.
+// resubmitProjects deletes some of the running projects and submits each of them again, as their owners would.
 func (r *runner) resubmitProjects(f *activeFault) {
 	httpClient := &http.Client{Timeout: deleteTimeout}
 	defer httpClient.CloseIdleConnections()
@@ -31,7 +31,7 @@
 	}
 }
 
-// deleteProject deletes a project. A failure is left alone: the owner submits the project again anyway.
+// deleteProject deletes a project. It ignores a failure: the project is submitted again in any case.
 func (r *runner) deleteProject(httpClient *http.Client, p project) {
 	ctx, cancel := context.WithTimeout(r.ctx, deleteTimeout)
 	defer cancel()
--- a/internal/verify/chaos/faults_hosts.go
+++ b/internal/verify/chaos/faults_hosts.go
@@ -23,7 +23,7 @@
 	r.restartHosts(f.hosts)
 }
 
-// restartRack kills all hosts of a rack at once, by default those of the zone's first one.
+// restartRack kills all hosts of a rack at once, by default of the first rack of the fault's zone, and restarts them.
 func (r *runner) restartRack(f *activeFault) {
 	f.HostShare = 1
 	if f.Rack == "" {
@@ -37,7 +37,7 @@
 
 func (r *runner) crashAfterBind(f *activeFault) { r.crashAt(f, hostmodel.AfterBind) }
 
-// crashAt lets each host crash when it next comes to a point, and restarts those that did.
+// crashAt makes each host crash when it next reaches a crash point, and restarts the hosts that did.
 func (r *runner) crashAt(f *activeFault, point hostmodel.CrashPoint) {
 	f.eachHost(func(h *hostmodel.Host, _ time.Duration) { h.CrashAt(point) })
 	r.sleep(f.Duration)
@@ -51,10 +51,10 @@
 	})
 }
 
-// slowHosts slows starts and service down at once.
+// slowHosts slows task starts and running tasks down in one step.
 func (r *runner) slowHosts(f *activeFault) { r.slowDownInSteps(f, 1) }
 
-// degradeHosts slows hosts down more and more until they crash.
+// degradeHosts slows hosts down progressively, then crashes and restarts them.
 func (r *runner) degradeHosts(f *activeFault) {
 	r.slowDownInSteps(f, degradationSteps)
 	killHosts(f.hosts)
@@ -62,7 +62,7 @@
 	r.restartHosts(f.hosts)
 }
 
-// slowDownInSteps raises the slowdown of hosts in equal steps up to the fault's factor.
+// slowDownInSteps increases the slowdown of hosts in equal steps up to the fault's factor.
 func (r *runner) slowDownInSteps(f *activeFault, steps int) {
 	for step := 1; step <= steps; step++ {
 		factor := 1 + (f.Factor-1)*float64(step)/float64(steps)
@@ -79,7 +79,7 @@
 	f.eachHost(func(h *hostmodel.Host, now time.Duration) { h.RejectClass(now, f.Duration, f.Class) })
 }
 
-// removeHosts drains hosts one after the other and ends them for good.
+// removeHosts drains hosts one after the other and kills them without a restart.
 func (r *runner) removeHosts(f *activeFault) {
 	for _, h := range f.hosts {
 		r.drainHost(h, true)
@@ -101,8 +101,8 @@
 	}
 }
 
-// drainHost puts a host into maintenance in the catalog and lets it drain. Its running tasks are dismissed at once, or
-// run on.
+// drainHost puts a host into maintenance in the catalog and makes it drain. Its running tasks are dismissed at once if
+// dismissTasks is set, and run on otherwise.
 func (r *runner) drainHost(h *testcluster.Host, dismissTasks bool) {
 	r.setMaintenance(h, true)
 	h.With(func(model *hostmodel.Host, now time.Duration) []hostmodel.Output {
@@ -126,11 +126,11 @@
 	}
 }
 
-// restartHosts restarts hosts that are down; they are warming up then.
+// restartHosts restarts those of the hosts that are down. They begin with their slow start.
 func (r *runner) restartHosts(hosts []*testcluster.Host) {
 	for _, h := range hosts {
 		if err := h.Restart(true); err != nil {
-			r.opt.Log.Error().Err(err).Msg("a host does not come back")
+			r.opt.Log.Error().Err(err).Msgf("cannot restart host %s", h.Name())
 		}
 	}
 }
--- a/internal/verify/chaos/faults_network.go
+++ b/internal/verify/chaos/faults_network.go
@@ -6,7 +6,7 @@
 	consulemulator "forkhead/internal/emulator/consul"
 )
 
-// Faults of connections to hosts.
+// The methods below inject faults of connections to hosts.
 
 func (r *runner) resetConnections(f *activeFault) {
 	r.repeat(f, func() {
@@ -16,7 +16,8 @@
 	})
 }
 
-// muteConnections leaves connections half-open: nobody reads or answers at the hosts' end. Only a new connection ends it.
+// muteConnections makes connections half-open: the hosts neither read from them nor write to them. They stay so; only a
+// new connection works again.
 func (r *runner) muteConnections(f *activeFault) {
 	for _, h := range f.hosts {
 		h.MuteConnections(f.Placer)
@@ -41,16 +42,16 @@
 	}
 }
 
-// Faults of service discovery.
+// The methods below inject faults of service discovery.
 
-// delayReports delays registrations, and with them what hosts report as available.
+// delayReports delays registrations and, with them, the hosts' reports of available resources.
 func (r *runner) delayReports(f *activeFault) {
 	r.lagCatalog(f, time.Duration(f.Factor*float64(r.scenario.Catalog.Lag)))
 }
 
 func (r *runner) delayDiscovery(f *activeFault) { r.lagCatalog(f, f.Delay) }
 
-// lagCatalog lets the endpoint list lag more than usual behind the hosts.
+// lagCatalog makes the endpoint list lag behind the hosts by the given time instead of the scenario's.
 func (r *runner) lagCatalog(f *activeFault, lag time.Duration) {
 	r.setCatalogLag(lag)
 	r.sleep(f.Duration)
--- a/internal/verify/chaos/faults_placers.go
+++ b/internal/verify/chaos/faults_placers.go
@@ -1,6 +1,6 @@
 package chaos
 
-// loseZone takes all hosts of a zone and its placers away, and brings them back.
+// loseZone makes all hosts of a zone unresponsive, kills its placers, and restarts all of them.
 func (r *runner) loseZone(f *activeFault) {
 	f.HostShare = 1
 	f.drawHosts(r.cluster.Hosts)
@@ -21,7 +21,7 @@
 	}
 }
 
-// stallPlacers stalls the event loop of one placer, or of all for -1, again and again.
+// stallPlacers repeatedly stalls the event loop of the fault's placer, or of all placers if it is -1.
 func (r *runner) stallPlacers(f *activeFault) {
 	r.repeat(f, func() {
 		for i := range r.cluster.PlacerCount() {
@@ -33,7 +33,7 @@
 	})
 }
 
-// killPlacer kills a placer, by default the first one, and starts it again.
+// killPlacer kills a placer, by default the first one, and restarts it.
 func (r *runner) killPlacer(f *activeFault) {
 	i := max(f.Placer, 0)
 	r.cluster.KillPlacer(i)
@@ -43,11 +43,11 @@
 
 func (r *runner) startPlacer(i int) {
 	if err := r.cluster.StartPlacer(i); err != nil {
-		r.opt.Log.Error().Err(err).Msg("a placer does not come back")
+		r.opt.Log.Error().Err(err).Msgf("cannot restart placer %d", i)
 	}
 }
 
-// dropGossip loses a fraction of the messages between placers.
+// dropGossip drops a fraction of the messages between placers.
 func (r *runner) dropGossip(f *activeFault) {
 	r.cluster.GossipLossPerMille.Store(uint64(1000 * min(f.Factor, 1)))
 	r.sleep(f.Duration)
--- a/internal/verify/chaos/faults_test.go
+++ b/internal/verify/chaos/faults_test.go
@@ -10,22 +10,23 @@
 	"forkhead/internal/verify/testcluster"
 )
 
+// A keyword that scenarios accept but that has no injector would panic in the middle of a run.
 func TestInjectorsCoverScenarioWords(t *testing.T) {
 	for _, kind := range scenario.FaultKinds {
 		if injectors[kind] == nil {
-			t.Errorf("no injector for %s", kind)
+			t.Errorf("injectors[%q] is nil, want a method", kind)
 		}
 	}
 	for _, bug := range scenario.InjectedBugs {
 		if bugInjectors[bug] == nil {
-			t.Errorf("no injector for %s", bug)
+			t.Errorf("bugInjectors[%q] is nil, want a method", bug)
 		}
 	}
 }
 
-// The hosts that a fault affects, and their order, follow from the seed: a run must be the same one after a change of this
-// package. The wanted ones were recorded before faults had injectors of their own.
-func TestDrawHostsFollowsFromSeed(t *testing.T) {
+// A scenario with the same seed must affect the same hosts in the same order after a change of this package. The
+// expected hosts are recorded results of an earlier version.
+func TestDrawHostsIsDeterministic(t *testing.T) {
 	north, south := &scenario.HostGroup{Zone: "north"}, &scenario.HostGroup{Zone: "south"}
 	var hosts []*testcluster.Host
 	names := map[*testcluster.Host]string{}
@@ -55,7 +56,7 @@
 			got = append(got, names[h])
 		}
 		if !slices.Equal(got, c.want) {
-			t.Errorf("%+v: %v, want %v", c.fault, got, c.want)
+			t.Errorf("drawHosts for %+v: got %v, want %v", c.fault, got, c.want)
 		}
 	}
 }
--- a/internal/verify/chaos/golden_test.go
+++ b/internal/verify/chaos/golden_test.go
@@ -9,8 +9,8 @@
 	"forkhead/internal/verify/rules"
 )
 
-// The results of one run, of a run in a process and of all runs have these JSON keys; Totals are summed up from results as
-// they are written.
+// Programs that read the results rely on their JSON keys, so the keys of Result, ProcessResult and Totals must not
+// change with the Go names. Totals.add reads results in their written form, and must read the same keys.
 func TestResultsGolden(t *testing.T) {
 	result := Result{
 		Rules: map[string]int{"drain": 1}, Vetoes: 2, Defects: 3, Tasks: 4, Outcomes: map[string]int{"placed": 5}, Submissions: 6, RejectedSubmissions: 7,
--- a/internal/verify/chaos/load.go
+++ b/internal/verify/chaos/load.go
@@ -11,19 +11,19 @@
 
 const (
 	normalLoadPerMille = 1000
-	loadSeedFactor     = 7919 // parts the draws of loads from those of faults
+	loadSeedFactor     = 7919 // separates the random draws of loads from those of faults
 )
 
 // project is a submission of one service.
 type project struct {
 	name    string
-	placer  int // that it is submitted to
+	placer  int // number of the placer that it is submitted to
 	compose string
 	load    *scenario.Load
 	tasks   int
 }
 
-// generateLoad submits the projects of a load, at exponentially distributed intervals.
+// generateLoad submits the projects of a load at exponentially distributed intervals.
 func (r *runner) generateLoad(load *scenario.Load, index uint64) {
 	rng := rand.New(rand.NewPCG(uint64(r.scenario.Seed)*loadSeedFactor, index))
 	if !r.sleep(load.From) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// drawProject draws the size of a project within the bounds of its load.
+// drawProject draws the size of a project from the ranges of its load.
 func drawProject(rng *rand.Rand, load *scenario.Load) project {
 	tasks := load.Replicas[0] + rng.IntN(load.Replicas[1]-load.Replicas[0]+1)
 	duration := load.TaskDuration[0] + time.Duration(rng.Float64()*float64(load.TaskDuration[1]-load.TaskDuration[0]))
@@ -54,7 +54,7 @@
 	return bounds[0] + rng.Float64()*(bounds[1]-bounds[0])
 }
 
-// composeFile returns a Compose file of one service, whose tasks have memory in GiB.
+// composeFile returns a Compose file of one service. memory is in GiB per task.
 func composeFile(load *scenario.Load, tasks int, duration time.Duration, cores, memory float64) string {
 	tenant := ""
 	if load.Tenant != "" {
@@ -71,7 +71,7 @@
 `, load.Name, load.Name, load.Class, duration.Milliseconds(), tenant, tasks, cores, int(memory*1024))
 }
 
-// projectSet holds the projects whose tasks are expected to run. It is safe for concurrent use.
+// projectSet holds the projects whose tasks are expected to be running. It is safe for concurrent use.
 type projectSet struct {
 	mu     sync.Mutex
 	byName map[string]project
@@ -91,8 +91,8 @@
 	delete(s.byName, name)
 }
 
-// draw returns about a fraction, from 0 to 1, of the projects. Which ones does not follow from the seed: a map has no
-// order.
+// draw returns a random selection of the projects; share, from 0 to 1, is the probability of each. The selection does
+// not follow from the seed, because the iteration order of a map varies.
 func (s *projectSet) draw(rng *rand.Rand, share float64) []project {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/verify/chaos/misbehaving.go
+++ b/internal/verify/chaos/misbehaving.go
@@ -11,16 +11,15 @@
 )
 
 const (
-	misbehavingPlacerNumber = 4000 // no placer of a scenario has it
+	misbehavingPlacerNumber = 4000 // a number that no placer of a scenario has
 	misbehavingPlacerEpoch  = 1
 	misbehavingDialTimeout  = time.Second
 )
 
-// misbehavingPlacer is a placer that breaks rules: it sends frames to hosts by itself, with no module and no invariant
-// checks.
+// misbehavingPlacer sends frames to hosts without a module and without invariant checks, so that it can break rules.
 type misbehavingPlacer struct {
 	lastTask    uint32
-	connections map[string]net.Conn // by host
+	connections map[string]net.Conn // by host name
 }
 
 // offeredTask identifies a task: offers with the same key and service are attempts of one task.
@@ -35,7 +34,8 @@
 	return &misbehavingPlacer{connections: map[string]net.Conn{}}
 }
 
-// connect returns the connection to a host. A new one begins with a Hello; what the host answers is discarded.
+// connect returns the connection to a host, and opens it if there is none. It sends a Hello first and discards the
+// frames that the host sends.
 func (p *misbehavingPlacer) connect(h *testcluster.Host) (net.Conn, error) {
 	if c := p.connections[h.Name()]; c != nil {
 		return c, nil
@@ -52,7 +52,7 @@
 	return c, err
 }
 
-// offer offers a small task of a class to a host.
+// offer sends a host an offer of a small task of a class.
 func (p *misbehavingPlacer) offer(h *testcluster.Host, class string, task offeredTask) error {
 	c, err := p.connect(h)
 	if err != nil {
@@ -72,6 +72,6 @@
 
 func (p *misbehavingPlacer) close() {
 	for _, c := range p.connections {
-		_ = c.Close() // the host awaits nothing
+		_ = c.Close() // an error loses nothing: no frame is awaited
 	}
 }
--- a/internal/verify/chaos/process.go
+++ b/internal/verify/chaos/process.go
@@ -18,13 +18,13 @@
 
 const (
 	exitRuleBroken    = 3       // exit code of a run that broke a rule or had a veto
-	exitUnknown       = -1      // of a run that did not come to an end
+	exitUnknown       = -1      // in place of the exit code of a run that failed
 	maxOutputLine     = 1 << 20 // bytes of a line of a run's output
-	maxErrorOutput    = 4096    // bytes prefix of a run's standard error
-	processStopStream = 5       // parts the draws of stops from those of the run itself
+	maxErrorOutput    = 4096    // bytes of a run's standard error that are kept, from its beginning
+	processStopStream = 5       // separates the random draws of stops from those of the run itself
 )
 
-// runProcess makes one run in a process of its own.
+// runProcess runs the scenario once, in a process of its own.
 func (r *Repeat) runProcess(ctx context.Context, seed int) ProcessResult {
 	result := ProcessResult{Seed: seed}
 	command := r.Command(seed)
@@ -47,7 +47,7 @@
 	}
 	readErr := result.readOutput(output)
 	close(ended)
-	stopper.Wait() // a process that is stopped does not end
+	stopper.Wait() // first, because Wait would block on a process that is still stopped
 	err = cmd.Wait()
 	var exit *exec.ExitError
 	switch {
@@ -61,7 +61,7 @@
 	return result
 }
 
-// readOutput reads the lines that a run writes: breaches, and then its result.
+// readOutput reads the lines that a run writes: its breaches, then its result.
 func (p *ProcessResult) readOutput(output io.Reader) error {
 	lines := bufio.NewScanner(output)
 	lines.Buffer(nil, maxOutputLine)
@@ -75,8 +75,8 @@
 	return lines.Err()
 }
 
-// stopRepeatedly stops a process after 0.5 to 1.5 s, lets it go on after at most maxStop, and so on until it has ended:
-// what a machine that is short of processors does to it.
+// stopRepeatedly stops a process after 0.5 to 1.5 s, continues it after at most maxStop, and repeats that until the
+// process has ended. This imitates a machine that is short of processors.
 func stopRepeatedly(process *os.Process, rng *rand.Rand, maxStop time.Duration, ended <-chan struct{}) {
 	sleep := func(d time.Duration) bool {
 		select {
@@ -97,13 +97,13 @@
 	}
 }
 
-// prefixBuffer holds the first max bytes that are written to it.
+// prefixBuffer keeps the first max bytes that are written to it.
 type prefixBuffer struct {
 	prefix []byte
 	max    int
 }
 
-// Write accepts all of p, stores what there is space for, and never fails.
+// Write keeps as much of p as there is space for. It reports all of p as written and never fails.
 func (b *prefixBuffer) Write(p []byte) (int, error) {
 	b.prefix = append(b.prefix, p[:min(len(p), b.max-len(b.prefix))]...)
 	return len(p), nil
--- a/internal/verify/chaos/repeat.go
+++ b/internal/verify/chaos/repeat.go
@@ -13,27 +13,27 @@
 type Repeat struct {
 	Runs      int
 	Parallel  int                     // runs at a time; less than 1: one
-	Seed      int                     // of the first run; each has the next
-	BusyLoops int                     // that do nothing but keep a processor busy
-	MaxStop   time.Duration           // each process is stopped for up to so long about once a second; 0: not
-	Command   func(seed int) []string // program and arguments of a run, which writes JSON lines
+	Seed      int                     // seed of the first run; each further run has the next seed
+	BusyLoops int                     // goroutines that only keep a processor busy
+	MaxStop   time.Duration           // longest time that a process is stopped, about once a second; 0: it is not stopped
+	Command   func(seed int) []string // returns program and arguments of a run, which writes JSON lines
 	OnDone    func(ProcessResult)     // called with each result, one at a time
 }
 
 // ProcessResult is the result of one run in a process of its own.
 type ProcessResult struct {
 	Seed     int             `json:"seed"`
-	ExitCode int             `json:"code"`             // 0, exitRuleBroken, or -1 with Error
-	Result   json.RawMessage `json:"result,omitempty"` // the last line of output that is no breach: a Result
+	ExitCode int             `json:"code"`             // 0, exitRuleBroken, or exitUnknown with Error
+	Result   json.RawMessage `json:"result,omitempty"` // a Result: the last line of output that is no breach
 	Breaches []string        `json:"breaches,omitempty"`
 	Error    string          `json:"error,omitempty"`
 }
 
-// Totals sums up all runs.
+// Totals holds the sums over all runs.
 type Totals struct {
 	Runs     int `json:"plays"`
-	Broken   int `json:"broken"` // broke a rule or had a veto
-	Failed   int `json:"failed"` // did not come to an end
+	Broken   int `json:"broken"` // runs that broke a rule or had a veto
+	Failed   int `json:"failed"` // runs that did not finish or have no readable result
 	Tasks    int `json:"tasks"`
 	Offers   int `json:"offers"`
 	Vetoes   int `json:"vetoes"`
@@ -41,7 +41,7 @@
 	Breaches int `json:"breaches"`
 }
 
-// Run makes all runs, unless ctx is canceled before.
+// Run performs all runs and returns their totals. It starts no further run once ctx is canceled.
 func (r *Repeat) Run(ctx context.Context) Totals {
 	ctx, cancel := context.WithCancel(ctx)
 	var busy, workers sync.WaitGroup
@@ -49,7 +49,7 @@
 		busy.Go(func() { keepBusy(ctx) })
 	}
 	var started atomic.Int64
-	var mu sync.Mutex // over totals, and calls of OnDone
+	var mu sync.Mutex // guards totals, and serializes calls of OnDone
 	var totals Totals
 	for range max(min(r.Parallel, r.Runs), 1) {
 		workers.Go(func() {
@@ -68,7 +68,7 @@
 	return totals
 }
 
-// add counts a run. A run that failed counts by itself only.
+// add adds a run to the totals. Of a failed run only the run itself is counted.
 func (t *Totals) add(p ProcessResult) {
 	t.Runs++
 	var r Result
@@ -88,7 +88,7 @@
 	}
 }
 
-// keepBusy keeps a processor busy until ctx is canceled, with a linear congruential generator.
+// keepBusy keeps a processor busy until ctx is canceled. It computes a linear congruential generator.
 func keepBusy(ctx context.Context) {
 	for x := uint64(1); ; x = x*6364136223846793005 + 1442695040888963407 {
 		if x%(1<<20) == 0 {
--- a/internal/verify/chaos/repeat_test.go
+++ b/internal/verify/chaos/repeat_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Runs that break a rule, that fail and that are killed are counted apart, and the totals are the sum of the others.
-func TestRepeatCountsRuns(t *testing.T) {
+// A run that fails or is killed must be counted as failed, not as one that broke no rule, and adds nothing to the other
+// totals. The runs here are shell commands: one passes, one breaks a rule, one fails and one is killed.
+func TestRepeatCountsRunsByResult(t *testing.T) {
 	var results []ProcessResult
 	r := Repeat{
 		Runs: 4, Parallel: 2, Seed: 10, BusyLoops: 1, MaxStop: time.Millisecond,
@@ -27,23 +28,23 @@
 	}
 	want := Totals{Runs: 4, Broken: 1, Failed: 2, Tasks: 10, Offers: 14, Vetoes: 2, Breaches: 2}
 	if got := r.Run(context.Background()); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("Repeat.Run() = %+v, want %+v", got, want)
 	}
 	for _, p := range results {
 		if p.Seed == 12 && !strings.Contains(p.Error, "trouble") || p.Seed == 11 && len(p.Breaches) != 1 {
-			t.Errorf("%+v", p)
+			t.Errorf("run with seed %d: got %+v, want its standard error in Error (seed 12) or one breach (seed 11)", p.Seed, p)
 		}
 	}
 }
 
-func TestPrefixBufferIsBounded(t *testing.T) {
+func TestPrefixBufferKeepsFirstBytes(t *testing.T) {
 	b := prefixBuffer{max: 5}
 	for _, p := range []string{"abc", "def", "ghi"} {
 		if n, err := b.Write([]byte(p)); n != len(p) || err != nil {
-			t.Errorf("write %q: %d, %v", p, n, err)
+			t.Errorf("Write(%q) = %d, %v, want %d, nil", p, n, err, len(p))
 		}
 	}
 	if string(b.prefix) != "abcde" {
-		t.Errorf("%q", b.prefix)
+		t.Errorf("after 9 bytes with max 5: got the prefix %q, want %q", b.prefix, "abcde")
 	}
 }
--- a/internal/verify/chaos/result.go
+++ b/internal/verify/chaos/result.go
@@ -20,23 +20,23 @@
 
 // Result is the result of a run.
 type Result struct {
-	Rules               map[string]int          `json:"rules"` // breaches of each rule
+	Rules               map[string]int          `json:"rules"` // breaches by rule
 	Vetoes              uint64                  `json:"vetoes"`
 	Defects             uint64                  `json:"defects"`
 	Tasks               int                     `json:"tasks"`
-	Outcomes            map[string]int          `json:"outcomes"` // tasks by kind of outcome
+	Outcomes            map[string]int          `json:"outcomes"` // tasks by outcome
 	Submissions         int                     `json:"submissions"`
-	RejectedSubmissions int                     `json:"turned_away"` // no placer accepted them
-	ResentSubmissions   int                     `json:"resent"`      // sent again after a lost reply
-	Offers              int                     `json:"offers"`      // frames that reached hosts
-	RejectedOffers      int                     `json:"refused"`     // of them by the hosts
+	RejectedSubmissions int                     `json:"turned_away"` // submissions that no placer accepted
+	ResentSubmissions   int                     `json:"resent"`      // submissions that were accepted again after a lost reply
+	Offers              int                     `json:"offers"`      // offers that reached hosts
+	RejectedOffers      int                     `json:"refused"`     // offers that the hosts rejected
 	HostIncarnations    int                     `json:"host_lives"`
 	Faults              int                     `json:"troubles"`
-	Events              int                     `json:"events"` // captured
-	P50MS               float64                 `json:"p50_ms"` // from submission to a placed outcome
+	Events              int                     `json:"events"` // captured events
+	P50MS               float64                 `json:"p50_ms"` // median time from a submission to a placed outcome
 	P99MS               float64                 `json:"p99_ms"`
 	Seconds             float64                 `json:"seconds"`
-	Accounts            rules.Accounts          `json:"accounts"`          // their sum is the tasks
+	Accounts            rules.Accounts          `json:"accounts"`          // tasks by what their clients read; the sum is Tasks
 	StoreCommits        uint64                  `json:"commits,omitempty"` // fsyncs of placers' stores
 	Captured            []capture.Event         `json:"-"`
 	Recordings          []testcluster.Recording `json:"-"`
@@ -46,7 +46,7 @@
 // OK reports whether no rule was broken and nothing was vetoed.
 func (r *Result) OK() bool { return r.Verdict.OK() && r.Vetoes == 0 }
 
-// result checks the rules on the captured events and sums up the run, whose cluster has stopped.
+// result checks the rules on the captured events and returns the result of the run. The cluster must have stopped.
 func (r *runner) result(events []capture.Event, vetoes, defects uint64) *Result {
 	startsPerSecond := float64(r.scenario.Host.MaxStarting) / r.scenario.Host.StartTime.Seconds()
 	config := rules.ConfigFromSettings(r.scenario.Settings, startsPerSecond)
@@ -79,7 +79,7 @@
 		result.Rules[rule.String()] = verdict.Counts[rule]
 	}
 	for _, kind := range []core.OutcomeKind{core.OutcomePlaced, core.OutcomeRejected, core.OutcomeFailed} {
-		result.Outcomes[string(kind)] += 0 // all kinds are named, also those with no task
+		result.Outcomes[string(kind)] += 0 // an entry for each kind, also for those without a task
 	}
 	return result
 }
@@ -87,14 +87,14 @@
 // Summary returns the result as lines of text.
 func (r *Result) Summary() string {
 	w := &strings.Builder{}
-	fmt.Fprintf(w, "%d tasks in %d submissions: %d placed, %d refused, %d failed; %d submissions turned away, %d sent again\n",
+	fmt.Fprintf(w, "%d tasks in %d submissions: %d placed, %d refused, %d failed; %d submissions not accepted, %d accepted again\n",
 		r.Tasks, r.Submissions, r.Outcomes["placed"], r.Outcomes["refused"], r.Outcomes["failed"], r.RejectedSubmissions, r.ResentSubmissions)
-	fmt.Fprintf(w, "%d offers reached hosts, %d refused there; %d lives of hosts; %d troubles; %d events in %.0f s\n",
+	fmt.Fprintf(w, "%d offers reached hosts, %d were rejected there; %d host incarnations; %d faults; %d events in %.0f s\n",
 		r.Offers, r.RejectedOffers, r.HostIncarnations, r.Faults, r.Events, r.Seconds)
-	fmt.Fprintf(w, "placed after %.1f ms (median), %.1f ms (99 in 100)\n", r.P50MS, r.P99MS)
+	fmt.Fprintf(w, "placed after %.1f ms (median), %.1f ms (99th percentile)\n", r.P50MS, r.P99MS)
 	a := &r.Accounts
-	fmt.Fprintf(w, "of the tasks %d were told an outcome, %d lost their placer before it was due, %d were cut off and not asked for again, "+
-		"%d were not due yet, %d forgotten\n", a.Answered, a.PlacerDied, a.Disconnected, a.NotDue, a.Unanswered)
+	fmt.Fprintf(w, "outcomes: %d read, %d due after their placer had died, %d not read since the client disconnected and did not submit again, "+
+		"%d due after the end, %d missing\n", a.Answered, a.PlacerDied, a.Disconnected, a.NotDue, a.Unanswered)
 	for rule := invariant.OneAnswer; rule <= invariant.Spread; rule++ {
 		fmt.Fprintf(w, "rule %-10s %d breaches\n", rule, r.Rules[rule.String()])
 	}
@@ -119,17 +119,17 @@
 	return latencies{histogram: hdrhistogram.New(1, maxLatency.Microseconds(), 3)}
 }
 
-// maxLatency is the longest latency that is counted.
+// maxLatency is the longest latency that is recorded.
 const maxLatency = 2 * time.Minute
 
-// add counts a latency, unless it is longer than maxLatency.
+// add records a latency, unless it is longer than maxLatency.
 func (l *latencies) add(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.histogram.RecordValue(max(d.Microseconds(), 1)) // fails for a value out of range only
+	_ = l.histogram.RecordValue(max(d.Microseconds(), 1)) // fails only for a value out of range
 }
 
-// quantileMS returns a quantile, from 0 to 100, in milliseconds.
+// quantileMS returns a latency in milliseconds. quantile is a percentage, from 0 to 100.
 func (l *latencies) quantileMS(quantile float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/verify/chaos/run.go
+++ b/internal/verify/chaos/run.go
@@ -1,8 +1,9 @@
-// Package chaos runs chaos tests: a cluster on loopback sockets, clients that submit load, and the faults of a scenario at
-// their times. The traffic on the sockets is captured, and package rules checks it afterwards.
+// Package chaos runs chaos tests. It starts a cluster on loopback sockets, submits load to it as clients would, and
+// injects the faults of a scenario at their times. The traffic on the sockets is captured, and package rules checks it
+// afterwards.
 //
 // Run runs a scenario once, in this process. Repeat runs it many times, each time in a process of its own and with the
-// next seed, while the machine is kept busy and the processes are stopped now and then.
+// next seed. It can keep the machine busy and stop the processes from time to time meanwhile.
 package chaos
 
 import (
@@ -23,15 +24,15 @@
 
 const (
 	maxCapturedEvents = 20_000_000
-	readyTimeout      = 10 * time.Second // until every placer has connections to all hosts
+	readyTimeout      = 10 * time.Second // until every placer is connected to all hosts
 )
 
-// Options are how a scenario is run.
+// Options are the options of Run.
 type Options struct {
-	Log         zerolog.Logger             // of the placers, and of faults that cannot be undone
-	NewModule   testcluster.ModuleFactory  // a module that breaks rules, for tests; nil: the real one
+	Log         zerolog.Logger             // receives messages of the placers, and about faults that cannot be undone
+	NewModule   testcluster.ModuleFactory  // makes a module that breaks rules, for tests; nil: the real module
 	OnFault     func(fault scenario.Fault) // called when a fault begins, from several goroutines; nil: not called
-	RecordSteps bool                       // the steps of the placers' cores are recorded, for Result.Recordings
+	RecordSteps bool                       // record the steps of the placers' cores in Result.Recordings
 }
 
 // runner is one run of a scenario.
@@ -44,11 +45,11 @@
 	start    time.Time
 	workers  sync.WaitGroup // loads, faults and submissions
 
-	// What faults do to clients.
-	loadPerMille      atomic.Uint64 // of the scenario's rates of submissions
+	// The effects of faults on clients.
+	loadPerMille      atomic.Uint64 // multiplier of the scenario's rates of submissions
 	disconnectClients atomic.Bool   // streams of new submissions break after some bytes
 	slowReaders       atomic.Bool   // clients of new submissions read late
-	duplicateOutcomes atomic.Bool   // clients see the first outcome twice, with different results
+	duplicateOutcomes atomic.Bool   // clients read the first outcome twice, with different results
 
 	submissions         atomic.Int64
 	rejectedSubmissions atomic.Int64
@@ -57,9 +58,9 @@
 	projects            projectSet
 }
 
-// Run runs a scenario to its end and checks the rules on the captured traffic. It returns an error if the cluster does not
-// start, a bug cannot be injected, the context is canceled or there is too much traffic to capture; broken rules are in
-// the result.
+// Run runs a scenario to its end and checks the rules on the captured traffic. It returns an error if the cluster does
+// not start, a bug cannot be injected, the context is canceled or there is too much traffic to capture. Breaches of
+// rules are in the result, not in the error.
 func Run(ctx context.Context, s *scenario.Scenario, opt Options) (*Result, error) {
 	captured := recorder.New(maxCapturedEvents)
 	cluster, err := testcluster.Start(s, testcluster.Options{
@@ -81,7 +82,7 @@
 	stop()
 	events, complete := captured.Events()
 	if !complete {
-		return nil, fmt.Errorf("the day has more than %d events: a record with a hole proves nothing", maxCapturedEvents)
+		return nil, fmt.Errorf("the run had more than %d events: an incomplete capture proves nothing", maxCapturedEvents)
 	}
 	return r.result(events, vetoes, defects), nil
 }
@@ -97,7 +98,7 @@
 	return r
 }
 
-// run starts the loads and the faults, injects the bugs, and waits until all is over.
+// run starts the loads and the faults, injects the bugs, and waits until all loads, faults and submissions have ended.
 func (r *runner) run() error {
 	for i := range r.scenario.Loads {
 		r.workers.Go(func() { r.generateLoad(&r.scenario.Loads[i], uint64(i)) })
@@ -107,15 +108,15 @@
 	}
 	for _, bug := range r.scenario.InjectedBugs {
 		if err := r.injectBug(bug); err != nil {
-			return fmt.Errorf("planting %s: %w", bug, err)
+			return fmt.Errorf("injecting bug %s: %w", bug, err)
 		}
 	}
 	r.workers.Wait()
 	return r.ctx.Err()
 }
 
-// scheduleFault injects a fault when its time has come. The random draws of a fault follow from the scenario's seed and
-// the fault's place in the scenario.
+// scheduleFault injects a fault at its time. The random draws of a fault follow from the scenario's seed and the fault's
+// index in the scenario.
 func (r *runner) scheduleFault(fault scenario.Fault, index uint64) {
 	if !r.sleep(time.Until(r.start.Add(fault.At))) {
 		return
@@ -126,5 +127,5 @@
 	r.injectFault(fault, rand.New(rand.NewPCG(uint64(r.scenario.Seed), index)))
 }
 
-// sleep waits, and reports false if the run was canceled meanwhile.
+// sleep waits for d and returns true. If the run is canceled, it returns false without further waiting.
 func (r *runner) sleep(d time.Duration) bool { return clock.Sleep(r.ctx, d) == nil }
--- a/internal/verify/chaos/run_test.go
+++ b/internal/verify/chaos/run_test.go
@@ -24,8 +24,9 @@
     (slow-reader (at 2s) (for 1s)) (placer-kill (at 2500ms) (for 300ms) (placer 0)) (tear (at 3s) (for 1s) (hosts 1))
     (half-open (at 4s) (hosts 0.2))))`
 
-// A breach of each rule, made on purpose on the sockets, is caught in the captured traffic.
-func TestInjectedBugsAreCaught(t *testing.T) {
+// A checker that misses breaches would pass every run, so a breach of each rule is committed on the sockets here, and
+// the check of the captured traffic must report it.
+func TestRunReportsInjectedBugs(t *testing.T) {
 	rule := map[scenario.InjectedBug]invariant.Rule{
 		scenario.BugTwoOutcomes: invariant.OneAnswer, scenario.BugRepeatedOffer: invariant.NoRepeat, scenario.BugOfferWhileDraining: invariant.Drain,
 		scenario.BugSlowStartOverload: invariant.SlowStart, scenario.BugSpreadExceeded: invariant.Spread,
@@ -43,13 +44,13 @@
 				t.Fatal(err)
 			}
 			if r.OK() || r.Verdict.Counts[rule[bug]] == 0 {
-				t.Fatalf("not caught: %v", r.Rules)
+				t.Fatalf("Run() = OK %v, breaches by rule %v, want a breach of %v", r.OK(), r.Rules, rule[bug])
 			}
 		})
 	}
 }
 
-// runShort runs shortScenario.
+// runShort runs shortScenario and returns its result.
 func runShort(t *testing.T, opt Options) *Result {
 	t.Helper()
 	s, err := scenario.Read("test", []byte(shortScenario))
@@ -66,19 +67,20 @@
 	return r
 }
 
-func TestRunShortScenario(t *testing.T) {
+func TestRunShortScenarioBreaksNoRule(t *testing.T) {
 	r := runShort(t, Options{})
 	if !r.OK() || r.Defects > 0 {
-		t.Fatalf("vetoes %d, defects %d, breaches %v", r.Vetoes, r.Defects, r.Verdict.Breaches)
+		t.Fatalf("Run() = %d vetoes, %d defects, breaches %v, want none", r.Vetoes, r.Defects, r.Verdict.Breaches)
 	}
 	if r.Tasks < 50 || r.Outcomes["placed"] < r.Tasks/2 {
-		t.Fatalf("a run with hardly any tasks proves nothing: %+v", r)
+		t.Fatalf("Run() = %d tasks, %d of them placed, want at least 50 and half of them placed: %+v", r.Tasks, r.Outcomes["placed"], r)
 	}
 }
 
-// A module that breaks the rules offers tasks twice at once and to removed hosts, repeats unsafe ones, and answers
-// twice. The invariant checks let none of it onto the sockets, and count it.
-func TestBrokenModuleIsVetoed(t *testing.T) {
+// Actions of a module that break rules must not reach the sockets. The module of this test offers each task to a second
+// machine at the same time, which may have been removed, also if the task is unsafe, and gives tasks a second outcome.
+// The invariant checks must veto these actions and count the vetoes.
+func TestRunVetoesBrokenModule(t *testing.T) {
 	newModule := func(set forkhead.Settings) func(time.Duration, []forkhead.Event) []forkhead.Action {
 		module, err := forkhead.New(set, 1)
 		if err != nil {
@@ -109,9 +111,9 @@
 	}
 	r := runShort(t, Options{NewModule: newModule})
 	if r.Vetoes == 0 {
-		t.Fatal("no veto of a module that breaks rules")
+		t.Fatal("Run() = 0 vetoes with a module that breaks rules, want more")
 	}
 	if n := r.Verdict.Counts[invariant.NoRepeat] + r.Verdict.Counts[invariant.Spread] + r.Verdict.Counts[invariant.Drain]; n > 0 {
-		t.Fatalf("%d breaches reached the sockets: %v", n, r.Verdict.Breaches)
+		t.Fatalf("got %d breaches of no-repeat, spread and drain on the sockets, want 0: %v", n, r.Verdict.Breaches)
 	}
 }
--- a/internal/verify/chaos/submission.go
+++ b/internal/verify/chaos/submission.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	maxSends           = 40 // of one submission
+	maxSends           = 40 // attempts to send one submission
 	resendBackoff      = 250 * time.Millisecond
-	slowReaderDelay    = 2 * time.Second // before a slow reader reads anything
-	disconnectingBytes = 400             // that a client reads before its stream breaks
+	slowReaderDelay    = 2 * time.Second // time until a slow reader reads anything
+	disconnectingBytes = 400             // bytes that a client reads before its stream breaks
 )
 
-// submission is a project on its way to a placer, and the outcomes on their way back. Its methods are called on one
-// goroutine, but for dial.
+// submission is the submission of a project to a placer and the stream of its outcomes. Its methods, except dial, are
+// called on one goroutine.
 type submission struct {
 	run     *runner
 	project project
 	start   time.Duration // by the cluster's clock
-	timeout time.Duration // of the tasks' class, until each has an outcome
-	id      string        // "" until a placer has accepted it
+	timeout time.Duration // placement timeout of the tasks' class
+	id      string        // ID from the placer; "" until a placer has accepted the submission
 
 	slowReader bool
-	disconnect bool // the next streams break
+	disconnect bool // break the next streams
 }
 
-// submit submits a project and reads its outcomes. After a lost reply it is sent again under its idempotency key, which
-// each generation of a project has of its own.
+// submit submits a project and reads its outcomes. After a lost reply it sends the project again under the same
+// idempotency key. Each generation of a project, a submission after a deletion, has another key.
 func (r *runner) submit(p project, generation int) {
 	r.submissions.Add(1)
 	s := &submission{
@@ -64,13 +64,13 @@
 	time.AfterFunc(p.load.TaskDuration[0], func() { r.projects.remove(p.name) })
 }
 
-// placementTimeout returns how long a task of a class is requested.
+// placementTimeout returns the placement timeout of a class.
 func (r *runner) placementTimeout(class string) time.Duration {
-	i, _ := r.scenario.Settings.ClassIndex(class) // the scenario has been checked
+	i, _ := r.scenario.Settings.ClassIndex(class) // scenario.Read has checked that the class exists
 	return r.scenario.Settings.Classes[i].PlacementTimeout
 }
 
-// httpClient returns a client that opens a connection for each request and misbehaves as the current faults require.
+// httpClient returns a client that opens a connection for each request, with the effects of the faults of clients.
 func (s *submission) httpClient() *http.Client {
 	var transport http.RoundTripper = &http.Transport{DisableCompression: true, DisableKeepAlives: true, DialContext: s.dial}
 	if s.run.duplicateOutcomes.Load() {
@@ -93,7 +93,8 @@
 	return conn, nil
 }
 
-// accepted takes the beginning of a reply. The ID of a resubmission may be another one: the placer may have restarted.
+// accepted records that a placer has accepted the submission. The ID may differ from that of an earlier reply, because
+// the placer may have restarted.
 func (s *submission) accepted(id string) {
 	if s.id != "" {
 		s.run.resentSubmissions.Add(1)
@@ -110,8 +111,8 @@
 	s.run.recorder.Add(capture.Event{At: s.run.cluster.Clock.Now(), Type: capture.ClientDisconnected, Submission: id})
 }
 
-// outcomeRead takes every outcome that was read, also those that came before: each incarnation of a placer reports
-// outcomes of its own.
+// outcomeRead records an outcome that the client read. It is called also for an outcome that an earlier stream had,
+// since each incarnation of a placer reports its own outcomes.
 func (s *submission) outcomeRead(o core.Outcome) {
 	s.run.recorder.Add(capture.Event{
 		At: s.run.cluster.Clock.Now(), Type: capture.Outcome, Placer: s.project.placer, Submission: s.id,
@@ -119,37 +120,37 @@
 	})
 }
 
-// recordLatency takes each task's first outcome.
+// recordLatency records the latency of a task that was placed. It is called with the first outcome of each task.
 func (s *submission) recordLatency(o core.Outcome) {
 	if o.Outcome == core.OutcomePlaced {
 		s.run.latencies.add(s.run.cluster.Clock.Now() - s.start)
 	}
 }
 
-// slowReadConn is the connection of a client that reads nothing for a while.
+// slowReadConn is the connection of a client that reads nothing until a time.
 type slowReadConn struct {
 	net.Conn
 	until time.Time
 }
 
-// Read waits first.
+// Read waits until c.until before it reads.
 func (c *slowReadConn) Read(b []byte) (int, error) {
 	time.Sleep(time.Until(c.until))
 	return c.Conn.Read(b)
 }
 
-// disconnectingConn is a connection that breaks once a number of bytes were read.
+// disconnectingConn is a connection that breaks after a number of bytes have been read.
 type disconnectingConn struct {
 	net.Conn
-	remaining int // bytes
+	remaining int // bytes until it breaks
 }
 
-var errDisconnected = errors.New("cut by the script")
+var errDisconnected = errors.New("connection broken by the scenario")
 
-// Read fails with errDisconnected once nothing remains.
+// Read fails with errDisconnected once no bytes remain.
 func (c *disconnectingConn) Read(b []byte) (int, error) {
 	if c.remaining <= 0 {
-		_ = c.Close() // errDisconnected says enough
+		_ = c.Close() // errDisconnected is returned instead of its error
 		return 0, errDisconnected
 	}
 	n, err := c.Conn.Read(b[:min(len(b), c.remaining)])
