--- a/internal/verify/bruteforce/benchmark_test.go
+++ b/internal/verify/bruteforce/benchmark_test.go
@@ -9,9 +9,10 @@
 	"forkhead/internal/planning/solver"
 )
 
-// BenchmarkSizes reports the time, the gap between cost and lower bound, and the nodes of instances of a fleet's size and of
-// triplets; a search is stopped after five seconds.
-// go test ./internal/verify/bruteforce -run xxx -bench Sizes -benchtime 1x
+// BenchmarkSizes measures the solver on instances of the size of a fleet and on triplets. It reports the time, the gap
+// between cost and lower bound, the nodes of the search and the cost. A search is stopped after five seconds.
+//
+//	go test ./internal/verify/bruteforce -run xxx -bench Sizes -benchtime 1x
 func BenchmarkSizes(b *testing.B) {
 	for _, size := range []struct{ hosts, tasks int }{{10, 30}, {40, 120}, {130, 400}} {
 		for seed := range uint64(3) {
@@ -51,8 +52,8 @@
 	b.ReportMetric(float64(result.Cost), "cost")
 }
 
-// fleetInstance draws an instance like those of a fleet: two machine types, racks of four, services of one to six tasks, a
-// third of them with a limit by rack, a fifth on large hosts only.
+// fleetInstance draws an instance that resembles a fleet: two machine types, racks of four hosts, and services of one
+// to six tasks. A third of the services has a limit per rack, a fifth is allowed on large hosts only.
 func fleetInstance(rng *rand.Rand, hosts, tasks int) *solver.Instance {
 	in := &solver.Instance{}
 	large := make([]bool, hosts)
@@ -83,8 +84,8 @@
 	return in
 }
 
-// tripletInstance is bin packing of the kind that is hard for bounds by sums: three tasks fill each host exactly, and every
-// other arrangement wastes some.
+// tripletInstance draws a bin-packing instance that is hard for lower bounds by sums: three tasks fill each host
+// exactly, and every other arrangement wastes capacity.
 func tripletInstance(rng *rand.Rand, hosts int) *solver.Instance {
 	in := &solver.Instance{}
 	for i := range hosts {
--- a/internal/verify/bruteforce/bruteforce.go
+++ b/internal/verify/bruteforce/bruteforce.go
@@ -1,5 +1,5 @@
-// Package bruteforce compares the solver with brute force that shares no code with it: every assignment of the tasks of a
-// small instance to hosts is tried.
+// Package bruteforce compares the solver with a brute-force search that shares no code with it: the search tries every
+// assignment of the tasks of a small instance to hosts.
 package bruteforce
 
 import (
@@ -10,9 +10,9 @@
 	"forkhead/internal/planning/solver"
 )
 
-// Compare draws n instances, seeded by seed and the numbers after it, and solves each with the solver and by brute force. It
-// returns how many had a placement. Its error names the first instance on which the two differ, which the solver did not
-// finish, or whose placement solver.Check rejects.
+// Compare draws n instances, with the seeds from seed on, and solves each with the solver and by brute force. It
+// returns the number of feasible instances. Its error names the first instance on which the two results differ, which
+// the solver did not finish, or whose placement solver.Check rejects.
 func Compare(seed uint64, n int, opt solver.Options) (feasible int, err error) {
 	for i := range n {
 		number := seed + uint64(i)
@@ -28,7 +28,8 @@
 	return feasible, nil
 }
 
-// compareOne reports whether both found a placement, and an error where they differ.
+// compareOne reports whether the solver and brute force both found a placement. It returns an error if their results
+// differ.
 func compareOne(in *solver.Instance, opt solver.Options) (feasible bool, err error) {
 	result, err := solver.Solve(in, opt)
 	if err != nil {
@@ -37,19 +38,19 @@
 	want := minCost(in)
 	switch {
 	case !result.Optimal:
-		return false, errors.New("not proven")
+		return false, errors.New("the solver did not prove its result optimal")
 	case result.Feasible != (want >= 0):
-		return false, fmt.Errorf("feasible %v, brute force finds %d: %+v", result.Feasible, want, in)
+		return false, fmt.Errorf("the solver says feasible %v, brute force finds the cost %d (-1: infeasible): %+v", result.Feasible, want, in)
 	case !result.Feasible:
 		return false, nil
 	case result.Cost != want:
-		return false, fmt.Errorf("cost %d, brute force finds %d: %+v", result.Cost, want, in)
+		return false, fmt.Errorf("the solver finds the cost %d, brute force finds %d: %+v", result.Cost, want, in)
 	}
 	return true, solver.Check(in, result.Counts, result.Cost)
 }
 
-// minCost returns the least cost of a placement, or -1 if there is none. Its time grows with the number of hosts to the power
-// of the number of tasks.
+// minCost returns the minimum cost of a placement, or -1 if there is no placement. Its time is exponential: the number
+// of hosts to the power of the number of tasks.
 func minCost(in *solver.Instance) int64 {
 	var tasks []int // the service of each task
 	p := placement{in: in}
@@ -82,7 +83,7 @@
 // placement is a complete assignment of tasks to hosts.
 type placement struct {
 	in     *solver.Instance
-	counts [][]int // tasks by service, by host
+	counts [][]int // number of tasks by service and host
 }
 
 // isValid reports whether a placement satisfies its instance.
@@ -103,7 +104,7 @@
 	return true
 }
 
-// fits reports whether a host has the cores and memory of its tasks.
+// fits reports whether a host has enough cores and memory for its tasks.
 func (p *placement) fits(host int) bool {
 	h := &p.in.Hosts[host]
 	cores, memory := h.Cores, h.Memory
@@ -115,13 +116,13 @@
 	return cores >= 0 && memory >= 0
 }
 
-// isAllowed reports whether a service may use a host.
+// isAllowed reports whether tasks of a service may be placed on a host.
 func (p *placement) isAllowed(service, host int) bool {
 	allowed := p.in.Services[service].Allowed
 	return !p.in.Hosts[host].Unschedulable && (allowed == nil || allowed[host])
 }
 
-// isSpread reports whether no domain of a host has more tasks of a service than its limit.
+// isSpread reports whether the number of a service's tasks on a host, in its rack and in its zone is within the limits.
 func (p *placement) isSpread(service, host int) bool {
 	s := &p.in.Services[service]
 	return withinLimit(p.tasksInDomain(service, solver.HostDomain, host), s.MaxPerHost) &&
@@ -131,7 +132,7 @@
 
 func withinLimit(n, limit int) bool { return limit == 0 || n <= limit }
 
-// isNearOthers reports whether the affinities of a service hold on a host.
+// isNearOthers reports whether a host satisfies the affinities of a service.
 func (p *placement) isNearOthers(service, host int) bool {
 	for _, affinity := range p.in.Services[service].Affinities {
 		if p.tasksInDomain(affinity.Service, affinity.Domain, host) == 0 {
@@ -141,7 +142,7 @@
 	return true
 }
 
-// tasksInDomain counts the tasks of a service in a domain of a host.
+// tasksInDomain returns the number of tasks of a service in the domain that a host is in.
 func (p *placement) tasksInDomain(service int, domain solver.Domain, host int) int {
 	n := 0
 	h := &p.in.Hosts[host]
@@ -154,7 +155,7 @@
 	return n
 }
 
-// cost returns what a placement costs, valid or not.
+// cost returns the cost of a placement. The placement need not be valid.
 func (p *placement) cost() int64 {
 	total := int64(0)
 	for host := range p.in.Hosts {
--- a/internal/verify/bruteforce/bruteforce_test.go
+++ b/internal/verify/bruteforce/bruteforce_test.go
@@ -6,6 +6,7 @@
 	"forkhead/internal/planning/solver"
 )
 
+// A random set in which almost all or almost no instances are feasible would test only one of the two results.
 func TestSolverAgreesWithBruteForce(t *testing.T) {
 	const n = 3000
 	feasible, err := Compare(1, n, solver.Options{})
@@ -13,14 +14,15 @@
 		t.Fatal(err)
 	}
 	if feasible < n/4 || feasible > n*9/10 {
-		t.Fatalf("%d of %d have an answer: too one-sided to prove much", feasible, n)
+		t.Fatalf("Compare: got %d feasible instances of %d, want between a quarter and nine tenths", feasible, n)
 	}
 }
 
-func TestInjectedBugsAreFound(t *testing.T) {
+// A comparison that missed a wrong solver would prove nothing, so Compare must detect each injected bug.
+func TestCompareFindsInjectedBugs(t *testing.T) {
 	for _, bug := range []solver.InjectedBug{solver.BugInBound, solver.BugInPropagation} {
 		if _, err := Compare(1, 20_000, solver.Options{InjectedBug: bug}); err == nil {
-			t.Errorf("a bug in the %s is not found", bug)
+			t.Errorf("Compare with the injected bug %q: got no error, want one", bug)
 		}
 	}
 }
--- a/internal/verify/bruteforce/pseudoboolean_test.go
+++ b/internal/verify/bruteforce/pseudoboolean_test.go
@@ -10,24 +10,24 @@
 	"forkhead/internal/planning/solver"
 )
 
-// encoder writes an instance as a problem of a pseudo-Boolean solver from elsewhere, which checks ours at sizes that brute
-// force does not reach. A variable is true if a task is on a host, or if a host is in use.
+// encoder encodes an instance as a problem for the pseudo-Boolean solver gophersat, which checks this project's solver
+// at sizes that brute force does not reach. A variable is true if a task is on a host, or if a host is in use.
 type encoder struct {
 	in          *solver.Instance
-	variables   int // how many there are; they are numbered from 1
+	variables   int // number of variables; they are numbered from 1
 	constraints []gophersat.PBConstr
-	inUse       []int          // variable by host
-	tasks       [][]taskOnHost // by host: the variables of the tasks on it
+	inUse       []int          // variable of each host
+	tasks       [][]taskOnHost // variables of all tasks on each host
 }
 
-// taskOnHost is the variable of a task and a host, with what the task requests.
+// taskOnHost is the variable for a task on a host, with the resources that the task requests.
 type taskOnHost struct {
 	variable      int
 	cores, memory int64
 }
 
-// pseudoBooleanCost returns the least cost of a placement, or -1 if there is none. It knows no affinities, no costs but those
-// of hosts, and takes no host as in use before.
+// pseudoBooleanCost returns the minimum cost of a placement, or -1 if there is no placement. It ignores affinities and
+// all costs but those of hosts, and assumes that no host is in use already.
 func pseudoBooleanCost(in *solver.Instance) int64 {
 	e := &encoder{in: in, tasks: make([][]taskOnHost, len(in.Hosts))}
 	for range in.Hosts {
@@ -60,7 +60,8 @@
 	e.constraints = append(e.constraints, constraints...)
 }
 
-// encodeService places each task of a service on one host that is then in use, within the service's limits.
+// encodeService requires that each task of a service is on exactly one host, that this host is in use, and that the
+// service's limits hold.
 func (e *encoder) encodeService(s *solver.Service) {
 	byHost, byRack, byZone := map[string][]int{}, map[string][]int{}, map[string][]int{}
 	for range s.Count {
@@ -85,7 +86,7 @@
 	e.encodeLimit(byZone, s.MaxPerZone)
 }
 
-// encodeLimit bounds the tasks of a service in each domain; 0 is no limit.
+// encodeLimit bounds the number of a service's tasks in each domain. A limit of 0 means no limit.
 func (e *encoder) encodeLimit(byDomain map[string][]int, limit int) {
 	for _, variables := range byDomain {
 		if limit > 0 && len(variables) > limit {
@@ -94,7 +95,7 @@
 	}
 }
 
-// encodeCapacity bounds the sum of an amount of the tasks on a host.
+// encodeCapacity bounds the sum of one resource over the tasks on a host.
 func (e *encoder) encodeCapacity(host int, amountOf func(taskOnHost) int64, capacity int64) {
 	var variables, amounts []int
 	for _, t := range e.tasks[host] {
@@ -107,7 +108,7 @@
 	}
 }
 
-// mediumInstance draws an instance beyond brute force: six to eight hosts, ten to fourteen tasks.
+// mediumInstance draws an instance that is too large for brute force: six to eight hosts, ten to fourteen tasks.
 func mediumInstance(rng *rand.Rand) *solver.Instance {
 	in := &solver.Instance{}
 	for i := range 6 + rng.IntN(3) {
@@ -132,6 +133,8 @@
 	return in
 }
 
+// The solver must find the same cost as an independent solver on instances that are too large for brute force. A set in
+// which few or all instances are feasible would test only one of the two results.
 func TestSolverAgreesWithPseudoBooleanSolver(t *testing.T) {
 	feasible := 0
 	const n = 14
@@ -139,17 +142,17 @@
 		in := mediumInstance(rand.New(rand.NewPCG(seed, 31)))
 		result, err := solver.Solve(in, solver.Options{})
 		if err != nil || !result.Optimal {
-			t.Fatalf("instance %d: %+v, %v", seed, result, err)
+			t.Fatalf("instance %d: Solve() = %+v, %v, want an optimal result", seed, result, err)
 		}
 		want := pseudoBooleanCost(in)
 		if result.Feasible != (want >= 0) || result.Feasible && result.Cost != want {
-			t.Fatalf("instance %d: feasible %v at %d, the other solver says %d: %+v", seed, result.Feasible, result.Cost, want, in)
+			t.Fatalf("instance %d: Solve() = feasible %v, cost %d, want cost %d (-1: infeasible): %+v", seed, result.Feasible, result.Cost, want, in)
 		}
 		if result.Feasible {
 			feasible++
 		}
 	}
 	if feasible < n/5 || feasible == n {
-		t.Fatalf("%d of %d have an answer: too one-sided", feasible, n)
+		t.Fatalf("got %d feasible instances of %d, want at least a fifth and not all", feasible, n)
 	}
 }
--- a/internal/verify/bruteforce/random.go
+++ b/internal/verify/bruteforce/random.go
@@ -7,19 +7,19 @@
 	"forkhead/internal/planning/solver"
 )
 
-// Bounds of a random instance: brute force takes at most 4^6 assignments.
+// Bounds of a random instance. With them, brute force tries at most 4^6 assignments.
 const (
 	maxRandomHosts = 4
 	maxRandomTasks = 6
 )
 
-// randomInstance draws a small instance, often just at capacity, with every kind of constraint and cost.
+// randomInstance draws a small instance, often just at capacity, with all kinds of constraints and costs.
 func randomInstance(rng *rand.Rand) *solver.Instance {
 	in := &solver.Instance{MigrationCost: rng.Int64N(4)}
 	for i := range rng.IntN(maxRandomHosts + 1) {
 		h := randomHost(rng)
 		if i > 0 && rng.IntN(2) == 0 {
-			h = in.Hosts[i-1] // hosts that differ in nothing
+			h = in.Hosts[i-1] // identical hosts but for the ID
 		}
 		h.ID = fmt.Sprint("h", i)
 		in.Hosts = append(in.Hosts, h)
@@ -36,7 +36,7 @@
 	return in
 }
 
-// randomHost draws a host without an ID, in one of two racks and one of two zones.
+// randomHost draws a host in one of two racks and one of two zones. It sets no ID.
 func randomHost(rng *rand.Rand) solver.Host {
 	h := solver.Host{
 		Rack: fmt.Sprint("r", rng.IntN(2)), Cores: 1 + rng.Int64N(8), Memory: 1 + rng.Int64N(8),
@@ -46,8 +46,8 @@
 	return h
 }
 
-// randomService draws a service of at most maxTasks tasks, for an instance with so many hosts. Its affinities are to services
-// before index, its own one.
+// randomService draws the service with the given index, of at most maxTasks tasks, for an instance with the given
+// number of hosts. Its affinities are to services with a lower index.
 func randomService(rng *rand.Rand, index, maxTasks, hosts int) solver.Service {
 	s := solver.Service{
 		Name: fmt.Sprint("s", index), Count: 1 + rng.IntN(maxTasks), Cores: rng.Int64N(5), Memory: rng.Int64N(5),
--- a/internal/verify/testcluster/cluster.go
+++ b/internal/verify/testcluster/cluster.go
@@ -1,5 +1,5 @@
-// Package testcluster runs a whole service on loopback sockets in one process, as a scenario describes it: an emulated
-// Consul catalog, emulated hosts, and real placers.
+// Package testcluster runs the cluster of a scenario on loopback sockets in one process: an emulated Consul catalog,
+// emulated hosts and real placers.
 package testcluster
 
 import (
@@ -25,37 +25,37 @@
 	readyPollInterval = 5 * time.Millisecond
 )
 
-// Cluster is a running service. Its methods are safe for concurrent use, but for Stop and Recordings.
+// Cluster is a running cluster. Its methods, except Stop and Recordings, are safe for concurrent use.
 type Cluster struct {
 	Scenario           *scenario.Scenario
-	Settings           *settings.Settings // the scenario's, with the addresses of this cluster
+	Settings           *settings.Settings // the scenario's settings with the addresses of this cluster
 	Clock              *clock.Clock
 	Catalog            *consulemulator.Server
 	Hosts              []*Host
-	GossipLossPerMille atomic.Uint64 // of the messages between placers
-	StoreCommits       atomic.Uint64 // fsyncs of the stores that are closed
+	GossipLossPerMille atomic.Uint64 // share of the messages between placers that is dropped
+	StoreCommits       atomic.Uint64 // fsyncs of the stores that have been closed
 
 	opt     Options
-	engine  *netio.Engine // of the hosts
+	engine  *netio.Engine // serves the sockets of the hosts
 	placers []placerSlot
-	folder  string // of the placers' stores; "": none
+	folder  string // holds the placers' stores; "": they have none
 
-	startStop  sync.Mutex    // held while a placer starts or is killed
-	recordings []Recording   // with startStop held
-	vetoes     atomic.Uint64 // of placers that were killed
-	defects    atomic.Uint64 // of placers that were killed
+	startStop  sync.Mutex    // held while a placer is started or killed
+	recordings []Recording   // guarded by startStop
+	vetoes     atomic.Uint64 // vetoes of the placers that were killed
+	defects    atomic.Uint64 // defects of the placers that were killed
 }
 
-// Options are how a cluster is run, beside its scenario.
+// Options are the options of Start.
 type Options struct {
-	Log         zerolog.Logger     // of the placers
-	Recorder    *recorder.Recorder // takes the traffic of hosts and placers; nil: none
-	NewModule   ModuleFactory      // nil: the real module
-	RecordSteps bool               // the steps of the placers' cores are recorded, for Cluster.Recordings
+	Log         zerolog.Logger     // receives the messages of the placers
+	Recorder    *recorder.Recorder // captures the traffic of hosts and placers; nil: it is not captured
+	NewModule   ModuleFactory      // nil: the placers have the real module
+	RecordSteps bool               // record the steps of the placers' cores for Cluster.Recordings
 }
 
-// Start starts a scenario's catalog, hosts and placers. All are in this process and listen at any unused ports, so that
-// clusters can run side by side.
+// Start starts the catalog, the hosts and the placers of a scenario. All run in this process and listen on unused
+// ports, so that several clusters can run at the same time.
 func Start(s *scenario.Scenario, opt Options) (*Cluster, error) {
 	c := &Cluster{Scenario: s, Clock: clock.New(), opt: opt}
 	var err error
@@ -120,12 +120,12 @@
 	return &set, nil
 }
 
-// WaitReady waits until every placer that is up has a connection to every host and the host's entry of the endpoint list.
-// It returns an error after the timeout.
+// WaitReady waits until every placer that is up has, for every host, a connection and the entry of the endpoint list. It
+// returns an error after the timeout.
 func (c *Cluster) WaitReady(timeout time.Duration) error {
 	for end := time.Now().Add(timeout); !c.ready(); time.Sleep(readyPollInterval) {
 		if time.Now().After(end) {
-			return fmt.Errorf("the placers do not have all %d hosts after %v", len(c.Hosts), timeout)
+			return fmt.Errorf("not every placer is connected to all %d hosts and has their list entries after %v", len(c.Hosts), timeout)
 		}
 	}
 	return nil
@@ -144,13 +144,13 @@
 	return true
 }
 
-// Stop stops the placers, which close their stores, and then all else.
+// Stop stops the placers and closes their stores, then stops the hosts and the catalog.
 func (c *Cluster) Stop() {
 	for i := range c.placers {
 		c.stopPlacer(&c.placers[i])
 	}
 	if c.folder != "" {
-		_ = os.RemoveAll(c.folder) // it is among the temporary files
+		_ = os.RemoveAll(c.folder) // a folder that is left over is among the temporary files
 	}
 	for _, h := range c.Hosts {
 		h.Stop()
--- a/internal/verify/testcluster/hosts.go
+++ b/internal/verify/testcluster/hosts.go
@@ -15,8 +15,8 @@
 	Rack  string
 }
 
-// HostConfig returns the configuration of a host of a group, counted from 0. The scenario's settings must have the group's
-// machine type.
+// HostConfig returns the configuration of host i of a group, counted from 0. The scenario's settings must have the
+// machine type of the group.
 func HostConfig(s *scenario.Scenario, g *scenario.HostGroup, i int) hostmodel.Config {
 	module := &s.Settings.Module
 	machineType := module.MachineTypes[slices.Index(s.Settings.MachineTypeNames, g.MachineType)]
--- a/internal/verify/testcluster/path_test.go
+++ b/internal/verify/testcluster/path_test.go
@@ -20,9 +20,10 @@
 	"forkhead/internal/verify/testcluster"
 )
 
-// BenchmarkPath measures the whole path on loopback: a client's POST, the HTTP server, the parser, the core with the module,
-// the host's frames, and the outcome back. Hosts take next to no time of their own, so what is measured is the placer's and
-// the sockets'. Allocations are those of the whole process: client, placer and hosts.
+// BenchmarkPath measures the whole path of a placement on loopback: the client's POST, the HTTP server, the parser, the
+// core with the module, the frames to and from the host, and the outcome in the response. The hosts take almost no
+// time, so the result is the time of the placer and the sockets. The allocations are those of the whole process:
+// client, placer and hosts.
 func BenchmarkPath(b *testing.B) {
 	for _, hosts := range []int{10, 100} {
 		for _, clients := range []int{1, 16} {
@@ -58,7 +59,7 @@
 	b.StopTimer()
 	runtime.ReadMemStats(&after)
 	if failed.Load() > 0 {
-		b.Fatalf("%d of %d not placed", failed.Load(), b.N)
+		b.Fatalf("%d of %d submissions were not placed, want 0", failed.Load(), b.N)
 	}
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "placements/s")
 	b.ReportMetric(float64(c.latencies.ValueAtQuantile(50)), "p50-us")
@@ -66,7 +67,7 @@
 	b.ReportMetric(float64(after.Mallocs-before.Mallocs)/float64(b.N), "allocs/ask")
 }
 
-// startPathCluster starts one placer with hosts that start tasks at once, and returns the address of its HTTP server.
+// startPathCluster starts one placer, with hosts that start tasks at once, and returns the address of its HTTP server.
 func startPathCluster(b *testing.B, hosts int) string {
 	b.Helper()
 	//nolint:misspell // keys of scenarios keep their spelling
@@ -89,7 +90,7 @@
 	return cluster.Settings.Placers[0].HTTPAddress
 }
 
-// pathClient submits services of one small task.
+// pathClient submits projects of one service with one small task. It is safe for concurrent use.
 type pathClient struct {
 	url  string
 	http *http.Client
@@ -126,12 +127,12 @@
 		return err
 	}
 	if !bytes.Contains(body, []byte(`"outcome":"placed"`)) {
-		return fmt.Errorf("not placed: %s", body)
+		return fmt.Errorf("the task was not placed: response %s", body)
 	}
 	return nil
 }
 
-// submitTimed submits and counts the time of what was placed.
+// submitTimed calls submit and records its latency, unless the task was not placed.
 func (c *pathClient) submitTimed() error {
 	start := time.Now()
 	if err := c.submit(); err != nil {
@@ -139,6 +140,6 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = c.latencies.RecordValue(max(time.Since(start).Microseconds(), 1)) // fails for a value out of range only
+	_ = c.latencies.RecordValue(max(time.Since(start).Microseconds(), 1)) // fails only for a value out of range
 	return nil
 }
--- a/internal/verify/testcluster/placers.go
+++ b/internal/verify/testcluster/placers.go
@@ -14,19 +14,18 @@
 )
 
 const (
-	maxPlacerStarts    = 100 // attempts
+	maxPlacerStarts    = 100 // attempts to start one placer
 	placerStartBackoff = 10 * time.Millisecond
 )
 
-// ModuleFactory returns the Step function of a module that replaces the real one, to show that what it does wrong is
-// caught.
+// ModuleFactory returns the Step function of a module that replaces the real one, to show that its faults are detected.
 type ModuleFactory func(set forkhead.Settings) func(now time.Duration, events []forkhead.Event) []forkhead.Action
 
-// placerSlot is one placer through all of its incarnations.
+// placerSlot is one placer. Its incarnations follow each other in the slot.
 type placerSlot struct {
-	server       atomic.Pointer[placer.Server] // nil: down
-	incarnations int                           // so far
-	store        *store.Store                  // nil: down, or the scenario is not durable
+	server       atomic.Pointer[placer.Server] // nil: the placer is down
+	incarnations int                           // number of incarnations so far
+	store        *store.Store                  // nil: the placer is down, or the scenario is not durable
 }
 
 // Placer returns a placer, or nil while it is down.
@@ -35,8 +34,8 @@
 // PlacerCount returns the number of placers, up or down.
 func (c *Cluster) PlacerCount() int { return len(c.placers) }
 
-// StartPlacer starts the next incarnation of a placer. Nothing happens if the placer is up: of two faults that overlapped
-// only one had killed it.
+// StartPlacer starts the next incarnation of a placer. It does nothing if the placer is up: if two faults that kill a
+// placer overlap, both restart it, but only one has killed it.
 func (c *Cluster) StartPlacer(i int) error {
 	c.startStop.Lock()
 	defer c.startStop.Unlock()
@@ -88,7 +87,8 @@
 	return cfg, nil
 }
 
-// startPlacer starts a placer, whose ports closing connections may still use for a moment.
+// startPlacer starts a placer. It tries again after a failure, because connections that are closing may still use the
+// placer's ports for a moment.
 func startPlacer(cfg placer.Config) (p *placer.Server, err error) {
 	for range maxPlacerStarts {
 		if p, err = placer.Start(cfg); err == nil {
@@ -99,7 +99,8 @@
 	return nil, err
 }
 
-// KillPlacer ends a placer as kill -9 would: what its store has not written is lost. Nothing happens if it is down.
+// KillPlacer ends a placer as kill -9 would: data that its store has not written is lost. It does nothing if the placer
+// is down.
 func (c *Cluster) KillPlacer(i int) {
 	c.startStop.Lock()
 	defer c.startStop.Unlock()
@@ -116,7 +117,7 @@
 	c.opt.Recorder.Add(capture.Event{At: c.Clock.Now(), Type: capture.PlacerDown, Placer: i, PlacerEpoch: p.Epoch()})
 }
 
-// stopPlacer stops a placer that may be down, and closes its store.
+// stopPlacer stops a placer, unless it is down, and closes its store.
 func (c *Cluster) stopPlacer(slot *placerSlot) {
 	if p := slot.server.Swap(nil); p != nil {
 		p.Close()
@@ -124,7 +125,7 @@
 	c.closeStore(slot, (*store.Store).Close)
 }
 
-// closeStore closes a placer's store, if it has one, by the given method.
+// closeStore closes a placer's store, if it is open, with the given method.
 func (c *Cluster) closeStore(slot *placerSlot, closeStore func(*store.Store) error) {
 	st := slot.store
 	if st == nil {
@@ -132,12 +133,12 @@
 	}
 	slot.store = nil
 	if err := closeStore(st); err != nil {
-		c.opt.Log.Error().Err(err).Msg("a store does not close")
+		c.opt.Log.Error().Err(err).Msg("cannot close the store of a placer")
 	}
 	c.StoreCommits.Add(uint64(st.Commits))
 }
 
-// Totals returns the vetoes and defects of all incarnations of all placers.
+// Totals returns the sums of the vetoes and of the defects of all incarnations of all placers.
 func (c *Cluster) Totals() (vetoes, defects uint64) {
 	vetoes, defects = c.vetoes.Load(), c.defects.Load()
 	for i := range c.placers {
--- a/internal/verify/testcluster/ports.go
+++ b/internal/verify/testcluster/ports.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 )
 
-// The ports of clusters lie below those that the system gives to outgoing connections: a server that is down for a while must
-// find its port unused when it restarts.
+// The ports of clusters are below those that the system assigns to outgoing connections, since a server that was down
+// for a while must find its port unused when it restarts.
 const (
 	minPort         = 12_000
 	portCount       = 18_000
@@ -17,12 +17,13 @@
 )
 
 var (
-	firstPort   = rand.Uint64N(portCount) // so that clusters of other processes seldom try the same ports
-	portsProbed atomic.Uint64             // by all calls of freeAddress
+	firstPort   = rand.Uint64N(portCount) // random, so that clusters of other processes seldom try the same ports
+	portsProbed atomic.Uint64             // ports that all calls of freeAddress have tried
 )
 
-// freeAddress returns a loopback address that is unused now. No other call in this process gets the same port until all others
-// have been tried: between this call and the start of a server at the address, other servers of the cluster start.
+// freeAddress returns a loopback address that is unused now. No other call in this process returns the same port until
+// all other ports have been tried, because other servers of the cluster start between this call and the start of the
+// server at the address.
 func freeAddress(network string) (string, error) {
 	var err error
 	for range maxPortAttempts {
@@ -32,7 +33,7 @@
 			return address, nil
 		}
 	}
-	return "", fmt.Errorf("no free port: %w", err)
+	return "", fmt.Errorf("no unused %s port in %d attempts: %w", network, maxPortAttempts, err)
 }
 
 // checkListen returns an error if nothing can listen at the address.
--- a/internal/verify/testcluster/ports_test.go
+++ b/internal/verify/testcluster/ports_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A port may be given out some time before its server starts, so nobody else gets it meanwhile.
-func TestFreeAddressGivesNoPortTwice(t *testing.T) {
+// A server starts some time after it got its address. If freeAddress returned the port to another server meanwhile, one
+// of the two could not listen.
+func TestFreeAddressReturnsNoPortTwice(t *testing.T) {
 	given := map[string]bool{}
 	for i := range 1000 {
 		address, err := freeAddress([]string{"tcp", "udp"}[i%2])
@@ -11,7 +12,7 @@
 			t.Fatal(err)
 		}
 		if given[address] {
-			t.Fatalf("%s is given out twice in %d calls", address, i+1)
+			t.Fatalf("call %d of freeAddress returned %s, want an address that no earlier call returned", i+1, address)
 		}
 		given[address] = true
 	}
--- a/internal/verify/testcluster/recording.go
+++ b/internal/verify/testcluster/recording.go
@@ -8,20 +8,20 @@
 	"forkhead/internal/verify/replay"
 )
 
-// maxRecordingBytes bounds the recorded steps of one incarnation of a placer, compressed.
+// maxRecordingBytes bounds the compressed recording of one incarnation of a placer.
 const maxRecordingBytes = 64 << 20
 
-// Recording holds the recorded steps of one incarnation of a placer.
+// Recording is the recording of one incarnation of a placer.
 type Recording struct {
-	Placer, Incarnation int // Incarnation counts from 1
+	Placer, Incarnation int // Incarnation is counted from 1
 	*replay.Writer
 }
 
-// Recordings returns the recorded steps of the placers, all of which must have stopped.
+// Recordings returns the recordings of all placers. The placers must have stopped.
 func (c *Cluster) Recordings() []Recording { return c.recordings }
 
-// observeSteps returns the function that a placer's next incarnation calls after each step of its core: it captures the
-// traffic on the placer's sockets, and records the steps if that is configured.
+// observeSteps returns the function that a placer's next incarnation calls after each step of its core. The function
+// captures the traffic on the placer's sockets, and records the steps if Options.RecordSteps is set.
 func (c *Cluster) observeSteps(
 	placer int, seed, epoch uint64,
 ) func(now, due time.Duration, in []core.Input, out []core.Output) {
@@ -35,13 +35,13 @@
 			c.opt.Recorder.Add(e)
 		}
 		if recording != nil {
-			// A recording that is cut short is reported when it is ended.
+			// Writer.Bytes returns the error again when the recording ends.
 			_ = recording.Add(&replay.Step{Now: now, Due: due, In: in, Out: replay.FormatOutputs(out)})
 		}
 	}
 }
 
-// newRecording begins a recording. It is called with startStop held.
+// newRecording begins a recording. The caller holds startStop.
 func (c *Cluster) newRecording(placer int, seed, epoch uint64) *replay.Writer {
 	s := c.Scenario
 	w := replay.NewWriter(replay.Head{
