--- a/internal/verify/replay/golden_test.go
+++ b/internal/verify/replay/golden_test.go
@@ -22,12 +22,14 @@
 	"forkhead/internal/verify/replay"
 )
 
-// goldenRecordings were written by `forkhead badday --record-on-breach`: a placer that was killed and began again with what it
-// had stored, and one that ran through, each with hosts whose connections break. They are never written again: a recording that
-// an earlier build wrote must replay. -update writes only what is expected of them.
+// goldenRecordings are the names of recordings that `forkhead badday --record-on-breach` wrote: the second incarnation
+// of a placer, which was killed and restarted with its stored state, and the first incarnation of another placer, which
+// was not killed. In both, connections to hosts break. The recordings are never written again, because recordings of
+// earlier builds must replay. -update writes only the expected results.
 var goldenRecordings = []string{"placer-0-life-2", "placer-1-life-1"}
 
-// An earlier build's recordings replay without a difference, and show the same traffic.
+// Recordings of earlier builds must replay without a divergence and with the same captured traffic. A change of the
+// core's decisions or of the stored form breaks that.
 func TestPlayGoldenRecordings(t *testing.T) {
 	for _, name := range goldenRecordings {
 		t.Run(name, func(t *testing.T) {
@@ -40,7 +42,7 @@
 				t.Fatal(err)
 			}
 			if p.Divergence != nil || p.Truncated {
-				t.Errorf("diverged at %+v, cut short: %v", p.Divergence, p.Truncated)
+				t.Errorf("Play(%s): got the divergence %+v, truncated %v, want a complete replay without divergence", name, p.Divergence, p.Truncated)
 			}
 			summary, err := json.Marshal(p)
 			if err != nil {
@@ -56,8 +58,8 @@
 	}
 }
 
-// A divergence has the step and both lines.
-func TestResultJSON(t *testing.T) {
+// The JSON is printed for operators and programs, so its keys must not change with the Go names.
+func TestResultJSONKeys(t *testing.T) {
 	p := replay.Result{Steps: 3, Offers: 1, Vetoes: 2, Defects: 4, Truncated: true, Divergence: &replay.Divergence{Step: 2, Now: 7, Want: "a", Got: "b"}}
 	text, err := json.Marshal(&p)
 	if err != nil {
@@ -65,11 +67,11 @@
 	}
 	want := `{"steps":3,"offers":1,"vetoes":2,"defects":4,"cut":true,"diverged":{"step":2,"now":7,"want":"a","got":"b"}}`
 	if string(text) != want {
-		t.Errorf("got %s, want %s", text, want)
+		t.Errorf("Marshal(%+v) = %s, want %s", p, text, want)
 	}
 }
 
-// Outputs are recorded as these lines.
+// Recordings hold outputs as lines, and a replay compares the lines, so their form must not change.
 func TestFormatOutputGolden(t *testing.T) {
 	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
 	var b bytes.Buffer
@@ -100,11 +102,11 @@
 	}
 }
 
-// exampleInputs are one of each kind of input and of frame, with every field set.
+// exampleInputs returns one input of each kind and one for each kind of frame, with every field set.
 func exampleInputs() []core.Input {
 	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
 	pos := diagnostic.Pos{File: "a.yaml", Line: 3, Col: 5}
-	what := &servicespec.Description{
+	description := &servicespec.Description{
 		Name: "p", AllOrNothing: true, Notes: []servicespec.Note{{Pos: pos, Text: "not acted on"}},
 		Services: []servicespec.Service{{
 			Name: "web", Pos: pos, Class: "ledger-batch", Tenant: "t", Mode: servicespec.ReplicatedJob, Replicas: 2, Cores: 0.5, Memory: 1.5,
@@ -129,12 +131,12 @@
 		core.HostListReceived{Mode: forkhead.ListSnapshot, Hosts: hosts, Stale: true},
 		core.HostConnected{Host: "h", Conn: 1},
 		core.HostDisconnected{Host: "h", Conn: 1, Reason: "cut"},
-		core.Submit{Request: 1, IdempotencyKey: "key", BodyHash: 2, Description: what},
+		core.Submit{Request: 1, IdempotencyKey: "key", BodyHash: 2, Description: description},
 		core.RemoveProject{Request: 1, Project: "p"},
 		core.GossipReceived{From: 1, Data: []byte("data")},
 		core.Restore{Snapshot: &durable.Snapshot{
 			Projects: []durable.Project{{
-				SubmissionID: "s-1", Specification: what, Tasks: []durable.Task{{Project: "p", Service: "web", Replica: 1, Outcome: "placed", Finished: true}},
+				SubmissionID: "s-1", Specification: description, Tasks: []durable.Task{{Project: "p", Service: "web", Replica: 1, Outcome: "placed", Finished: true}},
 			}},
 			Tombstones: map[string]time.Duration{"q": time.Hour},
 			Submissions: []durable.SubmissionProgress{{
@@ -153,7 +155,7 @@
 	return inputs
 }
 
-// exampleFrames are one of each kind that hosts send.
+// exampleFrames returns one frame of each kind that hosts send.
 func exampleFrames() []hostproto.Frame {
 	ref := hostproto.Ref{Epoch: 1, Task: 2, Attempt: 3}
 	report := &hostproto.Report{Cores: 1, Memory: 2, Queue: 3, Util: 0.5}
@@ -171,8 +173,9 @@
 	}
 }
 
-// Every kind of input is read from a recording of an earlier build with every field as it was: gob ignores a field whose
-// name it does not know. The recording is written only where it is missing.
+// Every kind of input must be read from a recording of an earlier build with the same value in every field. gob ignores
+// a field whose name it does not know, so a renamed field would lose its value without an error. -update writes the
+// recording only if it is missing.
 func TestPlayGoldenInputs(t *testing.T) {
 	path := filepath.Join("testdata", "inputs.tape")
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) && goldentest.Updating() {
@@ -200,14 +203,14 @@
 		t.Fatal(err)
 	}
 	if want := (replay.Head{Version: 1, File: "day", Script: []byte(scenarioText), Seed: 5, Epoch: 9, Durable: true}); !reflect.DeepEqual(p.Head, want) {
-		t.Errorf("head %+v, want %+v", p.Head, want)
+		t.Errorf("Play(%s): got the head %+v, want %+v", path, p.Head, want)
 	}
 	for i, in := range exampleInputs() {
 		if i >= len(steps) {
-			t.Fatalf("%d steps", len(steps))
+			t.Fatalf("Play(%s): got %d steps, want %d", path, len(steps), len(exampleInputs()))
 		}
 		if want := (replay.Step{Now: time.Hour, Due: time.Minute, In: []core.Input{in}, Out: []string{fmt.Sprint(i)}}); !reflect.DeepEqual(steps[i], want) {
-			t.Errorf("step %d: %+v, want %+v", i, steps[i], want)
+			t.Errorf("Play(%s): step %d: got %+v, want %+v", path, i, steps[i], want)
 		}
 	}
 }
--- a/internal/verify/replay/play.go
+++ b/internal/verify/replay/play.go
@@ -13,7 +13,7 @@
 	"forkhead/internal/verify/scenario"
 )
 
-// Result is the result of the replay of a recording. Its keys in JSON are printed, and stay.
+// Result is the result of the replay of a recording. Its JSON is printed for operators and programs, so its keys stay.
 type Result struct {
 	Head       Head               `json:"-"`
 	Scenario   *scenario.Scenario `json:"-"`
@@ -21,30 +21,30 @@
 	Offers     int                `json:"offers"`
 	Vetoes     uint64             `json:"vetoes"`
 	Defects    uint64             `json:"defects"`
-	Truncated  bool               `json:"cut"`                // the recording ends within a step: its placer was killed, or the file is torn
-	Divergence *Divergence        `json:"diverged,omitempty"` // nil: none
-	Events     []capture.Event    `json:"-"`                  // the traffic on the placer's sockets, as far as the core shows it
+	Truncated  bool               `json:"cut"`                // the recording ends within a step: its placer was killed, or the file is incomplete
+	Divergence *Divergence        `json:"diverged,omitempty"` // nil: all outputs were equal
+	Events     []capture.Event    `json:"-"`                  // traffic on the placer's sockets, as far as the steps of the core show it
 }
 
 // Divergence is the first output of a core that differs from the recorded one.
 type Divergence struct {
 	Step int           `json:"step"` // counted from 0
-	Now  time.Duration `json:"now"`  // of the step
-	Want string        `json:"want"` // as recorded; "": no further output
-	Got  string        `json:"got"`  // "": no further output
+	Now  time.Duration `json:"now"`  // time of the step
+	Want string        `json:"want"` // recorded output; "": the recorded step has no further output
+	Got  string        `json:"got"`  // output of the core; "": it gave no further output
 }
 
 // player replays a recording.
 type player struct {
 	decoder *gob.Decoder
 	core    *core.Core
-	base    capture.Event // what all events have
+	base    capture.Event // the fields that all events have in common
 	result  *Result
 }
 
-// Play steps a core through a recording. It calls observe, unless that is nil, with each step and the outputs that the core
-// gave now. It returns an error for what is no recording of this version, or a corrupt one; a truncated one is played as far
-// as it goes.
+// Play steps a core through a recording. After each step it calls observe, unless observe is nil, with the recorded
+// step and the outputs that the core gave in the replay. Play returns an error if the input is no recording, of another
+// version, or corrupt. It replays a truncated recording up to its last complete step.
 func Play(r io.Reader, observe func(s *Step, out []core.Output)) (*Result, error) {
 	p, err := newPlayer(r)
 	if err != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// newPlayer reads the head of a recording and starts the core of which it is.
+// newPlayer reads the head of a recording and creates the core that the recording is of.
 func newPlayer(r io.Reader) (*player, error) {
 	zip, err := gzip.NewReader(r)
 	if err != nil {
@@ -80,14 +80,14 @@
 		return nil, fmt.Errorf("not a tape: %w", err)
 	}
 	if head.Version != Version {
-		return nil, fmt.Errorf("the tape is of version %d; want %d", head.Version, Version)
+		return nil, fmt.Errorf("the tape has version %d, want %d", head.Version, Version)
 	}
 	if p.result.Scenario, err = scenario.Read(head.File, head.Script); err != nil {
 		return nil, err
 	}
 	settings := p.result.Scenario.Settings
 	if head.Placer < 0 || head.Placer >= len(settings.Placers) {
-		return nil, fmt.Errorf("the tape is of placer %d, which its script does not have", head.Placer)
+		return nil, fmt.Errorf("the tape is of placer %d, but its scenario has only placers 0 to %d", head.Placer, len(settings.Placers)-1)
 	}
 	p.core, err = core.New(core.Config{
 		Settings: settings.ForPlacer(head.Placer), Seed: head.Seed, Epoch: head.Epoch, Durable: head.Durable,
@@ -99,7 +99,8 @@
 	return p, nil
 }
 
-// readStep returns the next step; io.EOF behind the last, io.ErrUnexpectedEOF within one.
+// readStep returns the next step. It returns io.EOF after the last step, and io.ErrUnexpectedEOF if the recording ends
+// within a step.
 func (p *player) readStep() (*Step, error) {
 	var recorded recordedStep
 	if err := p.decoder.Decode(&recorded); err != nil {
@@ -108,7 +109,7 @@
 	return recorded.toStep()
 }
 
-// playStep gives the core the inputs of a step and returns its outputs.
+// playStep gives the core the inputs of a step, captures the traffic, compares the outputs and returns them.
 func (p *player) playStep(s *Step) []core.Output {
 	out := p.core.Step(s.Now, s.In...)
 	r := p.result
@@ -125,7 +126,8 @@
 	return p.result
 }
 
-// findDivergence compares the outputs of a step with the recorded ones; nil: they are equal.
+// findDivergence returns the first difference between the outputs of a step and the recorded ones, or nil if they are
+// equal.
 func findDivergence(step int, s *Step, got []string) *Divergence {
 	for i := range max(len(got), len(s.Out)) {
 		if g, w := outputAt(got, i), outputAt(s.Out, i); g != w {
@@ -135,7 +137,7 @@
 	return nil
 }
 
-// outputAt returns an output, or "" where there is none.
+// outputAt returns output i, or "" if there are fewer outputs.
 func outputAt(outputs []string, i int) string {
 	if i < len(outputs) {
 		return outputs[i]
--- a/internal/verify/replay/recording.go
+++ b/internal/verify/replay/recording.go
@@ -1,8 +1,10 @@
-// Package replay records the steps of a running placer's core, and replays them: the same core, the same inputs at the same
-// times, and so the same outputs, without sockets. A run on a busy machine can be looked at step by step that way.
+// Package replay records the steps of a running placer's core and replays them without sockets. The same core with the
+// same inputs at the same times gives the same outputs, so a run on a busy machine can be examined step by step
+// afterwards.
 //
-// A recording is gzip of gob: a Head, then the steps in their stored form (stored_form.go, snapshot.go, specification.go),
-// which is independent of the names of the core's types. Files of recordings, and messages about them, say tape.
+// A recording is gob, compressed with gzip: a Head, then the steps in their stored form (stored_form.go, snapshot.go,
+// specification.go), which is independent of the names of the core's types. The files of recordings have the extension
+// tape, and messages to users call a recording a tape.
 package replay
 
 import (
@@ -16,30 +18,30 @@
 	"forkhead/internal/scheduler/core"
 )
 
-// Version is the version of the stored form. No other is read.
+// Version is the version of the stored form. Play accepts no other version.
 const Version = 1
 
-// Head is the beginning of a recording: what an incarnation of a placer was started with. It is stored as it is, by the
-// names of its fields.
+// Head is the beginning of a recording: the parameters with which an incarnation of a placer was started. It is stored
+// with the names of its fields, so they stay.
 type Head struct {
 	Version int
 	File    string // name of the scenario
 	Script  []byte // the scenario's text
 	Placer  int    // number of the placer in the scenario's settings
 	Seed    uint64
-	Epoch   uint64 // of the incarnation
+	Epoch   uint64 // epoch of the incarnation
 	Durable bool   // the core has a store
 }
 
-// Step is one step of a core.
+// Step is one step of a core with its inputs and outputs.
 type Step struct {
 	Now time.Duration // since the epoch of the run's clock
-	Due time.Duration // when the core had requested to be stepped next, on the same clock; 0: it had not
+	Due time.Duration // time for which the core had requested this step, by the same clock; 0: it had not requested one
 	In  []core.Input
-	Out []string // by FormatOutput
+	Out []string // formatted by FormatOutput
 }
 
-// FormatOutput returns an output as a line: its name in the stored form, and its fields in JSON.
+// FormatOutput returns an output as a line: its name in the stored form, a space and its stored form in JSON.
 func FormatOutput(out core.Output) string {
 	name, form := recordOutput(out)
 	text, err := json.Marshal(form)
@@ -58,7 +60,7 @@
 	return formatted
 }
 
-// ErrFull means that a recording has reached its bound. Later steps are not in it.
+// ErrFull means that a recording has reached its maximum size. It lacks the later steps.
 var ErrFull = errors.New("the tape is full")
 
 // Writer holds a recording in memory, compressed. It is not safe for concurrent use.
@@ -67,20 +69,22 @@
 	zip      *gzip.Writer
 	encoder  *gob.Encoder
 	maxBytes int
-	err      error // the first
+	err      error // the first error of NewWriter or Add
 }
 
-// NewWriter begins a recording. It takes steps until it has maxBytes, compressed; it may end a little above that.
+// NewWriter begins a recording. The recording takes steps until its compressed size reaches maxBytes, and may exceed
+// that size a little.
 func NewWriter(h Head, maxBytes int) *Writer {
 	w := &Writer{maxBytes: maxBytes}
-	w.zip, _ = gzip.NewWriterLevel(&w.buf, gzip.BestSpeed) // fails for unknown levels only
+	w.zip, _ = gzip.NewWriterLevel(&w.buf, gzip.BestSpeed) // fails only for unknown levels
 	w.encoder = gob.NewEncoder(w.zip)
 	h.Version = Version
 	w.err = w.encoder.Encode(h)
 	return w
 }
 
-// Add records a step. After an error, which is ErrFull at the bound, no step is recorded any more.
+// Add records a step. It returns ErrFull if the recording has reached its maximum size. After an error it records no
+// further steps and returns the same error.
 func (w *Writer) Add(s *Step) error {
 	if w.err == nil && w.buf.Len() >= w.maxBytes {
 		w.err = ErrFull
@@ -91,8 +95,9 @@
 	return w.err
 }
 
-// Bytes ends the recording and returns it, with the error after which no step was recorded.
+// Bytes ends the recording and returns it. Its error is the one after which Add recorded no further steps, joined with an
+// error of ending the recording.
 func (w *Writer) Bytes() ([]byte, error) {
-	err := w.zip.Close() // writes the last bytes: first
+	err := w.zip.Close() // before buf is read, since Close writes the last bytes
 	return w.buf.Bytes(), errors.Join(err, w.err)
 }
--- a/internal/verify/replay/recording_test.go
+++ b/internal/verify/replay/recording_test.go
@@ -13,7 +13,7 @@
 
 const scenarioText = `(badday (hosts 1 (kind std-28) (zone north)))`
 
-// record records some steps of a core. change may alter what is recorded of a step.
+// record returns a recording of six steps of a core. change, unless nil, may alter a step before it is recorded.
 func record(t *testing.T, maxBytes int, change func(n int, s *replay.Step)) ([]byte, error) {
 	t.Helper()
 	s, err := scenario.Read("day", []byte(scenarioText))
@@ -46,8 +46,8 @@
 	return w.Bytes()
 }
 
-func TestWriterFull(t *testing.T) {
+func TestWriterFullReturnsErrFull(t *testing.T) {
 	if _, err := record(t, 1, nil); !errors.Is(err, replay.ErrFull) {
-		t.Fatalf("%v", err)
+		t.Fatalf("recording with maxBytes 1: got the error %v, want ErrFull", err)
 	}
 }
--- a/internal/verify/replay/snapshot.go
+++ b/internal/verify/replay/snapshot.go
@@ -10,8 +10,8 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// The recorded types are the stored form of a core.Restore. gob matches fields by their names, so the fields here have the
-// names of the first recordings, and keep them, whatever package durable calls the same thing.
+// The types below are the stored form of a core.Restore. gob matches fields by name, so the fields have the names that
+// are in the first recordings, and keep them when package durable renames its fields.
 type (
 	recordedRestore struct{ Kept *recordedSnapshot }
 
@@ -72,7 +72,7 @@
 	}
 )
 
-// convertAll returns the elements of in, each converted; nil stays nil, as gob reads back an empty slice.
+// convertAll returns the converted elements of in. It returns nil for an empty slice, as gob does when it decodes one.
 func convertAll[From, To any](in []From, convert func(From) To) []To {
 	var out []To
 	for _, v := range in {
@@ -81,7 +81,7 @@
 	return out
 }
 
-// recordRestore returns the stored form of a restore.
+// recordRestore returns the stored form of a core.Restore.
 func recordRestore(in core.Restore) recordedRestore {
 	s := in.Snapshot
 	if s == nil {
--- a/internal/verify/replay/specification.go
+++ b/internal/verify/replay/specification.go
@@ -7,8 +7,8 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// The recorded types are the stored form of a service specification, with the field names of the first recordings. Types of
-// package servicespec whose fields still have these names are stored as they are.
+// The types below are the stored form of a service specification. Their fields have the names that are in the first
+// recordings. Types of package servicespec whose fields still have these names are stored directly.
 type (
 	recordedSpecification struct {
 		Name     string
@@ -72,7 +72,7 @@
 	}
 )
 
-// recordSpecification returns the stored form of a specification; nil stays nil.
+// recordSpecification returns the stored form of a specification, or nil for nil.
 func recordSpecification(d *servicespec.Description) *recordedSpecification {
 	if d == nil {
 		return nil
@@ -82,7 +82,7 @@
 	}
 }
 
-// specification returns what was recorded; nil stays nil.
+// specification returns the specification that was recorded, or nil for nil.
 func (r *recordedSpecification) specification() *servicespec.Description {
 	if r == nil {
 		return nil
--- a/internal/verify/replay/stored_form.go
+++ b/internal/verify/replay/stored_form.go
@@ -12,10 +12,10 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// This file has the stored form of a recording's steps. The names of the fields, and those in the tables below, are in
-// recordings that exist: they stay when the core's own types are renamed, whatever the code calls the same thing by now.
-// gob has no tags, and ignores a field whose name it does not know without an error, so that a change here shows in the
-// golden tests only. The types may be renamed.
+// This file defines the stored form of a recording's steps. Existing recordings contain the names of the fields and the
+// names in the tables below, so these names stay even if the code renames the corresponding types and fields of the
+// core. gob has no tags, and ignores a field whose name it does not know without an error, so only the golden tests
+// detect a change here. The types in this file may be renamed.
 
 // recordedStep is a Step in its stored form.
 type recordedStep struct {
@@ -25,13 +25,13 @@
 	Out []string
 }
 
-// errMissingInput means that a recording holds an input without a type. None was written so.
+// errMissingInput means that a recording holds an input without a type. No writer writes such an input.
 var errMissingInput = errors.New("an input without a type")
 
 // recordedInput is an input of the core in its stored form.
 type recordedInput interface{ toCore() core.Input }
 
-// The stored inputs, one for each input of the core.
+// The types below are the stored forms of inputs, one for each input of the core.
 type (
 	recordedHostListReceived struct {
 		Mode  forkhead.ListMode
@@ -98,7 +98,7 @@
 	return core.GossipReceived{From: s.From, Data: s.Data}
 }
 
-// recordInput returns the stored form of an input, or nil for one that has none.
+// recordInput returns the stored form of an input, or nil if the input has none.
 func recordInput(in core.Input) recordedInput {
 	switch in := in.(type) {
 	case core.HostListReceived:
@@ -125,7 +125,7 @@
 	return &recordedStep{Now: s.Now, Due: s.Due, In: convertAll(s.In, recordInput), Out: s.Out}
 }
 
-// toStep returns the step that was recorded, or errMissingInput.
+// toStep returns the step that was recorded. Its error is errMissingInput.
 func (s *recordedStep) toStep() (*Step, error) {
 	if slices.Contains(s.In, recordedInput(nil)) {
 		return nil, errMissingInput
@@ -134,7 +134,7 @@
 }
 
 func init() {
-	// gob needs a name for each type that an interface holds: inputs, and the frames in them.
+	// gob needs a name for each type that it stores in an interface value: inputs, and the frames in them.
 	for _, entry := range []struct {
 		name   string
 		sample any
@@ -168,7 +168,8 @@
 	}
 }
 
-// The stored outputs, one for each output of the core. A recording has them as lines: a name, and JSON with these fields.
+// The types below are the stored forms of outputs, one for each output of the core. A recording holds an output as a
+// line: a name, and JSON with these fields.
 type (
 	recordedDialHost struct {
 		Host, Address string
@@ -208,7 +209,7 @@
 	}
 )
 
-// recordOutput returns the stored form of an output with its name, or "" and nil for one that has none.
+// recordOutput returns the name and the stored form of an output, or "" and nil if the output has none.
 func recordOutput(out core.Output) (name string, form any) {
 	switch out := out.(type) {
 	case core.DialHost:
--- a/internal/verify/replay/stored_form_test.go
+++ b/internal/verify/replay/stored_form_test.go
@@ -6,7 +6,8 @@
 	"forkhead/internal/scheduler/core"
 )
 
-// An output without a stored form would be recorded as an empty line, and would replay against anything.
+// An output without a stored form would be recorded without a name and fields, so a replay would not detect that it
+// differs from another such output.
 func TestRecordOutputHasNameForEachOutput(t *testing.T) {
 	for _, out := range []core.Output{
 		core.DialHost{},
@@ -21,7 +22,7 @@
 		core.Log{},
 	} {
 		if name, form := recordOutput(out); name == "" || form == nil {
-			t.Errorf("%T has the name %q and the form %v", out, name, form)
+			t.Errorf("recordOutput(%T) = %q, %v, want a name and a stored form", out, name, form)
 		}
 	}
 }
--- a/internal/verify/replay/traffic.go
+++ b/internal/verify/replay/traffic.go
@@ -8,12 +8,12 @@
 	"forkhead/internal/scheduler/core"
 )
 
-// lateTolerance is how long after it was due a step may run without an event for it.
+// lateTolerance is the delay of a step up to which CaptureEvents reports no LateStep event.
 const lateTolerance = time.Millisecond
 
-// CaptureEvents returns the traffic on a placer's sockets, as a step of its core shows it, in the order in which the event
-// loop read the inputs and wrote the outputs. now and due are those of Step; base has what all events have: the placer and
-// its epoch.
+// CaptureEvents returns the traffic on a placer's sockets that the inputs and outputs of a step of its core show, in
+// the order in which the event loop read the inputs and wrote the outputs. now and due are the fields of Step. base has
+// the fields that all events have in common: the placer and its epoch.
 func CaptureEvents(base capture.Event, now, due time.Duration, in []core.Input, out []core.Output) []capture.Event {
 	base.At = now
 	var events []capture.Event
@@ -31,7 +31,7 @@
 	return events
 }
 
-// captureInput returns the events of an input that came from the sockets. e has what all events have.
+// captureInput returns the events of an input that came from a socket. e has the fields that all events have in common.
 func captureInput(e capture.Event, in core.Input) []capture.Event {
 	switch in := in.(type) {
 	case core.FrameReceived:
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// captureOutput returns the events of an output that goes to the sockets. e has what all events have.
+// captureOutput returns the events of an output that goes to a socket. e has the fields that all events have in common.
 func captureOutput(e capture.Event, out core.Output) []capture.Event {
 	switch out := out.(type) {
 	case core.SendToHost:
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// HostLocations returns an event for each host that the endpoint lists among the inputs name: its zone and its rack, as
-// captured traffic has them.
+// HostLocations returns a HostUp event for each host of the endpoint lists among the inputs. It has the host's zone and
+// rack, as the event has in captured traffic.
 func HostLocations(in []core.Input) []capture.Event {
 	var events []capture.Event
 	for _, in := range in {
