--- a/internal/emulator/host/faults.go
+++ b/internal/emulator/host/faults.go
@@ -5,8 +5,8 @@
 // Kill ends the incarnation with resets, as when its process is killed.
 func (s *Server) Kill() { s.loop.Call(s.crash) }
 
-// Vanish ends the incarnation without a message: connections stay open, and nothing answers.
-func (s *Server) Vanish() {
+// CrashSilently ends the incarnation without a message: connections stay open, and nothing answers.
+func (s *Server) CrashSilently() {
 	s.loop.Call(func() {
 		if s.model == nil {
 			return
@@ -23,7 +23,7 @@
 		if s.model != nil {
 			return
 		}
-		s.crash() // what Vanish left open
+		s.crash() // resets the connections that CrashSilently left open
 		err = s.startIncarnation(warmingUp)
 	})
 	return err
--- a/internal/emulator/host/server_test.go
+++ b/internal/emulator/host/server_test.go
@@ -150,7 +150,7 @@
 	if b.Epoch <= a.Epoch || b.Started == 0 {
 		t.Fatalf("%+v, then %+v", a, b)
 	}
-	s.Vanish()
+	s.CrashSilently()
 	if frames, closed := exchange(t, s, hello, 100*time.Millisecond); len(frames) != 0 || closed {
 		t.Fatalf("a host that has vanished sends %+v", frames)
 	}
--- a/internal/goldentest/values.go
+++ b/internal/goldentest/values.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// Values formats a value with all that it holds, in the order of its fields and without any name of Go's, so that it is
+// FormatValue formats a value with all that it holds, in the order of its fields and without any name of Go's, so that it is
 // the same after a renaming. A number is written as such even where its type has words for it.
-func Values(v reflect.Value) string {
+func FormatValue(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
 		if v.IsNil() {
 			return "nil"
 		}
-		return Values(v.Elem())
+		return FormatValue(v.Elem())
 	case reflect.Struct:
 		return "(" + joinValues(v.NumField(), v.Field) + ")"
 	case reflect.Slice, reflect.Array:
@@ -33,7 +33,7 @@
 func joinValues(count int, part func(i int) reflect.Value) string {
 	parts := make([]string, count)
 	for i := range parts {
-		parts[i] = Values(part(i))
+		parts[i] = FormatValue(part(i))
 	}
 	return strings.Join(parts, " ")
 }
@@ -42,7 +42,7 @@
 func mapValues(v reflect.Value) string {
 	parts := make([]string, 0, v.Len())
 	for _, key := range v.MapKeys() {
-		parts = append(parts, Values(key)+":"+Values(v.MapIndex(key)))
+		parts = append(parts, FormatValue(key)+":"+FormatValue(v.MapIndex(key)))
 	}
 	slices.Sort(parts)
 	return strings.Join(parts, " ")
--- a/internal/parse/compose/golden_test.go
+++ b/internal/parse/compose/golden_test.go
@@ -29,7 +29,7 @@
 	}
 	var b bytes.Buffer
 	for i := range reflect.ValueOf(*d).NumField() {
-		fmt.Fprintln(&b, strings.ReplaceAll(goldentest.Values(reflect.ValueOf(*d).Field(i)), ") (", ")\n\t("))
+		fmt.Fprintln(&b, strings.ReplaceAll(goldentest.FormatValue(reflect.ValueOf(*d).Field(i)), ") (", ")\n\t("))
 	}
 	goldentest.Check(t, "all.values", b.Bytes())
 }
--- a/internal/parse/platformconfig/golden_test.go
+++ b/internal/parse/platformconfig/golden_test.go
@@ -15,7 +15,7 @@
 func lines(v reflect.Value) string {
 	var b strings.Builder
 	for i := range v.NumField() {
-		fmt.Fprintln(&b, goldentest.Values(v.Field(i)))
+		fmt.Fprintln(&b, goldentest.FormatValue(v.Field(i)))
 	}
 	return b.String()
 }
@@ -46,10 +46,10 @@
 // The fields of a load report have these names.
 func TestReportGoldenWords(t *testing.T) {
 	r := EmptyReport()
-	got := goldentest.Values(reflect.ValueOf(r))
+	got := goldentest.FormatValue(reflect.ValueOf(r))
 	for i, word := range []string{"x0", "x1", "backlog", "utilization", "unheard-of"} {
 		SetReported(r, word, float64(i)+0.5)
-		got += " " + goldentest.Values(reflect.ValueOf(r))
+		got += " " + goldentest.FormatValue(reflect.ValueOf(r))
 	}
 	want := "(NaN NaN NaN NaN) (0.5 NaN NaN NaN) (0.5 1.5 NaN NaN) (0.5 1.5 2.5 NaN) (0.5 1.5 2.5 3.5) (0.5 1.5 2.5 3.5)"
 	if got != want {
--- a/internal/parse/settings/golden_test.go
+++ b/internal/parse/settings/golden_test.go
@@ -19,7 +19,7 @@
 			b.Write(lines(f))
 			continue
 		}
-		fmt.Fprintln(&b, goldentest.Values(v.Field(i)))
+		fmt.Fprintln(&b, goldentest.FormatValue(v.Field(i)))
 	}
 	return b.Bytes()
 }
--- a/internal/protocol/consul/golden_test.go
+++ b/internal/protocol/consul/golden_test.go
@@ -26,7 +26,7 @@
 	}
 	var b bytes.Buffer
 	for i := range hosts {
-		fmt.Fprintln(&b, goldentest.Values(reflect.ValueOf(hosts[i])))
+		fmt.Fprintln(&b, goldentest.FormatValue(reflect.ValueOf(hosts[i])))
 	}
 	for _, message := range skipped {
 		fmt.Fprintln(&b, "skipped:", message)
--- a/internal/protocol/platform/golden_test.go
+++ b/internal/protocol/platform/golden_test.go
@@ -58,7 +58,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintln(&decoded, goldentest.Values(reflect.ValueOf(m)))
+		fmt.Fprintln(&decoded, goldentest.FormatValue(reflect.ValueOf(m)))
 		var fields []Field
 		for name, raw := range m.Fields {
 			fields = append(fields, Field{name, raw})
@@ -92,7 +92,7 @@
 			fmt.Fprintln(&b, "error:", err)
 			return
 		}
-		fmt.Fprintln(&b, goldentest.Values(reflect.ValueOf(c)))
+		fmt.Fprintln(&b, goldentest.FormatValue(reflect.ValueOf(c)))
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -109,5 +109,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Check(t, "config.decoded", []byte(fmt.Sprintln(goldentest.Values(reflect.ValueOf(c)))+fmt.Sprintln(c.SeedNumber())))
+	goldentest.Check(t, "config.decoded", []byte(fmt.Sprintln(goldentest.FormatValue(reflect.ValueOf(c)))+fmt.Sprintln(c.SeedNumber())))
 }
--- a/internal/scheduler/platform/golden_test.go
+++ b/internal/scheduler/platform/golden_test.go
@@ -22,7 +22,7 @@
 // record appends the events and outputs since the last call.
 func (s *transcript) record() {
 	for _, ev := range s.events {
-		fmt.Fprintf(&s.text, "\tmodule receives %s\n", goldentest.Values(reflect.ValueOf(ev)))
+		fmt.Fprintf(&s.text, "\tmodule receives %s\n", goldentest.FormatValue(reflect.ValueOf(ev)))
 	}
 	s.events = nil
 	for _, out := range s.outputs {
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -25,7 +25,7 @@
 	var b bytes.Buffer
 	fmt.Fprintln(&b, batch.Clock)
 	for _, ev := range batch.Events {
-		fmt.Fprintln(&b, goldentest.Values(reflect.ValueOf(ev)))
+		fmt.Fprintln(&b, goldentest.FormatValue(reflect.ValueOf(ev)))
 	}
 	goldentest.Check(t, "events.decoded", b.Bytes())
 }
--- a/internal/verify/chaos/faults_hosts.go
+++ b/internal/verify/chaos/faults_hosts.go
@@ -122,7 +122,7 @@
 
 func vanishHosts(hosts []*testcluster.Host) {
 	for _, h := range hosts {
-		h.Vanish()
+		h.CrashSilently()
 	}
 }
 
--- a/internal/verify/scenario/golden_test.go
+++ b/internal/verify/scenario/golden_test.go
@@ -31,7 +31,7 @@
 		s.Text, s.Settings = nil, nil // package settings has a test of its own
 		var b bytes.Buffer
 		for i := range reflect.ValueOf(*s).NumField() {
-			fmt.Fprintln(&b, strings.ReplaceAll(goldentest.Values(reflect.ValueOf(*s).Field(i)), ") (", ")\n\t("))
+			fmt.Fprintln(&b, strings.ReplaceAll(goldentest.FormatValue(reflect.ValueOf(*s).Field(i)), ") (", ")\n\t("))
 		}
 		goldentest.Check(t, name+".values", b.Bytes())
 	}
