--- a/internal/emulator/consul/doc.go
+++ b/internal/emulator/consul/doc.go
@@ -1,6 +1,6 @@
-// Package consul is an emulator of Consul for tests and trials: as much of its HTTP API as hosts and placers use, with
-// lag, outages and stale answers on command.
+// Package consul is an emulator of Consul for tests and trial runs. It implements the part of Consul's HTTP API that
+// hosts and placers use. Tests can make it answer with a lag, answer with stale data, or fail.
 //
-//	store.go   what is registered, and what is answered as of a moment
-//	server.go  the store behind HTTP
+//	store.go   the registered hosts and the versions of the endpoint list
+//	server.go  the HTTP server for the store
 package consul
--- a/internal/emulator/consul/server.go
+++ b/internal/emulator/consul/server.go
@@ -18,14 +18,14 @@
 	"forkhead/internal/server/recorder"
 )
 
-// Server is a Store behind HTTP on loopback. Its methods are safe for concurrent use.
+// Server is an HTTP server for a Store. Its methods are safe for concurrent use.
 type Server struct {
 	clock    *clock.Clock
-	log      *recorder.Recorder // may be nil
+	recorder *recorder.Recorder // records the endpoint lists sent to placers; may be nil
 	http     *http.Server
 	listener net.Listener
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards store and outage
 	store  *Store
 	outage bool
 
@@ -33,35 +33,36 @@
 	running sync.WaitGroup
 }
 
-// pollInterval is how often blocking queries and the policy are looked at.
+// pollInterval is how often the policy is applied, and how often a blocking query compares the index with the store's.
 const pollInterval = 10 * time.Millisecond
 
-// Bounds of a request to the server.
+// Limits of a request to the server.
 const (
 	maxHeaderBytes = 16 << 10
 	maxBodyBytes   = 1 << 20
 	headerTimeout  = 5 * time.Second
 )
 
-// A blocking query waits for defaultWait, Consul's own, where it gives no time or more than maxWait.
+// A blocking query waits for defaultWait, Consul's default, if its wait parameter is absent, invalid or more than
+// maxWait.
 const (
 	defaultWait = 5 * time.Minute
 	maxWait     = 10 * time.Minute
 )
 
-// placerAgent begins the user agent of placers; their number follows.
+// placerAgent is the prefix of a placer's user agent. The placer's number follows it.
 const placerAgent = "forkhead-placer/"
 
-// errOutage is the error of every call during an outage, as Consul says it.
+// errOutage is the answer to every request but those for maintenance during an outage. It is Consul's own text.
 var errOutage = errors.New("no cluster leader")
 
-// Serve starts a server at an address. log may be nil.
-func Serve(address string, p Policy, c *clock.Clock, log *recorder.Recorder) (*Server, error) {
+// Serve starts a server at an address. rec may be nil.
+func Serve(address string, p Policy, c *clock.Clock, rec *recorder.Recorder) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{clock: c, log: log, listener: listener, store: NewStore(p), stop: make(chan struct{})}
+	s := &Server{clock: c, recorder: rec, listener: listener, store: NewStore(p), stop: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/health/service/{service}", s.health)
 	mux.HandleFunc("PUT /v1/catalog/register", s.register)
@@ -73,7 +74,7 @@
 	return s, nil
 }
 
-// applyPolicy ticks the store until Stop.
+// applyPolicy calls Tick of the store each pollInterval until Stop.
 func (s *Server) applyPolicy() {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -87,17 +88,17 @@
 	}
 }
 
-// Address returns where the server listens.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// With calls a function with the store and the time. The function must not keep the store.
+// With calls f with the store and the current time. f has exclusive access to the store and must not keep it.
 func (s *Server) With(f func(st *Store, now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.store, s.clock.Now())
 }
 
-// SetOutage makes every call of the catalog fail, or ends that.
+// SetOutage starts or ends an outage, during which every request but those for maintenance fails.
 func (s *Server) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,8 +112,8 @@
 	s.running.Wait()
 }
 
-// rejectOutage answers a call that comes during an outage, and reports whether it has.
-func (s *Server) rejectOutage(w http.ResponseWriter) bool {
+// rejectDuringOutage answers a request with errOutage if there is an outage, and reports whether there is one.
+func (s *Server) rejectDuringOutage(w http.ResponseWriter) bool {
 	s.mu.Lock()
 	outage := s.outage
 	s.mu.Unlock()
@@ -122,8 +123,8 @@
 	return outage
 }
 
-// health is /v1/health/service/:service. With an index it is a blocking query: it is answered when the endpoint list has
-// another index, or after the wait.
+// health serves GET /v1/health/service/:service. A request with an index is a blocking query: it is answered once the
+// endpoint list has another index, or after the wait.
 func (s *Server) health(w http.ResponseWriter, r *http.Request) {
 	index, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	deadline := time.NewTimer(parseWait(r.URL.Query().Get("wait")))
@@ -131,7 +132,7 @@
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
-		if s.rejectOutage(w) {
+		if s.rejectDuringOutage(w) {
 			return
 		}
 		var entries []consul.Entry
@@ -155,6 +156,7 @@
 	}
 }
 
+// parseWait parses the wait parameter of a blocking query.
 func parseWait(text string) time.Duration {
 	wait, err := time.ParseDuration(text)
 	if err != nil || wait <= 0 || wait > maxWait {
@@ -165,7 +167,7 @@
 
 func writeEntries(w http.ResponseWriter, index uint64, entries []consul.Entry) {
 	if entries == nil {
-		entries = []consul.Entry{} // [] in JSON
+		entries = []consul.Entry{} // encoded as []; nil would be null
 	}
 	body, err := json.Marshal(entries)
 	if err != nil {
@@ -177,12 +179,12 @@
 	_, _ = w.Write(body)
 }
 
-// recordDelivery records the endpoint list that a placer is about to be sent: it cannot have it earlier. Answers to others
-// are not recorded.
+// recordDelivery records the endpoint list that a placer is about to be sent, with the current time as the earliest at
+// which the placer can have it. Answers to other clients are not recorded.
 func (s *Server) recordDelivery(agent string, entries []consul.Entry) {
 	number, isPlacer := strings.CutPrefix(agent, placerAgent)
 	placer, err := strconv.Atoi(number)
-	if s.log == nil || !isPlacer || err != nil {
+	if s.recorder == nil || !isPlacer || err != nil {
 		return
 	}
 	event := capture.Event{At: s.clock.Now(), Type: capture.ListDelivered, Placer: placer}
@@ -194,12 +196,12 @@
 			event.Ready = append(event.Ready, name)
 		}
 	}
-	s.log.Add(event)
+	s.recorder.Add(event)
 }
 
-// register is /v1/catalog/register.
+// register serves PUT /v1/catalog/register.
 func (s *Server) register(w http.ResponseWriter, r *http.Request) {
-	if s.rejectOutage(w) {
+	if s.rejectDuringOutage(w) {
 		return
 	}
 	registration, ok := readBody[consul.Registration](w, r)
@@ -214,9 +216,9 @@
 	_, _ = io.WriteString(w, "true")
 }
 
-// deregister is /v1/catalog/deregister.
+// deregister serves PUT /v1/catalog/deregister.
 func (s *Server) deregister(w http.ResponseWriter, r *http.Request) {
-	if s.rejectOutage(w) {
+	if s.rejectDuringOutage(w) {
 		return
 	}
 	deregistration, ok := readBody[consul.Deregistration](w, r)
@@ -227,8 +229,9 @@
 	_, _ = io.WriteString(w, "true")
 }
 
-// maintenance is /v1/agent/maintenance. The query names the node: there is one emulator for the agents of all nodes. It
-// works during an outage: an agent needs no leader for it.
+// maintenance serves PUT /v1/agent/maintenance. In contrast to Consul, the query names the node, because the emulator
+// stands for the agents of all nodes. The request also works during an outage, because an agent needs no cluster leader
+// for it.
 func (s *Server) maintenance(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	on, err := strconv.ParseBool(query.Get("enable"))
@@ -239,7 +242,7 @@
 	s.With(func(st *Store, now time.Duration) { st.SetMaintenance(now, query.Get("node"), on) })
 }
 
-// readBody reads the body of a request, or answers that it is malformed.
+// readBody decodes the JSON body of a request. If the body is malformed, it answers with status 400 and returns false.
 func readBody[T any](w http.ResponseWriter, r *http.Request) (T, bool) {
 	var v T
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&v); err != nil {
--- a/internal/emulator/consul/store.go
+++ b/internal/emulator/consul/store.go
@@ -8,38 +8,39 @@
 	"forkhead/internal/protocol/consul"
 )
 
-// Policy is when a host that no longer registers counts as failed.
+// Policy defines when a host that no longer registers counts as failed. Both times start at its last registration.
 type Policy struct {
-	CriticalAfter   time.Duration // its check is critical after this time
-	DeregisterAfter time.Duration // and it is dropped after this time
+	CriticalAfter   time.Duration // time after which the host's health check is critical
+	DeregisterAfter time.Duration // time after which the host is deregistered
 }
 
-// Store is the state of the emulated Consul. It is pure: time comes in. It is for one goroutine at a time.
+// Store is the state of the emulated Consul. It is pure: its methods get the current time as an argument. It is not
+// safe for concurrent use.
 type Store struct {
 	policy  Policy
-	index   uint64 // of the latest version
+	index   uint64 // index of the latest version
 	nodes   map[string]*node
-	history []version // the versions of the last historyWindow, the latest last; never empty
+	history []version // versions of the last historyWindow, oldest first; never empty
 	lag     time.Duration
-	frozen  *version // nil, or what every answer is
+	frozen  *version // the version in every answer; nil: not frozen
 }
 
 // node is a registered host.
 type node struct {
 	registration consul.Registration
-	registeredAt time.Duration // last
+	registeredAt time.Duration // time of the latest registration
 	critical     bool
 	maintenance  bool
 }
 
-// version is the endpoint list as it was from a moment on.
+// version is the state of the endpoint list from a point in time until the next version.
 type version struct {
 	since   time.Duration
 	index   uint64
 	entries []consul.Entry
 }
 
-// historyWindow is how long versions are kept for answers with a lag.
+// historyWindow is how long old versions are kept, and so the longest lag.
 const historyWindow = 2 * time.Minute
 
 // NewStore returns a store without hosts.
@@ -47,7 +48,7 @@
 	return &Store{policy: p, nodes: map[string]*node{}, index: 1, history: []version{{index: 1}}}
 }
 
-// Register adds a host, or renews its registration.
+// Register adds a host or renews its registration, which makes its health check passing.
 func (s *Store) Register(now time.Duration, r consul.Registration) {
 	n := s.nodes[r.Node]
 	if n == nil {
@@ -58,7 +59,7 @@
 	s.addVersion(now)
 }
 
-// Deregister drops a host.
+// Deregister removes a host.
 func (s *Store) Deregister(now time.Duration, name string) {
 	if s.nodes[name] != nil {
 		delete(s.nodes, name)
@@ -66,7 +67,7 @@
 	}
 }
 
-// SetMaintenance puts a host into maintenance, or ends that.
+// SetMaintenance turns maintenance mode of a host on or off.
 func (s *Store) SetMaintenance(now time.Duration, name string, on bool) {
 	if n := s.nodes[name]; n != nil && n.maintenance != on {
 		n.maintenance = on
@@ -74,19 +75,20 @@
 	}
 }
 
-// SetLag makes answers late by so much, up to historyWindow.
+// SetLag makes Health answer with the version of d ago. d is at most historyWindow.
 func (s *Store) SetLag(d time.Duration) { s.lag = d }
 
-// SetFrozen makes every answer the present one, or ends that.
+// SetFrozen(now, true) makes Health return the version that it returns now until SetFrozen(now, false).
 func (s *Store) SetFrozen(now time.Duration, on bool) {
 	s.frozen = nil
 	if on {
-		v := s.versionAt(now)
+		v := s.visibleVersion(now)
 		s.frozen = &v
 	}
 }
 
-// Tick applies the policy to hosts that no longer register.
+// Tick applies the policy: it makes the health checks of hosts that no longer register critical, and deregisters them
+// later.
 func (s *Store) Tick(now time.Duration) {
 	changed := false
 	for name, n := range s.nodes {
@@ -104,9 +106,10 @@
 	}
 }
 
-// Health answers /v1/health/service/:service as of now: the entries, sorted by name, and their index.
+// Health returns the answer to /v1/health/service/:service: the entries of the service, sorted by host name, and the
+// index of their version.
 func (s *Store) Health(now time.Duration, service string) (entries []consul.Entry, index uint64) {
-	v := s.versionAt(now)
+	v := s.visibleVersion(now)
 	for _, e := range v.entries {
 		if e.Service.Service == service {
 			entries = append(entries, e)
@@ -115,7 +118,7 @@
 	return entries, v.index
 }
 
-// addVersion makes the present state the latest version.
+// addVersion appends the current state to the history as the latest version, and removes versions that no lag needs.
 func (s *Store) addVersion(now time.Duration) {
 	s.index++
 	v := version{since: now, index: s.index}
@@ -128,6 +131,7 @@
 	}
 }
 
+// entry returns the entry of the endpoint list for the host.
 func (n *node) entry(name string) consul.Entry {
 	health := consul.Check{Node: name, CheckID: consul.HealthCheckID, Name: consul.HealthCheckName, Status: consul.StatusPassing}
 	if n.critical {
@@ -147,8 +151,9 @@
 	}
 }
 
-// versionAt returns the version that is answered now.
-func (s *Store) versionAt(now time.Duration) version {
+// visibleVersion returns the version that Health answers with now: the frozen one, or else the latest that is at least
+// as old as the lag.
+func (s *Store) visibleVersion(now time.Duration) version {
 	if s.frozen != nil {
 		return *s.frozen
 	}
--- a/internal/emulator/consul/store_test.go
+++ b/internal/emulator/consul/store_test.go
@@ -10,8 +10,9 @@
 
 const testService = "forkhead-host"
 
-// listed returns the hosts that the store answers, each with "!" if a check of it is critical, and the index.
-func listed(s *Store, now time.Duration) (names []string, index uint64) {
+// listedHosts returns the names of the hosts in the store's answer, with the suffix "!" where a check is critical, and
+// the answer's index.
+func listedHosts(s *Store, now time.Duration) (names []string, index uint64) {
 	entries, index := s.Health(now, testService)
 	for _, e := range entries {
 		name := e.Node.Node
@@ -23,6 +24,8 @@
 	return names, index
 }
 
+// newTestStore returns a store in which hosts with the given names registered at time 0. Their checks are critical
+// after 2 s, and they are deregistered after 6 s.
 func newTestStore(names ...string) *Store {
 	s := NewStore(Policy{CriticalAfter: 2 * time.Second, DeregisterAfter: 6 * time.Second})
 	for _, name := range names {
@@ -31,7 +34,7 @@
 	return s
 }
 
-func TestStoreAppliesPolicy(t *testing.T) {
+func TestStoreTickAppliesPolicyToHostsThatNoLongerRegister(t *testing.T) {
 	s := newTestStore("b", "a")
 	for _, c := range []struct {
 		at   time.Duration
@@ -43,34 +46,34 @@
 		{6 * time.Second, nil},
 	} {
 		s.Tick(c.at)
-		if got, _ := listed(s, c.at); !slices.Equal(got, c.want) {
-			t.Errorf("at %v: %q, want %q", c.at, got, c.want)
+		if got, _ := listedHosts(s, c.at); !slices.Equal(got, c.want) {
+			t.Errorf("Health after Tick(%v) = hosts %q, want %q", c.at, got, c.want)
 		}
 	}
 }
 
-func TestStoreAnswersWithLag(t *testing.T) {
+func TestStoreHealthReturnsOldVersionDuringLag(t *testing.T) {
 	s := newTestStore("a")
-	_, before := listed(s, 0)
+	_, before := listedHosts(s, 0)
 	s.SetMaintenance(10*time.Second, "a", true)
 	s.SetLag(3 * time.Second)
-	if got, index := listed(s, 13*time.Second-1); !slices.Equal(got, []string{"a"}) || index != before {
-		t.Errorf("before the lag is over: %q with index %d, want a with %d", got, index, before)
+	if got, index := listedHosts(s, 13*time.Second-1); !slices.Equal(got, []string{"a"}) || index != before {
+		t.Errorf("Health before the lag is over = hosts %q, index %d, want %q, %d", got, index, []string{"a"}, before)
 	}
-	if got, index := listed(s, 13*time.Second); !slices.Equal(got, []string{"a!"}) || index != before+1 {
-		t.Errorf("after the lag: %q with index %d, want a! with %d", got, index, before+1)
+	if got, index := listedHosts(s, 13*time.Second); !slices.Equal(got, []string{"a!"}) || index != before+1 {
+		t.Errorf("Health after the lag = hosts %q, index %d, want %q, %d", got, index, []string{"a!"}, before+1)
 	}
 }
 
-func TestStoreFreezes(t *testing.T) {
+func TestStoreHealthReturnsSameVersionWhileFrozen(t *testing.T) {
 	s := newTestStore("a")
 	s.SetFrozen(time.Second, true)
 	s.Deregister(2*time.Second, "a")
-	if got, _ := listed(s, 3*time.Second); !slices.Equal(got, []string{"a"}) {
-		t.Errorf("frozen: %q, want a", got)
+	if got, _ := listedHosts(s, 3*time.Second); !slices.Equal(got, []string{"a"}) {
+		t.Errorf("Health of a frozen store after Deregister(a) = hosts %q, want %q", got, []string{"a"})
 	}
 	s.SetFrozen(3*time.Second, false)
-	if got, _ := listed(s, 3*time.Second); len(got) != 0 {
-		t.Errorf("no longer frozen: %q, want none", got)
+	if got, _ := listedHosts(s, 3*time.Second); len(got) != 0 {
+		t.Errorf("Health after SetFrozen(false) = hosts %q, want none", got)
 	}
 }
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,6 +1,6 @@
-// Package emulator is the layer of the emulators of what is around a placer: hosts and Consul, and the users'
-// platform. Packages hostmodel and platformmodel, the behavior of a host and of the platform, are pure; host, platform and
-// consul are servers.
+// Package emulator is the layer of the emulators of the systems that a placer communicates with: hosts, Consul and the
+// users' platform. Packages hostmodel and platformmodel define the behavior of a host and of the platform and are pure.
+// Packages host, platform and consul are servers.
 //
-// It may import parse, protocol, scheduler and server.
+// The layer may import parse, protocol, scheduler and server.
 package emulator
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,5 +1,6 @@
-// Package goldentest compares what a test produces with a file below the test's testdata folder. `go test -update` writes
-// the files instead; it is for a change of form that is wanted, and its result is to be read before it is committed.
+// Package goldentest compares the output of a test with a golden file in the package's testdata directory. `go test
+// -update` writes the golden files instead. Use it only when the output is meant to change, and read the diff of the
+// files before committing them.
 package goldentest
 
 import (
@@ -12,10 +13,11 @@
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// Updating says whether the golden files are written instead of compared with.
+// Updating reports whether golden files are written instead of compared with.
 func Updating() bool { return *update }
 
-// Check reports an error if the text differs from the golden file testdata/NAME.
+// Check reports a test error if text differs from the golden file testdata/NAME. With -update it writes text to the
+// file.
 func Check[T string | []byte](t *testing.T, name string, text T) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -29,6 +31,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal([]byte(text), want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, text, want)
+		t.Errorf("output differs from golden file %s\ngot:\n%s\nwant:\n%s", path, text, want)
 	}
 }
--- a/internal/goldentest/values.go
+++ b/internal/goldentest/values.go
@@ -7,8 +7,9 @@
 	"strings"
 )
 
-// FormatValue formats a value with all that it holds, in the order of its fields and without any name of Go's, so that it is
-// the same after a renaming. A number is written as such even where its type has words for it.
+// FormatValue formats a value with everything that it contains. Struct fields are in their order and without names, and
+// no Go identifier is in the text, so that renaming identifiers doesn't change it. A number is formatted as a number
+// even where its type has a String method.
 func FormatValue(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
@@ -30,15 +31,16 @@
 	}
 }
 
-func joinValues(count int, part func(i int) reflect.Value) string {
+// joinValues formats count values, which value returns by index, with spaces between them.
+func joinValues(count int, value func(i int) reflect.Value) string {
 	parts := make([]string, count)
 	for i := range parts {
-		parts[i] = FormatValue(part(i))
+		parts[i] = FormatValue(value(i))
 	}
 	return strings.Join(parts, " ")
 }
 
-// mapValues formats the entries of a map, sorted as text.
+// mapValues formats the entries of a map as key:value, sorted by their text.
 func mapValues(v reflect.Value) string {
 	parts := make([]string, 0, v.Len())
 	for _, key := range v.MapKeys() {
@@ -48,6 +50,7 @@
 	return strings.Join(parts, " ")
 }
 
+// scalarValue formats a string, a boolean or a number.
 func scalarValue(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.String:
