--- a/internal/emulator/host/connection.go
+++ b/internal/emulator/host/connection.go
@@ -10,29 +10,30 @@
 	"forkhead/internal/server/netio"
 )
 
-// connection is a placer's connection to the host. All but the decoder belongs to the event loop.
+// connection is a connection of a placer to the host. All fields but decoder are used only on the event loop.
 type connection struct {
 	server      *Server
 	conn        *netio.Conn
-	decoder     hostproto.Decoder // on the goroutine that reads
+	decoder     hostproto.Decoder // used only on the goroutine that reads
 	id          hostmodel.ConnID
-	model       *hostmodel.Host // the incarnation in which it was opened
-	unsent      []byte          // frames of the current step
-	muted       bool
-	placer      int // -1: no Hello yet
+	model       *hostmodel.Host // the incarnation in which the connection was opened
+	unsent      []byte          // encoded frames of the outputs that are being executed
+	muted       bool            // frames are neither received nor sent; see MuteConnections
+	placer      int             // number of the placer; -1: no Hello was received
 	placerEpoch uint64
 }
 
-// accept takes a new connection.
+// accept returns the handler of a new connection, or nil to reject the connection because the host is stopped.
 func (s *Server) accept(conn *netio.Conn) netio.Handler {
 	c := &connection{server: s, conn: conn, placer: -1}
-	if !s.loop.Post(func() { s.open(c) }) {
-		return nil // the host is stopped
+	if !s.loop.Post(func() { s.openConnection(c) }) {
+		return nil
 	}
 	return c
 }
 
-func (s *Server) open(c *connection) {
+// openConnection adds a new connection and notifies the model of it.
+func (s *Server) openConnection(c *connection) {
 	s.lastConnID++
 	c.id = s.lastConnID
 	c.model = s.model
@@ -42,7 +43,8 @@
 	}
 }
 
-// Data decodes bytes from a placer and gives their frames to the event loop, which it waits for when that is behind.
+// Data decodes bytes from a placer and queues the frames on the event loop. It blocks while the event loop's queue is
+// full.
 func (c *connection) Data(_ *netio.Conn, p []byte) {
 	s := c.server
 	var frames []hostproto.Frame
@@ -61,12 +63,13 @@
 	})
 }
 
-// Closed takes the end of a connection.
+// Closed removes the connection after it was closed.
 func (c *connection) Closed(*netio.Conn, error) {
-	c.server.loop.Post(func() { c.server.forget(c) })
+	c.server.loop.Post(func() { c.server.removeConnection(c) })
 }
 
-func (s *Server) forget(c *connection) {
+// removeConnection removes a closed connection and notifies the model.
+func (s *Server) removeConnection(c *connection) {
 	if s.connections[c.id] != c {
 		return
 	}
@@ -79,8 +82,9 @@
 	}
 }
 
-// receive gives a frame, which was read at a time, to the incarnation that its connection was opened in. A frame that was
-// read before the host crashed may come to its turn in the next incarnation: neither that one nor the capture may take it.
+// receive passes a frame that was read at the given time to the model. It drops a frame of a connection that an earlier
+// incarnation opened: the frame was read before the host crashed and was still queued on the event loop when the next
+// incarnation started. Neither the model nor the capture may get such a frame.
 func (s *Server) receive(c *connection, f hostproto.Frame, at time.Duration) {
 	if s.model == nil || s.unresponsive || c.muted || s.connections[c.id] != c || c.model != s.model {
 		return
@@ -92,8 +96,8 @@
 	s.execute(s.model.ReceiveFrame(s.cfg.Clock.Now(), c.id, f))
 }
 
-// execute sends the frames and closes the connections that the model wants, with one write for each connection. A model
-// that crashed ends the host's incarnation.
+// execute executes outputs of the model: it sends frames, with one write for each connection, and closes connections.
+// If the model has crashed, it then ends the incarnation.
 func (s *Server) execute(out []hostmodel.Output) {
 	var unsent []*connection
 	for _, o := range out {
@@ -120,27 +124,27 @@
 	}
 }
 
-// flush writes a connection's unsent frames, as the current faults require. A failed write closes the connection, which
-// Closed takes.
+// flush writes the unsent frames of a connection and applies truncateNextWrite and frameDelay. It ignores write errors:
+// a failed write closes the connection, so Closed is called.
 func (s *Server) flush(c *connection) {
 	if len(c.unsent) == 0 {
 		return
 	}
 	switch {
-	case s.truncateFrame:
-		s.truncateFrame = false
+	case s.truncateNextWrite:
+		s.truncateNextWrite = false
 		_ = c.conn.Write(c.unsent[:len(c.unsent)/2])
 		c.conn.Close()
 	case s.frameDelay > 0:
-		late := slices.Clone(c.unsent)
-		time.AfterFunc(s.frameDelay, func() { _ = c.conn.Write(late) })
+		delayed := slices.Clone(c.unsent)
+		time.AfterFunc(s.frameDelay, func() { _ = c.conn.Write(delayed) })
 	default:
 		_ = c.conn.Write(c.unsent)
 	}
 	c.unsent = c.unsent[:0]
 }
 
-// captureFrame records a frame that was received or sent at a time.
+// captureFrame records a frame that was received or sent at the given time.
 func (s *Server) captureFrame(c *connection, f hostproto.Frame, at time.Duration) {
 	if s.cfg.Recorder == nil {
 		return
--- a/internal/emulator/host/faults.go
+++ b/internal/emulator/host/faults.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// Kill ends the incarnation with resets, as when its process is killed.
+// Kill ends the incarnation and resets its connections, as the kernel does for a process that is killed.
 func (s *Server) Kill() { s.loop.Call(s.crash) }
 
-// CrashSilently ends the incarnation without a message: connections stay open, and nothing answers.
+// CrashSilently ends the incarnation without closing its sockets. Until Restart, the host still accepts connections,
+// drops all frames that it receives and sends none.
 func (s *Server) CrashSilently() {
 	s.loop.Call(func() {
 		if s.model == nil {
@@ -16,7 +17,8 @@
 	})
 }
 
-// Restart starts the next incarnation, unless the host is up. It returns an error if its address cannot be listened at.
+// Restart starts the next incarnation. It does nothing if the host is up. It returns an error if it cannot listen on
+// the host's address.
 func (s *Server) Restart(warmingUp bool) error {
 	var err error
 	s.loop.Call(func() {
@@ -29,19 +31,19 @@
 	return err
 }
 
-// ResetConnections resets the connections of a placer, or of all placers for -1.
+// ResetConnections resets the connections of a placer; -1 selects all placers.
 func (s *Server) ResetConnections(placer int) {
-	s.eachConnection(placer, func(c *connection) { c.conn.Reset() })
+	s.forEachConnection(placer, func(c *connection) { c.conn.Reset() })
 }
 
-// MuteConnections leaves the connections of a placer, or of all placers for -1, open: frames on them are neither read nor
-// written any more.
+// MuteConnections makes the host drop all frames that it receives or would send on the present connections of a placer,
+// which stay open; -1 selects all placers.
 func (s *Server) MuteConnections(placer int) {
-	s.eachConnection(placer, func(c *connection) { c.muted = true })
+	s.forEachConnection(placer, func(c *connection) { c.muted = true })
 }
 
-// eachConnection calls do on the event loop for each connection of a placer, or of all placers for -1.
-func (s *Server) eachConnection(placer int, do func(c *connection)) {
+// forEachConnection calls do on the event loop for each connection of a placer; -1 selects all placers.
+func (s *Server) forEachConnection(placer int, do func(c *connection)) {
 	s.loop.Call(func() {
 		for _, c := range s.connections {
 			if placer < 0 || c.placer == placer {
@@ -51,8 +53,8 @@
 	})
 }
 
-// DelayFrames delays all frames that the host sends from now on; 0 ends it.
+// DelayFrames delays the writing of all frames that the host sends from now on by d. 0 ends the delay.
 func (s *Server) DelayFrames(d time.Duration) { s.loop.Call(func() { s.frameDelay = d }) }
 
-// TruncateNextFrame ends the host's next write in the middle and closes its connection.
-func (s *Server) TruncateNextFrame() { s.loop.Call(func() { s.truncateFrame = true }) }
+// TruncateNextFrame makes the host write only half of the bytes of its next write and then close the connection.
+func (s *Server) TruncateNextFrame() { s.loop.Call(func() { s.truncateNextWrite = true }) }
--- a/internal/emulator/host/registration.go
+++ b/internal/emulator/host/registration.go
@@ -16,11 +16,11 @@
 
 const (
 	registrationTimeout = 2 * time.Second
-	maxRegistrationBody = 1 << 16 // bytes read of a response
+	maxResponseBytes    = 1 << 16 // the rest of a response is not read
 )
 
-// entry returns the host as it registers now. It must be up.
-func (s *Server) entry() core.HostEntry {
+// registrationEntry returns the host's current entry for the catalog. It may be called only while the host is up.
+func (s *Server) registrationEntry() core.HostEntry {
 	cfg := &s.cfg.Host
 	e := core.HostEntry{
 		Name: cfg.Name, Address: s.address, Kind: cfg.MachineType, Zone: cfg.Zone, Rack: cfg.Rack, Started: s.model.Started(),
@@ -33,13 +33,13 @@
 	return e
 }
 
-// registrar registers a host with the catalog on a goroutine of its own, so that a slow catalog does not block the host.
+// registrar registers a host in the catalog on a separate goroutine, so that a slow catalog does not block the host.
 type registrar struct {
-	address string // of Consul's API; "": nothing is registered
+	address string // HOST:PORT of Consul's API; "": the host is not registered
 	service string
 	client  *http.Client
-	entries chan core.HostEntry // at most one: the newest that was not sent yet
-	stopped chan struct{}
+	entries chan core.HostEntry // has capacity 1: the latest entry that is not yet being sent
+	stopped chan struct{}       // closed by stop
 	done    sync.WaitGroup
 }
 
@@ -52,14 +52,14 @@
 
 func (r *registrar) start() { r.done.Go(r.run) }
 
-// stop ends the goroutine after the current request.
+// stop stops the goroutine and waits until its current request ends.
 func (r *registrar) stop() {
 	close(r.stopped)
 	r.done.Wait()
 	r.client.CloseIdleConnections()
 }
 
-// register takes an entry in place of one that was not sent yet. It does not wait.
+// register queues an entry and replaces an entry that is still queued. It does not block.
 func (r *registrar) register(e core.HostEntry) {
 	if r.address == "" {
 		return
@@ -74,18 +74,19 @@
 	}
 }
 
+// run sends queued entries until stop.
 func (r *registrar) run() {
 	for {
 		select {
 		case <-r.stopped:
 			return
 		case e := <-r.entries:
-			_ = r.put(&e) // the next registration repeats a failed one
+			_ = r.put(&e) // after an error, the next entry registers the host
 		}
 	}
 }
 
-// put sends an entry to the catalog. The status of the response is not looked at.
+// put sends an entry to the catalog. It ignores the status of the response.
 func (r *registrar) put(e *core.HostEntry) error {
 	registration, err := consul.NewRegistration(e, r.service)
 	if err != nil {
@@ -106,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = resp.Body.Close() }() // it was read
-	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxRegistrationBody))
+	defer func() { _ = resp.Body.Close() }() // an error here does not affect the registration
+	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes))
 	return err
 }
--- a/internal/emulator/host/server.go
+++ b/internal/emulator/host/server.go
@@ -16,52 +16,54 @@
 )
 
 const (
-	maxUnwritten                = 4 << 20 // bytes on a connection
-	maxQueuedJobs               = 10_000  // on the event loop, before readers wait
+	maxUnwrittenBytes           = 4 << 20 // of a connection
+	maxQueuedJobs               = 10_000  // on the event loop; readers of connections block above it
 	maxListenRetries            = 50
 	listenBackoff               = 10 * time.Millisecond
 	defaultRegistrationInterval = 500 * time.Millisecond
 )
 
-// Config is what a host is and where it runs.
+// Config is the configuration of a Server.
 type Config struct {
 	Host                 hostmodel.Config
-	Listen               string        // ADDRESS:PORT; port 0: any
-	CatalogAddress       string        // HOST:PORT of Consul's API; "": the host registers nowhere
-	Service              string        // that it registers as
-	RegistrationInterval time.Duration // on average; 0: 500 ms
+	Listen               string        // ADDRESS:PORT; port 0: the kernel chooses one
+	CatalogAddress       string        // HOST:PORT of Consul's API; "": the host is not registered
+	Service              string        // name of the service in the catalog
+	RegistrationInterval time.Duration // mean interval; 0: defaultRegistrationInterval
 	Seed                 uint64
-	WarmingUp            bool // the first incarnation has just started, too
+	WarmingUp            bool // the first incarnation warms up, too
 	Clock                *clock.Clock
 	Engine               *netio.Engine
-	Recorder             *recorder.Recorder // takes the captured traffic; nil: none
+	Recorder             *recorder.Recorder // records the captured traffic; nil: no capture
 }
 
-// Server is a host on sockets, through all of its incarnations. Its methods are safe for concurrent use; they wait for its
-// event loop, on which all else happens.
+// Server is an emulated host with sockets. It outlives the incarnations of the host. Its methods are safe for
+// concurrent use. They run on its event loop and wait for it.
 type Server struct {
 	cfg       Config
 	loop      *eventloop.Loop
 	stopOnce  sync.Once
 	registrar *registrar
 
-	model        *hostmodel.Host // the current incarnation; nil: down
-	incarnations uint64          // so far
+	// The fields below are used only on the event loop.
+
+	model        *hostmodel.Host // the current incarnation; nil: the host is down
+	incarnations uint64          // number of incarnations started
 	listener     net.Listener
-	address      string // stays the same over incarnations
+	address      string // the same in all incarnations
 	connections  map[hostmodel.ConnID]*connection
 	lastConnID   hostmodel.ConnID
 
-	rng              *rand.Rand // of the times between registrations
+	rng              *rand.Rand // draws the intervals between registrations
 	nextRegistration time.Duration
 
-	// Faults of all connections.
-	unresponsive  bool          // connections stay open, and nothing is read or written
-	frameDelay    time.Duration // until frames are written
-	truncateFrame bool          // the next write ends in the middle
+	// Faults of all connections. See CrashSilently, DelayFrames and TruncateNextFrame.
+	unresponsive      bool
+	frameDelay        time.Duration
+	truncateNextWrite bool
 }
 
-// Start starts a host with its first incarnation. It returns an error if the address cannot be listened at.
+// Start starts a host with its first incarnation. It returns an error if it cannot listen on the address.
 func Start(cfg Config) (*Server, error) {
 	if cfg.RegistrationInterval <= 0 {
 		cfg.RegistrationInterval = defaultRegistrationInterval
@@ -82,7 +84,7 @@
 	return s, nil
 }
 
-// Address returns the address that the host listens at.
+// Address returns the address that the host listens on.
 func (s *Server) Address() (address string) {
 	s.loop.Call(func() { address = s.address })
 	return address
@@ -91,7 +93,7 @@
 // Name returns the host's name.
 func (s *Server) Name() string { return s.cfg.Host.Name }
 
-// Stop stops the host for good.
+// Stop stops the host and closes its sockets. A stopped host cannot be restarted.
 func (s *Server) Stop() {
 	s.stopOnce.Do(func() {
 		s.loop.Call(func() {
@@ -103,8 +105,8 @@
 	})
 }
 
-// With runs f with the current incarnation on the event loop, and executes the outputs that f returns. f is not called
-// while the host is down.
+// With calls f with the current incarnation and the current time on the event loop, and executes the outputs that f
+// returns. It doesn't call f while the host is down.
 func (s *Server) With(f func(h *hostmodel.Host, now time.Duration) []hostmodel.Output) {
 	s.loop.Call(func() {
 		now := s.cfg.Clock.Now()
@@ -114,20 +116,21 @@
 	})
 }
 
-// startIncarnation listens and starts the next incarnation. Closing connections may still use the port for a moment.
+// startIncarnation opens the listener and starts the next incarnation. It retries listening for a while, because
+// closing connections of the last incarnation may still use the port.
 func (s *Server) startIncarnation(warmingUp bool) error {
 	s.incarnations++
 	now := s.cfg.Clock.Now()
-	listener, err := s.cfg.Engine.Listen(s.address, maxUnwritten, s.accept)
+	listener, err := s.cfg.Engine.Listen(s.address, maxUnwrittenBytes, s.accept)
 	for retry := 0; err != nil && retry < maxListenRetries; retry++ {
 		time.Sleep(listenBackoff)
-		listener, err = s.cfg.Engine.Listen(s.address, maxUnwritten, s.accept)
+		listener, err = s.cfg.Engine.Listen(s.address, maxUnwrittenBytes, s.accept)
 	}
 	if err != nil {
 		return fmt.Errorf("host %s: %w", s.cfg.Host.Name, err)
 	}
 	s.listener, s.address = listener, listener.Addr().String()
-	// Epochs grow over restarts of this process too: they hold the time.
+	// The epoch contains the time, so that it also increases when this process is restarted.
 	epoch := uint64(now.Microseconds()) + s.incarnations
 	s.model = hostmodel.New(s.cfg.Host, epoch, s.cfg.Seed+s.incarnations, now, warmingUp)
 	s.unresponsive, s.nextRegistration = false, now
@@ -135,7 +138,7 @@
 	return nil
 }
 
-// endIncarnation ends the current incarnation, if there is one. Its sockets stay open.
+// endIncarnation ends the current incarnation, if there is one, and leaves its sockets open.
 func (s *Server) endIncarnation() {
 	if s.model == nil {
 		return
@@ -147,16 +150,16 @@
 	s.model = nil
 }
 
-// crash ends the current incarnation and resets its connections.
+// crash ends the current incarnation, if there is one, closes the listener and resets all connections.
 func (s *Server) crash() {
 	s.endIncarnation()
 	s.closeSockets((*netio.Conn).Reset)
 }
 
-// closeSockets closes the listener, and each connection by the given method.
+// closeSockets closes the listener, and closes each connection with closeConn.
 func (s *Server) closeSockets(closeConn func(*netio.Conn)) {
 	if s.listener != nil {
-		_ = s.listener.Close() // nothing can be done about it
+		_ = s.listener.Close() // there is no way to handle an error
 		s.listener = nil
 	}
 	for _, c := range s.connections {
@@ -164,19 +167,20 @@
 	}
 }
 
-// step lets the model act and registers the host when it is time. It returns when it wants to be called next.
+// step executes the due actions of the model and queues a registration if one is due. It returns the time of the next
+// call; scheduled is false if the host is down.
 func (s *Server) step(now time.Duration) (next time.Duration, scheduled bool) {
 	if s.model == nil {
 		return 0, false
 	}
 	s.execute(s.model.Step(now))
-	if s.model == nil { // it crashed
+	if s.model == nil { // the model crashed
 		return 0, false
 	}
 	if now >= s.nextRegistration {
 		jitter := 0.8 + 0.4*s.rng.Float64()
 		s.nextRegistration = now + time.Duration(float64(s.cfg.RegistrationInterval)*jitter)
-		s.registrar.register(s.entry())
+		s.registrar.register(s.registrationEntry())
 	}
 	next = s.nextRegistration
 	if at, ok := s.model.Next(); ok {
@@ -185,7 +189,7 @@
 	return next, true
 }
 
-// capture records an event of this host.
+// capture records an event with the current time and the host's name and epoch.
 func (s *Server) capture(e capture.Event) {
 	if s.cfg.Recorder == nil {
 		return
--- a/internal/emulator/host/server_test.go
+++ b/internal/emulator/host/server_test.go
@@ -16,7 +16,7 @@
 	"forkhead/internal/server/recorder"
 )
 
-// startHost starts a host that registers nowhere.
+// startHost starts a host that is not registered in a catalog, and returns it with the recorder of its traffic.
 func startHost(t *testing.T) (*Server, *recorder.Recorder) {
 	t.Helper()
 	engine, err := netio.New("test", 1)
@@ -34,7 +34,8 @@
 	return s, log
 }
 
-// exchange writes bytes to the host and returns the frames that it sends until it closes the connection or the time is over.
+// exchange writes bytes to the host on a new connection. It returns the frames that the host sends until it closes the
+// connection or the timeout is over, and whether it closed the connection.
 func exchange(t *testing.T, s *Server, p []byte, timeout time.Duration) (frames []hostproto.Frame, closed bool) {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Address())
@@ -59,8 +60,8 @@
 	}
 }
 
-// A frame that was read before its host crashed may come to its turn in the next incarnation. It must not be captured as an
-// offer to that incarnation, which no event would ever end.
+// An offer that was read before its host crashed can still be queued on the event loop when the next incarnation
+// starts. If it were captured as an offer to that incarnation, no later event would end the offer.
 func TestServerIgnoresFrameOfEarlierIncarnation(t *testing.T) {
 	s, log := startHost(t)
 	c := &connection{server: s, id: 77, placer: 1, placerEpoch: 1}
@@ -79,16 +80,17 @@
 	events, _ := log.Events()
 	for _, e := range events {
 		if e.Type == capture.Offer {
-			t.Fatalf("captured: %+v", e)
+			t.Fatalf("receive of an offer from a connection of the earlier incarnation captured %+v, want no event", e)
 		}
 	}
 }
 
-// Each broken stream gets one Bye with the reason, and its connection is closed; the host goes on.
-func TestServerClosesInvalidStreams(t *testing.T) {
+// The host answers a stream that breaks the protocol with one Bye that contains the reason, closes the connection, and
+// still serves other connections.
+func TestServerClosesConnectionsWithInvalidStreams(t *testing.T) {
 	s, _ := startHost(t)
-	// Each Hello has a later connection number: the end of the connection before may reach the host after it, and an equal
-	// number would then be refused.
+	// Each Hello has a higher connection number than the last. The host may learn of the end of the last connection
+	// after the Hello, and would then reject an equal number.
 	lastConn := uint32(0)
 	hello := func() []byte {
 		lastConn++
@@ -97,7 +99,7 @@
 	for name, c := range map[string]struct {
 		stream []byte
 		want   string
-		hello  bool // goes before the stream
+		hello  bool // send a valid Hello before the stream
 	}{
 		"oversized":        {stream: []byte{0xff, 0xff, 0xff, 0xff}, want: "longer than allowed"},
 		"unknown code":     {stream: []byte{1, 0, 0, 0, 77}, want: "unknown code"},
@@ -117,30 +119,31 @@
 			stream = append(hello(), stream...)
 		}
 		frames, closed := exchange(t, s, stream, 2*time.Second)
-		byes := 0
+		byes := 0 // with the wanted reason
 		for _, f := range frames {
 			if b, ok := f.(hostproto.Bye); ok && strings.Contains(b.Text, c.want) {
 				byes++
 			}
 		}
 		if byes != 1 || !closed {
-			t.Errorf("%s: %+v, closed %v", name, frames, closed)
+			t.Errorf("%s: answer to the stream = frames %+v, closed %v, want one Bye with %q, closed true", name, frames, closed, c.want)
 		}
 	}
 	if frames, _ := exchange(t, s, hostproto.Append(nil, hostproto.Hello{Version: hostproto.Version, Epoch: 6, Conn: 1}), 100*time.Millisecond); len(frames) != 1 {
-		t.Fatalf("the host does not go on: %+v", frames)
+		t.Fatalf("answer to a valid Hello after the invalid streams = frames %+v, want one frame", frames)
 	}
 }
 
-// A host that is killed and restarted listens at the same address under a later epoch.
-func TestServerRestartsUnderLaterEpoch(t *testing.T) {
+// A host that is killed and restarted listens on the same address, has a higher epoch, and tells placers that it has
+// just started. A host that has crashed silently keeps connections open and does not answer.
+func TestServerRestartHasSameAddressAndHigherEpoch(t *testing.T) {
 	s, log := startHost(t)
 	hello := hostproto.Append(nil, hostproto.Hello{Version: hostproto.Version, Epoch: 1, Conn: 1})
 	first, _ := exchange(t, s, hello, 100*time.Millisecond)
 	s.Kill()
 	if c, err := net.Dial("tcp", s.Address()); err == nil {
 		_ = c.Close()
-		t.Fatal("a host that was killed listens")
+		t.Fatal("connecting to a killed host succeeded, want an error")
 	}
 	if err := s.Restart(true); err != nil {
 		t.Fatal(err)
@@ -148,11 +151,11 @@
 	second, _ := exchange(t, s, hello, 100*time.Millisecond)
 	a, b := first[0].(hostproto.Welcome), second[0].(hostproto.Welcome)
 	if b.Epoch <= a.Epoch || b.Started == 0 {
-		t.Fatalf("%+v, then %+v", a, b)
+		t.Fatalf("Welcome after the restart = %+v, want Epoch above %d and Started not 0", b, a.Epoch)
 	}
 	s.CrashSilently()
 	if frames, closed := exchange(t, s, hello, 100*time.Millisecond); len(frames) != 0 || closed {
-		t.Fatalf("a host that has vanished sends %+v", frames)
+		t.Fatalf("answer of a silently crashed host = frames %+v, closed %v, want none, closed false", frames, closed)
 	}
 	events, _ := log.Events()
 	ups, downs := 0, 0
@@ -165,6 +168,6 @@
 		}
 	}
 	if ups != 2 || downs != 2 {
-		t.Fatalf("captured %d starts and %d ends of incarnations", ups, downs)
+		t.Fatalf("captured %d HostUp and %d HostDown events, want 2 and 2", ups, downs)
 	}
 }
