--- a/internal/emulator/hostmodel/config.go
+++ b/internal/emulator/hostmodel/config.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Config is what a host is and how it behaves.
+// Config is the configuration of a host and of its behavior.
 type Config struct {
 	Name, MachineType, Zone, Rack string
 	Labels                        map[string]string
@@ -10,30 +10,30 @@
 	Cores, Memory                     float64 // Memory in GiB
 	CoresOvercommit, MemoryOvercommit float64 // offers are accepted up to these multiples of Cores and Memory
 
-	DecisionTime        time.Duration // of one offer; offers are decided one after another
-	MaxQueued           int           // offers that may wait for their decision
-	MaxStarting         int           // tasks that start at a time
-	StartTime           time.Duration // of a task whose service's program is cached
-	UncachedStartFactor float64       // a start takes so many times as long where the program is not cached
-	MaxCachedPrograms   int           // programs that stay after the last task of their service
+	DecisionTime        time.Duration // time to decide on an offer; the host decides on one offer at a time
+	MaxQueued           int           // offers that may wait for their decision; further ones are rejected
+	MaxStarting         int           // tasks that start at the same time; further ones wait
+	StartTime           time.Duration // time to start a task if the program of its service is cached
+	UncachedStartFactor float64       // factor of the start time if the program is not cached
+	MaxCachedPrograms   int           // programs that stay cached without a running task of their service
 
-	// A host that has just come up warms up for SlowStartDuration: it starts tasks at first at the fraction
-	// SlowStartInitialRate of its usual rate, and the fraction grows evenly to 1. Within a SlowStartWindow it then withstands
-	// SlowStartMaxOffers offers, or SlowStartOverload times as many as it can start in it, if these are more. With one
-	// more it crashes.
+	// A host that has just come up warms up for SlowStartDuration. The rate at which it starts tasks grows linearly
+	// from the fraction SlowStartInitialRate of its usual rate to the usual rate. While it warms up, it crashes if it
+	// receives more offers within a SlowStartWindow than the larger of SlowStartMaxOffers and SlowStartOverload times
+	// the number of tasks that it can start in the window.
 	SlowStartDuration    time.Duration
 	SlowStartInitialRate float64
 	SlowStartWindow      time.Duration
 	SlowStartMaxOffers   float64
 	SlowStartOverload    float64
 
-	MeanUsage    float64       // fraction of what tasks request that they use
-	UsageSwing   float64       // how far the fraction swings to both sides
-	NoteInterval time.Duration // between notes of a running task; 0: no notes
-	Preemption   bool          // tasks of a lower priority are ended for one of a higher
+	MeanUsage    float64       // mean fraction of the requested cores and memory that a running task uses
+	UsageSwing   float64       // amplitude of the periodic change of that fraction
+	NoteInterval time.Duration // interval between the notes of a running task; 0: no notes
+	Preemption   bool          // a running task may be ended to accept one of a higher priority
 }
 
-// DefaultConfig returns the configuration of a plain host with the given cores and memory in GiB.
+// DefaultConfig returns the configuration of a host without overcommitment, with the given cores and GiB of memory.
 func DefaultConfig(name, machineType, zone, rack string, cores, memory float64) Config {
 	return Config{
 		Name: name, MachineType: machineType, Zone: zone, Rack: rack,
--- a/internal/emulator/hostmodel/faults.go
+++ b/internal/emulator/hostmodel/faults.go
@@ -6,41 +6,42 @@
 	"forkhead/internal/protocol/hostproto"
 )
 
-// CrashPoint is a moment at which a host can be made to crash.
+// CrashPoint is a point in the handling of a task at which a host can be made to crash.
 type CrashPoint uint8
 
-// The points.
+// The crash points.
 const (
 	NoCrash        CrashPoint = iota
-	DuringDecision            // while it decides about an offer
-	DuringStart               // while a task starts
-	AfterBind                 // when a task runs, before it is reported
+	DuringDecision            // before the decision on an offer is made
+	DuringStart               // before the start of a task begins
+	AfterBind                 // when a task runs, before its placer is told
 )
 
-// Crash ends this incarnation at once.
+// Crash ends this incarnation at once and discards the outputs of the current input.
 func (h *Host) Crash() { h.dead, h.out = true, nil }
 
-// CrashAt makes the host crash when it next comes to a point; NoCrash takes that back.
+// CrashAt makes the host crash when it next reaches p. NoCrash cancels it.
 func (h *Host) CrashAt(p CrashPoint) { h.crashPoint = p }
 
-// Hang makes the host do nothing more, with its connections open.
+// Hang makes the host ignore all inputs and execute no actions any more. Its connections stay open.
 func (h *Host) Hang() { h.hung = true }
 
-// Pause makes the host do nothing for a while. What comes meanwhile is handled after it.
+// Pause makes the host execute no actions for d. Inputs that it receives in that time are handled afterwards.
 func (h *Host) Pause(now, d time.Duration) { h.pausedUntil = max(h.pausedUntil, now+d) }
 
-// SlowDown makes decisions, starts and service take so many times as long for a while.
+// SlowDown multiplies the time of decisions and starts by factor for d, and divides the service level by it.
 func (h *Host) SlowDown(now, d time.Duration, factor float64) {
 	h.slowFactor, h.slowUntil = factor, now+d
 }
 
-// RejectClass makes the host reject the offers of a class for a while.
+// RejectClass makes the host reject all offers of a class for d.
 func (h *Host) RejectClass(now, d time.Duration, class string) { h.rejectUntil[class] = now + d }
 
-// SuppressStarts makes starts of a class that begin in a while never end.
+// SuppressStarts makes starts of tasks of a class that begin within d never finish.
 func (h *Host) SuppressStarts(now, d time.Duration, class string) { h.suppressUntil[class] = now + d }
 
-// Drain makes the host drain, or no longer, and returns what it does. with dismiss it ends its running tasks.
+// Drain starts or ends draining and returns the host's outputs. If draining starts and dismiss is set, the host also
+// ends its running tasks with the result Dismissed.
 func (h *Host) Drain(now time.Duration, on, dismiss bool) []Output {
 	return h.handle(now, func() {
 		h.draining = on
@@ -58,7 +59,7 @@
 	})
 }
 
-// crashesAt crashes the host if it is to crash at this point, and reports whether it has crashed.
+// crashesAt crashes the host if CrashAt was called with p, and reports whether the host has crashed.
 func (h *Host) crashesAt(p CrashPoint) bool {
 	if h.crashPoint == p {
 		h.Crash()
@@ -66,7 +67,7 @@
 	return h.dead
 }
 
-// slowdown returns how many times as long as usual everything takes now.
+// slowdown returns the factor of SlowDown, or 1 if it does not apply now.
 func (h *Host) slowdown() float64 {
 	if h.now < h.slowUntil {
 		return h.slowFactor
--- a/internal/emulator/hostmodel/host.go
+++ b/internal/emulator/hostmodel/host.go
@@ -1,14 +1,15 @@
-// Package hostmodel emulates a host without its sockets: it takes offers, starts and runs tasks, and fails on command. It
-// takes the place of real hosts in tests, in the chaos test and where the service is tried out. It is pure: frames and time
-// come in, frames go out; its shell is emulator/host.
+// Package hostmodel is a model of a host without sockets: it accepts and rejects offers, starts and runs tasks, and
+// fails when a test injects a fault. It replaces real hosts in tests, in the chaos test and in trial runs of the
+// service. It is pure: it gets frames and the current time as inputs and returns frames as outputs. Package
+// emulator/host connects it to sockets.
 //
-//	config.go    what a host is and how it behaves
+//	config.go    the configuration of a host
 //	host.go      the host and its inputs
-//	sessions.go  connections of placers: Hello, the attempts that it has, queries
-//	offers.go    the queue of offers and the decision about each; overload of a host that warms up
-//	tasks.go     starts, running tasks and their notes, ends
-//	timing.go    what the host does by itself as time passes
-//	faults.go    failures on command
+//	sessions.go  connections of placers: Hello, the attempts that the host has, queries
+//	offers.go    the queue of offers, the decision on each offer, and overload of a host that warms up
+//	tasks.go     starts of tasks, running tasks and their notes, ends of tasks
+//	timing.go    timed actions
+//	faults.go    injected faults
 package hostmodel
 
 import (
@@ -21,52 +22,52 @@
 	"forkhead/internal/protocol/hostproto"
 )
 
-// ConnID identifies a connection at this host. Its shell chooses the numbers.
+// ConnID identifies a connection of a host. The caller of ConnectionOpened chooses it.
 type ConnID uint64
 
-// Output is what a host does on a connection.
+// Output is an action of a host on a connection: it sends a frame or closes the connection.
 type Output struct {
 	Conn  ConnID
-	Frame hostproto.Frame // nil: close the connection
+	Frame hostproto.Frame // the frame to send; nil: close the connection
 }
 
-// Bounds of what a host keeps.
+// Limits of the state that a host keeps.
 const (
-	maxOutcomes = 8192    // attempts that are over and whose end is still known
-	maxDeferred = 100_000 // inputs during a pause
+	maxOutcomes       = 8192    // outcomes of attempts that are over; older ones are forgotten
+	maxDeferredInputs = 100_000 // inputs deferred during a pause; further ones are lost
 )
 
-// Host is one incarnation of a host. After a crash it does nothing more; a further incarnation is a new Host. It is for one
-// goroutine at a time. Times are those of the caller's clock and never go back.
+// Host is one incarnation of a host. After a crash it does nothing any more; the next incarnation is a new Host. It is
+// not safe for concurrent use. All times are those of the caller's clock, which never goes back.
 type Host struct {
 	cfg     Config
 	epoch   uint64
-	started time.Duration // 0: long ago
+	started time.Duration // when the incarnation began; 0: long ago
 	rng     *rand.Rand
 	now     time.Duration
-	out     []Output // of the present input
+	out     []Output // outputs of the current input
 
 	conns        map[ConnID]*session
 	sessions     map[uint16]*session // the established session of each placer
-	placerEpochs map[uint16]uint64   // the latest incarnation of each placer
-
-	tasks             map[hostproto.Ref]*task // queued, starting and running
-	queue             []*task                 // not decided; the first is decided at decisionAt
-	decisionAt        time.Duration
-	starting          []*task                           // accepted; the first MaxStarting have begun
-	outcomes          map[hostproto.Ref]hostproto.Frame // attempts that are over, each with its Refused or Ended
-	outcomeOrder      []hostproto.Ref                   // the latest last
+	placerEpochs map[uint16]uint64   // the epoch of the latest incarnation of each placer
+
+	tasks             map[hostproto.Ref]*task           // attempts that are queued, starting or running
+	queue             []*task                           // offers that wait for their decision
+	decisionAt        time.Duration                     // when the first offer of the queue is decided
+	starting          []*task                           // accepted tasks that do not run yet; the first MaxStarting start
+	outcomes          map[hostproto.Ref]hostproto.Frame // Refused or Ended of each attempt that is over
+	outcomeOrder      []hostproto.Ref                   // keys of outcomes, oldest first
 	outcomesForgotten bool                              // there were more than maxOutcomes
-	cachedPrograms    []uint64                          // services without a task whose program is cached, the latest last
-	recentOffers      []time.Duration                   // within the slow start's window
+	cachedPrograms    []uint64                          // services whose program stays cached, oldest first
+	recentOffers      []time.Duration                   // times of the offers in the slow start's window
 
 	draining      bool
 	dead          bool
 	overloaded    bool
 	crashPoint    CrashPoint
 	pausedUntil   time.Duration
-	deferred      []func() // inputs during the pause
-	slowFactor    float64  // counts until slowUntil
+	deferred      []func() // inputs received during the pause
+	slowFactor    float64  // applies until slowUntil
 	slowUntil     time.Duration
 	rejectUntil   map[string]time.Duration // by class
 	suppressUntil map[string]time.Duration // by class
@@ -76,30 +77,30 @@
 // session is a connection of a placer.
 type session struct {
 	id          ConnID
-	established bool   // a Hello was accepted; the fields below are set
-	placer      uint16 // number
-	conn        uint32 // number within the placer's incarnation
+	established bool   // a Hello was accepted, so the fields below are set
+	placer      uint16 // number of the placer
+	conn        uint32 // number of the connection within the placer's incarnation
 }
 
-// task is an attempt that is not over.
+// task is an attempt that is queued, starting or running.
 type task struct {
 	ref           hostproto.Ref
 	placer        uint16
 	spec          hostproto.Spec
 	phase         hostproto.Phase
-	offerDeadline time.Duration // an answer later than this is of no use
-	startedAt     time.Duration // when its start began
-	readyAt       time.Duration // when its start is done; 0: it has not begun
-	endsAt        time.Duration // 0: unknown
-	nextNoteAt    time.Duration // 0: never
-	usageBias     float64       // added to the fraction that it uses
+	offerDeadline time.Duration // the placer no longer waits for an answer after this time
+	startedAt     time.Duration // when the start began
+	readyAt       time.Duration // when the start is done; 0: the start has not begun
+	endsAt        time.Duration // when the task ends; 0: unknown
+	nextNoteAt    time.Duration // when the next notes are sent; 0: never
+	usageBias     float64       // added to the fraction of its request that the task uses
 }
 
 func (t *task) cores() float64  { return float64(t.spec.Cores) / 1000 }
 func (t *task) memory() float64 { return float64(t.spec.Memory) / 1024 } // GiB
 
-// New begins an incarnation of a host. epoch is higher than that of any before; warmingUp
-// means that the host has just come up. The seed, with the epoch, determines what is drawn.
+// New returns a new incarnation of a host. epoch must be higher than in all earlier incarnations. warmingUp means that
+// the host has just come up. The random numbers of the host depend on seed and epoch only.
 func New(cfg Config, epoch, seed uint64, now time.Duration, warmingUp bool) *Host {
 	h := &Host{
 		cfg: cfg, epoch: epoch, rng: rand.New(rand.NewPCG(seed, epoch)), now: now,
@@ -113,26 +114,26 @@
 	return h
 }
 
-// Config returns the configuration.
+// Config returns the configuration of the host.
 func (h *Host) Config() Config { return h.cfg }
 
-// Epoch returns the number of this incarnation.
+// Epoch returns the epoch of this incarnation.
 func (h *Host) Epoch() uint64 { return h.epoch }
 
-// Started returns when this incarnation began, or 0 if long ago.
+// Started returns when this incarnation began, or 0 if it began long ago.
 func (h *Host) Started() time.Duration { return h.started }
 
-// Dead reports whether this incarnation is over.
+// Dead reports whether this incarnation has crashed.
 func (h *Host) Dead() bool { return h.dead }
 
-// Overloaded reports whether the host crashed from too many offers while it was warming up.
+// Overloaded reports whether the host crashed because of too many offers while it was warming up.
 func (h *Host) Overloaded() bool { return h.overloaded }
 
-// Draining reports whether the host drains.
+// Draining reports whether the host is draining.
 func (h *Host) Draining() bool { return h.draining }
 
-// Available returns the cores and the GiB of memory that no accepted task has requested. With overcommitment they may be
-// below 0. The sums are taken in one order, so that their last bits are the same in every run.
+// Available returns the cores and the GiB of memory that are not requested by accepted tasks. With overcommitment, they
+// may be below 0. The sums are computed in a fixed order, so that they have the same rounding errors in every run.
 func (h *Host) Available() (cores, memory float64) {
 	cores, memory = h.cfg.Cores, h.cfg.Memory
 	for _, t := range h.sortedTasks() {
@@ -143,7 +144,7 @@
 	return cores, memory
 }
 
-// BoundCount returns the number of accepted tasks that are not over.
+// BoundCount returns the number of starting and running tasks.
 func (h *Host) BoundCount() int {
 	n := 0
 	for _, t := range h.tasks {
@@ -154,7 +155,7 @@
 	return n
 }
 
-// BoundSpecs returns the accepted tasks that are not over, in the order of their attempts.
+// BoundSpecs returns the specifications of the starting and running tasks, in the order of sortedTasks.
 func (h *Host) BoundSpecs() []hostproto.Spec {
 	var specs []hostproto.Spec
 	for _, t := range h.sortedTasks() {
@@ -165,7 +166,7 @@
 	return specs
 }
 
-// sortedTasks returns the tasks in the order of their attempts.
+// sortedTasks returns the tasks sorted by the epoch, the task and the attempt of their refs, then by placer.
 func (h *Host) sortedTasks() []*task {
 	tasks := slices.Collect(maps.Values(h.tasks))
 	slices.SortFunc(tasks, func(a, b *task) int {
@@ -175,17 +176,18 @@
 	return tasks
 }
 
-// ConnectionOpened notifies the host of a new connection and returns what it does.
+// ConnectionOpened notifies the host of a new connection and returns the host's outputs.
 func (h *Host) ConnectionOpened(now time.Duration, id ConnID) []Output {
 	return h.handle(now, func() { h.conns[id] = &session{id: id} })
 }
 
-// ConnectionClosed notifies the host that a connection is closed and returns what it does.
+// ConnectionClosed notifies the host that a connection is closed and returns the host's outputs.
 func (h *Host) ConnectionClosed(now time.Duration, id ConnID) []Output {
 	return h.handle(now, func() { h.endSession(id) })
 }
 
-// ReceiveFrame gives the host a frame of a connection and returns what it does. Frames of unknown connections are dropped.
+// ReceiveFrame handles a frame received on a connection and returns the host's outputs. Frames of unknown connections
+// are dropped.
 func (h *Host) ReceiveFrame(now time.Duration, id ConnID, f hostproto.Frame) []Output {
 	return h.handle(now, func() {
 		if s := h.conns[id]; s != nil {
@@ -194,8 +196,8 @@
 	})
 }
 
-// ReceiveMalformed notifies the host that what came on a connection could not be read, and returns what it does: it closes
-// the connection with the reason.
+// ReceiveMalformed notifies the host that a frame received on a connection is malformed, and returns the host's
+// outputs: it sends the reason and closes the connection.
 func (h *Host) ReceiveMalformed(now time.Duration, id ConnID, reason string) []Output {
 	return h.handle(now, func() {
 		if s := h.conns[id]; s != nil {
@@ -204,8 +206,8 @@
 	})
 }
 
-// handle lets the host do what is due, the input, and what is due after it. During a pause the input waits for its end;
-// more than maxDeferred are lost.
+// handle executes the due actions, the input, and the actions that are due after it, and returns the outputs. During a
+// pause it defers the input, or drops it if maxDeferredInputs are deferred.
 func (h *Host) handle(now time.Duration, input func()) []Output {
 	h.out = nil
 	if h.dead || h.hung {
@@ -213,7 +215,7 @@
 	}
 	h.advance(now)
 	if h.now < h.pausedUntil {
-		if len(h.deferred) < maxDeferred {
+		if len(h.deferred) < maxDeferredInputs {
 			h.deferred = append(h.deferred, input)
 		}
 		return h.out
--- a/internal/emulator/hostmodel/offers.go
+++ b/internal/emulator/hostmodel/offers.go
@@ -8,12 +8,13 @@
 	"forkhead/internal/scheduler/hostsession"
 )
 
-// handleOffer queues an offer. One that the host has seen before changes nothing.
+// handleOffer queues an offer, or rejects it if the queue is full. It ignores an offer of an attempt that the host
+// knows.
 func (h *Host) handleOffer(s *session, f hostproto.Offer) {
 	if h.state(f.Ref) != hostsession.Absent {
 		return
 	}
-	h.countOfferAndOverload()
+	h.countOfferDuringWarmUp()
 	if h.dead {
 		return
 	}
@@ -32,12 +33,13 @@
 	}
 }
 
-// scheduleDecision begins the decision about the first offer of the queue.
+// scheduleDecision sets when the first offer of the queue is decided.
 func (h *Host) scheduleDecision() {
 	h.decisionAt = h.now + time.Duration(float64(h.cfg.DecisionTime)*h.slowdown())
 }
 
-// dropQueued drops offers in the queue: they never run. Their placer gets to know when it queries them.
+// dropQueued removes the matching offers from the queue, so that they never run. It sends nothing: their placer learns
+// of it when it queries them.
 func (h *Host) dropQueued(matches func(*task) bool) {
 	dropsFirst := len(h.queue) > 0 && matches(h.queue[0])
 	h.queue = slices.DeleteFunc(h.queue, func(t *task) bool {
@@ -73,10 +75,10 @@
 	h.beginStarts()
 }
 
-// admit decides on an offer by admission control: it returns why the offer is rejected, or NoReason. It may preempt running
-// tasks of a lower priority to make capacity.
+// admit returns the reason to reject an offer, or NoReason to accept it. It may preempt running tasks of a lower
+// priority to make capacity for the offer.
 func (h *Host) admit(t *task) hostproto.Reason {
-	if h.draining || h.now > t.offerDeadline || h.now < h.rejectUntil[t.spec.Class] || h.hasCopy(t) {
+	if h.draining || h.now > t.offerDeadline || h.now < h.rejectUntil[t.spec.Class] || h.hasOtherAttempt(t) {
 		return hostproto.Unsuitable
 	}
 	reason := h.checkCapacity(t)
@@ -86,8 +88,8 @@
 	return reason
 }
 
-// hasCopy reports whether the host has accepted another attempt of the same task.
-func (h *Host) hasCopy(t *task) bool {
+// hasOtherAttempt reports whether the host has accepted another attempt of the same task.
+func (h *Host) hasOtherAttempt(t *task) bool {
 	for _, other := range h.tasks {
 		if other != t && other.phase != hostproto.PhaseQueued && other.spec.Key == t.spec.Key {
 			return true
@@ -96,26 +98,27 @@
 	return false
 }
 
-// capacity returns the cores and the memory up to which offers are accepted now.
+// capacity returns the cores and the GiB of memory that the host can still accept, including overcommitment.
 func (h *Host) capacity() (cores, memory float64) {
 	cores, memory = h.Available()
 	return cores + h.cfg.Cores*(h.cfg.CoresOvercommit-1), memory + h.cfg.Memory*(h.cfg.MemoryOvercommit-1)
 }
 
-// checkCapacity returns what a task lacks, or NoReason.
+// checkCapacity returns InsufficientCores or InsufficientMemory if the host lacks the capacity for a task, or NoReason.
 func (h *Host) checkCapacity(t *task) hostproto.Reason {
-	const rounding = 1e-9 // what sums of cores and of memory may be off
+	const roundingError = 1e-9 // maximum rounding error of the sums of cores and of memory
 	cores, memory := h.capacity()
 	switch {
-	case t.cores() > cores+rounding:
+	case t.cores() > cores+roundingError:
 		return hostproto.InsufficientCores
-	case t.memory() > memory+rounding:
+	case t.memory() > memory+roundingError:
 		return hostproto.InsufficientMemory
 	}
 	return hostproto.NoReason
 }
 
-// preemptFor ends running tasks of a lower priority, if that makes capacity for a task, and reports whether it does.
+// preemptFor ends running tasks of a lower priority if that makes enough capacity for a task, and reports whether it
+// has.
 func (h *Host) preemptFor(t *task) bool {
 	if !h.cfg.Preemption || t.spec.Priority == 0 {
 		return false
@@ -140,6 +143,7 @@
 	return true
 }
 
+// reject records that an offer is rejected and tells its placer.
 func (h *Host) reject(t *task, reason hostproto.Reason) {
 	f := hostproto.Refused{Ref: t.ref, Reason: reason, Report: h.loadReport()}
 	_, reply := hostsession.Transition(hostsession.Queued, hostsession.Reject)
@@ -147,9 +151,9 @@
 	h.sendReply(t.placer, t.ref, reply, f)
 }
 
-// handleWithdrawOrStop handles a Withdraw or a Stop. A queued offer is canceled and never runs. A starting task may have had
-// effects, so it ends as stopped, not as canceled. A running task ends on a Stop and ignores a Withdraw. An attempt of another
-// placer is left alone as long as it is not over.
+// handleWithdrawOrStop handles a Withdraw or a Stop. A queued offer is canceled and never runs. A starting task may
+// have had effects, so it ends as stopped, not as canceled. A running task is ended by a Stop but not by a Withdraw.
+// The frame is ignored if it is for a queued, starting or running attempt of another placer.
 func (h *Host) handleWithdrawOrStop(s *session, ref hostproto.Ref, input hostsession.Input) {
 	t := h.tasks[ref]
 	if t != nil && t.placer != s.placer {
@@ -169,7 +173,8 @@
 	}
 }
 
-// recordOutcome records how an attempt ended, for queries of its placer.
+// recordOutcome removes a task and records how its attempt ended, for queries by its placer. It forgets the oldest
+// outcome if there are more than maxOutcomes.
 func (h *Host) recordOutcome(t *task, f hostproto.Frame) {
 	delete(h.tasks, t.ref)
 	h.outcomes[t.ref] = f
@@ -181,9 +186,9 @@
 	}
 }
 
-// countOfferAndOverload counts an offer while the host is warming up. The host crashes from overload if the slow start's window
-// holds more offers than it can take.
-func (h *Host) countOfferAndOverload() {
+// countOfferDuringWarmUp counts an offer if the host is warming up. The host crashes if it has received more offers
+// within the slow start's window than the limit that Config defines.
+func (h *Host) countOfferDuringWarmUp() {
 	if !h.warmingUp() {
 		return
 	}
@@ -199,7 +204,7 @@
 
 func (h *Host) warmingUp() bool { return h.started > 0 && h.now < h.started+h.cfg.SlowStartDuration }
 
-// startRate returns the fraction of its usual rate at which the host starts tasks.
+// startRate returns the current rate of starts as a fraction of the usual rate.
 func (h *Host) startRate() float64 {
 	if !h.warmingUp() {
 		return 1
--- a/internal/emulator/hostmodel/sessions.go
+++ b/internal/emulator/hostmodel/sessions.go
@@ -14,45 +14,47 @@
 	h.out = append(h.out, Output{Conn: s.id, Frame: f})
 }
 
-// sendToPlacer sends a frame about a task to its placer. One that is not connected queries the task when it is again.
+// sendToPlacer sends a frame about a task to its placer, if that is connected. A placer queries its tasks when it
+// connects again.
 func (h *Host) sendToPlacer(placer uint16, f hostproto.Frame) {
 	if s := h.sessions[placer]; s != nil {
 		h.send(s, f)
 	}
 }
 
-// sendReply sends what the state machine of an attempt replies. end is the frame of an attempt that ends now, or nil; one
-// that is over is answered as it ended.
-func (h *Host) sendReply(placer uint16, ref hostproto.Ref, reply hostsession.Reply, end hostproto.Frame) {
+// sendReply sends a reply of the state machine of attempts to a placer. endFrame is the Refused or Ended of an attempt
+// that ends now, or nil. With nil, the reply about an attempt that is over is its recorded outcome.
+func (h *Host) sendReply(placer uint16, ref hostproto.Ref, reply hostsession.Reply, endFrame hostproto.Frame) {
 	switch reply {
 	case hostsession.SendAccepted:
 		h.sendToPlacer(placer, hostproto.Accepted{Ref: ref})
 	case hostsession.SendRunning:
 		h.sendToPlacer(placer, hostproto.Running{Ref: ref})
 	case hostsession.SendRejected, hostsession.SendEnded, hostsession.SendCanceled:
-		if end == nil {
-			end = h.outcomes[ref]
+		if endFrame == nil {
+			endFrame = h.outcomes[ref]
 		}
-		if end == nil {
-			end = hostproto.Refused{Ref: ref, Reason: hostproto.Unsuitable}
+		if endFrame == nil {
+			endFrame = hostproto.Refused{Ref: ref, Reason: hostproto.Unsuitable}
 		}
-		h.sendToPlacer(placer, end)
+		h.sendToPlacer(placer, endFrame)
 	}
 }
 
-// closeConnection closes a connection from this end.
+// closeConnection closes a connection and ends its session.
 func (h *Host) closeConnection(id ConnID) {
 	h.out = append(h.out, Output{Conn: id})
 	h.endSession(id)
 }
 
-// sendBye closes a connection and sends its placer the reason.
+// sendBye sends a Bye with the reason and closes the connection. Placers log the reason.
 func (h *Host) sendBye(s *session, reason string) {
 	h.send(s, hostproto.Bye{Text: reason})
 	h.closeConnection(s.id)
 }
 
-// endSession removes a connection that is closed, and the offers in the queue of its placer.
+// endSession removes a closed connection. If it has the session of its placer, it also drops the placer's queued
+// offers.
 func (h *Host) endSession(id ConnID) {
 	s := h.conns[id]
 	delete(h.conns, id)
@@ -90,7 +92,8 @@
 	}
 }
 
-// handleHello establishes a session, unless a later one of its placer is known, and closes the placer's older connection.
+// handleHello establishes a session and closes the placer's older connection. It rejects a Hello of another version of
+// the protocol, a second Hello on a connection, and one that is not later than the last accepted Hello of the placer.
 func (h *Host) handleHello(s *session, f hostproto.Hello) {
 	switch {
 	case f.Version != hostproto.Version:
@@ -110,56 +113,58 @@
 		return
 	}
 	if older != nil {
-		h.closeConnection(older.id) // frames of it may still be in buffers: they must not count any more
+		h.closeConnection(older.id) // so that frames of it that are still in buffers have no effect
 	}
 	s.established, s.placer, s.conn = true, f.Placer, f.Conn
 	h.sessions[f.Placer], h.placerEpochs[f.Placer] = s, f.Epoch
 	h.sendWelcome(s)
 }
 
-// sendWelcome sends Welcome and the attempts of the session's placer, in as many Holds as it takes.
+// sendWelcome sends Welcome and the attempts of the session's placer, in as many Holds frames as needed.
 func (h *Host) sendWelcome(s *session) {
 	attempts := h.attemptsOf(s.placer)
 	h.send(s, hostproto.Welcome{
 		Version: hostproto.Version, Host: h.cfg.Name, Epoch: h.epoch, Started: h.started, Draining: h.draining, Count: uint32(len(attempts)),
 	})
 	for len(attempts) > 0 {
-		n := countFitting(attempts)
+		n := countFittingInHolds(attempts)
 		h.send(s, hostproto.Holds{Held: attempts[:n]})
 		attempts = attempts[n:]
 	}
 }
 
-// attemptsOf returns the attempts of a placer, in their order.
+// attemptsOf returns the queued, starting and running attempts of a placer, in the order of sortedTasks.
 func (h *Host) attemptsOf(placer uint16) []hostproto.Held {
 	var attempts []hostproto.Held
 	for _, t := range h.sortedTasks() {
 		if t.placer != placer {
 			continue
 		}
-		left := time.Duration(0)
+		remaining := time.Duration(0)
 		if t.endsAt > 0 {
-			left = max(t.endsAt-h.now, time.Millisecond)
+			remaining = max(t.endsAt-h.now, time.Millisecond)
 		}
-		attempts = append(attempts, hostproto.Held{Ref: t.ref, Phase: t.phase, Left: left, Spec: t.spec})
+		attempts = append(attempts, hostproto.Held{Ref: t.ref, Phase: t.phase, Left: remaining, Spec: t.spec})
 	}
 	return attempts
 }
 
-// countFitting returns how many of the first attempts one Holds takes; it is at least 1.
-func countFitting(attempts []hostproto.Held) int {
+// countFittingInHolds returns how many of the first attempts fit into one Holds frame. It is at least 1.
+func countFittingInHolds(attempts []hostproto.Held) int {
 	const (
-		header = 16
-		limit  = hostproto.MaxHoldsSize - 1024 // well below the bound
+		headerSize = 16
+		sizeLimit  = hostproto.MaxHoldsSize - 1024 // well below the bound
 	)
-	n, size := 0, header
-	for n < len(attempts) && (n == 0 || size+hostproto.HeldSize(&attempts[n].Spec) < limit) {
+	n, size := 0, headerSize
+	for n < len(attempts) && (n == 0 || size+hostproto.HeldSize(&attempts[n].Spec) < sizeLimit) {
 		size += hostproto.HeldSize(&attempts[n].Spec)
 		n++
 	}
 	return n
 }
 
+// handleQuery answers a query with the state of each attempt. The answer for an unknown attempt is Forgotten if
+// outcomes have been forgotten, because the outcome may have been among them.
 func (h *Host) handleQuery(s *session, refs []hostproto.Ref) {
 	for _, ref := range refs {
 		if h.outcomesForgotten && h.tasks[ref] == nil && h.outcomes[ref] == nil {
@@ -171,15 +176,15 @@
 	}
 }
 
-// phaseStates are the states of attempts that are not over.
-var phaseStates = [...]hostsession.State{
+// stateOfPhase maps the phases of tasks to the states of their attempts.
+var stateOfPhase = [...]hostsession.State{
 	hostproto.PhaseQueued: hostsession.Queued, hostproto.PhaseStarting: hostsession.Starting, hostproto.PhaseRunning: hostsession.Running,
 }
 
-// state returns the state of an attempt.
+// state returns the state of an attempt, or Absent if the host does not know it.
 func (h *Host) state(ref hostproto.Ref) hostsession.State {
 	if t := h.tasks[ref]; t != nil {
-		return phaseStates[t.phase]
+		return stateOfPhase[t.phase]
 	}
 	switch f := h.outcomes[ref].(type) {
 	case hostproto.Refused:
@@ -193,7 +198,7 @@
 	return hostsession.Absent
 }
 
-// sortedSessions returns the established sessions in the order of their placers' numbers.
+// sortedSessions returns the established sessions, sorted by the number of the placer.
 func (h *Host) sortedSessions() []*session {
 	sessions := slices.Collect(maps.Values(h.sessions))
 	slices.SortFunc(sessions, func(a, b *session) int { return cmp.Compare(a.placer, b.placer) })
--- a/internal/emulator/hostmodel/tasks.go
+++ b/internal/emulator/hostmodel/tasks.go
@@ -10,14 +10,14 @@
 	"forkhead/internal/scheduler/hostsession"
 )
 
-// beginStarts begins as many starts as may run at a time.
+// beginStarts begins the starts of waiting tasks, up to MaxStarting at the same time.
 func (h *Host) beginStarts() {
 	for i, t := range h.starting {
 		if i >= h.cfg.MaxStarting {
 			return
 		}
 		if t.readyAt > 0 {
-			continue // begun
+			continue // the start has begun
 		}
 		if h.crashesAt(DuringStart) {
 			return
@@ -26,9 +26,11 @@
 	}
 }
 
+// beginStart begins the start of a task and sets when it is done. It is never done if starts of the class are
+// suppressed.
 func (h *Host) beginStart(t *task) {
 	work := float64(h.cfg.StartTime)
-	if !h.hasProgram(t.spec.Service) {
+	if !h.isProgramCached(t.spec.Service) {
 		work *= h.cfg.UncachedStartFactor
 	}
 	t.startedAt = h.now
@@ -38,8 +40,8 @@
 	}
 }
 
-// hasProgram reports whether the program of a service is on the host.
-func (h *Host) hasProgram(service uint64) bool {
+// isProgramCached reports whether the program of a service is cached, as it is while a task of the service runs.
+func (h *Host) isProgramCached(service uint64) bool {
 	for _, t := range h.tasks {
 		if t.phase == hostproto.PhaseRunning && t.spec.Service == service {
 			return true
@@ -48,8 +50,8 @@
 	return slices.Contains(h.cachedPrograms, service)
 }
 
-// run makes a task whose start is done a running one.
-func (h *Host) run(t *task) {
+// finishStart makes a task run whose start is done, and tells its placer.
+func (h *Host) finishStart(t *task) {
 	_, reply := hostsession.Transition(h.state(t.ref), hostsession.Start)
 	h.removeStarting(t)
 	t.phase = hostproto.PhaseRunning
@@ -66,7 +68,7 @@
 	h.beginStarts()
 }
 
-// end ends an accepted task.
+// end ends a starting or running task, records its outcome and tells its placer.
 func (h *Host) end(t *task, result hostproto.Result) {
 	h.removeStarting(t)
 	f := hostproto.Ended{Ref: t.ref, Result: result}
@@ -82,9 +84,10 @@
 	h.starting = slices.DeleteFunc(h.starting, func(other *task) bool { return other == t })
 }
 
-// cacheProgram caches the program of a service whose last task has ended; the oldest one is evicted for it.
+// cacheProgram caches the program of a service after a task of it has ended. It removes the program that has been
+// cached for longest if there are more than MaxCachedPrograms.
 func (h *Host) cacheProgram(service uint64) {
-	if h.hasProgram(service) || h.cfg.MaxCachedPrograms <= 0 {
+	if h.isProgramCached(service) || h.cfg.MaxCachedPrograms <= 0 {
 		return
 	}
 	h.cachedPrograms = append(h.cachedPrograms, service)
@@ -93,20 +96,20 @@
 	}
 }
 
-// usage returns the cores and the GiB of memory that a running task uses now. The fraction of what it requested swings
-// around the mean, for each task with a phase of its own.
+// usage returns the cores and the GiB of memory that a running task uses now. The used fraction of its request is a
+// sine wave around the mean, whose phase depends on the task's key.
 func (h *Host) usage(t *task) (cores, memory float64) {
 	const (
-		period   = 20 // seconds
-		phases   = 97
-		minShare = 0.05
+		periodSeconds = 20
+		phaseCount    = 97
+		minFraction   = 0.05
 	)
-	swing := h.cfg.UsageSwing * math.Sin(2*math.Pi*(h.now.Seconds()/period+float64(t.spec.Key%phases)/phases))
-	share := max(h.cfg.MeanUsage+t.usageBias+swing, minShare)
-	return t.cores() * share, t.memory() * min(share, 1)
+	swing := h.cfg.UsageSwing * math.Sin(2*math.Pi*(h.now.Seconds()/periodSeconds+float64(t.spec.Key%phaseCount)/phaseCount))
+	fraction := max(h.cfg.MeanUsage+t.usageBias+swing, minFraction)
+	return t.cores() * fraction, t.memory() * min(fraction, 1)
 }
 
-// totalUsage returns the cores and the GiB of memory that all running tasks use now.
+// totalUsage returns the cores and the GiB of memory that all running tasks together use now.
 func (h *Host) totalUsage() (cores, memory float64) {
 	for _, t := range h.sortedTasks() {
 		if t.phase == hostproto.PhaseRunning {
@@ -117,7 +120,8 @@
 	return cores, memory
 }
 
-// sendNotes reports what a running task uses and how it is served. If the host's memory is short, it evicts a task.
+// sendNotes sends the notes of a running task: its usage, its service level and the host's memory pressure. If the
+// running tasks use more memory than the host has, it evicts one of them.
 func (h *Host) sendNotes(t *task) {
 	t.nextNoteAt = h.now + h.cfg.NoteInterval
 	cores, memory := h.usage(t)
@@ -136,11 +140,11 @@
 	h.sendToPlacer(t.placer, hostproto.Note{Ref: t.ref, Kind: uint8(kind), Amount: float32(amount)})
 }
 
-// evict ends, of the running tasks of the lowest priority, the one that started last.
+// evict ends the running task that started last among those of the lowest priority.
 func (h *Host) evict() {
 	var victim *task
 	for _, t := range h.sortedTasks() {
-		if t.phase == hostproto.PhaseRunning && (victim == nil || t.evictedBefore(victim)) {
+		if t.phase == hostproto.PhaseRunning && (victim == nil || t.isEvictedBefore(victim)) {
 			victim = t
 		}
 	}
@@ -149,13 +153,15 @@
 	}
 }
 
-func (t *task) evictedBefore(other *task) bool {
+// isEvictedBefore reports whether evict prefers t to other.
+func (t *task) isEvictedBefore(other *task) bool {
 	if t.spec.Priority != other.spec.Priority {
 		return t.spec.Priority < other.spec.Priority
 	}
 	return t.startedAt > other.startedAt
 }
 
+// loadReport returns the host's current load.
 func (h *Host) loadReport() *hostproto.Report {
 	cores, memory := h.Available()
 	usedCores, _ := h.totalUsage()
--- a/internal/emulator/hostmodel/timing.go
+++ b/internal/emulator/hostmodel/timing.go
@@ -7,17 +7,17 @@
 	"forkhead/internal/protocol/hostproto"
 )
 
-// Step lets the host do what is due by now and returns it.
+// Step executes the actions that are due by now and returns the host's outputs.
 func (h *Host) Step(now time.Duration) []Output {
 	h.out = nil
 	h.advance(now)
 	return h.out
 }
 
-// never is a time that does not come.
+// never is the time of an action that is not scheduled.
 const never = time.Duration(math.MaxInt64)
 
-// Next returns when the host has something to do by itself, if at all.
+// Next returns the time of the next timed action, and whether there is one.
 func (h *Host) Next() (time.Duration, bool) {
 	if h.dead || h.hung {
 		return 0, false
@@ -38,26 +38,26 @@
 	return next, next != never
 }
 
-// next returns when the task has something to do, or never.
+// next returns the time of the task's next timed action, or never.
 func (t *task) next() time.Duration {
 	switch t.phase {
 	case hostproto.PhaseStarting:
-		return orNever(t.readyAt)
+		return timeOrNever(t.readyAt)
 	case hostproto.PhaseRunning:
-		return min(orNever(t.endsAt), orNever(t.nextNoteAt))
+		return min(timeOrNever(t.endsAt), timeOrNever(t.nextNoteAt))
 	}
 	return never
 }
 
-// orNever returns a time that may be unset, which is 0.
-func orNever(at time.Duration) time.Duration {
+// timeOrNever returns at, or never if at is 0, which means unset.
+func timeOrNever(at time.Duration) time.Duration {
 	if at > 0 {
 		return at
 	}
 	return never
 }
 
-// advance does all that is due by now, in the order of its times.
+// advance executes the actions that are due by now in the order of their times, unless the host is paused.
 func (h *Host) advance(now time.Duration) {
 	for !h.dead && !h.hung {
 		if now < h.pausedUntil {
@@ -72,12 +72,12 @@
 			break
 		}
 		h.now = max(h.now, at, h.pausedUntil)
-		h.doDue()
+		h.executeDueActions()
 	}
 	h.now = max(h.now, now)
 }
 
-// handleDeferred handles, at the end of a pause, the inputs that came during it.
+// handleDeferred handles the deferred inputs after the end of a pause.
 func (h *Host) handleDeferred() {
 	h.now = max(h.now, h.pausedUntil)
 	inputs := h.deferred
@@ -89,8 +89,8 @@
 	}
 }
 
-// doDue does what is due at the present moment.
-func (h *Host) doDue() {
+// executeDueActions executes the actions that are due at h.now.
+func (h *Host) executeDueActions() {
 	if len(h.queue) > 0 && h.decisionAt <= h.now {
 		h.decide()
 	}
@@ -99,14 +99,14 @@
 			return
 		}
 		if h.tasks[t.ref] != t {
-			continue // it ended with one before it
+			continue // an earlier iteration has ended the task
 		}
 		switch {
-		case t.phase == hostproto.PhaseStarting && orNever(t.readyAt) <= h.now:
-			h.run(t)
-		case t.phase == hostproto.PhaseRunning && orNever(t.endsAt) <= h.now:
+		case t.phase == hostproto.PhaseStarting && timeOrNever(t.readyAt) <= h.now:
+			h.finishStart(t)
+		case t.phase == hostproto.PhaseRunning && timeOrNever(t.endsAt) <= h.now:
 			h.end(t, hostproto.Done)
-		case t.phase == hostproto.PhaseRunning && orNever(t.nextNoteAt) <= h.now:
+		case t.phase == hostproto.PhaseRunning && timeOrNever(t.nextNoteAt) <= h.now:
 			h.sendNotes(t)
 		}
 	}
