--- a/internal/emulator/platform/address.go
+++ b/internal/emulator/platform/address.go
@@ -6,17 +6,17 @@
 	"net/netip"
 )
 
-// maxPlacers is how many placers have an address each. The last one's is 127.0.255.254.
+// maxPlacers is the number of loopback addresses for placers. The last placer's address is 127.0.255.254.
 const maxPlacers = 1<<16 - 2
 
-// Addresses of the loopback. Each placer reaches the listeners at one of its own, so that they know which placer has
-// connected: placer 0 at the first, placer 1 at the next.
+// Loopback addresses. Each placer connects to the listeners at an address of its own, so that a listener knows which
+// placer has connected: placer 0 at firstPlacerIP, placer 1 at the next address, and so on.
 var (
 	firstPlacerIP = netip.AddrFrom4([4]byte{127, 0, 0, 1})
-	fillerIP      = netip.AddrFrom4([4]byte{127, 1, 0, 1}) // where connections come from that fill an accept queue
+	fillerIP      = netip.AddrFrom4([4]byte{127, 1, 0, 1}) // source address of connections that fill an accept queue
 )
 
-// placerIP returns the address at which a placer, below maxPlacers, reaches all listeners.
+// placerIP returns the address at which a placer connects to the listeners. placer must be below maxPlacers.
 func placerIP(placer int) netip.Addr {
 	ip := firstPlacerIP.As4()
 	number := binary.BigEndian.Uint32(ip[:]) + uint32(placer)
@@ -24,7 +24,7 @@
 	return netip.AddrFrom4(ip)
 }
 
-// addressFor returns the address at which a placer reaches a listener.
+// addressFor returns the address at which a placer connects to the listener with the given address.
 func addressFor(placer int, address string) string {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return net.JoinHostPort(placerIP(placer).String(), port)
 }
 
-// addrPort returns the address of a TCP socket.
+// addrPort returns an address of a TCP socket as an AddrPort, or the zero AddrPort if it is not one of TCP.
 func addrPort(address net.Addr) netip.AddrPort {
 	tcp, ok := address.(*net.TCPAddr)
 	if !ok {
--- a/internal/emulator/platform/connection.go
+++ b/internal/emulator/platform/connection.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	readSize      = 32 << 10
-	maxUnwritten  = 4 << 20 // bytes on a connection that its placer does not read; with more it is reset
-	lingerTimeout = 500 * time.Millisecond
+	readBufferSize = 32 << 10
+	maxQueuedBytes = 4 << 20 // of a connection whose placer does not read; with more queued, the connection is reset
+	lingerTimeout  = 500 * time.Millisecond
 )
 
 // connection is a connection between the Emulator and a placer.
@@ -23,15 +23,15 @@
 	id     platformmodel.ConnID
 	socket *net.TCPConn
 
-	readDone chan struct{} // closed when nothing more is read
+	readDone chan struct{} // closed when read returns
 
-	mu        sync.Mutex // guards what follows
-	changed   *sync.Cond // on mu
-	paused    bool       // nothing is read
-	queued    [][]byte   // to be written
-	unwritten int        // bytes of queued
-	closing   bool       // to be closed once all is written
-	closed    bool
+	mu            sync.Mutex // guards the fields below
+	changed       *sync.Cond // uses mu; wakes the goroutines that read and write
+	readingPaused bool       // set by setReading
+	queued        [][]byte   // data to be written
+	queuedBytes   int        // total length of queued
+	closing       bool       // the connection is to be closed after queued is written
+	closed        bool
 }
 
 func newConnection(s *Server, id platformmodel.ConnID, socket *net.TCPConn) *connection {
@@ -40,18 +40,18 @@
 	return c
 }
 
-// write queues bytes.
+// write queues data to be written. It resets the connection if more than maxQueuedBytes are queued.
 func (c *connection) write(data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.queued = append(c.queued, data)
-	if c.unwritten += len(data); c.unwritten > maxUnwritten {
-		c.endLocked(true)
+	if c.queuedBytes += len(data); c.queuedBytes > maxQueuedBytes {
+		c.closeSocketLocked(true)
 	}
 	c.changed.Broadcast()
 }
 
-// closeAfterFlush closes the connection once all is written.
+// closeAfterFlush closes the connection after all queued data is written.
 func (c *connection) closeAfterFlush() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,17 +59,19 @@
 	c.changed.Broadcast()
 }
 
-// reset closes the connection at once; the other end is sent a reset.
-func (c *connection) reset() { c.end(true) }
+// reset closes the connection at once and sends a reset to the placer.
+func (c *connection) reset() { c.closeSocket(true) }
 
-func (c *connection) end(reset bool) {
+// closeSocket closes the connection, with a reset if reset is set.
+func (c *connection) closeSocket(reset bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.endLocked(reset)
+	c.closeSocketLocked(reset)
 }
 
-// endLocked is called with mu held. Errors of a socket that is closed mean nothing.
-func (c *connection) endLocked(reset bool) {
+// closeSocketLocked does the same as closeSocket; mu must be held. It ignores errors, because the socket is not used
+// any more.
+func (c *connection) closeSocketLocked(reset bool) {
 	if c.closed {
 		return
 	}
@@ -81,53 +83,53 @@
 	c.changed.Broadcast()
 }
 
-// setReading makes the connection read, or read no longer.
+// setReading resumes or pauses reading.
 func (c *connection) setReading(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.paused = !on
+	c.readingPaused = !on
 	deadline := time.Time{}
-	if c.paused {
-		deadline = time.Now() // ends the read that waits
+	if c.readingPaused {
+		deadline = time.Now() // interrupts a blocked Read
 	}
 	_ = c.socket.SetReadDeadline(deadline)
 	c.changed.Broadcast()
 }
 
-// mayRead waits while nothing is to be read. It returns false when the connection is closed.
-func (c *connection) mayRead() bool {
+// waitToRead blocks while reading is paused. It returns false if the connection is closed.
+func (c *connection) waitToRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.paused && !c.closing && !c.closed {
+	for c.readingPaused && !c.closing && !c.closed {
 		c.changed.Wait()
 	}
 	return !c.closed
 }
 
-// wasInterrupted reports whether a read has ended by setReading, so that there may be more to read.
-func (c *connection) wasInterrupted(err error) bool {
+// isInterruptedRead reports whether err is of a read that setReading has interrupted, after which reading may resume.
+func (c *connection) isInterruptedRead(err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return errors.Is(err, os.ErrDeadlineExceeded) && !c.closing && !c.closed
 }
 
-// read posts what comes until the other end closes the connection.
+// read posts the received bytes to the event loop until the connection is closed.
 func (c *connection) read() {
 	defer close(c.readDone)
-	buffer := make([]byte, readSize)
-	for c.mayRead() {
+	buffer := make([]byte, readBufferSize)
+	for c.waitToRead() {
 		n, err := c.socket.Read(buffer)
 		if n > 0 {
-			c.server.post(platformmodel.Data{Conn: c.id, Bytes: bytes.Clone(buffer[:n])})
+			c.server.postInput(platformmodel.Data{Conn: c.id, Bytes: bytes.Clone(buffer[:n])})
 		}
-		if err != nil && !c.wasInterrupted(err) {
+		if err != nil && !c.isInterruptedRead(err) {
 			break
 		}
 	}
-	c.server.post(platformmodel.Disconnected{Conn: c.id})
+	c.server.postInput(platformmodel.Disconnected{Conn: c.id})
 }
 
-// writeQueued writes what is queued until the connection is closed.
+// writeQueued writes the queued data until the connection is closed.
 func (c *connection) writeQueued() {
 	for {
 		data, ok := c.nextWrite()
@@ -135,14 +137,15 @@
 			break
 		}
 		if _, err := c.socket.Write(data); err != nil {
-			c.end(true)
+			c.closeSocket(true)
 			return
 		}
 	}
-	c.linger()
+	c.closeGracefully()
 }
 
-// nextWrite waits for bytes to write. It returns false when all is written and the connection is to be closed.
+// nextWrite blocks until there is data to write. It returns false if the connection is closed, or is to be closed and
+// all data is written.
 func (c *connection) nextWrite() (data []byte, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -154,15 +157,15 @@
 	}
 	data = c.queued[0]
 	c.queued = c.queued[1:]
-	c.unwritten -= len(data)
+	c.queuedBytes -= len(data)
 	return data, true
 }
 
-// linger ends the connection's own direction and reads on for a while until the other one ends too: what was written would
-// be lost to a reset otherwise.
-func (c *connection) linger() {
+// closeGracefully half-closes the connection, reads until the placer closes it too or lingerTimeout is over, and closes
+// it. Closing it at once could cause a reset, by which the placer would lose data that it has not read yet.
+func (c *connection) closeGracefully() {
 	_ = c.socket.CloseWrite()
 	_ = c.socket.SetReadDeadline(time.Now().Add(lingerTimeout))
 	<-c.readDone
-	c.end(false)
+	c.closeSocket(false)
 }
--- a/internal/emulator/platform/listener.go
+++ b/internal/emulator/platform/listener.go
@@ -13,24 +13,25 @@
 
 const (
 	maxListenRetries = 50
-	listenRetryAfter = 20 * time.Millisecond
+	listenBackoff    = 20 * time.Millisecond
 )
 
-// listener is a listener of the Emulator: a socket for each placer, at that placer's address. All have the same port.
+// listener is a listener of the Emulator. It has a socket for each placer, at that placer's address. All sockets have
+// the same port.
 type listener struct {
-	sockets []*listenerSocket // by placer
+	sockets []*listenerSocket // indexed by placer
 }
 
-// openListener listens at an address, or at any that is free. The address of a listener that was closed may be taken for a
-// while.
+// openListener opens a listener at an address, or at a free port if the address is empty. It retries for a while,
+// because the address of a closed listener may remain in use.
 func (s *Server) openListener(o platformmodel.OpenListener) {
-	sockets, err := listenForPlacers(s.numberOfPlacers, o.Address)
+	sockets, err := listenForPlacers(s.placerCount, o.Address)
 	for retries := 0; retries < maxListenRetries && errors.Is(err, syscall.EADDRINUSE); retries++ {
-		time.Sleep(listenRetryAfter)
-		sockets, err = listenForPlacers(s.numberOfPlacers, o.Address)
+		time.Sleep(listenBackoff)
+		sockets, err = listenForPlacers(s.placerCount, o.Address)
 	}
 	if err != nil {
-		s.fail(fmt.Errorf("listen for an emulator: %w", err))
+		s.recordError(fmt.Errorf("open emulator listener %q: %w", o.Address, err))
 		return
 	}
 	l := &listener{}
@@ -38,11 +39,12 @@
 		l.sockets = append(l.sockets, newListenerSocket(s, o.Listener, placer, socket))
 	}
 	s.listeners[o.Listener] = l
-	s.add(platformmodel.ListenerOpened{Listener: o.Listener, Address: sockets[0].Addr().String()})
+	s.addInput(platformmodel.ListenerOpened{Listener: o.Listener, Address: sockets[0].Addr().String()})
 }
 
-// listenForPlacers opens a socket for each placer at the port of an address; "": at one that the kernel chooses, another one
-// each time. The error is syscall.EADDRINUSE if the port is taken at the address of a placer; no socket is left open then.
+// listenForPlacers opens a socket for each placer at the port of an address. If the address is empty, the kernel
+// chooses a port, another one each time. The error is syscall.EADDRINUSE if the port is in use at the address of a
+// placer. After an error, no socket is left open.
 func listenForPlacers(placers int, address string) ([]*net.TCPListener, error) {
 	var port uint16
 	if address != "" {
@@ -67,21 +69,21 @@
 	return sockets, nil
 }
 
-// close refuses further connections.
+// close closes the sockets, so that connection attempts are refused.
 func (l *listener) close() {
 	for _, socket := range l.sockets {
 		socket.close()
 	}
 }
 
-// stopAccepting lets connections neither be made nor be refused.
+// stopAccepting makes the sockets ignore connection attempts: they are neither accepted nor refused.
 func (l *listener) stopAccepting() {
 	for _, socket := range l.sockets {
 		socket.stopAccepting()
 	}
 }
 
-// resumeAccepting accepts connections again.
+// resumeAccepting makes the sockets accept connections again.
 func (l *listener) resumeAccepting() {
 	for _, socket := range l.sockets {
 		socket.resumeAccepting()
--- a/internal/emulator/platform/listener_test.go
+++ b/internal/emulator/platform/listener_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"net"
 	"net/netip"
 	"os"
@@ -15,11 +16,11 @@
 
 // processSocket is a TCP socket of this process.
 type processSocket struct {
-	address   netip.AddrPort // its own
+	address   netip.AddrPort // local address
 	listening bool
 }
 
-// processSockets returns all TCP sockets of this process, as the kernel knows them.
+// processSockets returns the TCP sockets among this process's file descriptors.
 func processSockets(t *testing.T) (sockets []processSocket) {
 	t.Helper()
 	entries, err := os.ReadDir("/proc/self/fd")
@@ -31,16 +32,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if socket, ok := processSocketOf(fd); ok {
+		if socket, ok := tcpSocketOf(fd); ok {
 			sockets = append(sockets, socket)
 		}
 	}
 	return sockets
 }
 
-// processSocketOf returns the TCP socket of a descriptor; ok is false if it is none, is not bound yet (port 0: one that is
-// about to connect), or was closed meanwhile.
-func processSocketOf(fd int) (socket processSocket, ok bool) {
+// tcpSocketOf returns the TCP socket of a file descriptor. ok is false if the descriptor is not of a TCP socket, if the
+// socket is not bound yet (it has port 0 before it connects), or if it has been closed in the meantime.
+func tcpSocketOf(fd int) (socket processSocket, ok bool) {
 	if kind, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_TYPE); err != nil || kind != syscall.SOCK_STREAM {
 		return processSocket{}, false
 	}
@@ -61,14 +62,14 @@
 	return socket, err == nil && socket.address.Port() != 0
 }
 
-// checkLoopbackOnly checks that no socket of this process has an address of its own outside of 127.0.0.0/8, and returns how
-// many listen.
+// checkLoopbackOnly checks that the local addresses of all TCP sockets of this process are in 127.0.0.0/8, and returns
+// the number of listening sockets.
 func checkLoopbackOnly(t *testing.T) (listening int) {
 	t.Helper()
 	loopback := netip.MustParsePrefix("127.0.0.0/8")
 	for _, socket := range processSockets(t) {
 		if !loopback.Contains(socket.address.Addr()) {
-			t.Errorf("a socket (listening: %t) is bound to %s", socket.listening, socket.address)
+			t.Errorf("local address of a socket (listening: %t) = %s, want an address in %s", socket.listening, socket.address, loopback)
 		}
 		if socket.listening {
 			listening++
@@ -77,9 +78,9 @@
 	return listening
 }
 
-// No socket is reachable from outside the machine: before, during and after a fault that closes listeners and opens them
-// again, of one that fills accept queues, and of one that moves a host to another address.
-func TestSocketsAreOnLoopback(t *testing.T) {
+// No socket may be reachable from outside the machine. This is checked before, during and after three faults: one
+// closes listeners and opens them again, one fills accept queues, and one moves a host to another address.
+func TestServerUsesOnlyLoopbackSocketsDuringFaults(t *testing.T) {
 	faults := map[string]platformmodel.FaultType{
 		"refused": platformmodel.FaultRefused, "zone partition": platformmodel.FaultZonePartition, "readdressed": platformmodel.FaultHostReaddressed,
 	}
@@ -91,28 +92,30 @@
 			})
 			cfg.Placers = 3
 			s := startEmulators(t, cfg)
-			listeners := len(cfg.Hosts) + 1 // the endpoint log's
+			listeners := len(cfg.Hosts) + 1 // hosts and the endpoint log
 			if n := checkLoopbackOnly(t) - before; n != listeners*cfg.Placers {
-				t.Errorf("%d sockets listen, want %d for each of %d placers", n, listeners, cfg.Placers)
+				t.Errorf("number of listening sockets after Start = %d, want %d for each of %d placers", n, listeners, cfg.Placers)
 			}
 			for placer := range cfg.Placers {
-				checkAnswers(t, firstHostAddress(s, placer))
+				checkHostAnswers(t, firstHostAddress(s, placer))
 			}
 			s.Begin()
-			eventually(t, "the end of the fault", func() bool {
+			eventually(t, "end of the fault", func() bool {
 				checkLoopbackOnly(t)
-				return hasEnded(s)
+				return hasFaultEnded(s)
 			})
 			for placer := range cfg.Placers {
-				eventually(t, "an answer", func() bool { return probe(firstHostAddress(s, placer)) == nil })
+				eventually(t, fmt.Sprintf("answer of host 0 to placer %d after the fault", placer), func() bool {
+					return probeBriefly(firstHostAddress(s, placer)) == nil
+				})
 			}
 			checkLoopbackOnly(t)
 		})
 	}
 }
 
-// A fault befalls the sockets of all placers.
-func TestAllPlacersAreRefused(t *testing.T) {
+// FaultRefused has to close the sockets of all placers.
+func TestServerRefusesConnectionsOfAllPlacers(t *testing.T) {
 	cfg := testConfig(platformmodel.Fault{
 		Duration: time.Hour, Type: platformmodel.FaultRefused, Target: platformmodel.Target{Kind: platformmodel.HostParty},
 	})
@@ -121,12 +124,12 @@
 	s.Begin()
 	for placer := range cfg.Placers {
 		address := firstHostAddress(s, placer)
-		eventually(t, "a refused connection", func() bool { return isRefused(probe(address)) })
+		eventually(t, fmt.Sprintf("refused connection of placer %d", placer), func() bool { return isRefused(probeBriefly(address)) })
 	}
 }
 
-// No placer's connection is made or refused at a host that is cut off.
-func TestAllPlacersAreCutOff(t *testing.T) {
+// A host in a partitioned zone has to ignore the connection attempts of all placers, without refusing them.
+func TestServerIgnoresConnectionAttemptsOfAllPlacersDuringZonePartition(t *testing.T) {
 	cfg := testConfig(platformmodel.Fault{
 		Duration: time.Hour, Type: platformmodel.FaultZonePartition, Target: platformmodel.Target{Kind: platformmodel.HostParty},
 	})
@@ -135,18 +138,19 @@
 	s.Begin()
 	for placer := range cfg.Placers {
 		address := firstHostAddress(s, placer)
-		eventually(t, "a dial that nothing answers", func() bool {
-			err := probe(address)
+		eventually(t, fmt.Sprintf("timeout of a connection attempt of placer %d", placer), func() bool {
+			err := probeBriefly(address)
 			if isRefused(err) {
-				t.Fatal(err)
+				t.Fatalf("connecting placer %d during the partition: error %v, want a timeout", placer, err)
 			}
 			return isDialTimeout(err)
 		})
 	}
 }
 
-// A port that is taken at the address of one placer is given up at all of them.
-func TestListenForPlacersAtTakenPort(t *testing.T) {
+// If the port is in use at the address of one placer, listenForPlacers fails and closes the sockets that it has opened
+// at the addresses of others.
+func TestListenForPlacersClosesSocketsIfPortIsInUse(t *testing.T) {
 	taken, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(netip.AddrPortFrom(placerIP(2), 0)))
 	if err != nil {
 		t.Fatal(err)
@@ -154,24 +158,24 @@
 	defer func() { _ = taken.Close() }()
 	port := addrPort(taken.Addr()).Port()
 	if _, err := listenForPlacers(3, netip.AddrPortFrom(firstPlacerIP, port).String()); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Errorf("error %v, want %v", err, syscall.EADDRINUSE)
+		t.Errorf("listenForPlacers(3, port in use at the third address): error %v, want %v", err, syscall.EADDRINUSE)
 	}
 	for _, socket := range processSockets(t) {
 		if socket.listening && socket.address.Port() == port && socket.address.Addr() != placerIP(2) {
-			t.Errorf("a socket still listens at %s", socket.address)
+			t.Errorf("after listenForPlacers failed: a socket listens on %s, want none on port %d but the test's", socket.address, port)
 		}
 	}
 }
 
-// More placers than there are addresses are an error.
-func TestStartBoundsPlacers(t *testing.T) {
+// The addresses of placers must not overlap the one of filler connections, so Start limits the number of placers.
+func TestStartFailsWithMorePlacersThanAddresses(t *testing.T) {
 	if last := placerIP(maxPlacers - 1); !last.Less(fillerIP) {
-		t.Errorf("the last placer's address is %s", last)
+		t.Errorf("placerIP(maxPlacers-1) = %s, want an address below %s", last, fillerIP)
 	}
 	cfg := testConfig()
 	cfg.Placers = maxPlacers + 1
 	if s, err := Start(cfg); err == nil {
 		s.Stop()
-		t.Error("no error")
+		t.Errorf("Start with %d placers succeeded, want an error", cfg.Placers)
 	}
 }
--- a/internal/emulator/platform/listenersocket.go
+++ b/internal/emulator/platform/listenersocket.go
@@ -14,28 +14,29 @@
 )
 
 const (
-	listenBacklog    = 1024
-	acceptRetryAfter = 20 * time.Millisecond
-	fillTimeout      = 2 * time.Second // of the connection that fills the accept queue
+	listenBacklog = 1024
+	acceptBackoff = 20 * time.Millisecond
+	fillTimeout   = 2 * time.Second // to connect and so fill the accept queue
 )
 
-// listenerSocket accepts connections of one placer. One that is stopped neither accepts nor refuses them: its accept queue
-// has room for one connection, which is taken by one of its own, so that the kernel drops what would make another. A placer
-// whose connection gets ahead of that one has an open connection on which nothing comes.
+// listenerSocket accepts the connections of one placer. After stopAccepting it neither accepts nor refuses them: its
+// accept queue has room for one connection, which the filler connection occupies, so that the kernel drops further
+// connection attempts. If a connection of the placer occupies the queue before the filler does, it is open, but nothing
+// is received on it.
 type listenerSocket struct {
 	server *Server
 	id     platformmodel.ListenerID
 	placer int
 	socket *net.TCPListener
 
-	mu      sync.Mutex // guards what follows
-	changed *sync.Cond // on mu
-	stopped bool
+	mu      sync.Mutex // guards the fields below
+	changed *sync.Cond // uses mu; signaled by close and resumeAccepting
+	stopped bool       // by stopAccepting
 	closed  bool
-	filler  net.Conn // fills the accept queue; nil: none does
+	filler  net.Conn // the connection that fills the accept queue; nil: none
 }
 
-// newListenerSocket accepts connections at a socket from now on.
+// newListenerSocket returns a listenerSocket and starts to accept connections.
 func newListenerSocket(s *Server, id platformmodel.ListenerID, placer int, socket *net.TCPListener) *listenerSocket {
 	l := &listenerSocket{server: s, id: id, placer: placer, socket: socket}
 	l.changed = sync.NewCond(&l.mu)
@@ -43,62 +44,62 @@
 	return l
 }
 
-// close refuses further connections.
+// close closes the socket, so that connection attempts are refused.
 func (l *listenerSocket) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
 	_ = l.socket.Close()
-	l.dropFiller()
+	l.closeFillerLocked()
 	l.changed.Broadcast()
 }
 
-// stopAccepting lets connections neither be made nor be refused.
+// stopAccepting makes the socket ignore connection attempts: they are neither accepted nor refused.
 func (l *listenerSocket) stopAccepting() {
 	l.mu.Lock()
 	l.stopped = true
-	_ = l.socket.SetDeadline(time.Now()) // ends the accept that waits
+	_ = l.socket.SetDeadline(time.Now()) // interrupts a blocked Accept
 	l.mu.Unlock()
 	l.setBacklog(0)
-	l.server.goroutines.Go(l.fill)
+	l.server.goroutines.Go(l.fillAcceptQueue)
 }
 
-// fill takes the only place in the accept queue.
-func (l *listenerSocket) fill() {
+// fillAcceptQueue occupies the only place in the accept queue with a connection from fillerIP.
+func (l *listenerSocket) fillAcceptQueue() {
 	dialer := net.Dialer{Timeout: fillTimeout, LocalAddr: net.TCPAddrFromAddrPort(netip.AddrPortFrom(fillerIP, 0))}
 	conn, err := dialer.Dial("tcp4", l.socket.Addr().String())
 	if err != nil {
-		return // a connection of a placer has taken it
+		return // a connection of the placer already fills the queue
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.dropFiller()
+	l.closeFillerLocked()
 	l.filler = conn
 	if !l.stopped || l.closed {
-		l.dropFiller()
+		l.closeFillerLocked()
 	}
 }
 
-// dropFiller is called with mu held.
-func (l *listenerSocket) dropFiller() {
+// closeFillerLocked closes the filler connection, if there is one. mu must be held.
+func (l *listenerSocket) closeFillerLocked() {
 	if l.filler != nil {
 		_ = l.filler.Close()
 		l.filler = nil
 	}
 }
 
-// resumeAccepting accepts connections again.
+// resumeAccepting makes the socket accept connections again.
 func (l *listenerSocket) resumeAccepting() {
 	l.setBacklog(listenBacklog)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stopped = false
-	l.dropFiller()
+	l.closeFillerLocked()
 	_ = l.socket.SetDeadline(time.Time{})
 	l.changed.Broadcast()
 }
 
-// setBacklog changes how many connections wait to be accepted: with 0, one.
+// setBacklog changes the length of the accept queue. With 0, it has room for one connection.
 func (l *listenerSocket) setBacklog(connections int) {
 	raw, err := l.socket.SyscallConn()
 	if err == nil {
@@ -107,12 +108,12 @@
 		err = errors.Join(err, listenErr)
 	}
 	if err != nil {
-		l.server.fail(fmt.Errorf("change an accept queue: %w", err))
+		l.server.recordError(fmt.Errorf("set accept queue of %s to %d: %w", l.socket.Addr(), connections, err))
 	}
 }
 
-// mayAccept waits while the socket is stopped. It returns false when it is closed.
-func (l *listenerSocket) mayAccept() bool {
+// waitToAccept blocks while the socket is stopped. It returns false if the socket is closed.
+func (l *listenerSocket) waitToAccept() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.stopped && !l.closed {
@@ -121,35 +122,35 @@
 	return !l.closed
 }
 
-// isFiller reports whether a connection is one that fills an accept queue.
+// isFiller reports whether a connection is the filler of an accept queue.
 func isFiller(socket net.Conn) bool {
 	return addrPort(socket.RemoteAddr()).Addr() == fillerIP
 }
 
 // accept accepts connections until the socket is closed.
 func (l *listenerSocket) accept() {
-	for l.mayAccept() {
+	for l.waitToAccept() {
 		socket, err := l.socket.Accept()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			time.Sleep(acceptRetryAfter) // descriptors may have run out
+			time.Sleep(acceptBackoff) // the process may have run out of file descriptors
 		case isFiller(socket):
 			_ = socket.Close()
 		default:
-			l.accepted(socket)
+			l.postAccepted(socket)
 		}
 	}
 }
 
-// accepted hands a connection to the Emulator.
-func (l *listenerSocket) accepted(socket net.Conn) {
+// postAccepted passes an accepted connection to the Emulator.
+func (l *listenerSocket) postAccepted(socket net.Conn) {
 	posted := l.server.loop.PostBlocking(func() {
 		id := l.server.emulator.NewConnID()
 		l.server.addConnection(id, socket)
-		l.server.add(platformmodel.Accepted{Listener: l.id, Conn: id, Placer: l.placer})
+		l.server.addInput(platformmodel.Accepted{Listener: l.id, Conn: id, Placer: l.placer})
 	})
 	if !posted {
 		_ = socket.Close()
--- a/internal/emulator/platform/server.go
+++ b/internal/emulator/platform/server.go
@@ -14,43 +14,45 @@
 )
 
 const (
-	maxQueuedJobs = 10_000          // on the event loop, before readers wait
+	maxQueuedJobs = 10_000          // on the event loop; readers of connections block above it
 	dialTimeout   = 2 * time.Second // of connections to placers
 )
 
-// Server is an Emulator on sockets. Its methods are safe for concurrent use; they wait for its event loop.
+// Server runs an Emulator on sockets. Its methods are safe for concurrent use. They run on its event loop and wait for
+// it.
 type Server struct {
 	loop       *eventloop.Loop
 	clock      *clock.Clock
 	goroutines sync.WaitGroup // of listeners, connections and dials
 	stopOnce   sync.Once
 
-	numberOfPlacers int // each has a socket of each listener
+	placerCount int // number of placers; each listener has a socket for each of them
+
+	// The fields below are used only on the event loop.
 
-	// Of the event loop's goroutine.
 	emulator  *platformmodel.Emulator
-	inputs    []platformmodel.Input // for the next step
+	inputs    []platformmodel.Input // inputs for the next step
 	listeners map[platformmodel.ListenerID]*listener
 	conns     map[platformmodel.ConnID]*connection
-	placers   map[int]string // addresses
+	placers   map[int]string // addresses of the started placers, by number
 	stopped   bool
-	err       error
+	err       error // see Err
 }
 
-// Start starts an emulator whose listeners are open. It returns an error for a configuration that contradicts itself, or if
-// it cannot listen. AddressFor of the configuration is the server's own.
+// Start starts a server and opens the listeners of its emulator. It returns an error if the configuration is invalid or
+// a listener cannot be opened. It replaces AddressFor of the configuration.
 func Start(cfg platformmodel.Config) (*Server, error) {
 	if cfg.Placers > maxPlacers {
-		return nil, fmt.Errorf("start the emulators: %d placers; at most %d have an address", cfg.Placers, maxPlacers)
+		return nil, fmt.Errorf("start platform emulators: %d placers, at most %d have an address", cfg.Placers, maxPlacers)
 	}
 	s := &Server{
 		clock: clock.New(), listeners: map[platformmodel.ListenerID]*listener{}, conns: map[platformmodel.ConnID]*connection{},
-		placers: map[int]string{}, numberOfPlacers: cfg.Placers,
+		placers: map[int]string{}, placerCount: cfg.Placers,
 	}
 	cfg.AddressFor = addressFor
 	var err error
 	if s.emulator, err = platformmodel.New(cfg, s.clock.Now()); err != nil {
-		return nil, fmt.Errorf("start the emulators: %w", err)
+		return nil, fmt.Errorf("start platform emulators: %w", err)
 	}
 	s.loop = eventloop.New(s.clock, maxQueuedJobs, s.step)
 	s.loop.Start()
@@ -62,61 +64,63 @@
 	return s, nil
 }
 
-// Err returns the first error of a socket that could not be opened, which spoils the run.
+// Err returns the first error of opening or changing a listening socket. After such an error, results of the run are
+// not valid.
 func (s *Server) Err() (err error) {
 	s.loop.Call(func() { err = s.err })
 	return err
 }
 
-// fail notes an error that spoils the run. It is called on the event loop.
-func (s *Server) fail(err error) {
+// recordError records the error that Err returns, unless there is one. It must be called on the event loop.
+func (s *Server) recordError(err error) {
 	if s.err == nil {
 		s.err = err
 	}
 }
 
-// InitialEvents returns the events of the endpoint list so far, which a placer is started with. Its addresses are those of
-// the placer, where nothing listens for a placer that the configuration does not count.
+// InitialEvents returns the watch events so far, with which a placer is started. The addresses in them are those at
+// which the placer connects to the hosts. Nothing listens there if the placer's number is not below Placers of the
+// configuration.
 func (s *Server) InitialEvents(placer int) (events []platform.WatchEvent) {
 	s.loop.Call(func() { events = s.emulator.InitialEvents(placer) })
 	return events
 }
 
-// WatchAddress returns the address of the endpoint log for a placer.
+// WatchAddress returns the address at which a placer connects to the watch of the endpoint list.
 func (s *Server) WatchAddress(placer int) (address string) {
 	s.loop.Call(func() { address = addressFor(placer, s.emulator.WatchAddress()) })
 	return address
 }
 
-// Begin starts the run: times of requests and faults count from now.
-func (s *Server) Begin() { s.loop.Call(func() { s.add(platformmodel.Begin{}) }) }
+// Begin starts the run. The times of requests and faults in the configuration count from now.
+func (s *Server) Begin() { s.loop.Call(func() { s.addInput(platformmodel.Begin{}) }) }
 
-// PlacerStarted says that a placer accepts connections at an address.
+// PlacerStarted tells the emulator that a placer accepts connections at an address.
 func (s *Server) PlacerStarted(placer int, address string) {
 	s.loop.Call(func() {
 		s.placers[placer] = address
-		s.add(platformmodel.PlacerStarted{Placer: placer})
+		s.addInput(platformmodel.PlacerStarted{Placer: placer})
 	})
 }
 
-// PlacerStopped says that a placer has ended.
+// PlacerStopped tells the emulator that a placer has stopped.
 func (s *Server) PlacerStopped(placer int) {
-	s.loop.Call(func() { s.add(platformmodel.PlacerStopped{Placer: placer}) })
+	s.loop.Call(func() { s.addInput(platformmodel.PlacerStopped{Placer: placer}) })
 }
 
-// Done reports whether each request has its final outcome.
+// Done reports whether all requests have their final outcomes.
 func (s *Server) Done() (done bool) {
 	s.loop.Call(func() { done = s.emulator.Done() })
 	return done
 }
 
-// Requests accounts for the requests of all owners, in the order of the configuration.
+// Requests returns a report on each request, for each owner in the order of the configuration.
 func (s *Server) Requests() (reports [][]platformmodel.RequestReport) {
 	s.loop.Call(func() { reports = s.emulator.Requests() })
 	return reports
 }
 
-// Journal returns what was recorded so far.
+// Journal returns a copy of the journal so far.
 func (s *Server) Journal() (journal platformmodel.Journal) {
 	s.loop.Call(func() {
 		journal = *s.emulator.Journal()
@@ -142,13 +146,14 @@
 	})
 }
 
-// add queues an input for the next step.
-func (s *Server) add(in platformmodel.Input) { s.inputs = append(s.inputs, in) }
+// addInput queues an input for the next step.
+func (s *Server) addInput(in platformmodel.Input) { s.inputs = append(s.inputs, in) }
 
-// post queues an input from another goroutine, and waits while too much is queued.
-func (s *Server) post(in platformmodel.Input) { s.loop.PostBlocking(func() { s.add(in) }) }
+// postInput queues an input from another goroutine. It blocks while the event loop's queue is full.
+func (s *Server) postInput(in platformmodel.Input) { s.loop.PostBlocking(func() { s.addInput(in) }) }
 
-// step steps the Emulator until its outputs cause no further input. It is the event loop's Step.
+// step steps the Emulator until its outputs cause no further inputs, and returns the time of the next call. It is the
+// Step function of the event loop.
 func (s *Server) step(now time.Duration) (next time.Duration, ok bool) {
 	if s.stopped {
 		return 0, false
@@ -163,7 +168,7 @@
 	return s.emulator.Next(), true
 }
 
-// execute carries out an output of the Emulator.
+// execute executes an output of the Emulator.
 func (s *Server) execute(output platformmodel.Output) {
 	switch o := output.(type) {
 	case platformmodel.OpenListener:
@@ -188,7 +193,7 @@
 	}
 }
 
-// executeOnConnection carries out an output on a connection, unless that has ended.
+// executeOnConnection executes an output on a connection. It does nothing if the connection is closed.
 func (s *Server) executeOnConnection(output platformmodel.Output) {
 	switch o := output.(type) {
 	case platformmodel.Write:
@@ -196,11 +201,11 @@
 			c.write(o.Bytes)
 		}
 	case platformmodel.CloseConnection:
-		if c := s.takeConnection(o.Conn); c != nil {
+		if c := s.removeConnection(o.Conn); c != nil {
 			c.closeAfterFlush()
 		}
 	case platformmodel.ResetConnection:
-		if c := s.takeConnection(o.Conn); c != nil {
+		if c := s.removeConnection(o.Conn); c != nil {
 			c.reset()
 		}
 	case platformmodel.StopReading:
@@ -214,33 +219,33 @@
 	}
 }
 
-// takeConnection forgets a connection and returns it, or nil.
-func (s *Server) takeConnection(id platformmodel.ConnID) *connection {
+// removeConnection removes a connection and returns it, or nil if there is none with this ID.
+func (s *Server) removeConnection(id platformmodel.ConnID) *connection {
 	c := s.conns[id]
 	delete(s.conns, id)
 	return c
 }
 
-// dial connects to a placer on a goroutine of its own.
+// dial connects to a placer on a separate goroutine.
 func (s *Server) dial(o platformmodel.Dial) {
 	address := s.placers[o.Placer]
 	s.goroutines.Go(func() {
 		socket, err := net.DialTimeout("tcp", address, dialTimeout)
 		posted := s.loop.Post(func() {
 			if err != nil {
-				s.add(platformmodel.Disconnected{Conn: o.Conn})
+				s.addInput(platformmodel.Disconnected{Conn: o.Conn})
 				return
 			}
 			s.addConnection(o.Conn, socket)
-			s.add(platformmodel.Connected{Conn: o.Conn})
+			s.addInput(platformmodel.Connected{Conn: o.Conn})
 		})
 		if !posted && err == nil {
-			_ = socket.Close() // the server stops; nobody waits for it
+			_ = socket.Close() // the server is stopped
 		}
 	})
 }
 
-// addConnection serves a socket.
+// addConnection adds a connection with the given socket and starts its goroutines.
 func (s *Server) addConnection(id platformmodel.ConnID, socket net.Conn) {
 	c := newConnection(s, id, socket.(*net.TCPConn))
 	if s.stopped {
--- a/internal/emulator/platform/server_test.go
+++ b/internal/emulator/platform/server_test.go
@@ -21,15 +21,16 @@
 	platformserver "forkhead/internal/server/platform"
 )
 
-// eventuallyTimeout is more than anything that a test waits for takes on a busy machine.
+// eventuallyTimeout is longer than any condition of these tests takes to become true on a busy machine.
 const eventuallyTimeout = time.Minute
 
-// eventually waits until a condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until a condition holds. The test fails after eventuallyTimeout with the description of the
+// condition.
+func eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(eventuallyTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s does not come about", what)
+			t.Fatalf("waiting for %s: not seen within %v", condition, eventuallyTimeout)
 		}
 	}
 }
@@ -37,9 +38,9 @@
 //go:embed testdata/settings.json
 var testSettings []byte
 
-// testConfig is a platform with three hosts and 20 requests at one placer. Six want more cores than a host has; the others
-// need all three hosts, and
-// are released by their owner long before their tasks would end.
+// testConfig returns a platform with three hosts of 6 cores, and 20 placement requests to one placer. Six requests need
+// more cores than a host has. The others together need all three hosts, and their owner releases them long before their
+// tasks would end.
 func testConfig(faults ...platformmodel.Fault) platformmodel.Config {
 	host := platformmodel.HostConfig{
 		Cores: 6, Memory: 16, AnswerTime: platformmodel.Range{Min: time.Millisecond, Max: 5 * time.Millisecond}, MaxQueued: 50,
@@ -48,9 +49,9 @@
 	classes := []platformmodel.Class{
 		{Name: "safe", Effect: forkhead.Safe}, {Name: "keyed", Effect: forkhead.Keyed, DedupWindow: time.Hour}, {Name: "unsafe", Effect: forkhead.Unsafe},
 	}
-	patience := eventuallyTimeout // however late the machine is, no owner gives up before its placer answers
-	fitting := platformmodel.OwnerConfig{Number: 1, Tenant: "acme", Classes: classes, MaxSubmissions: 20, AnswerGrace: patience}
-	tooLarge := platformmodel.OwnerConfig{Number: 2, Tenant: "acme", Classes: classes, MaxSubmissions: 1, AnswerGrace: patience}
+	answerGrace := eventuallyTimeout // long enough that no owner gives up before its placer answers, even on a busy machine
+	fitting := platformmodel.OwnerConfig{Number: 1, Tenant: "acme", Classes: classes, MaxSubmissions: 20, AnswerGrace: answerGrace}
+	tooLarge := platformmodel.OwnerConfig{Number: 2, Tenant: "acme", Classes: classes, MaxSubmissions: 1, AnswerGrace: answerGrace}
 	for i := range 14 {
 		fitting.Requests = append(fitting.Requests, platformmodel.Request{
 			At: time.Duration(i) * 20 * time.Millisecond, Class: i % 2, Cores: 1, Memory: 1, Service: uint64(i), Timeout: 3 * time.Second,
@@ -69,7 +70,7 @@
 	return cfg
 }
 
-// startEmulators starts emulators that are stopped with the test.
+// startEmulators starts a Server and stops it when the test ends.
 func startEmulators(t *testing.T, cfg platformmodel.Config) *Server {
 	t.Helper()
 	s, err := Start(cfg)
@@ -80,7 +81,7 @@
 	return s
 }
 
-// runOnSockets runs a placer with emulators on sockets.
+// runOnSockets runs a placer with a Server until all requests have outcomes.
 func runOnSockets(t *testing.T, cfg platformmodel.Config) ([][]platformmodel.RequestReport, platformmodel.Journal) {
 	t.Helper()
 	s := startEmulators(t, cfg)
@@ -93,14 +94,14 @@
 	t.Cleanup(placer.Close)
 	s.PlacerStarted(0, placer.Address())
 	s.Begin()
-	eventually(t, "an outcome of each request", s.Done)
+	eventually(t, "outcomes of all requests", s.Done)
 	if err := s.Err(); err != nil {
-		t.Error(err)
+		t.Errorf("Err() after the run = %v, want nil", err)
 	}
 	return s.Requests(), s.Journal()
 }
 
-// runInMemory runs a placer's core with emulators in memory.
+// runInMemory runs the core of a placer with emulators on an in-memory network until all requests have outcomes.
 func runInMemory(t *testing.T, cfg platformmodel.Config) ([][]platformmodel.RequestReport, platformmodel.Journal) {
 	t.Helper()
 	info, err := platformconfig.Parse(testSettings)
@@ -127,12 +128,13 @@
 		t.Fatal(err)
 	}
 	if !n.Run(time.Hour) {
-		t.Error("a request has no outcome")
+		t.Error("Network.Run ended before all requests had outcomes")
 	}
 	return n.Emulator.Requests(), *n.Emulator.Journal()
 }
 
-// On sockets and in memory the same requests have the same outcomes, though one host of three never answers.
+// Requests have the same outcomes on sockets and in memory. One of the three hosts never answers, so that the placer
+// has to offer the tasks to the other two.
 func TestShellsAgree(t *testing.T) {
 	silentHost := platformmodel.PartyID{Kind: platformmodel.HostParty, Number: 1}
 	cfg := testConfig(platformmodel.Fault{
@@ -146,15 +148,17 @@
 		for i, want := range []platformmodel.Outcome{platformmodel.OutcomeReleased, platformmodel.OutcomeRejected} {
 			for _, r := range reports[i] {
 				if r.Outcome != want || r.Host == "s-00000002" || r.Unexpected != 0 || len(r.Refs) == 0 {
-					t.Errorf("%s: %+v, want %v", name, r, want)
+					t.Errorf("%s: request of owner %d: got %+v, want outcome %v at another host than s-00000002, with a ref and "+
+						"nothing unexpected", name, i+1, r, want)
 				}
 			}
 		}
 		if !hasRecord(&journal, platformmodel.RecordOpened, silentHost) || hasRecord(&journal, platformmodel.RecordWritten, silentHost) {
-			t.Errorf("%s: the silent host was not dialed, or has written", name)
+			t.Errorf("%s: journal for the silent host: got RecordOpened %v, RecordWritten %v, want true, false", name,
+				hasRecord(&journal, platformmodel.RecordOpened, silentHost), hasRecord(&journal, platformmodel.RecordWritten, silentHost))
 		}
 		if journal.Dropped != 0 {
-			t.Errorf("%s: %d records are missing", name, journal.Dropped)
+			t.Errorf("%s: journal.Dropped = %d, want 0", name, journal.Dropped)
 		}
 	}
 }
@@ -163,7 +167,7 @@
 	return slices.ContainsFunc(j.Records, func(r platformmodel.Record) bool { return r.Event == event && r.Party == party })
 }
 
-// firstHostAddress returns the address at which a placer reaches host 0.
+// firstHostAddress returns the address at which a placer connects to host 0, whose name is s-00000001.
 func firstHostAddress(s *Server, placer int) (address string) {
 	for _, event := range s.InitialEvents(placer) {
 		for _, host := range event.Endpoints.Hosts {
@@ -175,7 +179,8 @@
 	return address
 }
 
-// startWithFault starts emulators with a fault at host 0 that begins at once, and returns the address of the host.
+// startWithFault starts a Server with a fault of host 0 that begins with the run, and returns placer 0's address of the
+// host.
 func startWithFault(t *testing.T, fault platformmodel.FaultType, duration time.Duration) (s *Server, address string) {
 	t.Helper()
 	s = startEmulators(t, testConfig(platformmodel.Fault{
@@ -184,21 +189,21 @@
 	return s, firstHostAddress(s, 0)
 }
 
-// probe sends a probe to a host on a new connection and returns whether it is answered. A connection that can't be made, or
-// on which nothing comes for a while, is an error. The while is short, for probes that are repeated.
-func probe(address string) error { return probeFor(address, 300*time.Millisecond) }
+// probeBriefly is probeFor with a short timeout, for conditions of eventually that probe repeatedly.
+func probeBriefly(address string) error { return probeFor(address, 300*time.Millisecond) }
 
-// checkAnswers checks that a host answers a probe, however late the machine is.
-func checkAnswers(t *testing.T, address string) {
+// checkHostAnswers checks that a host answers a probe within eventuallyTimeout.
+func checkHostAnswers(t *testing.T, address string) {
 	t.Helper()
 	if err := probeFor(address, eventuallyTimeout); err != nil {
-		t.Fatal(err)
+		t.Fatalf("probe of the host at %s: error %v, want an answer", address, err)
 	}
 }
 
-// probeFor sends a probe that waits for a time for its connection, and as long for the answer.
-func probeFor(address string, wait time.Duration) error {
-	conn, err := net.DialTimeout("tcp", address, wait)
+// probeFor sends a probe to a host on a new connection. It returns an error if the connection takes longer than
+// timeout, or the first byte of the answer does.
+func probeFor(address string, timeout time.Duration) error {
+	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
 		return err
 	}
@@ -206,27 +211,28 @@
 	if _, err := conn.Write(platform.Append(nil, platform.TypeProbe, "0000000000000001", 0, nil)); err != nil {
 		return err
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(wait))
+	_ = conn.SetReadDeadline(time.Now().Add(timeout))
 	_, err = conn.Read(make([]byte, 1))
 	return err
 }
 
+// isRefused reports whether err means that a connection was refused.
 func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// isDialTimeout reports whether a connection was not made for a while.
+// isDialTimeout reports whether err is the timeout of a connection attempt.
 func isDialTimeout(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial" && operation.Timeout()
 }
 
-// Each placer reaches a host at an address of its own, by which the host knows it.
-func TestListenersKnowPlacers(t *testing.T) {
-	const last = 300 // its address differs from the first one's in more than a byte
+// Each placer connects to a host at an address of its own, from which the host derives the number of the placer.
+func TestListenerIdentifiesPlacerByAddress(t *testing.T) {
+	const last = 300 // the address of this placer differs from the first one's in more than one byte
 	cfg := testConfig()
 	cfg.Placers = last + 1
 	s := startEmulators(t, cfg)
 	for _, placer := range []int{0, 1, last} {
-		checkAnswers(t, firstHostAddress(s, placer))
+		checkHostAnswers(t, firstHostAddress(s, placer))
 	}
 	var placers []int
 	for _, r := range s.Journal().Records {
@@ -235,45 +241,46 @@
 		}
 	}
 	if !slices.Equal(placers, []int{0, 1, last}) {
-		t.Errorf("connections of the placers %v", placers)
+		t.Errorf("placers of the opened connections in the journal = %v, want %v", placers, []int{0, 1, last})
 	}
 }
 
-// A host that is cut off neither takes connections nor refuses them, until the fault ends.
-func TestListenerStopsAccepting(t *testing.T) {
+// During a zone partition, a host neither accepts connections nor refuses them. It accepts them again after the fault.
+func TestListenerIgnoresConnectionAttemptsDuringZonePartition(t *testing.T) {
 	s, address := startWithFault(t, platformmodel.FaultZonePartition, 3*time.Second)
-	checkAnswers(t, address)
+	checkHostAnswers(t, address)
 	s.Begin()
-	eventually(t, "a dial that nothing answers, or the end of the fault", func() bool {
-		err := probe(address)
+	eventually(t, "timeout of a connection attempt, or end of the fault", func() bool {
+		err := probeBriefly(address)
 		if isRefused(err) {
-			t.Fatal(err)
+			t.Fatalf("connecting to the host during the partition: error %v, want a timeout", err)
 		}
-		return isDialTimeout(err) || hasEnded(s)
+		return isDialTimeout(err) || hasFaultEnded(s)
 	})
-	eventually(t, "an answer", func() bool { return probe(address) == nil })
+	eventually(t, "answer of the host after the fault", func() bool { return probeBriefly(address) == nil })
 }
 
-// A host that refuses connections takes them again at its address when the fault ends.
-func TestListenerRefuses(t *testing.T) {
+// During FaultRefused, a host refuses connections. It accepts them again at the same address after the fault.
+func TestListenerRefusesConnectionsUntilEndOfFault(t *testing.T) {
 	s, address := startWithFault(t, platformmodel.FaultRefused, 200*time.Millisecond)
 	s.Begin()
-	eventually(t, "a refused connection or the end of the fault", func() bool {
-		return isRefused(probe(address)) || hasEnded(s)
+	eventually(t, "refused connection, or end of the fault", func() bool {
+		return isRefused(probeBriefly(address)) || hasFaultEnded(s)
 	})
-	eventually(t, "an answer", func() bool { return probe(address) == nil })
+	eventually(t, "answer of the host after the fault", func() bool { return probeBriefly(address) == nil })
 }
 
-func hasEnded(s *Server) bool {
+// hasFaultEnded reports whether the journal contains the end of a fault of host 0.
+func hasFaultEnded(s *Server) bool {
 	journal := s.Journal()
 	return hasRecord(&journal, platformmodel.RecordFaultEnded, platformmodel.PartyID{Kind: platformmodel.HostParty})
 }
 
-// What a host does not read fills the buffers of the connection, so that its placer can't write on.
-func TestConnectionStopsReading(t *testing.T) {
+// During FaultUnread, a host does not read, so that the buffers of the connection fill up and its placer cannot write.
+func TestConnectionBlocksWritesWhileHostDoesNotRead(t *testing.T) {
 	s, address := startWithFault(t, platformmodel.FaultUnread, time.Hour)
 	s.Begin()
-	eventually(t, "a connection that nobody reads", func() bool {
+	eventually(t, "connection on which writes stall", func() bool {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
@@ -283,8 +290,8 @@
 	})
 }
 
-// isWriteStalled writes until nothing of a write is taken for a second. It returns false if the connection ends before, or
-// if its other end still reads after some writes.
+// isWriteStalled writes to a connection and reports whether a write makes no progress within a second. It returns false
+// if a write completes or fails with another error, or if each of 10 writes makes progress.
 func isWriteStalled(conn net.Conn) bool {
 	data := make([]byte, 64<<20)
 	for range 10 {
