--- a/internal/emulator/consul/store.go
+++ b/internal/emulator/consul/store.go
@@ -78,7 +78,7 @@
 // SetLag makes Health answer with the version of d ago. d is at most historyWindow.
 func (s *Store) SetLag(d time.Duration) { s.lag = d }
 
-// SetFrozen(now, true) makes Health return the version that it returns now until SetFrozen(now, false).
+// SetFrozen with on makes Health return the version that it returns now, until SetFrozen without on.
 func (s *Store) SetFrozen(now time.Duration, on bool) {
 	s.frozen = nil
 	if on {
--- a/internal/emulator/hostmodel/sessions.go
+++ b/internal/emulator/hostmodel/sessions.go
@@ -93,7 +93,7 @@
 }
 
 // handleHello establishes a session and closes the placer's older connection. It rejects a Hello of another version of
-// the protocol, a second Hello on a connection, and one that is not later than the last accepted Hello of the placer.
+// the protocol, a second Hello on a connection, and one for which CheckHello returns HelloStale.
 func (h *Host) handleHello(s *session, f hostproto.Hello) {
 	switch {
 	case f.Version != hostproto.Version:
@@ -153,7 +153,7 @@
 func countFittingInHolds(attempts []hostproto.Held) int {
 	const (
 		headerSize = 16
-		sizeLimit  = hostproto.MaxHoldsSize - 1024 // well below the bound
+		sizeLimit  = hostproto.MaxHoldsSize - 1024 // leaves a margin below the maximum
 	)
 	n, size := 0, headerSize
 	for n < len(attempts) && (n == 0 || size+hostproto.HeldSize(&attempts[n].Spec) < sizeLimit) {
