--- a/internal/architecture_test.go
+++ b/internal/architecture_test.go
@@ -11,11 +11,12 @@
 	"testing"
 )
 
-// codeName matches a name of code in docs/architecture.md: a package's path, then Function, Type or Type.method.
+// codeName matches a reference to code in docs/architecture.md: the path of a package, then Function, Type or
+// Type.method.
 var codeName = regexp.MustCompile("`((?:[a-z0-9]+/)*[a-z0-9]+)\\.([A-Za-z]\\w*(?:\\.\\w+)?)`")
 
-// notCode are the endings of file names, which look like names of code.
-var notCode = map[string]bool{"md": true, "go": true, "toml": true}
+// fileExtensions lists extensions of file names, because codeName also matches file names.
+var fileExtensions = map[string]bool{"md": true, "go": true, "toml": true}
 
 // declaredNames returns the functions, types and methods of a package as Function, Type and Type.method.
 func declaredNames(t *testing.T, dir string) map[string]bool {
@@ -34,13 +35,14 @@
 			t.Fatal(err)
 		}
 		for _, declaration := range file.Decls {
-			addDeclared(names, declaration)
+			addDeclaredNames(names, declaration)
 		}
 	}
 	return names
 }
 
-func addDeclared(names map[string]bool, declaration ast.Decl) {
+// addDeclaredNames adds the names that a declaration declares to names.
+func addDeclaredNames(names map[string]bool, declaration ast.Decl) {
 	switch declaration := declaration.(type) {
 	case *ast.FuncDecl:
 		names[receiverPrefix(declaration)+declaration.Name.Name] = true
@@ -53,7 +55,7 @@
 	}
 }
 
-// receiverPrefix is the receiver's type with a dot, or "" for a function.
+// receiverPrefix returns the receiver's type and a dot for a method, or "" for a function.
 func receiverPrefix(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return ""
@@ -71,8 +73,8 @@
 	return ""
 }
 
-// The page that is read first names code that exists.
-func TestArchitecturePageNamesCodeThatExists(t *testing.T) {
+// docs/architecture.md must not refer to functions, types or methods that have been renamed or removed.
+func TestArchitecturePageRefersToDeclaredNames(t *testing.T) {
 	text, err := os.ReadFile("../docs/architecture.md")
 	if err != nil {
 		t.Fatal(err)
@@ -81,23 +83,24 @@
 	found := 0
 	for _, match := range codeName.FindAllStringSubmatch(string(text), -1) {
 		dir, name := match[1], match[2]
-		if notCode[name] {
+		if fileExtensions[name] {
 			continue
 		}
 		if declared[dir] == nil {
-			declared[dir] = declaredNames(t, packageFolder(dir))
+			declared[dir] = declaredNames(t, packageDir(dir))
 		}
 		if !declared[dir][name] {
-			t.Errorf("%s.%s is not in the code", dir, name)
+			t.Errorf("docs/architecture.md refers to %s.%s, which package %s does not declare", dir, name, dir)
 		}
 		found++
 	}
 	if found < 50 {
-		t.Errorf("%d names of code found, want at least 50: has the page's form changed?", found)
+		t.Errorf("found %d references to code in docs/architecture.md, want at least 50; has the format of the page changed?", found)
 	}
 }
 
-func packageFolder(path string) string {
+// packageDir returns the directory of a package, relative to that of this test.
+func packageDir(path string) string {
 	if path == module {
 		return ".."
 	}
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -17,8 +17,8 @@
 
 const module = "forkhead"
 
-// mayImport says which layers a layer may import beside itself. Tests may import any.
-var mayImport = map[string][]string{
+// allowedImports lists the layers that each layer may import in addition to itself. Test files may import any layer.
+var allowedImports = map[string][]string{
 	"parse":      {"."},
 	"protocol":   {".", "parse"},
 	"scheduler":  {".", "parse", "protocol"},
@@ -29,20 +29,24 @@
 	"verify":     {".", "parse", "protocol", "scheduler", "planning", "server", "client", "emulator"},
 	"cli":        {".", "parse", "protocol", "scheduler", "planning", "server", "client", "emulator", "verify"},
 	"simadapter": {"."},
-	"goldentest": {}, // for tests
+	"goldentest": {}, // used only by tests
 }
 
-// pure names the layers and packages that hold no socket, clock, goroutine or global.
-var pure = []string{
+// purePaths lists the layers and packages that must not use sockets, clocks, goroutines or global state.
+var purePaths = []string{
 	".", "parse", "protocol", "scheduler", "planning", "emulator/hostmodel", "emulator/platformmodel",
 	"verify/simulation", "verify/platformsim", "verify/rules", "verify/scenario", "verify/replay",
 	"verify/platformreplay",
 }
 
-// What is forbidden in a pure package: imports, by themselves or with all below them, and names of a package.
+// Imports and names that are forbidden in pure packages.
 var (
-	impureImports = []string{"net", "net/http", "os", "sync", "syscall", "runtime", "unsafe", "github.com/lesismal", "go.etcd.io"}
-	impureNames   = map[string][]string{
+	// forbiddenImports lists import paths. Paths below them are forbidden, too.
+	forbiddenImports = []string{"net", "net/http", "os", "sync", "syscall", "runtime", "unsafe", "github.com/lesismal", "go.etcd.io"}
+
+	// forbiddenNames lists forbidden functions by the import path of their package. Those of math/rand use a global
+	// generator.
+	forbiddenNames = map[string][]string{
 		"time": {"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "Tick", "NewTimer", "NewTicker"},
 		"math/rand/v2": {
 			"Int", "IntN", "Int32", "Int64", "Int64N", "N", "Uint32", "Uint64", "Uint64N", "Float32", "Float64", "ExpFloat64",
@@ -52,7 +56,8 @@
 	}
 )
 
-// layer returns the layer of an import path of this module: "." for the module itself, "" for none.
+// layer returns the layer that an import path belongs to: "." for the root package of this module, "" for paths of
+// other modules.
 func layer(imported string) string {
 	if imported == module {
 		return "."
@@ -65,20 +70,21 @@
 	return first
 }
 
+// isPure reports whether the package in a directory is pure. dir is relative to internal; "." is the root package.
 func isPure(dir string) bool {
-	return slices.ContainsFunc(pure, func(p string) bool { return dir == p || p != "." && strings.HasPrefix(dir, p+"/") })
+	return slices.ContainsFunc(purePaths, func(p string) bool { return dir == p || p != "." && strings.HasPrefix(dir, p+"/") })
 }
 
-// isImpure reports whether a pure package may not import a path.
-func isImpure(imported string) bool {
-	if imported == "net/url" || imported == "net/netip" { // values, no sockets
+// isForbiddenInPure reports whether pure packages must not import a path.
+func isForbiddenInPure(imported string) bool {
+	if imported == "net/url" || imported == "net/netip" { // these packages only define values
 		return false
 	}
-	return slices.ContainsFunc(impureImports, func(i string) bool { return imported == i || strings.HasPrefix(imported, i+"/") })
+	return slices.ContainsFunc(forbiddenImports, func(i string) bool { return imported == i || strings.HasPrefix(imported, i+"/") })
 }
 
-// importName is the name by which a file uses an import.
-func importName(spec *ast.ImportSpec, imported string) string {
+// localName returns the name by which a file refers to an imported package.
+func localName(spec *ast.ImportSpec, imported string) string {
 	if spec.Name != nil {
 		return spec.Name.Name
 	}
@@ -89,32 +95,34 @@
 	return name
 }
 
-// violations returns what is wrong with a file of a package, which is named from internal: "." is the module.
+// violations returns a description of each rule for layers and pure packages that a file breaks. dir is the directory
+// of its package relative to internal; "." is the root package.
 func violations(dir string, file *ast.File) []string {
 	var wrong []string
-	own, _, _ := strings.Cut(dir, "/")
-	imports := map[string]string{} // paths by the names that the file uses
+	ownLayer, _, _ := strings.Cut(dir, "/")
+	imports := map[string]string{} // paths by local name
 	for _, spec := range file.Imports {
 		imported, err := strconv.Unquote(spec.Path.Value)
 		if err != nil {
 			return []string{err.Error()}
 		}
-		imports[importName(spec, imported)] = imported
-		if l := layer(imported); l != "" && l != own && !slices.Contains(mayImport[own], l) {
-			wrong = append(wrong, fmt.Sprintf("%s imports %s: layer %s may import %v", dir, imported, own, mayImport[own]))
+		imports[localName(spec, imported)] = imported
+		if l := layer(imported); l != "" && l != ownLayer && !slices.Contains(allowedImports[ownLayer], l) {
+			wrong = append(wrong, fmt.Sprintf("%s imports %s: layer %s may import %v", dir, imported, ownLayer, allowedImports[ownLayer]))
 		}
-		if isPure(dir) && isImpure(imported) {
+		if isPure(dir) && isForbiddenInPure(imported) {
 			wrong = append(wrong, fmt.Sprintf("%s, which is pure, imports %s", dir, imported))
 		}
 	}
 	if isPure(dir) {
-		wrong = append(wrong, impurities(dir, file, imports)...)
+		wrong = append(wrong, pureViolations(dir, file, imports)...)
 	}
 	return wrong
 }
 
-// impurities returns what a file of a pure package does that it may not. imports are paths by the names that the file uses.
-func impurities(dir string, file *ast.File, imports map[string]string) []string {
+// pureViolations returns a description of each goroutine that a file of a pure package starts and each forbidden name
+// that it uses. imports are the paths of its imports by local name.
+func pureViolations(dir string, file *ast.File, imports map[string]string) []string {
 	var wrong []string
 	ast.Inspect(file, func(node ast.Node) bool {
 		switch node := node.(type) {
@@ -122,7 +130,7 @@
 			wrong = append(wrong, dir+", which is pure, starts a goroutine")
 		case *ast.SelectorExpr:
 			name, ok := node.X.(*ast.Ident)
-			if ok && name.Obj == nil && slices.Contains(impureNames[imports[name.Name]], node.Sel.Name) {
+			if ok && name.Obj == nil && slices.Contains(forbiddenNames[imports[name.Name]], node.Sel.Name) {
 				wrong = append(wrong, fmt.Sprintf("%s, which is pure, uses %s.%s", dir, name.Name, node.Sel.Name))
 			}
 		}
@@ -131,7 +139,8 @@
 	return wrong
 }
 
-// sourceFiles parses the Go files of the repository that are no tests, by their paths from its root.
+// sourceFiles parses the Go files of the repository, except for tests and for files in hidden directories, journal and
+// bin. The keys are their paths relative to the root of the repository.
 func sourceFiles(t *testing.T) map[string]*ast.File {
 	t.Helper()
 	files := map[string]*ast.File{}
@@ -159,39 +168,39 @@
 	return files
 }
 
-// The tree is as internal/doc.go says.
-func TestLayers(t *testing.T) {
-	documented := map[string]bool{}
+// Each package belongs to a layer, imports only the layers in allowedImports, and has a doc comment. Pure
+// packages use no sockets, clocks or goroutines.
+func TestImportsFollowLayers(t *testing.T) {
+	hasPackageDoc := map[string]bool{}
 	files := sourceFiles(t)
 	for _, name := range slices.Sorted(maps.Keys(files)) {
 		dir, file := path.Dir(name), files[name]
-		documented[dir] = documented[dir] || file.Doc != nil && len(strings.Fields(file.Doc.Text())) > 3
+		hasPackageDoc[dir] = hasPackageDoc[dir] || file.Doc != nil && len(strings.Fields(file.Doc.Text())) > 3
 		fromInternal, isInternal := strings.CutPrefix(dir, "internal/")
 		if !isInternal && dir != "." {
 			continue
 		}
-		if isInternal && mayImport[strings.Split(fromInternal, "/")[0]] == nil {
-			t.Errorf("%s is of no layer; want one of those in this test", dir)
+		if isInternal && allowedImports[strings.Split(fromInternal, "/")[0]] == nil {
+			t.Errorf("package %s belongs to none of the layers %v", dir, slices.Sorted(maps.Keys(allowedImports)))
 			continue
 		}
 		for _, wrong := range violations(fromInternal, file) {
 			t.Error(wrong)
 		}
 	}
-	for dir, ok := range documented {
+	for dir, ok := range hasPackageDoc {
 		if !ok {
 			t.Errorf("package %s has no doc comment", dir)
 		}
 	}
-	for l := range mayImport {
+	for l := range allowedImports {
 		if _, err := os.Stat(l); err != nil {
-			t.Errorf("layer %s is gone", l)
+			t.Errorf("layer %s of allowedImports: %v", l, err)
 		}
 	}
 }
 
-// What is forbidden is found.
-func TestViolations(t *testing.T) {
+func TestViolationsReportsForbiddenImportsNamesAndGoroutines(t *testing.T) {
 	for text, c := range map[string]struct{ dir, want string }{
 		`import "forkhead/internal/server/netio"`:                                {"scheduler/core", "layer scheduler may import"},
 		`import "forkhead/internal/verify/rules"`:                                {"server/placer", "layer server may import"},
@@ -215,7 +224,7 @@
 		}
 		wrong := strings.Join(violations(c.dir, f), "; ")
 		if c.want == "" && wrong != "" || !strings.Contains(wrong, c.want) {
-			t.Errorf("%s in %s: %q, want %q", text, c.dir, wrong, c.want)
+			t.Errorf("violations(%q, %q) = %q, want %q in it, or nothing if that is empty", c.dir, text, wrong, c.want)
 		}
 	}
 }
--- a/internal/lint_test.go
+++ b/internal/lint_test.go
@@ -7,15 +7,15 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// lintConfig is the part of .golangci.yml that says what the linter leaves out.
+// lintConfig is the part of .golangci.yml that excludes findings.
 type lintConfig struct {
 	Linters, Formatters struct {
 		Exclusions map[string]any
 	}
 }
 
-// The linter and the formatter leave out no package, file or finding. Where a finding is wrong, its line says so by a nolint
-// comment, which needs a reason.
+// The configuration must not exclude any package, file or finding from the linters and formatters. A wrong finding is
+// suppressed on its line by a nolint comment with a reason.
 func TestLinterExcludesNothing(t *testing.T) {
 	text, err := os.ReadFile("../.golangci.yml")
 	if err != nil {
@@ -26,9 +26,9 @@
 		t.Fatal(err)
 	}
 	for key, value := range config.Linters.Exclusions {
-		t.Errorf("linters: %s excludes %v", key, value)
+		t.Errorf(".golangci.yml: linters.exclusions has %s: %v, want no exclusions", key, value)
 	}
 	for key, value := range config.Formatters.Exclusions {
-		t.Errorf("formatters: %s excludes %v", key, value)
+		t.Errorf(".golangci.yml: formatters.exclusions has %s: %v, want no exclusions", key, value)
 	}
 }
--- a/internal/pages_test.go
+++ b/internal/pages_test.go
@@ -10,18 +10,18 @@
 )
 
 var (
-	// pageLink matches a link of a page, with its target.
+	// pageLink matches a Markdown link; the group is its target.
 	pageLink = regexp.MustCompile(`\]\(([^)\s]+)\)`)
 
-	// pageHeading matches a heading of a page.
+	// pageHeading matches a Markdown heading; the group is its text.
 	pageHeading = regexp.MustCompile(`(?m)^#+ (.*)$`)
 
-	// notInAnchor matches what a heading's anchor leaves out.
-	notInAnchor = regexp.MustCompile(`[^\p{L}\p{N}_ -]`)
+	// removedFromAnchor matches the characters of a heading that are not in its anchor.
+	removedFromAnchor = regexp.MustCompile(`[^\p{L}\p{N}_ -]`)
 )
 
-// pages returns the text of each page of the project, by its path from the repository's root.
-func pages(t *testing.T) map[string]string {
+// pageTexts returns the texts of the project's Markdown pages by path, relative to the root of the repository.
+func pageTexts(t *testing.T) map[string]string {
 	t.Helper()
 	paths, err := filepath.Glob("../*.md")
 	if err != nil {
@@ -47,23 +47,24 @@
 	return texts
 }
 
-// anchor is the anchor of a heading, as code hosts make it.
-func anchor(heading string) string {
-	return strings.ReplaceAll(notInAnchor.ReplaceAllString(strings.ToLower(heading), ""), " ", "-")
+// headingAnchor returns the anchor of a heading, as code hosting sites generate it.
+func headingAnchor(heading string) string {
+	return strings.ReplaceAll(removedFromAnchor.ReplaceAllString(strings.ToLower(heading), ""), " ", "-")
 }
 
+// hasAnchor reports whether a page has a heading with an anchor.
 func hasAnchor(text, wanted string) bool {
 	for _, heading := range pageHeading.FindAllStringSubmatch(text, -1) {
-		if anchor(heading[1]) == wanted {
+		if headingAnchor(heading[1]) == wanted {
 			return true
 		}
 	}
 	return false
 }
 
-// Every link from a page to a file of the repository leads to one, and to a heading that it has.
-func TestPageLinksLeadSomewhere(t *testing.T) {
-	texts := pages(t)
+// Each relative link of a page must lead to an existing file, and its fragment to a heading of that file.
+func TestPageLinksLeadToExistingFilesAndHeadings(t *testing.T) {
+	texts := pageTexts(t)
 	for name, text := range texts {
 		for _, link := range pageLink.FindAllStringSubmatch(text, -1) {
 			target, fragment, _ := strings.Cut(link[1], "#")
@@ -75,26 +76,25 @@
 				linked = filepath.ToSlash(filepath.Join(filepath.Dir(name), target))
 			}
 			if _, err := os.Stat(filepath.Join("..", linked)); err != nil {
-				t.Errorf("%s links to %s: %v", name, link[1], err)
+				t.Errorf("%s: target of the link %s: %v", name, link[1], err)
 			}
 			if fragment != "" && !hasAnchor(texts[linked], fragment) {
-				t.Errorf("%s links to %s: no such heading", name, link[1])
+				t.Errorf("%s: target of the link %s: %s has no heading with the anchor %q", name, link[1], linked, fragment)
 			}
 		}
 	}
 }
 
-// The index has every page.
-func TestPagesAreInTheIndex(t *testing.T) {
+func TestDocsIndexListsAllPages(t *testing.T) {
 	const index = "docs/README.md"
-	texts := pages(t)
+	texts := pageTexts(t)
 	listed := map[string]bool{index: true}
 	for _, link := range pageLink.FindAllStringSubmatch(texts[index], -1) {
 		listed[filepath.ToSlash(filepath.Join("docs", link[1]))] = true
 	}
 	for name := range texts {
 		if !listed[name] {
-			t.Errorf("%s is not in %s", name, index)
+			t.Errorf("%s has no link to %s, want links to all pages", index, name)
 		}
 	}
 }
