--- a/internal/planning/doc.go
+++ b/internal/planning/doc.go
@@ -1,4 +1,4 @@
-// Package planning is the layer of what is computed in advance: the solver and what feeds it.
+// Package planning is the layer of the packages that compute placements and quotas in advance: plan, quota and solver.
 //
-// It may import the module and parse. All of it is pure.
+// It may import the module's root package and parse. All its code is pure.
 package planning
--- a/internal/planning/quota/apportion.go
+++ b/internal/planning/quota/apportion.go
@@ -7,29 +7,31 @@
 	"slices"
 )
 
-// Unlimited as the Max of an Allocation is no limit.
+// Unlimited is the Max of an Allocation without a limit.
 const Unlimited = -1
 
-// maxWeight keeps the products of weights and totals within 128 bits with a margin.
+// maxWeight is the largest weight. It keeps sums of weights within 64 bits, and products of a total and a weight within 128
+// bits, with a margin.
 const maxWeight = 1 << 40
 
-// Allocation is what one name gets of a total.
+// Allocation is one recipient's part of a total.
 type Allocation struct {
-	Name     string // unique among its allocations
-	Weight   uint64 // relative to the others'; at most 2^40
-	Max      int64  // of Amount; Unlimited, or any other negative number: no limit
-	Previous int64  // what it had; ties go to who loses the most
-	Amount   int64  // set by Apportion
+	Name     string // of the recipient; unique in a call of Apportion
+	Weight   uint64 // relative to the weights of the other allocations; at most 2^40
+	Max      int64  // upper limit of Amount; Unlimited, like any negative number, is no limit
+	Previous int64  // amount before this division; it breaks ties
+	Amount   int64  // result, set by Apportion
 }
 
 // Apportion divides a total in proportion to weights, by the method of largest remainders: each gets its exact share
-// rounded down or up, but never more than its Max; what that cuts off is divided among the others in the same way. Ties go
-// to who would lose the most of Previous, then by name. It sets the Amounts and returns what nobody could take.
+// rounded down or up, but never more than its Max. The excess over a Max is divided among the other allocations in the same
+// way. Of equal remainders, the one whose allocation would lose the most of Previous is rounded up, then the one whose name
+// sorts first. Apportion sets the Amounts and returns the part of the total that no allocation could take.
 //
 // A negative total, a duplicate name, a weight above 2^40 and a negative Previous are errors.
 func Apportion(total int64, allocations []Allocation) (unassigned int64, err error) {
 	if total < 0 {
-		return 0, fmt.Errorf("a total of %d", total)
+		return 0, fmt.Errorf("total is %d, want at least 0", total)
 	}
 	if err := validate(allocations); err != nil {
 		return 0, err
@@ -53,57 +55,58 @@
 	for i := range allocations {
 		a := &allocations[i]
 		if seen[a.Name] {
-			return fmt.Errorf("%q is named twice", a.Name)
+			return fmt.Errorf("duplicate name %q", a.Name)
 		}
 		if a.Weight > maxWeight || a.Previous < 0 {
-			return fmt.Errorf("%q: weights are at most 2^40, and nobody had less than nothing", a.Name)
+			return fmt.Errorf("%q has weight %d and previous amount %d, want a weight of at most 2^40 and an amount of at least 0",
+				a.Name, a.Weight, a.Previous)
 		}
 		seen[a.Name] = true
 	}
 	return nil
 }
 
-// share is the exact share of an allocation in one round: floor + remainder/sum of weights.
+// share is the exact share of an allocation in one round: floor + remainder / (sum of the weights).
 type share struct {
-	of        *Allocation
-	floor     int64
-	remainder uint64
+	allocation *Allocation
+	floor      int64
+	remainder  uint64
 }
 
-// apportionOnce divides a total among the allocations that are below their Max. It returns how much of it was assigned.
+// apportionOnce divides a total among the allocations that are below their Max, and returns how much of it they took.
 func apportionOnce(total int64, allocations []Allocation) int64 {
 	shares, remaining := exactShares(total, allocations)
 	slices.SortFunc(shares, compareShares)
 	assigned := int64(0)
 	for i, s := range shares {
 		n := s.floor
-		if int64(i) < remaining { // there are more shares than that: one more each for the largest remainders
+		if int64(i) < remaining { // remaining is less than the number of shares: the largest remainders get one more each
 			n++
 		}
-		if s.of.Max >= 0 {
-			n = min(n, s.of.Max-s.of.Amount)
+		if s.allocation.Max >= 0 {
+			n = min(n, s.allocation.Max-s.allocation.Amount)
 		}
-		s.of.Amount += n
+		s.allocation.Amount += n
 		assigned += n
 	}
 	return assigned
 }
 
-// exactShares returns the shares of the allocations that are below their Max, and what is left of the total when each of
-// them is rounded down.
+// exactShares returns the shares of the allocations that have a weight and are below their Max, and what remains of the total
+// if all these shares are rounded down.
 func exactShares(total int64, allocations []Allocation) (shares []share, remaining int64) {
 	weights := uint64(0)
 	for i := range allocations {
 		a := &allocations[i]
 		if a.Weight > 0 && (a.Max < 0 || a.Amount < a.Max) {
 			weights += a.Weight
-			shares = append(shares, share{of: a})
+			shares = append(shares, share{allocation: a})
 		}
 	}
 	remaining = total
 	for i := range shares {
 		s := &shares[i]
-		high, low := bits.Mul64(uint64(total), s.of.Weight)
+		high, low := bits.Mul64(uint64(total), s.allocation.Weight)
 		floor, remainder := bits.Div64(high, low, weights)
 		s.floor, s.remainder = int64(floor), remainder
 		remaining -= s.floor
@@ -111,10 +114,10 @@
 	return shares, remaining
 }
 
-// compareShares puts first who is rounded up first.
+// compareShares orders shares by which is rounded up first: by remainder, then by loss, both descending, then by name.
 func compareShares(a, b share) int {
-	return cmp.Or(cmp.Compare(b.remainder, a.remainder), cmp.Compare(b.loss(), a.loss()), cmp.Compare(a.of.Name, b.of.Name))
+	return cmp.Or(cmp.Compare(b.remainder, a.remainder), cmp.Compare(b.loss(), a.loss()), cmp.Compare(a.allocation.Name, b.allocation.Name))
 }
 
-// loss is how much less than before the allocation has if its share is rounded down.
-func (s share) loss() int64 { return max(s.of.Previous-s.of.Amount-s.floor, 0) }
+// loss returns how much less than Previous the allocation has if its share is rounded down; 0 if it has no less.
+func (s share) loss() int64 { return max(s.allocation.Previous-s.allocation.Amount-s.floor, 0) }
--- a/internal/planning/quota/apportion_test.go
+++ b/internal/planning/quota/apportion_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Amounts sum to the total, each is its exact share rounded down or up, and a higher weight gets no less.
+// TestApportionIsProportional checks that amounts without a Max sum to the total, that each is its exact share rounded down
+// or up, and that a higher weight gets no less than a lower one.
 func TestApportionIsProportional(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(0, 1_000_000).Draw(t, "total")
@@ -19,7 +20,7 @@
 		}
 		unassigned, err := Apportion(total, allocations)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("Apportion(%d, %+v): %v", total, allocations, err)
 		}
 		assigned := int64(0)
 		for i := range allocations {
@@ -28,22 +29,24 @@
 			if sum > 0 {
 				share := float64(total) * float64(p.Weight) / float64(sum)
 				if float64(p.Amount) < share-1 || float64(p.Amount) > share+1 {
-					t.Fatalf("%d of a share of %g", p.Amount, share)
+					t.Fatalf("amount of weight %d = %d, want %g rounded down or up", p.Weight, p.Amount, share)
 				}
 			}
 			for j := range allocations {
 				if q := &allocations[j]; p.Weight > q.Weight && p.Amount < q.Amount {
-					t.Fatalf("weight %d gets %d, weight %d %d", p.Weight, p.Amount, q.Weight, q.Amount)
+					t.Fatalf("amount of weight %d = %d, want at least the %d of the lower weight %d", p.Weight, p.Amount, q.Amount, q.Weight)
 				}
 			}
 		}
 		if assigned+unassigned != total || sum > 0 && unassigned != 0 {
-			t.Fatalf("%d assigned and %d unassigned of %d", assigned, unassigned, total)
+			t.Fatalf("Apportion(%d) assigned %d and left %d unassigned, want a sum of %d and nothing unassigned if the sum of weights, %d, is not 0",
+				total, assigned, unassigned, total, sum)
 		}
 	})
 }
 
-// Nobody gets more than its Max, and all is assigned as long as somebody can take it.
+// TestApportionKeepsMax checks that no allocation gets more than its Max, and that something is left unassigned only if all
+// have reached theirs.
 func TestApportionKeepsMax(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(0, 1000).Draw(t, "total")
@@ -55,15 +58,15 @@
 		}
 		unassigned, err := Apportion(total, allocations)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("Apportion(%d, %+v): %v", total, allocations, err)
 		}
 		for _, p := range allocations {
 			if p.Amount > p.Max {
-				t.Fatalf("%d, at most %d", p.Amount, p.Max)
+				t.Fatalf("amount of %s = %d, want at most its Max, %d", p.Name, p.Amount, p.Max)
 			}
 		}
 		if want := max(total-capacity, 0); unassigned != want {
-			t.Fatalf("%d unassigned, want %d", unassigned, want)
+			t.Fatalf("Apportion(%d) = %d unassigned, want %d with a sum of Max of %d", total, unassigned, want, capacity)
 		}
 	})
 }
@@ -73,13 +76,13 @@
 		total       int64
 		allocations []Allocation
 	}{
-		"negative total":      {-1, nil},
-		"name twice":          {1, []Allocation{{Name: "a"}, {Name: "a"}}},
-		"weight above bounds": {1, []Allocation{{Name: "a", Weight: 1<<40 + 1}}},
-		"negative previous":   {1, []Allocation{{Name: "a", Previous: -1}}},
+		"negative total":           {-1, nil},
+		"duplicate name":           {1, []Allocation{{Name: "a"}, {Name: "a"}}},
+		"weight above the limit":   {1, []Allocation{{Name: "a", Weight: 1<<40 + 1}}},
+		"negative previous amount": {1, []Allocation{{Name: "a", Previous: -1}}},
 	} {
 		if _, err := Apportion(c.total, c.allocations); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: Apportion(%d, %+v) = no error, want one", name, c.total, c.allocations)
 		}
 	}
 }
--- a/internal/planning/quota/quota.go
+++ b/internal/planning/quota/quota.go
@@ -1,6 +1,6 @@
-// Package quota divides whole amounts by weights: a fleet's cores among tenants, and each tenant's quota among placers.
-// What it assigns is whole, sums exactly, and changes as little as possible when a weight changes or a placer comes or
-// goes. It is pure and deterministic.
+// Package quota divides integer amounts by weights: a fleet's cores among tenants, and each tenant's quota among placers.
+// The parts are integers, sum exactly to the amount, and change as little as possible when a weight changes or a placer
+// is added or removed. The package is pure and deterministic.
 package quota
 
 import (
@@ -8,26 +8,27 @@
 	"slices"
 )
 
-// FullQuota is a tenant's quota of a whole fleet.
+// FullQuota is the Quota of a tenant that may use the whole fleet.
 const FullQuota = 1_000_000
 
 // Tenant is a tenant with its quota.
 type Tenant struct {
 	Name  string
-	Quota uint64 // of the fleet, in parts of FullQuota
+	Quota uint64 // of the fleet, in units of 1/FullQuota
 }
 
-// Table has each tenant's quota at each placer, in thousandths of a core.
+// Table has each tenant's quota at each placer, in millicores.
 type Table struct {
 	Tenants    []string
 	Placers    []string
-	Amounts    [][]int64 // by tenant, by placer
-	Unassigned int64     // in no tenant's quota, or in one that no placer has a weight for
+	Amounts    [][]int64 // indexed by tenant, then by placer
+	Unassigned int64     // in no tenant's quota, or in one that cannot be divided since no placer has a weight
 }
 
-// NewTable divides a fleet's cores, in thousandths, among tenants by their quotas, and each tenant's among placers by their
-// names and weights. Amounts stay as they are in previous, the table until now, as far as the weights allow; it may be nil.
-// Quotas that sum to more than FullQuota are an error, and so are the errors of Apportion.
+// NewTable divides a fleet's cores, in millicores, among tenants by their quotas, and each tenant's cores among placers by
+// their weights. Of placers only Name and Weight are used. Amounts stay as they are in previous, the last table, as far as the
+// weights allow; previous may be nil. NewTable returns an error if the quotas sum to more than FullQuota, and the errors of
+// Apportion.
 func NewTable(cores int64, tenants []Tenant, placers []Allocation, previous *Table) (*Table, error) {
 	byTenant, err := apportionToTenants(cores, tenants)
 	if err != nil {
@@ -50,10 +51,11 @@
 	return t, nil
 }
 
-// apportionToTenants returns an allocation for each tenant, and a last one for what is in no tenant's quota. It takes part,
-// so that the others are rounded as shares of the fleet.
+// apportionToTenants returns an allocation for each tenant, and a last one for the cores in no tenant's quota. That one takes
+// part in the division so that the others are rounded as shares of the whole fleet.
 func apportionToTenants(cores int64, tenants []Tenant) ([]Allocation, error) {
-	const unassigned = "\x00nobody" // no tenant's name; it decides ties, so it stays
+	// No tenant can have this name. Apportion breaks ties by name, so another one could change amounts.
+	const unassigned = "\x00nobody"
 	sum := uint64(0)
 	allocations := make([]Allocation, 0, len(tenants)+1)
 	for _, tenant := range tenants {
@@ -61,7 +63,7 @@
 		allocations = append(allocations, Allocation{Name: tenant.Name, Weight: tenant.Quota, Max: Unlimited})
 	}
 	if sum > FullQuota {
-		return nil, fmt.Errorf("the shares sum to %d millionths", sum)
+		return nil, fmt.Errorf("tenants' quotas sum to %d millionths of the fleet, want at most %d", sum, FullQuota)
 	}
 	allocations = append(allocations, Allocation{Name: unassigned, Weight: FullQuota - sum, Max: Unlimited})
 	if _, err := Apportion(cores, allocations); err != nil {
@@ -70,7 +72,8 @@
 	return allocations, nil
 }
 
-// apportionToPlacers divides a tenant's cores. It returns an amount for each placer, and what no placer has a weight for.
+// apportionToPlacers divides a tenant's cores among placers. It returns each placer's amount, and the cores that no placer
+// gets, which are all of them if no placer has a weight.
 func apportionToPlacers(cores int64, tenant string, placers []Allocation, previous *Table) (row []int64, unassigned int64, err error) {
 	allocations := slices.Clone(placers)
 	for i := range allocations {
@@ -87,7 +90,7 @@
 	return row, unassigned, nil
 }
 
-// amount returns a tenant's quota at a placer; 0 where there is none, or no table.
+// amount returns a tenant's quota at a placer. It is 0 if the table is nil or does not have the tenant or the placer.
 func (t *Table) amount(tenant, placer string) int64 {
 	if t == nil {
 		return 0
