--- a/internal/planning/plan/conflict.go
+++ b/internal/planning/plan/conflict.go
@@ -9,11 +9,13 @@
 )
 
 // describeConflict returns a message for each requirement of a conflict, with its position in the specifications.
+// Clients of the placer get these messages too, so their texts stay: in them, a service asks for its tasks, and
+// schedulable hosts are open.
 func describeConflict(in *solver.Instance, services []service, conflict []solver.Requirement) []string {
 	messages := []string{}
 	for _, r := range conflict {
 		if r.Service == solver.FleetWide {
-			messages = append(messages, describeFleet(in.Hosts, r.Kind))
+			messages = append(messages, describeFleetCapacity(in.Hosts, r.Kind))
 		} else {
 			messages = append(messages, describeRequirement(&in.Services[r.Service], &services[r.Service], r.Kind))
 		}
@@ -21,18 +23,18 @@
 	return messages
 }
 
-// describeFleet describes the fleet's cores or memory.
-func describeFleet(hosts []solver.Host, kind solver.RequirementKind) string {
-	var open, cores, memory int64
+// describeFleetCapacity describes the total cores or memory of the fleet's schedulable hosts.
+func describeFleetCapacity(hosts []solver.Host, kind solver.RequirementKind) string {
+	var schedulable, cores, memory int64
 	for i := range hosts {
 		if !hosts[i].Unschedulable {
-			open, cores, memory = open+1, cores+hosts[i].Cores, memory+hosts[i].Memory
+			schedulable, cores, memory = schedulable+1, cores+hosts[i].Cores, memory+hosts[i].Memory
 		}
 	}
 	if kind == solver.RequireCores {
-		return fmt.Sprintf("the cores of the %d hosts that are open (%.4g in all)", open, float64(cores)/milliCores)
+		return fmt.Sprintf("the cores of the %d hosts that are open (%.4g in all)", schedulable, float64(cores)/millicoresPerCore)
 	}
-	return fmt.Sprintf("the memory of the %d hosts that are open (%.4g GiB in all)", open, float64(memory)/mebibytes)
+	return fmt.Sprintf("the memory of the %d hosts that are open (%.4g GiB in all)", schedulable, float64(memory)/mebibytesPerGibibyte)
 }
 
 func describeRequirement(requested *solver.Service, s *service, kind solver.RequirementKind) string {
@@ -40,7 +42,7 @@
 	switch kind {
 	case solver.RequireTasks:
 		return fmt.Sprintf("%s: service %s asks for %d tasks of %.4g cores and %.4g GiB",
-			s.spec.Pos, name, requested.Count, float64(requested.Cores)/milliCores, float64(requested.Memory)/mebibytes)
+			s.spec.Pos, name, requested.Count, float64(requested.Cores)/millicoresPerCore, float64(requested.Memory)/mebibytesPerGibibyte)
 	case solver.RequireMaxPerHost:
 		return fmt.Sprintf("%s: at most %d of %s on one host", s.limitPos("machine"), requested.MaxPerHost, name)
 	case solver.RequireMaxPerRack:
@@ -57,8 +59,8 @@
 	}
 }
 
-// describeAllowedHosts lists what excludes hosts: the machine type of the class, and constraints. Its position is that of
-// the last constraint.
+// describeAllowedHosts lists the conditions that exclude hosts: the machine type of the service's class, and its
+// constraints. The message has the position of the last constraint, or that of the service if there is none.
 func (s *service) describeAllowedHosts() string {
 	pos := s.spec.Pos
 	var conditions []string
@@ -72,7 +74,8 @@
 	return fmt.Sprintf("%s: %s runs only on hosts with %s", pos, s.spec.Name, strings.Join(conditions, ", "))
 }
 
-// limitPos returns the position of a spread limit, or that of the service if the limit is its class's.
+// limitPos returns the position of the service's spread limit in a domain, or that of the service if only its class has
+// one.
 func (s *service) limitPos(domain string) diagnostic.Pos {
 	for _, limit := range s.spec.SpreadLimits {
 		if limit.Domain == domain {
--- a/internal/planning/plan/input.go
+++ b/internal/planning/plan/input.go
@@ -10,7 +10,7 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// Host is a host of a fleet. Its type's name is part of the errors of ReadHosts.
+// Host is a host of a fleet. The errors of ReadHosts contain the name of this type.
 type Host struct {
 	ID          string                           `json:"id"`
 	MachineType string                           `json:"kind"`
@@ -18,13 +18,13 @@
 	Rack        string                           `json:"rack"`
 	Cores       float64                          `json:"cores"`
 	Memory      float64                          `json:"memory"` // GiB
-	Cost        int64                            `json:"cost"`   // of using it at all, in any unit
+	Cost        int64                            `json:"cost"`   // cost of using the host, however many tasks it has; in any unit
 	State       string                           `json:"state"`  // one of hostStates
 	Labels      map[string]string                `json:"labels"`
-	Attributes  map[servicespec.Attribute]string `json:"-"` // what constraints of services are compared with
+	Attributes  map[servicespec.Attribute]string `json:"-"` // compared with the constraints of services
 }
 
-// The states of a host. The empty one is stateReady.
+// The states of a host. The empty state means stateReady.
 const (
 	stateReady     = "ready"
 	stateWarmingUp = "cold"
@@ -34,21 +34,22 @@
 
 var hostStates = []string{"", stateReady, stateWarmingUp, stateDraining, stateRemoved}
 
-// Bounds of a host.
+// Upper bounds of a host's amounts.
 const (
 	maxCores        = 1e6
-	maxMemory       = 1e6 // GiB; more of it is a mistake of unit
+	maxMemory       = 1e6 // GiB; a larger value is most likely in another unit
 	maxCost   int64 = 1 << 40
 )
 
-// Running is a task that runs. Its type's name is part of the errors of ReadRunning.
+// Running is a running task. The errors of ReadRunning contain the name of this type.
 type Running struct {
 	Service string `json:"service"`
 	Replica int    `json:"replica"` // from 1
 	Host    string `json:"host"`
 }
 
-// ReadHosts reads {"hosts":[...]}. Its error is a diagnostic.Error, or several, with file in their positions.
+// ReadHosts parses the JSON object {"hosts":[...]}. Its error is one or several diagnostic.Errors, with file in their
+// positions.
 func ReadHosts(file string, data []byte) ([]Host, error) {
 	var in struct {
 		Hosts []Host `json:"hosts"`
@@ -64,12 +65,12 @@
 		h := &in.Hosts[i]
 		switch {
 		case h.ID == "" || seen[h.ID]:
-			errs.Add(diagnostic.Wantf(pos, "an id of its own", "host %d has id %q", i, h.ID))
+			errs.Add(diagnostic.Wantf(pos, "a unique id that is not empty", "host %d has id %q", i, h.ID))
 		case h.Memory > maxMemory:
 			overMaxMemory++
-			if overMaxMemory == 1 { // most likely all hosts have the same unit
+			if overMaxMemory == 1 { // one diagnostic is enough, since the others most likely have the same mistake
 				errs.Add(diagnostic.Wantf(pos, "memory in GiB, from 0 to 10^6",
-					"host %s has %g GiB of memory, which looks like another unit", h.ID, h.Memory))
+					"host %s has %g GiB of memory, which looks like a value in another unit", h.ID, h.Memory))
 			}
 		default:
 			if err := h.validate(pos); err != nil {
@@ -80,12 +81,12 @@
 		h.Attributes = h.attributes()
 	}
 	if overMaxMemory > 1 {
-		errs.Add(diagnostic.Errorf(pos, "%d more hosts have such memory", overMaxMemory-1))
+		errs.Add(diagnostic.Errorf(pos, "%d more hosts have more than 10^6 GiB of memory", overMaxMemory-1))
 	}
 	return in.Hosts, errs.Err()
 }
 
-// validate returns the first amount or state of a host that is out of bounds, or nil.
+// validate returns a diagnostic of the first amount that is out of bounds or of an unknown state, or nil.
 func (h *Host) validate(pos diagnostic.Pos) *diagnostic.Error {
 	switch {
 	case h.Cores < 0 || h.Cores > maxCores || h.Memory < 0:
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// attributes returns what constraints of services are compared with.
+// attributes returns the attributes that the constraints of services refer to.
 func (h *Host) attributes() map[servicespec.Attribute]string {
 	attributes := map[servicespec.Attribute]string{
 		"id": h.ID, "hostname": h.ID, "role": "worker",
@@ -110,7 +111,7 @@
 	return attributes
 }
 
-// ReadRunning reads {"running":[...]}. Its error is a diagnostic.Error.
+// ReadRunning parses the JSON object {"running":[...]}. Its error is a diagnostic.Error.
 func ReadRunning(file string, data []byte) ([]Running, error) {
 	var in struct {
 		Running []Running `json:"running"`
@@ -119,7 +120,7 @@
 	return in.Running, err
 }
 
-// decode reads JSON without unknown keys. Its error has the line and column where the decoder stopped.
+// decode parses JSON and rejects unknown keys. Its error has the line and column at which the decoder stopped.
 func decode(file string, data []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// position returns the line and column of an offset in bytes.
+// position returns the line and column of a byte offset, both from 1.
 func position(file string, data []byte, offset int64) diagnostic.Pos {
 	before := data[:min(int(offset), len(data))]
 	return diagnostic.Pos{
--- a/internal/planning/plan/instance.go
+++ b/internal/planning/plan/instance.go
@@ -9,24 +9,24 @@
 	"forkhead/internal/planning/solver"
 )
 
-// Units of the solver.
+// The solver counts cores in millicores and memory in MiB.
 const (
-	milliCores = 1000 // in a core
-	mebibytes  = 1024 // in a GiB
+	millicoresPerCore    = 1000
+	mebibytesPerGibibyte = 1024
 )
 
-// roundingError is how far an amount may be off a whole number of the solver's units by the rounding of floats.
-const roundingError = 1e-6
+// roundingTolerance is the largest rounding error of a float, in the solver's units, that roundDown and roundUp correct.
+const roundingTolerance = 1e-6
 
-// roundDown converts an amount that a host has, and roundUp one that a task requests, so that what fits in the solver's
-// units fits.
-func roundDown(amount, unit float64) int64 { return int64(math.Floor(amount*unit + roundingError)) }
-func roundUp(amount, unit float64) int64   { return int64(math.Ceil(amount*unit - roundingError)) }
+// roundDown converts an amount of a host, and roundUp an amount that a task requests, to the solver's units. Tasks that
+// fit on a host in these units thus fit in the original amounts too, up to roundingTolerance.
+func roundDown(amount, unit float64) int64 { return int64(math.Floor(amount*unit + roundingTolerance)) }
+func roundUp(amount, unit float64) int64   { return int64(math.Ceil(amount*unit - roundingTolerance)) }
 
-// instance translates the problem for the solver. The services it returns have the order of the instance's.
-func (p *Problem) instance() (*solver.Instance, []service, error) {
+// solverInstance translates the problem for the solver. It also returns the services, in the order of the instance.
+func (p *Problem) solverInstance() (*solver.Instance, []service, error) {
 	in := &solver.Instance{
-		Hosts: p.solverHosts(), MigrationCost: p.MigrationCost, HomeZone: p.HomeZone, OutsideHomeCost: p.OutsideHomeCost,
+		Hosts: p.translateHosts(), MigrationCost: p.MigrationCost, HomeZone: p.HomeZone, OutsideHomeCost: p.OutsideHomeCost,
 	}
 	hostIndex := map[string]int{} // by ID
 	for i := range p.Hosts {
@@ -34,11 +34,11 @@
 	}
 	var services []service
 	for _, spec := range p.Specs {
-		first := len(services) // of this specification
+		first := len(services) // index of the specification's first service
 		for i := range spec.Services {
 			s := p.newService(&spec.Services[i])
-			translated := p.solverService(&s, in.Hosts)
-			translated.Affinities = affinities(spec, s.spec, first)
+			translated := p.translateService(&s, in.Hosts)
+			translated.Affinities = translateAffinities(spec, s.spec, first)
 			if err := p.addRunning(&s, &translated, hostIndex); err != nil {
 				return nil, nil, err
 			}
@@ -49,22 +49,22 @@
 	return in, services, nil
 }
 
-func (p *Problem) solverHosts() []solver.Host {
+func (p *Problem) translateHosts() []solver.Host {
 	m := &p.Settings.Module
 	var hosts []solver.Host
 	for i := range p.Hosts {
 		h := &p.Hosts[i]
 		hosts = append(hosts, solver.Host{
 			ID: h.ID, Zone: h.Zone, Rack: h.Rack, Cost: h.Cost,
-			Cores:         roundDown(h.Cores*m.CoresOvercommit, milliCores),
-			Memory:        roundDown(h.Memory*m.MemoryOvercommit, mebibytes),
+			Cores:         roundDown(h.Cores*m.CoresOvercommit, millicoresPerCore),
+			Memory:        roundDown(h.Memory*m.MemoryOvercommit, mebibytesPerGibibyte),
 			Unschedulable: h.State == stateDraining || h.State == stateRemoved,
 		})
 	}
 	return hosts
 }
 
-// newService returns a service of a specification with its class; nothing runs of it yet.
+// newService returns a service of a specification, with its class and without running replicas.
 func (p *Problem) newService(spec *servicespec.Service) service {
 	index, ok := p.Settings.ClassIndex(spec.Class)
 	if !ok {
@@ -77,11 +77,11 @@
 	return s
 }
 
-// solverService translates a service, but for its affinities and what runs.
-func (p *Problem) solverService(s *service, hosts []solver.Host) solver.Service {
+// translateService translates a service for the solver, without its affinities and running tasks.
+func (p *Problem) translateService(s *service, hosts []solver.Host) solver.Service {
 	translated := solver.Service{
 		Name: s.spec.Name, Count: s.spec.Replicas,
-		Cores: roundUp(s.spec.Cores, milliCores), Memory: roundUp(s.spec.Memory, mebibytes),
+		Cores: roundUp(s.spec.Cores, millicoresPerCore), Memory: roundUp(s.spec.Memory, mebibytesPerGibibyte),
 	}
 	allowed, excluded, schedulable := make([]bool, len(p.Hosts)), 0, 0
 	for host := range p.Hosts {
@@ -129,10 +129,11 @@
 	return true
 }
 
-// domains translates the keywords of specifications.
+// domains maps the names of domains in specifications to those of the solver.
 var domains = map[string]solver.Domain{"machine": solver.HostDomain, "rack": solver.RackDomain, "zone": solver.ZoneDomain}
 
-// tightenLimit lowers a service's limit in a domain to a number of tasks, unless it has a lower one.
+// tightenLimit limits a service to a number of tasks in each domain of a level, unless it already has a lower limit
+// there.
 func tightenLimit(s *solver.Service, domain solver.Domain, tasks int) {
 	limit := &s.MaxPerHost
 	switch domain {
@@ -147,9 +148,9 @@
 	}
 }
 
-// affinities translates the affinities of a service. They name services of its own specification, whose first service has
-// the index first.
-func affinities(spec *servicespec.Description, s *servicespec.Service, first int) []solver.Affinity {
+// translateAffinities translates the affinities of a service to other services of its specification. first is the index
+// of the specification's first service in the instance.
+func translateAffinities(spec *servicespec.Description, s *servicespec.Service, first int) []solver.Affinity {
 	var translated []solver.Affinity
 	for _, near := range s.Near {
 		for i := range spec.Services {
@@ -161,7 +162,7 @@
 	return translated
 }
 
-// addRunning records on which hosts tasks of a service run. Replicas beyond its count are left out.
+// addRunning records the hosts on which replicas of a service run. It ignores replicas above the service's count.
 func (p *Problem) addRunning(s *service, translated *solver.Service, hostIndex map[string]int) error {
 	if p.Running == nil {
 		return nil
@@ -173,7 +174,7 @@
 		}
 		host, ok := hostIndex[task.Host]
 		if !ok {
-			return fmt.Errorf("%s/%d runs on %q, which is not among the hosts", task.Service, task.Replica, task.Host)
+			return fmt.Errorf("%s/%d runs on %q, which is not in the list of hosts", task.Service, task.Replica, task.Host)
 		}
 		if task.Replica >= 1 && task.Replica <= translated.Count {
 			s.running[task.Replica] = host
--- a/internal/planning/plan/plan.go
+++ b/internal/planning/plan/plan.go
@@ -1,5 +1,6 @@
-// Package plan computes placements in advance: it turns a fleet and service specifications into an instance of the solver, and
-// the solver's result into assignments, migrations, or a conflict in the specifications' own terms. It is pure.
+// Package plan computes placements in advance. It translates a fleet and service specifications into an instance of the
+// solver, and the solver's result into assignments and migrations, or into a conflict between requirements of the
+// specifications. It is pure.
 package plan
 
 import (
@@ -12,25 +13,25 @@
 	"forkhead/internal/planning/solver"
 )
 
-// Problem is a fleet, what is to be placed on it and what runs.
+// Problem is a fleet, the specifications of the services to be placed on it, and the running tasks.
 type Problem struct {
 	Settings        *settings.Settings
 	Hosts           []Host
 	Specs           []*servicespec.Description
-	Running         []Running // nil: what runs is unknown, and migrations cost nothing
-	MigrationCost   int64     // of each migration, in the unit of the hosts' costs
-	HomeZone        string    // zone that tasks should be in; "": none
-	OutsideHomeCost int64     // of each task outside HomeZone
+	Running         []Running // nil: unknown, so no task counts as migrated
+	MigrationCost   int64     // cost of each migration, in the unit of Host.Cost
+	HomeZone        string    // preferred zone of all tasks; "": none
+	OutsideHomeCost int64     // cost of each task outside HomeZone, in the unit of Host.Cost
 }
 
-// Assignment is a task and its host.
+// Assignment is the host that a task is placed on.
 type Assignment struct {
 	Service string `json:"service"`
 	Replica int    `json:"replica"` // from 1
 	Host    string `json:"host"`
 }
 
-// Migration is a running task that the plan has on another host.
+// Migration is a running task that the plan places on another host.
 type Migration struct {
 	Service string `json:"service"`
 	Replica int    `json:"replica"` // from 1
@@ -38,30 +39,31 @@
 	To      string `json:"to"`
 }
 
-// Plan is a placement of all tasks, or what rules one out.
+// Plan is a placement of all tasks, or the conflict that makes one impossible.
 type Plan struct {
 	Feasible    bool         `json:"feasible"` // a placement was found
-	Optimal     bool         `json:"optimal"`  // proven: of least cost; or, if not Feasible, none exists
+	Optimal     bool         `json:"optimal"`  // it is proven that Cost is minimal or, if not Feasible, that no placement exists
 	Cost        int64        `json:"cost"`
-	LowerBound  int64        `json:"bound"` // no placement costs less
+	LowerBound  int64        `json:"bound"` // proven lower bound of the cost of any placement
 	Assignments []Assignment `json:"assignments"`
 	Migrations  []Migration  `json:"moves,omitempty"`
-	Conflict    []string     `json:"conflict"` // requirements that cannot be met together, a message each
+	Conflict    []string     `json:"conflict"` // one message for each requirement of a set that cannot be met together
 	HostsInUse  int          `json:"hosts_in_use"`
-	Nodes       int          `json:"nodes"` // visited by the solver
+	Nodes       int          `json:"nodes"` // of the search tree, visited by the solver
 }
 
-// service is one service of a problem. Its index among them is that of its solver.Service.
+// service is one service of a problem. It has the same index as its solver.Service in the instance.
 type service struct {
 	spec        *servicespec.Service
 	class       *forkhead.Class
-	machineType string      // that its class is restricted to; "": any
-	running     map[int]int // index of the host, by replica
+	machineType string      // only machine type that its class allows; "": all are allowed
+	running     map[int]int // index of the host of each running replica
 }
 
-// Solve works out a plan. An error means that the problem is malformed; if no placement exists, the plan has the conflict.
+// Solve computes a plan. An error means that the problem is malformed or that the solver's placement fails
+// solver.Check. If no placement exists, that is no error: the plan has the conflict.
 func Solve(p *Problem, opt solver.Options) (*Plan, error) {
-	in, services, err := p.instance()
+	in, services, err := p.solverInstance()
 	if err != nil {
 		return nil, err
 	}
@@ -77,9 +79,9 @@
 		}
 		return plan, nil
 	}
-	// The search is not trusted: what it found is verified before anybody acts on it.
+	// Check is independent of the search, so that a fault of the search yields an error rather than an invalid plan.
 	if err := solver.Check(in, result.Counts, result.Cost); err != nil {
-		return nil, fmt.Errorf("the solver's answer does not hold: %w", err)
+		return nil, fmt.Errorf("the solver returned an invalid placement: %w", err)
 	}
 	plan := &Plan{
 		Feasible: true, Optimal: result.Optimal, Cost: result.Cost, LowerBound: result.LowerBound,
@@ -91,7 +93,7 @@
 	return plan, nil
 }
 
-// hostsInUse returns how many of a number of hosts have a task.
+// hostsInUse returns how many of the hosts have a task.
 func hostsInUse(hosts int, counts [][]int) int {
 	n := 0
 	for host := range hosts {
@@ -102,22 +104,22 @@
 	return n
 }
 
-// assign gives the replicas of a service hosts; counts has how many each gets. A replica that runs where the plan
-// has one stays there; the others are migrated or new.
+// assign assigns the replicas of a service to hosts; counts has the number of replicas for each host. A running replica
+// stays on its host as long as the host's count allows. The other replicas are migrated, or new.
 func (plan *Plan) assign(hosts []Host, s *service, counts []int) {
-	unassigned := slices.Clone(counts) // tasks by host
+	unassigned := slices.Clone(counts) // remaining tasks of each host
 	replicas := 0
 	for _, n := range counts {
 		replicas += n
 	}
-	kept := make(map[int]int) // index of the host, by replica
+	kept := make(map[int]int) // index of the host of each replica that stays
 	for replica := 1; replica <= replicas; replica++ {
 		if host, ok := s.running[replica]; ok && unassigned[host] > 0 {
 			kept[replica] = host
 			unassigned[host]--
 		}
 	}
-	next := 0 // no host before it has an unassigned task
+	next := 0 // index of a host; no host before it has unassigned tasks
 	for replica := 1; replica <= replicas; replica++ {
 		host, ok := kept[replica]
 		if !ok {
--- a/internal/planning/plan/plan_test.go
+++ b/internal/planning/plan/plan_test.go
@@ -15,8 +15,8 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// newProblem returns a problem with these hosts, as JSON, and a class without limits (c), one of big hosts (b) and one with a
-// spread limit (r).
+// newProblem returns a problem with hosts given as JSON and three classes: c has no limits, b is restricted to hosts of
+// machine type big, and r has a spread limit.
 func newProblem(t testing.TB, hosts string) *Problem {
 	t.Helper()
 	s, err := settings.Parse("s", []byte(`(forkhead (kind k (cores 4) (memory 8GiB)) (kind big (cores 8) (memory 16GiB))
@@ -34,24 +34,25 @@
 const fleet = `{"hosts":[{"id":"a","kind":"k","rack":"r","cores":4,"memory":8,"cost":4},{"id":"b","kind":"k","rack":"r","cores":4,"memory":8,"cost":4},
   {"id":"c","kind":"big","rack":"s","cores":8,"memory":16,"cost":9,"labels":{"disk":"ssd"}},{"id":"d","kind":"big","rack":"s","cores":8,"memory":16,"cost":9,"state":"draining"}]}`
 
-// newService returns a service of n tasks.
+// newService returns a service of n tasks, each with a number of cores and 1 GiB of memory.
 func newService(name, class string, n int, cores float64) servicespec.Service {
 	return servicespec.Service{Name: name, Class: class, Replicas: n, Cores: cores, Memory: 1}
 }
 
-// A plan has each task, keeps what runs where it may stay, and lists what has to migrate.
-func TestSolve(t *testing.T) {
+// TestSolveKeepsRunningTasksAndListsMigrations checks that a plan assigns all tasks, keeps running tasks on their hosts
+// where that is possible, and lists the migrations of the others.
+func TestSolveKeepsRunningTasksAndListsMigrations(t *testing.T) {
 	problem := newProblem(t, fleet)
 	problem.Specs = []*servicespec.Description{{Services: []servicespec.Service{newService("x", "c", 4, 2), newService("y", "b", 1, 1)}}}
 	plan, err := Solve(problem, solver.Options{})
 	if err != nil || !plan.Feasible || plan.Cost != 9+4 || plan.HostsInUse != 2 || len(plan.Assignments) != 5 {
-		t.Fatalf("%+v, %v", plan, err)
+		t.Fatalf("Solve without running tasks = %+v, %v, want 5 assignments on 2 hosts at cost 13", plan, err)
 	}
-	// Replica 1 of x stays, replica 2 may; y has to leave a draining host.
+	// One replica of x stays, the other has to leave a host that is not needed, and y has to leave a draining host.
 	problem.Running = []Running{{"x", 1, "a"}, {"x", 2, "b"}, {"y", 1, "d"}}
 	plan, err = Solve(problem, solver.Options{})
 	if err != nil || len(plan.Migrations) != 2 || plan.Migrations[1] != (Migration{"y", 1, "d", "c"}) {
-		t.Fatalf("%+v, %v", plan, err)
+		t.Fatalf("Solve with running tasks = %+v, %v, want 2 migrations, the second of y/1 from d to c", plan, err)
 	}
 }
 
@@ -60,14 +61,14 @@
 		services []servicespec.Service
 		want     []string
 	}{
-		"too large":   {[]servicespec.Service{newService("x", "c", 1, 9)}, []string{"x asks for 1 tasks of 9 cores", "the cores of the 3 hosts"}},
-		"kind drains": {[]servicespec.Service{newService("x", "b", 3, 3)}, []string{"x asks for 3", "the cores of the 3 hosts", "x runs only on hosts with kind big"}},
-		"rack":        {[]servicespec.Service{newService("ok", "c", 1, 1), newService("x", "r", 5, 1)}, []string{"x asks for 5", "at most 2 of x in one rack"}},
-		"near": {
+		"too large":                       {[]servicespec.Service{newService("x", "c", 1, 9)}, []string{"x asks for 1 tasks of 9 cores", "the cores of the 3 hosts"}},
+		"host of the machine type drains": {[]servicespec.Service{newService("x", "b", 3, 3)}, []string{"x asks for 3", "the cores of the 3 hosts", "x runs only on hosts with kind big"}},
+		"rack limit":                      {[]servicespec.Service{newService("ok", "c", 1, 1), newService("x", "r", 5, 1)}, []string{"x asks for 5", "at most 2 of x in one rack"}},
+		"affinity": {
 			[]servicespec.Service{newService("x", "b", 1, 4), {Name: "y", Class: "c", Replicas: 2, Cores: 4, Memory: 1, Near: []servicespec.Near{{Service: "x", Domain: "machine"}}}},
 			[]string{"x asks for 1", "y asks for 2", "the cores of the 3 hosts", "y has to be near x, in one machine"},
 		},
-		"no such label": {
+		"constraint that no host meets": {
 			[]servicespec.Service{{Name: "x", Replicas: 1, Cores: 1, Constraints: []servicespec.Constraint{{Attribute: "label.disk", Value: "tape"}}}},
 			[]string{"x asks for 1", "x runs only on hosts with label.disk == tape"},
 		},
@@ -76,12 +77,12 @@
 		problem.Specs = []*servicespec.Description{{Services: c.services}}
 		plan, err := Solve(problem, solver.Options{})
 		if err != nil || plan.Feasible || !plan.Optimal || len(plan.Conflict) != len(c.want) {
-			t.Errorf("%s: %+v, %v", name, plan, err)
+			t.Errorf("%s: Solve = %+v, %v, want proven infeasible with a conflict of %d messages", name, plan, err, len(c.want))
 			continue
 		}
 		for i, want := range c.want {
 			if !strings.Contains(plan.Conflict[i], want) && !strings.Contains(strings.Join(plan.Conflict, "\n"), want) {
-				t.Errorf("%s: %q lacks %q", name, plan.Conflict, want)
+				t.Errorf("%s: conflict = %q, want a message with %q", name, plan.Conflict, want)
 			}
 		}
 	}
@@ -89,70 +90,72 @@
 
 func TestReadHostsRejectsMalformedHosts(t *testing.T) {
 	for text, want := range map[string]string{
-		`{"hosts":[{"id":"a"},{"id":"a"}]}`:                                                   "want an id of its own",
+		`{"hosts":[{"id":"a"},{"id":"a"}]}`:                                                   "want a unique id that is not empty",
 		`{"hosts":[{"id":"a","cores":-1}]}`:                                                   "want 0 to 10^6",
 		"{\"hosts\":[\n{\"id\":\"a\",\"cost\":1.5}]}":                                         "h.json:2:",
-		`{"hosts":[{"id":"a","memory":2e9},{"id":"b","memory":2e9},{"id":"c","memory":2e9}]}`: "GiB, from 0 to 10^6\nh.json: 2 more hosts have such memory",
+		`{"hosts":[{"id":"a","memory":2e9},{"id":"b","memory":2e9},{"id":"c","memory":2e9}]}`: "GiB, from 0 to 10^6\nh.json: 2 more hosts have more than 10^6 GiB of memory",
 		`{"host":[]}`: "unknown field",
 		`{`:           "h.json:1:",
 	} {
 		if _, err := ReadHosts("h.json", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %s", text, err, want)
+			t.Errorf("ReadHosts(%s): error = %v, want one with %q", text, err, want)
 		}
 	}
 }
 
-// measureDistance places services on a fleet by the real core and module, and by the solver. It returns the hosts that each
-// uses, and how many tasks the module did not place.
+// measureDistance places random services on a fleet with the core and its Placer, and with the solver. It returns the
+// number of hosts that each of them uses, and the number of tasks that the Placer did not place.
 func measureDistance(t testing.TB, hosts int, load float64, seed uint64) (used, best, unplaced int) {
 	set := simulation.Settings(t, "")
-	s := simulation.New(t, set, 0)
-	q := &Problem{Settings: set}
+	sim := simulation.New(t, set, 0)
+	problem := &Problem{Settings: set}
 	cores := 0.0
 	for i := range hosts {
-		kind, c, m := "small", 8., 16.
+		machineType, c, m := "small", 8., 16.
 		if i%3 == 2 {
-			kind, c, m = "large", 32, 64
+			machineType, c, m = "large", 32, 64
 		}
-		cfg := hostmodel.DefaultConfig(fmt.Sprint("n", i), kind, "a", fmt.Sprint("r", i/4), c, m)
+		cfg := hostmodel.DefaultConfig(fmt.Sprint("n", i), machineType, "a", fmt.Sprint("r", i/4), c, m)
 		cfg.UsageSwing, cfg.NoteInterval, cfg.MeanUsage = 0, 0, 0.7
-		s.AddHost(cfg)
-		q.Hosts = append(q.Hosts, Host{ID: cfg.Name, MachineType: kind, Zone: "a", Rack: cfg.Rack, Cores: c, Memory: m, Cost: 1})
+		sim.AddHost(cfg)
+		problem.Hosts = append(problem.Hosts, Host{ID: cfg.Name, MachineType: machineType, Zone: "a", Rack: cfg.Rack, Cores: c, Memory: m, Cost: 1})
 		cores += c
 	}
-	s.SendHostList()
-	s.Advance(time.Second)
+	sim.SendHostList()
+	sim.Advance(time.Second)
 	rng := rand.New(rand.NewPCG(seed, 9))
 	text := "name: p\nservices:\n"
-	left := load * cores
-	for i := 0; left > 0; i++ {
+	remainingCores := load * cores
+	for i := 0; remainingCores > 0; i++ {
 		n, c := 1+rng.IntN(5), []float64{0.5, 1, 2, 4}[rng.IntN(4)]
-		if left -= float64(n) * c; left < 0 {
+		if remainingCores -= float64(n) * c; remainingCores < 0 {
 			break
 		}
 		text += fmt.Sprintf("  s%d: {deploy: {replicas: %d, resources: {reservations: {cpus: '%.1f', memory: %dm}}}}\n", i, n, c, int(c*1400))
 	}
-	id := s.Submit("", text)
-	outcomes := s.Await(id, 2*time.Minute)
-	on := map[string]bool{}
+	id := sim.Submit("", text)
+	outcomes := sim.Await(id, 2*time.Minute)
+	hostsUsed := map[string]bool{}
 	for _, o := range outcomes {
 		if o.Outcome == core.OutcomePlaced {
-			on[o.Host] = true
+			hostsUsed[o.Host] = true
 		} else {
 			unplaced++
 		}
 	}
-	q.Specs = []*servicespec.Description{s.ParseCompose(text)}
+	problem.Specs = []*servicespec.Description{sim.ParseCompose(text)}
 	end := time.Now().Add(5 * time.Second)
-	p, err := Solve(q, solver.Options{Stop: func() bool { return time.Now().After(end) }})
+	plan, err := Solve(problem, solver.Options{Stop: func() bool { return time.Now().After(end) }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return len(on), p.HostsInUse, unplaced
+	return len(hostsUsed), plan.HostsInUse, unplaced
 }
 
-// BenchmarkDistance reports how many hosts the module's placements use, and the minimum that would suffice.
-// go test ./internal/planning/plan -run xxx -bench Distance -benchtime 1x
+// BenchmarkDistance reports how far the Placer's placements are from the optimum: the number of hosts that they use,
+// and the least number that the solver found within 5 s. Run it with
+//
+//	go test ./internal/planning/plan -run xxx -bench Distance -benchtime 1x
 func BenchmarkDistance(b *testing.B) {
 	for _, hosts := range []int{12, 40, 130} {
 		for _, load := range []float64{0.3, 0.6, 0.85} {
--- a/internal/planning/quota/apportion.go
+++ b/internal/planning/quota/apportion.go
@@ -10,8 +10,8 @@
 // Unlimited is the Max of an Allocation without a limit.
 const Unlimited = -1
 
-// maxWeight is the largest weight. It keeps sums of weights within 64 bits, and products of a total and a weight within 128
-// bits, with a margin.
+// maxWeight is the largest weight. It keeps sums of weights within 64 bits, and products of a total and a weight within
+// 128 bits, with a margin.
 const maxWeight = 1 << 40
 
 // Allocation is one recipient's part of a total.
@@ -23,10 +23,11 @@
 	Amount   int64  // result, set by Apportion
 }
 
-// Apportion divides a total in proportion to weights, by the method of largest remainders: each gets its exact share
-// rounded down or up, but never more than its Max. The excess over a Max is divided among the other allocations in the same
-// way. Of equal remainders, the one whose allocation would lose the most of Previous is rounded up, then the one whose name
-// sorts first. Apportion sets the Amounts and returns the part of the total that no allocation could take.
+// Apportion divides a total in proportion to weights, by the method of largest remainders: each allocation gets its
+// exact share rounded down or up, but never more than its Max. The excess over a Max is divided among the other
+// allocations in the same way. Of equal remainders, the one whose allocation would lose the most of Previous is rounded
+// up first, then the one whose name sorts first. Apportion sets the Amounts and returns the part of the total that no
+// allocation could take.
 //
 // A negative total, a duplicate name, a weight above 2^40 and a negative Previous are errors.
 func Apportion(total int64, allocations []Allocation) (unassigned int64, err error) {
@@ -92,8 +93,8 @@
 	return assigned
 }
 
-// exactShares returns the shares of the allocations that have a weight and are below their Max, and what remains of the total
-// if all these shares are rounded down.
+// exactShares returns the shares of the allocations that have a weight and are below their Max, and what remains of the
+// total if all these shares are rounded down.
 func exactShares(total int64, allocations []Allocation) (shares []share, remaining int64) {
 	weights := uint64(0)
 	for i := range allocations {
--- a/internal/planning/quota/apportion_test.go
+++ b/internal/planning/quota/apportion_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestApportionIsProportional checks that amounts without a Max sum to the total, that each is its exact share rounded down
-// or up, and that a higher weight gets no less than a lower one.
+// TestApportionIsProportional checks that amounts without a Max sum to the total, that each is its exact share rounded
+// down or up, and that a higher weight gets no less than a lower one.
 func TestApportionIsProportional(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(0, 1_000_000).Draw(t, "total")
@@ -45,8 +45,8 @@
 	})
 }
 
-// TestApportionKeepsMax checks that no allocation gets more than its Max, and that something is left unassigned only if all
-// have reached theirs.
+// TestApportionKeepsMax checks that no allocation gets more than its Max, and that something is left unassigned only if
+// all have reached theirs.
 func TestApportionKeepsMax(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(0, 1000).Draw(t, "total")
--- a/internal/planning/quota/quota_test.go
+++ b/internal/planning/quota/quota_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestNewTableChangesLittleWhenAPlacerIsRemoved checks that after a placer was removed, each other placer has its amounts plus
-// its share of the removed placer's, rounded, and that the sum of each tenant stays the same.
+// TestNewTableChangesLittleWhenAPlacerIsRemoved checks that after a placer was removed, each other placer has its
+// amounts plus its share of the removed placer's, rounded, and that the sum of each tenant stays the same.
 func TestNewTableChangesLittleWhenAPlacerIsRemoved(t *testing.T) {
 	before := newTestTable(t, 30, nil)
 	after := newTestTable(t, 29, before)
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestNewTableChangesLittleWhenAPlacerReturns checks that after a placer was removed and added again, all placers have their
-// first amounts, but for rounding.
+// TestNewTableChangesLittleWhenAPlacerReturns checks that after a placer was removed and added again, all placers have
+// their first amounts, but for rounding.
 func TestNewTableChangesLittleWhenAPlacerReturns(t *testing.T) {
 	before := newTestTable(t, 30, nil)
 	back := newTestTable(t, 30, newTestTable(t, 29, before))
