--- a/internal/planning/plan/instance.go
+++ b/internal/planning/plan/instance.go
@@ -18,10 +18,12 @@
 // roundingTolerance is the largest rounding error of a float, in the solver's units, that roundDown and roundUp correct.
 const roundingTolerance = 1e-6
 
-// roundDown converts an amount of a host, and roundUp an amount that a task requests, to the solver's units. Tasks that
-// fit on a host in these units thus fit in the original amounts too, up to roundingTolerance.
+// roundDown converts an amount of a host to the solver's units. With roundUp for tasks, those that fit on a host in these
+// units fit in the original amounts too, up to roundingTolerance.
 func roundDown(amount, unit float64) int64 { return int64(math.Floor(amount*unit + roundingTolerance)) }
-func roundUp(amount, unit float64) int64   { return int64(math.Ceil(amount*unit - roundingTolerance)) }
+
+// roundUp converts an amount that a task requests to the solver's units.
+func roundUp(amount, unit float64) int64 { return int64(math.Ceil(amount*unit - roundingTolerance)) }
 
 // solverInstance translates the problem for the solver. It also returns the services, in the order of the instance.
 func (p *Problem) solverInstance() (*solver.Instance, []service, error) {
