--- a/internal/planning/plan/plan_test.go
+++ b/internal/planning/plan/plan_test.go
@@ -22,11 +22,11 @@
 	s, err := settings.Parse("s", []byte(`(forkhead (kind k (cores 4) (memory 8GiB)) (kind big (cores 8) (memory 16GiB))
 	  (class c) (class b (kind big)) (class r (spread rack 2)))`))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("settings.Parse: %v", err)
 	}
 	h, err := ReadHosts("h.json", []byte(hosts))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ReadHosts(%s): %v", hosts, err)
 	}
 	return &Problem{Settings: s, Hosts: h, MigrationCost: 1}
 }
@@ -147,7 +147,7 @@
 	end := time.Now().Add(5 * time.Second)
 	plan, err := Solve(problem, solver.Options{Stop: func() bool { return time.Now().After(end) }})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Solve for %d hosts at load %g: %v", hosts, load, err)
 	}
 	return len(hostsUsed), plan.HostsInUse, unplaced
 }
--- a/internal/planning/solver/bounds.go
+++ b/internal/planning/solver/bounds.go
@@ -6,25 +6,26 @@
 	"slices"
 )
 
-// maxGroups bounds the time that a lower bound takes; any subset of the groups gives a valid one.
+// maxGroups limits the number of host groups, and with it the time to compute a lower bound. Any subset of the groups
+// gives a valid bound.
 const maxGroups = 16
 
-// resource is an amount by which a cover is computed.
+// resource is a kind of amount for which the cost of covering a demand is computed.
 type resource int
 
 const (
-	byCores resource = iota
-	byMemory
-	byWeightedSum // whoever covers a demand of cores and memory covers every weighted sum of them
+	coresResource resource = iota
+	memoryResource
+	weightedSumResource // hosts that cover a demand of cores and of memory also cover each weighted sum of both
 	resourceCount
 )
 
-// amount returns what a host has of a resource.
+// amount returns a host's amount of a resource.
 func (s *search) amount(r resource, h *Host) int64 {
 	switch r {
-	case byCores:
+	case coresResource:
 		return h.Cores
-	case byMemory:
+	case memoryResource:
 		return h.Memory
 	default:
 		return s.weightedSum(h.Cores, h.Memory)
@@ -35,15 +36,16 @@
 	return cores*s.coreWeight + memory*s.memoryWeight
 }
 
-// hostGroup is a set of hosts with the services that may use no others, so that these hosts alone have to cover them.
+// hostGroup is a set of hosts with the services that may use no other hosts, so that the set has to cover their demand.
 type hostGroup struct {
-	hosts      []bool // by host
-	services   []bool // by service
-	byCost     [resourceCount][]int
-	costFactor int64 // all costs of its hosts are multiples of it
+	hosts       []bool               // indexed by host, whether it is in the group
+	services    []bool               // indexed by service, whether it may use no other hosts
+	byUnitCost  [resourceCount][]int // indexes of the hosts, in ascending order of cost per unit of the resource
+	costDivisor int64                // greatest common divisor of the costs of the hosts
 }
 
-// initGroups makes a group of all hosts, and one of each set of hosts that some service is confined to.
+// initGroups creates a group of all hosts, and one for each set of hosts to which some service is restricted, up to
+// maxGroups.
 func (s *search) initGroups() {
 	all := make([]bool, len(s.in.Hosts))
 	for i := range all {
@@ -71,12 +73,12 @@
 	for host, isMember := range set {
 		if isMember {
 			members = append(members, host)
-			g.costFactor = gcd(g.costFactor, s.in.Hosts[host].Cost)
+			g.costDivisor = gcd(g.costDivisor, s.in.Hosts[host].Cost)
 		}
 	}
 	for r := range resourceCount {
-		g.byCost[r] = slices.Clone(members)
-		slices.SortStableFunc(g.byCost[r], func(a, b int) int {
+		g.byUnitCost[r] = slices.Clone(members)
+		slices.SortStableFunc(g.byUnitCost[r], func(a, b int) int {
 			x, y := &s.in.Hosts[a], &s.in.Hosts[b]
 			return compareRatios(x.Cost, s.amount(r, x), y.Cost, s.amount(r, y))
 		})
@@ -84,7 +86,7 @@
 	return g
 }
 
-// isConfinedTo reports whether a service may use no hosts but those of a set.
+// isConfinedTo reports whether the service may use only hosts of a set.
 func (s *Service) isConfinedTo(set []bool) bool {
 	for host, isMember := range set {
 		if !isMember && s.allows(host) {
@@ -94,7 +96,7 @@
 	return true
 }
 
-// compareRatios compares a/b with c/d exactly, as the products a*d and c*b. None of them is negative.
+// compareRatios compares a/b with c/d exactly, by the products a*d and c*b. No argument may be negative.
 func compareRatios(a, b, c, d int64) int {
 	leftHigh, leftLow := bits.Mul64(uint64(a), uint64(d))
 	rightHigh, rightLow := bits.Mul64(uint64(c), uint64(b))
@@ -108,8 +110,9 @@
 	return a
 }
 
-// lowerBound returns what every completion of the current node costs at least: what is spent, and the dearest of the
-// groups' covers. Of the service at position from, some tasks are placed.
+// lowerBound returns a lower bound of the cost of all completions of the current node: the cost of the placed tasks, and
+// the largest of the groups' bounds for the remaining ones. placed is the number of placed tasks of the service at
+// position from; no tasks of later services are placed.
 func (s *search) lowerBound(from, placed int) int64 {
 	if from >= len(s.services) {
 		return s.cost
@@ -124,20 +127,20 @@
 	return s.cost + extra
 }
 
-// groupBound returns the least cost of unused hosts of a group that cover what its services still need.
+// groupBound returns a lower bound of the cost of the unused hosts of a group that its services still need.
 func (s *search) groupBound(g *hostGroup, from, placed int) int64 {
 	cores, memory := s.uncoveredDemand(g, from, placed)
-	extra := max(s.coverCost(g, byCores, cores), s.coverCost(g, byMemory, memory))
+	extra := max(s.coverCost(g, coresResource, cores), s.coverCost(g, memoryResource, memory))
 	if cores > 0 && memory > 0 {
-		extra = max(extra, s.coverCost(g, byWeightedSum, s.weightedSum(cores, memory)))
+		extra = max(extra, s.coverCost(g, weightedSumResource, s.weightedSum(cores, memory)))
 	}
-	if g.costFactor > 1 {
-		extra = (extra + g.costFactor - 1) / g.costFactor * g.costFactor
+	if g.costDivisor > 1 {
+		extra = (extra + g.costDivisor - 1) / g.costDivisor * g.costDivisor
 	}
 	return extra
 }
 
-// uncoveredDemand returns the remaining demand of a group's services beyond what is available on its hosts in use.
+// uncoveredDemand returns the remaining demand of a group's services, less the free amounts of the group's hosts in use.
 func (s *search) uncoveredDemand(g *hostGroup, from, placed int) (cores, memory int64) {
 	for k := from; k < len(s.services); k++ {
 		if !g.services[k] {
@@ -159,14 +162,14 @@
 	return max(cores, 0), max(memory, 0)
 }
 
-// coverCost returns the least cost of unused hosts of a group, the last of them in part, that have a demand of a resource.
-// It is rounded up, since costs are whole numbers.
+// coverCost returns the minimal cost of unused hosts of a group that cover a demand of a resource, if a fraction of a
+// host may be used at a fraction of its cost. The result is rounded up, since costs are integers.
 func (s *search) coverCost(g *hostGroup, r resource, demand int64) int64 {
 	if demand <= 0 {
 		return 0
 	}
 	total := int64(0)
-	for _, host := range g.byCost[r] {
+	for _, host := range g.byUnitCost[r] {
 		h := &s.in.Hosts[host]
 		if h.Unschedulable || s.inUse(host) {
 			continue
@@ -184,7 +187,8 @@
 	return total
 }
 
-// partialCost returns cost*demand/amount, rounded up; 0, which makes a weaker bound, where the product would overflow.
+// partialCost returns cost*demand/amount, rounded up. If the product would overflow, it returns 0, which makes the bound
+// weaker but keeps it valid.
 func partialCost(cost, demand, amount int64) int64 {
 	const maxProduct = 1 << 62
 	if cost > 0 && demand > maxProduct/cost {
--- a/internal/planning/solver/branch.go
+++ b/internal/planning/solver/branch.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// stopPollInterval is how many nodes lie between two calls of Options.Stop.
+// stopPollInterval is the number of nodes between two calls of Options.Stop.
 const stopPollInterval = 1024
 
-// branch searches the subtree below the current node: placed tasks of a service are placed, and all tasks of those before
-// it. Since a service's tasks are interchangeable, its next one goes to firstHost or a later host.
+// branch searches the subtree of the current node, at which all services before the given one are placed completely, and
+// placed tasks of that service. Since a service's tasks are interchangeable, its next task goes to firstHost or a later
+// host.
 func (s *search) branch(service, placed, firstHost int) {
 	for service < len(s.services) && placed == s.services[service].Count {
 		service, placed, firstHost = service+1, 0, 0
@@ -38,14 +39,14 @@
 	}
 }
 
-// limitReached reports whether Options end the search at this node.
+// limitReached reports whether the limits of Options end the search at the current node.
 func (s *search) limitReached() bool {
 	return s.nodes >= s.opt.MaxNodes || s.nodes%stopPollInterval == 0 && s.stopRequested()
 }
 
 func (s *search) stopRequested() bool { return s.opt.Stop != nil && s.opt.Stop() }
 
-// canPrune reports whether the subtree below the current node has no placement that is better than the incumbent.
+// canPrune reports whether the subtree of the current node provably has no placement that costs less than the incumbent.
 func (s *search) canPrune(service, placed int) bool {
 	if s.incumbent != nil && s.lowerBound(service, placed) >= s.incumbentCost {
 		return true
@@ -53,8 +54,8 @@
 	return !s.canComplete(service, placed)
 }
 
-// candidates returns the hosts from firstHost on that can take a task of a service, the most promising first. Of hosts
-// that are interchangeable it returns one.
+// candidates returns the hosts from firstHost on that can take a task of a service, in the order of compareCandidates. Of
+// interchangeable hosts it returns only the first.
 func (s *search) candidates(service, firstHost int) []int {
 	hosts := make([]int, 0, len(s.in.Hosts)-firstHost)
 	for host := firstHost; host < len(s.in.Hosts); host++ {
@@ -69,21 +70,21 @@
 	return hosts
 }
 
-// interchangeable reports whether it makes no difference which of two hosts gets a task of a service.
+// interchangeable reports whether two hosts are equivalent for the next task of a service.
 func (s *search) interchangeable(service, a, b int) bool {
 	if s.hasHostAffinity && s.hostTasks[a] > 0 {
 		return false
 	}
-	return s.equivalence[a] == s.equivalence[b] && s.freeCores[a] == s.freeCores[b] && s.freeMemory[a] == s.freeMemory[b] &&
+	return s.equivalenceClass[a] == s.equivalenceClass[b] && s.freeCores[a] == s.freeCores[b] && s.freeMemory[a] == s.freeMemory[b] &&
 		s.counts[service][a] == s.counts[service][b] && (s.hostTasks[a] > 0) == (s.hostTasks[b] > 0)
 }
 
-// compareCandidates orders hosts for a task of a service: first where one of the service runs already, then hosts in use,
-// the fullest first, then unused hosts, the cheapest for their cores first.
+// compareCandidates orders hosts for a task of a service: first hosts on which a task of the service is running that is
+// not placed yet, then hosts in use, the fullest first, then unused hosts, the one with the lowest cost per core first.
 func (s *search) compareCandidates(service, a, b int) int {
 	aInUse, bInUse := s.inUse(a), s.inUse(b)
 	if c := cmp.Or(
-		compareTrueFirst(s.hasUnplacedRunning(service, a), s.hasUnplacedRunning(service, b)),
+		compareTrueFirst(s.canKeepRunningTask(service, a), s.canKeepRunningTask(service, b)),
 		compareTrueFirst(aInUse, bInUse),
 	); c != 0 {
 		return c
@@ -105,24 +106,24 @@
 	}
 }
 
-// hasUnplacedRunning reports whether a host runs more tasks of a service than are placed on it, so that the next one
-// there is no migration.
-func (s *search) hasUnplacedRunning(service, host int) bool {
+// canKeepRunningTask reports whether more tasks of a service are running on a host than are placed on it, so that another
+// task there is no migration.
+func (s *search) canKeepRunningTask(service, host int) bool {
 	running := s.services[service].Running
 	return running != nil && s.counts[service][host] < running[host]
 }
 
-// freeFraction is the fraction of a host's cores that is available, plus that of its memory. It is a float: only the order of
-// branching depends on it.
+// freeFraction returns the free fraction of a host's cores plus that of its memory. It may be a float, since only the
+// order of branching depends on it.
 func (s *search) freeFraction(host int) float64 {
 	h := &s.in.Hosts[host]
 	return float64(s.freeCores[host])/float64(max(h.Cores, 1)) + float64(s.freeMemory[host])/float64(max(h.Memory, 1))
 }
 
-// costPerCore is a float, since only the order of branching depends on it.
+// costPerCore returns a host's cost per millicore. It may be a float, since only the order of branching depends on it.
 func costPerCore(h *Host) float64 {
 	if h.Cores <= 0 {
-		return 1e300 // after all others
+		return 1e300 // sorts after all other hosts
 	}
 	return float64(h.Cost) / float64(h.Cores)
 }
--- a/internal/planning/solver/check.go
+++ b/internal/planning/solver/check.go
@@ -2,11 +2,12 @@
 
 import "fmt"
 
-// Check verifies that a placement (tasks by service, by host) satisfies an instance and has a cost. It shares no code with
-// the search, so that it certifies the search's results. Its error names the first constraint that does not hold.
+// Check verifies that a placement, given as counts of tasks by service and host, satisfies an instance and has the given
+// cost. It shares no code with the search, so that a fault of the search cannot hide in it. Its error names the first
+// violated constraint.
 func Check(in *Instance, counts [][]int, cost int64) error {
 	if len(counts) != len(in.Services) {
-		return fmt.Errorf("%d rows for %d services", len(counts), len(in.Services))
+		return fmt.Errorf("the placement has %d rows, want one for each of %d services", len(counts), len(in.Services))
 	}
 	for i := range in.Services {
 		if err := checkService(in, counts, i); err != nil {
@@ -17,12 +18,12 @@
 		return err
 	}
 	if total := totalCost(in, counts); total != cost {
-		return fmt.Errorf("the cost is %d, not %d", total, cost)
+		return fmt.Errorf("the placement costs %d, but its stated cost is %d", total, cost)
 	}
 	return nil
 }
 
-// checkService verifies all constraints of one service.
+// checkService verifies all constraints of one service, but not the capacity of hosts.
 func checkService(in *Instance, counts [][]int, index int) error {
 	s := &in.Services[index]
 	for host, n := range counts[index] {
@@ -47,22 +48,22 @@
 	return checkSpread(in, s, counts[index], "zone", zoneOf, s.MaxPerZone)
 }
 
-// checkHost verifies that n tasks of a service may be on a host, by themselves.
+// checkHost verifies that n tasks of a service may be on a host, without regard to other hosts and services.
 func checkHost(s *Service, h *Host, host, n int) error {
 	switch {
 	case n < 0:
-		return fmt.Errorf("%s: %d tasks on %s", s.Name, n, h.ID)
+		return fmt.Errorf("%s has %d tasks on host %s, want at least 0", s.Name, n, h.ID)
 	case h.Unschedulable:
-		return fmt.Errorf("%s on %s, which takes nothing new", s.Name, h.ID)
+		return fmt.Errorf("%s has tasks on host %s, which is unschedulable", s.Name, h.ID)
 	case s.Allowed != nil && !s.Allowed[host]:
-		return fmt.Errorf("%s on %s, which it may not use", s.Name, h.ID)
+		return fmt.Errorf("%s has tasks on host %s, which is not allowed for it", s.Name, h.ID)
 	case s.MaxPerHost > 0 && n > s.MaxPerHost:
-		return fmt.Errorf("%s: %d on %s, at most %d", s.Name, n, h.ID, s.MaxPerHost)
+		return fmt.Errorf("%s has %d tasks on host %s, want at most %d", s.Name, n, h.ID, s.MaxPerHost)
 	}
 	return nil
 }
 
-// checkAffinities verifies that a host of a service is in a domain of each service that it has an affinity to.
+// checkAffinities verifies that a host on which a service has tasks meets each affinity of the service.
 func checkAffinities(in *Instance, counts [][]int, s *Service, host int) error {
 	for _, a := range s.Affinities {
 		found := false
@@ -70,7 +71,7 @@
 			found = found || n > 0 && in.sameDomain(a.Domain, other, host)
 		}
 		if !found {
-			return fmt.Errorf("%s on %s, and no %s beside it", s.Name, in.Hosts[host].ID, in.Services[a.Service].Name)
+			return fmt.Errorf("%s has tasks on host %s, but %s has none in the domain of their affinity", s.Name, in.Hosts[host].ID, in.Services[a.Service].Name)
 		}
 	}
 	return nil
@@ -83,12 +84,12 @@
 		placed += n
 	}
 	if placed != s.Count {
-		return fmt.Errorf("%s: %d of %d tasks", s.Name, placed, s.Count)
+		return fmt.Errorf("%s has %d placed tasks, want %d", s.Name, placed, s.Count)
 	}
 	return nil
 }
 
-// checkSpread verifies that no domain has more than limit tasks of a service. A limit of 0 is none.
+// checkSpread verifies that no domain of a level has more than limit tasks of a service. A limit of 0 means no limit.
 func checkSpread(in *Instance, s *Service, row []int, level string, domainOf func(*Host) string, limit int) error {
 	if limit <= 0 {
 		return nil
@@ -97,16 +98,16 @@
 	for host, n := range row {
 		tasks[domainOf(&in.Hosts[host])] += n
 	}
-	for host := range row { // in the order of hosts, so that the same domain is named each time
+	for host := range row { // in the order of hosts, so that the error is deterministic
 		domain := domainOf(&in.Hosts[host])
 		if n := tasks[domain]; n > limit {
-			return fmt.Errorf("%s: %d in %s %s, at most %d", s.Name, n, level, domain, limit)
+			return fmt.Errorf("%s has %d tasks in %s %s, want at most %d", s.Name, n, level, domain, limit)
 		}
 	}
 	return nil
 }
 
-// checkCapacity verifies that no host has more than its cores and memory.
+// checkCapacity verifies that the tasks on each host need no more than its cores and memory.
 func checkCapacity(in *Instance, counts [][]int) error {
 	for host := range in.Hosts {
 		h := &in.Hosts[host]
@@ -117,13 +118,13 @@
 			memory += n * in.Services[i].Memory
 		}
 		if cores > h.Cores || memory > h.Memory {
-			return fmt.Errorf("%s holds %d of %d thousandths of a core and %d of %d MiB", h.ID, cores, h.Cores, memory, h.Memory)
+			return fmt.Errorf("tasks on host %s need %d of %d millicores and %d of %d MiB", h.ID, cores, h.Cores, memory, h.Memory)
 		}
 	}
 	return nil
 }
 
-// tasksOn returns a row's tasks on a host. A row may end before the last host.
+// tasksOn returns the number of tasks on a host. row may have no entries for the last hosts, which then have no tasks.
 func tasksOn(row []int, host int) int64 {
 	if host >= len(row) {
 		return 0
@@ -131,7 +132,7 @@
 	return int64(row[host])
 }
 
-// totalCost returns what a placement costs.
+// totalCost returns the cost of a placement.
 func totalCost(in *Instance, counts [][]int) int64 {
 	total := int64(0)
 	used := make([]bool, len(in.Hosts))
--- a/internal/planning/solver/conflict.go
+++ b/internal/planning/solver/conflict.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// RequirementKind is what a Requirement demands.
+// RequirementKind is the kind of a Requirement.
 type RequirementKind string
 
-// The kinds of requirements. RequireCores and RequireMemory are of the whole fleet, the others of one service.
+// The kinds of requirements. RequireCores and RequireMemory apply to the whole fleet, the others to one service.
 const (
 	RequireTasks        RequirementKind = "tasks"    // Service.Count
 	RequireMaxPerHost   RequirementKind = "machine"  // Service.MaxPerHost
@@ -17,19 +17,19 @@
 	RequireMemory       RequirementKind = "memory"   // Host.Memory
 )
 
-// FleetWide as the service of a Requirement means the hosts of the fleet.
+// FleetWide is the Service of a Requirement that applies to the hosts of the whole fleet.
 const FleetWide = -1
 
-// Requirement is something that an instance demands and that can be left out to see whether a placement exists
-// without it.
+// Requirement is a part of an instance that can be left out, to find out whether a placement exists without it.
 type Requirement struct {
 	Service int // index into Instance.Services, or FleetWide
 	Kind    RequirementKind
 }
 
-// FindConflict returns an irreducible infeasible subset of an instance's requirements: together they cannot be met, and
-// without any one of them they could. It is found by a deletion filter, which solves the instance once for each
-// requirement. ok is false if the instance was not proven infeasible, or if there was no time to reduce the subset.
+// FindConflict returns an irreducible infeasible subset of an instance's requirements: they cannot be met together, but
+// can be without any one of them. It uses a deletion filter, which solves the instance once for each requirement. ok is
+// false if the instance was not proven infeasible within the limits of opt. If a limit ends a later one of these
+// searches, the subset is infeasible but may not be irreducible.
 func FindConflict(in *Instance, opt Options) (conflict []Requirement, ok bool) {
 	removed := map[Requirement]bool{}
 	infeasible := func() bool {
@@ -41,7 +41,7 @@
 	}
 	for _, r := range in.requirements() {
 		if r.Service != FleetWide && removed[Requirement{r.Service, RequireTasks}] {
-			continue // it went with its service
+			continue // left out with its service
 		}
 		removed[r] = true
 		if !infeasible() {
@@ -52,7 +52,8 @@
 	return conflict, true
 }
 
-// requirements lists all that can be left out of an instance, whole services first: they take their limits with them.
+// requirements returns all requirements of the instance. Whole services come first, since leaving out a service leaves
+// out its limits too.
 func (in *Instance) requirements() []Requirement {
 	var all []Requirement
 	for i := range in.Services {
@@ -79,8 +80,8 @@
 	return all
 }
 
-// without returns a copy of the instance with some requirements left out. Nothing in it has a cost, since only whether a
-// placement exists matters.
+// without returns a copy of the instance that leaves out the removed requirements. It has no costs, since only the
+// existence of a placement matters.
 func (in *Instance) without(removed map[Requirement]bool) *Instance {
 	out := &Instance{Hosts: slices.Clone(in.Hosts), Services: slices.Clone(in.Services)}
 	for i := range out.Services {
@@ -92,7 +93,7 @@
 	return out
 }
 
-// relax leaves the removed requirements out of the service of an index.
+// relax leaves out the removed requirements of the service, which has the given index, and of the fleet.
 func (s *Service) relax(index int, removed map[Requirement]bool) {
 	s.Running = nil
 	if removed[Requirement{index, RequireTasks}] {
@@ -113,7 +114,7 @@
 	if removed[Requirement{index, RequireAffinity}] {
 		s.Affinities = nil
 	}
-	// An affinity to a service that is left out goes with that service.
+	// Affinities to a service that is left out are left out too.
 	s.Affinities = slices.DeleteFunc(slices.Clone(s.Affinities), func(a Affinity) bool {
 		return removed[Requirement{a.Service, RequireTasks}]
 	})
--- a/internal/planning/solver/conflict_test.go
+++ b/internal/planning/solver/conflict_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// A conflict has what cannot be met together, and nothing that could be left out.
-func TestFindConflict(t *testing.T) {
+// TestFindConflictReturnsIrreducibleSubset checks that a conflict has the requirements that cannot be met together, and
+// none that could be left out.
+func TestFindConflictReturnsIrreducibleSubset(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   Instance
 		want []Requirement
@@ -25,14 +26,14 @@
 	} {
 		conflict, ok := FindConflict(&c.in, Options{})
 		if !ok || !reflect.DeepEqual(conflict, c.want) {
-			t.Errorf("%s: got %v, %v, want %v", name, conflict, ok, c.want)
+			t.Errorf("%s: FindConflict = %v, %v, want %v, true", name, conflict, ok, c.want)
 		}
 	}
 }
 
-func TestFindConflictOfFeasibleInstance(t *testing.T) {
+func TestFindConflictFindsNoneInFeasibleInstance(t *testing.T) {
 	in := Instance{Hosts: newHosts(2, 4, 8, 1), Services: []Service{{Count: 1, Cores: 3}, {Count: 1, Cores: 3, Memory: 1}}}
 	if conflict, ok := FindConflict(&in, Options{}); ok {
-		t.Errorf("got %v where there is a placement", conflict)
+		t.Errorf("FindConflict of a feasible instance = %v, true, want false", conflict)
 	}
 }
--- a/internal/planning/solver/feasibility.go
+++ b/internal/planning/solver/feasibility.go
@@ -1,7 +1,8 @@
 package solver
 
-// canComplete reports whether the services from a position on, of the first of which some tasks are placed, could still be
-// placed: all together by their sums of cores and memory, and each by itself. False is a proof that they cannot.
+// canComplete reports whether the remaining tasks could still be placed: those of the services from position from on,
+// less the placed tasks of the first of them. It checks their total cores and memory, and each service separately.
+// False proves that the placement cannot be completed; true proves nothing.
 func (s *search) canComplete(from, placed int) bool {
 	if !s.demandFits(from, placed) {
 		return false
@@ -21,8 +22,8 @@
 	return true
 }
 
-// demandFits reports whether the sums of available cores and memory cover the remaining demand. What not even the smallest
-// remaining task fits into is not counted: this decides instances that are exactly at capacity.
+// demandFits reports whether the total free cores and memory cover the remaining demand. Hosts on which not even the
+// smallest remaining task fits are not counted, so that the check decides instances that are exactly at capacity.
 func (s *search) demandFits(from, placed int) bool {
 	if from >= len(s.services) {
 		return true
@@ -39,7 +40,7 @@
 	return s.demandCores[from]-done*first.Cores <= cores && s.demandMemory[from]-done*first.Memory <= memory
 }
 
-// canPlace reports whether the hosts could take need tasks of a service if nothing else were placed.
+// canPlace reports whether the hosts could take need more tasks of a service if no other tasks were added.
 func (s *search) canPlace(service, need int) bool {
 	if need <= 0 {
 		return true
@@ -68,8 +69,8 @@
 	return false
 }
 
-// zoneCapacities returns how many tasks of a service each zone could take under the limit by rack. That limit is left out
-// where racks span zones: the result is then an upper bound.
+// zoneCapacities returns how many more tasks of a service each zone could take under the service's limit per rack. If
+// some rack spans zones, it ignores that limit, and the result is an upper bound.
 func (s *search) zoneCapacities(service int) []int {
 	spec := &s.services[service]
 	zones := make([]int, len(s.zoneCounts[service]))
--- a/internal/planning/solver/heuristic.go
+++ b/internal/planning/solver/heuristic.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// greedyStarts is how many orders of the services the greedy heuristic is run in.
+// greedyStarts is the number of orders of the services in which the greedy heuristic is run.
 const greedyStarts = 60
 
-// findIncumbents looks for placements to begin with: greedily, in the branching order and in random variations of it, each
-// improved by emptying hosts. The seed is fixed.
+// findIncumbents searches for initial incumbents. It places the services greedily, in the branching order and in random
+// variations of it, and improves each placement by emptying hosts. The seed of the variations is fixed.
 func (s *search) findIncumbents() {
 	rng := rand.New(rand.NewPCG(1, uint64(len(s.services))))
 	order := s.positions()
@@ -24,7 +24,7 @@
 		}
 		slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(keys[a], keys[b]) })
 		if s.hasAffinities() {
-			slices.Sort(order) // what others have an affinity to has to be placed before them
+			slices.Sort(order) // a service must be placed after those that it has an affinity to
 		}
 		if s.placeGreedily(order) {
 			s.emptyHosts()
@@ -37,7 +37,7 @@
 	}
 }
 
-// positions returns the branching order.
+// positions returns the positions of all services in branching order: 0, 1, 2 and so on.
 func (s *search) positions() []int {
 	order := make([]int, len(s.services))
 	for k := range order {
@@ -46,8 +46,8 @@
 	return order
 }
 
-// placeGreedily places all tasks that are not placed yet, service by service, each on its best candidate. It returns false
-// if a task has none.
+// placeGreedily places all tasks that are not placed yet, service by service, each on its best candidate. It makes the
+// placement the incumbent if it is valid and costs less. It returns false if a task has no candidate.
 func (s *search) placeGreedily(order []int) bool {
 	defer func(previous int) { s.current = previous }(s.current)
 	for _, service := range order {
@@ -60,14 +60,15 @@
 			s.add(service, host, 1)
 		}
 	}
-	// An affinity of a task that stayed where it was may hold no longer.
+	// A task that was placed before may no longer meet its affinity, since the other service's tasks may have been moved.
 	if s.affinitiesHold() {
 		s.updateIncumbent()
 	}
 	return true
 }
 
-// bestCandidate returns the first host by compareCandidates that can take a task of a service.
+// bestCandidate returns the first host in the order of compareCandidates that can take a task of a service. ok is false
+// if there is none.
 func (s *search) bestCandidate(service int) (host int, ok bool) {
 	best := -1
 	for host := range s.in.Hosts {
@@ -78,7 +79,7 @@
 	return best, best >= 0
 }
 
-// emptyHosts improves a complete placement: it empties hosts one by one, as long as that makes it cheaper.
+// emptyHosts improves a complete placement: it empties hosts one by one, until emptying no host lowers the cost.
 func (s *search) emptyHosts() {
 	for improved := true; improved; {
 		improved = false
@@ -91,8 +92,8 @@
 	}
 }
 
-// emptyHost places the tasks of a host greedily on others. If that does not make the placement cheaper, it restores the
-// placement and returns false.
+// emptyHost places the tasks of a host greedily on other hosts. If that does not give a valid placement of lower cost, it
+// restores the placement and returns false.
 func (s *search) emptyHost(host int) bool {
 	costBefore, countsBefore := s.cost, s.snapshot()
 	for service := range s.counts {
@@ -109,7 +110,7 @@
 	}
 	s.removeAll()
 	for service, row := range countsBefore {
-		s.addRow(service, row)
+		s.addCounts(service, row)
 	}
 	return false
 }
--- a/internal/planning/solver/instance.go
+++ b/internal/planning/solver/instance.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// Bounds of an instance. They keep sums and weighted sums of amounts far from overflow.
+// Upper bounds of the amounts of an instance. They keep sums and weighted sums of amounts far from overflow.
 const (
-	maxAmount int64 = 1 << 40 // cores, memory and costs
+	maxAmount int64 = 1 << 40 // of millicores, MiB and costs
 	maxTasks  int   = 1 << 20 // of one service
 )
 
@@ -16,37 +16,37 @@
 	ID            string
 	Zone          string
 	Rack          string
-	Cores         int64 // thousandths of a core
+	Cores         int64 // millicores
 	Memory        int64 // MiB
-	Cost          int64 // of using it at all
-	Unschedulable bool  // it accepts no tasks: it drains, or is removed
-	InUse         bool  // it runs something that is not part of the instance, so using it costs nothing
+	Cost          int64 // cost of using the host, however many tasks it has
+	Unschedulable bool  // the host accepts no tasks: it is draining or removed
+	InUse         bool  // the host has tasks that are not part of the instance, so its Cost does not count
 }
 
 // Service is a number of identical tasks.
 type Service struct {
 	Name       string
-	Count      int    // of tasks
-	Cores      int64  // of each task, thousandths of a core
-	Memory     int64  // of each task, MiB
-	Allowed    []bool // hosts that it may use, by host; nil: all
-	MaxPerHost int    // tasks; 0: no limit
-	MaxPerRack int
-	MaxPerZone int
+	Count      int    // number of tasks
+	Cores      int64  // of each task, in millicores
+	Memory     int64  // of each task, in MiB
+	Allowed    []bool // indexed by host, whether tasks may be placed there; nil: all hosts are allowed
+	MaxPerHost int    // limit of tasks on each host; 0: no limit
+	MaxPerRack int    // likewise in each rack
+	MaxPerZone int    // likewise in each zone
 	Affinities []Affinity
-	Running    []int // tasks that run already, by host; nil: none, and migrations cost nothing
+	Running    []int // number of running tasks, indexed by host; nil: none are known, and migrations cost nothing
 }
 
-// Affinity keeps a service's tasks to domains where another service has a task.
+// Affinity restricts a service's tasks to domains in which another service has a task.
 type Affinity struct {
 	Service int // index into Instance.Services
 	Domain  Domain
 }
 
-// Domain is a level of the topology.
+// Domain is a level of the topology of hosts, racks and zones.
 type Domain uint8
 
-// The domains.
+// The levels of the topology.
 const (
 	HostDomain Domain = iota
 	RackDomain
@@ -57,12 +57,12 @@
 type Instance struct {
 	Hosts           []Host
 	Services        []Service
-	MigrationCost   int64  // of each task beyond those of its service that run on its host
-	HomeZone        string // "": none
-	OutsideHomeCost int64  // of each task outside HomeZone
+	MigrationCost   int64  // cost of each task beyond those of its service that are Running on its host
+	HomeZone        string // zone in which tasks have no OutsideHomeCost; "": none, and no task has that cost
+	OutsideHomeCost int64  // cost of each task outside HomeZone
 }
 
-// sameDomain reports whether two hosts are in one domain of a level.
+// sameDomain reports whether two hosts are in the same domain of a level.
 func (in *Instance) sameDomain(level Domain, a, b int) bool {
 	switch level {
 	case RackDomain:
@@ -74,7 +74,7 @@
 	}
 }
 
-// Validate returns an error for an instance that is malformed. One that no placement satisfies is not malformed.
+// Validate returns an error if the instance is malformed. An infeasible instance is not malformed.
 func (in *Instance) Validate() error {
 	for i := range in.Hosts {
 		if err := in.validateHost(i); err != nil {
@@ -90,10 +90,10 @@
 		}
 	}
 	if !validAmount(in.OutsideHomeCost) || !validAmount(in.MigrationCost) {
-		return errors.New("moves and crossings cost 0 to 2^40")
+		return fmt.Errorf("a migration costs %d and a task outside the home zone %d, want costs from 0 to 2^40", in.MigrationCost, in.OutsideHomeCost)
 	}
 	if in.affinityDepths() == nil {
-		return errors.New("services are near each other in a circle")
+		return errors.New("the affinities of services form a cycle")
 	}
 	return nil
 }
@@ -103,7 +103,7 @@
 func (in *Instance) validateHost(index int) error {
 	h := &in.Hosts[index]
 	if !validAmount(h.Cores) || !validAmount(h.Memory) || !validAmount(h.Cost) {
-		return fmt.Errorf("host %d, %s: amounts are 0 to 2^40", index, h.ID)
+		return fmt.Errorf("host %d (%s) has %d millicores, %d MiB and cost %d, want amounts from 0 to 2^40", index, h.ID, h.Cores, h.Memory, h.Cost)
 	}
 	return nil
 }
@@ -111,13 +111,16 @@
 func (in *Instance) validateService(index int) error {
 	s := &in.Services[index]
 	if s.Count < 0 || s.Cores < 0 || s.Memory < 0 || s.MaxPerHost < 0 || s.MaxPerRack < 0 || s.MaxPerZone < 0 {
-		return fmt.Errorf("service %d, %s: amounts are not below 0", index, s.Name)
+		return fmt.Errorf("service %d (%s) has %d tasks of %d millicores and %d MiB, at most %d per host, %d per rack and %d per zone, want no negative number",
+			index, s.Name, s.Count, s.Cores, s.Memory, s.MaxPerHost, s.MaxPerRack, s.MaxPerZone)
 	}
 	if s.Cores > maxAmount || s.Memory > maxAmount || s.Count > maxTasks {
-		return fmt.Errorf("service %d, %s: amounts are too large", index, s.Name)
+		return fmt.Errorf("service %d (%s) has %d tasks of %d millicores and %d MiB, want at most 2^20 tasks of at most 2^40 each",
+			index, s.Name, s.Count, s.Cores, s.Memory)
 	}
 	if s.Allowed != nil && len(s.Allowed) != len(in.Hosts) || s.Running != nil && len(s.Running) != len(in.Hosts) {
-		return fmt.Errorf("service %d, %s: lists by host have another length than the hosts", index, s.Name)
+		return fmt.Errorf("service %d (%s) has %d entries in Allowed and %d in Running, want nil or one for each of %d hosts",
+			index, s.Name, len(s.Allowed), len(s.Running), len(in.Hosts))
 	}
 	return nil
 }
@@ -126,14 +129,15 @@
 	s := &in.Services[index]
 	for _, a := range s.Affinities {
 		if a.Service < 0 || a.Service >= len(in.Services) || a.Domain > ZoneDomain {
-			return fmt.Errorf("service %d, %s: it is near service %d, which is not here", index, s.Name, a.Service)
+			return fmt.Errorf("service %d (%s) has an affinity to service %d in domain %d, want a service below %d and a domain of at most %d",
+				index, s.Name, a.Service, a.Domain, len(in.Services), ZoneDomain)
 		}
 	}
 	return nil
 }
 
-// affinityDepths returns, for each service, the length of the longest chain of affinities that begins with it; nil if
-// there is a cycle.
+// affinityDepths returns, for each service, the length of the longest chain of affinities that starts at it, or nil if
+// the affinities form a cycle.
 func (in *Instance) affinityDepths() []int {
 	depths := make([]int, len(in.Services))
 	for round := 0; ; round++ {
--- a/internal/planning/solver/placement.go
+++ b/internal/planning/solver/placement.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// capacity returns how many more tasks of a service a host could take if nothing else were placed.
+// capacity returns how many more tasks of a service a host could take if no tasks of other services were added.
 func (s *search) capacity(service, host int) int {
 	spec, h := &s.services[service], &s.in.Hosts[host]
 	if h.Unschedulable || !spec.allows(host) {
@@ -25,7 +25,7 @@
 		n = min(n, spec.MaxPerZone-s.zoneCounts[service][s.zoneOf[host]])
 	}
 	for _, a := range spec.Affinities {
-		// Where the other service is, is known once it is placed completely; until then any host may do.
+		// An affinity can be checked only once the other service is placed completely. Until then it excludes no host.
 		if a.Service < s.current && !s.affinityHolds(a, host) {
 			return 0
 		}
@@ -33,7 +33,7 @@
 	return max(n, 0)
 }
 
-// affinityHolds reports whether the service that an affinity names has a task in the domain of a host.
+// affinityHolds reports whether the service that an affinity refers to has a task in a host's domain.
 func (s *search) affinityHolds(a Affinity, host int) bool {
 	switch a.Domain {
 	case RackDomain:
@@ -45,7 +45,7 @@
 	}
 }
 
-// affinitiesHold reports whether the affinities of all placed tasks hold.
+// affinitiesHold reports whether all placed tasks meet the affinities of their services.
 func (s *search) affinitiesHold() bool {
 	for k := range s.services {
 		for _, a := range s.services[k].Affinities {
@@ -64,10 +64,10 @@
 	return slices.ContainsFunc(s.services, func(service Service) bool { return len(service.Affinities) > 0 })
 }
 
-// inUse reports whether using a host costs nothing more.
+// inUse reports whether a host has tasks, of this instance or others, so that another task adds no Cost of the host.
 func (s *search) inUse(host int) bool { return s.hostTasks[host] > 0 || s.in.Hosts[host].InUse }
 
-// placed returns how many tasks of a service are placed.
+// placed returns the number of placed tasks of a service.
 func (s *search) placed(service int) int {
 	n := 0
 	for _, count := range s.counts[service] {
@@ -102,8 +102,8 @@
 	}
 }
 
-// addRow places a service's tasks, by host.
-func (s *search) addRow(service int, row []int) {
+// addCounts places tasks of a service; row has their number for each host.
+func (s *search) addCounts(service int, row []int) {
 	for host, n := range row {
 		if n > 0 {
 			s.add(service, host, n)
@@ -111,7 +111,7 @@
 	}
 }
 
-// removeAll empties the placement.
+// removeAll removes all tasks from the placement.
 func (s *search) removeAll() {
 	for service := range s.counts {
 		for host, n := range s.counts[service] {
@@ -122,7 +122,7 @@
 	}
 }
 
-// snapshot returns a copy of the counts.
+// snapshot returns a copy of the placement's counts.
 func (s *search) snapshot() [][]int {
 	rows := make([][]int, len(s.counts))
 	for service := range s.counts {
@@ -131,7 +131,7 @@
 	return rows
 }
 
-// updateIncumbent makes the placement, which has to be complete, the incumbent if it costs less.
+// updateIncumbent makes the placement the incumbent if there is none or it costs less. The placement must be complete.
 func (s *search) updateIncumbent() {
 	if s.incumbent != nil && s.cost >= s.incumbentCost {
 		return
--- a/internal/planning/solver/search.go
+++ b/internal/planning/solver/search.go
@@ -6,50 +6,51 @@
 	"slices"
 )
 
-// search is the state of one branch and bound. Services are identified by their position in the branching order, hosts by
-// their index in the instance. It is not safe for concurrent use.
+// search is the state of one branch-and-bound search. It identifies services by their position in the branching order,
+// and hosts by their index in the instance. It is not safe for concurrent use.
 type search struct {
 	in  *Instance
 	opt Options
 
-	// The services in branching order. What others have an affinity to goes first, then what is hard to place.
-	order    []int     // by position, the index into in.Services
-	services []Service // their affinities refer to positions
-
-	// The hosts. None of this changes during a search.
-	rackOf         []int // by host
-	zoneOf         []int // by host
-	zoneOfRack     []int
-	racksSpanZones bool  // some rack has hosts in two zones
-	equivalence    []int // by host, the number of its set of equivalent hosts: interchangeable while they have the same tasks
-	groups         []hostGroup
-	coreWeight     int64 // with these weights, the largest host has about as much of cores as of memory
-	memoryWeight   int64
-
-	// The demand of the services from a position on; one entry more than services.
+	// The services in branching order: each comes after those that it has an affinity to, and otherwise the ones that are
+	// hard to place come first.
+	order    []int     // index into in.Services of each position
+	services []Service // by position; their affinities refer to positions too
+
+	// The hosts. These fields do not change during a search.
+	rackOf           []int // by host
+	zoneOf           []int // by host
+	zoneOfRack       []int
+	racksSpanZones   bool  // some rack has hosts in several zones
+	equivalenceClass []int // by host; hosts of one class are interchangeable as long as they have the same tasks
+	groups           []hostGroup
+	coreWeight       int64 // weights of weightedSum, by which the hosts' largest cores and largest memory count about the same
+	memoryWeight     int64
+
+	// The total demand of the services from each position on. A last entry, at len(services), is of no services.
 	demandCores  []int64
 	demandMemory []int64
-	minCores     []int64 // of the smallest of those tasks
-	minMemory    []int64
+	minCores     []int64 // smallest cores of any of these services' tasks
+	minMemory    []int64 // likewise memory; it may be that of another task
 
-	hasHostAffinity bool // some service has to be on the very host of another
+	hasHostAffinity bool // some service has an affinity in HostDomain
 
 	// The partial placement at the current node.
 	freeCores  []int64 // by host
 	freeMemory []int64
-	hostTasks  []int   // by host, of all services
+	hostTasks  []int   // by host, the number of its tasks of all services
 	counts     [][]int // by service, by host
 	rackCounts [][]int // by service, by rack
 	zoneCounts [][]int // by service, by zone
 	cost       int64
-	current    int // the service that is being placed; those before it are placed completely
+	current    int // position of the service being placed; all services before it are placed completely
 
-	// The incumbent: the placement of least cost so far. nil: none yet.
-	incumbent     [][]int
+	// The incumbent is the placement of least cost found so far.
+	incumbent     [][]int // nil: none found yet
 	incumbentCost int64
 
-	nodes   int
-	stopped bool // by Options, before the search was complete
+	nodes   int  // visited so far
+	stopped bool // the limits of Options ended the search before it was complete
 }
 
 func newSearch(in *Instance, opt Options) *search {
@@ -69,7 +70,8 @@
 	return s
 }
 
-// branchingOrder sorts services: those without affinities first, then large tasks, then few allowed hosts.
+// branchingOrder sorts services by the length of their chains of affinities, then by descending task size, then by the
+// number of allowed hosts. It returns their indexes.
 func branchingOrder(in *Instance, maxCores, maxMemory int64) []int {
 	order := make([]int, len(in.Services))
 	for i := range order {
@@ -88,7 +90,7 @@
 	return order
 }
 
-// allowedHosts returns the number of hosts that a service may use.
+// allowedHosts returns the number of schedulable hosts that a service may use.
 func (in *Instance) allowedHosts(s *Service) int {
 	n := 0
 	for host := range in.Hosts {
@@ -101,7 +103,7 @@
 
 func (s *Service) allows(host int) bool { return s.Allowed == nil || s.Allowed[host] }
 
-// initServices copies the services in branching order, with their affinities translated to positions.
+// initServices copies the services in branching order, and translates the indexes in their affinities to positions.
 func (s *search) initServices() {
 	position := make([]int, len(s.order)) // by index into in.Services
 	for k, index := range s.order {
@@ -119,11 +121,11 @@
 	}
 }
 
-// initTopology numbers racks and zones.
+// initTopology numbers the racks and zones of the hosts.
 func (s *search) initTopology() {
 	racks, zones := map[string]int{}, map[string]int{}
 	for i := range s.in.Hosts {
-		rack, zone := number(racks, s.in.Hosts[i].Rack), number(zones, s.in.Hosts[i].Zone)
+		rack, zone := numberOf(racks, s.in.Hosts[i].Rack), numberOf(zones, s.in.Hosts[i].Zone)
 		s.rackOf, s.zoneOf = append(s.rackOf, rack), append(s.zoneOf, zone)
 		if rack == len(s.zoneOfRack) {
 			s.zoneOfRack = append(s.zoneOfRack, zone)
@@ -136,8 +138,8 @@
 	}
 }
 
-// number returns the number of a name, which is the next one if it has none yet.
-func number(numbers map[string]int, name string) int {
+// numberOf returns the number of a name. A new name gets the next number, from 0.
+func numberOf(numbers map[string]int, name string) int {
 	n, ok := numbers[name]
 	if !ok {
 		n = len(numbers)
@@ -146,13 +148,13 @@
 	return n
 }
 
-// initDemand sums the demand of the services from each position on.
+// initDemand computes the total demand of the services from each position on.
 func (s *search) initDemand() {
 	n := len(s.services)
 	s.demandCores, s.demandMemory = make([]int64, n+1), make([]int64, n+1)
 	s.minCores, s.minMemory = make([]int64, n+1), make([]int64, n+1)
-	const noTask = 1 << 62 // above any amount
-	s.minCores[n], s.minMemory[n] = noTask, noTask
+	const infinity = 1 << 62 // larger than any amount
+	s.minCores[n], s.minMemory[n] = infinity, infinity
 	for k := n - 1; k >= 0; k-- {
 		service := &s.services[k]
 		s.demandCores[k] = s.demandCores[k+1] + int64(service.Count)*service.Cores
@@ -164,10 +166,10 @@
 	}
 }
 
-// initEquivalentHosts finds hosts that no service can distinguish, and numbers the sets of them.
+// initEquivalentHosts numbers the equivalence classes of hosts: sets of hosts that no service can distinguish.
 func (s *search) initEquivalentHosts() {
 	topologyMatters := s.topologyMatters()
-	sets := map[string]int{} // by what distinguishes their hosts
+	sets := map[string]int{} // numbers of the classes, by all properties that distinguish their hosts
 	for host := range s.in.Hosts {
 		h := &s.in.Hosts[host]
 		key := fmt.Sprint(h.Cores, h.Memory, h.Cost, h.Unschedulable, h.InUse)
@@ -181,7 +183,7 @@
 			}
 			key += fmt.Sprint(" ", s.services[k].allows(host), running)
 		}
-		s.equivalence = append(s.equivalence, number(sets, key))
+		s.equivalenceClass = append(s.equivalenceClass, numberOf(sets, key))
 	}
 }
 
@@ -192,7 +194,7 @@
 	})
 }
 
-// initPlacement makes the empty placement.
+// initPlacement initializes the placement without tasks.
 func (s *search) initPlacement() {
 	for i := range s.in.Hosts {
 		s.freeCores, s.freeMemory = append(s.freeCores, s.in.Hosts[i].Cores), append(s.freeMemory, s.in.Hosts[i].Memory)
@@ -203,7 +205,7 @@
 	}
 }
 
-// inInstanceOrder returns rows by position as rows by index into in.Services.
+// inInstanceOrder converts counts by position to counts by index into in.Services.
 func (s *search) inInstanceOrder(counts [][]int) [][]int {
 	rows := make([][]int, len(counts))
 	for k, index := range s.order {
--- a/internal/planning/solver/solver.go
+++ b/internal/planning/solver/solver.go
@@ -1,51 +1,51 @@
-// Package solver finds placements of least cost under capacity and spread limits, or proves that there are none. It is
-// exact: amounts are whole numbers and no float decides. It is pure and deterministic; a caller may stop it at any time
-// and gets the best placement so far with a lower bound of the cost.
+// Package solver finds placements of minimal cost under capacity and spread limits, or proves that none exist. It is
+// exact: all amounts are integers, and no result depends on a float. It is pure and deterministic. A caller may stop a
+// search at any time, and gets the best placement found so far and a lower bound of the cost.
 //
-// The method is branch and bound over counts: how many tasks of each service are on each host.
+// The method is branch and bound over counts, the number of tasks of each service on each host.
 //
-//   - Branching (branch.go): a node of the search tree has one task more than its parent. Tasks of a service are
-//     interchangeable, so they are placed on hosts in ascending order; of interchangeable hosts one is tried.
-//   - Incumbent (heuristic.go): the best placement so far. The first ones come from a randomized greedy heuristic with a
-//     fixed seed.
-//   - Bound (bounds.go): the cheapest fractional cover of the remaining demand by unused hosts. A node whose bound is no
+//   - Branching (branch.go): each node of the search tree places one task more than its parent. Tasks of a service are
+//     interchangeable, so they are placed on hosts in ascending order. Of interchangeable hosts only one is tried.
+//   - Incumbent (heuristic.go): the best placement found so far. The first ones come from a randomized greedy heuristic
+//     with a fixed seed.
+//   - Bound (bounds.go): the cheapest fractional cover of the remaining demand by unused hosts. A node whose bound is not
 //     less than the incumbent's cost is pruned.
 //   - Feasibility (feasibility.go): a node is pruned if the remaining tasks provably do not fit.
 package solver
 
 import "slices"
 
-// defaultMaxNodes bounds a search whose Options do not; it is some minutes of time.
+// defaultMaxNodes limits a search whose Options set no MaxNodes. It takes some minutes to visit so many nodes.
 const defaultMaxNodes = 50_000_000
 
-// Options bound a search.
+// Options limits a search.
 type Options struct {
-	MaxNodes int         // of the search tree; 0: 50 million
-	Stop     func() bool // polled during the search; once it returns true, Solve returns what it has. nil: never
-	// InjectedBug is for tests that show that a comparison with another solver finds bugs.
+	MaxNodes int         // limit of the visited nodes of the search tree; 0: 50 million
+	Stop     func() bool // polled during the search, which ends once Stop returns true; nil: no polling
+	// InjectedBug is set by tests, to show that a comparison with another solver finds bugs.
 	InjectedBug InjectedBug
 }
 
 // InjectedBug is a bug that Solve can be made to have.
 type InjectedBug string
 
-// The bugs.
+// The bugs that can be injected.
 const (
 	BugInBound       InjectedBug = "bound"       // the lower bound is too high
-	BugInPropagation InjectedBug = "propagation" // the feasibility check counts tasks too many
+	BugInPropagation InjectedBug = "propagation" // the feasibility check counts one task too many of each service but the first
 )
 
 // Result is what Solve found.
 type Result struct {
 	Feasible   bool    // a placement was found
-	Optimal    bool    // proven: Cost is the least; or, if not Feasible, no placement exists
+	Optimal    bool    // it is proven that Cost is minimal or, if not Feasible, that no placement exists
 	Cost       int64   // of the placement
-	LowerBound int64   // no placement costs less
-	Counts     [][]int // tasks by service, by host
+	LowerBound int64   // proven lower bound of the cost of any placement
+	Counts     [][]int // number of tasks, indexed by service, then by host
 	Nodes      int     // visited nodes of the search tree
 }
 
-// Solve finds a placement of least cost. Its error is that of Instance.Validate.
+// Solve finds a placement of minimal cost. Its only errors are those of Instance.Validate.
 func Solve(in *Instance, opt Options) (*Result, error) {
 	if err := in.Validate(); err != nil {
 		return nil, err
@@ -53,9 +53,9 @@
 	if opt.MaxNodes == 0 {
 		opt.MaxNodes = defaultMaxNodes
 	}
-	own := *in
-	own.Hosts = slices.Clone(in.Hosts) // the heuristic makes hosts unschedulable for a while
-	s := newSearch(&own, opt)
+	instance := *in
+	instance.Hosts = slices.Clone(in.Hosts) // emptyHost changes Unschedulable temporarily
+	s := newSearch(&instance, opt)
 	rootBound := s.lowerBound(0, 0)
 	if s.canComplete(0, 0) {
 		s.findIncumbents()
