--- a/internal/scheduler/core/api.go
+++ b/internal/scheduler/core/api.go
@@ -19,7 +19,7 @@
 	HostListReceived struct {
 		Mode  forkhead.ListMode // ListCached, ListSnapshot or ListFailed
 		Hosts []HostEntry
-		Stale bool // with ListCached: the list is old, so a host counts as ready only after its handshake
+		Stale bool // only with ListCached: the list is old, so a host counts as ready only after its handshake
 	}
 	// HostConnected reports that connection Conn to a host is established.
 	HostConnected struct {
@@ -30,7 +30,7 @@
 	HostDisconnected struct {
 		Host   string
 		Conn   uint32
-		Reason string // for the log; "" if there is none
+		Reason string // cause for the log; "" if there is none
 	}
 	// FrameReceived is a frame that a host sent on connection Conn.
 	FrameReceived struct {
@@ -54,7 +54,7 @@
 	Restore struct{ Snapshot *durable.Snapshot }
 	// GossipReceived is a gossip message from another placer.
 	GossipReceived struct {
-		From int // number of that placer
+		From int // number of the placer that sent the message
 		Data []byte
 	}
 )
@@ -111,12 +111,12 @@
 		Status     int // HTTP status code
 		Title      string
 		Detail     string
-		RetryAfter time.Duration // 0: no advice
+		RetryAfter time.Duration // wait that the client is advised; 0: none
 	}
 	// OutcomesAdded reports that a submission has more outcomes, or is complete. Core.Outcomes returns them.
 	OutcomesAdded struct{ Submission string }
-	// Persist stores a record. If durable.MustBeDurableFirst holds for a record of the step, the outputs that follow it
-	// in the same step leave only once the step's records are durable.
+	// Persist stores a record. If MustBeDurableFirst returns true for any record of the step, the shell executes the
+	// outputs that follow the Persist only once all records of the step are durable.
 	Persist struct{ Record durable.Record }
 	// Log is a log line for the operator.
 	Log struct {
@@ -164,19 +164,19 @@
 	Placer            int                    `json:"placer"`
 	Epoch             uint64                 `json:"epoch"`
 	Hosts             int                    `json:"hosts"`       // hosts in the endpoint list
-	HostsUp           int                    `json:"hosts_up"`    // connected, after the handshake
-	HostsReady        int                    `json:"hosts_ready"` // neither draining nor removed
+	HostsUp           int                    `json:"hosts_up"`    // connected hosts that have listed their tasks
+	HostsReady        int                    `json:"hosts_ready"` // hosts that neither drain nor are removed
 	Tasks             int                    `json:"tasks"`
 	TasksPlaced       int                    `json:"tasks_placed"`
 	TasksWaiting      int                    `json:"tasks_waiting"`
-	AttemptsUnknown   int                    `json:"attempts_unknown"` // may have run; not reported by their hosts
+	AttemptsUnknown   int                    `json:"attempts_unknown"` // attempts that may have run, result unknown
 	Submissions       int                    `json:"submissions"`
 	PlacementRequests uint64                 `json:"asks"`
 	Offers            uint64                 `json:"offers"`
 	Outcomes          map[OutcomeKind]uint64 `json:"outcomes"`
 	Lost              uint64                 `json:"lost"`   // placed tasks whose hosts were lost
 	Migrated          uint64                 `json:"moved"`  // placed tasks that the module stopped
-	Vetoes            uint64                 `json:"vetoes"` // actions of the module that would break an invariant, not executed
+	Vetoes            uint64                 `json:"vetoes"` // vetoed actions of the module: an invariant forbids them
 	VetoesByRule      map[string]uint64      `json:"vetoes_by_rule"`
 	Defects           uint64                 `json:"defects"` // bugs in this program that it detected itself
 }
--- a/internal/scheduler/core/attempts.go
+++ b/internal/scheduler/core/attempts.go
@@ -12,20 +12,20 @@
 	"forkhead/internal/scheduler/retrypolicy"
 )
 
-// taskAttempt is one attempt of a request: the offer of its task to one host. Its phase is kept by the embedded
-// attempt.Request of the request.
+// taskAttempt is one attempt of a request: the offer of its task to one host. Its phase is in the attempt.Request that
+// the request embeds.
 type taskAttempt struct {
 	request       *placementRequest
 	number        int // index in request.Attempts and request.attempts
 	host          *host
-	machineID     forkhead.MachineID // as the module named it; the host may have been renumbered since
+	machineID     forkhead.MachineID // number by which the module chose the host, which may have a new one
 	ref           hostproto.Ref      // identifies the attempt to the host
 	hostEpoch     uint64             // incarnation of the host to which the offer was sent
 	conn          uint32             // connection on which the offer was sent
 	running       bool               // the module was notified that the task runs
 	persisted     bool               // a durable record exists, which a later incarnation of this placer restores
 	waitedForConn bool               // the host was not connected and synced when the module chose it
-	migrating     bool               // stopped by the module, to be placed elsewhere
+	migrating     bool               // the module has stopped the task, to place it elsewhere
 }
 
 func (a *taskAttempt) phase() attempt.Phase { return a.request.Attempts[a.number].Phase }
@@ -67,7 +67,8 @@
 	}
 }
 
-// attemptDetail is what a host reports along with an input to an attempt. The zero value means that it reports nothing.
+// attemptDetail holds the result, reason and load report that come with an input to an attempt. The zero value means
+// that the input comes without them.
 type attemptDetail struct {
 	result forkhead.Result
 	reason forkhead.RejectReason
@@ -93,7 +94,7 @@
 	return d
 }
 
-// attemptChange is an input to an attempt with the phases before and after it.
+// attemptChange is an input to an attempt, with the attempt's phases before and after the input.
 type attemptChange struct {
 	input         attempt.Input
 	detail        attemptDetail
@@ -170,8 +171,8 @@
 	}
 }
 
-// reportAttempt notifies the module of the outcome of an attempt. The caller sets Result, Reason and Final;
-// reportAttempt fills in the other fields.
+// reportAttempt notifies the module of the outcome of an attempt. The caller sets the fields Result, Reason and Final
+// of the parameter outcome, and reportAttempt the others.
 func (c *Core) reportAttempt(a *taskAttempt, ch *attemptChange, outcome forkhead.Outcome) {
 	outcome.Task, outcome.Attempt, outcome.Machine = a.request.id, a.number, a.machineID
 	outcome.Took = c.now - a.chosenAt()
@@ -233,7 +234,8 @@
 	c.sendFrame(a.host, hostproto.Stop{Ref: a.ref, Grace: a.request.replica.stopGrace()})
 }
 
-// attemptFailure is why an attempt failed, in the words of an outcome's reason. Stored outcomes hold the texts.
+// attemptFailure is the cause of the failure of an attempt, as the reasons of outcomes name it. Stored outcomes contain
+// these texts.
 type attemptFailure string
 
 const (
--- a/internal/scheduler/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -21,7 +21,7 @@
 type Config struct {
 	Settings *settings.Settings  // Settings.Module.Self is the number of this placer
 	Seed     uint64              // determines all random numbers, together with Epoch
-	Epoch    uint64              // of this incarnation; higher than that of any earlier one
+	Epoch    uint64              // epoch of this incarnation, higher than that of any earlier one
 	Hash     ids.Hash            // derives host numbers from names; nil: ids.FNV
 	Durable  bool                // emit Persist for state that must survive a restart
 	Decide   moduledriver.Decide // replaces the module in tests; nil: the module
@@ -47,19 +47,19 @@
 	zoneIndexes         map[string]int
 	rackIndexes         map[string]int
 	labels              labelTable
-	firstListAt         time.Duration // when the first endpoint list was received; 0: none was
-	hostListPersistedAt time.Duration // when a list was last persisted; 0: none was
+	firstListAt         time.Duration // when the first endpoint list was received; 0: none has been
+	hostListPersistedAt time.Duration // when an endpoint list was last persisted; 0: none has been
 
 	lastTaskID       uint32
-	requests         map[forkhead.TaskID]*placementRequest   // unanswered, or with attempts that are not settled
-	canceledRequests map[forkhead.TaskID]*placementRequest   // canceled in this step; the module may not know yet
+	requests         map[forkhead.TaskID]*placementRequest   // unanswered requests and those with unsettled attempts
+	canceledRequests map[forkhead.TaskID]*placementRequest   // canceled in this step; the module may still act on them
 	attemptsByRef    map[hostproto.Ref]*taskAttempt          // attempts that are not settled
 	liveAttempts     invariant.ServiceAttempts[*taskAttempt] // attempts that count against the spread limits
 	unknownAttempts  attemptsByTask                          // attempts whose result is not known
-	blockedReplicas  map[uint64]*desiredReplica              // by task key; wait until their unknown attempts are settled
+	blockedReplicas  map[uint64]*desiredReplica              // by task key; each waits for its unknown attempts
 
 	projects        map[string]*project
-	removedProjects map[string]bool // removed in an earlier incarnation
+	removedProjects map[string]bool // names of the projects that were removed in an earlier incarnation
 	replicaCount    int
 
 	submissions          map[string]*submission
@@ -70,8 +70,8 @@
 	status Status // only the counters; Status() fills in the other fields
 }
 
-// maxModuleRounds bounds how often the module decides within one step. A further round follows an offer that could not
-// be sent, and the number of those is bounded by the attempts of each request.
+// maxModuleRounds bounds how often the module decides within one step. Each offer that could not be sent causes a
+// further round, and the number of such offers is bounded by the attempts that a request may have.
 const maxModuleRounds = 10_000
 
 // New returns the core of a placer. An error names the setting that the module rejects.
@@ -146,8 +146,8 @@
 	return c.outputs
 }
 
-// isStarting reports whether every step so far was at time 0. Until a later one, each step runs the module even without
-// events, so that it starts to poll the endpoint list.
+// isStarting reports whether every step so far was at time 0. Until the first step at a later time, each step runs the
+// module even without events, so that the module starts to poll the endpoint list.
 func (c *Core) isStarting() bool { return c.now == 0 }
 
 // Next returns the time at which the core has to be stepped even if there is no input. ok is false if no timer is set.
@@ -183,7 +183,7 @@
 // notifyModule queues an event for the module.
 func (c *Core) notifyModule(event forkhead.Event) { c.module.Add(event) }
 
-// runModule runs the module until no event is queued for it, and at least once if always is set.
+// runModule runs the module until no event is queued for it, and at least once if the parameter always is true.
 func (c *Core) runModule(always bool) {
 	run := c.module.Run
 	if always {
--- a/internal/scheduler/core/explain.go
+++ b/internal/scheduler/core/explain.go
@@ -48,8 +48,8 @@
 	return false
 }
 
-// explainByHosts returns what rules out all hosts that this placer knows, or "" if a ready host meets all requirements
-// except free capacity.
+// explainByHosts returns the reason why none of the hosts that this placer knows can take a replica, whatever their
+// free capacity. It returns "" if a ready host meets all other requirements.
 func (c *Core) explainByHosts(r *desiredReplica) string {
 	class := c.moduleClass(r)
 	var ready, ofType, labeled int
@@ -81,8 +81,8 @@
 	return "spread: " + c.firstReachedSpreadLimit(r) + ", and all that fit are at it"
 }
 
-// firstReachedSpreadLimit returns the limit that excludes the first host, by name, that otherwise suits the service's
-// next task.
+// firstReachedSpreadLimit returns the spread limit that excludes one host for the service's next task: the first host
+// by name that meets all other requirements.
 func (c *Core) firstReachedSpreadLimit(r *desiredReplica) string {
 	for _, h := range c.sortedHosts() {
 		if h.state() == forkhead.Ready && hasMachineType(c.moduleClass(r), h) && h.hasLabels(r.service.requiredLabels) {
--- a/internal/scheduler/core/frames.go
+++ b/internal/scheduler/core/frames.go
@@ -55,16 +55,16 @@
 	c.handleAttempt(a, attempt.RejectionInput(a.phase()), detail)
 }
 
-// handleAcceptedFrame handles a host's report that it has accepted a task. With BoundWhenRunning the report is ignored:
-// the attempt is bound when the task runs.
+// handleAcceptedFrame handles a host's report that it has accepted a task. The report is ignored if the setting
+// BoundWhenRunning is true, as the attempt is then bound only when the task runs.
 func (c *Core) handleAcceptedFrame(h *host, f hostproto.Accepted) {
 	if a := h.attempts[f.Ref]; a != nil && !c.settings.Module.BoundWhenRunning {
 		c.handleAttempt(a, attempt.Accepted, attemptDetail{})
 	}
 }
 
-// handleRunning handles a host's report that a task runs. in is Accepted for a Running frame and ListedByHost for an
-// entry of Holds.
+// handleRunning handles a host's report that a task runs. The parameter in is attempt.Accepted for a Running frame and
+// attempt.ListedByHost for an entry of a Holds frame.
 func (c *Core) handleRunning(a *taskAttempt, in attempt.Input) {
 	if c.settings.Module.BoundWhenRunning {
 		c.handleAttempt(a, in, attemptDetail{})
--- a/internal/scheduler/core/hostconns.go
+++ b/internal/scheduler/core/hostconns.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// expireUnreachable counts the safe tasks that were placed on a host as lost once it has been unreachable for
-// LostAfter, since a second start of them is harmless. All others wait until their outcome is known.
+// expireUnreachable counts the safe tasks that were placed on a host as lost once the host has been unreachable for
+// LostAfter, since a second start of a safe task is harmless. All other tasks wait until their outcome is known.
 func (c *Core) expireUnreachable(h *host, timerNumber uint64) {
 	if timerNumber != h.lostTimerSeq || h.isConnectedAndSynced() {
 		return
@@ -147,7 +147,7 @@
 	case reported.Ref.Epoch < c.epoch:
 		c.handleInherited(h, reported)
 	case reported.Ref.Epoch == c.epoch:
-		c.sendFrame(h, hostproto.Stop{Ref: reported.Ref}) // its attempt is settled: no request wants the task
+		c.sendFrame(h, hostproto.Stop{Ref: reported.Ref}) // the attempt is settled: no request wants the task
 	}
 }
 
@@ -205,13 +205,13 @@
 	c.addHostTimer(h, timerLiveness, max(lostAfter/4, time.Millisecond), uint64(conn))
 }
 
-// probeHost probes a host for the module. h is nil if the host is not known.
+// probeHost probes a host for the module. The parameter h is nil if the host is not known.
 func (c *Core) probeHost(h *host, id forkhead.MachineID) {
 	switch {
 	case h == nil || h.connection.State == hostconn.Down:
 		c.notifyModule(forkhead.Probed{Machine: id, Result: forkhead.ConnectFailed})
 	case !h.isConnectedAndSynced():
-		h.probeWanted = true // sent when the connection is synced, or failed with it
+		h.probeWanted = true // completeSync sends the probe, or failProbes ends it
 	default:
 		c.sendProbe(h)
 	}
--- a/internal/scheduler/core/hostconns_test.go
+++ b/internal/scheduler/core/hostconns_test.go
@@ -65,7 +65,8 @@
 	s.Advance(10 * time.Second)
 	for _, o := range s.Offers {
 		if o.Host == "h1" && o.At > notifiedAt+s.Delay+s.Settings.Module.DrainGrace {
-			t.Fatalf("h1 got an offer %v after it reported that it drains, want none after the report's delay and the drain grace", o.At-notifiedAt)
+			t.Fatalf("h1 got an offer %v after it reported that it drains, want none after %v, the report's delay plus the drain grace",
+				o.At-notifiedAt, s.Delay+s.Settings.Module.DrainGrace)
 		}
 	}
 	s.RequireNoViolations()
--- a/internal/scheduler/core/hostlist.go
+++ b/internal/scheduler/core/hostlist.go
@@ -14,7 +14,7 @@
 // minHostListPersistInterval is the minimum time between two persisted endpoint lists.
 const minHostListPersistInterval = 2 * time.Second
 
-// handleHostList updates the hosts to an endpoint list and notifies the module of them.
+// handleHostList applies an endpoint list to the hosts and notifies the module of the hosts.
 func (c *Core) handleHostList(list HostListReceived) {
 	if list.Mode == forkhead.ListFailed {
 		c.notifyModule(forkhead.ListUpdate{Mode: forkhead.ListFailed})
@@ -96,7 +96,7 @@
 	return index
 }
 
-// delistHost handles the absence of a host from the latest endpoint list, which came with mode.
+// delistHost handles the absence of a host from the latest endpoint list, whose mode is the parameter mode.
 func (c *Core) delistHost(h *host, mode forkhead.ListMode) {
 	if h.restored && mode == forkhead.ListSnapshot {
 		h.restored = false
@@ -120,7 +120,8 @@
 	}
 }
 
-// updateDrainingSince records when a host ceased to be ready. old is its state before the latest endpoint list.
+// updateDrainingSince records when a host ceased to be ready. The parameter old is the state of the host before the
+// latest endpoint list.
 func (c *Core) updateDrainingSince(h *host, old forkhead.MachineState) {
 	state := h.state()
 	switch {
--- a/internal/scheduler/core/hosts.go
+++ b/internal/scheduler/core/hosts.go
@@ -24,13 +24,13 @@
 	labels      uint64 // bits of the constraints that the host meets
 
 	listed          bool
-	stale           bool          // named only by an old cached list: counts as removed until its handshake
+	stale           bool          // only an old cached list names the host, which counts as removed until its handshake
 	restored        bool          // known from durable attempts of an earlier incarnation, and not listed yet
 	reportsDraining bool          // the host itself reports that it drains, whatever the endpoint list says
 	drainingSince   time.Duration // when this placer learned that the host drains or is removed
 
 	connection      hostconn.Connection
-	synced          bool                   // it has listed all tasks that it holds for this placer, on this connection
+	synced          bool                   // the host has listed all its tasks of this placer on this connection
 	everSynced      bool                   // synced on this connection or an earlier one
 	unreportedTasks int                    // number of held tasks that the host still has to list before it is synced
 	reportedRefs    map[hostproto.Ref]bool // held tasks that the host has listed on this connection; nil once synced
@@ -121,8 +121,8 @@
 	return hosts
 }
 
-// addHost adds a host with a unique number. Hosts whose numbers collided with it are renumbered; renumbered are the
-// machines under their old numbers, which the module must drop.
+// addHost adds a host with a unique number. Other hosts whose names hash to the same number are renumbered. The result
+// renumbered lists them as machines with their old numbers, which the module must drop.
 func (c *Core) addHost(name string) (h *host, renumbered []forkhead.Machine) {
 	h = &host{name: name, attempts: map[hostproto.Ref]*taskAttempt{}, probesSentAt: map[uint32]time.Duration{}}
 	c.hosts[name] = h
@@ -135,8 +135,8 @@
 	return h, renumbered
 }
 
-// renumberHost gives a host whose number collided its new number from the table. It returns the machine under the old
-// number, which the module must drop.
+// renumberHost gives a host whose number collided with that of another one its new number from the table hostIDs. It
+// returns the host as a machine with its old number, which the module must drop, or nil if the host is not known.
 func (c *Core) renumberHost(name string, oldID forkhead.MachineID) []forkhead.Machine {
 	h := c.hosts[name]
 	if h == nil {
--- a/internal/scheduler/core/labels.go
+++ b/internal/scheduler/core/labels.go
@@ -14,7 +14,7 @@
 // the bits of the constraints that it meets.
 type labelTable struct {
 	maxLabels int            // at most len(rows)
-	rows      [64]*labelRow  // by bit; nil: the bit is free
+	rows      [64]*labelRow  // constraint of each bit; nil: the bit is free
 	index     map[string]int // bits by the text of their constraints
 	nearCount int            // number of constraints in use whose result depends on where tasks are placed
 }
@@ -124,8 +124,8 @@
 	return bits, true
 }
 
-// nearConstraints returns one constraint for each service that a service must be placed near. Its value is the key of
-// that other service, which is the same in every submission.
+// nearConstraints returns one constraint for each service that a service must be placed near. The value of the
+// constraint is the key of that other service, which is the same in every submission.
 func nearConstraints(project string, d *servicespec.Description, s *servicespec.Service) []servicespec.Constraint {
 	var constraints []servicespec.Constraint
 	for _, near := range s.Near {
--- a/internal/scheduler/core/offers.go
+++ b/internal/scheduler/core/offers.go
@@ -19,7 +19,8 @@
 	}
 	request, h := c.requests[action.Task], c.hostsByID[action.Machine]
 	if request == nil || h == nil {
-		// The module is not notified, even if only the host is unknown: it counts the attempt as in flight.
+		// The module is not notified of an outcome, even if only the host is unknown. It then goes on counting the
+		// attempt as in flight.
 		violation := &invariant.Violation{Rule: invariant.OneAnswer, Reason: "no such ask or host"}
 		c.reportVeto(violation, "offer of task %d to machine %d", action.Task, action.Machine)
 		return
@@ -52,7 +53,7 @@
 		Request:     &request.Request,
 		DrainGrace:  c.settings.Module.DrainGrace,
 		HostByID: func(id attempt.HostID) *invariant.Host {
-			// The host of an attempt may have left the endpoint list, and with it hostsByID.
+			// The host of an earlier attempt may be missing in hostsByID, if it has left the endpoint list.
 			for _, a := range request.attempts {
 				if a != nil && a.machineID == forkhead.MachineID(id) {
 					return a.host.forInvariants()
@@ -66,8 +67,8 @@
 	})
 }
 
-// spreadCheck returns the input for the check of an offer of a task to a host against the spread limits. sending is the
-// attempt that is about to be sent and does not count against them, or nil.
+// spreadCheck returns the input for the check of an offer of a task to a host against the spread limits. The parameter
+// sending is the attempt that is about to be sent, which does not count against the limits, or nil.
 func (c *Core) spreadCheck(task *forkhead.Task, h *host, sending *taskAttempt) invariant.SpreadCheck {
 	return invariant.SpreadCheck{
 		Task:         task,
@@ -103,8 +104,8 @@
 	return a
 }
 
-// reportNotSent notifies the module that an offer was not sent. The offer still uses up an attempt number, as it does
-// in the module.
+// reportNotSent notifies the module that an offer was not sent. The offer still uses up an attempt number, as the
+// module has counted it.
 func (c *Core) reportNotSent(request *placementRequest, action forkhead.Offer, final bool) {
 	number := request.AddUnsent(c.now, attempt.HostID(action.Machine))
 	request.attempts = append(request.attempts, nil)
@@ -137,8 +138,9 @@
 		return false
 	}
 	// While the attempt waited, tasks of an earlier incarnation may have been found on hosts: they count against the
-	// spread limits, and the module chose the host without them. The handshake may also have reported that the host
-	// drains, which the module did not know if an earlier report was dropped with the host.
+	// spread limits, but the module chose the host without counting them. The host may also have reported in the
+	// handshake that it drains. The module did not know of the drain if this placer had forgotten the host, and with it
+	// an earlier report of the drain.
 	return !a.waitedForConn || !h.reportsDraining && !c.exceedsSpread(a)
 }
 
--- a/internal/scheduler/core/orphans.go
+++ b/internal/scheduler/core/orphans.go
@@ -19,7 +19,7 @@
 	ref       hostproto.Ref
 	hostEpoch uint64
 	conn      uint32
-	rules     attempt.Rules // of the class that the task was started with; its owner may have changed the class since
+	rules     attempt.Rules // rules of the class with which the task was started, even if its owner has changed it
 }
 
 // handleOrphan handles a host's report that an abandoned attempt has its task. The task is adopted if its owner still
@@ -32,7 +32,7 @@
 		return
 	}
 	c.handleAttempt(a, attempt.Adopted, attemptDetail{})
-	if r.state == placed { // settling the attempt let another one go ahead, which has placed the replica
+	if r.state == placed { // settling the attempt let another attempt go ahead, which has placed the replica
 		c.sendStop(a)
 		return
 	}
@@ -124,8 +124,8 @@
 	}
 }
 
-// inheritedService returns the service of an inherited task. If the service is not known, its description is lost, and
-// it is added as such.
+// inheritedService returns the service of an inherited task. A service that is not known is added with specLost set,
+// since its description is lost.
 func (c *Core) inheritedService(name taskName, serviceKey uint64) *service {
 	p := c.projects[name.project]
 	if p == nil {
@@ -190,15 +190,16 @@
 // end, since the Stop may be lost with its connection (found by the simulation). It is therefore added as an unknown
 // attempt, so that a task that must not run twice is not started before.
 func (c *Core) stopInherited(r *desiredReplica, h *host, reported *hostproto.Held) {
-	// The time of its start is not known, so the window in which hosts keep its key counts as over.
+	// The time at which the task was started is not known, so the window in which hosts keep the task's key counts as
+	// over.
 	chosenAt := c.now - c.attemptRules(r.class).DedupWindow
 	task := runningTask{host: h, ref: reported.Ref, hostEpoch: h.connection.Epoch, conn: h.connection.Conn}
 	c.addUnknownAttempt(r, task, chosenAt)
 	c.sendFrame(h, hostproto.Stop{Ref: reported.Ref})
 }
 
-// addUnknownAttempt adds an attempt that an earlier incarnation made. Its task may run until its host reports
-// otherwise. Its rules are those of the replica's class.
+// addUnknownAttempt adds an attempt that an earlier incarnation made. The task may run until the host reports
+// otherwise. The rules for the attempt are those of the replica's class.
 func (c *Core) addUnknownAttempt(r *desiredReplica, task runningTask, chosenAt time.Duration) *taskAttempt {
 	request := c.newRequest(r)
 	request.Answer = attempt.AnsweredFailed
--- a/internal/scheduler/core/orphans_test.go
+++ b/internal/scheduler/core/orphans_test.go
@@ -50,8 +50,8 @@
 }
 
 // A placer without durable state is killed while attempts are in flight. After its restart the hosts report the tasks
-// that they hold, and a client that repeats its submission gets them as outcomes: no unsafe task is offered twice, and
-// six tasks run.
+// that they hold, and a client that repeats its submission gets these tasks as outcomes: no unsafe task is offered
+// twice, and six tasks run.
 func TestCoreRestartStartsNothingTwice(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 6)
 	text := "name: p\nservices: {web: {deploy: {replicas: 3}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 3}}}"
--- a/internal/scheduler/core/projects.go
+++ b/internal/scheduler/core/projects.go
@@ -34,14 +34,14 @@
 	name           string
 	key            uint64                  // servicespec.ServiceKey
 	spec           *servicespec.Service    // nil if specLost
-	specLost       bool                    // known only from the tasks that hosts report, since its description is lost
+	specLost       bool                    // its description is lost: only the tasks that hosts report are known
 	requiredLabels uint64                  // bits of its placement constraints
 	replicas       map[int]*desiredReplica // by number
 	applying       bool                    // a description is being applied, so the service must not be pruned
 	failureReason  string                  // why services that depend on it cannot be started, or ""
 
 	update        *rollingupdate.Update                    // nil: none is in progress
-	updateQueue   []*desiredReplica                        // replicas that the update has yet to replace
+	updateQueue   []*desiredReplica                        // replicas that the update still has to replace
 	updated       []*desiredReplica                        // replicas that the update has replaced
 	previousSpecs map[*desiredReplica]*servicespec.Service // specifications before the update, for a rollback
 }
--- a/internal/scheduler/core/projects_test.go
+++ b/internal/scheduler/core/projects_test.go
@@ -9,7 +9,7 @@
 )
 
 // A project is removed and submitted again at once. No task may be offered before its earlier copy has ended, even if
-// the stop takes long to arrive or cannot arrive at all (found by a chaos test as a breach of rule 2).
+// the stop takes long to arrive or cannot arrive at all (a chaos test found this as a breach of rule 2, no_repeat).
 func TestCoreAwaitsEndOfRemovedTasks(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	text := "name: p\nservices: {l: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}"
--- a/internal/scheduler/core/replicas.go
+++ b/internal/scheduler/core/replicas.go
@@ -16,7 +16,7 @@
 
 const (
 	awaitingDependencies replicaState = iota // waits for the services that its service depends on
-	awaitingRequest                          // waits for its next request: for a timer, or while blocked
+	awaitingRequest                          // waits for the timer of its next request, or is blocked
 	requesting                               // its placement request is open
 	placed                                   // its task is held by a host
 	finished                                 // ended for good
@@ -29,38 +29,38 @@
 	number      int    // from 1
 	name        string // text of its taskName
 	taskKey     uint64 // the key by which hosts recognize the task
-	generation  int    // grows with each start-first copy; if odd, the task runs under its second key
+	generation  int    // incremented for each start-first copy; its lowest bit is XORed into taskKey
 	spec        *servicespec.Service
 	fingerprint uint64 // fingerprint of spec
 	class       int
 	tenant      int
 
 	state         replicaState
-	request       *placementRequest // set while requesting
-	attempt       *taskAttempt      // set while placed
-	blocked       bool              // while awaitingRequest: requested once its unknown attempts permit it
+	request       *placementRequest // set in state requesting
+	attempt       *taskAttempt      // set in state placed
+	blocked       bool              // in state awaitingRequest: waits until its unknown attempts permit a request
 	removing      bool              // to be removed once it has ended
 	removed       bool              // no longer part of a project
-	stopRequested bool              // its project wants its host to stop it
-	succeeded     bool              // if finished: the task ended without an error
+	stopRequested bool              // the project wants the host to stop the task
+	succeeded     bool              // in state finished: the task ended without an error
 	recovered     bool              // restored from an earlier incarnation and not placed since, so it may run already
 	placements    int               // number of times that it was placed
 	restartTimes  []time.Duration   // restarts that count toward the limit of the restart policy
 
 	retrier            retrypolicy.Retrier
-	pending            *pendingOutcome        // nil if none is pending
-	offerCount         int                    // offers since the last outcome
+	pending            *pendingOutcome        // outcome that a submission waits for; nil: none
+	offerCount         int                    // number of offers since the last outcome
 	rejected           bool                   // the last request was rejected rather than failed
 	reason             string                 // why the last request did not place the task
-	failureCounts      map[attemptFailure]int // failures of attempts since it was first requested
-	preferencesDropped bool                   // its spread preferences could not be met and are ignored
+	failureCounts      map[attemptFailure]int // failed attempts since the first request, by cause
+	preferencesDropped bool                   // the spread preferences could not be met and are ignored
 
-	updating    bool                 // it is being replaced by an update
-	nextSpec    *servicespec.Service // specification to restart it with once its task has ended
+	updating    bool                 // an update is replacing the replica
+	nextSpec    *servicespec.Service // specification with which the replica is requested once its task has ended
 	successor   *desiredReplica      // with start-first: the copy that will replace it
 	predecessor *desiredReplica      // with start-first: the copy that it will replace
 
-	// Numbers of the only timers that are still valid.
+	// Number of the latest timer of each kind; earlier timers of the kind are no longer valid.
 	requestTimerSeq  uint64
 	deadlineTimerSeq uint64
 	monitorTimerSeq  uint64
@@ -300,8 +300,8 @@
 	c.removeReplica(r)
 }
 
-// stopPlaced stops a placed replica that its project no longer wants in this form. If the host is unreachable, the stop
-// is sent once the host is back.
+// stopPlaced stops a placed replica that its project no longer wants, or wants with another specification. If the host
+// is unreachable, the stop is sent once the host is back.
 func (c *Core) stopPlaced(r *desiredReplica) {
 	r.stopRequested = true
 	if a := r.attempt; a.phase() == attempt.Placed && a.host.isConnectedAndSynced() {
--- a/internal/scheduler/core/requesting.go
+++ b/internal/scheduler/core/requesting.go
@@ -8,8 +8,8 @@
 	"forkhead/internal/scheduler/retrypolicy"
 )
 
-// noDeadline is the wait for a task that was placed before, for which there is no deadline: 10 years are in effect
-// forever.
+// noDeadline is the wait for the placement of a task that was placed before. Such a wait has no deadline: 10 years
+// stand for an unlimited time.
 const noDeadline = 10 * 365 * 24 * time.Hour
 
 // startRequesting starts the wait for an outcome of a replica and requests it.
@@ -93,8 +93,8 @@
 }
 
 // mayRequest reports whether a replica may be requested now. It may not while an attempt of an earlier request, or of
-// an earlier incarnation of this placer, may run and a second run could do harm. maxWait bounds a request that must end
-// before the hosts drop the task's key; 0 means no bound.
+// an earlier incarnation of this placer, may run and a second run could do harm. The result maxWait bounds the time of
+// a request that must end before the hosts drop the task's key; 0 means no bound.
 func (c *Core) mayRequest(r *desiredReplica) (maxWait time.Duration, ok bool) {
 	rules := c.attemptRules(r.class)
 	if c.mustAwaitHosts(r, rules) {
@@ -173,8 +173,8 @@
 	event.RepeatMayHarm = len(c.unknownAttempts[r.taskKey]) > 0 && !rules.RetryIsHarmless()
 	at, ok := r.retrier.NextRetry(c.now, event, c.retryPolicy, c.rng.Float64())
 	if !ok && r.pending == nil && r.placements > 0 {
-		// It was placed before and its outcome is reported. Its project still wants it, so it is retried without a
-		// deadline.
+		// The replica was placed before and its outcome is reported. The project still wants it, so it is requested
+		// again without a deadline.
 		r.retrier.Begin(c.now + noDeadline)
 		at, ok = c.now+c.retryPolicy.MaxBackoff, true
 	}
@@ -182,7 +182,7 @@
 	case ok:
 		c.requestAt(r, at)
 	case r.retrier.Deadline > c.now && (r.blocked || event.RepeatMayHarm):
-		// It waits until its unknown attempts are settled, or until the owner's deadline.
+		// The replica waits until its unknown attempts are settled, or until the owner's deadline.
 		r.state, r.blocked = awaitingRequest, true
 		c.blockedReplicas[r.taskKey] = r
 	default:
@@ -190,7 +190,7 @@
 	}
 }
 
-// handleOwnerDeadline ends the owner's wait for a replica, if the timer of that number is still valid.
+// handleOwnerDeadline ends the owner's wait for a replica, if the timer with the number timerNumber is still valid.
 func (c *Core) handleOwnerDeadline(r *desiredReplica, timerNumber uint64) {
 	if timerNumber != r.deadlineTimerSeq || r.state == finished || r.removed {
 		return
--- a/internal/scheduler/core/requests.go
+++ b/internal/scheduler/core/requests.go
@@ -11,7 +11,7 @@
 // placementRequest is one request to the module to place a task.
 type placementRequest struct {
 	attempt.Request
-	id       forkhead.TaskID // unique to the request
+	id       forkhead.TaskID // identifies the request to the module
 	task     forkhead.Task
 	replica  *desiredReplica
 	attempts []*taskAttempt // same indexes as Request.Attempts; nil if the offer was not sent
@@ -175,7 +175,8 @@
 	}
 }
 
-// withdrawAttempt executes a Withdraw of the module. It ignores an attempt that does not exist, whose offer was vetoed.
+// withdrawAttempt executes a Withdraw of the module. It does nothing if the attempt does not exist, for example because
+// its offer was vetoed.
 func (c *Core) withdrawAttempt(id forkhead.TaskID, number int) {
 	request := c.requests[id]
 	if request == nil || number < 0 || number >= len(request.attempts) || request.attempts[number] == nil {
--- a/internal/scheduler/core/requests_test.go
+++ b/internal/scheduler/core/requests_test.go
@@ -79,7 +79,7 @@
 func TestCoreSettlesReplyAfterDeadline(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 2)
 	for _, h := range s.HostNames {
-		s.Hosts[h].Model.SlowDown(s.Now, 10*time.Second, 30) // starts take 3 s, requests 2 s
+		s.Hosts[h].Model.SlowDown(s.Now, 10*time.Second, 30) // a start takes 3 s, a request times out after 2 s
 	}
 	out := s.Await(s.Submit("", "name: p\nservices: {l: {x-forkhead: {class: ledger, patience: 9s}}}"), 20*time.Second)
 	if len(out) != 1 {
--- a/internal/scheduler/core/restore.go
+++ b/internal/scheduler/core/restore.go
@@ -168,15 +168,16 @@
 	return toStart
 }
 
-// restoreReplica restores the state of a replica. reported is whether its outcome was reported, isFinished whether it
-// has ended for good. It returns true if the outcome is pending, so that the caller has to start the replica.
+// restoreReplica restores the state of a replica. The parameter reported tells whether its outcome was reported,
+// isFinished whether it has ended for good. restoreReplica returns true if the outcome is pending, so that the caller
+// has to start the replica.
 func (c *Core) restoreReplica(r *desiredReplica, s *submission, reported, isFinished bool) (start bool) {
 	r.recovered = true
 	switch {
 	case reported && isFinished:
 		r.state, r.succeeded = finished, true
 	case reported || s == nil:
-		// Its project wants it to run, and most likely it does.
+		// The project wants the task to run, and most likely the task runs.
 		r.placements = 1
 		r.retrier.Begin(c.now + noDeadline)
 		c.requestAt(r, c.now)
--- a/internal/scheduler/core/restore_test.go
+++ b/internal/scheduler/core/restore_test.go
@@ -70,7 +70,7 @@
 	s.SendHostList()
 	s.Advance(time.Second)
 	if s.Core.Status().HostsReady == 0 {
-		t.Fatal("after discovery came back, HostsReady = 0, want more")
+		t.Fatal("after discovery came back, HostsReady = 0, want at least 1")
 	}
 	s.RequireNoViolations()
 }
--- a/internal/scheduler/core/submissions.go
+++ b/internal/scheduler/core/submissions.go
@@ -29,7 +29,7 @@
 	bodyHash       uint64
 	totalOutcomes  int
 	acceptedAt     time.Duration
-	outcomes       []Outcome // at most totalOutcomes
+	outcomes       []Outcome // the outcomes so far, at most totalOutcomes
 	completedAt    time.Duration
 }
 
@@ -198,8 +198,8 @@
 	}
 }
 
-// Outcomes returns the outcomes of a submission from index from on. complete is whether all its tasks have an outcome,
-// known whether the placer has the submission.
+// Outcomes returns the outcomes of a submission, beginning with the one at index from. complete tells whether all tasks
+// of the submission have an outcome, known whether the placer has the submission.
 func (c *Core) Outcomes(id string, from int) (list []Outcome, complete, known bool) {
 	s := c.submissions[id]
 	if s == nil {
@@ -208,8 +208,8 @@
 	return s.outcomes[min(max(from, 0), len(s.outcomes)):], s.isComplete(), true
 }
 
-// reportOutcome adds the pending outcome of a replica to its submission. It does nothing if none is pending. h is the
-// host on which the replica was placed, or nil.
+// reportOutcome adds the pending outcome of a replica to its submission. It does nothing if no outcome is pending. The
+// parameter h is the host on which the replica was placed, or nil.
 func (c *Core) reportOutcome(r *desiredReplica, kind OutcomeKind, h *host, reason string) {
 	pending := r.pending
 	if pending == nil {
--- a/internal/scheduler/core/timers.go
+++ b/internal/scheduler/core/timers.go
@@ -8,24 +8,25 @@
 	"forkhead/internal/scheduler/hostconn"
 )
 
-// timerKind is the purpose of a timer. It determines which of the timer's fields are set, as listed beside each kind.
+// timerKind is the purpose of a timer. The comment on each kind says when a timer of that kind is due, and names in
+// parentheses the fields of the timer that are set besides at and kind.
 type timerKind uint8
 
 const (
-	timerModule                timerKind = iota // number: a timer that the module set
-	timerRequestDeadline                        // request: its deadline has passed
-	timerAttemptTimeout                         // attempt: its timeout, set by the module, has passed without an answer
-	timerAttemptConnectTimeout                  // attempt: its host is still not connected
-	timerRequest                                // replica, number: its next request is due
-	timerOwnerDeadline                          // replica, number: its owner's wait for an outcome ends
-	timerReconnect                              // host: the next attempt to connect is due
-	timerHostConnectTimeout                     // host, number: connecting and the handshake took too long
-	timerLiveness                               // host, number: check whether it still sends
-	timerHostLost                               // host, number: it has been unreachable for LostAfter
-	timerProbeTimeout                           // host, number: a probe has not been answered in time
-	timerUpdate                                 // service: the delay between batches of its update is over
-	timerMonitorEnd                             // replica, number: its update's monitoring time is over
-	timerSubmissionExpiry                       // complete submissions may have to be removed
+	timerModule                timerKind = iota // at a timer of the module (number: the module's ID of it)
+	timerRequestDeadline                        // at the deadline of a request (request)
+	timerAttemptTimeout                         // at the timeout of an attempt, which the module sets (attempt)
+	timerAttemptConnectTimeout                  // at an attempt's timeout for the connection to its host (attempt)
+	timerRequest                                // at the next placement request for a replica (replica, number)
+	timerOwnerDeadline                          // at the end of an owner's wait for an outcome (replica, number)
+	timerReconnect                              // at the next attempt to connect to a host (host)
+	timerHostConnectTimeout                     // at the timeout for the connection and handshake (host, number)
+	timerLiveness                               // at the next check whether a host still sends (host, number)
+	timerHostLost                               // once a host has been unreachable for LostAfter (host, number)
+	timerProbeTimeout                           // at the timeout of a probe of a host (host, number)
+	timerUpdate                                 // at the end of the delay between batches of an update (service)
+	timerMonitorEnd                             // at the end of the monitoring of an updated replica (replica, number)
+	timerSubmissionExpiry                       // at the end of the retention of a complete submission (none)
 )
 
 // timer is an action that is due at a time. A timer cannot be stopped; a handler compares its number with the current
--- a/internal/scheduler/core/updates.go
+++ b/internal/scheduler/core/updates.go
@@ -35,14 +35,14 @@
 	}
 	r.updating = true
 	if r.state != placed {
-		// It was lost or has ended meanwhile, so it is requested with the new specification at once.
+		// The task was lost or has ended meanwhile, so the replica is requested with the new specification at once.
 		c.cancelRequest(r)
 		c.setSpec(r, spec)
 		c.startRequesting(r)
 		return
 	}
 	r.service.previousSpecs[r] = r.spec
-	// Two copies of an unsafe task must not run side by side, so it is always replaced stop-first.
+	// Two copies of an unsafe task must not run at the same time, so such a task is always replaced stop-first.
 	if spec.Update.StartFirst && c.attemptRules(r.class).Effect != forkhead.Unsafe {
 		c.startSuccessor(r, spec)
 		return
@@ -62,8 +62,8 @@
 }
 
 // replaceIfQueued starts the replacement of a replica that ended, or was lost, while it waited in the queue of its
-// service's update. Otherwise it would be restarted with its old specification, and that would be reported as the
-// outcome of the new one.
+// service's update. Otherwise the replica would be restarted with its old specification, and that placement would be
+// reported as the outcome of the new one.
 func (c *Core) replaceIfQueued(r *desiredReplica) bool {
 	svc := r.service
 	i := slices.Index(svc.updateQueue, r)
