--- a/internal/scheduler/attempt/phase.go
+++ b/internal/scheduler/attempt/phase.go
@@ -64,8 +64,9 @@
 // String returns the input's name in traces and in docs/design/attempts.md.
 func (i Input) String() string { return inputNames[i] }
 
-// RejectionInput returns the input that a host's Refused message stands for when the attempt is in phase p. If the
-// placer has the attempt as placed, the message answers a query: the host does not have the attempt.
+// RejectionInput returns the input that a host's Refused message stands for when the attempt is in phase p. For a
+// placed or unreachable attempt, the message answers a query of the placer and states that the host does not have the
+// attempt.
 func RejectionInput(p Phase) Input {
 	if p == Placed || p == Unreachable {
 		return NotListedByHost
@@ -73,7 +74,8 @@
 	return Rejected
 }
 
-// Effect is what an input requires of the caller besides the change of phase.
+// Effect is the action that an input requires of the caller besides the change of phase. It has nothing to do with the
+// effect of a task (safe, keyed or unsafe).
 type Effect uint8
 
 // The effects of inputs.
@@ -88,7 +90,7 @@
 	ReportSettled              // the outcome of an unknown attempt is known now: the task's owner may act on it
 	Orphaned                   // the host holds the task of an abandoned attempt: the caller adopts or stops it
 	Reconnected                // the host of an unreachable attempt is connected again: there is nothing to report
-	ProtocolViolation          // no host that follows the protocol sends this: the caller closes the connection
+	ProtocolViolation          // no host that follows the protocol causes this input: the caller closes the connection
 	effectCount
 )
 
--- a/internal/scheduler/attempt/request.go
+++ b/internal/scheduler/attempt/request.go
@@ -58,8 +58,8 @@
 	ErrOutsideDedupDomain = errors.New("an earlier attempt may have run outside this host's group")
 	// ErrDedupWindowPassed means that hosts have dropped the key of an earlier attempt that may have run.
 	ErrDedupWindowPassed = errors.New("an earlier attempt may have run too long ago")
-	// ErrRejectionUnsafe means that the request cannot be rejected: a rejection promises that a retry is harmless, and
-	// it is not, since an attempt may have run.
+	// ErrRejectionUnsafe means that the request cannot be rejected: a rejection promises that a retry is harmless, but
+	// a retry may do harm, since an attempt may have run.
 	ErrRejectionUnsafe = errors.New("an earlier attempt may have run: a refusal would promise too much")
 )
 
@@ -73,7 +73,8 @@
 	if len(r.Attempts) >= r.Rules.MaxAttempts {
 		return ErrAttemptsExhausted
 	}
-	// Hosts keep a key from the oldest attempt on that may have run; isOldest is true until that attempt is checked.
+	// Hosts keep a task's key for DedupWindow from the oldest attempt on that may have run. isOldest is true until that
+	// attempt is checked.
 	isOldest := true
 	for i := range r.Attempts {
 		earlier := &r.Attempts[i]
@@ -107,7 +108,7 @@
 		if i == number || !earlier.Phase.MayHaveRun() {
 			continue
 		}
-		// Hosts keep a key from the oldest attempt on that may have run.
+		// Hosts keep a task's key for DedupWindow from the oldest attempt on that may have run, which is this one.
 		if r.Rules.isKeyExpired(now, earlier) {
 			return ErrDedupWindowPassed
 		}
--- a/internal/scheduler/attempt/request_test.go
+++ b/internal/scheduler/attempt/request_test.go
@@ -21,8 +21,8 @@
 	return true
 }
 
-// The first attempt offers the task to host 2 after one second. After its inputs the test asks whether the task may be
-// offered to another host, and whether the request may be rejected.
+// The first attempt offers the task to host 2 after one second. Once the first attempt has received the inputs of the
+// case, the test checks whether the task may be offered to another host, and whether the request may be rejected.
 func TestRequestMayOffer(t *testing.T) {
 	const s = time.Second
 	var (
@@ -35,7 +35,7 @@
 	)
 	for name, c := range map[string]struct {
 		rules     Rules
-		inputs    []Input // of the first attempt
+		inputs    []Input // inputs of the first attempt
 		to        HostID
 		at        time.Duration
 		mayReject bool
@@ -66,7 +66,7 @@
 			t.Errorf("%s: MayOffer(%v, %d) = %v, want %v", name, c.at, c.to, err, c.want)
 		}
 		if err := r.MayAnswer(true); (err == nil) != c.mayReject {
-			t.Errorf("%s: MayAnswer(true) = %v, want allowed: %v", name, err, c.mayReject)
+			t.Errorf("%s: MayAnswer(true) = %v, want a nil error: %v", name, err, c.mayReject)
 		}
 	}
 }
@@ -91,9 +91,9 @@
 	}
 }
 
-// Offers, answers and inputs come in any order, and those that the request forbids are left out. The request has at
-// most one answer and one attempt in flight, does not repeat an unsafe task that may have run, and stays done once it
-// is done.
+// Offers, answers and inputs come in any order, and offers and answers that the request forbids are left out. The
+// request has at most one answer and one attempt in flight, does not repeat an unsafe task that may have run, and once
+// IsDone returns true, it does so after any further input.
 func TestRequestKeepsInvariantsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		effect := forkhead.Effect(rapid.IntRange(0, 2).Draw(t, "effect"))
--- a/internal/scheduler/attempt/rules.go
+++ b/internal/scheduler/attempt/rules.go
@@ -44,9 +44,9 @@
 }
 
 // MayRequest reports whether the owner may request a task while attempts of its earlier requests are unknown, and how
-// long the request may take (0: no limit). unknown is the number of these attempts, and firstAt is when the first of
-// them was made. A host that started one of them keeps its key only for the dedup window, so a request for a keyed task
-// ends MinRequestTime before the window does.
+// long the request may take (0: no limit). The parameter unknown is the number of these attempts, and firstAt the time
+// at which the first of them was made. A host that started one of them keeps its key only for the dedup window, so a
+// request for a keyed task ends MinRequestTime before the window does.
 func (r *Rules) MayRequest(now time.Duration, unknown int, firstAt time.Duration) (limit time.Duration, ok bool) {
 	switch {
 	case unknown == 0 || r.Effect == forkhead.Safe:
@@ -59,23 +59,24 @@
 }
 
 // MustWaitForHosts reports whether the first request of a placer's new incarnation has to wait until all hosts have
-// reported what they run. allReported tells whether they have, timedOut whether the owner's wait for them is over.
+// reported the tasks that they run. The parameter allReported tells whether they have, timedOut whether the owner's
+// wait for the reports is over.
 func (r *Rules) MustWaitForHosts(allReported, timedOut bool) bool {
 	return r.Effect != forkhead.Safe && !allReported && !timedOut
 }
 
 // RejectionIsHarmless reports whether an abandoned task may be answered with a rejection, which promises that a retry
-// is harmless. rejected tells whether its last request was rejected, offered whether any attempt was made, and unknown
-// is the number of attempts whose outcome is not known.
+// is harmless. The parameter rejected tells whether the last request for the task was rejected, offered whether any
+// attempt was made, and unknown is the number of attempts whose outcome is not known.
 func (r *Rules) RejectionIsHarmless(rejected, offered bool, unknown int) bool {
 	return (rejected || !offered) && (unknown == 0 || r.RetryIsHarmless())
 }
 
-// ExpiresWhenUnreachable reports whether a task counts as lost when its host has been unreachable for a time. Other
-// tasks wait until their outcome is known.
+// ExpiresWhenUnreachable reports whether a task counts as lost once its host has been unreachable for the time that the
+// caller sets. Other tasks wait until their outcome is known.
 func (r *Rules) ExpiresWhenUnreachable() bool { return r.Effect == forkhead.Safe }
 
 // ShouldAdopt reports whether an abandoned attempt whose host turns out to hold the task becomes the task's placement;
-// otherwise the task is stopped there. wanted tells whether the owner still waits for the task, inFlight whether an
-// attempt of the current request is in flight.
+// otherwise the task is stopped there. The parameter wanted tells whether the owner still waits for the task, inFlight
+// whether an attempt of the current request is in flight.
 func ShouldAdopt(wanted, inFlight bool) bool { return wanted && !inFlight }
--- a/internal/scheduler/durable/entities.go
+++ b/internal/scheduler/durable/entities.go
@@ -27,7 +27,7 @@
 	Finished bool   `json:"Over"`    // the task must not be started again
 }
 
-// Attempt is an offer of a task whose effect must not take place twice.
+// Attempt is an offer of a keyed or unsafe task, which a later incarnation must not repeat unknowingly.
 type Attempt struct {
 	Ref       hostproto.Ref `json:"Ref"`
 	TaskKey   uint64        `json:"Key"` // identity of the task, by which hosts deduplicate
--- a/internal/scheduler/durable/records.go
+++ b/internal/scheduler/durable/records.go
@@ -23,7 +23,8 @@
 	// Changes returns the changes of stored keys that make up the record, in the order in which they must be applied.
 	Changes() []Change
 	// MustBeDurableFirst reports whether the outputs of the step that emitted the record must wait until the record is
-	// durable. It is false for records whose loss does no harm, since the next incarnation learns the same again.
+	// durable. It is false for records whose loss does no harm, since a host, service discovery or a timer gives the
+	// next incarnation the same information again.
 	MustBeDurableFirst() bool
 }
 
--- a/internal/scheduler/hostconn/hostconn.go
+++ b/internal/scheduler/hostconn/hostconn.go
@@ -60,18 +60,18 @@
 	Epoch   uint64
 }
 
-// Output is what the caller has to do after an input, in the order of the fields.
+// Output tells the caller which actions to execute after an input, in the order of the fields.
 type Output struct {
 	CloseConn            bool          // close connection ConnToClose
-	ConnToClose          uint32        // the connection that was in use until the input
+	ConnToClose          uint32        // number of the connection that was in use until the input
 	Dial                 bool          // dial Connection.Address as connection Connection.Conn
 	SendHello            bool          // write Hello on Connection.Conn
-	AttemptsDisconnected bool          // the attempts made on the connection have lost it
+	AttemptsDisconnected bool          // the attempts made on the connection are disconnected from the host
 	HostRestarted        bool          // the host's earlier incarnation ended, and with it all tasks that ran there
 	Established          bool          // messages may be sent from now on
 	StaleIncarnation     bool          // the host answered as an earlier incarnation than the last known one
-	RetryAfter           time.Duration // if > 0, set the timer of RetryDue
-	ConnectTimeoutAfter  time.Duration // if > 0, set the timer of ConnectTimedOut for Connection.Conn
+	RetryAfter           time.Duration // if > 0, set a timer that causes the input RetryDue
+	ConnectTimeoutAfter  time.Duration // if > 0, set a timer that causes the input ConnectTimedOut for Connection.Conn
 }
 
 // Policy bounds the time to connect and the waits between reconnects.
@@ -95,9 +95,9 @@
 	Failures int    // failures since the connection was last up, or since the address changed
 }
 
-// Handle applies an input and returns what the caller has to do. random, in [0, 1), is the jitter of reconnects:
-// placers that lost a host at the same time do not all reconnect at the same time. Inputs that concern an earlier TCP
-// connection change nothing.
+// Handle applies an input and returns what the caller has to do. The parameter random, in [0, 1), determines the jitter
+// of reconnects: placers that lost a host at the same time do not all reconnect at the same time. Inputs that concern
+// an earlier TCP connection change nothing.
 func (c *Connection) Handle(in Input, p Policy, random float64) Output {
 	var out Output
 	switch in.Kind {
@@ -152,8 +152,8 @@
 		return
 	}
 	if in.Epoch < c.Epoch {
-		// An earlier incarnation of the host still answers, at the same address or from a buffer. Its messages must not
-		// settle attempts that were made in the later incarnation.
+		// An earlier incarnation of the host still runs at the same address, or its Welcome was still in a buffer. Its
+		// messages must not settle attempts that were made in the later incarnation.
 		out.StaleIncarnation = true
 		c.closeConn(out)
 		c.scheduleRetry(out, p, random)
--- a/internal/scheduler/hostconn/hostconn_test.go
+++ b/internal/scheduler/hostconn/hostconn_test.go
@@ -101,7 +101,7 @@
 			}
 			if out.Established {
 				if established {
-					t.Fatal("Established was output twice without AttemptsDisconnected in between")
+					t.Fatal("Established was output twice without AttemptsDisconnected in between, want AttemptsDisconnected first")
 				}
 				established = true
 			}
@@ -112,7 +112,7 @@
 				t.Fatalf("state %v: got established and not disconnected: %v, want %v", c.State, established, c.State == Up)
 			}
 			if before.State != Down && c.State == Down && !out.AttemptsDisconnected {
-				t.Fatalf("state went from %v to %v without AttemptsDisconnected", before.State, c.State)
+				t.Fatalf("state went from %v to %v: got AttemptsDisconnected false, want true", before.State, c.State)
 			}
 		}
 	})
--- a/internal/scheduler/hostsession/session.go
+++ b/internal/scheduler/hostsession/session.go
@@ -19,9 +19,9 @@
 	HelloStale
 )
 
-// CheckHello decides whether a host accepts a Hello. epoch is the placer's incarnation, conn is the incarnation's
-// number of the connection, and last is the same placer's last session. Of two connections the later one counts, since
-// messages may still be in the buffers of the older one.
+// CheckHello decides whether a host accepts a Hello. The parameter epoch is the epoch of the placer's incarnation, conn
+// the number that this incarnation gave the connection, and last the last known session of the same placer. A later
+// connection replaces an earlier one, since messages of the earlier one may still arrive from buffers.
 func CheckHello(last Session, epoch uint64, conn uint32) HelloResult {
 	if epoch < last.Epoch || last.Connected && epoch == last.Epoch && conn <= last.Conn {
 		return HelloStale
--- a/internal/scheduler/ids/ids.go
+++ b/internal/scheduler/ids/ids.go
@@ -26,8 +26,8 @@
 	hash     Hash
 	numbers  map[string]uint32
 	salts    map[string]uint32 // salt of the current number of a name; 0 if there is no entry
-	names    map[uint32]string // name that has a number now
-	collided map[uint32]bool   // numbers to which two names were hashed; no name has such a number
+	names    map[uint32]string // for each number in use, the name that has it
+	collided map[uint32]bool   // numbers to which two names hashed; no name has such a number
 }
 
 // NewTable returns an empty table.
@@ -41,7 +41,7 @@
 // Renumbered is a name that lost its number in a collision and has another number now.
 type Renumbered struct {
 	Name string
-	Old  uint32 // the number that it had
+	Old  uint32 // number of the name before the collision
 }
 
 // Add returns the number of a name, and assigns one if the name has none. renumbered lists the other names that lost
@@ -86,8 +86,8 @@
 	return n
 }
 
-// collide takes a number from the name that has it, and moves this name and the newcomer, which hashed to the same
-// number, to their next salts.
+// collide takes a number from holder, the name that has it. It increments the salts of holder and of newcomer, a new
+// name that hashed to the same number.
 func (t *Table) collide(number uint32, holder, newcomer string) {
 	t.collided[number] = true
 	delete(t.names, number)
--- a/internal/scheduler/invariant/host.go
+++ b/internal/scheduler/invariant/host.go
@@ -16,7 +16,7 @@
 	Zone          int
 	Cell          int
 	Labels        uint64        // has a bit for each constraint that the host meets
-	StartedAt     time.Duration // start of its incarnation
+	StartedAt     time.Duration // time at which the host's incarnation started
 }
 
 // SameDomain reports whether two hosts are in the same domain of a level of the topology.
--- a/internal/scheduler/invariant/invariant.go
+++ b/internal/scheduler/invariant/invariant.go
@@ -1,7 +1,7 @@
 // Package invariant checks decisions of the module before anything is sent: whether an offer or an answer would violate
-// Fit or one of four of the scheduler's five rules. The module follows the rules by itself, so a violation is a defect;
-// the caller vetoes the action, counts it and logs it. The fifth rule, SlowStart, applies to all placers together and
-// is checked afterwards, on captured traffic, by package verify/rules.
+// Fit or one of the scheduler's five rules other than SlowStart. The module follows the rules by itself, so a violation
+// is a defect; the caller vetoes the action, counts it and logs it. SlowStart applies to all placers together and is
+// checked afterwards, on captured traffic, by package verify/rules.
 package invariant
 
 import (
--- a/internal/scheduler/invariant/offer.go
+++ b/internal/scheduler/invariant/offer.go
@@ -10,7 +10,7 @@
 	"forkhead/internal/scheduler/attempt"
 )
 
-// SpreadCheck is an offer of a task to a host, as CheckSpread needs it.
+// SpreadCheck holds the values of an offer of a task to a host that CheckSpread needs.
 type SpreadCheck struct {
 	Task         *forkhead.Task
 	Class        *forkhead.Class
@@ -18,7 +18,7 @@
 	ServiceHosts iter.Seq[*Host] // the hosts of the other live attempts of the service at this placer
 }
 
-// Offer is an offer of a task to a host, as CheckOffer needs it.
+// Offer holds the values of an offer of a task to a host that CheckOffer needs.
 type Offer struct {
 	SpreadCheck
 	Request    *attempt.Request
@@ -89,8 +89,8 @@
 }
 
 // spreadLimits returns the stricter of the task's and its class's limits for each level of the topology; 0 means no
-// limit. This also applies to a class's MaxPerDomain of 0, which the module treats as "never"; the parsers of both
-// programs reject it.
+// limit. A MaxPerDomain of 0 in a class means no limit here, although the module treats it as "never". The parsers of
+// both programs reject such a class.
 func (s *SpreadCheck) spreadLimits() forkhead.SpreadLimits {
 	limits := s.Task.SpreadLimits
 	level := s.Class.SpreadDomain
--- a/internal/scheduler/invariant/serviceattempts.go
+++ b/internal/scheduler/invariant/serviceattempts.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Attempt is an attempt of a core, as ServiceAttempts needs it. Cores implement it on pointers.
+// Attempt is the interface through which ServiceAttempts uses an attempt of a core. Cores implement it with pointer
+// types.
 type Attempt interface {
 	comparable
 	// InvariantHost returns the host that the attempt was offered to.
@@ -31,8 +32,8 @@
 	s[service] = remaining
 }
 
-// Hosts yields the host of each live attempt of a service, without the attempt except, for SpreadCheck.ServiceHosts. A
-// host is yielded once for each of its attempts. If except is the zero value, no attempt is left out.
+// Hosts yields the host of each live attempt of a service, for SpreadCheck.ServiceHosts. A host is yielded once for
+// each of its attempts. The attempt given as the parameter except is left out; the zero value leaves out none.
 func (s ServiceAttempts[A]) Hosts(service uint64, except A) iter.Seq[*Host] {
 	return func(yield func(*Host) bool) {
 		for _, attempt := range s[service] {
--- a/internal/scheduler/moduledriver/moduledriver.go
+++ b/internal/scheduler/moduledriver/moduledriver.go
@@ -27,9 +27,9 @@
 	events    []forkhead.Event
 }
 
-// New returns a driver for a new module, or an error that names the setting that the module rejects. If decide is not
-// nil, it replaces the module; this is for tests. maxRounds limits how often one Run runs the module, unless it is
-// NoRoundLimit.
+// New returns a driver for a new module, or an error that names the setting that the module rejects. If the parameter
+// decide is not nil, it replaces the module; this is for tests. The parameter maxRounds limits how often one Run runs
+// the module, unless it is NoRoundLimit.
 func New(settings forkhead.Settings, seed uint64, decide Decide, maxRounds int) (*Driver, error) {
 	if decide == nil {
 		module, err := forkhead.New(settings, seed)
@@ -59,7 +59,7 @@
 }
 
 // RunAtLeastOnce is like Run, but runs the module once even if there are no events. The module needs that in its first
-// step, in which it starts to poll.
+// step, in which it starts to poll the endpoint list.
 func (d *Driver) RunAtLeastOnce(now time.Duration, execute func(forkhead.Action)) error {
 	if len(d.events) == 0 {
 		d.runRound(now, execute)
--- a/internal/scheduler/retrypolicy/retrypolicy.go
+++ b/internal/scheduler/retrypolicy/retrypolicy.go
@@ -53,8 +53,9 @@
 // Placed resets the counts of requests and failures. The caller calls it when the task is placed.
 func (r *Retrier) Placed() { r.Requests, r.Failures = 0, 0 }
 
-// NextRetry returns the time of the next request. random, in [0, 1), is the jitter of the wait. ok is false if the
-// owner must not retry: it has used up its requests, or the next one would be made at its deadline or later.
+// NextRetry returns the time of the next request. The parameter random, in [0, 1), determines the jitter of the wait.
+// ok is false if the owner must not retry: it has used up its requests, or the next one would be made at its deadline
+// or later.
 func (r *Retrier) NextRetry(now time.Duration, event Event, policy Policy, random float64) (at time.Duration, ok bool) {
 	if r.Requests >= policy.MaxRequests {
 		return 0, false
--- a/internal/scheduler/retrypolicy/retrypolicy_test.go
+++ b/internal/scheduler/retrypolicy/retrypolicy_test.go
@@ -42,15 +42,15 @@
 	var retrier Retrier
 	retrier.Begin(20 * time.Second)
 	if _, ok := retrier.NextRetry(19500*time.Millisecond, rejected, policy, 0.5); ok {
-		t.Error("NextRetry with a wait that ends after the deadline: got ok, want no retry")
+		t.Error("NextRetry with a wait that ends after the deadline: got ok = true, want false")
 	}
 	retrier.Begin(1000 * time.Second)
 	retrier.Requests = policy.MaxRequests
 	if _, ok := retrier.NextRetry(10*time.Second, rejected, policy, 0.5); ok {
-		t.Error("NextRetry after Policy.MaxRequests requests: got ok, want no retry")
+		t.Error("NextRetry after Policy.MaxRequests requests: got ok = true, want false")
 	}
 	retrier.Placed()
 	if _, ok := retrier.NextRetry(10*time.Second, rejected, policy, 0.5); !ok {
-		t.Error("NextRetry after Placed has reset the counts: got no retry, want ok")
+		t.Error("NextRetry after Placed has reset the counts: got ok = false, want true")
 	}
 }
--- a/internal/scheduler/rollingupdate/rollingupdate.go
+++ b/internal/scheduler/rollingupdate/rollingupdate.go
@@ -31,7 +31,8 @@
 	status  Status
 }
 
-// New returns an update of total tasks by the policy of the service's specification.
+// New returns an update by the policy of the service's specification. The parameter total is the number of tasks to
+// replace.
 func New(policy servicespec.Update, total int) *Update {
 	u := &Update{policy: policy, total: total}
 	u.updateStatus()
@@ -44,8 +45,8 @@
 // Failed returns the number of tasks whose replacement failed.
 func (u *Update) Failed() int { return u.failed }
 
-// Next returns the number of replacements that may begin now. If that is 0 because of the delay between batches, at is
-// the end of the delay; otherwise at is 0.
+// Next returns the number of replacements that may begin now. If that is 0 because of the delay between batches, the
+// result at is the end of the delay; otherwise at is 0.
 func (u *Update) Next(now time.Duration) (n int, at time.Duration) {
 	if u.status != InProgress {
 		return 0, 0
--- a/internal/scheduler/statetable/statetable.go
+++ b/internal/scheduler/statetable/statetable.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Render returns a Markdown table. cell returns the text of the cell for an input in a state, both given by index; ""
-// means that the input has no effect.
+// Render returns a Markdown table. The function cell returns the text of the cell for an input in a state, both given
+// by index; "" means that the input has no effect.
 func Render(states, inputs []string, cell func(input, state int) string) string {
 	var b strings.Builder
 	b.WriteString("| input |")
--- a/internal/scheduler/statetable/statetable_test.go
+++ b/internal/scheduler/statetable/statetable_test.go
@@ -30,7 +30,7 @@
 	})
 	const want = "| input | Off | On |\n| --- | --- | --- |\n| push | x | |\n| pull | | x |\n"
 	if got != want {
-		t.Errorf("Render() =\n%swant\n%s", got, want)
+		t.Errorf("Render(): got\n%s, want\n%s", got, want)
 	}
 }
 
--- a/internal/scheduler/timerqueue/timerqueue_test.go
+++ b/internal/scheduler/timerqueue/timerqueue_test.go
@@ -9,7 +9,7 @@
 func TestQueuePopDueReturnsTimersInOrder(t *testing.T) {
 	var q Queue[string]
 	if _, ok := q.Next(); ok {
-		t.Error("Next() of an empty queue: got ok, want none")
+		t.Error("Next() of an empty queue: got ok = true, want false")
 	}
 	for _, timer := range []struct {
 		at    time.Duration
