--- a/internal/scheduler/platform/api.go
+++ b/internal/scheduler/platform/api.go
@@ -25,7 +25,7 @@
 	InitialEvents []platform.WatchEvent
 
 	// MaxOwnerConnections bounds the connections of owners, MaxHostConnections those to hosts, and MaxConnections their
-	// total. A MaxConnections of 0 stands for the sum of the other two.
+	// total. If MaxConnections is 0, the sum of the other two is the bound of the total.
 	MaxOwnerConnections int
 	MaxHostConnections  int
 	MaxConnections      int
--- a/internal/scheduler/platform/attempt.go
+++ b/internal/scheduler/platform/attempt.go
@@ -16,7 +16,7 @@
 	host         *host
 	connection   *hostConnection // connection on which its offer is queued or in flight; nil: none
 	sentAt       time.Duration   // time at which the offer was sent, or created if it is still queued
-	hasNotes     bool            // the host has sent notes on it: it runs the task even if it has not answered
+	hasNotes     bool            // the host has sent notes on the task, so it runs the task even without an answer
 	stopSent     bool            // a stop of the task was sent to the host
 	stopDeadline time.Duration   // time at which the task counts as stopped even if the host has not answered
 }
@@ -32,7 +32,7 @@
 func (a *taskAttempt) isPlaced() bool       { return a.phase() == attempt.Placed }
 func (a *taskAttempt) isInFlight() bool     { return a.phase() == attempt.InFlight }
 
-// executeOffer executes the module's Offer if the invariants allow it. If not, the attempt ends with the result
+// executeOffer executes the module's Offer if the invariants allow it. If they do not, the attempt ends with the result
 // NotSent.
 func (c *Core) executeOffer(action forkhead.Offer) {
 	r := c.requests[action.Task]
@@ -68,7 +68,7 @@
 }
 
 // spreadCheck returns the input for checking an offer of a request to a host against the spread limits. The attempt
-// sending, which may be nil, does not count against them.
+// given as the parameter sending, which may be nil, does not count against the limits.
 func (c *Core) spreadCheck(r *request, h *host, sending *taskAttempt) invariant.SpreadCheck {
 	return invariant.SpreadCheck{
 		Task:         &r.task,
@@ -155,7 +155,7 @@
 	result forkhead.Result
 	reason forkhead.RejectReason
 	final  bool                 // the request has been answered: the module has nothing more to decide
-	report *forkhead.LoadReport // load report of the host; nil: it sent none
+	report *forkhead.LoadReport // load report of the host; nil: the host sent none
 }
 
 // endAttempt ends a live attempt and notifies the module of its outcome.
@@ -199,8 +199,8 @@
 	c.withdraw(r.attempts[action.Attempt], forkhead.Withdrawn, r.phase != requestOpen)
 }
 
-// withdraw stops waiting for the outcome of an attempt that has none yet. A later answer of its host is ignored, apart
-// from stopping a task that runs. a may be nil.
+// withdraw stops waiting for the outcome of an attempt that has none yet. If the host answers later that it runs the
+// task, the task is stopped; any other later answer does not affect the request. The parameter a may be nil.
 func (c *Core) withdraw(a *taskAttempt, result forkhead.Result, final bool) {
 	if a == nil || !a.phase().IsInFlight() {
 		return
--- a/internal/scheduler/platform/attempt_test.go
+++ b/internal/scheduler/platform/attempt_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// received returns a function that delivers bytes from the host and then lets time pass.
+// received returns a function that delivers data from the host and then lets the time given as the parameter then pass.
 func received(data string, then time.Duration) func(*testCore, ConnectionID) {
 	return func(w *testCore, conn ConnectionID) {
 		w.step(HostData{conn, []byte(data)})
@@ -316,7 +316,7 @@
 			t.Errorf("%s: got lines to the owner %q and %d more offers; want one release with cause 41 and no offer if the task has run (%v), "+
 				"no line and one offer otherwise", name, got, offers, c.ran)
 		}
-		if c.ran { // the late answer has no effect
+		if c.ran { // the late answer must have no effect
 			w.step(fromHost(conn, boundLine(ref1)))
 			w.wantLines(sentLines[SendToOwner](w.outputs))
 			w.wantLines(sentLines[SendToHost](w.outputs))
--- a/internal/scheduler/platform/connection.go
+++ b/internal/scheduler/platform/connection.go
@@ -15,7 +15,7 @@
 
 const (
 	connectionDialing    connectionState = iota // neither HostConnected nor DialFailed has been received
-	connectionOpen                              // offers may be sent on it
+	connectionOpen                              // offers may be sent on the connection
 	connectionHalfClosed                        // nothing is sent any more, but data from the host is still read
 )
 
@@ -38,8 +38,8 @@
 	lastReceivedAt time.Duration
 	lastSentAt     time.Duration  // time of the last offer, probe, dial or connect
 	inFlight       int            // number of offers sent and not answered
-	queued         []*taskAttempt // attempts whose offers are sent once it is open
-	probeQueued    bool           // a probe is sent once it is open
+	queued         []*taskAttempt // attempts whose offers are sent once the connection is open
+	probeQueued    bool           // a probe is sent once the connection is open
 }
 
 // isIdle reports whether an open connection carries no offer.
@@ -67,8 +67,8 @@
 // ---- Assigning attempts to connections.
 
 // assignConnection sends the offer of an attempt on an idle connection to its host, or else on a new one, or else on
-// the least busy one. On a connection that is still being dialed the offer is queued. An offer that no connection can
-// take fails.
+// the least busy one. On a connection that is still being dialed the offer is queued. If no connection can take the
+// offer, the attempt fails.
 func (c *Core) assignConnection(a *taskAttempt) {
 	conn := c.connectionForOffer(a.host)
 	if conn == nil || conn.inFlight+len(conn.queued) >= maxAttemptsPerConnection {
@@ -149,7 +149,7 @@
 	}
 }
 
-// sendDeferredStops sends the stops of tasks that were ended while no connection was open. Without it, a task that its
+// sendDeferredStops sends the stops of tasks that were ended while no connection was open. Otherwise a task that its
 // owner has ended would run on.
 func (c *Core) sendDeferredStops(h *host) {
 	for _, a := range h.attemptsWhere(func(a *taskAttempt) bool { return a.request.phase == requestEnding && !a.stopSent }) {
@@ -157,8 +157,8 @@
 	}
 }
 
-// closeSuperseded closes the connections that a new one replaces, or the new one itself once it has shown that its host
-// accepts connections. Otherwise connections would accumulate to hosts that rarely send anything.
+// closeSuperseded closes the connections that a new one replaces, or the new one itself if it was dialed only to check
+// whether its host accepts connections. Otherwise connections would accumulate to hosts that rarely send anything.
 func (c *Core) closeSuperseded(conn *hostConnection) {
 	switch conn.purpose {
 	case purposeReplacement:
@@ -244,8 +244,8 @@
 	return true
 }
 
-// evictionCandidate returns the idle connection that is evicted first, leaving out those to the host except, or nil if
-// none is idle.
+// evictionCandidate returns the idle connection that is evicted first, or nil if none is idle. Connections to the host
+// given as the parameter except are left out.
 func (c *Core) evictionCandidate(except *host) *hostConnection {
 	var first *hostConnection
 	for _, conn := range c.connections {
@@ -269,8 +269,8 @@
 // ---- Closing connections.
 
 // halfClose closes an idle connection for writing and reads on until its host closes it too or halfClosedTimeout has
-// passed. Otherwise releases and notes that cross the close would be lost, as a host takes what it has written as
-// received. When connections are exhausted, the connection is closed at once.
+// passed. Otherwise releases and notes that cross the close would be lost, as a host assumes that all data that it has
+// written is received. When connections are exhausted, the connection is closed at once.
 func (c *Core) halfClose(conn *hostConnection) {
 	if len(c.halfClosed) >= maxHalfClosed && c.connectionsExhausted() {
 		c.closeConnection(conn)
--- a/internal/scheduler/platform/connection_test.go
+++ b/internal/scheduler/platform/connection_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// place places task i, which belongs to a service of its own.
+// place places the task with the number i, which is the only task of its service.
 func (w *crowdedCore) place(i int) {
 	w.t.Helper()
 	ref := fmt.Sprintf("%016x", 0x1000+i)
@@ -132,7 +132,7 @@
 	w.send(o, requestLine(ref2, "keyed", ""))
 	conn := ofType[SendToHost](w.connectDialed())[0].Connection
 	if conn == stuck {
-		t.Fatalf("second offer: sent on connection %d, want another one, as its first offer is unanswered", conn)
+		t.Fatalf("second offer: sent on connection %d, want another one, as the first offer on this one is unanswered", conn)
 	}
 	w.step(fromHost(conn, boundLine(ref2)))
 	if got := takeEvents[forkhead.Outcome](w); len(got) != 1 || got[0].Result != forkhead.Reset || w.core.connections[stuck] != nil {
@@ -164,7 +164,7 @@
 			}
 		})
 		if may && probes == 0 || !may && probes > 0 {
-			t.Errorf("probes allowed %v: got %d probes in 2 minutes, want some only if they are allowed", may, probes)
+			t.Errorf("probes allowed %v: got %d probes in 2 minutes, want at least 1 if they are allowed and 0 otherwise", may, probes)
 		}
 		if !may && w.core.connections[conn] != nil {
 			t.Error("probes not allowed: idle connection still open after 2 minutes, want it replaced")
@@ -178,7 +178,7 @@
 	_, old := w.placeTask()
 	tick := func() []Output {
 		w.now += reconcileInterval
-		w.core.hosts[1].lastSeenAliveAt = w.now // otherwise it would be dialed as unresponsive
+		w.core.hosts[1].lastSeenAliveAt = w.now // otherwise the host would be dialed as unresponsive
 		return w.step()
 	}
 	var dials []DialHost
--- a/internal/scheduler/platform/core.go
+++ b/internal/scheduler/platform/core.go
@@ -19,7 +19,7 @@
 
 	now         time.Duration // time of the current step
 	outputs     []Output      // outputs of the current step
-	started     bool          // set by the first step
+	started     bool          // the first step has begun
 	timers      timerqueue.Queue[timer]
 	reconcileAt time.Duration
 	shutdown    shutdown
@@ -29,16 +29,16 @@
 	requestsByRef     map[requestRef]*request
 	unanswered        int                                     // number of open requests
 	attemptsByService invariant.ServiceAttempts[*taskAttempt] // live attempts
-	possibleOrphans   []possibleOrphan                        // found in the current step
-	finished          []*request                              // may be removed at the end of the current step
-	abandoned         recent[attemptKey]                      // their outcome is not awaited, but their task may run
-	reportedEnds      recent[reportedEnd]                     // also for refs that are not known here, or no longer
+	possibleOrphans   []possibleOrphan                        // found in the current step; stopped at its end
+	finished          []*request                              // requests to check for removal at the end of the step
+	abandoned         recent[attemptKey]                      // attempts no longer awaited whose task may run
+	reportedEnds      recent[reportedEnd]                     // ends of tasks, also under unknown refs
 
 	owners      map[OwnerID]*ownerConnection
 	undelivered []undeliveredMessage // oldest first
 
 	hosts          map[forkhead.MachineID]*host
-	sortedHosts    []*host // hosts by id; nil: must be rebuilt
+	sortedHosts    []*host // hosts ordered by id; nil: hostsInOrder must rebuild it
 	unlistedHosts  int     // number of hosts that the endpoint list does not have yet
 	listSequence   uint64  // sequence number of the last watch event
 	connections    map[ConnectionID]*hostConnection
@@ -86,7 +86,7 @@
 }
 
 // Step handles the inputs in order, then the timers that are due at the time now, and returns the outputs, which the
-// caller must execute in order. now must not decrease from one call to the next.
+// caller must execute in order. The parameter now must not decrease from one call to the next.
 func (c *Core) Step(now time.Duration, inputs ...Input) []Output {
 	c.now, c.outputs = now, nil
 	if !c.started {
@@ -137,7 +137,7 @@
 // timer is a timer of the module, or the time by which the attempts of a request must have an outcome.
 type timer struct {
 	kind timerKind
-	id   uint64 // id of the module's timer or of the request
+	id   uint64 // id of the timer in the module, or of the request
 }
 
 type timerKind uint8
@@ -197,7 +197,7 @@
 		c.executeProbe(action.Machine)
 	case forkhead.Gossip:
 		c.sendGossip(action)
-	case forkhead.Subscribe: // no action: the endpoint list is always watched
+	case forkhead.Subscribe: // nothing to do: the endpoint list is always watched
 	case forkhead.Log:
 		c.logInfo(action.Message)
 	}
--- a/internal/scheduler/platform/decode.go
+++ b/internal/scheduler/platform/decode.go
@@ -17,7 +17,7 @@
 	ref    requestRef
 	task   forkhead.Task
 	host   string // name of the host that already runs the task; "": none does
-	digest uint64 // see requestDigest
+	digest uint64 // hash of the content, see requestDigest
 }
 
 // isHandOver reports whether the message hands over a task that a host already runs.
@@ -76,7 +76,7 @@
 	return idempotencyKey != "" || c.settings.Classes[into.task.Class].Effect != forkhead.Keyed
 }
 
-// extraDecoders decode the items of FieldExtras by their names and return false if the item is malformed. Items with
+// extraDecoders decode the items of FieldExtras by their names and return false if an item is malformed. Items with
 // other names are ignored.
 var extraDecoders = map[platform.Extra]func(value string, into *decodedRequest) bool{
 	platform.ExtraCores: func(value string, into *decodedRequest) (ok bool) {
--- a/internal/scheduler/platform/golden_test.go
+++ b/internal/scheduler/platform/golden_test.go
@@ -40,7 +40,8 @@
 	s.outputs = nil
 }
 
-// ownerSends delivers a line from an owner and records the effects of that step and of one more.
+// ownerSends delivers a line from an owner and records the events and outputs of the step, and the outputs of one more
+// step.
 func (s *transcript) ownerSends(owner OwnerID, line string) {
 	fmt.Fprintf(&s.text, "owner %d: %s\n", owner, line)
 	s.send(owner, line)
@@ -66,7 +67,7 @@
 
 func goldenRef(n int) string { return fmt.Sprintf("9b1f03aa5c7e2d%02x", n) }
 
-// goldenRequest returns the request of task n; more is appended to its extras.
+// goldenRequest returns the request of task n. The parameter more is appended to its extras.
 func goldenRequest(n int, more string) string {
 	return fmt.Sprintf(`{"t":"new","ref":"%s","f":{"class":"keyed","left":"1500","tenant":"acme","key":"7f3a9c21e0b4d6%02x","idem":"%02x",`+
 		`"hint":"4000","extras":"cores:1.5;memory:2;service:00000000b4d65521%s","other":7},"d":"a\ud800\r\nb"}`, goldenRef(n), n, n, more)
--- a/internal/scheduler/platform/handover_test.go
+++ b/internal/scheduler/platform/handover_test.go
@@ -79,8 +79,10 @@
 		return nil
 	}
 	w.send(o, requestLine(ref2, "unsafe", ""))
-	if len(ofType[DialHost](w.outputs)) > 0 || takeEvents[forkhead.Outcome](w)[0].Result != forkhead.NotSent {
-		t.Error("offer to an unlisted host: got a dial or another result, want no dial and result NotSent")
+	dials, outcomes := ofType[DialHost](w.outputs), takeEvents[forkhead.Outcome](w)
+	if len(dials) > 0 || outcomes[0].Result != forkhead.NotSent {
+		t.Errorf("offer to an unlisted host: got dials %+v and outcomes %+v, want no dial and a first outcome with result %d (NotSent)",
+			dials, outcomes, forkhead.NotSent)
 	}
 }
 
@@ -94,15 +96,16 @@
 		w.step(fromHost(conn, releaseLine(ref2, cause)))
 		w.wantLines(sentLines[SendToHost](w.outputs), "ack "+ref2)
 		w.wantLines(sentLines[SendToOwner](w.send(o, handOverLine(ref2, 1))), want...)
-		if len(takeEvents[forkhead.HandedOver](w)) > 0 || w.core.requestsByRef[ref2] != nil {
-			t.Errorf("hand-over after a release with cause %d: the task counts as placed, want it not to", cause)
+		if got := takeEvents[forkhead.HandedOver](w); len(got) > 0 || w.core.requestsByRef[ref2] != nil {
+			t.Errorf("hand-over after a release with cause %d: got HandedOver events %+v, want none; request known %v, want false",
+				cause, got, w.core.requestsByRef[ref2] != nil)
 		}
 	}
 	w := newTestCore(t, nil)
 	o, conn := w.placeTask()
 	w.wantLines(sentLines[SendToOwner](w.step(fromHost(conn, releaseLine(ref1, 16)))), "down "+ref1+" 16")
 	if w.wantLines(sentLines[SendToOwner](w.send(o, handOverLine(ref1, 1)))); w.core.requestsByRef[ref1] != nil {
-		t.Error("hand-over of a task whose release was sent: the task counts as placed again, want it not to")
+		t.Error("hand-over of a task whose release was sent: request known again, want it unknown, as the task has ended")
 	}
 	w.step(hostChanged(2, platform.Terminated))
 	w.advance(time.Second)
@@ -129,29 +132,30 @@
 	if ofType[SendToOwner](w.outputs)[0].Owner != second {
 		t.Errorf("release sent to owner %d, want %d, whose hand-over came last", ofType[SendToOwner](w.outputs)[0].Owner, second)
 	}
-	if len(takeEvents[forkhead.HandedOver](w)) != 1 {
-		t.Error("task handed over twice: HandedOver events differ from one, want exactly one")
+	if got := takeEvents[forkhead.HandedOver](w); len(got) != 1 {
+		t.Errorf("task handed over twice: got HandedOver events %+v, want one", got)
 	}
 	// A further hand-over after the release gets no line: the owner knows that the task has ended.
 	w.wantLines(sentLines[SendToOwner](w.send(first, handOverLine(ref1, 1))))
 }
 
 // A hand-over may name a task that this placer has placed or is placing. It is not answered, and the release of a
-// placed task moves to its connection. A hand-over of another task under the same ref is rejected.
+// placed task moves to the connection of the hand-over. A hand-over of another task under the same ref is rejected.
 func TestCoreAcceptsHandOverOfTaskItPlaced(t *testing.T) {
 	w := newTestCore(t, nil)
 	o, _ := w.placeTask()
 	second := w.connectOwner()
 	for _, by := range []OwnerID{o, second} {
 		if w.wantLines(sentLines[SendToOwner](w.send(by, handOverLine(ref1, 1)))); w.core.owners[by] == nil || w.core.requestsByRef[ref1].owner != by {
-			t.Fatalf("hand-over by owner %d: connection closed (%v) or release not moved to it, want it open and the release moved",
-				by, w.core.owners[by] == nil)
+			t.Fatalf("hand-over on connection %d: got it open %v, want true; got request %+v, want one with owner %d",
+				by, w.core.owners[by] != nil, w.core.requestsByRef[ref1], by)
 		}
 	}
 	w.send(o, requestLine(ref2, "keyed", ""))
 	w.wantLines(sentLines[SendToOwner](w.send(second, handOverLine(ref2, 1))))
 	if w.core.requestsByRef[ref2] == nil || w.core.requestsByRef[ref2].phase != requestOpen {
-		t.Error("hand-over of a task that is being placed: request removed or no longer open, want it open")
+		t.Errorf("hand-over of a task that is being placed: got request %+v, want one with phase %d (requestOpen)",
+			w.core.requestsByRef[ref2], requestOpen)
 	}
 	w.wantLines(sentLines[SendToOwner](w.send(o, strings.Replace(handOverLine(ref1, 1), "7f3a9c21e0b4d655", "00000000000000aa", 1))), "down "+ref1+" 47")
 }
@@ -165,7 +169,8 @@
 	w.wantLines(sentLines[SendToOwner](w.step(fromHost(conn, releaseLine(ref1, 16)))))
 	next := w.connectOwner()
 	w.wantLines(sentLines[SendToOwner](w.send(next, handOverLine(ref1, 1))), "down "+ref1+" 16")
-	w.wantLines(sentLines[SendToOwner](w.send(next, handOverLine(ref2, 1)))) // counts as placed, and the release is not sent again
+	// The task of ref2 counts as placed, and the release of ref1 is not sent again.
+	w.wantLines(sentLines[SendToOwner](w.send(next, handOverLine(ref2, 1))))
 }
 
 // A task of the same service is handed over on a host while an offer waits for a connection to it. The offer is not
--- a/internal/scheduler/platform/host.go
+++ b/internal/scheduler/platform/host.go
@@ -15,19 +15,19 @@
 type host struct {
 	id            forkhead.MachineID
 	name          string
-	address       string           // "" until the endpoint list has the host: nothing can be offered to it
+	address       string           // "" until the endpoint list has the host, which cannot be dialed before
 	entry         forkhead.Machine // entry in the endpoint list
-	invariantView invariant.Host   // entry in the form that the invariants check
-	unlistedSince time.Duration    // time of the hand-over that added it; 0: it is listed
-	drainingSince time.Duration    // time since which the list has not had it as ready
-	removedAt     time.Duration    // time since which the list has had it as removed
+	invariantView invariant.Host   // entry in the form that package invariant checks
+	unlistedSince time.Duration    // time of the hand-over that added the host; 0: the endpoint list has it
+	drainingSince time.Duration    // time since which the endpoint list has not had the host as ready
+	removedAt     time.Duration    // time since which the endpoint list has had the host as removed
 
 	attempts    map[requestRef]*taskAttempt // live attempts
-	connections []*hostConnection           // those that are dialing or open
-	probe       *probe                      // nil: none is in progress
+	connections []*hostConnection           // connections that are being dialed or are open
+	probe       *probe                      // probe in progress; nil: none
 
-	lastSeenAliveAt  time.Duration // last time it sent data, accepted a connection, or refused one while another was open
-	lastDialFailedAt time.Duration // last failed dial; local failures, for lack of file descriptors, don't count
+	lastSeenAliveAt  time.Duration // last time the host sent data, accepted a dial, or refused one while connected
+	lastDialFailedAt time.Duration // last failed dial, not counting local failures for lack of file descriptors
 	redialAt         time.Duration // earliest time of a dial that no offer or probe needs
 	redialBackoff    time.Duration // doubles with each failed dial
 	refusedDials     int           // dials refused in a row while no connection was open
--- a/internal/scheduler/platform/hostmessages.go
+++ b/internal/scheduler/platform/hostmessages.go
@@ -32,7 +32,7 @@
 		c.handleHostMessage(conn, &m)
 		return nil
 	})
-	if err != nil && c.connections[conn.id] == conn { // unless a message in the data has closed it
+	if err != nil && c.connections[conn.id] == conn { // unless a message in the data has closed the connection
 		c.closeFaultyConnection(conn, reasonUnreadable, errorAttr(err))
 	}
 }
@@ -104,14 +104,14 @@
 // and is unanswered will never be answered. Without this, broken connections would stay open without being of use.
 func (c *Core) closeOvertaken(answered *taskAttempt) {
 	if c.settings.BoundWhenRunning {
-		return // answers then come when tasks run, in any order
+		return // hosts then answer once the tasks run, in any order
 	}
 	overtaken := answered.host.attemptsWhere(func(a *taskAttempt) bool {
 		return a.isInFlight() && a.connection != answered.connection && a.sentAt+overtakenAfter < answered.sentAt &&
 			a.connection.lastReceivedAt <= a.sentAt
 	})
 	for _, a := range overtaken {
-		if a.connection != nil { // nil: its connection was closed with that of an earlier attempt
+		if a.connection != nil { // nil: closed together with that of an earlier element of overtaken
 			c.closeFaultyConnection(a.connection, reasonOvertaken)
 		}
 	}
@@ -121,7 +121,7 @@
 
 // handleHostRelease handles a host's message that a task has ended or that an offer is rejected.
 func (c *Core) handleHostRelease(conn *hostConnection, ref requestRef, a *taskAttempt, m *platform.Message) {
-	if conn.state != connectionHalfClosed { // if it is, the host sends the release again on the next connection
+	if conn.state != connectionHalfClosed { // otherwise the host repeats the release on the next connection
 		c.emit(SendToHost{Connection: conn.id, Line: ackMessage(ref)})
 	}
 	switch {
@@ -164,8 +164,8 @@
 	c.endAttempt(a, end)
 }
 
-// hasRun reports whether an attempt that ended without an answer is known to have run. Notes on it show that, and so do
-// some causes and reasons of its end.
+// hasRun reports whether an attempt that ended without an answer is known to have run its task. Notes on the task show
+// that, and so do some causes and reasons of its end.
 func hasRun(a *taskAttempt, cause platform.Cause, reason forkhead.RejectReason) bool {
 	switch reason {
 	case forkhead.Evicted, forkhead.Preempted, forkhead.Dismissed:
@@ -174,9 +174,9 @@
 	return a.hasNotes || cause == platform.CauseOK || cause == platform.CauseMigrated
 }
 
-// finishUnanswered ends a request whose task has run and ended before the host's answer has come. This happens if a
-// late answer arrives after the release of its own task. The protocol requires such a task to be released to its owner
-// within a second, so it is not offered again.
+// finishUnanswered ends a request whose task has run and ended before the host's answer to the offer has come. This
+// happens if the answer is late and the release of the task arrives before it. The protocol requires such a task to be
+// released to its owner within a second, so it is not offered again.
 func (c *Core) finishUnanswered(a *taskAttempt, end attemptEnd) {
 	r := a.request
 	end.input, end.result, end.final = attempt.Ended, forkhead.Reset, true
--- a/internal/scheduler/platform/limits.go
+++ b/internal/scheduler/platform/limits.go
@@ -35,7 +35,7 @@
 
 // Limits of the connections to hosts.
 const (
-	// maxConnectionsPerHost bounds the connections to one host. Once it is reached, attempts share connections.
+	// maxConnectionsPerHost bounds the connections to one host. Once that many are in use, attempts share connections.
 	maxConnectionsPerHost int = 8
 	// maxAttemptsPerConnection bounds the attempts in flight or queued on one connection. A further attempt fails.
 	maxAttemptsPerConnection int = 32
@@ -68,7 +68,8 @@
 	// lostAfterRefusals is the number of dials refused in a row, with no connection open, that shows that a host's
 	// process has ended.
 	lostAfterRefusals int = 2
-	// lastDialBeforeLoss is the time before a host is lost at which it is dialed once more, regardless of its backoff.
+	// lastDialBeforeLoss is how long before its loss an unresponsive host is dialed once more, regardless of its
+	// backoff.
 	lastDialBeforeLoss = 500 * time.Millisecond
 	// removedGrace is the time for which a host that the endpoint list has as removed may still report the ends of its
 	// tasks.
@@ -78,10 +79,11 @@
 	removeHostAfter = 30 * time.Second
 	// maxUnlistedHosts bounds the hosts that only hand-overs by owners have named, and not yet the endpoint list.
 	maxUnlistedHosts int = 1024
-	// unlistedTimeout is the time within which such a host must be listed before its tasks are lost. It is below the
-	// 3 s within which misbehaving clients must have an answer.
+	// unlistedTimeout is the time after which the tasks of a host that only hand-overs have named are lost. It is below
+	// the 3 s within which misbehaving clients must have an answer.
 	unlistedTimeout = 2500 * time.Millisecond
-	// stopTimeout bounds the wait for a host's answer to the stop of a task. After it the task counts as stopped.
+	// stopTimeout bounds the wait for a host's answer to the stop of a task. After that time the task counts as
+	// stopped.
 	stopTimeout = time.Second
 )
 
--- a/internal/scheduler/platform/log.go
+++ b/internal/scheduler/platform/log.go
@@ -20,13 +20,13 @@
 	messageAnswerVetoed      = "answer vetoed"
 	messageNoAnswer          = "no answer at the deadline of a task"
 	messageOversizedGossip   = "oversized gossip message dropped"
-	messageModuleInterrupted = "module interrupted" // not logged at present: New sets no limit for the module's driver
+	messageModuleInterrupted = "module interrupted" // not logged at present, as New sets no limit of rounds
 )
 
 // logReason is the value of the attribute keyReason.
 type logReason string
 
-// Reasons why a connection was closed or the tasks of a host count as lost. They are constant as well.
+// Reasons why a connection was closed or the tasks of a host count as lost. They are constant, like the messages.
 const (
 	reasonUnreadable         logReason = "a message cannot be read"
 	reasonPartialLine        logReason = "a message did not end"
--- a/internal/scheduler/platform/messages.go
+++ b/internal/scheduler/platform/messages.go
@@ -16,8 +16,8 @@
 	return platform.Append(nil, platform.TypeRelease, string(ref), cause, nil)
 }
 
-// stopMessage instructs a host to drop an offer or to end a task, whichever it has under the ref. The message is the
-// same for both.
+// stopMessage instructs a host to drop the offer or to end the task that it has under the ref. The message is the same
+// for both.
 func stopMessage(ref requestRef) []byte { return releaseMessage(ref, platform.CauseOK) }
 
 // rejectMessage rejects a request. The owner may send it again after retryAfter, which is rounded down to whole
--- a/internal/scheduler/platform/owner.go
+++ b/internal/scheduler/platform/owner.go
@@ -13,12 +13,12 @@
 	id                OwnerID
 	reader            lineReader
 	acceptedAt        time.Duration
-	lastUsedAt        time.Duration // last time it sent a readable message
-	sentValid         bool          // it has sent a valid message
-	malformedRequests int           // number of malformed requests it has sent
+	lastUsedAt        time.Duration // last time the owner sent a readable message
+	sentValid         bool          // the owner has sent a valid message
+	malformedRequests int           // number of malformed requests that the owner has sent
 	openRequests      map[*request]struct{}
-	runningTasks      int // number of running tasks whose requests or hand-overs came on it
-	placedTotal       int // number of all such tasks, including those that have ended
+	runningTasks      int // number of running tasks whose requests or hand-overs came on this connection
+	placedTotal       int // like runningTasks, but including tasks that have ended
 }
 
 // ownerRank ranks connections of owners by their use so far; the lowest rank is evicted first. Regular owners send one
@@ -26,10 +26,10 @@
 type ownerRank uint8
 
 const (
-	ownerWithoutValidMessage ownerRank = iota // it has sent no valid message
-	ownerWithoutTasks                         // no task was placed for it
-	ownerWithoutRunningTasks                  // tasks were placed for it, but none runs any more
-	ownerWithRunningTasks                     // a task that was placed for it runs; never evicted
+	ownerWithoutValidMessage ownerRank = iota // the owner has sent no valid message
+	ownerWithoutTasks                         // no task was placed for the connection
+	ownerWithoutRunningTasks                  // tasks were placed for the connection, but none runs any more
+	ownerWithRunningTasks                     // a task that was placed for the connection runs; never evicted
 )
 
 func (o *ownerConnection) rank() ownerRank {
@@ -66,7 +66,7 @@
 // acquireOwnerSlot makes sure that there is a slot for one more connection of an owner, and reports whether there is.
 // If all are taken, it evicts an idle connection to a host, unless owners have all the connections that they may have,
 // or else the owner of the lowest rank. The rank keeps regular owners from being evicted in favor of hundreds that send
-// one request and stay connected: the outcomes of their tasks could then not be delivered.
+// one request and stay connected. The outcomes of the tasks of evicted owners could not be delivered.
 func (c *Core) acquireOwnerSlot() bool {
 	if len(c.owners) < c.config.MaxOwnerConnections {
 		if len(c.owners)+c.usedHostConnections() < c.config.MaxConnections {
--- a/internal/scheduler/platform/placed.go
+++ b/internal/scheduler/platform/placed.go
@@ -15,18 +15,18 @@
 	cause platform.Cause
 }
 
-// causeOwnerKnows marks a task whose owner knows that it has ended. A hand-over after its end is not answered, as after
-// a migration that the host has reported, so it shares that cause.
+// causeOwnerKnows marks a task whose owner knows that it has ended. A hand-over after such an end is not answered. The
+// same holds after a migration that the host has reported, so both have the same cause.
 const causeOwnerKnows = platform.CauseMigrated
 
-// possibleOrphan identifies an attempt whose answer was lost with its connection. Its host may run the task.
+// possibleOrphan identifies an attempt whose answer was lost with its connection. The host may run the task.
 type possibleOrphan struct {
 	host *host
 	ref  requestRef
 }
 
 // stopPossibleOrphans stops tasks that may run although no answer came, as nothing else would end them. A task that has
-// been offered to the same host again is left to that host, which resolves the duplicate.
+// been offered to the same host again is not stopped, as that host resolves the duplicate.
 func (c *Core) stopPossibleOrphans() {
 	for _, orphan := range c.possibleOrphans {
 		if conn := orphan.host.leastBusyConnection(); conn != nil && orphan.host.attempts[orphan.ref] == nil {
@@ -70,8 +70,8 @@
 	}
 }
 
-// expireStops ends tasks whose host has not confirmed the stop in time, or could not be sent it within
-// undeliveredTimeout after that.
+// expireStops ends tasks whose host has not confirmed a sent stop by its deadline, and tasks whose stop could not be
+// sent until undeliveredTimeout after its deadline.
 func (c *Core) expireStops(h *host) {
 	expired := h.attemptsWhere(func(a *taskAttempt) bool {
 		return a.request.phase == requestEnding &&
@@ -82,8 +82,9 @@
 	}
 }
 
-// finishTask ends a placed task, as its host has reported the end or something else proves it. It releases the task to
-// its owner, unless the owner or the module has ended the task. Only reason and report of end are used.
+// finishTask ends a placed task, as its host has reported the end or something else shows that it has ended. It
+// releases the task to its owner, unless the owner or the module has ended the task. Of the parameter end, only the
+// fields reason and report are used.
 func (c *Core) finishTask(a *taskAttempt, cause platform.Cause, end attemptEnd) {
 	r := a.request
 	cause = endCause(cause)
@@ -91,14 +92,14 @@
 	c.uncountPlaced(r)
 	remembered := reportedEnd{a.key(), causeOwnerKnows}
 	if r.phase == requestPlaced && cause != platform.CauseMigrated && !c.notifyOwner(r, releaseMessage(r.ref, cause)) {
-		remembered.cause = cause // the release could not be delivered
+		remembered.cause = cause // the owner does not know of the end, as the release could not be delivered
 	}
 	c.reportedEnds.add(remembered)
 	r.phase = requestFinished
 	c.endAttempt(a, end)
 }
 
-// taskResult returns the result of a placed task that ended with a cause while its request was in a phase.
+// taskResult returns the result of a placed task, given the cause of its end and the phase that its request was in.
 func taskResult(phase requestPhase, cause platform.Cause) forkhead.Result {
 	switch {
 	case phase == requestEnding || cause == platform.CauseMigrated:
@@ -109,8 +110,8 @@
 	return forkhead.Reset
 }
 
-// endCause returns the cause of the end of a placed task: CauseOK and CauseMigrated as they are, and CauseReset for any
-// other.
+// endCause returns the cause of the end of a placed task: CauseOK and CauseMigrated unchanged, and CauseReset for any
+// other cause.
 func endCause(cause platform.Cause) platform.Cause {
 	if cause == platform.CauseOK || cause == platform.CauseMigrated {
 		return cause
--- a/internal/scheduler/platform/probe.go
+++ b/internal/scheduler/platform/probe.go
@@ -12,9 +12,9 @@
 // broken.
 type probe struct {
 	startedAt   time.Duration
-	retryAt     time.Duration // time at which it is sent on another connection; 0: not again
+	retryAt     time.Duration // time at which the probe is sent on another connection; 0: not sent again
 	refs        []requestRef
-	connections []*hostConnection // connections it was sent on
+	connections []*hostConnection // connections on which the probe was sent
 }
 
 // executeProbe executes the module's Probe, unless a probe of the host is in progress.
@@ -86,8 +86,8 @@
 // probeRefPrefix makes the refs of probes recognizable in a trace.
 const probeRefPrefix = 0x7e57 << 48
 
-// sendProbeMessage sends a probe message under a new ref. It counts as use of the connection, even if no result is
-// awaited.
+// sendProbeMessage sends a probe message under a new ref. The message counts as use of the connection, even if no
+// result is awaited.
 func (c *Core) sendProbeMessage(conn *hostConnection) requestRef {
 	c.lastProbe++
 	ref := requestRef(fmt.Sprintf("%016x", probeRefPrefix|c.lastProbe))
--- a/internal/scheduler/platform/recent.go
+++ b/internal/scheduler/platform/recent.go
@@ -4,7 +4,7 @@
 type recent[K comparable] struct {
 	ring   []K
 	oldest int
-	counts map[K]int // number of occurrences of each value in ring
+	counts map[K]int // number of occurrences of each value in the ring
 }
 
 func newRecent[K comparable](capacity int) recent[K] {
--- a/internal/scheduler/platform/reconcile.go
+++ b/internal/scheduler/platform/reconcile.go
@@ -21,7 +21,7 @@
 		c.reconcileConnection(conn)
 	}
 	c.reconcileProbe(h)
-	if len(h.attempts) > 0 { // most hosts have none, and iterating over an empty map has a cost
+	if len(h.attempts) > 0 { // most hosts have no attempts, and iterating over an empty map has a cost
 		c.expireStops(h)
 	}
 	if c.expireUnlessListed(h) && len(h.attempts) > 0 {
@@ -59,7 +59,7 @@
 	h := conn.host
 	switch {
 	case !conn.isNeeded():
-		if !h.isReplacing() || !h.hasPlacedTasks() { // otherwise closeSuperseded closes it once the new one is open
+		if !h.isReplacing() || !h.hasPlacedTasks() { // otherwise closeSuperseded closes it once its replacement is open
 			c.halfClose(conn)
 		}
 	case c.settings.MayProbe:
--- a/internal/scheduler/platform/request.go
+++ b/internal/scheduler/platform/request.go
@@ -9,28 +9,28 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// requestPhase is the phase of a placement request, named by what it awaits or has reached.
+// requestPhase is the phase of a placement request.
 type requestPhase uint8
 
 const (
-	requestOpen     requestPhase = iota // its owner waits for the answer
-	requestPlaced                       // a host runs its task
-	requestEnding                       // its owner or the module has ended its task; the host's confirmation is awaited
-	requestFinished                     // nothing is awaited: it is removed once none of its attempts is in flight
+	requestOpen     requestPhase = iota // the owner waits for the answer
+	requestPlaced                       // a host runs the task
+	requestEnding                       // the owner or the module has ended the task, and the host must confirm that
+	requestFinished                     // no message is awaited; removed once no attempt is in flight
 )
 
 // request is a placement request of an owner or a task that was handed over.
 type request struct {
 	id          forkhead.TaskID // number of the request at this placer
 	ref         requestRef
-	owner       OwnerID // connection that it last came on; it may be closed
+	owner       OwnerID // connection on which the request last came; may be closed
 	task        forkhead.Task
 	class       *forkhead.Class
-	digest      uint64           // hash of what its owner sent, to recognize a resubmission
+	digest      uint64           // hash of the content, to recognize a resubmission
 	description []byte           // forwarded to hosts unchanged; nil once the request is answered
 	hostFields  []platform.Field // forwarded to hosts unchanged; nil once the request is answered
-	lifecycle   attempt.Request  // state machine of its answer and its attempts
-	attempts    []*taskAttempt   // indexed by number; nil: never started
+	lifecycle   attempt.Request  // state machine of the answer and the attempts
+	attempts    []*taskAttempt   // by attempt number; nil: never started
 	phase       requestPhase
 }
 
@@ -94,23 +94,23 @@
 	c.answer(r, attempt.AnsweredRejected, rejectMessage(r.ref, action.RetryAfter))
 }
 
-// failRequest answers an open request as failed, which states nothing about whether its task ran. It also executes the
-// module's Fail.
+// failRequest answers an open request as failed, which states nothing about whether its task ran. failRequest also
+// executes the module's Fail.
 func (c *Core) failRequest(id forkhead.TaskID) {
 	r := c.requests[id]
 	if r == nil || r.phase != requestOpen {
 		return
 	}
-	c.checkAnswerOrWithdraw(r, attempt.AnsweredFailed) // an illegal answer becomes legal once nothing is in flight
+	c.checkAnswerOrWithdraw(r, attempt.AnsweredFailed) // on a violation it withdraws what forbids a failure
 	c.answer(r, attempt.AnsweredFailed, releaseMessage(r.ref, platform.CauseFailed))
 }
 
-// checkAnswerOrWithdraw reports whether an open request may be answered like this now. If not, it logs the violation
-// and withdraws all attempts in flight, so that the request can be failed.
+// checkAnswerOrWithdraw reports whether an open request may now be given the answer. If not, it logs the violation and
+// withdraws all attempts in flight, so that the request can be failed.
 func (c *Core) checkAnswerOrWithdraw(r *request, answer attempt.Answer) bool {
 	if !c.settings.MayWithdraw {
-		// An attempt that may not be withdrawn stays in flight until its owner stops waiting, which is when the module
-		// answers. No outcome is awaited after that, and nothing is sent to the host.
+		// An attempt that may not be withdrawn stays in flight until its owner stops waiting, and only then does the
+		// module answer. No outcome is awaited after that, and nothing is sent to the host.
 		c.withdrawAll(r, forkhead.Withdrawn, true)
 	}
 	violation := invariant.CheckAnswer(&r.lifecycle, answer == attempt.AnsweredRejected)
--- a/internal/scheduler/platform/request_test.go
+++ b/internal/scheduler/platform/request_test.go
@@ -68,8 +68,10 @@
 	}
 	w.send(second, requestLine(ref1, "keyed", ""))
 	w.step(OwnerDisconnected{first})
-	if len(takeEvents[forkhead.PlacementRequest](w)) != 1 || len(takeEvents[forkhead.RequestCanceled](w)) != 0 {
-		t.Fatal("resubmission on a second connection, end of the first: got other events, want one PlacementRequest and no RequestCanceled")
+	requests, canceled := takeEvents[forkhead.PlacementRequest](w), takeEvents[forkhead.RequestCanceled](w)
+	if len(requests) != 1 || len(canceled) != 0 {
+		t.Fatalf("resubmission on a second connection, end of the first: got %d PlacementRequest events, want 1; %d RequestCanceled, want 0",
+			len(requests), len(canceled))
 	}
 	out = w.send(second, strings.Replace(requestLine(ref1, "keyed", ""), `a\ud800`, "other", 1))
 	if len(ofType[CloseOwnerConnection](out)) != 1 {
@@ -159,9 +161,9 @@
 		if !c.closes {
 			w.wantLines(sentLines[SendToOwner](out), "down "+ref1+" 47")
 		}
-		if len(takeEvents[forkhead.PlacementRequest](w)) > 0 || w.core.unanswered != 1 || w.core.requestsByRef[ref2] == nil {
-			t.Errorf("%s: the module received a request, or the other owner's request was removed (%d unanswered, want 1); want neither",
-				name, w.core.unanswered)
+		if got := takeEvents[forkhead.PlacementRequest](w); len(got) > 0 || w.core.unanswered != 1 || w.core.requestsByRef[ref2] == nil {
+			t.Errorf("%s: got PlacementRequest events %+v, want none; %d unanswered requests, want 1; other owner's request known %v, want true",
+				name, got, w.core.unanswered, w.core.requestsByRef[ref2] != nil)
 		}
 	}
 }
--- a/internal/scheduler/platform/shutdown.go
+++ b/internal/scheduler/platform/shutdown.go
@@ -4,7 +4,7 @@
 
 // shutdown is the progress of this placer's shutdown.
 type shutdown struct {
-	requestedAt    time.Duration // 0: not requested
+	requestedAt    time.Duration // 0: no shutdown was requested
 	listenerClosed bool
 }
 
--- a/internal/scheduler/platform/testcore_test.go
+++ b/internal/scheduler/platform/testcore_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// newTestCore returns a core with two hosts, whose module offers each task to host 1. change modifies the configuration
-// before the core is created; it may be nil.
+// newTestCore returns a core with two hosts, whose module offers each task to host 1. The function change modifies the
+// configuration before the core is created; it may be nil.
 func newTestCore(t testing.TB, change func(*Config)) *testCore {
 	t.Helper()
 	w := &testCore{t: t, now: time.Hour}
@@ -104,7 +104,7 @@
 
 const ownerProbe = `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`
 
-// requestLine returns a placement request; more is appended to its extras.
+// requestLine returns a placement request. The parameter more is appended to its extras.
 func requestLine(ref, class, more string) string {
 	return fmt.Sprintf(`{"t":"new","ref":"%s","f":{"class":"%s","left":"1500","tenant":"acme","key":"7f3a9c21e0b4d655","idem":"aa","extras":"cores:1;memory:2;service:00000000b4d65521%s"},"d":"a\ud800\r\nb"}`,
 		ref, class, more)
@@ -246,7 +246,8 @@
 	return WatchEventReceived{Event: platform.WatchEvent{Seq: 2, Endpoints: &platform.EndpointList{Hosts: []platform.Endpoint{endpoint(n, state)}}}}
 }
 
-// run lets time pass in steps of 10 ms. It answers every dial with answer and calls each once per 10 ms.
+// run lets time pass in steps of 10 ms. It answers every dial with the result of the function answer, and calls the
+// function each once per 10 ms.
 func (w *testCore) run(d time.Duration, answer func(DialHost) Input, each func()) {
 	for end := w.now + d; w.now < end; {
 		w.now += 10 * time.Millisecond
--- a/internal/scheduler/platform/undelivered.go
+++ b/internal/scheduler/platform/undelivered.go
@@ -11,7 +11,7 @@
 
 // notifyOwner sends a message about a request to its owner: on the connection that the request came on, or else on the
 // one that most tasks were placed for. If neither is open, the message is kept for the next connection that a task is
-// placed for, and sent is false.
+// placed for, and the result sent is false.
 func (c *Core) notifyOwner(r *request, line []byte) (sent bool) {
 	if c.owners[r.owner] != nil {
 		c.emit(SendToOwner{r.owner, line})
@@ -27,8 +27,8 @@
 	return false
 }
 
-// busiestOwner returns the connection that most tasks were placed for, leaving out those that sent a malformed request,
-// or nil if no task was placed for any.
+// busiestOwner returns the connection that most tasks were placed for, or nil if no task was placed for any.
+// Connections with a malformed request are left out.
 func (c *Core) busiestOwner() *ownerConnection {
 	var best *ownerConnection
 	for _, owner := range c.owners {
--- a/internal/scheduler/platform/unresponsive.go
+++ b/internal/scheduler/platform/unresponsive.go
@@ -7,8 +7,9 @@
 	"forkhead"
 )
 
-// expireUnlessListed handles a host that the endpoint list does not have, or has as removed: once its time is over, its
-// tasks count as lost and the host is deleted. It returns whether the list has the host as in service or draining.
+// expireUnlessListed handles a host that the endpoint list does not have, or has as removed: once unlistedTimeout or
+// removedGrace is over, the tasks of the host count as lost, and the host is deleted. It returns whether the list has
+// the host as in service or draining.
 func (c *Core) expireUnlessListed(h *host) (listed bool) {
 	switch {
 	case h.unlistedSince > 0:
@@ -21,7 +22,8 @@
 	return true
 }
 
-// addUnlistedHost adds a host that an owner names before the endpoint list does. It returns nil if there are too many.
+// addUnlistedHost adds a host that an owner names before the endpoint list does. It returns nil if there are too many
+// such hosts.
 func (c *Core) addUnlistedHost(id forkhead.MachineID, name string) *host {
 	if c.unlistedHosts >= maxUnlistedHosts {
 		return nil
@@ -46,7 +48,8 @@
 	}
 }
 
-// expireRemoved ends the tasks of a removed host as lost once removedGrace is over, and deletes the host later.
+// expireRemoved ends the tasks of a removed host as lost once removedGrace is over, and deletes the host after
+// removeHostAfter.
 func (c *Core) expireRemoved(h *host) {
 	if c.now <= h.removedAt+removedGrace {
 		return
@@ -63,7 +66,7 @@
 	if !h.hasPlacedTasks() || h.address == "" {
 		return
 	}
-	if h.lastSeenAliveAt == 0 { // it has never sent anything: count from now
+	if h.lastSeenAliveAt == 0 { // the host has never been seen alive: its time begins now
 		h.lastSeenAliveAt = c.now
 	}
 	switch unresponsiveFor := c.now - h.lastSeenAliveAt; {
@@ -88,8 +91,8 @@
 		(!h.isDialing() || unresponsiveFor > lostAfter+lastDialBeforeLoss/2)
 }
 
-// needsLastDial reports whether a host is about to be lost and no dial has failed in that last period. It is then
-// dialed regardless of its backoff.
+// needsLastDial reports whether a host is about to be lost and no dial has failed in the period lastDialBeforeLoss
+// before that. Such a host is dialed regardless of its backoff.
 func (h *host) needsLastDial(unresponsiveFor time.Duration) bool {
 	return unresponsiveFor > lostAfter-lastDialBeforeLoss && h.lastDialFailedAt < h.lastSeenAliveAt+lostAfter-lastDialBeforeLoss
 }
--- a/internal/scheduler/platform/unresponsive_test.go
+++ b/internal/scheduler/platform/unresponsive_test.go
@@ -28,7 +28,7 @@
 		w.advance(50 * time.Millisecond)
 		w.failDials(false)
 		if w.now > began+8*time.Second {
-			t.Fatal("host to which dials fail: tasks kept for more than 8 s, want them lost within 8 s")
+			t.Fatal("host to which dials fail: got no outcome of its task within 8 s, want the task lost by then")
 		}
 	}
 }
@@ -54,8 +54,8 @@
 			t.Errorf("%s: task lost %v, want %v", name, lost, c.lost)
 		}
 		if maxConnections > 2 || !c.lost && dials < 10 {
-			t.Errorf("%s: got up to %d connections at once, want at most 2; %d dials, want at least 10 unless the host is lost",
-				name, maxConnections, dials)
+			t.Errorf("%s: got up to %d connections at once, want at most 2; %d dials, want at least 10 unless the host is lost (%v)",
+				name, maxConnections, dials, c.lost)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 			t.Errorf("partitioned for %v: task released %v after the host was last seen alive, want it kept", cut, releasedAt-receivedAt)
 		}
 		if cut > time.Minute && (releasedAt == 0 || releasedAt > receivedAt+8*time.Second) {
-			t.Errorf("partitioned for good: task released (%v) %v after the host was last seen alive, want within 8s",
+			t.Errorf("partitioned for good: got task released %v, want true; released %v after the host was last seen alive, want at most 8s",
 				releasedAt != 0, releasedAt-receivedAt)
 		}
 	}
