--- a/internal/scheduler/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -31,13 +31,13 @@
 type Core struct {
 	settings    *settings.Settings
 	rng         *rand.Rand
-	epoch       uint64 // of this incarnation
+	epoch       uint64 // epoch of this incarnation
 	durable     bool
 	retryPolicy retrypolicy.Policy
 	connPolicy  hostconn.Policy
 
-	now     time.Duration // of the current step
-	outputs []Output      // of the current step
+	now     time.Duration // time of the current step
+	outputs []Output      // outputs of the current step
 	timers  timerqueue.Queue[*timer]
 	module  *moduledriver.Driver
 
@@ -126,8 +126,8 @@
 }
 
 // Step handles the inputs that arrived at a time and the timers that are due by then. It returns the outputs in the
-// order in which the shell must execute them. If the clock was set back, so that now is before the time of the last
-// step, the time of the last step is used.
+// order in which the shell must execute them. If the clock was set back and the parameter now is before the time of the
+// last step, the time of the last step is used instead.
 func (c *Core) Step(now time.Duration, inputs ...Input) []Output {
 	starting := c.isStarting()
 	c.now, c.outputs = max(now, c.now), nil
--- a/internal/scheduler/core/dependencies.go
+++ b/internal/scheduler/core/dependencies.go
@@ -56,8 +56,8 @@
 	return false
 }
 
-// dependencyState reports whether a service's dependencies are met, or why they never will be. failure is "" while they
-// may still be met.
+// dependencyState reports whether a service's dependencies are met, or why they never will be. The result failure is ""
+// while they may still be met.
 func dependencyState(svc *service) (met bool, failure string) {
 	if svc.spec == nil {
 		return true, ""
@@ -78,8 +78,8 @@
 	return met, ""
 }
 
-// satisfies reports whether a service meets the condition of a dependency on it, or why it never will. failure is ""
-// while it may still meet it.
+// satisfies reports whether a service meets the condition of a dependency on it, or why it never will. The result
+// failure is "" while the service may still meet the condition.
 func (s *service) satisfies(condition servicespec.DependencyCondition) (met bool, failure string) {
 	if s.failureReason != "" {
 		return false, ", which was not placed"
--- a/internal/scheduler/core/explain.go
+++ b/internal/scheduler/core/explain.go
@@ -11,8 +11,8 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// explain returns why a replica cannot be placed, as far as this placer's view of the hosts and their answers tell.
-// impossible means that not even an empty host of a permitted machine type could take it.
+// explain returns why a replica cannot be placed, as far as this placer's view of the hosts and their answers tell. The
+// result impossible means that not even an empty host of a permitted machine type could take it.
 func (c *Core) explain(r *desiredReplica) (reason string, impossible bool) {
 	if !c.fitsMachineType(r) {
 		where := "any kind of host"
--- a/internal/scheduler/core/hosts.go
+++ b/internal/scheduler/core/hosts.go
@@ -17,7 +17,7 @@
 type host struct {
 	name        string
 	id          forkhead.MachineID
-	entry       HostEntry // from the last endpoint list that named the host
+	entry       HostEntry // entry in the last endpoint list that named the host
 	machineType int       // index into the settings' machine types
 	zone        int
 	cell        int
--- a/internal/scheduler/core/orphans.go
+++ b/internal/scheduler/core/orphans.go
@@ -93,8 +93,8 @@
 	return taskName{project: parts[0], service: parts[1], replica: replica}, nil
 }
 
-// handleInherited adopts or stops a task that a host has held since an earlier incarnation of this placer. It leaves a
-// task alone whose class or name it does not know.
+// handleInherited adopts or stops a task that a host has held since an earlier incarnation of this placer. A task whose
+// class or name is not known here is left alone.
 func (c *Core) handleInherited(h *host, reported *hostproto.Held) {
 	class, known := c.settings.ClassIndex(reported.Spec.Class)
 	name, err := parseTaskName(reported.Spec.Name)
@@ -107,7 +107,7 @@
 		return
 	}
 	if c.projects[name.project] == nil && c.removedProjects[name.project] {
-		c.sendFrame(h, hostproto.Stop{Ref: reported.Ref}) // its project was removed by an earlier incarnation
+		c.sendFrame(h, hostproto.Stop{Ref: reported.Ref}) // an earlier incarnation removed the project
 		return
 	}
 	task := runningTask{host: h, ref: reported.Ref, hostEpoch: h.connection.Epoch, conn: h.connection.Conn, rules: c.attemptRules(class)}
@@ -187,8 +187,8 @@
 }
 
 // stopInherited stops an inherited task that its replica does not need. The task may run until the host reports its
-// end, since the Stop may be lost with its connection (found by the simulation). It is therefore added as an unknown
-// attempt, so that a task that must not run twice is not started before.
+// end, since the Stop may be lost with its connection (found by the simulation). The task is therefore recorded as an
+// unknown attempt, so that a task that must not run twice is not started before.
 func (c *Core) stopInherited(r *desiredReplica, h *host, reported *hostproto.Held) {
 	// The time at which the task was started is not known, so the window in which hosts keep the task's key counts as
 	// over.
--- a/internal/scheduler/core/projects.go
+++ b/internal/scheduler/core/projects.go
@@ -83,8 +83,8 @@
 }
 
 // applyDescription changes a project to a description. New tasks are requested, unchanged ones keep running, changed
-// ones are replaced as the update_config of their service states, and all others are stopped. labels are the label bits
-// of the services, in their order.
+// ones are replaced as the update_config of their service states, and all others are stopped. The parameter labels
+// holds the label bits of the services, in their order.
 func (c *Core) applyDescription(p *project, d *servicespec.Description, s *submission, labels []uint64) {
 	var toStart []*desiredReplica
 	for i := range d.Services {
--- a/internal/scheduler/core/replicas.go
+++ b/internal/scheduler/core/replicas.go
@@ -39,7 +39,7 @@
 	request       *placementRequest // set in state requesting
 	attempt       *taskAttempt      // set in state placed
 	blocked       bool              // in state awaitingRequest: waits until its unknown attempts permit a request
-	removing      bool              // to be removed once it has ended
+	removing      bool              // the replica is removed once its task has ended
 	removed       bool              // no longer part of a project
 	stopRequested bool              // the project wants the host to stop the task
 	succeeded     bool              // in state finished: the task ended without an error
@@ -57,8 +57,8 @@
 
 	updating    bool                 // an update is replacing the replica
 	nextSpec    *servicespec.Service // specification with which the replica is requested once its task has ended
-	successor   *desiredReplica      // with start-first: the copy that will replace it
-	predecessor *desiredReplica      // with start-first: the copy that it will replace
+	successor   *desiredReplica      // in a start-first update: the copy that will replace this one
+	predecessor *desiredReplica      // in a start-first update: the copy that this one will replace
 
 	// Number of the latest timer of each kind; earlier timers of the kind are no longer valid.
 	requestTimerSeq  uint64
@@ -114,7 +114,7 @@
 	return servicespec.TaskKey(r.spec.Tenant, svc.project.name, svc.name, r.number) ^ uint64(r.generation&1)
 }
 
-// setSpec changes the specification of a replica. Its key stays the same.
+// setSpec changes the specification of a replica, whose key stays the same.
 func (c *Core) setSpec(r *desiredReplica, spec *servicespec.Service) {
 	r.spec, r.fingerprint = spec, spec.Fingerprint()
 	r.class, r.tenant = c.classIndex(spec), slices.Index(c.settings.Tenants, spec.Tenant)
--- a/internal/scheduler/core/requesting.go
+++ b/internal/scheduler/core/requesting.go
@@ -35,7 +35,7 @@
 	c.addTimer(&timer{at: r.retrier.Deadline, kind: timerOwnerDeadline, replica: r, number: r.deadlineTimerSeq})
 }
 
-// requestAt requests a replica at a time, or at once if that time has passed.
+// requestAt requests a replica at the given time, or at once if that time has passed.
 func (c *Core) requestAt(r *desiredReplica, at time.Duration) {
 	r.state, r.blocked = awaitingRequest, false
 	if at <= c.now {
@@ -92,9 +92,9 @@
 	return min(wait, r.retrier.Deadline-c.now)
 }
 
-// mayRequest reports whether a replica may be requested now. It may not while an attempt of an earlier request, or of
-// an earlier incarnation of this placer, may run and a second run could do harm. The result maxWait bounds the time of
-// a request that must end before the hosts drop the task's key; 0 means no bound.
+// mayRequest reports whether a replica may be requested now. It may not be requested as long as an attempt of an
+// earlier request, or of an earlier incarnation of this placer, may run and a second run could do harm. The result
+// maxWait bounds the time of a request that must end before the hosts drop the task's key; 0 means no bound.
 func (c *Core) mayRequest(r *desiredReplica) (maxWait time.Duration, ok bool) {
 	rules := c.attemptRules(r.class)
 	if c.mustAwaitHosts(r, rules) {
--- a/internal/scheduler/core/requests.go
+++ b/internal/scheduler/core/requests.go
@@ -142,7 +142,7 @@
 }
 
 // expireRequest ends a request that the module has left open at its deadline. This is a defect, since the module must
-// end its requests before.
+// end its requests before their deadlines.
 func (c *Core) expireRequest(request *placementRequest) {
 	if request.Answer != attempt.Unanswered || c.requests[request.id] != request {
 		return
--- a/internal/scheduler/core/submissions.go
+++ b/internal/scheduler/core/submissions.go
@@ -94,7 +94,8 @@
 	c.emit(*rejected)
 }
 
-// newRejection returns a rejection. If its status is that of a temporary limit, it advises the client when to retry.
+// newRejection returns a rejection. If the status is that of a temporary limit, the rejection advises the client when
+// to retry.
 func newRejection(status int, title, format string, args ...any) *Rejected {
 	r := &Rejected{Status: status, Title: title, Detail: fmt.Sprintf(format, args...)}
 	if status == statusTooManyRequests || status == statusServiceUnavailable {
@@ -128,8 +129,8 @@
 	return tasks
 }
 
-// admit returns a rejection if a submission of this many tasks exceeds a limit. If there are too many submissions, it
-// removes the oldest complete one instead.
+// admit returns a rejection if a submission with the given number of tasks exceeds a limit. If there are too many
+// submissions, it removes the oldest complete one instead.
 func (c *Core) admit(tasks int) *Rejected {
 	limits := &c.settings.Limits
 	if tasks > limits.TasksPerSubmission {
@@ -198,8 +199,8 @@
 	}
 }
 
-// Outcomes returns the outcomes of a submission, beginning with the one at index from. complete tells whether all tasks
-// of the submission have an outcome, known whether the placer has the submission.
+// Outcomes returns the outcomes of a submission, beginning with the one at index from. The result complete tells
+// whether all tasks of the submission have an outcome, known whether the placer has the submission.
 func (c *Core) Outcomes(id string, from int) (list []Outcome, complete, known bool) {
 	s := c.submissions[id]
 	if s == nil {
--- a/internal/scheduler/core/timers.go
+++ b/internal/scheduler/core/timers.go
@@ -13,15 +13,15 @@
 type timerKind uint8
 
 const (
-	timerModule                timerKind = iota // at a timer of the module (number: the module's ID of it)
+	timerModule                timerKind = iota // when a timer of the module is due (number: its ID in the module)
 	timerRequestDeadline                        // at the deadline of a request (request)
 	timerAttemptTimeout                         // at the timeout of an attempt, which the module sets (attempt)
 	timerAttemptConnectTimeout                  // at an attempt's timeout for the connection to its host (attempt)
-	timerRequest                                // at the next placement request for a replica (replica, number)
+	timerRequest                                // when the next request for a replica is due (replica, number)
 	timerOwnerDeadline                          // at the end of an owner's wait for an outcome (replica, number)
-	timerReconnect                              // at the next attempt to connect to a host (host)
+	timerReconnect                              // when the next attempt to connect to a host is due (host)
 	timerHostConnectTimeout                     // at the timeout for the connection and handshake (host, number)
-	timerLiveness                               // at the next check whether a host still sends (host, number)
+	timerLiveness                               // when the next check whether a host still sends is due (host, number)
 	timerHostLost                               // once a host has been unreachable for LostAfter (host, number)
 	timerProbeTimeout                           // at the timeout of a probe of a host (host, number)
 	timerUpdate                                 // at the end of the delay between batches of an update (service)
--- a/internal/scheduler/core/updates.go
+++ b/internal/scheduler/core/updates.go
@@ -112,9 +112,9 @@
 	c.removeReplica(old)
 }
 
-// reportUpdateResult reports to a service's update that the replacement of a replica succeeded, which means that it is
-// placed and has run for the monitoring time, or failed. For a replica that is not being updated, it only detaches a
-// failed successor from its predecessor.
+// reportUpdateResult reports to a service's update whether the replacement of a replica succeeded. It has succeeded if
+// the new copy is placed and has run for the monitoring time. For a replica that is not being updated,
+// reportUpdateResult only detaches a failed successor from its predecessor.
 func (c *Core) reportUpdateResult(r *desiredReplica, succeeded bool) {
 	if !succeeded && r.predecessor != nil {
 		r.predecessor.successor, r.predecessor = nil, nil
--- a/internal/scheduler/ids/ids.go
+++ b/internal/scheduler/ids/ids.go
@@ -44,9 +44,9 @@
 	Old  uint32 // number of the name before the collision
 }
 
-// Add returns the number of a name, and assigns one if the name has none. renumbered lists the other names that lost
-// their numbers in a collision, in the order in which they lost them; the caller notifies the module that the old
-// numbers are removed.
+// Add returns the number of a name, and assigns one if the name has none. The result renumbered lists the other names
+// that lost their numbers in a collision, in the order in which they lost them; the caller notifies the module that the
+// old numbers are removed.
 //
 // If two names hash to the same number, both get the hash with the next salt, whichever was added first. The result
 // therefore depends on which names there are, and not on the order in which a placer received them.
--- a/internal/scheduler/platform/api.go
+++ b/internal/scheduler/platform/api.go
@@ -124,7 +124,8 @@
 	}
 	// CloseHostConnection closes a connection to a host, or cancels its dial.
 	CloseHostConnection struct{ Connection ConnectionID }
-	// HalfCloseHostConnection closes a connection to a host for writing. It is still read until the host closes it.
+	// HalfCloseHostConnection closes a connection to a host for writing. Data from the host is still received until the
+	// host closes it too.
 	HalfCloseHostConnection struct{ Connection ConnectionID }
 	// SendGossip sends a gossip message to another placer or to forkhead.AllPlacers. Delivery is not guaranteed.
 	SendGossip struct {
--- a/internal/scheduler/platform/handover_test.go
+++ b/internal/scheduler/platform/handover_test.go
@@ -10,8 +10,8 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// A hand-over is not answered, even one with a long timeout, and its task counts as placed: its host is dialed and its
-// end is released to the owner. A hand-over that names an unusable host is rejected.
+// A hand-over is not answered, even one with a long timeout, and the task counts as placed: its host is dialed, and the
+// end of the task is released to the owner. A hand-over that names an unusable host is rejected.
 func TestCoreHandOverIsNotAnswered(t *testing.T) {
 	w := newTestCore(t, nil)
 	o := w.connectOwner()
--- a/internal/scheduler/platform/reconcile.go
+++ b/internal/scheduler/platform/reconcile.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// reconcile does the periodic work: it closes idle connections, ends what has timed out and advances a shutdown.
+// reconcile does the periodic work: it closes idle connections, handles timeouts that are over and advances a shutdown.
 func (c *Core) reconcile() {
 	c.reconcileOwners()
 	c.expireUndelivered()
--- a/internal/scheduler/platform/request.go
+++ b/internal/scheduler/platform/request.go
@@ -101,7 +101,8 @@
 	if r == nil || r.phase != requestOpen {
 		return
 	}
-	c.checkAnswerOrWithdraw(r, attempt.AnsweredFailed) // on a violation it withdraws what forbids a failure
+	// The result is not needed: if attempts in flight forbid the failure, they have been withdrawn after the call.
+	c.checkAnswerOrWithdraw(r, attempt.AnsweredFailed)
 	c.answer(r, attempt.AnsweredFailed, releaseMessage(r.ref, platform.CauseFailed))
 }
 
--- a/internal/scheduler/platform/unresponsive_test.go
+++ b/internal/scheduler/platform/unresponsive_test.go
@@ -34,7 +34,7 @@
 }
 
 // A host that runs tasks and sends nothing for a minute is dialed repeatedly, without connections to it accumulating.
-// It is lost if it accepts none, but not if the dials fail for a local cause.
+// The host is lost if it accepts no connection, but not if the dials fail for a local cause.
 func TestCoreRedialsUnresponsiveHost(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func(DialHost) Input
