--- a/internal/scheduler/core/projects.go
+++ b/internal/scheduler/core/projects.go
@@ -34,14 +34,14 @@
 	name           string
 	key            uint64                  // servicespec.ServiceKey
 	spec           *servicespec.Service    // nil if specLost
-	specLost       bool                    // known only from the tasks that hosts report, since its description is lost
+	specLost       bool                    // its description is lost: only the tasks that hosts report are known
 	requiredLabels uint64                  // bits of its placement constraints
 	replicas       map[int]*desiredReplica // by number
 	applying       bool                    // a description is being applied, so the service must not be pruned
 	failureReason  string                  // why services that depend on it cannot be started, or ""
 
 	update        *rollingupdate.Update                    // nil: none is in progress
-	updateQueue   []*desiredReplica                        // replicas that the update has yet to replace
+	updateQueue   []*desiredReplica                        // replicas that the update still has to replace
 	updated       []*desiredReplica                        // replicas that the update has replaced
 	previousSpecs map[*desiredReplica]*servicespec.Service // specifications before the update, for a rollback
 }
@@ -83,8 +83,8 @@
 }
 
 // applyDescription changes a project to a description. New tasks are requested, unchanged ones keep running, changed
-// ones are replaced as the update_config of their service states, and all others are stopped. labels are the label bits
-// of the services, in their order.
+// ones are replaced as the update_config of their service states, and all others are stopped. The parameter labels
+// holds the label bits of the services, in their order.
 func (c *Core) applyDescription(p *project, d *servicespec.Description, s *submission, labels []uint64) {
 	var toStart []*desiredReplica
 	for i := range d.Services {
--- a/internal/scheduler/platform/api.go
+++ b/internal/scheduler/platform/api.go
@@ -25,7 +25,7 @@
 	InitialEvents []platform.WatchEvent
 
 	// MaxOwnerConnections bounds the connections of owners, MaxHostConnections those to hosts, and MaxConnections their
-	// total. A MaxConnections of 0 stands for the sum of the other two.
+	// total. If MaxConnections is 0, the sum of the other two is the bound of the total.
 	MaxOwnerConnections int
 	MaxHostConnections  int
 	MaxConnections      int
@@ -124,7 +124,8 @@
 	}
 	// CloseHostConnection closes a connection to a host, or cancels its dial.
 	CloseHostConnection struct{ Connection ConnectionID }
-	// HalfCloseHostConnection closes a connection to a host for writing. It is still read until the host closes it.
+	// HalfCloseHostConnection closes a connection to a host for writing. Data from the host is still received until the
+	// host closes it too.
 	HalfCloseHostConnection struct{ Connection ConnectionID }
 	// SendGossip sends a gossip message to another placer or to forkhead.AllPlacers. Delivery is not guaranteed.
 	SendGossip struct {
