--- a/internal/parse/compose/compose.go
+++ b/internal/parse/compose/compose.go
@@ -14,13 +14,13 @@
 
 // The limits of one submission.
 const (
-	MaxBytes = 4 << 20 // of all files together
+	MaxBytes = 4 << 20 // total size of all files
 	maxFiles = 64
 )
 
 var projectName = regexp.MustCompile(`^[a-z0-9][a-z0-9_-]{0,127}$`)
 
-// wantProjectName describes projectName in errors.
+// wantProjectName describes, in errors, the names that the pattern projectName matches.
 const wantProjectName = "lower-case letters, digits, - and _, at most 128"
 
 // File is a file of a submission.
@@ -32,10 +32,10 @@
 // Input is everything that a description is parsed from.
 type Input struct {
 	Files           []File            // merged in this order
-	ReferencedFiles []File            // files that extends, env_file and label_file may refer to
+	ReferencedFiles []File            // files that the elements extends, env_file and label_file may refer to
 	Variables       map[string]string // values for interpolation
 	Profiles        []string          // active profiles; "*": all
-	Services        []string          // services that are active whatever their profiles
+	Services        []string          // names of services that are active regardless of their profiles
 	Project         string            // overrides the project name in the files; "": no override
 
 	Classes []string // names of the classes in the settings
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// find returns the name and text of the file of the submission that the file from refers to as name. The reference is at
-// pos.
+// find looks up a file in the submission by a reference: the file named from refers to it by the path name, at the
+// position pos. It returns the name and text of the file found.
 func (in *Input) find(from, name string, pos diagnostic.Pos) (file, text string, err error) {
 	resolved := ResolvePath(from, name)
 	for _, files := range [][]File{in.ReferencedFiles, in.Files} {
@@ -97,7 +97,8 @@
 	return "", "", diagnostic.Wantf(pos, "the file with the submission: forkhead submit sends it along", "%s is missing from the submission", resolved)
 }
 
-// ResolvePath returns the path of the file that the file from refers to as name.
+// ResolvePath returns the path that a reference in a file leads to. The parameter from is the path of that file, and
+// name is the path as the reference has it, which is relative to the folder of the file unless it is absolute.
 func ResolvePath(from, name string) string {
 	if path.IsAbs(name) {
 		return path.Clean(name)
--- a/internal/parse/compose/compose_test.go
+++ b/internal/parse/compose/compose_test.go
@@ -18,12 +18,12 @@
 	return &Input{Files: []File{{Name: "a.yaml", Text: text}}, Classes: []string{"web", "batch"}, Tenants: []string{"courts"}}
 }
 
-// mustParse parses an input, and fails the test on an error.
+// mustParse parses an input. An error fails the test.
 func mustParse(t *testing.T, in *Input) *servicespec.Description {
 	t.Helper()
 	d, err := Parse(in)
 	if err != nil {
-		t.Fatalf("Parse = error %v, want none", err)
+		t.Fatalf("Parse(%+v) = error %v, want none", in, err)
 	}
 	return d
 }
@@ -162,11 +162,11 @@
 		_, err := Parse(newInput(c.text))
 		switch {
 		case c.want == "" && err != nil:
-			t.Errorf("%s: Parse = error %v, want none", name, err)
+			t.Errorf("%s: Parse(%.200q) = error %v, want none", name, c.text, err)
 		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)):
-			t.Errorf("%s: Parse = error %v\nwant an error with %s", name, err, c.want)
+			t.Errorf("%s: Parse(%.200q) = error %v\nwant an error that contains %s", name, c.text, err, c.want)
 		case c.want != "" && diagnostic.First(err) == nil:
-			t.Errorf("%s: Parse = error %v, want one with a position", name, err)
+			t.Errorf("%s: Parse(%.200q) = error %v, want an error with a position", name, c.text, err)
 		}
 	}
 }
@@ -181,11 +181,11 @@
 		in.Variables = vars
 		d, err := Parse(in)
 		if err != nil {
-			t.Errorf("Parse of image %s = error %v, want none", text, err)
+			t.Errorf("Parse of a service with image %s = error %v, want none", text, err)
 			continue
 		}
 		if got := string(d.Services[0].Payload); got != `{"image":"`+want+`"}` {
-			t.Errorf("Parse of image %s = payload %s, want one with image %q only", text, got, want)
+			t.Errorf("Parse of a service with image %s: got payload %s, want only the image %q in it", text, got, want)
 		}
 	}
 }
@@ -234,7 +234,7 @@
 		t.Fatalf("payloads after merging two files differ (-want +got):\n%s", diff)
 	}
 	if replicas := d.Service("web").Replicas; replicas != 2 {
-		t.Fatalf("after merging two files web has %d replicas, want 2 as in the later file", replicas)
+		t.Fatalf("after merging two files: got %d replicas of service web, want 2, as in the later file", replicas)
 	}
 }
 
@@ -242,18 +242,18 @@
 	in := newInput("version: '3'\nservices: {a: {}, b: {profiles: [debug], build: .}, c: {depends_on: {b: {condition: service_started, required: false}}}}")
 	d := mustParse(t, in)
 	if len(d.Services) != 2 || len(d.Service("c").DependsOn) != 0 {
-		t.Fatalf("Parse without profiles = services %+v, want a and c without dependencies", d.Services)
+		t.Fatalf("Parse without profiles: got services %+v, want a and c, and no dependency of c", d.Services)
 	}
 	in.Profiles = []string{"debug"}
 	if d = mustParse(t, in); len(d.Services) != 3 || len(d.Service("c").DependsOn) != 1 {
-		t.Fatalf("Parse with profile debug = services %+v, want a, b, and c with one dependency", d.Services)
+		t.Fatalf("Parse with profile debug: got services %+v, want a, b and c, and one dependency of c", d.Services)
 	}
 	if len(d.Notes) != 2 {
-		t.Fatalf("Parse with profile debug = notes %+v, want 2, of version and build", d.Notes)
+		t.Fatalf("Parse with profile debug: got notes %+v, want 2, one on version and one on build", d.Notes)
 	}
 }
 
-// TestElementTableIsOnPage checks that docs/compose.md has the tables that the parser uses.
+// TestElementTableIsOnPage checks that docs/compose.md contains the tables of elements that the parser uses.
 func TestElementTableIsOnPage(t *testing.T) { doccheck.Contains(t, "docs/compose.md", ElementTable()) }
 
 // FuzzParse checks that Parse returns either a description or an error, for any text, and that no description has a negative
@@ -268,7 +268,7 @@
 			t.Fatalf("Parse(%q) = %+v, error %v, want either a description or an error", text, d, err)
 		}
 		if d != nil && d.Tasks() < 0 {
-			t.Fatalf("Parse(%q) has Tasks() = %d, want at least 0", text, d.Tasks())
+			t.Fatalf("Parse(%q): Tasks() of the description = %d, want at least 0", text, d.Tasks())
 		}
 	})
 }
--- a/internal/parse/compose/decode.go
+++ b/internal/parse/compose/decode.go
@@ -15,7 +15,7 @@
 const (
 	maxServices = 5_000
 	maxReplicas = 100_000 // tasks of one service
-	maxNotes    = 1_000   // further ones are dropped
+	maxNotes    = 1_000   // further notes are dropped
 
 	maxTaskTime = 24 * time.Hour // longest duration in the settings for stop, restart and update
 )
@@ -27,8 +27,8 @@
 	in           *Input
 	errs         *diagnostic.List
 	out          *servicespec.Description
-	top          *value // the tree
-	topExtension *value // x-forkhead of the top level, or nil
+	top          *value // root of the merged tree
+	topExtension *value // value of x-forkhead at the top level, or nil
 }
 
 // errorf adds an error at a position.
@@ -36,20 +36,20 @@
 	d.errs.Add(diagnostic.Errorf(pos, format, args...))
 }
 
-// wantf adds an error at a position that also says what would be valid.
+// wantf adds an error at a position. The parameter want says what would be valid there.
 func (d *decoder) wantf(pos diagnostic.Pos, want, format string, args ...any) {
 	d.errs.Add(diagnostic.Wantf(pos, want, format, args...))
 }
 
-// addNote adds a note at a position, unless there are maxNotes.
+// addNote adds a note at a position, unless there are maxNotes notes already.
 func (d *decoder) addNote(pos diagnostic.Pos, text string) {
 	if len(d.out.Notes) < maxNotes {
 		d.out.Notes = append(d.out.Notes, servicespec.Note{Pos: pos, Text: text})
 	}
 }
 
-// ofKind returns v if it has the kind k. It returns nil for an absent or null value, and adds an error and returns nil for a
-// value of another kind. name names the value in the error.
+// ofKind returns v if the value has the kind k. For an absent or null value it returns nil. For a value of another kind
+// it adds an error, which calls the value by the parameter name, and returns nil.
 func (d *decoder) ofKind(v *value, k kind, name string) *value {
 	if v.isEmpty() {
 		return nil
@@ -61,9 +61,9 @@
 	return v
 }
 
-// checkElements checks the keys of a mapping, with prefix before them, against the elements of a table. It adds an error for
-// each that is unknown or refused and a note for each that is noted. Extension keys are skipped. where names the mapping in
-// errors.
+// checkElements looks up each key of a mapping, with prefix put before it, in a table of elements. It adds an error for
+// each key that is unknown or refused, and a note for each key that is noted. It skips extension keys. The parameter
+// where is what errors call the mapping.
 func (d *decoder) checkElements(v *value, table map[string]element, prefix, where string) {
 	for _, key := range v.keys {
 		if strings.HasPrefix(key, extensionPrefix) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// addUnknown adds an error for an unknown key, with the closest name in the table.
+// addUnknown adds an error for an unknown key. The error proposes the name in the table that is closest to the key.
 func (d *decoder) addUnknown(v *value, key, where string, table map[string]element, prefix string) {
 	var names []string
 	for element := range table {
@@ -93,7 +93,8 @@
 	d.wantf(v.keyPos[key], diagnostic.Nearest(key, names), "unknown element %q in %s", key, where)
 }
 
-// checkKeys adds an error for each key of a mapping that is neither in keys nor an extension.
+// checkKeys adds an error for each key of a mapping that is neither in the parameter keys nor an extension key. The
+// parameter where is what errors call the mapping.
 func (d *decoder) checkKeys(v *value, where string, keys ...string) {
 	for _, key := range v.keys {
 		if !strings.HasPrefix(key, extensionPrefix) && !slices.Contains(keys, key) {
@@ -156,7 +157,7 @@
 	}
 }
 
-// isActive reports whether the service or one of its profiles is requested, or the service has no profile.
+// isActive reports whether a service is active: its name or one of its profiles is requested, or it has no profile.
 func (d *decoder) isActive(name string, service *value) bool {
 	if slices.Contains(d.in.Services, name) {
 		return true
@@ -167,7 +168,8 @@
 	})
 }
 
-// service decodes one service. inactive has the services that are left out for lack of an active profile.
+// service decodes one service. The parameter inactive has the names of the services that are left out because none of
+// their profiles is active.
 func (d *decoder) service(name string, pos diagnostic.Pos, v *value, inactive map[string]bool) servicespec.Service {
 	s := servicespec.Service{
 		Name: name, Pos: pos, Replicas: 1,
--- a/internal/parse/compose/definitions.go
+++ b/internal/parse/compose/definitions.go
@@ -6,8 +6,8 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// usedDefinitions returns the definitions of the networks, volumes, configs or secrets, as section says, that a service
-// refers to. A reference to an undefined one is an error, except to the network default.
+// usedDefinitions returns the definitions that a service refers to in one section: networks, volumes, configs or secrets.
+// A reference to a name that the section does not define is an error, unless the name is default.
 func (d *decoder) usedDefinitions(service *value, section string) map[string]any {
 	defined := d.ofKind(d.top.get(section), mapping, section)
 	used := service.get(section)
@@ -35,8 +35,9 @@
 	return definitions
 }
 
-// definitionName returns the name that an entry of a list of networks, volumes, configs or secrets refers to. ok is false if
-// the entry refers to none or is in error.
+// definitionName returns the name of the network, volume, config or secret that an entry of a list refers to. ok is
+// false if the entry is invalid or refers to no definition, for example if it is a volume that names a path of the
+// host.
 func (d *decoder) definitionName(item *value, section string) (name string, pos diagnostic.Pos, ok bool) {
 	switch {
 	case item.kind == mapping:
@@ -61,8 +62,8 @@
 	return typ != nil && typ.text == "volume"
 }
 
-// volumeName returns the name in the short form of a volume, NAME:TARGET. ok is false if the form has a path of the host in
-// place of the name, or only a target.
+// volumeName returns the name in the short form of a volume, NAME:TARGET. ok is false if the text has a path of the host
+// instead of the name, or only a target.
 func volumeName(text string) (name string, ok bool) {
 	source, _, hasTarget := strings.Cut(text, ":")
 	return source, hasTarget && !strings.ContainsAny(source, "/.~")
--- a/internal/parse/compose/dependencies.go
+++ b/internal/parse/compose/dependencies.go
@@ -7,14 +7,15 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// dependencyConditions has the values of condition in depends_on.
+// dependencyConditions maps the texts of the field condition in depends_on to conditions.
 var dependencyConditions = map[string]servicespec.DependencyCondition{
 	"service_started": servicespec.Started, "service_healthy": servicespec.Healthy,
 	"service_completed_successfully": servicespec.Completed,
 }
 
-// dependsOn sets the dependencies of the service. inactive has the services that are left out for lack of an active profile.
-// A dependency on one of these is an error unless it is optional.
+// dependsOn sets the dependencies of the service. The parameter inactive has the names of the services that are left
+// out because none of their profiles is active. A dependency on such a service is left out too if it is optional, and
+// otherwise it is an error.
 func (d *decoder) dependsOn(s *servicespec.Service, service *value, inactive map[string]bool) {
 	deps := service.get("depends_on")
 	if deps.isEmpty() {
@@ -43,7 +44,8 @@
 	}
 }
 
-// dependencyOptions decodes the options in the long form of a dependency of the service.
+// dependencyOptions decodes the options of a dependency that is written in the long form. The parameter service is the
+// name of the service that has the dependency.
 func (d *decoder) dependencyOptions(dep *servicespec.Dependency, service string, options *value) {
 	d.checkKeys(options, "a dependency", "condition", "restart", "required")
 	choiceField(d, &dep.When, options, "condition", dependencyConditions,
@@ -59,7 +61,8 @@
 	}
 }
 
-// dependOnNear adds a dependency on each service in s.Near, since the domains of its tasks must be known first.
+// dependOnNear adds a dependency on each service in s.Near: the tasks of s can be placed in the domains of that service's
+// tasks only once those domains are known.
 func dependOnNear(s *servicespec.Service) {
 	for _, near := range s.Near {
 		isNear := func(dep servicespec.Dependency) bool { return dep.Service == near.Service }
@@ -69,7 +72,8 @@
 	}
 }
 
-// rejectSharedNamespaces rejects namespaces shared with another task, which would need both tasks on one host.
+// rejectSharedNamespaces adds an error for each namespace that the service shares with another task, because both tasks
+// would have to run on one host.
 func (d *decoder) rejectSharedNamespaces(service *value) {
 	for _, key := range []string{"network_mode", "pid", "ipc"} {
 		v := d.ofKind(service.get(key), scalar, key)
--- a/internal/parse/compose/elements.go
+++ b/internal/parse/compose/elements.go
@@ -1,13 +1,13 @@
 package compose
 
-// treatment is how an element is treated.
+// treatment says what the parser does with an element of a file.
 type treatment uint8
 
 const (
-	honored treatment = iota // affects placement, restarts or updates here
-	passed                   // passed to the host in the task's payload, takes effect there
-	noted                    // has no effect in a cluster of hosts: reported in a note
-	refused                  // cannot be honored: an error
+	honored treatment = iota // the element affects placement, restarts or updates
+	passed                   // the element is passed to the host in the task's payload and takes effect there
+	noted                    // the element has no effect in a cluster of hosts, which a note reports
+	refused                  // the element cannot be honored, which is an error
 )
 
 // String returns the word for the treatment in docs/compose.md.
@@ -133,7 +133,7 @@
 	{"working_dir", passed, ""},
 }
 
-// deployElements has the elements of deploy, and paths of elements further down.
+// deployElements has the elements of deploy. Nested elements are named by their paths, such as resources.limits.cpus.
 var deployElements = []element{
 	{"endpoint_mode", passed, ""},
 	{"labels", passed, "of the service, as `service_labels`"},
@@ -182,7 +182,7 @@
 	extensionIndex = indexByName(extensionElements)
 )
 
-// ElementTable returns the tables in docs/compose.md, in Markdown.
+// ElementTable returns the tables of elements that docs/compose.md contains, in Markdown.
 func ElementTable() string {
 	out := ""
 	for _, table := range []struct {
--- a/internal/parse/compose/extends.go
+++ b/internal/parse/compose/extends.go
@@ -17,13 +17,14 @@
 type extender struct {
 	files    map[string]*value    // trees of the loaded files, by file name
 	resolved map[serviceID]*value // services with their bases merged in
-	// load loads the file that the file from refers to as name into files, and returns its key there. The reference is at
-	// pos.
+	// load loads a file into the map files and returns the file's key in this map. The file named from refers to it by the
+	// path name, at the position pos.
 	load func(from, name string, pos diagnostic.Pos) (file string, err error)
 }
 
-// service returns a service with all its bases merged in. chain lists the services that are being resolved, the last of
-// which extends this one; it is empty for a service of the submission's own files. pos is the position of the reference.
+// service returns a service with all its bases merged in. The parameter chain lists the services that are being
+// resolved: each extends the next, and the last extends this service. It is empty if the resolution starts with this
+// service. pos is the position of the reference to the service.
 func (e *extender) service(id serviceID, pos diagnostic.Pos, chain []serviceID) (*value, error) {
 	if v, ok := e.resolved[id]; ok {
 		return v, nil
@@ -72,8 +73,8 @@
 	return nil
 }
 
-// baseOf returns the service that an element extends refers to, which is NAME or {service: NAME, file: PATH}, and loads the
-// file. Without a file, the service is in the file of the element.
+// baseOf returns the service that an element extends refers to, and loads the file of that service. The element has the
+// form NAME or {service: NAME, file: PATH}. Without PATH, the service is in the same file as the element.
 func (e *extender) baseOf(file string, extends *value) (serviceID, error) {
 	base := serviceID{file: file}
 	switch extends.kind {
@@ -102,7 +103,7 @@
 	return base, nil
 }
 
-// withoutKey returns a copy of a mapping without one key and without the mapping's tag.
+// withoutKey returns a copy of a mapping that lacks one key and has no tag.
 func withoutKey(v *value, key string) *value {
 	rest := newMap(v.pos)
 	for _, k := range v.keys {
--- a/internal/parse/compose/extension.go
+++ b/internal/parse/compose/extension.go
@@ -16,8 +16,9 @@
 	maxExtensionTime = 365 * 24 * time.Hour // longest duration in x-forkhead
 )
 
-// extension returns the element x-forkhead of a mapping, or nil if there is none. It adds an error for each unknown key in it,
-// and a note for each extension of the mapping whose key may be a misspelled x-forkhead. where names the mapping in errors.
+// extension returns the element x-forkhead of a mapping, or nil if there is none. It adds an error for each unknown key
+// in the element, and a note for each other extension of the mapping whose key may be a misspelled x-forkhead. The
+// parameter where is what errors call the mapping.
 func (d *decoder) extension(v *value, where string) *value {
 	for _, key := range v.keys {
 		isMisspelled := key != extensionKey && diagnostic.Nearest(key, []string{extensionKey}) != ""
@@ -32,7 +33,7 @@
 	return ext
 }
 
-// extensionFields sets the fields that ext, an x-forkhead element, has values for. ext may be nil.
+// extensionFields sets the fields of s that an x-forkhead element has values for. ext is this element, or nil.
 func (d *decoder) extensionFields(s *servicespec.Service, ext *value) {
 	if ext == nil {
 		return
@@ -50,7 +51,8 @@
 	d.spread(s, ext)
 }
 
-// nameFromSettings returns the name in the field key, which must be one of known, or "" if there is no such field.
+// nameFromSettings returns the name in one field of ext, or "" if ext does not have the field. A name that is not in the
+// list known is an error.
 func (d *decoder) nameFromSettings(ext *value, key string, known []string) string {
 	name := d.ofKind(ext.get(key), scalar, key)
 	if name == nil {
@@ -62,7 +64,8 @@
 	return name.text
 }
 
-// near adds the services whose domains the service's tasks must share.
+// near decodes the element near: other services, each with a domain (machine, rack or zone) that the tasks of s must
+// share with a task of that service.
 func (d *decoder) near(s *servicespec.Service, ext *value) {
 	near := d.ofKind(ext.get("near"), mapping, "near")
 	if near == nil {
@@ -80,7 +83,7 @@
 	}
 }
 
-// spread sets the spread limits, which replace those of the top level.
+// spread sets the spread limits of a service. They replace the limits that x-forkhead at the top level has set.
 func (d *decoder) spread(s *servicespec.Service, ext *value) {
 	spread := d.ofKind(ext.get("spread"), mapping, "spread")
 	if spread == nil {
--- a/internal/parse/compose/golden_test.go
+++ b/internal/parse/compose/golden_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestParseGolden checks that testdata/all.yaml, which has the elements that affect placement and some that are passed to
-// hosts, is decoded to the same description as before, with the same positions and payloads. Values are in the order of the
-// fields.
+// hosts, is decoded to the same description as before, with the same positions and payloads. The golden file all.values
+// lists the values in the order in which the type Description declares its fields.
 func TestParseGolden(t *testing.T) {
 	file := filepath.Join("testdata", "all.yaml")
 	text, err := os.ReadFile(file)
--- a/internal/parse/compose/interpolate.go
+++ b/internal/parse/compose/interpolate.go
@@ -9,7 +9,7 @@
 // The limits of interpolation.
 const (
 	maxInterpolated  = 1 << 20 // bytes of all interpolated values in all files
-	maxVariableDepth = 16      // levels of variables in the defaults and messages of other variables
+	maxVariableDepth = 16      // levels of nesting, where a variable's operand contains other variables
 )
 
 // interpolator replaces variables in values by the rules of the Compose Specification: $V, ${V}, ${V:-d}, ${V-d}, ${V:?e},
@@ -18,7 +18,7 @@
 	vars       map[string]string
 	size       int // bytes of the values interpolated so far
 	errs       *diagnostic.List
-	notedUnset map[string]bool // unset variables that a note was added for
+	notedUnset map[string]bool // names of unset variables that have a note already
 	addNote    func(pos diagnostic.Pos, text string)
 }
 
@@ -63,7 +63,7 @@
 	return v
 }
 
-// expand returns a text with its variables replaced. depth is the level of nesting within other variables.
+// expand returns a text with its variables replaced. depth is the number of variables whose operands contain the text.
 func (in *interpolator) expand(pos diagnostic.Pos, text string, depth int) (string, error) {
 	if depth > maxVariableDepth {
 		return "", diagnostic.Wantf(pos, "at most 16 levels", "variables are nested too deep")
@@ -84,7 +84,8 @@
 	}
 }
 
-// variable returns the value of a variable and how many bytes of text, which begins after the $, belong to it.
+// variable returns the replacement for the variable at the start of text, and how many bytes of text the variable takes
+// up. The text begins after the $.
 func (in *interpolator) variable(pos diagnostic.Pos, text string, depth int) (replacement string, length int, err error) {
 	switch {
 	case strings.HasPrefix(text, "$"):
@@ -133,8 +134,8 @@
 	return len(text)
 }
 
-// braced returns the value of the text between braces, which is NAME or NAME[:]OPERATOR followed by the operand. With a : an
-// empty variable is treated as unset.
+// braced returns the replacement for a variable in braces. text is what the braces contain: NAME, or NAME[:]OPERATOR
+// followed by the operand. The colon means that an empty variable is treated as unset.
 func (in *interpolator) braced(pos diagnostic.Pos, text string, depth int) (string, error) {
 	n := nameLength(text)
 	if n == 0 {
@@ -186,7 +187,7 @@
 	return diagnostic.Errorf(pos, "variable %s is not set: %s", name, message)
 }
 
-// lookUp returns the value of a variable. An unset variable is "", and the first use of it adds a note.
+// lookUp returns the value of a variable, or "" if the variable is unset. The first use of an unset variable adds a note.
 func (in *interpolator) lookUp(pos diagnostic.Pos, name string) string {
 	val, ok := in.vars[name]
 	if !ok && !in.notedUnset[name] {
--- a/internal/parse/compose/keyvalues.go
+++ b/internal/parse/compose/keyvalues.go
@@ -6,8 +6,9 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// keyValueFiles parses the files of KEY=VALUE lines that the element key of a service names: a path, a mapping with the path,
-// or a list of these. Later files override earlier ones. fileKind names such a file in errors.
+// keyValueFiles parses files of KEY=VALUE lines. The element of the service under key names them by a path, a mapping
+// that has the path, or a list of paths and mappings. Later files override earlier ones. Errors call a file by
+// fileKind.
 func (d *decoder) keyValueFiles(service *value, key, fileKind string) map[string]string {
 	pairs := map[string]string{}
 	v := service.get(key)
@@ -24,7 +25,8 @@
 	return pairs
 }
 
-// keyValueFile adds the lines of one file to pairs. A missing file is an error unless the entry has required: false.
+// keyValueFile adds the keys and values in one file to pairs. entry is the path of the file, or a mapping that has the
+// path. A missing file is an error unless the mapping has required: false.
 func (d *decoder) keyValueFile(entry *value, key, fileKind string, pairs map[string]string) {
 	path, required := entry, true
 	if entry.kind == mapping {
@@ -50,8 +52,9 @@
 	}
 }
 
-// keyValueLine adds one line to pairs: [export ]KEY=VALUE, with or without quotes around the value, or KEY alone, which takes
-// the value of the variable KEY. Empty lines and lines that begin with # are ignored.
+// keyValueLine adds the key and value in one line to pairs. The line has the form [export ]KEY=VALUE, with or without
+// quotes around VALUE, or KEY alone, whose value is that of the variable KEY. Empty lines and lines that begin with #
+// are ignored.
 func (d *decoder) keyValueLine(line string, pos diagnostic.Pos, fileKind string, pairs map[string]string) {
 	line = strings.TrimSpace(strings.TrimSuffix(line, "\r"))
 	if line == "" || line[0] == '#' {
@@ -70,7 +73,7 @@
 	pairs[key] = unquote(strings.TrimSpace(val))
 }
 
-// unquote returns the text without the quotes around it, if it has a pair of the same kind.
+// unquote removes the quotes around a text, if it begins and ends with the same kind of quote.
 func unquote(text string) string {
 	if len(text) > 1 && (text[0] == '"' || text[0] == '\'') && text[len(text)-1] == text[0] {
 		return text[1 : len(text)-1]
--- a/internal/parse/compose/loader.go
+++ b/internal/parse/compose/loader.go
@@ -8,7 +8,7 @@
 // and merges the files.
 type loader struct {
 	in           *Input
-	budget       int // number of nodes that further files may have
+	budget       int // number of nodes that the files not yet loaded may have in total
 	errs         *diagnostic.List
 	interpolator *interpolator
 	trees        map[string]*value // trees of the files loaded so far, by file name
@@ -27,7 +27,7 @@
 			continue
 		}
 		l.trees[f.Name] = tree
-		// An extends without a file refers to its own file, so it is resolved before the files are merged.
+		// An element extends without a path refers to the file that contains it, so it is resolved before the files are merged.
 		resolved, err := resolveExtends(ext, f.Name, tree)
 		if err != nil {
 			return nil, err
@@ -44,7 +44,7 @@
 	return all, l.errs.Err()
 }
 
-// load returns the merged tree of the documents of a file, or nil if all are empty.
+// load parses a file and returns the merged tree of its documents, or nil if all documents are empty.
 func (l *loader) load(f File) (*value, error) {
 	docs, err := parseYAML(f.Name, []byte(f.Text), &l.budget)
 	if err != nil {
@@ -60,8 +60,8 @@
 	return all, nil
 }
 
-// loadReferenced loads the file that the file from refers to as name, unless it is loaded already, and returns its name in
-// the submission. The reference is at pos.
+// loadReferenced loads a file, unless it is loaded already, and returns the file's name in the submission. The file
+// named from refers to it by the path name, at the position pos.
 func (l *loader) loadReferenced(from, name string, pos diagnostic.Pos) (string, error) {
 	file, text, err := l.in.find(from, name, pos)
 	if err != nil {
--- a/internal/parse/compose/merge.go
+++ b/internal/parse/compose/merge.go
@@ -5,9 +5,10 @@
 	"strings"
 )
 
-// merge returns the tree base with the tree override merged into it by the rules of the Compose Specification: mappings are
-// merged, lists are appended and single values are replaced. mergeRules has the exceptions. path is the path of both values
-// in the document, with * for a service's name. The result may share nodes with both trees. nil is an absent value.
+// merge returns the tree base with the tree override merged into it by the rules of the Compose Specification: mappings
+// are merged, lists are appended and single values are replaced. mergeRules has the exceptions. path is where both
+// trees are in the document, with * for a service's name. The result may share nodes with both trees. Either tree may
+// be nil, which stands for an absent value.
 func merge(base, override *value, path string) *value {
 	switch {
 	case override == nil:
@@ -34,7 +35,7 @@
 	return mergeByKind(base, override, path)
 }
 
-// mergeByKind merges two values that no entry of mergeRules applies to.
+// mergeByKind merges two values whose path has no entry in mergeRules.
 func mergeByKind(base, override *value, path string) *value {
 	switch {
 	case base.kind != override.kind:
@@ -78,10 +79,10 @@
 type mergeRule uint8
 
 const (
-	byKind   mergeRule = iota // see mergeByKind
-	replaced                  // the later value replaces the earlier
+	byKind   mergeRule = iota // the kind of the values determines how they are merged: see mergeByKind
+	replaced                  // the later value replaces the earlier one
 	keyed                     // lists of KEY=VALUE are converted to mappings, which are merged
-	unique                    // an entry replaces an earlier one with the same target
+	unique                    // lists are appended, but an entry replaces an earlier one with the same target
 )
 
 // mergeRules has the rules for elements of a service. All other values are merged by kind.
@@ -100,8 +101,8 @@
 	return mergeRules[element]
 }
 
-// asMap converts a list of KEY=VALUE or KEY to a mapping, in which a KEY alone has a value of kind null. It returns v itself
-// if v is not a list or has an entry that is not a single value.
+// asMap converts a list of KEY=VALUE or KEY to a mapping, in which a KEY alone has a value of kind null. It returns v
+// itself if v is not a list, or if an entry of the list is not a single value.
 func asMap(v *value) *value {
 	if v.kind != sequence {
 		return v
@@ -121,8 +122,8 @@
 	return m
 }
 
-// mergeUnique appends two lists whose entries are identified by their targets: an entry replaces an earlier one with the
-// same target, in its place.
+// mergeUnique appends two lists whose entries are identified by their targets. An entry with the same target as an
+// earlier one takes the earlier one's place in the list.
 func mergeUnique(base, override *value) *value {
 	merged := &value{pos: override.pos, kind: sequence}
 	indexes := map[string]int{} // indexes in merged.items, by target
@@ -138,7 +139,7 @@
 	return merged
 }
 
-// targetOf returns the text that identifies a port, volume, device, secret or config inside the task.
+// targetOf returns the text that identifies a port, volume, device, secret or config within one task.
 func targetOf(v *value) string {
 	if v.kind == mapping {
 		return targetOfMapping(v)
@@ -153,8 +154,9 @@
 	return v.text // a port: [IP:]PUBLISHED:TARGET
 }
 
-// targetOfMapping returns PUBLISHED:TARGET/PROTOCOL of an entry in the long form. PUBLISHED and PROTOCOL are left out where
-// the entry has none or the protocol is tcp. Without a target the source is used; without either the result is "".
+// targetOfMapping returns PUBLISHED:TARGET/PROTOCOL for an entry in the long form. PUBLISHED is left out if the entry
+// has no published port, and PROTOCOL if the entry has no protocol or the protocol is tcp. TARGET is the source if the
+// entry has no target. The result is "" if the entry has neither a target nor a source.
 func targetOfMapping(v *value) string {
 	for _, key := range []string{"target", "source"} {
 		target := v.get(key)
--- a/internal/parse/compose/payload.go
+++ b/internal/parse/compose/payload.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	maxPayload = 32 << 10 // bytes of JSON for one service
+	maxPayload = 32 << 10 // bytes of the JSON that is passed to hosts for one service
 	gibibyte   = 1 << 30  // bytes
 )
 
-// alsoPassed has the elements of a service that take effect here and are passed to the host as well.
+// alsoPassed has the elements of a service that the parser uses itself and that are passed to the host as well.
 var alsoPassed = map[string]bool{
 	"ipc": true, "pid": true, "network_mode": true, "ports": true, "container_name": true, "platform": true,
 }
 
-// payload returns the JSON object that is passed to the host with each task, or nil if it is too large. v is the service,
-// deploy its element of that name.
+// payload returns the JSON object that is passed to the host with each task, or nil if the object is too large, which
+// is an error. v is the mapping of the service, and deploy is the value of its element deploy, or nil.
 func (d *decoder) payload(s *servicespec.Service, v, deploy *value) []byte {
 	out := passedElements(v)
 	addIfAny(out, "limits", payloadLimits(s))
@@ -78,8 +78,8 @@
 	return out
 }
 
-// withFiles returns values together with those of the files that the element key names. values take precedence. fileKind
-// names such a file in errors.
+// withFiles returns the pairs in values together with the pairs in the files that the element of the service under key
+// names. Where both have a key, values takes precedence. Errors call a file by fileKind.
 func (d *decoder) withFiles(values map[string]string, service *value, key, fileKind string) map[string]string {
 	all := d.keyValueFiles(service, key, fileKind)
 	maps.Copy(all, values)
--- a/internal/parse/compose/placement.go
+++ b/internal/parse/compose/placement.go
@@ -8,15 +8,15 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// deployKeys has the keys of deploy. For some of them deployElements has only rows of elements below them, such as
-// resources.limits.cpus for resources.
+// deployKeys has the keys of deploy. Some of them, such as resources, have no row in deployElements, which has only
+// rows for the elements nested in them, such as resources.limits.cpus.
 var deployKeys = []string{
 	"endpoint_mode", "labels", "mode", "placement", "replicas", "resources", "restart_policy", "rollback_config",
 	"update_config",
 }
 
-// placement sets the constraints, preferences and spread limits. service is the mapping of the service, deploy its element of
-// that name, or nil.
+// placement sets the constraints, preferences and spread limits of s. service is the mapping of the service, and deploy
+// is the value of its element deploy, or nil.
 func (d *decoder) placement(s *servicespec.Service, service, deploy *value) {
 	d.platform(s, service)
 	d.hostPorts(s, service)
@@ -104,13 +104,13 @@
 // constraintForm matches ATTRIBUTE == VALUE and ATTRIBUTE != VALUE. Its groups are the attribute, the operator and the value.
 var constraintForm = regexp.MustCompile(`^\s*([A-Za-z0-9._/-]+)\s*(==|!=)\s*(.*?)\s*$`)
 
-// constraintAttributes has the attributes of hosts, by their names in constraints.
+// constraintAttributes maps the names that constraints in a file use for attributes of hosts to the attributes.
 var constraintAttributes = map[string]servicespec.Attribute{
 	"node.id": "id", "node.hostname": "hostname", "node.role": "role",
 	"node.platform.os": "os", "node.platform.arch": "arch",
 }
 
-// constraint decodes one entry of constraints. ok is false if it is in error.
+// constraint decodes one entry of the element constraints. ok is false if the entry is invalid.
 func (d *decoder) constraint(v *value) (c servicespec.Constraint, ok bool) {
 	groups := constraintForm.FindStringSubmatch(v.text)
 	if groups == nil || groups[3] == "" {
--- a/internal/parse/compose/policies.go
+++ b/internal/parse/compose/policies.go
@@ -7,7 +7,7 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// restartConditions has the values of restart_policy.condition.
+// restartConditions maps the texts of the field condition in restart_policy to conditions.
 var restartConditions = map[string]servicespec.RestartCondition{
 	"any": servicespec.Always, "on-failure": servicespec.OnFailure, "none": servicespec.Never,
 }
@@ -25,7 +25,7 @@
 	}
 }
 
-// shortRestart decodes the element restart of a service: a condition, which for on-failure may have a maximum number of
+// shortRestart decodes the element restart of a service: a condition, or on-failure:N, where N is the maximum number of
 // restarts.
 func (d *decoder) shortRestart(r *servicespec.Restart, v *value) {
 	condition, count, hasCount := strings.Cut(v.text, ":")
@@ -60,7 +60,7 @@
 	d.durationField(&r.Window, policy, "window", 0, maxTaskTime)
 }
 
-// failureActions has the values of update_config.failure_action.
+// failureActions maps the texts of the field failure_action in update_config to actions.
 var failureActions = map[string]servicespec.FailureAction{
 	"pause": servicespec.Pause, "continue": servicespec.Continue, "rollback": servicespec.Rollback,
 }
@@ -68,7 +68,8 @@
 // updateKeys has the keys of update_config and rollback_config.
 var updateKeys = []string{"parallelism", "delay", "failure_action", "monitor", "max_failure_ratio", "order"}
 
-// update sets how running tasks are replaced after a change of the service. rollback_config is only checked.
+// update sets how running tasks are replaced after a change of the service. It checks the keys of rollback_config but
+// does not use their values.
 func (d *decoder) update(s *servicespec.Service, deploy *value) {
 	config := d.ofKind(deploy.get("update_config"), mapping, "update_config")
 	if rollback := d.ofKind(deploy.get("rollback_config"), mapping, "rollback_config"); rollback != nil {
--- a/internal/parse/compose/references.go
+++ b/internal/parse/compose/references.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// References returns the names, as written, of the other files that a file refers to by extends, env_file and label_file,
-// for a client that adds these files to the submission. There are none if the file cannot be parsed. A name that contains a
-// variable is left out.
+// References returns the names of the other files that a file refers to in extends, env_file and label_file, as they
+// are written there. A client needs them to add these files to the submission. Names that contain a variable are left
+// out. The result is empty if the file cannot be parsed.
 func References(f File) []string {
 	budget := maxNodes
 	docs, err := parseYAML(f.Name, []byte(f.Text), &budget)
--- a/internal/parse/compose/replicas.go
+++ b/internal/parse/compose/replicas.go
@@ -2,14 +2,14 @@
 
 import "forkhead/internal/parse/servicespec"
 
-// modes has the values of deploy.mode.
+// modes maps the texts of the field mode in deploy to modes.
 var modes = map[string]servicespec.Mode{
 	"replicated": servicespec.Replicated, "global": servicespec.Global,
 	"replicated-job": servicespec.ReplicatedJob, "global-job": servicespec.GlobalJob,
 }
 
-// replicas sets the mode and the number of tasks. service is the mapping of the service, deploy its element of that name, or
-// nil.
+// replicas sets the mode and the number of tasks of s. service is the mapping of the service, and deploy is the value
+// of its element deploy, or nil.
 func (d *decoder) replicas(s *servicespec.Service, service, deploy *value) {
 	choiceField(d, &s.Mode, deploy, "mode", modes, "replicated, global, replicated-job, global-job")
 	replicas := deploy.get("replicas")
--- a/internal/parse/compose/resources.go
+++ b/internal/parse/compose/resources.go
@@ -7,7 +7,7 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// The reservations of a task for which the description has neither a reservation nor a limit.
+// The reservations of a task whose service has neither a reservation nor a limit.
 const (
 	defaultCores  = 0.25
 	defaultMemory = 0.25 // GiB
@@ -30,8 +30,8 @@
 	s.Memory = cmp.Or(s.Memory, s.LimitMemory, defaultMemory)
 }
 
-// resourceParts returns the limits and reservations of deploy, or nil for those that deploy does not have. It checks their
-// keys.
+// resourceParts returns the mappings limits and reservations in the element resources of deploy, and checks their keys. A
+// mapping that is missing is nil.
 func (d *decoder) resourceParts(deploy *value) (limits, reserved *value) {
 	resources := d.ofKind(deploy.get("resources"), mapping, "resources")
 	if resources == nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-// cores returns the number of cores in the first alternative that is present, or 0 if none is.
+// cores returns the number of cores in the first of the values that is not empty, or 0 if all are empty.
 func (d *decoder) cores(alternatives ...*value) float64 {
 	if v := firstNonEmpty(alternatives); v != nil {
 		return d.number(v, "cpus", 0.001, 1e5)
@@ -59,7 +59,7 @@
 	return 0
 }
 
-// memory returns the amount of memory in the first alternative that is present, in GiB, or 0 if none is.
+// memory returns the amount of memory, in GiB, in the first of the values that is not empty, or 0 if all are empty.
 func (d *decoder) memory(alternatives ...*value) float64 {
 	if v := firstNonEmpty(alternatives); v != nil {
 		return d.bytes(v, "memory")
--- a/internal/parse/compose/value.go
+++ b/internal/parse/compose/value.go
@@ -12,15 +12,15 @@
 	sequence
 )
 
-// String returns the kind in the wording of errors.
+// String returns what errors call a value of the kind.
 func (k kind) String() string {
 	return [...]string{"nothing", "a single value", "a mapping", "a list"}[k]
 }
 
 // The YAML tags that the Compose Specification defines for merging.
 const (
-	tagReset    = "!reset"    // removes the value of earlier files
-	tagOverride = "!override" // replaces the value of earlier files, without merging
+	tagReset    = "!reset"    // removes the value that earlier files have at this path
+	tagOverride = "!override" // replaces the value that earlier files have at this path, without merging
 )
 
 // value is a node of a tree whose aliases and merge keys are expanded. Trees are not modified once they are built, since
@@ -31,8 +31,8 @@
 	text   string   // text of a scalar
 	plain  bool     // the scalar was written without quotes
 	tag    string   // tagReset or tagOverride, else ""
-	items  []*value // of a sequence
-	keys   []string // of a mapping, in the order of the file
+	items  []*value // entries of a sequence
+	keys   []string // keys of a mapping, in the order of the file
 	fields map[string]*value
 	keyPos map[string]diagnostic.Pos
 }
--- a/internal/parse/compose/values.go
+++ b/internal/parse/compose/values.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// pairs decodes a mapping of single values or a list of KEY=VALUE. In an environment, a KEY alone takes the value of the
-// variable KEY and is left out if that is not set. Elsewhere the value of a KEY alone is "".
+// pairs decodes a mapping of single values or a list of KEY=VALUE. In the element environment, a KEY alone has the
+// value of the variable KEY, and is left out if this variable is not set. In other elements, the value of a KEY alone
+// is "".
 func (d *decoder) pairs(v *value, name string) map[string]string {
 	out := map[string]string{}
 	if v == nil || v.kind == null {
@@ -63,7 +64,7 @@
 	return out
 }
 
-// integer decodes a whole number from lo to hi. ok is false if it is in error.
+// integer decodes a whole number from lo to hi. For any other value it adds an error, and ok is false.
 func (d *decoder) integer(v *value, name string, lo, hi int) (n int, ok bool) {
 	if v.kind == scalar {
 		if n, err := strconv.Atoi(strings.TrimSpace(v.text)); err == nil && n >= lo && n <= hi {
@@ -74,7 +75,7 @@
 	return 0, false
 }
 
-// number decodes a number from lo to hi, and returns 0 if it is in error.
+// number decodes a number from lo to hi. For any other value it adds an error and returns 0.
 func (d *decoder) number(v *value, name string, lo, hi float64) float64 {
 	if v.kind == scalar {
 		x, err := strconv.ParseFloat(strings.TrimSpace(v.text), 64)
@@ -86,7 +87,7 @@
 	return 0
 }
 
-// boolean decodes a boolean, with or without quotes.
+// boolean decodes a boolean, with or without quotes around it.
 func (d *decoder) boolean(v *value, name string) bool {
 	switch v.text {
 	case "true", "yes", "on":
@@ -98,13 +99,14 @@
 	return false
 }
 
-// durationForm matches durations of the Compose Specification. It has a group for each of durationUnits.
+// durationForm matches durations of the Compose Specification. It has one group for each unit, in the order of
+// durationUnits.
 var (
 	durationForm  = regexp.MustCompile(`^(?:(\d+)h)?(?:(\d+)m)?(?:(\d+)s)?(?:(\d+)ms)?(?:(\d+)us)?$`)
 	durationUnits = []time.Duration{time.Hour, time.Minute, time.Second, time.Millisecond, time.Microsecond}
 )
 
-// duration decodes a duration from lo to hi, and returns 0 if it is in error.
+// duration decodes a duration from lo to hi. For any other value it adds an error and returns 0.
 func (d *decoder) duration(v *value, name string, lo, hi time.Duration) time.Duration {
 	if v.kind == scalar {
 		if sum, ok := parseDuration(v.text); ok && sum >= lo && sum <= hi {
@@ -115,7 +117,8 @@
 	return 0
 }
 
-// durationField stores the duration in the field key of m, which must be from lo to hi. Without that field, to is unchanged.
+// durationField sets *to to the duration in one field of the mapping m. The duration must be from lo to hi. If m does
+// not have the field, *to is unchanged.
 func (d *decoder) durationField(to *time.Duration, m *value, key string, lo, hi time.Duration) {
 	if v := m.get(key); v != nil {
 		*to = d.duration(v, key, lo, hi)
@@ -124,7 +127,9 @@
 
 // parseDuration parses a duration of the Compose Specification: 1h30m, 90s, 500ms, 20us and their sums, or 0.
 func parseDuration(text string) (sum time.Duration, ok bool) {
-	const longest = 1 << 62 // ns per unit; the sum of several may overflow to a negative number, which is detected below
+	// The most nanoseconds that the digits of one unit may amount to. The sum of several units may still overflow to a
+	// negative number, which is detected below.
+	const longest = 1 << 62
 	if text == "0" {
 		return 0, true
 	}
@@ -178,8 +183,9 @@
 	return amount * float64(int64(1)<<shift), err == nil
 }
 
-// choiceField stores the value that meanings has for the field key of m. Without that field, to is unchanged. want lists the
-// valid texts in an error.
+// choiceField looks up the text in one field of the mapping m in the parameter meanings, which maps valid texts to
+// values, and sets *to to the value found. If m does not have the field, *to is unchanged. The parameter want lists the
+// valid texts for the error that an unknown text causes.
 func choiceField[T any](d *decoder, to *T, m *value, key string, meanings map[string]T, want string) {
 	v := d.ofKind(m.get(key), scalar, key)
 	if v == nil {
@@ -192,7 +198,7 @@
 	*to = choice
 }
 
-// describe returns the form of a value that is shown in errors.
+// describe returns how errors show a value: the quoted text of a scalar, or the kind of any other value.
 func describe(v *value) string {
 	if v.kind == scalar {
 		return strconv.Quote(v.text)
@@ -200,8 +206,8 @@
 	return v.kind.String()
 }
 
-// toJSON converts a value for encoding/json. Unquoted scalars that are numbers or booleans in YAML are converted to these
-// types, all others to strings.
+// toJSON converts a value for encoding/json. A scalar without quotes that is a number, true or false is converted to a
+// number or a boolean, and any other scalar to a string.
 func toJSON(v *value) any {
 	if v == nil {
 		return nil
--- a/internal/parse/compose/yaml.go
+++ b/internal/parse/compose/yaml.go
@@ -12,16 +12,17 @@
 
 // The limits of the YAML in one submission.
 const (
-	maxNodes     = 50_000 // in all files, after expansion of aliases and merge keys
+	maxNodes     = 50_000 // nodes in all files, after expansion of aliases and merge keys
 	maxDepth     = 64     // levels of nesting
-	maxDocuments = 64     // in one file
+	maxDocuments = 64     // documents in one file
 )
 
-// mergeKey is the YAML key whose value is a mapping, or a list of mappings, that fields are copied from.
+// mergeKey is the YAML key that copies fields into its mapping. Its value is the mapping, or a list of the mappings, to
+// copy the fields from.
 const mergeKey = "<<"
 
-// parseYAML returns the documents of one file that are not empty. budget is the number of nodes that the submission may still
-// have, from which those of the file are subtracted.
+// parseYAML returns the documents of one file that are not empty. *budget is the number of nodes that the submission
+// may still have. parseYAML subtracts the number of nodes in the file from it.
 func parseYAML(file string, text []byte, budget *int) ([]*value, error) {
 	decoder := yaml.NewDecoder(strings.NewReader(string(text)))
 	var docs []*value
@@ -49,7 +50,8 @@
 	}
 }
 
-// syntaxError returns an error of the YAML parser at the line that its text begins with, or else at the first line.
+// syntaxError converts an error of the YAML parser to an error with a position. The position is the line that the text
+// of the parser's error begins with, or line 1 if it begins with none.
 func syntaxError(file string, err error) error {
 	const maxLine = 1 << 24 // further digits are not read, to avoid an overflow
 	text := strings.TrimPrefix(err.Error(), "yaml: ")
@@ -68,7 +70,7 @@
 type builder struct {
 	file     string
 	budget   int                 // nodes that may still be built
-	building map[*yaml.Node]bool // lists and mappings being built: an alias to one would expand without end
+	building map[*yaml.Node]bool // lists and mappings being built; an alias to one of them would expand without end
 }
 
 func (b *builder) posOf(n *yaml.Node) diagnostic.Pos {
@@ -78,7 +80,7 @@
 // build returns the value of a node. depth is its level of nesting.
 func (b *builder) build(n *yaml.Node, depth int) (*value, error) {
 	pos := b.posOf(n)
-	// Without a limit, aliases could expand to more than memory holds.
+	// Without a limit on the nodes, aliases could expand to more nodes than fit in memory.
 	if b.budget--; b.budget < 0 {
 		return nil, diagnostic.Wantf(pos, "at most 50000 nodes", "the files have too many nodes, with aliases expanded")
 	}
@@ -140,7 +142,7 @@
 	return v, nil
 }
 
-// mapping builds a mapping. Fields from merge keys are added unless the mapping has fields of these names itself.
+// mapping builds a mapping. A field from a merge key is added unless the mapping has a field of this name itself.
 func (b *builder) mapping(n *yaml.Node, depth int) (*value, error) {
 	b.building[n] = true
 	defer delete(b.building, n)
