--- a/internal/parse/diagnostic/diagnostic.go
+++ b/internal/parse/diagnostic/diagnostic.go
@@ -21,11 +21,11 @@
 	return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col)
 }
 
-// Error describes a fault at a position and, where it is known, what would be valid there.
+// Error describes a fault at a position, and what would be valid there if that is known.
 type Error struct {
 	Pos     Pos
 	Message string
-	Want    string // what would be valid; "": not known
+	Want    string // what would be valid at Pos; "": not known
 }
 
 // Error returns the error in the form that compilers use, FILE:LINE:COL: MESSAGE; want WANT. The last part is left out if
@@ -48,10 +48,10 @@
 	return &Error{Pos: p, Message: fmt.Sprintf(format, args...), Want: want}
 }
 
-// MaxErrors is the number of errors that a List keeps; further ones are only counted.
+// MaxErrors is the number of errors that a List keeps. Further errors are only counted.
 const MaxErrors = 20
 
-// List collects the errors of one file. The zero value is an empty list.
+// List collects the errors of one parse. The zero value is an empty list.
 type List struct {
 	errs    []error
 	dropped int // errors added beyond MaxErrors
@@ -69,7 +69,8 @@
 	l.errs = append(l.errs, err)
 }
 
-// Err returns nil for an empty list, else its errors joined, followed by the number of those that were dropped.
+// Err returns nil for an empty list. Otherwise it joins the errors of the list, followed by the number of dropped
+// errors if there are any.
 func (l *List) Err() error {
 	if len(l.errs) == 0 {
 		return nil
@@ -81,7 +82,8 @@
 	return errors.Join(errs...)
 }
 
-// First returns the first Error that err is, wraps or joins, or nil if there is none.
+// First returns the first *Error in the tree of errors that err wraps or joins, which includes err itself. It returns
+// nil if the tree has none.
 func First(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/parse/diagnostic/diagnostic_test.go
+++ b/internal/parse/diagnostic/diagnostic_test.go
@@ -30,15 +30,15 @@
 	for i := range MaxErrors + 2 {
 		l.Add(Errorf(Pos{File: "f", Line: i + 1, Col: 1}, "bad"))
 	}
-	for range 2 { // a second Err returns the same: the list is not changed
+	for range 2 { // Err must not change the list, so a second call must return the same error
 		lines := strings.Split(l.Err().Error(), "\n")
 		if len(lines) != MaxErrors+1 || lines[0] != "f:1:1: bad" || lines[MaxErrors] != "and 2 more" {
-			t.Errorf("Err() after %d errors has %d lines %q, want %d, from \"f:1:1: bad\" to \"and 2 more\"",
+			t.Errorf("Err() after %d errors: got %d lines %q, want %d lines, the first \"f:1:1: bad\", the last \"and 2 more\"",
 				MaxErrors+2, len(lines), lines, MaxErrors+1)
 		}
 	}
 	if first := First(l.Err()); first == nil || first.Pos.Line != 1 {
-		t.Errorf("First(Err()) = %v, want the error of line 1", first)
+		t.Errorf("First(Err()) = %v, want the error at line 1", first)
 	}
 }
 
--- a/internal/parse/diagnostic/nearest.go
+++ b/internal/parse/diagnostic/nearest.go
@@ -3,12 +3,13 @@
 import "strings"
 
 const (
-	maxEdits       = 2  // a name with more edits is not a misspelling
-	maxNameToMatch = 64 // bytes; longer names are close to no name
+	maxEdits       = 2  // maximum edit distance between a misspelled name and the right one
+	maxNameToMatch = 64 // bytes; no name is found close to a longer one
 )
 
-// Nearest returns the entry of known that is closest to name, or "" if none is close; of equally close entries the first.
-// Letter case of name is ignored. The entries of known must be in lower case.
+// Nearest returns the entry of the list known that is closest to name, or "" if none is within maxEdits edits of it. If
+// several entries are equally close, it returns the first of them. It ignores the letter case of name. The entries of
+// known must be in lower case.
 func Nearest(name string, known []string) string {
 	nearest, minEdits := "", maxEdits+1
 	for _, k := range known {
@@ -24,7 +25,7 @@
 	if len(a) > maxNameToMatch || len(b) > maxNameToMatch {
 		return maxNameToMatch
 	}
-	row := make([]int, len(b)+1) // row[j] is the distance of a[:i] and b[:j]
+	row := make([]int, len(b)+1) // row[j] is the distance between a[:i] and b[:j]
 	for j := range row {
 		row[j] = j
 	}
--- a/internal/parse/platformconfig/check.go
+++ b/internal/parse/platformconfig/check.go
@@ -8,9 +8,9 @@
 	"slices"
 )
 
-// Check returns an error if a placer cannot use a settings text: if a field that decisions depend on is missing, of another
-// type or out of range, if a keyword is unknown, or if fields contradict each other. Unknown fields are ignored. The error is
-// one line that names the first such field.
+// Check returns an error if a placer cannot use a settings text. That is so if a field that decisions depend on is
+// missing, has the wrong type or is out of range, if a keyword is unknown, or if fields contradict each other. The
+// error is one line that names the first such field. Unknown fields are ignored.
 func Check(text []byte) error {
 	var root map[string]any
 	if err := json.Unmarshal(text, &root); err != nil {
@@ -31,7 +31,7 @@
 	return c.err
 }
 
-// placers checks the number of placers and the index of this one.
+// placers checks the number of placers and the index of this placer.
 func (c *checker) placers() {
 	c.number("balancers", integer, 1, 1e6)
 	c.number("me", integer, 0, 1e6)
@@ -98,7 +98,8 @@
 	}
 }
 
-// checkClass checks the fields of the class of an index. Only a keyed class (dedup) needs group and memorySpan.
+// checkClass checks the fields of one class, given its index. The fields group and memorySpan are checked only in a
+// class whose effect is dedup (keyed), since no other class needs them.
 func checkClass(index int, fields map[string]any) error {
 	c := checker{root: fields, prefix: fmt.Sprintf("classes[%d].", index)}
 	c.oneOf("effect", slices.Sorted(maps.Keys(effects))...)
@@ -111,7 +112,8 @@
 	return c.err
 }
 
-// spread checks the spread limit of the class of an index: the domain, and the maximum number of tasks of a service in one.
+// spread checks the spread limit of one class, given the index of the class, the domain, and the maximum number of
+// tasks of a service in one domain.
 func (c *checker) spread(index int, spread any, maxTasks float64) {
 	name, isText := spread.(string)
 	domain, isKnown := domains[name]
--- a/internal/parse/platformconfig/check_test.go
+++ b/internal/parse/platformconfig/check_test.go
@@ -9,8 +9,8 @@
 
 type list = []any
 
-// withValue returns a settings text with the value at a path replaced, or removed if value is nil. path has the names from the
-// root to the value, with dots between them and 0 for the first entry of a list.
+// withValue returns a settings text with the value at a path replaced, or removed if the new value is nil. path lists
+// the names on the way from the root to the value, separated by dots, with 0 for the first entry of a list.
 func withValue(t *testing.T, text []byte, path string, value any) []byte {
 	t.Helper()
 	var root map[string]any
@@ -37,7 +37,7 @@
 	return changed
 }
 
-// checkCases has values that Check rejects at a path, each with a part of the error.
+// checkCases has values that Check must reject at a path, each with a text that the error must contain.
 var checkCases = []struct {
 	path  string
 	value any
@@ -86,8 +86,9 @@
 	{"familyInfo.tenantQuotaCores", list{1, 2}, "familyInfo.tenantQuotaCores has 2 entries for 1 tenants"},
 }
 
-// TestCheckNamesUnusableField checks that a field that decisions depend on must be present, of its type, in range and free of
-// contradiction, and that otherwise the error is one line that names it. Unknown and optional fields pass.
+// TestCheckNamesUnusableField checks that Check rejects settings in which a field that decisions depend on is missing,
+// has the wrong type, is out of range or contradicts another field, and that the error is one line that names the
+// field. Settings with unknown fields or without optional fields must pass.
 func TestCheckNamesUnusableField(t *testing.T) {
 	good, err := os.ReadFile("../../server/platform/testdata/settings.json")
 	if err != nil {
@@ -96,13 +97,14 @@
 	set := func(path string, value any) []byte { return withValue(t, good, path, value) }
 	for _, ok := range [][]byte{good, set("unheard_of", map[string]any{"a": 1}), set("tenants", nil), set("rules.stopSendingWithin", 0), set("rules.cold", 0), set("caps.connIdle", 0)} {
 		if err := Check(ok); err != nil {
-			t.Errorf("Check(%s) = %v, want nil", ok, err)
+			t.Errorf("Check(valid settings %s) = error %v, want nil", ok, err)
 		}
 	}
 	for _, c := range checkCases {
 		err := Check(set(c.path, c.value))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("Check with %s = %v: error %v, want one line with %q", c.path, c.value, err, c.want)
+			t.Errorf("Check(valid settings with %s changed to %v) = error %v, want an error of one line that contains %q",
+				c.path, c.value, err, c.want)
 		}
 	}
 	for _, text := range []string{"", "[]", "null", `{"classes":{"a":1}}`, `{"balancers":[1]}`} {
--- a/internal/parse/platformconfig/checker.go
+++ b/internal/parse/platformconfig/checker.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// checker checks the values of an object. A path to a value has the names from the root to it, with dots between them. Only
-// the first error is kept.
+// checker checks the values of an object and keeps the first error. The path to a value lists the names on the way from
+// the root of the object to the value, separated by dots.
 type checker struct {
 	root   map[string]any
-	prefix string // put before paths in errors
+	prefix string // put before each path in an error; "" for the root of the settings
 	err    error
 }
 
@@ -23,7 +23,7 @@
 	}
 }
 
-// at returns the value at a path, or nil if there is none.
+// at returns the value at a path, or nil if the object has no such value.
 func (c *checker) at(path string) any {
 	var v any = c.root
 	for name := range strings.SplitSeq(path, ".") {
@@ -33,13 +33,13 @@
 	return v
 }
 
-// numberAt returns the number at a path, or 0 if there is none.
+// numberAt returns the number at a path, or 0 if the object has no number there.
 func (c *checker) numberAt(path string) float64 {
 	n, _ := c.at(path).(float64)
 	return n
 }
 
-// numberKind is the kind of numbers that a field accepts.
+// numberKind says whether a field accepts only integers or any number.
 type numberKind uint8
 
 const (
@@ -52,7 +52,7 @@
 	c.inRange(path, c.at(path), kind, lo, hi)
 }
 
-// inRange checks that a value is a number from lo to hi. path names it in errors.
+// inRange checks that a value is a number from lo to hi. path is the path of the value, for the error.
 func (c *checker) inRange(path string, v any, kind numberKind, lo, hi float64) {
 	n, ok := v.(float64)
 	switch {
@@ -95,8 +95,9 @@
 	}
 }
 
-// names checks that the value at a path is a list of at least minCount distinct names. If the path is LIST.FIELD, the names
-// are in the field of each object of a list. It returns the length of the list.
+// names checks that the value at a path is a list of at least minCount distinct names, and returns the length of the
+// list. If the path has the form LIST.FIELD, the entries of LIST are objects, and the names are the values of FIELD in
+// them.
 func (c *checker) names(path string, minCount int) int {
 	path, field, ofObjects := strings.Cut(path, ".")
 	all, ok := c.at(path).([]any)
@@ -123,7 +124,7 @@
 	return len(all)
 }
 
-// quoteAll returns the quoted texts with commas between them, for an error. An empty text is left out.
+// quoteAll quotes texts for an error and separates them by commas. Empty texts are left out.
 func quoteAll(texts []string) string {
 	var quoted []string
 	for _, text := range texts {
@@ -134,7 +135,8 @@
 	return strings.Join(quoted, ", ")
 }
 
-// describe returns the JSON of a value for an error of one line, truncated to maxBytes, or "missing" for nil.
+// describe returns how an error of one line shows a value: as JSON, truncated to maxBytes, or as "missing" if the value
+// is nil.
 func describe(v any) string {
 	const maxBytes = 60
 	text, err := json.Marshal(v)
--- a/internal/parse/platformconfig/config.go
+++ b/internal/parse/platformconfig/config.go
@@ -7,9 +7,9 @@
 	"fmt"
 )
 
-// Info is the settings object of the platform. Its tags have the platform's keys, its fields the names that the module uses
-// for the same settings. Times are in milliseconds, cores and memory in the units of the module. The name Info appears in
-// errors of encoding/json, so it must not change.
+// Info is the settings object of the platform. The tags are the platform's keys, and the fields have the names that the
+// module uses for the same settings. Times are in milliseconds. Cores and memory are in the same units as in the
+// module's settings. The name of the type appears in errors of encoding/json, so it must not change.
 type Info struct {
 	Zone    int      `json:"az"`
 	Zones   []string `json:"dcs"`
--- a/internal/parse/platformconfig/golden_test.go
+++ b/internal/parse/platformconfig/golden_test.go
@@ -21,8 +21,8 @@
 }
 
 // TestSettingsGolden checks that each key sets the same fields as before, both of Info and of the module's settings.
-// testdata/all.json has a distinct value for every key. The golden files list the values in the order of the fields, so they
-// change when fields are reordered.
+// The file testdata/all.json has a distinct value for every key. The golden files list the values in the order in which
+// the two types declare their fields, so they change when fields are reordered.
 func TestSettingsGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "all.json"))
 	if err != nil {
@@ -43,7 +43,8 @@
 	goldentest.Check(t, "all.settings", []byte(lines(reflect.ValueOf(s))))
 }
 
-// TestSetReportedGoldenNames checks that each field of a load report keeps its name and that other names set nothing.
+// TestSetReportedGoldenNames checks that the platform's names for the values of a load report still set the same
+// fields, and that an unknown name sets nothing.
 func TestSetReportedGoldenNames(t *testing.T) {
 	r := EmptyReport()
 	got := goldentest.FormatValue(reflect.ValueOf(r))
@@ -53,6 +54,6 @@
 	}
 	want := "(NaN NaN NaN NaN) (0.5 NaN NaN NaN) (0.5 1.5 NaN NaN) (0.5 1.5 2.5 NaN) (0.5 1.5 2.5 3.5) (0.5 1.5 2.5 3.5)"
 	if got != want {
-		t.Errorf("a report before and after each SetReported = %s, want %s", got, want)
+		t.Errorf("load report before and after each SetReported of x0, x1, backlog, utilization and unheard-of: got %s, want %s", got, want)
 	}
 }
--- a/internal/parse/platformconfig/modulesettings.go
+++ b/internal/parse/platformconfig/modulesettings.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// moduleCosts returns the costs, some of which the platform has in familyInfo.
+// moduleCosts returns the costs of the module. The platform has most of them in deductions and some in familyInfo.
 func moduleCosts(in *Info) forkhead.Costs {
 	return forkhead.Costs{
 		SurplusMachine: in.Costs.SurplusMachine, Migration: in.Costs.Migration, EvictionMigrations: in.FamilyInfo.EvictionMigrations,
@@ -62,7 +62,8 @@
 	}
 }
 
-// moduleClasses returns the classes. After an error, these are the classes before the one in error.
+// moduleClasses returns the classes of the module. With an error, it returns only the classes before the one that
+// cannot be converted.
 func moduleClasses(in *Info) ([]forkhead.Class, error) {
 	f := &in.FamilyInfo
 	for _, n := range []int{
@@ -95,18 +96,19 @@
 	return classes, nil
 }
 
-// effects has the effects by their names on the platform.
+// effects maps the platform's names for effects to the effects.
 var effects = map[string]forkhead.Effect{
 	"retryable": forkhead.Safe, "dedup": forkhead.Keyed, "fragile": forkhead.Unsafe,
 }
 
-// domains has the domains by their names on the platform.
+// domains maps the platform's names for domains to the domains.
 var domains = map[string]forkhead.Domain{
 	"": forkhead.AnyDomain, "all": forkhead.AnyDomain, "none": forkhead.AnyDomain,
 	"machine": forkhead.MachineDomain, "cell": forkhead.CellDomain, "zone": forkhead.ZoneDomain,
 }
 
-// translate returns the value of a name of the platform. field names its field in errors.
+// translate looks up a name of the platform in a table. The parameter field is the key of the setting that has the
+// name, for the error that an unknown name causes.
 func translate[T any](field string, table map[string]T, name string) (T, error) {
 	v, ok := table[name]
 	if !ok {
--- a/internal/parse/platformconfig/report.go
+++ b/internal/parse/platformconfig/report.go
@@ -12,8 +12,8 @@
 	return &forkhead.LoadReport{AvailableCores: nan, AvailableMemory: nan, Queue: nan, Utilization: nan}
 }
 
-// SetReported sets the value of a load report that field names, as in loadInfo.fields. Fields that the module does not use
-// are ignored.
+// SetReported sets one value of a load report. The parameter field is the platform's name for the value, one of the
+// names in loadInfo.fields. Values that the module does not use are ignored.
 func SetReported(r *forkhead.LoadReport, field string, value float64) {
 	switch field {
 	case "x0":
--- a/internal/parse/servicespec/check.go
+++ b/internal/parse/servicespec/check.go
@@ -41,7 +41,7 @@
 
 const (
 	unvisited visitState = iota
-	visiting             // on the path to the service that is being visited
+	visiting             // the service is on the path to the service that is being visited
 	visited              // neither the service nor any of its dependencies is on a cycle
 )
 
@@ -51,7 +51,8 @@
 	states      map[string]visitState // by service name
 }
 
-// visit returns an error if a cycle can be reached from the service. path lists the names of the services that lead to it.
+// visit returns an error if a cycle can be reached from the service s. path lists the names of the services from the
+// start of the search to s, without s, each of which depends on the next.
 func (c *cycleSearch) visit(s *Service, path []string) error {
 	switch c.states[s.Name] {
 	case visited:
--- a/internal/parse/servicespec/keys.go
+++ b/internal/parse/servicespec/keys.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Fingerprint returns a hash of the fields that determine a running task of the service. The number of replicas, the
-// timeouts and whatever affects only the next placement are left out.
+// Fingerprint returns a hash of the fields for which a running task of the service must be replaced when they change. The
+// number of replicas, the timeouts and the fields that affect only the next placement are left out.
 func (s *Service) Fingerprint() uint64 {
 	text := fmt.Appendf(nil, "%s|%s|%g|%g|%g|%g|%d|%s", s.Class, s.Tenant, s.Cores, s.Memory, s.LimitCores, s.LimitMemory,
 		s.StopGrace, s.Payload)
--- a/internal/parse/servicespec/servicespec.go
+++ b/internal/parse/servicespec/servicespec.go
@@ -1,7 +1,7 @@
-// Package servicespec is the model of a service specification, which every source format is parsed into: what to run, how
-// many tasks of it, and what affects their placement.
+// Package servicespec is the model of a service specification: what to run, in how many tasks, and what affects the
+// placement of the tasks. Every source format is parsed into this model.
 //
-// Specifications are stored as JSON. The tags of renamed fields keep the names that stored specifications have.
+// Specifications are stored as JSON. Where a field has been renamed, its tag is the name in stored specifications.
 package servicespec
 
 import (
@@ -17,7 +17,7 @@
 	Name         string    // name of the project; "" if the source has none
 	Services     []Service // sorted by name, once Check has passed
 	Notes        []Note    // elements of the source that have no effect
-	AllOrNothing bool      `json:"Whole"` // place all tasks or none: reject a project proven not to fit
+	AllOrNothing bool      `json:"Whole"` // place all tasks or none: reject the project if it is proven not to fit
 }
 
 // Note reports an element of the source that has no effect.
@@ -31,16 +31,16 @@
 
 // The modes.
 const (
-	Replicated    Mode = iota // Replicas tasks that run until they are stopped
-	Global                    // one task that runs until it is stopped, on each host that fits
-	ReplicatedJob             // Replicas tasks that end by themselves
-	GlobalJob                 // one task that ends by itself, on each host that fits
+	Replicated    Mode = iota // as many tasks as Service.Replicas says, which run until they are stopped
+	Global                    // one task on each host that fits, which runs until it is stopped
+	ReplicatedJob             // as many tasks as Service.Replicas says, which end by themselves
+	GlobalJob                 // one task on each host that fits, which ends by itself
 )
 
-// Job reports whether the tasks end by themselves.
+// Job reports whether the tasks of a service with this mode end by themselves.
 func (m Mode) Job() bool { return m == ReplicatedJob || m == GlobalJob }
 
-// PerHost reports whether the number of tasks follows from the number of hosts.
+// PerHost reports whether a service with this mode has one task on each host that fits.
 func (m Mode) PerHost() bool { return m == Global || m == GlobalJob }
 
 // Service is one service of a project.
@@ -48,25 +48,25 @@
 	Name             string
 	Pos              diagnostic.Pos
 	Class            string // "": the placer's default class
-	Tenant           string // "": none
+	Tenant           string // "": no tenant
 	Mode             Mode
 	Replicas         int
 	Cores            float64       // cores reserved for each task
 	Memory           float64       // GiB reserved for each task
-	LimitCores       float64       // 0: none
-	LimitMemory      float64       // GiB; 0: none
+	LimitCores       float64       // cores that each task may use; 0: no limit
+	LimitMemory      float64       // GiB that each task may use; 0: no limit
 	ExpectedRuntime  time.Duration `json:"Life"`     // approximate run time of a task; 0: not known
-	RequestTimeout   time.Duration `json:"Wait"`     // timeout of one placement request; 0: that of the class
-	PlacementTimeout time.Duration `json:"Patience"` // how long the placement of a task is requested again; 0: that of the class
+	RequestTimeout   time.Duration `json:"Wait"`     // timeout of one placement request; 0: the timeout of the class
+	PlacementTimeout time.Duration `json:"Patience"` // how long a task's placement is requested again; 0: as set for the class
 	Constraints      []Constraint
-	Preferences      []Attribute   // best effort: tasks are spread evenly over the values of each
+	Preferences      []Attribute   // attributes of hosts: tasks are spread over their values as evenly as possible
 	SpreadLimits     []SpreadLimit `json:"Limits"`
-	Near             []Near        // services whose domains its tasks must share
+	Near             []Near        // other services in whose domains the tasks must be
 	Restart          Restart
 	Update           Update
 	DependsOn        []Dependency
 	Labels           map[string]string
-	StopGrace        time.Duration // time between the request to stop and the kill; 0: that of the host
+	StopGrace        time.Duration // time between the request to stop a task and its kill; 0: as set on the host
 	Payload          []byte        // JSON object that is passed to the host and not interpreted here
 }
 
@@ -91,7 +91,7 @@
 	return string(c.Attribute) + " " + op + " " + c.Value
 }
 
-// SpreadLimit is the maximum number of tasks of the service in one domain.
+// SpreadLimit limits how many tasks of a service one domain may have.
 type SpreadLimit struct {
 	Domain   string `json:"Place"` // machine, rack or zone
 	MaxTasks int    `json:"Most"`
@@ -118,9 +118,9 @@
 // Restart is the policy for restarting an ended task.
 type Restart struct {
 	When        RestartCondition
-	Delay       time.Duration // before a restart
-	MaxRestarts int           `json:"Most"` // restarts in Window; 0: no limit
-	Window      time.Duration // 0: unlimited
+	Delay       time.Duration // time between the end of a task and its restart
+	MaxRestarts int           `json:"Most"` // maximum number of restarts in Window; 0: no limit
+	Window      time.Duration // 0: MaxRestarts applies to all restarts of a task
 }
 
 // FailureAction is how an update reacts to too many failed tasks. It is stored as a number.
@@ -136,33 +136,34 @@
 // Update determines how the running tasks of a changed service are replaced.
 type Update struct {
 	Parallel        int           // tasks replaced at a time; 0: all
-	Delay           time.Duration // between one batch of tasks and the next
+	Delay           time.Duration // time between one batch of replaced tasks and the next
 	FailureAction   FailureAction `json:"OnTrouble"`
-	Monitor         time.Duration // how long a replaced task is monitored for a failure
-	MaxFailureRatio float64       `json:"MaxFailed"` // ratio of tasks that may fail, 0 to 1
-	StartFirst      bool          // start the new task before the old one is stopped
+	Monitor         time.Duration // how long the new task is monitored for a failure
+	MaxFailureRatio float64       `json:"MaxFailed"` // proportion of the tasks that may fail, 0 to 1
+	StartFirst      bool          // start the new task before the old task is stopped
 }
 
-// DependencyCondition is the state that a dependency must have reached. It is stored as a number.
+// DependencyCondition is the state that a service must reach before the services that depend on it are placed. It is
+// stored as a number.
 type DependencyCondition uint8
 
 // The dependency conditions.
 const (
-	Started   DependencyCondition = iota // all its tasks are placed
+	Started   DependencyCondition = iota // all tasks of the service are placed
 	Healthy                              // same as Started: hosts report that a task runs, not that it is healthy
-	Completed                            // all its tasks ended successfully
+	Completed                            // all tasks of the service ended successfully
 )
 
-// Dependency is a service that must reach a condition first.
+// Dependency names another service, which must reach a condition before a service is placed.
 type Dependency struct {
 	Service  string
 	When     DependencyCondition
-	Optional bool // the service may be missing
-	Restart  bool // replace the tasks when the dependency is replaced; has no effect
+	Optional bool // the service may be missing or fail
+	Restart  bool // the source asks to replace the tasks when the dependency is replaced; has no effect
 	Pos      diagnostic.Pos
 }
 
-// Service returns the service of a name, or nil. The services must be sorted, as by Check.
+// Service returns the service with a name, or nil if there is none. Check must have sorted the services.
 func (d *Description) Service(name string) *Service {
 	i, ok := slices.BinarySearchFunc(d.Services, name, func(s Service, n string) int { return strings.Compare(s.Name, n) })
 	if !ok {
@@ -171,7 +172,7 @@
 	return &d.Services[i]
 }
 
-// Tasks returns the number of tasks, without those of services whose mode is per host.
+// Tasks returns the number of tasks, except for services with one task on each host that fits.
 func (d *Description) Tasks() int {
 	n := 0
 	for _, s := range d.Services {
--- a/internal/parse/servicespec/servicespec_test.go
+++ b/internal/parse/servicespec/servicespec_test.go
@@ -7,7 +7,7 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// dependingOn returns a service that depends on the others.
+// dependingOn returns a service that depends on the services with the names in others.
 func dependingOn(name string, others ...string) Service {
 	s := Service{Name: name, Pos: diagnostic.Pos{File: "f", Line: 1, Col: 1}}
 	for _, other := range others {
@@ -19,11 +19,11 @@
 func TestCheckSortsServices(t *testing.T) {
 	d := &Description{Services: []Service{dependingOn("b", "a"), dependingOn("c", "a", "b"), dependingOn("a")}}
 	if err := d.Check(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Check() of services a, b and c without a cycle = error %v, want none", err)
 	}
 	for _, name := range []string{"a", "b", "c"} {
 		if s := d.Service(name); s == nil || s.Name != name {
-			t.Errorf("Service(%q) = %+v after Check, want the service of that name", name, s)
+			t.Errorf("Service(%q) after Check() = %+v, want the service with that name", name, s)
 		}
 	}
 	if s := d.Service("d"); s != nil {
@@ -46,7 +46,7 @@
 	} {
 		err := (&Description{Services: c.services}).Check()
 		if c.want == "" && err != nil || c.want != "" && (err == nil || err.Error() != c.want) {
-			t.Errorf("%s: Check() = %v, want %q (\"\": no error)", name, err, c.want)
+			t.Errorf("%s: Check() = error %v, want %q (\"\": no error)", name, err, c.want)
 		}
 	}
 }
@@ -56,11 +56,12 @@
 		{Replicas: 2}, {Mode: ReplicatedJob, Replicas: 3}, {Mode: Global, Replicas: 1}, {Mode: GlobalJob, Replicas: 1},
 	}}
 	if got := d.Tasks(); got != 5 {
-		t.Errorf("Tasks() = %d, want 5: 2 replicated and 3 of a replicated job", got)
+		t.Errorf("Tasks() of 2 replicated tasks, 3 tasks of a replicated job and two services per host = %d, want 5", got)
 	}
 }
 
-// TestTaskAndServiceKeysGolden checks that keys do not change: hosts and stores identify tasks by them.
+// TestTaskAndServiceKeysGolden checks that the keys of tasks and services do not change from one build to the next,
+// because hosts and stores identify tasks by their keys.
 func TestTaskAndServiceKeysGolden(t *testing.T) {
 	if got, want := TaskKey("courts", "calendar", "web", 3), uint64(17376663113988466486); got != want {
 		t.Errorf("TaskKey(courts, calendar, web, 3) = %d, want %d", got, want)
@@ -78,8 +79,8 @@
 	}
 }
 
-// TestFingerprintGolden checks that fingerprints do not change: a running task carries that of the specification which it
-// was started with.
+// TestFingerprintGolden checks that fingerprints do not change from one build to the next, because a running task keeps
+// the fingerprint of the specification that it was started with.
 func TestFingerprintGolden(t *testing.T) {
 	s := exampleService()
 	if got, want := s.Fingerprint(), uint64(16992245385699774695); got != want {
@@ -104,7 +105,7 @@
 		s := exampleService()
 		c.change(&s)
 		if differs := s.Fingerprint() != example.Fingerprint(); differs != c.differs {
-			t.Errorf("after a change of %s, Fingerprint() differs = %v, want %v", name, differs, c.differs)
+			t.Errorf("after a change of %s: Fingerprint() differs from that of the unchanged service: got %v, want %v", name, differs, c.differs)
 		}
 	}
 }
--- a/internal/parse/settings/defaults.go
+++ b/internal/parse/settings/defaults.go
@@ -18,10 +18,10 @@
 	}
 }
 
-// defaultPlacer is the only placer if the file has no (placer ...).
+// defaultPlacer is the only placer if the file has no entry (placer ...).
 var defaultPlacer = Placer{HTTPAddress: "127.0.0.1:7070", GossipAddress: "127.0.0.1:7071"}
 
-// The means that apply without (mean-cores ...) and (mean-memory ...).
+// The mean cores and memory that a task is expected to request, if the file has no (mean-cores ...) or (mean-memory ...).
 const (
 	defaultMeanCores  = 1
 	defaultMeanMemory = 2 // GiB
@@ -62,10 +62,11 @@
 	Connections: 1000, BufferBytes: 4 << 20, Hosts: 10_000, PlacementConstraints: 64,
 }
 
-// defaultRequestTimeout applies to classes without (wait ...).
+// defaultRequestTimeout is the timeout of a placement request in a class that has no entry (wait ...).
 const defaultRequestTimeout = 5 * time.Second
 
-// defaultClass returns the module's settings for a class of which only the name is set. Machine type -1 means any.
+// defaultClass returns the module's settings for a class of which the file sets only the name. Machine type -1 means any
+// machine type.
 func defaultClass() forkhead.Class {
 	return forkhead.Class{
 		DedupWindow: 8 * time.Second, LatencyObjective: time.Second, Weight: 1, LateWeight: 0.1, StartWeight: 10, MachineType: -1,
--- a/internal/parse/settings/entries.go
+++ b/internal/parse/settings/entries.go
@@ -13,15 +13,15 @@
 // The limits of entries that may be repeated.
 const (
 	maxPlacers = 4096
-	maxNames   = 250 // machine types, classes or tenants each
+	maxNames   = 250 // machine types; also classes, and tenants
 )
 
-// Domains has the domains by their keywords in settings and descriptions.
+// Domains maps the keywords for domains in settings and service descriptions to the domains.
 var Domains = map[string]forkhead.Domain{
 	"anywhere": forkhead.AnyDomain, "machine": forkhead.MachineDomain, "rack": forkhead.CellDomain, "zone": forkhead.ZoneDomain,
 }
 
-// effects has the effects by their keywords.
+// effects maps the keywords for effects in settings to the effects.
 var effects = map[string]forkhead.Effect{"safe": forkhead.Safe, "keyed": forkhead.Keyed, "unsafe": forkhead.Unsafe}
 
 // placer adds the placer that (placer fields...) defines.
@@ -39,7 +39,8 @@
 	return nil
 }
 
-// splitName returns the name and the fields of (head NAME fields...). A name in taken is an error.
+// splitName returns the name and the fields of an entry (head NAME fields...). The parameter taken lists the names that
+// earlier entries with the same head have: another entry with one of them is an error.
 func splitName(n *sexp.Node, taken []string) (name string, fields []*sexp.Node, err error) {
 	args := n.Args()
 	if len(args) == 0 || args[0].List || args[0].Atom == "" {
@@ -97,7 +98,8 @@
 	return nil
 }
 
-// classFields returns the fields of the class that is added next. They set c and m.
+// classFields returns the fields of an entry (class NAME fields...). They store into c and m, which are the settings of
+// the class that is added to the list next.
 func (p *parser) classFields(c *Class, m *forkhead.Class) map[string]sexp.Field {
 	index := len(p.settings.Classes)
 	return map[string]sexp.Field{
--- a/internal/parse/settings/fields.go
+++ b/internal/parse/settings/fields.go
@@ -26,8 +26,8 @@
 // memoryUnits has the units of memory, in GiB.
 var memoryUnits = map[string]float64{"MiB": 1. / 1024, "GiB": 1, "TiB": 1024}
 
-// memoryField returns a field that stores an amount of memory in GiB. It is written as a number from 0.001 to 10^6 followed by
-// a unit.
+// memoryField returns a field that stores an amount of memory in GiB. In the file, the amount is a number from 0.001 to
+// 10^6 followed by a unit.
 func memoryField(to *float64) sexp.Field {
 	return sexp.SingleValue(func(v *sexp.Node) error {
 		text, err := v.Text()
--- a/internal/parse/settings/golden_test.go
+++ b/internal/parse/settings/golden_test.go
@@ -24,9 +24,9 @@
 	return b.Bytes()
 }
 
-// TestParseGolden checks that each key sets the same field as before. testdata/all.sexp has a distinct value for every
-// setting, testdata/least.sexp only the settings without a default. The golden files list the values in the order of the
-// fields, so they change when fields are reordered.
+// TestParseGolden checks that each key sets the same field as before. The file testdata/all.sexp has a distinct value for
+// every setting, and testdata/least.sexp has only the settings without a default. The golden files list the values in the
+// order in which the type Settings declares its fields, so they change when fields are reordered.
 func TestParseGolden(t *testing.T) {
 	for _, name := range []string{"all", "least"} {
 		file := filepath.Join("testdata", name+".sexp")
@@ -47,8 +47,8 @@
 	goldentest.Check(t, "default.values", lines(reflect.ValueOf(*s.ForPlacer(1))))
 }
 
-// TestParseErrorsGolden checks the errors of testdata/faults.sexp, which has a fault of each kind: each error has a position
-// and what would be valid.
+// TestParseErrorsGolden checks that the errors for testdata/faults.sexp, which has a fault of each kind, are the same as
+// before. Each error has a position, and says what would be valid there.
 func TestParseErrorsGolden(t *testing.T) {
 	file := filepath.Join("testdata", "faults.sexp")
 	text, err := os.ReadFile(file)
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	if _, err = Parse("faults.sexp", text); err == nil {
-		t.Fatalf("Parse of %s = no error, want its faults", file)
+		t.Fatalf("Parse of %s = no error, want an error for each fault in the file", file)
 	}
 	goldentest.Check(t, "faults.txt", []byte(err.Error()+"\n"))
 }
--- a/internal/parse/settings/parser.go
+++ b/internal/parse/settings/parser.go
@@ -13,7 +13,7 @@
 // The upper bounds of values that several settings share.
 const (
 	maxDuration = 24 * time.Hour
-	maxAmount   = 1e9 // weights and cores
+	maxAmount   = 1e9 // maximum of a weight or a number of cores
 )
 
 // parser sets settings from nodes. It adds faults to errs and continues.
@@ -21,8 +21,8 @@
 	settings *Settings
 	errs     *diagnostic.List
 
-	// Names that are resolved at the end, when all machine types and classes are known.
-	defaultClass    *sexp.Node // nil: not set
+	// Names that are resolved at the end of the file, when all machine types and classes are known.
+	defaultClass    *sexp.Node // nil: the file names no default class
 	machineTypeRefs []machineTypeRef
 }
 
@@ -32,7 +32,7 @@
 	name  *sexp.Node
 }
 
-// parse sets and checks the settings of n, a list (forkhead ...).
+// parse sets and checks the settings in a list (forkhead ...).
 func (p *parser) parse(n *sexp.Node) {
 	fields := p.moduleFields()
 	for name, field := range map[string]sexp.Field{
@@ -54,7 +54,7 @@
 	p.check(n)
 }
 
-// section returns a field (NAME fields...) that sets the given fields.
+// section returns a field that parses a list (NAME fields...), where fields are the given ones.
 func (p *parser) section(fields map[string]sexp.Field) sexp.Field {
 	return func(n *sexp.Node) error {
 		sexp.Fields(n.Args(), fields, nil, p.errs)
@@ -62,7 +62,7 @@
 	}
 }
 
-// nameField returns a field that passes a name to keep, which stores it until it is resolved.
+// nameField returns a field that passes a name to the function keep, which stores the name until it is resolved.
 func nameField(keep func(name *sexp.Node)) sexp.Field {
 	return sexp.SingleValue(func(v *sexp.Node) error {
 		keep(v)
@@ -71,7 +71,7 @@
 	})
 }
 
-// addDefaults sets the placers and means that the file does not set.
+// addDefaults sets the placers, the mean cores and the mean memory to their defaults if the file does not set them.
 func (p *parser) addDefaults() {
 	s := p.settings
 	if len(s.Placers) == 0 {
@@ -86,8 +86,8 @@
 	}
 }
 
-// check checks rules between several settings and resolves names. Errors are at n, the list of all settings, unless they
-// concern a name.
+// check checks the settings that depend on one another, and resolves names. An error has the position of n, the list of
+// all settings, unless the error concerns a name.
 func (p *parser) check(n *sexp.Node) {
 	s := p.settings
 	if len(s.MachineTypeNames) == 0 {
@@ -125,7 +125,7 @@
 	}
 }
 
-// checkQuotas checks that the quotas of the tenants sum to at most the whole cluster.
+// checkQuotas checks that the quotas of the tenants, as fractions of the cluster, sum to at most 1.
 func (p *parser) checkQuotas(n *sexp.Node) {
 	const maxTotal = 1.001 // allows for rounded quotas such as 0.334 for 1/3
 	total := 0.0
--- a/internal/parse/settings/sections.go
+++ b/internal/parse/settings/sections.go
@@ -7,10 +7,11 @@
 	"forkhead/internal/parse/sexp"
 )
 
-// Each function in this file returns the fields of one section by their keys, which store into the argument. Existing files
-// have these keys, so they do not change with the names of the fields that they set.
+// Each function in this file returns the fields of one section, by their keys in the file. The fields store into the
+// struct that the function is given. The keys stay the same when the fields of the struct are renamed, because existing
+// files have these keys.
 
-// moduleFields returns the fields at the top level that set the module's settings.
+// moduleFields returns the fields at the top level of the file that set the module's settings.
 func (p *parser) moduleFields() map[string]sexp.Field {
 	m := &p.settings.Module
 	return map[string]sexp.Field{
@@ -59,7 +60,7 @@
 	}
 }
 
-// ownerFields returns the fields for owners, which set settings of the module and of the service.
+// ownerFields returns the fields of the section owner, which store into the module's settings and into Settings.Owner.
 func (p *parser) ownerFields() map[string]sexp.Field {
 	m, o := &p.settings.Module, &p.settings.Owner
 	return map[string]sexp.Field{
--- a/internal/parse/settings/settings.go
+++ b/internal/parse/settings/settings.go
@@ -17,15 +17,15 @@
 //go:embed default.sexp
 var Default []byte
 
-// Settings are the settings that a placer service starts with. Module has those that the module decides by, which are passed
-// to it unchanged. ForPlacer sets Module.Self and Module.Placers.
+// Settings are the settings that a placer service starts with. The field Module has the settings that are passed
+// unchanged to the module, which makes the placement decisions. ForPlacer sets Module.Self and Module.Placers.
 type Settings struct {
 	Module           forkhead.Settings
-	MachineTypeNames []string // parallel to Module.MachineTypes
-	Classes          []Class  // parallel to Module.Classes
-	Tenants          []string // names, parallel to Module.Tenants
+	MachineTypeNames []string // in the order of Module.MachineTypes
+	Classes          []Class  // in the order of Module.Classes
+	Tenants          []string // names of the tenants, in the order of Module.Tenants
 
-	DefaultClass int // index in Classes of the class for services that name none
+	DefaultClass int // index in Classes of the class of services that name no class
 
 	Placers          []Placer
 	ServiceDiscovery ServiceDiscovery
@@ -38,14 +38,14 @@
 // Class has the settings of a class that the module does not use.
 type Class struct {
 	Name             string
-	RequestTimeout   time.Duration // of one placement request
+	RequestTimeout   time.Duration // timeout of one placement request
 	PlacementTimeout time.Duration // how long the placement of a task is requested again
 }
 
 // Placer is one placer of the service.
 type Placer struct {
 	Zone          string
-	HTTPAddress   string // of the HTTP server for owners
+	HTTPAddress   string // address of the HTTP server for owners
 	GossipAddress string // UDP address for messages between placers
 }
 
@@ -54,29 +54,29 @@
 	Address     string
 	Service     string        // name under which hosts are registered
 	MaxWait     time.Duration // longest duration of a blocking query
-	Timeout     time.Duration // a query has failed this long after MaxWait
+	Timeout     time.Duration // a query fails if it takes this much longer than MaxWait
 	MinInterval time.Duration // minimum time between two queries
 }
 
 // Owner determines how a task that was rejected, failed, migrated or lost is requested again.
 type Owner struct {
 	MinBackoff       time.Duration // mean backoff after the first rejection
-	MaxBackoff       time.Duration // the mean backoff doubles up to this
+	MaxBackoff       time.Duration // longest mean backoff: the mean doubles up to this
 	MigrationBackoff time.Duration // mean backoff after a migration or a loss
-	MaxRequests      int           // most placement requests for one outcome
+	MaxRequests      int           // maximum number of placement requests for one outcome
 	MaxPlacements    int           // a lost task that was placed this many times is not placed again
 }
 
 // HostConnections determines how connections to hosts are maintained.
 type HostConnections struct {
-	ConnectTimeout time.Duration // a connection not established within this has failed
+	ConnectTimeout time.Duration // an attempt to connect fails if it takes longer than this
 	MinBackoff     time.Duration // mean backoff before the first reconnect
-	MaxBackoff     time.Duration // the mean backoff doubles up to this
+	MaxBackoff     time.Duration // longest mean backoff: the mean doubles up to this
 	LostAfter      time.Duration // tasks that can be repeated safely count as lost once their host is unreachable for this long
-	ProbeTimeout   time.Duration // a probe without an answer for this long has failed
+	ProbeTimeout   time.Duration // a probe fails if its answer takes longer than this
 }
 
-// Limits bound memory and work. docs/ops/placer.md describes what happens when each is reached.
+// Limits bound the memory and the work of a placer. docs/ops/placer.md describes what happens when each limit is reached.
 type Limits struct {
 	BodyBytes            int           // bytes of a submission
 	Tasks                int           // tasks that one placer holds
@@ -89,10 +89,11 @@
 	PlacementConstraints int           // distinct placement constraints in use at one time
 }
 
-// SavedHostList determines how far a starting placer relies on the endpoint list that it has stored.
+// SavedHostList determines how far a starting placer relies on the endpoint list that it has stored. If the age of the
+// list is between the two ages, a host in the list is used once its handshake is done.
 type SavedHostList struct {
-	FreshAge time.Duration // up to this age, the list is used as one from service discovery
-	MaxAge   time.Duration // an older list is not used; between the two ages, a host is used once its handshake is done
+	FreshAge time.Duration // up to this age, the stored list is used like a list from service discovery
+	MaxAge   time.Duration // beyond this age, the stored list is not used
 }
 
 // Parse parses and checks a settings file. The error lists the faults with their positions.
@@ -125,14 +126,15 @@
 	return s, nil
 }
 
-// ForPlacer returns a copy of the settings for the placer with index self: Module.Self and Module.Placers are set.
+// ForPlacer returns a copy of the settings for one placer, with Module.Self and Module.Placers set. The parameter self
+// is the index of the placer.
 func (s *Settings) ForPlacer(self int) *Settings {
 	c := *s
 	c.Module.Self, c.Module.Placers = self, len(s.Placers)
 	return &c
 }
 
-// ClassIndex returns the index of the class of a name in Classes.
+// ClassIndex returns the index in Classes of the class with a name.
 func (s *Settings) ClassIndex(name string) (index int, ok bool) {
 	for i, c := range s.Classes {
 		if c.Name == name {
--- a/internal/parse/settings/settings_test.go
+++ b/internal/parse/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"forkhead"
 )
 
-// minimalFields has the settings without a default.
+// minimalFields has the settings that have no default, so that every file must set them.
 const minimalFields = `(kind k (cores 4) (memory 8GiB)) (class c)`
 
 func TestParseSetsFieldsAndDefaults(t *testing.T) {
@@ -22,10 +22,13 @@
 	c := m.Classes[0]
 	if m.Self != 1 || m.Placers != 2 || m.MachineTypes[0].Memory != 0.5 || c.Effect != forkhead.Unsafe || c.SpreadDomain != forkhead.CellDomain ||
 		c.MaxPerDomain != 3 || c.MachineType != 0 || m.Tenants[0].QuotaCores != 9 || s.Limits.Tasks != 7 {
-		t.Fatalf("Parse = %+v, want the values of the text", s)
+		t.Fatalf("Parse: got Self %d, Placers %d, Memory %g, Effect %v, SpreadDomain %v, MaxPerDomain %d, MachineType %d, "+
+			"QuotaCores %g, Limits.Tasks %d; want 1, 2, 0.5, %v, %v, 3, 0, 9, 7",
+			m.Self, m.Placers, m.MachineTypes[0].Memory, c.Effect, c.SpreadDomain, c.MaxPerDomain, c.MachineType,
+			m.Tenants[0].QuotaCores, s.Limits.Tasks, forkhead.Unsafe, forkhead.CellDomain)
 	}
 	if s.Classes[0].PlacementTimeout < s.Classes[0].RequestTimeout {
-		t.Fatalf("Parse without (patience ...) = placement timeout %v, want at least the request timeout, %v",
+		t.Fatalf("Parse of a class without (patience ...): got placement timeout %v, want at least the request timeout, %v",
 			s.Classes[0].PlacementTimeout, s.Classes[0].RequestTimeout)
 	}
 }
@@ -60,7 +63,7 @@
 		"(forkhead \xff)":                                                                "not valid UTF-8",
 	} {
 		if _, err := Parse("f", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("Parse(%s) = error %v\nwant an error with %s", text, err, want)
+			t.Errorf("Parse(%s) = error %v\nwant an error that contains %s", text, err, want)
 		}
 	}
 }
--- a/internal/parse/sexp/fields.go
+++ b/internal/parse/sexp/fields.go
@@ -12,8 +12,9 @@
 // Field parses a list (NAME values...) and stores its values.
 type Field func(n *Node) error
 
-// Fields parses each item, which must be a list, by the entry of fields that its head names. It adds the errors of the
-// fields to errs, and an error for an unknown head and for a duplicate of a head that is not in repeatable.
+// Fields parses a list of settings. Each item must be a list whose head is a key of the parameter fields, and the Field
+// under that key parses the item. Fields adds to errs the errors that a Field returns, and an error for an unknown head
+// and for a second item with the same head, unless the head is in the parameter repeatable.
 func Fields(items []*Node, fields map[string]Field, repeatable map[string]bool, errs *diagnostic.List) {
 	seen := map[string]bool{}
 	for _, item := range items {
@@ -37,7 +38,8 @@
 	}
 }
 
-// SingleValue returns a Field that calls take with the value of a list that must have exactly one.
+// SingleValue returns a Field that passes the value in a list (NAME value) to take. A list with no value or with
+// several is an error.
 func SingleValue(take func(v *Node) error) Field {
 	return func(n *Node) error {
 		if args := n.Args(); len(args) == 1 {
@@ -68,7 +70,8 @@
 // Text returns a Field that stores the text of an atom.
 func Text(to *string) Field { return setting(to, (*Node).Text) }
 
-// Choice returns a Field that stores the value that meanings has for an atom.
+// Choice returns a Field that looks up the text of an atom in the map meanings and stores the value found. An unknown
+// text is an error.
 func Choice[T any](to *T, meanings map[string]T) Field {
 	return setting(to, func(v *Node) (T, error) {
 		var none T
@@ -84,7 +87,8 @@
 	})
 }
 
-// setting returns a Field that stores what read returns for a single value. After an error, to is unchanged.
+// setting returns a Field that converts a single value with read and stores the result in *to. After an error, *to is
+// unchanged.
 func setting[T any](to *T, read func(v *Node) (T, error)) Field {
 	return SingleValue(func(v *Node) error {
 		got, err := read(v)
--- a/internal/parse/sexp/scanner.go
+++ b/internal/parse/sexp/scanner.go
@@ -11,7 +11,7 @@
 	file      string
 	text      []byte
 	offset    int
-	line, col int // position of offset, from 1
+	line, col int // position of the byte at offset, from 1
 }
 
 func (s *scanner) pos() diagnostic.Pos { return diagnostic.Pos{File: s.file, Line: s.line, Col: s.col} }
@@ -84,7 +84,8 @@
 	return "", diagnostic.Errorf(start, "this string is never closed")
 }
 
-// unescape returns the byte that an escape stands for: a backslash, which is at pos, followed by c.
+// unescape returns the byte that an escape in a string means. The escape is a backslash, whose position is pos,
+// followed by c.
 func unescape(c byte, pos diagnostic.Pos) (byte, error) {
 	switch c {
 	case '"', '\\':
--- a/internal/parse/sexp/sexp.go
+++ b/internal/parse/sexp/sexp.go
@@ -71,10 +71,10 @@
 	scanner
 	top       []*Node
 	openLists []*Node // lists whose ) has not been reached, the innermost last
-	tokens    int     // parsed so far, with each ) counted
+	tokens    int     // number of tokens parsed so far, including each )
 }
 
-// parseToken parses one (, ) or atom. The scanner must be at its first byte.
+// parseToken parses one token: a (, a ) or an atom. The scanner must be at the first byte of the token.
 func (p *parser) parseToken() error {
 	pos := p.pos()
 	if p.tokens >= MaxNodes {
--- a/internal/parse/sexp/sexp_test.go
+++ b/internal/parse/sexp/sexp_test.go
@@ -15,7 +15,7 @@
 func TestParseKeepsPositionsAndQuotes(t *testing.T) {
 	got, err := Parse("f", []byte("; a comment\n(a \"b c\" (d)) ; another\ne"))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Parse of an example = error %v, want none", err)
 	}
 	at := func(line, col int) diagnostic.Pos { return diagnostic.Pos{File: "f", Line: line, Col: col} }
 	want := []*Node{
@@ -30,7 +30,7 @@
 		t.Errorf("Parse of an example differs (-want +got):\n%s", diff)
 	}
 	if got[0].Head() != "a" || len(got[0].Args()) != 2 || got[1].Head() != "" || got[1].Args() != nil {
-		t.Errorf("the list has Head() = %q and %d Args(), want \"a\" and 2; the symbol has Head() = %q and Args() = %v, want \"\" and nil",
+		t.Errorf("list (a \"b c\" (d)): got Head() %q and %d Args(), want \"a\" and 2; symbol e: got Head() %q and Args() %v, want \"\" and nil",
 			got[0].Head(), len(got[0].Args()), got[1].Head(), got[1].Args())
 	}
 }
@@ -38,7 +38,8 @@
 func TestParseUnescapesStrings(t *testing.T) {
 	got, err := Parse("f", []byte(`"\"\\\n\t"`))
 	if err != nil || len(got) != 1 || got[0].Atom != "\"\\\n\t" {
-		t.Errorf("Parse of a string with each escape = %+v, %v, want one atom, a quote, a backslash, a line feed and a tab", got, err)
+		t.Errorf("Parse of a string with each escape = %+v, error %v; want one atom of a quote, a backslash, a line feed and a tab, and no error",
+			got, err)
 	}
 }
 
@@ -65,7 +66,7 @@
 	}
 }
 
-// settings has a field of each kind, for parseFields.
+// settings holds the values that parseFields stores, one for each kind of Field.
 type settings struct {
 	Number   float64
 	Int      int
@@ -75,12 +76,13 @@
 	Choice   int
 }
 
-// parseFields parses a text with fields that are named after their kinds.
+// parseFields parses a text whose settings are named after the kinds of Field: number, int, duration, bool, text and
+// choice.
 func parseFields(t *testing.T, text string) (settings, error) {
 	t.Helper()
 	nodes, err := Parse("f", []byte(text))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Parse(%q) = error %v, want none", text, err)
 	}
 	var s settings
 	errs := &diagnostic.List{}
@@ -95,14 +97,15 @@
 	got, err := parseFields(t, `(number 1.5) (int 3) (duration 2s) (bool yes) (text a) (text "b c") (choice two)`)
 	want := settings{Number: 1.5, Int: 3, Duration: 2 * time.Second, Bool: true, Text: "b c", Choice: 2}
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Fields with a field of each kind = error %v, want none", err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("Fields with a field of each kind stored other values (-want +got):\n%s", diff)
 	}
 }
 
-// TestFieldsErrorLeavesValueUnchanged checks the error of each fault, and that a field in error stores nothing.
+// TestFieldsErrorLeavesValueUnchanged checks the error that Fields adds for each kind of fault, and that a Field that
+// returns an error stores nothing.
 func TestFieldsErrorLeavesValueUnchanged(t *testing.T) {
 	for text, want := range map[string]string{
 		"a":                  "f:1:1: this is not a setting; want (name value ...)",
