--- a/internal/cli/chaos.go
+++ b/internal/cli/chaos.go
@@ -92,7 +92,7 @@
 	return a.runChaos(ctx, s, f)
 }
 
-// runChaos runs a scenario once. It returns errNegativeResult if a rule was broken or an action vetoed.
+// runChaos runs a scenario once. It returns errNegativeResult if a rule was broken or a placer's core vetoed an action.
 func (a *app) runChaos(ctx context.Context, s *scenario.Scenario, f *chaosFlags) error {
 	start := time.Now()
 	r, err := chaos.Run(ctx, s, chaos.Options{Log: a.log, RecordSteps: f.breachFolder != "", OnFault: func(fault scenario.Fault) {
@@ -162,8 +162,8 @@
 	Result   *chaos.Result  `json:"result"`
 }
 
-// writeRun writes a run into a new folder below folder: its scenario, its captured traffic, its verdict, and a recording of
-// each incarnation of a placer, which --replay reads.
+// writeRun writes a run into a new subfolder of folder: the scenario, the captured traffic, the verdict, and one
+// recording for each incarnation of a placer, which can be replayed with chaos --replay.
 func writeRun(folder string, s *scenario.Scenario, r *chaos.Result) error {
 	folder = filepath.Join(folder, fmt.Sprintf("seed-%d", s.Seed))
 	if err := os.MkdirAll(folder, captureFolderMode); err != nil {
@@ -179,7 +179,8 @@
 	files := map[string][]byte{"script.sexp": s.Text, "verdict.json": verdict}
 	for _, recording := range r.Recordings {
 		text, err := recording.Bytes()
-		if err != nil && !errors.Is(err, replay.ErrFull) { // a recording that reached its size limit replays up to its end
+		// A recording that has reached its size limit can be replayed up to its end.
+		if err != nil && !errors.Is(err, replay.ErrFull) {
 			return fmt.Errorf("recording of placer %d, incarnation %d: %w", recording.Placer, recording.Incarnation, err)
 		}
 		files[fmt.Sprintf("placer-%d-life-%d.tape", recording.Placer, recording.Incarnation)] = text
--- a/internal/cli/chaos_repeat.go
+++ b/internal/cli/chaos_repeat.go
@@ -10,8 +10,8 @@
 	"forkhead/internal/verify/scenario"
 )
 
-// repeatChaos runs a scenario f.runs times, each time in its own process. It returns errNegativeResult if a run broke a rule
-// or had a veto.
+// repeatChaos runs a scenario f.runs times, each time in its own process. It returns errNegativeResult if a rule was
+// broken or an action vetoed in any run.
 func (a *app) repeatChaos(ctx context.Context, s *scenario.Scenario, f *chaosFlags) error {
 	program, err := os.Executable()
 	if err != nil {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// runCommand returns the command line of one run.
+// runCommand returns the command line of the process for one run.
 func (f *chaosFlags) runCommand(program string, seed int) []string {
 	command := []string{program, "chaos", "--output", formatJSON, "--log", "error", "--seed", strconv.Itoa(seed)}
 	if f.breachFolder != "" {
@@ -49,7 +49,7 @@
 
 func (a *app) writeRepeatedRun(run chaos.ProcessResult) {
 	if a.wantsJSON() {
-		_ = a.writeJSON(run) // an error of standard output is returned when the totals are written
+		_ = a.writeJSON(run) // an error of writing to standard output shows again, and is returned, when the totals are written
 		return
 	}
 	a.printf("seed %d: exit code %d, %d breaches reported %s\n", run.Seed, run.ExitCode, len(run.Breaches), run.Error)
--- a/internal/cli/chaos_replay.go
+++ b/internal/cli/chaos_replay.go
@@ -20,7 +20,7 @@
 }
 
 // replayRecording steps a placer's core through the recording in a file, and prints the result. It returns
-// errNegativeResult if the core's outputs diverge from the recorded ones, or if the replayed traffic breaks a rule.
+// errNegativeResult if the core's outputs differ from the recorded outputs, or if the replayed traffic breaks a rule.
 func (a *app) replayRecording(name string) error {
 	recording, err := readFile(name, "a recording that chaos --record-on-breach has written")
 	if err != nil {
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -13,7 +13,7 @@
 	"forkhead/internal/verify/scenario"
 )
 
-// Keywords that begin the files that hold S-expressions.
+// The keywords with which files of S-expressions begin.
 const (
 	settingsKeyword = "forkhead"
 	scenarioKeyword = "badday"
@@ -29,7 +29,7 @@
 type checkResult struct {
 	File string `json:"file"`
 	OK   bool   `json:"ok"`
-	What string `json:"what"` // numbers of services and tasks; "" for settings and scenarios
+	What string `json:"what"` // how many services and tasks a specification has; "" for settings and scenarios
 }
 
 func (a *app) checkCommand() *cobra.Command {
@@ -83,7 +83,8 @@
 	return asInputError(errs.Err())
 }
 
-// checkSpecification parses an envelope and reports that it is valid. names are the names of its files.
+// checkSpecification parses an envelope and reports that it is valid, or returns its errors. The parameter names lists
+// the files that make the specification.
 func (a *app) checkSpecification(envelope *placer.Envelope, s *settings.Settings, names []string) error {
 	description, err := parseSpecification(envelope, s)
 	if err != nil {
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// sexpKeyword returns the keyword that begins a file with an S-expression, or "" for any other file.
+// sexpKeyword returns the keyword with which a file of S-expressions begins, or "" for any other file.
 func sexpKeyword(name string, text []byte) string {
 	trimmed := strings.TrimSpace(string(text))
 	if !strings.HasPrefix(trimmed, "(") && !strings.HasPrefix(trimmed, ";") {
@@ -105,17 +106,17 @@
 	nodes, err := sexp.Parse(name, text)
 	if err != nil || len(nodes) == 0 {
 		if strings.HasSuffix(name, ".sexp") {
-			return settingsKeyword // parsing it as settings reports the error
+			return settingsKeyword // when the file is parsed as settings, the error is reported
 		}
 		return ""
 	}
 	return nodes[0].Head()
 }
 
-// reportValid writes that a file is valid. what summarizes its content and may be empty.
+// reportValid writes that a file is valid. The parameter what summarizes the content of the file, and may be empty.
 func (a *app) reportValid(name, what string) {
 	if a.wantsJSON() {
-		_ = a.writeJSON(checkResult{File: name, OK: true, What: what}) // errors of standard output are ignored, as in printf
+		_ = a.writeJSON(checkResult{File: name, OK: true, What: what}) // errors of writing are ignored, as in printf
 		return
 	}
 	if what != "" {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// isInputError reports whether an invalid command line or invalid input caused err. Cobra has no error type for an unknown
-// command, hence the comparison of the text.
+// isInputError reports whether an invalid command line or invalid input caused err. An unknown command is recognized by
+// the text of the error, because Cobra has no error type for it.
 func isInputError(err error) bool {
 	return errors.As(err, &inputError{}) || diagnostic.First(err) != nil || strings.HasPrefix(err.Error(), "unknown command")
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -32,7 +32,7 @@
 	for name, c := range map[string]struct {
 		args []string
 		code int
-		want string // part of standard output or standard error
+		want string // text that standard output or standard error must contain
 	}{
 		"good file":        {[]string{"check", good}, 0, "good: 1 services, 1 tasks"},
 		"good settings":    {[]string{"check", settings}, 0, "good"},
@@ -80,7 +80,8 @@
 	}
 }
 
-// The trace that a search writes must be replayable through the real core, which vetoes the action of the injected bug.
+// The trace that a search writes must be replayable through the placer's real core. In the replay, the core must veto the
+// action that the injected bug takes.
 func TestExploreTraceReplaysWithVeto(t *testing.T) {
 	trace := filepath.Join(t.TempDir(), "trace.json")
 	if code, out, errs := run("explore", "--plant", "double-send", "--trace", trace); code != 3 || !strings.Contains(out, "BROKEN one-out") {
@@ -93,7 +94,8 @@
 	}
 }
 
-// Two examples of the README: in calendar, all tasks are placed; in overspread, some are refused because of the spread limit.
+// The command try must report the outcomes of two examples of the README. All tasks of the example calendar are placed.
+// Some tasks of the example overspread are refused because of the spread limit.
 func TestTryReportsPlacedAndRefusedTasks(t *testing.T) {
 	for file, c := range map[string]struct{ code, placed, refused int }{
 		"calendar": {0, 8, 0}, "overspread": {3, 6, 2},
@@ -103,23 +105,23 @@
 		for _, line := range strings.Split(strings.TrimSpace(out), "\n") {
 			var o core.Outcome
 			if err := json.Unmarshal([]byte(line), &o); err != nil {
-				t.Fatalf("try %s: output line %q is no outcome: %v; standard error %q", file, line, err, errs)
+				t.Fatalf("try %s: output line %q: error %v, want an outcome in JSON; standard error %q", file, line, err, errs)
 			}
 			switch o.Outcome {
 			case core.OutcomePlaced:
 				placed++
 				if o.Host == "" || o.Attempts < 1 {
-					t.Errorf("try %s: placed task %+v, want a host and at least 1 attempt", file, o)
+					t.Errorf("try %s: got outcome %+v of a placed task, want a host and at least 1 attempt", file, o)
 				}
 			case core.OutcomeRejected:
 				refused++
 				if !strings.Contains(o.Reason, "spread") {
-					t.Errorf("try %s: refused task %+v, want a reason with %q", file, o, "spread")
+					t.Errorf("try %s: got outcome %+v of a refused task, want a reason that contains %q", file, o, "spread")
 				}
 			}
 		}
 		if code != c.code || placed != c.placed || refused != c.refused {
-			t.Errorf("try %s: exit code %d, %d placed, %d refused, want %d, %d, %d; standard error %q",
+			t.Errorf("try %s: got exit code %d, %d placed and %d refused tasks; want exit code %d, %d placed and %d refused; standard error %q",
 				file, code, placed, refused, c.code, c.placed, c.refused, errs)
 		}
 	}
--- a/internal/cli/explore.go
+++ b/internal/cli/explore.go
@@ -22,7 +22,7 @@
 	firstSeed  uint64 // seed of the first simulated run
 }
 
-// allEffects is the value of --effect that selects all effects, which are searched one after another.
+// allEffects is the value of --effect that selects all effects. One search is run for each effect, one after another.
 const allEffects = "all"
 
 // effectNames are the names of the effects in --effect and in the output.
@@ -99,8 +99,8 @@
 	return effects, nil
 }
 
-// setInjectedBugBounds sets the bounds of the search to values that are large enough to find the injected bug. It does not
-// change bounds that were set by a flag.
+// setInjectedBugBounds sets the bounds of the search to values with which the search finds the injected bug. It does not
+// change bounds that a flag sets.
 func (f *exploreFlags) setInjectedBugBounds(bug *modelcheck.InjectedBug, given *pflag.FlagSet) {
 	f.search.FindCycles = f.search.FindCycles || bug.Property == "liveness"
 	for _, bound := range []struct {
--- a/internal/cli/explore_replay.go
+++ b/internal/cli/explore_replay.go
@@ -8,8 +8,8 @@
 	"forkhead/internal/verify/modelcheck"
 )
 
-// replayTrace replays a violation's trace through the placer's real core. It returns errNegativeResult if an unsafe task was
-// bound twice at one moment.
+// replayTrace replays a violation's trace through the placer's real core. It returns errNegativeResult if two attempts
+// of an unsafe task held capacity at the same time.
 func (a *app) replayTrace(name string) error {
 	trace, err := readTrace(name)
 	if err != nil {
@@ -32,7 +32,8 @@
 	return nil
 }
 
-// readTrace reads a trace and checks that its configuration is one that a search can have.
+// readTrace reads a trace and checks that the numbers of tasks and hosts and the effect in its configuration are in
+// range.
 func readTrace(name string) (*modelcheck.Trace, error) {
 	text, err := readFile(name, "a trace that explore has written")
 	if err != nil {
--- a/internal/cli/explore_search.go
+++ b/internal/cli/explore_search.go
@@ -50,7 +50,7 @@
 }
 
 // search runs one search, writes its result and returns the number of violations. It writes the trace of the first
-// violation to traceFile, unless that is "".
+// violation to the file traceFile, unless traceFile is "".
 func (a *app) search(cfg modelcheck.Config, traceFile string) (violations int, err error) {
 	cfg.Progress = a.reportProgress()
 	r, err := modelcheck.Run(cfg)
@@ -108,8 +108,8 @@
 	}
 }
 
-// sequenceChart formats a trace in two columns: steps at the placer on the left, steps at hosts and on the network on the
-// right.
+// sequenceChart formats a trace in two columns. The left column has the steps at the placer, and the right column has the
+// steps at hosts and on the network.
 func sequenceChart(trace []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "  %3s  %-46s| %s\n", "", "placer, owner, module", "hosts, network")
--- a/internal/cli/explore_simulation.go
+++ b/internal/cli/explore_simulation.go
@@ -10,14 +10,15 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// seedsPerProgress is the number of seeds between two progress lines on standard error. Each seed is run once per mix.
+// seedsPerProgress is the number of seeds between two progress lines on standard error. Each seed is used for one run
+// with each mix of work.
 const seedsPerProgress = 1000
 
 // simulationResult is the JSON output of explore --lives.
 type simulationResult struct {
-	Failed []string `json:"failed"` // mix, seed and failed check of each run that failed
+	Failed []string `json:"failed"` // for each run that failed, the mix of work, the seed and the failed check
 	From   uint64   `json:"from"`   // seed of the first run
-	Runs   int64    `json:"lives"`  // number of runs of all mixes
+	Runs   int64    `json:"lives"`  // number of runs with all mixes of work together
 }
 
 // simulate runs the simulation with n seeds from firstSeed on, once with each mix of work, on all processors. It returns
@@ -41,10 +42,11 @@
 	return ctx.Err()
 }
 
-// simulateSeeds returns the sorted failures, and the number of seeds that were run before ctx ended.
+// simulateSeeds runs the simulation with n seeds from firstSeed on. It returns the failures in sorted order, and how
+// many seeds were completed, which is fewer than n if ctx ended.
 func (a *app) simulateSeeds(ctx context.Context, firstSeed uint64, n int) (failed []string, seeds int64) {
 	var next, done atomic.Int64
-	var mu sync.Mutex // guards failed
+	var mu sync.Mutex // protects the variable failed
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
--- a/internal/cli/explore_test.go
+++ b/internal/cli/explore_test.go
@@ -16,12 +16,13 @@
 		f := exploreFlags{effect: name}
 		got, err := f.effects()
 		if !slices.Equal(got, want) || (err == nil) != (want != nil) {
-			t.Errorf("effects() with --effect %s = %v, error %v; want %v, and an error only if that is empty", name, got, err, want)
+			t.Errorf("effects() with --effect %s = %v, error %v; want %v, and an error only if no effect is wanted", name, got, err, want)
 		}
 	}
 }
 
-// --plant sets the bounds of the search to values with which it finds the bug, except for bounds that a flag sets.
+// The flag --plant must set the bounds of the search to values with which the search finds the bug, except for the
+// bounds that other flags set.
 func TestExploreInjectedBugSetsBoundsWithoutFlags(t *testing.T) {
 	for _, c := range []struct {
 		args []string
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -11,18 +11,18 @@
 	"forkhead/internal/goldentest"
 )
 
-// goldenRun runs the command line and returns standard output. The test fails unless the exit code is want and standard error
-// is empty.
+// goldenRun runs a command line and returns its standard output. The test fails unless the exit code equals the
+// parameter want and standard error is empty.
 func goldenRun(t *testing.T, want int, args ...string) string {
 	t.Helper()
 	code, out, errs := run(args...)
 	if code != want || errs != "" {
-		t.Fatalf("forkhead %v: exit code %d, standard error %q; want exit code %d, no standard error", args, code, errs, want)
+		t.Fatalf("forkhead %v: exit code %d, standard error %q; want exit code %d and no standard error", args, code, errs, want)
 	}
 	return out
 }
 
-// The output of verify and dump for the store of an earlier build must stay the same.
+// The output of store verify and store dump, for a store that an earlier build has written, must stay the same.
 func TestStoreCommandGolden(t *testing.T) {
 	const file = "../server/store/testdata/placer.db"
 	goldentest.Check(t, "store-verify.txt", goldenRun(t, exitOK, "store", "verify", file))
@@ -31,11 +31,11 @@
 	goldentest.Check(t, "store-dump.jsonl", goldenRun(t, exitOK, "store", "dump", file, "--output", "json"))
 }
 
-// A compacted copy must have the same content as its store.
+// The copy that store compact writes must have the same content as the store.
 func TestStoreCompactCommandGolden(t *testing.T) {
 	compact := filepath.Join(t.TempDir(), "copy.db")
 	out := goldenRun(t, exitOK, "store", "compact", "../server/store/testdata/placer.db", compact, "--output", "json")
-	// Sizes depend on the machine's page size.
+	// The sizes in the output depend on the page size of the machine.
 	if got, want := regexp.MustCompile(`\d+`).ReplaceAllString(out, "N"), `{"after":N,"before":N}`+"\n"; got != want {
 		t.Errorf("output of store compact, with N for numbers: got %q, want %q", got, want)
 	}
@@ -52,8 +52,8 @@
 	}
 }
 
-// maskVarying replaces the parts of a text that differ from run to run: the values of the JSON keys, the IDs of submissions
-// and, if numbers is set, all numbers.
+// maskVarying replaces the parts of a text that differ from run to run: the values of the given JSON keys, the IDs of
+// submissions and, if the parameter numbers is true, all numbers.
 func maskVarying(text string, numbers bool, keys ...string) string {
 	for _, key := range keys {
 		text = regexp.MustCompile(`"`+key+`":("[^"]*"|[^,}]*)`).ReplaceAllString(text, `"`+key+`":"*"`)
@@ -80,7 +80,7 @@
 	goldentest.Check(t, "check.txt", goldenRun(t, exitOK, "check", settings+"all.sexp", examples+"calendar.compose.yaml"))
 	code, out, errs := run("check", examples+"broken.compose.yaml", "--output", "json")
 	if code != exitInput || out != "" {
-		t.Errorf("check broken.compose.yaml: exit code %d, output %q; want exit code %d, no output", code, out, exitInput)
+		t.Errorf("check broken.compose.yaml: exit code %d, standard output %q; want exit code %d and no standard output", code, out, exitInput)
 	}
 	goldentest.Check(t, "check-broken.txt", errs)
 }
@@ -126,8 +126,9 @@
 	goldentest.Check(t, "try.jsonl", sortedUniqueLines(maskVarying(out, false, "host", "zone", "rack", "attempts", "took_ms")))
 }
 
-// A short run on sockets in which the scenario makes the placer report an outcome twice. The test compares the JSON output,
-// which is the breaches and the result, the names of the files that --record-on-breach writes, and verdict.json.
+// The command chaos must report the same as before for a short run on sockets, in which the scenario makes the placer
+// report an outcome twice. The test compares the JSON output (the breaches and the result), the names of the files that
+// --record-on-breach writes, and the content of verdict.json.
 func TestChaosCommandGolden(t *testing.T) {
 	dir := t.TempDir()
 	scenarioFile := filepath.Join(dir, "day.sexp")
@@ -153,7 +154,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The number of breaches depends on the machine's speed, so only the first one is compared.
+	// The number of breaches depends on the machine's speed, so only the first breach is compared.
 	text := regexp.MustCompile(`(?s)(\{[^{}]*\}),\n    \{.*?\n  \]`).ReplaceAllString(maskVarying(string(verdict), true), "$1\n  ]")
 	goldentest.Check(t, "chaos-verdict.json", text)
 }
--- a/internal/cli/host.go
+++ b/internal/cli/host.go
@@ -27,7 +27,7 @@
 type hostFlags struct {
 	scenarioFile string // "" for the built-in scenario
 	catalog      string // address of Consul's HTTP API
-	listen       string // address; each host takes its own port
+	listen       string // address to listen at; its port is ignored, and each host takes a free port
 }
 
 func (a *app) hostCommand() *cobra.Command {
--- a/internal/cli/input.go
+++ b/internal/cli/input.go
@@ -8,7 +8,8 @@
 	"forkhead/internal/verify/scenario"
 )
 
-// readFile reads an input file. want describes its expected content, for the error of a file that cannot be read.
+// readFile reads an input file. The parameter want says what the file should contain. It appears in the error if the file
+// cannot be read.
 func readFile(name, want string) ([]byte, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -17,7 +18,8 @@
 	return text, nil
 }
 
-// unreadableFileError returns the input error for a file that cannot be read. want describes its expected content.
+// unreadableFileError returns the input error for a file that cannot be read. The parameter want says what the file
+// should contain.
 func unreadableFileError(err error, want string) error {
 	return asInputError(fmt.Errorf("%w; want a file that can be read, with %s", err, want))
 }
@@ -34,10 +36,10 @@
 	return settings.Parse(name, text)
 }
 
-// readScenario reads a scenario file, or returns the built-in scenario builtIn if name is "".
+// readScenario reads a scenario file. If name is "", it parses the built-in scenario with the text builtIn instead.
 func readScenario(name string, builtIn []byte) (*scenario.Scenario, error) {
 	if name == "" {
-		return scenario.Read("built-in script", builtIn) // recordings hold this name
+		return scenario.Read("built-in script", builtIn) // the name is part of recordings, so it must not change
 	}
 	text, err := readFile(name, "a scenario: (badday ...)")
 	if err != nil {
--- a/internal/cli/names_test.go
+++ b/internal/cli/names_test.go
@@ -26,7 +26,7 @@
 func TestSourceContainsNoDeploymentNames(t *testing.T) {
 	names := deploymentNames(t)
 	if len(names) < minNames {
-		t.Fatalf("deploymentNames() has %d names, want at least %d: %v", len(names), minNames, names)
+		t.Fatalf("deploymentNames() = %v, which are %d names, want at least %d", names, len(names), minNames)
 	}
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
@@ -58,12 +58,12 @@
 	}
 }
 
-// deploymentNames maps each name in the files of deploy/sites to its file.
+// deploymentNames returns the names of deployments in the files of deploy/sites, each with the file that has the name.
 func deploymentNames(t *testing.T) map[string]string {
 	t.Helper()
 	sites, err := filepath.Glob(filepath.Join(sitesFolder, "*.toml"))
 	if err != nil || len(sites) == 0 {
-		t.Fatalf("no *.toml files in %s: error %v", sitesFolder, err)
+		t.Fatalf("files *.toml in %s: got %v, error %v; want at least one file", sitesFolder, sites, err)
 	}
 	setting := regexp.MustCompile(`(?m)^(?:name|zones) = (.*)$`)
 	quoted := regexp.MustCompile(`"((?:[^"\\]|\\.)*)"`)
@@ -73,7 +73,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// The sections [[trouble]] configure the bench, not the deployment.
+		// From the first section [[trouble]] on, the file configures the bench, not the deployment.
 		body, _, _ := strings.Cut(string(text), "[[trouble]]")
 		for _, line := range setting.FindAllStringSubmatch(body, -1) {
 			for _, name := range quoted.FindAllStringSubmatch(line[1], -1) {
@@ -86,7 +86,7 @@
 	return names
 }
 
-// mayHoldNames reports whether files in a folder may contain names of deployments.
+// mayHoldNames reports whether the files in a folder are allowed to contain names of deployments.
 func mayHoldNames(folder string) bool {
 	return slices.Contains([]string{".git", "journal", "bin", "docs", filepath.Join("deploy", "sites")}, folder)
 }
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -17,11 +17,12 @@
 	"forkhead/internal/verify/platformreplay"
 )
 
-// heapShare is the fraction of the platform's memory limit that is the Go runtime's memory limit. The rest is for the
-// program itself and its sockets.
+// heapShare is the fraction of the platform's memory limit that the Go runtime gets as its memory limit. The rest is
+// for the program itself and its sockets.
 const heapShare = 0.5
 
-// maxPendingSignals is the number of SIGHUPs that can be pending while the command is busy. Further ones are dropped.
+// maxPendingSignals is the number of SIGHUP signals that can be pending while the command is busy. Further signals are
+// dropped.
 const maxPendingSignals = 16
 
 func (a *app) nodeCommand() *cobra.Command {
@@ -34,8 +35,8 @@
 	return c
 }
 
-// runNode runs a placer until it has shut down. The end of ctx, on SIGTERM or SIGINT, requests the shutdown, also if it
-// comes before the placer serves. SIGHUP reloads the configuration.
+// runNode runs a placer until it has shut down. SIGTERM and SIGINT end ctx, which requests the shutdown, even if the
+// signal arrives before the placer serves. SIGHUP reloads the configuration.
 func (a *app) runNode(ctx context.Context, traceFile string) error {
 	reload := make(chan os.Signal, maxPendingSignals)
 	signal.Notify(reload, syscall.SIGHUP)
@@ -86,7 +87,8 @@
 	}
 }
 
-// limitRuntime sets the Go runtime's limits from the platform's. The number of cores is rounded up.
+// limitRuntime sets the Go runtime's limits on processors and memory from the limits in the platform's configuration. The
+// number of cores is rounded up.
 func limitRuntime(cfg *platform.Config) {
 	if cfg.Limits.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores+0.999)))
@@ -96,8 +98,8 @@
 	}
 }
 
-// reloadNode reads the configuration again and applies it to the server. A configuration that cannot be used is logged and
-// changes nothing.
+// reloadNode reads the configuration again and applies it to the server. If the configuration cannot be used, it logs
+// the error and the previous configuration stays in use.
 func (a *app) reloadNode(server *platformserver.Server) {
 	_, cfg, err := platformConfig()
 	if err == nil {
@@ -111,8 +113,9 @@
 	server.Reload(cfg)
 }
 
-// platformConfig reads the configuration file that BALANCER_CONFIG names. configText is the file's content. BALANCER_LISTEN,
-// if it is set, overrides the listen address in cfg.
+// platformConfig reads the configuration file whose path is in the variable BALANCER_CONFIG. It returns the content of
+// the file and the configuration parsed from it. The variable BALANCER_LISTEN, if set, overrides the listen address in
+// cfg.
 func platformConfig() (configText []byte, cfg *platform.Config, err error) {
 	name := os.Getenv("BALANCER_CONFIG")
 	if name == "" {
--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// nodeProcess runs the built program as the platform does, with a configuration file. watches are listeners that stand for two
-// addresses from which the endpoint list can be watched.
+// nodeProcess runs the built program as the platform does, with a configuration file. The listeners in watches act as two
+// servers from which the program can watch the endpoint list.
 type nodeProcess struct {
 	process    *exec.Cmd
 	configFile string
@@ -53,7 +53,7 @@
 	watches    [2]net.Listener
 }
 
-// startNode builds and starts the program with settings and the address of the first watch.
+// startNode builds the program and starts it. The configuration has the settings, and the address of the first watch.
 func startNode(t *testing.T, settings string) *nodeProcess {
 	t.Helper()
 	n := buildNode(t)
@@ -102,7 +102,7 @@
 	return listener
 }
 
-// writeConfig writes a configuration with the address of a watch, and with an endpoint list that is known up to event 7.
+// writeConfig writes a configuration with the settings, the address of a watch, and the endpoint list as of event 7.
 func (n *nodeProcess) writeConfig(t *testing.T, watch net.Listener, settings string) {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{
@@ -119,19 +119,20 @@
 
 func (n *nodeProcess) signal(s os.Signal) { _ = n.process.Process.Signal(s) }
 
-// awaitPoll waits until the program polls a watch for events after event 7. The poll stays open without a reply.
+// awaitPoll waits until the program polls a watch for the events after event 7. It sends no reply and leaves the
+// connection open.
 func (n *nodeProcess) awaitPoll(t *testing.T, watch net.Listener) {
 	t.Helper()
 	_ = watch.(*net.TCPListener).SetDeadline(time.Now().Add(30 * time.Second))
 	conn, err := watch.Accept()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Accept() at watch %s: error %v, want a connection of the program within 30 s", watch.Addr(), err)
 	}
 	r := bufio.NewReader(conn)
 	for {
 		line, err := r.ReadString('\n')
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("poll at watch %s: error %v before the header, want Last-Event-Id: 7", watch.Addr(), err)
 		}
 		if strings.TrimSpace(line) == "Last-Event-Id: 7" {
 			return
@@ -144,13 +145,13 @@
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("no reply hb_ok to a probe of %s within 30 s", n.address)
+			t.Fatalf("probes of %s for 30 s: got no reply with hb_ok and c = 1, want one", n.address)
 		}
 		conn, err := net.Dial("tcp", n.address)
 		if err != nil {
 			continue
 		}
-		_, _ = fmt.Fprintln(conn, `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`) // an error shows in the reply
+		_, _ = fmt.Fprintln(conn, `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`) // after an error, the reply is missing too
 		line, _ := bufio.NewReader(conn).ReadString('\n')
 		_ = conn.Close()
 		if strings.Contains(line, `"hb_ok"`) && strings.Contains(line, `"c":1`) {
@@ -159,8 +160,9 @@
 	}
 }
 
-// The built program must serve at BALANCER_LISTEN. On SIGHUP it must ignore a file that is invalid, and watch the endpoint
-// list at the new address if the file is valid. SIGTERM must end it with exit code 0, and its trace must replay.
+// The built program must serve at the address in BALANCER_LISTEN. On SIGHUP it must ignore an invalid configuration
+// file, and with a valid one it must watch the endpoint list at the new address. SIGTERM must end the program with exit
+// code 0. The trace that the program wrote must replay with the same outputs.
 func TestNodeSignals(t *testing.T) {
 	settings, err := os.ReadFile("../server/platform/testdata/settings.json")
 	if err != nil {
@@ -174,7 +176,8 @@
 	}
 	n.signal(syscall.SIGHUP)
 	n.awaitHealthy(t)
-	n.writeConfig(t, n.watches[1], `{"balancers":0}`) // valid address, invalid settings: the old configuration stays in use
+	// The address is valid but the settings are not, so the old configuration must stay in use.
+	n.writeConfig(t, n.watches[1], `{"balancers":0}`)
 	n.signal(syscall.SIGHUP)
 	n.awaitHealthy(t)
 	_ = n.watches[1].(*net.TCPListener).SetDeadline(time.Now().Add(300 * time.Millisecond))
@@ -195,8 +198,9 @@
 	checkTrace(t, n.traceFile)
 }
 
-// A SIGTERM that arrives before the listener is open, here while the program reads its configuration, must not end the
-// program at once: it must serve the connections that are made while it starts, and then end with exit code 0.
+// A SIGTERM that arrives before the listener is open must not end the program at once. In this test it arrives while
+// the program reads its configuration. The program must serve the connections that are made while it starts, and then
+// end with exit code 0.
 func TestNodeSignalBeforeListening(t *testing.T) {
 	settings, err := os.ReadFile("../server/platform/testdata/settings.json")
 	if err != nil {
@@ -207,14 +211,14 @@
 		t.Fatal(err)
 	}
 	n.start(t)
-	// Opening the pipe blocks until the program opens it too. By then the program handles signals, and it reads until the pipe
-	// is closed.
+	// Opening the pipe blocks until the program opens the pipe too. By then the program handles signals. It reads its
+	// configuration until the pipe is closed.
 	pipe, err := os.OpenFile(n.configFile, os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.signal(syscall.SIGTERM)
-	time.Sleep(50 * time.Millisecond) // time for the signal to be delivered
+	time.Sleep(50 * time.Millisecond) // gives the signal time to be delivered
 	n.writeConfig(t, n.watches[0], string(settings))
 	if err := pipe.Close(); err != nil {
 		t.Fatal(err)
@@ -225,7 +229,8 @@
 	}
 }
 
-// checkTrace replays the trace of a placer that replied to a probe: unchanged, truncated, and with a changed output.
+// checkTrace runs the command replay on the trace of a placer that replied to a probe, and on invalid files. The trace is
+// replayed unchanged, truncated, and with a changed output.
 func checkTrace(t *testing.T, name string) {
 	t.Helper()
 	trace, err := os.ReadFile(name)
--- a/internal/cli/outcomes.go
+++ b/internal/cli/outcomes.go
@@ -9,7 +9,7 @@
 	app    *app
 	table  *table // nil if the output is JSON
 	counts map[core.OutcomeKind]int
-	err    error // first error of writing JSON
+	err    error // first error that occurred while JSON was written
 }
 
 func (a *app) newOutcomeWriter() *outcomeWriter {
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -42,7 +42,7 @@
 
 const columnPadding = 2 // spaces between two columns
 
-// newTable returns a table with a header whose cells are separated by tabs. flags are those of tabwriter.
+// newTable returns a table with a header whose cells are separated by tabs. The flags are passed to tabwriter.NewWriter.
 func newTable(out io.Writer, flags uint, header string) *table {
 	t := &table{tabwriter.NewWriter(out, 0, 4, columnPadding, ' ', flags)}
 	t.printf("%s\n", header)
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -14,8 +14,8 @@
 	"forkhead/internal/planning/solver"
 )
 
-// noPlacementFormat is the message for a specification that has no placement. Its argument is a minimal set of conflicting
-// requirements, one per line.
+// noPlacementFormat is the format of the message for a specification that has no placement. The argument of the format
+// is a minimal set of conflicting requirements, one per line.
 const noPlacementFormat = "no placement exists. These cannot be met together, and could without any one of them:\n  %s\n"
 
 // planFlags are the flags of plan.
@@ -26,7 +26,7 @@
 	runningFile     string // "" if no tasks are running
 	limit           time.Duration
 	migrationCost   int64
-	homeZone        string // "" for none
+	homeZone        string // zone that tasks should be in; "" for no such zone
 	outsideHomeCost int64  // cost of each task outside homeZone
 	quotas          bool   // print the tenants' quotas instead of a plan
 	selfcheck       int    // number of random instances to check the solver on instead of planning; 0 for none
@@ -161,7 +161,7 @@
 	for _, m := range p.Migrations {
 		a.printf("move %s/%d from %s to %s\n", m.Service, m.Replica, m.From, m.To)
 	}
-	gap := 0.0 // percent
+	gap := 0.0 // percentage of the cost
 	if p.Cost > 0 {
 		gap = float64(p.Cost-p.LowerBound) / float64(p.Cost) * 100
 	}
--- a/internal/cli/plan_quotas.go
+++ b/internal/cli/plan_quotas.go
@@ -10,7 +10,7 @@
 	"forkhead/internal/planning/quota"
 )
 
-const millicores = 1000 // per core; quotas are integer numbers of millicores
+const millicores = 1000 // number of millicores in a core; quotas are whole numbers of millicores
 
 // tenantQuota is the JSON output for the quota of one tenant at one placer.
 type tenantQuota struct {
@@ -22,7 +22,7 @@
 // quotaTotal is the JSON output for the usable cores of all hosts.
 type quotaTotal struct {
 	Cores float64 `json:"cores"`
-	Free  float64 `json:"free"` // cores in no tenant's quota
+	Free  float64 `json:"free"` // cores that are in no tenant's quota
 }
 
 // printQuotas writes each tenant's quota at each placer. All placers in the settings get the same weight.
--- a/internal/cli/plan_selfcheck.go
+++ b/internal/cli/plan_selfcheck.go
@@ -13,7 +13,7 @@
 // selfcheckResult is the JSON output of plan --selfcheck.
 type selfcheckResult struct {
 	Agree      bool   `json:"agree"`
-	Difference string `json:"difference,omitempty"` // description of the first instance with a difference
+	Difference string `json:"difference,omitempty"` // description of the first instance on which solver and brute force differ
 	Feasible   int    `json:"feasible"`
 	Instances  int    `json:"instances"`
 }
--- a/internal/cli/replay.go
+++ b/internal/cli/replay.go
@@ -39,7 +39,8 @@
 	return c
 }
 
-// readNodeTrace opens a trace and returns the result of read. Errors are input errors, except for a panic of the core.
+// readNodeTrace opens a trace, passes it to the function read, and returns the result of read. It returns errors as input
+// errors, except for a panic of the core.
 func readNodeTrace[T any](name string, read func(io.Reader) (T, error)) (T, error) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return result, err
 }
 
-// replayNode replays a trace. It returns errNegativeResult if the outputs differ.
+// replayNode replays a trace. It returns errNegativeResult if the core's outputs differ from the outputs in the trace.
 func (a *app) replayNode(name string) error {
 	result, err := readNodeTrace(name, func(from io.Reader) (*platformreplay.Result, error) { return platformreplay.Replay(from, nil) })
 	if err != nil {
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// replayTime formats a time that is given as a duration since the Unix epoch.
+// replayTime formats a time. The parameter at is the duration from the Unix epoch to this time.
 func replayTime(at time.Duration) string {
 	return time.Unix(0, int64(at)).UTC().Format(replayTimeFormat)
 }
--- a/internal/cli/replay_test.go
+++ b/internal/cli/replay_test.go
@@ -24,7 +24,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := readNodeTrace(c.file, func(io.Reader) (int, error) { return 0, c.err })
 			if err == nil || isInputError(err) != c.isInput {
-				t.Errorf("readNodeTrace(%q) with read error %v = error %v, want an error with isInputError %v", c.file, c.err, err, c.isInput)
+				t.Errorf("readNodeTrace(%q) whose function read returns error %v: got error %v, want an error with isInputError %v",
+					c.file, c.err, err, c.isInput)
 			}
 		})
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -15,7 +15,7 @@
 // serveFlags are the flags of serve.
 type serveFlags struct {
 	settingsFile string
-	storeFile    string        // "" to store nothing
+	storeFile    string        // file for the state that survives a restart; "" to store nothing
 	self         int           // index of the placer in the settings
 	grace        time.Duration // time for work in progress to finish at shutdown
 }
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	// Logged at the configured level, so that the log has the address at any level.
+	// The address is logged at the configured level, so that it appears in the log whatever this level is.
 	a.log.WithLevel(a.log.GetLevel()).Int("placer", f.self).Str("http", p.Address()).Msg("placer serving")
 	select {
 	case err := <-p.Failed():
@@ -63,7 +63,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	// ctx has ended, so the shutdown needs a context that is not canceled with it.
+	// ctx is canceled by now, so the shutdown needs a context that is not canceled together with ctx.
 	shutdown, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.grace)
 	defer cancel()
 	p.Shutdown(shutdown)
--- a/internal/cli/specification.go
+++ b/internal/cli/specification.go
@@ -20,10 +20,10 @@
 
 // specificationFlags are the flags of all commands that read a service specification.
 type specificationFlags struct {
-	project  string // "" for the name in the file, else that of its folder
+	project  string // name of the project; "" for the name in the file or, without one, the name of the file's folder
 	profiles []string
 	services []string
-	envFile  string // "" for .env in the folder of the first file, if it exists
+	envFile  string // file of variables; "" for .env in the folder of the first file, if that file exists
 }
 
 func (s *specificationFlags) add(f *pflag.FlagSet) {
@@ -33,8 +33,8 @@
 	f.StringVar(&s.envFile, "env-file", "", "file of variables, as NAME=VALUE lines (default: .env in the folder of the first file)")
 }
 
-// envelope reads the named files, the files that they refer to, and the variables, and returns them as an envelope to
-// submit.
+// envelope reads the named files, the files that they refer to, and the variables. It returns all of these as an
+// envelope, which can be submitted to a placer.
 func (s *specificationFlags) envelope(names []string) (*placer.Envelope, error) {
 	e := &placer.Envelope{Profiles: s.profiles, Services: s.services, Project: s.project, Variables: map[string]string{}}
 	loader := fileLoader{envelope: e, seen: map[string]bool{}}
@@ -54,19 +54,19 @@
 	return e, nil
 }
 
-// fileLoader adds files to an envelope, each of them once.
+// fileLoader adds files to an envelope, each file only once.
 type fileLoader struct {
 	envelope *placer.Envelope
 	seen     map[string]bool // names of files that load was called with
 }
 
-// loadNamed loads a file that the command line names, and all files that it refers to. The file must exist.
+// loadNamed loads a file that the command line names, and all files that this file refers to. The file must exist.
 func (l *fileLoader) loadNamed(name string) error {
 	return l.load(name, &l.envelope.Files, true)
 }
 
-// load appends a file to into, and the files that it refers to to envelope.Others. A file that is not required and cannot be
-// read is skipped.
+// load reads a file and appends it to the list into. It also reads the files that this file refers to, and appends them
+// to the list envelope.Others. A file that cannot be read is an error if it is required, and is skipped otherwise.
 func (l *fileLoader) load(name string, into *[]compose.File, required bool) error {
 	name = filepath.ToSlash(name)
 	if l.seen[name] {
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// readEnvFile adds the variables in a file of NAME=VALUE lines to variables. It skips empty lines and lines that begin with
-// #. A file that is not required may be missing.
+// readEnvFile reads a file of NAME=VALUE lines and adds these to the map variables. It skips empty lines and lines that
+// begin with #. A file that is not required may be missing.
 func readEnvFile(variables map[string]string, name string, required bool) error {
 	text, err := os.ReadFile(name)
 	if err != nil && (required || !errors.Is(err, os.ErrNotExist)) {
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// addEnvironment adds the environment variables whose names occur in a file to the envelope; they override variables of the
-// same names. All other environment variables stay in this process.
+// addEnvironment adds to the envelope the environment variables whose names occur in the text of a file. They override
+// variables of the same name that the envelope has. All other environment variables stay in this process.
 func addEnvironment(e *placer.Envelope) {
 	for _, variable := range os.Environ() {
 		key, value, _ := strings.Cut(variable, "=")
@@ -135,7 +135,7 @@
 	return false
 }
 
-// parseSpecification parses an envelope as a placer with these settings would.
+// parseSpecification parses an envelope in the same way as a placer with the given settings.
 func parseSpecification(e *placer.Envelope, s *settings.Settings) (*servicespec.Description, error) {
 	in := &compose.Input{
 		Files: e.Files, ReferencedFiles: e.Others, Variables: e.Variables, Profiles: e.Profiles, Services: e.Services, Project: e.Project,
@@ -148,7 +148,8 @@
 	return d, asInputError(err)
 }
 
-// nameProject names a project without a name after the folder of its first file, as the Compose specification requires.
+// nameProject gives a project that has no name the name of the folder of its first file, as the Compose Specification
+// requires.
 func nameProject(e *placer.Envelope, d *servicespec.Description, first string) {
 	if d.Name != "" || e.Project != "" {
 		return
@@ -160,8 +161,8 @@
 	e.Project = projectName(filepath.Base(folder))
 }
 
-// projectName returns the valid project name for a folder's name: lower case letters, digits, - and _, beginning with a
-// letter or a digit. Other characters are dropped, so the result may be empty.
+// projectName derives a project name from the name of a folder. The result has only lower case letters, digits, - and
+// _, and begins with a letter or a digit. Other characters are dropped, so the result may be empty.
 func projectName(folder string) string {
 	name := strings.Map(func(r rune) rune {
 		switch {
--- a/internal/cli/specification_test.go
+++ b/internal/cli/specification_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Variables come from .env in the folder of the first file. Environment variables override them, but only those whose names
-// occur in a file may be sent.
+// The envelope must have the variables from .env in the folder of the first file. Environment variables must override
+// them, but no environment variable may be sent whose name does not occur in a file.
 func TestEnvelopeSendsOnlyReferencedVariables(t *testing.T) {
 	dir := writeFiles(t, map[string]string{
 		"compose.yaml": "services: {a: {image: '${FORKHEAD_TEST_TAG}', labels: ['${FORKHEAD_TEST_HOME}']}}",
@@ -68,13 +68,13 @@
 	} {
 		_, err := c.flags.envelope([]string{c.file})
 		if err == nil || !isInputError(err) || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: envelope(%q) = error %v, want an input error with %q", name, c.file, err, c.want)
+			t.Errorf("%s: envelope(%q) = error %v, want an input error that contains %q", name, c.file, err, c.want)
 		}
 	}
 }
 
-// The envelope contains the files that the named files refer to, each of them once. A missing one is skipped; the parser
-// reports it.
+// The envelope must contain the files that the named files refer to, each file only once. A missing file must be skipped,
+// because the parser reports it.
 func TestEnvelopeContainsReferencedFilesOnce(t *testing.T) {
 	dir := writeFiles(t, map[string]string{
 		"a.yaml": "services:\n  x: {extends: {file: b.yaml, service: y}}\n  z: {extends: {file: none.yaml, service: y}}\n",
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -10,7 +10,7 @@
 	"forkhead/internal/server/store"
 )
 
-// storeContent describes the content of a store's file, for the error of a file that cannot be read.
+// storeContent says what the file of a store should contain. It appears in the error if the file cannot be read.
 const storeContent = "a store that serve --store has written"
 
 // storedValue is the JSON output of store dump for one value.
@@ -89,8 +89,9 @@
 	return counts.err()
 }
 
-// readStore calls visit for each value of a store that can be decoded, reports the other values on standard error, and counts
-// both. It returns errNegativeResult if the file cannot be read to its end.
+// readStore calls visit for each value of a store that can be decoded, and writes an error to standard error for each
+// other value. It returns the number of keys in each bucket and the number of values that cannot be decoded. If the
+// file cannot be read to its end, it returns errNegativeResult.
 func (a *app) readStore(path string, visit func(storedValue) error) (storeCounts, error) {
 	counts := storeCounts{Keys: map[durable.Bucket]int{}}
 	if _, err := os.Stat(path); err != nil {
@@ -113,7 +114,7 @@
 	return counts, nil
 }
 
-// err returns errNegativeResult if a value could not be decoded.
+// err returns errNegativeResult if any value could not be decoded.
 func (c storeCounts) err() error {
 	if c.Bad > 0 {
 		return errNegativeResult
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -44,8 +44,8 @@
 	if err != nil {
 		return err
 	}
-	// Only the placer knows its classes and tenants. The files are parsed here only to name the project; the placer reports
-	// errors.
+	// Only the placer knows which classes and tenants its settings have. The files are parsed here only to name the
+	// project, so errors are ignored: the placer reports them.
 	if envelope.Project == "" && !strings.Contains(envelope.Files[0].Text, "name:") {
 		s, err := readSettings("")
 		if err != nil {
@@ -68,9 +68,9 @@
 	return outcomes.finish()
 }
 
-// submissionError classifies the error of a submission. If the input is invalid, it returns an input error. If the tasks
-// cannot be placed, or the placer rejects the submission as too large or for the moment, it prints the reason and returns
-// errNegativeResult. Otherwise it returns err.
+// submissionError classifies the error of a submission. If the input is invalid, it returns an input error. If the
+// tasks cannot be placed, or if the placer rejects the submission because it is too large or because it cannot be taken
+// at the moment, it prints the reason and returns errNegativeResult. Otherwise it returns err.
 func (a *app) submissionError(err error) error {
 	var r *client.RejectionError
 	if !errors.As(err, &r) {
--- a/internal/cli/try.go
+++ b/internal/cli/try.go
@@ -11,7 +11,7 @@
 	"forkhead/internal/verify/testcluster"
 )
 
-// readyTimeout is the maximum time until the placers of a test cluster know its hosts.
+// readyTimeout is the maximum time that the placers of a test cluster may take to know the hosts of the cluster.
 const readyTimeout = 10 * time.Second
 
 func (a *app) tryCommand() *cobra.Command {
@@ -28,7 +28,8 @@
 	return c
 }
 
-// try starts the cluster of a scenario, submits the files to its first placer and writes the outcomes of the tasks.
+// try starts the cluster of a scenario, submits the files to the first placer of the cluster and writes the outcomes of
+// the tasks.
 func (a *app) try(ctx context.Context, spec *specificationFlags, scenarioFile string, names []string) error {
 	s, err := readScenario(scenarioFile, scenario.FaultFree)
 	if err != nil {
