--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -15,8 +15,8 @@
 // adapter is the state of one process: the endpoint lists that it has received, and its placers. Placers share nothing but
 // these lists.
 type adapter struct {
-	lists   [maxLists]*simadapter.EndpointList // by number; nil if the list has not been received
-	placers map[uint32]*placer                 // by number
+	lists   [maxLists]*simadapter.EndpointList // by the number of the list; nil if the list has not been received
+	placers map[uint32]*placer                 // by the number of the placer
 	pending []*placer                          // placers with events in the current batch, ordered by their first event
 	reply   simadapter.Reply
 }
@@ -25,14 +25,15 @@
 type placer struct {
 	id           uint32
 	module       *forkhead.Placer
-	reportFields []string         // names of a load report's values, in the order of the values
+	reportFields []string         // names of the values in a load report, in the order of the values
 	events       []forkhead.Event // events of the current batch
 }
 
 func newAdapter() *adapter { return &adapter{placers: map[uint32]*placer{}} }
 
-// handleBatch passes the events of a batch to the placers and collects their actions in a.reply. Endpoint lists, starts and
-// teardowns take effect in their order; after all of them, each placer gets all of its events in one step.
+// handleBatch passes the events of a batch to the placers and collects the placers' actions in a.reply. Endpoint lists,
+// starts and teardowns take effect in the order of the events. After the last event of the batch, each placer gets all
+// other events for it in one step.
 func (a *adapter) handleBatch(batch *simadapter.Batch) error {
 	now := platformconfig.Duration(batch.Clock)
 	a.reply.Reset()
@@ -48,7 +49,8 @@
 	return nil
 }
 
-// step passes a placer its events of the batch, unless it was torn down or replaced in this batch.
+// step passes the events of the batch that are for a placer to this placer, unless the placer was torn down or replaced
+// in the same batch.
 func (a *adapter) step(now time.Duration, p *placer) {
 	if len(p.events) == 0 || a.placers[p.id] != p {
 		return
@@ -81,7 +83,7 @@
 	return nil
 }
 
-// startPlacer starts a placer. It replaces a running placer with the same number.
+// startPlacer starts a placer. The new placer replaces a running placer with the same number.
 func (a *adapter) startPlacer(start simadapter.Start) error {
 	config, err := platformconfig.Parse(start.Config)
 	if err != nil {
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// queueEvent translates an event and appends it to those of its placer.
+// queueEvent translates an event and appends it to the events of the placer that it is for.
 func (a *adapter) queueEvent(event simadapter.Event) error {
 	id, translated, err := a.translate(event)
 	if err != nil {
--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -13,9 +13,10 @@
 	"forkhead/internal/goldentest"
 )
 
-// testdata/batches.hex covers one placer from its start to its teardown, with one of each event of the wire. The replies
-// must stay byte for byte the same; replies.hex has one a line. The test therefore fails if the translation in either
-// direction changes, or a decision of the module in this input. Renaming Go identifiers does not affect it.
+// The replies to testdata/batches.hex must stay byte for byte the same. This input covers one placer from its start to
+// its teardown and has each event of the wire once. The file testdata/replies.hex has one reply per line. The test
+// fails if the translation of events or actions changes, or if the module decides differently on this input. Renaming
+// Go identifiers does not affect it.
 func TestRunRepliesGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "batches.hex"))
 	if err != nil {
@@ -27,7 +28,7 @@
 	}
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(batches), &out); err != nil {
-		t.Fatalf("run(testdata/batches.hex): %v", err)
+		t.Fatalf("run(testdata/batches.hex) = error %v, want none", err)
 	}
 	var b bytes.Buffer
 	for replies := out.Bytes(); len(replies) > 0; {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,7 @@
-// Simadapter runs placers for the simulator. It reads batches of events from standard input and writes one reply for each
-// batch to standard output, both in the format of package simadapter. It only translates; the placers make all decisions.
-// It exits with 0 at the end of input, and with 1 and one line on standard error on malformed input.
+// Simadapter runs placers for the simulator. It reads batches of events from standard input and writes one reply for
+// each batch to standard output, both in the format of package simadapter. It only translates events and actions; the
+// placers make all decisions. At the end of input it exits with code 0. On malformed input it writes one line to
+// standard error and exits with code 1.
 package main
 
 import (
@@ -22,7 +23,8 @@
 	}
 }
 
-// run replies to each batch of in until in ends between two frames.
+// run reads batches from the reader in and writes a reply to each, until the input ends. An input that ends within a
+// frame is an error.
 func run(in io.Reader, out io.Writer) error {
 	a := newAdapter()
 	r, w := bufio.NewReaderSize(in, bufferSize), bufio.NewWriterSize(out, bufferSize)
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -18,7 +18,8 @@
  "kinds": ["any"], "loadInfo": {"fields": ["x0"], "how": "none"},
  "rules": {"cold": 9000.0, "fall": 1000.0, "mustAskIn": 10000.0, "stopSendingWithin": 1000.0}}`
 
-// record encodes an event. A string is encoded as its length, a uint32, and its bytes.
+// record encodes an event whose fields have the given values. A string is encoded as a uint32, which is the length of the
+// string, followed by the bytes of the string.
 func record(code uint8, values ...any) []byte {
 	var body []byte
 	for _, v := range values {
@@ -44,7 +45,7 @@
 	return append(binary.LittleEndian.AppendUint32([]byte{code}, uint32(len(body))), body...)
 }
 
-// batch encodes events as one frame.
+// batch encodes a batch of events, which are the given records, as one frame.
 func batch(clock float64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	out := binary.LittleEndian.AppendUint32(nil, uint32(12+len(body)))
@@ -72,7 +73,7 @@
 	var out bytes.Buffer
 	input := append(batch(1000, startRecords(3)...), batch(1002, requestRecord(3, 12))...)
 	if err := run(bytes.NewReader(input), &out); err != nil {
-		t.Fatal(err)
+		t.Fatalf("run(start, list with machine 77, request for task 12) = error %v, want none", err)
 	}
 	offer := append([]byte{1, 20, 0, 0, 0, 3, 0, 0, 0}, 12, 0, 0, 0, 77, 0, 0, 0)
 	if !bytes.Contains(out.Bytes(), offer) {
@@ -80,7 +81,7 @@
 	}
 }
 
-// The actions of a placer must not depend on the other placers of its process.
+// The actions of a placer must not depend on the other placers in the same process.
 func TestRunActionsDoNotDependOnOtherPlacers(t *testing.T) {
 	reply := func(placers ...uint32) []byte {
 		var out bytes.Buffer
@@ -90,12 +91,12 @@
 			second = append(second, requestRecord(p, 12))
 		}
 		if err := run(bytes.NewReader(append(batch(1000, first...), batch(1002, second...)...)), &out); err != nil {
-			t.Fatal(err)
+			t.Fatalf("run(start and request of placers %v) = error %v, want none", placers, err)
 		}
 		return out.Bytes()
 	}
 	alone, together := reply(3), reply(3, 4)
-	// Each reply is a frame that begins with the actions of the first placer.
+	// Each of the two replies is a frame that begins with the actions of placer 3.
 	for range 2 {
 		n, m := binary.LittleEndian.Uint32(alone), binary.LittleEndian.Uint32(together)
 		if !bytes.HasPrefix(together[4:4+m], alone[4:4+n]) {
@@ -134,11 +135,11 @@
 	input := append(batch(1000, startRecords(3)...), batch(1001, record(8, uint32(3)))...)
 	input = append(input, batch(1002, requestRecord(3, 1))...)
 	if err := run(bytes.NewReader(input), &bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), "not been started") {
-		t.Errorf("run(request after teardown) = error %v, want one that contains %q", err, "not been started")
+		t.Errorf("run(request after teardown) = error %v, want an error that contains %q", err, "not been started")
 	}
 }
 
-// One malformed record among those of several hundred placers must end the run with an error of one line.
+// One malformed record among the records of several hundred placers must end the run with an error of one line.
 func TestRunMalformedInputAmongManyPlacersReturnsOneLineError(t *testing.T) {
 	const placers = 470
 	many := strings.Replace(config, `"balancers": 2`, `"balancers": 470`, 1)
@@ -149,7 +150,7 @@
 	}
 	good := append(batch(1000, first...), batch(1002, second...)...)
 	if err := run(bytes.NewReader(good), &bytes.Buffer{}); err != nil {
-		t.Fatalf("run(well-formed input of %d placers): %v", placers, err)
+		t.Fatalf("run(well-formed input of %d placers) = error %v, want none", placers, err)
 	}
 	for want, bad := range map[string][]byte{
 		"has not been started": batch(1004, append(second, requestRecord(placers, 1))...),
--- a/cmd/simadapter/translate.go
+++ b/cmd/simadapter/translate.go
@@ -8,7 +8,7 @@
 	"forkhead/internal/simadapter"
 )
 
-// translate returns the module's event for an event of the wire, and the number of the placer that it is for.
+// translate returns the module's event for an event of the wire, and the number of the placer that the event is for.
 func (a *adapter) translate(event simadapter.Event) (placer uint32, translated forkhead.Event, err error) {
 	switch e := event.(type) {
 	case simadapter.ListUpdate:
@@ -74,7 +74,7 @@
 	}, err
 }
 
-// results maps codes of the wire to results of attempts and probes.
+// results maps the wire's codes for the results of attempts and probes to the module's results.
 var results = map[uint8]forkhead.Result{
 	10: forkhead.OK, 20: forkhead.Errored, 30: forkhead.Rejected, 40: forkhead.TimedOut,
 	50: forkhead.ConnectFailed, 60: forkhead.Reset, 70: forkhead.Withdrawn, 80: forkhead.NotSent,
@@ -88,8 +88,8 @@
 	return result, nil
 }
 
-// loadReport returns a load report whose values are named by the placer's settings. Values that are not reported are NaN.
-// It returns nil if the placer is unknown or there are no values.
+// loadReport converts the values of a load report. The placer's settings say which value is which. Values that are not
+// reported are NaN. It returns nil if the placer is unknown or if there are no values.
 func (a *adapter) loadReport(placer uint32, values []float32) *forkhead.LoadReport {
 	p := a.placers[placer]
 	if p == nil || len(values) == 0 {
@@ -105,12 +105,12 @@
 	return report
 }
 
-// listModes maps codes of the wire to modes of a list update.
+// listModes maps the wire's codes for the mode of a list update to the module's modes.
 var listModes = map[uint8]forkhead.ListMode{
 	0: forkhead.ListCached, 2: forkhead.ListSnapshot, 3: forkhead.ListDelta, 4: forkhead.ListFailed,
 }
 
-// machineStates maps codes of the wire to states of a machine.
+// machineStates maps the wire's codes for the state of a machine to the module's states.
 var machineStates = map[uint8]forkhead.MachineState{0: forkhead.Draining, 1: forkhead.Ready, 2: forkhead.Removed}
 
 func (a *adapter) listUpdate(e simadapter.ListUpdate) (forkhead.Event, error) {
--- a/internal/simadapter/decode.go
+++ b/internal/simadapter/decode.go
@@ -35,8 +35,8 @@
 	codeListUpdate       = 13
 )
 
-// ReadBatch reads one frame. It returns io.EOF if the input ends before the frame's first byte, and an error that says what
-// is wrong and where if the frame is malformed.
+// ReadBatch reads one frame. It returns io.EOF if the input ends before the first byte of the frame. If the frame is
+// malformed, it returns an error that describes the fault and its position.
 func ReadBatch(r io.Reader) (*Batch, error) {
 	var header [4]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -94,7 +94,7 @@
 	return b, nil
 }
 
-// decodeEvent decodes a record without its header.
+// decodeEvent decodes the event in a record. The parameter record does not include the header of the record.
 func decodeEvent(code uint8, record []byte) (Event, error) {
 	if int(code) >= len(decoders) || decoders[code] == nil {
 		return nil, errors.New("unknown event code")
--- a/internal/simadapter/decode_test.go
+++ b/internal/simadapter/decode_test.go
@@ -44,7 +44,7 @@
 func TestReadBatchReadsEventsOfTwoPlacers(t *testing.T) {
 	got, err := ReadBatch(bytes.NewReader(unhex(t, eventsHex)))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ReadBatch(frame of two placers) = error %v, want none", err)
 	}
 	want := &Batch{Clock: 8412.25, Events: []Event{
 		PlacementRequest{
@@ -62,7 +62,7 @@
 func TestReadBatchReadsListsNotesAndOutcomes(t *testing.T) {
 	got, err := ReadBatch(bytes.NewReader(frame(t, 4, listHex+updateHex+noteHex+outcomeHex)))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ReadBatch(list, update, note, outcome) = error %v, want none", err)
 	}
 	want := []Event{
 		EndpointList{Machines: []Machine{
@@ -84,7 +84,7 @@
 func TestReadBatchReadsEmptyBatchAndThenEOF(t *testing.T) {
 	r := bytes.NewReader(unhex(t, "0c000000 00000000206ec040 00000000"))
 	if got, err := ReadBatch(r); err != nil || len(got.Events) > 0 {
-		t.Fatalf("ReadBatch(frame without records) = %+v, %v, want a batch without events", got, err)
+		t.Fatalf("ReadBatch(frame without records) = %+v, error %v; want a batch without events and no error", got, err)
 	}
 	if _, err := ReadBatch(r); err != io.EOF { //nolint:errorlint // io.EOF itself is documented, not an error that wraps it
 		t.Errorf("ReadBatch(end of input) = error %v, want io.EOF", err)
@@ -95,7 +95,7 @@
 	whole := unhex(t, eventsHex)
 	for n := 1; n < len(whole); n++ {
 		if _, err := ReadBatch(bytes.NewReader(whole[:n])); err == nil || errors.Is(err, io.EOF) {
-			t.Fatalf("ReadBatch(frame cut after %d of %d bytes) = error %v, want one that is not io.EOF", n, len(whole), err)
+			t.Fatalf("ReadBatch(frame cut after %d of %d bytes) = error %v, want an error other than io.EOF", n, len(whole), err)
 		}
 	}
 	for name, body := range map[string]string{
@@ -108,14 +108,14 @@
 		"text overruns":      "07 10000000 03000000 0000000000000000 ffffffff",
 	} {
 		if _, err := ReadBatch(bytes.NewReader(frame(t, 1, body))); err == nil || !strings.Contains(err.Error(), "record 0") {
-			t.Errorf("ReadBatch(%s) = error %v, want one that contains %q", name, err, "record 0")
+			t.Errorf("ReadBatch(frame with bad record: %s) = error %v, want an error that contains %q", name, err, "record 0")
 		}
 	}
 	for name, head := range map[string]string{
 		"too short": "0b000000", "too long": "ffffffff", "clock": "0c000000 000000000000f87f 00000000",
 	} {
 		if _, err := ReadBatch(bytes.NewReader(unhex(t, head))); err == nil || errors.Is(err, io.EOF) {
-			t.Errorf("ReadBatch(frame with bad header: %s) = error %v, want one that is not io.EOF", name, err)
+			t.Errorf("ReadBatch(frame with bad header: %s) = error %v, want an error other than io.EOF", name, err)
 		}
 	}
 }
@@ -126,10 +126,10 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		b, err := DecodeBatch(data)
 		if (b == nil) == (err == nil) {
-			t.Fatalf("DecodeBatch(%x) = %v, %v, want either a batch or an error", data, b, err)
+			t.Fatalf("DecodeBatch(%x) = %+v, error %v, want either a batch or an error", data, b, err)
 		}
 		if b != nil && math.IsNaN(b.Clock) {
-			t.Fatalf("DecodeBatch(%x) accepts the clock NaN, want an error", data)
+			t.Fatalf("DecodeBatch(%x): got a batch with the clock NaN, want an error", data)
 		}
 	})
 }
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -6,8 +6,8 @@
 	Events []Event
 }
 
-// Event is an event of a batch. Each event except EndpointList is for one placer. The simulator assigns the numbers of
-// placers, tasks and machines.
+// Event is an event of a batch. Each event is for one placer, except for EndpointList, which all placers share. The
+// simulator assigns the numbers of placers, tasks and machines.
 type Event interface{ isEvent() }
 
 // The types of events. Times and durations are in milliseconds, memory is in GiB.
@@ -20,7 +20,7 @@
 	}
 	// Teardown ends a placer's incarnation.
 	Teardown struct{ Placer uint32 }
-	// EndpointList defines a list of machines. ListUpdate refers to it by its number.
+	// EndpointList defines a list of machines. ListUpdate refers to the list by Number.
 	EndpointList struct {
 		Number   uint8
 		Machines []Machine
@@ -62,7 +62,7 @@
 		Kind         uint8
 		Amount       float32
 	}
-	// Outcome ends an attempt.
+	// Outcome reports the result of an attempt, which ends the attempt.
 	Outcome struct {
 		Placer, Task uint32
 		Attempt      uint8
@@ -75,7 +75,7 @@
 	}
 	// RequestCanceled reports that the owner no longer waits for the result of a request.
 	RequestCanceled struct{ Placer, Task uint32 }
-	// TimerFired reports that a timer set by Reply.SetTimer has expired.
+	// TimerFired reports that a timer that Reply.SetTimer has set has expired.
 	TimerFired struct {
 		Placer uint32
 		Timer  uint64
@@ -85,7 +85,7 @@
 		Placer, Machine uint32
 		Result          uint8
 		Took            float64
-		Report          []float32 // as in Outcome
+		Report          []float32 // the machine's load report, as in Outcome
 	}
 	// Received is a message from another placer.
 	Received struct {
@@ -97,7 +97,7 @@
 // Bits of PlacementRequest.Flags.
 const (
 	FlagLifetimeKnown = 1 << 0
-	FlagsResubmitted  = 1<<1 | 1<<4 // either bit means that the task was requested before
+	FlagsResubmitted  = 1<<1 | 1<<4 // each of the two bits means that the task's placement was requested before
 )
 
 // Machine is one entry of an EndpointList.
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// fieldReader decodes the fields of a record in order. A field that extends beyond the record sets overrun; it and all
-// fields after it are read as zero.
+// fieldReader decodes the fields of a record in order. A field that extends beyond the record sets overrun. This field
+// and all fields after it are read as zero.
 type fieldReader struct {
 	buf     []byte // the part of the record that has not been read
 	overrun bool
@@ -30,8 +30,8 @@
 func (f *fieldReader) float32() float32 { return math.Float32frombits(f.uint32()) }
 func (f *fieldReader) float64() float64 { return math.Float64frombits(f.uint64()) }
 
-// fits reports whether the record has at least count more elements of size bytes. It sets overrun if not. It must be called
-// before memory is allocated for a count that was read from the record.
+// fits reports whether the record has at least count more elements, each of size bytes, and sets overrun if the record
+// has fewer. It must be called before memory is allocated for a count that was read from the record.
 func (f *fieldReader) fits(count uint32, size int) bool {
 	if uint64(count)*uint64(size) > uint64(len(f.buf)) {
 		f.overrun = true
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -12,7 +12,8 @@
 	"forkhead/internal/goldentest"
 )
 
-// testdata/events.hex is a batch with one of each event, one record a line. events.decoded has the decoded values.
+// The decoded events must stay the same. The file testdata/events.hex is a batch that has each event once, one record
+// per line, and testdata/events.decoded has the decoded values.
 func TestReadBatchEventsGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "events.hex"))
 	if err != nil {
@@ -20,7 +21,7 @@
 	}
 	batch, err := ReadBatch(bytes.NewReader(unhex(t, string(text))))
 	if err != nil {
-		t.Fatalf("ReadBatch(testdata/events.hex): %v", err)
+		t.Fatalf("ReadBatch(testdata/events.hex) = error %v, want none", err)
 	}
 	var b bytes.Buffer
 	fmt.Fprintln(&b, batch.Clock)
@@ -30,7 +31,8 @@
 	goldentest.Check(t, "events.decoded", b.Bytes())
 }
 
-// testdata/actions.hex has the encoding of each action, one reply a line.
+// The encoding of each action must stay the same. The file testdata/actions.hex has one reply per line, each with one
+// action.
 func TestReplyActionsGolden(t *testing.T) {
 	var b bytes.Buffer
 	for _, act := range []func(r *Reply){
--- a/internal/simadapter/reply.go
+++ b/internal/simadapter/reply.go
@@ -24,7 +24,7 @@
 // AllPlacers is the receiver of a gossip message that goes to all other placers.
 const AllPlacers = math.MaxUint32
 
-// maxText is the maximum length of a log line or gossip message, in bytes. Longer ones are truncated.
+// maxText is the maximum length of a log line or gossip message, in bytes. Longer lines and messages are truncated.
 const maxText = math.MaxUint16
 
 // Sizes of fields, in bytes.
@@ -65,7 +65,7 @@
 func (r *Reply) uint64(v uint64)   { r.frame = binary.LittleEndian.AppendUint64(r.frame, v) }
 func (r *Reply) float64(v float64) { r.uint64(math.Float64bits(v)) }
 
-// text writes the length of a text, then the text. It must not be longer than maxText.
+// text writes the length of a text, then the text. The text must not be longer than maxText.
 func (r *Reply) text(text []byte) {
 	r.frame = binary.LittleEndian.AppendUint16(r.frame, uint16(len(text)))
 	r.frame = append(r.frame, text...)
@@ -81,20 +81,21 @@
 	r.float64(timeout)
 }
 
-// Reject ends a request without a placement. Its owner may safely request it again after retryAfter milliseconds.
+// Reject ends a placement request without a placement. The owner of the task may safely request the placement again after
+// retryAfter milliseconds.
 func (r *Reply) Reject(placer, task uint32, retryAfter float64) {
 	r.begin(codeReject, placer, idSize+numberSize)
 	r.uint32(task)
 	r.float64(retryAfter)
 }
 
-// Fail ends a request without a placement. Unlike Reject, it does not say that requesting it again is safe.
+// Fail ends a placement request without a placement. Unlike Reject, it does not promise that another request is safe.
 func (r *Reply) Fail(placer, task uint32) {
 	r.begin(codeFail, placer, idSize)
 	r.uint32(task)
 }
 
-// Withdraw stops waiting for an attempt. The machine may still accept it.
+// Withdraw withdraws an attempt: the placer no longer waits for its outcome. The machine may still accept the task.
 func (r *Reply) Withdraw(placer, task uint32, attempt uint8) {
 	r.begin(codeWithdraw, placer, idSize+1)
 	r.uint32(task)
@@ -128,13 +129,13 @@
 	r.text(data)
 }
 
-// Subscribe subscribes to the endpoint list's changes.
+// Subscribe subscribes a placer to the changes of the endpoint list.
 func (r *Reply) Subscribe(placer uint32) {
 	r.begin(codeSubscribe, placer, 1)
 	r.uint8(1)
 }
 
-// Unsubscribe ends the subscription.
+// Unsubscribe ends a placer's subscription to the changes of the endpoint list.
 func (r *Reply) Unsubscribe(placer uint32) {
 	r.begin(codeSubscribe, placer, 1)
 	r.uint8(0)
