--- a/internal/cli/explore_simulation.go
+++ b/internal/cli/explore_simulation.go
@@ -46,7 +46,7 @@
 // many seeds were completed, which is fewer than n if ctx ended.
 func (a *app) simulateSeeds(ctx context.Context, firstSeed uint64, n int) (failed []string, seeds int64) {
 	var next, done atomic.Int64
-	var mu sync.Mutex // protects the variable failed
+	var mu sync.Mutex // protects the list failed
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -151,7 +151,7 @@
 		if err != nil {
 			continue
 		}
-		_, _ = fmt.Fprintln(conn, `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`) // after an error, the reply is missing too
+		_, _ = fmt.Fprintln(conn, `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`) // if this fails, there is no reply and the next probe follows
 		line, _ := bufio.NewReader(conn).ReadString('\n')
 		_ = conn.Close()
 		if strings.Contains(line, `"hb_ok"`) && strings.Contains(line, `"c":1`) {
--- a/internal/parse/compose/compose.go
+++ b/internal/parse/compose/compose.go
@@ -83,8 +83,9 @@
 	return nil
 }
 
-// find looks up a file in the submission by a reference: the file named from refers to it by the path name, at the
-// position pos. It returns the name and text of the file found.
+// find looks up a file in the submission by a reference, and returns the name and text of the file. The parameter from
+// is the name of the file that has the reference, name is the path in the reference, and pos is the position of the
+// reference.
 func (in *Input) find(from, name string, pos diagnostic.Pos) (file, text string, err error) {
 	resolved := ResolvePath(from, name)
 	for _, files := range [][]File{in.ReferencedFiles, in.Files} {
@@ -97,8 +98,9 @@
 	return "", "", diagnostic.Wantf(pos, "the file with the submission: forkhead submit sends it along", "%s is missing from the submission", resolved)
 }
 
-// ResolvePath returns the path that a reference in a file leads to. The parameter from is the path of that file, and
-// name is the path as the reference has it, which is relative to the folder of the file unless it is absolute.
+// ResolvePath returns the path of the file that a reference names. The parameter from is the path of the file that has
+// the reference, and name is the path in the reference, which is relative to the folder of that file unless it is
+// absolute.
 func ResolvePath(from, name string) string {
 	if path.IsAbs(name) {
 		return path.Clean(name)
--- a/internal/parse/compose/decode.go
+++ b/internal/parse/compose/decode.go
@@ -49,7 +49,7 @@
 }
 
 // ofKind returns v if the value has the kind k. For an absent or null value it returns nil. For a value of another kind
-// it adds an error, which calls the value by the parameter name, and returns nil.
+// it adds an error and returns nil. The parameter name is what the error calls the value.
 func (d *decoder) ofKind(v *value, k kind, name string) *value {
 	if v.isEmpty() {
 		return nil
--- a/internal/parse/compose/extends.go
+++ b/internal/parse/compose/extends.go
@@ -17,8 +17,9 @@
 type extender struct {
 	files    map[string]*value    // trees of the loaded files, by file name
 	resolved map[serviceID]*value // services with their bases merged in
-	// load loads a file into the map files and returns the file's key in this map. The file named from refers to it by the
-	// path name, at the position pos.
+	// load loads the file that a reference names into the map files, and returns the key of the file in this map. The
+	// parameter from is the name of the file that has the reference, name is the path in the reference, and pos is the
+	// position of the reference.
 	load func(from, name string, pos diagnostic.Pos) (file string, err error)
 }
 
--- a/internal/parse/compose/extension.go
+++ b/internal/parse/compose/extension.go
@@ -51,8 +51,8 @@
 	d.spread(s, ext)
 }
 
-// nameFromSettings returns the name in one field of ext, or "" if ext does not have the field. A name that is not in the
-// list known is an error.
+// nameFromSettings returns the name in one field of ext, or "" if ext does not have the field. The parameter known
+// lists the valid names; any other name is an error.
 func (d *decoder) nameFromSettings(ext *value, key string, known []string) string {
 	name := d.ofKind(ext.get(key), scalar, key)
 	if name == nil {
--- a/internal/parse/compose/keyvalues.go
+++ b/internal/parse/compose/keyvalues.go
@@ -6,9 +6,9 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// keyValueFiles parses files of KEY=VALUE lines. The element of the service under key names them by a path, a mapping
-// that has the path, or a list of paths and mappings. Later files override earlier ones. Errors call a file by
-// fileKind.
+// keyValueFiles parses the files of KEY=VALUE lines that a service refers to in one element, such as env_file. The
+// element is a path, a mapping that has the path, or a list of paths and mappings. Later files override earlier ones.
+// The parameter fileKind is what errors call such a file.
 func (d *decoder) keyValueFiles(service *value, key, fileKind string) map[string]string {
 	pairs := map[string]string{}
 	v := service.get(key)
@@ -25,8 +25,8 @@
 	return pairs
 }
 
-// keyValueFile adds the keys and values in one file to pairs. entry is the path of the file, or a mapping that has the
-// path. A missing file is an error unless the mapping has required: false.
+// keyValueFile adds the keys and values in one file to the map pairs. The parameter entry is the path of the file, or a
+// mapping that has the path. A missing file is an error unless the mapping has required: false.
 func (d *decoder) keyValueFile(entry *value, key, fileKind string, pairs map[string]string) {
 	path, required := entry, true
 	if entry.kind == mapping {
@@ -52,9 +52,9 @@
 	}
 }
 
-// keyValueLine adds the key and value in one line to pairs. The line has the form [export ]KEY=VALUE, with or without
-// quotes around VALUE, or KEY alone, whose value is that of the variable KEY. Empty lines and lines that begin with #
-// are ignored.
+// keyValueLine adds the key and value in one line to the map pairs. The line has the form [export ]KEY=VALUE, with or
+// without quotes around VALUE, or KEY alone, whose value is that of the variable KEY. Empty lines and lines that begin
+// with # are ignored.
 func (d *decoder) keyValueLine(line string, pos diagnostic.Pos, fileKind string, pairs map[string]string) {
 	line = strings.TrimSpace(strings.TrimSuffix(line, "\r"))
 	if line == "" || line[0] == '#' {
--- a/internal/parse/compose/loader.go
+++ b/internal/parse/compose/loader.go
@@ -60,8 +60,8 @@
 	return all, nil
 }
 
-// loadReferenced loads a file, unless it is loaded already, and returns the file's name in the submission. The file
-// named from refers to it by the path name, at the position pos.
+// loadReferenced loads the file that a reference names, unless it is loaded already, and returns the name of the file
+// in the submission. The parameters are those of Input.find.
 func (l *loader) loadReferenced(from, name string, pos diagnostic.Pos) (string, error) {
 	file, text, err := l.in.find(from, name, pos)
 	if err != nil {
--- a/internal/parse/compose/payload.go
+++ b/internal/parse/compose/payload.go
@@ -78,8 +78,9 @@
 	return out
 }
 
-// withFiles returns the pairs in values together with the pairs in the files that the element of the service under key
-// names. Where both have a key, values takes precedence. Errors call a file by fileKind.
+// withFiles returns the map values, extended by the pairs in the files of KEY=VALUE lines that a service refers to in
+// one element. Where both have a key, the value in the map values is used. The parameter fileKind is what errors call
+// such a file.
 func (d *decoder) withFiles(values map[string]string, service *value, key, fileKind string) map[string]string {
 	all := d.keyValueFiles(service, key, fileKind)
 	maps.Copy(all, values)
--- a/internal/parse/compose/resources.go
+++ b/internal/parse/compose/resources.go
@@ -30,8 +30,8 @@
 	s.Memory = cmp.Or(s.Memory, s.LimitMemory, defaultMemory)
 }
 
-// resourceParts returns the mappings limits and reservations in the element resources of deploy, and checks their keys. A
-// mapping that is missing is nil.
+// resourceParts returns the mappings under the keys limits and reservations in deploy.resources, and checks their keys.
+// A mapping that is missing is nil.
 func (d *decoder) resourceParts(deploy *value) (limits, reserved *value) {
 	resources := d.ofKind(deploy.get("resources"), mapping, "resources")
 	if resources == nil {
--- a/internal/parse/compose/values.go
+++ b/internal/parse/compose/values.go
@@ -117,8 +117,8 @@
 	return 0
 }
 
-// durationField sets *to to the duration in one field of the mapping m. The duration must be from lo to hi. If m does
-// not have the field, *to is unchanged.
+// durationField decodes the duration in one field of the mapping m and stores it in *to. The duration must be from lo
+// to hi. If m does not have the field, *to is unchanged.
 func (d *decoder) durationField(to *time.Duration, m *value, key string, lo, hi time.Duration) {
 	if v := m.get(key); v != nil {
 		*to = d.duration(v, key, lo, hi)
@@ -183,9 +183,9 @@
 	return amount * float64(int64(1)<<shift), err == nil
 }
 
-// choiceField looks up the text in one field of the mapping m in the parameter meanings, which maps valid texts to
-// values, and sets *to to the value found. If m does not have the field, *to is unchanged. The parameter want lists the
-// valid texts for the error that an unknown text causes.
+// choiceField decodes one field of the mapping m. The text of the field must be a key of the map meanings, and the
+// value under this key is stored in *to. If m does not have the field, *to is unchanged. The parameter want lists the
+// valid texts, for the error that an unknown text causes.
 func choiceField[T any](d *decoder, to *T, m *value, key string, meanings map[string]T, want string) {
 	v := d.ofKind(m.get(key), scalar, key)
 	if v == nil {
--- a/internal/parse/compose/yaml.go
+++ b/internal/parse/compose/yaml.go
@@ -53,7 +53,7 @@
 // syntaxError converts an error of the YAML parser to an error with a position. The position is the line that the text
 // of the parser's error begins with, or line 1 if it begins with none.
 func syntaxError(file string, err error) error {
-	const maxLine = 1 << 24 // further digits are not read, to avoid an overflow
+	const maxLine = 1 << 24 // from this line number on, further digits are not read, to avoid an overflow
 	text := strings.TrimPrefix(err.Error(), "yaml: ")
 	pos := diagnostic.Pos{File: file, Line: 1, Col: 1}
 	if rest, ok := strings.CutPrefix(text, "line "); ok {
--- a/internal/parse/diagnostic/nearest.go
+++ b/internal/parse/diagnostic/nearest.go
@@ -4,12 +4,12 @@
 
 const (
 	maxEdits       = 2  // maximum edit distance between a misspelled name and the right one
-	maxNameToMatch = 64 // bytes; no name is found close to a longer one
+	maxNameToMatch = 64 // in bytes; a longer name is not compared
 )
 
-// Nearest returns the entry of the list known that is closest to name, or "" if none is within maxEdits edits of it. If
-// several entries are equally close, it returns the first of them. It ignores the letter case of name. The entries of
-// known must be in lower case.
+// Nearest returns the entry of the parameter known that is closest to name, or "" if no entry is within maxEdits edits
+// of name. If several entries are equally close, it returns the first of them. It ignores the letter case of name. The
+// entries of known must be in lower case.
 func Nearest(name string, known []string) string {
 	nearest, minEdits := "", maxEdits+1
 	for _, k := range known {
@@ -20,7 +20,8 @@
 	return nearest
 }
 
-// editDistance returns the Levenshtein distance of two names, or maxNameToMatch if one is longer than maxNameToMatch bytes.
+// editDistance returns the Levenshtein distance of two names. If one of them is longer than maxNameToMatch bytes, it
+// returns maxNameToMatch, which is more than maxEdits.
 func editDistance(a, b string) int {
 	if len(a) > maxNameToMatch || len(b) > maxNameToMatch {
 		return maxNameToMatch
--- a/internal/parse/platformconfig/config.go
+++ b/internal/parse/platformconfig/config.go
@@ -92,7 +92,7 @@
 	} `json:"tenants"`
 }
 
-// Parse parses a settings text. Unknown keys are ignored. Check checks the values.
+// Parse parses a settings text. Unknown keys are ignored. Parse does not check the values; the function Check does.
 func Parse(text []byte) (*Info, error) {
 	var in Info
 	if err := json.Unmarshal(text, &in); err != nil {
--- a/internal/parse/servicespec/servicespec.go
+++ b/internal/parse/servicespec/servicespec.go
@@ -154,11 +154,12 @@
 	Completed                            // all tasks of the service ended successfully
 )
 
-// Dependency names another service, which must reach a condition before a service is placed.
+// Dependency names another service, which must reach the condition When before the service that has the dependency is
+// placed.
 type Dependency struct {
 	Service  string
 	When     DependencyCondition
-	Optional bool // the service may be missing or fail
+	Optional bool // the other service may be missing or fail
 	Restart  bool // the source asks to replace the tasks when the dependency is replaced; has no effect
 	Pos      diagnostic.Pos
 }
@@ -172,7 +173,7 @@
 	return &d.Services[i]
 }
 
-// Tasks returns the number of tasks, except for services with one task on each host that fits.
+// Tasks returns the number of tasks. It does not count services with one task on each host that fits.
 func (d *Description) Tasks() int {
 	n := 0
 	for _, s := range d.Services {
--- a/internal/parse/settings/entries.go
+++ b/internal/parse/settings/entries.go
@@ -13,7 +13,7 @@
 // The limits of entries that may be repeated.
 const (
 	maxPlacers = 4096
-	maxNames   = 250 // machine types; also classes, and tenants
+	maxNames   = 250 // maximum number each of machine types, classes and tenants
 )
 
 // Domains maps the keywords for domains in settings and service descriptions to the domains.
--- a/internal/parse/settings/fields.go
+++ b/internal/parse/settings/fields.go
@@ -23,7 +23,7 @@
 	})
 }
 
-// memoryUnits has the units of memory, in GiB.
+// memoryUnits maps the units of memory to their sizes in GiB.
 var memoryUnits = map[string]float64{"MiB": 1. / 1024, "GiB": 1, "TiB": 1024}
 
 // memoryField returns a field that stores an amount of memory in GiB. In the file, the amount is a number from 0.001 to
--- a/internal/parse/settings/parser.go
+++ b/internal/parse/settings/parser.go
@@ -54,7 +54,7 @@
 	p.check(n)
 }
 
-// section returns a field that parses a list (NAME fields...), where fields are the given ones.
+// section returns a field that parses a list (NAME fields...) with the given fields.
 func (p *parser) section(fields map[string]sexp.Field) sexp.Field {
 	return func(n *sexp.Node) error {
 		sexp.Fields(n.Args(), fields, nil, p.errs)
--- a/internal/parse/sexp/fields.go
+++ b/internal/parse/sexp/fields.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// SingleValue returns a Field that passes the value in a list (NAME value) to take. A list with no value or with
-// several is an error.
+// SingleValue returns a Field that passes the value in a list (NAME value) to the function take. A list with no value
+// or with several is an error.
 func SingleValue(take func(v *Node) error) Field {
 	return func(n *Node) error {
 		if args := n.Args(); len(args) == 1 {
@@ -87,8 +87,8 @@
 	})
 }
 
-// setting returns a Field that converts a single value with read and stores the result in *to. After an error, *to is
-// unchanged.
+// setting returns a Field that converts a single value with the function read and stores the result in *to. After an
+// error, *to is unchanged.
 func setting[T any](to *T, read func(v *Node) (T, error)) Field {
 	return SingleValue(func(v *Node) error {
 		got, err := read(v)
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -40,7 +40,7 @@
 		RemainingLifetime float64 // valid if FlagLifetimeKnown is set
 		Service           uint64
 		Cores, Memory     float32
-		Flags             uint8 // FlagLifetimeKnown, FlagsResubmitted
+		Flags             uint8 // the bits FlagLifetimeKnown and FlagsResubmitted
 	}
 	// HandOver hands over a running task to a placer. Machine is the machine that runs it.
 	HandOver struct {
