--- a/internal/verify/chaos/bugs.go
+++ b/internal/verify/chaos/bugs.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	bugSettleTime      = 500 * time.Millisecond // until the last frames have reached the hosts
-	helloSettleTime    = 100 * time.Millisecond // until the Hello has reached a host
-	repeatedOfferPause = 500 * time.Millisecond // between two offers of one task
-	drainMargin        = 500 * time.Millisecond // beyond the grace period of a draining host
-	floodOffers        = 5000                   // offers to a host in its slow start
+	bugSettleTime      = 500 * time.Millisecond // wait until the last frames have reached the hosts
+	helloSettleTime    = 100 * time.Millisecond // wait until the Hello frame has reached a host
+	repeatedOfferPause = 500 * time.Millisecond // time between two offers of one task
+	drainMargin        = 500 * time.Millisecond // time after the end of a draining host's grace period
+	floodOffers        = 5000                   // number of offers to a host in its slow start
 )
 
 // The tasks that a misbehaving placer offers.
@@ -86,13 +86,13 @@
 	}
 	for n := range floodOffers {
 		if err := p.offer(host, r.scenario.Settings.Classes[0].Name, firstFloodTask.plus(n)); err != nil {
-			break // the host has been overloaded and is down
+			break // the host has crashed from overload
 		}
 	}
 	return nil
 }
 
-// exceedSpreadLimit offers one host one task more than its domain may have of a class.
+// exceedSpreadLimit offers a host one more task of a class than the class allows in the host's domain.
 func (r *runner) exceedSpreadLimit(p *misbehavingPlacer) error {
 	class, i := r.findClass(func(c *forkhead.Class) bool { return c.SpreadDomain != forkhead.AnyDomain })
 	for n := range r.scenario.Settings.Module.Classes[i].MaxPerDomain + 1 {
@@ -114,8 +114,8 @@
 	return set.Classes[0].Name, 0
 }
 
-// duplicatingTransport appends the first outcome of each response to it again, with the result failed, as a server would
-// that reports two outcomes of one task.
+// duplicatingTransport imitates a server that reports two outcomes of one task: it appends a copy of the first outcome
+// to each response, with the result changed to failed.
 type duplicatingTransport struct{ http.RoundTripper }
 
 // RoundTrip performs the request, reads the whole response and appends the changed outcome.
--- a/internal/verify/chaos/faults.go
+++ b/internal/verify/chaos/faults.go
@@ -53,7 +53,8 @@
 	scenario.SlowReader:          (*runner).slowReading,
 }
 
-// injectFault injects a fault and returns when it is over. All random draws come from rng, first those of the hosts.
+// injectFault injects a fault and returns when it is over. All random draws come from rng; the affected hosts are drawn
+// first.
 func (r *runner) injectFault(fault scenario.Fault, rng *rand.Rand) {
 	f := &activeFault{Fault: fault, rng: rng}
 	f.drawHosts(r.cluster.Hosts)
@@ -73,14 +74,14 @@
 	f.hosts = candidates[:min(count, len(candidates))]
 }
 
-// during turns a condition on for the duration of a fault.
+// during calls set(true), waits for the duration of a fault, and calls set(false).
 func (r *runner) during(f *activeFault, set func(on bool)) {
 	set(true)
 	r.sleep(f.Duration)
 	set(false)
 }
 
-// repeat calls do at the fault's interval until the fault is over or the run is canceled.
+// repeat calls a function at the fault's interval until the fault is over or the run is canceled.
 func (r *runner) repeat(f *activeFault, do func()) {
 	for end := time.Now().Add(f.Duration); time.Now().Before(end); {
 		do()
@@ -90,7 +91,7 @@
 	}
 }
 
-// eachHost calls do on the event loop of each of the fault's hosts that is up.
+// eachHost calls a function for each affected host that is up, on the event loop of the host.
 func (f *activeFault) eachHost(do func(h *hostmodel.Host, now time.Duration)) {
 	for _, h := range f.hosts {
 		h.With(func(model *hostmodel.Host, now time.Duration) []hostmodel.Output {
--- a/internal/verify/chaos/faults_hosts.go
+++ b/internal/verify/chaos/faults_hosts.go
@@ -126,11 +126,11 @@
 	}
 }
 
-// restartHosts restarts those of the hosts that are down. They begin with their slow start.
+// restartHosts restarts the hosts that are down. They begin with a slow start.
 func (r *runner) restartHosts(hosts []*testcluster.Host) {
 	for _, h := range hosts {
 		if err := h.Restart(true); err != nil {
-			r.opt.Log.Error().Err(err).Msgf("cannot restart host %s", h.Name())
+			r.opt.Log.Error().Err(err).Str("host", h.Name()).Msg("cannot restart host")
 		}
 	}
 }
--- a/internal/verify/chaos/faults_network.go
+++ b/internal/verify/chaos/faults_network.go
@@ -16,8 +16,8 @@
 	})
 }
 
-// muteConnections makes connections half-open: the hosts neither read from them nor write to them. They stay so; only a
-// new connection works again.
+// muteConnections makes connections half-open: the hosts neither read from them nor write to them. These connections
+// stay half-open; a host is reachable again only on a new connection.
 func (r *runner) muteConnections(f *activeFault) {
 	for _, h := range f.hosts {
 		h.MuteConnections(f.Placer)
@@ -44,14 +44,14 @@
 
 // The methods below inject faults of service discovery.
 
-// delayReports delays registrations and, with them, the hosts' reports of available resources.
+// delayReports delays the hosts' registrations, and so the reports of available resources that are part of them.
 func (r *runner) delayReports(f *activeFault) {
 	r.lagCatalog(f, time.Duration(f.Factor*float64(r.scenario.Catalog.Lag)))
 }
 
 func (r *runner) delayDiscovery(f *activeFault) { r.lagCatalog(f, f.Delay) }
 
-// lagCatalog makes the endpoint list lag behind the hosts by the given time instead of the scenario's.
+// lagCatalog replaces the scenario's lag of the endpoint list behind the hosts for the duration of a fault.
 func (r *runner) lagCatalog(f *activeFault, lag time.Duration) {
 	r.setCatalogLag(lag)
 	r.sleep(f.Duration)
--- a/internal/verify/chaos/faults_placers.go
+++ b/internal/verify/chaos/faults_placers.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// stallPlacers repeatedly stalls the event loop of the fault's placer, or of all placers if it is -1.
+// stallPlacers repeatedly stalls the event loop of the fault's placer, or of all placers if Fault.Placer is -1.
 func (r *runner) stallPlacers(f *activeFault) {
 	r.repeat(f, func() {
 		for i := range r.cluster.PlacerCount() {
@@ -43,7 +43,7 @@
 
 func (r *runner) startPlacer(i int) {
 	if err := r.cluster.StartPlacer(i); err != nil {
-		r.opt.Log.Error().Err(err).Msgf("cannot restart placer %d", i)
+		r.opt.Log.Error().Err(err).Int("placer", i).Msg("cannot restart placer")
 	}
 }
 
--- a/internal/verify/chaos/load.go
+++ b/internal/verify/chaos/load.go
@@ -11,13 +11,13 @@
 
 const (
 	normalLoadPerMille = 1000
-	loadSeedFactor     = 7919 // separates the random draws of loads from those of faults
+	loadSeedFactor     = 7919 // keeps the random draws of loads independent of those of faults
 )
 
 // project is a submission of one service.
 type project struct {
 	name    string
-	placer  int // number of the placer that it is submitted to
+	placer  int // number of the placer that the project is submitted to
 	compose string
 	load    *scenario.Load
 	tasks   int
@@ -91,8 +91,8 @@
 	delete(s.byName, name)
 }
 
-// draw returns a random selection of the projects; share, from 0 to 1, is the probability of each. The selection does
-// not follow from the seed, because the iteration order of a map varies.
+// draw selects each project with the probability share, from 0 to 1. The selection is not determined by the seed,
+// because the iteration order of a map varies.
 func (s *projectSet) draw(rng *rand.Rand, share float64) []project {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/verify/chaos/misbehaving.go
+++ b/internal/verify/chaos/misbehaving.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	misbehavingPlacerNumber = 4000 // a number that no placer of a scenario has
+	misbehavingPlacerNumber = 4000 // no built-in scenario has so many placers
 	misbehavingPlacerEpoch  = 1
 	misbehavingDialTimeout  = time.Second
 )
@@ -34,7 +34,7 @@
 	return &misbehavingPlacer{connections: map[string]net.Conn{}}
 }
 
-// connect returns the connection to a host, and opens it if there is none. It sends a Hello first and discards the
+// connect returns the connection to a host. If there is none, it opens one, sends a Hello frame, and discards all
 // frames that the host sends.
 func (p *misbehavingPlacer) connect(h *testcluster.Host) (net.Conn, error) {
 	if c := p.connections[h.Name()]; c != nil {
@@ -72,6 +72,6 @@
 
 func (p *misbehavingPlacer) close() {
 	for _, c := range p.connections {
-		_ = c.Close() // an error loses nothing: no frame is awaited
+		_ = c.Close() // no frame is awaited, so an error has no consequence
 	}
 }
--- a/internal/verify/chaos/process.go
+++ b/internal/verify/chaos/process.go
@@ -18,10 +18,10 @@
 
 const (
 	exitRuleBroken    = 3       // exit code of a run that broke a rule or had a veto
-	exitUnknown       = -1      // in place of the exit code of a run that failed
+	exitUnknown       = -1      // the ExitCode in the result of a run that failed
 	maxOutputLine     = 1 << 20 // bytes of a line of a run's output
 	maxErrorOutput    = 4096    // bytes of a run's standard error that are kept, from its beginning
-	processStopStream = 5       // separates the random draws of stops from those of the run itself
+	processStopStream = 5       // keeps the random draws of stops independent of those of the run
 )
 
 // runProcess runs the scenario once, in a process of its own.
@@ -47,7 +47,7 @@
 	}
 	readErr := result.readOutput(output)
 	close(ended)
-	stopper.Wait() // first, because Wait would block on a process that is still stopped
+	stopper.Wait() // before Wait, which would block on a process that is still stopped
 	err = cmd.Wait()
 	var exit *exec.ExitError
 	switch {
@@ -61,7 +61,7 @@
 	return result
 }
 
-// readOutput reads the lines that a run writes: its breaches, then its result.
+// readOutput reads the lines that a run writes: first one for each breach, then the result.
 func (p *ProcessResult) readOutput(output io.Reader) error {
 	lines := bufio.NewScanner(output)
 	lines.Buffer(nil, maxOutputLine)
--- a/internal/verify/chaos/repeat.go
+++ b/internal/verify/chaos/repeat.go
@@ -12,11 +12,11 @@
 // Repeat runs a scenario many times, each time in a process of its own.
 type Repeat struct {
 	Runs      int
-	Parallel  int                     // runs at a time; less than 1: one
+	Parallel  int                     // number of runs at a time; a value below 1 means 1
 	Seed      int                     // seed of the first run; each further run has the next seed
 	BusyLoops int                     // goroutines that only keep a processor busy
-	MaxStop   time.Duration           // longest time that a process is stopped, about once a second; 0: it is not stopped
-	Command   func(seed int) []string // returns program and arguments of a run, which writes JSON lines
+	MaxStop   time.Duration           // each process is stopped about once a second, for at most this long; 0: never
+	Command   func(seed int) []string // returns the program of a run, which writes JSON lines, and its arguments
 	OnDone    func(ProcessResult)     // called with each result, one at a time
 }
 
@@ -24,7 +24,7 @@
 type ProcessResult struct {
 	Seed     int             `json:"seed"`
 	ExitCode int             `json:"code"`             // 0, exitRuleBroken, or exitUnknown with Error
-	Result   json.RawMessage `json:"result,omitempty"` // a Result: the last line of output that is no breach
+	Result   json.RawMessage `json:"result,omitempty"` // JSON of a Result: the last output line that is no breach
 	Breaches []string        `json:"breaches,omitempty"`
 	Error    string          `json:"error,omitempty"`
 }
@@ -68,7 +68,7 @@
 	return totals
 }
 
-// add adds a run to the totals. Of a failed run only the run itself is counted.
+// add adds a run to the totals. A failed run is counted in Runs and Failed only.
 func (t *Totals) add(p ProcessResult) {
 	t.Runs++
 	var r Result
--- a/internal/verify/chaos/repeat_test.go
+++ b/internal/verify/chaos/repeat_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// A run that fails or is killed must be counted as failed, not as one that broke no rule, and adds nothing to the other
-// totals. The runs here are shell commands: one passes, one breaks a rule, one fails and one is killed.
+// A run that fails or is killed must be counted as failed, not as a run that broke no rule, and must add nothing to the
+// sums of tasks, offers, vetoes and breaches. The runs here are shell commands: one passes, one breaks a rule, one
+// fails and one is killed.
 func TestRepeatCountsRunsByResult(t *testing.T) {
 	var results []ProcessResult
 	r := Repeat{
--- a/internal/verify/chaos/result.go
+++ b/internal/verify/chaos/result.go
@@ -36,7 +36,7 @@
 	P50MS               float64                 `json:"p50_ms"` // median time from a submission to a placed outcome
 	P99MS               float64                 `json:"p99_ms"`
 	Seconds             float64                 `json:"seconds"`
-	Accounts            rules.Accounts          `json:"accounts"`          // tasks by what their clients read; the sum is Tasks
+	Accounts            rules.Accounts          `json:"accounts"`          // Tasks, counted by what clients read
 	StoreCommits        uint64                  `json:"commits,omitempty"` // fsyncs of placers' stores
 	Captured            []capture.Event         `json:"-"`
 	Recordings          []testcluster.Recording `json:"-"`
@@ -79,7 +79,7 @@
 		result.Rules[rule.String()] = verdict.Counts[rule]
 	}
 	for _, kind := range []core.OutcomeKind{core.OutcomePlaced, core.OutcomeRejected, core.OutcomeFailed} {
-		result.Outcomes[string(kind)] += 0 // an entry for each kind, also for those without a task
+		result.Outcomes[string(kind)] += 0 // adds an entry for a kind without tasks
 	}
 	return result
 }
@@ -126,10 +126,11 @@
 func (l *latencies) add(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.histogram.RecordValue(max(d.Microseconds(), 1)) // fails only for a value out of range
+	_ = l.histogram.RecordValue(max(d.Microseconds(), 1)) // fails only above maxLatency
 }
 
-// quantileMS returns a latency in milliseconds. quantile is a percentage, from 0 to 100.
+// quantileMS returns a quantile of the latencies, in milliseconds. The quantile is given as a percentage, from 0 to
+// 100.
 func (l *latencies) quantileMS(quantile float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/verify/chaos/run.go
+++ b/internal/verify/chaos/run.go
@@ -24,15 +24,15 @@
 
 const (
 	maxCapturedEvents = 20_000_000
-	readyTimeout      = 10 * time.Second // until every placer is connected to all hosts
+	readyTimeout      = 10 * time.Second // bounds the wait until every placer is connected to all hosts
 )
 
 // Options are the options of Run.
 type Options struct {
-	Log         zerolog.Logger             // receives messages of the placers, and about faults that cannot be undone
+	Log         zerolog.Logger             // receives the messages of placers, and errors of undoing faults
 	NewModule   testcluster.ModuleFactory  // makes a module that breaks rules, for tests; nil: the real module
 	OnFault     func(fault scenario.Fault) // called when a fault begins, from several goroutines; nil: not called
-	RecordSteps bool                       // record the steps of the placers' cores in Result.Recordings
+	RecordSteps bool                       // whether Result.Recordings has the steps of the placers' cores
 }
 
 // runner is one run of a scenario.
@@ -43,13 +43,13 @@
 	cluster  *testcluster.Cluster
 	recorder *recorder.Recorder
 	start    time.Time
-	workers  sync.WaitGroup // loads, faults and submissions
+	workers  sync.WaitGroup // goroutines of loads, faults and submissions
 
-	// The effects of faults on clients.
-	loadPerMille      atomic.Uint64 // multiplier of the scenario's rates of submissions
+	// What the faults of clients that are being injected change.
+	loadPerMille      atomic.Uint64 // multiplier of the scenario's rates of submissions, in thousandths
 	disconnectClients atomic.Bool   // streams of new submissions break after some bytes
 	slowReaders       atomic.Bool   // clients of new submissions read late
-	duplicateOutcomes atomic.Bool   // clients read the first outcome twice, with different results
+	duplicateOutcomes atomic.Bool   // clients read the first outcome of a response twice, with different results
 
 	submissions         atomic.Int64
 	rejectedSubmissions atomic.Int64
--- a/internal/verify/chaos/run_test.go
+++ b/internal/verify/chaos/run_test.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// Actions of a module that break rules must not reach the sockets. The module of this test offers each task to a second
-// machine at the same time, which may have been removed, also if the task is unsafe, and gives tasks a second outcome.
-// The invariant checks must veto these actions and count the vetoes.
+// Actions of a module that break rules must not reach the sockets. The module of this test offers each task, also an
+// unsafe one, to two machines at the same time. The second machine may have been removed. The module also reports a
+// second outcome of a task. The invariant checks must veto these actions and count the vetoes.
 func TestRunVetoesBrokenModule(t *testing.T) {
 	newModule := func(set forkhead.Settings) func(time.Duration, []forkhead.Event) []forkhead.Action {
 		module, err := forkhead.New(set, 1)
@@ -111,7 +111,7 @@
 	}
 	r := runShort(t, Options{NewModule: newModule})
 	if r.Vetoes == 0 {
-		t.Fatal("Run() = 0 vetoes with a module that breaks rules, want more")
+		t.Fatal("Run() = 0 vetoes with a module that breaks rules, want at least 1")
 	}
 	if n := r.Verdict.Counts[invariant.NoRepeat] + r.Verdict.Counts[invariant.Spread] + r.Verdict.Counts[invariant.Drain]; n > 0 {
 		t.Fatalf("got %d breaches of no-repeat, spread and drain on the sockets, want 0: %v", n, r.Verdict.Breaches)
--- a/internal/verify/chaos/submission.go
+++ b/internal/verify/chaos/submission.go
@@ -32,11 +32,12 @@
 	id      string        // ID from the placer; "" until a placer has accepted the submission
 
 	slowReader bool
-	disconnect bool // break the next streams
+	disconnect bool // the next streams of outcomes break
 }
 
 // submit submits a project and reads its outcomes. After a lost reply it sends the project again under the same
-// idempotency key. Each generation of a project, a submission after a deletion, has another key.
+// idempotency key. The parameter generation is 0 for the first submission of a project and 1 for a submission after a
+// deletion; the two have different keys.
 func (r *runner) submit(p project, generation int) {
 	r.submissions.Add(1)
 	s := &submission{
@@ -70,7 +71,8 @@
 	return r.scenario.Settings.Classes[i].PlacementTimeout
 }
 
-// httpClient returns a client that opens a connection for each request, with the effects of the faults of clients.
+// httpClient returns a client that opens a connection for each request. While faults of clients are injected, the
+// client reads late, loses its connection or reads changed outcomes.
 func (s *submission) httpClient() *http.Client {
 	var transport http.RoundTripper = &http.Transport{DisableCompression: true, DisableKeepAlives: true, DialContext: s.dial}
 	if s.run.duplicateOutcomes.Load() {
@@ -111,8 +113,8 @@
 	s.run.recorder.Add(capture.Event{At: s.run.cluster.Clock.Now(), Type: capture.ClientDisconnected, Submission: id})
 }
 
-// outcomeRead records an outcome that the client read. It is called also for an outcome that an earlier stream had,
-// since each incarnation of a placer reports its own outcomes.
+// outcomeRead records an outcome that the client read. It is also called for an outcome that the client read on an
+// earlier stream already, since each incarnation of a placer reports its own outcomes.
 func (s *submission) outcomeRead(o core.Outcome) {
 	s.run.recorder.Add(capture.Event{
 		At: s.run.cluster.Clock.Now(), Type: capture.Outcome, Placer: s.project.placer, Submission: s.id,
@@ -127,7 +129,7 @@
 	}
 }
 
-// slowReadConn is the connection of a client that reads nothing until a time.
+// slowReadConn is the connection of a client that reads nothing before a given time.
 type slowReadConn struct {
 	net.Conn
 	until time.Time
@@ -139,10 +141,10 @@
 	return c.Conn.Read(b)
 }
 
-// disconnectingConn is a connection that breaks after a number of bytes have been read.
+// disconnectingConn is a connection that breaks after a given number of bytes have been read.
 type disconnectingConn struct {
 	net.Conn
-	remaining int // bytes until it breaks
+	remaining int // bytes until the connection breaks
 }
 
 var errDisconnected = errors.New("connection broken by the scenario")
@@ -150,7 +152,7 @@
 // Read fails with errDisconnected once no bytes remain.
 func (c *disconnectingConn) Read(b []byte) (int, error) {
 	if c.remaining <= 0 {
-		_ = c.Close() // errDisconnected is returned instead of its error
+		_ = c.Close() // Read returns errDisconnected, not an error of Close
 		return 0, errDisconnected
 	}
 	n, err := c.Conn.Read(b[:min(len(b), c.remaining)])
--- a/internal/verify/testcluster/cluster.go
+++ b/internal/verify/testcluster/cluster.go
@@ -38,20 +38,20 @@
 	opt     Options
 	engine  *netio.Engine // serves the sockets of the hosts
 	placers []placerSlot
-	folder  string // holds the placers' stores; "": they have none
+	folder  string // holds the placers' stores; "": the placers have no stores
 
 	startStop  sync.Mutex    // held while a placer is started or killed
 	recordings []Recording   // guarded by startStop
-	vetoes     atomic.Uint64 // vetoes of the placers that were killed
-	defects    atomic.Uint64 // defects of the placers that were killed
+	vetoes     atomic.Uint64 // actions that the invariant checks of killed placers vetoed
+	defects    atomic.Uint64 // defects that killed placers counted
 }
 
 // Options are the options of Start.
 type Options struct {
 	Log         zerolog.Logger     // receives the messages of the placers
-	Recorder    *recorder.Recorder // captures the traffic of hosts and placers; nil: it is not captured
+	Recorder    *recorder.Recorder // captures the traffic of hosts and placers; nil: no traffic is captured
 	NewModule   ModuleFactory      // nil: the placers have the real module
-	RecordSteps bool               // record the steps of the placers' cores for Cluster.Recordings
+	RecordSteps bool               // whether Cluster.Recordings has the steps of the placers' cores
 }
 
 // Start starts the catalog, the hosts and the placers of a scenario. All run in this process and listen on unused
@@ -120,8 +120,8 @@
 	return &set, nil
 }
 
-// WaitReady waits until every placer that is up has, for every host, a connection and the entry of the endpoint list. It
-// returns an error after the timeout.
+// WaitReady waits until every placer that is up is connected to every host and has read the entry of every host in the
+// endpoint list. It returns an error after the timeout.
 func (c *Cluster) WaitReady(timeout time.Duration) error {
 	for end := time.Now().Add(timeout); !c.ready(); time.Sleep(readyPollInterval) {
 		if time.Now().After(end) {
@@ -150,7 +150,7 @@
 		c.stopPlacer(&c.placers[i])
 	}
 	if c.folder != "" {
-		_ = os.RemoveAll(c.folder) // a folder that is left over is among the temporary files
+		_ = os.RemoveAll(c.folder) // an error only leaves a temporary folder behind
 	}
 	for _, h := range c.Hosts {
 		h.Stop()
--- a/internal/verify/testcluster/path_test.go
+++ b/internal/verify/testcluster/path_test.go
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// submitTimed calls submit and records its latency, unless the task was not placed.
+// submitTimed calls submit and records the latency if the task was placed.
 func (c *pathClient) submitTimed() error {
 	start := time.Now()
 	if err := c.submit(); err != nil {
@@ -140,6 +140,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = c.latencies.RecordValue(max(time.Since(start).Microseconds(), 1)) // fails only for a value out of range
+	// RecordValue fails only if the latency is too long for the histogram.
+	_ = c.latencies.RecordValue(max(time.Since(start).Microseconds(), 1))
 	return nil
 }
--- a/internal/verify/testcluster/placers.go
+++ b/internal/verify/testcluster/placers.go
@@ -18,10 +18,11 @@
 	placerStartBackoff = 10 * time.Millisecond
 )
 
-// ModuleFactory returns the Step function of a module that replaces the real one, to show that its faults are detected.
+// ModuleFactory returns the Step function of a module that replaces the real one. Tests use a module with faults, to
+// show that the faults are detected.
 type ModuleFactory func(set forkhead.Settings) func(now time.Duration, events []forkhead.Event) []forkhead.Action
 
-// placerSlot is one placer. Its incarnations follow each other in the slot.
+// placerSlot holds the current incarnation of one placer. A restart replaces it by the next incarnation.
 type placerSlot struct {
 	server       atomic.Pointer[placer.Server] // nil: the placer is down
 	incarnations int                           // number of incarnations so far
@@ -34,8 +35,8 @@
 // PlacerCount returns the number of placers, up or down.
 func (c *Cluster) PlacerCount() int { return len(c.placers) }
 
-// StartPlacer starts the next incarnation of a placer. It does nothing if the placer is up: if two faults that kill a
-// placer overlap, both restart it, but only one has killed it.
+// StartPlacer starts the next incarnation of a placer. It does nothing if the placer is up: if two faults that kill the
+// same placer overlap, only the first one kills it, but both call StartPlacer.
 func (c *Cluster) StartPlacer(i int) error {
 	c.startStop.Lock()
 	defer c.startStop.Unlock()
--- a/internal/verify/testcluster/ports.go
+++ b/internal/verify/testcluster/ports.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 )
 
-// The ports of clusters are below those that the system assigns to outgoing connections, since a server that was down
-// for a while must find its port unused when it restarts.
+// The ports of clusters are below those that the system assigns to outgoing connections, so that no outgoing connection
+// takes the port of a server that is down for a while and then restarts.
 const (
 	minPort         = 12_000
 	portCount       = 18_000
@@ -18,12 +18,12 @@
 
 var (
 	firstPort   = rand.Uint64N(portCount) // random, so that clusters of other processes seldom try the same ports
-	portsProbed atomic.Uint64             // ports that all calls of freeAddress have tried
+	portsProbed atomic.Uint64             // number of ports that freeAddress has tried, in all its calls
 )
 
-// freeAddress returns a loopback address that is unused now. No other call in this process returns the same port until
-// all other ports have been tried, because other servers of the cluster start between this call and the start of the
-// server at the address.
+// freeAddress returns a loopback address that is unused now. Other servers of the cluster may start before the server
+// that uses the address does, so no other call in this process returns the same port until all other ports have been
+// tried.
 func freeAddress(network string) (string, error) {
 	var err error
 	for range maxPortAttempts {
--- a/internal/verify/testcluster/recording.go
+++ b/internal/verify/testcluster/recording.go
@@ -35,7 +35,7 @@
 			c.opt.Recorder.Add(e)
 		}
 		if recording != nil {
-			// Writer.Bytes returns the error again when the recording ends.
+			// The error can be ignored here: Writer.Bytes returns it again when the recording ends.
 			_ = recording.Add(&replay.Step{Now: now, Due: due, In: in, Out: replay.FormatOutputs(out)})
 		}
 	}
