--- a/internal/verify/rules/answers.go
+++ b/internal/verify/rules/answers.go
@@ -14,7 +14,8 @@
 	outcomeFailed   = "failed"
 )
 
-// decisionTolerance is how late an outcome may be decided by its placer's clock. It covers the rounding of times.
+// decisionTolerance is the time after its timeout within which a placer may still decide an outcome, by the placer's
+// clock. It covers the rounding of times.
 const decisionTolerance = time.Millisecond
 
 // submission is a client's submission of tasks.
@@ -26,8 +27,8 @@
 
 	submittedAt     time.Duration
 	lastSubmittedAt time.Duration // time of the latest submission
-	disconnectedAt  time.Duration // when its stream last broke; 0 if it never did
-	receivedAt      time.Duration // when its placer had read it, by that placer's clock; 0 if not captured
+	disconnectedAt  time.Duration // time at which the stream of outcomes last broke; 0: never
+	receivedAt      time.Duration // time at which the placer read the submission, by its clock; 0: not captured
 
 	outcomes map[string]string // outcomes that the client has read, by the task's name; filled by checkOutcome
 }
@@ -35,7 +36,8 @@
 // dueAt returns the time at which the outcomes of the tasks are due.
 func (s *submission) dueAt() time.Duration { return s.submittedAt + s.timeout }
 
-// checkAnswers checks that the client of each task read exactly one outcome in time, and accounts for all tasks.
+// checkAnswers checks that the client of each task read exactly one outcome in time, and counts every task in the
+// verdict's accounts.
 func (c *checker) checkAnswers() {
 	end := time.Duration(0)
 	for i := range c.trace.events {
@@ -78,22 +80,22 @@
 	c.checkDecisionTime(s, e)
 }
 
-// mayReadAgain reports whether a client may read an outcome again, or late, at a given time: because its stream broke, or
-// because its placer was down and keeps accepted requests over a restart.
+// mayReadAgain reports whether a client may read an outcome again, or late, at a given time. This is allowed after the
+// stream of outcomes broke, and if the placer was down and keeps accepted requests over a restart.
 func (c *checker) mayReadAgain(s *submission, at time.Duration) bool {
 	return happenedBy(s.disconnectedAt, at) || c.config.Durable && c.trace.placers[s.placer].wasDown(s.submittedAt, at)
 }
 
 // checkDelivery checks that an outcome reached its client within Config.MaxOutcomeDelay of the time at which it was
-// due. If the capture has the time at which the placer received the submission, an outcome that was decided after it
-// was due is allowed the delay from its decision; checkDecisionTime checks whether the decision was in time.
+// due. If the capture has the time at which the placer received the submission, and the outcome was decided after it
+// was due, the delay is counted from the decision; checkDecisionTime checks whether the decision was in time.
 func (c *checker) checkDelivery(s *submission, e *capture.Event) {
 	since := s.dueAt()
 	if s.receivedAt > 0 {
 		since = max(since, s.receivedAt+e.Took)
 	}
 	late := e.At - since
-	// A stalled process delivers nothing.
+	// A stalled process delivers no outcome, so the time for which it was stalled does not count.
 	if late > c.config.MaxOutcomeDelay && late-c.trace.stalledFor(since, e.At) > c.config.MaxOutcomeDelay {
 		c.breach(invariant.OneAnswer, e.At, "the outcome of %s of submission %s was read %v after it was due",
 			e.Name, e.Submission, late.Round(time.Millisecond))
@@ -125,8 +127,8 @@
 		c.breach(invariant.OneAnswer, end, "submission %s has %d tasks, but outcomes of %d tasks were read", s.name, s.count, answered)
 	case missing == 0:
 	case !c.config.Durable && c.trace.placers[s.placer].diedWithin(s.submittedAt, s.dueAt()):
-		// The client submits the tasks again that its placer had when it died. A death after the outcome was due
-		// excuses nothing.
+		// When a placer dies, clients submit again the tasks that the placer had. A death after the outcome was due
+		// excuses no missing outcome.
 		accounts.PlacerDied += missing
 	case s.disconnectedAt > s.lastSubmittedAt:
 		accounts.Disconnected += missing
@@ -138,8 +140,8 @@
 	}
 }
 
-// checkOffersCaptured checks that each offer that reached a host is in the capture at its placer, if there is one.
-// Otherwise the checks of the placers' views would miss the offer.
+// checkOffersCaptured checks that each offer that reached a host is in the capture at the sockets of its placer, if
+// they were captured. An offer that is missing there would escape the checks of the placers' views.
 func (c *checker) checkOffersCaptured(views map[incarnation]*placerView) {
 	for _, a := range c.trace.attempts {
 		view := views[a.sender]
--- a/internal/verify/rules/answers_test.go
+++ b/internal/verify/rules/answers_test.go
@@ -94,7 +94,7 @@
 	return capture.Event{At: at, Type: capture.PlacerDown, Placer: placer}
 }
 
-// disconnect returns the end of the stream of a submission's outcomes to its client.
+// disconnect returns the event that the stream of a submission's outcomes to its client ended.
 func disconnect(at time.Duration, name string) capture.Event {
 	return capture.Event{At: at, Type: capture.ClientDisconnected, Submission: name}
 }
--- a/internal/verify/rules/config.go
+++ b/internal/verify/rules/config.go
@@ -7,7 +7,7 @@
 	"forkhead/internal/parse/settings"
 )
 
-// Defaults of the bounds on the time between the two ends of a connection in a capture.
+// Defaults of Config.MaxTransit and Config.MaxOutcomeDelay.
 const (
 	defaultMaxTransit      = 200 * time.Millisecond
 	defaultMaxOutcomeDelay = time.Second
@@ -21,7 +21,7 @@
 	ParallelAttempts bool          // a request may have two unanswered attempts at once
 	BoundWhenRunning bool          // a task is bound when it runs, not already when its host accepts it
 	DrainGrace       time.Duration // time for which a placer may still send offers after it was notified of a drain
-	LostAfter        time.Duration // time for which a safe task on an unreachable host counts for its placer
+	LostAfter        time.Duration // time for which a placer counts a safe task on an unreachable host as placed
 	OwnerBackoff     time.Duration // least time from a placer's death until an owner requests its tasks again
 
 	SlowStartDuration    time.Duration
@@ -41,8 +41,8 @@
 // Class holds the settings of a class of tasks that the rules need.
 type Class struct {
 	Effect       forkhead.Effect
-	DedupDomain  forkhead.Domain // of a keyed class; hosts in which repeats are deduplicated
-	DedupWindow  time.Duration   // of a keyed class; counted from the first attempt that may have run
+	DedupDomain  forkhead.Domain // for a keyed class: domain whose hosts deduplicate repeated starts
+	DedupWindow  time.Duration   // for a keyed class: begins with the first attempt that may have run
 	SpreadDomain forkhead.Domain
 	MaxPerDomain int // most tasks of one service in a SpreadDomain
 }
--- a/internal/verify/rules/drain.go
+++ b/internal/verify/rules/drain.go
@@ -7,12 +7,12 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// drainNotices holds the notices that a placer has of hosts that must get no new tasks. notReady and draining map a
-// host to the time since which the notice holds, and have no entry for a host without one.
+// drainNotices holds what a placer was notified of about hosts that must get no new tasks. The maps notReady and
+// draining give the time of the notice by host; a host without a notice has no entry.
 type drainNotices struct {
-	known    map[string]bool          // hosts that an endpoint list has had since the start of the placer
-	notReady map[string]time.Duration // by the endpoint list: draining, or no longer in it
-	draining map[string]time.Duration // by the host's own message
+	known    map[string]bool          // hosts that were in an endpoint list since the start of the placer
+	notReady map[string]time.Duration // hosts that drain by the endpoint list or are no longer in it
+	draining map[string]time.Duration // hosts whose own messages say that they drain
 }
 
 func newDrainNotices() *drainNotices {
@@ -46,14 +46,14 @@
 	}
 }
 
-// clearList discards what endpoint lists said, because a restarted placer has no endpoint list.
+// clearList discards the notices from endpoint lists, because a restarted placer has no endpoint list.
 func (n *drainNotices) clearList() {
 	clear(n.known)
 	clear(n.notReady)
 }
 
-// overdue returns the ages of the notices about a host that are older than the grace: at most one by the endpoint list
-// and one by the host itself.
+// overdue returns the ages of the notices about a host that are older than the grace period: at most one notice from
+// the endpoint list and one from the host itself.
 func (n *drainNotices) overdue(host string, now, grace time.Duration) []time.Duration {
 	var ages []time.Duration
 	for _, since := range []map[string]time.Duration{n.notReady, n.draining} {
@@ -64,15 +64,15 @@
 	return ages
 }
 
-// setIfAbsent sets a host's time unless it has one.
+// setIfAbsent sets the time of a host that has none.
 func setIfAbsent(since map[string]time.Duration, host string, at time.Duration) {
 	if _, known := since[host]; !known {
 		since[host] = at
 	}
 }
 
-// checkDrains checks, on the traffic that hosts and the catalog captured, that a placer sends no offer to a host once
-// the grace is over since it was notified that the host drains or has left the endpoint list.
+// checkDrains checks, on the traffic that hosts and the catalog captured, that a placer sends no offer to a host later
+// than the grace period after it was notified that the host drains or has left the endpoint list.
 func (c *checker) checkDrains() {
 	byPlacer := map[int]*drainNotices{}
 	notices := func(placer int) *drainNotices {
--- a/internal/verify/rules/golden_test.go
+++ b/internal/verify/rules/golden_test.go
@@ -105,7 +105,7 @@
 		}
 		var compact bytes.Buffer
 		if err := json.Compact(&compact, c.want); err != nil {
-			t.Fatalf("stored value of %s: %v", name, err)
+			t.Fatalf("Compact(stored value of %s): error %v, want none", name, err)
 		}
 		if !bytes.Equal(got, compact.Bytes()) {
 			t.Errorf("verdict of the record: %s = %s, want %s", name, got, compact.Bytes())
--- a/internal/verify/rules/norepeat.go
+++ b/internal/verify/rules/norepeat.go
@@ -21,7 +21,7 @@
 }
 
 func (c *checker) checkRepeat(a *attempt, class Class) {
-	var first *attempt // first that may have run
+	var first *attempt // first attempt that may have run
 	for _, earlier := range c.trace.byKey[a.key] {
 		if !c.mayHaveRun(earlier, a) {
 			continue
@@ -37,7 +37,7 @@
 		case class.Effect == forkhead.Unsafe:
 			c.breach(invariant.NoRepeat, a.offeredAt, "unsafe task %s was offered to %s although its attempt at %s may have run",
 				a.name, a.host, earlier.host)
-		case class.Effect == forkhead.Safe: // a repeat is harmless
+		case class.Effect == forkhead.Safe: // repeating a safe task is harmless
 		case !c.trace.locations.sameDomain(class.DedupDomain, earlier.host, a.host):
 			c.breach(invariant.NoRepeat, a.offeredAt, "keyed task %s was offered to %s, outside the deduplication domain of %s, where it may have run",
 				a.name, a.host, earlier.host)
@@ -48,8 +48,9 @@
 	}
 }
 
-// mayHaveRun reports whether an attempt of the same task is earlier than a, and may run or have run as far as the
-// placer could know when it sent a.
+// mayHaveRun reports whether the first of two attempts of a task precedes the second and may run or have run, as far as
+// the placer could know when it sent the second. If one incarnation of a placer sent both and its sockets were
+// captured, the result is false, because checkSentRepeat compares these attempts.
 func (c *checker) mayHaveRun(earlier, a *attempt) bool {
 	isEarlier := earlier.offeredAt < a.offeredAt || earlier.offeredAt == a.offeredAt && earlier.number < a.number
 	if !isEarlier || happenedBy(earlier.endedAt, a.offeredAt) {
@@ -61,20 +62,20 @@
 	return !a.checkedAtPlacer || earlier.sender != a.sender
 }
 
-// awaitsAnswer reports whether the placer of a was still waiting for the answer to its earlier attempt, on an open
-// connection, when it sent a.
+// awaitsAnswer reports whether both attempts are from one placer and this placer, when it sent the second, was still
+// waiting for the answer to the first on an open connection.
 func (c *checker) awaitsAnswer(earlier, a *attempt) bool {
 	slack := a.offeredAt + c.config.MaxTransit
 	return earlier.sender.placer == a.sender.placer && !happenedBy(earlier.answeredAt, a.offeredAt) &&
 		!happenedBy(earlier.withdrawnAt, slack) && !happenedBy(earlier.disconnectedAt, slack)
 }
 
-// ownerBackoffElapsed reports whether the placer of an earlier attempt had been dead for the owner's backoff when a was
-// sent. The owner may then request the task again.
+// ownerBackoffElapsed reports whether the placer of an earlier attempt had been dead for the owner's backoff when a
+// further attempt was sent. The owner may then request the task again.
 func (c *checker) ownerBackoffElapsed(earlier, a *attempt) bool {
 	for _, death := range c.trace.placers[earlier.sender.placer].deaths {
 		// A host on a stalled machine may read an offer after the death of its placer. A death of the incarnation that
-		// sent the offer therefore applies whenever the offer was read.
+		// sent the offer therefore counts even if the offer was read later.
 		applies := death.at >= earlier.offeredAt || death.epoch != 0 && death.epoch == earlier.sender.epoch
 		if applies && death.at+c.config.OwnerBackoff <= a.offeredAt+c.config.MaxTransit {
 			return true
@@ -96,7 +97,7 @@
 				offer.Placer, offer.Name, offer.Host, earlier.host)
 			continue
 		}
-		if !mayHaveRun { // the attempts are in the order in which they were sent
+		if !mayHaveRun { // byKey has the attempts in the order in which they were sent
 			mayHaveRun, firstSentAt = true, earlier.sentAt
 		}
 		switch {
--- a/internal/verify/rules/norepeat_test.go
+++ b/internal/verify/rules/norepeat_test.go
@@ -137,7 +137,8 @@
 			offer(10*ms, "a", "keyed", 1), retry(6*time.Second, "b", "keyed"),
 		}, invariant.NoRepeat},
 	})
-	// The window begins with the first attempt. The third is after its end, which is a breach for each of the two before.
+	// The window begins with the first attempt. The third attempt is after the end of the window, which is one breach
+	// for each of the two earlier attempts.
 	checkBreaches(t, testConfig(), slices.Concat(testHosts(), []capture.Event{
 		offer(10*ms, "a", "keyed", 1), disconnected, retry(time.Second, "b", "keyed"),
 		message(1001*ms, capture.Disconnected, "b", 0), thirdAttempt(5111*ms, "keyed"),
@@ -210,8 +211,8 @@
 	})
 }
 
-// The capture at the placer is checked without slack. Breaches are 1ms in size, which the slack of the checks at the
-// hosts would hide.
+// The capture at the placer is checked without slack. Each breach exceeds its limit by only 1ms, which the slack of the
+// checks at the hosts would hide.
 func TestCheckRepeatsAtPlacer(t *testing.T) {
 	checkCases(t, append(testHosts(), testPlacer()...), []ruleCase{
 		{"two unanswered attempts", atPlacer(
--- a/internal/verify/rules/placers.go
+++ b/internal/verify/rules/placers.go
@@ -62,7 +62,8 @@
 	return false
 }
 
-// lateStep is a step of a placer's core that ran after it was due. The core decided nothing between the two times.
+// lateStep is a step of a placer's core that ran after it was due. The core decided nothing between the time at which
+// the step was due and the time at which it ran.
 type lateStep struct {
 	placer       int
 	dueAt, ranAt time.Duration
--- a/internal/verify/rules/placers_test.go
+++ b/internal/verify/rules/placers_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Steps are overdue from 1s to 3s, from 2s to 4s and from 6s to 7s. Time in which two are overdue counts once.
+// Steps are overdue from 1s to 3s, from 2s to 4s and from 6s to 7s. Time in which two steps are overdue counts once.
 func TestStalledFor(t *testing.T) {
 	trace := trace{lateSteps: []lateStep{
 		{placer: 0, dueAt: time.Second, ranAt: 3 * time.Second},
--- a/internal/verify/rules/placerview.go
+++ b/internal/verify/rules/placerview.go
@@ -23,8 +23,8 @@
 // hostView is the latest connection to a host.
 type hostView struct {
 	connection  uint64
-	established bool   // from Welcome to the end of the connection
-	epoch       uint64 // of the host's incarnation, from Welcome
+	established bool   // true from Welcome to the end of the connection
+	epoch       uint64 // epoch of the host's incarnation, as Welcome has it
 }
 
 func newPlacerView(boundWhenRunning bool) *placerView {
@@ -130,7 +130,8 @@
 	}
 }
 
-// onDisconnected handles the end of a connection. An attempt that awaits its answer may run; a bound one is unreachable.
+// onDisconnected handles the end of a connection. An unanswered attempt may run from then on; a bound attempt is
+// unreachable.
 func (v *placerView) onDisconnected(e *capture.Event) {
 	h := v.host(e.Host)
 	if e.Conn != h.connection {
@@ -150,7 +151,7 @@
 	a := v.add(e)
 	if !v.isEstablished(e) {
 		// The connection ended in the step that wrote the offer, and a capture has the reads of a step before its
-		// writes. No later event would end the wait for the answer to this offer.
+		// writes. So no later event would end the wait for the answer to the offer.
 		a.onWithdrawn()
 	}
 }
--- a/internal/verify/rules/sentattempt.go
+++ b/internal/verify/rules/sentattempt.go
@@ -22,7 +22,7 @@
 	sentAt           time.Duration
 	state            sentState
 	unreachableSince time.Duration
-	reappearedAt     time.Duration // when the host reported it as bound in state mayRun; 0 if it never did
+	reappearedAt     time.Duration // time at which the host reported an attempt in state mayRun as bound; 0: never
 }
 
 // onBound handles the host's message that the task is placed.
@@ -48,7 +48,7 @@
 }
 
 // onStop handles the placer's Stop. An attempt that reappeared in the same step no longer counts as placed, because the
-// placer doesn't want it; any other counts until its host reports its end.
+// placer doesn't want the task; any other attempt counts until the host reports that it ended.
 func (a *sentAttempt) onStop(at time.Duration) {
 	if a.state == bound && a.reappearedAt == at {
 		a.state = mayRun
--- a/internal/verify/rules/sentattempt_test.go
+++ b/internal/verify/rules/sentattempt_test.go
@@ -13,7 +13,7 @@
 	for _, c := range []struct {
 		name    string
 		message func(*sentAttempt)
-		want    []sentAttempt // for each element of states
+		want    []sentAttempt // the attempt after the message, for each element of states
 	}{
 		{
 			"bound", func(a *sentAttempt) { a.onBound(at) },
--- a/internal/verify/rules/spread.go
+++ b/internal/verify/rules/spread.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// countsTowardSpread reports whether the placer that sent a certainly still had another attempt when it sent a.
+// countsTowardSpread reports whether the placer that sent the second of two attempts certainly still had the first one
+// at that time.
 func (c *checker) countsTowardSpread(other, a *attempt) bool {
 	if other.sender.placer != a.sender.placer || other.offeredAt > a.offeredAt {
 		return false
@@ -52,17 +53,18 @@
 		return c.wasReportedTo(other, a)
 	}
 	if happenedBy(other.disconnectedAt, slack) {
-		// An attempt whose answer was lost with its connection no longer counts, and neither does one whose message
-		// that it is bound may have been in transit when the connection ended. A bound attempt counts until it is lost.
+		// An attempt whose answer was lost with its connection no longer counts. Neither does an attempt whose host
+		// reported it as bound so late that the message may have been in transit when the connection ended. An attempt
+		// that the placer knew as bound counts until LostAfter after the end of the connection.
 		boundBefore := happenedBy(other.boundAt, other.disconnectedAt-c.config.MaxTransit)
 		return boundBefore && !happenedBy(other.disconnectedAt+c.config.LostAfter, slack)
 	}
 	return true
 }
 
-// wasReportedTo reports whether a host reported an attempt of an earlier incarnation to the incarnation that sent a,
-// which counts it from then on. An attempt that ended while no incarnation was connected is not listed in a later
-// handshake, and no placer is notified of its end.
+// wasReportedTo reports whether a host reported an attempt of an earlier incarnation of a placer to the incarnation
+// that sent a later attempt, which counts the earlier one from then on. An attempt that ended while no incarnation was
+// connected is not listed in a later handshake, and no placer is notified of its end.
 func (c *checker) wasReportedTo(earlier, a *attempt) bool {
 	successor := incarnation{a.sender.placer, a.placerEpoch}
 	for _, handshake := range c.trace.holds[earlier.attemptID] {
--- a/internal/verify/rules/spread_test.go
+++ b/internal/verify/rules/spread_test.go
@@ -33,8 +33,9 @@
 	})
 }
 
-// Each case puts an event at, or 1ms after, the latest time at which it ends the count of the attempt at host a, before
-// another offer to host b in the same rack. Most of these offers reach b at 1s.
+// The attempt at host a counts toward the spread limit until an event such as a rejection. Each case puts the event at
+// the latest time at which another offer, to host b in the same rack, is no breach, or 1ms later. Most of these offers
+// reach b at 1s.
 func TestCheckSpreadsBounds(t *testing.T) {
 	first := offer(10*ms, "a", "spread", 1)
 	onFirst := func(at time.Duration, kind capture.EventType) capture.Event { return message(at, kind, "a", 1) }
@@ -76,7 +77,7 @@
 			first, onFirst(20*ms, capture.Running), onFirst(300*ms, capture.Disconnected), offer(2199*ms, "b", "spread", 2),
 		}, invariant.Spread},
 	})
-	// Of two offers at the same time, each counts the other.
+	// Of two offers at the same time, each counts for the limit on the other.
 	checkBreaches(t, testConfig(), slices.Concat(testHosts(), []capture.Event{
 		first, offer(10*ms, "b", "spread", 2),
 	}), invariant.Spread, invariant.Spread)
--- a/internal/verify/rules/trace.go
+++ b/internal/verify/rules/trace.go
@@ -66,9 +66,9 @@
 
 	offeredAt      time.Duration
 	withdrawnAt    time.Duration
-	answeredAt     time.Duration // the host reported that it is rejected, accepted, running or ended
+	answeredAt     time.Duration // the host reported the attempt as rejected, accepted, running or ended
 	boundAt        time.Duration // the host reported the state in which the task counts as placed
-	endedAt        time.Duration // rejected, or the host reported that it ended
+	endedAt        time.Duration // the host reported the attempt as rejected or ended
 	disconnectedAt time.Duration // the connection of the offer ended
 	hostDownAt     time.Duration
 
@@ -83,7 +83,8 @@
 	at     time.Duration
 }
 
-// happenedBy reports whether an event at time at had happened by a given time. at is 0 if the event never happened.
+// happenedBy reports whether an event had happened by a given time. The first parameter is the time of the event, or 0
+// if it never happened.
 func happenedBy(at, by time.Duration) bool { return at > 0 && at <= by }
 
 // topology maps the name of a host to its location.
@@ -112,7 +113,7 @@
 	current map[string]map[attemptID]*attempt
 }
 
-// newTrace returns the trace of captured events, which it sorts and indexes. It doesn't change the slice captured.
+// newTrace returns the trace of captured events, which it sorts and indexes. It doesn't change the given slice.
 func newTrace(captured []capture.Event, boundWhenRunning bool) *trace {
 	b := traceBuilder{
 		trace: &trace{
--- a/internal/verify/rules/verdict.go
+++ b/internal/verify/rules/verdict.go
@@ -40,11 +40,11 @@
 
 // Accounts counts the submitted tasks by what became of them. The sum of the fields is the number of tasks.
 type Accounts struct {
-	Answered     int `json:"told"`        // its client read an outcome
-	PlacerDied   int `json:"placer_dead"` // its placer died before the outcome was due
-	Disconnected int `json:"cut"`         // its client's stream broke and the client did not submit again
-	NotDue       int `json:"not_due"`     // the capture ends before the outcome was due
-	Unanswered   int `json:"forgotten"`   // none of the above, which is a breach
+	Answered     int `json:"told"`        // tasks whose client read an outcome
+	PlacerDied   int `json:"placer_dead"` // tasks whose placer died before the outcome was due
+	Disconnected int `json:"cut"`         // tasks whose client lost the stream and did not submit again
+	NotDue       int `json:"not_due"`     // tasks whose outcome was not due before the end of the capture
+	Unanswered   int `json:"forgotten"`   // all other tasks, whose missing outcome is a breach
 }
 
 // Sum returns the number of tasks that are accounted for.
--- a/internal/verify/rules/verdict_test.go
+++ b/internal/verify/rules/verdict_test.go
@@ -29,8 +29,8 @@
 	for _, c := range []struct{ count, listed int }{{49, 49}, {50, 50}, {51, 50}} {
 		v := Check(events[:c.count], testConfig())
 		if v.Counts[invariant.SlowStart] != c.count || len(v.Breaches) != c.listed {
-			t.Errorf("Check of a trace with %d breaches: %d counted and %d listed, want %d listed",
-				c.count, v.Counts[invariant.SlowStart], len(v.Breaches), c.listed)
+			t.Errorf("Check of a trace with %d breaches: %d counted and %d listed, want %d counted and %d listed",
+				c.count, v.Counts[invariant.SlowStart], len(v.Breaches), c.count, c.listed)
 		}
 	}
 }
--- a/internal/verify/scenario/faults.go
+++ b/internal/verify/scenario/faults.go
@@ -52,14 +52,14 @@
 type Fault struct {
 	Kind      FaultKind
 	At        time.Duration // beginning of the fault, since the start of the run
-	Duration  time.Duration // of the fault; of a crash or a kill: until the restart
+	Duration  time.Duration // length of the fault; for a crash or a kill, time until the restart
 	HostShare float64       // fraction of all hosts that are affected
 	Zone      string        // zone of the affected hosts, and of the placers of a lost zone; "": any
 	Rack      string        // rack of the affected hosts; "": any
 	Class     string        // affected class of tasks
-	Placer    int           // affected placer; -1: all placers, or the default of the kind
+	Placer    int           // number of the affected placer; -1: all placers, or the default of the kind
 	Factor    float64       // multiplier of slowness, lag or load; for some kinds a fraction from 0 to 1
-	Interval  time.Duration // between repetitions; of HostDegradation: between crash and restart
+	Interval  time.Duration // time between repetitions; for HostDegradation, between crash and restart
 	Delay     time.Duration // length of a pause, a delay or a lag
 	Pos       diagnostic.Pos
 }
--- a/internal/verify/scenario/read.go
+++ b/internal/verify/scenario/read.go
@@ -16,7 +16,7 @@
 const (
 	day                  = 24 * time.Hour
 	minLength            = 100 * time.Millisecond
-	minInterval          = 10 * time.Millisecond // between repetitions, and of the catalog's timeouts
+	minInterval          = 10 * time.Millisecond // between repetitions; also the shortest timeout of the catalog
 	maxHostGroup         = 10_000                // hosts of a group, and racks of a group
 	maxReplicas          = 10_000                // tasks of one submission
 	maxHostCount         = 1e6                   // tasks or programs at a host
@@ -30,7 +30,8 @@
 	maxUncachedFactor    = 1000
 )
 
-// Read parses and checks a scenario. Its errors have the file, the line and the column, and what was wanted there.
+// Read parses and checks a scenario. Its errors have the file, the line and the column, and say what was expected
+// there.
 func Read(file string, text []byte) (*Scenario, error) {
 	nodes, err := sexp.Parse(file, text)
 	if err != nil {
--- a/internal/verify/scenario/scenario.go
+++ b/internal/verify/scenario/scenario.go
@@ -48,7 +48,7 @@
 type HostGroup struct {
 	Count, Racks      int // the hosts are spread over the racks in turn
 	MachineType, Zone string
-	Prefix            string // of the hosts' names; the number of the host follows it
+	Prefix            string // beginning of the hosts' names, which end with the number of the host
 	Labels            map[string]string
 	WarmingUp         bool // the hosts have just started when the scenario begins
 }
@@ -67,8 +67,9 @@
 	MeanUsage, UsageSwing                                       float64 // fraction of the requested resources that tasks use
 }
 
-// CatalogBehavior is the behavior of the endpoint list: how long it lags behind the hosts, and how long after its last
-// registration a host becomes critical and how long after that registration it is dropped.
+// CatalogBehavior is the behavior of the endpoint list. The list lags behind the hosts by Lag. A host becomes critical
+// when CriticalAfter has passed since its last registration, and is dropped from the list when DeregisterAfter has
+// passed since then.
 type CatalogBehavior struct {
 	Lag, CriticalAfter, DeregisterAfter time.Duration
 }
@@ -77,12 +78,12 @@
 type Load struct {
 	Name         string
 	Class        string
-	Tenant       string  // "": none
+	Tenant       string  // "": no tenant
 	Rate         float64 // submissions a second, over all placers
 	Replicas     [2]int
 	Cores        [2]float64
 	Memory       [2]float64 // GiB
 	TaskDuration [2]time.Duration
-	From, To     time.Duration // period in which it submits, since the start of the run
+	From, To     time.Duration // period in which the load submits, since the start of the run
 	Pos          diagnostic.Pos
 }
--- a/internal/verify/simulation/crashes.go
+++ b/internal/verify/simulation/crashes.go
@@ -17,7 +17,7 @@
 const (
 	durableSettings   = "(owner (first 200ms) (wait 20s))"
 	durableFaultTime  = 15 * time.Second // duration of submissions and faults
-	durableSettleTime = 35 * time.Second // from the end of the faults until all submissions must be complete
+	durableSettleTime = 35 * time.Second // time from the end of the faults until all submissions must be complete
 	maxProjects       = 200              // more projects than a run submits
 )
 
@@ -28,7 +28,7 @@
 type durableRun struct {
 	faultInjector
 	t              TB
-	crashesEnabled bool // steps draw crash points
+	crashesEnabled bool // whether steps draw crash points
 	recovering     bool // the placer is being restarted after a crash
 	crashes        CrashCounts
 	submitted      int // number of submissions so far, acknowledged or not
@@ -150,7 +150,7 @@
 		r.s.RestartPlacer()
 		r.recovering = false
 		if r.s.Crashed() {
-			return // the next check restarts it again
+			return // the placer crashed during the restart; the next check restarts it
 		}
 	}
 	for _, submission := range r.submissions {
--- a/internal/verify/simulation/hosts.go
+++ b/internal/verify/simulation/hosts.go
@@ -30,8 +30,8 @@
 	return h.conns[conn] && !h.Blackholed && generation == h.connGeneration
 }
 
-// AddHost adds a host that has been up for a long time, so that it is not warming up. The placer learns of it when the
-// endpoint list is next sent.
+// AddHost adds a host that has been up for a long time, so that it is not warming up. The placer is notified of the
+// host when the endpoint list is next sent.
 func (s *Sim) AddHost(cfg hostmodel.Config) {
 	h := &Host{Config: cfg, Listed: true, State: forkhead.Ready, epoch: 1, conns: map[uint32]bool{}}
 	h.Model = hostmodel.New(cfg, h.epoch, hostSeed, s.Now, false)
@@ -46,7 +46,7 @@
 }
 
 // RestartHost starts a new incarnation of a host and sends the endpoint list. If warmingUp is set, the host has just
-// come up and warms up; otherwise it counts as up for a long time.
+// come up and warms up; otherwise it counts as a host that has been up for a long time.
 func (s *Sim) RestartHost(name string, warmingUp bool) {
 	h := s.Hosts[name]
 	h.epoch++
--- a/internal/verify/simulation/network.go
+++ b/internal/verify/simulation/network.go
@@ -20,7 +20,7 @@
 	return uint64(id) >> 32, uint32(id)
 }
 
-// afterDelay calls do after the network delay, unless the placer's current incarnation has ended by then.
+// afterDelay calls a function after the network delay, unless the placer's current incarnation has ended by then.
 func (s *Sim) afterDelay(do func()) {
 	c := s.Core
 	s.After(s.Delay, func() {
@@ -83,7 +83,7 @@
 	for _, o := range out {
 		epoch, conn := splitConnID(o.Conn)
 		switch {
-		case epoch != s.Epoch: // a connection of an earlier placer incarnation
+		case epoch != s.Epoch: // ignore a connection of an earlier placer incarnation
 		case o.Frame == nil:
 			delete(h.conns, conn)
 			s.notifyDisconnected(name, conn)
--- a/internal/verify/simulation/placer.go
+++ b/internal/verify/simulation/placer.go
@@ -34,7 +34,7 @@
 // random choices.
 const coreSeed = 7
 
-// startCore starts an incarnation of the placer. The functions in change modify the core's configuration.
+// startCore starts an incarnation of the placer. The given functions first modify the core's configuration.
 func (s *Sim) startCore(change ...func(*core.Config)) {
 	cfg := core.Config{Settings: s.Settings, Seed: coreSeed, Epoch: s.Epoch, Durable: s.Durable}
 	for _, c := range change {
@@ -117,8 +117,9 @@
 	return records, others
 }
 
-// crash ends the current incarnation. The next one cannot start here because callers may still be executing outputs of
-// this one. Until RestartPlacer starts it, Core is a new core without inputs, which Step does not run.
+// crash ends the current incarnation. The next incarnation cannot start here, because callers may still be executing
+// outputs of the current one. Until RestartPlacer starts the next incarnation, Core is a new core without inputs, which
+// Step does not run.
 func (s *Sim) crash() {
 	s.crashed = true
 	s.Core = s.newCore(core.Config{Settings: s.Settings, Seed: coreSeed, Epoch: s.Epoch})
--- a/internal/verify/simulation/random.go
+++ b/internal/verify/simulation/random.go
@@ -31,10 +31,10 @@
 	randomSettings = "(owner (first 200ms) (wait 20s)) (cold (for 2s) (window 500ms) (offers 12))"
 	randomProjects = 6                     // number of project names that runs submit and remove
 	faultTime      = 25 * time.Second      // duration of submissions and faults
-	settleTime     = 30 * time.Second      // from the end of the faults until all submissions must be complete
+	settleTime     = 30 * time.Second      // time from the end of the faults until all submissions must be complete
 	checkInterval  = 25 * time.Millisecond // time between two checks during the settle time
-	removalTime    = 20 * time.Second      // from the removal of all projects until no task may run
-	maxOutcomeTime = 41 * time.Second      // attempt timeouts of ending the old copy and then starting the new one
+	removalTime    = 20 * time.Second      // time from the removal of all projects until no task may run
+	maxOutcomeTime = 41 * time.Second      // attempt timeouts for ending an old copy of a task, then starting the new one
 )
 
 // randomRun is the state of a run of RunRandom.
@@ -49,7 +49,7 @@
 // randomSubmission is a submission that was accepted.
 type randomSubmission struct {
 	id    string
-	epoch uint64 // epoch of the placer incarnation that accepted it; later ones do not know it
+	epoch uint64 // epoch of the placer incarnation that accepted it; later incarnations do not know the submission
 }
 
 // RunRandom runs a random schedule that is determined by the seed: projects are submitted, changed and removed while
@@ -136,7 +136,7 @@
 	r.s.Step(core.RemoveProject{Request: 9, Project: fmt.Sprintf("p%d", r.rng.IntN(randomProjects))})
 }
 
-// setRandomDrain makes a host start or stop draining, and end its running tasks or not.
+// setRandomDrain makes a host start or stop draining. It draws both the change and whether the running tasks end.
 func (r *randomRun) setRandomDrain(host string) {
 	on := r.rng.IntN(2) == 0
 	r.s.ExecuteHostOutputs(host, r.s.Hosts[host].Model.Drain(r.s.Now, on, r.rng.IntN(2) == 0))
--- a/internal/verify/simulation/random_test.go
+++ b/internal/verify/simulation/random_test.go
@@ -9,7 +9,7 @@
 	"forkhead/internal/protocol/capture"
 )
 
-// Random runs keep the rules. Besides consecutive seeds, the test runs the seeds of earlier failures.
+// Random runs must not break a rule. Besides consecutive seeds, the test runs the seeds of earlier failures.
 func TestRunRandomKeepsTheRules(t *testing.T) {
 	var seeds []int
 	for seed := range 60 {
--- a/internal/verify/simulation/simulation.go
+++ b/internal/verify/simulation/simulation.go
@@ -62,8 +62,8 @@
 	Fatalf(format string, args ...any)
 }
 
-// Settings returns the settings of a single placer with classes of each effect. extra holds clauses to add. Settings
-// fails the test if the text cannot be parsed.
+// Settings returns the settings of a single placer with classes of each effect. The parameter extra has further
+// clauses. Settings fails the test if the text cannot be parsed.
 func Settings(t TB, extra string) *settings.Settings {
 	t.Helper()
 	text := `(forkhead (placer (zone a) (http "127.0.0.1:1") (tell "127.0.0.1:2"))
@@ -86,7 +86,7 @@
 }
 
 // New starts a placer and the given number of hosts, h0, h1, ... Even hosts are small and odd ones large; a rack holds
-// two hosts. The functions in change modify the core's configuration.
+// two hosts. The given functions first modify the core's configuration.
 func New(t TB, set *settings.Settings, hosts int, change ...func(*core.Config)) *Sim {
 	return start(&Sim{t: t, Settings: set}, hosts, change...)
 }
@@ -112,7 +112,7 @@
 	return s
 }
 
-// After calls do when the simulated clock has advanced by d.
+// After calls a function when the simulated clock has advanced by d.
 func (s *Sim) After(d time.Duration, do func()) {
 	s.timers.Add(s.Now+d, do)
 }
@@ -122,7 +122,7 @@
 	end := s.Now + d
 	for {
 		at, do := s.nextEvent(end)
-		s.Now = max(s.Now, at) // the time of an overdue event is in the past
+		s.Now = max(s.Now, at) // not back: the time of an overdue event is in the past
 		if do == nil {
 			return
 		}
--- a/internal/verify/simulation/submissions.go
+++ b/internal/verify/simulation/submissions.go
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// outcomesByReplica returns outcomes by replica name. It fails the test if a replica has two.
+// outcomesByReplica returns outcomes by replica name. It fails the test if a replica has two outcomes.
 func (s *Sim) outcomesByReplica(list []core.Outcome) map[string]core.Outcome {
 	s.t.Helper()
 	byReplica := map[string]core.Outcome{}
