--- a/internal/verify/bruteforce/benchmark_test.go
+++ b/internal/verify/bruteforce/benchmark_test.go
@@ -9,8 +9,8 @@
 	"forkhead/internal/planning/solver"
 )
 
-// BenchmarkSizes measures the solver on instances of the size of a fleet and on triplets. It reports the time, the gap
-// between cost and lower bound, the nodes of the search and the cost. A search is stopped after five seconds.
+// BenchmarkSizes measures the solver on the instances of fleetInstance and of tripletInstance. It reports the time, the
+// gap between cost and lower bound, the nodes of the search and the cost. A search is stopped after five seconds.
 //
 //	go test ./internal/verify/bruteforce -run xxx -bench Sizes -benchtime 1x
 func BenchmarkSizes(b *testing.B) {
--- a/internal/verify/bruteforce/bruteforce.go
+++ b/internal/verify/bruteforce/bruteforce.go
@@ -10,9 +10,9 @@
 	"forkhead/internal/planning/solver"
 )
 
-// Compare draws n instances, with the seeds from seed on, and solves each with the solver and by brute force. It
-// returns the number of feasible instances. Its error names the first instance on which the two results differ, which
-// the solver did not finish, or whose placement solver.Check rejects.
+// Compare draws n instances, with consecutive seeds that begin with the given one, and solves each instance with the
+// solver and by brute force. It returns the number of feasible instances. Its error names the first instance for which
+// the two results differ, the solver did not finish, or solver.Check rejects the placement.
 func Compare(seed uint64, n int, opt solver.Options) (feasible int, err error) {
 	for i := range n {
 		number := seed + uint64(i)
--- a/internal/verify/bruteforce/pseudoboolean_test.go
+++ b/internal/verify/bruteforce/pseudoboolean_test.go
@@ -134,7 +134,7 @@
 }
 
 // The solver must find the same cost as an independent solver on instances that are too large for brute force. A set in
-// which few or all instances are feasible would test only one of the two results.
+// which few or all instances are feasible would hardly test one of the two results.
 func TestSolverAgreesWithPseudoBooleanSolver(t *testing.T) {
 	feasible := 0
 	const n = 14
--- a/internal/verify/bruteforce/random.go
+++ b/internal/verify/bruteforce/random.go
@@ -19,7 +19,7 @@
 	for i := range rng.IntN(maxRandomHosts + 1) {
 		h := randomHost(rng)
 		if i > 0 && rng.IntN(2) == 0 {
-			h = in.Hosts[i-1] // identical hosts but for the ID
+			h = in.Hosts[i-1] // two hosts that differ only in their IDs
 		}
 		h.ID = fmt.Sprint("h", i)
 		in.Hosts = append(in.Hosts, h)
--- a/internal/verify/platformreplay/doc.go
+++ b/internal/verify/platformreplay/doc.go
@@ -9,9 +9,9 @@
 //	value  value of that type
 //
 // The first line holds a Head. Each step of the core begins with a line that has the number of its inputs and outputs,
-// which follow it in order; a step without any is recorded too. Bytes that crossed a connection are text in Data or
-// Line. Where they are not valid UTF-8, that text is only for people to read, and Bytes holds the exact bytes in
-// base64.
+// which follow it in order; a step without inputs and outputs is recorded too. Bytes that crossed a connection are text
+// in Data or Line. Where they are not valid UTF-8, that text is only for people to read, and Bytes holds the exact
+// bytes in base64.
 //
 //	format.go               the line format, the head and the step line
 //	inputs.go, outputs.go   the values of inputs and outputs
--- a/internal/verify/platformreplay/format.go
+++ b/internal/verify/platformreplay/format.go
@@ -12,7 +12,7 @@
 )
 
 // Version is the version of the trace format; a reader rejects any other. It must be raised when the members of a value
-// change, or when a build writes other contents to them.
+// change, or when a build gives a member another meaning or form.
 const Version = 1
 
 // direction is the kind of a line.
@@ -58,8 +58,8 @@
 	Config  json.RawMessage // configuration as the placer received it
 	Seed    Seed
 
-	// The fields below were derived from the configuration by the event loop around the core; they are those of the
-	// core's Config.
+	// The fields below are copied from the core's Config. The event loop around the core derived them from the
+	// configuration.
 	MaxOwnerConnections       int
 	MaxHostConnections        int
 	MaxConnections            int
@@ -81,7 +81,8 @@
 	return err
 }
 
-// newHead returns the head of a trace that begins now. received is the configuration that core was derived from.
+// newHead returns the head of a trace that begins at a given time. The core's configuration was derived from the one
+// that the placer received.
 func newHead(now time.Duration, received json.RawMessage, core *platformcore.Config) Head {
 	return Head{
 		Version: Version, Start: now, Config: received, Seed: Seed(core.Seed),
@@ -93,12 +94,12 @@
 // stepValue is the value of the line that begins a step.
 type stepValue struct {
 	Step        int           // counted from 0
-	Nanoseconds time.Duration // part of the step's time below the microseconds of the line
+	Nanoseconds time.Duration // nanoseconds to add to the line's time, which is in microseconds
 	Inputs      int           // number of input lines that follow
 	Outputs     int           // number of output lines that follow the inputs
 }
 
-// now returns the time of the step; at is the time of its line in microseconds.
+// now returns the time of the step. The parameter is the time of the step's line, in microseconds.
 func (v *stepValue) now(at int64) time.Duration {
 	return time.Duration(at)*time.Microsecond + v.Nanoseconds
 }
@@ -111,7 +112,7 @@
 	return data
 }
 
-// originalBytes returns the recorded bytes: exact where it is not nil, and otherwise text.
+// originalBytes returns the recorded bytes: the exact bytes if they are not nil, and otherwise the text.
 func originalBytes(text string, exact []byte) []byte {
 	if exact != nil {
 		return exact
--- a/internal/verify/platformreplay/format_test.go
+++ b/internal/verify/platformreplay/format_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// writeExample returns a trace with one step of all example inputs and outputs and one step without any.
+// writeExample returns a trace with one step of all example inputs and outputs and one step without inputs and outputs.
 func writeExample(t *testing.T) []byte {
 	t.Helper()
 	head := testHead(t)
--- a/internal/verify/platformreplay/replay.go
+++ b/internal/verify/platformreplay/replay.go
@@ -43,9 +43,9 @@
 	return fmt.Sprintf("step %d: the core panicked: %v", e.Step, e.Value)
 }
 
-// Replay steps a core of this build through a trace and compares its outputs with the recorded ones byte for byte.
-// decide replaces the placement module unless it is nil. Replay returns a PanicError if the core panics, and another
-// error if the trace cannot be read.
+// Replay steps a core of this build through a trace and compares its outputs with the recorded ones byte for byte. The
+// function decide replaces the placement module, unless decide is nil. Replay returns a PanicError if the core panics,
+// and another error if the trace cannot be read.
 func Replay(from io.Reader, decide moduledriver.Decide) (*Result, error) {
 	r, err := NewReader(from)
 	if err != nil {
--- a/internal/verify/platformreplay/replay_test.go
+++ b/internal/verify/platformreplay/replay_test.go
@@ -109,7 +109,8 @@
 			continue
 		}
 		if err != nil || result.Difference != nil || result.Steps > stepCount(trace[:size]) || result.Steps < stepCount(trace[:size])-1 {
-			t.Fatalf("Replay of %d bytes = %+v, %v, want the whole ones of %d steps and no difference", size, result, err, stepCount(trace[:size]))
+			t.Fatalf("Replay of %d bytes = %+v, error %v, want %d or %d steps, no difference and no error",
+				size, result, err, stepCount(trace[:size])-1, stepCount(trace[:size]))
 		}
 		if result.Truncated == (result.Steps == stepCount(trace[:size]) && trace[size-1] == '\n') {
 			t.Fatalf("Replay of %d bytes: %d of %d steps replayed, truncated = %v, want true unless the last step is whole",
@@ -155,7 +156,7 @@
 	}
 }
 
-// withoutLine returns a trace without the first line that contains word.
+// withoutLine returns a trace without the first line that contains a given word.
 func withoutLine(trace, word string) string {
 	at := strings.Index(trace, word)
 	start, end := strings.LastIndexByte(trace[:at], '\n')+1, at+strings.IndexByte(trace[at:], '\n')+1
--- a/internal/verify/platformreplay/request.go
+++ b/internal/verify/platformreplay/request.go
@@ -67,7 +67,7 @@
 // requestFollower collects the messages of a request.
 type requestFollower struct {
 	ref       string
-	splitters map[connection]*platform.LineSplitter // nil after a line that is too long
+	splitters map[connection]*platform.LineSplitter // nil for a connection with a line that is too long
 	addresses map[platformcore.ConnectionID]string
 	messages  []Message
 }
--- a/internal/verify/platformreplay/testrecorder_test.go
+++ b/internal/verify/platformreplay/testrecorder_test.go
@@ -67,7 +67,7 @@
 	return out
 }
 
-// advance steps the core at each time that it asks for until d has passed.
+// advance steps the core at each time for which the core requests a step, until d has passed.
 func (r *testRecorder) advance(d time.Duration) {
 	for end := r.now + d; r.now < end; {
 		r.now = max(r.core.Next()-3*time.Millisecond, r.now)
@@ -94,8 +94,8 @@
 		`"extras":"cores:1;memory:2;service:00000000b4d65521"},"d":"%s"}`+"\n", ref, ref, description)
 }
 
-// record returns the trace of a run that places a task and has at least one input of each type. decide replaces the
-// module unless it is nil.
+// record returns the trace of a run that places a task and has at least one input of each type. The function decide
+// replaces the module, unless decide is nil.
 func record(t *testing.T, decide moduledriver.Decide) []byte {
 	t.Helper()
 	head := testHead(t)
--- a/internal/verify/platformreplay/writer.go
+++ b/internal/verify/platformreplay/writer.go
@@ -9,9 +9,9 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// Writer writes a trace; it is the tap that a placer passes each of its steps to. A trace grows with traffic and time
-// without bound. Each complete step is flushed, so that a trace ends with a whole step unless its placer is killed
-// during a write. A Writer is not safe for concurrent use.
+// Writer writes a trace. It is a Tap of package internal/server/platform, to which a placer passes each of its steps.
+// The trace grows without bound with time and traffic. Each complete step is flushed, so that a trace ends with a whole
+// step unless its placer is killed during a write. A Writer is not safe for concurrent use.
 type Writer struct {
 	to           *bufio.Writer
 	received     json.RawMessage
--- a/internal/verify/platformreplay/writer_test.go
+++ b/internal/verify/platformreplay/writer_test.go
@@ -60,7 +60,8 @@
 	return d.Buffer.Write(p)
 }
 
-// The writer writes nothing after an error. Otherwise a reader would take the steps after a gap for the next ones.
+// The writer writes nothing after an error. Otherwise a reader would take a step after the gap for the one that follows
+// the step before the gap.
 func TestWriterStopsAtItsFirstError(t *testing.T) {
 	disk := &fullDisk{left: 150}
 	w := NewWriter(disk, []byte(`{}`))
--- a/internal/verify/platformsim/checks.go
+++ b/internal/verify/platformsim/checks.go
@@ -11,8 +11,8 @@
 
 const (
 	slack             = 50 * time.Millisecond          // tolerance that is added to the time limits of the rules
-	answerGrace       = 500*time.Millisecond + 2*slack // from a request's timeout until it must be answered
-	releaseSettleTime = time.Second                    // from a placer's release of a bound task until it counts as ended
+	answerGrace       = 500*time.Millisecond + 2*slack // time from a request's timeout until the request must be answered
+	releaseSettleTime = time.Second                    // time from the release of a bound task until the task counts as ended
 )
 
 // ---- Checks of messages to hosts.
@@ -47,11 +47,11 @@
 	}
 }
 
-// checkNoRepeat checks that the earlier attempts of a request allow one on a host, given the effect of the request's
-// class.
+// checkNoRepeat checks that a request may have another attempt on a host, given the earlier attempts and the effect of
+// the request's class.
 func (w *world) checkNoRepeat(r *request, h *host) {
 	class := &w.Settings.Classes[r.class]
-	first := true // t is the first attempt that may have run, which starts the deduplication window
+	first := true // whether t is the first attempt that may have run; the deduplication window begins with that attempt
 	for _, t := range r.attempts {
 		if t.mayRun() {
 			w.breach("no repeat: two attempts of %s may run at once", r.ref)
@@ -104,7 +104,8 @@
 	}
 }
 
-// countsWith reports whether the tasks of request other count, as far as the placer knows, for the spread limit of r.
+// countsWith reports whether the task of one request counts, as far as the placer knows, for the spread limit of
+// another request.
 func (p *placer) countsWith(other, r *request) bool {
 	return other.placer == p && other.incarnation == r.incarnation && other.service == r.service && other.class == r.class &&
 		other.finalMessage == "" && !other.canceled && p.w.now >= other.spreadCountsFrom
@@ -112,8 +113,8 @@
 
 // ---- Checks of messages to owners.
 
-// checkOwnerMessage checks a message to the owner of a request: the owner gets one answer and, if that says that the
-// task is bound, one release later.
+// checkOwnerMessage checks a message to the owner of a request: the owner gets one answer and, if the answer says that
+// the task is bound, one release later.
 func (w *world) checkOwnerMessage(r *request, m *platform.Message) {
 	switch m.Type {
 	case platform.TypeAck, platform.TypeProbeResult:
@@ -219,7 +220,8 @@
 }
 
 // checkSlowStart checks the offers that the host received during its last slow start. Several placers share the limit
-// without a common counter, so the check allows a few more than SlowStartMaxOffers by chance.
+// without a common counter, so their offers may exceed SlowStartMaxOffers by chance, and the check tolerates some
+// excess.
 func (h *host) checkSlowStart() {
 	w := h.w
 	w.report.SlowStartOffers += len(h.slowStartOffers)
--- a/internal/verify/platformsim/conn.go
+++ b/internal/verify/platformsim/conn.go
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// deliver calls do on the placer's side after the delay of a message, in the order of the calls, unless the connection
-// is closed there by then.
+// deliver calls a function on the placer's side after the delay of a message, unless the placer has closed the
+// connection by then. Functions are called in the order of the calls of deliver.
 func (c *conn) deliver(do func()) {
 	c.placer.deliver(c.placerIncarnation, &c.lastToPlacer, func() {
 		if c.placer.conns[c.id] == c {
@@ -66,8 +66,8 @@
 	})
 }
 
-// failDial reports to the placer that the dial failed: the host refused it, or else nothing answered or the cause is
-// local to the placer.
+// failDial reports to the placer that the dial failed. If the host did not refuse the dial, the cause is drawn: nothing
+// answered, or the cause is local to the placer.
 func (c *conn) failDial(refused bool) {
 	c.deliver(func() {
 		delete(c.placer.conns, c.id)
@@ -76,7 +76,7 @@
 	})
 }
 
-// establish completes the dial. The dial fails if the host is down by now.
+// establish completes the dial. The dial fails if the host has gone down since the dial began.
 func (c *conn) establish() {
 	if !c.host.up {
 		delete(c.placer.conns, c.id)
--- a/internal/verify/platformsim/faults_test.go
+++ b/internal/verify/platformsim/faults_test.go
@@ -30,7 +30,7 @@
 }
 
 // A host that crashes while the hand-over of its task is in flight, just before faults end, must come back only after
-// the hand-over has arrived. The host's start then shows the placer that the task is over, and the owner gets a
+// the hand-over has arrived. The start of the host then tells the placer that the task has ended, and the owner gets a
 // release.
 func TestHostDiesWhileItsTaskIsHandedOver(t *testing.T) {
 	for _, hasEnded := range []bool{true, false} { // whether the task ends while its placer is down, before the hand-over
--- a/internal/verify/platformsim/interleavings.go
+++ b/internal/verify/platformsim/interleavings.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// recordBreach records the first breach of a run, if any, with the events of its interleaving and suffix, and reports
-// whether there is one.
+// recordBreach records the first breach of a run, if any, and reports whether there is one. The record has the events
+// of the run's interleaving, followed by the suffix.
 func (e *explorer) recordBreach(run *interleavingRun, class int, interleaving []interleavingEvent, suffix string) bool {
 	if len(run.w.report.Breaches) == 0 {
 		return false
--- a/internal/verify/platformsim/interleavings_test.go
+++ b/internal/verify/platformsim/interleavings_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Every interleaving of four events on one request of each class keeps the rules.
+// No interleaving of four events on one request of each class breaks a rule.
 func TestExploreInterleavingsFindsNoBreach(t *testing.T) {
 	cfg := busyConfig(1)
 	cfg.Settings.MaxAttempts = 2
--- a/internal/verify/platformsim/outputs.go
+++ b/internal/verify/platformsim/outputs.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// sendGossip sends a gossip message to one or all other placers. For each it may be lost.
+// sendGossip sends a gossip message to one or all other placers. The message to each of them may be lost.
 func (p *placer) sendGossip(o platformcore.SendGossip) {
 	for _, other := range p.w.placers {
 		if other == p || o.To != forkhead.AllPlacers && o.To != other.number || p.w.faultOneIn(5) {
--- a/internal/verify/platformsim/placer.go
+++ b/internal/verify/platformsim/placer.go
@@ -12,8 +12,10 @@
 )
 
 const (
-	handOverDelay = 200 * time.Millisecond // from a placer's start to hand-overs, and until those count for spread limits
-	watchRetry    = 10 * time.Millisecond  // time until an event that overtook an earlier one is sent again
+	// handOverDelay is the time from a placer's start until owners hand over their tasks, and the time from the arrival
+	// of a hand-over until the task counts for spread limits.
+	handOverDelay = 200 * time.Millisecond
+	watchRetry    = 10 * time.Millisecond // time until an event that overtook an earlier one is sent again
 )
 
 // placer is a placer, whose incarnations run one after the other.
@@ -30,7 +32,7 @@
 
 	lastSeq           uint64        // sequence number of the last event that was received
 	lastEventArrival  time.Duration // arrival time of the last event that was sent
-	watchDelayedUntil time.Duration // events that arrive before are delayed until then
+	watchDelayedUntil time.Duration // watch events that arrive before this time are delayed until then
 }
 
 // hostState is the state of a host and the time since which the placer knows it.
@@ -151,9 +153,9 @@
 	})
 }
 
-// deliver calls do after the delay of a message, but not before earlier messages of the same connection arrive, if the
-// incarnation is still running then. lastArrival is the arrival time of the connection's last message, which deliver
-// updates.
+// deliver calls a function after the delay of a message, but not before earlier messages of the same connection arrive,
+// and only if the incarnation is still running then. The parameter lastArrival is the arrival time of the connection's
+// last message; deliver updates it.
 func (p *placer) deliver(incarnation int, lastArrival *time.Duration, do func()) {
 	*lastArrival = max(*lastArrival, p.w.now+p.w.delay())
 	p.w.timers.Add(*lastArrival, func() {
--- a/internal/verify/platformsim/request.go
+++ b/internal/verify/platformsim/request.go
@@ -24,13 +24,14 @@
 	answer           platform.MessageType // type of the answer; empty if none was sent
 	finalMessage     platform.MessageType // type of the release, or finalLost; empty if there is none
 	attempts         []*attempt
-	spreadCountsFrom time.Duration // from when a task that was handed over counts for the placer's spread limit
+	spreadCountsFrom time.Duration // time from which a task that was handed over counts for the placer's spread limit
 }
 
 // finalLost is set instead of a release for a task that ended with its host while its placer was down.
 const finalLost platform.MessageType = "lost"
 
-// attempt is an offer that a placer has written. The placer's knowledge of it is updated when messages are delivered.
+// attempt is an offer that a placer has written. The fields for the placer's knowledge of the attempt are updated when
+// messages are delivered.
 type attempt struct {
 	request *request
 	host    *host
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// line returns the request as a message. For a task that is handed over, runsAt is the field with the name of its host;
-// otherwise it is empty.
+// line returns the request as a message. For a task that is handed over, the parameter runsAt is the field with the
+// name of the task's host; otherwise the parameter is empty.
 func (r *request) line(runsAt string) string {
 	names := r.placer.w.WireNames
 	tenant := ""
@@ -88,7 +89,8 @@
 	return string(platform.Append(nil, messageType, ref, cause, description, fields...))
 }
 
-// sendNewRequest makes an owner send a new request to a random placer, unless that is down, and perhaps cancel it later.
+// sendNewRequest makes an owner send a new request to a random placer, unless that placer is down, and perhaps cancel
+// the request later.
 func (w *world) sendNewRequest() {
 	p := w.randomPlacer()
 	if p.core == nil {
--- a/internal/verify/platformsim/run.go
+++ b/internal/verify/platformsim/run.go
@@ -34,13 +34,13 @@
 	Breaches                                     []string // the first maxBreaches breaches of the rules
 	Requests, Placed, Rejected, Failed, Canceled int      // Canceled counts requests whose owner disconnected
 	Offers, HandedOver, Kills, SlowStartOffers   int      // SlowStartOffers counts the offers to hosts in a slow start
-	Lost, Ended                                  int      // bound tasks: lost while the placer was down, or released
+	Lost, Ended                                  int      // bound tasks that ended unnoticed while their placer was down; released ones
 	Steps                                        int      // steps of all cores
 }
 
 const (
 	arrivalTime = 12 * time.Second // duration of requests and faults
-	settleTime  = 30 * time.Second // from the end of the faults to the end of the run
+	settleTime  = 30 * time.Second // time from the end of the faults to the end of the run
 	maxBreaches = 20               // number of breaches at which a run ends
 )
 
--- a/internal/verify/platformsim/run_test.go
+++ b/internal/verify/platformsim/run_test.go
@@ -64,7 +64,7 @@
 	return cfg
 }
 
-// For all settings and faults, the rules hold on the messages that are written, nothing panics, and every request is
+// For all drawn settings and faults, the messages that are written break no rule, nothing panics, and every request is
 // answered. The runs are the same each time; TestNewDrawnSettingsKeepTheRules runs others.
 func TestDrawnSettingsKeepTheRules(t *testing.T) {
 	configs := rapid.Custom(drawnConfig)
--- a/internal/verify/platformsim/world.go
+++ b/internal/verify/platformsim/world.go
@@ -47,10 +47,11 @@
 	return w
 }
 
-// after calls do when the clock has advanced by d.
+// after calls a function when the clock has advanced by d.
 func (w *world) after(d time.Duration, do func()) { w.timers.Add(w.now+d, do) }
 
-// runNext advances the clock to the next timer and runs it, if that is due until end, and reports whether it did.
+// runNext advances the clock to the next timer and runs that timer if it is due by the given time. It reports whether
+// it ran a timer.
 func (w *world) runNext(end time.Duration) bool {
 	at, pending := w.timers.Next()
 	if !pending || at > end {
--- a/internal/verify/replay/golden_test.go
+++ b/internal/verify/replay/golden_test.go
@@ -29,7 +29,7 @@
 var goldenRecordings = []string{"placer-0-life-2", "placer-1-life-1"}
 
 // Recordings of earlier builds must replay without a divergence and with the same captured traffic. A change of the
-// core's decisions or of the stored form breaks that.
+// core's decisions or of the stored form makes this test fail.
 func TestPlayGoldenRecordings(t *testing.T) {
 	for _, name := range goldenRecordings {
 		t.Run(name, func(t *testing.T) {
--- a/internal/verify/replay/play.go
+++ b/internal/verify/replay/play.go
@@ -13,7 +13,8 @@
 	"forkhead/internal/verify/scenario"
 )
 
-// Result is the result of the replay of a recording. Its JSON is printed for operators and programs, so its keys stay.
+// Result is the result of the replay of a recording. Its JSON is printed for operators and programs, so the keys must
+// not change.
 type Result struct {
 	Head       Head               `json:"-"`
 	Scenario   *scenario.Scenario `json:"-"`
@@ -22,7 +23,7 @@
 	Vetoes     uint64             `json:"vetoes"`
 	Defects    uint64             `json:"defects"`
 	Truncated  bool               `json:"cut"`                // the recording ends within a step: its placer was killed, or the file is incomplete
-	Divergence *Divergence        `json:"diverged,omitempty"` // nil: all outputs were equal
+	Divergence *Divergence        `json:"diverged,omitempty"` // nil: the outputs of all steps were equal to the recorded ones
 	Events     []capture.Event    `json:"-"`                  // traffic on the placer's sockets, as far as the steps of the core show it
 }
 
@@ -31,7 +32,7 @@
 	Step int           `json:"step"` // counted from 0
 	Now  time.Duration `json:"now"`  // time of the step
 	Want string        `json:"want"` // recorded output; "": the recorded step has no further output
-	Got  string        `json:"got"`  // output of the core; "": it gave no further output
+	Got  string        `json:"got"`  // output of the core; "": the core gave no further output
 }
 
 // player replays a recording.
@@ -42,9 +43,9 @@
 	result  *Result
 }
 
-// Play steps a core through a recording. After each step it calls observe, unless observe is nil, with the recorded
-// step and the outputs that the core gave in the replay. Play returns an error if the input is no recording, of another
-// version, or corrupt. It replays a truncated recording up to its last complete step.
+// Play steps a core through a recording. After each step it calls the function observe, unless that is nil, with the
+// recorded step and the outputs that the core gave in the replay. Play returns an error if the input is not a
+// recording, has another version or is corrupt. It replays a truncated recording up to its last complete step.
 func Play(r io.Reader, observe func(s *Step, out []core.Output)) (*Result, error) {
 	p, err := newPlayer(r)
 	if err != nil {
@@ -68,7 +69,7 @@
 	}
 }
 
-// newPlayer reads the head of a recording and creates the core that the recording is of.
+// newPlayer reads the head of a recording and creates a core with the recorded parameters.
 func newPlayer(r io.Reader) (*player, error) {
 	zip, err := gzip.NewReader(r)
 	if err != nil {
--- a/internal/verify/replay/recording.go
+++ b/internal/verify/replay/recording.go
@@ -22,7 +22,7 @@
 const Version = 1
 
 // Head is the beginning of a recording: the parameters with which an incarnation of a placer was started. It is stored
-// with the names of its fields, so they stay.
+// with the names of its fields, so the names must not change.
 type Head struct {
 	Version int
 	File    string // name of the scenario
@@ -36,7 +36,7 @@
 // Step is one step of a core with its inputs and outputs.
 type Step struct {
 	Now time.Duration // since the epoch of the run's clock
-	Due time.Duration // time for which the core had requested this step, by the same clock; 0: it had not requested one
+	Due time.Duration // time for which the core had requested the step, by the same clock; 0: no request
 	In  []core.Input
 	Out []string // formatted by FormatOutput
 }
@@ -60,7 +60,7 @@
 	return formatted
 }
 
-// ErrFull means that a recording has reached its maximum size. It lacks the later steps.
+// ErrFull means that a recording has reached its maximum size and lacks the later steps.
 var ErrFull = errors.New("the tape is full")
 
 // Writer holds a recording in memory, compressed. It is not safe for concurrent use.
@@ -76,7 +76,7 @@
 // that size a little.
 func NewWriter(h Head, maxBytes int) *Writer {
 	w := &Writer{maxBytes: maxBytes}
-	w.zip, _ = gzip.NewWriterLevel(&w.buf, gzip.BestSpeed) // fails only for unknown levels
+	w.zip, _ = gzip.NewWriterLevel(&w.buf, gzip.BestSpeed) // fails only for an unknown compression level
 	w.encoder = gob.NewEncoder(w.zip)
 	h.Version = Version
 	w.err = w.encoder.Encode(h)
@@ -95,9 +95,9 @@
 	return w.err
 }
 
-// Bytes ends the recording and returns it. Its error is the one after which Add recorded no further steps, joined with an
+// Bytes ends the recording and returns it. Its error joins the error after which Add recorded no further steps with an
 // error of ending the recording.
 func (w *Writer) Bytes() ([]byte, error) {
-	err := w.zip.Close() // before buf is read, since Close writes the last bytes
+	err := w.zip.Close() // must precede the read of buf, since Close writes the last bytes
 	return w.buf.Bytes(), errors.Join(err, w.err)
 }
--- a/internal/verify/replay/recording_test.go
+++ b/internal/verify/replay/recording_test.go
@@ -13,7 +13,8 @@
 
 const scenarioText = `(badday (hosts 1 (kind std-28) (zone north)))`
 
-// record returns a recording of six steps of a core. change, unless nil, may alter a step before it is recorded.
+// record returns a recording of six steps of a core. The function change, unless it is nil, may alter each step before
+// the step is recorded.
 func record(t *testing.T, maxBytes int, change func(n int, s *replay.Step)) ([]byte, error) {
 	t.Helper()
 	s, err := scenario.Read("day", []byte(scenarioText))
--- a/internal/verify/replay/traffic.go
+++ b/internal/verify/replay/traffic.go
@@ -12,8 +12,8 @@
 const lateTolerance = time.Millisecond
 
 // CaptureEvents returns the traffic on a placer's sockets that the inputs and outputs of a step of its core show, in
-// the order in which the event loop read the inputs and wrote the outputs. now and due are the fields of Step. base has
-// the fields that all events have in common: the placer and its epoch.
+// the order in which the event loop read the inputs and wrote the outputs. The parameters now and due are the fields of
+// Step. The event base has the fields that all events have in common: the placer and its epoch.
 func CaptureEvents(base capture.Event, now, due time.Duration, in []core.Input, out []core.Output) []capture.Event {
 	base.At = now
 	var events []capture.Event
@@ -31,7 +31,8 @@
 	return events
 }
 
-// captureInput returns the events of an input that came from a socket. e has the fields that all events have in common.
+// captureInput returns the events of an input that came from a socket. The event e has the fields that all events have
+// in common.
 func captureInput(e capture.Event, in core.Input) []capture.Event {
 	switch in := in.(type) {
 	case core.FrameReceived:
@@ -57,7 +58,8 @@
 	return nil
 }
 
-// captureOutput returns the events of an output that goes to a socket. e has the fields that all events have in common.
+// captureOutput returns the events of an output that goes to a socket. The event e has the fields that all events have
+// in common.
 func captureOutput(e capture.Event, out core.Output) []capture.Event {
 	switch out := out.(type) {
 	case core.SendToHost:
@@ -73,8 +75,8 @@
 	return nil
 }
 
-// HostLocations returns a HostUp event for each host of the endpoint lists among the inputs. It has the host's zone and
-// rack, as the event has in captured traffic.
+// HostLocations returns a HostUp event for each host of the endpoint lists among the inputs. The event has the host's
+// zone and rack, as a HostUp event in captured traffic does.
 func HostLocations(in []core.Input) []capture.Event {
 	var events []capture.Event
 	for _, in := range in {
--- a/internal/verify/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// checkPlacerViews checks each offer against what its placer knew when it sent it. It returns the final view of each
-// incarnation.
+// checkPlacerViews checks each offer against what its placer knew when the placer sent it. It returns the final view of
+// each incarnation of a placer.
 func (c *checker) checkPlacerViews() map[incarnation]*placerView {
 	views := map[incarnation]*placerView{}
 	for i := range c.trace.placerEvents {
@@ -72,7 +72,7 @@
 	return views
 }
 
-// checkSentOffer checks an offer against what its placer had read and written before it.
+// checkSentOffer checks an offer against the traffic that its placer had read and written before.
 func (c *checker) checkSentOffer(view *placerView, offer *capture.Event) {
 	class, known := c.config.Classes[offer.Class]
 	if !known {
--- a/internal/verify/rules/sentattempt.go
+++ b/internal/verify/rules/sentattempt.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// sentState is the state of an attempt as far as its placer knows it from what it has read and written.
+// sentState is the state of an attempt as far as its placer can know from the traffic that the placer has read and
+// written.
 type sentState uint8
 
 const (
