--- a/internal/verify/bruteforce/bruteforce_test.go
+++ b/internal/verify/bruteforce/bruteforce_test.go
@@ -6,7 +6,8 @@
 	"forkhead/internal/planning/solver"
 )
 
-// A random set in which almost all or almost no instances are feasible would test only one of the two results.
+// The solver must agree with brute force on small random instances. The set must have feasible and infeasible
+// instances: a set with almost only one kind would hardly test the solver's result for the other.
 func TestSolverAgreesWithBruteForce(t *testing.T) {
 	const n = 3000
 	feasible, err := Compare(1, n, solver.Options{})
--- a/internal/verify/bruteforce/pseudoboolean_test.go
+++ b/internal/verify/bruteforce/pseudoboolean_test.go
@@ -133,8 +133,9 @@
 	return in
 }
 
-// The solver must find the same cost as an independent solver on instances that are too large for brute force. A set in
-// which few or all instances are feasible would hardly test one of the two results.
+// The solver must find the same cost as an independent solver on instances that are too large for brute force. The set
+// must have feasible and infeasible instances: a set with almost only one kind would hardly test the solver's result
+// for the other.
 func TestSolverAgreesWithPseudoBooleanSolver(t *testing.T) {
 	feasible := 0
 	const n = 14
@@ -153,6 +154,6 @@
 		}
 	}
 	if feasible < n/5 || feasible == n {
-		t.Fatalf("got %d feasible instances of %d, want at least a fifth and not all", feasible, n)
+		t.Fatalf("Solve() found %d feasible instances of %d, want at least a fifth and not all", feasible, n)
 	}
 }
--- a/internal/verify/chaos/submission.go
+++ b/internal/verify/chaos/submission.go
@@ -71,8 +71,8 @@
 	return r.scenario.Settings.Classes[i].PlacementTimeout
 }
 
-// httpClient returns a client that opens a connection for each request. While faults of clients are injected, the
-// client reads late, loses its connection or reads changed outcomes.
+// httpClient returns a client that opens a connection for each request. Depending on the faults that are being
+// injected, the client may read late, lose its connection or read a second outcome of a task.
 func (s *submission) httpClient() *http.Client {
 	var transport http.RoundTripper = &http.Transport{DisableCompression: true, DisableKeepAlives: true, DialContext: s.dial}
 	if s.run.duplicateOutcomes.Load() {
--- a/internal/verify/modelcheck/actions.go
+++ b/internal/verify/modelcheck/actions.go
@@ -22,7 +22,8 @@
 	actions []action
 }
 
-// actions returns the actions that are possible in a state, in a fixed order. It overwrites buf.
+// actions returns the actions that are possible in a state, in a fixed order. The result is stored in buf, whose
+// elements are overwritten.
 func (m *model) actions(s *state, buf []action) []action {
 	l := actionList{model: m, state: s, actions: buf[:0]}
 	for hi := range m.cfg.Hosts {
@@ -47,11 +48,11 @@
 	l.actions = append(l.actions, action{format, fair, do})
 }
 
-// faultAllowed reports whether another fault is within Config.Faults.
+// faultAllowed reports whether there have been fewer faults than Config.Faults.
 func (l *actionList) faultAllowed() bool { return int(l.state.faults) < l.model.cfg.Faults }
 
-// addPlacerActions adds the placer's own actions for a host: it connects, is notified of a drain, and the drain's grace
-// ends.
+// addPlacerActions adds the placer's own actions for a host: the placer connects, is notified of a drain, and the grace
+// period of the drain ends.
 func (l *actionList) addPlacerActions(hi int) {
 	h := &l.state.hosts[hi]
 	if h.connState == hostconn.Down && h.up && h.streams[1].conn == 0 {
--- a/internal/verify/modelcheck/actions_host.go
+++ b/internal/verify/modelcheck/actions_host.go
@@ -2,7 +2,7 @@
 
 import "forkhead/internal/scheduler/hostsession"
 
-// addHostActions adds the actions of a host: it restarts, handles its attempts, crashes and drains.
+// addHostActions adds the actions of a host: the host restarts, handles its attempts, crashes and drains.
 func (l *actionList) addHostActions(hi int) {
 	h := &l.state.hosts[hi]
 	if !h.up {
@@ -47,7 +47,7 @@
 	l.add(fair, func(st *step) { st.applyHostInput(hi, ti, ai, in) }, format, args...)
 }
 
-// holdsOther reports whether an attempt of the task other than ai holds capacity at the host.
+// holdsOther reports whether the host holds capacity for an attempt of the task other than the given one.
 func (h *host) holdsOther(ti, ai int) bool {
 	for other := range maxAttempts {
 		if other != ai && h.attempts[ti][other].HoldsCapacity() {
--- a/internal/verify/modelcheck/actions_network.go
+++ b/internal/verify/modelcheck/actions_network.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// addCloses adds that an end which is still open notices the end of the connection.
+// addCloses adds the actions by which an end that is still open notices that the connection has ended.
 func (l *actionList) addCloses(hi, i int) {
 	s := &l.state.hosts[hi].streams[i]
 	if s.placerOpen && (!s.hostOpen && s.toPlacerCount == 0 || s.broken) {
--- a/internal/verify/modelcheck/actions_placer.go
+++ b/internal/verify/modelcheck/actions_placer.go
@@ -34,7 +34,7 @@
 	for hi := range l.model.cfg.Hosts {
 		allHostsListed = allHostsListed && l.state.hosts[hi].knownEpoch > 0
 	}
-	// The time that an owner waits for hosts that stay down is not modeled: the owner waits for all hosts.
+	// The model has no limit on the time that an owner waits for hosts that stay down: the owner waits for all hosts.
 	const waited = false
 	m := l.model
 	st := step{model: m, s: l.state}
@@ -61,7 +61,7 @@
 	}
 }
 
-// giveUp makes an owner stop waiting for a task, and notifies the owner unless the task has an outcome.
+// giveUp makes an owner stop waiting for a task, and notifies the owner of an outcome unless the task already has one.
 func (st *step) giveUp(ti int) {
 	t := &st.s.tasks[ti]
 	t.owner = ownerDone
--- a/internal/verify/modelcheck/config.go
+++ b/internal/verify/modelcheck/config.go
@@ -9,20 +9,21 @@
 	"forkhead"
 )
 
-// Config bounds a search. It is stored with a violation's trace, so its JSON names stay those of existing traces.
+// Config bounds a search. It is stored with a violation's trace, so its JSON names must stay as they are in existing
+// traces.
 type Config struct {
 	Tasks, Hosts int             // at least 1; at most maxTasks and maxHosts
 	Effect       forkhead.Effect // effect of a repeated start of a task
-	Requests     int             `json:"Asks"` // maximum of placement requests of a task in one incarnation of the placer
-	Attempts     int             // maximum of attempts of a task over all requests and incarnations; 1 to maxAttempts
-	Faults       int             // maximum of faults: broken connections, crashes and drains of hosts, crashes of the placer
+	Requests     int             `json:"Asks"` // maximum number of placement requests of a task in one incarnation of the placer
+	Attempts     int             // maximum number of attempts of a task over all requests and incarnations; 1 to maxAttempts
+	Faults       int             // maximum number of faults: broken connections, crashes and drains of hosts, crashes of the placer
 	NoCrash      bool            // the placer does not crash
 	TasksEnd     bool            `json:"Ends"`   // tasks may end by themselves
-	FindCycles   bool            `json:"Cycles"` // also search for cycles of fair steps, which takes 16 bytes more for each fair step
-	SpreadLimit  int             `json:"Spread"` // maximum of tasks on one host, with all tasks of one service; 0: no limit
+	FindCycles   bool            `json:"Cycles"` // also search for cycles of fair steps, with 16 more bytes for each fair step
+	SpreadLimit  int             `json:"Spread"` // maximum number of tasks on one host, all of one service; 0: no limit
 	InjectedBug  string          `json:"Plant"`  // name of one of InjectedBugs; "": no bug
 	Workers      int             // number of goroutines; 0: GOMAXPROCS
-	MaxStates    int             `json:"MostStates"` // the search stops after the level that exceeds it; 0: defaultMaxStates
+	MaxStates    int             `json:"MostStates"` // the search stops after the level that exceeds this number; 0: defaultMaxStates
 
 	// Progress is called after each level of the search, unless it is nil.
 	Progress func(states, depth int) `json:"-"`
@@ -50,7 +51,7 @@
 	Complete    bool          `json:"complete"`
 	Violations  []Violation   `json:"violations"`
 	Duration    time.Duration `json:"took"`
-	MemoryBytes uint64        `json:"bytes"` // obtained from the operating system until the end of the search
+	MemoryBytes uint64        `json:"bytes"` // memory obtained from the operating system until the end of the search
 }
 
 // defaultMaxStates is used where Config.MaxStates is 0. That many states take about 8 GiB of memory.
--- a/internal/verify/modelcheck/cycle.go
+++ b/internal/verify/modelcheck/cycle.go
@@ -1,11 +1,11 @@
 package modelcheck
 
-// fairStep is a fair step between two states, by their hashes.
+// fairStep is a fair step between two states, which are given by their hashes.
 type fairStep struct{ from, to uint64 }
 
-// findCycle returns the least hash of the states that are on a cycle of fair steps, or are reachable from one and have
-// a fair step, if there are any. It repeatedly removes states that no step from a remaining state leads to (Kahn's
-// topological sort); the states that remain are those that cannot be sorted.
+// findCycle looks for states that are on a cycle of fair steps, or that are reachable from such a cycle and have a fair
+// step. It returns the least of their hashes, if there are such states. It repeatedly removes states that no step from
+// a remaining state leads to (Kahn's topological sort); the states that remain are those that cannot be sorted.
 func findCycle(parts [][]fairStep) (hash uint64, found bool) {
 	incoming := map[uint64]int32{}
 	next := map[uint64][]uint64{}
--- a/internal/verify/modelcheck/host.go
+++ b/internal/verify/modelcheck/host.go
@@ -6,8 +6,8 @@
 
 // This file defines how a host uses its state machines.
 
-// replyMessages maps the replies of a host's state machine to messages. Accepted is not sent: it has no effect at the
-// placer where a task counts as bound only when it runs.
+// replyMessages maps the replies of a host's state machine to messages. Accepted is not sent: where a task counts as
+// bound only when it runs, the message changes nothing at the placer.
 var replyMessages = [...]messageKind{
 	hostsession.SendRejected: rejectedMessage,
 	hostsession.SendRunning:  runningMessage,
--- a/internal/verify/modelcheck/injectedbugs.go
+++ b/internal/verify/modelcheck/injectedbugs.go
@@ -13,18 +13,18 @@
 type InjectedBug struct {
 	Name        string
 	Description string
-	Property    string // name of the one of Properties that the bug violates
+	Property    string // name of the property in Properties that the bug violates
 
 	// Bounds of a small search that finds the bug.
 	Effect      forkhead.Effect // effect of a repeated start of the tasks
-	Faults      int             // number of faults that the violation takes
-	SpreadLimit int             // as in Config; 0: no limit
+	Faults      int             // number of faults that are needed for the violation
+	SpreadLimit int             // Config.SpreadLimit; 0: no limit
 
 	inject func(*stateMachines)
 }
 
 // InjectedBugs are the bugs that can be injected. Stored traces and docs/design/attempts.md contain their names, so the
-// names stay; the page also contains the descriptions.
+// names must not change; the page also contains the descriptions.
 var InjectedBugs = []InjectedBug{
 	{
 		Name: "double-send", Property: "one-out", Effect: forkhead.Safe, Faults: 1,
@@ -160,7 +160,7 @@
 	return 0, true
 }
 
-// mayOfferExcept returns a mayOffer that ignores one of its errors.
+// mayOfferExcept returns a replacement of mayOffer that ignores one of the errors of mayOffer.
 func mayOfferExcept(ignored error) func(*attempt.Request, time.Duration, attempt.HostID) error {
 	return func(r *attempt.Request, now time.Duration, to attempt.HostID) error {
 		if err := mayOffer(r, now, to); !errors.Is(err, ignored) {
@@ -170,7 +170,7 @@
 	}
 }
 
-// replaceTransition returns an injection of another result for one input in one phase of an attempt.
+// replaceTransition returns a function that injects another result of one input in one phase of an attempt.
 func replaceTransition(
 	phase attempt.Phase, input attempt.Input, next attempt.Phase, effect attempt.Effect,
 ) func(*stateMachines) {
--- a/internal/verify/modelcheck/modelcheck_test.go
+++ b/internal/verify/modelcheck/modelcheck_test.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// No property is violated, even after a crash of the placer, where a host may have one of two tasks of a service.
+// With a limit of one task per host, two tasks of a service and one host, no property is violated, even after a crash
+// of the placer.
 func TestRunWithSpreadLimitFindsNoViolation(t *testing.T) {
 	for _, effect := range []forkhead.Effect{forkhead.Safe, forkhead.Unsafe} {
 		r, err := Run(Config{Tasks: 2, Hosts: 1, Effect: effect, Requests: 1, Attempts: 1, Faults: 1, SpreadLimit: 1})
@@ -74,7 +75,7 @@
 	}
 }
 
-// A search finds each injected bug as a violation of the property that the bug is declared with.
+// A search finds a violation for each injected bug, of the property that InjectedBug.Property names.
 func TestRunFindsEachInjectedBugAsItsProperty(t *testing.T) {
 	for _, bug := range InjectedBugs {
 		cfg := configForBug(&bug)
--- a/internal/verify/modelcheck/placer.go
+++ b/internal/verify/modelcheck/placer.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// endPlacement ends a task's placement, if it is placed, because an attempt ended that was in the phase before. The
-// owner's next state is next.
+// endPlacement ends the placement of a task, if the task is placed, after an attempt has ended. The parameter before is
+// the phase that the attempt was in, and next is the owner's next state.
 func (t *task) endPlacement(before attempt.Phase, next ownerState) {
 	wasPlaced := before == attempt.Placed || before == attempt.Unreachable
 	if wasPlaced && t.owner == ownerPlaced {
@@ -59,7 +59,7 @@
 	}
 }
 
-// handleOrphan adopts or stops the task of an abandoned attempt that a host reports to hold.
+// handleOrphan adopts or stops the task of an abandoned attempt when a host reports that it still holds the attempt.
 func (st *step) handleOrphan(ti, ai int) {
 	if st.stateMachines.ignoreOrphans {
 		return
@@ -113,8 +113,8 @@
 	st.abandonInFlight(ti, func(ai int) bool { return t.attempts[ai].request == t.requests })
 }
 
-// offer makes an attempt at a host. Its offer is written at once if the host is ready, and otherwise when it becomes
-// ready.
+// offer makes an attempt at a host. The offer is written at once if the host is ready, and otherwise when the host
+// becomes ready.
 func (st *step) offer(ti, hi int) {
 	t := &st.s.tasks[ti]
 	ai := int(t.attemptCount)
@@ -127,7 +127,8 @@
 	}
 }
 
-// writeOffer writes an offer. If it may not be sent any more, the attempt ends as if the connection had been lost.
+// writeOffer writes an offer. If the offer may not be sent any more, the attempt ends as if the connection had been
+// lost.
 func (st *step) writeOffer(ti, ai int) {
 	a := &st.s.tasks[ti].attempts[ai]
 	h := &st.s.hosts[a.host]
@@ -141,8 +142,8 @@
 	st.sendToHost(h, newMessage(offerMessage, ti, ai))
 }
 
-// mayWrite reports whether an offer may still be written: the drain, the request and the spread limit may have changed
-// since the module made it.
+// mayWrite reports whether an offer may still be written: the host's drain, the request and the tasks on the host may
+// have changed since the module made the offer.
 func (st *step) mayWrite(ti, ai int) bool {
 	t := &st.s.tasks[ti]
 	hi := int(t.attempts[ai].host)
@@ -151,7 +152,7 @@
 	}
 	var buf [maxAttempts]attempt.Attempt
 	r := st.request(t, &buf)
-	number := len(r.Attempts) - 1 // the waiting attempt is the last one
+	number := len(r.Attempts) - 1 // the attempt whose offer waits is the last one
 	if st.stateMachines.mayWrite(&r, t.now(), number) != nil {
 		return false
 	}
@@ -161,8 +162,8 @@
 // noAttempt as an index means that no attempt is excluded.
 const noAttempt = -1
 
-// atSpreadLimit reports whether a host has as many live attempts of the service as the spread limit allows, without the
-// excepted attempt.
+// atSpreadLimit reports whether a host has as many live attempts of the service as the spread limit allows. One attempt
+// can be excluded from the count.
 func (st *step) atSpreadLimit(hi, exceptTask, exceptAttempt int) bool {
 	if st.cfg.SpreadLimit == 0 {
 		return false
--- a/internal/verify/modelcheck/properties.go
+++ b/internal/verify/modelcheck/properties.go
@@ -35,8 +35,8 @@
 	case hostsession.Queued, hostsession.Starting, hostsession.Running:
 		return true
 	case hostsession.Ended:
-		// By the terms of the service, an attempt that ended in an earlier incarnation of the placer is for the client to
-		// judge.
+		// An attempt of an earlier incarnation of the placer that has ended does not count: by the terms of the
+		// service, the client has to judge such an attempt.
 		return a.isKnown(st.s.incarnation)
 	}
 	for i := range h.streams {
@@ -97,7 +97,7 @@
 	case st.rules.Effect == forkhead.Safe:
 		return
 	case st.rules.Effect == forkhead.Keyed && !t.windowExpired:
-		return // hosts drop the repeated start by its key
+		return // hosts recognize the repeated start by the task's key and drop it
 	case !st.mayRun(ti, other):
 		return
 	}
@@ -115,7 +115,7 @@
 	return a.phase.String()
 }
 
-// checkStart checks, for an unsafe task, that no other attempt of it runs when an attempt starts.
+// checkStart checks, when an attempt of an unsafe task starts, that no other attempt of the task runs.
 func (st *step) checkStart(ti, ai int) {
 	if st.rules.Effect != forkhead.Unsafe {
 		return
--- a/internal/verify/modelcheck/replay.go
+++ b/internal/verify/modelcheck/replay.go
@@ -17,7 +17,7 @@
 	Vetoes     uint64       `json:"vetoes"` // invariant violations that the core prevented
 	Offers     int          `json:"offers"` // offers written to hosts
 	Starts     int          `json:"starts"` // offers accepted by hosts
-	Divergence string       `json:"parted"` // the step at which the core does not follow the trace, and why; "": none
+	Divergence string       `json:"parted"` // the step at which the core does not follow the trace, and why; "": no divergence
 	BoundTwice bool         `json:"twice"`  // at some time two attempts of one task held capacity, at two hosts or at one
 }
 
@@ -52,12 +52,12 @@
 const (
 	replayStart = time.Hour              // the core's clock at the start
 	stepTime    = time.Millisecond       // time between two steps of a trace
-	retryTime   = 100 * time.Millisecond // longer than the backoff of a request or a connection in replaySettings
+	retryTime   = 100 * time.Millisecond // longer than any backoff of a request or a connection in replaySettings
 )
 
 // replaySettings are the settings of the core. No timer fires in the milliseconds that a trace takes, except those of
 // retries, which are due after about 1ms. Where a line of a trace is the end of a period, the replay advances the clock
-// by it.
+// by that period.
 const replaySettings = `(forkhead (placer (zone a) (http "127.0.0.1:1") (tell "127.0.0.1:2"))
   (kind k (cores 100) (memory 100GiB))
   (class safe (effect safe) (wait 1h) (patience 20h))
--- a/internal/verify/modelcheck/replay_actions.go
+++ b/internal/verify/modelcheck/replay_actions.go
@@ -281,7 +281,7 @@
 }
 
 func (r *replayer) giveUp(actionArgs) error {
-	r.advance(r.settings.Classes[forkhead.Safe].PlacementTimeout) // the same in all classes
+	r.advance(r.settings.Classes[forkhead.Safe].PlacementTimeout) // all classes have the same timeout
 	return nil
 }
 
@@ -308,7 +308,8 @@
 	return nil
 }
 
-// withdrawals returns actions that withdraw all attempts of a task's request. The core ignores those not in flight.
+// withdrawals returns actions that withdraw all attempts of a task's request. The core ignores the withdrawal of an
+// attempt that is not in flight.
 func (r *replayer) withdrawals(task int) (actions []forkhead.Action) {
 	for n := range maxAttempts {
 		actions = append(actions, forkhead.Withdraw{Task: r.tasks[task].request, Attempt: n})
--- a/internal/verify/modelcheck/search.go
+++ b/internal/verify/modelcheck/search.go
@@ -40,7 +40,8 @@
 	origins map[uint64]origin
 }
 
-// origin records how a state was first reached: by the action with this index in the list of its parent state.
+// origin records how a state was first reached: the hash of its parent state, and the index of the action in the
+// parent's list of actions.
 type origin struct {
 	parent uint64
 	action uint16
@@ -107,7 +108,7 @@
 			s.addFinding(finding{hash, noAction, "liveness", "this state is on a cycle of fair steps, or is reachable from one: a fair run may never end"})
 		}
 	}
-	if len(s.findings) > 0 { // all findings have the same depth: one is enough
+	if len(s.findings) > 0 { // all findings are of one level, so their traces have the same length: one is enough
 		f := s.findings[0]
 		r.Complete = false
 		r.Violations = append(r.Violations, Violation{Property: f.property, Message: f.message, Trace: s.trace(root, f)})
@@ -189,8 +190,9 @@
 		st := step{model: &w.model, s: &to}
 		a.do(&st)
 		if st.queueFull {
-			// Queues of placers and hosts are longer, and a connection is closed when its queue is full. So a state whose
-			// only fair actions are like this one is not an end state.
+			// The action is impossible only because the model's queue or list of streams is full. Queues of real
+			// placers and hosts are longer, and a connection is closed when its queue is full. So a state whose only
+			// fair actions fail in this way is not an end state.
 			continue
 		}
 		w.steps.Add(1)
--- a/internal/verify/modelcheck/state.go
+++ b/internal/verify/modelcheck/state.go
@@ -52,12 +52,12 @@
 	attemptCount  uint8 // attempts made so far
 	requests      uint8 // requests made in the current incarnation of the placer
 	lastRejected  bool  // the last request was rejected, not failed
-	windowExpired bool  // hosts have forgotten its deduplication key
+	windowExpired bool  // hosts have forgotten the task's deduplication key
 	attempts      [maxAttempts]taskAttempt
 }
 
 type taskAttempt struct {
-	phase       attempt.Phase // or forgotten
+	phase       attempt.Phase // a phase of package attempt, or forgotten
 	host        uint8
 	hostEpoch   uint8 // the host's epoch when the offer was written or the task adopted
 	conn        uint8 // the connection on which the offer was written or the task adopted
@@ -105,7 +105,7 @@
 	incarnation   uint8 // the placer's incarnation
 	placerOpen    bool
 	hostOpen      bool
-	broken        bool // no message is delivered any more
+	broken        bool // the connection is broken: no message is delivered any more
 	toHostCount   uint8
 	toPlacerCount uint8
 	toHost        [maxQueue]message
@@ -171,10 +171,10 @@
 	return unsafe.Slice((*byte)(unsafe.Pointer(s)), int(unsafe.Sizeof(*s)))
 }
 
-// attemptsMade returns the attempts of the task made so far.
+// attemptsMade returns the attempts of the task that have been made so far.
 func (t *task) attemptsMade() []taskAttempt { return t.attempts[:t.attemptCount] }
 
-// isKnown reports whether an incarnation of the placer, the current one, knows the attempt.
+// isKnown reports whether the placer knows the attempt. The parameter is the placer's current incarnation.
 func (a *taskAttempt) isKnown(incarnation uint8) bool {
 	return a.incarnation == incarnation && a.phase != forgotten
 }
--- a/internal/verify/modelcheck/statemachines.go
+++ b/internal/verify/modelcheck/statemachines.go
@@ -35,7 +35,7 @@
 	skipWithdrawal      bool // an orphan is adopted without withdrawing the attempts in flight
 	keepQueueOnBreak    bool // a host keeps queued offers when their connection ends
 	acceptOldConnection bool // messages of an older connection are handled like those of the current one
-	retryForever        bool // an owner requests its task again without a limit, whatever the outcomes were
+	retryForever        bool // an owner requests a task again without a limit, whatever the outcomes were
 	skipSpreadRecheck   bool // the spread limit is not checked again when an offer is written
 	skipDrainRecheck    bool // a drain is not checked again when an offer is written
 }
--- a/internal/verify/modelcheck/step.go
+++ b/internal/verify/modelcheck/step.go
@@ -12,7 +12,7 @@
 	stateMachines stateMachines
 	rules         attempt.Rules
 	cfg           Config
-	formatNames   bool // the names of actions are formatted; only traces need them, and it takes time
+	formatNames   bool // whether names of actions are formatted, which takes time; only traces need the names
 }
 
 // newModel returns the model without an injected bug.
@@ -23,7 +23,8 @@
 	}
 }
 
-// step is a transition that is being applied. It changes s, a copy of the state that it starts from.
+// step is a transition that is being applied. It changes the field s, which is a copy of the state before the
+// transition.
 type step struct {
 	*model
 	s         *state
@@ -71,7 +72,8 @@
 			r.Attempts = append(r.Attempts, attempt.Attempt{Host: attempt.HostID(a.host), Phase: a.phase})
 			continue
 		}
-		// Beside an unknown attempt of an earlier request, a request must end before the task's key expires.
+		// If an attempt of an earlier request is unknown, the current request must end before the task's deduplication
+		// key expires.
 		remaining, _ := st.stateMachines.mayRequest(&st.rules, beforeWindowEnd, 1, 0)
 		if a.phase == attempt.Unknown && remaining > 0 {
 			r.Deadline = beforeWindowEnd + remaining
@@ -80,7 +82,7 @@
 	return r
 }
 
-// unknownAttempts returns the number of a task's attempts that the placer has as Unknown.
+// unknownAttempts returns the number of a task's attempts that are in phase Unknown at the placer.
 func (st *step) unknownAttempts(t *task) int {
 	n := 0
 	for i := range t.attemptsMade() {
@@ -94,8 +96,8 @@
 // isWanted reports whether a task's owner still wants it placed.
 func (t *task) isWanted() bool { return t.owner == ownerWaiting || t.owner == ownerRequested }
 
-// notifyOwner notifies a task's owner of an outcome. A task that was placed and lost is placed again without a second
-// notification.
+// notifyOwner notifies a task's owner of an outcome. If a task was placed and lost, the owner is not notified a second
+// time when the task is placed again.
 func (st *step) notifyOwner(t *task, o outcome) {
 	if t.outcome == outcomeNone {
 		t.outcome = o
--- a/internal/verify/modelcheck/trace.go
+++ b/internal/verify/modelcheck/trace.go
@@ -6,7 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// lostTrace stands in a trace where no action leads to the next state on the path, because another state has its hash.
+// lostTrace takes the place of a line in a trace if no action leads to the next state on the path, because another
+// state has the same hash.
 const lostTrace = "(two states share a hash: the trace is lost here)"
 
 // trace returns the names of the actions that lead from the root to a finding. It takes the actions on states that are
@@ -47,8 +48,8 @@
 	return hashes
 }
 
-// takeAction takes the first action in a state for whose step accept returns true. It returns the action's name and the
-// next state.
+// takeAction takes the first action in a state whose step the function accept accepts. It returns the action's name and
+// the next state.
 func (s *search) takeAction(from *state, accept func(st *step) bool) (name string, next state, ok bool) {
 	for _, a := range s.actions(from, nil) {
 		next = *from
--- a/internal/verify/platformreplay/replay_test.go
+++ b/internal/verify/platformreplay/replay_test.go
@@ -91,7 +91,7 @@
 	start := offset + bytes.Index(trace[offset:], []byte(`,"Bytes":`))
 	end := offset + bytes.Index(trace[offset:], []byte("}}\n"))
 	if start < offset || start > end {
-		t.Fatalf("the line at offset %d has no exact bytes", offset)
+		t.Fatalf("the line at offset %d has no exact bytes, want some", offset)
 	}
 	return append(bytes.Clone(trace[:start]), trace[end:]...)
 }
--- a/internal/verify/platformsim/faults.go
+++ b/internal/verify/platformsim/faults.go
@@ -79,7 +79,8 @@
 	return all
 }
 
-// endFaults ends all faults and starts what is down: placers at once, hosts after minRestartTime.
+// endFaults ends all faults. It starts the placers that are down at once, and the hosts that are down after
+// minRestartTime.
 func (w *world) endFaults() {
 	w.faultsDisabled = true
 	for _, h := range w.hosts {
--- a/internal/verify/platformsim/faults_test.go
+++ b/internal/verify/platformsim/faults_test.go
@@ -7,7 +7,7 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// runFor advances the clock of a world by d and runs what is due.
+// runFor advances the clock of a world by d and runs the timers that are due.
 func (w *world) runFor(d time.Duration) {
 	for end := w.now + d; w.runNext(end); {
 	}
--- a/internal/verify/platformsim/placer.go
+++ b/internal/verify/platformsim/placer.go
@@ -24,7 +24,7 @@
 	number      int
 	incarnation int // incremented at each start and each end
 	core        *platformcore.Core
-	nextStepAt  time.Duration // time of the core's next step if it gets no input before
+	nextStepAt  time.Duration // time of the core's next step if the core gets no input before
 
 	owners     map[platformcore.OwnerID]*ownerConn
 	conns      map[platformcore.ConnectionID]*conn
--- a/internal/verify/platformsim/request.go
+++ b/internal/verify/platformsim/request.go
@@ -80,7 +80,7 @@
 	return r.line(";at:" + r.boundAttempt().host.name())
 }
 
-// encodeLine returns a message as a line. A message that a task is bound has a description.
+// encodeLine returns a message as a line. A message that says that a task is bound has a description.
 func encodeLine(messageType platform.MessageType, ref string, cause platform.Cause, fields ...platform.Field) string {
 	var description []byte
 	if messageType == platform.TypeBound {
--- a/internal/verify/platformsim/request_test.go
+++ b/internal/verify/platformsim/request_test.go
@@ -22,7 +22,7 @@
 		}
 		m, err := decodeLine(sent.Line)
 		if err != nil {
-			t.Fatalf("decodeLine(%q): %v", sent.Line, err)
+			t.Fatalf("decodeLine(%q): error %v, want none", sent.Line, err)
 		}
 		read++
 		if !w.requests[m.Ref].canceled {
--- a/internal/verify/replay/golden_test.go
+++ b/internal/verify/replay/golden_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// The JSON is printed for operators and programs, so its keys must not change with the Go names.
+// The JSON of Result is printed for operators and programs, so its keys must not change with the Go names.
 func TestResultJSONKeys(t *testing.T) {
 	p := replay.Result{Steps: 3, Offers: 1, Vetoes: 2, Defects: 4, Truncated: true, Divergence: &replay.Divergence{Step: 2, Now: 7, Want: "a", Got: "b"}}
 	text, err := json.Marshal(&p)
--- a/internal/verify/rules/helpers_test.go
+++ b/internal/verify/rules/helpers_test.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// checkBreaches checks that a trace breaches each rule as often as it is named in broken, and no other rule.
+// checkBreaches checks that a trace breaches each rule as often as the parameter broken has the rule, and no other
+// rule.
 func checkBreaches(t *testing.T, config Config, events []capture.Event, broken ...invariant.Rule) {
 	t.Helper()
 	var want [invariant.RuleCount]int
--- a/internal/verify/simulation/random.go
+++ b/internal/verify/simulation/random.go
@@ -12,7 +12,7 @@
 // Mix determines which classes a run of RunRandom submits, and how often its placer is restarted.
 type Mix struct {
 	Name          string
-	classes       []string // submissions draw from them; one that is listed twice is drawn twice as often
+	classes       []string // submissions draw from these classes; a class that is listed twice is drawn twice as often
 	extraSettings string   // clauses that are added to the settings
 	restartOneIn  int      // a restart action restarts the placer with a probability of 1/restartOneIn
 }
--- a/internal/verify/simulation/simulation.go
+++ b/internal/verify/simulation/simulation.go
@@ -46,7 +46,7 @@
 	CatalogUp  bool                                      // the endpoint list can be read
 	subscribed bool                                      // the core has subscribed to the endpoint list
 	Delay      time.Duration                             // network delay in each direction
-	ToHost     func(host string, f hostproto.Frame) bool // if not nil, called for each arriving frame; false drops it
+	ToHost     func(host string, f hostproto.Frame) bool // if not nil, called for each arriving frame; false: drop the frame
 	FromHost   func(host string, f hostproto.Frame) bool // like ToHost, for frames from hosts that reach the placer
 }
 
