--- a/internal/verify/chaos/faults.go
+++ b/internal/verify/chaos/faults.go
@@ -74,7 +74,7 @@
 	f.hosts = candidates[:min(count, len(candidates))]
 }
 
-// during calls set(true), waits for the duration of a fault, and calls set(false).
+// during begins a condition with set(true), waits for the duration of a fault, and ends the condition with set(false).
 func (r *runner) during(f *activeFault, set func(on bool)) {
 	set(true)
 	r.sleep(f.Duration)
--- a/internal/verify/chaos/process.go
+++ b/internal/verify/chaos/process.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	exitRuleBroken    = 3       // exit code of a run that broke a rule or had a veto
+	exitRuleBroken    = 3       // exit code of a run that broke a rule or in which an action was vetoed
 	exitUnknown       = -1      // the ExitCode in the result of a run that failed
 	maxOutputLine     = 1 << 20 // bytes of a line of a run's output
 	maxErrorOutput    = 4096    // bytes of a run's standard error that are kept, from its beginning
--- a/internal/verify/chaos/repeat.go
+++ b/internal/verify/chaos/repeat.go
@@ -23,7 +23,7 @@
 // ProcessResult is the result of one run in a process of its own.
 type ProcessResult struct {
 	Seed     int             `json:"seed"`
-	ExitCode int             `json:"code"`             // 0, exitRuleBroken, or exitUnknown with Error
+	ExitCode int             `json:"code"`             // 0, exitRuleBroken, or exitUnknown for any other end of the run
 	Result   json.RawMessage `json:"result,omitempty"` // JSON of a Result: the last output line that is no breach
 	Breaches []string        `json:"breaches,omitempty"`
 	Error    string          `json:"error,omitempty"`
@@ -32,7 +32,7 @@
 // Totals holds the sums over all runs.
 type Totals struct {
 	Runs     int `json:"plays"`
-	Broken   int `json:"broken"` // runs that broke a rule or had a veto
+	Broken   int `json:"broken"` // runs that broke a rule or in which an action was vetoed
 	Failed   int `json:"failed"` // runs that did not finish or have no readable result
 	Tasks    int `json:"tasks"`
 	Offers   int `json:"offers"`
--- a/internal/verify/modelcheck/state.go
+++ b/internal/verify/modelcheck/state.go
@@ -12,7 +12,7 @@
 const (
 	maxTasks    = 3
 	maxHosts    = 2
-	maxAttempts = 3 // of one task, over all requests and incarnations
+	maxAttempts = 3 // attempts of one task, over all requests and incarnations
 	maxQueue    = 4 // messages in transit on one connection in one direction
 )
 
--- a/internal/verify/modelcheck/step.go
+++ b/internal/verify/modelcheck/step.go
@@ -41,7 +41,7 @@
 }
 
 // The model has no clock, only two points in time for each period: before and after the end of a task's deduplication
-// window, and before and after the end of the grace of a host's drain.
+// window, and before and after the end of the grace period of a host's drain.
 const (
 	beforeWindowEnd    = time.Second
 	dedupWindow        = 10 * time.Second
--- a/internal/verify/platformreplay/outputs.go
+++ b/internal/verify/platformreplay/outputs.go
@@ -38,7 +38,7 @@
 
 // logLine is the value of a line of type platform.Log.
 type logLine struct {
-	Attributes         map[string]any // by key; an error is recorded as its text
+	Attributes         map[string]any // values by key; an error is recorded as its text
 	InvariantViolation bool
 	Level              slog.Level
 	Message            string
--- a/internal/verify/platformreplay/replay_test.go
+++ b/internal/verify/platformreplay/replay_test.go
@@ -231,8 +231,8 @@
 	}
 }
 
-// FollowRequest returns each message that names a request, with its connection and direction. One of them is split over
-// two reads, and the ref is compared without regard to case.
+// FollowRequest returns each message that names a request, with its connection and direction. One of the messages is
+// split over two reads, and the ref is compared without regard to case.
 func TestFollowRequestReturnsEachMessageThatNamesIt(t *testing.T) {
 	for _, ref := range []string{testRef, strings.ToUpper(testRef)} {
 		request, err := FollowRequest(bytes.NewReader(record(t, offerToHost1)), ref)
--- a/internal/verify/platformsim/checks.go
+++ b/internal/verify/platformsim/checks.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// checkDrain checks, when an offer is written, that the placer has not known for longer than the drain grace period
-// that the host drains or is down.
+// checkDrain checks, when an offer is written, that no more than the drain grace period has passed since the placer was
+// notified that the host drains or is down.
 func (p *placer) checkDrain(h *host) {
 	known := p.hostStates[uint32(h.number)]
 	if known.state != platform.InService && p.w.now > known.since+p.w.Settings.DrainGrace+slack {
--- a/internal/verify/platformsim/request.go
+++ b/internal/verify/platformsim/request.go
@@ -42,7 +42,7 @@
 	knownNotRun bool          // the host reported that this attempt never ran
 	knownOver   bool          // the host reported the end, the attempt was canceled, or its connection is closed
 	knownBound  bool          // the host reported that it bound the task
-	releasedAt  time.Duration // when the placer released the bound task; 0 if it has not
+	releasedAt  time.Duration // time at which the placer released the bound task; 0: not released
 
 	// State at the host.
 	bound bool
--- a/internal/verify/platformsim/run.go
+++ b/internal/verify/platformsim/run.go
@@ -25,8 +25,8 @@
 	InjectFault    OutputFilter // nil injects no fault into outputs
 }
 
-// OutputFilter returns the outputs that replace an output of a placer. It injects a fault to test that the checks find
-// it.
+// OutputFilter returns the outputs that replace an output of a placer. Tests use a filter to inject a fault that the
+// checks must find.
 type OutputFilter func(platformcore.Output) []platformcore.Output
 
 // Report is the result of a run.
--- a/internal/verify/rules/answers_test.go
+++ b/internal/verify/rules/answers_test.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// A missing outcome is excused by the death of its placer before it was due, by a client that did not submit again
-// after a disconnect, or by the end of the capture.
+// A missing outcome is excused by the death of its placer before the outcome was due, by a client that did not submit
+// again after a disconnect, or by the end of the capture.
 func TestAccountsExcuseMissingOutcomes(t *testing.T) {
 	submit, answer, end := submitTwo("s"), oneOutcome("s"), endAt(time.Minute)
 	resubmit := capture.Event{At: 40 * ms, Type: capture.Submit, Submission: "s"}
--- a/internal/verify/rules/config.go
+++ b/internal/verify/rules/config.go
@@ -44,7 +44,7 @@
 	DedupDomain  forkhead.Domain // for a keyed class: domain whose hosts deduplicate repeated starts
 	DedupWindow  time.Duration   // for a keyed class: begins with the first attempt that may have run
 	SpreadDomain forkhead.Domain
-	MaxPerDomain int // most tasks of one service in a SpreadDomain
+	MaxPerDomain int // largest number of tasks of one service in a SpreadDomain
 }
 
 // ConfigFromSettings returns the parameters of the rules from settings. warmStartRate is the number of tasks per second
--- a/internal/verify/rules/spread.go
+++ b/internal/verify/rules/spread.go
@@ -16,7 +16,7 @@
 	forkhead.ZoneDomain:    "zone",
 }
 
-// checkSpreads checks, for each offer that reached a host, the number of tasks of its service that its placer has in the
+// checkSpreads checks, for each offer that reached a host, how many tasks of the offered service the placer has in the
 // host's domain.
 func (c *checker) checkSpreads() {
 	for _, a := range c.trace.attempts {
--- a/internal/verify/rules/trace.go
+++ b/internal/verify/rules/trace.go
@@ -26,7 +26,7 @@
 	holds map[attemptID][]handshake
 
 	placers   map[int]placerHistory
-	lateSteps []lateStep // of all placers, sorted by the time at which they were due
+	lateSteps []lateStep // late steps of all placers, sorted by the time at which they were due
 
 	submissions []*submission // in the order of submission
 	byName      map[string]*submission
--- a/internal/verify/scenario/golden_test.go
+++ b/internal/verify/scenario/golden_test.go
@@ -29,7 +29,7 @@
 		if !bytes.Equal(s.Text, text) {
 			t.Errorf("Read(%q).Text = %q, want the text that was read, %q", name, s.Text, text)
 		}
-		s.Text, s.Settings = nil, nil // package settings tests the decoding of settings
+		s.Text, s.Settings = nil, nil // the tests of package settings cover the decoding of settings
 		var b bytes.Buffer
 		for i := range reflect.ValueOf(*s).NumField() {
 			fmt.Fprintln(&b, strings.ReplaceAll(goldentest.FormatValue(reflect.ValueOf(*s).Field(i)), ") (", ")\n\t("))
--- a/internal/verify/testcluster/cluster.go
+++ b/internal/verify/testcluster/cluster.go
@@ -42,8 +42,8 @@
 
 	startStop  sync.Mutex    // held while a placer is started or killed
 	recordings []Recording   // guarded by startStop
-	vetoes     atomic.Uint64 // actions that the invariant checks of killed placers vetoed
-	defects    atomic.Uint64 // defects that killed placers counted
+	vetoes     atomic.Uint64 // actions that placers had vetoed when they were killed
+	defects    atomic.Uint64 // defects that placers had counted when they were killed
 }
 
 // Options are the options of Start.
