--- a/internal/verify/replay/golden_test.go
+++ b/internal/verify/replay/golden_test.go
@@ -29,7 +29,7 @@
 var goldenRecordings = []string{"placer-0-life-2", "placer-1-life-1"}
 
 // Recordings of earlier builds must replay without a divergence and with the same captured traffic. A change of the
-// core's decisions or of the stored form breaks that.
+// core's decisions or of the stored form makes this test fail.
 func TestPlayGoldenRecordings(t *testing.T) {
 	for _, name := range goldenRecordings {
 		t.Run(name, func(t *testing.T) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// The JSON is printed for operators and programs, so its keys must not change with the Go names.
+// The JSON of Result is printed for operators and programs, so its keys must not change with the Go names.
 func TestResultJSONKeys(t *testing.T) {
 	p := replay.Result{Steps: 3, Offers: 1, Vetoes: 2, Defects: 4, Truncated: true, Divergence: &replay.Divergence{Step: 2, Now: 7, Want: "a", Got: "b"}}
 	text, err := json.Marshal(&p)
--- a/internal/verify/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -5,7 +5,7 @@
 // Each rule has a file. Most rules are checked in two ways. The traffic that hosts and clients captured shows a placer
 // from the other end of the wire, which needs a slack of Config.MaxTransit. The traffic that was captured at the
 // placer's own sockets (placerView) shows exactly what the placer had read and written before each offer, which needs
-// no slack; where it was captured, this check replaces the first.
+// no slack; where that traffic was captured, the second check replaces the first.
 package rules
 
 import (
@@ -53,8 +53,8 @@
 	}
 }
 
-// checkPlacerViews checks each offer against what its placer knew when it sent it. It returns the final view of each
-// incarnation.
+// checkPlacerViews checks each offer against what its placer knew when the placer sent it. It returns the final view of
+// each incarnation of a placer.
 func (c *checker) checkPlacerViews() map[incarnation]*placerView {
 	views := map[incarnation]*placerView{}
 	for i := range c.trace.placerEvents {
@@ -72,7 +72,7 @@
 	return views
 }
 
-// checkSentOffer checks an offer against what its placer had read and written before it.
+// checkSentOffer checks an offer against the traffic that its placer had read and written before.
 func (c *checker) checkSentOffer(view *placerView, offer *capture.Event) {
 	class, known := c.config.Classes[offer.Class]
 	if !known {
--- a/internal/verify/rules/sentattempt.go
+++ b/internal/verify/rules/sentattempt.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// sentState is the state of an attempt as far as its placer knows it from what it has read and written.
+// sentState is the state of an attempt as far as its placer can know from the traffic that the placer has read and
+// written.
 type sentState uint8
 
 const (
@@ -22,7 +23,7 @@
 	sentAt           time.Duration
 	state            sentState
 	unreachableSince time.Duration
-	reappearedAt     time.Duration // when the host reported it as bound in state mayRun; 0 if it never did
+	reappearedAt     time.Duration // time at which the host reported an attempt in state mayRun as bound; 0: never
 }
 
 // onBound handles the host's message that the task is placed.
@@ -48,7 +49,7 @@
 }
 
 // onStop handles the placer's Stop. An attempt that reappeared in the same step no longer counts as placed, because the
-// placer doesn't want it; any other counts until its host reports its end.
+// placer doesn't want the task; any other attempt counts until the host reports that it ended.
 func (a *sentAttempt) onStop(at time.Duration) {
 	if a.state == bound && a.reappearedAt == at {
 		a.state = mayRun
