--- a/actions.go
+++ b/actions.go
@@ -14,12 +14,12 @@
 	Offer struct {
 		Task    TaskID
 		Machine MachineID
-		Timeout time.Duration // for the answer; always 0 here: until the owner gives up
+		Timeout time.Duration // for the answer; 0, as always in this package: until the owner gives up
 	}
 	// Reject ends a request and tells the owner that a retry is harmless.
 	Reject struct {
 		Task       TaskID
-		RetryAfter time.Duration // before the owner's retry; always 0 here: not specified
+		RetryAfter time.Duration // before the owner's retry; 0, as always in this package: not specified
 	}
 	// Fail ends a request without a promise that a retry is harmless.
 	Fail struct{ Task TaskID }
--- a/attempts.go
+++ b/attempts.go
@@ -5,16 +5,16 @@
 // Constants of attempts and migrations.
 const (
 	attemptTimeout = 700 * time.Millisecond // time without an answer until the machine is probed
-	probeBackoff   = 3 * attemptTimeout     // with many placers, time without probes after an answer
+	probeBackoff   = 3 * attemptTimeout     // with many placers, no probe for this time after an answer
 	// startTimeP95 estimates the 95th percentile of the time from offer to bind: a start that takes longer
 	// raises it by 1/startTimeP95Rise, any other start lowers it by 1/startTimeP95Fall.
 	initialStartTimeP95                = 1500 * time.Millisecond
 	startTimeP95Rise, startTimeP95Fall = 5, 100
-	unresponsiveStartFactor            = 2 // multiple of startTimeP95 until an attempt is unresponsive
+	unresponsiveStartFactor            = 2 // an attempt is unresponsive after this multiple of startTimeP95
 	// A task with a service level below migrateBelow is migrated if one of the first migrationPasses
 	// selection passes finds a machine for it.
 	migrateBelow, migrationPasses = 0.5, 3
-	maxMigrationsPerSecond        = 8               // off one machine, by all placers together
+	maxMigrationsPerSecond        = 8               // from one machine, by all placers together
 	migrationCooldown             = 2 * time.Second // no offers to the machine after a migration attempt
 )
 
@@ -41,7 +41,7 @@
 func (p *Placer) offer(t *task, m *machine) {
 	p.announceCapacity(p.startAttempt(t, m), reserved)
 	if p.inSlowStart(m) {
-		m.slowStartOffers = append(m.slowStartOffers, p.now) // withinSlowStartBudget drops the old ones
+		m.slowStartOffers = append(m.slowStartOffers, p.now) // withinSlowStartBudget removes old offers
 	}
 	p.emit(Offer{Task: t.ID, Machine: m.ID})
 	p.setTimer(timerAttempt, uint32(t.ID), attemptTimeout)
@@ -124,8 +124,9 @@
 	return true
 }
 
-// checkAttempt probes the machine of an attempt that is unanswered after attemptTimeout, reports it as an
-// outlier if it answers otherwise, and withdraws the attempt where the task may go elsewhere.
+// checkAttempt handles an attempt without an answer after attemptTimeout. It probes the machine, reports a
+// machine that answers anything but the attempt as an outlier, and withdraws the attempt if the machine is
+// ejected or has failed a check and the task may be sent to another machine.
 func (p *Placer) checkAttempt(t *task) {
 	if !t.pending || !p.hasAttemptInFlight(t) {
 		return
@@ -153,10 +154,11 @@
 
 // migrateIfPoorlyServed stops a task with a low service level if another machine has capacity to serve it
 // well, so that it doesn't stay on a machine that is slow, crowded or misjudged. It migrates at most one
-// task per note, and notes come about once a second. The cost: a task may be migrated just before its
+// task per note; each task causes about one note a second. The cost: a task may be migrated just before its
 // service level recovers. Each placer migrates in proportion to its share of the cores requested on the
-// machine; otherwise every placer with a task there would migrate one at the same time. The cooldown keeps
-// the machine itself out of the search for another one and applies whether or not the search succeeds.
+// machine; otherwise every placer with a task there would migrate a task at the same time. During
+// migrationCooldown, the machine cannot be selected, not even for this task. The cooldown starts whether or
+// not another machine is found.
 func (p *Placer) migrateIfPoorlyServed(a *attempt, level float64) {
 	if level >= migrateBelow || a.task.pending {
 		return
--- a/bookkeeping.go
+++ b/bookkeeping.go
@@ -26,7 +26,7 @@
 	return m
 }
 
-// activeAttempt returns the attempt of the task with the number, or nil if there is none or it has ended.
+// activeAttempt returns the attempt of a task by its number, or nil if there is no such attempt or it has ended.
 func (p *Placer) activeAttempt(id TaskID, number int) *attempt {
 	t := p.tasks[id]
 	if t == nil || number < 0 || number >= len(t.attempts) || t.attempts[number].ended {
@@ -35,7 +35,7 @@
 	return t.attempts[number]
 }
 
-// hasAttemptInFlight reports whether the task's last attempt has not ended yet; all earlier ones have.
+// hasAttemptInFlight reports whether the task's last attempt has not ended. All earlier attempts have ended.
 func (p *Placer) hasAttemptInFlight(t *task) bool {
 	return len(t.attempts) > 0 && !t.attempts[len(t.attempts)-1].ended
 }
@@ -91,9 +91,9 @@
 	})
 }
 
-// erroredOn reports whether an attempt of the task ended in an error on the machine, so that the task goes to
-// another one. Errors leave the machine's capacity available, so it would otherwise get one attempt after the
-// other.
+// erroredOn reports whether an attempt of the task ended in an error on the machine, so that the task is sent
+// to another machine. An error leaves the machine's capacity available, so the machine would otherwise get all
+// attempts of the task.
 func (t *task) erroredOn(m *machine) bool {
 	for _, a := range t.attempts {
 		if a.errored && a.machine == m {
@@ -146,7 +146,8 @@
 	return cores, memory
 }
 
-// cacheProgram records the program as cached on the machine. Beyond maxCachedPrograms the oldest is dropped.
+// cacheProgram records the program as cached on the machine. If there are more than maxCachedPrograms, the one
+// recorded first is dropped.
 func (m *machine) cacheProgram(program uint32) {
 	m.cachedPrograms = slices.DeleteFunc(m.cachedPrograms, func(other uint32) bool { return other == program })
 	m.cachedPrograms = append(m.cachedPrograms, program)
@@ -155,7 +156,8 @@
 	}
 }
 
-// hasProgram reports whether the machine has the service's program, judged by this placer's tasks and gossip.
+// hasProgram reports whether the machine has the service's program, as far as this placer knows from its own
+// tasks and from gossip.
 func (p *Placer) hasProgram(m *machine, service uint64) bool {
 	for _, a := range p.services[service] {
 		if a.machine == m {
@@ -206,7 +208,7 @@
 		case m.removedAt == 0:
 			m.removedAt = p.now
 		case p.now > m.removedAt+removedRetention && !m.hasLiveAttempt():
-			delete(p.machines, id) // otherwise memory would grow with each machine replaced
+			delete(p.machines, id) // otherwise memory would grow with each replaced machine
 		}
 	}
 	for _, pool := range p.pools {
@@ -218,7 +220,7 @@
 	return slices.ContainsFunc(m.attempts, func(a *attempt) bool { return !a.ended })
 }
 
-// sameDomain reports whether two machines are in the same domain of the level.
+// sameDomain reports whether two machines are in the same domain of a level.
 func sameDomain(level Domain, a, b *machine) bool {
 	switch level {
 	case MachineDomain:
@@ -231,7 +233,7 @@
 	return true
 }
 
-// add adds a task of the size in cores and decays the load added earlier.
+// add adds a task of a size in cores and decays the load of earlier tasks.
 func (h *sizeHistogram) add(size float64) {
 	for i := range h.load {
 		h.load[i] *= 1 - 1./sizeHistory
@@ -240,7 +242,7 @@
 	h.total = h.total*(1-1./sizeHistory) + size
 }
 
-// observe adds the amounts that a task uses and requested, and decays those observed earlier.
+// observe adds the amount that a task uses and the amount that it requested, and decays earlier amounts.
 func (u *usageRatio) observe(used, requested float64) {
 	u.used, u.requested = u.used*usageDecay+used, u.requested*usageDecay+requested
 }
--- a/capacity.go
+++ b/capacity.go
@@ -7,17 +7,19 @@
 
 // Constants of the capacity estimate.
 const (
-	changeHistory     = 10 * time.Second // time for which changes are counted, as the list lags
+	changeHistory     = 10 * time.Second // longest time until the list shows a change of capacity
 	initialListLag    = 2                // index into listLags: 1 s
-	listLagErrorDecay = 0.98             // factor on the errors of the lags at each observation
-	rejectionLifetime = 4 * time.Second  // maximum time that a rejection affects the estimate
-	// Share of a rejected size that counts as available, so that the same size does not fit again.
+	listLagErrorDecay = 0.98             // factor by which an observation reduces the earlier errors
+	rejectionLifetime = 4 * time.Second  // a rejection lowers the estimate for at most this time
+	// After a rejection, this share of the rejected task's size counts as available, so that a task of the
+	// same size does not fit.
 	rejectedSizeMargin = 0.99
 	queueFullBackoff   = 300 * time.Millisecond // no offers to a machine whose queue was full
-	memorySaturation   = 0.88                   // share of memory in use that slows a machine; more evicts
-	// The share of the requested amount that tasks are assumed to use before notes report it. It weighs as
-	// much as initialUsageWeight requested cores or memory units. Each note decays the earlier ones by
-	// usageDecay.
+	// A machine slows down from this share of memory in use on, and evicts tasks at a higher share.
+	memorySaturation = 0.88
+	// Tasks are assumed to use the share initialUsage of the requested amount until notes report their usage.
+	// The assumption has the weight of initialUsageWeight requested cores or memory units. Each note reduces
+	// the weight of earlier notes by the factor usageDecay.
 	initialUsage, initialUsageWeight, usageDecay = 0.8, 20, 0.998
 	// A note of a service level below fullServiceLevel derates its machine by deratingStep, up to
 	// maxDerating. The derating falls at a rate of 1 per deratingRecovery.
@@ -28,9 +30,10 @@
 	// nothing: if the program isn't cached, the start is as slow as on any other machine.
 	maxCachedPrograms = 16
 	// Gossip about capacity is sent while the messages for the start and the end of a task cost at most this
-	// share of the result, which holds for few placers. With more, the messages of each one change little.
+	// share of the result, which is so if there are few placers. If there are many, the changes of a single
+	// placer matter little.
 	maxGossipCost  = 0.005
-	maxPeerChanges = 500 // stored for a machine; a bound on message floods
+	maxPeerChanges = 500 // changes stored per machine; limits memory if messages flood in
 )
 
 // listLags are the candidates for the lag of the list.
@@ -39,9 +42,10 @@
 	2 * time.Second, 3 * time.Second, 4500 * time.Millisecond, 7 * time.Second,
 }
 
-// available estimates the cores and memory of the machine that are not requested: the amounts in the list,
-// less this placer's and gossiped changes since then and less what a rejection has shown to be missing. It
-// is at most what this placer's own tasks leave. The result is cached for queueRetryInterval.
+// available estimates the cores and memory of the machine that are not requested. It takes the amounts in the
+// list and subtracts what this placer and, by gossip, other placers have requested since then, and what a
+// rejection has shown to be unavailable. The result is at most the size of the machine less the requests of
+// this placer's own tasks. It is cached for queueRetryInterval.
 func (p *Placer) available(m *machine) (cores, memory float64) {
 	if !m.availableStale && p.now < m.availableAt+queueRetryInterval {
 		return m.availableCores, m.availableMemory
@@ -99,9 +103,9 @@
 	m.rejectedAt, m.availableStale = p.now, true
 }
 
-// hasCapacity reports whether the machine has capacity for the task. The limit is the load at which its tasks
-// are still served well or, in a pass that overcommits, what the machine accepts and what still serves the
-// task's class at half the full level.
+// hasCapacity reports whether the machine has capacity for the task. The limit is the load up to which all
+// tasks on the machine get full service. In a pass that overcommits, the limit is the load up to which the
+// machine accepts tasks and the task's class gets at least half of full service.
 func (p *Placer) hasCapacity(t *task, m *machine, pass *selectionPass) bool {
 	if p.now < m.backoffUntil || m.starting >= pass.maxStarting {
 		return false
@@ -151,8 +155,8 @@
 	return cores, memory
 }
 
-// recordServiceLevel derates the machine of a task whose share of full service is low, and may migrate the
-// task.
+// recordServiceLevel derates the machine of a task that gets less than fullServiceLevel of full service, and
+// may migrate the task.
 func (p *Placer) recordServiceLevel(a *attempt, level float64) {
 	if level < fullServiceLevel {
 		m := a.machine
@@ -161,9 +165,9 @@
 	}
 }
 
-// deratingFactor returns the factor on the load that a machine is given. It is below 1 after tasks on the
-// machine were served poorly, whatever the cause, and returns to 1 over time. The cost: where service levels
-// oscillate, capacity stays unused.
+// deratingFactor returns the factor by which the maximum load of the machine is multiplied. It is below 1
+// after tasks on the machine were served poorly, whatever the cause, and rises back to 1 over time. The cost:
+// if service levels oscillate, capacity stays unused.
 func (m *machine) deratingFactor(now time.Duration) float64 {
 	return 1 - max(0, m.derating-float64(now-m.deratedAt)/float64(deratingRecovery))
 }
@@ -173,17 +177,17 @@
 	return (u.used + initialUsage*initialUsageWeight) / (u.requested + initialUsageWeight)
 }
 
-// seesPeerChanges reports whether this placer sees nearly all reservations by other placers: it is alone, or
-// capacity changes are gossiped. They are gossiped only while that costs at most maxGossipCost: the cost of
-// both sending and reading grows with the number of placers.
+// seesPeerChanges reports whether this placer learns of nearly all reservations by other placers: there are
+// none, or capacity changes are gossiped. Changes are gossiped only if that costs at most maxGossipCost, as
+// the cost of both sending and reading grows with the number of placers.
 func (p *Placer) seesPeerChanges() bool {
 	cost := 2 * capacityChangeFraction * p.settings.Costs.Gossip * float64(p.settings.Placers-1)
 	return p.settings.Placers == 1 || p.settings.MayGossip && cost <= maxGossipCost
 }
 
-// handleGossip applies a message from another placer. A capacity change counts like one of this placer until
-// the list shows it, so that placers that see the same capacity don't all fill it at once. A lost message
-// costs a rejection, or hides some capacity until the next list update.
+// handleGossip applies a message from another placer. A change of capacity is counted like this placer's own
+// changes until the list shows it, so that placers that see the same capacity don't all fill it at once. If a
+// message is lost, an offer may be rejected, or some capacity stays hidden until the next list update.
 func (p *Placer) handleGossip(message []byte) {
 	if id, class, ok := decodeOutlier(message); ok {
 		if m := p.machines[id]; m != nil && class < len(p.settings.Classes) {
--- a/capacity_test.go
+++ b/capacity_test.go
@@ -10,7 +10,7 @@
 func TestHandedOverTaskIsNotCountedTwice(t *testing.T) {
 	machines := readyMachines(2)
 	for i := range machines {
-		machines[i].AvailableCores, machines[i].AvailableMemory = 3, 10 // of 10 and 20
+		machines[i].AvailableCores, machines[i].AvailableMemory = 3, 10 // of 10 cores and 20 memory units
 	}
 	h := newHarness(t, testSettings(), machines)
 	for i := range 14 {
@@ -38,7 +38,7 @@
 			id, actions := h.request(0, uint64(i%20))
 			count(actions)
 			for _, offer := range actionsOf[Offer](actions) {
-				// Every third start is slow: the machine answers probes, but not the offer.
+				// Every third start is slow: the machine answers probes, but has not answered the offer yet.
 				for wait := 0; i%3 == 0 && wait < 6; wait++ {
 					h.now += attemptTimeout
 					count(h.step(Probed{Machine: offer.Machine, Result: OK}))
@@ -50,10 +50,10 @@
 			h.now += 500 * time.Millisecond
 		}
 		if cost > 2*maxGossipCost*tasks {
-			t.Errorf("%d placers: gossip cost per task = %.4f, want at most %g", n, cost/tasks, 2*maxGossipCost)
+			t.Errorf("%d placers: gossip cost per task = %g, want at most %g", n, cost/tasks, 2*maxGossipCost)
 		}
 		if n == 3 && cost == 0 {
-			t.Error("3 placers: gossip cost = 0, want gossip")
+			t.Error("3 placers: gossip cost of all tasks = 0, want more than 0")
 		}
 	}
 }
--- a/dispatch.go
+++ b/dispatch.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// handleCancel cancels the request of an owner that no longer waits: no answer is due any more.
+// handleCancel cancels a request whose owner no longer waits for the answer.
 func (p *Placer) handleCancel(id TaskID) {
 	if t := p.tasks[id]; t != nil {
 		t.pending = false
@@ -45,8 +45,9 @@
 	p.tasks[t.ID] = t
 	a := p.startAttempt(t, p.machine(event.Machine))
 	a.bound = true
-	// The list already counts this task. Sent now, it would count a second time, as reserved since the list was
-	// made: after a restart of the placer all machines would look full for the first seconds.
+	// The list already counts this task. With sentAt = now, the task would count a second time, as requested
+	// since the list was made, and after a restart of the placer all machines would look full for the first
+	// seconds.
 	a.sentAt = p.now - changeHistory
 	p.markRunning(a)
 }
@@ -80,8 +81,8 @@
 	p.recordHealth(m, event.Result)
 }
 
-// applyReport replaces the available amounts of the list entry by those of a load report, where the list has
-// none and reports count what was requested.
+// applyReport replaces the available amounts of the list entry by those of a load report. It does so only if
+// list entries don't carry available amounts and reports exclude the requested amounts, not the used ones.
 func (p *Placer) applyReport(m *machine, report *LoadReport) {
 	if report == nil || p.settings.ListReportsAvailable || !p.settings.ReportsCountRequested {
 		return
--- a/events.go
+++ b/events.go
@@ -18,7 +18,7 @@
 
 // The events that Placer.Step accepts.
 type (
-	// ListUpdate is a new state of the machine list, its changes, or the failure to get them.
+	// ListUpdate is the state of the machine list, its changes, or a failure to get the list.
 	ListUpdate struct {
 		Mode     ListMode
 		Machines []Machine
--- a/gossip.go
+++ b/gossip.go
@@ -13,7 +13,7 @@
 	capacityChangeSize     = 12
 	maxChangesPerMessage   = maxMessageSize / capacityChangeSize
 	amountScale            = 64
-	capacityChangeFraction = capacityChangeSize / float64(maxMessageSize) // share of a full message
+	capacityChangeFraction = capacityChangeSize / float64(maxMessageSize) // share of a full message that one change takes
 )
 
 // The format of an outlier message: the id of a machine and a class of tasks that fail on it.
--- a/intervals.go
+++ b/intervals.go
@@ -4,22 +4,23 @@
 
 // Constants of size intervals and groups.
 const (
-	machinesPerGroup = 3 // leaves one to use when one is full and one drains
-	// At least two intervals, so that large tasks have a group of their own. At most a few, and only two with
-	// many placers, so that placers whose thresholds differ slightly still select the same group.
+	machinesPerGroup = 3 // if one machine is full and one drains, one is left
+	// There are at least two intervals, so that large tasks have a group of their own. There are only a few,
+	// and just two with many placers, so that placers whose thresholds differ slightly still select the same
+	// group.
 	minIntervals, maxIntervals = 2, 4
-	// Sizes decay with the number of later tasks, not with time, so that a placer that sees few tasks has
-	// data too.
+	// Number of tasks over which the load of earlier tasks decays. It doesn't decay with time, so that a
+	// placer that sees few tasks has data too.
 	sizeHistory = 1000
-	meanWeight  = 30   // weight of the configured mean, in observed tasks of mean size
-	minSize     = 1e-9 // replaces a size of 0 in divisions, in cores or memory units
+	meanWeight  = 30   // the configured mean counts like this many observed tasks of mean size
+	minSize     = 1e-9 // used in divisions instead of a size of 0, in cores or memory units
 )
 
 // loadPosition returns the position of a task's size in the cumulative load, from 0 to 1 (eta in the paper):
 // interval i of n is [i/n, (i+1)/n). The service's hash spreads the tasks of one size over the load of that
-// size, so that a threshold within it divides them in the right proportion. The configured mean counts as
-// observed load, so that placers that each see few tasks agree; without data, it is the threshold between
-// the two halves.
+// size, so that a threshold within that load divides the tasks in the right proportion. The configured mean
+// counts as observed load, so that placers that each see few tasks agree. Without observed tasks, the
+// configured mean divides the load into two equal halves.
 func (h *sizeHistogram) loadPosition(size, mean float64, service uint64) float64 {
 	configured, bucket := meanWeight*max(mean, minSize), sizeBucket(size)
 	offset := unitInterval(hash64(service ^ saltSizeOffset))
--- a/intervals_test.go
+++ b/intervals_test.go
@@ -91,11 +91,11 @@
 	}
 }
 
-// Placers that each see few tasks must still learn the distribution of sizes, rather than keep to the
-// configured mean, and select the same groups.
+// Placers that each see few tasks must still learn the distribution of sizes, instead of relying on the
+// configured mean, and must select the same groups.
 func TestSizeHistogramsWithFewSamplesAgree(t *testing.T) {
 	sizes := []float64{0.5, 0.5, 0.5, 1, 1, 1.5, 8}
-	var histograms []*sizeHistogram // one per placer
+	var histograms []*sizeHistogram // one histogram per placer
 	for seed := range uint64(130) {
 		rng, histogram := rand.New(rand.NewPCG(seed, 3)), &sizeHistogram{}
 		for range 40 {
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -210,7 +210,8 @@
 	return ""
 }
 
-// shareDomain reports whether two machines are in one domain. It is independent of sameDomain, which it checks.
+// shareDomain reports whether two machines are in one domain. It shares no code with sameDomain, so that a fault
+// of sameDomain is detected.
 func shareDomain(level Domain, a, b Machine) bool {
 	return level == AnyDomain || level == MachineDomain && a.ID == b.ID ||
 		level == CellDomain && a.Cell == b.Cell || level == ZoneDomain && a.Zone == b.Zone
@@ -229,7 +230,7 @@
 	return ""
 }
 
-// randomSchedule passes valid random events to one placer and checks its actions. All are drawn from one
+// randomSchedule passes valid random events to one placer and checks its actions. All events are drawn from one
 // generator, so a seed reproduces a schedule.
 type randomSchedule struct {
 	rng      *rand.Rand
@@ -240,7 +241,7 @@
 	lastID   TaskID
 	machines []Machine
 
-	// Requests of the placer without an answer yet.
+	// Timers, probes and polls that the placer has requested and that have no answer yet.
 	timers []SetTimer
 	probes []MachineID
 	polls  int
@@ -457,7 +458,8 @@
 	f.Fuzz(checkRandomSchedule)
 }
 
-// TestPlacerKeepsInvariants proves nothing about an invariant whose violation the checker doesn't detect.
+// The checker must detect each violation; otherwise TestPlacerKeepsInvariants would pass although the placer breaks
+// an invariant.
 func TestInvariantCheckerCatchesViolations(t *testing.T) {
 	settings := testSettings()
 	settings.SlowStartMaxOffers = 1
--- a/machinelist.go
+++ b/machinelist.go
@@ -9,16 +9,17 @@
 
 // Constants of the machine list and of standby machines.
 const (
-	minPollBackoff          = 300 * time.Millisecond // after a failed poll, doubled at each consecutive one
+	minPollBackoff          = 300 * time.Millisecond // wait after a failed poll, doubled at each further one
 	maxPollBackoffDoublings = 8
-	pollFailuresToLog       = 5 // consecutive failed polls after which the operator is told
-	// The list service handles a few dozen polls per second from all placers together: each placer adds this
-	// to the time over which they are spread.
+	pollFailuresToLog       = 5 // consecutive failed polls until a message is logged
+	// The list service handles a few dozen polls per second from all placers together, so the time over which
+	// the placers spread their polls grows by this amount with each placer.
 	pollSpreadPerPlacer = 20 * time.Millisecond
-	removedRetention    = time.Minute // after which a change of members deletes a removed machine
-	// Machines go on standby if everything requested fits on the others, filled up to this share.
+	removedRetention    = time.Minute // then the next change of members deletes a removed machine
+	// Machines go on standby if everything requested fits on the others without filling them beyond this
+	// share.
 	standbyUtilization = 0.85
-	standbySpares      = 1 // machines that stay in use beyond those needed
+	standbySpares      = 1 // machines that stay in use although they are not needed
 )
 
 // poll requests the changes of the list and schedules a repeat in case there is no reply.
@@ -43,7 +44,8 @@
 	}
 }
 
-// pollSpread is the time over which polls and probes are spread that all placers would send at once.
+// pollSpread is the time over which the placers spread polls and probes that they would otherwise all send at
+// once.
 func (p *Placer) pollSpread() time.Duration {
 	return min(pollSpreadPerPlacer*time.Duration(p.settings.Placers-1), p.settings.MaxPollInterval/2)
 }
@@ -109,11 +111,12 @@
 }
 
 // updateStandby puts machines of a pool on standby if the others have capacity for everything requested and a
-// reserve. Machines on standby get no new tasks while others have capacity, and so become empty over time:
-// surplus machines in use have a cost. The machines that started last stay in use, since a replacement of
-// all machines takes the oldest first; among equals, the fullest stay. Standby needs gossip about
-// reservations, hence few placers. The cost: when many tasks arrive at once, one that finds no capacity or
-// long queues elsewhere still starts on a machine on standby.
+// reserve. Machines on standby get no new tasks while others have capacity, and so become empty over time.
+// This saves cost, since surplus machines in use have one. The machines that started last stay in use, since
+// the oldest are the first to go when all machines are replaced. Of machines that started at the same time,
+// the fullest stay in use. Standby is used only if the placers gossip about reservations, which they do if
+// there are few. The cost: when many tasks arrive at once, a task that finds no capacity or long queues on
+// the machines in use still starts on a machine on standby.
 func (p *Placer) updateStandby(pool *pool) {
 	if p.settings.Costs.SurplusMachine == 0 || !p.seesPeerChanges() {
 		return
--- a/machinelist_test.go
+++ b/machinelist_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Where machines are replaced continually, memory would grow if removed ones were kept. Only those that hold a
-// task of this placer are.
+// If machines are replaced continually, memory would grow if the removed machines were kept. Only removed machines
+// that hold a task of this placer are kept.
 func TestRemovedMachinesAreForgotten(t *testing.T) {
 	h := newHarness(t, testSettings(), readyMachines(3))
 	task := h.newTask(0, 7)
@@ -116,7 +116,7 @@
 func TestPollsOfManyPlacersStayFew(t *testing.T) {
 	settings := testSettings()
 	settings.ListWatched, settings.Placers = false, 470
-	const maxPollsPerSecond = 100 // by all placers together, that a list service is assumed to handle
+	const maxPollsPerSecond = 100 // number of polls by all placers together that a list service is assumed to handle
 	perSecond := map[time.Duration]int{}
 	for self := range settings.Placers {
 		settings.Self = self
@@ -165,7 +165,7 @@
 	settings := testSettings()
 	settings.Costs.SurplusMachine = 0.15
 	machines := readyMachines(6)
-	// 12 of 60 cores are requested: two machines hold that, one is spare.
+	// 12 of 60 cores are requested: two machines have the capacity for them, one more stays in use.
 	machines[0].AvailableCores, machines[1].AvailableCores = 4, 4
 	h := newHarness(t, settings, machines)
 	used, placed := map[MachineID]int{}, 0
@@ -192,13 +192,13 @@
 	}
 }
 
-// Where all machines are replaced, the oldest go first. Tasks that are packed onto those are lost with them, so
-// the oldest go on standby even if they are the fullest.
+// When all machines are replaced, the oldest are replaced first, and the tasks on them are lost. So the oldest
+// machines go on standby even if they are the fullest.
 func TestStandbyTakesOlderMachinesFirst(t *testing.T) {
 	settings := testSettings()
 	settings.Costs.SurplusMachine = 0.15
 	machines := readyMachines(6)
-	machines[0].AvailableCores, machines[1].AvailableCores = 4, 4 // the fullest, and among the oldest
+	machines[0].AvailableCores, machines[1].AvailableCores = 4, 4 // the fullest machine, which is also one of the oldest
 	h := newHarness(t, settings, nil)
 	for i := 3; i < 6; i++ {
 		machines[i].StartedAt = h.now - time.Minute
--- a/model.go
+++ b/model.go
@@ -15,13 +15,13 @@
 	Service           uint64
 	Class             int
 	Tenant            int
-	Timeout           time.Duration // until its owner gives up this request
+	Timeout           time.Duration // time until its owner gives up this request
 	RemainingLifetime time.Duration // estimate of the remaining run time; 0 if not known
 	Cores             float64
 	Memory            float64
 	Resubmitted       bool         // there were earlier requests for the task
 	RequiredLabels    uint64       // labels that its machine must have, one per bit; 0: none
-	SpreadLimits      SpreadLimits // of its service, in addition to the limit of its class
+	SpreadLimits      SpreadLimits // limits of its service, in addition to the limit of its class
 }
 
 // SpreadLimits has, by domain level, the maximum number of tasks of one service in one domain; 0: no limit.
@@ -45,7 +45,7 @@
 	Zone            int
 	Cell            int
 	StartedAt       time.Duration // latest start; 0 if long ago
-	AvailableCores  float64       // not requested, as of some time ago
+	AvailableCores  float64       // cores that were not requested some time ago
 	AvailableMemory float64
 	Labels          uint64 // one bit per label that tasks may require
 }
--- a/outliers.go
+++ b/outliers.go
@@ -4,17 +4,17 @@
 
 // Constants of outlier detection and health checks.
 const (
-	maxEjectionTime     = 10 * time.Second       // from a class; as long as a short fault
-	outlierWindow       = maxEjectionTime        // two failures of a class in this time eject a machine
-	minSuspectTime      = 500 * time.Millisecond // after a failed check, doubled at each consecutive one
+	maxEjectionTime     = 10 * time.Second       // ejection from a class lasts about as long as a short fault
+	outlierWindow       = maxEjectionTime        // two failures of a class within this time eject a machine
+	minSuspectTime      = 500 * time.Millisecond // after a failed check, doubled at each further one
 	maxSuspectTime      = 4 * time.Second
 	maxSuspectDoublings = 8
 )
 
 // reportOutlier records a failed attempt of the class on a machine that otherwise answers, and gossips it to
 // the other placers, as each sees too few tasks to detect the outlier alone. Without ejection, a machine that
-// fails tasks of one class, whatever the cause, would get more of them. The cost: machines with slow starts
-// for a while may be ejected too.
+// fails tasks of one class, whatever the cause, would get more of them. The cost: a machine that starts tasks
+// slowly for some time may be ejected too.
 func (p *Placer) reportOutlier(m *machine, class int) {
 	p.recordOutlierFailure(m, class)
 	cost := float64(p.settings.Placers-1) * outlierMessageFraction * p.settings.Costs.Gossip
--- a/outliers_test.go
+++ b/outliers_test.go
@@ -30,7 +30,7 @@
 	return settings
 }
 
-// A machine that answers probes but leaves attempts of one class unanswered must not get one after the other.
+// A machine that answers probes but leaves attempts of one class unanswered must not get further attempts of it.
 func TestOutlierIsEjectedForUnansweredClass(t *testing.T) {
 	settings := twoClassSettings()
 	h := newHarness(t, settings, readyMachines(1))
@@ -86,7 +86,7 @@
 		h.now += 10 * time.Millisecond
 	}
 	if errored != 2 {
-		t.Errorf("tasks offered to the machine that returns errors = %d, want 2 before its ejection", errored)
+		t.Errorf("tasks offered to the machine that returns errors = %d, want 2, as the second error ejects it", errored)
 	}
 }
 
--- a/queue.go
+++ b/queue.go
@@ -8,12 +8,14 @@
 
 // Constants of the queue and of final answers.
 const (
-	queueRetryInterval = 50 * time.Millisecond // between retries of queued tasks, besides one at each change
-	deadlineMargin     = 5 * time.Millisecond  // before the owner gives up, for the final answer
-	// Factor on the priority while a start is in time: such a start is worth about as much as half of a
-	// task's run, which is what is left of it on average.
+	queueRetryInterval = 50 * time.Millisecond // queued tasks are retried at this interval and at each change
+	deadlineMargin     = 5 * time.Millisecond  // the final answer is sent this long before the owner gives up
+	// The priority of a task is multiplied by this while the task can still start in time. A start in time is
+	// worth about as much as half of a task's run, which is the part that remains on average.
 	timelyStartFactor = 1.5
-	minQuotaTasks     = 4 // minimum share of a placer in a quota, in mean tasks: fewer arrive by chance
+	// A placer's share of a quota is at least the cores of this many tasks of mean size: by chance, a placer
+	// may get that many tasks at once.
+	minQuotaTasks = 4
 )
 
 func (p *Placer) handleRequest(request Task) {
@@ -61,10 +63,10 @@
 	}
 }
 
-// queuePriority returns the priority of a queued task: the weight of its class, higher while a start is still
-// in time, lower if its tenant exceeds this placer's share of the quota, so that tenants within their quota
-// don't wait for those beyond it. The cost: a tenant whose traffic is uneven among placers may count as
-// beyond its quota.
+// queuePriority returns the priority of a queued task: the weight of its class, increased while the task can
+// still start in time, and reduced if its tenant exceeds this placer's share of the tenant's quota, so that
+// tenants within their quota don't wait for tenants beyond theirs. The cost: a tenant whose requests are
+// spread unevenly among placers may count as beyond its quota.
 func (p *Placer) queuePriority(t *task) float64 {
 	class := &p.settings.Classes[t.Class]
 	priority := class.Weight
--- a/selection.go
+++ b/selection.go
@@ -4,9 +4,9 @@
 
 // Constants of the selection of a machine.
 const (
-	numberOfChoices = 2           // candidates; a service's program then stays cached on two machines
-	maxStarting     = 3           // starts by this placer on a machine; more delay each other
-	lotterySlot     = time.Second // validity of a draw for a machine's capacity, about the lag of the list
+	numberOfChoices = 2           // number of candidates; keeps a service's program cached on two machines
+	maxStarting     = 3           // starts by this placer at once on a machine; more would delay each other
+	admissionSlot   = time.Second // interval between draws of the admitted placers, about the list's lag
 )
 
 // selectionPass has the conditions under which a machine is selected in one pass.
@@ -14,13 +14,13 @@
 	programCached bool // the machine has the service's program
 	standby       bool // the machine may be on standby
 	maxStarting   int  // fewer than this many tasks of this placer are starting on the machine
-	preempt       bool // tasks of lower priority, which the machine preempts, count as capacity
-	overcommit    bool // capacity counts down to half of full service, not only to full service
+	preempt       bool // the cores and memory of tasks with lower priority count as available
+	overcommit    bool // the machine may be loaded until the task gets half of full service
 }
 
-// selectionPasses are tried in order, each over all groups outward from the task's own. A start without the
-// program costs several times more, and a machine starts few tasks at a time: so a machine with the program
-// comes first, in whichever group it is, then one with an empty queue.
+// selectionPasses are tried in order, each over all groups, from the task's own group outward. A start
+// without the program costs several times more, and a machine starts few tasks at a time. So a machine with
+// the program is preferred, in whichever group it is, then a machine that starts no task of this placer.
 var selectionPasses = []selectionPass{
 	{programCached: true, maxStarting: 2 * maxStarting},
 	{programCached: true, maxStarting: 2 * maxStarting, standby: true},
@@ -80,9 +80,10 @@
 }
 
 // selectInGroup returns the tightest fit among the machines of the group that have capacity and the service's
-// program or, if there are none, among the first numberOfChoices machines with capacity in the order of their
-// rank for the service. All placers have the same order, so they bring a program to the same machines. With
-// many placers the list lags too much to show the fit, and the first machine in the order is returned.
+// program. If no machine has both, it chooses among the first numberOfChoices machines with capacity, in the
+// order of their rank for the service. All placers have the same order, so they bring a program to the same
+// machines. With many placers the list lags too much to show which machine fits best, and the first machine
+// in the order is returned.
 func (p *Placer) selectInGroup(t *task, group []*machine, pass *selectionPass) *machine {
 	p.candidates = p.candidates[:0]
 	requireProgram, choices := pass.programCached, numberOfChoices
@@ -111,7 +112,7 @@
 // admits reports whether the machine can be selected for the task in this pass.
 func (p *Placer) admits(t *task, m *machine, pass *selectionPass) bool {
 	inUse := !m.standby || pass.standby
-	return inUse && p.isEligible(t, m) && p.hasCapacity(t, m, pass) && p.winsLottery(t, m)
+	return inUse && p.isEligible(t, m) && p.hasCapacity(t, m, pass) && p.isAdmittedAtRandom(t, m)
 }
 
 // tightestFit returns the candidate on which the task leaves the least available, the first among equals.
@@ -125,26 +126,27 @@
 	return best
 }
 
-// leftover returns what the task leaves available on the machine: the sum of cores and memory, each as a
-// share of the machine's.
+// leftover returns what the task leaves available on the machine: the sum of the share of the machine's cores
+// and the share of its memory.
 func (p *Placer) leftover(t *task, m *machine) float64 {
 	cores, memory := p.available(m)
 	machineType := p.settings.MachineTypes[m.Type]
 	return (cores-t.Cores)/machineType.Cores + (memory-t.Memory)/machineType.Memory
 }
 
-// winsLottery reports whether this placer may offer the task to the machine in the current time slot. A hash
-// that all placers share draws, on average, as many placers as tasks of this size fit, so that they don't all
-// offer to the same machine. Only tasks after two attempts take part. The cost: if few of the placers drawn
-// have tasks to place, capacity stays unused during the slot.
-func (p *Placer) winsLottery(t *task, m *machine) bool {
+// isAdmittedAtRandom reports whether this placer may offer the task to the machine in the current time slot.
+// A hash that all placers share admits, on average, as many placers as tasks of this size fit on the machine,
+// so that placers don't all offer to the same machine. Tasks with fewer than two attempts are always
+// admitted. The cost: if few of the admitted placers have tasks to place, capacity stays unused during the
+// slot.
+func (p *Placer) isAdmittedAtRandom(t *task, m *machine) bool {
 	if len(t.attempts) < 2 || p.seesPeerChanges() {
 		return true
 	}
 	cores, memory := p.available(m)
-	winners := max(1, min(cores/max(t.Cores, minSize), memory/max(t.Memory, minSize)))
-	slot := hash64(m.hash + uint64((p.now+time.Duration(m.hash%uint64(lotterySlot)))/lotterySlot))
-	return unitInterval(hash64(slot^uint64(p.settings.Self)))*float64(p.settings.Placers) < winners
+	admitted := max(1, min(cores/max(t.Cores, minSize), memory/max(t.Memory, minSize)))
+	slot := hash64(m.hash + uint64((p.now+time.Duration(m.hash%uint64(admissionSlot)))/admissionSlot))
+	return unitInterval(hash64(slot^uint64(p.settings.Self)))*float64(p.settings.Placers) < admitted
 }
 
 // isEligible applies the conditions that hold in all passes, however scarce capacity is: the state and health
@@ -165,8 +167,8 @@
 	return t.RequiredLabels&^m.Labels == 0 && p.withinSpreadLimits(t, m)
 }
 
-// withinSpreadLimits reports whether the task on the machine keeps the spread limits of its service and
-// class.
+// withinSpreadLimits reports whether the spread limits of the task's service and class allow the task on the
+// machine.
 func (p *Placer) withinSpreadLimits(t *task, m *machine) bool {
 	for domain, limit := range t.SpreadLimits {
 		if limit > 0 && !p.withinSpread(t, m, Domain(domain), limit) {
@@ -177,8 +179,7 @@
 	return p.withinSpread(t, m, class.SpreadDomain, class.MaxPerDomain)
 }
 
-// withinSpread reports whether the task's service has fewer live attempts than the limit in the machine's
-// domain.
+// withinSpread reports whether the task's service has fewer than limit live attempts in the machine's domain.
 func (p *Placer) withinSpread(t *task, m *machine, domain Domain, limit int) bool {
 	if domain == AnyDomain {
 		return true
--- a/selection_test.go
+++ b/selection_test.go
@@ -221,9 +221,9 @@
 	}
 }
 
-// Placers with a lagging list see the same available capacity. Without the lottery, all would offer to the same
-// machine.
-func TestLotteryAdmitsAboutAsManyPlacersAsTasksFit(t *testing.T) {
+// Placers with a lagging list see the same available capacity. Without randomized admission, all of them would
+// offer to the same machine.
+func TestRandomAdmissionMatchesAvailableCapacity(t *testing.T) {
 	machine := readyMachines(1)[0]
 	machine.AvailableCores, machine.AvailableMemory = 4, 8
 	placers := newPlacers(t, testSettings(), 400)
@@ -231,21 +231,21 @@
 	notAttempted := &task{Task: Task{Cores: 1, Memory: 1}}
 	total := 0
 	for slot := range 20 {
-		now, winners := time.Hour+time.Duration(slot)*lotterySlot, 0
+		now, admitted := time.Hour+time.Duration(slot)*admissionSlot, 0
 		for _, p := range placers {
 			p.Step(now, []Event{ListUpdate{Mode: ListSnapshot, Machines: []Machine{machine}}})
-			if p.winsLottery(rejectedTwice, p.machines[1]) {
-				winners++
+			if p.isAdmittedAtRandom(rejectedTwice, p.machines[1]) {
+				admitted++
 			}
-			if !p.winsLottery(notAttempted, p.machines[1]) {
-				t.Fatal("winsLottery(task without attempts) = false, want true: only rejected tasks take part")
+			if !p.isAdmittedAtRandom(notAttempted, p.machines[1]) {
+				t.Fatal("isAdmittedAtRandom(task without attempts) = false, want true, as it has fewer than two attempts")
 			}
 		}
-		if total += winners; winners > 15 {
-			t.Errorf("slot %d: got %d winners where 4 tasks fit, want at most 15", slot, winners)
+		if total += admitted; admitted > 15 {
+			t.Errorf("slot %d: placers admitted to a machine that 4 tasks fit on = %d, want at most 15", slot, admitted)
 		}
 	}
 	if total < 40 || total > 120 {
-		t.Errorf("winners in 20 slots where 4 tasks fit = %d, want 40 to 120", total)
+		t.Errorf("placers admitted in 20 slots to a machine that 4 tasks fit on = %d, want 40 to 120 in total", total)
 	}
 }
--- a/settings.go
+++ b/settings.go
@@ -8,7 +8,7 @@
 // This package doesn't use MeanMemory, ServiceAffinity, the Notes and Reports flags except
 // ReportsCountRequested, ParallelAttempts, OwnerBackoff, MaxRetryAfter, ConnectTimeout, AnswerSlack,
 // DrainGrace, SlowStartInitialRate, SlowStartOverload, the costs except SurplusMachine and Gossip, LateWeight
-// and StartWeight of a class, or Quota of a tenant. Other packages use them, or none does.
+// and StartWeight of a class, or Quota of a tenant. Other packages may use these fields.
 type Settings struct {
 	Placers int // number of placers that share the machines, including this one; at least 1
 	Self    int // index of this placer among them, from 0
@@ -51,14 +51,15 @@
 	SlowStartDuration    time.Duration // maximum time that a machine takes to warm up after its start
 	SlowStartWindow      time.Duration // window in which offers to a machine in slow start are counted
 	SlowStartMaxOffers   float64       // offers that such a machine can take in a window, from all placers
-	SlowStartInitialRate float64       // minimum share of its full start rate that such a machine has
-	SlowStartOverload    float64       // such a machine fails if offered more than this multiple of its rate
+	SlowStartInitialRate float64       // share of its full start rate that such a machine has at first
+	SlowStartOverload    float64       // such a machine fails if it gets more offers than this multiple of its start rate
 
-	OverQuotaWeight float64 // weight of a task beyond its tenant's quota, relative to one within it
+	OverQuotaWeight float64 // weight of a task beyond its tenant's quota, relative to a task within the quota
 	Costs           Costs
 }
 
-// Costs are the deductions that the deployment charges, as shares of the whole result.
+// Costs are deductions from the result of a deployment, each as a share of the whole result. A field has the
+// cost of the amount that its comment names.
 type Costs struct {
 	SurplusMachine     float64 // all machines in use beyond those needed
 	Migration          float64 // one migration of each task
@@ -93,7 +94,7 @@
 
 // The levels of domains.
 const (
-	AnyDomain     Domain = iota // all machines; for spread: no limit
+	AnyDomain     Domain = iota // all machines; as SpreadDomain: no limit
 	MachineDomain               // one machine
 	CellDomain                  // one cell (rack)
 	ZoneDomain                  // one zone
@@ -102,9 +103,9 @@
 // Class is a class of tasks.
 type Class struct {
 	Effect              Effect
-	DedupDomain         Domain        // Keyed: the machines that deduplicate repeats together
-	DedupWindow         time.Duration // Keyed: how long, from the first attempt that may have run
-	LatencyObjective    time.Duration // a first start within it has its full weight
+	DedupDomain         Domain        // effect Keyed: the machines of one such domain deduplicate repeats together
+	DedupWindow         time.Duration // effect Keyed: time of deduplication, from the first attempt that may have run
+	LatencyObjective    time.Duration // a first start within this time has its full weight
 	Weight              float64       // weight of a second of full service of a task of mean size
 	LateWeight          float64       // share of a start's weight after the latency objective
 	StartWeight         float64       // weight of a first start in time, in seconds of full service
@@ -113,7 +114,7 @@
 	SpreadDomain        Domain        // level at which the tasks of one service are limited
 	MaxPerDomain        int           // maximum number of tasks of one service in a domain of that level
 	SaturationThreshold float64       // share of busy cores up to which tasks are served in full
-	DegradationRange    float64       // distance above it at which tasks are not served at all
+	DegradationRange    float64       // share of busy cores above SaturationThreshold at which tasks are not served at all
 }
 
 // Tenant is a customer with a quota.
--- a/slowstart.go
+++ b/slowstart.go
@@ -1,9 +1,9 @@
 package forkhead
 
 // Constants of slow start. A window is divided into slowStartSlots slots; with more of them, the share of a
-// slot would be less than one offer. A slot gets 1/slowStartShares of the maximum of a window: a window
-// overlaps one slot more than it holds, and one share is reserved for placers that learn of the start late.
-// So no window exceeds the maximum.
+// slot would be less than one offer. A slot gets 1/slowStartShares of the maximum of a window, so that no
+// window exceeds the maximum: a window can overlap slowStartSlots+1 slots, and one share is reserved for
+// placers that learn of the machine's start late.
 const (
 	slowStartSlots  = 3
 	slowStartShares = slowStartSlots + 2
@@ -42,7 +42,7 @@
 func (p *Placer) hasSlowStartTurn(m *machine) bool {
 	window, maxOffers := p.settings.SlowStartWindow, p.settings.SlowStartMaxOffers
 	slot, placersPerSlot := window/slowStartSlots, uint64(maxOffers/slowStartShares)
-	if placersPerSlot == 0 { // too few offers to divide: every other window is a slot
+	if placersPerSlot == 0 { // too few offers for a share per slot: only every other window has offers
 		slot, placersPerSlot = 2*window, uint64(maxOffers)
 		if slot == 0 || p.now%slot >= window {
 			return false
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -134,7 +134,7 @@
 				}
 				windows := float64(settings.SlowStartDuration / settings.SlowStartWindow)
 				if budget >= 1 && float64(len(sent)) < windows*budget/8 {
-					t.Errorf("offers in %g windows of %g each = %d, want at least %g",
+					t.Errorf("offers in %g windows of at most %g each = %d, want at least %g",
 						windows, budget, len(sent), windows*budget/8)
 				}
 				if budget < 1 && len(sent) > 0 {
@@ -151,7 +151,7 @@
 	settings    Settings
 	machine     Machine
 	clockSkew   time.Duration // maximum difference of a clock from the true time
-	latePercent int           // share of connections that are established late
+	latePercent int           // percentage of connections that are established late
 	drawState   uint64
 	placers     []restartingPlacer
 	lastID      TaskID
@@ -163,8 +163,8 @@
 type restartingPlacer struct {
 	placer      *Placer // nil while stopped
 	clockOffset time.Duration
-	learnsAt    time.Duration // when it learns of the machine's start; 0 if it has
-	stopsAt     time.Duration // 0 if it has
+	learnsAt    time.Duration // when it learns of the machine's start; 0 if it knows already
+	stopsAt     time.Duration // 0 if it has stopped already
 	restartsAt  time.Duration
 }
 
@@ -272,14 +272,14 @@
 	slices.Sort(r.arrivals)
 }
 
-// checkUsed fails the test if the machine got too few offers.
-func (r *slowStartRun) checkUsed(t rapid.TB) {
+// checkUsed fails the test if the machine got too few offers. name identifies the run in the failure message.
+func (r *slowStartRun) checkUsed(t rapid.TB, name string) {
 	t.Helper()
 	maxOffers := r.settings.SlowStartMaxOffers
 	windows := float64(r.settings.SlowStartDuration/r.settings.SlowStartWindow) - 2
 	if float64(len(r.arrivals)) < windows*min(maxOffers, float64(len(r.placers)))/16-1 {
-		t.Errorf("offers in %g windows of %g each = %d, want at least %g",
-			windows, maxOffers, len(r.arrivals), windows*min(maxOffers, float64(len(r.placers)))/16-1)
+		t.Errorf("%s: offers that reach the machine in %g windows of at most %g each = %d, want at least %g",
+			name, windows, maxOffers, len(r.arrivals), windows*min(maxOffers, float64(len(r.placers)))/16-1)
 	}
 }
 
@@ -295,22 +295,23 @@
 		maxOffers := r.settings.SlowStartMaxOffers
 		bound := maxOffers + 2*math.Sqrt(maxOffers) + 2
 		if most := maxInWindow(r.arrivals, r.settings.SlowStartWindow); float64(most) > bound {
-			t.Errorf("seed %d: offers that reach the machine in a window = %d, want at most %.1f (%g and chance)",
+			t.Errorf("seed %d: offers that reach the machine in a window = %d, want at most %.1f: the maximum, %g, plus a margin",
 				seed, most, bound, maxOffers)
 		}
-		r.checkUsed(t)
+		r.checkUsed(t, fmt.Sprintf("seed %d", seed))
 	}
 }
 
 // maxSentInWindow returns the maximum number of offers that the placers may send in a window of true time. It
 // exceeds the configured maximum only if the placers take turns and their clocks differ: by more than a slot,
-// or at all where a slot is as long as two windows.
+// or at all if a slot is as long as two windows.
 func (r *slowStartRun) maxSentInWindow() float64 {
 	maxOffers, difference := r.settings.SlowStartMaxOffers, 2*r.clockSkew
 	if maxOffers >= float64(len(r.placers)) || difference == 0 {
 		return maxOffers
 	}
-	// Shares of the maximum: with equal clocks a window overlaps four slots, and one share is for late placers.
+	// In shares of the maximum: with equal clocks, a window overlaps at most four slots, and one share is reserved
+	// for placers that learn of the start late.
 	const shares = 5
 	placersPerSlot := math.Floor(maxOffers / shares)
 	if placersPerSlot == 0 {
@@ -335,6 +336,6 @@
 		if most := maxInWindow(r.arrivals, r.settings.SlowStartWindow); float64(most) > 2*bound {
 			t.Errorf("offers that reach the machine in a window = %d, want at most %g", most, 2*bound)
 		}
-		r.checkUsed(t)
+		r.checkUsed(t, "random run")
 	})
 }
--- a/state.go
+++ b/state.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// neverListed is the time of a list entry without available amounts: so long ago that all attempts of this
-// placer count as not shown in it.
+// neverListed is used as the time of a list entry without available amounts. It is so long ago that all
+// attempts of this placer count as newer than the entry.
 const neverListed = -changeHistory
 
 // Placer holds the state of one placer and makes its decisions. It is not safe for concurrent use.
@@ -26,7 +26,7 @@
 	services map[uint64][]*attempt // live attempts of each service
 
 	reservedCores map[int]float64 // requested by this placer's live attempts, by tenant
-	queue         []*task         // tasks that wait for capacity; placeQueued drops ended ones
+	queue         []*task         // tasks that wait for capacity; placeQueued removes ended tasks
 	candidates    []*machine      // buffer of selectInGroup
 
 	retryTimerSet     bool // the retry timer of the queue is set
@@ -38,15 +38,15 @@
 	memoryUsage         usageRatio
 	listPolling         pollState
 	listLag             lagEstimator
-	startTimeP95        time.Duration    // estimate of the 95th percentile from offer to bind
-	outlierGossipBudget float64          // remaining cost for gossip about outliers, in the unit of Costs times tasks
+	startTimeP95        time.Duration    // estimate of the 95th percentile of the time from offer to bind
+	outlierGossipBudget float64          // cost left for gossip about outliers: Costs.Gossip per full message
 	pendingGossip       []capacityChange // changes to send at the end of this step
 }
 
-// lagEstimator estimates the lag of the list: the candidate at which the listed changes match the known binds
-// and ends best.
+// lagEstimator estimates the lag of the list: the candidate lag with which the tasks known to this placer
+// predict the changes of the listed cores best.
 type lagEstimator struct {
-	errors [len(listLags)]float64 // by candidate lag, in cores, decayed
+	errors [len(listLags)]float64 // decayed sum of the errors of each candidate, in cores
 	best   int                    // index of the candidate with the least error
 }
 
@@ -56,7 +56,7 @@
 	sizes sizeHistogram
 }
 
-// sizeHistogram holds the load of each size: the sum of the cores requested by tasks of that size, decayed.
+// sizeHistogram holds the load of each size: the decayed sum of the cores that tasks of that size requested.
 type sizeHistogram struct {
 	load  [sizeBuckets]float64
 	total float64
@@ -74,57 +74,58 @@
 	return min(max(bucket, 0), sizeBuckets-1)
 }
 
-// group returns the machines of size interval i of n. The groups are consecutive parts of the order of equal
-// length.
+// group returns the machines of size interval i of n. The groups are consecutive parts of pool.order, all of
+// about the same length.
 func (pool *pool) group(i, n int) []*machine {
 	return pool.order[i*len(pool.order)/n : (i+1)*len(pool.order)/n]
 }
 
-// usageRatio estimates which share of the requested amount is used, from decayed sums of both.
+// usageRatio estimates which share of the requested amount is used, from decayed sums of the used and of the
+// requested amount.
 type usageRatio struct{ used, requested float64 }
 
 // pollState is the state of polling a list that is not watched.
 type pollState struct {
 	awaitingReply bool
-	failures      int    // consecutive
-	currentTimer  uint32 // number of the latest timer; earlier ones are ignored
+	failures      int    // consecutive failed polls
+	currentTimer  uint32 // number of the latest timer; earlier timers are ignored
 }
 
 // machine is the state of a machine as known to this placer.
 type machine struct {
 	Machine                 // latest list entry
-	derating  float64       // share by which its load is reduced, as of deratedAt
+	derating  float64       // share by which its maximum load is reduced, as of deratedAt
 	deratedAt time.Duration // when a task was last served poorly
-	hash      uint64        // of its id
+	hash      uint64        // hash of its id
 	listedAt  time.Duration // when the latest list entry was received
 
 	// Tasks of this placer and of other placers on the machine.
 	reservedCores   float64 // requested by this placer's live attempts
 	reservedMemory  float64
-	attempts        []*attempt       // live ones, and bound ones that ended within changeHistory
-	starting        int              // number of this placer's attempts whose task doesn't run yet
+	attempts        []*attempt       // live attempts, and bound attempts that ended within changeHistory
+	starting        int              // number of this placer's live attempts whose task doesn't run yet
 	peerChanges     []capacityChange // at most maxPeerChanges
-	cachedPrograms  []uint32         // assumed besides those of live tasks, latest last; at most maxCachedPrograms
-	slowStartOffers []time.Duration  // times of this placer's offers
+	cachedPrograms  []uint32         // other programs assumed to be cached, latest last; at most maxCachedPrograms
+	slowStartOffers []time.Duration  // times of this placer's offers during slow start
 
 	// Health.
 	failures     int // consecutive failed probes and connections
 	suspectUntil time.Duration
 	probing      bool
 	answeredAt   time.Duration
-	outliers     []outlierState // by class; nil until one fails
+	outliers     []outlierState // by class; nil until a task of some class fails
 
 	// Estimate of the available amounts.
 	rejectedAt      time.Duration // when a rejection showed that less is available than listed
-	unlistedCores   float64       // cores that are listed but not available, by rejections
-	unlistedMemory  float64       // memory that is listed but not available, by rejections
+	unlistedCores   float64       // cores that are listed but, according to rejections, not available
+	unlistedMemory  float64       // memory that is listed but, according to rejections, not available
 	availableCores  float64       // last result of available
 	availableMemory float64
 	availableAt     time.Duration
 	availableStale  bool
 
 	// Use.
-	backoffUntil time.Duration // no offers before: its queue was full, or it served a task poorly
+	backoffUntil time.Duration // no offers before this time, as its queue was full or it served a task poorly
 	standby      bool          // gets no new tasks while others have capacity
 	removedAt    time.Duration // when rebuildPools found it removed from the list; 0 if listed
 }
@@ -136,7 +137,7 @@
 	pool         int // index of its machine type's pool
 	attempts     []*attempt
 	pending      bool          // the final answer is due
-	backoffUntil time.Duration // no offers before, after rejections
+	backoffUntil time.Duration // no offers before this time, after rejections
 	firstMayRun  *attempt      // the first attempt that may have run
 }
 
@@ -150,12 +151,11 @@
 	bound        bool // the machine has bound the task
 	running      bool // the task runs
 	ended        bool
-	unresponsive bool // reported as an outlier: its machine leaves it unanswered
+	unresponsive bool // reported as an outlier, since the machine answers but not this attempt
 	errored      bool // the machine returned an error
 }
 
-// outlierState has the failures of a class on a machine: attempts that it left unanswered or returned errors
-// for.
+// outlierState records that a machine fails tasks of one class: it left attempts unanswered or returned errors.
 type outlierState struct{ failedAt, ejectedUntil time.Duration }
 
 // New returns a placer for the settings, or an error that names the invalid field. Placers with the same
@@ -178,7 +178,7 @@
 	}
 	p.saturationThreshold = settings.Classes[0].SaturationThreshold
 	for _, class := range settings.Classes {
-		p.saturationThreshold = min(p.saturationThreshold, class.SaturationThreshold) // machines run all classes
+		p.saturationThreshold = min(p.saturationThreshold, class.SaturationThreshold) // any class may be on a machine
 	}
 	for range settings.MachineTypes {
 		p.pools = append(p.pools, &pool{})
--- a/timers.go
+++ b/timers.go
@@ -7,11 +7,11 @@
 type timerPurpose uint32
 
 const (
-	timerDeadline timerPurpose = iota + 1 // of a task
-	timerAttempt                          // of an attempt that has no answer
-	timerRetry                            // of the queue
-	timerPoll                             // of the list
-	timerSuspect                          // of a machine
+	timerDeadline timerPurpose = iota + 1 // a task's final answer is due
+	timerAttempt                          // an attempt has no answer yet
+	timerRetry                            // the queued tasks are retried
+	timerPoll                             // the list is polled
+	timerSuspect                          // a suspect machine is probed again
 )
 
 const timerPurposeShift = 32
