--- a/internal/goldentest/values.go
+++ b/internal/goldentest/values.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// joinValues formats count values, which value returns by index, with spaces between them.
+// joinValues formats a number of values with spaces between them. The parameter value returns the text of a value by
+// its index.
 func joinValues(count int, value func(i int) reflect.Value) string {
 	parts := make([]string, count)
 	for i := range parts {
--- a/internal/planning/plan/input.go
+++ b/internal/planning/plan/input.go
@@ -18,7 +18,7 @@
 	Rack        string                           `json:"rack"`
 	Cores       float64                          `json:"cores"`
 	Memory      float64                          `json:"memory"` // GiB
-	Cost        int64                            `json:"cost"`   // cost of using the host, however many tasks it has; in any unit
+	Cost        int64                            `json:"cost"`   // cost of using the host, regardless of its tasks; in any unit
 	State       string                           `json:"state"`  // one of hostStates
 	Labels      map[string]string                `json:"labels"`
 	Attributes  map[servicespec.Attribute]string `json:"-"` // compared with the constraints of services
@@ -68,7 +68,7 @@
 			errs.Add(diagnostic.Wantf(pos, "a unique id that is not empty", "host %d has id %q", i, h.ID))
 		case h.Memory > maxMemory:
 			overMaxMemory++
-			if overMaxMemory == 1 { // one diagnostic is enough, since the others most likely have the same mistake
+			if overMaxMemory == 1 { // one diagnostic is enough, since all of these values are most likely in the same wrong unit
 				errs.Add(diagnostic.Wantf(pos, "memory in GiB, from 0 to 10^6",
 					"host %s has %g GiB of memory, which looks like a value in another unit", h.ID, h.Memory))
 			}
@@ -86,7 +86,8 @@
 	return in.Hosts, errs.Err()
 }
 
-// validate returns a diagnostic of the first amount that is out of bounds or of an unknown state, or nil.
+// validate returns a diagnostic of the first amount that is out of bounds, or of an unknown state, or nil if there is
+// neither.
 func (h *Host) validate(pos diagnostic.Pos) *diagnostic.Error {
 	switch {
 	case h.Cores < 0 || h.Cores > maxCores || h.Memory < 0:
--- a/internal/planning/plan/instance.go
+++ b/internal/planning/plan/instance.go
@@ -18,8 +18,8 @@
 // roundingTolerance is the largest rounding error of a float, in the solver's units, that roundDown and roundUp correct.
 const roundingTolerance = 1e-6
 
-// roundDown converts an amount of a host to the solver's units. With roundUp for tasks, those that fit on a host in these
-// units fit in the original amounts too, up to roundingTolerance.
+// roundDown converts an amount of a host to the solver's units. Hosts are rounded down and tasks up, so that tasks that
+// fit on a host in the solver's units also fit in the original units, up to roundingTolerance.
 func roundDown(amount, unit float64) int64 { return int64(math.Floor(amount*unit + roundingTolerance)) }
 
 // roundUp converts an amount that a task requests to the solver's units.
@@ -30,7 +30,7 @@
 	in := &solver.Instance{
 		Hosts: p.translateHosts(), MigrationCost: p.MigrationCost, HomeZone: p.HomeZone, OutsideHomeCost: p.OutsideHomeCost,
 	}
-	hostIndex := map[string]int{} // by ID
+	hostIndex := map[string]int{} // index of each host, by ID
 	for i := range p.Hosts {
 		hostIndex[p.Hosts[i].ID] = i
 	}
--- a/internal/planning/plan/plan.go
+++ b/internal/planning/plan/plan.go
@@ -18,7 +18,7 @@
 	Settings        *settings.Settings
 	Hosts           []Host
 	Specs           []*servicespec.Description
-	Running         []Running // nil: unknown, so no task counts as migrated
+	Running         []Running // nil: the running tasks are unknown, so no task counts as migrated
 	MigrationCost   int64     // cost of each migration, in the unit of Host.Cost
 	HomeZone        string    // preferred zone of all tasks; "": none
 	OutsideHomeCost int64     // cost of each task outside HomeZone, in the unit of Host.Cost
@@ -47,9 +47,9 @@
 	LowerBound  int64        `json:"bound"` // proven lower bound of the cost of any placement
 	Assignments []Assignment `json:"assignments"`
 	Migrations  []Migration  `json:"moves,omitempty"`
-	Conflict    []string     `json:"conflict"` // one message for each requirement of a set that cannot be met together
+	Conflict    []string     `json:"conflict"` // one message for each of the requirements that cannot be met together
 	HostsInUse  int          `json:"hosts_in_use"`
-	Nodes       int          `json:"nodes"` // of the search tree, visited by the solver
+	Nodes       int          `json:"nodes"` // number of nodes of the search tree that the solver visited
 }
 
 // service is one service of a problem. It has the same index as its solver.Service in the instance.
@@ -107,7 +107,7 @@
 // assign assigns the replicas of a service to hosts; counts has the number of replicas for each host. A running replica
 // stays on its host as long as the host's count allows. The other replicas are migrated, or new.
 func (plan *Plan) assign(hosts []Host, s *service, counts []int) {
-	unassigned := slices.Clone(counts) // remaining tasks of each host
+	unassigned := slices.Clone(counts) // number of tasks of each host that are not assigned to a replica yet
 	replicas := 0
 	for _, n := range counts {
 		replicas += n
--- a/internal/planning/plan/plan_test.go
+++ b/internal/planning/plan/plan_test.go
@@ -77,12 +77,12 @@
 		problem.Specs = []*servicespec.Description{{Services: c.services}}
 		plan, err := Solve(problem, solver.Options{})
 		if err != nil || plan.Feasible || !plan.Optimal || len(plan.Conflict) != len(c.want) {
-			t.Errorf("%s: Solve = %+v, %v, want proven infeasible with a conflict of %d messages", name, plan, err, len(c.want))
+			t.Errorf("%s: Solve = %+v, %v, want Feasible false, Optimal true and a conflict of %d messages", name, plan, err, len(c.want))
 			continue
 		}
 		for i, want := range c.want {
 			if !strings.Contains(plan.Conflict[i], want) && !strings.Contains(strings.Join(plan.Conflict, "\n"), want) {
-				t.Errorf("%s: conflict = %q, want a message with %q", name, plan.Conflict, want)
+				t.Errorf("%s: conflict = %q, want a message that contains %q", name, plan.Conflict, want)
 			}
 		}
 	}
--- a/internal/planning/quota/apportion.go
+++ b/internal/planning/quota/apportion.go
@@ -16,10 +16,10 @@
 
 // Allocation is one recipient's part of a total.
 type Allocation struct {
-	Name     string // of the recipient; unique in a call of Apportion
+	Name     string // name of the recipient; unique in a call of Apportion
 	Weight   uint64 // relative to the weights of the other allocations; at most 2^40
 	Max      int64  // upper limit of Amount; Unlimited, like any negative number, is no limit
-	Previous int64  // amount before this division; it breaks ties
+	Previous int64  // amount before this division; breaks ties between equal remainders
 	Amount   int64  // result, set by Apportion
 }
 
@@ -74,14 +74,15 @@
 	remainder  uint64
 }
 
-// apportionOnce divides a total among the allocations that are below their Max, and returns how much of it they took.
+// apportionOnce divides a total among the allocations that are below their Max, and returns the part of the total that
+// they took.
 func apportionOnce(total int64, allocations []Allocation) int64 {
 	shares, remaining := exactShares(total, allocations)
 	slices.SortFunc(shares, compareShares)
 	assigned := int64(0)
 	for i, s := range shares {
 		n := s.floor
-		if int64(i) < remaining { // remaining is less than the number of shares: the largest remainders get one more each
+		if int64(i) < remaining { // remaining is less than len(shares); the largest remainders get 1 more each
 			n++
 		}
 		if s.allocation.Max >= 0 {
@@ -93,8 +94,8 @@
 	return assigned
 }
 
-// exactShares returns the shares of the allocations that have a weight and are below their Max, and what remains of the
-// total if all these shares are rounded down.
+// exactShares returns the shares of the allocations that have a weight and are below their Max, and the part of the
+// total that remains if all these shares are rounded down.
 func exactShares(total int64, allocations []Allocation) (shares []share, remaining int64) {
 	weights := uint64(0)
 	for i := range allocations {
@@ -115,10 +116,12 @@
 	return shares, remaining
 }
 
-// compareShares orders shares by which is rounded up first: by remainder, then by loss, both descending, then by name.
+// compareShares orders shares so that the share to be rounded up first comes first: by remainder, then by loss, both
+// descending, then by name.
 func compareShares(a, b share) int {
 	return cmp.Or(cmp.Compare(b.remainder, a.remainder), cmp.Compare(b.loss(), a.loss()), cmp.Compare(a.allocation.Name, b.allocation.Name))
 }
 
-// loss returns how much less than Previous the allocation has if its share is rounded down; 0 if it has no less.
+// loss returns by how much the allocation would be below Previous if its share were rounded down, or 0 if it would not
+// be below.
 func (s share) loss() int64 { return max(s.allocation.Previous-s.allocation.Amount-s.floor, 0) }
--- a/internal/planning/quota/apportion_test.go
+++ b/internal/planning/quota/apportion_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestApportionIsProportional checks that amounts without a Max sum to the total, that each is its exact share rounded
-// down or up, and that a higher weight gets no less than a lower one.
+// TestApportionIsProportional checks that amounts without a Max sum to the total, that each amount is its exact share
+// rounded down or up, and that an allocation of higher weight gets no less than one of lower weight.
 func TestApportionIsProportional(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(0, 1_000_000).Draw(t, "total")
@@ -45,8 +45,8 @@
 	})
 }
 
-// TestApportionKeepsMax checks that no allocation gets more than its Max, and that something is left unassigned only if
-// all have reached theirs.
+// TestApportionKeepsMax checks that no allocation gets more than its Max, and that a part of the total is left unassigned
+// only if all allocations have reached their Max.
 func TestApportionKeepsMax(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(0, 1000).Draw(t, "total")
@@ -66,7 +66,7 @@
 			}
 		}
 		if want := max(total-capacity, 0); unassigned != want {
-			t.Fatalf("Apportion(%d) = %d unassigned, want %d with a sum of Max of %d", total, unassigned, want, capacity)
+			t.Fatalf("Apportion(%d) left %d unassigned, want %d, as the Max of all allocations sum to %d", total, unassigned, want, capacity)
 		}
 	})
 }
--- a/internal/planning/quota/quota.go
+++ b/internal/planning/quota/quota.go
@@ -22,13 +22,13 @@
 	Tenants    []string
 	Placers    []string
 	Amounts    [][]int64 // indexed by tenant, then by placer
-	Unassigned int64     // in no tenant's quota, or in one that cannot be divided since no placer has a weight
+	Unassigned int64     // in no tenant's quota, or in a quota that cannot be divided since no placer has a weight
 }
 
 // NewTable divides a fleet's cores, in millicores, among tenants by their quotas, and each tenant's cores among placers
-// by their weights. Of placers only Name and Weight are used. Amounts stay as they are in previous, the last table, as
-// far as the weights allow; previous may be nil. NewTable returns an error if the quotas sum to more than FullQuota,
-// and the errors of Apportion.
+// by their weights. It uses only Name and Weight of placers. previous is the last table, or nil; as far as the weights
+// allow, amounts stay as they are in previous. NewTable returns an error if the quotas sum to more than FullQuota or
+// if Apportion returns one.
 func NewTable(cores int64, tenants []Tenant, placers []Allocation, previous *Table) (*Table, error) {
 	byTenant, err := apportionToTenants(cores, tenants)
 	if err != nil {
@@ -51,10 +51,10 @@
 	return t, nil
 }
 
-// apportionToTenants returns an allocation for each tenant, and a last one for the cores in no tenant's quota. That one
-// takes part in the division so that the others are rounded as shares of the whole fleet.
+// apportionToTenants returns an allocation for each tenant, followed by an allocation for the cores in no tenant's
+// quota. The last allocation takes part in the division so that the others are rounded as shares of the whole fleet.
 func apportionToTenants(cores int64, tenants []Tenant) ([]Allocation, error) {
-	// No tenant can have this name. Apportion breaks ties by name, so another one could change amounts.
+	// No tenant can have this name. Apportion breaks ties by name, so a change of this name could change amounts.
 	const unassigned = "\x00nobody"
 	sum := uint64(0)
 	allocations := make([]Allocation, 0, len(tenants)+1)
@@ -72,8 +72,8 @@
 	return allocations, nil
 }
 
-// apportionToPlacers divides a tenant's cores among placers. It returns each placer's amount, and the cores that no
-// placer gets, which are all of them if no placer has a weight.
+// apportionToPlacers divides a tenant's cores among placers. It returns each placer's amount, and the number of cores
+// that no placer gets: all cores of the tenant if no placer has a weight.
 func apportionToPlacers(cores int64, tenant string, placers []Allocation, previous *Table) (row []int64, unassigned int64, err error) {
 	allocations := slices.Clone(placers)
 	for i := range allocations {
--- a/internal/planning/quota/quota_test.go
+++ b/internal/planning/quota/quota_test.go
@@ -38,7 +38,7 @@
 		total += sum(row)
 	}
 	if total != testMillicores {
-		t.Errorf("sum of the amounts and Unassigned = %d, want %d", total, testMillicores)
+		t.Errorf("sum of all amounts and Unassigned = %d, want all %d millicores", total, testMillicores)
 	}
 }
 
@@ -62,7 +62,7 @@
 			}
 		}
 		if a, b := sum(before.Amounts[i]), sum(after.Amounts[i]); a != b {
-			t.Errorf("sum of %s after a placer was removed = %d, want %d as before", tenant, b, a)
+			t.Errorf("sum of the amounts of %s after a placer was removed = %d, want %d as before", tenant, b, a)
 		}
 	}
 }
--- a/internal/planning/solver/bounds.go
+++ b/internal/planning/solver/bounds.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// maxGroups limits the number of host groups, and with it the time to compute a lower bound. Any subset of the groups
-// gives a valid bound.
+// maxGroups limits the number of host groups, and thus the time to compute a lower bound. The bound is valid with any
+// subset of the groups.
 const maxGroups = 16
 
 // resource is a kind of amount for which the cost of covering a demand is computed.
@@ -16,7 +16,7 @@
 const (
 	coresResource resource = iota
 	memoryResource
-	weightedSumResource // hosts that cover a demand of cores and of memory also cover each weighted sum of both
+	weightedSumResource // weighted sum of cores and memory; hosts that cover a demand of both also cover the sum
 	resourceCount
 )
 
@@ -39,7 +39,7 @@
 // hostGroup is a set of hosts with the services that may use no other hosts, so that the set has to cover their demand.
 type hostGroup struct {
 	hosts       []bool               // indexed by host, whether it is in the group
-	services    []bool               // indexed by service, whether it may use no other hosts
+	services    []bool               // indexed by service, whether the service may use only hosts of the group
 	byUnitCost  [resourceCount][]int // indexes of the hosts, in ascending order of cost per unit of the resource
 	costDivisor int64                // greatest common divisor of the costs of the hosts
 }
--- a/internal/planning/solver/branch.go
+++ b/internal/planning/solver/branch.go
@@ -8,9 +8,9 @@
 // stopPollInterval is the number of nodes between two calls of Options.Stop.
 const stopPollInterval = 1024
 
-// branch searches the subtree of the current node, at which all services before the given one are placed completely, and
-// placed tasks of that service. Since a service's tasks are interchangeable, its next task goes to firstHost or a later
-// host.
+// branch searches the subtree of the current node. At this node, all services before the given service are placed
+// completely, and of the given service as many tasks as the parameter placed says. Since the tasks of a service are
+// interchangeable, its next task is placed on firstHost or a later host.
 func (s *search) branch(service, placed, firstHost int) {
 	for service < len(s.services) && placed == s.services[service].Count {
 		service, placed, firstHost = service+1, 0, 0
@@ -79,8 +79,8 @@
 		s.counts[service][a] == s.counts[service][b] && (s.hostTasks[a] > 0) == (s.hostTasks[b] > 0)
 }
 
-// compareCandidates orders hosts for a task of a service: first hosts on which a task of the service is running that is
-// not placed yet, then hosts in use, the fullest first, then unused hosts, the one with the lowest cost per core first.
+// compareCandidates orders hosts for a task of a service: first hosts on which the placement can keep another running
+// task of the service, then hosts in use, the fullest first, then unused hosts, in ascending order of cost per core.
 func (s *search) compareCandidates(service, a, b int) int {
 	aInUse, bInUse := s.inUse(a), s.inUse(b)
 	if c := cmp.Or(
--- a/internal/planning/solver/check.go
+++ b/internal/planning/solver/check.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // Check verifies that a placement, given as counts of tasks by service and host, satisfies an instance and has the given
-// cost. It shares no code with the search, so that a fault of the search cannot hide in it. Its error names the first
+// cost. It shares no code with the search, so that it also detects faults of the search. Its error names the first
 // violated constraint.
 func Check(in *Instance, counts [][]int, cost int64) error {
 	if len(counts) != len(in.Services) {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// tasksOn returns the number of tasks on a host. row may have no entries for the last hosts, which then have no tasks.
+// tasksOn returns the number of tasks on a host. If row is too short to have an entry for the host, the number is 0.
 func tasksOn(row []int, host int) int64 {
 	if host >= len(row) {
 		return 0
--- a/internal/planning/solver/check_test.go
+++ b/internal/planning/solver/check_test.go
@@ -27,7 +27,7 @@
 func TestCheckAcceptsValidPlacement(t *testing.T) {
 	// Host a costs 5, two of the three tasks of web are migrations, and four tasks are outside the home zone.
 	if err := Check(checkInstance(), [][]int{{1, 2, 0, 0}, {1, 0, 0, 0}}, 5+2*7+4*100); err != nil {
-		t.Errorf("Check of a valid placement and its cost: %v", err)
+		t.Errorf("Check of a valid placement and its cost: error %v, want none", err)
 	}
 }
 
--- a/internal/planning/solver/conflict.go
+++ b/internal/planning/solver/conflict.go
@@ -27,9 +27,9 @@
 }
 
 // FindConflict returns an irreducible infeasible subset of an instance's requirements: they cannot be met together, but
-// can be without any one of them. It uses a deletion filter, which solves the instance once for each requirement. ok is
-// false if the instance was not proven infeasible within the limits of opt. If a limit ends a later one of these
-// searches, the subset is infeasible but may not be irreducible.
+// if any one of them is left out, the others can. It uses a deletion filter, which solves the instance once for each
+// requirement. ok is false if the instance was not proven infeasible within the limits of opt. If a limit ends one of
+// the later searches, the subset is infeasible but may not be irreducible.
 func FindConflict(in *Instance, opt Options) (conflict []Requirement, ok bool) {
 	removed := map[Requirement]bool{}
 	infeasible := func() bool {
@@ -41,7 +41,7 @@
 	}
 	for _, r := range in.requirements() {
 		if r.Service != FleetWide && removed[Requirement{r.Service, RequireTasks}] {
-			continue // left out with its service
+			continue // already left out with its service
 		}
 		removed[r] = true
 		if !infeasible() {
--- a/internal/planning/solver/conflict_test.go
+++ b/internal/planning/solver/conflict_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestFindConflictReturnsIrreducibleSubset checks that a conflict has the requirements that cannot be met together, and
-// none that could be left out.
+// no requirement that could be left out.
 func TestFindConflictReturnsIrreducibleSubset(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   Instance
@@ -34,6 +34,6 @@
 func TestFindConflictFindsNoneInFeasibleInstance(t *testing.T) {
 	in := Instance{Hosts: newHosts(2, 4, 8, 1), Services: []Service{{Count: 1, Cores: 3}, {Count: 1, Cores: 3, Memory: 1}}}
 	if conflict, ok := FindConflict(&in, Options{}); ok {
-		t.Errorf("FindConflict of a feasible instance = %v, true, want false", conflict)
+		t.Errorf("FindConflict of a feasible instance = %v, ok true, want ok false", conflict)
 	}
 }
--- a/internal/planning/solver/instance.go
+++ b/internal/planning/solver/instance.go
@@ -7,8 +7,8 @@
 
 // Upper bounds of the amounts of an instance. They keep sums and weighted sums of amounts far from overflow.
 const (
-	maxAmount int64 = 1 << 40 // of millicores, MiB and costs
-	maxTasks  int   = 1 << 20 // of one service
+	maxAmount int64 = 1 << 40 // maximum of each amount of millicores or MiB and of each cost
+	maxTasks  int   = 1 << 20 // maximum number of tasks of one service
 )
 
 // Host is a host of an instance.
@@ -18,7 +18,7 @@
 	Rack          string
 	Cores         int64 // millicores
 	Memory        int64 // MiB
-	Cost          int64 // cost of using the host, however many tasks it has
+	Cost          int64 // cost of using the host, regardless of its number of tasks
 	Unschedulable bool  // the host accepts no tasks: it is draining or removed
 	InUse         bool  // the host has tasks that are not part of the instance, so its Cost does not count
 }
@@ -31,10 +31,10 @@
 	Memory     int64  // of each task, in MiB
 	Allowed    []bool // indexed by host, whether tasks may be placed there; nil: all hosts are allowed
 	MaxPerHost int    // limit of tasks on each host; 0: no limit
-	MaxPerRack int    // likewise in each rack
-	MaxPerZone int    // likewise in each zone
+	MaxPerRack int    // limit of tasks in each rack; 0: no limit
+	MaxPerZone int    // limit of tasks in each zone; 0: no limit
 	Affinities []Affinity
-	Running    []int // number of running tasks, indexed by host; nil: none are known, and migrations cost nothing
+	Running    []int // number of running tasks, indexed by host; nil: unknown, and migrations cost nothing
 }
 
 // Affinity restricts a service's tasks to domains in which another service has a task.
@@ -57,8 +57,8 @@
 type Instance struct {
 	Hosts           []Host
 	Services        []Service
-	MigrationCost   int64  // cost of each task beyond those of its service that are Running on its host
-	HomeZone        string // zone in which tasks have no OutsideHomeCost; "": none, and no task has that cost
+	MigrationCost   int64  // cost of each task placed on a host beyond the number of Running tasks of its service there
+	HomeZone        string // zone in which tasks have no OutsideHomeCost; "": no task has an OutsideHomeCost
 	OutsideHomeCost int64  // cost of each task outside HomeZone
 }
 
--- a/internal/planning/solver/placement.go
+++ b/internal/planning/solver/placement.go
@@ -64,7 +64,8 @@
 	return slices.ContainsFunc(s.services, func(service Service) bool { return len(service.Affinities) > 0 })
 }
 
-// inUse reports whether a host has tasks, of this instance or others, so that another task adds no Cost of the host.
+// inUse reports whether a host has tasks, either of this instance or others. Another task on such a host doesn't add the
+// host's Cost.
 func (s *search) inUse(host int) bool { return s.hostTasks[host] > 0 || s.in.Hosts[host].InUse }
 
 // placed returns the number of placed tasks of a service.
--- a/internal/planning/solver/search.go
+++ b/internal/planning/solver/search.go
@@ -12,26 +12,26 @@
 	in  *Instance
 	opt Options
 
-	// The services in branching order: each comes after those that it has an affinity to, and otherwise the ones that are
-	// hard to place come first.
+	// The services in branching order: each service comes after the services that it has an affinity to; apart from that,
+	// services that are hard to place come first.
 	order    []int     // index into in.Services of each position
-	services []Service // by position; their affinities refer to positions too
+	services []Service // by position; the services in their affinities are positions too
 
 	// The hosts. These fields do not change during a search.
-	rackOf           []int // by host
-	zoneOf           []int // by host
+	rackOf           []int // number of the rack, by host
+	zoneOf           []int // number of the zone, by host
 	zoneOfRack       []int
 	racksSpanZones   bool  // some rack has hosts in several zones
 	equivalenceClass []int // by host; hosts of one class are interchangeable as long as they have the same tasks
 	groups           []hostGroup
-	coreWeight       int64 // weights of weightedSum, by which the hosts' largest cores and largest memory count about the same
+	coreWeight       int64 // weight in weightedSumResource; the largest cores and memory of a host weigh about the same
 	memoryWeight     int64
 
-	// The total demand of the services from each position on. A last entry, at len(services), is of no services.
+	// The total demand of the services from each position on. The last entry, at len(services), is that of no services.
 	demandCores  []int64
 	demandMemory []int64
-	minCores     []int64 // smallest cores of any of these services' tasks
-	minMemory    []int64 // likewise memory; it may be that of another task
+	minCores     []int64 // minimum of the cores of these services' tasks
+	minMemory    []int64 // minimum of their memory, possibly of another task
 
 	hasHostAffinity bool // some service has an affinity in HostDomain
 
@@ -49,7 +49,7 @@
 	incumbent     [][]int // nil: none found yet
 	incumbentCost int64
 
-	nodes   int  // visited so far
+	nodes   int  // number of visited nodes
 	stopped bool // the limits of Options ended the search before it was complete
 }
 
@@ -166,10 +166,10 @@
 	}
 }
 
-// initEquivalentHosts numbers the equivalence classes of hosts: sets of hosts that no service can distinguish.
+// initEquivalentHosts numbers the equivalence classes of hosts. The hosts of a class are the same for all services.
 func (s *search) initEquivalentHosts() {
 	topologyMatters := s.topologyMatters()
-	sets := map[string]int{} // numbers of the classes, by all properties that distinguish their hosts
+	sets := map[string]int{} // number of each class, by the properties that its hosts have in common
 	for host := range s.in.Hosts {
 		h := &s.in.Hosts[host]
 		key := fmt.Sprint(h.Cores, h.Memory, h.Cost, h.Unschedulable, h.InUse)
--- a/internal/planning/solver/solver.go
+++ b/internal/planning/solver/solver.go
@@ -15,13 +15,13 @@
 
 import "slices"
 
-// defaultMaxNodes limits a search whose Options set no MaxNodes. It takes some minutes to visit so many nodes.
+// defaultMaxNodes limits a search whose Options set no MaxNodes. To visit this many nodes takes a few minutes.
 const defaultMaxNodes = 50_000_000
 
 // Options limits a search.
 type Options struct {
 	MaxNodes int         // limit of the visited nodes of the search tree; 0: 50 million
-	Stop     func() bool // polled during the search, which ends once Stop returns true; nil: no polling
+	Stop     func() bool // called repeatedly during the search, which ends once Stop returns true; may be nil
 	// InjectedBug is set by tests, to show that a comparison with another solver finds bugs.
 	InjectedBug InjectedBug
 }
@@ -35,11 +35,11 @@
 	BugInPropagation InjectedBug = "propagation" // the feasibility check counts one task too many of each service but the first
 )
 
-// Result is what Solve found.
+// Result is the result of Solve.
 type Result struct {
 	Feasible   bool    // a placement was found
 	Optimal    bool    // it is proven that Cost is minimal or, if not Feasible, that no placement exists
-	Cost       int64   // of the placement
+	Cost       int64   // cost of the placement
 	LowerBound int64   // proven lower bound of the cost of any placement
 	Counts     [][]int // number of tasks, indexed by service, then by host
 	Nodes      int     // visited nodes of the search tree
@@ -54,7 +54,7 @@
 		opt.MaxNodes = defaultMaxNodes
 	}
 	instance := *in
-	instance.Hosts = slices.Clone(in.Hosts) // emptyHost changes Unschedulable temporarily
+	instance.Hosts = slices.Clone(in.Hosts) // emptyHost changes Unschedulable of this copy temporarily
 	s := newSearch(&instance, opt)
 	rootBound := s.lowerBound(0, 0)
 	if s.canComplete(0, 0) {
--- a/internal/planning/solver/solver_test.go
+++ b/internal/planning/solver/solver_test.go
@@ -44,11 +44,11 @@
 				t.Fatalf("Solve: %v", err)
 			}
 			if result.Feasible != c.feasible || result.Cost != c.cost || !result.Optimal {
-				t.Errorf("Solve = %+v, want proven: feasible %v, cost %d", result, c.feasible, c.cost)
+				t.Errorf("Solve = %+v, want Feasible %v, Cost %d and Optimal true", result, c.feasible, c.cost)
 			}
 			if result.Feasible {
 				if err := Check(&c.in, result.Counts, result.Cost); err != nil {
-					t.Errorf("Check of the placement: %v", err)
+					t.Errorf("Check of the placement by Solve: error %v, want none", err)
 				}
 			}
 		})
@@ -64,10 +64,10 @@
 	}
 	result, err := Solve(&in, Options{MaxNodes: 2000})
 	if err != nil || !result.Feasible || result.LowerBound > result.Cost || result.Nodes > 2000 {
-		t.Fatalf("Solve with MaxNodes 2000 = %+v, %v, want a placement, a bound of at most its cost and at most 2000 nodes", result, err)
+		t.Fatalf("Solve with MaxNodes 2000 = %+v, %v, want Feasible true, LowerBound at most Cost and at most 2000 nodes", result, err)
 	}
 	if err := Check(&in, result.Counts, result.Cost); err != nil {
-		t.Fatalf("Check of the placement: %v", err)
+		t.Fatalf("Check of the placement by Solve with MaxNodes 2000: error %v, want none", err)
 	}
 }
 
@@ -76,9 +76,9 @@
 	in := Instance{Hosts: newHosts(3, 4, 4, 2), Services: []Service{{Count: 3, Cores: 2}}}
 	result, err := Solve(&in, Options{Stop: func() bool { return true }})
 	if err != nil || !result.Feasible || result.Nodes != 0 {
-		t.Fatalf("Solve stopped at once = %+v, %v, want a placement and no nodes", result, err)
+		t.Fatalf("Solve stopped at once = %+v, %v, want Feasible true and 0 nodes", result, err)
 	}
 	if err := Check(&in, result.Counts, result.Cost); err != nil {
-		t.Errorf("Check of the placement: %v", err)
+		t.Errorf("Check of the placement by Solve stopped at once: error %v, want none", err)
 	}
 }
