--- a/internal/emulator/consul/server.go
+++ b/internal/emulator/consul/server.go
@@ -33,7 +33,8 @@
 	running sync.WaitGroup
 }
 
-// pollInterval is how often the policy is applied, and how often a blocking query compares the index with the store's.
+// pollInterval is the interval at which the policy is applied, and at which a blocking query compares its index with the
+// store's.
 const pollInterval = 10 * time.Millisecond
 
 // Limits of a request to the server.
@@ -53,7 +54,7 @@
 // placerAgent is the prefix of a placer's user agent. The placer's number follows it.
 const placerAgent = "forkhead-placer/"
 
-// errOutage is the answer to every request but those for maintenance during an outage. It is Consul's own text.
+// errOutage is the answer to every request during an outage, except for maintenance requests. It is Consul's own text.
 var errOutage = errors.New("no cluster leader")
 
 // Serve starts a server at an address. rec may be nil.
@@ -179,8 +180,8 @@
 	_, _ = w.Write(body)
 }
 
-// recordDelivery records the endpoint list that a placer is about to be sent, with the current time as the earliest at
-// which the placer can have it. Answers to other clients are not recorded.
+// recordDelivery records the endpoint list that is about to be sent to a placer. The recorded time is the current time,
+// since the placer cannot have the list earlier. Answers to other clients are not recorded.
 func (s *Server) recordDelivery(agent string, entries []consul.Entry) {
 	number, isPlacer := strings.CutPrefix(agent, placerAgent)
 	placer, err := strconv.Atoi(number)
--- a/internal/emulator/consul/store.go
+++ b/internal/emulator/consul/store.go
@@ -22,7 +22,7 @@
 	nodes   map[string]*node
 	history []version // versions of the last historyWindow, oldest first; never empty
 	lag     time.Duration
-	frozen  *version // the version in every answer; nil: not frozen
+	frozen  *version // the version in every answer after SetFrozen; nil: not frozen
 }
 
 // node is a registered host.
@@ -40,7 +40,7 @@
 	entries []consul.Entry
 }
 
-// historyWindow is how long old versions are kept, and so the longest lag.
+// historyWindow is the time for which old versions are kept. It is also the longest possible lag.
 const historyWindow = 2 * time.Minute
 
 // NewStore returns a store without hosts.
@@ -78,7 +78,7 @@
 // SetLag makes Health answer with the version of d ago. d is at most historyWindow.
 func (s *Store) SetLag(d time.Duration) { s.lag = d }
 
-// SetFrozen with on makes Health return the version that it returns now, until SetFrozen without on.
+// SetFrozen makes Health always return the version that it returns now if on is true, and ends that if on is false.
 func (s *Store) SetFrozen(now time.Duration, on bool) {
 	s.frozen = nil
 	if on {
@@ -118,7 +118,8 @@
 	return entries, v.index
 }
 
-// addVersion appends the current state to the history as the latest version, and removes versions that no lag needs.
+// addVersion appends the current state to the history as the latest version, and removes versions that are too old for
+// any lag.
 func (s *Store) addVersion(now time.Duration) {
 	s.index++
 	v := version{since: now, index: s.index}
@@ -151,8 +152,8 @@
 	}
 }
 
-// visibleVersion returns the version that Health answers with now: the frozen one, or else the latest that is at least
-// as old as the lag.
+// visibleVersion returns the version that Health answers with now: the frozen version if there is one, otherwise the
+// latest version that is at least as old as the lag.
 func (s *Store) visibleVersion(now time.Duration) version {
 	if s.frozen != nil {
 		return *s.frozen
--- a/internal/emulator/consul/store_test.go
+++ b/internal/emulator/consul/store_test.go
@@ -58,10 +58,10 @@
 	s.SetMaintenance(10*time.Second, "a", true)
 	s.SetLag(3 * time.Second)
 	if got, index := listedHosts(s, 13*time.Second-1); !slices.Equal(got, []string{"a"}) || index != before {
-		t.Errorf("Health before the lag is over = hosts %q, index %d, want %q, %d", got, index, []string{"a"}, before)
+		t.Errorf("Health less than the lag after SetMaintenance(a) = hosts %q, index %d, want %q, %d", got, index, []string{"a"}, before)
 	}
 	if got, index := listedHosts(s, 13*time.Second); !slices.Equal(got, []string{"a!"}) || index != before+1 {
-		t.Errorf("Health after the lag = hosts %q, index %d, want %q, %d", got, index, []string{"a!"}, before+1)
+		t.Errorf("Health a full lag after SetMaintenance(a) = hosts %q, index %d, want %q, %d", got, index, []string{"a!"}, before+1)
 	}
 }
 
@@ -74,6 +74,6 @@
 	}
 	s.SetFrozen(3*time.Second, false)
 	if got, _ := listedHosts(s, 3*time.Second); len(got) != 0 {
-		t.Errorf("Health after SetFrozen(false) = hosts %q, want none", got)
+		t.Errorf("Health after Deregister(a) and SetFrozen(false) = hosts %q, want none", got)
 	}
 }
--- a/internal/emulator/host/connection.go
+++ b/internal/emulator/host/connection.go
@@ -14,7 +14,7 @@
 type connection struct {
 	server      *Server
 	conn        *netio.Conn
-	decoder     hostproto.Decoder // used only on the goroutine that reads
+	decoder     hostproto.Decoder // used only on the goroutine that calls Data
 	id          hostmodel.ConnID
 	model       *hostmodel.Host // the incarnation in which the connection was opened
 	unsent      []byte          // encoded frames of the outputs that are being executed
--- a/internal/emulator/host/faults.go
+++ b/internal/emulator/host/faults.go
@@ -36,8 +36,8 @@
 	s.forEachConnection(placer, func(c *connection) { c.conn.Reset() })
 }
 
-// MuteConnections makes the host drop all frames that it receives or would send on the present connections of a placer,
-// which stay open; -1 selects all placers.
+// MuteConnections makes the host drop all frames that it receives or would send on the present connections of a placer.
+// The connections stay open. -1 selects all placers.
 func (s *Server) MuteConnections(placer int) {
 	s.forEachConnection(placer, func(c *connection) { c.muted = true })
 }
--- a/internal/emulator/host/registration.go
+++ b/internal/emulator/host/registration.go
@@ -38,7 +38,7 @@
 	address string // HOST:PORT of Consul's API; "": the host is not registered
 	service string
 	client  *http.Client
-	entries chan core.HostEntry // has capacity 1: the latest entry that is not yet being sent
+	entries chan core.HostEntry // has room for one entry: the latest one that run has not taken yet
 	stopped chan struct{}       // closed by stop
 	done    sync.WaitGroup
 }
@@ -59,7 +59,7 @@
 	r.client.CloseIdleConnections()
 }
 
-// register queues an entry and replaces an entry that is still queued. It does not block.
+// register queues an entry. If another entry is still queued, the new one replaces it. It does not block.
 func (r *registrar) register(e core.HostEntry) {
 	if r.address == "" {
 		return
--- a/internal/emulator/host/server.go
+++ b/internal/emulator/host/server.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	maxUnwrittenBytes           = 4 << 20 // of a connection
-	maxQueuedJobs               = 10_000  // on the event loop; readers of connections block above it
+	maxUnwrittenBytes           = 4 << 20 // limit for each connection
+	maxQueuedJobs               = 10_000  // limit of jobs on the event loop; if it is reached, readers of connections block
 	maxListenRetries            = 50
 	listenBackoff               = 10 * time.Millisecond
 	defaultRegistrationInterval = 500 * time.Millisecond
@@ -29,16 +29,16 @@
 	Listen               string        // ADDRESS:PORT; port 0: the kernel chooses one
 	CatalogAddress       string        // HOST:PORT of Consul's API; "": the host is not registered
 	Service              string        // name of the service in the catalog
-	RegistrationInterval time.Duration // mean interval; 0: defaultRegistrationInterval
+	RegistrationInterval time.Duration // mean interval between registrations; 0: defaultRegistrationInterval
 	Seed                 uint64
-	WarmingUp            bool // the first incarnation warms up, too
+	WarmingUp            bool // whether the first incarnation warms up; for later ones see Restart
 	Clock                *clock.Clock
 	Engine               *netio.Engine
 	Recorder             *recorder.Recorder // records the captured traffic; nil: no capture
 }
 
 // Server is an emulated host with sockets. It outlives the incarnations of the host. Its methods are safe for
-// concurrent use. They run on its event loop and wait for it.
+// concurrent use. They are executed on its event loop and return when it has executed them.
 type Server struct {
 	cfg       Config
 	loop      *eventloop.Loop
@@ -50,7 +50,7 @@
 	model        *hostmodel.Host // the current incarnation; nil: the host is down
 	incarnations uint64          // number of incarnations started
 	listener     net.Listener
-	address      string // the same in all incarnations
+	address      string // listening address, the same in all incarnations
 	connections  map[hostmodel.ConnID]*connection
 	lastConnID   hostmodel.ConnID
 
--- a/internal/emulator/host/server_test.go
+++ b/internal/emulator/host/server_test.go
@@ -89,8 +89,8 @@
 // still serves other connections.
 func TestServerClosesConnectionsWithInvalidStreams(t *testing.T) {
 	s, _ := startHost(t)
-	// Each Hello has a higher connection number than the last. The host may learn of the end of the last connection
-	// after the Hello, and would then reject an equal number.
+	// Each Hello has a higher connection number than the Hello before. When a Hello arrives, the host may not know yet
+	// that the connection before has ended, and would reject a Hello with the same number.
 	lastConn := uint32(0)
 	hello := func() []byte {
 		lastConn++
@@ -119,14 +119,14 @@
 			stream = append(hello(), stream...)
 		}
 		frames, closed := exchange(t, s, stream, 2*time.Second)
-		byes := 0 // with the wanted reason
+		byes := 0 // number of Byes with the wanted reason
 		for _, f := range frames {
 			if b, ok := f.(hostproto.Bye); ok && strings.Contains(b.Text, c.want) {
 				byes++
 			}
 		}
 		if byes != 1 || !closed {
-			t.Errorf("%s: answer to the stream = frames %+v, closed %v, want one Bye with %q, closed true", name, frames, closed, c.want)
+			t.Errorf("%s: answer to the stream = frames %+v, closed %v, want one Bye that contains %q, closed true", name, frames, closed, c.want)
 		}
 	}
 	if frames, _ := exchange(t, s, hostproto.Append(nil, hostproto.Hello{Version: hostproto.Version, Epoch: 6, Conn: 1}), 100*time.Millisecond); len(frames) != 1 {
--- a/internal/emulator/hostmodel/config.go
+++ b/internal/emulator/hostmodel/config.go
@@ -7,15 +7,15 @@
 	Name, MachineType, Zone, Rack string
 	Labels                        map[string]string
 
-	Cores, Memory                     float64 // Memory in GiB
-	CoresOvercommit, MemoryOvercommit float64 // offers are accepted up to these multiples of Cores and Memory
+	Cores, Memory                     float64 // Memory is in GiB
+	CoresOvercommit, MemoryOvercommit float64 // tasks are accepted up to these multiples of Cores and Memory
 
 	DecisionTime        time.Duration // time to decide on an offer; the host decides on one offer at a time
-	MaxQueued           int           // offers that may wait for their decision; further ones are rejected
-	MaxStarting         int           // tasks that start at the same time; further ones wait
+	MaxQueued           int           // maximum number of offers that wait for their decision; further offers are rejected
+	MaxStarting         int           // maximum number of tasks that start at the same time; further tasks wait
 	StartTime           time.Duration // time to start a task if the program of its service is cached
-	UncachedStartFactor float64       // factor of the start time if the program is not cached
-	MaxCachedPrograms   int           // programs that stay cached without a running task of their service
+	UncachedStartFactor float64       // StartTime is multiplied by this if the program is not cached
+	MaxCachedPrograms   int           // number of programs that stay cached without a running task of their service
 
 	// A host that has just come up warms up for SlowStartDuration. The rate at which it starts tasks grows linearly
 	// from the fraction SlowStartInitialRate of its usual rate to the usual rate. While it warms up, it crashes if it
@@ -30,7 +30,7 @@
 	MeanUsage    float64       // mean fraction of the requested cores and memory that a running task uses
 	UsageSwing   float64       // amplitude of the periodic change of that fraction
 	NoteInterval time.Duration // interval between the notes of a running task; 0: no notes
-	Preemption   bool          // a running task may be ended to accept one of a higher priority
+	Preemption   bool          // a running task may be ended to accept a task of higher priority
 }
 
 // DefaultConfig returns the configuration of a host without overcommitment, with the given cores and GiB of memory.
--- a/internal/emulator/hostmodel/faults.go
+++ b/internal/emulator/hostmodel/faults.go
@@ -23,13 +23,14 @@
 // CrashAt makes the host crash when it next reaches p. NoCrash cancels it.
 func (h *Host) CrashAt(p CrashPoint) { h.crashPoint = p }
 
-// Hang makes the host ignore all inputs and execute no actions any more. Its connections stay open.
+// Hang makes the host ignore all inputs and execute no actions from now on. Its connections stay open.
 func (h *Host) Hang() { h.hung = true }
 
 // Pause makes the host execute no actions for d. Inputs that it receives in that time are handled afterwards.
 func (h *Host) Pause(now, d time.Duration) { h.pausedUntil = max(h.pausedUntil, now+d) }
 
-// SlowDown multiplies the time of decisions and starts by factor for d, and divides the service level by it.
+// SlowDown multiplies the time of decisions and starts by a factor, and divides the service level by the same factor.
+// It lasts for d.
 func (h *Host) SlowDown(now, d time.Duration, factor float64) {
 	h.slowFactor, h.slowUntil = factor, now+d
 }
@@ -37,7 +38,7 @@
 // RejectClass makes the host reject all offers of a class for d.
 func (h *Host) RejectClass(now, d time.Duration, class string) { h.rejectUntil[class] = now + d }
 
-// SuppressStarts makes starts of tasks of a class that begin within d never finish.
+// SuppressStarts affects the starts of tasks of a class that begin within d from now: they never finish.
 func (h *Host) SuppressStarts(now, d time.Duration, class string) { h.suppressUntil[class] = now + d }
 
 // Drain starts or ends draining and returns the host's outputs. If draining starts and dismiss is set, the host also
@@ -59,7 +60,7 @@
 	})
 }
 
-// crashesAt crashes the host if CrashAt was called with p, and reports whether the host has crashed.
+// crashesAt crashes the host if CrashAt was called with the crash point p, and reports whether the host has crashed.
 func (h *Host) crashesAt(p CrashPoint) bool {
 	if h.crashPoint == p {
 		h.Crash()
--- a/internal/emulator/hostmodel/host.go
+++ b/internal/emulator/hostmodel/host.go
@@ -33,12 +33,12 @@
 
 // Limits of the state that a host keeps.
 const (
-	maxOutcomes       = 8192    // outcomes of attempts that are over; older ones are forgotten
-	maxDeferredInputs = 100_000 // inputs deferred during a pause; further ones are lost
+	maxOutcomes       = 8192    // maximum number of kept outcomes of ended attempts; the oldest are forgotten
+	maxDeferredInputs = 100_000 // maximum number of inputs deferred during a pause; further inputs are lost
 )
 
-// Host is one incarnation of a host. After a crash it does nothing any more; the next incarnation is a new Host. It is
-// not safe for concurrent use. All times are those of the caller's clock, which never goes back.
+// Host is one incarnation of a host. After a crash it ignores all calls; the next incarnation is a new Host. Host is not
+// safe for concurrent use. All times are those of the caller's clock, which never goes back.
 type Host struct {
 	cfg     Config
 	epoch   uint64
@@ -49,17 +49,17 @@
 
 	conns        map[ConnID]*session
 	sessions     map[uint16]*session // the established session of each placer
-	placerEpochs map[uint16]uint64   // the epoch of the latest incarnation of each placer
+	placerEpochs map[uint16]uint64   // the epoch of the latest known incarnation of each placer
 
 	tasks             map[hostproto.Ref]*task           // attempts that are queued, starting or running
 	queue             []*task                           // offers that wait for their decision
 	decisionAt        time.Duration                     // when the first offer of the queue is decided
-	starting          []*task                           // accepted tasks that do not run yet; the first MaxStarting start
+	starting          []*task                           // accepted tasks that do not run yet; the first MaxStarting are being started
 	outcomes          map[hostproto.Ref]hostproto.Frame // Refused or Ended of each attempt that is over
 	outcomeOrder      []hostproto.Ref                   // keys of outcomes, oldest first
-	outcomesForgotten bool                              // there were more than maxOutcomes
+	outcomesForgotten bool                              // some outcomes were forgotten, as there were more than maxOutcomes
 	cachedPrograms    []uint64                          // services whose program stays cached, oldest first
-	recentOffers      []time.Duration                   // times of the offers in the slow start's window
+	recentOffers      []time.Duration                   // times of the offers within the last SlowStartWindow of the slow start
 
 	draining      bool
 	dead          bool
@@ -67,17 +67,17 @@
 	crashPoint    CrashPoint
 	pausedUntil   time.Duration
 	deferred      []func() // inputs received during the pause
-	slowFactor    float64  // applies until slowUntil
+	slowFactor    float64  // factor of SlowDown, until slowUntil
 	slowUntil     time.Duration
-	rejectUntil   map[string]time.Duration // by class
-	suppressUntil map[string]time.Duration // by class
+	rejectUntil   map[string]time.Duration // end of RejectClass, by class
+	suppressUntil map[string]time.Duration // end of SuppressStarts, by class
 	hung          bool
 }
 
 // session is a connection of a placer.
 type session struct {
 	id          ConnID
-	established bool   // a Hello was accepted, so the fields below are set
+	established bool   // a Hello was accepted, and the fields below are set
 	placer      uint16 // number of the placer
 	conn        uint32 // number of the connection within the placer's incarnation
 }
@@ -93,7 +93,7 @@
 	readyAt       time.Duration // when the start is done; 0: the start has not begun
 	endsAt        time.Duration // when the task ends; 0: unknown
 	nextNoteAt    time.Duration // when the next notes are sent; 0: never
-	usageBias     float64       // added to the fraction of its request that the task uses
+	usageBias     float64       // added to MeanUsage for this task
 }
 
 func (t *task) cores() float64  { return float64(t.spec.Cores) / 1000 }
@@ -206,8 +206,8 @@
 	})
 }
 
-// handle executes the due actions, the input, and the actions that are due after it, and returns the outputs. During a
-// pause it defers the input, or drops it if maxDeferredInputs are deferred.
+// handle executes the due actions, the input, and the actions that are due after the input, and returns the outputs.
+// During a pause it defers the input, or drops the input if maxDeferredInputs are deferred.
 func (h *Host) handle(now time.Duration, input func()) []Output {
 	h.out = nil
 	if h.dead || h.hung {
--- a/internal/emulator/hostmodel/host_test.go
+++ b/internal/emulator/hostmodel/host_test.go
@@ -28,7 +28,7 @@
 	}}
 }
 
-// runUntil steps the host each millisecond from from to to and returns the frames that it sends.
+// runUntil steps the host each millisecond in the given range of times, and returns the frames that the host sends.
 func runUntil(h *Host, from, to time.Duration) (out []hostproto.Frame) {
 	for at := from; at <= to; at += time.Millisecond {
 		for _, o := range h.Step(at) {
@@ -90,7 +90,7 @@
 	}
 	frames := runUntil(h, time.Hour, time.Hour+110*time.Millisecond)
 	accepted, running := countFrames(frames)
-	if accepted != 5 || running != 2 { // two start at a time, for 100 ms each while the program is not cached
+	if accepted != 5 || running != 2 { // two tasks start at a time; a start takes 100 ms if the program is not cached
 		t.Fatalf("after 110 ms: got %d Accepted, %d Running, want 5, 2 (MaxStarting 2)", accepted, running)
 	}
 	if _, running = countFrames(runUntil(h, time.Hour+111*time.Millisecond, time.Hour+200*time.Millisecond)); running != 3 {
@@ -98,8 +98,8 @@
 	}
 }
 
-// A new connection of a placer closes its older one and drops the offers that were queued from it. A connection of an
-// earlier incarnation of the placer is rejected.
+// A new connection of a placer closes the placer's older connection and drops the queued offers from that one. A
+// connection of an earlier incarnation of the placer is rejected.
 func TestHostHelloOnNewConnectionReplacesOlderConnection(t *testing.T) {
 	h := newConnectedHost(t, DefaultConfig("h", "k", "z", "r", 8, 8))
 	h.ReceiveFrame(time.Hour, 1, offer(1, 1, 0))
--- a/internal/emulator/hostmodel/offers.go
+++ b/internal/emulator/hostmodel/offers.go
@@ -38,8 +38,8 @@
 	h.decisionAt = h.now + time.Duration(float64(h.cfg.DecisionTime)*h.slowdown())
 }
 
-// dropQueued removes the matching offers from the queue, so that they never run. It sends nothing: their placer learns
-// of it when it queries them.
+// dropQueued removes the matching offers from the queue, so that their tasks never run. It sends nothing: the placer
+// learns that the offers are dropped when it queries them.
 func (h *Host) dropQueued(matches func(*task) bool) {
 	dropsFirst := len(h.queue) > 0 && matches(h.queue[0])
 	h.queue = slices.DeleteFunc(h.queue, func(t *task) bool {
@@ -106,7 +106,7 @@
 
 // checkCapacity returns InsufficientCores or InsufficientMemory if the host lacks the capacity for a task, or NoReason.
 func (h *Host) checkCapacity(t *task) hostproto.Reason {
-	const roundingError = 1e-9 // maximum rounding error of the sums of cores and of memory
+	const roundingError = 1e-9 // maximum rounding error of the sums of cores and of the sums of memory
 	cores, memory := h.capacity()
 	switch {
 	case t.cores() > cores+roundingError:
@@ -117,8 +117,8 @@
 	return hostproto.NoReason
 }
 
-// preemptFor ends running tasks of a lower priority if that makes enough capacity for a task, and reports whether it
-// has.
+// preemptFor ends running tasks of lower priority if this makes enough capacity for a task, and reports whether it has
+// done so.
 func (h *Host) preemptFor(t *task) bool {
 	if !h.cfg.Preemption || t.spec.Priority == 0 {
 		return false
--- a/internal/emulator/hostmodel/sessions.go
+++ b/internal/emulator/hostmodel/sessions.go
@@ -14,8 +14,8 @@
 	h.out = append(h.out, Output{Conn: s.id, Frame: f})
 }
 
-// sendToPlacer sends a frame about a task to its placer, if that is connected. A placer queries its tasks when it
-// connects again.
+// sendToPlacer sends a frame about a task to its placer if the placer is connected. Otherwise the frame is dropped, as a
+// placer queries its tasks when it connects again.
 func (h *Host) sendToPlacer(placer uint16, f hostproto.Frame) {
 	if s := h.sessions[placer]; s != nil {
 		h.send(s, f)
@@ -23,7 +23,7 @@
 }
 
 // sendReply sends a reply of the state machine of attempts to a placer. endFrame is the Refused or Ended of an attempt
-// that ends now, or nil. With nil, the reply about an attempt that is over is its recorded outcome.
+// that ends now, or nil. If endFrame is nil, the reply about an ended attempt is its recorded outcome.
 func (h *Host) sendReply(placer uint16, ref hostproto.Ref, reply hostsession.Reply, endFrame hostproto.Frame) {
 	switch reply {
 	case hostsession.SendAccepted:
@@ -53,8 +53,8 @@
 	h.closeConnection(s.id)
 }
 
-// endSession removes a closed connection. If it has the session of its placer, it also drops the placer's queued
-// offers.
+// endSession removes a closed connection. If the placer's session is on this connection, it also drops the placer's
+// queued offers.
 func (h *Host) endSession(id ConnID) {
 	s := h.conns[id]
 	delete(h.conns, id)
@@ -113,7 +113,7 @@
 		return
 	}
 	if older != nil {
-		h.closeConnection(older.id) // so that frames of it that are still in buffers have no effect
+		h.closeConnection(older.id) // so that frames of the closed connection that are still in buffers have no effect
 	}
 	s.established, s.placer, s.conn = true, f.Placer, f.Conn
 	h.sessions[f.Placer], h.placerEpochs[f.Placer] = s, f.Epoch
@@ -153,7 +153,7 @@
 func countFittingInHolds(attempts []hostproto.Held) int {
 	const (
 		headerSize = 16
-		sizeLimit  = hostproto.MaxHoldsSize - 1024 // leaves a margin below the maximum
+		sizeLimit  = hostproto.MaxHoldsSize - 1024 // below the maximum by a margin
 	)
 	n, size := 0, headerSize
 	for n < len(attempts) && (n == 0 || size+hostproto.HeldSize(&attempts[n].Spec) < sizeLimit) {
@@ -163,8 +163,8 @@
 	return n
 }
 
-// handleQuery answers a query with the state of each attempt. The answer for an unknown attempt is Forgotten if
-// outcomes have been forgotten, because the outcome may have been among them.
+// handleQuery answers a query with the state of each attempt. If outcomes have been forgotten, the answer for an unknown
+// attempt is Forgotten, because its outcome may have been among them.
 func (h *Host) handleQuery(s *session, refs []hostproto.Ref) {
 	for _, ref := range refs {
 		if h.outcomesForgotten && h.tasks[ref] == nil && h.outcomes[ref] == nil {
--- a/internal/emulator/hostmodel/tasks.go
+++ b/internal/emulator/hostmodel/tasks.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// isProgramCached reports whether the program of a service is cached, as it is while a task of the service runs.
+// isProgramCached reports whether the program of a service is cached. It always is while a task of the service runs.
 func (h *Host) isProgramCached(service uint64) bool {
 	for _, t := range h.tasks {
 		if t.phase == hostproto.PhaseRunning && t.spec.Service == service {
@@ -50,7 +50,7 @@
 	return slices.Contains(h.cachedPrograms, service)
 }
 
-// finishStart makes a task run whose start is done, and tells its placer.
+// finishStart makes a task run when its start is done, and tells its placer.
 func (h *Host) finishStart(t *task) {
 	_, reply := hostsession.Transition(h.state(t.ref), hostsession.Start)
 	h.removeStarting(t)
@@ -96,8 +96,8 @@
 	}
 }
 
-// usage returns the cores and the GiB of memory that a running task uses now. The used fraction of its request is a
-// sine wave around the mean, whose phase depends on the task's key.
+// usage returns the cores and the GiB of memory that a running task uses now. The used fraction of its request follows
+// a sine wave around its mean. The phase of the wave depends on the task's key.
 func (h *Host) usage(t *task) (cores, memory float64) {
 	const (
 		periodSeconds = 20
@@ -153,7 +153,7 @@
 	}
 }
 
-// isEvictedBefore reports whether evict prefers t to other.
+// isEvictedBefore reports whether evict ends t rather than other.
 func (t *task) isEvictedBefore(other *task) bool {
 	if t.spec.Priority != other.spec.Priority {
 		return t.spec.Priority < other.spec.Priority
--- a/internal/emulator/platform/address.go
+++ b/internal/emulator/platform/address.go
@@ -33,7 +33,8 @@
 	return net.JoinHostPort(placerIP(placer).String(), port)
 }
 
-// addrPort returns an address of a TCP socket as an AddrPort, or the zero AddrPort if it is not one of TCP.
+// addrPort returns the address of a TCP socket as an AddrPort, or the zero AddrPort if it is not the address of a TCP
+// socket.
 func addrPort(address net.Addr) netip.AddrPort {
 	tcp, ok := address.(*net.TCPAddr)
 	if !ok {
--- a/internal/emulator/platform/connection.go
+++ b/internal/emulator/platform/connection.go
@@ -13,7 +13,7 @@
 
 const (
 	readBufferSize = 32 << 10
-	maxQueuedBytes = 4 << 20 // of a connection whose placer does not read; with more queued, the connection is reset
+	maxQueuedBytes = 4 << 20 // a connection with more queued bytes is reset, as its placer does not read
 	lingerTimeout  = 500 * time.Millisecond
 )
 
@@ -106,7 +106,8 @@
 	return !c.closed
 }
 
-// isInterruptedRead reports whether err is of a read that setReading has interrupted, after which reading may resume.
+// isInterruptedRead reports whether err is the error of a read that setReading has interrupted. After it, reading may
+// resume.
 func (c *connection) isInterruptedRead(err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,8 +145,8 @@
 	c.closeGracefully()
 }
 
-// nextWrite blocks until there is data to write. It returns false if the connection is closed, or is to be closed and
-// all data is written.
+// nextWrite blocks until there is data to write. It returns false if the connection is closed, or if all data is written
+// and the connection is to be closed.
 func (c *connection) nextWrite() (data []byte, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,8 +162,8 @@
 	return data, true
 }
 
-// closeGracefully half-closes the connection, reads until the placer closes it too or lingerTimeout is over, and closes
-// it. Closing it at once could cause a reset, by which the placer would lose data that it has not read yet.
+// closeGracefully half-closes the connection, reads until the placer closes it too or lingerTimeout is over, and then
+// closes it. If it were closed at once, a reset could make the placer lose data that it has not read yet.
 func (c *connection) closeGracefully() {
 	_ = c.socket.CloseWrite()
 	_ = c.socket.SetReadDeadline(time.Now().Add(lingerTimeout))
--- a/internal/emulator/platform/listener.go
+++ b/internal/emulator/platform/listener.go
@@ -42,9 +42,9 @@
 	s.addInput(platformmodel.ListenerOpened{Listener: o.Listener, Address: sockets[0].Addr().String()})
 }
 
-// listenForPlacers opens a socket for each placer at the port of an address. If the address is empty, the kernel
-// chooses a port, another one each time. The error is syscall.EADDRINUSE if the port is in use at the address of a
-// placer. After an error, no socket is left open.
+// listenForPlacers opens a socket for each placer at the port of an address. If the address is empty, the kernel chooses
+// a new port at each call. The error is syscall.EADDRINUSE if the port is in use at the address of a placer. After an
+// error, no socket is left open.
 func listenForPlacers(placers int, address string) ([]*net.TCPListener, error) {
 	var port uint16
 	if address != "" {
--- a/internal/emulator/platform/listener_test.go
+++ b/internal/emulator/platform/listener_test.go
@@ -39,8 +39,8 @@
 	return sockets
 }
 
-// tcpSocketOf returns the TCP socket of a file descriptor. ok is false if the descriptor is not of a TCP socket, if the
-// socket is not bound yet (it has port 0 before it connects), or if it has been closed in the meantime.
+// tcpSocketOf returns the TCP socket of a file descriptor. ok is false if the descriptor does not belong to a TCP
+// socket, if the socket is not bound yet (before it connects, it has port 0), or if it has been closed in the meantime.
 func tcpSocketOf(fd int) (socket processSocket, ok bool) {
 	if kind, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_TYPE); err != nil || kind != syscall.SOCK_STREAM {
 		return processSocket{}, false
@@ -149,7 +149,7 @@
 }
 
 // If the port is in use at the address of one placer, listenForPlacers fails and closes the sockets that it has opened
-// at the addresses of others.
+// at the addresses of other placers.
 func TestListenForPlacersClosesSocketsIfPortIsInUse(t *testing.T) {
 	taken, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(netip.AddrPortFrom(placerIP(2), 0)))
 	if err != nil {
@@ -167,7 +167,7 @@
 	}
 }
 
-// The addresses of placers must not overlap the one of filler connections, so Start limits the number of placers.
+// The addresses of placers must not include the address of filler connections, so Start limits the number of placers.
 func TestStartFailsWithMorePlacersThanAddresses(t *testing.T) {
 	if last := placerIP(maxPlacers - 1); !last.Less(fillerIP) {
 		t.Errorf("placerIP(maxPlacers-1) = %s, want an address below %s", last, fillerIP)
--- a/internal/emulator/platform/listenersocket.go
+++ b/internal/emulator/platform/listenersocket.go
@@ -16,13 +16,13 @@
 const (
 	listenBacklog = 1024
 	acceptBackoff = 20 * time.Millisecond
-	fillTimeout   = 2 * time.Second // to connect and so fill the accept queue
+	fillTimeout   = 2 * time.Second // timeout of the connection that fills the accept queue
 )
 
 // listenerSocket accepts the connections of one placer. After stopAccepting it neither accepts nor refuses them: its
 // accept queue has room for one connection, which the filler connection occupies, so that the kernel drops further
-// connection attempts. If a connection of the placer occupies the queue before the filler does, it is open, but nothing
-// is received on it.
+// connection attempts. If a connection of the placer occupies the queue before the filler does, the placer's connection
+// is open, but nothing is received on it.
 type listenerSocket struct {
 	server *Server
 	id     platformmodel.ListenerID
@@ -31,7 +31,7 @@
 
 	mu      sync.Mutex // guards the fields below
 	changed *sync.Cond // uses mu; signaled by close and resumeAccepting
-	stopped bool       // by stopAccepting
+	stopped bool       // after stopAccepting, until resumeAccepting
 	closed  bool
 	filler  net.Conn // the connection that fills the accept queue; nil: none
 }
--- a/internal/emulator/platform/server.go
+++ b/internal/emulator/platform/server.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	maxQueuedJobs = 10_000          // on the event loop; readers of connections block above it
-	dialTimeout   = 2 * time.Second // of connections to placers
+	maxQueuedJobs = 10_000          // limit of jobs on the event loop; if it is reached, readers of connections block
+	dialTimeout   = 2 * time.Second // timeout of connecting to a placer
 )
 
-// Server runs an Emulator on sockets. Its methods are safe for concurrent use. They run on its event loop and wait for
-// it.
+// Server runs an Emulator on sockets. Its methods are safe for concurrent use. They are executed on its event loop and
+// return when it has executed them.
 type Server struct {
 	loop       *eventloop.Loop
 	clock      *clock.Clock
-	goroutines sync.WaitGroup // of listeners, connections and dials
+	goroutines sync.WaitGroup // goroutines of listeners, connections and dials
 	stopOnce   sync.Once
 
 	placerCount int // number of placers; each listener has a socket for each of them
@@ -36,7 +36,7 @@
 	conns     map[platformmodel.ConnID]*connection
 	placers   map[int]string // addresses of the started placers, by number
 	stopped   bool
-	err       error // see Err
+	err       error // the error that Err returns
 }
 
 // Start starts a server and opens the listeners of its emulator. It returns an error if the configuration is invalid or
@@ -78,8 +78,8 @@
 	}
 }
 
-// InitialEvents returns the watch events so far, with which a placer is started. The addresses in them are those at
-// which the placer connects to the hosts. Nothing listens there if the placer's number is not below Placers of the
+// InitialEvents returns the watch events so far, with which a placer is started. They contain the addresses at which the
+// placer connects to the hosts. Nothing listens at these addresses if the placer's number is not below Placers of the
 // configuration.
 func (s *Server) InitialEvents(placer int) (events []platform.WatchEvent) {
 	s.loop.Call(func() { events = s.emulator.InitialEvents(placer) })
@@ -219,7 +219,7 @@
 	}
 }
 
-// removeConnection removes a connection and returns it, or nil if there is none with this ID.
+// removeConnection removes a connection by its ID and returns it, or nil if there is no such connection.
 func (s *Server) removeConnection(id platformmodel.ConnID) *connection {
 	c := s.conns[id]
 	delete(s.conns, id)
--- a/internal/emulator/platform/server_test.go
+++ b/internal/emulator/platform/server_test.go
@@ -24,13 +24,13 @@
 // eventuallyTimeout is longer than any condition of these tests takes to become true on a busy machine.
 const eventuallyTimeout = time.Minute
 
-// eventually waits until a condition holds. The test fails after eventuallyTimeout with the description of the
-// condition.
+// eventually waits until a condition holds. If it does not hold within eventuallyTimeout, the test fails with the
+// description of the condition.
 func eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(eventuallyTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waiting for %s: not seen within %v", condition, eventuallyTimeout)
+			t.Fatalf("waited %[2]v for %[1]s: not seen, want it within that time", condition, eventuallyTimeout)
 		}
 	}
 }
@@ -39,8 +39,8 @@
 var testSettings []byte
 
 // testConfig returns a platform with three hosts of 6 cores, and 20 placement requests to one placer. Six requests need
-// more cores than a host has. The others together need all three hosts, and their owner releases them long before their
-// tasks would end.
+// more cores than a host has. The other requests together need all three hosts, and their owner releases them long
+// before their tasks would end.
 func testConfig(faults ...platformmodel.Fault) platformmodel.Config {
 	host := platformmodel.HostConfig{
 		Cores: 6, Memory: 16, AnswerTime: platformmodel.Range{Min: time.Millisecond, Max: 5 * time.Millisecond}, MaxQueued: 50,
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	if !n.Run(time.Hour) {
-		t.Error("Network.Run ended before all requests had outcomes")
+		t.Error("Network.Run(1h) = false, want final outcomes of all requests")
 	}
 	return n.Emulator.Requests(), *n.Emulator.Journal()
 }
@@ -200,8 +200,8 @@
 	}
 }
 
-// probeFor sends a probe to a host on a new connection. It returns an error if the connection takes longer than
-// timeout, or the first byte of the answer does.
+// probeFor sends a probe to a host on a new connection. It returns an error if connecting takes longer than timeout, or
+// if the first byte of the answer takes longer.
 func probeFor(address string, timeout time.Duration) error {
 	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
@@ -291,7 +291,7 @@
 }
 
 // isWriteStalled writes to a connection and reports whether a write makes no progress within a second. It returns false
-// if a write completes or fails with another error, or if each of 10 writes makes progress.
+// if a write completes, if a write fails with another error, or if each of 10 writes makes progress.
 func isWriteStalled(conn net.Conn) bool {
 	data := make([]byte, 64<<20)
 	for range 10 {
--- a/internal/emulator/platformmodel/emulator.go
+++ b/internal/emulator/platformmodel/emulator.go
@@ -21,7 +21,7 @@
 	Zone        string
 	MachineType string
 	Cell        int
-	Cold        bool // the first incarnation is in its slow start, as all later ones are
+	Cold        bool // the first incarnation begins with a slow start, as all later incarnations do
 	// RestartAfter is the time from a crash by too many offers to the restart; 0: no restart.
 	RestartAfter time.Duration
 }
@@ -32,7 +32,7 @@
 	Owners    []OwnerConfig // the times of requests count from Begin
 	Placers   int
 	Faults    []Fault
-	ListDelay time.Duration // from a change of a host to its event in the endpoint list
+	ListDelay time.Duration // time from a change of a host to the event in the endpoint list
 	// AddressFor returns the address at which a placer reaches the listener at an address. Nil means that all placers
 	// use the listener's own address.
 	AddressFor func(placer int, address string) string
@@ -58,7 +58,7 @@
 	listeners      map[ListenerID]*listener
 	links          map[ConnID]*link
 	delayed        map[ConnID]*link // connections with messages or a close held back
-	running        map[int]bool     // by placer
+	running        map[int]bool     // whether a placer runs, by its number
 	lastHostNumber int
 }
 
@@ -314,8 +314,8 @@
 	return all
 }
 
-// handleAccepted opens a link for an accepted connection. It resets the connection if the party is down or uses another
-// listener by now.
+// handleAccepted opens a link for an accepted connection. If the party is down or uses another listener by now, it
+// resets the connection.
 func (e *Emulator) handleAccepted(in Accepted) {
 	listener := e.listeners[in.Listener]
 	if listener == nil || listener.party.model == nil || listener != listener.party.listener {
@@ -340,7 +340,7 @@
 	e.execute(l.party, l.party.model.ConnectionOpened(e.now, l.id, l.placer))
 }
 
-// handleDisconnected handles the end of a connection by its placer. The model is notified once it has received
+// handleDisconnected handles a connection that its placer has closed. The model is notified once it has received
 // all data.
 func (e *Emulator) handleDisconnected(conn ConnID) {
 	l := e.links[conn]
@@ -396,7 +396,7 @@
 
 func (e *Emulator) emit(o Output) { e.outputs = append(e.outputs, o) }
 
-// after schedules a call of do at a time from now.
+// after schedules a call of do after a time.
 func (e *Emulator) after(d time.Duration, do func()) { e.timers.Add(e.now+d, do) }
 
 func (e *Emulator) record(event RecordEvent, l *link, data []byte) {
--- a/internal/emulator/platformmodel/endpointlog.go
+++ b/internal/emulator/platformmodel/endpointlog.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	commentInterval    = time.Second // between the comments on a stream
-	maxLoggedEvents    = 4096        // limit of the retained events; a request after an older one gets a snapshot
+	commentInterval    = time.Second // time between two comments on a stream
+	maxLoggedEvents    = 4096        // limit of the retained events; a request for older events gets a snapshot
 	watchPath          = "/changes"
 	lastEventIDHeader  = "last-event-id"
 	streamResponseHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
@@ -35,7 +35,7 @@
 	events            []platform.WatchEvent // retained events, numbered without a gap up to lastSeq
 	streams           map[ConnID]*logStream
 	sequenceRestarts  int         // number of restarts of the sequence
-	restartsAtRequest map[int]int // by placer: sequenceRestarts at its latest request
+	restartsAtRequest map[int]int // sequenceRestarts at the latest request of each placer
 }
 
 // logStream is a connection from a placer.
@@ -57,7 +57,7 @@
 	return l
 }
 
-// Events returns the retained events with the addresses for a placer, which can be started with them.
+// Events returns the retained events, with which a placer can be started. They have the addresses for that placer.
 func (l *EndpointLog) Events(placer int) []platform.WatchEvent {
 	events := make([]platform.WatchEvent, len(l.events))
 	for i, e := range l.events {
@@ -93,8 +93,8 @@
 	})
 }
 
-// RestartSequence closes all streams and numbers the events from 1 again, beginning with a snapshot, as a log does that
-// has lost its state.
+// RestartSequence closes all streams and numbers the events from 1 again, beginning with a snapshot, like a log that has
+// lost its state.
 func (l *EndpointLog) RestartSequence(now time.Duration) []Action {
 	return l.handle(now, func() {
 		for _, s := range l.sortedStreams() {
@@ -133,7 +133,7 @@
 		case request.Method != "GET" || request.Path != watchPath:
 			l.refuse(s, 404)
 		default:
-			last, _ := strconv.ParseUint(request.Get(lastEventIDHeader), 10, 64) // missing or invalid: 0
+			last, _ := strconv.ParseUint(request.Get(lastEventIDHeader), 10, 64) // 0 if the header is missing or invalid
 			l.openStream(s, last)
 		}
 	})
@@ -174,9 +174,9 @@
 	delete(l.streams, s.id)
 }
 
-// openStream answers a request with the events after last, or with a snapshot if one of them is no longer retained. The
-// first request of a placer after a restart of the sequence gets all events of the new sequence. The response has no
-// length and ends with the connection.
+// openStream answers a request with the events after the number last, or with a snapshot if one of these events is no
+// longer retained. The first request of a placer after a restart of the sequence gets all events of the new sequence.
+// The response has no length and ends when the connection ends.
 func (l *EndpointLog) openStream(s *logStream, last uint64) {
 	s.subscribed, s.nextCommentAt = true, l.now+commentInterval
 	l.add(Send{Conn: s.id, Data: []byte(streamResponseHead), Head: true})
--- a/internal/emulator/platformmodel/endpointlog_test.go
+++ b/internal/emulator/platformmodel/endpointlog_test.go
@@ -26,7 +26,7 @@
 }
 
 // A stream starts with the retained events after its Last-Event-ID. Published events and a comment each second follow.
-// A missing number, or one that the log has not reached, yields all events.
+// If the Last-Event-ID is missing or greater than the number of the latest event, the stream starts with all events.
 func TestEndpointLogStreamsEventsAfterLastEventID(t *testing.T) {
 	l := NewEndpointLog(testStart, platform.Endpoint{Name: "s-00000001", State: platform.InService})
 	l.Publish(testStart, platform.Endpoint{Name: "s-00000002", State: platform.InService})
@@ -44,8 +44,11 @@
 	if got := sentText(l.Publish(testStart, platform.Endpoint{Name: "s-00000002", State: platform.Terminated})); !strings.HasPrefix(got, "id: 3\ndata: {") {
 		t.Errorf("Publish of a terminated endpoint: sent %q, want a text that begins with %q", got, "id: 3\ndata: {")
 	}
-	if at := l.Next(); at != testStart+time.Second || sentText(l.Step(at)) != ":\n\n" || l.Next() != at+time.Second {
-		t.Errorf("got the next comment at %v, want one at %v and the following one a second later", at, testStart+time.Second)
+	at := l.Next()
+	text, following := sentText(l.Step(at)), l.Next()
+	if at != testStart+time.Second || text != ":\n\n" || following != at+time.Second {
+		t.Errorf("step at %v sent %q and the following step is at %v, want a step at %v that sends %q and one a second later",
+			at, text, following, testStart+time.Second, ":\n\n")
 	}
 }
 
@@ -61,7 +64,7 @@
 	}
 }
 
-// A request for another path, or one that is not HTTP, is answered with an error status and a close.
+// A request for another path, or a request that is not HTTP, is answered with an error status and a close.
 func TestEndpointLogRefusesInvalidRequests(t *testing.T) {
 	for request, want := range map[string]string{"GET /x HTTP/1.1\r\nHost: x\r\n\r\n": "404", "nonsense\r\n\r\n": "400"} {
 		l := NewEndpointLog(testStart)
@@ -73,8 +76,9 @@
 	}
 }
 
-// The first subscription of a placer after a restart of the sequence gets the whole new sequence, even if that has
-// reached the number up to which the placer knows the old one. The next subscription gets only newer events.
+// The first subscription of a placer after a restart of the sequence gets the whole new sequence, even if the new
+// sequence has reached the number up to which the placer knows the old one. The next subscription gets only newer
+// events.
 func TestEndpointLogSendsNewSequenceAfterRestart(t *testing.T) {
 	l := NewEndpointLog(testStart)
 	host := platform.Endpoint{Name: "s-00000001", State: platform.InService}
@@ -82,9 +86,9 @@
 	subscribe(l, 1, "1")
 	l.RestartSequence(testStart)
 	l.Publish(testStart, host)
-	for _, want := range []int{2, 0} {
+	for i, want := range []int{2, 0} {
 		if got := subscribe(l, 2, "2"); strings.Count(got, "id: ") != want {
-			t.Errorf("subscription after event 2: got %q, want %d events", got, want)
+			t.Errorf("subscription %d after the restart, after event 2: got %q, want %d events", i+1, got, want)
 		}
 	}
 }
--- a/internal/emulator/platformmodel/faults.go
+++ b/internal/emulator/platformmodel/faults.go
@@ -16,21 +16,21 @@
 const (
 	FaultDelayed         FaultType = iota // messages of the target are written with a delay of Amount
 	FaultSilent                           // messages of the target are held back until the end
-	FaultHalfOpen                         // open connections pass nothing, not even a close; new ones get no answer
-	FaultReset                            // once: all connections of the target are reset
+	FaultHalfOpen                         // open connections pass nothing, not even a close; new connections get no answer
+	FaultReset                            // acts once: all connections of the target are reset
 	FaultCorrupted                        // messages of the target are made unreadable
 	FaultDuplicated                       // messages of the target are written twice
-	FaultReordered                        // each two messages of the target on a connection are swapped
+	FaultReordered                        // messages of the target on a connection are swapped in pairs
 	FaultNotReading                       // the target reads nothing from its connections
 	FaultRefused                          // new connections to the target are refused
 	FaultClockSkew                        // the target's clock is ahead by Amount
 	FaultMassKill                         // all targets are killed at once and started again at the end
 	FaultMassRestart                      // the targets restart one after another, spread over the duration
 	FaultZonePartition                    // nothing passes between the targets and placers until the end
-	FaultHostReplaced                     // the target's machine is lost; at the end another one has its address
-	FaultHostReaddressed                  // the target's machine is lost; it is back under its name at another address
-	FaultMassHandOver                     // once: the target hands over all its running tasks
-	FaultSequenceRestart                  // once: the endpoint log numbers its events from 1 again
+	FaultHostReplaced                     // the target's machine is lost; at the end another machine gets its address
+	FaultHostReaddressed                  // the target's machine is lost; at the end it is back at another address
+	FaultMassHandOver                     // acts once: the target hands over all its running tasks
+	FaultSequenceRestart                  // acts once: the endpoint log numbers its events from 1 again
 	faultTypeCount
 )
 
@@ -58,7 +58,7 @@
 
 // Fault is one entry of a schedule of faults.
 type Fault struct {
-	At       time.Duration // from the input Begin
+	At       time.Duration // time from the input Begin to the beginning of the fault
 	Duration time.Duration
 	Type     FaultType
 	Target   Target
--- a/internal/emulator/platformmodel/faults_test.go
+++ b/internal/emulator/platformmodel/faults_test.go
@@ -11,15 +11,15 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// emulatorRig is an Emulator with the test as its only placer. Listeners 1 and 2 are those of its two hosts, in the
-// zones a and b; listener 3 is that of the endpoint log.
+// emulatorRig is an Emulator with the test as its only placer. Listeners 1 and 2 belong to its two hosts, which are in
+// the zones a and b. Listener 3 belongs to the endpoint log.
 type emulatorRig struct {
 	t              *testing.T
 	e              *Emulator
 	now            time.Duration
-	written        map[ConnID][]string   // written messages in the form of describe
+	written        map[ConnID][]string   // written messages, as texts from describe
 	closed         map[ConnID]Output     // the output that closed or reset the connection
-	listeners      map[ListenerID]string // open, closed or stopped
+	listeners      map[ListenerID]string // state of each listener: "open", "closed" or "stopped"
 	addresses      map[ListenerID]string
 	readingStopped map[ConnID]bool
 	dialed         []ConnID
@@ -158,7 +158,7 @@
 
 const second = time.Second
 
-// Each type of fault has its effect on the targets, from its beginning to its end, and none on other parties.
+// Each type of fault affects its targets from its beginning to its end, and does not affect other parties.
 func TestInjectors(t *testing.T) {
 	for _, c := range []struct {
 		fault Fault // At and Duration are set to 1 s and 2 s
@@ -350,7 +350,7 @@
 		Fault{At: second, Duration: second, Type: FaultMassKill, Target: allHosts})
 	r.advanceTo(3 * second)
 	if a, b := r.lastEntry("s-00000001").StartedAtMS, r.lastEntry("s-00000002").StartedAtMS; a != 3_609_000 || b != 3_602_000 {
-		t.Errorf("hosts are listed with StartedAtMS %v and %v, want 3609000 and 3602000", a, b)
+		t.Errorf("StartedAtMS of the skewed host = %v and of the other host = %v, want 3609000 and 3602000", a, b)
 	}
 }
 
@@ -369,23 +369,23 @@
 		t.Errorf("owner sent %q, want a probe, a request and the hand-over of %s", got, ref)
 	}
 	if got := r.e.Requests()[0][0]; got.HandOvers != 1 || got.Host != "s-00000001" || got.Outcome != OutcomeRunning {
-		t.Errorf("got report %+v, want HandOvers 1, Host s-00000001 and Outcome %v", got, OutcomeRunning)
+		t.Errorf("report after the hand-over = %+v, want HandOvers 1, Host s-00000001 and Outcome %v", got, OutcomeRunning)
 	}
 }
 
 // An endpoint log whose sequence restarts closes its streams. A later request gets the new sequence, which begins with
-// a snapshot, whatever its Last-Event-ID.
+// a snapshot, regardless of the request's Last-Event-ID.
 func TestInjectorSequenceRestartClosesStreamsAndSendsSnapshot(t *testing.T) {
 	r := newEmulatorRig(t, Fault{At: second, Type: FaultSequenceRestart, Target: Target{Kind: EndpointLogParty}})
 	conn := r.connect(3)
 	r.advanceTo(second)
 	if r.closed[conn] != (CloseConnection{conn}) {
-		t.Errorf("closed connections are %v, want a close of %d", r.closed, conn)
+		t.Errorf("outputs that closed or reset connections = %v, want CloseConnection of connection %d", r.closed, conn)
 	}
 	again := r.connect(3)
 	r.step(Data{again, []byte("GET /changes HTTP/1.1\r\nHost: x\r\nLast-Event-ID: 3\r\n\r\n")})
 	if got := strings.Join(r.written[again], ""); !strings.Contains(got, "id: 1\ndata:") || !strings.Contains(got, `"whole":true`) {
-		t.Errorf("response to a request after event 3: got %q, want a snapshot with id 1", got)
+		t.Errorf("response to a request with Last-Event-ID 3 after the restart = %q, want a snapshot with id 1", got)
 	}
 }
 
@@ -401,7 +401,7 @@
 		"late does not apply":    {Type: FaultDelayed, Amount: 1, Target: Target{Kind: 9}},
 	} {
 		if _, err := New(testNetworkConfig(1, 2, 1, f).Emulator, testStart); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("New with fault %+v = %v, want an error with %q", f, err, want)
+			t.Errorf("New with fault %+v: error %v, want one that contains %q", f, err, want)
 		}
 	}
 }
--- a/internal/emulator/platformmodel/host.go
+++ b/internal/emulator/platformmodel/host.go
@@ -14,18 +14,18 @@
 
 // Limits of the state of a host.
 const (
-	maxHostTasks          = 4096 // running tasks
-	maxUnacknowledgedEnds = 4096 // task ends that no placer has acknowledged; with more the oldest are dropped
+	maxHostTasks          = 4096 // limit of running tasks
+	maxUnacknowledgedEnds = 4096 // limit of task ends that no placer has acknowledged; the oldest are dropped
 )
 
 // HostConfig configures the behavior of a host.
 type HostConfig struct {
 	Cores, Memory float64       // capacity for the requests of all its tasks; memory in the platform's unit
-	AnswerTime    Range         // to decide one offer; offers are decided one after another
-	MaxQueued     int           // limit of offers that wait for their decision; further ones are rejected
-	RunTime       Range         // of a task that is not released
-	NoteInterval  time.Duration // between the notes on a running task; 0: no notes
-	IdleTimeout   time.Duration // after which a connection without messages is closed; 0: never
+	AnswerTime    Range         // time to decide one offer; offers are decided one after another
+	MaxQueued     int           // limit of offers that wait for their decision; further offers are rejected
+	RunTime       Range         // run time of a task that is not released
+	NoteInterval  time.Duration // time between two notes on a running task; 0: no notes
+	IdleTimeout   time.Duration // time after which a connection without messages is closed; 0: never
 
 	// A host that has just started takes SlowStartFactor times as long to answer for SlowStartDuration, and crashes if
 	// it receives more than SlowStartMaxOffers offers within SlowStartWindow. SlowStartMaxOffers 0: it never crashes.
@@ -54,7 +54,7 @@
 	actionQueue
 	cfg     HostConfig
 	name    string
-	started time.Duration // 0: long ago
+	started time.Duration // time at which the incarnation started; 0: long ago
 	rng     *rand.Rand
 	now     time.Duration
 	crashed bool
@@ -63,7 +63,7 @@
 	queue          []*offer // offers without a decision; the first is decided at decisionAt
 	decisionAt     time.Duration
 	recentOffers   []time.Duration      // times of the offers within SlowStartWindow
-	runningTasks   map[string]*hostTask // by ref
+	runningTasks   map[string]*hostTask // running tasks by ref
 	unacknowledged []unacknowledgedEnd  // task ends that no placer has acknowledged, oldest first
 }
 
@@ -168,7 +168,7 @@
 	return next
 }
 
-// handle handles the timers that are due, then the input, and returns the actions. A crashed host does neither.
+// handle handles the timers that are due, then the input, and returns the actions. A crashed host ignores both.
 func (h *Host) handle(now time.Duration, input func()) []Action {
 	if h.crashed {
 		return nil
@@ -215,8 +215,8 @@
 		platform.LoadAvailableCores, cores, platform.LoadAvailableMemory, memory, platform.LoadQueue, len(h.queue)))
 }
 
-// connectionFor returns the connection for messages on a task: that of its offer, else any open one of its placer, or
-// nil if there is none.
+// connectionFor returns the connection for messages on a task: the connection of its offer if that is open, otherwise
+// any open connection of its placer, or nil if there is none.
 func (h *Host) connectionFor(t *hostTask) *hostConnection {
 	if c := h.conns[t.conn]; c != nil {
 		return c
--- a/internal/emulator/platformmodel/host_test.go
+++ b/internal/emulator/platformmodel/host_test.go
@@ -15,7 +15,7 @@
 	t    *testing.T
 	host *Host
 	now  time.Duration
-	sent []string // type, end of the ref and cause of each message, or "close" and the connection
+	sent []string // for each message its type, the end of its ref and its cause; for each close "close" and the connection
 }
 
 // newHostRig returns a rig whose connection is open. change, if not nil, modifies the configuration of the host.
@@ -114,7 +114,8 @@
 	r.wantSent()
 }
 
-// A release ends a running task, or withdraws an undecided offer. If no task runs under the ref it is acknowledged.
+// A release ends a running task, or withdraws an undecided offer. If no task runs under its ref, the release is
+// acknowledged.
 func TestHostReleaseEndsTaskOrWithdrawsOffer(t *testing.T) {
 	r := newHostRig(t, false, nil)
 	r.offer(1, 1, "")
@@ -128,7 +129,7 @@
 	r.wantSent()
 }
 
-// A running task is not started a second time by an offer with its ref, nor by one with its idempotency key under
+// A running task is not started a second time by an offer with its ref, nor by an offer with its idempotency key and
 // another ref.
 func TestHostDeduplicatesOffers(t *testing.T) {
 	r := newHostRig(t, false, nil)
@@ -142,8 +143,8 @@
 	}
 }
 
-// A host in its slow start takes SlowStartFactor times as long to answer, and crashes from more than SlowStartMaxOffers
-// offers within SlowStartWindow.
+// A host in its slow start takes SlowStartFactor times as long to answer. It crashes if it receives more than
+// SlowStartMaxOffers offers within SlowStartWindow.
 func TestHostSlowStartDelaysAnswersAndCrashesFromOverload(t *testing.T) {
 	r := newHostRig(t, true, func(c *HostConfig) { c.SlowStartMaxOffers, c.SlowStartFactor = 2, 3 })
 	r.offer(1, 1, "")
@@ -164,7 +165,7 @@
 	}
 }
 
-// A connection without messages is closed after IdleTimeout. One with an undecodable message is closed at once.
+// A connection without messages is closed after IdleTimeout. A connection with an undecodable message is closed at once.
 func TestHostClosesIdleAndUnreadableConnections(t *testing.T) {
 	r := newHostRig(t, false, nil)
 	r.collectSent(r.host.ConnectionOpened(r.now, 2, 0))
--- a/internal/emulator/platformmodel/hostoffers.go
+++ b/internal/emulator/platformmodel/hostoffers.go
@@ -18,7 +18,7 @@
 	return fmt.Appendf(nil, `"cores=%g memory=%g"`, s.Cores, s.Memory)
 }
 
-// parseTaskSize parses a description. For one that is not from an emulated owner it returns 1 core and 1 unit of
+// parseTaskSize parses a description. If the description is not from an emulated owner, it returns 1 core and 1 unit of
 // memory.
 func parseTaskSize(description []byte) taskSize {
 	var text string
@@ -54,7 +54,7 @@
 	ref            string
 	conn           ConnID
 	placer         int
-	idempotencyKey string // "": none
+	idempotencyKey string // "": the offer has no key
 	size           taskSize
 }
 
@@ -86,7 +86,7 @@
 
 func (h *Host) inSlowStart() bool { return h.started > 0 && h.now < h.started+h.cfg.SlowStartDuration }
 
-// scheduleDecision draws the time of the decision on the first queued offer, unless that is set already.
+// scheduleDecision draws the time of the decision on the first queued offer, unless the time is set already.
 func (h *Host) scheduleDecision() {
 	switch {
 	case len(h.queue) == 0:
@@ -105,7 +105,7 @@
 }
 
 // decideDue decides the offers that are due, in the order of their arrival. The time of each decision counts from the
-// one before, no matter how late decideDue is called.
+// due time of the decision before, even if decideDue is called late.
 func (h *Host) decideDue() {
 	for len(h.queue) > 0 && h.decisionAt <= h.now {
 		first := h.queue[0]
--- a/internal/emulator/platformmodel/hosttasks.go
+++ b/internal/emulator/platformmodel/hosttasks.go
@@ -43,7 +43,8 @@
 	h.add(Send{Conn: t.conn, Data: platform.Append(nil, platform.TypeBound, t.ref, platform.NoCause, boundDescription(h.name, t.ref))})
 }
 
-// sendNote sends a note on a task, if a connection of its placer is open. The field of an empty value is left out.
+// sendNote sends a note on a task, if a connection of its placer is open. If value is empty, the message has no
+// FieldValue.
 func (h *Host) sendNote(t *hostTask, note platform.Note, value string) {
 	c := h.connectionFor(t)
 	if c == nil {
@@ -70,8 +71,8 @@
 	}
 }
 
-// endTask ends a task that has run to its end. The message is repeated on new connections until its placer acknowledges
-// it.
+// endTask ends a task that has run to its end. The message about it is repeated on new connections until the placer
+// acknowledges the end.
 func (h *Host) endTask(t *hostTask, cause platform.Cause) {
 	delete(h.runningTasks, t.ref)
 	line := platform.Append(nil, platform.TypeRelease, t.ref, cause, nil, h.loadReport())
--- a/internal/emulator/platformmodel/injectors.go
+++ b/internal/emulator/platformmodel/injectors.go
@@ -18,14 +18,14 @@
 var (
 	allParties       = []PartyKind{HostParty, OwnerParty, EndpointLogParty}
 	listeningParties = []PartyKind{HostParty, EndpointLogParty}
-	// messagingParties leaves out the endpoint log: it would lose the events that are swapped, as its sequence would
-	// have gaps.
+	// messagingParties leaves out the endpoint log: swapped events would leave gaps in its sequence, and placers would
+	// lose them.
 	messagingParties = []PartyKind{HostParty, OwnerParty}
 	onlyHosts        = []PartyKind{HostParty}
 )
 
-// injectorOf returns the injector of a type of fault. Faults that are only counted as active take effect in the
-// functions that pass messages, in link.go, and in wantedListenerState.
+// injectorOf returns the injector of a type of fault. For some faults, the injector only counts them as active. These
+// faults take effect in wantedListenerState and in the functions of link.go, which pass messages.
 func injectorOf(t FaultType) injector {
 	active := func(kinds []PartyKind) injector {
 		return injector{kinds, (*Emulator).beginActive, (*Emulator).endActive}
@@ -80,7 +80,7 @@
 	e.beginActive(f, p)
 }
 
-// endHalfOpen resets the dead connections, as a machine does that has lost their state.
+// endHalfOpen resets the dead connections, like a machine that has lost their state.
 func (e *Emulator) endHalfOpen(f *Fault, p *party) {
 	e.endActive(f, p)
 	if p.active[FaultHalfOpen] == 0 {
--- a/internal/emulator/platformmodel/io.go
+++ b/internal/emulator/platformmodel/io.go
@@ -74,7 +74,7 @@
 		Conn  ConnID
 		Bytes []byte
 	}
-	// CloseConnection closes a connection after the bytes of earlier Writes have been sent.
+	// CloseConnection closes a connection after the bytes of all earlier Writes have been sent.
 	CloseConnection struct{ Conn ConnID }
 	// ResetConnection resets a connection; unsent bytes may be lost.
 	ResetConnection struct{ Conn ConnID }
--- a/internal/emulator/platformmodel/journal.go
+++ b/internal/emulator/platformmodel/journal.go
@@ -62,7 +62,7 @@
 // counted.
 type Journal struct {
 	Records    []Record
-	Dropped    int // records beyond the limit
+	Dropped    int // number of records beyond the limit, which are not in Records
 	maxRecords int
 }
 
--- a/internal/emulator/platformmodel/link.go
+++ b/internal/emulator/platformmodel/link.go
@@ -18,12 +18,12 @@
 	id             ConnID
 	party          *party
 	placer         int  // number of the placer at the other end
-	dead           bool // nothing passes, and no close is noticed
-	closedByPlacer bool // the placer has closed it; the model is notified once it has received all data
+	dead           bool // nothing passes on the connection, and neither end notices a close
+	closedByPlacer bool // the placer has closed the connection; the model is notified once it has received all data
 
 	toPlacer  pipe
 	toModel   pipe
-	reordered []byte // message held back until the next one has passed; nil: none
+	reordered []byte // message held back until the next message has passed; nil: none
 }
 
 // pipe is a queue of the data held back in one direction of a link.
@@ -33,10 +33,10 @@
 	lastDueAt time.Duration // due time of the last item; later items are not due earlier
 }
 
-// pipeItem is data or a close of the connection that passes at a time.
+// pipeItem is data, or a close of the connection, and the time at which it passes.
 type pipeItem struct {
 	at   time.Duration
-	data []byte // nil: the close
+	data []byte // nil: a close
 }
 
 func (p *pipe) push(at time.Duration, data []byte) {
@@ -114,7 +114,7 @@
 	e.flush(l)
 }
 
-// sendClose queues the close of a connection after all messages, including one held back by FaultReordered.
+// sendClose queues the close of a connection after all messages, including a message held back by FaultReordered.
 func (e *Emulator) sendClose(l *link) {
 	if l.dead {
 		return
@@ -124,8 +124,8 @@
 	e.flush(l)
 }
 
-// reorder holds a message back if the link holds none back. Otherwise it returns the message followed by the one that
-// was held back.
+// reorder holds a message back if the link holds no message back yet. Otherwise it returns the message followed by the
+// message that was held back.
 func reorder(l *link, units [][]byte) [][]byte {
 	if l.reordered == nil {
 		l.reordered = bytes.Join(units, nil)
@@ -150,7 +150,7 @@
 	case 0:
 		return []byte("\x00\xff not a message\n")
 	case 1:
-		return slices.Concat(data[:len(data)/2], []byte("\n")) // cut in half
+		return slices.Concat(data[:len(data)/2], []byte("\n")) // the first half of the message
 	case 2:
 		corrupted := bytes.Clone(data)
 		corrupted[e.rng.IntN(len(corrupted)/2)] = 0 // a NUL byte is invalid anywhere in JSON
--- a/internal/emulator/platformmodel/model.go
+++ b/internal/emulator/platformmodel/model.go
@@ -12,7 +12,7 @@
 const never time.Duration = math.MaxInt64
 
 // ConnID identifies a connection. Emulator.NewConnID returns the numbers, both for connections that the Emulator dials
-// and for those that its caller accepts; none is used twice.
+// and for connections that its caller accepts. No number is used twice.
 type ConnID uint64
 
 // Action is an operation of a model on a connection.
@@ -27,7 +27,7 @@
 		Data []byte
 		Head bool // the data is the HTTP response head of a watch stream
 	}
-	// Close closes a connection after the messages sent before have been written.
+	// Close closes a connection after all messages of earlier Sends have been written.
 	Close struct{ Conn ConnID }
 	// Connect connects to a placer. The model's ConnectionOpened or ConnectionClosed is called with the result.
 	Connect struct {
@@ -45,10 +45,10 @@
 type model interface {
 	// ConnectionOpened handles a connection to or from a placer that has been established.
 	ConnectionOpened(now time.Duration, conn ConnID, placer int) []Action
-	// Received handles bytes of a connection, split at any boundaries. It does not retain data.
+	// Received handles bytes of a connection, which may begin and end within a message. It does not retain data.
 	Received(now time.Duration, conn ConnID, data []byte) []Action
-	// ConnectionClosed handles the end of a connection that the model has not closed itself. After a reset the last
-	// messages of the placer may be lost.
+	// ConnectionClosed handles the end of a connection that the model has not closed itself. If the connection was
+	// reset, the last messages of the placer may be lost.
 	ConnectionClosed(now time.Duration, conn ConnID, reset bool) []Action
 	// Step handles the timers that are due.
 	Step(now time.Duration) []Action
@@ -85,7 +85,7 @@
 	return taken
 }
 
-// earliest returns the smallest of the given times, or never without any.
+// earliest returns the smallest of the given times, or never if there are none.
 func earliest(times ...time.Duration) time.Duration {
 	first := never
 	for _, t := range times {
@@ -94,8 +94,8 @@
 	return first
 }
 
-// feedMessages calls handle with each message that data completes. It stops at the first line that cannot be decoded
-// and returns the error.
+// feedMessages calls handle with each message that is complete with the given data. It stops at the first line that
+// cannot be decoded and returns the error.
 func feedMessages(lines *platform.LineSplitter, data []byte, handle func(*platform.Message)) error {
 	return lines.Feed(data, func(line []byte) error {
 		m, err := platform.Decode(line)
--- a/internal/emulator/platformmodel/network.go
+++ b/internal/emulator/platformmodel/network.go
@@ -18,8 +18,8 @@
 	Emulator Config
 	// Core returns the configuration of an incarnation of a placer. The first incarnation is 1.
 	Core           func(placer, incarnation int, initial []platform.WatchEvent) platformcore.Config
-	Latency        time.Duration // of all data, connects and closes, in each direction; above 0
-	ConnectTimeout time.Duration // after which a connection attempt of a placer fails; above 0
+	Latency        time.Duration // latency of data, connects and closes, in each direction; above 0
+	ConnectTimeout time.Duration // time after which a connection attempt of a placer fails; above 0
 	Start          time.Duration // initial time of the clock; above 0
 }
 
@@ -52,7 +52,7 @@
 	core        *platformcore.Core // nil: the placer is down
 	listening   bool
 	wakeAt      time.Duration
-	hosts       map[platformcore.ConnectionID]*networkConn // open or being opened
+	hosts       map[platformcore.ConnectionID]*networkConn // connections to hosts that are open or being opened
 	owners      map[platformcore.OwnerID]*networkConn
 	watch       *networkWatch
 }
@@ -101,8 +101,8 @@
 // Now returns the simulated time.
 func (n *Network) Now() time.Duration { return n.now }
 
-// Run advances the time until each request has its final outcome, but at most by limit. It reports whether all are
-// final.
+// Run advances the time until each request has its final outcome, but at most by limit. It reports whether all requests
+// have one.
 func (n *Network) Run(limit time.Duration) (done bool) {
 	const interval = 100 * time.Millisecond
 	for end := n.now + limit; n.now < end; {
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// deliverToPlacer calls deliver with the placer's end of a connection after the latency, unless that is closed or the
-// placer is down by then.
+// deliverToPlacer calls deliver with the placer's end of a connection after the latency, unless the connection is closed
+// or the placer is down by then.
 func (n *Network) deliverToPlacer(id ConnID, deliver func(*networkConn)) {
 	c := n.conns[id]
 	if c == nil {
@@ -268,7 +268,7 @@
 		}
 		c.id = n.Emulator.NewConnID()
 		n.conns[c.id] = c
-		n.after(n.cfg.Latency, func() { finish(nil) }) // scheduled first: precedes data from the listener
+		n.after(n.cfg.Latency, func() { finish(nil) }) // scheduled before the step, so that it precedes data from the listener
 		n.stepEmulator(Accepted{Listener: l.id, Conn: c.id, Placer: c.placer.number})
 	})
 }
--- a/internal/emulator/platformmodel/network_test.go
+++ b/internal/emulator/platformmodel/network_test.go
@@ -19,8 +19,8 @@
 }
 
 // testHostConfig returns the configuration of a host that decides an offer within 20 ms, or 40 ms in its slow start,
-// and whose tasks run for 2 to 4 s. In its slow start it can take twice as many offers as placers send within a window:
-// the offers of two windows arrive together if the first have waited for their connection.
+// and whose tasks run for 2 to 4 s. In its slow start it can take twice as many offers as the placers send within a
+// window, since the offers of two windows can arrive together: the earlier ones may have to wait for their connection.
 func testHostConfig() HostConfig {
 	return HostConfig{
 		Cores: 16, Memory: 16, AnswerTime: Range{time.Millisecond, 20 * time.Millisecond}, MaxQueued: 50,
@@ -86,14 +86,14 @@
 		during(n)
 	}
 	if !n.Run(time.Minute) {
-		t.Error("Run(1m) = false, want a final outcome of each request")
+		t.Errorf("seed %d, faults %+v: Run(1m) = false, want a final outcome of each request", cfg.Emulator.Seed, cfg.Emulator.Faults)
 	}
 	counts := map[Outcome]int{}
 	for _, reports := range n.Emulator.Requests() {
 		for _, r := range reports {
 			counts[r.Outcome]++
 			if !r.Outcome.IsFinal() {
-				t.Errorf("got report %+v, want a final outcome", r)
+				t.Errorf("seed %d: report after the run = %+v, want a final outcome", cfg.Emulator.Seed, r)
 			}
 		}
 	}
@@ -106,16 +106,16 @@
 	cfg := testNetworkConfig(2, 4, 80)
 	n, counts := runNetwork(t, cfg, nil)
 	if counts[OutcomeEnded]+counts[OutcomeReleased] != 80 || counts[OutcomeReleased] < 20 || counts[OutcomeEnded] < 20 {
-		t.Errorf("got outcomes %v, want 80 ended or released, at least 20 of each", counts)
+		t.Errorf("number of requests by outcome = %v, want 80 ended or released, at least 20 of each", counts)
 	}
 	for _, r := range n.Emulator.Requests()[0] {
 		if r.Unexpected != 0 || r.Answers != 1 || len(r.Refs) != 1 {
-			t.Errorf("got report %+v, want 1 ref, 1 answer and no unexpected message", r)
+			t.Errorf("report on a request = %+v, want 1 ref, 1 answer and no unexpected message", r)
 		}
 	}
 	again, _ := runNetwork(t, cfg, nil)
 	if a, b := fmt.Sprint(n.Emulator.Journal()), fmt.Sprint(again.Emulator.Journal()); a != b {
-		t.Error("the second run has another journal, want the same")
+		t.Error("journal of a second run with the same configuration differs from that of the first, want the same")
 	}
 }
 
@@ -131,11 +131,11 @@
 			}
 			n, counts := runNetwork(t, testNetworkConfig(2, 4, 80, f), nil)
 			if done := counts[OutcomeEnded] + counts[OutcomeReleased]; done < 30 {
-				t.Errorf("got outcomes %v, want at least 30 ended or released", counts)
+				t.Errorf("number of requests by outcome = %v, want at least 30 ended or released", counts)
 			}
 			for _, r := range n.Emulator.Requests()[0] {
 				if r.Answers > len(r.Refs) {
-					t.Errorf("got report %+v, want at most %d answers", r, len(r.Refs))
+					t.Errorf("report on a request = %+v, want at most as many answers as submissions, %d", r, len(r.Refs))
 				}
 			}
 			t.Log(counts)
@@ -158,13 +158,14 @@
 		handOvers += r.HandOvers
 	}
 	if handOvers == 0 || counts[OutcomeEnded]+counts[OutcomeReleased] < 60 {
-		t.Errorf("got %d hand-overs and outcomes %v, want at least 1 and at least 60 ended or released", handOvers, counts)
+		t.Errorf("got %d hand-overs and numbers of requests by outcome %v, want at least 1 hand-over and at least 60 ended or released",
+			handOvers, counts)
 	}
 	t.Log(handOvers, counts)
 }
 
-// randomFaults draws up to 8 faults. It leaves out those after which a placer cannot learn, or report, that a task is
-// over: lost messages or half-open connections of owners, and a restart of the sequence of the endpoint log.
+// randomFaults draws up to 8 faults. It leaves out faults after which a placer cannot learn or cannot report that a task
+// is over: lost messages or half-open connections of owners, and a restart of the sequence of the endpoint log.
 func randomFaults(seed uint64) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	var faults []Fault
@@ -202,7 +203,7 @@
 			n.KillPlacer(1)
 			n.Run(time.Second)
 			if err := n.StartPlacer(1); err != nil {
-				t.Fatalf("StartPlacer(1): %v", err)
+				t.Fatalf("seed %d: StartPlacer(1): %v", seed, err)
 			}
 		})
 		for outcome, count := range counts {
@@ -211,7 +212,7 @@
 	}
 	for outcome := OutcomeEnded; outcome < outcomeCount; outcome++ {
 		if sum[outcome] == 0 {
-			t.Errorf("sum of the outcomes of all runs is %v, want at least one %v", sum, outcome)
+			t.Errorf("number of requests by outcome in all runs = %v, want at least one %v", sum, outcome)
 		}
 	}
 }
--- a/internal/emulator/platformmodel/networkwatch.go
+++ b/internal/emulator/platformmodel/networkwatch.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	watchRedialDelay = 50 * time.Millisecond   // from the end of a stream to the next attempt
-	watchIdleTimeout = 1500 * time.Millisecond // after which a stream without data is closed
+	watchRedialDelay = 50 * time.Millisecond   // time from the end of a stream to the next attempt
+	watchIdleTimeout = 1500 * time.Millisecond // time after which a stream without data is closed
 )
 
 // networkWatch is the watch client of an incarnation of a placer.
 type networkWatch struct {
 	placer   *networkPlacer
 	sequence platform.Sequence
-	conn     *networkConn // current stream; nil: stopped
+	conn     *networkConn // current stream; nil: the watch is stopped
 	head     []byte       // received part of the response head; nil: the head is complete
 	events   platform.EventReader
 	lastData time.Duration // when data was received last, or the stream was opened
@@ -59,7 +59,7 @@
 		return
 	}
 	w.placer.close(c)
-	w.conn = &networkConn{closed: true} // stands for no stream until then
+	w.conn = &networkConn{closed: true} // placeholder until the next stream is opened
 	placeholder := w.conn
 	w.placer.network.after(watchRedialDelay, func() {
 		if w.conn == placeholder {
@@ -92,7 +92,8 @@
 	}
 }
 
-// handleEvent delivers an event to the core if it is the next of the sequence, and reopens the watch after a gap.
+// handleEvent delivers an event to the core if it is the next one of the sequence. If there is a gap before the event,
+// it reopens the watch.
 func (w *networkWatch) handleEvent(c *networkConn, encoded platform.ServerSentEvent) {
 	if w.conn != c {
 		return
--- a/internal/emulator/platformmodel/owner.go
+++ b/internal/emulator/platformmodel/owner.go
@@ -13,16 +13,16 @@
 
 // Timeouts and delays of an owner.
 const (
-	ownerIdleTimeout  = 4 * time.Second        // of a connection without open requests and running tasks
-	ownerRedialDelay  = 100 * time.Millisecond // from the failure or the end of a connection to the next attempt
+	ownerIdleTimeout  = 4 * time.Second        // a connection without open requests and running tasks is closed after this
+	ownerRedialDelay  = 100 * time.Millisecond // time from the failure or the end of a connection to the next attempt
 	inFlightWindow    = 50 * time.Millisecond  // a request sent this shortly before its connection ended is sent again
-	defaultRetryAfter = 100 * time.Millisecond // after a failure, or a rejection without FieldRetryAfter
+	defaultRetryAfter = 100 * time.Millisecond // delay after a failure, or after a rejection without FieldRetryAfter
 )
 
 // Limits of an owner.
 const (
 	maxOwnerRequests = 100_000
-	maxMigrations    = 16 // of one request; a further one ends it as OutcomeBroken
+	maxMigrations    = 16 // limit for each request; a further migration ends the request with OutcomeBroken
 )
 
 // OwnerConfig configures the requests and the behavior of an owner.
@@ -71,9 +71,9 @@
 // placerState is the state that an owner keeps of a placer.
 type placerState struct {
 	number       int
-	running      bool              // it accepts connections
-	conn         *ownerConnection  // nil: none is open or being opened
-	redialAt     time.Duration     // earliest time of the next connection
+	running      bool              // the placer accepts connections
+	conn         *ownerConnection  // nil: no connection is open or being opened
+	redialAt     time.Duration     // earliest time of the next connection attempt
 	incarnations int               // number of starts that the owner was notified of
 	outgoing     []outgoingMessage // messages that wait until the placer has answered a probe
 }
@@ -98,7 +98,7 @@
 
 const (
 	ownerConnecting ownerConnectionState = iota
-	ownerProbing                         // the placer has not answered the probe on it
+	ownerProbing                         // the placer has not answered the probe on the connection yet
 	ownerReady
 )
 
@@ -109,10 +109,10 @@
 	state    ownerConnectionState
 	lines    platform.LineSplitter
 	lastUsed time.Duration
-	requests map[*ownerRequest]struct{} // requests that wait for their answer on it, or whose task runs
+	requests map[*ownerRequest]struct{} // requests on this connection that wait for their answer or whose task runs
 }
 
-// NewOwner returns an owner without connections. newConn returns the numbers of its connections.
+// NewOwner returns an owner without connections. newConn returns a new number for each of its connections.
 func NewOwner(cfg OwnerConfig, now time.Duration, newConn func() ConnID) *Owner {
 	o := &Owner{
 		cfg: cfg, newConn: newConn, now: now,
@@ -136,8 +136,8 @@
 	return reports
 }
 
-// PlacerStarted handles the start of a placer. A later incarnation is handed over the running tasks that the earlier
-// ones have placed.
+// PlacerStarted handles the start of a placer. If it is not the placer's first incarnation, the running tasks that
+// earlier incarnations have placed are handed over to it.
 func (o *Owner) PlacerStarted(now time.Duration, number int) []Action {
 	return o.handle(now, func() {
 		p := o.placer(number)
@@ -173,8 +173,8 @@
 	})
 }
 
-// ConnectionClosed handles the failure or the end of a connection. After a reset the owner connects again and hands
-// over the running tasks of the connection, as messages on their ends may have been lost.
+// ConnectionClosed handles the failure or the end of a connection. After a reset, the owner connects again and hands
+// over the running tasks of the connection, as messages about the ends of these tasks may have been lost.
 func (o *Owner) ConnectionClosed(now time.Duration, conn ConnID, reset bool) []Action {
 	return o.handle(now, func() {
 		if c := o.conns[conn]; c != nil {
--- a/internal/emulator/platformmodel/owner_test.go
+++ b/internal/emulator/platformmodel/owner_test.go
@@ -16,7 +16,7 @@
 	now    time.Duration
 	conn   ConnID             // latest connection that the owner has opened
 	closed bool               // the owner has closed conn
-	sent   []platform.Message // by the owner, except for probes
+	sent   []platform.Message // messages that the owner has sent, except for probes
 }
 
 // newOwnerRig returns an owner with one request, which it has submitted.
@@ -78,13 +78,13 @@
 	}
 }
 
-// A request is submitted again under another ref after a rejection, and after a failure if its class allows that. Only
-// after a failure is it marked as resubmitted, as it may have run.
+// A request is submitted again under another ref after a rejection, and after a failure if its class allows that. After
+// a failure the request is marked as resubmitted, as it may have run; after a rejection it is not.
 func TestOwnerResubmitsAfterRejectionOrRetryableFailure(t *testing.T) {
 	for _, c := range []struct {
 		class    int
 		cause    platform.Cause
-		wait     time.Duration // before the answer
+		wait     time.Duration // time before the answer
 		outcome  Outcome
 		messages int
 	}{
@@ -166,8 +166,8 @@
 	}
 }
 
-// A task that its placer migrates is submitted again, even if its class is unsafe. A task that has ended is not. A
-// second answer counts as unexpected.
+// A task that its placer migrates is submitted again, even if its class is unsafe. A task that has ended is not
+// submitted again. A second answer to a submission counts as unexpected.
 func TestOwnerResubmitsMigratedTask(t *testing.T) {
 	r := newOwnerRig(t, 2, 0)
 	r.answer(platform.TypeBound, r.lastSent().Ref, platform.NoCause)
@@ -178,12 +178,12 @@
 	r.answer(platform.TypeRelease, r.lastSent().Ref, platform.CauseOK)
 	r.wantOutcome(OutcomeEnded, 2)
 	if got := r.owner.Reports()[0]; got.Unexpected != 1 || got.Answers != 3 {
-		t.Errorf("got report %+v, want Unexpected 1 and Answers 3", got)
+		t.Errorf("report after a migration and a second answer = %+v, want Unexpected 1 and Answers 3", got)
 	}
 }
 
-// After a reset the owner connects again and hands over its running tasks, as it may have missed their ends. After a
-// close it does not.
+// After a reset, the owner connects again and hands over its running tasks, as it may have missed the messages about
+// their ends. After a regular close, it does not.
 func TestOwnerHandsOverTasksOnlyAfterReset(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		r := newOwnerRig(t, 0, 0)
--- a/internal/emulator/platformmodel/ownertasks.go
+++ b/internal/emulator/platformmodel/ownertasks.go
@@ -41,7 +41,7 @@
 	p.outgoing = append(p.outgoing, outgoingMessage{kind, r})
 }
 
-// send sends a queued message, unless the state of its request no longer calls for it.
+// send sends a queued message, unless the state of its request has made the message obsolete.
 func (o *Owner) send(c *ownerConnection, message outgoingMessage) {
 	r := message.request
 	class := &o.cfg.Classes[r.Request.Class]
@@ -76,7 +76,7 @@
 	c.requests[r] = struct{}{}
 }
 
-// removeFromConnection removes a request from the set of its connection.
+// removeFromConnection removes a request from the set of requests of its connection.
 func (o *Owner) removeFromConnection(r *ownerRequest) {
 	if c := o.conns[r.conn]; c != nil {
 		delete(c.requests, r)
@@ -99,7 +99,7 @@
 	o.enqueue(sendRelease, r)
 }
 
-// handleBound handles the answer that a task runs.
+// handleBound handles the answer which says that a task runs.
 func (o *Owner) handleBound(m *platform.Message) {
 	r := o.byRef[m.Ref]
 	if r == nil {
@@ -107,7 +107,7 @@
 	}
 	r.Answers++
 	if r.Outcome != OutcomeOpen || r.ref != m.Ref {
-		if !r.releaseUnacknowledged { // otherwise the answer has crossed the owner's release or withdrawal
+		if !r.releaseUnacknowledged { // otherwise the placer sent the answer before it got the release or withdrawal
 			r.Unexpected++
 		}
 		return
@@ -126,7 +126,7 @@
 	switch {
 	case r == nil:
 	case r.ref != m.Ref || r.Outcome.IsFinal() || r.Outcome == OutcomePending:
-		if !r.releaseUnacknowledged { // otherwise the message has crossed the owner's release or withdrawal
+		if !r.releaseUnacknowledged { // otherwise the placer sent the message before it got the release or withdrawal
 			r.Unexpected++
 		}
 	case r.Outcome == OutcomeRunning && m.Cause == platform.CauseOK:
@@ -150,8 +150,9 @@
 	return time.Duration(millis) * time.Millisecond
 }
 
-// resubmit schedules another submission of a request, or ends it with the outcome otherwise if MaxSubmissions or its
-// class don't allow one. neverRan means that the last submission is known to have had no effect.
+// resubmit schedules another submission of a request. If MaxSubmissions or the request's class don't allow one, it ends
+// the request with the outcome that the parameter otherwise gives. neverRan means that the task of the last submission
+// is known not to have run.
 func (o *Owner) resubmit(r *ownerRequest, neverRan bool, otherwise Outcome, after time.Duration) {
 	o.removeFromConnection(r)
 	class := &o.cfg.Classes[r.Request.Class]
@@ -164,8 +165,8 @@
 	o.submitAt(r, o.now+after)
 }
 
-// handleLostConnection handles the end of the connection on which a request waits for its answer. A request that the
-// placer may not have read before it closed the connection is sent again under the same ref, once.
+// handleLostConnection handles the end of the connection on which a request waits for its answer. If the placer may have
+// closed the connection before it read the request, the request is sent again once, under the same ref.
 func (o *Owner) handleLostConnection(r *ownerRequest) {
 	if o.now < r.sentAt+inFlightWindow && !r.resent {
 		r.resent = true
@@ -175,7 +176,8 @@
 	o.resubmit(r, false, OutcomeLost, defaultRetryAfter)
 }
 
-// handleMigrate submits the request again for a task that its placer migrates. The task ends at its present host.
+// handleMigrate handles the message that a placer migrates a task. It submits the task's request again. The task ends on
+// its present host.
 func (o *Owner) handleMigrate(m *platform.Message) {
 	r := o.byRef[m.Ref]
 	if r == nil {
--- a/internal/emulator/platformmodel/parties.go
+++ b/internal/emulator/platformmodel/parties.go
@@ -14,7 +14,7 @@
 	next     time.Duration // when the model is to be stepped
 	links    map[ConnID]*link
 	active   [faultTypeCount]int // number of faults in force, by type
-	delay    time.Duration       // of the messages that the party sends
+	delay    time.Duration       // delay of the messages that the party sends
 	listener *listener           // nil: the party accepts no connections
 	host     *hostState          // nil: the party is not a host
 }
@@ -39,11 +39,11 @@
 	listenerStopped                      // connections are neither accepted nor refused
 )
 
-// listener is a listener of a party. Only a FaultHostReaddressed gives a party another one.
+// listener is a listener of a party. A party keeps its listener, except that FaultHostReaddressed gives it another one.
 type listener struct {
 	id      ListenerID
 	party   *party
-	address string // empty: any, until the listener has been opened
+	address string // empty until the listener has been opened: any free address
 	state   listenerState
 }
 
@@ -110,7 +110,7 @@
 	e.publishLater(p)
 }
 
-// killHost ends the process of a host that is up and resets its connections.
+// killHost ends the process of a host and resets its connections, if the host is up.
 func (e *Emulator) killHost(p *party) {
 	if p.model == nil {
 		return
@@ -119,7 +119,8 @@
 	e.resetLinks(p)
 }
 
-// loseMachine removes the machine of a host that is up. Its connections pass nothing more, and no close either.
+// loseMachine removes the machine of a host, if the host is up. Nothing passes on its connections any more, not even a
+// close.
 func (e *Emulator) loseMachine(p *party) {
 	if p.model == nil {
 		return
@@ -131,7 +132,7 @@
 	e.endIncarnation(p)
 }
 
-// endIncarnation ends an incarnation of a host with its tasks and publishes that.
+// endIncarnation ends an incarnation of a host and its tasks, and publishes the end.
 func (e *Emulator) endIncarnation(p *party) {
 	p.model = nil
 	e.recordParty(RecordHostDown, p)
@@ -159,15 +160,16 @@
 	return e
 }
 
-// publishLater schedules a publish of a host after Config.ListDelay. It publishes the state that the host has by then.
+// publishLater schedules a publish of a host after Config.ListDelay. The published state is the host's state at that
+// time.
 func (e *Emulator) publishLater(p *party) {
 	if e.log != nil {
 		e.after(e.cfg.ListDelay, func() { e.publish(p) })
 	}
 }
 
-// publish publishes a host's entry in the endpoint list if it has changed. If the host has another name than before, an
-// entry of the former name that was in service is published as terminated.
+// publish publishes a host's entry in the endpoint list if the entry has changed. If the host's name has changed and the
+// entry with the former name was in service, that entry is published as terminated.
 func (e *Emulator) publish(p *party) {
 	before, entry := p.host.published, p.endpoint()
 	if entry.Address == "" {
--- a/internal/emulator/platformmodel/request.go
+++ b/internal/emulator/platformmodel/request.go
@@ -12,8 +12,8 @@
 type Class struct {
 	Name   string
 	Effect forkhead.Effect
-	// DedupWindow is the time after its first submission in which a request of a Keyed class that may have run may be
-	// submitted again.
+	// DedupWindow applies to Keyed classes: a request that may have run may be submitted again within this time from its
+	// first submission.
 	DedupWindow time.Duration
 }
 
@@ -24,8 +24,8 @@
 	Class         int           // index in OwnerConfig.Classes
 	Cores, Memory float64
 	Service       uint64
-	Timeout       time.Duration // of each submission, to the answer; OwnerConfig.AnswerGrace is added
-	ReleaseAfter  time.Duration // from the answer to the release of the task by the owner; 0: no release
+	Timeout       time.Duration // time from a submission to its answer; OwnerConfig.AnswerGrace is added
+	ReleaseAfter  time.Duration // time from the answer to the release of the task by the owner; 0: no release
 }
 
 // Outcome is the state of a request.
@@ -33,16 +33,16 @@
 
 // The outcomes. All except the first three are final.
 const (
-	OutcomePending  Outcome = iota // it is not submitted yet, or waits to be submitted again
-	OutcomeOpen                    // it is submitted and has no answer
-	OutcomeRunning                 // its task is placed
-	OutcomeEnded                   // its task has run to its end
-	OutcomeBroken                  // its task ended early, or was migrated too often
-	OutcomeReleased                // its owner has released its task
-	OutcomeRejected                // its last allowed submission was rejected
-	OutcomeFailed                  // it failed and cannot be submitted again
-	OutcomeGaveUp                  // its owner has stopped waiting for the answer
-	OutcomeLost                    // its connection ended before the answer, and it cannot be submitted again
+	OutcomePending  Outcome = iota // the request is not submitted yet, or waits to be submitted again
+	OutcomeOpen                    // the request is submitted and has no answer
+	OutcomeRunning                 // the task is placed
+	OutcomeEnded                   // the task has run to its end
+	OutcomeBroken                  // the task ended early, or was migrated too often
+	OutcomeReleased                // the owner has released the task
+	OutcomeRejected                // the last allowed submission was rejected
+	OutcomeFailed                  // the request failed and cannot be submitted again
+	OutcomeGaveUp                  // the owner has stopped waiting for the answer
+	OutcomeLost                    // the connection ended before the answer, and the request cannot be submitted again
 	outcomeCount
 )
 
@@ -64,9 +64,9 @@
 	Request     Request
 	Outcome     Outcome
 	Refs        []string      // refs of its submissions, oldest first
-	Answers     int           // answers that its task runs, over all submissions
+	Answers     int           // answers to all its submissions which say that its task runs
 	HandOvers   int           // number of hand-overs of its task
-	Unexpected  int           // messages that violate the protocol: a second answer, or a message after the end
+	Unexpected  int           // messages that violate the protocol, such as a second answer or a message after the end
 	Host        string        // host that runs its task or ran it last; "": none
 	SubmittedAt time.Duration // time of the first submission; 0: none
 	FinishedAt  time.Duration // time of the final outcome; 0: none
@@ -76,8 +76,8 @@
 type ownerRequest struct {
 	RequestReport
 	number          int    // index in OwnerConfig.Requests
-	ref             string // of the latest submission; "": the request waits for the next one
-	conn            ConnID // on which the latest message about it was sent
+	ref             string // ref of the latest submission; "": the request waits for its next submission
+	conn            ConnID // connection on which the latest message about the request was sent
 	submissionDueAt time.Duration
 	sentAt          time.Duration
 	cancelAt        time.Duration
@@ -86,14 +86,15 @@
 	failed          bool // an earlier submission failed and may have run
 
 	// resent means that the latest submission was sent a second time, as the placer may have closed the connection
-	// before it read the first.
+	// before it read the submission.
 	resent bool
 	// releaseUnacknowledged means that the owner has released the task or withdrawn the request, and that the placer
 	// has not acknowledged it.
 	releaseUnacknowledged bool
 }
 
-// isRejection reports whether a release of an unanswered request with this cause means that nothing ran.
+// isRejection reports whether a TypeRelease message about an unanswered request means, with this cause, that the task
+// did not run.
 func isRejection(cause platform.Cause) bool {
 	return cause == platform.CauseRejected || cause == platform.CauseBusy || cause == platform.CauseNotSent
 }
@@ -114,8 +115,8 @@
 // Keyed class, as the idempotency key.
 func (r *ownerRequest) identity(owner int) uint64 { return uint64(owner)<<32 | uint64(r.number) }
 
-// encode returns the latest submission as a message. A host that is not empty makes it a hand-over of the task, which
-// runs there.
+// encode returns the latest submission as a message. If host is not empty, the message is a hand-over of the task, which
+// runs on that host.
 func (r *ownerRequest) encode(owner int, class *Class, tenant, host string) []byte {
 	extras := fmt.Sprintf("%s:%g;%s:%g;%s:%016x", platform.ExtraCores, r.Request.Cores, platform.ExtraMemory, r.Request.Memory,
 		platform.ExtraService, r.Request.Service)
