--- a/attempts_test.go
+++ b/attempts_test.go
@@ -127,7 +127,7 @@
 }
 
 func TestMigrationNeedsCapacityElsewhere(t *testing.T) {
-	for n, want := range map[int]int{1: 0, 2: 1} { // migrations by the number of machines
+	for n, want := range map[int]int{1: 0, 2: 1} { // number of wanted migrations by number of machines
 		h := newHarness(t, testSettings(), readyMachines(n))
 		id, actions := h.request(0, 7)
 		machine := h.singleOffer(actions).Machine
--- a/internal/architecture_test.go
+++ b/internal/architecture_test.go
@@ -90,12 +90,12 @@
 			declared[dir] = declaredNames(t, packageDir(dir))
 		}
 		if !declared[dir][name] {
-			t.Errorf("docs/architecture.md refers to %s.%s, which package %s does not declare", dir, name, dir)
+			t.Errorf("docs/architecture.md refers to %s.%s, want a name that package %s declares", dir, name, dir)
 		}
 		found++
 	}
 	if found < 50 {
-		t.Errorf("found %d references to code in docs/architecture.md, want at least 50; has the format of the page changed?", found)
+		t.Errorf("references to code found in docs/architecture.md = %d, want at least 50; has the format of the page changed?", found)
 	}
 }
 
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -100,7 +100,7 @@
 func violations(dir string, file *ast.File) []string {
 	var wrong []string
 	ownLayer, _, _ := strings.Cut(dir, "/")
-	imports := map[string]string{} // paths by local name
+	imports := map[string]string{} // import paths by local name
 	for _, spec := range file.Imports {
 		imported, err := strconv.Unquote(spec.Path.Value)
 		if err != nil {
@@ -121,7 +121,7 @@
 }
 
 // pureViolations returns a description of each goroutine that a file of a pure package starts and each forbidden name
-// that it uses. imports are the paths of its imports by local name.
+// that it uses. imports has the import paths of the file by local name.
 func pureViolations(dir string, file *ast.File, imports map[string]string) []string {
 	var wrong []string
 	ast.Inspect(file, func(node ast.Node) bool {
@@ -181,21 +181,21 @@
 			continue
 		}
 		if isInternal && allowedImports[strings.Split(fromInternal, "/")[0]] == nil {
-			t.Errorf("package %s belongs to none of the layers %v", dir, slices.Sorted(maps.Keys(allowedImports)))
+			t.Errorf("package %s belongs to no layer, want one of %v", dir, slices.Sorted(maps.Keys(allowedImports)))
 			continue
 		}
 		for _, wrong := range violations(fromInternal, file) {
-			t.Error(wrong)
+			t.Errorf("%s: got violation %q, want none", name, wrong)
 		}
 	}
 	for dir, ok := range hasPackageDoc {
 		if !ok {
-			t.Errorf("package %s has no doc comment", dir)
+			t.Errorf("package %s has no doc comment of more than 3 words, want one", dir)
 		}
 	}
 	for l := range allowedImports {
 		if _, err := os.Stat(l); err != nil {
-			t.Errorf("layer %s of allowedImports: %v", l, err)
+			t.Errorf("directory of layer %s in allowedImports: %v, want it to exist", l, err)
 		}
 	}
 }
@@ -224,7 +224,7 @@
 		}
 		wrong := strings.Join(violations(c.dir, f), "; ")
 		if c.want == "" && wrong != "" || !strings.Contains(wrong, c.want) {
-			t.Errorf("violations(%q, %q) = %q, want %q in it, or nothing if that is empty", c.dir, text, wrong, c.want)
+			t.Errorf("violations(%q, %q) = %q, want a text that contains %q, or no text if that is empty", c.dir, text, wrong, c.want)
 		}
 	}
 }
--- a/internal/pages_test.go
+++ b/internal/pages_test.go
@@ -76,10 +76,10 @@
 				linked = filepath.ToSlash(filepath.Join(filepath.Dir(name), target))
 			}
 			if _, err := os.Stat(filepath.Join("..", linked)); err != nil {
-				t.Errorf("%s: target of the link %s: %v", name, link[1], err)
+				t.Errorf("%s: link %s: %v, want a link to an existing file", name, link[1], err)
 			}
 			if fragment != "" && !hasAnchor(texts[linked], fragment) {
-				t.Errorf("%s: target of the link %s: %s has no heading with the anchor %q", name, link[1], linked, fragment)
+				t.Errorf("%s: link %s: %s has no heading with the anchor %q, want one", name, link[1], linked, fragment)
 			}
 		}
 	}
--- a/internal/planning/plan/conflict.go
+++ b/internal/planning/plan/conflict.go
@@ -9,8 +9,8 @@
 )
 
 // describeConflict returns a message for each requirement of a conflict, with its position in the specifications.
-// Clients of the placer get these messages too, so their texts must not change. In the texts, "asks for" stands for the
-// tasks that a service requests, and "open" for schedulable hosts.
+// Clients of the placer get these messages too, so their texts must not change. In the texts, a service "asks for" its
+// tasks, and a schedulable host is "open".
 func describeConflict(in *solver.Instance, services []service, conflict []solver.Requirement) []string {
 	messages := []string{}
 	for _, r := range conflict {
--- a/machinelist_test.go
+++ b/machinelist_test.go
@@ -207,7 +207,7 @@
 	for service := range uint64(8) {
 		_, actions := h.request(0, 1000+service)
 		if offer := h.singleOffer(actions); offer.Machine < 4 {
-			t.Errorf("got an offer to machine %d, one of the oldest, want 4, 5 or 6", offer.Machine)
+			t.Errorf("request %d: got an offer to machine %d, one of the oldest, want 4, 5 or 6", service+1, offer.Machine)
 		}
 	}
 }
--- a/selection.go
+++ b/selection.go
@@ -66,7 +66,7 @@
 	own := int(pool.sizes.loadPosition(t.Cores, p.settings.MeanCores, t.Service) * float64(groups))
 	for step := range 2 * groups {
 		i := own + step/2
-		if step%2 == 1 { // downward first, to keep the groups above free for large tasks
+		if step%2 == 1 { // the group below first, to keep groups above free for large tasks
 			i = own - (step+1)/2
 		}
 		if i < 0 || i >= groups {
--- a/selection_test.go
+++ b/selection_test.go
@@ -52,7 +52,7 @@
 	for range 5 {
 		_, actions = h.request(0, 7)
 		if got := h.singleOffer(actions).Machine; got != first {
-			t.Fatalf("got an offer to machine %d, want %d, which has the program", got, first)
+			t.Fatalf("further request of the service: got an offer to machine %d, want %d, which has the program", got, first)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 	task := h.newTask(0, 7)
 	task.RequiredLabels = 0b10
 	if offer := h.singleOffer(h.step(PlacementRequest{Task: task})); offer.Machine != 5 {
-		t.Fatalf("got an offer to machine %d, want 5, which has the label", offer.Machine)
+		t.Fatalf("task that requires a label: got an offer to machine %d, want 5, which has the label", offer.Machine)
 	}
 	task = h.newTask(0, 8)
 	task.RequiredLabels = 0b110
@@ -95,7 +95,7 @@
 	}
 	machines[1].Labels = 0b111
 	if offer := h.singleOffer(h.step(ListUpdate{Mode: ListDelta, Machines: machines[1:2]})); offer.Machine != 2 {
-		t.Fatalf("got an offer to machine %d, want 2, which has both labels", offer.Machine)
+		t.Fatalf("task that requires two labels: got an offer to machine %d, want 2, which has both", offer.Machine)
 	}
 }
 
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -260,7 +260,7 @@
 	return time.Millisecond
 }
 
-// run advances the time until the machine's slow start ends by the first clock.
+// run advances the time until the machine's slow start ends by a clock that is ahead by clockSkew.
 func (r *slowStartRun) run(t rapid.TB) {
 	t.Helper()
 	tick := max(r.settings.SlowStartWindow/30, 10*time.Millisecond)
