--- a/actions.go
+++ b/actions.go
@@ -10,16 +10,18 @@
 
 // The actions that Placer.Step returns.
 type (
-	// Offer starts an attempt: it offers the task to the machine. The attempts of a request are numbered from 0.
+	// Offer starts an attempt: it offers the task to the machine. The attempts of a request are numbered from 0. Timeout
+	// is the time to wait for the answer; 0, which this package always sets, means until the owner gives up.
 	Offer struct {
 		Task    TaskID
 		Machine MachineID
-		Timeout time.Duration // for the answer; 0, as always in this package: until the owner gives up
+		Timeout time.Duration
 	}
-	// Reject ends a request and tells the owner that a retry is harmless.
+	// Reject ends a request and tells the owner that a retry is harmless. RetryAfter is the delay before the retry; 0,
+	// which this package always sets, leaves it to the owner.
 	Reject struct {
 		Task       TaskID
-		RetryAfter time.Duration // before the owner's retry; 0, as always in this package: not specified
+		RetryAfter time.Duration
 	}
 	// Fail ends a request without a promise that a retry is harmless.
 	Fail struct{ Task TaskID }
--- a/attempts.go
+++ b/attempts.go
@@ -14,7 +14,7 @@
 	// A task with a service level below migrateBelow is migrated if one of the first migrationPasses
 	// selection passes finds a machine for it.
 	migrateBelow, migrationPasses = 0.5, 3
-	maxMigrationsPerSecond        = 8               // from one machine, by all placers together
+	maxMigrationsPerSecond        = 8               // limit for each machine, of all placers together
 	migrationCooldown             = 2 * time.Second // no offers to the machine after a migration attempt
 )
 
--- a/capacity.go
+++ b/capacity.go
@@ -8,7 +8,7 @@
 // Constants of the capacity estimate.
 const (
 	changeHistory     = 10 * time.Second // longest time until the list shows a change of capacity
-	initialListLag    = 2                // index into listLags: 1 s
+	initialListLag    = 2                // index of the lag 1 s in listLags
 	listLagErrorDecay = 0.98             // factor by which an observation reduces the earlier errors
 	rejectionLifetime = 4 * time.Second  // a rejection lowers the estimate for at most this time
 	// After a rejection, this share of the rejected task's size counts as available, so that a task of the
--- a/internal/emulator/host/server_test.go
+++ b/internal/emulator/host/server_test.go
@@ -99,7 +99,7 @@
 	for name, c := range map[string]struct {
 		stream []byte
 		want   string
-		hello  bool // send a valid Hello before the stream
+		hello  bool // a valid Hello is sent before the stream
 	}{
 		"oversized":        {stream: []byte{0xff, 0xff, 0xff, 0xff}, want: "longer than allowed"},
 		"unknown code":     {stream: []byte{1, 0, 0, 0, 77}, want: "unknown code"},
--- a/machinelist.go
+++ b/machinelist.go
@@ -15,7 +15,7 @@
 	// The list service handles a few dozen polls per second from all placers together, so the time over which
 	// the placers spread their polls grows by this amount with each placer.
 	pollSpreadPerPlacer = 20 * time.Millisecond
-	removedRetention    = time.Minute // then the next change of members deletes a removed machine
+	removedRetention    = time.Minute // later, a change of members deletes a removed machine
 	// Machines go on standby if everything requested fits on the others without filling them beyond this
 	// share.
 	standbyUtilization = 0.85
@@ -112,11 +112,11 @@
 
 // updateStandby puts machines of a pool on standby if the others have capacity for everything requested and a
 // reserve. Machines on standby get no new tasks while others have capacity, and so become empty over time.
-// This saves cost, since surplus machines in use have one. The machines that started last stay in use, since
-// the oldest are the first to go when all machines are replaced. Of machines that started at the same time,
-// the fullest stay in use. Standby is used only if the placers gossip about reservations, which they do if
-// there are few. The cost: when many tasks arrive at once, a task that finds no capacity or long queues on
-// the machines in use still starts on a machine on standby.
+// Standby exists because surplus machines in use have a cost. The machines that started last stay in use,
+// since the oldest are the first to go when all machines are replaced. Of machines that started at the same
+// time, the fullest stay in use. Standby is used only if there is one placer, or a few that gossip about
+// reservations. The cost: when many tasks arrive at once, a task that finds no capacity or long queues on the
+// machines in use still starts on a machine on standby.
 func (p *Placer) updateStandby(pool *pool) {
 	if p.settings.Costs.SurplusMachine == 0 || !p.seesPeerChanges() {
 		return
--- a/outliers.go
+++ b/outliers.go
@@ -6,7 +6,7 @@
 const (
 	maxEjectionTime     = 10 * time.Second       // ejection from a class lasts about as long as a short fault
 	outlierWindow       = maxEjectionTime        // two failures of a class within this time eject a machine
-	minSuspectTime      = 500 * time.Millisecond // after a failed check, doubled at each further one
+	minSuspectTime      = 500 * time.Millisecond // after a failed check, doubled at each further failure
 	maxSuspectTime      = 4 * time.Second
 	maxSuspectDoublings = 8
 )
