--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -24,8 +24,8 @@
 
 const (
 	minBackoff          = 10 * time.Millisecond
-	maxOutcomeLineBytes = 64 << 10 // of one line of the outcome stream
-	idempotencyKeyBytes = 16       // of a random Idempotency-Key
+	maxOutcomeLineBytes = 64 << 10 // limit of one line of the outcome stream
+	idempotencyKeyBytes = 16       // size of a random Idempotency-Key
 )
 
 // Client submits to one placer. Its fields must not change during Submit, which calls the functions among them on the
@@ -34,7 +34,7 @@
 	Address        string        // HOST:PORT of the placer
 	HTTPClient     *http.Client  // nil: http.DefaultClient
 	IdempotencyKey string        // "": a random one for each call of Submit
-	MaxSends       int           // number of times that a submission is sent at most; less than 1: once
+	MaxSends       int           // maximum number of times that a submission is sent; less than 1: once
 	Backoff        time.Duration // minimum time before a submission is sent again; a longer Retry-After takes precedence
 	// OnAccepted is called with the submission's ID for each successful response, before its outcomes. nil: not called.
 	OnAccepted func(submission string)
@@ -87,8 +87,8 @@
 	return hex.EncodeToString(key[:])
 }
 
-// retryable reports whether a submission that failed with err may be sent again: the response was lost, or it allows a
-// retry.
+// retryable reports whether a submission that failed with err may be sent again: the response was lost or incomplete,
+// or its status allows a retry.
 func retryable(err error) bool {
 	var rejection *RejectionError
 	return !errors.As(err, &rejection) || rejection.Retryable()
@@ -139,7 +139,7 @@
 		if errors.Is(err, io.EOF) && len(line) == 0 {
 			return nil
 		}
-		if err != nil { // a partial line is dropped, since the next response has all of it
+		if err != nil { // a partial line is dropped: the next response has the whole line
 			if c.OnBrokenStream != nil {
 				c.OnBrokenStream(submission)
 			}
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -18,7 +18,7 @@
 func write(t *testing.T, w io.Writer, text string) {
 	t.Helper()
 	if _, err := io.WriteString(w, text); err != nil {
-		t.Error(err)
+		t.Errorf("write %q to the response: got error %v, want nil", text, err)
 	}
 }
 
--- a/internal/client/rejection.go
+++ b/internal/client/rejection.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	maxProblemBytes = 1 << 20        // of a response's body; the rest is not read
+	maxProblemBytes = 1 << 20        // a longer body of a response is not read to its end
 	maxRetryAfter   = 24 * time.Hour // a Retry-After of this length or more is ignored
 )
 
 // RejectionError is the error of a submission to which the placer responded with a problem instead of outcomes.
 type RejectionError struct {
 	placer.Problem
-	RetryAfter time.Duration // 0: not given, or ignored
+	RetryAfter time.Duration // 0: the response has no Retry-After, or one that is ignored
 }
 
 // Error returns the status, title and detail, or only the detail if the problem lists the errors of a specification.
--- a/internal/protocol/capture/event.go
+++ b/internal/protocol/capture/event.go
@@ -15,40 +15,40 @@
 // EventType is the type of an event. Stored captures contain its values.
 type EventType string
 
-// Events of hosts and of the frames that hosts receive and send. Each event has the Host; that of a frame also has the
-// Placer, the PlacerEpoch and, if the frame concerns an attempt, RefEpoch, Task and Attempt. The comments name the other
-// fields of an event.
+// Events of hosts and of the frames that hosts receive and send. Each event has the field Host; the event of a frame
+// also has Placer, PlacerEpoch and, if the frame concerns an attempt, RefEpoch, Task and Attempt. The comments name the
+// other fields of an event.
 const (
-	HostUp       EventType = "host-up"   // an incarnation of a host started: Epoch, WarmingUp, Zone, Rack
+	HostUp       EventType = "host-up"   // an incarnation of a host started; fields: Epoch, WarmingUp, Zone, Rack
 	HostDown     EventType = "host-down" // an incarnation of a host ended
 	Overloaded   EventType = "fell"      // the host crashed from too many offers while it was warming up
-	Hello        EventType = "hello"     // a placer opened a session: PlacerEpoch, Conn
-	Disconnected EventType = "gone"      // a placer's connection ended, as seen by the host: Conn
-	Welcome      EventType = "welcome"   // the host answered a Hello: Epoch, HostDraining
-	Holds        EventType = "held"      // the host listed an attempt that it has: Result is the phase of the attempt
+	Hello        EventType = "hello"     // a placer opened a session; fields: PlacerEpoch, Conn
+	Disconnected EventType = "gone"      // a placer's connection ended, as seen by the host; field: Conn
+	Welcome      EventType = "welcome"   // the host answered a Hello; fields: Epoch, HostDraining
+	Holds        EventType = "held"      // the host listed an attempt that it has; field: Result, the phase of the attempt
 	Offer        EventType = "offer"
 	Withdraw     EventType = "withdraw"
 	Stop         EventType = "stop"
 	Refused      EventType = "refused"
 	Accepted     EventType = "accepted"
 	Running      EventType = "running"
-	Ended        EventType = "ended" // the attempt ended: Result
-	Drain        EventType = "drain" // the host started or stopped draining: HostDraining
+	Ended        EventType = "ended" // the attempt ended; field: Result
+	Drain        EventType = "drain" // the host started or stopped draining; field: HostDraining
 )
 
 // Events of placers, clients and the emulated Consul.
 const (
-	ListDelivered      EventType = "told"        // the endpoint list was sent to a placer: Ready, Draining
-	Submit             EventType = "submit"      // a client submitted tasks: Submission, Count, Within
-	Outcome            EventType = "outcome"     // a client read an outcome: Submission, Name, Result, Took
-	ClientDisconnected EventType = "client-cut"  // a client's stream broke: it reads no more outcomes of the Submission
-	PlacerUp           EventType = "placer-up"   // an incarnation of a placer started: PlacerEpoch
-	PlacerDown         EventType = "placer-down" // an incarnation of a placer ended: PlacerEpoch
-	LateStep           EventType = "late"        // a placer ran a step later than it was due: Within is the delay
+	ListDelivered      EventType = "told"        // the endpoint list was sent to a placer; fields: Ready, Draining
+	Submit             EventType = "submit"      // a client submitted tasks; fields: Submission, Count, Within
+	Outcome            EventType = "outcome"     // a client read an outcome; fields: Submission, Name, Result, Took
+	ClientDisconnected EventType = "client-cut"  // a client's stream broke: no more outcomes are read; field: Submission
+	PlacerUp           EventType = "placer-up"   // an incarnation of a placer started; field: PlacerEpoch
+	PlacerDown         EventType = "placer-down" // an incarnation of a placer ended; field: PlacerEpoch
+	LateStep           EventType = "late"        // a placer ran a step after its due time; field: Within, the delay
 )
 
-// Event is an event of a run. It is captured at the host, the client or the emulated Consul, or, with AtPlacer, at the
-// sockets of the placer. The events at a placer are in the order in which its event loop processed input and wrote
+// Event is an event of a run. It is captured at the host, the client or the emulated Consul, or, if AtPlacer is set, at
+// the sockets of the placer. The events at a placer are in the order in which its event loop processed input and wrote
 // output: only this order shows what a placer could know when it sent something.
 type Event struct {
 	At           time.Duration `json:"at"` // time since the epoch of the run's clock
@@ -62,7 +62,7 @@
 	Placer       int           `json:"placer"`
 	PlacerEpoch  uint64        `json:"placer_epoch,omitempty"` // incarnation of the placer
 	Conn         uint64        `json:"conn,omitempty"`
-	RefEpoch     uint64        `json:"ref_epoch,omitempty"` // RefEpoch, Task and Attempt are the hostproto.Ref
+	RefEpoch     uint64        `json:"ref_epoch,omitempty"` // RefEpoch, Task and Attempt are from the hostproto.Ref
 	Task         uint32        `json:"task,omitempty"`
 	Attempt      uint8         `json:"attempt,omitempty"`
 	Key          uint64        `json:"key,omitempty"` // Key, Service, Name and Class are from the hostproto.Spec
--- a/internal/protocol/consul/consul.go
+++ b/internal/protocol/consul/consul.go
@@ -26,7 +26,7 @@
 type Service struct {
 	ID      string
 	Service string // name of the service
-	Address string // if empty, the address of the node applies
+	Address string // if empty, the service has the address of its node
 	Port    int
 	Meta    map[string]string
 	Tags    []string
@@ -76,8 +76,9 @@
 // MaxResponseSize is the maximum size of a response from Consul, in bytes.
 const MaxResponseSize = 64 << 20
 
-// Keys of metadata. The first group, of the node, describes the machine. The second group, of the service, gives the
-// start of the host and the resources that were available on it a while ago.
+// Keys of metadata. The keys of the first group are in the node's metadata and describe the machine. Those of the
+// second group are in the service's metadata: the start of the host, and the resources that were available on the host
+// a while ago.
 const (
 	MetaMachineType = "kind"
 	MetaZone        = "zone"
--- a/internal/protocol/consul/golden_test.go
+++ b/internal/protocol/consul/golden_test.go
@@ -33,7 +33,7 @@
 	}
 	goldentest.Check(t, "service.decoded", b.Bytes())
 
-	// The emulator encodes the same types that Decode reads.
+	// The emulator of Consul encodes the types that Decode reads, so their encoding is checked too.
 	var entries []Entry
 	if err := json.Unmarshal(text, &entries); err != nil {
 		t.Fatalf("json.Unmarshal of service.json: %v", err)
--- a/internal/protocol/consul/host.go
+++ b/internal/protocol/consul/host.go
@@ -23,10 +23,10 @@
 	Zone       string
 	Rack       string
 	State      forkhead.MachineState
-	Started    time.Duration                    // time of the start since the Unix epoch; 0: long ago
+	Started    time.Duration                    // start time, since the Unix epoch; 0: unknown or long ago
 	FreeCores  float64                          // available cores; may be negative
 	FreeMemory float64                          // available memory in GiB; may be negative
-	Attributes map[servicespec.Attribute]string // id, hostname, role, os, arch, label.NAME
+	Attributes map[servicespec.Attribute]string // the keys are id, hostname, role, os, arch and label.NAME
 }
 
 // labelAttributePrefix is the prefix of attributes that are labels.
--- a/internal/protocol/consul/host_test.go
+++ b/internal/protocol/consul/host_test.go
@@ -23,6 +23,6 @@
 		t.Fatalf("Decode: got host %+v, want 0 free cores, start 0, state Ready and label.disk ssd", h)
 	}
 	if _, _, err := consul.Decode([]byte(`{"a":`)); err == nil {
-		t.Fatal("Decode of an incomplete response: got no error, want one")
+		t.Fatal("Decode({\"a\":) of an incomplete response: got no error, want one")
 	}
 }
--- a/internal/server/clock/clock.go
+++ b/internal/server/clock/clock.go
@@ -9,8 +9,8 @@
 // Clock measures time since the Unix epoch. It reads the wall clock once, when it is created, and advances by the
 // monotonic clock from then on: it never goes back, even if the wall clock is set. It is safe for concurrent use.
 type Clock struct {
-	startedAt time.Duration // wall clock time at creation, since the Unix epoch
-	start     time.Time     // the same moment with its monotonic clock reading
+	startedAt time.Duration // wall clock time of creation, since the Unix epoch
+	start     time.Time     // time of creation, with its reading of the monotonic clock
 }
 
 // New returns a clock that starts at the current wall clock time.
--- a/internal/server/eventloop/eventloop.go
+++ b/internal/server/eventloop/eventloop.go
@@ -11,18 +11,18 @@
 
 // Handling of a stalled process. A loop that is late for a timer by more than stalledAfter did not get the processor,
 // and neither did the goroutines that post jobs to it. Before it steps the core, the loop pauses for up to
-// maxCatchUpRounds rounds of catchUpPause, so that they can post what arrived during the stall. Otherwise the core's
-// timeouts would expire before it sees the messages that peers sent in time, and it would take these peers for
-// unresponsive.
+// maxCatchUpRounds rounds of catchUpPause, so that these goroutines can post what arrived during the stall. Otherwise
+// the core's timeouts would expire before the core gets the messages that peers sent in time, and the core would take
+// these peers for unresponsive.
 const (
 	stalledAfter     = 50 * time.Millisecond
 	catchUpPause     = time.Millisecond
 	maxCatchUpRounds = 10
 )
 
-// Step steps the core at now, by the loop's clock. It is called on the loop's goroutine after a batch of jobs, and when
-// the time that it returned last has come. It returns the time of its next call; with ok false, it is only called after
-// further jobs.
+// Step steps the core; now is the time of the loop's clock. The loop calls Step on its goroutine after each batch of
+// jobs and at the time next that the previous call returned. If that call returned false for ok, the loop calls Step
+// only after further jobs.
 type Step func(now time.Duration) (next time.Duration, ok bool)
 
 // Loop runs jobs and steps the core on one goroutine. Start starts the goroutine, and Stop ends it and waits for it;
@@ -36,7 +36,7 @@
 	done chan struct{} // closed when the goroutine ends
 
 	mu      sync.Mutex // guards the fields below
-	space   *sync.Cond // uses mu; signaled when the queue was emptied or stopped was set
+	space   *sync.Cond // signaled, with mu as its lock, when the queue was emptied or stopped was set
 	jobs    []func()   // queued jobs, oldest first
 	stopped bool
 }
@@ -80,7 +80,7 @@
 	return true
 }
 
-// wakeUp makes the loop's goroutine check its queue, without waiting for it.
+// wakeUp makes the loop's goroutine check its queue. It does not wait until the goroutine has done so.
 func (l *Loop) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
@@ -89,7 +89,7 @@
 }
 
 // Call runs a job on the loop and waits until it has run. It returns false if the loop stops first; the job may have
-// run even so. It must not be called from a job.
+// run even then. It must not be called from a job.
 func (l *Loop) Call(job func()) bool {
 	ran := make(chan struct{})
 	posted := l.Post(func() {
@@ -146,7 +146,8 @@
 }
 
 // catchUp pauses and runs the jobs that were posted during the pause, until a pause brings no job or maxCatchUpRounds
-// is reached. ran is the number of jobs in the batch before it; there is at least one pause.
+// is reached. The parameter ran is the number of jobs in the batch before; catchUp pauses at least once even if it is
+// 0.
 func (l *Loop) catchUp(ran int) (stopped bool) {
 	for round := 0; (ran > 0 || round == 0) && round < maxCatchUpRounds; round++ {
 		time.Sleep(catchUpPause)
--- a/internal/server/eventloop/eventloop_test.go
+++ b/internal/server/eventloop/eventloop_test.go
@@ -60,7 +60,7 @@
 		}()
 	}
 	time.Sleep(50 * time.Millisecond)
-	if n := queued.Load(); n > 10 { // the batch that is running and a full queue
+	if n := queued.Load(); n > 10 { // up to 5 jobs in the batch that is running, and 5 in the queue
 		t.Fatalf("got %d of 20 jobs queued with a bound of 5 while a job blocks the loop, want at most 10", n)
 	}
 	go func() {
@@ -69,8 +69,8 @@
 	}()
 	l.Stop()
 	wait.Wait()
-	if l.Post(func() {}) || l.Call(func() {}) {
-		t.Fatal("Post or Call after Stop = true, want false for both")
+	if posted, called := l.Post(func() {}), l.Call(func() {}); posted || called {
+		t.Fatalf("after Stop: Post = %v, Call = %v, want false, false", posted, called)
 	}
 }
 
--- a/internal/server/listwatch/listwatch.go
+++ b/internal/server/listwatch/listwatch.go
@@ -18,11 +18,11 @@
 
 // Config describes the endpoint list to watch and how to query it.
 type Config struct {
-	Address     string        // of Consul's HTTP API, as HOST:PORT
+	Address     string        // HOST:PORT of Consul's HTTP API
 	Service     string        // name of the Consul service under which hosts are registered
 	MaxWait     time.Duration // how long Consul may block a query while the list is unchanged
-	Timeout     time.Duration // of a query, in addition to the time that Consul may block it
-	MinInterval time.Duration // from the start of a query to that of the next
+	Timeout     time.Duration // limit of a query's duration, in addition to the time that Consul may block the query
+	MinInterval time.Duration // minimum time from the start of a query to the start of the next one
 	UserAgent   string
 }
 
@@ -36,8 +36,9 @@
 }
 
 // Start starts a watch on a new goroutine, which also calls onList and onFailure. onList is called with each list whose
-// index differs from that of the previous one; skipped has a message with the reason for each entry that was left out.
-// onFailure is called once, with the error of the query that ended the watch, and is not called after Stop.
+// index differs from that of the previous list, and with the list of each query that did not block; skipped has a
+// message with the reason for each entry that was left out. onFailure is called once, with the error of the query that
+// ended the watch, and is not called after Stop.
 func Start(cfg Config, onList func(hosts []consul.Host, skipped []string), onFailure func(error)) *Watch {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Watch{
@@ -62,7 +63,7 @@
 	w.done.Wait()
 }
 
-// run queries the endpoint list until a query fails or ctx is canceled, and returns the error of either.
+// run queries the endpoint list until a query fails or ctx is canceled, and returns the error of the query or of ctx.
 func (w *Watch) run(ctx context.Context) error {
 	index := uint64(0) // index of the last list; 0: the next query does not block
 	for {
@@ -91,7 +92,7 @@
 type listResponse struct {
 	hosts   []consul.Host
 	skipped []string // a message with the reason for each unusable entry
-	index   uint64   // of the list; a query with this index blocks until the list has another one
+	index   uint64   // index of the list; a query with this index blocks until the list has another index
 }
 
 // query requests the endpoint list. If index is not 0, Consul responds once the list has another index, or after
@@ -100,7 +101,7 @@
 	timeout := w.cfg.Timeout
 	parameters := url.Values{}
 	if index > 0 {
-		timeout += w.cfg.MaxWait + w.cfg.MaxWait/16 // Consul adds up to 1/16, to spread its clients' queries
+		timeout += w.cfg.MaxWait + w.cfg.MaxWait/16 // Consul waits up to 1/16 longer, to spread its clients' queries
 		parameters.Set("index", strconv.FormatUint(index, 10))
 		parameters.Set("wait", strconv.FormatInt(w.cfg.MaxWait.Milliseconds(), 10)+"ms")
 	}
--- a/internal/server/recorder/recorder.go
+++ b/internal/server/recorder/recorder.go
@@ -20,7 +20,7 @@
 // New returns a recorder that holds at most maxEvents events.
 func New(maxEvents int) *Recorder { return &Recorder{maxEvents: maxEvents} }
 
-// Add records an event. At the limit it drops the event, which Events reports.
+// Add records an event. At the limit it drops the event, and Events then reports that the events are incomplete.
 func (r *Recorder) Add(e capture.Event) {
 	if r == nil {
 		return
@@ -35,7 +35,7 @@
 }
 
 // Events returns a copy of the recorded events in the order in which they were added. complete is false if events were
-// dropped: a capture with a gap proves nothing.
+// dropped: the rules cannot be checked on a capture that lacks events.
 func (r *Recorder) Events() (events []capture.Event, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
