--- a/internal/protocol/hostproto/decode.go
+++ b/internal/protocol/hostproto/decode.go
@@ -213,7 +213,8 @@
 	return refs
 }
 
-// heldList reads a list of attempts. It checks the count against the bytes that follow before it allocates.
+// heldList reads a list of attempts. Before it allocates the list, it checks that the bytes that follow can hold that
+// many attempts.
 func (r *fieldReader) heldList() []Held {
 	start := r.offset
 	count := int(r.uint16())
--- a/internal/protocol/hostproto/doc.go
+++ b/internal/protocol/hostproto/doc.go
@@ -11,29 +11,29 @@
 //	errors.go  errors of malformed streams
 //
 // Recorded runs contain frames under the names of their Go types and fields (package verify/replay). These names must
-// not change, even where the glossary has another term.
+// not change, even where the rest of the program uses another term.
 package hostproto
 
-// Version is the version of the protocol. Both ends send theirs; a host closes the connection of a placer whose version
-// differs.
+// Version is the version of the protocol. Placers and hosts send the version that they use; a host closes the
+// connection of a placer whose version differs.
 const Version = 1
 
 // Limits of frames, in bytes unless noted otherwise.
 const (
-	MaxFrameSize   = 64 << 10 // a frame: code and fields, without its length
-	MaxTextSize    = 1 << 10  // a name or a message
-	MaxPayloadSize = 48 << 10 // the payload of a task
+	MaxFrameSize   = 64 << 10 // size of a frame: code and fields, without the length before them
+	MaxTextSize    = 1 << 10  // size of a name or of the text of a Bye
+	MaxPayloadSize = 48 << 10 // size of a task's payload
 	MaxQueryRefs   = 1000     // number of attempts in one Query
-	MaxHoldsSize   = 64 << 10 // one Holds
+	MaxHoldsSize   = 64 << 10 // size of one Holds
 )
 
 // Sizes on the wire, in bytes.
 const (
-	lengthSize  = 4         // the length of a frame
-	codeSize    = 1         // the code of a frame
-	refSize     = 8 + 4 + 1 // a Ref
-	minHeldSize = 60        // lower bound of a Held
-	maxHeldBase = 80        // upper bound of a Held without its texts
+	lengthSize  = 4         // size of the length before a frame
+	codeSize    = 1         // size of a frame's code
+	refSize     = 8 + 4 + 1 // size of a Ref
+	minHeldSize = 60        // lower bound of the size of a Held
+	maxHeldBase = 80        // upper bound of the size of a Held without its texts
 )
 
 // maxEffect is the largest value of forkhead.Effect.
--- a/internal/protocol/hostproto/encode.go
+++ b/internal/protocol/hostproto/encode.go
@@ -11,7 +11,7 @@
 // they send it.
 func Append(dst []byte, f Frame) []byte {
 	start := len(dst)
-	dst = append(dst, 0, 0, 0, 0, f.code()) // the length is set below
+	dst = append(dst, 0, 0, 0, 0, f.code()) // placeholder for the length, which is set below
 	dst = f.appendFields(dst)
 	size := len(dst) - start - lengthSize
 	if size > MaxFrameSize {
--- a/internal/protocol/hostproto/errors.go
+++ b/internal/protocol/hostproto/errors.go
@@ -14,7 +14,7 @@
 // FrameError describes a malformed frame. The rest of the stream after it cannot be decoded. The end that receives the
 // frame sends the text of the error to its peer, in Bye.
 type FrameError struct {
-	Reason error  // one of the variables above
+	Reason error  // one of the errors above, such as ErrTruncated
 	Offset int    // start of the malformed field, in bytes from the start of the frame's length
 	Detail string // appended to the text of Reason; may be empty
 }
--- a/internal/protocol/hostproto/frames.go
+++ b/internal/protocol/hostproto/frames.go
@@ -51,8 +51,8 @@
 		Spec    Spec
 		Payload []byte // JSON that only the host interprets
 	}
-	// Withdraw withdraws an offer. The host answers with Ended and the result Canceled. If it has already accepted the
-	// offer, the attempt continues.
+	// Withdraw withdraws an offer. The host answers with Ended and the result Canceled. If the host has already
+	// accepted the offer, the attempt continues.
 	Withdraw struct{ Ref Ref }
 	// Stop ends a task.
 	Stop struct {
@@ -73,7 +73,7 @@
 		Version  uint8
 		Host     string        // name of the host
 		Epoch    uint64        // incarnation of the host; a later one has a higher number
-		Started  time.Duration // start of the host; 0: long ago
+		Started  time.Duration // start time of the host; 0: long ago
 		Draining bool
 		Count    uint32
 	}
@@ -102,7 +102,7 @@
 		Result Result
 		Report *Report // nil if the frame has none
 	}
-	// Probed answers Probe.
+	// Probed answers a Probe and has its ID.
 	Probed struct {
 		ID     uint32
 		Report *Report // nil if the frame has none
@@ -168,8 +168,8 @@
 
 // Phases of an attempt.
 const (
-	PhaseQueued   Phase = iota // not answered yet
-	PhaseStarting              // accepted
+	PhaseQueued   Phase = iota // the host has not answered the offer yet
+	PhaseStarting              // the host has accepted the offer
 	PhaseRunning
 )
 
--- a/internal/protocol/hostproto/stream_test.go
+++ b/internal/protocol/hostproto/stream_test.go
@@ -101,7 +101,7 @@
 		for len(stream) > 0 {
 			n := min(rapid.IntRange(1, 60).Draw(t, "size"), len(stream))
 			if err := d.Feed(stream[:n], func(f Frame) error { got = append(got, f); return nil }); err != nil {
-				t.Fatalf("Feed(%x): %v", stream[:n], err)
+				t.Fatalf("Feed(%x): got error %v, want nil", stream[:n], err)
 			}
 			stream = stream[n:]
 		}
@@ -153,13 +153,13 @@
 		_ = d.Feed(data, func(f Frame) error {
 			again, err := Decode(Append(nil, f)[4:])
 			if err != nil {
-				t.Fatalf("Decode after Append of %+v: %v", f, err)
+				t.Fatalf("Decode after Append of %+v: got error %v, want nil", f, err)
 			}
 			_ = again
 			return nil
 		})
 		if len(d.partial) > MaxFrameSize+4 {
-			t.Fatalf("buffered bytes: got %d, want at most %d", len(d.partial), MaxFrameSize+4)
+			t.Fatalf("bytes that are buffered after Feed(%x): got %d, want at most %d", data, len(d.partial), MaxFrameSize+4)
 		}
 	})
 }
--- a/internal/protocol/http1/framing.go
+++ b/internal/protocol/http1/framing.go
@@ -15,7 +15,8 @@
 	expectsContinue  bool
 }
 
-// readFraming returns the framing that the header fields specify. It checks each field on its own.
+// readFraming returns the framing that the header fields specify. It checks each field by itself; check compares the
+// fields with each other.
 func readFraming(fields []Field) (framing, *Error) {
 	var f framing
 	for _, field := range fields {
--- a/internal/protocol/http1/http1.go
+++ b/internal/protocol/http1/http1.go
@@ -25,7 +25,8 @@
 	return Limits{RequestLine: 8 << 10, Headers: 16 << 10, Fields: 64, Body: body}
 }
 
-// MaxPipelinedBytes is the maximum number of bytes that a client may send ahead of the response.
+// MaxPipelinedBytes is the maximum number of bytes that a client may send before it gets the response to its current
+// request.
 const MaxPipelinedBytes = 64 << 10
 
 // Field is a header field. The name of a parsed field is in lower case.
--- a/internal/protocol/http1/parser.go
+++ b/internal/protocol/http1/parser.go
@@ -17,7 +17,7 @@
 	stateChunkData         // the rest of a chunk
 	stateChunkEnd          // the CRLF that ends a chunk
 	stateTrailer           // a trailer field, or the empty line that ends the request
-	stateComplete          // nothing until Next is called: the request is complete
+	stateComplete          // the request is complete, and nothing is read until Next is called
 )
 
 // maxChunkLine bounds the line with a chunk's size and extensions, in bytes.
@@ -37,7 +37,7 @@
 	unread []byte
 	err    *Error // the first error, after which nothing is parsed
 
-	// State of the current request:
+	// The fields below are the state of the current request.
 	request         *Request
 	sawEmptyLine    bool // an empty line preceded the request line
 	headerBytes     int  // bytes of the header and trailer fields read so far
--- a/internal/protocol/http1/parser_test.go
+++ b/internal/protocol/http1/parser_test.go
@@ -105,7 +105,7 @@
 		for _, n := range []int{1, 2, 7, 1000} {
 			got, err := feed(chunksOf(c.stream, n))
 			if err != nil {
-				t.Errorf("%s: feed(%q in chunks of %d bytes): %v", name, c.stream, n, err)
+				t.Errorf("%s: feed(%q in chunks of %d bytes): got error %v, want nil", name, c.stream, n, err)
 				continue
 			}
 			var requests []string
@@ -157,7 +157,8 @@
 	}
 }
 
-// A client that sends more than MaxPipelinedBytes ahead of the response is rejected, and no more than that is buffered.
+// A client that sends more than MaxPipelinedBytes before the response to its request is rejected, and the parser
+// buffers no more bytes than that.
 func TestParserBoundsPipelinedBytes(t *testing.T) {
 	p := NewParser(DefaultLimits(100))
 	if r, err := p.Feed([]byte(get)); r == nil || err != nil {
@@ -170,7 +171,7 @@
 		}
 	}
 	if err == nil || len(p.unread) > MaxPipelinedBytes {
-		t.Fatalf("after 1000000 bytes ahead of the response: got error %v with %d bytes buffered, want an error with at most %d",
+		t.Fatalf("Feed of up to 1000000 bytes before the response: got error %v, %d bytes buffered; want an error, at most %d bytes",
 			err, len(p.unread), MaxPipelinedBytes)
 	}
 }
@@ -203,11 +204,11 @@
 			}
 			want, err := http.ReadRequest(reader)
 			if err != nil {
-				t.Fatalf("feed(%q) accepted %s %s; net/http: %v", stream, got.Method, got.Path, err)
+				t.Fatalf("feed(%q): got %s %s accepted, want an error as from net/http: %v", stream, got.Method, got.Path, err)
 			}
 			body, err := io.ReadAll(want.Body)
 			if err != nil {
-				t.Fatalf("feed(%q) accepted the body of %s %s; net/http: %v", stream, got.Method, got.Path, err)
+				t.Fatalf("feed(%q): got the body of %s %s accepted, want an error as from net/http: %v", stream, got.Method, got.Path, err)
 			}
 			if want.Method != got.Method || want.URL.Path != got.Path || !bytes.Equal(body, got.Body) {
 				t.Fatalf("feed(%q): got %s %s %q, want %s %s %q as net/http", stream, got.Method, got.Path, got.Body, want.Method, want.URL.Path, body)
@@ -225,7 +226,7 @@
 			b.Fatalf("Feed(%q) = %v, %v, want a request", req, r, err)
 		}
 		if _, err := p.Next(); err != nil {
-			b.Fatalf("Next after %q: %v", req, err)
+			b.Fatalf("Next after %q: got error %v, want nil", req, err)
 		}
 	}
 }
--- a/internal/protocol/platform/config.go
+++ b/internal/protocol/platform/config.go
@@ -11,17 +11,17 @@
 type Config struct {
 	Name           string          `json:"name"`
 	Listen         string          `json:"listen"` // host:port where owners connect
-	Seed           string          `json:"seed"`   // hex digits; see SeedNumber
+	Seed           string          `json:"seed"`   // hex digits, which SeedNumber converts
 	Limits         Limits          `json:"limits"`
 	PeerListen     string          `json:"peer_listen"` // host:port for gossip datagrams from other placers; empty: none
 	Peers          []string        `json:"peers"`       // host:port of all placers, by their numbers in the settings
 	PeersBroadcast string          `json:"peers_all"`   // broadcast host:port that reaches all peers; empty: none
 	WatchAddress   string          `json:"changelog"`   // host:port of the watch
 	Initial        InitialList     `json:"known"`
-	Settings       json.RawMessage `json:"settings"` // read by parse/platformconfig
+	Settings       json.RawMessage `json:"settings"` // parsed by package parse/platformconfig
 }
 
-// Limits bound the resources of its own machine that a placer may use; 0 means no limit.
+// Limits bound the resources that a placer may use on the machine that it runs on; 0: the configuration sets no limit.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -30,7 +30,7 @@
 
 // InitialList holds the events of the endpoint list up to the placer's start.
 type InitialList struct {
-	Seq    uint64       `json:"seq"` // number of the event after which to subscribe
+	Seq    uint64       `json:"seq"` // number of the event after which the placer subscribes to the watch
 	Events []WatchEvent `json:"results"`
 }
 
--- a/internal/protocol/platform/sequence.go
+++ b/internal/protocol/platform/sequence.go
@@ -8,7 +8,7 @@
 
 // The actions that Sequence.Next returns.
 const (
-	SkipEvent   EventAction = iota // the event was applied before, or is buffered
+	SkipEvent   EventAction = iota // the event was applied before, or Sequence has buffered it
 	ApplyEvent                     // the event is the next one
 	Resubscribe                    // events before this one are missing: subscribe again after Last
 )
@@ -16,20 +16,21 @@
 // Sequence orders the events of the watch by their numbers. Each event is applied once; missing events are requested
 // again once.
 //
-// After its sequence was restarted, a watch answers the next subscription with a snapshot whose number has already been
-// applied. So does a watch that sends all its events again. Such a snapshot and the events that follow it are buffered.
-// If they reach Last, the number after which the stream was subscribed to, they are a repetition; if the stream becomes
-// idle before that, the sequence was restarted. A snapshot with an old number at any other time is outdated.
+// After the numbers of its events have started again, a watch answers the next subscription with a snapshot whose
+// number has already been applied. A watch that merely sends all its events again answers in the same way. Therefore
+// such a snapshot and the events that follow it are buffered. If they reach the number Last, after which the stream was
+// subscribed to, they are a repetition; if the stream becomes idle before that, the sequence was restarted. A snapshot
+// with an old number at any other time is outdated.
 //
 // The zero value expects number 1. A Sequence is not safe for concurrent use.
 type Sequence struct {
 	Last        uint64       // number of the last event that was applied
-	requested   uint64       // first missing event for which the stream was last opened again; 0: none
+	requested   uint64       // number of the missing event for which Next last returned Resubscribe; 0: none
 	streamFresh bool         // no event has been received on the stream
 	buffered    []WatchEvent // a snapshot and the events that follow it without a gap
 }
 
-// StreamOpened starts a new stream, subscribed to after Last.
+// StreamOpened must be called when a new stream is opened, with a subscription to the events after Last.
 func (s *Sequence) StreamOpened() { s.streamFresh, s.buffered = true, nil }
 
 // Next returns what to do with an event. A gap that is still there after resubscribing means that the watch skipped
--- a/internal/protocol/platform/sequence_test.go
+++ b/internal/protocol/platform/sequence_test.go
@@ -5,26 +5,26 @@
 	"testing"
 )
 
-// Each event is applied once. A gap is requested again once; if it persists, numbers were skipped and no event is
-// missing.
+// Each event is applied once. Missing events are requested again once; if they do not come then, the watch skipped
+// their numbers and no event is missing.
 func TestSequenceAppliesEachEventOnce(t *testing.T) {
 	s := Sequence{Last: 3}
 	for i, c := range []struct {
 		seq  uint64
 		want EventAction
 	}{
-		{3, SkipEvent}, {4, ApplyEvent}, {4, SkipEvent}, {7, Resubscribe}, // the stream is opened again and has 5 and 6:
-		{5, ApplyEvent}, {6, ApplyEvent}, {7, ApplyEvent}, {9, Resubscribe}, // opened again, and number 8 was skipped:
+		{3, SkipEvent}, {4, ApplyEvent}, {4, SkipEvent}, {7, Resubscribe}, // the new stream then has the events 5 and 6:
+		{5, ApplyEvent}, {6, ApplyEvent}, {7, ApplyEvent}, {9, Resubscribe}, // the new stream then has no event 8:
 		{9, ApplyEvent}, {10, ApplyEvent}, {12, Resubscribe},
 	} {
 		if got := s.Next(WatchEvent{Seq: c.seq}); got != c.want {
-			t.Errorf("step %d: Next(event %d) = %v, want %v", i, c.seq, got, c.want)
+			t.Errorf("step %d: Next(event %d) = %d, want %d (0: SkipEvent, 1: ApplyEvent, 2: Resubscribe)", i, c.seq, got, c.want)
 		}
 	}
 }
 
-// Events that a watch repeats are skipped, a restarted sequence is applied once the stream is idle, and a snapshot with
-// an old number in the middle of a stream is skipped.
+// Events that a watch sends again are skipped, the events of a restarted sequence are applied once the stream is idle,
+// and a snapshot with an old number in the middle of a stream is skipped.
 func TestSequenceRestarts(t *testing.T) {
 	ev := func(seq uint64, snapshot bool) WatchEvent {
 		return WatchEvent{Seq: seq, Endpoints: &EndpointList{Snapshot: snapshot}}
--- a/internal/protocol/platform/watch.go
+++ b/internal/protocol/platform/watch.go
@@ -22,7 +22,7 @@
 
 // Endpoint is one host in the endpoint list.
 type Endpoint struct {
-	Name        string        `json:"host"` // see HostNumber
+	Name        string        `json:"host"` // name of the host; it contains the host's number, see HostNumber
 	Address     string        `json:"dial"` // host:port; may be empty unless the list is a snapshot
 	Zone        string        `json:"site"`
 	MachineType string        `json:"class"`
--- a/internal/protocol/platform/wire.go
+++ b/internal/protocol/platform/wire.go
@@ -14,9 +14,9 @@
 	TypeRequest     MessageType = "new"   // a placement request from an owner, or an offer to a host
 	TypeProgress    MessageType = "wait"  // a keep-alive without content
 	TypeBound       MessageType = "up"    // the host runs the task
-	TypeRelease     MessageType = "down"  // a rejection, a withdrawal or the end of a task, by its cause and time
+	TypeRelease     MessageType = "down"  // rejects or withdraws a request or ends a task: depends on cause and time
 	TypeAck         MessageType = "ack"   // acknowledges a TypeRelease
-	TypeProbe       MessageType = "hb"    // a health check
+	TypeProbe       MessageType = "hb"    // checks the health of the receiver
 	TypeProbeResult MessageType = "hb_ok" // answers a TypeProbe with CauseHealthy or CauseUnhealthy
 	TypeNote        MessageType = "tell"  // a host's Note on a task that it runs
 	TypeMigrate     MessageType = "shift" // notifies the owner that the task will end and has to be requested again
@@ -27,7 +27,7 @@
 
 // Causes of a TypeRelease.
 const (
-	CauseOK       Cause = 16  // the task has ended; if sent before the request is answered: the request is withdrawn
+	CauseOK       Cause = 16  // the task has ended, or, before the request is answered, the request is withdrawn
 	CauseMigrated Cause = 31  // the task was migrated, or ended by its owner
 	CauseRejected Cause = 34  // rejected: the task never ran
 	CauseReset    Cause = 41  // the task or its connection failed
@@ -42,7 +42,7 @@
 	CauseHealthy   Cause = 1
 )
 
-// NoCause is the cause of a message without one.
+// NoCause is the Cause of a message that has no member c.
 const NoCause Cause = -1
 
 // FieldName is the name of a field of a message: a key of the JSON member f.
@@ -71,8 +71,8 @@
 	ExtraCores       Extra = "cores"
 	ExtraMemory      Extra = "memory"
 	ExtraService     Extra = "service" // identity of the service, in hex
-	ExtraResubmitted Extra = "again"   // any value but 0: an earlier request for the task failed
-	ExtraHost        Extra = "at"      // hand-over: name of the host that already runs the task
+	ExtraResubmitted Extra = "again"   // any value but 0 means that an earlier request for the task failed
+	ExtraHost        Extra = "at"      // name of the host that already runs the task, for a hand-over
 )
 
 // Note is the kind of measurement that a TypeNote reports of a running task.
--- a/internal/protocol/platform/wire_test.go
+++ b/internal/protocol/platform/wire_test.go
@@ -28,7 +28,7 @@
 		for _, spec := range group.Specs {
 			value := spec.(*ast.ValueSpec)
 			literal, ok := value.Values[0].(*ast.BasicLit)
-			if !ok || value.Type == nil { // NoCause and the sizes, which are not on the wire
+			if !ok || value.Type == nil { // skips NoCause and the sizes, which are not on the wire
 				continue
 			}
 			words[value.Names[0].Name] = strings.Trim(literal.Value, `"`)
