--- a/internal/server/netio/conn.go
+++ b/internal/server/netio/conn.go
@@ -15,8 +15,8 @@
 type Conn struct {
 	raw        *nbio.Conn
 	handler    Handler      // set before the connection is added to its poller
-	maxPending int64        // bytes; a write beyond it closes the connection
-	pending    atomic.Int64 // bytes that are written but not yet passed to the kernel
+	maxPending int64        // upper bound of pending; a write that would exceed it closes the connection
+	pending    atomic.Int64 // number of bytes that are written but not yet passed to the kernel
 
 	closed             atomic.Bool
 	closeAfterFlush    atomic.Bool // close the connection when pending reaches 0
@@ -25,7 +25,7 @@
 
 	mu          sync.Mutex // guards the fields below; held while the connection is added to its poller
 	attached    bool       // attach has been called
-	closeReason error      // the reason of a close that came before attach
+	closeReason error      // reason of a close before attach
 }
 
 // newConn wraps a socket. On an error it closes the socket.
@@ -93,8 +93,8 @@
 	return err == nil && n > 0 && fds[0].Revents&hangup != 0
 }
 
-// SetReadTimeout closes the connection after d, unless the timeout is set again before; 0 removes it. Received data
-// does not extend the timeout.
+// SetReadTimeout closes the connection after d, unless the timeout is set again before; a d of 0 removes the timeout.
+// Received data does not extend it.
 func (c *Conn) SetReadTimeout(d time.Duration) {
 	t := time.Time{}
 	if d > 0 {
@@ -104,13 +104,14 @@
 }
 
 // Close closes the connection and drops its pending bytes. When Close returns, the handler's Closed has been called or
-// is being called by another goroutine; only for a connection whose accept has not returned yet is it called later.
+// is being called by another goroutine. For a connection whose accept callback has not returned yet, Closed is called
+// after that callback.
 func (c *Conn) Close() { c.CloseWith(nil) }
 
 // CloseWith closes the connection like Close and passes the reason to the handler's Closed.
 func (c *Conn) CloseWith(reason error) {
 	c.mu.Lock()
-	if !c.attached { // accept has not returned yet: attach will close the connection
+	if !c.attached { // accept has not returned yet, and attach will close the connection
 		if !c.closed.Swap(true) {
 			c.closeReason = reason
 		}
@@ -133,7 +134,7 @@
 	time.AfterFunc(limit, c.Close)
 }
 
-// CloseWrite closes the sending side when the pending bytes have been passed to the kernel. The connection is still
+// CloseWrite closes the sending side when the pending bytes have been passed to the kernel. Data from the peer is still
 // read.
 func (c *Conn) CloseWrite() {
 	c.shutdownAfterFlush.Store(true)
--- a/internal/server/netio/conn_test.go
+++ b/internal/server/netio/conn_test.go
@@ -48,7 +48,7 @@
 	slow, c := acceptedConns(t)(t)
 	want := 32 << 20
 	if err := c.Write(make([]byte, want)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Write(%d bytes) = %v, want nil", want, err)
 	}
 	if c.PendingBytes() == 0 {
 		t.Fatalf("PendingBytes() = 0 after a write of %d bytes, want more than 0: there is nothing left to flush", want)
--- a/internal/server/netio/engine.go
+++ b/internal/server/netio/engine.go
@@ -13,7 +13,7 @@
 )
 
 func init() {
-	logging.SetLevel(logging.LevelNone) // the errors that matter are returned by nbio's functions
+	logging.SetLevel(logging.LevelNone) // nbio's functions return the errors that netio needs
 	// nbio indexes connections by descriptor in a table of 16 MiB by default, which each garbage collection scans. The
 	// table needs no entries for descriptors above the process's limit.
 	var limit syscall.Rlimit
@@ -31,15 +31,15 @@
 	fence atomic.Uint64
 	// delivered records, by the poller's index, whether the poller has delivered data.
 	delivered  []atomic.Bool
-	socketPair func() (net.Conn, net.Conn, error) // replaced in tests
+	socketPair func() (net.Conn, net.Conn, error) // opens a socket pair; replaced in tests
 
 	running sync.WaitGroup // goroutines of listeners and dials; none is added after stopping is set
 	closers sync.WaitGroup // goroutines of closeLater; none is added after stopped is set
 
 	mu        sync.Mutex // guards the fields below; no callback is called and no other lock is taken while it is held
 	listeners map[*Listener]struct{}
-	stopping  bool // Stop has begun; nothing new is opened
-	stopped   bool // Stop has stopped the pollers or given up doing so
+	stopping  bool // Stop has begun; no further listener or connection is opened
+	stopped   bool // Stop has stopped the pollers, or has found that it cannot stop them safely
 }
 
 // New starts an engine with the given number of pollers, which have one goroutine each.
@@ -132,8 +132,8 @@
 }
 
 // Dial connects to an address and calls opened, on another goroutine, with the connection or with an error: a timeout
-// error of package net after timeout, or net.ErrClosed once Stop has begun. Stop does not wait for the goroutine of the
-// latter. maxPending bounds the connection's pending bytes.
+// error of package net after timeout, or net.ErrClosed once Stop has begun. Stop does not wait for the goroutine that
+// reports net.ErrClosed. maxPending bounds the connection's pending bytes.
 func (e *Engine) Dial(address string, timeout time.Duration, maxPending int, handler Handler, opened func(*Conn, error)) {
 	started := e.startTracked(func() {
 		opened(e.dial(address, timeout, maxPending, handler))
@@ -160,8 +160,8 @@
 }
 
 // attach sets a connection's handler and adds the connection to its poller. If the connection was closed before, attach
-// does not add it and returns the reason of the close: nbio would store it in its table under a descriptor that may
-// belong to another connection by then, and that one would get no more events.
+// does not add it and returns the reason of the close: nbio would store the closed connection in its table under its
+// old descriptor, and a later connection with the same descriptor would get no more events.
 func (e *Engine) attach(c *Conn, handler Handler) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/server/netio/engine_test.go
+++ b/internal/server/netio/engine_test.go
@@ -62,13 +62,13 @@
 	}
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
 		client.mu.Lock()
-		same := bytes.Equal(client.received, want)
+		same, received := bytes.Equal(client.received, want), len(client.received)
 		client.mu.Unlock()
 		if same {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the echo of %d bytes did not arrive within 5s, want it whole", len(want))
+			t.Fatalf("echo after 5s: got %d bytes, want the %d bytes that were written", received, len(want))
 		}
 	}
 	c.Close()
--- a/internal/server/netio/listener.go
+++ b/internal/server/netio/listener.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// acceptBackoff is the wait after an error of accept. Connections stay in the accept queue meanwhile.
+// acceptBackoff is the wait after an error of accept. During the wait, connections stay in the accept queue.
 const acceptBackoff = 10 * time.Millisecond
 
 // Listener accepts connections until it is closed or its engine is stopped. Its methods are safe for concurrent use.
@@ -23,7 +23,7 @@
 }
 
 // Listen accepts connections at an address until the listener is closed or the engine is stopped. accept returns the
-// handler of a new connection, or nil to close it. While it runs, further connections wait in the accept queue.
+// handler of a new connection, or nil to close it. While accept runs, further connections wait in the accept queue.
 // maxPending bounds the pending bytes of a connection.
 func (e *Engine) Listen(address string, maxPending int, accept func(c *Conn) Handler) (*Listener, error) {
 	raw, err := net.Listen("tcp", address)
@@ -45,7 +45,8 @@
 }
 
 // Drain accepts the connections that wait in the accept queue, which their peers see as established, and then closes
-// the listener: when no connection has arrived for idle, or after limit. Closing the listener at once would reset them.
+// the listener: when no connection has arrived for the duration idle, or after limit. Closing the listener at once
+// would reset the waiting connections.
 func (l *Listener) Drain(idle, limit time.Duration) {
 	l.drainUntil.Store(time.Now().Add(limit).UnixNano())
 	l.drainIdle.Store(int64(idle))
@@ -70,7 +71,7 @@
 				return
 			}
 			accepted = false
-		default: // such as no free descriptors
+		default: // for example, no descriptor is free
 			time.Sleep(acceptBackoff)
 		}
 	}
--- a/internal/server/netio/listener_test.go
+++ b/internal/server/netio/listener_test.go
@@ -31,7 +31,7 @@
 		all = append(all, c)
 	}
 	ln.Drain(10*time.Millisecond, time.Minute)
-	time.Sleep(30 * time.Millisecond) // accept blocks for longer than the idle time of the Drain
+	time.Sleep(30 * time.Millisecond) // the accept callback blocks for longer than the idle time of the Drain
 	close(gate)
 	for i, c := range all {
 		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
@@ -47,7 +47,8 @@
 }
 
 // A connection that is closed while its accept callback runs is reported as closed once, and later connections, which
-// get the same descriptor, are served. nbio would lose their events if the closed connection were added to its table.
+// get the same descriptor, are served. nbio would lose the events of the later connections if the closed one were added
+// to its table.
 func TestConnClosedDuringAccept(t *testing.T) {
 	e, err := New("test", 1)
 	if err != nil {
--- a/internal/server/netio/netio.go
+++ b/internal/server/netio/netio.go
@@ -8,8 +8,8 @@
 // Callbacks run on these goroutines:
 //
 //	Handler.Data       the connection's poller
-//	Handler.Closed     the one that closes the connection: its poller, a caller of Close, a timer, or Stop
-//	Drainer.Drained    the one that writes: a caller of Write, or the connection's poller
+//	Handler.Closed     the goroutine that closes the connection: its poller, a caller of Close, a timer, or Stop
+//	Drainer.Drained    the goroutine that writes: a caller of Write, or the connection's poller
 //	Opener.Opened      the listener's, after accept
 //	accept of Listen   the listener's, for one connection at a time
 //	opened of Dial     the dial's, or a separate one if the engine is stopping
@@ -19,8 +19,8 @@
 
 import "errors"
 
-// ReadSize is the maximum number of bytes in one call of Handler.Data. A call with fewer bytes means that no more are
-// waiting to be read.
+// ReadSize is the maximum number of bytes in one call of Handler.Data. A call with fewer bytes means that no further
+// bytes are waiting to be read.
 const ReadSize = 32 << 10
 
 // ErrWriteBufferFull means that a connection was closed because its peer does not read fast enough.
--- a/internal/server/netio/pollers.go
+++ b/internal/server/netio/pollers.go
@@ -13,14 +13,14 @@
 // Bounds of awaitPollers.
 const (
 	maxPollerProbes    = 64
-	pollerProbeTimeout = 5 * time.Second // of each probe
+	pollerProbeTimeout = 5 * time.Second // limit of the wait for one probe
 )
 
 // awaitPollers waits until every poller has delivered data, so that nbio can be stopped. It works around a race in nbio
-// 1.6.8: readWriteLoop sets shutdown to false when it begins. A poller that was stopped before its goroutine has come
-// that far misses the stop and spins, and nbio's Stop waits for it forever.
+// 1.6.8: readWriteLoop sets shutdown to false when it begins. A poller that is stopped before its goroutine has reached
+// that line misses the stop and spins, and nbio's Stop waits for it forever.
 //
-// It is called at the stop, not at the start, since only pollers that have not delivered data need a probe: the
+// Stop calls awaitPollers, rather than New, since by then only pollers that have not delivered data need a probe. The
 // platform that a placer runs on may not provide the Unix sockets that a probe uses.
 func (e *Engine) awaitPollers() error {
 	var opened []func()
@@ -38,7 +38,7 @@
 			return fmt.Errorf("netio: open a socket pair: %w", err)
 		}
 		opened = append(opened, func() { _ = out.Close() })
-		if probe%2 == 1 { // the descriptor's number selects the poller; one more open descriptor shifts the next numbers
+		if probe%2 == 1 { // a descriptor's number selects its poller; one more open descriptor shifts the next numbers
 			if descriptor, err := syscall.Dup(0); err == nil {
 				opened = append(opened, func() { _ = syscall.Close(descriptor) })
 			}
@@ -60,8 +60,8 @@
 	return true
 }
 
-// probePoller adds in to its poller, writes a byte to out, the other end of the pair, and waits until the poller
-// delivers the byte.
+// probePoller adds the socket in to its poller, writes a byte to out, the other end of the socket pair, and waits until
+// the poller delivers the byte.
 func (e *Engine) probePoller(out, in net.Conn) error {
 	raw, err := nbio.NBConn(in)
 	if err != nil {
@@ -86,7 +86,7 @@
 
 // pollerProbe is a Handler that reports its first data and closes the connection.
 type pollerProbe struct {
-	received chan struct{} // buffered, for one report
+	received chan struct{} // gets one report; buffered, so that Data does not wait
 }
 
 // Data reports that data was received and closes the connection.
@@ -98,8 +98,8 @@
 // Closed does nothing.
 func (pollerProbe) Closed(*Conn, error) {}
 
-// socketPair returns the two ends of a stream. It needs no listener, as a placer may only listen at its configured
-// address.
+// socketPair returns the two ends of a stream. The ends are Unix sockets, since a TCP pair would need a listener, and a
+// placer may only listen at its configured address.
 func socketPair() (net.Conn, net.Conn, error) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
--- a/internal/server/store/bucket.go
+++ b/internal/server/store/bucket.go
@@ -30,7 +30,7 @@
 	return tx.Bucket([]byte(metaBucket)).Put([]byte(countsKey), durable.EncodeValue(text))
 }
 
-// getCounts returns the stored key counts. They are empty if the file has no bucket for them.
+// getCounts returns the stored key counts. The result is empty if the file has no bucket for the counts.
 func getCounts(tx *bbolt.Tx) (keyCounts, error) {
 	counts := keyCounts{}
 	meta := tx.Bucket([]byte(metaBucket))
@@ -84,7 +84,7 @@
 func deletePrefix(bucket *bbolt.Bucket, prefix []byte) (deleted int, err error) {
 	cursor := bucket.Cursor()
 	for {
-		key, _ := cursor.Seek(prefix) // sought anew for each key, since a deletion invalidates the cursor
+		key, _ := cursor.Seek(prefix) // seeks again for each key, since a deletion invalidates the cursor's position
 		if key == nil || !bytes.HasPrefix(key, prefix) {
 			return deleted, nil
 		}
--- a/internal/server/store/file.go
+++ b/internal/server/store/file.go
@@ -16,15 +16,15 @@
 // fileMode is the mode of a store's file, which only its owner may read: submissions are private.
 const fileMode = 0o600
 
-// compactTransactionBytes bounds what Compact copies in one transaction.
+// compactTransactionBytes bounds the bytes that Compact copies in one transaction.
 const compactTransactionBytes = 1 << 20
 
-// rewrite reads all of the file at path and replaces it by a new file with the keys whose values are readable. A
-// damaged page is therefore found at the start rather than at a later write, and each start releases unused space. A
-// missing file is created.
+// rewrite reads all of the file at path and replaces it by a new file with the keys whose values are readable. Thus a
+// damaged page is found at the start rather than at a later write, and each start releases unused space. A missing file
+// is created.
 func rewrite(path string) (*durable.Loader, keyCounts, error) {
 	newPath := path + ".new"
-	// An interrupted start may have left the new file behind.
+	// A start that was interrupted may have left its new file behind.
 	if err := os.Remove(newPath); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, nil, err
 	}
@@ -129,8 +129,8 @@
 }
 
 // recoverDamage turns the failures that a damaged page causes in bbolt into an error: a panic, or a memory fault where
-// the page refers to an address beyond the file, which is mapped into memory. Without it, a truncated file would end
-// the process. The goroutine that calls recoverDamage must defer the returned function.
+// the page refers to an address beyond the file, which is mapped into memory. Without recoverDamage, a truncated file
+// would end the process. The goroutine that calls recoverDamage must defer the returned function.
 func recoverDamage(err *error) func() {
 	before := debug.SetPanicOnFault(true)
 	return func() {
@@ -144,8 +144,8 @@
 // closeReadOnly closes a file that was opened for reading. An error is ignored, since no write can be lost.
 func closeReadOnly(db *bbolt.DB) { _ = db.Close() }
 
-// Compact copies the file at from to a new file at to, without unused space, and returns the sizes of both in bytes. No
-// process may have either file open.
+// Compact copies the file at from to a new file at to, without unused space, and returns the sizes of both files in
+// bytes. No process may have either file open.
 func Compact(from, to string) (before, after int64, err error) {
 	src, err := bbolt.Open(from, fileMode, &bbolt.Options{ReadOnly: true, Timeout: lockTimeout})
 	if err != nil {
--- a/internal/server/store/golden_test.go
+++ b/internal/server/store/golden_test.go
@@ -83,7 +83,7 @@
 // recordsOf returns records that produce a snapshot when they are committed to an empty store.
 func recordsOf(t *testing.T, snapshot *durable.Snapshot) []durable.Record {
 	t.Helper()
-	specifications := map[string]*servicespec.Description{} // by submission ID; none if the project was removed
+	specifications := map[string]*servicespec.Description{} // specifications by submission ID; a removed project has none
 	for _, p := range snapshot.Projects {
 		specifications[p.SubmissionID] = p.Specification
 	}
@@ -126,7 +126,8 @@
 	goldentest.Check(t, "placer.dump", dump(t, again))
 }
 
-// hostEpoch is the epoch of the hosts in the file's attempts. Hosts that answer with it have not restarted since.
+// hostEpoch is the epoch of the hosts in the file's attempts. Hosts that answer with this epoch have not restarted
+// since.
 const hostEpoch = 1796191483153710
 
 // fakeHosts answers a placer for hosts that run every task that it queries or offers, and logs these queries and
@@ -134,7 +135,7 @@
 type fakeHosts struct {
 	t       *testing.T
 	log     []string
-	answers []core.Input // to the outputs of the last step, as inputs of the next one
+	answers []core.Input // the hosts' answers to the outputs of the last step; inputs of the next step
 }
 
 // execute answers the outputs of a step. A defect that the core logs fails the test.
--- a/internal/server/store/store.go
+++ b/internal/server/store/store.go
@@ -19,7 +19,7 @@
 // Options configures a store.
 type Options struct {
 	Path     string
-	MaxBytes int64 // file size at which Commit starts to refuse records that add to the file; 0: DefaultMaxBytes
+	MaxBytes int64 // file size from which on Commit refuses records that add to the file; 0: DefaultMaxBytes
 	// QuarantineSuffix returns the end of a quarantined file's name, for tests. nil: the name ends with the time in
 	// UTC.
 	QuarantineSuffix func(now time.Time) string
@@ -41,13 +41,14 @@
 
 	db      *bbolt.DB
 	options Options
-	pending []durable.Change // of records that outputs need not wait for; written by the next commit or Flush
-	counts  keyCounts        // as stored in the file
+	pending []durable.Change // changes that outputs need not wait for; written by the next transaction or Flush
+	counts  keyCounts        // number of keys in each bucket, as stored in the file
 }
 
 // Open opens the store at options.Path, or creates it, and returns its content. Keys whose values cannot be read are
-// listed in Snapshot.Unreadable and dropped. A file that cannot be read at all is quarantined, and the store starts
-// empty. Open fails if another process has the file open for longer than lockTimeout, 2 seconds.
+// listed in Snapshot.Unreadable and dropped. A file that cannot be read as a whole, or not be rewritten, is
+// quarantined, and the store starts empty. Open fails if another process has the file open for longer than lockTimeout,
+// 2 seconds.
 func Open(options Options) (*Store, *durable.Snapshot, error) {
 	if options.MaxBytes == 0 {
 		options.MaxBytes = DefaultMaxBytes
@@ -73,7 +74,7 @@
 	return s, snapshot, nil
 }
 
-// quarantine renames a file that cannot be read, so that it is kept and not written to.
+// quarantine renames the file, so that it is kept and not written to.
 func (s *Store) quarantine() error {
 	suffix := time.Now().UTC().Format("20060102T150405.000")
 	if s.options.QuarantineSuffix != nil {
@@ -95,8 +96,8 @@
 }
 
 // Commit makes records durable in one transaction. If none of them must be durable before its step's outputs are
-// executed, they stay in memory until the next transaction or Flush. After an error, which may wrap ErrFull, no record
-// is stored.
+// executed, they stay in memory until the next transaction or Flush, and the file size is not checked. After an error,
+// which may wrap ErrFull, no record is stored.
 func (s *Store) Commit(records []durable.Record) error {
 	mustBeDurable := false
 	var changes []durable.Change
--- a/internal/server/store/store_test.go
+++ b/internal/server/store/store_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	s, snapshot, err := Open(Options{Path: path, MaxBytes: maxBytes, QuarantineSuffix: func(time.Time) string { return "x" }})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Open(%s): got error %v, want nil", path, err)
 	}
 	return s, snapshot
 }
@@ -31,7 +31,7 @@
 func closeStore(t testing.TB, s *Store) {
 	t.Helper()
 	if err := s.Close(); err != nil {
-		t.Error(err)
+		t.Errorf("Close() = %v, want nil", err)
 	}
 }
 
@@ -39,7 +39,7 @@
 func commit(t *testing.T, s *Store, records ...durable.Record) {
 	t.Helper()
 	if err := s.Commit(records); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Commit(%+v) = %v, want nil", records, err)
 	}
 }
 
@@ -90,11 +90,11 @@
 	commit(t, s, submissionAccepted("a"), submissionAccepted("b"), attemptOffered(1), attemptOffered(2))
 	checkCommits(t, s, 2, false)
 	commit(t, s, outcomeReported("a", 0))
-	commit(t, s, durable.AttemptResolved{Ref: hostproto.Ref{Epoch: 1, Task: 1}}) // outputs need not wait for this record
+	commit(t, s, durable.AttemptResolved{Ref: hostproto.Ref{Epoch: 1, Task: 1}}) // may be lost, so it stays pending
 	checkCommits(t, s, 3, true)
 	commit(t, s, durable.ProjectRemoved{Project: "p-b", At: 2 * time.Hour}, durable.SubmissionExpired{SubmissionID: "b"})
 	if err := s.CloseWithoutFlush(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("CloseWithoutFlush() = %v, want nil", err)
 	}
 	s, restored := openStore(t, path, 0)
 	defer closeStore(t, s)
@@ -127,7 +127,7 @@
 	}
 	commit(t, s, durable.TombstoneExpired{Project: "p"}, durable.SubmissionExpired{SubmissionID: "a"})
 	if err := s.Flush(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Flush() at MaxBytes with pending deletions = %v, want nil", err)
 	}
 }
 
@@ -136,7 +136,7 @@
 	directory   string
 	projects    map[string]durable.Project // content of the undamaged file, by project name
 	quarantined int                        // number of files that Open quarantined
-	reported    int                        // files with unreadable keys, and not quarantined
+	reported    int                        // number of files that Open did not quarantine but read with unreadable keys
 }
 
 // open opens a file with the given content and checks that each project read from it is as in the undamaged file.
