--- a/internal/server/placer/feasibility.go
+++ b/internal/server/placer/feasibility.go
@@ -17,7 +17,7 @@
 // Limits of the feasibility checks, which must not delay placement. Beyond one of them, a submission goes to the core
 // unchecked.
 const (
-	maxFeasibilityChecks    = 4 // running at the same time
+	maxFeasibilityChecks    = 4 // checks that run at the same time
 	feasibilityCheckTimeout = 100 * time.Millisecond
 )
 
@@ -26,7 +26,7 @@
 type feasibilityChecker struct {
 	settings *settings.Settings
 	machines atomic.Pointer[[]plan.Host] // from the last machine list; nil: none has been received
-	slots    chan struct{}               // holds an element for each running check
+	slots    chan struct{}               // contains an element for each running check
 }
 
 // newFeasibilityChecker returns a checker without a machine list.
@@ -57,7 +57,7 @@
 			continue
 		}
 		machineType := f.settings.Module.MachineTypes[index]
-		state := "ready" // also if it is draining: it may be ready again before the client's timeout
+		state := "ready" // also for a draining host, which may be ready again before the client's timeout
 		if entry.State == forkhead.Removed {
 			state = "gone"
 		}
@@ -70,7 +70,7 @@
 }
 
 // findConflict returns the requirements that keep a specification from being placed completely on the machines of the
-// list, even if these had no tasks. It returns nil without a proof of that: the specification fits, no list has been
+// list, even if these had no tasks. It returns nil if that is not proven: the specification fits, no list has been
 // received, ctx is done or feasibilityCheckTimeout has passed.
 func (f *feasibilityChecker) findConflict(ctx context.Context, spec *servicespec.Description) []string {
 	machines := f.machines.Load()
@@ -84,7 +84,7 @@
 	if err != nil || result.Feasible || !result.Optimal {
 		return nil
 	}
-	if len(result.Conflict) == 0 { // proven infeasible, but without the time to reduce the proof to a conflict
+	if len(result.Conflict) == 0 { // infeasible, but the time was too short to reduce the proof to a conflict
 		return []string{"no placement of all its tasks exists on the hosts of the list"}
 	}
 	return result.Conflict
--- a/internal/server/placer/gossip.go
+++ b/internal/server/placer/gossip.go
@@ -56,7 +56,7 @@
 
 // receive calls deliver with each message from another placer until the socket is closed. deliver may keep the message.
 func (g *gossipSocket) receive(deliver func(from int, message []byte)) {
-	buffer := make([]byte, maxDatagramSize+1) // one byte more than the limit, so that a longer datagram is detected
+	buffer := make([]byte, maxDatagramSize+1) // one byte more than the limit, to detect longer datagrams
 	for {
 		n, sender, err := g.socket.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// isPeer reports whether number is that of another placer and sender is that placer's address in the settings.
+// isPeer reports whether another placer has the given number and the address sender in the settings.
 func (g *gossipSocket) isPeer(number int, sender net.Addr) bool {
 	return number < len(g.peers) && number != g.self && sender.String() == g.peers[number].String()
 }
--- a/internal/server/placer/gossip_test.go
+++ b/internal/server/placer/gossip_test.go
@@ -20,7 +20,8 @@
 	return socket
 }
 
-// newGossipSocket returns the socket of placer 0, whose only peer is placer 1. drop is as in Config.DropGossip.
+// newGossipSocket returns the socket of placer 0, whose only peer is placer 1. The parameter drop is as in
+// Config.DropGossip.
 func newGossipSocket(t *testing.T, peer net.PacketConn, drop func(from int) bool) *gossipSocket {
 	t.Helper()
 	set := &settings.Settings{Placers: []settings.Placer{{GossipAddress: "127.0.0.1:0"}, {GossipAddress: peer.LocalAddr().String()}}}
--- a/internal/server/placer/helpers_test.go
+++ b/internal/server/placer/helpers_test.go
@@ -19,7 +19,7 @@
 )
 
 // startPlacer starts one placer with four hosts and returns the cluster and the address of the placer's HTTP server.
-// limits is a (limits ...) clause of the settings, or empty.
+// The parameter limits is a (limits ...) clause of the settings, or empty.
 func startPlacer(t testing.TB, limits string) (*testcluster.Cluster, string) {
 	t.Helper()
 	//nolint:misspell // keys of scenarios keep their spelling
--- a/internal/server/placer/hosts.go
+++ b/internal/server/placer/hosts.go
@@ -14,14 +14,14 @@
 type hostConn struct {
 	server     *Server
 	host       string
-	connNumber uint32 // number of the connection among those to this host, assigned by the core
+	connNumber uint32 // number of the connection among those to this host; the core assigns it
 
 	decoder hostproto.Decoder // used by the poller's goroutine
 
 	// The remaining fields belong to the loop.
-	conn      *netio.Conn // nil while it is being dialed
+	conn      *netio.Conn // nil while the host is being dialed
 	buffer    []byte      // frames of the current step
-	unflushed bool        // whether it is in Server.unflushed
+	unflushed bool        // whether this hostConn is in Server.unflushed
 }
 
 // dialHost starts to connect to a host. The result reaches the core as HostConnected or HostDisconnected.
@@ -53,7 +53,8 @@
 // isCurrent reports whether this is the connection that the core has with the host. It runs on the loop.
 func (h *hostConn) isCurrent() bool { return h.server.hostConns[h.host] == h }
 
-// findHostConn returns the connection to a host with the given number, or nil if that is not the current one.
+// findHostConn returns the connection to a host with the given number, or nil if the host's current connection has
+// another number or the host has none.
 func (s *Server) findHostConn(host string, number uint32) *hostConn {
 	h := s.hostConns[host]
 	if h == nil || h.connNumber != number {
--- a/internal/server/placer/http_server.go
+++ b/internal/server/placer/http_server.go
@@ -14,19 +14,20 @@
 	"forkhead/internal/server/netio"
 )
 
-// Timeouts of a client. A slow client holds no more than its connection.
+// Timeouts of a client. Until they expire, a slow client occupies its connection, but no goroutine.
 const (
 	firstRequestTimeout = 10 * time.Second // from the opening of a connection until its first request is complete
 	nextRequestTimeout  = 60 * time.Second // from a response until the next request is complete
-	bodyTimeout         = 30 * time.Second // for the body after 100 Continue, instead of the two above
+	bodyTimeout         = 30 * time.Second // for the body after 100 Continue; replaces the two timeouts above
 	flushTimeout        = 10 * time.Second // for the client to read the last response of a connection
 )
 
 const (
-	// writeBufferReserve is the part of a connection's write buffer, in bytes, that is added to Limits.BufferBytes, which
-	// bounds the outcomes. It holds response heads, problems and the one line of outcomes that may exceed the limit.
+	// writeBufferReserve is the number of bytes by which a connection's write buffer is larger than Limits.BufferBytes,
+	// the bound of the outcomes in it. The reserve is for response heads, problems and the one line of outcomes that
+	// may exceed that bound.
 	writeBufferReserve = 1 << 20
-	// rejectedRetryAfter is the Retry-After of responses that this package rejects a request or connection with.
+	// rejectedRetryAfter is the Retry-After of responses with which this package rejects a request or a connection.
 	rejectedRetryAfter = time.Second
 	// idlePollInterval is the time between two checks of waitUntilIdle.
 	idlePollInterval = 10 * time.Millisecond
@@ -36,11 +37,11 @@
 type httpServer struct {
 	placer      *Server
 	listener    *netio.Listener // set before Start returns
-	connections atomic.Int64    // number of open connections, without those rejected at the limit
+	connections atomic.Int64    // number of open connections, without those that were rejected
 	feasibility *feasibilityChecker
 
 	// The remaining fields belong to the loop.
-	lastRequest uint64                             // number of the last request in pending
+	lastRequest uint64                             // number of the request that was last added to pending
 	pending     map[uint64]*pendingRequest         // requests without a result of the core, by request number
 	streams     map[string]map[*outcomeStream]bool // unfinished outcome streams, by submission ID
 }
@@ -49,7 +50,7 @@
 type pendingRequest struct {
 	conn       *httpConn
 	closeAfter bool // whether to close the connection after the response
-	removal    bool // true: it removes a project; false: it is a submission, and the response streams its outcomes
+	removal    bool // true: the request removes a project; false: it is a submission, whose outcomes the response streams
 }
 
 // newHTTPServer returns a server that does not listen yet.
@@ -97,7 +98,8 @@
 	}
 }
 
-// rejectedConn is the handler of a connection beyond the limit: it responds to the first bytes with 503 and closes.
+// rejectedConn is the handler of a connection beyond the limit, or of one that is accepted while the placer stops. It
+// responds to the first bytes with 503 and closes the connection.
 type rejectedConn struct{}
 
 // Data implements netio.Handler.
@@ -119,13 +121,13 @@
 	server *httpServer
 	conn   *netio.Conn
 
-	mu     sync.Mutex // held by the user of the parser: a poller, or a goroutine of resume
+	mu     sync.Mutex // held while the parser is used: by a poller, or by a goroutine that resume has started
 	parser *http1.Parser
 	busy   bool // whether a request is being answered
 
 	// The remaining fields belong to the loop.
 	closed bool
-	stream *outcomeStream // being written; nil: there is none
+	stream *outcomeStream // outcome stream that is being written; nil: there is none
 }
 
 // Opened implements netio.Opener: it starts the timeout of the first request.
@@ -177,7 +179,7 @@
 	var invalid *http1.Error
 	switch {
 	case errors.As(err, &invalid):
-		if c.busy { // an error response could be mixed up with the one being written
+		if c.busy { // an error response could be mixed up with the response that is being written
 			c.conn.CloseWith(err)
 			return
 		}
@@ -195,19 +197,19 @@
 	}
 }
 
-// respond writes a complete response and proceeds. c.mu is held.
+// respond writes a complete response and calls proceed. c.mu is held.
 func (c *httpConn) respond(response []byte, closeAfter bool) {
 	_ = c.conn.Write(response) // a failed write closes the connection, and netio calls Closed
 	c.proceed(closeAfter)
 }
 
-// respondProblem responds to a request with a problem and proceeds. c.mu is held.
+// respondProblem responds to a request with a problem and calls proceed. c.mu is held.
 func (c *httpConn) respondProblem(request *http1.Request, p problemResponse) {
 	c.respond(p.encode(request.Close), request.Close)
 }
 
-// proceed closes the connection once all is written, or starts with the next request, which may have been received
-// already. c.mu is held.
+// proceed closes the connection once all responses are written, or starts with the next request, which may have been
+// received already. c.mu is held.
 func (c *httpConn) proceed(closeAfter bool) {
 	if closeAfter {
 		c.conn.SetReadTimeout(0)
@@ -230,7 +232,7 @@
 	})
 }
 
-// respondFromLoop writes a complete response and proceeds. It runs on the loop.
+// respondFromLoop writes a complete response and calls resume. It runs on the loop.
 func (c *httpConn) respondFromLoop(response []byte, closeAfter bool) {
 	if c.closed {
 		return
@@ -239,8 +241,8 @@
 	c.resume(closeAfter)
 }
 
-// route is a method of a resource. A path that ends with a slash matches all paths below it; handle gets the rest as
-// name.
+// route is a method of a resource. A path that ends with a slash matches all paths below it; handle gets the rest of
+// the path as its parameter name.
 type route struct {
 	path   string
 	method string
--- a/internal/server/placer/http_server_test.go
+++ b/internal/server/placer/http_server_test.go
@@ -14,8 +14,8 @@
 	"forkhead/internal/server/placer"
 )
 
-// Invalid submissions get a problem response with a suitable status and detail, and requests get the status of their
-// resource and method.
+// Invalid submissions get a problem response with a suitable status and detail, and other requests get the status that
+// belongs to their resource and method.
 func TestServerRespondsWithProblemToInvalidRequest(t *testing.T) {
 	_, address := startPlacer(t, "(limits (body 4096) (per-submit 50))")
 	for name, c := range map[string]struct {
@@ -39,10 +39,10 @@
 				t.Fatal(err)
 			}
 			if got := resp.Header.Get("Content-Type"); got != "application/problem+json" {
-				t.Errorf("Content-Type = %q, want application/problem+json", got)
+				t.Errorf("%s: Content-Type = %q, want application/problem+json", name, got)
 			}
 			if resp.StatusCode != c.status || !bytes.Contains(body, []byte(c.want)) {
-				t.Errorf("response = %s with body %s, want status %d and a body with %s", resp.Status, body, c.status, c.want)
+				t.Errorf("%s: response = %s with body %s, want status %d and a body with %s", name, resp.Status, body, c.status, c.want)
 			}
 		})
 	}
@@ -59,7 +59,7 @@
 	} {
 		t.Run(c.method+" "+c.path, func(t *testing.T) {
 			if resp := send(t, newRequest(t, c.method, address, c.path, nil)); resp.StatusCode != c.status {
-				t.Errorf("status = %s, want %d", resp.Status, c.status)
+				t.Errorf("status of %s %s = %s, want %d", c.method, c.path, resp.Status, c.status)
 			}
 		})
 	}
@@ -129,7 +129,7 @@
 	time.Sleep(50 * time.Millisecond)
 	c := dial(t, address)
 	write(t, c, "GET /v1/status HTTP/1.1\r\nHost: a\r\n\r\n")
-	all, _ := io.ReadAll(c) // an error is ignored: the connection may be reset after the response
+	all, _ := io.ReadAll(c) // errors are ignored, as the connection may be reset after the response
 	if !bytes.HasPrefix(all, []byte("HTTP/1.1 503 ")) || !bytes.Contains(bytes.ToLower(all), []byte("retry-after: 1")) {
 		t.Fatalf("response on connection 3 of at most 2 = %q, want status 503 with Retry-After: 1", all)
 	}
--- a/internal/server/placer/outcomes.go
+++ b/internal/server/placer/outcomes.go
@@ -11,13 +11,13 @@
 // loop.
 type outcomeStream struct {
 	conn       *httpConn
-	submission string // ID
+	submission string // ID of the submission
 	written    int    // number of outcomes written
 	closeAfter bool   // whether to close the connection after the last outcome
-	buffer     []byte // of the lines of one write, reused by the next
+	buffer     []byte // holds the lines of one write; reused by the next write
 }
 
-// getOutcomes streams the outcomes of a submission that the placer accepted for an earlier request. c.mu is held.
+// getOutcomes streams the outcomes of a submission that the placer accepted from an earlier request. c.mu is held.
 func (c *httpConn) getOutcomes(request *http1.Request, submission string) {
 	h := c.server
 	h.placer.loop.PostBlocking(func() {
@@ -58,8 +58,8 @@
 	}
 }
 
-// writeOutcomes writes as many outcomes as fit into Limits.BufferBytes bytes that are not yet sent. Where the client does
-// not read, the other outcomes stay with the submission until Drained is called. It runs on the loop.
+// writeOutcomes writes outcomes until Limits.BufferBytes bytes of the connection are unsent. If the client does not
+// read, the other outcomes stay in the core until Drained is called. It runs on the loop.
 func (h *httpServer) writeOutcomes(stream *outcomeStream) {
 	s, conn := h.placer, stream.conn.conn
 	outcomes, complete, known := s.core.Outcomes(stream.submission, stream.written)
--- a/internal/server/placer/outcomes_test.go
+++ b/internal/server/placer/outcomes_test.go
@@ -32,7 +32,7 @@
 	if err := c.SetReadBuffer(4096); err != nil {
 		t.Fatal(err)
 	}
-	const n = 1000 // with lines longer in total than all buffers of the connection
+	const n = 1000 // the lines of this many outcomes exceed all buffers of the connection
 	body := strings.Replace(webSpec(n), "web:", strings.Repeat("w", 120)+":", 1)
 	write(t, c, "POST /v1/submissions HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	deadline := time.Now().Add(15 * time.Second)
@@ -43,11 +43,11 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	if resp, out := submit(t, address, "", webSpec(3)); resp.StatusCode != 200 || len(out) != 3 {
-		t.Fatalf("submit of another client = %s, %d outcomes, want 200, 3", resp.Status, len(out))
+		t.Fatalf("submit of another client while the first does not read = %s, %d outcomes, want 200, 3", resp.Status, len(out))
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the response of the slow client: got error %v, want nil", err)
 	}
 	if got := readOutcomes(t, resp.Body); len(got) != n {
 		t.Fatalf("the slow client read %d outcomes, want %d", len(got), n)
--- a/internal/server/placer/persistence.go
+++ b/internal/server/placer/persistence.go
@@ -14,11 +14,11 @@
 // persister writes the core's records to the store. It belongs to the loop.
 type persister struct {
 	store   *store.Store  // nil: nothing is stored
-	flushBy time.Duration // when to flush the store's pending changes at the latest; 0: there are none
+	flushBy time.Duration // latest time to flush the store's pending changes; 0: no changes are pending
 }
 
-// persist commits the records among the outputs of a step, with one fsync if an output has to wait for any of them. It
-// must return before the other outputs are executed.
+// persist commits the records among the outputs of a step, with one fsync if an output has to wait for any of them.
+// persist must return before the other outputs are executed.
 func (p *persister) persist(now time.Duration, outputs []core.Output) error {
 	if p.store == nil {
 		return nil
--- a/internal/server/placer/problems.go
+++ b/internal/server/placer/problems.go
@@ -21,7 +21,7 @@
 
 // Problem is the body of an error response, according to RFC 9457.
 type Problem struct {
-	Type   string      `json:"type"` // "": about:blank
+	Type   string      `json:"type"` // "" stands for about:blank
 	Title  string      `json:"title"`
 	Status int         `json:"status"`
 	Detail string      `json:"detail,omitempty"`
@@ -33,10 +33,10 @@
 // SpecError is an error in a service specification, with its position.
 type SpecError struct {
 	File   string `json:"file"`
-	Line   int    `json:"line,omitempty"`   // from 1; 0: the error concerns the whole file
-	Column int    `json:"column,omitempty"` // from 1
+	Line   int    `json:"line,omitempty"`   // counted from 1; 0: the error concerns the whole file
+	Column int    `json:"column,omitempty"` // counted from 1
 	Detail string `json:"detail"`
-	Want   string `json:"want,omitempty"` // what is valid instead
+	Want   string `json:"want,omitempty"` // values that are valid here
 }
 
 // InvalidSpecProblem returns the Problem for an error of the specification's parser, which may join several errors.
@@ -73,8 +73,8 @@
 // problemResponse is a response with a Problem.
 type problemResponse struct {
 	Problem
-	header     []http1.Field // in addition to the fields of every problem
-	retryAfter time.Duration // sent rounded up to full seconds; 0: not sent
+	header     []http1.Field // header fields in addition to those of every problem response
+	retryAfter time.Duration // the Retry-After, which is rounded up to full seconds; 0: none
 }
 
 // encode returns the bytes of the response. closeAfter announces that the connection is closed after it.
--- a/internal/server/placer/server.go
+++ b/internal/server/placer/server.go
@@ -2,7 +2,7 @@
 // list and the gossip socket, and writes to the store. It makes no placement decisions.
 //
 // The core belongs to one goroutine, the loop. All events are passed to the loop as inputs of the core, and the loop
-// executes the outputs of each step. Fields that belong to the loop, and may be used only on it, are marked as such.
+// executes the outputs of each step. Fields that may be used only on the loop are marked as belonging to it.
 package placer
 
 import (
@@ -26,23 +26,23 @@
 
 const (
 	pollers       = 2      // number of goroutines that read the TCP sockets
-	maxQueuedJobs = 20_000 // in the loop's queue; beyond it, PostBlocking makes the readers of sockets wait
+	maxQueuedJobs = 20_000 // while the loop's queue holds this many, PostBlocking makes the readers of sockets wait
 )
 
 // Config configures a placer.
 type Config struct {
 	Settings *settings.Settings // as returned by Settings.ForPlacer: Module.Self is this placer
-	Clock    *clock.Clock       // nil: a new one
+	Clock    *clock.Clock       // nil: a new clock
 	Log      zerolog.Logger
-	Seed     uint64 // of the random choices
-	Epoch    uint64 // of this incarnation; 0: taken from the clock
+	Seed     uint64 // seed of the core's random choices
+	Epoch    uint64 // epoch of this incarnation; 0: taken from the clock
 	// Store holds the state that must survive a restart, and Snapshot is its content as returned by store.Open. nil:
 	// nothing is stored. The caller closes the store after the placer.
 	Store    *store.Store
 	Snapshot *durable.Snapshot
 	// OnStep is called on the loop's goroutine for each step of the core: with its time, the time for which the core
-	// had requested a step (0: it had not), its inputs in the order of their receipt and its outputs in the order of
-	// their execution. It must not keep the slices. nil: not called.
+	// had requested a step (0: it had requested none), its inputs in the order of their receipt and its outputs in the
+	// order of their execution. It must not keep the slices. nil: not called.
 	OnStep func(now, due time.Duration, in []core.Input, out []core.Output)
 	// DropGossip reports whether to drop a datagram from another placer, for tests. It is called on the goroutine that
 	// receives gossip. nil: none is dropped.
@@ -63,18 +63,19 @@
 	http   *httpServer
 	gossip *gossipSocket
 
-	// accepting is done once the placer accepts no new submissions: it is shutting down, or its store has failed.
+	// The context accepting is canceled once the placer accepts no new submissions, because it is shutting down or its
+	// store has failed.
 	accepting     context.Context
 	stopAccepting context.CancelFunc
 	storeError    chan error // receives at most one error, that of the store
 
 	// The fields up to mu belong to the loop. Close uses watch after the loop has ended.
 	core        *core.Core
-	inputs      []core.Input         // of the core's next step
-	stepDue     time.Duration        // time for which the core requested a step; 0: it did not
+	inputs      []core.Input         // inputs of the core's next step
+	stepDue     time.Duration        // time for which the core requested a step; 0: it requested none
 	hostConns   map[string]*hostConn // current connections, by host
 	unflushed   []*hostConn          // connections with buffered frames
-	watch       *listwatch.Watch     // of the machine list; nil: not running
+	watch       *listwatch.Watch     // watch of the machine list; nil: no watch is running
 	persister   persister
 	storeFailed bool
 
@@ -126,7 +127,8 @@
 	return epoch
 }
 
-// open opens the sockets and starts the goroutines. If it fails, it closes and ends those it has opened and started.
+// open opens the sockets and starts the goroutines. If open fails, it closes those sockets and ends those goroutines
+// again.
 func (s *Server) open(cfg *Config) error {
 	self := s.settings.Module.Self
 	var err error
@@ -163,12 +165,12 @@
 	return status
 }
 
-// Failed returns a channel that receives the store's error if the store fails. The placer executes no outputs after
-// that, and the caller should close it.
+// Failed returns a channel that receives the store's error if the store fails. After that the placer executes no
+// outputs, and the caller should close the placer.
 func (s *Server) Failed() <-chan error { return s.storeError }
 
-// InjectStall blocks the loop for the duration d, as a long garbage collection or a stopped process would. It is for
-// tests.
+// InjectStall blocks the loop for the duration d, as a long garbage collection or a stopped process would. Only tests
+// call it.
 func (s *Server) InjectStall(d time.Duration) { s.loop.Post(func() { time.Sleep(d) }) }
 
 // Shutdown stops accepting submissions, waits until the open requests have been answered or ctx is done, and then
--- a/internal/server/placer/submissions.go
+++ b/internal/server/placer/submissions.go
@@ -26,8 +26,8 @@
 	Others    []compose.File    `json:"others,omitempty"` // files that Files refer to
 	Variables map[string]string `json:"variables,omitempty"`
 	Profiles  []string          `json:"profiles,omitempty"`
-	Services  []string          `json:"services,omitempty"` // names of services to include whatever their profiles
-	Project   string            `json:"project,omitempty"`  // name of the project; "": named by the files
+	Services  []string          `json:"services,omitempty"` // names of services that are included whatever their profiles
+	Project   string            `json:"project,omitempty"`  // name of the project; "": the files name it
 }
 
 // submit reads a submission and passes it to the core. The response streams its outcomes. c.mu is held.
@@ -44,8 +44,9 @@
 }
 
 // startFeasibilityCheck starts a check on another goroutine, which rejects the submission if it is proven that not all
-// of its tasks can be placed, and otherwise passes it to the core. It returns false, without an effect, if too many
-// checks are running: the module finds an infeasible submission as well, after some attempts.
+// of its tasks can be placed, and otherwise passes it to the core. It does nothing and returns false if too many checks
+// are running. The submission may then go to the core unchecked, as the module finds that it is infeasible after some
+// attempts.
 func (c *httpConn) startFeasibilityCheck(request *http1.Request, submission core.Submit) bool {
 	s, checker := c.server.placer, c.server.feasibility
 	if !checker.acquire() {
@@ -119,7 +120,7 @@
 	}
 	switch mediaType {
 	case "application/yaml", "application/x-yaml", "text/yaml", "text/x-yaml", "text/plain", "application/x-www-form-urlencoded":
-		// curl sends the last one with --data-binary by default.
+		// The last media type is the one that curl --data-binary sends by default.
 		readComposeFile(request, input)
 	case EnvelopeMediaType:
 		if err := readEnvelope(request, input); err != nil {
@@ -133,7 +134,8 @@
 	return input, nil
 }
 
-// readComposeFile reads a submission whose body is one Compose file; all else is in the query.
+// readComposeFile reads a submission whose body is one Compose file. The file's name, the variables, the profiles, the
+// services and the project are in the query.
 func readComposeFile(request *http1.Request, input *compose.Input) {
 	query := request.Query
 	name := query.Get("file")
--- a/internal/server/placer/submissions_test.go
+++ b/internal/server/placer/submissions_test.go
@@ -18,22 +18,22 @@
 	for range 10 {
 		wait.Go(func() {
 			if resp, out := submit(t, address, "k", webSpec(5)); resp.StatusCode != 200 || len(out) != 5 {
-				t.Errorf("submit = %s, %d outcomes, want 200, 5", resp.Status, len(out))
+				t.Errorf("concurrent submit with key k = %s, %d outcomes, want 200, 5", resp.Status, len(out))
 			}
 		})
 	}
 	wait.Wait()
 	if st := cluster.Placer(0).Status(); st.Offers != 5 || st.Submissions != 1 {
-		t.Fatalf("status = %d offers, %d submissions, want 5, 1", st.Offers, st.Submissions)
+		t.Fatalf("status after 10 submits with key k = %d offers, %d submissions, want 5, 1", st.Offers, st.Submissions)
 	}
 	if resp, _ := submit(t, address, "k", webSpec(6)); resp.StatusCode != 422 {
 		t.Fatalf("submit(another body with the same key) = %s, want 422", resp.Status)
 	}
 }
 
-// An infeasible specification with whole, which requires that all tasks are placed, is rejected with the conflict, and
-// no placement is requested. A feasible one is placed. Without whole, an infeasible specification gets an outcome for
-// each task.
+// An infeasible specification with the key whole, which requires that all tasks are placed, is rejected with the
+// conflict, and no placement is requested. A feasible one is placed. Without that key, an infeasible specification gets
+// an outcome for each task.
 func TestServerRejectsInfeasibleSpec(t *testing.T) {
 	cluster, address := startPlacer(t, "")
 	body := "x-forkhead: {whole: true, patience: 1s, wait: 500ms}\nservices: {a: {}, w: {x-forkhead: {spread: {rack: 1}}, deploy: {replicas: 3}}}"
