--- a/internal/server/platform/config.go
+++ b/internal/server/platform/config.go
@@ -11,15 +11,15 @@
 	platformcore "forkhead/internal/scheduler/platform"
 )
 
-// Division of the process's descriptors: their limit is reservedDescriptors + acceptReserve + the core's
-// MaxConnections.
+// Division of the process's descriptors. The limit of descriptors is the sum of reservedDescriptors, acceptReserve and
+// the core's MaxConnections, unless minConnections applies.
 const (
-	defaultDescriptors = 1024 // the limit if the configuration sets none
+	defaultDescriptors = 1024 // limit of descriptors if the configuration sets none
 	// reservedDescriptors are kept for everything but connections, and for connections that are half-closed or linger
 	// after the core has given their slots to others.
 	reservedDescriptors = 24
-	acceptReserve       = 8  // for accepted connections that the core does not know yet
-	minConnections      = 16 // of owners and hosts together, acceptReserve included, even if the limit is lower
+	acceptReserve       = 8  // descriptors for accepted connections that the core does not know yet
+	minConnections      = 16 // minimum number of connections, acceptReserve included, for any limit of descriptors
 )
 
 // ConfigError is the error of a configuration that cannot be used.
@@ -28,7 +28,7 @@
 // Error describes what is wrong with the configuration.
 func (e ConfigError) Error() string { return "configuration: " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the error that Err holds.
 func (e ConfigError) Unwrap() error { return e.Err }
 
 // CheckConfig returns a ConfigError if a placer cannot use the configuration.
@@ -62,7 +62,7 @@
 	return addresses, nil
 }
 
-// readSettings returns the settings object as the platform writes it and as settings of the forkhead module.
+// readSettings parses the settings object of the configuration and converts it to settings of the forkhead module.
 func readSettings(cfg *platform.Config) (*platformconfig.Info, forkhead.Settings, error) {
 	info, err := platformconfig.Parse(cfg.Settings)
 	if err != nil {
@@ -75,9 +75,10 @@
 	return info, settings, nil
 }
 
-// newCoreConfig returns the core's configuration. A third of the descriptors, or half of the connections if that is
-// less, is reserved for owners, who may use up to two thirds of the connections. Hosts may use all connections but the
-// reserved ones.
+// newCoreConfig returns the core's configuration. There are as many connections as descriptors without
+// reservedDescriptors, but at least minConnections. A third of the descriptors, or half of the connections if that is
+// less, is reserved for owners, who may use up to two thirds of the connections. Hosts may use all connections but
+// those reserved for owners and acceptReserve.
 func newCoreConfig(cfg *platform.Config, info *platformconfig.Info, settings forkhead.Settings) platformcore.Config {
 	descriptors := cfg.Limits.Sockets
 	if descriptors == 0 {
--- a/internal/server/platform/connection.go
+++ b/internal/server/platform/connection.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	maxLingering  = 4 // bound of the connections that the core has closed and that still send their pending bytes
+	maxLingering  = 4 // maximum number of connections that the core has closed and that still send their pending bytes
 	lingerTimeout = 200 * time.Millisecond
 )
 
 // connection is a connection of an owner or to a host, with the output of the core's current step for it. Its fields
 // are used by the event loop's goroutine only, except for lingering.
 type connection struct {
-	stream    *netio.Conn // nil while it is being dialed
+	stream    *netio.Conn // nil while the connection is being dialed
 	output    []byte      // bytes that are not yet written to stream
-	queued    bool        // whether it is in the write queue
+	queued    bool        // whether the connection is in the write queue
 	closed    bool        // whether the core or the peer has closed it
-	lingering atomic.Bool // whether it is closed as soon as its pending bytes are sent
+	lingering atomic.Bool // whether the lingerer closes the connection once its pending bytes are sent
 }
 
 // flush writes the collected output to the stream. If the write fails, the stream is closed and the handler's Closed is
@@ -36,8 +36,7 @@
 // once. It is used by the event loop's goroutine only.
 type writeQueue struct{ connections []*connection }
 
-// write adds a line to the output for a connection. It drops the line if there is no such connection or it is being
-// dialed.
+// write adds a line to the output for a connection. It drops the line if c is nil or still being dialed.
 func (q *writeQueue) write(c *connection, line []byte) {
 	if c == nil || c.stream == nil {
 		return
@@ -83,7 +82,7 @@
 	}
 	c.lingering.Store(true)
 	c.stream.CloseAfterFlush(lingerTimeout)
-	if c.stream.IsClosed() { // its handler may have called remove before lingering was set
+	if c.stream.IsClosed() { // the handler's Closed may have called remove before lingering was set
 		l.remove(c)
 	}
 	return true
--- a/internal/server/platform/eventinterval.go
+++ b/internal/server/platform/eventinterval.go
@@ -4,10 +4,11 @@
 
 // Bounds of the timeout for the next event.
 const (
-	minEventTimeout  = 2 * time.Second // the platform counts the events of an idle watch as delivered after 4 s
+	// minEventTimeout is below the 4 s after which the platform counts the events of an idle watch as delivered.
+	minEventTimeout  = 2 * time.Second
 	maxEventTimeout  = time.Minute
-	maxEventInterval = 10 * time.Second // above it, events are too rare for a timeout
-	maxBackoffShift  = 5                // bound of the doublings of the timeout
+	maxEventInterval = 10 * time.Second // if an interval is longer, events are too rare for a timeout
+	maxBackoffShift  = 5                // maximum number of doublings of the timeout
 )
 
 // eventIntervals sets a timeout for the next event of the watch from the intervals between the latest events. A stream
@@ -32,7 +33,7 @@
 }
 
 // nextTimeout returns how long to wait for the next event, or 0 to wait without a timeout. Each call counts as a poll
-// and doubles the timeout of the next one, unless an event comes between.
+// and doubles the timeout of the next one, unless an event arrives between the two.
 func (e *eventIntervals) nextTimeout() time.Duration {
 	if e.count < len(e.intervals) {
 		return 0
--- a/internal/server/platform/gossip.go
+++ b/internal/server/platform/gossip.go
@@ -20,11 +20,11 @@
 	peers     []netip.AddrPort // gossip addresses by placer number, this placer's included
 	broadcast netip.AddrPort   // address that reaches all placers; the zero value if there is none
 	inputs    *inputQueue
-	receiver  sync.WaitGroup // the goroutine of receive
+	receiver  sync.WaitGroup // waits for the goroutine that runs receive
 }
 
-// openGossip opens the socket at the configuration's gossip address, or returns nil if it names none. The caller calls
-// start once the event loop runs.
+// openGossip opens the socket at the configuration's gossip address, or returns nil if the configuration names none.
+// The caller calls start once the event loop runs.
 func openGossip(cfg *platform.Config, self int, inputs *inputQueue) (*gossipSocket, error) {
 	if cfg.PeerListen == "" {
 		return nil, nil
@@ -60,7 +60,7 @@
 }
 
 // close closes the socket and waits for the receiving goroutine. The event loop must have been stopped before, as that
-// goroutine may wait for space in its queue.
+// goroutine may wait for space in the loop's queue.
 func (g *gossipSocket) close() {
 	if g == nil {
 		return
@@ -87,7 +87,7 @@
 }
 
 // receive posts the datagrams of other placers to the core until the socket is closed. It drops datagrams of other
-// senders and those above platform.MaxDatagramSize, for which the buffer has one byte more.
+// senders and those of more than platform.MaxDatagramSize bytes, which it detects as the buffer is one byte larger.
 func (g *gossipSocket) receive() {
 	buf := make([]byte, platform.MaxDatagramSize+1)
 	for {
--- a/internal/server/platform/handover_test.go
+++ b/internal/server/platform/handover_test.go
@@ -47,7 +47,7 @@
 		}
 	}
 	if n := c.draining.received(platform.TypeRequest, ""); n != 0 {
-		t.Errorf("offers at the draining host: got %d, want 0", n)
+		t.Errorf("offers at the draining host after 20 requests: got %d, want 0", n)
 	}
 }
 
@@ -56,7 +56,7 @@
 func wantOneRelease(t *testing.T, o *testOwner, ref string, cause platform.Cause) {
 	t.Helper()
 	o.awaitAnswer(t, ref)
-	o.probe(t) // messages that were sent before it have arrived
+	o.probe(t) // messages that were sent before the probe's answer have arrived
 	got := o.answersTo(ref)
 	if len(got) != 1 || got[0].Type != platform.TypeRelease || got[0].Cause != cause {
 		t.Errorf("messages to the owner of %s: got %+v, want one release with cause %d", ref, got, cause)
@@ -107,7 +107,7 @@
 	o := newTestOwner(t, c.server.Address())
 	o.handOver(ref, drainingHostNumber)
 	c.wantOffersElsewhere(t, o, 0xe100)
-	time.Sleep(time.Second) // enough for several refused dials
+	time.Sleep(time.Second) // enough time for several dials that the host refuses
 	if got := o.answersTo(ref); len(got) != 0 {
 		t.Errorf("messages to the owner while the host is listed: got %+v, want none", got)
 	}
--- a/internal/server/platform/hosts.go
+++ b/internal/server/platform/hosts.go
@@ -21,7 +21,7 @@
 	lingerer       *lingerer
 	engine         *netio.Engine
 	connectTimeout time.Duration
-	open           map[platformcore.ConnectionID]*hostConnection // including those being dialed
+	open           map[platformcore.ConnectionID]*hostConnection // connections, including those being dialed
 }
 
 // hostConnection is a connection to a host. It handles the connection's events, which arrive on goroutines of the
@@ -80,8 +80,8 @@
 	h.writes.write(&c.connection, o.Line)
 	if o.Abandons && c.stream.HasUnsent() {
 		// The line withdraws an offer that may be unsent. The host would start that attempt when it reads on, perhaps
-		// long after the owner has left. The reset drops the unsent bytes, and closing a connection abandons what is
-		// open on it.
+		// long after the owner has left. The reset drops the unsent bytes, and closing a connection abandons the
+		// attempts that are open on it.
 		c.stream.Reset()
 	}
 }
@@ -94,7 +94,7 @@
 	}
 }
 
-// close closes a connection after its pending bytes, if it may linger, or abandons its dial.
+// close closes a connection, or abandons its dial. If the connection may linger, its pending bytes are sent first.
 func (h *hostConnections) close(id platformcore.ConnectionID) {
 	c := h.open[id]
 	if c == nil {
--- a/internal/server/platform/hosts_test.go
+++ b/internal/server/platform/hosts_test.go
@@ -15,7 +15,7 @@
 type slowHost struct {
 	listener net.Listener
 	read     chan struct{}
-	lines    chan string // the lines that were read
+	lines    chan string // the lines that the host has read
 }
 
 // newSlowHost starts a host.
@@ -86,8 +86,8 @@
 	return open, unsent
 }
 
-// An offer that is unsent when its owner leaves does not reach its host, which does not read: its connection is reset.
-// The host would otherwise start the attempt when it reads on.
+// An offer that is unsent when its owner leaves does not reach its host, which does not read: the connection to the
+// host is reset. The host would otherwise start the attempt when it reads on.
 func TestHostConnectionsResetUnsentOffers(t *testing.T) {
 	h := newSlowHost(t)
 	s := startWithHost(t, &testHost{listener: h.listener})
@@ -115,7 +115,7 @@
 }
 
 // serveUntilPeerCloses accepts the offers on a connection and does not answer probes. When the placer closes its side
-// of the idle connection, it reports the end of the task, except on the first connection.
+// of the idle connection, serveUntilPeerCloses reports the end of the task, except on the first connection.
 func serveUntilPeerCloses(c net.Conn, ref string, isFirst bool) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
@@ -128,7 +128,7 @@
 			send(c, `{"t":"up","ref":"%s","f":{},"d":"y"}`+"\n", ref)
 		}
 	}
-	if !isFirst { // the placer opened it to probe the host, and closes it
+	if !isFirst { // the placer opens the first connection to probe the host, and closes it
 		send(c, `{"t":"down","ref":"%s","f":{},"c":16}`+"\n", ref)
 	}
 }
--- a/internal/server/platform/idletimer.go
+++ b/internal/server/platform/idletimer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// stallThreshold is the lateness of a timer from which on this process is taken as stalled.
+// stallThreshold is the lateness of a timer from which on idleTimer assumes that this process was stalled.
 const stallThreshold = 100 * time.Millisecond
 
 // idleTimer calls a function when it has not been reset for its timeout. If it fires late by stallThreshold or more,
@@ -19,8 +19,8 @@
 	stopped bool
 }
 
-// newIdleTimer starts a timer. With a timeout of 0 it is paused until it is reset. onIdle is called with the timer
-// locked and must not use it.
+// newIdleTimer starts a timer. With a timeout of 0 the timer is paused until reset is called. onIdle is called with the
+// timer locked and must not use it.
 func newIdleTimer(timeout time.Duration, onIdle func()) *idleTimer {
 	t := &idleTimer{}
 	t.mu.Lock()
@@ -36,7 +36,7 @@
 	defer t.mu.Unlock()
 	now := time.Now()
 	switch {
-	case t.stopped || t.timeout == 0 || now.Before(t.due): // stopped, paused or reset while it fired
+	case t.stopped || t.timeout == 0 || now.Before(t.due): // the timer was stopped, paused or reset while it fired
 	case now.Sub(t.due) >= stallThreshold:
 		t.set(t.timeout)
 	default:
@@ -44,7 +44,7 @@
 	}
 }
 
-// set starts a new timeout, or pauses the timer if it is 0. The caller holds mu.
+// set starts a new timeout, or pauses the timer if the timeout is 0. The caller holds mu.
 func (t *idleTimer) set(timeout time.Duration) {
 	t.timeout, t.due = timeout, time.Now().Add(timeout)
 	if timeout == 0 {
@@ -54,7 +54,7 @@
 	}
 }
 
-// reset starts a new timeout, or pauses the timer if it is 0. It does nothing after stop.
+// reset starts a new timeout, or pauses the timer if the timeout is 0. It does nothing after stop.
 func (t *idleTimer) reset(timeout time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/server/platform/idletimer_test.go
+++ b/internal/server/platform/idletimer_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A timer that fires late, because its process was stalled, starts its timeout again instead of calling onIdle: a
-// responsive peer would be taken for unresponsive. It calls onIdle when the new timeout expires. A paused timer does
-// not call it.
+// A timer that fires late, because its process was stalled, starts its timeout again instead of calling onIdle, which
+// would take a responsive peer for unresponsive. It calls onIdle when the new timeout expires. A paused timer does not
+// call onIdle.
 func TestIdleTimerRestartsAfterStallOfTheProcess(t *testing.T) {
 	var fired atomic.Int64
 	timer := newIdleTimer(time.Hour, func() { fired.Add(1) })
--- a/internal/server/platform/owners.go
+++ b/internal/server/platform/owners.go
@@ -15,7 +15,7 @@
 	maxOwnerUnsentBytes = 256 << 10
 
 	// When the listener closes, the accept queue counts as empty after acceptIdle without a new connection. The
-	// listener is closed after acceptDrainTimeout even if it is not empty.
+	// listener is closed after acceptDrainTimeout even if the queue is not empty.
 	acceptIdle         = 20 * time.Millisecond
 	acceptDrainTimeout = 300 * time.Millisecond
 )
@@ -85,7 +85,7 @@
 	}
 }
 
-// close closes an owner's connection after its pending bytes, if it may linger.
+// close closes an owner's connection. If the connection may linger, its pending bytes are sent first.
 func (o *ownerConnections) close(id platformcore.OwnerID) {
 	c := o.open[id]
 	if c == nil {
--- a/internal/server/platform/owners_test.go
+++ b/internal/server/platform/owners_test.go
@@ -13,7 +13,7 @@
 // No attempt is started for the requests of an owner that has half-closed, closed or reset its connection while they
 // waited behind a full job queue.
 func TestOwnerConnectionClosedBehindAFullJobQueue(t *testing.T) {
-	// The first stall is too short, the second long enough for the event loop to let producers catch up.
+	// The event loop lets producers catch up after the second, longer stall, but not after the first.
 	for _, pause := range []time.Duration{10 * time.Millisecond, 100 * time.Millisecond} {
 		for name, leave := range map[string]func(*net.TCPConn){
 			"half-closed": func(c *net.TCPConn) { _ = c.CloseWrite() },
@@ -25,7 +25,8 @@
 	}
 }
 
-// testOwnerLeavesBehindAFullJobQueue stalls the event loop, sends requests, waits for pause, leaves, and waits again.
+// testOwnerLeavesBehindAFullJobQueue stalls the event loop and sends requests of an owner. After pause it calls leave,
+// and after pause again it ends the stall.
 func testOwnerLeavesBehindAFullJobQueue(t *testing.T, pause time.Duration, leave func(*net.TCPConn)) {
 	h := newTestHost(t, 0, 1)
 	s := startWithHost(t, h)
@@ -35,7 +36,7 @@
 	o.probe(t)
 	resume := stall(t, s)
 	fillJobQueue(s)
-	for i := range 3 { // pipelined
+	for i := range 3 { // sent without waiting for answers
 		o.request(fmt.Sprintf("%016x", 0xc0+i), 9000)
 	}
 	time.Sleep(pause) // the poller reads the requests and waits for space in the queue
@@ -45,7 +46,7 @@
 	regular.request("00000000000000a1", 9000)
 	regular.awaitAnswer(t, "00000000000000a1")
 	if n := h.offers(); n != 2 {
-		t.Errorf("offers at the host: got %d, want the 2 of the owner that stays", n)
+		t.Errorf("offers at the host: got %d, want only the 2 for requests of the owner that stays", n)
 	}
 }
 
@@ -58,7 +59,7 @@
 			dialLoopback(t, s.Address())
 		}
 	}
-	bound := cap(s.owners.slots) - acceptReserve // the core's bound
+	bound := cap(s.owners.slots) - acceptReserve // the core's maximum number of connections of owners
 	connect(bound)
 	eventually(t, "all slots of the core are taken", func() bool { return openOwnerCount(s) == bound })
 	resume := stall(t, s)
@@ -114,7 +115,7 @@
 	for range cap(s.owners.slots) {
 		taken = append(taken, s.owners.slots.acquire(t.Context()))
 	}
-	var owners []*testOwner // the first waits for a slot, the others in the accept queue
+	var owners []*testOwner // the first waits for a slot, and the others wait in the accept queue
 	for range 5 {
 		owners = append(owners, newTestOwner(t, s.Address()))
 	}
--- a/internal/server/platform/server.go
+++ b/internal/server/platform/server.go
@@ -25,7 +25,7 @@
 // the queue is full.
 const maxQueuedJobs = 128
 
-// Tap observes the inputs and outputs of the core. It must not keep them.
+// Tap observes the inputs and outputs of the core. It must not keep the slices that it is called with.
 type Tap interface {
 	// Start is called once, before the first step, with the time and the core's configuration.
 	Start(now time.Duration, config *platformcore.Config)
@@ -47,13 +47,14 @@
 	clock *clock.Clock
 	tap   Tap
 
-	// These run goroutines, which Close waits for.
+	// The fields from engine to watch run goroutines, for which Close waits.
 	engine *netio.Engine
 	loop   *eventloop.Loop
 	gossip *gossipSocket // nil if the configuration names no gossip address
 	watch  *watcher
 
-	// These are used by the event loop's goroutine only, except for the parts that their types document otherwise.
+	// The fields from core to shutdown are used by the event loop's goroutine only, except where the comments of their
+	// types say otherwise.
 	core     *platformcore.Core
 	inputs   *inputQueue
 	writes   *writeQueue
@@ -62,7 +63,7 @@
 	lingerer *lingerer
 	shutdown *shutdown
 
-	cancel    context.CancelFunc // ends the watch and waits for accept slots
+	cancel    context.CancelFunc // ends the watch and the waits for accept slots
 	closeOnce sync.Once
 }
 
@@ -185,7 +186,8 @@
 	return s.core.Step(now, in...)
 }
 
-// isFlushed reports whether no pending bytes for owners are left. Every lingering connection counts as one of an owner.
+// isFlushed reports whether no pending bytes for owners are left. A lingering connection counts as one of an owner even
+// if it is one to a host.
 func (s *Server) isFlushed() bool { return s.owners.isFlushed() && s.lingerer.isEmpty() }
 
 // execute executes an output of the core.
--- a/internal/server/platform/server_test.go
+++ b/internal/server/platform/server_test.go
@@ -61,8 +61,8 @@
 	return bound
 }
 
-// The watch continues after a broken stream, and after a change of its address from the last event's number on. A host
-// gets no offer later than 300 ms after the event that says that it drains.
+// The watch continues after a broken stream. After a change of its address, it continues from the number of the last
+// event. A host gets no offer later than 300 ms after the event that says that it drains.
 func TestServerFollowsTheWatchToANewAddress(t *testing.T) {
 	a, b := newTestHost(t, 0, 1), newTestHost(t, 0, 2)
 	first := endpointEvent(1, true, endpointOf(1, a, platform.InService))
@@ -84,7 +84,7 @@
 		return ref
 	}
 	eventually(t, "an offer to the host of the second watch", func() bool { request(); return b.offers() > 0 })
-	announced := time.Now() // the drain was announced at this time at the latest
+	announced := time.Now() // the watch has announced the drain by this time
 	time.Sleep(350 * time.Millisecond)
 	last := ""
 	for range 20 {
@@ -95,7 +95,7 @@
 	defer a.mu.Unlock()
 	for _, at := range a.offerTimes {
 		if at.After(announced.Add(300 * time.Millisecond)) {
-			t.Errorf("offer to the draining host: got one %v after the event, want none later than 300ms", at.Sub(announced))
+			t.Errorf("offer to the draining host: got one at least %v after the event, want none after 300ms", at.Sub(announced))
 		}
 	}
 	second.mu.Lock()
@@ -126,7 +126,7 @@
 	s := startWithHost(t, newTestHost(t, 0, 1))
 	regular := newTestOwner(t, s.Address())
 	regular.request("00000000000000b0", 5000)
-	regular.awaitAnswer(t, "00000000000000b0") // before this answer, the connection may be evicted like an idle one
+	regular.awaitAnswer(t, "00000000000000b0") // before this answer, the core may close the connection like an idle one
 	var idle []net.Conn
 	for range 400 {
 		idle = append(idle, dialLoopback(t, s.Address()))
@@ -182,9 +182,9 @@
 		}
 	}
 	o := newTestOwner(t, s.Address())
-	o.probe(t) // as the platform's frontend does
+	o.probe(t) // the platform's frontend probes first, too
 	o.request("00000000000000a0", 9000)
-	o.awaitAnswer(t, "00000000000000a0") // placed on a host of the initial list
+	o.awaitAnswer(t, "00000000000000a0") // the request is placed on a host of the initial list
 	cfg.WatchAddress = available
 	s.Reload(cfg)
 	eventually(t, "a task is offered to the host of the new list", func() bool {
--- a/internal/server/platform/shutdown_test.go
+++ b/internal/server/platform/shutdown_test.go
@@ -21,7 +21,7 @@
 	time.Sleep(750 * time.Millisecond)
 	resume := stall(t, s)
 	fillJobQueue(s)
-	var late []*testOwner // all but one wait in the accept queue when the core closes the listener
+	var late []*testOwner // all but one of these wait in the accept queue when the core closes the listener
 	for i := range 20 {
 		o := newTestOwner(t, s.Address())
 		o.request(fmt.Sprintf("%016x", 0xb700+i), 3000)
@@ -47,8 +47,8 @@
 	<-s.ShutdownComplete()
 }
 
-// A shutdown is not complete while an owner that reads slowly has pending answers. It completes when the owner has read
-// them, and also if it never does.
+// A shutdown is not complete while an owner that reads slowly has pending answers. The shutdown completes when the
+// owner has read them, and at the flush timeout if the owner never does.
 func TestShutdownWaitsForSlowReaders(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		s := startWithHost(t, newTestHost(t, 0, 1))
@@ -57,7 +57,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		select {
 		case <-s.ShutdownComplete():
-			t.Error("shutdown complete 1.5s after BeginShutdown with pending answers, want it to wait for the owner")
+			t.Errorf("owner that reads later: %v: shutdown complete 1.5s after BeginShutdown with pending answers, want it to wait", reads)
 		default:
 		}
 		if reads {
@@ -89,13 +89,13 @@
 	}
 	early.coreComplete(start)
 	early.update(start, flushed)
-	early.update(start, flushed) // must not close the channel again, which would panic
+	early.update(start, flushed) // a second call must not close the channel again, which would panic
 	if !isComplete(early) {
 		t.Error("update without pending bytes after the core has shut down: not complete, want complete")
 	}
 	late := newShutdown()
 	late.coreComplete(start)
-	late.coreComplete(start + time.Second) // must not defer the flush timeout
+	late.coreComplete(start + time.Second) // a second call must not defer the flush timeout
 	late.update(start+flushTimeout-1, unsent)
 	if isComplete(late) {
 		t.Error("update with pending bytes 1ns before the flush timeout: complete, want not complete")
--- a/internal/server/platform/shutdownearly_test.go
+++ b/internal/server/platform/shutdownearly_test.go
@@ -50,7 +50,7 @@
 	for _, ref := range refs {
 		got := o.answersTo(ref)
 		if len(got) != 1 {
-			t.Errorf("answers to %s: got %+v, want one", ref, got)
+			t.Errorf("answers to %s: got %+v, want exactly one", ref, got)
 			continue
 		}
 		offers, stops := h.received(platform.TypeRequest, ref), h.received(platform.TypeRelease, ref)
@@ -88,7 +88,7 @@
 func TestShutdownWithoutHosts(t *testing.T) {
 	for _, hasList := range []bool{true, false} {
 		t.Run(fmt.Sprintf("has a list %v", hasList), func(t *testing.T) {
-			h := newRecordingHost(t) // not in the endpoint list
+			h := newRecordingHost(t) // is not in the endpoint list
 			cfg := newConfigWithUnresponsiveWatch(t, endpointEvent(1, true))
 			if !hasList {
 				cfg.Initial.Seq, cfg.Initial.Events = 0, nil
@@ -100,7 +100,7 @@
 			awaitShutdown(t, s, 5*time.Second)
 			<-o.closeServer(s)
 			if placed := wantOneAnswerEach(t, o, h, refs); placed != 0 {
-				t.Errorf("placed requests without a known host: got %d, want 0", placed)
+				t.Errorf("requests placed without a known host: got %d of %d, want 0", placed, len(refs))
 			}
 		})
 	}
@@ -137,7 +137,7 @@
 }
 
 // fillAcceptQueue fills a listener's accept queue with one connection, so that the kernel drops further ones. The
-// returned function accepts that connection, which ends this.
+// returned function accepts that connection, after which the kernel no longer drops others.
 func fillAcceptQueue(t *testing.T, listener net.Listener) (drain func()) {
 	t.Helper()
 	raw, err := listener.(*net.TCPListener).SyscallConn()
@@ -179,7 +179,7 @@
 			<-o.closeServer(s)
 			placed := wantOneAnswerEach(t, o, h, refs)
 			if accepts && placed != len(refs) || !accepts && placed != 0 {
-				t.Errorf("placed requests: got %d of %d, want all if the host accepts (%v) and none otherwise", placed, len(refs), accepts)
+				t.Errorf("host accepts connections: %v: got %d of %d requests placed, want all if it accepts, none otherwise", accepts, placed, len(refs))
 			}
 		})
 	}
--- a/internal/server/platform/testenv_test.go
+++ b/internal/server/platform/testenv_test.go
@@ -19,7 +19,7 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// eventuallyTimeout is longer than any awaited condition takes on a busy machine.
+// eventuallyTimeout bounds the wait for a condition. It is longer than any condition takes on a busy machine.
 const eventuallyTimeout = 20 * time.Second
 
 // eventually waits until a condition holds, and fails the test after eventuallyTimeout.
@@ -27,7 +27,7 @@
 	t.Helper()
 	for end := time.Now().Add(eventuallyTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited %v for: %s", eventuallyTimeout, condition)
+			t.Fatalf("condition not met within %v: %s", eventuallyTimeout, condition)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 // testHost is a host that answers offers, a fraction of them with a fault, and counts them.
 type testHost struct {
 	listener  net.Listener
-	faultRate float64 // fraction of offers that are answered with a fault; see answerOffer
+	faultRate float64 // fraction of the offers that answerOffer answers with a fault
 
 	mu         sync.Mutex // guards the fields below
 	random     *rand.Rand
@@ -203,7 +203,7 @@
 		w.(http.Flusher).Flush()
 		select {
 		case <-broken:
-			send(w, "id: 99\ndata: {\"se") // in the middle of an event
+			send(w, "id: 99\ndata: {\"se") // ends in the middle of an event
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
--- a/internal/server/platform/trace_test.go
+++ b/internal/server/platform/trace_test.go
@@ -105,7 +105,8 @@
 	s.inputs = in
 }
 
-// The tap gets the inputs of a step in which the core panics. They are needed to reproduce the panic from a trace.
+// The tap gets the inputs of a step in which the core panics. These inputs are needed to reproduce the panic from a
+// trace.
 func TestServerTapGetsStepThatPanics(t *testing.T) {
 	cfg := &platform.Config{Settings: json.RawMessage(testSettings)}
 	info, settings, err := readSettings(cfg)
--- a/internal/server/platform/twoplacers_test.go
+++ b/internal/server/platform/twoplacers_test.go
@@ -66,7 +66,7 @@
 	t.Helper()
 	for n := range count {
 		for i, o := range p.owners {
-			o.probe(t) // messages that were sent before it have arrived
+			o.probe(t) // messages that were sent before the probe's answer have arrived
 			if got := o.answersTo(refOf(1-i, n)); len(got) != 0 {
 				t.Errorf("messages to the owner at placer %d about %s of the other placer: got %+v, want none", i, refOf(1-i, n), got)
 			}
--- a/internal/server/platform/watch.go
+++ b/internal/server/platform/watch.go
@@ -35,7 +35,7 @@
 type watchConfig struct {
 	address        string
 	last           uint64        // sequence number of the last known event; the watch starts after it
-	connectTimeout time.Duration // bounds the time to connect
+	connectTimeout time.Duration // limit of the time to connect
 	log            zerolog.Logger
 	// deliver is called once for each event, in order, on the watcher's goroutine. restarted means that the sequence
 	// numbers start again with this event, which is a snapshot.
@@ -53,7 +53,7 @@
 	address      string
 	cancelStream context.CancelCauseFunc // nil until the first poll
 
-	// These are used by the watcher's goroutine only.
+	// The fields below are used by the watcher's goroutine only.
 	sequence  platform.Sequence
 	intervals eventIntervals
 }
@@ -142,7 +142,7 @@
 	for {
 		n, readErr := body.Read(buf)
 		if ctx.Err() != nil {
-			return ctx.Err() // after a change of the address, events from the old address are dropped
+			return ctx.Err() // drops the events that were read, as the address may have changed
 		}
 		if n > 0 {
 			idle.reset(streamIdleTimeout)
--- a/internal/server/platform/watch_test.go
+++ b/internal/server/platform/watch_test.go
@@ -17,7 +17,7 @@
 // watchStream is the server side of one poll.
 type watchStream struct {
 	response http.ResponseWriter
-	last     string          // value of Last-Event-ID
+	last     string          // Last-Event-ID of the poll
 	done     <-chan struct{} // closed when the watcher has disconnected
 }
 
@@ -117,8 +117,8 @@
 	}
 }
 
-// A watch that starts its numbers again with a snapshot is followed from that snapshot. Events that are only sent
-// again, with a snapshot that is older than the last event, are not delivered twice.
+// If a watch starts its numbers again with a snapshot, the events from that snapshot on are delivered. Events that the
+// watch merely sends again, with a snapshot that is older than the last event, are not delivered twice.
 func TestWatcherRestartedSequence(t *testing.T) {
 	again := func(s watchStream) {
 		for seq := 1; seq <= 8; seq++ {
@@ -139,7 +139,9 @@
 // After a change of the address, the new address is polled from the last delivered event on, and no event from the old
 // address is delivered, whether the old stream breaks off in the middle of an event or continues.
 func TestWatcherChangeOfAddress(t *testing.T) {
-	const rounds = 10 // per case, as the test cannot control whether the change or the old stream's data is seen first
+	// Several rounds for each case, as the test cannot control whether the watcher sees the change or the old stream's
+	// data first.
+	const rounds = 10
 	for round := range 2 * rounds {
 		breaksOff := round%2 == 0
 		sent, changed := make(chan struct{}), make(chan struct{})
@@ -169,11 +171,11 @@
 		close(changed)
 		expectDeliveries(t, deliveries, delivery{2, false}, delivery{3, false})
 		if polledAfter.Load() != "1" {
-			t.Errorf("Last-Event-ID of the first poll of the new address: got %v, want 1", polledAfter.Load())
+			t.Errorf("old stream breaks off: %v: Last-Event-ID of the new address's first poll: got %v, want 1", breaksOff, polledAfter.Load())
 		}
 		select {
 		case more := <-deliveries:
-			t.Errorf("delivery after those of the new address: got %+v, want none", more)
+			t.Errorf("old stream breaks off: %v: delivery after those of the new address: got %+v, want none", breaksOff, more)
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
@@ -196,6 +198,6 @@
 	startTestWatcher(t, listener.Addr().String(), 0)
 	eventually(t, "a second poll", func() bool { return polls.Load() >= 2 })
 	if n := polls.Load(); n > 3 {
-		t.Errorf("polls by the time of the second one: got %d, want at most 3", n)
+		t.Errorf("polls right after the second poll was seen: got %d, want at most 3", n)
 	}
 }
