--- a/internal/protocol/capture/golden_test.go
+++ b/internal/protocol/capture/golden_test.go
@@ -57,7 +57,7 @@
 	}
 	var b bytes.Buffer
 	if err := Write(&b, events); err != nil {
-		t.Fatalf("Write: %v", err)
+		t.Fatalf("Write: got error %v, want nil", err)
 	}
 	goldentest.Check(t, "events.jsonl", b.Bytes())
 
@@ -67,7 +67,7 @@
 	}
 	got, err := Read(bytes.NewReader(golden))
 	if err != nil {
-		t.Fatalf("Read of events.jsonl: %v", err)
+		t.Fatalf("Read of events.jsonl: got error %v, want nil", err)
 	}
 	if !reflect.DeepEqual(got, events) {
 		t.Errorf("Read of events.jsonl = %+v, want %+v", got, events)
--- a/internal/protocol/consul/golden_test.go
+++ b/internal/protocol/consul/golden_test.go
@@ -22,7 +22,7 @@
 	}
 	hosts, skipped, err := Decode(text)
 	if err != nil {
-		t.Fatalf("Decode of service.json: %v", err)
+		t.Fatalf("Decode of service.json: got error %v, want nil", err)
 	}
 	var b bytes.Buffer
 	for i := range hosts {
@@ -36,11 +36,11 @@
 	// The emulator of Consul encodes the types that Decode reads, so their encoding is checked too.
 	var entries []Entry
 	if err := json.Unmarshal(text, &entries); err != nil {
-		t.Fatalf("json.Unmarshal of service.json: %v", err)
+		t.Fatalf("json.Unmarshal of service.json: got error %v, want nil", err)
 	}
 	again, err := json.MarshalIndent(entries, "", " ")
 	if err != nil {
-		t.Fatalf("json.MarshalIndent of the entries: %v", err)
+		t.Fatalf("json.MarshalIndent of the entries: got error %v, want nil", err)
 	}
 	goldentest.Check(t, "service.written.json", append(again, '\n'))
 }
@@ -52,7 +52,7 @@
 		FreeCores: 1.25, FreeMemory: -2.5, Attributes: map[servicespec.Attribute]string{"label.disk": "ssd", "os": "linux"},
 	}, "forkhead-host")
 	if err != nil {
-		t.Fatalf("NewRegistration: %v", err)
+		t.Fatalf("NewRegistration of north-1: got error %v, want nil", err)
 	}
 	var b bytes.Buffer
 	enc := json.NewEncoder(&b)
--- a/internal/protocol/hostproto/golden_test.go
+++ b/internal/protocol/hostproto/golden_test.go
@@ -75,12 +75,12 @@
 	}
 	wire, err := hex.DecodeString(strings.Join(strings.Fields(string(golden)), ""))
 	if err != nil {
-		t.Fatalf("hex digits of frames.hex: %v", err)
+		t.Fatalf("hex digits of frames.hex: got error %v, want nil", err)
 	}
 	var got []Frame
 	var d Decoder
 	if err := d.Feed(wire, func(f Frame) error { got = append(got, f); return nil }); err != nil {
-		t.Fatalf("Feed of frames.hex: %v", err)
+		t.Fatalf("Feed of frames.hex: got error %v, want nil", err)
 	}
 	if diff := cmp.Diff(exampleFrames(), got); diff != "" {
 		t.Errorf("frames decoded from frames.hex (-want +got):\n%s", diff)
--- a/internal/protocol/hostproto/stream.go
+++ b/internal/protocol/hostproto/stream.go
@@ -52,9 +52,9 @@
 	return nil
 }
 
-// completePartial appends to the partial frame as many bytes of p as complete it. It returns the frame without its
-// length and the rest of p, or nil if the frame is still incomplete. body is valid until the buffer of the partial
-// frame is written to again.
+// completePartial appends to the partial frame as many bytes of p as complete it. It returns as body the frame without
+// its length, and as rest the other bytes of p. body is nil if the frame is still incomplete, and is valid until the
+// buffer of the partial frame is written to again.
 func (d *Decoder) completePartial(p []byte) (body, rest []byte, err error) {
 	p = d.fillPartial(lengthSize, p)
 	if len(d.partial) < lengthSize {
@@ -80,7 +80,8 @@
 	return p[missing:]
 }
 
-// firstFrame returns the first frame of p, without its length, and the rest of p, or nil if the frame is incomplete.
+// firstFrame returns as body the first frame of p, without its length, and as rest the bytes after it. Both are nil if
+// the frame is incomplete.
 func firstFrame(p []byte) (body, rest []byte, err error) {
 	if len(p) < lengthSize {
 		return nil, nil, nil
--- a/internal/protocol/platform/golden_test.go
+++ b/internal/protocol/platform/golden_test.go
@@ -67,7 +67,7 @@
 		written.Write(Append(nil, m.Type, m.Ref, m.Cause, m.Description, fields...))
 		return nil
 	}); err != nil {
-		t.Fatalf("decode messages.jsonl: %v", err)
+		t.Fatalf("decode messages.jsonl: got error %v, want nil", err)
 	}
 	goldentest.Check(t, "messages.decoded", decoded.Bytes())
 	if !bytes.Equal(written.Bytes(), text) {
@@ -94,7 +94,7 @@
 		}
 		fmt.Fprintln(&b, goldentest.FormatValue(reflect.ValueOf(c)))
 	}); err != nil {
-		t.Fatalf("read changelog.sse: %v", err)
+		t.Fatalf("read changelog.sse: got error %v, want nil", err)
 	}
 	goldentest.Check(t, "changelog.decoded", b.Bytes())
 }
@@ -107,7 +107,7 @@
 	}
 	c, err := ParseConfig(text)
 	if err != nil {
-		t.Fatalf("ParseConfig of config.json: %v", err)
+		t.Fatalf("ParseConfig of config.json: got error %v, want nil", err)
 	}
 	goldentest.Check(t, "config.decoded", []byte(fmt.Sprintln(goldentest.FormatValue(reflect.ValueOf(c)))+fmt.Sprintln(c.SeedNumber())))
 }
--- a/internal/protocol/platform/message_test.go
+++ b/internal/protocol/platform/message_test.go
@@ -11,7 +11,7 @@
 	line := `{"t":"new","ref":"9b1f03aa5c7e2d41","f":{"class":"batch","left":1500,"key":"\ud800"},"c":34,"d":"a\r\n\udc00` + "\xff" + `"}`
 	m, err := Decode([]byte(line))
 	if err != nil {
-		t.Fatalf("Decode(%q): %v", line, err)
+		t.Fatalf("Decode(%q): got error %v, want nil", line, err)
 	}
 	if text, _ := m.Text("left"); m.Type != TypeRequest || m.Ref != "9b1f03aa5c7e2d41" || m.Cause != 34 || text != "1500" {
 		t.Errorf("Decode(%q) = %+v with left %q, want the type, ref, cause and left of the line", line, m, text)
--- a/internal/protocol/platform/sse_test.go
+++ b/internal/protocol/platform/sse_test.go
@@ -20,7 +20,7 @@
 		for rest := []byte(stream); len(rest) > 0; {
 			n := rapid.IntRange(1, len(rest)).Draw(t, "n")
 			if err := e.Feed(rest[:n], func(ev ServerSentEvent) { got = append(got, fmt.Sprint(ev.ID, " ", string(ev.Data))) }); err != nil {
-				t.Fatalf("Feed(%q): %v", rest[:n], err)
+				t.Fatalf("Feed(%q): got error %v, want nil", rest[:n], err)
 			}
 			rest = rest[n:]
 		}
--- a/internal/server/listwatch/listwatch_test.go
+++ b/internal/server/listwatch/listwatch_test.go
@@ -47,7 +47,7 @@
 	case l := <-lists:
 		return l
 	case <-time.After(5 * time.Second):
-		t.Fatal("the watch delivered no list within 5s")
+		t.Fatal("got no list from the watch within 5s, want one")
 		return nil
 	}
 }
@@ -85,7 +85,7 @@
 			t.Fatal("onFailure after an outage: got a nil error, want the error of the query")
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("the watch did not end within 5s of an outage")
+		t.Fatal("got no call of onFailure within 5s of an outage, want one")
 	}
 }
 
@@ -106,7 +106,7 @@
 			w.Header().Set("X-Consul-Index", "3")
 		}
 		if _, err := io.WriteString(w, "[]"); err != nil {
-			t.Error(err)
+			t.Errorf("write the response: got error %v, want nil", err)
 		}
 	}))
 	defer srv.Close()
@@ -137,7 +137,7 @@
 				w.Header().Set("X-Consul-Index", c.index)
 				w.WriteHeader(c.status)
 				if _, err := io.WriteString(w, c.body); err != nil {
-					t.Error(err)
+					t.Errorf("write the response: got error %v, want nil", err)
 				}
 			}))
 			defer srv.Close()
@@ -150,7 +150,7 @@
 			case hosts := <-lists:
 				t.Errorf("watch delivered the list %+v, want an error", hosts)
 			case <-time.After(5 * time.Second):
-				t.Error("the watch did not end within 5s of an invalid response")
+				t.Error("got no call of onFailure within 5s of an invalid response, want one")
 			}
 		})
 	}
--- a/internal/server/netio/conn.go
+++ b/internal/server/netio/conn.go
@@ -21,7 +21,7 @@
 	closed             atomic.Bool
 	closeAfterFlush    atomic.Bool // close the connection when pending reaches 0
 	shutdownAfterFlush atomic.Bool // close the sending side when pending reaches 0
-	reportOnce         sync.Once   // guards the call of the handler's Closed
+	reportOnce         sync.Once   // ensures that the handler's Closed is called once
 
 	mu          sync.Mutex // guards the fields below; held while the connection is added to its poller
 	attached    bool       // attach has been called
--- a/internal/server/netio/engine_test.go
+++ b/internal/server/netio/engine_test.go
@@ -15,7 +15,7 @@
 	for range 200 {
 		e, err := New("test", 2)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("New: got error %v, want nil", err)
 		}
 		e.Stop()
 	}
@@ -26,7 +26,7 @@
 func TestEngineStopsWithoutSocketPair(t *testing.T) {
 	e, err := New("test", 1)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: got error %v, want nil", err)
 	}
 	e.socketPair = func() (net.Conn, net.Conn, error) {
 		t.Error("Stop opened a socket pair, want none as the poller has delivered data")
@@ -34,7 +34,7 @@
 	}
 	ln, err := e.Listen("127.0.0.1:0", 1<<20, func(*Conn) Handler { return &echoHandler{closed: make(chan error, 1), echo: true} })
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Listen: got error %v, want nil", err)
 	}
 	c := dial(t, ln)
 	_, _ = c.Write([]byte("x"))
--- a/internal/server/netio/helpers_test.go
+++ b/internal/server/netio/helpers_test.go
@@ -11,11 +11,11 @@
 	t.Helper()
 	e, err := New("test", 2)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: got error %v, want nil", err)
 	}
 	ln, err := e.Listen("127.0.0.1:0", maxPending, func(*Conn) Handler { return h })
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Listen: got error %v, want nil", err)
 	}
 	t.Cleanup(e.Stop)
 	return e, ln
@@ -26,7 +26,7 @@
 	t.Helper()
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Dial(%s): got error %v, want nil", ln.Addr(), err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
 	return c.(*net.TCPConn)
--- a/internal/server/netio/listener.go
+++ b/internal/server/netio/listener.go
@@ -18,7 +18,7 @@
 	maxPending int
 	accept     func(c *Conn) Handler
 	drainIdle  atomic.Int64  // nanoseconds without a new connection after which a Drain ends; 0: Drain was not called
-	drainUntil atomic.Int64  // Unix nanoseconds at which a Drain ends at the latest
+	drainUntil atomic.Int64  // latest end of a Drain, in Unix nanoseconds
 	done       chan struct{} // closed when the listener is closed and all accepted connections have been handled
 }
 
--- a/internal/server/netio/listener_test.go
+++ b/internal/server/netio/listener_test.go
@@ -14,7 +14,7 @@
 	gate := make(chan struct{})
 	e, err := New("test", 1)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: got error %v, want nil", err)
 	}
 	defer e.Stop()
 	ln, err := e.Listen("127.0.0.1:0", 1<<20, func(*Conn) Handler {
@@ -22,7 +22,7 @@
 		return &echoHandler{closed: make(chan error, 1), echo: true}
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Listen: got error %v, want nil", err)
 	}
 	var all []net.Conn
 	for range 30 {
@@ -52,7 +52,7 @@
 func TestConnClosedDuringAccept(t *testing.T) {
 	e, err := New("test", 1)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: got error %v, want nil", err)
 	}
 	defer e.Stop()
 	first := &echoHandler{closed: make(chan error, 2)}
--- a/internal/server/placer/golden_test.go
+++ b/internal/server/placer/golden_test.go
@@ -61,7 +61,7 @@
 	enc := json.NewEncoder(&b)
 	for _, body := range []any{envelope, Envelope{}, outcome, core.Outcome{}, status} {
 		if err := enc.Encode(body); err != nil {
-			t.Fatalf("Encode(%T): %v", body, err)
+			t.Fatalf("Encode(%T): got error %v, want nil", body, err)
 		}
 	}
 	goldentest.Check(t, "bodies.jsonl", b.Bytes())
--- a/internal/server/placer/gossip_test.go
+++ b/internal/server/placer/gossip_test.go
@@ -27,7 +27,7 @@
 	set := &settings.Settings{Placers: []settings.Placer{{GossipAddress: "127.0.0.1:0"}, {GossipAddress: peer.LocalAddr().String()}}}
 	g, err := listenGossip(set, drop)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listenGossip: got error %v, want nil", err)
 	}
 	t.Cleanup(g.close)
 	return g
@@ -77,7 +77,7 @@
 	select {
 	case <-received:
 	case <-time.After(10 * time.Second):
-		t.Fatal("receive did not deliver the last message within 10s")
+		t.Fatal("got no message \"last\" from receive within 10s, want one")
 	}
 	if want := []string{"first", "last"}; !slices.Equal(got, want) {
 		t.Errorf("receive delivered %q, want %q", got, want)
@@ -98,7 +98,7 @@
 	buffer := make([]byte, 2*maxDatagramSize)
 	n, _, err := peer.ReadFrom(buffer)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the first datagram of the socket: got error %v, want nil", err)
 	}
 	if got, want := string(buffer[:n]), "\x00\x00message"; got != want {
 		t.Errorf("first datagram = %q, want %q", got, want)
--- a/internal/server/placer/helpers_test.go
+++ b/internal/server/placer/helpers_test.go
@@ -32,11 +32,11 @@
 	}
 	cluster, err := testcluster.Start(script, testcluster.Options{Log: zerolog.Nop()})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("testcluster.Start: got error %v, want nil", err)
 	}
 	t.Cleanup(cluster.Stop)
 	if err := cluster.WaitReady(10 * time.Second); err != nil {
-		t.Fatal(err)
+		t.Fatalf("WaitReady(10s): got error %v, want nil", err)
 	}
 	return cluster, cluster.Settings.Placers[0].HTTPAddress
 }
@@ -83,7 +83,7 @@
 	t.Helper()
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("%s %s: got error %v, want nil", req.Method, req.URL, err)
 	}
 	t.Cleanup(func() { _ = resp.Body.Close() })
 	return resp
@@ -101,7 +101,7 @@
 			return outcomes
 		}
 		if err != nil {
-			t.Fatalf("read outcome %d of the stream: %v", len(outcomes), err)
+			t.Fatalf("read outcome %d of the stream: got error %v, want an outcome or EOF", len(outcomes), err)
 		}
 		outcomes = append(outcomes, o)
 	}
--- a/internal/server/placer/http_server_test.go
+++ b/internal/server/placer/http_server_test.go
@@ -36,7 +36,7 @@
 			resp := send(t, newSubmission(t, address, c.key, c.contentType, c.body))
 			body, err := io.ReadAll(resp.Body)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("%s: read the body of the response: got error %v, want nil", name, err)
 			}
 			if got := resp.Header.Get("Content-Type"); got != "application/problem+json" {
 				t.Errorf("%s: Content-Type = %q, want application/problem+json", name, got)
@@ -78,7 +78,7 @@
 	for i, want := range []int{200, 200, 200, 404} {
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
-			t.Fatalf("read response %d: %v", i, err)
+			t.Fatalf("read response %d: got error %v, want nil", i, err)
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.StatusCode != want {
 			t.Fatalf("response %d = %s, body error %v, want status %d, no error", i, resp.Status, err, want)
--- a/internal/server/placer/outcomes_test.go
+++ b/internal/server/placer/outcomes_test.go
@@ -62,7 +62,7 @@
 	write(t, c, "POST /v1/submissions HTTP/1.1\r\nHost: a\r\nIdempotency-Key: k\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	buf := make([]byte, 10)
 	if _, err := io.ReadFull(c, buf); err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the first 10 bytes of the response: got error %v, want nil", err)
 	}
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/server/placer/server_test.go
+++ b/internal/server/placer/server_test.go
@@ -56,12 +56,12 @@
 	}
 	full, saved, err := store.Open(store.Options{Path: filepath.Join(t.TempDir(), "placer.db"), MaxBytes: 1})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("store.Open with MaxBytes 1: got error %v, want nil", err)
 	}
 	t.Cleanup(func() { _ = full.Close() })
 	p, err := placer.Start(placer.Config{Settings: script.Settings.ForPlacer(0), Log: zerolog.Nop(), Store: full, Snapshot: saved})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("placer.Start: got error %v, want nil", err)
 	}
 	t.Cleanup(p.Close)
 
@@ -74,7 +74,7 @@
 			t.Errorf("Failed() received %v, want %v", err, store.ErrFull)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("Failed() received no error within 10s of the store's failure")
+		t.Fatal("Failed() received no error within 10s of the store's failure, want one")
 	}
 	p.Status() // would block forever if the loop did not run any more
 	p.Close()
--- a/internal/server/platform/config_test.go
+++ b/internal/server/platform/config_test.go
@@ -53,7 +53,7 @@
 		cfg.Limits.Sockets = c.descriptors
 		info, settings, err := readSettings(cfg)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("readSettings: got error %v, want nil", err)
 		}
 		got := newCoreConfig(cfg, info, settings)
 		if got.MaxOwnerConnections != c.owners || got.ProtectedOwnerConnections != c.protected || got.MaxHostConnections != c.hosts || got.MaxConnections != c.both {
--- a/internal/server/platform/gossip_test.go
+++ b/internal/server/platform/gossip_test.go
@@ -30,7 +30,7 @@
 	cfg.PeerListen = cfg.Peers[self]
 	g, err := openGossip(&cfg, self, inputs)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("openGossip for placer %d: got error %v, want nil", self, err)
 	}
 	loop.Start()
 	g.start()
--- a/internal/server/platform/server_test.go
+++ b/internal/server/platform/server_test.go
@@ -148,7 +148,7 @@
 	select {
 	case <-s.ShutdownComplete():
 	case <-time.After(eventuallyTimeout):
-		t.Fatalf("shutdown not complete %v after BeginShutdown", eventuallyTimeout)
+		t.Fatalf("got no complete shutdown within %v of BeginShutdown, want one", eventuallyTimeout)
 	}
 }
 
--- a/internal/server/platform/shutdownearly_test.go
+++ b/internal/server/platform/shutdownearly_test.go
@@ -28,7 +28,7 @@
 	select {
 	case <-s.ShutdownComplete():
 	case <-time.After(timeout):
-		t.Fatalf("shutdown not complete within %v", timeout)
+		t.Fatalf("got no complete shutdown within %v, want one", timeout)
 	}
 }
 
--- a/internal/server/platform/testenv_test.go
+++ b/internal/server/platform/testenv_test.go
@@ -290,7 +290,7 @@
 	t.Helper()
 	s, err := Start(Options{Config: cfg, Log: zerolog.Nop(), Tap: tap})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Start: got error %v, want nil", err)
 	}
 	t.Cleanup(s.Close)
 	return s
--- a/internal/server/platform/trace_test.go
+++ b/internal/server/platform/trace_test.go
@@ -69,7 +69,7 @@
 	t.Helper()
 	result, err := platformreplay.Replay(bytes.NewReader(trace), nil)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Replay(trace): got error %v, want nil", err)
 	}
 	if result.Difference != nil || result.Truncated || result.Steps != bytes.Count(trace, []byte(`"way":"step"`)) {
 		t.Errorf("Replay(trace) = %+v with difference %+v, want no difference, a trace that is not truncated and %d steps",
@@ -82,7 +82,7 @@
 	t.Helper()
 	request, err := platformreplay.FollowRequest(bytes.NewReader(trace), ref)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("FollowRequest(trace, %s): got error %v, want nil", ref, err)
 	}
 	toOwner := 0
 	for _, m := range request.Messages {
@@ -111,13 +111,13 @@
 	cfg := &platform.Config{Settings: json.RawMessage(testSettings)}
 	info, settings, err := readSettings(cfg)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("readSettings: got error %v, want nil", err)
 	}
 	config := newCoreConfig(cfg, info, settings)
 	config.Decide = func(time.Duration, []forkhead.Event) []forkhead.Action { panic("injected") }
 	core, err := platformcore.New(config)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("platformcore.New: got error %v, want nil", err)
 	}
 	tap := &stepTap{}
 	s := &Server{core: core, tap: tap, log: zerolog.Nop()}
--- a/internal/server/platform/twoplacers_test.go
+++ b/internal/server/platform/twoplacers_test.go
@@ -133,7 +133,7 @@
 }
 
 // The end of a task that the host also reports to the other placer, as it may on a new connection, reaches the task's
-// owner once. The other placer acknowledges it and tells its owners nothing.
+// owner once. The other placer acknowledges the report and sends its owners nothing.
 func TestTwoPlacersEndReportedToBoth(t *testing.T) {
 	const count = 10
 	p := startPlacersOnOneHost(t)
--- a/internal/server/platform/watch.go
+++ b/internal/server/platform/watch.go
@@ -51,7 +51,7 @@
 
 	mu           sync.Mutex // guards address and cancelStream
 	address      string
-	cancelStream context.CancelCauseFunc // nil until the first poll
+	cancelStream context.CancelCauseFunc // cancels the current stream; nil until the first poll
 
 	// The fields below are used by the watcher's goroutine only.
 	sequence  platform.Sequence
--- a/internal/server/store/golden_test.go
+++ b/internal/server/store/golden_test.go
@@ -61,7 +61,7 @@
 	t.Helper()
 	s, snapshot, err := store.Open(store.Options{Path: path})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Open(%s): got error %v, want nil", path, err)
 	}
 	if s.QuarantinedAs != "" || len(snapshot.Unreadable) > 0 {
 		t.Fatalf("Open(%s): quarantined as %q, unreadable keys %v, want neither", path, s.QuarantinedAs, snapshot.Unreadable)
@@ -115,10 +115,10 @@
 	again := filepath.Join(t.TempDir(), "again.db")
 	s, _, err := store.Open(store.Options{Path: again})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Open(%s): got error %v, want nil", again, err)
 	}
 	if err := s.Commit(recordsOf(t, snapshot)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Commit(the records of %s): got error %v, want nil", goldenStore, err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -206,7 +206,7 @@
 	}
 	placer, err := core.New(core.Config{Settings: set.ForPlacer(0), Seed: 1, Epoch: snapshot.Epoch + 1, Durable: true})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("core.New: got error %v, want nil", err)
 	}
 	h := &fakeHosts{t: t}
 	now := snapshot.HostList.ReceivedAt + 10*time.Second
--- a/internal/server/store/store_test.go
+++ b/internal/server/store/store_test.go
@@ -224,7 +224,7 @@
 		b.Run(fmt.Sprint(requests), func(b *testing.B) {
 			s, _, err := Open(Options{Path: filepath.Join(b.TempDir(), "s.db")})
 			if err != nil {
-				b.Fatal(err)
+				b.Fatalf("Open(new file): got error %v, want nil", err)
 			}
 			defer closeStore(b, s)
 			n := 0
@@ -235,7 +235,7 @@
 					records = append(records, submissionAccepted(fmt.Sprint(n)))
 				}
 				if err := s.Commit(records); err != nil {
-					b.Fatal(err)
+					b.Fatalf("Commit(%d records): got error %v, want nil", len(records), err)
 				}
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(n), "us/request")
