--- a/internal/server/store/golden_test.go
+++ b/internal/server/store/golden_test.go
@@ -61,7 +61,7 @@
 	t.Helper()
 	s, snapshot, err := store.Open(store.Options{Path: path})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Open(%s): got error %v, want nil", path, err)
 	}
 	if s.QuarantinedAs != "" || len(snapshot.Unreadable) > 0 {
 		t.Fatalf("Open(%s): quarantined as %q, unreadable keys %v, want neither", path, s.QuarantinedAs, snapshot.Unreadable)
@@ -83,7 +83,7 @@
 // recordsOf returns records that produce a snapshot when they are committed to an empty store.
 func recordsOf(t *testing.T, snapshot *durable.Snapshot) []durable.Record {
 	t.Helper()
-	specifications := map[string]*servicespec.Description{} // by submission ID; none if the project was removed
+	specifications := map[string]*servicespec.Description{} // specifications by submission ID; a removed project has none
 	for _, p := range snapshot.Projects {
 		specifications[p.SubmissionID] = p.Specification
 	}
@@ -115,10 +115,10 @@
 	again := filepath.Join(t.TempDir(), "again.db")
 	s, _, err := store.Open(store.Options{Path: again})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Open(%s): got error %v, want nil", again, err)
 	}
 	if err := s.Commit(recordsOf(t, snapshot)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Commit(the records of %s): got error %v, want nil", goldenStore, err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -126,7 +126,8 @@
 	goldentest.Check(t, "placer.dump", dump(t, again))
 }
 
-// hostEpoch is the epoch of the hosts in the file's attempts. Hosts that answer with it have not restarted since.
+// hostEpoch is the epoch of the hosts in the file's attempts. Hosts that answer with this epoch have not restarted
+// since.
 const hostEpoch = 1796191483153710
 
 // fakeHosts answers a placer for hosts that run every task that it queries or offers, and logs these queries and
@@ -134,7 +135,7 @@
 type fakeHosts struct {
 	t       *testing.T
 	log     []string
-	answers []core.Input // to the outputs of the last step, as inputs of the next one
+	answers []core.Input // the hosts' answers to the outputs of the last step; inputs of the next step
 }
 
 // execute answers the outputs of a step. A defect that the core logs fails the test.
@@ -205,7 +206,7 @@
 	}
 	placer, err := core.New(core.Config{Settings: set.ForPlacer(0), Seed: 1, Epoch: snapshot.Epoch + 1, Durable: true})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("core.New: got error %v, want nil", err)
 	}
 	h := &fakeHosts{t: t}
 	now := snapshot.HostList.ReceivedAt + 10*time.Second
