--- a/internal/scheduler/attempt/phase.go
+++ b/internal/scheduler/attempt/phase.go
@@ -85,7 +85,7 @@
 	ReportRejected             // the module is notified that the host rejected the offer
 	ReportConnectFailed        // the module is notified that no connection was made
 	ReportWithdrawn            // the module is notified that the attempt was withdrawn
-	ReportLost                 // the module is notified that the reply broke off or the task was lost
+	ReportLost                 // the module is notified that no answer to the offer came, or that the task was lost
 	ReportEnded                // the module is notified how the task ended
 	ReportSettled              // the outcome of an unknown attempt is known now: the task's owner may act on it
 	Orphaned                   // the host holds the task of an abandoned attempt: the caller adopts or stops it
--- a/internal/scheduler/attempt/request.go
+++ b/internal/scheduler/attempt/request.go
@@ -73,8 +73,8 @@
 	if len(r.Attempts) >= r.Rules.MaxAttempts {
 		return ErrAttemptsExhausted
 	}
-	// Hosts keep a task's key for DedupWindow from the oldest attempt on that may have run. isOldest is true until that
-	// attempt is checked.
+	// Hosts keep a task's key for DedupWindow, counted from the oldest attempt that may have run. isOldest is true
+	// until that attempt has been checked.
 	isOldest := true
 	for i := range r.Attempts {
 		earlier := &r.Attempts[i]
@@ -108,7 +108,7 @@
 		if i == number || !earlier.Phase.MayHaveRun() {
 			continue
 		}
-		// Hosts keep a task's key for DedupWindow from the oldest attempt on that may have run, which is this one.
+		// This is the oldest attempt that may have run. Hosts keep the task's key for DedupWindow, counted from it.
 		if r.Rules.isKeyExpired(now, earlier) {
 			return ErrDedupWindowPassed
 		}
--- a/internal/scheduler/attempt/request_test.go
+++ b/internal/scheduler/attempt/request_test.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// Offers, answers and inputs come in any order, and offers and answers that the request forbids are left out. The
-// request has at most one answer and one attempt in flight, does not repeat an unsafe task that may have run, and once
-// IsDone returns true, it does so after any further input.
+// Offers, answers and inputs come in any order; offers and answers that the request forbids are left out. The request
+// has at most one answer and at most one attempt in flight, and does not repeat an unsafe task that may have run. Once
+// IsDone has returned true, it still returns true after any further input.
 func TestRequestKeepsInvariantsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		effect := forkhead.Effect(rapid.IntRange(0, 2).Draw(t, "effect"))
--- a/internal/scheduler/core/attempts.go
+++ b/internal/scheduler/core/attempts.go
@@ -18,7 +18,7 @@
 	request       *placementRequest
 	number        int // index in request.Attempts and request.attempts
 	host          *host
-	machineID     forkhead.MachineID // number by which the module chose the host, which may have a new one
+	machineID     forkhead.MachineID // the host's number when the module chose it; may have changed since
 	ref           hostproto.Ref      // identifies the attempt to the host
 	hostEpoch     uint64             // incarnation of the host to which the offer was sent
 	conn          uint32             // connection on which the offer was sent
--- a/internal/scheduler/core/core.go
+++ b/internal/scheduler/core/core.go
@@ -52,11 +52,11 @@
 
 	lastTaskID       uint32
 	requests         map[forkhead.TaskID]*placementRequest   // unanswered requests and those with unsettled attempts
-	canceledRequests map[forkhead.TaskID]*placementRequest   // canceled in this step; the module may still act on them
+	canceledRequests map[forkhead.TaskID]*placementRequest   // requests canceled in this step; the module may still act on them
 	attemptsByRef    map[hostproto.Ref]*taskAttempt          // attempts that are not settled
 	liveAttempts     invariant.ServiceAttempts[*taskAttempt] // attempts that count against the spread limits
 	unknownAttempts  attemptsByTask                          // attempts whose result is not known
-	blockedReplicas  map[uint64]*desiredReplica              // by task key; each waits for its unknown attempts
+	blockedReplicas  map[uint64]*desiredReplica              // replicas that wait for their unknown attempts, by task key
 
 	projects        map[string]*project
 	removedProjects map[string]bool // names of the projects that were removed in an earlier incarnation
--- a/internal/scheduler/core/core_test.go
+++ b/internal/scheduler/core/core_test.go
@@ -9,9 +9,10 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// A faulty module repeats an offer, withdraws the attempt of the repeated offer and one that does not exist, and offers
-// and rejects a task that was never requested. The repeated offer and the two actions on the unknown task are vetoed
-// and counted, the withdrawals have no effect, and the placer still places the task.
+// A faulty module repeats an offer and withdraws the attempt of the repeated offer. It also withdraws an attempt that
+// does not exist, and offers and rejects a task that was never requested. The repeated offer, and the offer and the
+// rejection of the unknown task, are vetoed and counted. The withdrawals have no effect, and the placer still places
+// the task.
 func TestCoreVetoesActionsThatBreakInvariants(t *testing.T) {
 	set := simulation.Settings(t, "")
 	module, err := forkhead.New(set.Module, 1)
--- a/internal/scheduler/core/dependencies_test.go
+++ b/internal/scheduler/core/dependencies_test.go
@@ -9,8 +9,8 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// Services start in the order of their dependencies and after the conditions on them are met; a service whose
-// dependency cannot be placed is rejected with that reason.
+// Services start in the order of their dependencies, each once the conditions on the services that it depends on are
+// met. A service that depends on one that cannot be placed is rejected with that reason.
 func TestCoreStartsServicesAfterTheirDependencies(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	out := s.Await(s.Submit("", `
--- a/internal/scheduler/core/hostconns_test.go
+++ b/internal/scheduler/core/hostconns_test.go
@@ -9,8 +9,8 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// Three of six hosts crash while they decide on an offer, while they start a task, or after the start and before they
-// report it. Their safe tasks are placed on other hosts, and no task has two outcomes.
+// Three of six hosts crash: in one case while they decide on an offer, in one while they start a task, and in one after
+// the start and before they report it. Their safe tasks are placed on other hosts, and no task has two outcomes.
 func TestCoreRetriesSafeTasksOfCrashedHosts(t *testing.T) {
 	for name, point := range map[string]hostmodel.CrashPoint{"during decision": hostmodel.DuringDecision, "during start": hostmodel.DuringStart, "after bind": hostmodel.AfterBind} {
 		t.Run(name, func(t *testing.T) {
@@ -28,7 +28,7 @@
 }
 
 // A host stops responding without a reset of its connection. Its safe tasks are placed elsewhere and its unsafe ones
-// are not offered again; when the host is back, it stops the tasks that were replaced, so that none runs twice.
+// are not offered again. When the host is back, it stops the tasks that were replaced, so that none runs twice.
 func TestCoreReplacesSafeTasksOfUnresponsiveHost(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	out := s.Await(s.Submit("", "name: p\nservices: {web: {deploy: {replicas: 4}}, l: {x-forkhead: {class: ledger}, deploy: {replicas: 4}}}"), 5*time.Second)
--- a/internal/scheduler/core/hostlist.go
+++ b/internal/scheduler/core/hostlist.go
@@ -64,7 +64,7 @@
 	for _, entry := range list.Hosts {
 		machineType := slices.Index(c.settings.MachineTypeNames, entry.Kind)
 		if machineType < 0 || entry.Name == "" || len(entry.Name) > hostproto.MaxTextSize {
-			continue // unusable: the settings have no such machine type, or the name is empty or too long
+			continue // the entry is unusable: the settings have no such machine type, or the name is empty or too long
 		}
 		h := c.hosts[entry.Name]
 		if h == nil {
@@ -96,7 +96,7 @@
 	return index
 }
 
-// delistHost handles the absence of a host from the latest endpoint list, whose mode is the parameter mode.
+// delistHost handles the absence of a host from the latest endpoint list. The parameter mode is the mode of that list.
 func (c *Core) delistHost(h *host, mode forkhead.ListMode) {
 	if h.restored && mode == forkhead.ListSnapshot {
 		h.restored = false
--- a/internal/scheduler/core/hostlist_test.go
+++ b/internal/scheduler/core/hostlist_test.go
@@ -26,8 +26,8 @@
 	s.RequireNoViolations()
 }
 
-// The names of two hosts hash to the same number. Both get numbers of their own, so that a service with a task on each
-// host reaches all four.
+// The names of two of the four hosts hash to the same number. Both hosts get numbers of their own, so that a service
+// with a task on each host reaches all four.
 func TestCoreRenumbersCollidingHosts(t *testing.T) {
 	hash := func(name string, salt uint32) uint32 {
 		if salt == 0 && (name == "h0" || name == "h1") {
--- a/internal/scheduler/core/hosts.go
+++ b/internal/scheduler/core/hosts.go
@@ -43,8 +43,8 @@
 	probeWanted  bool // a probe of the module waits until the connection is synced
 }
 
-// state returns the state that the endpoint list gives the host. A host that is not listed, or stale, counts as
-// removed, and one that reports itself that it drains counts as draining.
+// state returns the state that the host counts as: Removed if it is not listed or is stale, else Draining if the host
+// itself reports that it drains, and else its state in the endpoint list.
 func (h *host) state() forkhead.MachineState {
 	switch {
 	case !h.listed || h.stale:
--- a/internal/scheduler/core/labels.go
+++ b/internal/scheduler/core/labels.go
@@ -25,7 +25,8 @@
 	useCount   int // number of services that require the constraint
 }
 
-// nearDomains maps each attribute that requires a task of another service nearby to the domain that both must share.
+// nearDomains maps each attribute that places a service near another one to the domain that tasks of both services must
+// share.
 var nearDomains = map[servicespec.Attribute]forkhead.Domain{
 	"near.machine": forkhead.MachineDomain, "near.rack": forkhead.CellDomain, "near.zone": forkhead.ZoneDomain,
 }
@@ -82,8 +83,8 @@
 	return n
 }
 
-// acquireLabels returns the bits of constraints and counts one use of each. ok is false if the table has no bit left
-// for one of them; then no use is counted.
+// acquireLabels returns the bits of constraints and counts one use of each. If the table has no bit left for one of
+// them, ok is false and no use is counted.
 func (c *Core) acquireLabels(constraints []servicespec.Constraint) (bits uint64, ok bool) {
 	anyAdded := false
 	for _, constraint := range constraints {
@@ -106,7 +107,7 @@
 }
 
 // acquireServiceLabels returns the bits of the constraints of each service of a description, in the order of the
-// services. ok is false if the table has too few bits left; then no use is counted.
+// services. If the table has too few bits left, ok is false and no use is counted.
 func (c *Core) acquireServiceLabels(p *project, d *servicespec.Description) (bits []uint64, ok bool) {
 	bits = make([]uint64, len(d.Services))
 	for i := range d.Services {
--- a/internal/scheduler/core/labels_test.go
+++ b/internal/scheduler/core/labels_test.go
@@ -54,8 +54,8 @@
 	s.RequireNoViolations()
 }
 
-// A service that must be near another is placed only in the domain of that other service, also after the other service
-// was placed again elsewhere. It is rejected if no host in that domain has the capacity.
+// A service that must be near another one is placed only in the domain of that one, even after that one has been placed
+// again elsewhere. It is rejected if no host in that domain has the capacity.
 func TestCorePlacesServicesNearOthers(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 8)
 	out := s.Await(s.Submit("", `
--- a/internal/scheduler/core/offers.go
+++ b/internal/scheduler/core/offers.go
@@ -19,8 +19,8 @@
 	}
 	request, h := c.requests[action.Task], c.hostsByID[action.Machine]
 	if request == nil || h == nil {
-		// The module is not notified of an outcome, even if only the host is unknown. In that case the module continues
-		// to count the attempt as in flight.
+		// The module is not notified of an outcome. If the request is known and only the host is not, the module
+		// therefore continues to count the attempt as in flight.
 		violation := &invariant.Violation{Rule: invariant.OneAnswer, Reason: "no such ask or host"}
 		c.reportVeto(violation, "offer of task %d to machine %d", action.Task, action.Machine)
 		return
--- a/internal/scheduler/core/orphans.go
+++ b/internal/scheduler/core/orphans.go
@@ -19,7 +19,7 @@
 	ref       hostproto.Ref
 	hostEpoch uint64
 	conn      uint32
-	rules     attempt.Rules // rules of the class with which the task was started, even if its owner has changed it
+	rules     attempt.Rules // rules of the class with which the task was started; the owner may have changed the task's class since
 }
 
 // handleOrphan handles a host's report that an abandoned attempt has its task. The task is adopted if its owner still
@@ -32,7 +32,7 @@
 		return
 	}
 	c.handleAttempt(a, attempt.Adopted, attemptDetail{})
-	if r.state == placed { // settling the attempt let another attempt go ahead, which has placed the replica
+	if r.state == placed { // once this attempt was settled, another one went ahead and placed the replica
 		c.sendStop(a)
 		return
 	}
@@ -144,7 +144,7 @@
 // settleInherited adopts a running task for its replica, or stops it.
 func (c *Core) settleInherited(r *desiredReplica, reported *hostproto.Held, task runningTask) {
 	h := task.host
-	if r.taskKey|1 != reported.Spec.Key|1 { // the lowest bit is that of the generation, see taskKey
+	if r.taskKey|1 != reported.Spec.Key|1 { // the lowest bit of a key depends on the generation of the replica; see taskKey
 		c.sendFrame(h, hostproto.Stop{Ref: reported.Ref})
 		return
 	}
--- a/internal/scheduler/core/projects.go
+++ b/internal/scheduler/core/projects.go
@@ -82,9 +82,9 @@
 	return &project{name: name, services: map[string]*service{}}
 }
 
-// applyDescription changes a project to a description. New tasks are requested, unchanged ones keep running, changed
-// ones are replaced as the update_config of their service states, and all others are stopped. The parameter labels
-// holds the label bits of the services, in their order.
+// applyDescription changes a project to a description. New tasks are requested and unchanged ones keep running. Changed
+// tasks are replaced according to the update_config of their service. Tasks that the description lacks are stopped. The
+// parameter labels holds the label bits of the services, in their order.
 func (c *Core) applyDescription(p *project, d *servicespec.Description, s *submission, labels []uint64) {
 	var toStart []*desiredReplica
 	for i := range d.Services {
--- a/internal/scheduler/core/projects_test.go
+++ b/internal/scheduler/core/projects_test.go
@@ -29,7 +29,7 @@
 	if n := s.RunningTasks(); n != 4 {
 		t.Fatalf("after the project was submitted again, %d tasks run, want 4", n)
 	}
-	// While its host is unreachable, a task is rejected and not offered anywhere.
+	// A task whose earlier copy is on an unreachable host is rejected and not offered anywhere.
 	for _, h := range s.HostNames {
 		s.Hosts[h].Blackholed = true
 	}
--- a/internal/scheduler/core/replicas.go
+++ b/internal/scheduler/core/replicas.go
@@ -248,8 +248,8 @@
 	c.retry(r, retrypolicy.Event{Cause: retrypolicy.Ended, MinWait: r.spec.Restart.Delay})
 }
 
-// lossCause reports whether the end of a task counts as a loss, to which its restart policy does not apply, and its
-// cause.
+// lossCause reports whether the end of a task counts as a loss, and if it does, the cause of the retry. The restart
+// policy does not apply to a loss.
 func lossCause(r *desiredReplica, a *taskAttempt, d attemptDetail) (cause retrypolicy.Cause, lost bool) {
 	switch {
 	case r.removing || r.nextSpec != nil || r.isSpecLost():
--- a/internal/scheduler/core/requesting.go
+++ b/internal/scheduler/core/requesting.go
@@ -86,7 +86,7 @@
 		wait = c.settings.Classes[r.class].RequestTimeout
 	}
 	if len(r.spec.Preferences) > 0 && !r.preferencesDropped {
-		// The remaining time is left for a request without the preferences.
+		// The request gets only part of the wait, so that time remains for a request without the preferences.
 		wait = min(wait/4, c.settings.Module.Classes[r.class].LatencyObjective+attempt.MinRequestTime)
 	}
 	return min(wait, r.retrier.Deadline-c.now)
@@ -202,7 +202,7 @@
 		r.nextSpec, r.removing = nil, true
 		c.reportUpdateResult(r, false)
 	case r.state == placed || r.pending == nil:
-	case r.state == requesting: // the request's own deadline is no later and ends the wait
+	case r.state == requesting: // the request ends the wait at its own deadline, which is no later than the owner's
 	default:
 		if r.reason == "" {
 			r.reason, _ = c.explain(r)
--- a/internal/scheduler/core/requests.go
+++ b/internal/scheduler/core/requests.go
@@ -67,8 +67,8 @@
 	"machine": forkhead.MachineDomain, "rack": forkhead.CellDomain, "zone": forkhead.ZoneDomain,
 }
 
-// spreadLimits returns the limits that a replica's service states, tightened to an even share for each preference
-// unless the replica has dropped them.
+// spreadLimits returns the limits that a replica's service states. Unless the replica has dropped the spread
+// preferences of its service, the limits are tightened to an even share for each preference.
 func (c *Core) spreadLimits(r *desiredReplica) forkhead.SpreadLimits {
 	limits := statedSpreadLimits(r)
 	if r.preferencesDropped {
--- a/internal/scheduler/core/requests_test.go
+++ b/internal/scheduler/core/requests_test.go
@@ -51,7 +51,7 @@
 }
 
 // A host crashes after it started an unsafe task and before it answered. The task may have run, so it is not offered
-// again until the host is back with a new incarnation, and is offered once more then.
+// again until the host is back with a new incarnation. After that it is offered exactly once more.
 func TestCoreHoldsUnsafeTaskUntilItsAttemptIsSettled(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 4)
 	for _, h := range s.HostNames {
--- a/internal/scheduler/core/restore.go
+++ b/internal/scheduler/core/restore.go
@@ -36,7 +36,8 @@
 }
 
 // persistAttempt persists an attempt of a keyed or unsafe task, which a later incarnation must not repeat unknowingly.
-// An attempt of a safe task is not persisted: a repeat does no harm, and the record would add an fsync to the start.
+// An attempt of a safe task is not persisted: a repeat does no harm, and the record would delay the start of the task
+// by an fsync.
 func (c *Core) persistAttempt(a *taskAttempt) {
 	r := a.request.replica
 	if !c.durable || a.request.Rules.Effect == forkhead.Safe || r.service.specLost {
@@ -177,7 +178,7 @@
 	case reported && isFinished:
 		r.state, r.succeeded = finished, true
 	case reported || s == nil:
-		// The project wants the task to run, and most likely the task runs.
+		// No outcome is pending. The project still wants the task, which most likely runs on a host already.
 		r.placements = 1
 		r.retrier.Begin(c.now + noDeadline)
 		c.requestAt(r, c.now)
--- a/internal/scheduler/core/restore_test.go
+++ b/internal/scheduler/core/restore_test.go
@@ -76,8 +76,8 @@
 }
 
 // A durable placer is restarted. The project, its outcomes and its idempotency key are restored, so that nothing is
-// offered again; a project that was removed stays removed, and its task, which missed its stop, is stopped when its
-// host reports it.
+// offered again. A project that was removed before the restart stays removed. Its task did not receive the stop, and is
+// stopped when its host reports it.
 func TestCoreRestoresProjectsAndOutcomes(t *testing.T) {
 	s := simulation.NewDurable(t, simulation.Settings(t, ""), 4)
 	text := "name: p\nservices: {a: {x-forkhead: {class: ledger}, deploy: {replicas: 2}}}"
--- a/internal/scheduler/core/submissions.go
+++ b/internal/scheduler/core/submissions.go
@@ -82,7 +82,7 @@
 	c.emit(Accepted{Request: in.Request, Submission: s.id})
 	if s.isComplete() {
 		// A submission without tasks is complete at once. It gets no expiry timer of its own: it is removed with the
-		// next submission that expires, or when there are too many.
+		// next submission that expires, or when there are too many submissions.
 		c.queueForExpiry(s)
 		c.emit(OutcomesAdded{Submission: s.id})
 	}
--- a/internal/scheduler/core/submissions_test.go
+++ b/internal/scheduler/core/submissions_test.go
@@ -7,8 +7,8 @@
 	"forkhead/internal/verify/simulation"
 )
 
-// A repeated submission under one Idempotency-Key is answered with the first and starts nothing; another body under the
-// key is rejected with status 422.
+// A submission that is repeated under its Idempotency-Key is answered like the first one and starts nothing. A
+// submission with another body under that key is rejected with status 422.
 func TestCoreAcceptsIdempotencyKeyOnce(t *testing.T) {
 	s := simulation.New(t, simulation.Settings(t, ""), 2)
 	text := "name: p\nservices: {web: {deploy: {replicas: 2}}}"
--- a/internal/scheduler/hostsession/attempt.go
+++ b/internal/scheduler/hostsession/attempt.go
@@ -1,6 +1,6 @@
-// Package hostsession defines the states of an attempt at its host, and of a placer's session with the host. It is the
-// counterpart of package attempt, which has the placer's side: it is pure, and has a transition for each state and
-// input. The host emulator and the model checker use it.
+// Package hostsession defines the states of an attempt at its host, and of a placer's session with the host. Package
+// attempt is its counterpart on the placer's side. Like that package, hostsession is pure, and its table has a
+// transition for each state and input. The host emulator and the model checker use it.
 package hostsession
 
 import "forkhead/internal/scheduler/statetable"
--- a/internal/scheduler/ids/ids.go
+++ b/internal/scheduler/ids/ids.go
@@ -75,8 +75,8 @@
 	return t.numbers[name], renumbered
 }
 
-// candidate returns the first hash of a name, from the name's salt on, that is not known to collide, and stores the
-// salt of that hash.
+// candidate returns the first hash of a name that is not known to collide. It tries the salts in order, beginning with
+// the name's current one, and stores the salt of the hash that it returns.
 func (t *Table) candidate(name string) uint32 {
 	n := t.hash(name, t.salts[name])
 	for t.collided[n] {
--- a/internal/scheduler/invariant/invariant.go
+++ b/internal/scheduler/invariant/invariant.go
@@ -15,7 +15,7 @@
 
 // The rules.
 const (
-	OneAnswer Rule = iota // a request has exactly one answer: placed, rejected or failed, in time
+	OneAnswer Rule = iota // a request has exactly one answer (placed, rejected or failed), and gets it in time
 	NoRepeat              // a task that may have started is offered again only as its class allows
 	Drain                 // no offer is sent to a host that drains or is removed, once the grace period is over
 	SlowStart             // all placers together do not overload a host that just started; not checked by this package
--- a/internal/scheduler/invariant/invariant_test.go
+++ b/internal/scheduler/invariant/invariant_test.go
@@ -11,7 +11,7 @@
 func TestCheckAnswerReturnsViolatedRule(t *testing.T) {
 	unsafe := attempt.Rules{MaxAttempts: 2, Effect: forkhead.Unsafe}
 	for name, c := range map[string]struct {
-		inputs []attempt.Input // of the only attempt
+		inputs []attempt.Input // inputs of the request's only attempt
 		reject bool
 		want   Rule // RuleCount for no violation
 	}{
--- a/internal/scheduler/invariant/offer_test.go
+++ b/internal/scheduler/invariant/offer_test.go
@@ -81,8 +81,8 @@
 func TestCheckSpreadFindsExceededLimits(t *testing.T) {
 	for name, c := range map[string]struct {
 		task  forkhead.SpreadLimits
-		level forkhead.Domain // of the class
-		limit int             // of the class
+		level forkhead.Domain // domain of the class's limit
+		limit int             // limit of the class
 		want  Rule            // RuleCount for no violation
 	}{
 		"no limits":                    {forkhead.SpreadLimits{}, forkhead.AnyDomain, 0, RuleCount},
--- a/internal/scheduler/platform/attempt.go
+++ b/internal/scheduler/platform/attempt.go
@@ -16,7 +16,7 @@
 	host         *host
 	connection   *hostConnection // connection on which its offer is queued or in flight; nil: none
 	sentAt       time.Duration   // time at which the offer was sent, or created if it is still queued
-	hasNotes     bool            // the host has sent notes on the task, so it runs the task even without an answer
+	hasNotes     bool            // the host has sent notes on the task, so it runs the task even if it has not answered the offer
 	stopSent     bool            // a stop of the task was sent to the host
 	stopDeadline time.Duration   // time at which the task counts as stopped even if the host has not answered
 }
@@ -154,7 +154,7 @@
 	input  attempt.Input // input to the attempt's state machine
 	result forkhead.Result
 	reason forkhead.RejectReason
-	final  bool                 // the request has been answered: the module has nothing more to decide
+	final  bool                 // the request has been answered, so the module has nothing more to decide on it
 	report *forkhead.LoadReport // load report of the host; nil: the host sent none
 }
 
--- a/internal/scheduler/platform/attempt_test.go
+++ b/internal/scheduler/platform/attempt_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// received returns a function that delivers data from the host and then lets the time given as the parameter then pass.
+// received returns a function that delivers data from the host and then advances the clock of the core by the parameter
+// then.
 func received(data string, then time.Duration) func(*testCore, ConnectionID) {
 	return func(w *testCore, conn ConnectionID) {
 		w.step(HostData{conn, []byte(data)})
@@ -255,9 +256,9 @@
 	}
 }
 
-// An attempt is withdrawn and its task offered to the same host again. The host answers the first offer and then stops
-// the task because of the withdrawal. The owner must get the release, although the host's cause is that of a task that
-// its owner has ended.
+// An attempt is withdrawn and its task offered to the same host again. The host answers the first offer and later stops
+// the task because of the withdrawal, with the cause CauseMigrated. The owner must get the release, although that cause
+// normally means that the owner itself has ended the task.
 func TestCoreReleasesTaskStoppedByEarlierWithdrawal(t *testing.T) {
 	w := newTestCore(t, nil)
 	o := w.connectOwner()
@@ -286,8 +287,9 @@
 	w.wantLines(sentLines[SendToOwner](w.outputs))
 }
 
-// A host's answer may be late, so that the release of the task comes first. If there is a sign that the task has run,
-// it is released to its owner at once and not offered again. Without such a sign it is offered to another host.
+// The release of a task may arrive before the host's answer to its offer, if the answer is late. If there is a sign
+// that the task has run, it is released to its owner at once and not offered again. Without such a sign it is offered
+// to another host.
 func TestCoreReleasesTaskThatEndedBeforeItsAnswer(t *testing.T) {
 	note := `{"t":"tell","ref":"` + ref1 + `","f":{"note":"running","value":"1"}}` + "\n"
 	release := func(cause int, note string) string {
--- a/internal/scheduler/platform/bench_test.go
+++ b/internal/scheduler/platform/bench_test.go
@@ -8,8 +8,8 @@
 	"forkhead/internal/protocol/platform"
 )
 
-// BenchmarkCoreStepAtRest measures a step without inputs, with 400 hosts of which 100 have a connection and four placed
-// tasks.
+// BenchmarkCoreStepAtRest measures a step without inputs. The core has 400 hosts; 100 of them have a connection and
+// four placed tasks each.
 func BenchmarkCoreStepAtRest(b *testing.B) {
 	w := newTestCore(b, func(cfg *Config) {
 		cfg.MaxOwnerConnections, cfg.ProtectedOwnerConnections, cfg.MaxHostConnections, cfg.MaxConnections = 200, 100, 400, 500
--- a/internal/scheduler/platform/connection.go
+++ b/internal/scheduler/platform/connection.go
@@ -158,7 +158,7 @@
 }
 
 // closeSuperseded closes the connections that a new one replaces, or the new one itself if it was dialed only to check
-// whether its host accepts connections. Otherwise connections would accumulate to hosts that rarely send anything.
+// whether its host accepts connections. Without this, connections to hosts that rarely send anything would accumulate.
 func (c *Core) closeSuperseded(conn *hostConnection) {
 	switch conn.purpose {
 	case purposeReplacement:
@@ -256,9 +256,9 @@
 	return first
 }
 
-// evictHostConnection closes an idle connection. If it is the only one to its host, the next dial is delayed by
-// unresponsiveAfter; a host that runs tasks is dialed then, still in time, to see whether it is alive, and reports the
-// ends of its tasks.
+// evictHostConnection closes an idle connection. If it is the only one to its host, the next dial that no offer or
+// probe needs is delayed by unresponsiveAfter. If the host runs tasks, that dial still comes in time to see whether the
+// host is alive, and the host reports the ends of its tasks on the new connection.
 func (c *Core) evictHostConnection(conn *hostConnection) {
 	if h := conn.host; len(h.connections) == 1 {
 		h.redialAt = max(h.redialAt, c.now+unresponsiveAfter)
@@ -269,8 +269,8 @@
 // ---- Closing connections.
 
 // halfClose closes an idle connection for writing and reads on until its host closes it too or halfClosedTimeout has
-// passed. Otherwise releases and notes that cross the close would be lost, as a host assumes that all data that it has
-// written is received. When connections are exhausted, the connection is closed at once.
+// passed. A host assumes that all data that it has written is received, so an immediate close would lose the releases
+// and notes that cross it. When connections are exhausted, the connection is closed at once.
 func (c *Core) halfClose(conn *hostConnection) {
 	if len(c.halfClosed) >= maxHalfClosed && c.connectionsExhausted() {
 		c.closeConnection(conn)
--- a/internal/scheduler/platform/connection_test.go
+++ b/internal/scheduler/platform/connection_test.go
@@ -178,7 +178,7 @@
 	_, old := w.placeTask()
 	tick := func() []Output {
 		w.now += reconcileInterval
-		w.core.hosts[1].lastSeenAliveAt = w.now // otherwise the host would be dialed as unresponsive
+		w.core.hosts[1].lastSeenAliveAt = w.now // keeps the host from being dialed as unresponsive
 		return w.step()
 	}
 	var dials []DialHost
--- a/internal/scheduler/platform/core.go
+++ b/internal/scheduler/platform/core.go
@@ -190,8 +190,8 @@
 	case forkhead.Stop:
 		c.executeStop(action.Task)
 	case forkhead.SetTimer:
-		// At least 1 µs ahead: a timer that is due at once would run the module again in this step, which might never
-		// end.
+		// The timer is set at least 1 µs ahead. A timer that is due at once would run the module again in this step,
+		// which might never end.
 		c.timers.Add(max(action.At, c.now+time.Microsecond), timer{kind: moduleTimer, id: action.Timer})
 	case forkhead.Probe:
 		c.executeProbe(action.Machine)
--- a/internal/scheduler/platform/handover.go
+++ b/internal/scheduler/platform/handover.go
@@ -38,7 +38,7 @@
 	if h == nil {
 		return c.addUnlistedHost(id, name)
 	}
-	if h.name != name { // a different name with the same number
+	if h.name != name { // the known host with this number has another name
 		return nil
 	}
 	return h
--- a/internal/scheduler/platform/handover_test.go
+++ b/internal/scheduler/platform/handover_test.go
@@ -29,7 +29,8 @@
 	w.step(HostConnected{conn})
 	w.step(fromHost(conn, releaseLine(ref1, 16)))
 	w.wantLines(sentLines[SendToOwner](w.outputs), "down "+ref1+" 16")
-	w.wantLines(sentLines[SendToOwner](w.send(o, requestLine(ref2, "keyed", ";at:t-00000002"))), "down "+ref2+" 47") // a different name with the number of a listed host
+	// The host that the hand-over names has the number of a listed host, but a different name.
+	w.wantLines(sentLines[SendToOwner](w.send(o, requestLine(ref2, "keyed", ";at:t-00000002"))), "down "+ref2+" 47")
 }
 
 // A task that is handed over on a host that the endpoint list does not have yet counts as placed. The host is dialed
@@ -87,8 +88,9 @@
 }
 
 // If the release of a task comes before its hand-over, the hand-over is answered with the release at once, as the host
-// reports the end only once. Nothing is sent if the owner itself has ended the task. Any number of tasks on a removed
-// host have ended as well, and their hand-overs do not count as malformed.
+// reports the end only once. Nothing is sent if the owner itself has ended the task. The tasks of a removed host count
+// as ended too: each hand-over of one is answered with a release and does not count as malformed, however many there
+// are.
 func TestCoreReleasesTaskHandedOverAfterItsEnd(t *testing.T) {
 	for cause, want := range map[int][]string{16: {"down " + ref2 + " 16"}, 41: {"down " + ref2 + " 41"}, 47: {"down " + ref2 + " 41"}, 31: nil} {
 		w := newTestCore(t, nil)
--- a/internal/scheduler/platform/hostmessages.go
+++ b/internal/scheduler/platform/hostmessages.go
@@ -32,7 +32,7 @@
 		c.handleHostMessage(conn, &m)
 		return nil
 	})
-	if err != nil && c.connections[conn.id] == conn { // unless a message in the data has closed the connection
+	if err != nil && c.connections[conn.id] == conn { // false if a message in the data has already closed the connection
 		c.closeFaultyConnection(conn, reasonUnreadable, errorAttr(err))
 	}
 }
@@ -88,7 +88,7 @@
 	r := a.request
 	c.closeOvertaken(a)
 	a.detach()
-	// Unreachable: a closed request has no attempt in flight, as the module makes one attempt at a time.
+	// This is unreachable: the module makes one attempt at a time, so a closed request has no attempt in flight.
 	if r.phase != requestOpen {
 		return
 	}
@@ -104,14 +104,14 @@
 // and is unanswered will never be answered. Without this, broken connections would stay open without being of use.
 func (c *Core) closeOvertaken(answered *taskAttempt) {
 	if c.settings.BoundWhenRunning {
-		return // hosts then answer once the tasks run, in any order
+		return // with this setting, hosts answer offers once the tasks run, and thus in any order
 	}
 	overtaken := answered.host.attemptsWhere(func(a *taskAttempt) bool {
 		return a.isInFlight() && a.connection != answered.connection && a.sentAt+overtakenAfter < answered.sentAt &&
 			a.connection.lastReceivedAt <= a.sentAt
 	})
 	for _, a := range overtaken {
-		if a.connection != nil { // nil: closed together with that of an earlier element of overtaken
+		if a.connection != nil { // nil if an earlier element of overtaken used the same connection, which is closed already
 			c.closeFaultyConnection(a.connection, reasonOvertaken)
 		}
 	}
@@ -121,7 +121,8 @@
 
 // handleHostRelease handles a host's message that a task has ended or that an offer is rejected.
 func (c *Core) handleHostRelease(conn *hostConnection, ref requestRef, a *taskAttempt, m *platform.Message) {
-	if conn.state != connectionHalfClosed { // otherwise the host repeats the release on the next connection
+	// On a half-closed connection no ack is sent, and the host repeats the release on the next connection.
+	if conn.state != connectionHalfClosed {
 		c.emit(SendToHost{Connection: conn.id, Line: ackMessage(ref)})
 	}
 	switch {
--- a/internal/scheduler/platform/linereader_test.go
+++ b/internal/scheduler/platform/linereader_test.go
@@ -18,7 +18,7 @@
 		}
 	}
 	feed(1*time.Second, "one\ntw")
-	feed(2*time.Second, "o") // does not change that the line began at 1 s
+	feed(2*time.Second, "o") // the line still counts as begun at 1 s
 	if !reader.isPartial() || reader.isStuck(2*time.Second, time.Second) || !reader.isStuck(2*time.Second+1, time.Second) {
 		t.Errorf("at 2 s, after a partial line that began at 1 s: partialSince = %v, want 1s; isPartial() = %v, want true; "+
 			"isStuck with a timeout of 1 s = %v at 2 s and %v 1 ns later, want false and true", reader.partialSince, reader.isPartial(),
--- a/internal/scheduler/platform/ownermessages.go
+++ b/internal/scheduler/platform/ownermessages.go
@@ -65,7 +65,7 @@
 	r := c.requestsByRef[ref]
 	switch {
 	case r == nil:
-		if !owner.sentValid { // a first message that releases an unknown ref is invalid
+		if !owner.sentValid { // a release of an unknown ref is not valid as the first message of a connection
 			c.closeOwner(owner)
 		}
 	case r.phase != requestOpen:
@@ -82,7 +82,7 @@
 	decoded, ok := c.decodeRequest(m)
 	switch {
 	case !ok && known != nil && known.owner == owner.id:
-		c.closeOwner(owner) // a rejection under this ref would be taken as the answer to the known request
+		c.closeOwner(owner) // the owner would take a rejection under this ref as the answer to the known request
 	case !ok:
 		c.rejectMalformed(owner, ref)
 	case known != nil:
@@ -115,7 +115,7 @@
 			c.movePlaced(r, owner)
 		}
 	case r.digest == decoded.digest && (r.phase == requestOpen || r.phase == requestPlaced):
-		c.moveRequest(r, owner) // a resubmission, as its earlier connection was closed or is being closed
+		c.moveRequest(r, owner) // the owner resubmits the request, as its earlier connection was closed or is being closed
 		owner.sentValid = true
 	case r.owner == owner.id:
 		c.closeOwner(owner)
@@ -131,7 +131,7 @@
 		c.movePlaced(r, owner)
 		return
 	}
-	if before := c.owners[r.owner]; before != nil { // always true: the open requests of a connection end with it
+	if before := c.owners[r.owner]; before != nil { // always true: when a connection ends, its open requests end too
 		delete(before.openRequests, r)
 		owner.openRequests[r] = struct{}{}
 	}
--- a/internal/scheduler/platform/placed.go
+++ b/internal/scheduler/platform/placed.go
@@ -15,8 +15,8 @@
 	cause platform.Cause
 }
 
-// causeOwnerKnows marks a task whose owner knows that it has ended. A hand-over after such an end is not answered. The
-// same holds after a migration that the host has reported, so both have the same cause.
+// causeOwnerKnows marks a task whose owner knows that it has ended. It is the same as CauseMigrated, the cause of a
+// migration that the host has reported: in both cases, a hand-over of the ended task is not answered.
 const causeOwnerKnows = platform.CauseMigrated
 
 // possibleOrphan identifies an attempt whose answer was lost with its connection. The host may run the task.
@@ -70,8 +70,8 @@
 	}
 }
 
-// expireStops ends tasks whose host has not confirmed a sent stop by its deadline, and tasks whose stop could not be
-// sent until undeliveredTimeout after its deadline.
+// expireStops ends tasks whose stop was sent and which their host has not confirmed by the deadline of the stop. It
+// also ends tasks whose stop could not be sent within undeliveredTimeout after that deadline.
 func (c *Core) expireStops(h *host) {
 	expired := h.attemptsWhere(func(a *taskAttempt) bool {
 		return a.request.phase == requestEnding &&
@@ -92,7 +92,7 @@
 	c.uncountPlaced(r)
 	remembered := reportedEnd{a.key(), causeOwnerKnows}
 	if r.phase == requestPlaced && cause != platform.CauseMigrated && !c.notifyOwner(r, releaseMessage(r.ref, cause)) {
-		remembered.cause = cause // the owner does not know of the end, as the release could not be delivered
+		remembered.cause = cause // the release could not be delivered, so the owner does not know of the end
 	}
 	c.reportedEnds.add(remembered)
 	r.phase = requestFinished
--- a/internal/scheduler/platform/placed_test.go
+++ b/internal/scheduler/platform/placed_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// The release of a task whose owner has disconnected is sent on the next connection that a task is placed for, and only
-// once.
+// A task ends after its owner has disconnected. The release is sent on the next connection that a task is placed for,
+// and only once.
 func TestCoreDeliversReleaseOnAnotherConnection(t *testing.T) {
 	w := newTestCore(t, nil)
 	o, conn := w.placeTask()
@@ -53,7 +53,8 @@
 	w.wantLines(sentLines[SendToOwner](w.send(next, handOverLine(ref3, 1)))) // the release is not sent again
 }
 
-// The stop of a task that its owner ends while no connection to its host is open is sent on the next connection.
+// An owner ends a task while no connection to the task's host is open. The stop is sent on the next connection to that
+// host.
 func TestCoreStopsTaskOnNextConnection(t *testing.T) {
 	w := newTestCore(t, nil)
 	o, conn := w.placeTask()
--- a/internal/scheduler/platform/reconcile.go
+++ b/internal/scheduler/platform/reconcile.go
@@ -59,7 +59,7 @@
 	h := conn.host
 	switch {
 	case !conn.isNeeded():
-		if !h.isReplacing() || !h.hasPlacedTasks() { // otherwise closeSuperseded closes it once its replacement is open
+		if !h.isReplacing() || !h.hasPlacedTasks() { // if this is false, closeSuperseded closes conn once its replacement is open
 			c.halfClose(conn)
 		}
 	case c.settings.MayProbe:
--- a/internal/scheduler/platform/request.go
+++ b/internal/scheduler/platform/request.go
@@ -101,7 +101,7 @@
 	if r == nil || r.phase != requestOpen {
 		return
 	}
-	// The result is not needed: if attempts in flight forbid the failure, they have been withdrawn after the call.
+	// The result is not needed: if attempts in flight forbid the failure, checkAnswerOrWithdraw withdraws them.
 	c.checkAnswerOrWithdraw(r, attempt.AnsweredFailed)
 	c.answer(r, attempt.AnsweredFailed, releaseMessage(r.ref, platform.CauseFailed))
 }
@@ -110,8 +110,8 @@
 // withdraws all attempts in flight, so that the request can be failed.
 func (c *Core) checkAnswerOrWithdraw(r *request, answer attempt.Answer) bool {
 	if !c.settings.MayWithdraw {
-		// An attempt that may not be withdrawn stays in flight until its owner stops waiting, and only then does the
-		// module answer. No outcome is awaited after that, and nothing is sent to the host.
+		// An attempt that may not be withdrawn stays in flight until its owner stops waiting, and the module answers
+		// the request only at that time. From then on no outcome is awaited, and nothing is sent to the host.
 		c.withdrawAll(r, forkhead.Withdrawn, true)
 	}
 	violation := invariant.CheckAnswer(&r.lifecycle, answer == attempt.AnsweredRejected)
@@ -147,7 +147,7 @@
 func (c *Core) cancelRequest(r *request) {
 	c.notifyModule(forkhead.RequestCanceled{Task: r.id})
 	c.closeRequest(r, requestFinished)
-	r.lifecycle.Finish(false) // the lifecycle has no answer for a canceled request, which counts as AnsweredFailed
+	r.lifecycle.Finish(false) // the lifecycle has no answer for a canceled request, so the request counts as AnsweredFailed
 	c.withdrawAll(r, forkhead.Withdrawn, true)
 }
 
--- a/internal/scheduler/platform/request_test.go
+++ b/internal/scheduler/platform/request_test.go
@@ -54,8 +54,8 @@
 }
 
 // A request that is sent again under its ref is the same request and moves to the new connection. A different request
-// under that ref is rejected and does not affect the first one; on the first one's own connection it closes the
-// connection.
+// under that ref does not affect the first one if it comes on another connection, where it is rejected. If it comes on
+// the connection of the first request, that connection is closed.
 func TestCoreTreatsResubmissionAsOneRequest(t *testing.T) {
 	w := newTestCore(t, nil)
 	first, second := w.connectOwner(), w.connectOwner()
@@ -81,9 +81,9 @@
 	w.wantLines(sentLines[SendToOwner](out), "down "+ref1+" 47")
 }
 
-// If attempts may not be withdrawn, a request is answered shortly before its deadline with an attempt in flight. It
-// must be answered once, without an invariant violation, and nothing may be sent to the host. If the host then runs the
-// task, it runs without an owner and is stopped.
+// If attempts may not be withdrawn, a request is answered shortly before its deadline although an attempt is in flight.
+// The request must be answered once, without an invariant violation, and nothing may be sent to the host. If the host
+// runs the task later, the task has no owner and is stopped.
 func TestCoreAnswersWithoutWithdrawing(t *testing.T) {
 	w := newTestCore(t, func(cfg *Config) { cfg.Settings.MayWithdraw = false })
 	first := w.decide
--- a/internal/scheduler/platform/testcore_test.go
+++ b/internal/scheduler/platform/testcore_test.go
@@ -246,8 +246,8 @@
 	return WatchEventReceived{Event: platform.WatchEvent{Seq: 2, Endpoints: &platform.EndpointList{Hosts: []platform.Endpoint{endpoint(n, state)}}}}
 }
 
-// run lets time pass in steps of 10 ms. It answers every dial with the result of the function answer, and calls the
-// function each once per 10 ms.
+// run lets time pass in steps of 10 ms. In each step it answers all dials with the results of the function answer, and
+// calls the function each at the end of the step.
 func (w *testCore) run(d time.Duration, answer func(DialHost) Input, each func()) {
 	for end := w.now + d; w.now < end; {
 		w.now += 10 * time.Millisecond
--- a/internal/scheduler/platform/unresponsive.go
+++ b/internal/scheduler/platform/unresponsive.go
@@ -66,7 +66,7 @@
 	if !h.hasPlacedTasks() || h.address == "" {
 		return
 	}
-	if h.lastSeenAliveAt == 0 { // the host has never been seen alive: its time begins now
+	if h.lastSeenAliveAt == 0 { // the host has never been seen alive, so the time until it counts as lost begins now
 		h.lastSeenAliveAt = c.now
 	}
 	switch unresponsiveFor := c.now - h.lastSeenAliveAt; {
@@ -91,8 +91,8 @@
 		(!h.isDialing() || unresponsiveFor > lostAfter+lastDialBeforeLoss/2)
 }
 
-// needsLastDial reports whether a host is about to be lost and no dial has failed in the period lastDialBeforeLoss
-// before that. Such a host is dialed regardless of its backoff.
+// needsLastDial reports whether a host is about to be lost, but no dial has failed since lastDialBeforeLoss before the
+// loss. Such a host is dialed regardless of its backoff.
 func (h *host) needsLastDial(unresponsiveFor time.Duration) bool {
 	return unresponsiveFor > lostAfter-lastDialBeforeLoss && h.lastDialFailedAt < h.lastSeenAliveAt+lostAfter-lastDialBeforeLoss
 }
--- a/internal/scheduler/rollingupdate/rollingupdate_test.go
+++ b/internal/scheduler/rollingupdate/rollingupdate_test.go
@@ -10,9 +10,9 @@
 func TestUpdateStatusFollowsFailureAction(t *testing.T) {
 	for name, c := range map[string]struct {
 		failureAction servicespec.FailureAction
-		maxFailed     float64 // MaxFailureRatio
+		maxFailed     float64 // MaxFailureRatio of the update policy
 		total         int
-		succeeded     []bool // for each replacement that has ended
+		succeeded     []bool // for each replacement that has ended: whether it succeeded
 		want          Status
 	}{
 		"no tasks":                   {servicespec.Pause, 0, 0, nil, Complete},
--- a/internal/scheduler/statetable/statetable.go
+++ b/internal/scheduler/statetable/statetable.go
@@ -1,5 +1,6 @@
 // Package statetable renders the transition function of a state machine as a Markdown table, with a column for each
-// state and a row for each input, so that a test can compare the table in a page with the code.
+// state and a row for each input. A test compares the tables in the design page on the state machines with the rendered
+// ones.
 package statetable
 
 import (
