--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -15,8 +15,8 @@
 // adapter is the state of one process: the endpoint lists that it has received, and its placers. Placers share nothing but
 // these lists.
 type adapter struct {
-	lists   [maxLists]*simadapter.EndpointList // by the number of the list; nil if the list has not been received
-	placers map[uint32]*placer                 // by the number of the placer
+	lists   [maxLists]*simadapter.EndpointList // indexed by list number; nil for a list that has not been received
+	placers map[uint32]*placer                 // running placers, by number
 	pending []*placer                          // placers with events in the current batch, ordered by their first event
 	reply   simadapter.Reply
 }
@@ -32,8 +32,8 @@
 func newAdapter() *adapter { return &adapter{placers: map[uint32]*placer{}} }
 
 // handleBatch passes the events of a batch to the placers and collects the placers' actions in a.reply. Endpoint lists,
-// starts and teardowns take effect in the order of the events. After the last event of the batch, each placer gets all
-// other events for it in one step.
+// starts and teardowns take effect in the order of the events. After the last event of the batch, each placer gets its
+// other events in one step.
 func (a *adapter) handleBatch(batch *simadapter.Batch) error {
 	now := platformconfig.Duration(batch.Clock)
 	a.reply.Reset()
@@ -49,8 +49,7 @@
 	return nil
 }
 
-// step passes the events of the batch that are for a placer to this placer, unless the placer was torn down or replaced
-// in the same batch.
+// step passes to a placer its events of the batch, unless the placer was torn down or replaced in the same batch.
 func (a *adapter) step(now time.Duration, p *placer) {
 	if len(p.events) == 0 || a.placers[p.id] != p {
 		return
--- a/cmd/simadapter/translate.go
+++ b/cmd/simadapter/translate.go
@@ -88,8 +88,9 @@
 	return result, nil
 }
 
-// loadReport converts the values of a load report. The placer's settings say which value is which. Values that are not
-// reported are NaN. It returns nil if the placer is unknown or if there are no values.
+// loadReport converts the values of a machine's load report to the module's type. The settings of the placer that
+// receives the report list the names of the values in their order. Values that are not reported are NaN. The result is
+// nil if the placer is unknown or if there are no values.
 func (a *adapter) loadReport(placer uint32, values []float32) *forkhead.LoadReport {
 	p := a.placers[placer]
 	if p == nil || len(values) == 0 {
--- a/internal/cli/chaos_repeat.go
+++ b/internal/cli/chaos_repeat.go
@@ -49,7 +49,7 @@
 
 func (a *app) writeRepeatedRun(run chaos.ProcessResult) {
 	if a.wantsJSON() {
-		_ = a.writeJSON(run) // an error of writing to standard output shows again, and is returned, when the totals are written
+		_ = a.writeJSON(run) // a write error recurs when the totals are written, and is returned there
 		return
 	}
 	a.printf("seed %d: exit code %d, %d breaches reported %s\n", run.Seed, run.ExitCode, len(run.Breaches), run.Error)
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -29,7 +29,7 @@
 type checkResult struct {
 	File string `json:"file"`
 	OK   bool   `json:"ok"`
-	What string `json:"what"` // how many services and tasks a specification has; "" for settings and scenarios
+	What string `json:"what"` // number of services and of tasks in a valid specification; "" for settings and scenarios
 }
 
 func (a *app) checkCommand() *cobra.Command {
@@ -106,7 +106,7 @@
 	nodes, err := sexp.Parse(name, text)
 	if err != nil || len(nodes) == 0 {
 		if strings.HasSuffix(name, ".sexp") {
-			return settingsKeyword // when the file is parsed as settings, the error is reported
+			return settingsKeyword // the caller parses the file as settings, and so reports the error
 		}
 		return ""
 	}
--- a/internal/cli/explore.go
+++ b/internal/cli/explore.go
@@ -18,7 +18,7 @@
 	traceFile  string // file to write the trace of a violation to; "" for none
 	replayFile string // trace to replay instead of searching; "" for none
 	listBugs   bool   // list the injectable bugs instead of searching
-	runs       int    // number of simulated runs instead of a search; 0 to search
+	runs       int    // if not 0, simulate this many runs instead of searching
 	firstSeed  uint64 // seed of the first simulated run
 }
 
@@ -106,7 +106,7 @@
 	for _, bound := range []struct {
 		flag   string
 		value  *int
-		enough int // value with which the search finds the bug
+		enough int // value of the bound with which the search finds the bug
 	}{
 		{"faults", &f.search.Faults, bug.Faults},
 		{"tasks", &f.search.Tasks, 1 + bug.SpreadLimit},
--- a/internal/cli/explore_replay.go
+++ b/internal/cli/explore_replay.go
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// readTrace reads a trace and checks that the numbers of tasks and hosts and the effect in its configuration are in
-// range.
+// readTrace reads a trace and checks its configuration: the number of tasks, the number of hosts and the effect must
+// each be in range.
 func readTrace(name string) (*modelcheck.Trace, error) {
 	text, err := readFile(name, "a trace that explore has written")
 	if err != nil {
--- a/internal/cli/explore_simulation.go
+++ b/internal/cli/explore_simulation.go
@@ -18,7 +18,7 @@
 type simulationResult struct {
 	Failed []string `json:"failed"` // for each run that failed, the mix of work, the seed and the failed check
 	From   uint64   `json:"from"`   // seed of the first run
-	Runs   int64    `json:"lives"`  // number of runs with all mixes of work together
+	Runs   int64    `json:"lives"`  // number of runs, summed over all mixes of work
 }
 
 // simulate runs the simulation with n seeds from firstSeed on, once with each mix of work, on all processors. It returns
--- a/internal/cli/host.go
+++ b/internal/cli/host.go
@@ -25,7 +25,7 @@
 
 // hostFlags are the flags of host.
 type hostFlags struct {
-	scenarioFile string // "" for the built-in scenario
+	scenarioFile string // file of the scenario whose hosts to run; "" for the built-in scenario
 	catalog      string // address of Consul's HTTP API
 	listen       string // address to listen at; its port is ignored, and each host takes a free port
 }
--- a/internal/cli/input.go
+++ b/internal/cli/input.go
@@ -39,7 +39,7 @@
 // readScenario reads a scenario file. If name is "", it parses the built-in scenario with the text builtIn instead.
 func readScenario(name string, builtIn []byte) (*scenario.Scenario, error) {
 	if name == "" {
-		return scenario.Read("built-in script", builtIn) // the name is part of recordings, so it must not change
+		return scenario.Read("built-in script", builtIn) // recordings contain this name, so it must not change
 	}
 	text, err := readFile(name, "a scenario: (badday ...)")
 	if err != nil {
--- a/internal/cli/names_test.go
+++ b/internal/cli/names_test.go
@@ -73,7 +73,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// From the first section [[trouble]] on, the file configures the bench, not the deployment.
+		// The part of a site file from its first section [[trouble]] on configures the bench, not the deployment.
 		body, _, _ := strings.Cut(string(text), "[[trouble]]")
 		for _, line := range setting.FindAllStringSubmatch(body, -1) {
 			for _, name := range quoted.FindAllStringSubmatch(line[1], -1) {
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -35,8 +35,8 @@
 	return c
 }
 
-// runNode runs a placer until it has shut down. SIGTERM and SIGINT end ctx, which requests the shutdown, even if the
-// signal arrives before the placer serves. SIGHUP reloads the configuration.
+// runNode runs a placer until it has shut down. SIGTERM and SIGINT request the shutdown by ending ctx, even if they
+// arrive before the placer serves. SIGHUP reloads the configuration.
 func (a *app) runNode(ctx context.Context, traceFile string) error {
 	reload := make(chan os.Signal, maxPendingSignals)
 	signal.Notify(reload, syscall.SIGHUP)
--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -53,7 +53,8 @@
 	watches    [2]net.Listener
 }
 
-// startNode builds the program and starts it. The configuration has the settings, and the address of the first watch.
+// startNode builds the program and starts it with a configuration that has the given settings and the address of the
+// first listener in watches.
 func startNode(t *testing.T, settings string) *nodeProcess {
 	t.Helper()
 	n := buildNode(t)
@@ -102,7 +103,8 @@
 	return listener
 }
 
-// writeConfig writes a configuration with the settings, the address of a watch, and the endpoint list as of event 7.
+// writeConfig writes a configuration with the given settings, the address of the listener watch, and the endpoint list
+// as of event 7.
 func (n *nodeProcess) writeConfig(t *testing.T, watch net.Listener, settings string) {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{
@@ -119,8 +121,8 @@
 
 func (n *nodeProcess) signal(s os.Signal) { _ = n.process.Process.Signal(s) }
 
-// awaitPoll waits until the program polls a watch for the events after event 7. It sends no reply and leaves the
-// connection open.
+// awaitPoll waits until the program connects to the listener watch and requests the events of the endpoint list after
+// event 7. It sends no reply and leaves the connection open.
 func (n *nodeProcess) awaitPoll(t *testing.T, watch net.Listener) {
 	t.Helper()
 	_ = watch.(*net.TCPListener).SetDeadline(time.Now().Add(30 * time.Second))
@@ -151,7 +153,8 @@
 		if err != nil {
 			continue
 		}
-		_, _ = fmt.Fprintln(conn, `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`) // if this fails, there is no reply and the next probe follows
+		// After a failed write there is no reply, so the loop sends another probe.
+		_, _ = fmt.Fprintln(conn, `{"t":"hb","ref":"0000000000000001","f":{},"c":0}`)
 		line, _ := bufio.NewReader(conn).ReadString('\n')
 		_ = conn.Close()
 		if strings.Contains(line, `"hb_ok"`) && strings.Contains(line, `"c":1`) {
@@ -160,9 +163,10 @@
 	}
 }
 
-// The built program must serve at the address in BALANCER_LISTEN. On SIGHUP it must ignore an invalid configuration
-// file, and with a valid one it must watch the endpoint list at the new address. SIGTERM must end the program with exit
-// code 0. The trace that the program wrote must replay with the same outputs.
+// The built program must serve at the address in BALANCER_LISTEN. A SIGHUP must have no effect if the configuration
+// file is invalid. If the file is valid, the program must watch the endpoint list at the address in the file from then
+// on. SIGTERM must end the program with exit code 0. The trace that the program wrote must replay with the same
+// outputs.
 func TestNodeSignals(t *testing.T) {
 	settings, err := os.ReadFile("../server/platform/testdata/settings.json")
 	if err != nil {
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -23,13 +23,13 @@
 	specification   specificationFlags
 	settingsFile    string
 	hostsFile       string
-	runningFile     string // "" if no tasks are running
+	runningFile     string // file that lists the running tasks; "" if no tasks are running
 	limit           time.Duration
 	migrationCost   int64
-	homeZone        string // zone that tasks should be in; "" for no such zone
+	homeZone        string // preferred zone of all tasks; "" for none
 	outsideHomeCost int64  // cost of each task outside homeZone
 	quotas          bool   // print the tenants' quotas instead of a plan
-	selfcheck       int    // number of random instances to check the solver on instead of planning; 0 for none
+	selfcheck       int    // if not 0, check the solver on this many random instances instead of planning
 }
 
 func (a *app) planCommand() *cobra.Command {
@@ -161,7 +161,7 @@
 	for _, m := range p.Migrations {
 		a.printf("move %s/%d from %s to %s\n", m.Service, m.Replica, m.From, m.To)
 	}
-	gap := 0.0 // percentage of the cost
+	gap := 0.0 // difference between the cost and its lower bound, in percent of the cost
 	if p.Cost > 0 {
 		gap = float64(p.Cost-p.LowerBound) / float64(p.Cost) * 100
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -16,7 +16,7 @@
 type serveFlags struct {
 	settingsFile string
 	storeFile    string        // file for the state that survives a restart; "" to store nothing
-	self         int           // index of the placer in the settings
+	self         int           // index in the settings of the placer to run
 	grace        time.Duration // time for work in progress to finish at shutdown
 }
 
--- a/internal/cli/specification.go
+++ b/internal/cli/specification.go
@@ -20,7 +20,7 @@
 
 // specificationFlags are the flags of all commands that read a service specification.
 type specificationFlags struct {
-	project  string // name of the project; "" for the name in the file or, without one, the name of the file's folder
+	project  string // name of the project; "" for the name in the file or, if the file has none, its folder's name
 	profiles []string
 	services []string
 	envFile  string // file of variables; "" for .env in the folder of the first file, if that file exists
@@ -57,7 +57,7 @@
 // fileLoader adds files to an envelope, each file only once.
 type fileLoader struct {
 	envelope *placer.Envelope
-	seen     map[string]bool // names of files that load was called with
+	seen     map[string]bool // names of the files that load has read or tried to read
 }
 
 // loadNamed loads a file that the command line names, and all files that this file refers to. The file must exist.
@@ -125,7 +125,7 @@
 	}
 }
 
-// anyFileContains reports whether name occurs anywhere in the text of files.
+// anyFileContains reports whether the text of any of the files contains name.
 func anyFileContains(files []compose.File, name string) bool {
 	for _, f := range files {
 		if strings.Contains(f.Text, name) {
--- a/internal/cli/specification_test.go
+++ b/internal/cli/specification_test.go
@@ -34,7 +34,7 @@
 }
 
 // The envelope must have the variables from .env in the folder of the first file. Environment variables must override
-// them, but no environment variable may be sent whose name does not occur in a file.
+// them. An environment variable whose name does not occur in any file must not be sent.
 func TestEnvelopeSendsOnlyReferencedVariables(t *testing.T) {
 	dir := writeFiles(t, map[string]string{
 		"compose.yaml": "services: {a: {image: '${FORKHEAD_TEST_TAG}', labels: ['${FORKHEAD_TEST_HOME}']}}",
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -20,7 +20,7 @@
 type submitFlags struct {
 	specification specificationFlags
 	address       string
-	key           string // "" for a random key
+	key           string // idempotency key of the submission; "" for a random key
 	maxSends      int
 }
 
--- a/internal/parse/compose/compose_test.go
+++ b/internal/parse/compose/compose_test.go
@@ -99,7 +99,8 @@
 	return text
 }
 
-// errorCases has files, each with a text that the error of Parse must contain, or "" if Parse must return no error.
+// errorCases has one file per case. The error of Parse for the file must contain the text want. If want is "", Parse
+// must return no error.
 var errorCases = map[string]struct{ text, want string }{
 	"unreadable":           {"services: [", "a.yaml:1:1: not readable as YAML"},
 	"unreadable, line 3":   {"services:\n  a: {}\n\tb: {}\n", "a.yaml:3:1: not readable as YAML"},
--- a/internal/parse/compose/decode.go
+++ b/internal/parse/compose/decode.go
@@ -15,7 +15,7 @@
 const (
 	maxServices = 5_000
 	maxReplicas = 100_000 // tasks of one service
-	maxNotes    = 1_000   // further notes are dropped
+	maxNotes    = 1_000   // number of notes; further notes are dropped
 
 	maxTaskTime = 24 * time.Hour // longest duration in the settings for stop, restart and update
 )
--- a/internal/parse/compose/definitions.go
+++ b/internal/parse/compose/definitions.go
@@ -6,8 +6,8 @@
 	"forkhead/internal/parse/diagnostic"
 )
 
-// usedDefinitions returns the definitions that a service refers to in one section: networks, volumes, configs or secrets.
-// A reference to a name that the section does not define is an error, unless the name is default.
+// usedDefinitions returns those definitions in one section of the file (networks, volumes, configs or secrets) that a
+// service refers to. A reference to a name that the section does not define is an error, unless the name is "default".
 func (d *decoder) usedDefinitions(service *value, section string) map[string]any {
 	defined := d.ofKind(d.top.get(section), mapping, section)
 	used := service.get(section)
--- a/internal/parse/compose/dependencies.go
+++ b/internal/parse/compose/dependencies.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// dependOnNear adds a dependency on each service in s.Near: the tasks of s can be placed in the domains of that service's
-// tasks only once those domains are known.
+// dependOnNear adds a dependency on each service in s.Near, because the tasks of s can be placed near the tasks of that
+// service only once the domains of those tasks are known.
 func dependOnNear(s *servicespec.Service) {
 	for _, near := range s.Near {
 		isNear := func(dep servicespec.Dependency) bool { return dep.Service == near.Service }
--- a/internal/parse/compose/elements.go
+++ b/internal/parse/compose/elements.go
@@ -6,8 +6,8 @@
 const (
 	honored treatment = iota // the element affects placement, restarts or updates
 	passed                   // the element is passed to the host in the task's payload and takes effect there
-	noted                    // the element has no effect in a cluster of hosts, which a note reports
-	refused                  // the element cannot be honored, which is an error
+	noted                    // the element has no effect in a cluster of hosts; a note reports this
+	refused                  // the element cannot be honored; the parser reports an error
 )
 
 // String returns the word for the treatment in docs/compose.md.
--- a/internal/parse/compose/extends.go
+++ b/internal/parse/compose/extends.go
@@ -104,7 +104,7 @@
 	return base, nil
 }
 
-// withoutKey returns a copy of a mapping that lacks one key and has no tag.
+// withoutKey returns a copy of a mapping without one of its keys and without its tag.
 func withoutKey(v *value, key string) *value {
 	rest := newMap(v.pos)
 	for _, k := range v.keys {
--- a/internal/parse/compose/extension.go
+++ b/internal/parse/compose/extension.go
@@ -33,7 +33,8 @@
 	return ext
 }
 
-// extensionFields sets the fields of s that an x-forkhead element has values for. ext is this element, or nil.
+// extensionFields sets fields of s from ext, which is the value of an element x-forkhead, or nil. A field that has no
+// value in ext is unchanged.
 func (d *decoder) extensionFields(s *servicespec.Service, ext *value) {
 	if ext == nil {
 		return
--- a/internal/parse/compose/interpolate.go
+++ b/internal/parse/compose/interpolate.go
@@ -9,7 +9,7 @@
 // The limits of interpolation.
 const (
 	maxInterpolated  = 1 << 20 // bytes of all interpolated values in all files
-	maxVariableDepth = 16      // levels of nesting, where a variable's operand contains other variables
+	maxVariableDepth = 16      // levels of variables in the operands of other variables
 )
 
 // interpolator replaces variables in values by the rules of the Compose Specification: $V, ${V}, ${V:-d}, ${V-d}, ${V:?e},
@@ -63,7 +63,8 @@
 	return v
 }
 
-// expand returns a text with its variables replaced. depth is the number of variables whose operands contain the text.
+// expand returns a text with its variables replaced. The parameter depth is 0 for the whole text of a scalar. For the
+// operand of a variable, it is one more than for the text that contains the variable.
 func (in *interpolator) expand(pos diagnostic.Pos, text string, depth int) (string, error) {
 	if depth > maxVariableDepth {
 		return "", diagnostic.Wantf(pos, "at most 16 levels", "variables are nested too deep")
--- a/internal/parse/compose/loader.go
+++ b/internal/parse/compose/loader.go
@@ -27,7 +27,8 @@
 			continue
 		}
 		l.trees[f.Name] = tree
-		// An element extends without a path refers to the file that contains it, so it is resolved before the files are merged.
+		// If an element extends has no path, it refers to its own file. So the element must be resolved before the
+		// files are merged.
 		resolved, err := resolveExtends(ext, f.Name, tree)
 		if err != nil {
 			return nil, err
@@ -61,7 +62,8 @@
 }
 
 // loadReferenced loads the file that a reference names, unless it is loaded already, and returns the name of the file
-// in the submission. The parameters are those of Input.find.
+// in the submission. The parameter from is the name of the file that has the reference, name is the path in the
+// reference, and pos is the position of the reference.
 func (l *loader) loadReferenced(from, name string, pos diagnostic.Pos) (string, error) {
 	file, text, err := l.in.find(from, name, pos)
 	if err != nil {
--- a/internal/parse/compose/merge.go
+++ b/internal/parse/compose/merge.go
@@ -6,9 +6,9 @@
 )
 
 // merge returns the tree base with the tree override merged into it by the rules of the Compose Specification: mappings
-// are merged, lists are appended and single values are replaced. mergeRules has the exceptions. path is where both
-// trees are in the document, with * for a service's name. The result may share nodes with both trees. Either tree may
-// be nil, which stands for an absent value.
+// are merged, lists are appended and single values are replaced. mergeRules has the exceptions. The parameter path is
+// the position of both trees in the document, with * in place of the name of a service. The result may share nodes with
+// both trees. Either tree may be nil, which stands for an absent value.
 func merge(base, override *value, path string) *value {
 	switch {
 	case override == nil:
@@ -148,15 +148,15 @@
 	switch {
 	case len(parts) == 1:
 		return parts[0]
-	case strings.HasPrefix(parts[1], "/"): // a volume or device: SOURCE:TARGET[:MODE]
+	case strings.HasPrefix(parts[1], "/"): // v is a volume or a device, SOURCE:TARGET[:MODE]
 		return parts[1]
 	}
-	return v.text // a port: [IP:]PUBLISHED:TARGET
+	return v.text // v is a port, [IP:]PUBLISHED:TARGET
 }
 
-// targetOfMapping returns PUBLISHED:TARGET/PROTOCOL for an entry in the long form. PUBLISHED is left out if the entry
-// has no published port, and PROTOCOL if the entry has no protocol or the protocol is tcp. TARGET is the source if the
-// entry has no target. The result is "" if the entry has neither a target nor a source.
+// targetOfMapping returns PUBLISHED:TARGET/PROTOCOL for an entry in the long form. If the entry has no target, the
+// source takes the place of TARGET. The result lacks PUBLISHED if the entry has no published port. It lacks PROTOCOL if
+// the entry has no protocol or the protocol is tcp. It is "" if the entry has neither a target nor a source.
 func targetOfMapping(v *value) string {
 	for _, key := range []string{"target", "source"} {
 		target := v.get(key)
--- a/internal/parse/compose/placement.go
+++ b/internal/parse/compose/placement.go
@@ -8,8 +8,8 @@
 	"forkhead/internal/parse/servicespec"
 )
 
-// deployKeys has the keys of deploy. Some of them, such as resources, have no row in deployElements, which has only
-// rows for the elements nested in them, such as resources.limits.cpus.
+// deployKeys has the keys of deploy. The keys of the table deployElements do not suffice: for resources, for example,
+// the table has only rows for nested elements, such as resources.limits.cpus.
 var deployKeys = []string{
 	"endpoint_mode", "labels", "mode", "placement", "replicas", "resources", "restart_policy", "rollback_config",
 	"update_config",
@@ -73,7 +73,7 @@
 	}
 }
 
-// preferences adds the attributes whose values the service's tasks should be spread over.
+// preferences adds to s.Preferences the host attributes over whose values the tasks of the service should be spread.
 func (d *decoder) preferences(s *servicespec.Service, placement *value) {
 	list := d.ofKind(placement.get("preferences"), sequence, "preferences")
 	if list == nil {
@@ -104,7 +104,8 @@
 // constraintForm matches ATTRIBUTE == VALUE and ATTRIBUTE != VALUE. Its groups are the attribute, the operator and the value.
 var constraintForm = regexp.MustCompile(`^\s*([A-Za-z0-9._/-]+)\s*(==|!=)\s*(.*?)\s*$`)
 
-// constraintAttributes maps the names that constraints in a file use for attributes of hosts to the attributes.
+// constraintAttributes maps names of host attributes to the attributes. The names are those that constraints in a
+// Compose file use.
 var constraintAttributes = map[string]servicespec.Attribute{
 	"node.id": "id", "node.hostname": "hostname", "node.role": "role",
 	"node.platform.os": "os", "node.platform.arch": "arch",
--- a/internal/parse/compose/policies.go
+++ b/internal/parse/compose/policies.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// shortRestart decodes the element restart of a service: a condition, or on-failure:N, where N is the maximum number of
-// restarts.
+// shortRestart decodes the element restart of a service. The element is a condition, or on-failure:N with N as the
+// maximum number of restarts.
 func (d *decoder) shortRestart(r *servicespec.Restart, v *value) {
 	condition, count, hasCount := strings.Cut(v.text, ":")
 	switch condition {
--- a/internal/parse/compose/values.go
+++ b/internal/parse/compose/values.go
@@ -127,8 +127,8 @@
 
 // parseDuration parses a duration of the Compose Specification: 1h30m, 90s, 500ms, 20us and their sums, or 0.
 func parseDuration(text string) (sum time.Duration, ok bool) {
-	// The most nanoseconds that the digits of one unit may amount to. The sum of several units may still overflow to a
-	// negative number, which is detected below.
+	// longest is the maximum number of nanoseconds in one unit's part of a duration. The sum of the parts may still
+	// overflow. It is negative after an overflow, so the loop detects this.
 	const longest = 1 << 62
 	if text == "0" {
 		return 0, true
--- a/internal/parse/compose/yaml.go
+++ b/internal/parse/compose/yaml.go
@@ -21,8 +21,8 @@
 // copy the fields from.
 const mergeKey = "<<"
 
-// parseYAML returns the documents of one file that are not empty. *budget is the number of nodes that the submission
-// may still have. parseYAML subtracts the number of nodes in the file from it.
+// parseYAML returns the documents of one file, except for empty documents. *budget is the number of nodes that the
+// files of the submission may still have in total. parseYAML subtracts the number of nodes in this file from it.
 func parseYAML(file string, text []byte, budget *int) ([]*value, error) {
 	decoder := yaml.NewDecoder(strings.NewReader(string(text)))
 	var docs []*value
@@ -50,10 +50,10 @@
 	}
 }
 
-// syntaxError converts an error of the YAML parser to an error with a position. The position is the line that the text
-// of the parser's error begins with, or line 1 if it begins with none.
+// syntaxError converts an error of the YAML parser to an error with a position. The line of the position is the line
+// number at the start of the text of the parser's error, or 1 if the text does not start with one.
 func syntaxError(file string, err error) error {
-	const maxLine = 1 << 24 // from this line number on, further digits are not read, to avoid an overflow
+	const maxLine = 1 << 24 // beyond this value, digits of the line number are ignored, to avoid an overflow
 	text := strings.TrimPrefix(err.Error(), "yaml: ")
 	pos := diagnostic.Pos{File: file, Line: 1, Col: 1}
 	if rest, ok := strings.CutPrefix(text, "line "); ok {
--- a/internal/parse/diagnostic/nearest.go
+++ b/internal/parse/diagnostic/nearest.go
@@ -4,7 +4,7 @@
 
 const (
 	maxEdits       = 2  // maximum edit distance between a misspelled name and the right one
-	maxNameToMatch = 64 // in bytes; a longer name is not compared
+	maxNameToMatch = 64 // maximum length in bytes of a name that is compared
 )
 
 // Nearest returns the entry of the parameter known that is closest to name, or "" if no entry is within maxEdits edits
--- a/internal/parse/platformconfig/check.go
+++ b/internal/parse/platformconfig/check.go
@@ -90,7 +90,7 @@
 	}
 	maxPerDomain := c.at("familyInfo.classMost").([]any)
 	for i, class := range c.at("classes").([]any) {
-		// FIXME: the assignment overwrites an error that spread found for an earlier class.
+		// FIXME: the assignment overwrites an error that the call of c.spread has recorded for an earlier class.
 		if c.err = checkClass(i, class.(map[string]any)); c.err != nil {
 			return
 		}
--- a/internal/parse/platformconfig/check_test.go
+++ b/internal/parse/platformconfig/check_test.go
@@ -37,7 +37,8 @@
 	return changed
 }
 
-// checkCases has values that Check must reject at a path, each with a text that the error must contain.
+// checkCases has invalid settings: in each case, the value at path is replaced by value, or removed if value is nil.
+// The error of Check must contain the text want.
 var checkCases = []struct {
 	path  string
 	value any
--- a/internal/parse/platformconfig/checker.go
+++ b/internal/parse/platformconfig/checker.go
@@ -12,7 +12,7 @@
 // the root of the object to the value, separated by dots.
 type checker struct {
 	root   map[string]any
-	prefix string // put before each path in an error; "" for the root of the settings
+	prefix string // path of the checked object and a dot, put before paths in errors; "" for the root of the settings
 	err    error
 }
 
@@ -39,7 +39,7 @@
 	return n
 }
 
-// numberKind says whether a field accepts only integers or any number.
+// numberKind determines which numbers a field accepts: only integers, or all numbers.
 type numberKind uint8
 
 const (
--- a/internal/parse/platformconfig/modulesettings.go
+++ b/internal/parse/platformconfig/modulesettings.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// moduleCosts returns the costs of the module. The platform has most of them in deductions and some in familyInfo.
+// moduleCosts returns the costs of the module. In the settings object, most of them are under the key deductions and
+// some under the key familyInfo.
 func moduleCosts(in *Info) forkhead.Costs {
 	return forkhead.Costs{
 		SurplusMachine: in.Costs.SurplusMachine, Migration: in.Costs.Migration, EvictionMigrations: in.FamilyInfo.EvictionMigrations,
@@ -107,8 +108,8 @@
 	"machine": forkhead.MachineDomain, "cell": forkhead.CellDomain, "zone": forkhead.ZoneDomain,
 }
 
-// translate looks up a name of the platform in a table. The parameter field is the key of the setting that has the
-// name, for the error that an unknown name causes.
+// translate looks up a name of the platform in a table. An unknown name is an error. The parameter field is the key of
+// the setting that contains the name, and appears in the error.
 func translate[T any](field string, table map[string]T, name string) (T, error) {
 	v, ok := table[name]
 	if !ok {
--- a/internal/parse/platformconfig/report.go
+++ b/internal/parse/platformconfig/report.go
@@ -6,7 +6,7 @@
 	"forkhead"
 )
 
-// EmptyReport returns a load report without values: each is NaN.
+// EmptyReport returns a load report in which no value is reported: each value is NaN.
 func EmptyReport() *forkhead.LoadReport {
 	nan := math.NaN()
 	return &forkhead.LoadReport{AvailableCores: nan, AvailableMemory: nan, Queue: nan, Utilization: nan}
--- a/internal/parse/servicespec/check.go
+++ b/internal/parse/servicespec/check.go
@@ -41,18 +41,18 @@
 
 const (
 	unvisited visitState = iota
-	visiting             // the service is on the path to the service that is being visited
-	visited              // neither the service nor any of its dependencies is on a cycle
+	visiting             // the search is still visiting the dependencies of the service
+	visited              // no cycle can be reached from the service
 )
 
 // cycleSearch is a depth-first search for dependency cycles.
 type cycleSearch struct {
 	description *Description
-	states      map[string]visitState // by service name
+	states      map[string]visitState // state of each service that the search has reached, by service name
 }
 
-// visit returns an error if a cycle can be reached from the service s. path lists the names of the services from the
-// start of the search to s, without s, each of which depends on the next.
+// visit returns an error if the dependencies of s lead to a cycle. The parameter path has the names of the services
+// that led to s, from the start of the search on. Each of them depends on the next, and the last depends on s.
 func (c *cycleSearch) visit(s *Service, path []string) error {
 	switch c.states[s.Name] {
 	case visited:
--- a/internal/parse/servicespec/keys.go
+++ b/internal/parse/servicespec/keys.go
@@ -7,8 +7,9 @@
 	"slices"
 )
 
-// Fingerprint returns a hash of the fields for which a running task of the service must be replaced when they change. The
-// number of replicas, the timeouts and the fields that affect only the next placement are left out.
+// Fingerprint returns a hash of some fields of the service. If one of these fields changes, the running tasks of the
+// service must be replaced. The hash does not include the number of replicas, the timeouts and the fields that affect
+// only the next placement.
 func (s *Service) Fingerprint() uint64 {
 	text := fmt.Appendf(nil, "%s|%s|%g|%g|%g|%g|%d|%s", s.Class, s.Tenant, s.Cores, s.Memory, s.LimitCores, s.LimitMemory,
 		s.StopGrace, s.Payload)
@@ -21,8 +22,8 @@
 	return hash(text)
 }
 
-// TaskKey returns the key that identifies a task at every host and placer. It is the same each time that the project is
-// submitted, and never 0.
+// TaskKey returns the key that identifies a task at every host and placer. The key is never 0. It stays the same when
+// the project is submitted again.
 func TaskKey(tenant, project, service string, replica int) uint64 {
 	return max(hash(fmt.Appendf(nil, "%q %q %q %d", tenant, project, service, replica)), 1)
 }
--- a/internal/parse/servicespec/servicespec.go
+++ b/internal/parse/servicespec/servicespec.go
@@ -1,7 +1,9 @@
-// Package servicespec is the model of a service specification: what to run, in how many tasks, and what affects the
-// placement of the tasks. Every source format is parsed into this model.
+// Package servicespec is the model of a service specification. A specification lists the services of a project, how
+// many tasks each service has, and what affects the placement of the tasks. Every source format is parsed into this
+// model.
 //
-// Specifications are stored as JSON. Where a field has been renamed, its tag is the name in stored specifications.
+// Specifications are stored as JSON. A field with a tag has been renamed: the tag is its earlier name, which stored
+// specifications have.
 package servicespec
 
 import (
@@ -15,7 +17,7 @@
 // Description is the specification of one project.
 type Description struct {
 	Name         string    // name of the project; "" if the source has none
-	Services     []Service // sorted by name, once Check has passed
+	Services     []Service // sorted by name by the method Check
 	Notes        []Note    // elements of the source that have no effect
 	AllOrNothing bool      `json:"Whole"` // place all tasks or none: reject the project if it is proven not to fit
 }
@@ -57,16 +59,16 @@
 	LimitMemory      float64       // GiB that each task may use; 0: no limit
 	ExpectedRuntime  time.Duration `json:"Life"`     // approximate run time of a task; 0: not known
 	RequestTimeout   time.Duration `json:"Wait"`     // timeout of one placement request; 0: the timeout of the class
-	PlacementTimeout time.Duration `json:"Patience"` // how long a task's placement is requested again; 0: as set for the class
+	PlacementTimeout time.Duration `json:"Patience"` // how long the owner repeats its requests; 0: as set for the class
 	Constraints      []Constraint
-	Preferences      []Attribute   // attributes of hosts: tasks are spread over their values as evenly as possible
+	Preferences      []Attribute   // the tasks are spread as evenly as possible over the values of these host attributes
 	SpreadLimits     []SpreadLimit `json:"Limits"`
-	Near             []Near        // other services in whose domains the tasks must be
+	Near             []Near        // each entry restricts the tasks to domains that have a task of another service
 	Restart          Restart
 	Update           Update
 	DependsOn        []Dependency
 	Labels           map[string]string
-	StopGrace        time.Duration // time between the request to stop a task and its kill; 0: as set on the host
+	StopGrace        time.Duration // a task that is asked to stop is killed after this time; 0: as set on the host
 	Payload          []byte        // JSON object that is passed to the host and not interpreted here
 }
 
@@ -120,7 +122,7 @@
 	When        RestartCondition
 	Delay       time.Duration // time between the end of a task and its restart
 	MaxRestarts int           `json:"Most"` // maximum number of restarts in Window; 0: no limit
-	Window      time.Duration // 0: MaxRestarts applies to all restarts of a task
+	Window      time.Duration // period in which restarts count toward MaxRestarts; 0: all restarts of a task count
 }
 
 // FailureAction is how an update reacts to too many failed tasks. It is stored as a number.
@@ -138,7 +140,7 @@
 	Parallel        int           // tasks replaced at a time; 0: all
 	Delay           time.Duration // time between one batch of replaced tasks and the next
 	FailureAction   FailureAction `json:"OnTrouble"`
-	Monitor         time.Duration // how long the new task is monitored for a failure
+	Monitor         time.Duration // how long each new task is monitored for a failure
 	MaxFailureRatio float64       `json:"MaxFailed"` // proportion of the tasks that may fail, 0 to 1
 	StartFirst      bool          // start the new task before the old task is stopped
 }
@@ -159,8 +161,8 @@
 type Dependency struct {
 	Service  string
 	When     DependencyCondition
-	Optional bool // the other service may be missing or fail
-	Restart  bool // the source asks to replace the tasks when the dependency is replaced; has no effect
+	Optional bool // the service with the name Service may be missing or fail
+	Restart  bool // the source asks to replace the tasks when those of the other service are replaced; has no effect
 	Pos      diagnostic.Pos
 }
 
@@ -173,7 +175,8 @@
 	return &d.Services[i]
 }
 
-// Tasks returns the number of tasks. It does not count services with one task on each host that fits.
+// Tasks returns the total number of tasks of the services. It leaves out services that have one task on each host that
+// fits, because their number of tasks depends on the hosts.
 func (d *Description) Tasks() int {
 	n := 0
 	for _, s := range d.Services {
--- a/internal/parse/settings/defaults.go
+++ b/internal/parse/settings/defaults.go
@@ -21,7 +21,8 @@
 // defaultPlacer is the only placer if the file has no entry (placer ...).
 var defaultPlacer = Placer{HTTPAddress: "127.0.0.1:7070", GossipAddress: "127.0.0.1:7071"}
 
-// The mean cores and memory that a task is expected to request, if the file has no (mean-cores ...) or (mean-memory ...).
+// The mean cores and the mean memory that a task is expected to request. Each applies if the file has no entry for it,
+// which is (mean-cores ...) or (mean-memory ...).
 const (
 	defaultMeanCores  = 1
 	defaultMeanMemory = 2 // GiB
--- a/internal/parse/settings/entries.go
+++ b/internal/parse/settings/entries.go
@@ -13,7 +13,7 @@
 // The limits of entries that may be repeated.
 const (
 	maxPlacers = 4096
-	maxNames   = 250 // maximum number each of machine types, classes and tenants
+	maxNames   = 250 // maximum number of machine types, of classes and of tenants
 )
 
 // Domains maps the keywords for domains in settings and service descriptions to the domains.
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// splitName returns the name and the fields of an entry (head NAME fields...). The parameter taken lists the names that
-// earlier entries with the same head have: another entry with one of them is an error.
+// splitName returns the name and the fields of an entry (head NAME fields...). It returns an error if the name is in
+// the parameter taken, which has the names of the earlier entries with the same head.
 func splitName(n *sexp.Node, taken []string) (name string, fields []*sexp.Node, err error) {
 	args := n.Args()
 	if len(args) == 0 || args[0].List || args[0].Atom == "" {
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// classFields returns the fields of an entry (class NAME fields...). They store into c and m, which are the settings of
-// the class that is added to the list next.
+// classFields returns the fields of an entry (class NAME fields...). The fields store into c and m, the two parts of
+// the settings of one class. This must be the class that is added to the list of classes next.
 func (p *parser) classFields(c *Class, m *forkhead.Class) map[string]sexp.Field {
 	index := len(p.settings.Classes)
 	return map[string]sexp.Field{
--- a/internal/parse/settings/parser.go
+++ b/internal/parse/settings/parser.go
@@ -13,7 +13,7 @@
 // The upper bounds of values that several settings share.
 const (
 	maxDuration = 24 * time.Hour
-	maxAmount   = 1e9 // maximum of a weight or a number of cores
+	maxAmount   = 1e9 // maximum weight, and maximum number of cores
 )
 
 // parser sets settings from nodes. It adds faults to errs and continues.
@@ -62,7 +62,8 @@
 	}
 }
 
-// nameField returns a field that passes a name to the function keep, which stores the name until it is resolved.
+// nameField returns a field that passes a name to the function keep. keep stores the name, which is resolved at the end
+// of the file.
 func nameField(keep func(name *sexp.Node)) sexp.Field {
 	return sexp.SingleValue(func(v *sexp.Node) error {
 		keep(v)
@@ -86,8 +87,8 @@
 	}
 }
 
-// check checks the settings that depend on one another, and resolves names. An error has the position of n, the list of
-// all settings, unless the error concerns a name.
+// check checks the settings that depend on one another, and resolves names. An error about a name has the position of
+// the name. Any other error has the position of n, the list of all settings.
 func (p *parser) check(n *sexp.Node) {
 	s := p.settings
 	if len(s.MachineTypeNames) == 0 {
--- a/internal/parse/settings/settings.go
+++ b/internal/parse/settings/settings.go
@@ -25,7 +25,7 @@
 	Classes          []Class  // in the order of Module.Classes
 	Tenants          []string // names of the tenants, in the order of Module.Tenants
 
-	DefaultClass int // index in Classes of the class of services that name no class
+	DefaultClass int // index in Classes of the class for services that name no class
 
 	Placers          []Placer
 	ServiceDiscovery ServiceDiscovery
@@ -35,11 +35,11 @@
 	SavedHostList    SavedHostList
 }
 
-// Class has the settings of a class that the module does not use.
+// Class has those settings of a class of tasks that are not passed to the module.
 type Class struct {
 	Name             string
 	RequestTimeout   time.Duration // timeout of one placement request
-	PlacementTimeout time.Duration // how long the placement of a task is requested again
+	PlacementTimeout time.Duration // how long the owner repeats its placement requests for a task
 }
 
 // Placer is one placer of the service.
@@ -58,7 +58,8 @@
 	MinInterval time.Duration // minimum time between two queries
 }
 
-// Owner determines how a task that was rejected, failed, migrated or lost is requested again.
+// Owner determines when and how often the placement of a task is requested again after the task was rejected, failed,
+// migrated or lost.
 type Owner struct {
 	MinBackoff       time.Duration // mean backoff after the first rejection
 	MaxBackoff       time.Duration // longest mean backoff: the mean doubles up to this
@@ -89,11 +90,12 @@
 	PlacementConstraints int           // distinct placement constraints in use at one time
 }
 
-// SavedHostList determines how far a starting placer relies on the endpoint list that it has stored. If the age of the
-// list is between the two ages, a host in the list is used once its handshake is done.
+// SavedHostList determines whether a starting placer uses the endpoint list that it has stored. If the list is older
+// than FreshAge but not older than MaxAge, the placer uses each host in the list once its handshake with the host is
+// done.
 type SavedHostList struct {
-	FreshAge time.Duration // up to this age, the stored list is used like a list from service discovery
-	MaxAge   time.Duration // beyond this age, the stored list is not used
+	FreshAge time.Duration // a stored list up to this age is used like a list from service discovery
+	MaxAge   time.Duration // a stored list beyond this age is not used
 }
 
 // Parse parses and checks a settings file. The error lists the faults with their positions.
--- a/internal/parse/sexp/fields.go
+++ b/internal/parse/sexp/fields.go
@@ -12,9 +12,10 @@
 // Field parses a list (NAME values...) and stores its values.
 type Field func(n *Node) error
 
-// Fields parses a list of settings. Each item must be a list whose head is a key of the parameter fields, and the Field
-// under that key parses the item. Fields adds to errs the errors that a Field returns, and an error for an unknown head
-// and for a second item with the same head, unless the head is in the parameter repeatable.
+// Fields parses a list of settings. Each item must be a list whose head is a key of the parameter fields. The Field
+// under that key parses the item. Fields adds to errs each error that a Field returns. It also adds an error for an
+// item with an unknown head. A second item with the same head is an error too, unless the head is in the parameter
+// repeatable.
 func Fields(items []*Node, fields map[string]Field, repeatable map[string]bool, errs *diagnostic.List) {
 	seen := map[string]bool{}
 	for _, item := range items {
--- a/internal/parse/sexp/sexp.go
+++ b/internal/parse/sexp/sexp.go
@@ -14,7 +14,7 @@
 const (
 	MaxBytes = 1 << 20
 	MaxDepth = 64      // levels of nested lists
-	MaxNodes = 200_000 // tokens: (, ) and atoms
+	MaxNodes = 200_000 // maximum number of tokens; each (, ) and atom is a token
 )
 
 // Node is an atom or a list.
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -62,7 +62,7 @@
 		Kind         uint8
 		Amount       float32
 	}
-	// Outcome reports the result of an attempt, which ends the attempt.
+	// Outcome ends an attempt and reports its result.
 	Outcome struct {
 		Placer, Task uint32
 		Attempt      uint8
