--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -28,8 +28,8 @@
 	idempotencyKeyBytes = 16       // size of a random Idempotency-Key
 )
 
-// Client submits to one placer. Its fields must not change during Submit, which calls the functions among them on the
-// caller's goroutine.
+// Client submits to one placer. Its fields must not change during Submit. Submit calls those fields that are functions
+// on its caller's goroutine.
 type Client struct {
 	Address        string        // HOST:PORT of the placer
 	HTTPClient     *http.Client  // nil: http.DefaultClient
@@ -83,7 +83,7 @@
 // newIdempotencyKey returns a random Idempotency-Key.
 func newIdempotencyKey() string {
 	var key [idempotencyKeyBytes]byte
-	_, _ = rand.Read(key[:]) // never fails, according to its documentation
+	_, _ = rand.Read(key[:]) // rand.Read never fails, according to its documentation
 	return hex.EncodeToString(key[:])
 }
 
--- a/internal/client/rejection.go
+++ b/internal/client/rejection.go
@@ -35,8 +35,8 @@
 	return r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable
 }
 
-// readRejection returns the RejectionError of a response. Where the body is not a problem, as from a proxy, the error
-// has the response's status.
+// readRejection returns the RejectionError of a response. If the body is not a problem, as in a response from a proxy,
+// the error has the response's status.
 func readRejection(resp *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxProblemBytes))
 	if err != nil {
--- a/internal/protocol/capture/frames.go
+++ b/internal/protocol/capture/frames.go
@@ -2,9 +2,9 @@
 
 import "forkhead/internal/protocol/hostproto"
 
-// FrameEvents returns the events of a frame between a placer and a host. The parameter e has the names of the placer
-// and the host and the time; each event is a copy of e with the content of the frame. A Holds frame results in one
-// event for each attempt that it lists, and a frame to which no rule applies in none. Both ends capture their frames
+// FrameEvents returns the events of a frame between a placer and a host. The parameter e has the time and the names of
+// the placer and the host. Each event is a copy of e with the content of the frame. A Holds frame results in one event
+// for each attempt that it lists. A frame to which no rule applies results in no event. Both ends capture their frames
 // with FrameEvents, so that the two captures can be compared.
 func FrameEvents(e Event, f hostproto.Frame) []Event {
 	switch f := f.(type) {
--- a/internal/protocol/consul/consul.go
+++ b/internal/protocol/consul/consul.go
@@ -49,8 +49,8 @@
 
 // IDs of health checks.
 const (
-	HealthCheckID          = "serfHealth"        // passing while the node is up
-	NodeMaintenanceCheckID = "_node_maintenance" // critical while the node is in maintenance
+	HealthCheckID          = "serfHealth"        // check that is passing while the node is up
+	NodeMaintenanceCheckID = "_node_maintenance" // check that is critical while the node is in maintenance
 )
 
 // HealthCheckName is the name of the health check HealthCheckID.
--- a/internal/protocol/hostproto/encode.go
+++ b/internal/protocol/hostproto/encode.go
@@ -56,7 +56,7 @@
 	dst = append(dst, f.Version)
 	dst = appendText(dst, f.Host)
 	dst = binary.LittleEndian.AppendUint64(dst, f.Epoch)
-	dst = binary.LittleEndian.AppendUint64(dst, uint64(f.Started)) // in nanoseconds
+	dst = binary.LittleEndian.AppendUint64(dst, uint64(f.Started)) // the start time of the host in nanoseconds
 	dst = appendBool(dst, f.Draining)
 	return binary.LittleEndian.AppendUint32(dst, f.Count)
 }
--- a/internal/protocol/hostproto/errors_test.go
+++ b/internal/protocol/hostproto/errors_test.go
@@ -19,7 +19,7 @@
 // Bye, so the test compares it in full.
 func TestFrameErrorTextAndOffset(t *testing.T) {
 	const (
-		keyOffset    = lengthSize + codeSize + refSize + 4 // the key follows the ref and the duration Wait of an Offer
+		keyOffset    = lengthSize + codeSize + refSize + 4 // in an Offer, the key follows the ref and the duration Wait
 		effectOffset = keyOffset + 3*8 + len("..a/b/1") + len("..") + len("..")
 	)
 	for name, c := range map[string]struct {
--- a/internal/protocol/hostproto/stream.go
+++ b/internal/protocol/hostproto/stream.go
@@ -52,9 +52,9 @@
 	return nil
 }
 
-// completePartial appends to the partial frame as many bytes of p as complete it. It returns as body the frame without
-// its length, and as rest the other bytes of p. body is nil if the frame is still incomplete, and is valid until the
-// buffer of the partial frame is written to again.
+// completePartial appends the first bytes of p to the partial frame until the frame is complete, and returns the other
+// bytes of p as rest. body is the complete frame without its length, or nil if the frame is still incomplete. body is
+// valid until the buffer of the partial frame is written to again.
 func (d *Decoder) completePartial(p []byte) (body, rest []byte, err error) {
 	p = d.fillPartial(lengthSize, p)
 	if len(d.partial) < lengthSize {
@@ -80,8 +80,8 @@
 	return p[missing:]
 }
 
-// firstFrame returns as body the first frame of p, without its length, and as rest the bytes after it. Both are nil if
-// the frame is incomplete.
+// firstFrame splits p after its first frame. body is that frame without its length, and rest is the bytes after it.
+// Both are nil if the frame is incomplete.
 func firstFrame(p []byte) (body, rest []byte, err error) {
 	if len(p) < lengthSize {
 		return nil, nil, nil
--- a/internal/protocol/http1/parser_test.go
+++ b/internal/protocol/http1/parser_test.go
@@ -58,7 +58,7 @@
 	"value space": {"GET /v HTTP/1.1\r\nHost: \t a \t\r\n\r\n", []string{"GET /v "}},
 }
 
-// invalidStreams are streams with the status with which their first request is rejected.
+// invalidStreams are streams whose first request is rejected, each with the status of the rejection.
 var invalidStreams = map[string]struct {
 	stream string
 	status int
--- a/internal/protocol/platform/sequence.go
+++ b/internal/protocol/platform/sequence.go
@@ -18,9 +18,9 @@
 //
 // After the numbers of its events have started again, a watch answers the next subscription with a snapshot whose
 // number has already been applied. A watch that merely sends all its events again answers in the same way. Therefore
-// such a snapshot and the events that follow it are buffered. If they reach the number Last, after which the stream was
-// subscribed to, they are a repetition; if the stream becomes idle before that, the sequence was restarted. A snapshot
-// with an old number at any other time is outdated.
+// such a snapshot and the events that follow it are buffered. If they reach the number Last, after which the
+// subscription asked for events, they are a repetition. If the stream becomes idle before that, the sequence was
+// restarted. A snapshot with an old number at any other time is outdated.
 //
 // The zero value expects number 1. A Sequence is not safe for concurrent use.
 type Sequence struct {
@@ -33,8 +33,8 @@
 // StreamOpened must be called when a new stream is opened, with a subscription to the events after Last.
 func (s *Sequence) StreamOpened() { s.streamFresh, s.buffered = true, nil }
 
-// Next returns what to do with an event. A gap that is still there after resubscribing means that the watch skipped
-// numbers: no event is missing, and the event is applied.
+// Next returns what to do with an event. If the events before it are still missing after a new subscription, the watch
+// has skipped their numbers: no event is missing, and the event is applied.
 func (s *Sequence) Next(event WatchEvent) EventAction {
 	streamFresh := s.streamFresh
 	s.streamFresh = false
--- a/internal/protocol/platform/sequence_test.go
+++ b/internal/protocol/platform/sequence_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// Each event is applied once. Missing events are requested again once; if they do not come then, the watch skipped
-// their numbers and no event is missing.
+// Each event is applied once. Missing events are requested again once. If the watch does not send them after that
+// request either, it has skipped their numbers, and no event is missing.
 func TestSequenceAppliesEachEventOnce(t *testing.T) {
 	s := Sequence{Last: 3}
 	for i, c := range []struct {
 		seq  uint64
 		want EventAction
 	}{
-		{3, SkipEvent}, {4, ApplyEvent}, {4, SkipEvent}, {7, Resubscribe}, // the new stream then has the events 5 and 6:
-		{5, ApplyEvent}, {6, ApplyEvent}, {7, ApplyEvent}, {9, Resubscribe}, // the new stream then has no event 8:
+		{3, SkipEvent}, {4, ApplyEvent}, {4, SkipEvent}, {7, Resubscribe}, // 5, 6 are missing; the next stream has them
+		{5, ApplyEvent}, {6, ApplyEvent}, {7, ApplyEvent}, {9, Resubscribe}, // 8 is missing, also in the next stream
 		{9, ApplyEvent}, {10, ApplyEvent}, {12, Resubscribe},
 	} {
 		if got := s.Next(WatchEvent{Seq: c.seq}); got != c.want {
--- a/internal/protocol/platform/watch.go
+++ b/internal/protocol/platform/watch.go
@@ -28,7 +28,7 @@
 	MachineType string        `json:"class"`
 	Cell        int           `json:"block"`
 	State       EndpointState `json:"health"`
-	StartedAtMS float64       `json:"born_ms"` // Unix time in milliseconds; 0 if it started with the cluster
+	StartedAtMS float64       `json:"born_ms"` // Unix time in milliseconds; 0 if the host started with the cluster
 	Available   []float64     `json:"free"`    // cores and memory that no task has requested; may be empty
 }
 
@@ -51,8 +51,8 @@
 // IsSnapshot reports whether the event contains the complete list, which supersedes all earlier events.
 func (w *WatchEvent) IsSnapshot() bool { return w.Endpoints != nil && w.Endpoints.Snapshot }
 
-// HostNumber returns the number in a host's name, by which all placers identify the host: the hex digits after the last
-// dash of the name, of at most 32 bits. ok is false if the name has no such number.
+// HostNumber returns the number in a host's name, by which all placers identify the host. The number consists of the
+// hex digits after the last dash of the name and has at most 32 bits. ok is false if the name has no such number.
 func HostNumber(name string) (number uint32, ok bool) {
 	digits := name[strings.LastIndexByte(name, '-')+1:]
 	n, err := strconv.ParseUint(digits, 16, 32)
--- a/internal/protocol/platform/wire.go
+++ b/internal/protocol/platform/wire.go
@@ -14,7 +14,7 @@
 	TypeRequest     MessageType = "new"   // a placement request from an owner, or an offer to a host
 	TypeProgress    MessageType = "wait"  // a keep-alive without content
 	TypeBound       MessageType = "up"    // the host runs the task
-	TypeRelease     MessageType = "down"  // rejects or withdraws a request or ends a task: depends on cause and time
+	TypeRelease     MessageType = "down"  // rejects or withdraws a request, or ends a task; cause and time tell which
 	TypeAck         MessageType = "ack"   // acknowledges a TypeRelease
 	TypeProbe       MessageType = "hb"    // checks the health of the receiver
 	TypeProbeResult MessageType = "hb_ok" // answers a TypeProbe with CauseHealthy or CauseUnhealthy
@@ -27,7 +27,7 @@
 
 // Causes of a TypeRelease.
 const (
-	CauseOK       Cause = 16  // the task has ended, or, before the request is answered, the request is withdrawn
+	CauseOK       Cause = 16  // the task has ended; if its request has no answer yet, the request is withdrawn
 	CauseMigrated Cause = 31  // the task was migrated, or ended by its owner
 	CauseRejected Cause = 34  // rejected: the task never ran
 	CauseReset    Cause = 41  // the task or its connection failed
--- a/internal/server/eventloop/eventloop.go
+++ b/internal/server/eventloop/eventloop.go
@@ -146,8 +146,8 @@
 }
 
 // catchUp pauses and runs the jobs that were posted during the pause, until a pause brings no job or maxCatchUpRounds
-// is reached. The parameter ran is the number of jobs in the batch before; even after an empty batch, catchUp pauses
-// once.
+// is reached. The parameter ran is the number of jobs in the batch before the first pause. catchUp pauses at least
+// once, even if that batch was empty.
 func (l *Loop) catchUp(ran int) (stopped bool) {
 	for round := 0; (ran > 0 || round == 0) && round < maxCatchUpRounds; round++ {
 		time.Sleep(catchUpPause)
--- a/internal/server/listwatch/listwatch.go
+++ b/internal/server/listwatch/listwatch.go
@@ -74,8 +74,8 @@
 		}
 		next := response.index
 		if next < index {
-			// The index went back, as after a restart of Consul. Consul's documentation requires a reset to 0 then,
-			// since a query with the old index may never return.
+			// The index went back, as after a restart of Consul. Consul's documentation requires a client to reset its
+			// index to 0 in this case, since a query with the old index may never return.
 			next = 0
 		}
 		if next != index || index == 0 {
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // nothing was written that could be lost
+	defer func() { _ = response.Body.Close() }() // an error is ignored, since nothing was written that could be lost
 	return readResponse(response)
 }
 
--- a/internal/server/listwatch/listwatch_test.go
+++ b/internal/server/listwatch/listwatch_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// When the index has decreased, as after a restart of Consul, a query with the old index could block forever: the watch
-// queries without an index then. A response without an index ends the watch with an error that names the header.
+// When the index has decreased, as after a restart of Consul, the watch queries without an index, since a query with
+// the old index could block forever. A response without an index ends the watch with an error that names the header.
 func TestWatchRestartsAfterIndexDecreases(t *testing.T) {
 	var calls atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/server/netio/conn.go
+++ b/internal/server/netio/conn.go
@@ -19,13 +19,13 @@
 	pending    atomic.Int64 // number of bytes that are written but not yet passed to the kernel
 
 	closed             atomic.Bool
-	closeAfterFlush    atomic.Bool // close the connection when pending reaches 0
-	shutdownAfterFlush atomic.Bool // close the sending side when pending reaches 0
+	closeAfterFlush    atomic.Bool // whether to close the connection when pending reaches 0
+	shutdownAfterFlush atomic.Bool // whether to close the sending side when pending reaches 0
 	reportOnce         sync.Once   // ensures that the handler's Closed is called once
 
 	mu          sync.Mutex // guards the fields below; held while the connection is added to its poller
-	attached    bool       // attach has been called
-	closeReason error      // reason of a close before attach
+	attached    bool       // whether attach has been called
+	closeReason error      // reason with which the connection was closed before attach was called
 }
 
 // newConn wraps a socket. On an error it closes the socket.
--- a/internal/server/netio/engine.go
+++ b/internal/server/netio/engine.go
@@ -13,7 +13,7 @@
 )
 
 func init() {
-	logging.SetLevel(logging.LevelNone) // nbio's functions return the errors that netio needs
+	logging.SetLevel(logging.LevelNone) // nbio need not log: its functions return the errors that netio needs
 	// nbio indexes connections by descriptor in a table of 16 MiB by default, which each garbage collection scans. The
 	// table needs no entries for descriptors above the process's limit.
 	var limit syscall.Rlimit
--- a/internal/server/netio/listener.go
+++ b/internal/server/netio/listener.go
@@ -71,7 +71,7 @@
 				return
 			}
 			accepted = false
-		default: // for example, no descriptor is free
+		default: // accept failed, for example because no descriptor is free
 			time.Sleep(acceptBackoff)
 		}
 	}
--- a/internal/server/netio/netio.go
+++ b/internal/server/netio/netio.go
@@ -31,8 +31,8 @@
 	// Data handles received bytes. It is called by one goroutine at a time and must not keep p. It may be called before
 	// Opener.Opened or the opened callback of Dial has returned.
 	Data(c *Conn, p []byte)
-	// Closed is called once, with the reason or nil. Data may still be running. Closed must not close the connection
-	// again.
+	// Closed is called once, with the reason of the close or nil. Data may still be running on another goroutine.
+	// Closed must not close the connection again.
 	Closed(c *Conn, err error)
 }
 
--- a/internal/server/netio/pollers.go
+++ b/internal/server/netio/pollers.go
@@ -38,7 +38,9 @@
 			return fmt.Errorf("netio: open a socket pair: %w", err)
 		}
 		opened = append(opened, func() { _ = out.Close() })
-		if probe%2 == 1 { // a descriptor's number selects its poller; one more open descriptor shifts the next numbers
+		// A socket's descriptor number selects the socket's poller. One more open descriptor shifts the numbers of the
+		// next sockets, so that they reach other pollers.
+		if probe%2 == 1 {
 			if descriptor, err := syscall.Dup(0); err == nil {
 				opened = append(opened, func() { _ = syscall.Close(descriptor) })
 			}
@@ -60,8 +62,8 @@
 	return true
 }
 
-// probePoller adds the socket in to its poller, writes a byte to out, the other end of the socket pair, and waits until
-// the poller delivers the byte.
+// probePoller adds one end of a socket pair, the parameter in, to its poller. It writes a byte to the other end, the
+// parameter out, and waits until the poller delivers the byte.
 func (e *Engine) probePoller(out, in net.Conn) error {
 	raw, err := nbio.NBConn(in)
 	if err != nil {
--- a/internal/server/placer/feasibility.go
+++ b/internal/server/placer/feasibility.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		machineType := f.settings.Module.MachineTypes[index]
-		state := "ready" // also for a draining host, which may be ready again before the client's timeout
+		state := "ready" // a draining host counts as ready, too: it may be ready again before the client's timeout
 		if entry.State == forkhead.Removed {
 			state = "gone"
 		}
@@ -84,7 +84,8 @@
 	if err != nil || result.Feasible || !result.Optimal {
 		return nil
 	}
-	if len(result.Conflict) == 0 { // infeasible, but the time was too short to reduce the proof to a conflict
+	// The specification is infeasible, but the time was too short to reduce the proof to a conflict.
+	if len(result.Conflict) == 0 {
 		return []string{"no placement of all its tasks exists on the hosts of the list"}
 	}
 	return result.Conflict
--- a/internal/server/placer/gossip_test.go
+++ b/internal/server/placer/gossip_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// A socket sends no message that is too long or addressed to itself, and puts the sender's number in front of the
-// others.
+// A socket sends no message that is too long or addressed to its own placer. It puts its placer's number in front of
+// each message that it sends.
 func TestGossipSocketSendsOnlyValidMessages(t *testing.T) {
 	peer := listenUDP(t)
 	g := newGossipSocket(t, peer, nil)
--- a/internal/server/placer/http_server.go
+++ b/internal/server/placer/http_server.go
@@ -222,8 +222,8 @@
 	c.handleParsed(request, err)
 }
 
-// resume calls proceed from the loop, on another goroutine: the loop must not wait for c.mu, whose holder may be
-// waiting for space in the loop's queue.
+// resume calls proceed for the loop, on another goroutine. The loop itself must not wait for c.mu, as the holder of
+// c.mu may be waiting for space in the loop's queue.
 func (c *httpConn) resume(closeAfter bool) {
 	c.server.placer.spawn(func() {
 		c.mu.Lock()
@@ -241,8 +241,8 @@
 	c.resume(closeAfter)
 }
 
-// route is a method of a resource. A path that ends with a slash matches all paths below it; handle gets the rest of
-// the path as its parameter name.
+// route is a method of a resource. A path that ends with a slash matches all paths below it. handle gets the rest of
+// the path in its parameter called name.
 type route struct {
 	path   string
 	method string
--- a/internal/server/placer/http_server_test.go
+++ b/internal/server/placer/http_server_test.go
@@ -14,8 +14,8 @@
 	"forkhead/internal/server/placer"
 )
 
-// Invalid submissions get a problem response with a suitable status and detail, and other requests get the status that
-// belongs to their resource and method.
+// An invalid submission gets a problem response with a suitable status and detail. A request of another kind gets the
+// status that belongs to its resource and method.
 func TestServerRespondsWithProblemToInvalidRequest(t *testing.T) {
 	_, address := startPlacer(t, "(limits (body 4096) (per-submit 50))")
 	for name, c := range map[string]struct {
--- a/internal/server/placer/machine_list.go
+++ b/internal/server/placer/machine_list.go
@@ -38,7 +38,7 @@
 
 // machineListFailed notifies the core that a failed poll has ended the watch. It runs on the loop.
 func (s *Server) machineListFailed(err error) {
-	s.watch.Stop() // returns soon, since the watch's goroutine has only to return
+	s.watch.Stop() // Stop returns soon, since the watch's goroutine has nothing left to do
 	s.watch = nil
 	s.log.Debug().Err(err).Str("address", s.settings.ServiceDiscovery.Address).Msg("poll of the machine list failed")
 	s.addInput(core.HostListReceived{Mode: forkhead.ListFailed})
--- a/internal/server/placer/outcomes.go
+++ b/internal/server/placer/outcomes.go
@@ -67,7 +67,7 @@
 	lines := stream.buffer[:0]
 	written := 0
 	for written < len(outcomes) && len(lines) < space {
-		line, _ := json.Marshal(&outcomes[written]) // never fails, since the fields are strings and integers
+		line, _ := json.Marshal(&outcomes[written]) // Marshal never fails, since the fields are strings and integers
 		lines = append(append(lines, line...), '\n')
 		written++
 	}
--- a/internal/server/placer/outcomes_test.go
+++ b/internal/server/placer/outcomes_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// The tasks of a client that disconnects in the middle of its outcome stream are placed all the same.
+// The tasks of a client that disconnects in the middle of its outcome stream are still placed.
 func TestServerKeepsTasksOfDisconnectedClient(t *testing.T) {
 	cluster, address := startPlacer(t, "")
 	c := dial(t, address)
--- a/internal/server/placer/problems.go
+++ b/internal/server/placer/problems.go
@@ -36,7 +36,7 @@
 	Line   int    `json:"line,omitempty"`   // counted from 1; 0: the error concerns the whole file
 	Column int    `json:"column,omitempty"` // counted from 1
 	Detail string `json:"detail"`
-	Want   string `json:"want,omitempty"` // values that are valid here
+	Want   string `json:"want,omitempty"` // values that are valid at this position
 }
 
 // InvalidSpecProblem returns the Problem for an error of the specification's parser, which may join several errors.
--- a/internal/server/placer/server.go
+++ b/internal/server/placer/server.go
@@ -26,7 +26,7 @@
 
 const (
 	pollers       = 2      // number of goroutines that read the TCP sockets
-	maxQueuedJobs = 20_000 // while the loop's queue holds this many, PostBlocking makes the readers of sockets wait
+	maxQueuedJobs = 20_000 // while the loop's queue holds this many jobs, PostBlocking makes the readers of sockets wait
 )
 
 // Config configures a placer.
@@ -121,7 +121,8 @@
 		epoch = uint64(cfg.Clock.Now().Microseconds())
 	}
 	if cfg.Snapshot != nil {
-		// The clock may have been set back since the last incarnation, and hosts reject an earlier epoch.
+		// The clock may have been set back since the last incarnation, and hosts reject an epoch that is earlier than
+		// that of the last incarnation.
 		epoch = max(epoch, cfg.Snapshot.Epoch+1)
 	}
 	return epoch
--- a/internal/server/placer/server_test.go
+++ b/internal/server/placer/server_test.go
@@ -76,7 +76,7 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("Failed() received no error within 10s of the store's failure, want one")
 	}
-	p.Status() // would block forever if the loop did not run any more
+	p.Status() // Status would block forever if the loop had ended
 	p.Close()
 	if answer, _ := io.ReadAll(c); bytes.HasPrefix(answer, []byte("HTTP/1.1 200 ")) {
 		t.Errorf("response after the store failed = %q, want none with status 200", answer)
--- a/internal/server/placer/step.go
+++ b/internal/server/placer/step.go
@@ -28,7 +28,8 @@
 	return s.nextStep()
 }
 
-// nextStep returns the time of the next step without an input, if any: for a timer of the core or a flush of the store.
+// nextStep returns the time of the next step if no input arrives before: the time of a timer of the core or of a flush
+// of the store. ok is false if there is neither.
 func (s *Server) nextStep() (time.Duration, bool) {
 	next, ok := s.core.Next()
 	s.stepDue = 0
@@ -60,7 +61,7 @@
 		s.http.requestRejected(o)
 	case core.OutcomesAdded:
 		s.http.outcomesAdded(o.Submission)
-	case core.Persist: // committed by Server.persist before any output is executed
+	case core.Persist: // Server.persist commits the record before any output is executed
 	case core.Log:
 		s.logOutput(o)
 	}
--- a/internal/server/placer/submissions.go
+++ b/internal/server/placer/submissions.go
@@ -23,10 +23,10 @@
 // Envelope is the body of a submission of several files, with the values of the variables in them.
 type Envelope struct {
 	Files     []compose.File    `json:"files"`            // Compose files, merged in this order
-	Others    []compose.File    `json:"others,omitempty"` // files that Files refer to
+	Others    []compose.File    `json:"others,omitempty"` // files that the Compose files refer to
 	Variables map[string]string `json:"variables,omitempty"`
 	Profiles  []string          `json:"profiles,omitempty"`
-	Services  []string          `json:"services,omitempty"` // names of services that are included whatever their profiles
+	Services  []string          `json:"services,omitempty"` // names of services to include, whatever profiles they have
 	Project   string            `json:"project,omitempty"`  // name of the project; "": the files name it
 }
 
@@ -99,7 +99,8 @@
 // hashSubmission returns a hash of a submission without its Idempotency-Key.
 func hashSubmission(request *http1.Request) uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(request.Get("content-type") + "\n" + request.Query.Encode() + "\n")) // never fails
+	// Write never fails on a hash.
+	_, _ = hash.Write([]byte(request.Get("content-type") + "\n" + request.Query.Encode() + "\n"))
 	_, _ = hash.Write(request.Body)
 	return hash.Sum64()
 }
--- a/internal/server/platform/config.go
+++ b/internal/server/platform/config.go
@@ -15,8 +15,8 @@
 // the core's MaxConnections, unless minConnections applies.
 const (
 	defaultDescriptors = 1024 // limit of descriptors if the configuration sets none
-	// reservedDescriptors are kept for everything but connections, and for connections that are half-closed or linger
-	// after the core has given their slots to others.
+	// reservedDescriptors are descriptors for everything but connections. They are also for connections that are
+	// half-closed or linger after the core has given their slots to other connections.
 	reservedDescriptors = 24
 	acceptReserve       = 8  // descriptors for accepted connections that the core does not know yet
 	minConnections      = 16 // minimum number of connections, acceptReserve included, for any limit of descriptors
@@ -75,10 +75,10 @@
 	return info, settings, nil
 }
 
-// newCoreConfig returns the core's configuration. There are as many connections as descriptors without
+// newCoreConfig returns the core's configuration. The number of connections is the number of descriptors minus
 // reservedDescriptors, but at least minConnections. A third of the descriptors, or half of the connections if that is
-// less, is reserved for owners, who may use up to two thirds of the connections. Hosts may use all connections but
-// those reserved for owners and acceptReserve.
+// less, is reserved for connections of owners. Owners may use up to two thirds of the connections. Hosts may use all
+// connections except those reserved for owners and those of acceptReserve.
 func newCoreConfig(cfg *platform.Config, info *platformconfig.Info, settings forkhead.Settings) platformcore.Config {
 	descriptors := cfg.Limits.Sockets
 	if descriptors == 0 {
--- a/internal/server/platform/connection.go
+++ b/internal/server/platform/connection.go
@@ -18,7 +18,7 @@
 	stream    *netio.Conn // nil while the connection is being dialed
 	output    []byte      // bytes that are not yet written to stream
 	queued    bool        // whether the connection is in the write queue
-	closed    bool        // whether the core or the peer has closed it
+	closed    bool        // whether the core or the peer has closed the connection
 	lingering atomic.Bool // whether the lingerer closes the connection once its pending bytes are sent
 }
 
@@ -88,7 +88,7 @@
 	return true
 }
 
-// remove takes a closed connection out of the count, if it lingered. Further calls do nothing.
+// remove takes a closed connection out of the count of lingering connections, if it lingered. Further calls do nothing.
 func (l *lingerer) remove(c *connection) {
 	if c.lingering.Swap(false) {
 		l.count.Add(-1)
--- a/internal/server/platform/eventinterval.go
+++ b/internal/server/platform/eventinterval.go
@@ -7,7 +7,7 @@
 	// minEventTimeout is below the 4 s after which the platform counts the events of an idle watch as delivered.
 	minEventTimeout  = 2 * time.Second
 	maxEventTimeout  = time.Minute
-	maxEventInterval = 10 * time.Second // if an interval is longer, events are too rare for a timeout
+	maxEventInterval = 10 * time.Second // if an interval of the watch is longer, its events are too rare for a timeout
 	maxBackoffShift  = 5                // maximum number of doublings of the timeout
 )
 
@@ -19,7 +19,7 @@
 	last      time.Time         // time of the last event
 	intervals [16]time.Duration // ring of the latest intervals
 	count     int               // number of intervals so far
-	polls     int               // calls of nextTimeout that returned a timeout since the last event
+	polls     int               // number of timeouts that nextTimeout has returned since the last event
 }
 
 // add records an event.
@@ -32,8 +32,8 @@
 	e.last = now
 }
 
-// nextTimeout returns how long to wait for the next event, or 0 to wait without a timeout. Each call counts as a poll
-// and doubles the timeout of the next one, unless an event arrives between the two.
+// nextTimeout returns how long to wait for the next event, or 0 to wait without a timeout. Each call that returns a
+// timeout counts as a poll and doubles the timeout of the next call, unless an event arrives between the two calls.
 func (e *eventIntervals) nextTimeout() time.Duration {
 	if e.count < len(e.intervals) {
 		return 0
--- a/internal/server/platform/eventinterval_test.go
+++ b/internal/server/platform/eventinterval_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A watch with regular events gets a timeout, which follows the longest recent interval and doubles with each poll that
-// brings no event. A watch whose intervals are unknown or long gets none.
+// A watch with regular events gets a timeout. The timeout follows the longest recent interval and doubles with each
+// poll that brings no event. A watch whose intervals are unknown or long gets no timeout.
 func TestEventIntervalsNextTimeout(t *testing.T) {
 	var e eventIntervals
 	now := time.Unix(1000, 0)
--- a/internal/server/platform/gossip.go
+++ b/internal/server/platform/gossip.go
@@ -86,8 +86,9 @@
 	}
 }
 
-// receive posts the datagrams of other placers to the core until the socket is closed. It drops datagrams of other
-// senders and those of more than platform.MaxDatagramSize bytes, which it detects as the buffer is one byte larger.
+// receive posts the datagrams of other placers to the core until the socket is closed. It drops datagrams of all other
+// senders, and datagrams of more than platform.MaxDatagramSize bytes. The buffer is one byte larger than that limit, so
+// that receive detects longer datagrams.
 func (g *gossipSocket) receive() {
 	buf := make([]byte, platform.MaxDatagramSize+1)
 	for {
@@ -104,8 +105,8 @@
 	}
 }
 
-// peerNumber returns the number of the placer with the sender's address; ok is false if there is none or it is this
-// placer.
+// peerNumber returns the number of the other placer that has the sender's address. ok is false if no other placer has
+// that address.
 func (g *gossipSocket) peerNumber(sender netip.AddrPort) (number int, ok bool) {
 	sender = netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())
 	for i, peer := range g.peers {
--- a/internal/server/platform/hosts.go
+++ b/internal/server/platform/hosts.go
@@ -79,9 +79,9 @@
 	}
 	h.writes.write(&c.connection, o.Line)
 	if o.Abandons && c.stream.HasUnsent() {
-		// The line withdraws an offer that may be unsent. The host would start that attempt when it reads on, perhaps
-		// long after the owner has left. The reset drops the unsent bytes, and closing a connection abandons the
-		// attempts that are open on it.
+		// The line withdraws an offer that may be unsent itself. A host that reads again, perhaps long after the owner
+		// has left, would start the attempt of that offer. The reset drops the unsent bytes, and closing a connection
+		// abandons the attempts that are open on it.
 		c.stream.Reset()
 	}
 }
--- a/internal/server/platform/hosts_test.go
+++ b/internal/server/platform/hosts_test.go
@@ -42,7 +42,7 @@
 	return h
 }
 
-// serve reads lines of a connection once read is closed.
+// serve reads lines of a connection once the channel read is closed.
 func (h *slowHost) serve(c net.Conn) {
 	<-h.read
 	r := bufio.NewReader(c)
@@ -86,8 +86,8 @@
 	return open, unsent
 }
 
-// An offer that is unsent when its owner leaves does not reach its host, which does not read: the connection to the
-// host is reset. The host would otherwise start the attempt when it reads on.
+// If an owner leaves while an offer of its task is unsent because the host does not read, the connection to the host is
+// reset, and the offer does not reach the host. The host would otherwise start the attempt as soon as it reads again.
 func TestHostConnectionsResetUnsentOffers(t *testing.T) {
 	h := newSlowHost(t)
 	s := startWithHost(t, &testHost{listener: h.listener})
--- a/internal/server/platform/idletimer_test.go
+++ b/internal/server/platform/idletimer_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// A timer that fires late, because its process was stalled, starts its timeout again instead of calling onIdle, which
-// would take a responsive peer for unresponsive. It calls onIdle when the new timeout expires. A paused timer does not
-// call onIdle.
+// A timer that fires late, because its process was stalled, starts its timeout again. If it called onIdle instead, a
+// responsive peer would be treated as unresponsive. The timer calls onIdle when the new timeout expires. A paused timer
+// does not call onIdle.
 func TestIdleTimerRestartsAfterStallOfTheProcess(t *testing.T) {
 	var fired atomic.Int64
 	timer := newIdleTimer(time.Hour, func() { fired.Add(1) })
 	t.Cleanup(timer.stop)
 	timer.mu.Lock()
-	timer.timeout, timer.due = 30*time.Millisecond, time.Now().Add(-time.Second) // as after a stall of 1 s
+	timer.timeout, timer.due = 30*time.Millisecond, time.Now().Add(-time.Second) // as if the process had stalled for 1 s
 	timer.timer.Reset(0)
 	timer.mu.Unlock()
 	time.Sleep(10 * time.Millisecond)
--- a/internal/server/platform/owners.go
+++ b/internal/server/platform/owners.go
@@ -41,8 +41,8 @@
 	slot   *acceptSlot
 }
 
-// listen accepts connections on a goroutine of the engine, which Engine.Stop waits for. The end of ctx ends accept's
-// wait for a slot.
+// listen accepts connections on a goroutine of the engine, for which Engine.Stop waits. When ctx ends, accept stops
+// waiting for a slot.
 func (o *ownerConnections) listen(ctx context.Context, engine *netio.Engine, address string) error {
 	listener, err := engine.Listen(address, maxOwnerUnsentBytes, func(stream *netio.Conn) netio.Handler { return o.accept(ctx, stream) })
 	if err != nil {
@@ -52,10 +52,10 @@
 	return nil
 }
 
-// accept registers a new connection with the core and returns its handler, or nil to close it. It waits while all slots
-// are taken; further connections then wait in the accept queue. The core closes one connection for each that exceeds
-// its bound, which frees a slot. Without the wait, connections could use up the descriptors, and owners that connect at
-// the same moment as many others would be closed before the core knows them.
+// accept registers a new connection with the core and returns its handler, or nil to close it. While all slots are
+// taken, accept waits, and further connections stay in the accept queue. For each connection above the core's bound,
+// the core closes a connection, which frees a slot. Without the wait, connections could use up the descriptors, and an
+// owner that connects at the same moment as many others would lose its connection before the core knows it.
 func (o *ownerConnections) accept(ctx context.Context, stream *netio.Conn) netio.Handler {
 	slot := o.slots.acquire(ctx)
 	if slot == nil {
@@ -108,9 +108,9 @@
 	return true
 }
 
-// Data passes bytes from an owner to the core. If the owner has closed its side after them, the core gets the bytes and
-// the disconnect in one step: it would otherwise start attempts for an owner that left while its bytes waited to be
-// read.
+// Data passes bytes from an owner to the core. If the owner has closed its side after these bytes, the core gets the
+// bytes and the disconnect in one step. The core would otherwise start attempts for an owner that left while its bytes
+// waited to be read.
 func (c *ownerConnection) Data(stream *netio.Conn, p []byte) {
 	data := append([]byte(nil), p...)
 	c.owners.inputs.loop.PostBlocking(func() {
--- a/internal/server/platform/owners_test.go
+++ b/internal/server/platform/owners_test.go
@@ -13,7 +13,8 @@
 // No attempt is started for the requests of an owner that has half-closed, closed or reset its connection while they
 // waited behind a full job queue.
 func TestOwnerConnectionClosedBehindAFullJobQueue(t *testing.T) {
-	// The event loop lets producers catch up after the second, longer stall, but not after the first.
+	// The stall lasts for two pauses. After the longer stall, the event loop lets producers catch up; after the shorter
+	// one, it does not.
 	for _, pause := range []time.Duration{10 * time.Millisecond, 100 * time.Millisecond} {
 		for name, leave := range map[string]func(*net.TCPConn){
 			"half-closed": func(c *net.TCPConn) { _ = c.CloseWrite() },
@@ -25,8 +26,8 @@
 	}
 }
 
-// testOwnerLeavesBehindAFullJobQueue stalls the event loop and sends requests of an owner. After pause it calls leave,
-// and after pause again it ends the stall.
+// testOwnerLeavesBehindAFullJobQueue stalls the event loop and sends requests of an owner. It calls leave after the
+// duration pause, and ends the stall after another pause.
 func testOwnerLeavesBehindAFullJobQueue(t *testing.T, pause time.Duration, leave func(*net.TCPConn)) {
 	h := newTestHost(t, 0, 1)
 	s := startWithHost(t, h)
@@ -115,7 +116,7 @@
 	for range cap(s.owners.slots) {
 		taken = append(taken, s.owners.slots.acquire(t.Context()))
 	}
-	var owners []*testOwner // the first waits for a slot, and the others wait in the accept queue
+	var owners []*testOwner // the first owner's connection waits for a slot, the others wait in the accept queue
 	for range 5 {
 		owners = append(owners, newTestOwner(t, s.Address()))
 	}
--- a/internal/server/platform/recordinghost_test.go
+++ b/internal/server/platform/recordinghost_test.go
@@ -21,7 +21,7 @@
 type recordedConn struct {
 	net.Conn
 	received []platform.Message // guarded by the host's mu
-	closed   bool               // whether either side has closed it; guarded by the host's mu
+	closed   bool               // whether either side has closed the connection; guarded by the host's mu
 }
 
 // newRecordingHost starts a host.
--- a/internal/server/platform/server.go
+++ b/internal/server/platform/server.go
@@ -63,7 +63,7 @@
 	lingerer *lingerer
 	shutdown *shutdown
 
-	cancel    context.CancelFunc // ends the watch and the waits for accept slots
+	cancel    context.CancelFunc // ends the watch, and accept's wait for a slot
 	closeOnce sync.Once
 }
 
@@ -186,8 +186,8 @@
 	return s.core.Step(now, in...)
 }
 
-// isFlushed reports whether no pending bytes for owners are left. A lingering connection counts as one of an owner even
-// if it is one to a host.
+// isFlushed reports whether no pending bytes for owners are left. Each lingering connection counts as one of an owner,
+// even if it is a connection to a host.
 func (s *Server) isFlushed() bool { return s.owners.isFlushed() && s.lingerer.isEmpty() }
 
 // execute executes an output of the core.
--- a/internal/server/platform/server_test.go
+++ b/internal/server/platform/server_test.go
@@ -61,8 +61,9 @@
 	return bound
 }
 
-// The watch continues after a broken stream. After a change of its address, it continues from the number of the last
-// event. A host gets no offer later than 300 ms after the event that says that it drains.
+// The watch continues after its stream breaks. After a change of the watch's address, it continues at the new address
+// from the number of the last event. A host gets no offer later than 300 ms after the event that says that the host
+// drains.
 func TestServerFollowsTheWatchToANewAddress(t *testing.T) {
 	a, b := newTestHost(t, 0, 1), newTestHost(t, 0, 2)
 	first := endpointEvent(1, true, endpointOf(1, a, platform.InService))
@@ -120,13 +121,14 @@
 	})
 }
 
-// Connections past the bound are closed while an owner that has sent requests is still served. Then the placer shuts
-// down.
+// Connections past the bound on connections are closed, while an owner that has sent requests is still served. After
+// that, the placer can be shut down.
 func TestServerClosesConnectionsPastItsBound(t *testing.T) {
 	s := startWithHost(t, newTestHost(t, 0, 1))
 	regular := newTestOwner(t, s.Address())
 	regular.request("00000000000000b0", 5000)
-	regular.awaitAnswer(t, "00000000000000b0") // before this answer, the core may close the connection like an idle one
+	// Until it has answered the owner's request, the core may close the owner's connection like an idle one.
+	regular.awaitAnswer(t, "00000000000000b0")
 	var idle []net.Conn
 	for range 400 {
 		idle = append(idle, dialLoopback(t, s.Address()))
--- a/internal/server/platform/shutdown_test.go
+++ b/internal/server/platform/shutdown_test.go
@@ -21,7 +21,8 @@
 	time.Sleep(750 * time.Millisecond)
 	resume := stall(t, s)
 	fillJobQueue(s)
-	var late []*testOwner // all but one of these wait in the accept queue when the core closes the listener
+	// When the core closes the listener, the connections of all but one of these owners wait in the accept queue.
+	var late []*testOwner
 	for i := range 20 {
 		o := newTestOwner(t, s.Address())
 		o.request(fmt.Sprintf("%016x", 0xb700+i), 3000)
--- a/internal/server/platform/shutdownearly_test.go
+++ b/internal/server/platform/shutdownearly_test.go
@@ -42,9 +42,10 @@
 	return refs
 }
 
-// wantOneAnswerEach checks that each request has one answer: either the description of the host, which was offered the
-// task once and did not get a release for it, or a rejection of a task that the host does not run. It returns how many
-// were placed.
+// wantOneAnswerEach checks that each request has exactly one answer. If a request is placed, its answer is the
+// description from the host, and the host got one offer and no release for it. Any other request is rejected, and the
+// host got no more offers than releases for it, so that it does not run the task. wantOneAnswerEach returns how many
+// requests were placed.
 func wantOneAnswerEach(t *testing.T, o *testOwner, h *recordingHost, refs []string) (placed int) {
 	t.Helper()
 	for _, ref := range refs {
@@ -88,7 +89,7 @@
 func TestShutdownWithoutHosts(t *testing.T) {
 	for _, hasList := range []bool{true, false} {
 		t.Run(fmt.Sprintf("has a list %v", hasList), func(t *testing.T) {
-			h := newRecordingHost(t) // is not in the endpoint list
+			h := newRecordingHost(t) // a host that is not in the endpoint list
 			cfg := newConfigWithUnresponsiveWatch(t, endpointEvent(1, true))
 			if !hasList {
 				cfg.Initial.Seq, cfg.Initial.Events = 0, nil
--- a/internal/server/platform/testenv_test.go
+++ b/internal/server/platform/testenv_test.go
@@ -143,8 +143,9 @@
 	}
 }
 
-// answerOffer accepts an offer or, for the fraction faultRate of them, answers it with a fault: a malformed, truncated
-// or oversized message, an unknown ref and a duplicate answer, or a reset, for which it returns false.
+// answerOffer counts an offer and accepts it. It answers the fraction faultRate of the offers with a fault instead: a
+// malformed, truncated or oversized message, an answer with an unknown ref and then two equal answers, or a reset of
+// the connection. After a reset it returns false.
 func (h *testHost) answerOffer(c net.Conn, ref string) bool {
 	h.mu.Lock()
 	roll, fault := h.random.Float64(), h.random.IntN(5)
@@ -203,7 +204,7 @@
 		w.(http.Flusher).Flush()
 		select {
 		case <-broken:
-			send(w, "id: 99\ndata: {\"se") // ends in the middle of an event
+			send(w, "id: 99\ndata: {\"se") // the stream ends in the middle of an event
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
--- a/internal/server/platform/trace_test.go
+++ b/internal/server/platform/trace_test.go
@@ -34,8 +34,8 @@
 	return startTapped(t, cfg, w), &trace
 }
 
-// The trace of a placer whose hosts send damaged messages, reset connections and die, and one of whose owners sends
-// damaged messages, replays to the same outputs each time.
+// The hosts of a placer send damaged messages, reset connections and die, and one of its owners sends damaged messages.
+// The trace of this placer replays to the same outputs each time.
 func TestServerTraceReplays(t *testing.T) {
 	good, faulty := newTestHost(t, 0, 1), newTestHost(t, 0.5, 2)
 	watch := newTestWatch(
--- a/internal/server/platform/twoplacers_test.go
+++ b/internal/server/platform/twoplacers_test.go
@@ -83,13 +83,13 @@
 	return conns
 }
 
-// Of two placers with tasks on one host, each gets the answers and the ends of its own tasks only, an owner's release
-// stops only a task of its own placer, and the end of one placer does not affect the tasks of the other.
+// Two placers have tasks on one host. Each placer gets the answers and the ends of its own tasks only. A release by an
+// owner stops only a task of the owner's placer. The end of one placer does not affect the tasks of the other.
 func TestTwoPlacersOnOneHost(t *testing.T) {
 	const count = 40
 	p := startPlacersOnOneHost(t)
 	p.place(t, count)
-	for n := range count / 2 { // half of the tasks end at the host, alternating between the placers
+	for n := range count / 2 { // the host ends half of each placer's tasks, one placer's and the other's in turn
 		for i := range placerCount {
 			p.host.lastOfferConn(refOf(i, n)).endTask(refOf(i, n), platform.CauseOK)
 		}
@@ -132,8 +132,8 @@
 	}
 }
 
-// The end of a task that the host also reports to the other placer, as it may on a new connection, reaches the task's
-// owner once. The other placer acknowledges the report and sends its owners nothing.
+// A host may report the end of a task to both placers, for example on a new connection. The end reaches the task's
+// owner once. The placer that did not place the task acknowledges the report and sends its own owners nothing.
 func TestTwoPlacersEndReportedToBoth(t *testing.T) {
 	const count = 10
 	p := startPlacersOnOneHost(t)
--- a/internal/server/platform/watch.go
+++ b/internal/server/platform/watch.go
@@ -178,8 +178,8 @@
 	return response.Body, nil
 }
 
-// handleComment handles a comment, which means that no more events are waiting. If this shows that the sequence numbers
-// have started again, it delivers the events since then.
+// handleComment handles a comment, which means that no more events are waiting. If the comment shows that the sequence
+// numbers have started again, handleComment delivers the events from the new start on.
 func (w *watcher) handleComment() {
 	for i, event := range w.sequence.StreamIdle() {
 		w.deliver(event, i == 0)
--- a/internal/server/platform/watch_test.go
+++ b/internal/server/platform/watch_test.go
@@ -128,7 +128,8 @@
 	restarted := func(s watchStream) {
 		s.send("%s%s", emptyEvent(1, true), emptyEvent(2, false))
 		s.send(":\n\n")
-		s.send("%s%s", emptyEvent(3, false), emptyEvent(1, true)) // the snapshot is old: it must not be delivered
+		// The snapshot with the old number 1 must not be delivered.
+		s.send("%s%s", emptyEvent(3, false), emptyEvent(1, true))
 		s.send("%s", emptyEvent(4, false))
 		s.sendComments()
 	}
@@ -139,8 +140,8 @@
 // After a change of the address, the new address is polled from the last delivered event on, and no event from the old
 // address is delivered, whether the old stream breaks off in the middle of an event or continues.
 func TestWatcherChangeOfAddress(t *testing.T) {
-	// Several rounds for each case, as the test cannot control whether the watcher sees the change or the old stream's
-	// data first.
+	// Each case runs several rounds, as the test cannot control whether the watcher sees the change of the address or
+	// the data of the old stream first.
 	const rounds = 10
 	for round := range 2 * rounds {
 		breaksOff := round%2 == 0
--- a/internal/server/store/file.go
+++ b/internal/server/store/file.go
@@ -39,7 +39,7 @@
 		err = db.Sync()
 	}
 	if err = errors.Join(err, db.Close()); err != nil {
-		_ = os.Remove(newPath) // if this fails, the next start removes the file
+		_ = os.Remove(newPath) // if Remove fails, the next start removes the file
 		return nil, nil, err
 	}
 	if err := os.Rename(newPath, path); err != nil {
--- a/internal/server/store/store.go
+++ b/internal/server/store/store.go
@@ -95,9 +95,9 @@
 	return loader.Snapshot(), err
 }
 
-// Commit makes records durable in one transaction. If none of them must be durable before its step's outputs are
-// executed, they stay in memory until the next transaction or Flush, and the file size is not checked. After an error,
-// which may wrap ErrFull, no record is stored.
+// Commit makes records durable in one transaction. If no record has to be durable before the outputs of its step are
+// executed, the records stay in memory until the next transaction or Flush, and the file size is not checked. After an
+// error, which may wrap ErrFull, no record is stored.
 func (s *Store) Commit(records []durable.Record) error {
 	mustBeDurable := false
 	var changes []durable.Change
--- a/internal/server/store/store_test.go
+++ b/internal/server/store/store_test.go
@@ -17,7 +17,8 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// openStore opens a store whose quarantined file would end with "x", and returns it with its content.
+// openStore opens a store, and returns it with its content. If the store quarantines its file, the file's new name ends
+// with "x".
 func openStore(t *testing.T, path string, maxBytes int64) (*Store, *durable.Snapshot) {
 	t.Helper()
 	s, snapshot, err := Open(Options{Path: path, MaxBytes: maxBytes, QuarantineSuffix: func(time.Time) string { return "x" }})
@@ -90,7 +91,8 @@
 	commit(t, s, submissionAccepted("a"), submissionAccepted("b"), attemptOffered(1), attemptOffered(2))
 	checkCommits(t, s, 2, false)
 	commit(t, s, outcomeReported("a", 0))
-	commit(t, s, durable.AttemptResolved{Ref: hostproto.Ref{Epoch: 1, Task: 1}}) // may be lost, so it stays pending
+	// No output has to wait for this record, so it stays pending.
+	commit(t, s, durable.AttemptResolved{Ref: hostproto.Ref{Epoch: 1, Task: 1}})
 	checkCommits(t, s, 3, true)
 	commit(t, s, durable.ProjectRemoved{Project: "p-b", At: 2 * time.Hour}, durable.SubmissionExpired{SubmissionID: "b"})
 	if err := s.CloseWithoutFlush(); err != nil {
@@ -209,7 +211,7 @@
 		changed[n] ^= 0x41
 		d.open(t, fmt.Sprintf("changed-%d", n), changed)
 	}
-	// One byte of each specification differs, which the checksum of its value reveals.
+	// The value of each specification is changed by one byte, which the value's checksum reveals.
 	before := d.reported
 	d.open(t, "value", []byte(strings.ReplaceAll(string(content), `"Cores":0.5`, `"Cores":9.5`)))
 	if d.quarantined == 0 || d.reported == before {
