--- a/actions.go
+++ b/actions.go
@@ -10,15 +10,16 @@
 
 // The actions that Placer.Step returns.
 type (
-	// Offer starts an attempt: it offers the task to the machine. The attempts of a request are numbered from 0. Timeout
-	// is the time to wait for the answer; 0, which this package always sets, means until the owner gives up.
+	// Offer starts an attempt: it offers the task to the machine. The attempts of a request are numbered from 0.
+	// Timeout is the time to wait for the answer. This package always sets it to 0, which means that the wait lasts
+	// until the owner gives up.
 	Offer struct {
 		Task    TaskID
 		Machine MachineID
 		Timeout time.Duration
 	}
-	// Reject ends a request and tells the owner that a retry is harmless. RetryAfter is the delay before the retry; 0,
-	// which this package always sets, leaves it to the owner.
+	// Reject ends a request and tells the owner that a retry is harmless. RetryAfter is the delay before the retry.
+	// This package always sets it to 0, which leaves the delay to the owner.
 	Reject struct {
 		Task       TaskID
 		RetryAfter time.Duration
@@ -32,7 +33,7 @@
 	}
 	// Stop stops a placed task in order to migrate it; its owner then requests it again.
 	Stop struct{ Task TaskID }
-	// SetTimer requests a TimerFired event at a time.
+	// SetTimer requests a TimerFired event at the time At.
 	SetTimer struct {
 		Timer uint64
 		At    time.Duration
@@ -44,7 +45,7 @@
 		To   int
 		Data []byte
 	}
-	// Subscribe requests the changes of the machine list from now on.
+	// Subscribe requests that changes of the machine list are reported from now on.
 	Subscribe struct{}
 	// Log is a message for the operator on call.
 	Log struct{ Message string }
--- a/attempts.go
+++ b/attempts.go
@@ -4,7 +4,7 @@
 
 // Constants of attempts and migrations.
 const (
-	attemptTimeout = 700 * time.Millisecond // time without an answer until the machine is probed
+	attemptTimeout = 700 * time.Millisecond // time without an answer to an offer until its machine is probed
 	probeBackoff   = 3 * attemptTimeout     // with many placers, no probe for this time after an answer
 	// startTimeP95 estimates the 95th percentile of the time from offer to bind: a start that takes longer
 	// raises it by 1/startTimeP95Rise, any other start lowers it by 1/startTimeP95Fall.
@@ -14,7 +14,7 @@
 	// A task with a service level below migrateBelow is migrated if one of the first migrationPasses
 	// selection passes finds a machine for it.
 	migrateBelow, migrationPasses = 0.5, 3
-	maxMigrationsPerSecond        = 8               // limit for each machine, of all placers together
+	maxMigrationsPerSecond        = 8               // for each machine, by all placers together
 	migrationCooldown             = 2 * time.Second // no offers to the machine after a migration attempt
 )
 
@@ -124,9 +124,9 @@
 	return true
 }
 
-// checkAttempt handles an attempt without an answer after attemptTimeout. It probes the machine, reports a
-// machine that answers anything but the attempt as an outlier, and withdraws the attempt if the machine is
-// ejected or has failed a check and the task may be sent to another machine.
+// checkAttempt handles an attempt without an answer after attemptTimeout. It probes the machine. It reports
+// the machine as an outlier if the machine answers other messages, but not this attempt. It withdraws the
+// attempt if the task may be sent to another machine and this one is ejected or has failed a check.
 func (p *Placer) checkAttempt(t *task) {
 	if !t.pending || !p.hasAttemptInFlight(t) {
 		return
--- a/attempts_test.go
+++ b/attempts_test.go
@@ -127,7 +127,7 @@
 }
 
 func TestMigrationNeedsCapacityElsewhere(t *testing.T) {
-	for n, want := range map[int]int{1: 0, 2: 1} { // number of wanted migrations by number of machines
+	for n, want := range map[int]int{1: 0, 2: 1} { // wanted number of migrations, by number of machines
 		h := newHarness(t, testSettings(), readyMachines(n))
 		id, actions := h.request(0, 7)
 		machine := h.singleOffer(actions).Machine
@@ -144,8 +144,8 @@
 	}
 }
 
-// When a machine serves its tasks poorly, every placer with a task there could migrate one at the same time.
-// All placers together may migrate only a few.
+// When a machine serves its tasks poorly, every placer with a task there could migrate one of its tasks at the same time.
+// All placers together may migrate only a few tasks.
 func TestMigrationsOfManyPlacersStayFew(t *testing.T) {
 	settings := testSettings()
 	settings.MachineTypes[0] = MachineType{Cores: 100, Memory: 200}
--- a/bookkeeping.go
+++ b/bookkeeping.go
@@ -91,9 +91,9 @@
 	})
 }
 
-// erroredOn reports whether an attempt of the task ended in an error on the machine, so that the task is sent
-// to another machine. An error leaves the machine's capacity available, so the machine would otherwise get all
-// attempts of the task.
+// erroredOn reports whether an attempt of the task ended in an error on the machine. If so, the task is sent to another
+// machine. An error leaves the machine's capacity available, so the machine would otherwise get all attempts of the
+// task.
 func (t *task) erroredOn(m *machine) bool {
 	for _, a := range t.attempts {
 		if a.errored && a.machine == m {
@@ -114,7 +114,8 @@
 	}
 }
 
-// addPeerChange stores a change by another placer for changeHistory, the longest time until the list shows it.
+// addPeerChange stores a change by another placer. The change is kept for changeHistory, the longest time until the
+// list shows it.
 func (m *machine) addPeerChange(change capacityChange) {
 	m.cacheProgram(change.program)
 	m.peerChanges = slices.DeleteFunc(m.peerChanges, func(old capacityChange) bool {
@@ -233,7 +234,7 @@
 	return true
 }
 
-// add adds a task of a size in cores and decays the load of earlier tasks.
+// add decays the load of earlier tasks and adds a task. size is the cores that the task requests.
 func (h *sizeHistogram) add(size float64) {
 	for i := range h.load {
 		h.load[i] *= 1 - 1./sizeHistory
--- a/capacity.go
+++ b/capacity.go
@@ -9,12 +9,12 @@
 const (
 	changeHistory     = 10 * time.Second // longest time until the list shows a change of capacity
 	initialListLag    = 2                // index of the lag 1 s in listLags
-	listLagErrorDecay = 0.98             // factor by which an observation reduces the earlier errors
+	listLagErrorDecay = 0.98             // each observation multiplies the errors of earlier ones by this
 	rejectionLifetime = 4 * time.Second  // a rejection lowers the estimate for at most this time
 	// After a rejection, this share of the rejected task's size counts as available, so that a task of the
 	// same size does not fit.
 	rejectedSizeMargin = 0.99
-	queueFullBackoff   = 300 * time.Millisecond // no offers to a machine whose queue was full
+	queueFullBackoff   = 300 * time.Millisecond // a machine whose queue was full gets no offers for this time
 	// A machine slows down from this share of memory in use on, and evicts tasks at a higher share.
 	memorySaturation = 0.88
 	// Tasks are assumed to use the share initialUsage of the requested amount until notes report their usage.
@@ -26,12 +26,13 @@
 	fullServiceLevel          = 0.9
 	deratingStep, maxDerating = 0.06, 0.4
 	deratingRecovery          = 90 * time.Second
-	// Programs that a machine is assumed to cache after the last task of a service. Too high a number costs
-	// nothing: if the program isn't cached, the start is as slow as on any other machine.
+	// Number of programs that a machine is assumed to keep cached after the last tasks of their services have
+	// ended. Too high a number costs nothing: if the program isn't cached, the start is as slow as on any
+	// other machine.
 	maxCachedPrograms = 16
-	// Gossip about capacity is sent while the messages for the start and the end of a task cost at most this
-	// share of the result, which is so if there are few placers. If there are many, the changes of a single
-	// placer matter little.
+	// Changes of capacity are gossiped if the messages for the start and the end of a task cost at most this
+	// share of the deployment's result, which is so if there are few placers. If there are many placers, the
+	// changes of a single one matter little.
 	maxGossipCost  = 0.005
 	maxPeerChanges = 500 // changes stored per machine; limits memory if messages flood in
 )
@@ -42,10 +43,10 @@
 	2 * time.Second, 3 * time.Second, 4500 * time.Millisecond, 7 * time.Second,
 }
 
-// available estimates the cores and memory of the machine that are not requested. It takes the amounts in the
-// list and subtracts what this placer and, by gossip, other placers have requested since then, and what a
-// rejection has shown to be unavailable. The result is at most the size of the machine less the requests of
-// this placer's own tasks. It is cached for queueRetryInterval.
+// available estimates the cores and memory of the machine that are not requested. It starts with the amounts
+// in the list. It subtracts the amounts requested since then by this placer and, as far as gossip tells, by
+// other placers. It also subtracts what a rejection has shown to be unavailable. The result is at most the
+// size of the machine less the requests of this placer's own tasks. It is cached for queueRetryInterval.
 func (p *Placer) available(m *machine) (cores, memory float64) {
 	if !m.availableStale && p.now < m.availableAt+queueRetryInterval {
 		return m.availableCores, m.availableMemory
@@ -80,8 +81,9 @@
 	}
 }
 
-// recordRejection lowers the estimate of what is available on the machine to less than the task requested.
-// A machine with a full queue gets no offers for queueFullBackoff instead.
+// recordRejection lowers the estimate of what is available on the machine to less than the task requested. If
+// the machine rejected the task for a reason other than cores or memory, such as a full queue, the estimate
+// stays, and the machine gets no offers for queueFullBackoff.
 func (p *Placer) recordRejection(a *attempt, reason RejectReason) {
 	m := a.machine
 	machineType := p.settings.MachineTypes[m.Type]
@@ -119,7 +121,7 @@
 	cores, memory := p.available(m)
 	if pass.preempt {
 		if p.fits(t, m, cores, memory, p.settings.CoresOvercommit, p.settings.MemoryOvercommit) {
-			return false // the machine would accept the task without preemption and be overloaded
+			return false // without preemption, the machine would accept the task and be overloaded
 		}
 		cores, memory = p.availableByPreemption(t, m)
 		return p.fits(t, m, cores, memory, p.settings.CoresOvercommit, p.settings.MemoryOvercommit)
@@ -134,16 +136,16 @@
 	return p.fits(t, m, cores, memory, maxCores, maxMemory)
 }
 
-// fits reports whether the task fits into the available amounts if the machine may be filled up to the
-// multiples maxCores and maxMemory of its cores and memory.
+// fits reports whether the task fits into the available amounts. The machine may be filled up to maxCores
+// times its cores and maxMemory times its memory.
 func (p *Placer) fits(t *task, m *machine, cores, memory, maxCores, maxMemory float64) bool {
 	machineType := p.settings.MachineTypes[m.Type]
 	return t.Cores <= cores+machineType.Cores*(maxCores-1) &&
 		t.Memory <= memory+machineType.Memory*(maxMemory-1)
 }
 
-// availableByPreemption returns the available amounts plus what this placer's tasks of lower priority request
-// on the machine.
+// availableByPreemption returns the available amounts of the machine, plus the amounts requested there by
+// this placer's tasks of lower priority than t.
 func (p *Placer) availableByPreemption(t *task, m *machine) (cores, memory float64) {
 	cores, memory = p.available(m)
 	priority := p.settings.Classes[t.Class].Priority
@@ -172,14 +174,14 @@
 	return 1 - max(0, m.derating-float64(now-m.deratedAt)/float64(deratingRecovery))
 }
 
-// ratio returns the share of their requested amounts that tasks use.
+// ratio returns the estimated share of the requested amount that tasks use.
 func (u *usageRatio) ratio() float64 {
 	return (u.used + initialUsage*initialUsageWeight) / (u.requested + initialUsageWeight)
 }
 
-// seesPeerChanges reports whether this placer learns of nearly all reservations by other placers: there are
-// none, or capacity changes are gossiped. Changes are gossiped only if that costs at most maxGossipCost, as
-// the cost of both sending and reading grows with the number of placers.
+// seesPeerChanges reports whether this placer learns of nearly all reservations by other placers. It does if
+// there are no other placers, or if changes of capacity are gossiped. They are gossiped only if that costs at
+// most maxGossipCost, as the cost of both sending and reading grows with the number of placers.
 func (p *Placer) seesPeerChanges() bool {
 	cost := 2 * capacityChangeFraction * p.settings.Costs.Gossip * float64(p.settings.Placers-1)
 	return p.settings.Placers == 1 || p.settings.MayGossip && cost <= maxGossipCost
--- a/capacity_test.go
+++ b/capacity_test.go
@@ -10,7 +10,7 @@
 func TestHandedOverTaskIsNotCountedTwice(t *testing.T) {
 	machines := readyMachines(2)
 	for i := range machines {
-		machines[i].AvailableCores, machines[i].AvailableMemory = 3, 10 // of 10 cores and 20 memory units
+		machines[i].AvailableCores, machines[i].AvailableMemory = 3, 10 // each machine has 10 cores and 20 memory units
 	}
 	h := newHarness(t, testSettings(), machines)
 	for i := range 14 {
--- a/dispatch.go
+++ b/dispatch.go
@@ -45,9 +45,9 @@
 	p.tasks[t.ID] = t
 	a := p.startAttempt(t, p.machine(event.Machine))
 	a.bound = true
-	// The list already counts this task. With sentAt = now, the task would count a second time, as requested
-	// since the list was made, and after a restart of the placer all machines would look full for the first
-	// seconds.
+	// The list already counts this task. With sentAt = now, the task would look as if it was requested after the list
+	// was made, and would count a second time. After a restart of the placer, all machines would look full for the
+	// first seconds.
 	a.sentAt = p.now - changeHistory
 	p.markRunning(a)
 }
@@ -81,8 +81,9 @@
 	p.recordHealth(m, event.Result)
 }
 
-// applyReport replaces the available amounts of the list entry by those of a load report. It does so only if
-// list entries don't carry available amounts and reports exclude the requested amounts, not the used ones.
+// applyReport replaces the available amounts of the list entry by those of a load report. It does so only if list
+// entries have no available amounts, and if the available amounts in reports are those that are not requested, rather
+// than those that are not used.
 func (p *Placer) applyReport(m *machine, report *LoadReport) {
 	if report == nil || p.settings.ListReportsAvailable || !p.settings.ReportsCountRequested {
 		return
@@ -94,5 +95,5 @@
 	m.listedAt, m.availableStale = p.now, true
 }
 
-// maxReportedAmount bounds the sum of reported cores and memory; reports above it or with NaN are ignored.
+// maxReportedAmount bounds the sum of reported cores and memory. Reports with a larger sum or with NaN are ignored.
 const maxReportedAmount = 1e12
--- a/gossip.go
+++ b/gossip.go
@@ -24,7 +24,7 @@
 
 // capacityChange is the capacity that a task reserves on a machine; negative amounts are released.
 type capacityChange struct {
-	at            time.Duration // time of receipt
+	at            time.Duration // when this placer received the change
 	program       uint32
 	machine       MachineID
 	cores, memory float64
--- a/hash.go
+++ b/hash.go
@@ -1,6 +1,6 @@
 package forkhead
 
-// Salts make the hashes of a service for different uses independent.
+// Each use of a service's hash has a salt of its own, so that the hashes for different uses are independent.
 const (
 	saltSizeOffset  = 0x51ce
 	saltMachineType = 0x2b1d
--- a/internal/emulator/consul/store.go
+++ b/internal/emulator/consul/store.go
@@ -78,7 +78,8 @@
 // SetLag makes Health answer with the version of d ago. d is at most historyWindow.
 func (s *Store) SetLag(d time.Duration) { s.lag = d }
 
-// SetFrozen makes Health always return the version that it returns now if on is true, and ends that if on is false.
+// SetFrozen starts a freeze if on is true, and ends it if on is false. During a freeze, Health always returns the
+// version that was visible when the freeze began.
 func (s *Store) SetFrozen(now time.Duration, on bool) {
 	s.frozen = nil
 	if on {
--- a/internal/emulator/host/registration.go
+++ b/internal/emulator/host/registration.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = resp.Body.Close() }() // an error here does not affect the registration
+	defer func() { _ = resp.Body.Close() }() // an error of Close does not affect the registration
 	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes))
 	return err
 }
--- a/internal/emulator/host/server.go
+++ b/internal/emulator/host/server.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	maxUnwrittenBytes           = 4 << 20 // limit for each connection
+	maxUnwrittenBytes           = 4 << 20 // limit of the bytes that wait to be written on a connection
 	maxQueuedJobs               = 10_000  // limit of jobs on the event loop; if it is reached, readers of connections block
 	maxListenRetries            = 50
 	listenBackoff               = 10 * time.Millisecond
--- a/internal/emulator/hostmodel/config.go
+++ b/internal/emulator/hostmodel/config.go
@@ -28,7 +28,7 @@
 	SlowStartOverload    float64
 
 	MeanUsage    float64       // mean fraction of the requested cores and memory that a running task uses
-	UsageSwing   float64       // amplitude of the periodic change of that fraction
+	UsageSwing   float64       // amplitude of the periodic change of the used fraction
 	NoteInterval time.Duration // interval between the notes of a running task; 0: no notes
 	Preemption   bool          // a running task may be ended to accept a task of higher priority
 }
--- a/internal/emulator/hostmodel/faults.go
+++ b/internal/emulator/hostmodel/faults.go
@@ -38,7 +38,7 @@
 // RejectClass makes the host reject all offers of a class for d.
 func (h *Host) RejectClass(now, d time.Duration, class string) { h.rejectUntil[class] = now + d }
 
-// SuppressStarts affects the starts of tasks of a class that begin within d from now: they never finish.
+// SuppressStarts makes starts of tasks of a class never finish if they begin within d from now.
 func (h *Host) SuppressStarts(now, d time.Duration, class string) { h.suppressUntil[class] = now + d }
 
 // Drain starts or ends draining and returns the host's outputs. If draining starts and dismiss is set, the host also
--- a/internal/emulator/hostmodel/sessions.go
+++ b/internal/emulator/hostmodel/sessions.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// sendReply sends a reply of the state machine of attempts to a placer. endFrame is the Refused or Ended of an attempt
-// that ends now, or nil. If endFrame is nil, the reply about an ended attempt is its recorded outcome.
+// sendReply sends a reply of the state machine of attempts to a placer. If the attempt ends now, endFrame is its
+// Refused or Ended. Otherwise endFrame is nil, and the reply about an ended attempt is its recorded outcome.
 func (h *Host) sendReply(placer uint16, ref hostproto.Ref, reply hostsession.Reply, endFrame hostproto.Frame) {
 	switch reply {
 	case hostsession.SendAccepted:
@@ -113,7 +113,7 @@
 		return
 	}
 	if older != nil {
-		h.closeConnection(older.id) // so that frames of the closed connection that are still in buffers have no effect
+		h.closeConnection(older.id) // frames of the older connection that are still in buffers must have no effect
 	}
 	s.established, s.placer, s.conn = true, f.Placer, f.Conn
 	h.sessions[f.Placer], h.placerEpochs[f.Placer] = s, f.Epoch
--- a/internal/emulator/platform/listener_test.go
+++ b/internal/emulator/platform/listener_test.go
@@ -92,7 +92,7 @@
 			})
 			cfg.Placers = 3
 			s := startEmulators(t, cfg)
-			listeners := len(cfg.Hosts) + 1 // hosts and the endpoint log
+			listeners := len(cfg.Hosts) + 1 // one for each host and one for the endpoint log
 			if n := checkLoopbackOnly(t) - before; n != listeners*cfg.Placers {
 				t.Errorf("number of listening sockets after Start = %d, want %d for each of %d placers", n, listeners, cfg.Placers)
 			}
--- a/internal/emulator/platform/server_test.go
+++ b/internal/emulator/platform/server_test.go
@@ -189,7 +189,7 @@
 	return s, firstHostAddress(s, 0)
 }
 
-// probeBriefly is probeFor with a short timeout, for conditions of eventually that probe repeatedly.
+// probeBriefly is probeFor with a short timeout. It is for conditions of eventually, which are checked repeatedly.
 func probeBriefly(address string) error { return probeFor(address, 300*time.Millisecond) }
 
 // checkHostAnswers checks that a host answers a probe within eventuallyTimeout.
--- a/internal/emulator/platformmodel/emulator.go
+++ b/internal/emulator/platformmodel/emulator.go
@@ -21,7 +21,7 @@
 	Zone        string
 	MachineType string
 	Cell        int
-	Cold        bool // the first incarnation begins with a slow start, as all later incarnations do
+	Cold        bool // the first incarnation begins with a slow start; all later ones do in any case
 	// RestartAfter is the time from a crash by too many offers to the restart; 0: no restart.
 	RestartAfter time.Duration
 }
@@ -57,7 +57,7 @@
 	logParty       *party
 	listeners      map[ListenerID]*listener
 	links          map[ConnID]*link
-	delayed        map[ConnID]*link // connections with messages or a close held back
+	delayed        map[ConnID]*link // connections on which messages or a close are held back
 	running        map[int]bool     // whether a placer runs, by its number
 	lastHostNumber int
 }
--- a/internal/emulator/platformmodel/endpointlog.go
+++ b/internal/emulator/platformmodel/endpointlog.go
@@ -38,12 +38,12 @@
 	restartsAtRequest map[int]int // sequenceRestarts at the latest request of each placer
 }
 
-// logStream is a connection from a placer.
+// logStream is a placer's connection to the endpoint log.
 type logStream struct {
 	id            ConnID
 	placer        int
 	parser        *http1.Parser
-	subscribed    bool // the request has arrived and is answered
+	subscribed    bool // the placer's request has arrived and is answered
 	nextCommentAt time.Duration
 }
 
@@ -181,7 +181,7 @@
 	s.subscribed, s.nextCommentAt = true, l.now+commentInterval
 	l.add(Send{Conn: s.id, Data: []byte(streamResponseHead), Head: true})
 	if restarts, known := l.restartsAtRequest[s.placer]; last > l.lastSeq || known && restarts != l.sequenceRestarts {
-		last = 0 // the requested number is of an earlier sequence
+		last = 0 // the requested number is one of an earlier sequence
 	}
 	l.restartsAtRequest[s.placer] = l.sequenceRestarts
 	if first := l.events[0].Seq; last+1 < first {
--- a/internal/emulator/platformmodel/faults.go
+++ b/internal/emulator/platformmodel/faults.go
@@ -15,7 +15,7 @@
 // The types of faults. A fault is in force for its duration, except for those that act once, at its beginning.
 const (
 	FaultDelayed         FaultType = iota // messages of the target are written with a delay of Amount
-	FaultSilent                           // messages of the target are held back until the end
+	FaultSilent                           // messages of the target are held back until the fault ends
 	FaultHalfOpen                         // open connections pass nothing, not even a close; new connections get no answer
 	FaultReset                            // acts once: all connections of the target are reset
 	FaultCorrupted                        // messages of the target are made unreadable
@@ -24,11 +24,11 @@
 	FaultNotReading                       // the target reads nothing from its connections
 	FaultRefused                          // new connections to the target are refused
 	FaultClockSkew                        // the target's clock is ahead by Amount
-	FaultMassKill                         // all targets are killed at once and started again at the end
-	FaultMassRestart                      // the targets restart one after another, spread over the duration
-	FaultZonePartition                    // nothing passes between the targets and placers until the end
-	FaultHostReplaced                     // the target's machine is lost; at the end another machine gets its address
-	FaultHostReaddressed                  // the target's machine is lost; at the end it is back at another address
+	FaultMassKill                         // all targets are killed at once, and started again when the fault ends
+	FaultMassRestart                      // the targets restart one after another, spread over the duration of the fault
+	FaultZonePartition                    // nothing passes between the targets and placers until the fault ends
+	FaultHostReplaced                     // the target's machine is lost; another gets its address when the fault ends
+	FaultHostReaddressed                  // the target's machine is lost, and back at another address when the fault ends
 	FaultMassHandOver                     // acts once: the target hands over all its running tasks
 	FaultSequenceRestart                  // acts once: the endpoint log numbers its events from 1 again
 	faultTypeCount
--- a/internal/emulator/platformmodel/faults_test.go
+++ b/internal/emulator/platformmodel/faults_test.go
@@ -161,7 +161,7 @@
 // Each type of fault affects its targets from its beginning to its end, and does not affect other parties.
 func TestInjectors(t *testing.T) {
 	for _, c := range []struct {
-		fault Fault // At and Duration are set to 1 s and 2 s
+		fault Fault // the test sets At to 1 s and Duration to 2 s
 		check func(r *emulatorRig, conn, other ConnID)
 	}{
 		{Fault{Type: FaultDelayed, Target: host0, Amount: 300 * time.Millisecond}, checkDelayed},
--- a/internal/emulator/platformmodel/host.go
+++ b/internal/emulator/platformmodel/host.go
@@ -20,15 +20,16 @@
 
 // HostConfig configures the behavior of a host.
 type HostConfig struct {
-	Cores, Memory float64       // capacity for the requests of all its tasks; memory in the platform's unit
+	Cores, Memory float64       // capacity for all tasks of the host; memory in the platform's unit
 	AnswerTime    Range         // time to decide one offer; offers are decided one after another
 	MaxQueued     int           // limit of offers that wait for their decision; further offers are rejected
 	RunTime       Range         // run time of a task that is not released
 	NoteInterval  time.Duration // time between two notes on a running task; 0: no notes
 	IdleTimeout   time.Duration // time after which a connection without messages is closed; 0: never
 
-	// A host that has just started takes SlowStartFactor times as long to answer for SlowStartDuration, and crashes if
-	// it receives more than SlowStartMaxOffers offers within SlowStartWindow. SlowStartMaxOffers 0: it never crashes.
+	// For SlowStartDuration after its start, a host takes SlowStartFactor times as long to answer. In this time it
+	// crashes if it receives more than SlowStartMaxOffers offers within SlowStartWindow. If SlowStartMaxOffers is 0, it
+	// never crashes.
 	SlowStartDuration  time.Duration
 	SlowStartFactor    float64
 	SlowStartWindow    time.Duration
--- a/internal/emulator/platformmodel/hosttasks.go
+++ b/internal/emulator/platformmodel/hosttasks.go
@@ -13,7 +13,7 @@
 // hostTask is a running task.
 type hostTask struct {
 	ref            string
-	conn           ConnID // connection of its offer
+	conn           ConnID // connection on which the task was offered
 	placer         int
 	idempotencyKey string
 	size           taskSize
--- a/internal/emulator/platformmodel/journal.go
+++ b/internal/emulator/platformmodel/journal.go
@@ -53,7 +53,7 @@
 	Event  RecordEvent
 	Party  PartyID
 	Conn   ConnID // 0: the event concerns no connection
-	Placer int    // the placer at the other end of the connection, or that has started or stopped
+	Placer int    // the placer at the other end of the connection, or the placer that has started or stopped
 	Fault  FaultType
 	Data   []byte
 }
--- a/internal/emulator/platformmodel/model.go
+++ b/internal/emulator/platformmodel/model.go
@@ -73,7 +73,7 @@
 
 func (q *actionQueue) add(a Action) { q.actions = append(q.actions, a) }
 
-// sendMessage queues a Send of a message that has no description.
+// sendMessage queues a Send of a message without a task's description.
 func (q *actionQueue) sendMessage(conn ConnID, kind platform.MessageType, ref string, cause platform.Cause, fields ...platform.Field) {
 	q.add(Send{Conn: conn, Data: platform.Append(nil, kind, ref, cause, nil, fields...)})
 }
@@ -94,8 +94,8 @@
 	return first
 }
 
-// feedMessages calls handle with each message that is complete with the given data. It stops at the first line that
-// cannot be decoded and returns the error.
+// feedMessages calls handle with each message that the data completes. It stops at the first line that cannot be
+// decoded and returns the error.
 func feedMessages(lines *platform.LineSplitter, data []byte, handle func(*platform.Message)) error {
 	return lines.Feed(data, func(line []byte) error {
 		m, err := platform.Decode(line)
--- a/internal/emulator/platformmodel/network.go
+++ b/internal/emulator/platformmodel/network.go
@@ -268,7 +268,8 @@
 		}
 		c.id = n.Emulator.NewConnID()
 		n.conns[c.id] = c
-		n.after(n.cfg.Latency, func() { finish(nil) }) // scheduled before the step, so that it precedes data from the listener
+		// This is scheduled before the Emulator's step, so that finish is called before data from the listener arrives.
+		n.after(n.cfg.Latency, func() { finish(nil) })
 		n.stepEmulator(Accepted{Listener: l.id, Conn: c.id, Placer: c.placer.number})
 	})
 }
@@ -348,7 +349,7 @@
 			p.close(c)
 		}
 	}
-	for _, c := range p.hosts { // connections that are being opened
+	for _, c := range p.hosts { // connections that are being opened may not be in n.conns yet
 		c.closed = true
 	}
 	p.watch.stop()
--- a/internal/emulator/platformmodel/networkwatch.go
+++ b/internal/emulator/platformmodel/networkwatch.go
@@ -59,7 +59,7 @@
 		return
 	}
 	w.placer.close(c)
-	w.conn = &networkConn{closed: true} // placeholder until the next stream is opened
+	w.conn = &networkConn{closed: true} // takes the place of the closed stream until the next one is opened
 	placeholder := w.conn
 	w.placer.network.after(watchRedialDelay, func() {
 		if w.conn == placeholder {
--- a/internal/emulator/platformmodel/owner.go
+++ b/internal/emulator/platformmodel/owner.go
@@ -13,7 +13,7 @@
 
 // Timeouts and delays of an owner.
 const (
-	ownerIdleTimeout  = 4 * time.Second        // a connection without open requests and running tasks is closed after this
+	ownerIdleTimeout  = 4 * time.Second        // a connection is closed after this time without open requests and running tasks
 	ownerRedialDelay  = 100 * time.Millisecond // time from the failure or the end of a connection to the next attempt
 	inFlightWindow    = 50 * time.Millisecond  // a request sent this shortly before its connection ended is sent again
 	defaultRetryAfter = 100 * time.Millisecond // delay after a failure, or after a rejection without FieldRetryAfter
@@ -22,7 +22,7 @@
 // Limits of an owner.
 const (
 	maxOwnerRequests = 100_000
-	maxMigrations    = 16 // limit for each request; a further migration ends the request with OutcomeBroken
+	maxMigrations    = 16 // for each request; one more migration ends the request with OutcomeBroken
 )
 
 // OwnerConfig configures the requests and the behavior of an owner.
@@ -74,7 +74,7 @@
 	running      bool              // the placer accepts connections
 	conn         *ownerConnection  // nil: no connection is open or being opened
 	redialAt     time.Duration     // earliest time of the next connection attempt
-	incarnations int               // number of starts that the owner was notified of
+	incarnations int               // number of the placer's starts that the owner was notified of
 	outgoing     []outgoingMessage // messages that wait until the placer has answered a probe
 }
 
--- a/internal/emulator/platformmodel/ownertasks.go
+++ b/internal/emulator/platformmodel/ownertasks.go
@@ -107,7 +107,7 @@
 	}
 	r.Answers++
 	if r.Outcome != OutcomeOpen || r.ref != m.Ref {
-		if !r.releaseUnacknowledged { // otherwise the placer sent the answer before it got the release or withdrawal
+		if !r.releaseUnacknowledged { // if true, the placer sent the answer before it got the release or withdrawal
 			r.Unexpected++
 		}
 		return
@@ -126,7 +126,7 @@
 	switch {
 	case r == nil:
 	case r.ref != m.Ref || r.Outcome.IsFinal() || r.Outcome == OutcomePending:
-		if !r.releaseUnacknowledged { // otherwise the placer sent the message before it got the release or withdrawal
+		if !r.releaseUnacknowledged { // if true, the placer sent the message before it got the release or withdrawal
 			r.Unexpected++
 		}
 	case r.Outcome == OutcomeRunning && m.Cause == platform.CauseOK:
@@ -151,8 +151,8 @@
 }
 
 // resubmit schedules another submission of a request. If MaxSubmissions or the request's class don't allow one, it ends
-// the request with the outcome that the parameter otherwise gives. neverRan means that the task of the last submission
-// is known not to have run.
+// the request with the outcome in the parameter otherwise. neverRan means that the task of the last submission is known
+// not to have run.
 func (o *Owner) resubmit(r *ownerRequest, neverRan bool, otherwise Outcome, after time.Duration) {
 	o.removeFromConnection(r)
 	class := &o.cfg.Classes[r.Request.Class]
--- a/internal/emulator/platformmodel/parties.go
+++ b/internal/emulator/platformmodel/parties.go
@@ -160,8 +160,8 @@
 	return e
 }
 
-// publishLater schedules a publish of a host after Config.ListDelay. The published state is the host's state at that
-// time.
+// publishLater schedules a call of publish for a host after Config.ListDelay. The published entry shows the host's
+// state at the time of that call.
 func (e *Emulator) publishLater(p *party) {
 	if e.log != nil {
 		e.after(e.cfg.ListDelay, func() { e.publish(p) })
--- a/internal/emulator/platformmodel/request.go
+++ b/internal/emulator/platformmodel/request.go
@@ -64,7 +64,7 @@
 	Request     Request
 	Outcome     Outcome
 	Refs        []string      // refs of its submissions, oldest first
-	Answers     int           // answers to all its submissions which say that its task runs
+	Answers     int           // number of answers which say that the task runs, to all submissions of the request
 	HandOvers   int           // number of hand-overs of its task
 	Unexpected  int           // messages that violate the protocol, such as a second answer or a message after the end
 	Host        string        // host that runs its task or ran it last; "": none
--- a/internal/planning/plan/input.go
+++ b/internal/planning/plan/input.go
@@ -86,8 +86,8 @@
 	return in.Hosts, errs.Err()
 }
 
-// validate returns a diagnostic of the first amount that is out of bounds, or of an unknown state, or nil if there is
-// neither.
+// validate returns a diagnostic of the first amount that is out of bounds. If all amounts are within bounds, it returns
+// a diagnostic of an unknown state, or nil if the state is known.
 func (h *Host) validate(pos diagnostic.Pos) *diagnostic.Error {
 	switch {
 	case h.Cores < 0 || h.Cores > maxCores || h.Memory < 0:
--- a/internal/planning/plan/instance.go
+++ b/internal/planning/plan/instance.go
@@ -111,7 +111,7 @@
 		tightenLimit(&translated, solver.RackDomain, s.class.MaxPerDomain)
 	case forkhead.ZoneDomain:
 		tightenLimit(&translated, solver.ZoneDomain, s.class.MaxPerDomain)
-	case forkhead.AnyDomain: // no limit
+	case forkhead.AnyDomain: // the tasks of the class have no limit
 	}
 	return translated
 }
@@ -164,7 +164,8 @@
 	return translated
 }
 
-// addRunning records the hosts on which replicas of a service run. It ignores replicas above the service's count.
+// addRunning records the hosts on which replicas of a service run. It ignores replicas whose number is above the
+// service's count.
 func (p *Problem) addRunning(s *service, translated *solver.Service, hostIndex map[string]int) error {
 	if p.Running == nil {
 		return nil
--- a/internal/planning/plan/plan.go
+++ b/internal/planning/plan/plan.go
@@ -105,7 +105,8 @@
 }
 
 // assign assigns the replicas of a service to hosts; counts has the number of replicas for each host. A running replica
-// stays on its host as long as the host's count allows. The other replicas are migrated, or new.
+// stays on its host as long as the host's count allows. Any other replica is migrated if it is running; otherwise it is
+// new.
 func (plan *Plan) assign(hosts []Host, s *service, counts []int) {
 	unassigned := slices.Clone(counts) // number of tasks of each host that are not assigned to a replica yet
 	replicas := 0
--- a/internal/planning/quota/quota.go
+++ b/internal/planning/quota/quota.go
@@ -14,7 +14,7 @@
 // Tenant is a tenant with its quota.
 type Tenant struct {
 	Name  string
-	Quota uint64 // of the fleet, in units of 1/FullQuota
+	Quota uint64 // share of the fleet, in units of 1/FullQuota
 }
 
 // Table has each tenant's quota at each placer, in millicores.
@@ -22,7 +22,7 @@
 	Tenants    []string
 	Placers    []string
 	Amounts    [][]int64 // indexed by tenant, then by placer
-	Unassigned int64     // in no tenant's quota, or in a quota that cannot be divided since no placer has a weight
+	Unassigned int64     // cores in no quota, and cores that cannot be divided since no placer has a weight
 }
 
 // NewTable divides a fleet's cores, in millicores, among tenants by their quotas, and each tenant's cores among placers
--- a/internal/planning/solver/conflict.go
+++ b/internal/planning/solver/conflict.go
@@ -41,7 +41,7 @@
 	}
 	for _, r := range in.requirements() {
 		if r.Service != FleetWide && removed[Requirement{r.Service, RequireTasks}] {
-			continue // already left out with its service
+			continue // the requirement is already left out with its service
 		}
 		removed[r] = true
 		if !infeasible() {
--- a/internal/planning/solver/feasibility.go
+++ b/internal/planning/solver/feasibility.go
@@ -1,9 +1,9 @@
 package solver
 
-// canComplete reports whether the remaining tasks might still be placed: the tasks of the services at the position that
-// the parameter from gives and later, less the placed tasks of the first of these services. It checks the total cores
-// and memory of the remaining tasks, and each service separately. If it returns false, the placement cannot be
-// completed. If it returns true, the placement may or may not be completed.
+// canComplete reports whether the remaining tasks might still be placed. Of the service at position from, the parameter
+// placed gives how many tasks are placed. Its other tasks and all tasks of later services remain. canComplete checks
+// the total cores and memory of the remaining tasks, and each service separately. If it returns false, the placement
+// cannot be completed. If it returns true, the placement may or may not be completed.
 func (s *search) canComplete(from, placed int) bool {
 	if !s.demandFits(from, placed) {
 		return false
@@ -41,8 +41,8 @@
 	return s.demandCores[from]-done*first.Cores <= cores && s.demandMemory[from]-done*first.Memory <= memory
 }
 
-// canPlace reports whether the hosts could take as many more tasks of a service as the parameter need says, if no other
-// tasks were added.
+// canPlace reports whether the hosts could take a number of additional tasks of a service if no other tasks were added.
+// The parameter need is that number.
 func (s *search) canPlace(service, need int) bool {
 	if need <= 0 {
 		return true
--- a/internal/planning/solver/search.go
+++ b/internal/planning/solver/search.go
@@ -27,11 +27,12 @@
 	coreWeight       int64 // weight in weightedSumResource; the largest cores and memory of a host weigh about the same
 	memoryWeight     int64
 
-	// The total demand of the services from each position on. The last entry, at len(services), is that of no services.
+	// For each position, the total demand of the services from that position on. The last entry, at len(services), is
+	// that of no services.
 	demandCores  []int64
 	demandMemory []int64
-	minCores     []int64 // minimum of the cores of these services' tasks
-	minMemory    []int64 // minimum of their memory, possibly of another task
+	minCores     []int64 // minimum cores that a task of these services requests
+	minMemory    []int64 // minimum memory that a task of these services requests; it may be another task
 
 	hasHostAffinity bool // some service has an affinity in HostDomain
 
--- a/intervals.go
+++ b/intervals.go
@@ -12,15 +12,15 @@
 	// Number of tasks over which the load of earlier tasks decays. It doesn't decay with time, so that a
 	// placer that sees few tasks has data too.
 	sizeHistory = 1000
-	meanWeight  = 30   // the configured mean counts like this many observed tasks of mean size
-	minSize     = 1e-9 // used in divisions instead of a size of 0, in cores or memory units
+	meanWeight  = 30   // the configured mean size counts like this many observed tasks of that size
+	minSize     = 1e-9 // in cores or memory units; replaces a size of 0 in divisions
 )
 
-// loadPosition returns the position of a task's size in the cumulative load, from 0 to 1 (eta in the paper):
-// interval i of n is [i/n, (i+1)/n). The service's hash spreads the tasks of one size over the load of that
-// size, so that a threshold within that load divides the tasks in the right proportion. The configured mean
-// counts as observed load, so that placers that each see few tasks agree. Without observed tasks, the
-// configured mean divides the load into two equal halves.
+// loadPosition returns the position of a task's size in the cumulative load, from 0 to 1 (eta in the paper).
+// Of n intervals, interval i has the positions [i/n, (i+1)/n). The service's hash spreads the tasks of one
+// size over the load of that size, so that a threshold within that load divides the tasks in the right
+// proportion. The configured mean counts as observed load, so that placers that each see few tasks agree.
+// Without observed tasks, the configured mean divides the load into two equal halves.
 func (h *sizeHistogram) loadPosition(size, mean float64, service uint64) float64 {
 	configured, bucket := meanWeight*max(mean, minSize), sizeBucket(size)
 	offset := unitInterval(hash64(service ^ saltSizeOffset))
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -13,7 +13,7 @@
 // none.
 type invariantChecker struct {
 	settings        Settings
-	machines        map[MachineID]Machine // latest list entries
+	machines        map[MachineID]Machine // latest entry of each machine in the list
 	drainedAt       map[MachineID]time.Duration
 	tasks           map[TaskID]*observedTask
 	slowStartOffers map[MachineID][]time.Duration // times of the offers
--- a/machinelist.go
+++ b/machinelist.go
@@ -15,7 +15,7 @@
 	// The list service handles a few dozen polls per second from all placers together, so the time over which
 	// the placers spread their polls grows by this amount with each placer.
 	pollSpreadPerPlacer = 20 * time.Millisecond
-	removedRetention    = time.Minute // later, a change of members deletes a removed machine
+	removedRetention    = time.Minute // after this, a removed machine is deleted when members change
 	// Machines go on standby if everything requested fits on the others without filling them beyond this
 	// share.
 	standbyUtilization = 0.85
@@ -91,9 +91,9 @@
 	}
 	m := p.machine(entry.ID)
 	if entry.StartedAt > m.StartedAt || m.State == Removed {
-		// The machine has restarted: its programs are gone and its failed checks no longer apply. Otherwise a
-		// machine that was unreachable, left the list and came back would get no offers for good. If the list
-		// is wrong, that costs one failed offer.
+		// The machine has restarted or is back in the list: its programs are gone and its failed checks no
+		// longer apply. If they still applied, a machine that was unreachable, left the list and came back
+		// would get no offers for good. If the list is wrong, forgetting them costs one failed offer.
 		m.cachedPrograms, m.probing, m.failures, m.suspectUntil = nil, false, 0, 0
 	}
 	if m.listedAt > 0 && entry.StartedAt == m.StartedAt {
@@ -115,8 +115,8 @@
 // Standby exists because surplus machines in use have a cost. The machines that started last stay in use,
 // since the oldest are the first to go when all machines are replaced. Of machines that started at the same
 // time, the fullest stay in use. Standby is used only if there is one placer, or a few that gossip about
-// reservations. The cost: when many tasks arrive at once, a task that finds no capacity or long queues on the
-// machines in use still starts on a machine on standby.
+// reservations. The cost: when many tasks arrive at once, a task still starts on a machine on standby if the
+// machines in use have no capacity, or have long queues.
 func (p *Placer) updateStandby(pool *pool) {
 	if p.settings.Costs.SurplusMachine == 0 || !p.seesPeerChanges() {
 		return
--- a/machinelist_test.go
+++ b/machinelist_test.go
@@ -198,7 +198,7 @@
 	settings := testSettings()
 	settings.Costs.SurplusMachine = 0.15
 	machines := readyMachines(6)
-	machines[0].AvailableCores, machines[1].AvailableCores = 4, 4 // the fullest machine, which is also one of the oldest
+	machines[0].AvailableCores, machines[1].AvailableCores = 4, 4 // the fullest machines, which are also among the oldest
 	h := newHarness(t, settings, nil)
 	for i := 3; i < 6; i++ {
 		machines[i].StartedAt = h.now - time.Minute
--- a/model.go
+++ b/model.go
@@ -15,13 +15,13 @@
 	Service           uint64
 	Class             int
 	Tenant            int
-	Timeout           time.Duration // time until its owner gives up this request
+	Timeout           time.Duration // time until the owner gives up the request
 	RemainingLifetime time.Duration // estimate of the remaining run time; 0 if not known
 	Cores             float64
 	Memory            float64
 	Resubmitted       bool         // there were earlier requests for the task
 	RequiredLabels    uint64       // labels that its machine must have, one per bit; 0: none
-	SpreadLimits      SpreadLimits // limits of its service, in addition to the limit of its class
+	SpreadLimits      SpreadLimits // limits of the task's service, in addition to the limit of the task's class
 }
 
 // SpreadLimits has, by domain level, the maximum number of tasks of one service in one domain; 0: no limit.
@@ -45,7 +45,7 @@
 	Zone            int
 	Cell            int
 	StartedAt       time.Duration // latest start; 0 if long ago
-	AvailableCores  float64       // cores that were not requested some time ago
+	AvailableCores  float64       // cores that no task had requested when the entry was made
 	AvailableMemory float64
 	Labels          uint64 // one bit per label that tasks may require
 }
@@ -55,7 +55,7 @@
 	AvailableCores  float64
 	AvailableMemory float64
 	Queue           float64 // number of waiting offers and starts
-	Utilization     float64 // busy share of its cores
+	Utilization     float64 // busy share of the machine's cores
 }
 
 // Result is the way in which an attempt or a probe ended.
@@ -84,18 +84,18 @@
 	QueueFull
 	Unsuitable // the machine is not allowed to run the task
 	Evicted    // the machine's memory ran short
-	Preempted  // in favor of a task of higher priority
+	Preempted  // the machine ended the task in favor of one of higher priority
 	Dismissed  // the machine drains
 )
 
 // NoteKind is the kind of information in a Note.
 type NoteKind uint8
 
-// The kinds of notes. The comment names the amount, if the note has one.
+// The kinds of notes. Each comment says what the note's Amount is, if it has one.
 const (
 	NoteRunning        NoteKind = 1 // the task runs
 	NoteCoresUsed      NoteKind = 2 // cores that the task uses
 	NoteMemoryUsed     NoteKind = 3 // memory that the task uses
 	NoteServiceLevel   NoteKind = 4 // share of full service that the task gets
-	NoteMemoryPressure NoteKind = 5 // share of its machine's memory in use
+	NoteMemoryPressure NoteKind = 5 // share of the machine's memory in use
 )
--- a/outliers.go
+++ b/outliers.go
@@ -11,10 +11,10 @@
 	maxSuspectDoublings = 8
 )
 
-// reportOutlier records a failed attempt of the class on a machine that otherwise answers, and gossips it to
-// the other placers, as each sees too few tasks to detect the outlier alone. Without ejection, a machine that
-// fails tasks of one class, whatever the cause, would get more of them. The cost: a machine that starts tasks
-// slowly for some time may be ejected too.
+// reportOutlier records a failed attempt of the class on a machine that otherwise answers. It gossips the
+// failure to the other placers, as each placer alone sees too few tasks to detect the outlier. Without
+// ejection, a machine that fails tasks of one class, whatever the cause, would get more of them. The cost: a
+// machine that starts tasks slowly for some time may be ejected too.
 func (p *Placer) reportOutlier(m *machine, class int) {
 	p.recordOutlierFailure(m, class)
 	cost := float64(p.settings.Placers-1) * outlierMessageFraction * p.settings.Costs.Gossip
--- a/queue.go
+++ b/queue.go
@@ -8,8 +8,9 @@
 
 // Constants of the queue and of final answers.
 const (
-	queueRetryInterval = 50 * time.Millisecond // queued tasks are retried at this interval and at each change
-	deadlineMargin     = 5 * time.Millisecond  // the final answer is sent this long before the owner gives up
+	// Queued tasks are retried at this interval, and when capacity may have become available.
+	queueRetryInterval = 50 * time.Millisecond
+	deadlineMargin     = 5 * time.Millisecond // the final answer is sent this long before the owner gives up
 	// The priority of a task is multiplied by this while the task can still start in time. A start in time is
 	// worth about as much as half of a task's run, which is the part that remains on average.
 	timelyStartFactor = 1.5
@@ -63,10 +64,10 @@
 	}
 }
 
-// queuePriority returns the priority of a queued task: the weight of its class, increased while the task can
-// still start in time, and reduced if its tenant exceeds this placer's share of the tenant's quota, so that
-// tenants within their quota don't wait for tenants beyond theirs. The cost: a tenant whose requests are
-// spread unevenly among placers may count as beyond its quota.
+// queuePriority returns the priority of a queued task, which is based on the weight of its class. The
+// priority is increased while the task can still start in time. It is reduced if the task's tenant exceeds
+// this placer's share of the tenant's quota, so that tenants within their quota don't wait for tenants beyond
+// theirs. The cost: a tenant whose requests are spread unevenly among placers may count as beyond its quota.
 func (p *Placer) queuePriority(t *task) float64 {
 	class := &p.settings.Classes[t.Class]
 	priority := class.Weight
--- a/selection.go
+++ b/selection.go
@@ -4,8 +4,8 @@
 
 // Constants of the selection of a machine.
 const (
-	numberOfChoices = 2           // number of candidates; keeps a service's program cached on two machines
-	maxStarting     = 3           // starts by this placer at once on a machine; more would delay each other
+	numberOfChoices = 2           // number of candidates; 2 keeps a service's program cached on two machines
+	maxStarting     = 3           // starts at once on a machine by this placer; more would delay each other
 	admissionSlot   = time.Second // interval between draws of the admitted placers, about the list's lag
 )
 
@@ -15,7 +15,7 @@
 	standby       bool // the machine may be on standby
 	maxStarting   int  // fewer than this many tasks of this placer are starting on the machine
 	preempt       bool // the cores and memory of tasks with lower priority count as available
-	overcommit    bool // the machine may be loaded until the task gets half of full service
+	overcommit    bool // the machine may be loaded until the task gets only half of full service
 }
 
 // selectionPasses are tried in order, each over all groups, from the task's own group outward. A start
@@ -126,8 +126,8 @@
 	return best
 }
 
-// leftover returns what the task leaves available on the machine: the sum of the share of the machine's cores
-// and the share of its memory.
+// leftover returns how much the task leaves available on the machine, as the sum of two shares: that of the
+// machine's cores and that of its memory.
 func (p *Placer) leftover(t *task, m *machine) float64 {
 	cores, memory := p.available(m)
 	machineType := p.settings.MachineTypes[m.Type]
--- a/settings.go
+++ b/settings.go
@@ -5,10 +5,15 @@
 // Settings is the configuration of a placer, which doesn't change after New. Amounts of cores are in cores,
 // amounts of memory in the units of the machine types.
 //
-// This package doesn't use MeanMemory, ServiceAffinity, the Notes and Reports flags except
-// ReportsCountRequested, ParallelAttempts, OwnerBackoff, MaxRetryAfter, ConnectTimeout, AnswerSlack,
-// DrainGrace, SlowStartInitialRate, SlowStartOverload, the costs except SurplusMachine and Gossip, LateWeight
-// and StartWeight of a class, or Quota of a tenant. Other packages may use these fields.
+// This package doesn't use the following fields. Other packages may use them.
+//
+//   - MeanMemory and ServiceAffinity
+//   - all flags whose name begins with Notes or Reports, except ReportsCountRequested
+//   - ParallelAttempts, OwnerBackoff, MaxRetryAfter, ConnectTimeout, AnswerSlack and DrainGrace
+//   - SlowStartInitialRate and SlowStartOverload
+//   - all Costs, except SurplusMachine and Gossip
+//   - LateWeight and StartWeight of a class
+//   - Quota of a tenant
 type Settings struct {
 	Placers int // number of placers that share the machines, including this one; at least 1
 	Self    int // index of this placer among them, from 0
@@ -33,7 +38,7 @@
 	ListWatched           bool // changes of the list are pushed, without polls
 	ReportsInOutcomes     bool // outcomes have load reports
 	ReportsInProbes       bool // probe results have load reports
-	ReportsCountRequested bool // available amounts in reports exclude what is requested, not what is used
+	ReportsCountRequested bool // the available amounts in reports are those not requested, rather than those not used
 
 	MaxAttempts      int  // maximum number of offers for one placement request; at least 1
 	ParallelAttempts bool // two offers for one request may be in flight at once
@@ -50,16 +55,16 @@
 
 	SlowStartDuration    time.Duration // maximum time that a machine takes to warm up after its start
 	SlowStartWindow      time.Duration // window in which offers to a machine in slow start are counted
-	SlowStartMaxOffers   float64       // offers that such a machine can take in a window, from all placers
-	SlowStartInitialRate float64       // share of its full start rate that such a machine has at first
-	SlowStartOverload    float64       // such a machine fails if it gets more offers than this multiple of its start rate
+	SlowStartMaxOffers   float64       // offers that a machine in slow start can take in a window, from all placers
+	SlowStartInitialRate float64       // share of its full start rate that a machine has when its slow start begins
+	SlowStartOverload    float64       // a machine in slow start fails at more offers than this multiple of its start rate
 
 	OverQuotaWeight float64 // weight of a task beyond its tenant's quota, relative to a task within the quota
 	Costs           Costs
 }
 
-// Costs are deductions from the result of a deployment, each as a share of the whole result. A field has the
-// cost of the amount that its comment names.
+// Costs are deductions from the result of a deployment, each as a share of the whole result. The comment of a field
+// names the amount that the deduction is for.
 type Costs struct {
 	SurplusMachine     float64 // all machines in use beyond those needed
 	Migration          float64 // one migration of each task
@@ -107,18 +112,18 @@
 	DedupWindow         time.Duration // effect Keyed: time of deduplication, from the first attempt that may have run
 	LatencyObjective    time.Duration // a first start within this time has its full weight
 	Weight              float64       // weight of a second of full service of a task of mean size
-	LateWeight          float64       // share of a start's weight after the latency objective
+	LateWeight          float64       // share of its weight that a start after the latency objective has
 	StartWeight         float64       // weight of a first start in time, in seconds of full service
 	Priority            int           // a higher priority preempts a lower one
 	MachineType         int           // index of the required machine type, or -1
 	SpreadDomain        Domain        // level at which the tasks of one service are limited
 	MaxPerDomain        int           // maximum number of tasks of one service in a domain of that level
 	SaturationThreshold float64       // share of busy cores up to which tasks are served in full
-	DegradationRange    float64       // share of busy cores above SaturationThreshold at which tasks are not served at all
+	DegradationRange    float64       // tasks get no service if the busy share is this far above SaturationThreshold
 }
 
 // Tenant is a customer with a quota.
 type Tenant struct {
-	Quota      float64 // paid share of the cluster
-	QuotaCores float64 // cores that it may request within its quota, at all placers together
+	Quota      float64 // share of the cluster that the tenant pays for
+	QuotaCores float64 // cores that the tenant may request within its quota, at all placers together
 }
--- a/slowstart.go
+++ b/slowstart.go
@@ -14,10 +14,10 @@
 	return m.StartedAt > 0 && p.now < m.StartedAt+p.settings.SlowStartDuration
 }
 
-// withinSlowStartBudget reports whether this placer may offer to the machine without exceeding, together with
-// the other placers, the maximum of a machine that is warming up. Each placer has an equal share if that is
-// at least one offer per window; otherwise placers take turns. The offers of an earlier incarnation of this
-// placer are not known, so it sends none in the first window after its start.
+// withinSlowStartBudget reports whether this placer may offer to the machine. While a machine is warming up,
+// all placers together may send it at most SlowStartMaxOffers offers in a window. Each placer has an equal
+// share if that is at least one offer per window; otherwise placers take turns. The offers of an earlier
+// incarnation of this placer are not known, so it sends none in the first window after its start.
 func (p *Placer) withinSlowStartBudget(m *machine) bool {
 	if !p.inSlowStart(m) {
 		return true
@@ -42,7 +42,7 @@
 func (p *Placer) hasSlowStartTurn(m *machine) bool {
 	window, maxOffers := p.settings.SlowStartWindow, p.settings.SlowStartMaxOffers
 	slot, placersPerSlot := window/slowStartSlots, uint64(maxOffers/slowStartShares)
-	if placersPerSlot == 0 { // too few offers for a share per slot: only every other window has offers
+	if placersPerSlot == 0 { // fewer offers than shares: offer only in every other window
 		slot, placersPerSlot = 2*window, uint64(maxOffers)
 		if slot == 0 || p.now%slot >= window {
 			return false
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -150,7 +150,7 @@
 type slowStartRun struct {
 	settings    Settings
 	machine     Machine
-	clockSkew   time.Duration // maximum difference of a clock from the true time
+	clockSkew   time.Duration // maximum difference between a clock and the true time
 	latePercent int           // percentage of connections that are established late
 	drawState   uint64
 	placers     []restartingPlacer
@@ -163,8 +163,8 @@
 type restartingPlacer struct {
 	placer      *Placer // nil while stopped
 	clockOffset time.Duration
-	learnsAt    time.Duration // when it learns of the machine's start; 0 if it knows already
-	stopsAt     time.Duration // 0 if it has stopped already
+	learnsAt    time.Duration // when the placer learns of the machine's start; 0 if it knows already
+	stopsAt     time.Duration // when the placer stops; 0 if it has stopped already
 	restartsAt  time.Duration
 }
 
@@ -260,7 +260,7 @@
 	return time.Millisecond
 }
 
-// run advances the time until the machine's slow start ends by a clock that is ahead by clockSkew.
+// run advances the true time until the machine's slow start has ended according to a clock that is ahead by clockSkew.
 func (r *slowStartRun) run(t rapid.TB) {
 	t.Helper()
 	tick := max(r.settings.SlowStartWindow/30, 10*time.Millisecond)
@@ -302,16 +302,16 @@
 	}
 }
 
-// maxSentInWindow returns the maximum number of offers that the placers may send in a window of true time. It
-// exceeds the configured maximum only if the placers take turns and their clocks differ: by more than a slot,
-// or at all if a slot is as long as two windows.
+// maxSentInWindow returns the maximum number of offers that the placers may send in a window of true time. It exceeds
+// the configured maximum only if the placers take turns and their clocks differ by more than a slot. If a slot is as
+// long as two windows, any difference of the clocks is enough.
 func (r *slowStartRun) maxSentInWindow() float64 {
 	maxOffers, difference := r.settings.SlowStartMaxOffers, 2*r.clockSkew
 	if maxOffers >= float64(len(r.placers)) || difference == 0 {
 		return maxOffers
 	}
-	// In shares of the maximum: with equal clocks, a window overlaps at most four slots, and one share is reserved
-	// for placers that learn of the start late.
+	// The configured maximum consists of five shares: with equal clocks, a window overlaps at most four slots, each
+	// with one share. The fifth share is reserved for placers that learn of the start late.
 	const shares = 5
 	placersPerSlot := math.Floor(maxOffers / shares)
 	if placersPerSlot == 0 {
--- a/state.go
+++ b/state.go
@@ -18,14 +18,14 @@
 	now       time.Duration
 	started   bool          // the first Step has been called
 	startedAt time.Duration // time of the first Step
-	actions   []Action      // returned by the current Step
+	actions   []Action      // the actions that the current Step returns
 
 	machines map[MachineID]*machine
 	pools    []*pool // by machine type
 	tasks    map[TaskID]*task
 	services map[uint64][]*attempt // live attempts of each service
 
-	reservedCores map[int]float64 // requested by this placer's live attempts, by tenant
+	reservedCores map[int]float64 // cores requested by this placer's live attempts, by tenant
 	queue         []*task         // tasks that wait for capacity; placeQueued removes ended tasks
 	candidates    []*machine      // buffer of selectInGroup
 
@@ -39,7 +39,7 @@
 	listPolling         pollState
 	listLag             lagEstimator
 	startTimeP95        time.Duration    // estimate of the 95th percentile of the time from offer to bind
-	outlierGossipBudget float64          // cost left for gossip about outliers: Costs.Gossip per full message
+	outlierGossipBudget float64          // remaining cost of gossip about outliers; a full message costs Costs.Gossip
 	pendingGossip       []capacityChange // changes to send at the end of this step
 }
 
@@ -100,7 +100,7 @@
 	listedAt  time.Duration // when the latest list entry was received
 
 	// Tasks of this placer and of other placers on the machine.
-	reservedCores   float64 // requested by this placer's live attempts
+	reservedCores   float64 // cores requested by this placer's live attempts
 	reservedMemory  float64
 	attempts        []*attempt       // live attempts, and bound attempts that ended within changeHistory
 	starting        int              // number of this placer's live attempts whose task doesn't run yet
@@ -125,9 +125,9 @@
 	availableStale  bool
 
 	// Use.
-	backoffUntil time.Duration // no offers before this time, as its queue was full or it served a task poorly
-	standby      bool          // gets no new tasks while others have capacity
-	removedAt    time.Duration // when rebuildPools found it removed from the list; 0 if listed
+	backoffUntil time.Duration // the machine gets no offers before this, as its queue was full or it served a task poorly
+	standby      bool          // the machine gets no new tasks while others have capacity
+	removedAt    time.Duration // when rebuildPools found the machine removed from the list; 0 if listed
 }
 
 // task is a placement request. It is kept until its final answer is given and its last attempt has ended.
@@ -137,7 +137,7 @@
 	pool         int // index of its machine type's pool
 	attempts     []*attempt
 	pending      bool          // the final answer is due
-	backoffUntil time.Duration // no offers before this time, after rejections
+	backoffUntil time.Duration // the task is not offered before this time, after rejections
 	firstMayRun  *attempt      // the first attempt that may have run
 }
 
--- a/validate.go
+++ b/validate.go
@@ -82,7 +82,7 @@
 	return amounts
 }
 
-// isValid reports whether the task's amounts are not negative or NaN and its class is one of the settings.
+// isValid reports whether the task's amounts are not negative or NaN and its class is one of the configured classes.
 func (p *Placer) isValid(t *Task) bool {
 	return t.Class >= 0 && t.Class < len(p.settings.Classes) && t.Cores >= 0 && t.Memory >= 0
 }
