--- a/attempts.go
+++ b/attempts.go
@@ -5,7 +5,8 @@
 // Constants of attempts and migrations.
 const (
 	attemptTimeout = 700 * time.Millisecond // time without an answer to an offer until its machine is probed
-	probeBackoff   = 3 * attemptTimeout     // with many placers, no probe for this time after an answer
+	// If there are many placers, a machine is not probed for this time after it answered.
+	probeBackoff = 3 * attemptTimeout
 	// startTimeP95 estimates the 95th percentile of the time from offer to bind: a start that takes longer
 	// raises it by 1/startTimeP95Rise, any other start lowers it by 1/startTimeP95Fall.
 	initialStartTimeP95                = 1500 * time.Millisecond
--- a/bookkeeping.go
+++ b/bookkeeping.go
@@ -103,8 +103,8 @@
 	return false
 }
 
-// announceCapacity adds a change to the gossip of this step: the attempt reserves or releases the capacity
-// of its task on its machine.
+// announceCapacity adds a change to the gossip of this step. The change says that the attempt reserves or releases the
+// capacity of its task on its machine.
 func (p *Placer) announceCapacity(a *attempt, direction capacityDirection) {
 	if p.settings.Placers > 1 && p.seesPeerChanges() {
 		p.pendingGossip = append(p.pendingGossip, capacityChange{
@@ -128,8 +128,8 @@
 	m.availableStale = true
 }
 
-// changesSince returns the difference between what the tasks known to this placer request on the machine now
-// and what they requested at the given time.
+// changesSince returns by how much the cores and memory requested on the machine have grown since the given time, as
+// far as this placer knows.
 func (m *machine) changesSince(at time.Duration) (cores, memory float64) {
 	for _, a := range m.attempts {
 		if a.sentAt > at && (a.bound || !a.ended) {
--- a/gossip.go
+++ b/gossip.go
@@ -22,7 +22,8 @@
 	outlierMessageFraction = outlierMessageSize / float64(maxMessageSize)
 )
 
-// capacityChange is the capacity that a task reserves on a machine; negative amounts are released.
+// capacityChange is a change of the capacity that a task takes on a machine. The amounts are positive if the capacity
+// is reserved, and negative if it is released.
 type capacityChange struct {
 	at            time.Duration // when this placer received the change
 	program       uint32
--- a/internal/emulator/hostmodel/host.go
+++ b/internal/emulator/hostmodel/host.go
@@ -69,8 +69,8 @@
 	deferred      []func() // inputs received during the pause
 	slowFactor    float64  // factor of SlowDown, until slowUntil
 	slowUntil     time.Duration
-	rejectUntil   map[string]time.Duration // end of RejectClass, by class
-	suppressUntil map[string]time.Duration // end of SuppressStarts, by class
+	rejectUntil   map[string]time.Duration // by class, until when its offers are rejected; see RejectClass
+	suppressUntil map[string]time.Duration // by class, until when its starts are suppressed; see SuppressStarts
 	hung          bool
 }
 
--- a/internal/emulator/hostmodel/sessions.go
+++ b/internal/emulator/hostmodel/sessions.go
@@ -149,11 +149,11 @@
 	return attempts
 }
 
-// countFittingInHolds returns how many of the first attempts fit into one Holds frame. It is at least 1.
+// countFittingInHolds returns how many attempts, from the first on, fit into one Holds frame. It is at least 1.
 func countFittingInHolds(attempts []hostproto.Held) int {
 	const (
 		headerSize = 16
-		sizeLimit  = hostproto.MaxHoldsSize - 1024 // below the maximum by a margin
+		sizeLimit  = hostproto.MaxHoldsSize - 1024 // below the maximum size of a Holds frame, by a margin
 	)
 	n, size := 0, headerSize
 	for n < len(attempts) && (n == 0 || size+hostproto.HeldSize(&attempts[n].Spec) < sizeLimit) {
--- a/internal/emulator/hostmodel/tasks.go
+++ b/internal/emulator/hostmodel/tasks.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// isProgramCached reports whether the program of a service is cached. It always is while a task of the service runs.
+// isProgramCached reports whether the program of a service is cached. A program is always cached while a task of its
+// service runs.
 func (h *Host) isProgramCached(service uint64) bool {
 	for _, t := range h.tasks {
 		if t.phase == hostproto.PhaseRunning && t.spec.Service == service {
--- a/internal/emulator/platformmodel/emulator.go
+++ b/internal/emulator/platformmodel/emulator.go
@@ -37,7 +37,7 @@
 	// use the listener's own address.
 	AddressFor func(placer int, address string) string
 	Seed       uint64
-	MaxRecords int // limit of the journal; 0: 1,000,000
+	MaxRecords int // limit of the number of records in the journal; 0: 1,000,000
 }
 
 // Emulator emulates the environment of the placers of a platform: hosts, owners and the endpoint log, with the faults
--- a/internal/emulator/platformmodel/endpointlog.go
+++ b/internal/emulator/platformmodel/endpointlog.go
@@ -35,7 +35,7 @@
 	events            []platform.WatchEvent // retained events, numbered without a gap up to lastSeq
 	streams           map[ConnID]*logStream
 	sequenceRestarts  int         // number of restarts of the sequence
-	restartsAtRequest map[int]int // sequenceRestarts at the latest request of each placer
+	restartsAtRequest map[int]int // by placer, the value of sequenceRestarts at the placer's latest request
 }
 
 // logStream is a placer's connection to the endpoint log.
--- a/internal/emulator/platformmodel/link.go
+++ b/internal/emulator/platformmodel/link.go
@@ -185,8 +185,8 @@
 	e.finishFlush(l)
 }
 
-// finishFlush updates whether a link has data held back. It resets a link that exceeds maxDelayedBytes, and completes
-// the close by the placer once the model has received all data.
+// finishFlush updates whether a link has data held back. It resets a link that exceeds maxDelayedBytes. If the placer
+// has closed the connection, finishFlush completes the close once the model has received all data.
 func (e *Emulator) finishFlush(l *link) {
 	switch {
 	case e.links[l.id] != l:
--- a/internal/emulator/platformmodel/networkwatch.go
+++ b/internal/emulator/platformmodel/networkwatch.go
@@ -84,16 +84,16 @@
 	})
 }
 
-// handleComment handles a comment, which means that the stream is idle. It delivers the events of a restarted sequence,
-// if there is one.
+// handleComment handles a comment, which means that the stream is idle. If the sequence was restarted, handleComment
+// delivers the events of the new sequence.
 func (w *networkWatch) handleComment() {
 	for i, event := range w.sequence.StreamIdle() {
 		w.placer.step(platformcore.WatchEventReceived{Event: event, SequenceRestarted: i == 0})
 	}
 }
 
-// handleEvent delivers an event to the core if it is the next one of the sequence. If there is a gap before the event,
-// it reopens the watch.
+// handleEvent delivers an event to the core if it is the next one of the sequence. If events before this one are
+// missing, handleEvent reopens the watch.
 func (w *networkWatch) handleEvent(c *networkConn, encoded platform.ServerSentEvent) {
 	if w.conn != c {
 		return
--- a/internal/emulator/platformmodel/owner_test.go
+++ b/internal/emulator/platformmodel/owner_test.go
@@ -128,8 +128,8 @@
 	r.wantOutcome(OutcomeRejected, 3)
 }
 
-// A request sent shortly before its connection ends is sent again under the same ref, but only once: a request that may
-// have run is lost if its class is unsafe.
+// A request sent shortly before its connection ends is sent again under the same ref, but only once. If the connection
+// ends again, the request may have run. It is lost if its class is unsafe.
 func TestOwnerResendsRequestOnceWhenConnectionCloses(t *testing.T) {
 	r := newOwnerRig(t, 2, 0)
 	first := r.lastSent()
--- a/internal/emulator/platformmodel/request.go
+++ b/internal/emulator/platformmodel/request.go
@@ -63,11 +63,11 @@
 type RequestReport struct {
 	Request     Request
 	Outcome     Outcome
-	Refs        []string      // refs of its submissions, oldest first
+	Refs        []string      // refs of the request's submissions, oldest first
 	Answers     int           // number of answers which say that the task runs, to all submissions of the request
-	HandOvers   int           // number of hand-overs of its task
+	HandOvers   int           // number of hand-overs of the task
 	Unexpected  int           // messages that violate the protocol, such as a second answer or a message after the end
-	Host        string        // host that runs its task or ran it last; "": none
+	Host        string        // host that runs the task, or ran it last; "": none
 	SubmittedAt time.Duration // time of the first submission; 0: none
 	FinishedAt  time.Duration // time of the final outcome; 0: none
 }
--- a/internal/planning/plan/plan_test.go
+++ b/internal/planning/plan/plan_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// measureDistance places random services on a fleet with the core and its Placer, and with the solver. It returns the
-// number of hosts that each of them uses, and the number of tasks that the Placer did not place.
+// measureDistance places random services on a fleet twice: with the core and its Placer, and with the solver. It
+// returns the number of hosts used in each case, and the number of tasks that the Placer did not place.
 func measureDistance(t testing.TB, hosts int, load float64, seed uint64) (used, best, unplaced int) {
 	set := simulation.Settings(t, "")
 	sim := simulation.New(t, set, 0)
@@ -152,8 +152,8 @@
 	return len(hostsUsed), plan.HostsInUse, unplaced
 }
 
-// BenchmarkDistance reports how far the Placer's placements are from the optimum: the number of hosts that they use,
-// and the least number that the solver found within 5 s. Run it with
+// BenchmarkDistance reports how far the Placer's placements are from the optimum. It reports the number of hosts that
+// they use, and the least number of hosts that the solver found within 5 s. Run it with
 //
 //	go test ./internal/planning/plan -run xxx -bench Distance -benchtime 1x
 func BenchmarkDistance(b *testing.B) {
--- a/internal/planning/solver/branch.go
+++ b/internal/planning/solver/branch.go
@@ -9,7 +9,7 @@
 const stopPollInterval = 1024
 
 // branch searches the subtree of the current node. At this node, all services before the given service are placed
-// completely, and of the given service as many tasks as the parameter placed says. Since the tasks of a service are
+// completely. The parameter placed is the number of placed tasks of the given service. Since the tasks of a service are
 // interchangeable, its next task is placed on firstHost or a later host.
 func (s *search) branch(service, placed, firstHost int) {
 	for service < len(s.services) && placed == s.services[service].Count {
--- a/internal/planning/solver/search.go
+++ b/internal/planning/solver/search.go
@@ -24,8 +24,9 @@
 	racksSpanZones   bool  // some rack has hosts in several zones
 	equivalenceClass []int // by host; hosts of one class are interchangeable as long as they have the same tasks
 	groups           []hostGroup
-	coreWeight       int64 // weight in weightedSumResource; the largest cores and memory of a host weigh about the same
-	memoryWeight     int64
+	// Weights in weightedSumResource. The largest cores and the largest memory of a host weigh about the same.
+	coreWeight   int64
+	memoryWeight int64
 
 	// For each position, the total demand of the services from that position on. The last entry, at len(services), is
 	// that of no services.
@@ -39,10 +40,10 @@
 	// The partial placement at the current node.
 	freeCores  []int64 // by host
 	freeMemory []int64
-	hostTasks  []int   // by host, the number of its tasks of all services
-	counts     [][]int // by service, by host
-	rackCounts [][]int // by service, by rack
-	zoneCounts [][]int // by service, by zone
+	hostTasks  []int   // by host, the number of tasks of all services
+	counts     [][]int // number of placed tasks by service, by host
+	rackCounts [][]int // number of placed tasks by service, by rack
+	zoneCounts [][]int // number of placed tasks by service, by zone
 	cost       int64
 	current    int // position of the service being placed; all services before it are placed completely
 
--- a/intervals.go
+++ b/intervals.go
@@ -9,8 +9,8 @@
 	// and just two with many placers, so that placers whose thresholds differ slightly still select the same
 	// group.
 	minIntervals, maxIntervals = 2, 4
-	// Number of tasks over which the load of earlier tasks decays. It doesn't decay with time, so that a
-	// placer that sees few tasks has data too.
+	// Number of tasks over which the load of earlier tasks decays. The load doesn't decay with time, so that
+	// a placer that sees few tasks has data too.
 	sizeHistory = 1000
 	meanWeight  = 30   // the configured mean size counts like this many observed tasks of that size
 	minSize     = 1e-9 // in cores or memory units; replaces a size of 0 in divisions
--- a/machinelist_test.go
+++ b/machinelist_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// If machines are replaced continually, memory would grow if the removed machines were kept. Only removed machines
-// that hold a task of this placer are kept.
+// Machines may be replaced continually, so memory would grow without limit if a placer kept all removed machines. It
+// keeps only those that hold one of its tasks.
 func TestRemovedMachinesAreForgotten(t *testing.T) {
 	h := newHarness(t, testSettings(), readyMachines(3))
 	task := h.newTask(0, 7)
@@ -116,7 +116,7 @@
 func TestPollsOfManyPlacersStayFew(t *testing.T) {
 	settings := testSettings()
 	settings.ListWatched, settings.Placers = false, 470
-	const maxPollsPerSecond = 100 // number of polls by all placers together that a list service is assumed to handle
+	const maxPollsPerSecond = 100 // what the list service is assumed to handle, from all placers together
 	perSecond := map[time.Duration]int{}
 	for self := range settings.Placers {
 		settings.Self = self
--- a/model.go
+++ b/model.go
@@ -20,7 +20,7 @@
 	Cores             float64
 	Memory            float64
 	Resubmitted       bool         // there were earlier requests for the task
-	RequiredLabels    uint64       // labels that its machine must have, one per bit; 0: none
+	RequiredLabels    uint64       // labels that the task's machine must have, one per bit; 0: none
 	SpreadLimits      SpreadLimits // limits of the task's service, in addition to the limit of the task's class
 }
 
@@ -37,7 +37,7 @@
 	Removed
 )
 
-// Machine is one entry of the list.
+// Machine is one entry of the machine list.
 type Machine struct {
 	ID              MachineID
 	State           MachineState
--- a/selection.go
+++ b/selection.go
@@ -6,7 +6,7 @@
 const (
 	numberOfChoices = 2           // number of candidates; 2 keeps a service's program cached on two machines
 	maxStarting     = 3           // starts at once on a machine by this placer; more would delay each other
-	admissionSlot   = time.Second // interval between draws of the admitted placers, about the list's lag
+	admissionSlot   = time.Second // a new set of placers is admitted at this interval, about the list's lag
 )
 
 // selectionPass has the conditions under which a machine is selected in one pass.
@@ -19,8 +19,8 @@
 }
 
 // selectionPasses are tried in order, each over all groups, from the task's own group outward. A start
-// without the program costs several times more, and a machine starts few tasks at a time. So a machine with
-// the program is preferred, in whichever group it is, then a machine that starts no task of this placer.
+// without the program costs several times more, and a machine starts few tasks at a time. So machines with
+// the program come first, in whichever group they are. Next come machines that start no task of this placer.
 var selectionPasses = []selectionPass{
 	{programCached: true, maxStarting: 2 * maxStarting},
 	{programCached: true, maxStarting: 2 * maxStarting, standby: true},
--- a/selection_test.go
+++ b/selection_test.go
@@ -201,7 +201,7 @@
 	}
 }
 
-// A restarted placer knows of its running tasks only by hand-over, so these must count for the spread limit.
+// A restarted placer knows of its running tasks only by hand-over, so handed-over tasks must count for the spread limit.
 func TestHandedOverTaskCountsForSpread(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].SpreadDomain, settings.Classes[0].MaxPerDomain = ZoneDomain, 1
--- a/settings.go
+++ b/settings.go
@@ -16,7 +16,7 @@
 //   - Quota of a tenant
 type Settings struct {
 	Placers int // number of placers that share the machines, including this one; at least 1
-	Self    int // index of this placer among them, from 0
+	Self    int // index of this placer among these placers, from 0
 	Zone    int // zone of this placer
 
 	MachineTypes []MachineType // at least one
--- a/state.go
+++ b/state.go
@@ -94,9 +94,9 @@
 // machine is the state of a machine as known to this placer.
 type machine struct {
 	Machine                 // latest list entry
-	derating  float64       // share by which its maximum load is reduced, as of deratedAt
+	derating  float64       // share by which the machine's maximum load is reduced, as of deratedAt
 	deratedAt time.Duration // when a task was last served poorly
-	hash      uint64        // hash of its id
+	hash      uint64        // hash of the machine's id
 	listedAt  time.Duration // when the latest list entry was received
 
 	// Tasks of this placer and of other placers on the machine.
@@ -134,7 +134,7 @@
 type task struct {
 	Task
 	deadline     time.Duration
-	pool         int // index of its machine type's pool
+	pool         int // index of the pool of the task's machine type
 	attempts     []*attempt
 	pending      bool          // the final answer is due
 	backoffUntil time.Duration // the task is not offered before this time, after rejections
