--- a/bookkeeping.go
+++ b/bookkeeping.go
@@ -91,9 +91,9 @@
 	})
 }
 
-// erroredOn reports whether an attempt of the task ended in an error on the machine, so that the task is sent
-// to another machine. An error leaves the machine's capacity available, so the machine would otherwise get all
-// attempts of the task.
+// erroredOn reports whether an attempt of the task ended in an error on the machine. If so, the task is sent to another
+// machine. An error leaves the machine's capacity available, so the machine would otherwise get all attempts of the
+// task.
 func (t *task) erroredOn(m *machine) bool {
 	for _, a := range t.attempts {
 		if a.errored && a.machine == m {
@@ -103,8 +103,8 @@
 	return false
 }
 
-// announceCapacity adds a change to the gossip of this step: the attempt reserves or releases the capacity
-// of its task on its machine.
+// announceCapacity adds a change to the gossip of this step. The change says that the attempt reserves or releases the
+// capacity of its task on its machine.
 func (p *Placer) announceCapacity(a *attempt, direction capacityDirection) {
 	if p.settings.Placers > 1 && p.seesPeerChanges() {
 		p.pendingGossip = append(p.pendingGossip, capacityChange{
@@ -114,7 +114,8 @@
 	}
 }
 
-// addPeerChange stores a change by another placer for changeHistory, the longest time until the list shows it.
+// addPeerChange stores a change by another placer. The change is kept for changeHistory, the longest time until the
+// list shows it.
 func (m *machine) addPeerChange(change capacityChange) {
 	m.cacheProgram(change.program)
 	m.peerChanges = slices.DeleteFunc(m.peerChanges, func(old capacityChange) bool {
@@ -127,8 +128,8 @@
 	m.availableStale = true
 }
 
-// changesSince returns the difference between what the tasks known to this placer request on the machine now
-// and what they requested at the given time.
+// changesSince returns by how much the cores and memory requested on the machine have grown since the given time, as
+// far as this placer knows.
 func (m *machine) changesSince(at time.Duration) (cores, memory float64) {
 	for _, a := range m.attempts {
 		if a.sentAt > at && (a.bound || !a.ended) {
@@ -233,7 +234,7 @@
 	return true
 }
 
-// add adds a task of a size in cores and decays the load of earlier tasks.
+// add decays the load of earlier tasks and adds a task. size is the cores that the task requests.
 func (h *sizeHistogram) add(size float64) {
 	for i := range h.load {
 		h.load[i] *= 1 - 1./sizeHistory
--- a/internal/emulator/platformmodel/emulator.go
+++ b/internal/emulator/platformmodel/emulator.go
@@ -21,7 +21,7 @@
 	Zone        string
 	MachineType string
 	Cell        int
-	Cold        bool // the first incarnation begins with a slow start, as all later incarnations do
+	Cold        bool // the first incarnation begins with a slow start; all later ones do in any case
 	// RestartAfter is the time from a crash by too many offers to the restart; 0: no restart.
 	RestartAfter time.Duration
 }
@@ -37,7 +37,7 @@
 	// use the listener's own address.
 	AddressFor func(placer int, address string) string
 	Seed       uint64
-	MaxRecords int // limit of the journal; 0: 1,000,000
+	MaxRecords int // limit of the number of records in the journal; 0: 1,000,000
 }
 
 // Emulator emulates the environment of the placers of a platform: hosts, owners and the endpoint log, with the faults
@@ -57,7 +57,7 @@
 	logParty       *party
 	listeners      map[ListenerID]*listener
 	links          map[ConnID]*link
-	delayed        map[ConnID]*link // connections with messages or a close held back
+	delayed        map[ConnID]*link // connections on which messages or a close are held back
 	running        map[int]bool     // whether a placer runs, by its number
 	lastHostNumber int
 }
