--- a/internal/verify/bruteforce/bruteforce.go
+++ b/internal/verify/bruteforce/bruteforce.go
@@ -11,8 +11,8 @@
 )
 
 // Compare draws n instances, with consecutive seeds that begin with the given one, and solves each instance with the
-// solver and by brute force. It returns the number of feasible instances. Its error names the first instance for which
-// the two results differ, the solver did not finish, or solver.Check rejects the placement.
+// solver and by brute force. It returns the number of feasible instances. It stops at the first instance for which the
+// two results differ, the solver does not finish, or solver.Check rejects the placement; the error names this instance.
 func Compare(seed uint64, n int, opt solver.Options) (feasible int, err error) {
 	for i := range n {
 		number := seed + uint64(i)
--- a/internal/verify/chaos/faults.go
+++ b/internal/verify/chaos/faults.go
@@ -61,7 +61,8 @@
 	injectors[fault.Kind](r, f)
 }
 
-// drawHosts draws the affected hosts: the fault's share of all hosts, at least one, from those in its zone and rack.
+// drawHosts draws the affected hosts from those in the fault's zone and rack. Their number is the fault's share of all
+// hosts, and at least one.
 func (f *activeFault) drawHosts(all []*testcluster.Host) {
 	var candidates []*testcluster.Host
 	for _, h := range all {
--- a/internal/verify/chaos/faults_hosts.go
+++ b/internal/verify/chaos/faults_hosts.go
@@ -23,7 +23,8 @@
 	r.restartHosts(f.hosts)
 }
 
-// restartRack kills all hosts of a rack at once, by default of the first rack of the fault's zone, and restarts them.
+// restartRack kills all hosts of a rack at once and restarts them. A fault that names no rack affects the first rack of
+// its zone.
 func (r *runner) restartRack(f *activeFault) {
 	f.HostShare = 1
 	if f.Rack == "" {
@@ -37,7 +38,8 @@
 
 func (r *runner) crashAfterBind(f *activeFault) { r.crashAt(f, hostmodel.AfterBind) }
 
-// crashAt makes each host crash when it next reaches a crash point, and restarts the hosts that did.
+// crashAt makes each affected host crash when it next reaches a crash point. At the end of the fault it restarts the
+// hosts that crashed.
 func (r *runner) crashAt(f *activeFault, point hostmodel.CrashPoint) {
 	f.eachHost(func(h *hostmodel.Host, _ time.Duration) { h.CrashAt(point) })
 	r.sleep(f.Duration)
@@ -51,7 +53,7 @@
 	})
 }
 
-// slowHosts slows task starts and running tasks down in one step.
+// slowHosts slows down the task starts and the running tasks of hosts, in one step.
 func (r *runner) slowHosts(f *activeFault) { r.slowDownInSteps(f, 1) }
 
 // degradeHosts slows hosts down progressively, then crashes and restarts them.
--- a/internal/verify/chaos/faults_network.go
+++ b/internal/verify/chaos/faults_network.go
@@ -51,7 +51,8 @@
 
 func (r *runner) delayDiscovery(f *activeFault) { r.lagCatalog(f, f.Delay) }
 
-// lagCatalog replaces the scenario's lag of the endpoint list behind the hosts for the duration of a fault.
+// lagCatalog sets how far the endpoint list lags behind the hosts. When the fault is over, it resets the lag to the
+// scenario's value.
 func (r *runner) lagCatalog(f *activeFault, lag time.Duration) {
 	r.setCatalogLag(lag)
 	r.sleep(f.Duration)
--- a/internal/verify/chaos/load.go
+++ b/internal/verify/chaos/load.go
@@ -91,8 +91,8 @@
 	delete(s.byName, name)
 }
 
-// draw selects each project with the probability share, from 0 to 1. The selection is not determined by the seed,
-// because the iteration order of a map varies.
+// draw draws each project with a probability of share, from 0 to 1. The seed does not determine which projects are
+// drawn, because the iteration order of a map varies.
 func (s *projectSet) draw(rng *rand.Rand, share float64) []project {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/verify/chaos/misbehaving.go
+++ b/internal/verify/chaos/misbehaving.go
@@ -72,6 +72,6 @@
 
 func (p *misbehavingPlacer) close() {
 	for _, c := range p.connections {
-		_ = c.Close() // no frame is awaited, so an error has no consequence
+		_ = c.Close() // the connection is no longer used, so an error has no consequence
 	}
 }
--- a/internal/verify/chaos/process.go
+++ b/internal/verify/chaos/process.go
@@ -47,7 +47,7 @@
 	}
 	readErr := result.readOutput(output)
 	close(ended)
-	stopper.Wait() // before Wait, which would block on a process that is still stopped
+	stopper.Wait() // must precede cmd.Wait, which would block on a process that is still stopped
 	err = cmd.Wait()
 	var exit *exec.ExitError
 	switch {
@@ -61,7 +61,7 @@
 	return result
 }
 
-// readOutput reads the lines that a run writes: first one for each breach, then the result.
+// readOutput reads the lines that a run writes: one line for each breach, then a line with the result.
 func (p *ProcessResult) readOutput(output io.Reader) error {
 	lines := bufio.NewScanner(output)
 	lines.Buffer(nil, maxOutputLine)
--- a/internal/verify/chaos/repeat.go
+++ b/internal/verify/chaos/repeat.go
@@ -16,14 +16,14 @@
 	Seed      int                     // seed of the first run; each further run has the next seed
 	BusyLoops int                     // goroutines that only keep a processor busy
 	MaxStop   time.Duration           // each process is stopped about once a second, for at most this long; 0: never
-	Command   func(seed int) []string // returns the program of a run, which writes JSON lines, and its arguments
+	Command   func(seed int) []string // returns a run's program and arguments; the program writes JSON lines
 	OnDone    func(ProcessResult)     // called with each result, one at a time
 }
 
 // ProcessResult is the result of one run in a process of its own.
 type ProcessResult struct {
 	Seed     int             `json:"seed"`
-	ExitCode int             `json:"code"`             // 0, exitRuleBroken, or exitUnknown for any other end of the run
+	ExitCode int             `json:"code"`             // 0, exitRuleBroken, or exitUnknown if the run ended otherwise
 	Result   json.RawMessage `json:"result,omitempty"` // JSON of a Result: the last output line that is no breach
 	Breaches []string        `json:"breaches,omitempty"`
 	Error    string          `json:"error,omitempty"`
--- a/internal/verify/chaos/result.go
+++ b/internal/verify/chaos/result.go
@@ -36,7 +36,7 @@
 	P50MS               float64                 `json:"p50_ms"` // median time from a submission to a placed outcome
 	P99MS               float64                 `json:"p99_ms"`
 	Seconds             float64                 `json:"seconds"`
-	Accounts            rules.Accounts          `json:"accounts"`          // Tasks, counted by what clients read
+	Accounts            rules.Accounts          `json:"accounts"`          // the submitted tasks by what became of them
 	StoreCommits        uint64                  `json:"commits,omitempty"` // fsyncs of placers' stores
 	Captured            []capture.Event         `json:"-"`
 	Recordings          []testcluster.Recording `json:"-"`
@@ -79,7 +79,7 @@
 		result.Rules[rule.String()] = verdict.Counts[rule]
 	}
 	for _, kind := range []core.OutcomeKind{core.OutcomePlaced, core.OutcomeRejected, core.OutcomeFailed} {
-		result.Outcomes[string(kind)] += 0 // adds an entry for a kind without tasks
+		result.Outcomes[string(kind)] += 0 // adds an entry for a kind of outcome that no task had
 	}
 	return result
 }
--- a/internal/verify/chaos/run.go
+++ b/internal/verify/chaos/run.go
@@ -45,7 +45,7 @@
 	start    time.Time
 	workers  sync.WaitGroup // goroutines of loads, faults and submissions
 
-	// Faults and injected bugs of clients change the fields below.
+	// The fields below change during faults that concern clients and for the injected bugs of clients.
 	loadPerMille      atomic.Uint64 // multiplier of the scenario's rates of submissions, in thousandths
 	disconnectClients atomic.Bool   // streams of new submissions break after some bytes
 	slowReaders       atomic.Bool   // clients of new submissions read late
--- a/internal/verify/chaos/submission.go
+++ b/internal/verify/chaos/submission.go
@@ -32,7 +32,7 @@
 	id      string        // ID from the placer; "" until a placer has accepted the submission
 
 	slowReader bool
-	disconnect bool // the next streams of outcomes break
+	disconnect bool // the submission's next streams of outcomes break
 }
 
 // submit submits a project and reads its outcomes. After a lost reply it sends the project again under the same
@@ -113,8 +113,8 @@
 	s.run.recorder.Add(capture.Event{At: s.run.cluster.Clock.Now(), Type: capture.ClientDisconnected, Submission: id})
 }
 
-// outcomeRead records an outcome that the client read. It is also called for an outcome that the client read on an
-// earlier stream already, since each incarnation of a placer reports its own outcomes.
+// outcomeRead records an outcome each time the client reads it. If the client has read the outcome on an earlier
+// stream, it is recorded again, since each incarnation of a placer reports its own outcomes.
 func (s *submission) outcomeRead(o core.Outcome) {
 	s.run.recorder.Add(capture.Event{
 		At: s.run.cluster.Clock.Now(), Type: capture.Outcome, Placer: s.project.placer, Submission: s.id,
@@ -152,7 +152,7 @@
 // Read fails with errDisconnected once no bytes remain.
 func (c *disconnectingConn) Read(b []byte) (int, error) {
 	if c.remaining <= 0 {
-		_ = c.Close() // Read returns errDisconnected, not an error of Close
+		_ = c.Close() // an error of Close is ignored: Read returns errDisconnected
 		return 0, errDisconnected
 	}
 	n, err := c.Conn.Read(b[:min(len(b), c.remaining)])
--- a/internal/verify/modelcheck/actions.go
+++ b/internal/verify/modelcheck/actions.go
@@ -9,7 +9,7 @@
 // action is a transition that is possible in a state. A fair action happens eventually, unless another action makes it
 // impossible. The other actions are faults, timers and choices of the module.
 type action struct {
-	name string // the line in stored traces; the format of the line unless model.formatNames is set
+	name string // the action's line in traces; only the line's format string unless model.formatNames is set
 	fair bool
 	do   func(st *step)
 }
--- a/internal/verify/modelcheck/actions_network.go
+++ b/internal/verify/modelcheck/actions_network.go
@@ -50,7 +50,8 @@
 	s.discardUndeliverable()
 }
 
-// deliverToPlacer delivers the first message to the placer, which drops it unless the connection is the current one.
+// deliverToPlacer delivers the first message on a connection to the placer. The placer drops the message unless the
+// connection is the current one.
 func (st *step) deliverToPlacer(hi, i int) {
 	s := &st.s.hosts[hi].streams[i]
 	conn := s.conn
--- a/internal/verify/modelcheck/actions_placer.go
+++ b/internal/verify/modelcheck/actions_placer.go
@@ -9,9 +9,9 @@
 	"forkhead/internal/scheduler/hostconn"
 )
 
-// addOwnerActions adds the actions of a task's owner and of the task's timers. The owner requests the task and gives
-// up. The deduplication window may end at any time, and so may the time after which an unreachable attempt counts as
-// lost.
+// addOwnerActions adds the actions of a task's owner, which requests the task and gives up, and the actions of the
+// task's timers. Two periods may end at any time: the deduplication window, and the time after which an unreachable
+// attempt counts as lost.
 func (l *actionList) addOwnerActions(ti int) {
 	t := &l.state.tasks[ti]
 	if t.owner == ownerWaiting {
--- a/internal/verify/modelcheck/config.go
+++ b/internal/verify/modelcheck/config.go
@@ -19,7 +19,7 @@
 	Faults       int             // maximum number of faults: broken connections, crashes and drains of hosts, crashes of the placer
 	NoCrash      bool            // the placer does not crash
 	TasksEnd     bool            `json:"Ends"`   // tasks may end by themselves
-	FindCycles   bool            `json:"Cycles"` // also search for cycles of fair steps, with 16 more bytes for each fair step
+	FindCycles   bool            `json:"Cycles"` // also search for cycles of fair steps; needs 16 more bytes for each fair step
 	SpreadLimit  int             `json:"Spread"` // maximum number of tasks on one host, all of one service; 0: no limit
 	InjectedBug  string          `json:"Plant"`  // name of one of InjectedBugs; "": no bug
 	Workers      int             // number of goroutines; 0: GOMAXPROCS
@@ -54,7 +54,7 @@
 	MemoryBytes uint64        `json:"bytes"` // memory obtained from the operating system until the end of the search
 }
 
-// defaultMaxStates is used where Config.MaxStates is 0. That many states take about 8 GiB of memory.
+// defaultMaxStates is used if Config.MaxStates is 0. That many states take about 8 GiB of memory.
 const defaultMaxStates = 100_000_000
 
 // withDefaults returns the configuration with defaults in place of unset fields, or an error if a bound is out of
--- a/internal/verify/modelcheck/cycle.go
+++ b/internal/verify/modelcheck/cycle.go
@@ -3,9 +3,9 @@
 // fairStep is a fair step between two states, which are given by their hashes.
 type fairStep struct{ from, to uint64 }
 
-// findCycle looks for states that are on a cycle of fair steps, or that are reachable from such a cycle and have a fair
-// step. It returns the least of their hashes, if there are such states. It repeatedly removes states that no step from
-// a remaining state leads to (Kahn's topological sort); the states that remain are those that cannot be sorted.
+// findCycle looks for cycles of fair steps. It repeatedly removes the states that no fair step from a remaining state
+// leads to (Kahn's topological sort). Each state that remains is on a cycle, or is reachable from a cycle and has a
+// fair step. findCycle returns the least hash of the remaining states, if there are any.
 func findCycle(parts [][]fairStep) (hash uint64, found bool) {
 	incoming := map[uint64]int32{}
 	next := map[uint64][]uint64{}
--- a/internal/verify/modelcheck/host.go
+++ b/internal/verify/modelcheck/host.go
@@ -6,8 +6,9 @@
 
 // This file defines how a host uses its state machines.
 
-// replyMessages maps the replies of a host's state machine to messages. Accepted is not sent: where a task counts as
-// bound only when it runs, the message changes nothing at the placer.
+// replyMessages maps the replies of a host's state machine to messages. Accepted has no message: the model assumes the
+// setting BoundWhenRunning, with which a task is bound only when it runs, so Accepted would change nothing at the
+// placer.
 var replyMessages = [...]messageKind{
 	hostsession.SendRejected: rejectedMessage,
 	hostsession.SendRunning:  runningMessage,
@@ -64,8 +65,8 @@
 	}
 }
 
-// receiveHello starts a session on a stream, in place of an earlier session, and sends Welcome; or closes a stale
-// stream.
+// receiveHello handles a Hello that a host reads from a stream. If the stream is stale, the host closes it. Otherwise
+// the host starts a session on the stream, in place of an earlier session, and sends Welcome.
 func (st *step) receiveHello(h *host, s *stream) {
 	last := hostsession.Session{
 		Epoch: uint64(h.sessionIncarnation), Conn: uint32(h.sessionConn), Connected: h.sessionOpen,
--- a/internal/verify/modelcheck/injectedbugs.go
+++ b/internal/verify/modelcheck/injectedbugs.go
@@ -170,7 +170,8 @@
 	}
 }
 
-// replaceTransition returns a function that injects another result of one input in one phase of an attempt.
+// replaceTransition returns a function that injects a bug into the transitions of attempts: in the given phase, the
+// given input leads to the given next phase and effect.
 func replaceTransition(
 	phase attempt.Phase, input attempt.Input, next attempt.Phase, effect attempt.Effect,
 ) func(*stateMachines) {
--- a/internal/verify/modelcheck/modelcheck_test.go
+++ b/internal/verify/modelcheck/modelcheck_test.go
@@ -29,7 +29,8 @@
 	return cfg
 }
 
-// Fair steps form no cycle. Together with the check of the states without a fair step this shows liveness.
+// A search finds no cycle of fair steps. Together with the check of the states without a fair step, this shows
+// liveness.
 func TestRunWithoutBugFindsNoFairCycle(t *testing.T) {
 	for _, effect := range []forkhead.Effect{forkhead.Safe, forkhead.Keyed, forkhead.Unsafe} {
 		cfg := smallConfig(effect)
@@ -186,7 +187,8 @@
 	}
 }
 
-// Each line that a trace may have matches exactly one of replayActions, and each of replayActions matches a line.
+// Each line that may occur in a trace matches exactly one pattern of replayActions, and each of these patterns matches
+// at least one such line.
 func TestReplayActionsMatchEachLineOnce(t *testing.T) {
 	r := &replayer{hosts: []*replayHost{newReplayHost(0), newReplayHost(1)}}
 	used := map[string]bool{}
--- a/internal/verify/modelcheck/placer.go
+++ b/internal/verify/modelcheck/placer.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// endPlacement ends the placement of a task, if the task is placed, after an attempt has ended. The parameter before is
-// the phase that the attempt was in, and next is the owner's next state.
+// endPlacement changes the state of a task's owner to next if the task was placed by an attempt that has now ended. The
+// parameter before is the phase that this attempt was in.
 func (t *task) endPlacement(before attempt.Phase, next ownerState) {
 	wasPlaced := before == attempt.Placed || before == attempt.Unreachable
 	if wasPlaced && t.owner == ownerPlaced {
@@ -152,7 +152,7 @@
 	}
 	var buf [maxAttempts]attempt.Attempt
 	r := st.request(t, &buf)
-	number := len(r.Attempts) - 1 // the attempt whose offer waits is the last one
+	number := len(r.Attempts) - 1 // the waiting offer is that of the request's last attempt
 	if st.stateMachines.mayWrite(&r, t.now(), number) != nil {
 		return false
 	}
@@ -282,7 +282,7 @@
 }
 
 // receiveWelcome handles a Welcome and the attempts that it lists. It then writes the offers that waited for the
-// connection and queries the attempts of the same epoch that the host does not list.
+// connection, and queries the attempts of the host's current epoch that the Welcome does not list.
 func (st *step) receiveWelcome(hi int, m message) {
 	h := &st.s.hosts[hi]
 	st.applyConnectionInput(hi, hostconn.Input{Kind: hostconn.Welcomed, Conn: uint32(h.conn), Epoch: uint64(m.attemptOrEpoch)})
--- a/internal/verify/modelcheck/properties.go
+++ b/internal/verify/modelcheck/properties.go
@@ -35,7 +35,7 @@
 	case hostsession.Queued, hostsession.Starting, hostsession.Running:
 		return true
 	case hostsession.Ended:
-		// An attempt of an earlier incarnation of the placer that has ended does not count: by the terms of the
+		// An attempt that has ended does not count if an earlier incarnation of the placer made it: by the terms of the
 		// service, the client has to judge such an attempt.
 		return a.isKnown(st.s.incarnation)
 	}
--- a/internal/verify/modelcheck/replay.go
+++ b/internal/verify/modelcheck/replay.go
@@ -55,8 +55,8 @@
 	retryTime   = 100 * time.Millisecond // longer than any backoff of a request or a connection in replaySettings
 )
 
-// replaySettings are the settings of the core. No timer fires in the milliseconds that a trace takes, except those of
-// retries, which are due after about 1ms. Where a line of a trace is the end of a period, the replay advances the clock
+// replaySettings are the settings of the core. No timer fires in the milliseconds that a trace takes, except timers of
+// retries, which are due after about 1ms. If a line of a trace says that a period ends, the replay advances the clock
 // by that period.
 const replaySettings = `(forkhead (placer (zone a) (http "127.0.0.1:1") (tell "127.0.0.1:2"))
   (kind k (cores 100) (memory 100GiB))
--- a/internal/verify/modelcheck/replay_host.go
+++ b/internal/verify/modelcheck/replay_host.go
@@ -80,7 +80,8 @@
 	}
 }
 
-// applyHostInput applies an input to an attempt of the task that is in the given state at the host.
+// applyHostInput applies an input to a host's attempt of a task. It returns an error if the host has no attempt of the
+// task in the given state.
 func (r *replayer) applyHostInput(args actionArgs, in hostsession.State, input hostsession.Input) error {
 	for ref, a := range args.host.attempts {
 		if a.task == args.task && a.state == in {
@@ -145,8 +146,9 @@
 	}
 }
 
-// receiveHello starts a session, in place of an earlier session, and sends the attempts that hold capacity; or it
-// closes a stale stream.
+// receiveHello handles a Hello that a host reads from a stream. If the stream is stale, the host closes it. Otherwise
+// the host starts a session on the stream, in place of an earlier session, and sends Welcome with the attempts that
+// hold capacity.
 func (r *replayer) receiveHello(h *replayHost, s *replayStream, f hostproto.Hello) {
 	if hostsession.CheckHello(h.lastSession, f.Epoch, f.Conn) == hostsession.HelloStale {
 		s.hostOpen = false
--- a/internal/verify/modelcheck/state.go
+++ b/internal/verify/modelcheck/state.go
@@ -88,7 +88,7 @@
 	connState     hostconn.State
 	conn          uint8
 	knownEpoch    uint8
-	holdsReceived bool // the host's attempts were received after Welcome: offers may be written
+	holdsReceived bool // the placer has received the attempts that the host lists after Welcome, and may write offers
 
 	// State at the host.
 	sessionIncarnation uint8 // the placer's incarnation
@@ -174,7 +174,7 @@
 // attemptsMade returns the attempts of the task that have been made so far.
 func (t *task) attemptsMade() []taskAttempt { return t.attempts[:t.attemptCount] }
 
-// isKnown reports whether the placer knows the attempt. The parameter is the placer's current incarnation.
+// isKnown reports whether the placer knows the attempt. The parameter incarnation is the placer's current one.
 func (a *taskAttempt) isKnown(incarnation uint8) bool {
 	return a.incarnation == incarnation && a.phase != forgotten
 }
--- a/internal/verify/modelcheck/step.go
+++ b/internal/verify/modelcheck/step.go
@@ -49,7 +49,7 @@
 	requestDeadline    = 100 * time.Second
 	drainGrace         = time.Second / 4
 	afterDrainGrace    = time.Second
-	maxRequestAttempts = 2 // of one request
+	maxRequestAttempts = 2 // attempts that one request may have
 )
 
 // now returns a time before or after the end of the task's deduplication window.
@@ -93,7 +93,7 @@
 	return n
 }
 
-// isWanted reports whether a task's owner still wants it placed.
+// isWanted reports whether a task's owner still wants the task placed.
 func (t *task) isWanted() bool { return t.owner == ownerWaiting || t.owner == ownerRequested }
 
 // notifyOwner notifies a task's owner of an outcome. If a task was placed and lost, the owner is not notified a second
--- a/internal/verify/modelcheck/trace.go
+++ b/internal/verify/modelcheck/trace.go
@@ -6,12 +6,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// lostTrace takes the place of a line in a trace if no action leads to the next state on the path, because another
-// state has the same hash.
+// lostTrace is put in a trace instead of an action's name if no action leads to the next state on the path, which
+// happens if another state has the same hash.
 const lostTrace = "(two states share a hash: the trace is lost here)"
 
-// trace returns the names of the actions that lead from the root to a finding. It takes the actions on states that are
-// not made canonical, so that task 1 stays task 1 in the whole trace.
+// trace returns the names of the actions that lead from the root to a finding. It applies the actions to states that
+// are not made canonical, so that task 1 stays task 1 in the whole trace.
 func (s *search) trace(root state, f finding) []string {
 	s.formatNames = true
 	defer func() { s.formatNames = false }()
--- a/internal/verify/platformreplay/format.go
+++ b/internal/verify/platformreplay/format.go
@@ -104,7 +104,7 @@
 	return time.Duration(at)*time.Microsecond + v.Nanoseconds
 }
 
-// exactBytes returns data if it is not valid UTF-8, which a JSON string cannot hold, and nil otherwise.
+// exactBytes returns nil if data is valid UTF-8. Otherwise it returns data, which a JSON string cannot hold.
 func exactBytes(data []byte) []byte {
 	if utf8.Valid(data) {
 		return nil
--- a/internal/verify/platformreplay/inputs.go
+++ b/internal/verify/platformreplay/inputs.go
@@ -35,8 +35,8 @@
 	Bytes      []byte `json:",omitempty"` // nil if Data is valid UTF-8
 }
 
-// encodeInput returns the type and the value of an input's line. Inputs without a connection's bytes are their own
-// values.
+// encodeInput returns the type and the value of an input's line. The value is the input itself, unless the input holds
+// bytes of a connection.
 func encodeInput(input platformcore.Input) (lineType string, value any) {
 	switch in := input.(type) {
 	case platformcore.OwnerConnected:
--- a/internal/verify/platformreplay/outputs.go
+++ b/internal/verify/platformreplay/outputs.go
@@ -44,8 +44,8 @@
 	Message            string
 }
 
-// encodeOutput returns the type and the value of an output's line. Outputs other than connection data and log messages
-// are their own values.
+// encodeOutput returns the type and the value of an output's line. The value is the output itself, unless the output is
+// data for a connection or a log message.
 func encodeOutput(output platformcore.Output) (lineType string, value any) {
 	switch out := output.(type) {
 	case platformcore.SendToOwner:
--- a/internal/verify/platformreplay/request.go
+++ b/internal/verify/platformreplay/request.go
@@ -25,7 +25,7 @@
 	Now        time.Duration `json:"now"`       // time of the step, in nanoseconds since the Unix epoch
 	Direction  string        `json:"direction"` // "in" or "out", from the placer's side
 	Peer       Peer          `json:"peer"`
-	Connection uint64        `json:"connection"`        // number of the connection among those with this kind of peer
+	Connection uint64        `json:"connection"`        // number of the connection among those to peers of this kind
 	Address    string        `json:"address,omitempty"` // address of the host
 	Line       string        `json:"line"`
 }
--- a/internal/verify/platformsim/checks.go
+++ b/internal/verify/platformsim/checks.go
@@ -51,7 +51,9 @@
 // the request's class.
 func (w *world) checkNoRepeat(r *request, h *host) {
 	class := &w.Settings.Classes[r.class]
-	first := true // whether t is the first attempt that may have run; the deduplication window begins with that attempt
+	// first is true while no earlier attempt may have run. The deduplication window begins with the first attempt that
+	// may have run.
+	first := true
 	for _, t := range r.attempts {
 		if t.mayRun() {
 			w.breach("no repeat: two attempts of %s may run at once", r.ref)
@@ -207,8 +209,8 @@
 	}
 }
 
-// checkEndReported checks that an owner that is still connected and has not canceled its task knows if the task has
-// ended. An end that the placer itself requested does not count.
+// checkEndReported checks that the owner of a task that has ended knows of the end. It does not check owners that are
+// disconnected or have canceled the task, nor ends that the placer itself requested.
 func (w *world) checkEndReported(r *request) {
 	if r.answer != platform.TypeBound || r.finalMessage != "" || r.cancelSent || !r.owner.open {
 		return
--- a/internal/verify/platformsim/conn.go
+++ b/internal/verify/platformsim/conn.go
@@ -66,8 +66,8 @@
 	})
 }
 
-// failDial reports to the placer that the dial failed. If the host did not refuse the dial, the cause is drawn: nothing
-// answered, or the cause is local to the placer.
+// failDial reports to the placer that the dial failed. Unless the host refused the dial, the reported cause is drawn at
+// random: either nothing answered, or the cause is local to the placer.
 func (c *conn) failDial(refused bool) {
 	c.deliver(func() {
 		delete(c.placer.conns, c.id)
@@ -88,7 +88,8 @@
 	c.host.sendUndelivered(c)
 }
 
-// close closes the connection on the placer's side and abandons its attempts that the placer does not know as bound.
+// close closes the connection on the placer's side. The attempts that were sent on the connection are over, except
+// those that the placer knows as bound.
 func (c *conn) close() {
 	if c.closed {
 		return
@@ -119,7 +120,8 @@
 	})
 }
 
-// disconnect reports the end of the connection to the placer. Attempts that the placer does not know as bound are over.
+// disconnect reports the end of the connection to the placer. The attempts that were sent on the connection are over,
+// except those that the placer knows as bound.
 func (c *conn) disconnect() {
 	c.closed = true
 	delete(c.placer.conns, c.id)
--- a/internal/verify/platformsim/host.go
+++ b/internal/verify/platformsim/host.go
@@ -88,7 +88,7 @@
 	h.w.publish(false, h.endpoint(platform.InService))
 }
 
-// sendUndelivered sends the releases that the placer of a new connection has not acknowledged.
+// sendUndelivered sends, on a new connection, the releases that the placer of the connection has not acknowledged.
 func (h *host) sendUndelivered(c *conn) {
 	for _, u := range h.undelivered {
 		if u.placer == c.placer {
--- a/internal/verify/platformsim/interleavings.go
+++ b/internal/verify/platformsim/interleavings.go
@@ -115,8 +115,9 @@
 	run.p.step()
 }
 
-// settle advances the clock by 20 s, in which no host answers or accepts a connection. The request must have an answer
-// at the end, and its owner a release if the task was bound, unless the owner has canceled it or disconnected.
+// settle advances the clock by 20 s, in which no host answers or accepts a connection. It then checks that the request
+// has an answer, unless the request was canceled. If the answer was that the task is bound, the owner must also have
+// got a release, unless the owner has sent a cancel or has disconnected.
 func (run *interleavingRun) settle() {
 	for range 200 {
 		run.runUntil(run.w.now + 100*time.Millisecond)
--- a/internal/verify/platformsim/outputs.go
+++ b/internal/verify/platformsim/outputs.go
@@ -21,7 +21,7 @@
 		}
 	case platformcore.HalfCloseHostConnection:
 		if c := p.conns[o.Connection]; c != nil && c.established {
-			p.w.after(p.w.delay(), c.reset) // the host closes its side after the messages that it has sent
+			p.w.after(p.w.delay(), c.reset) // the host, too, closes its side, after the messages that it has already sent
 		}
 	case platformcore.SendToOwner:
 		p.sendToOwner(o)
--- a/internal/verify/platformsim/request.go
+++ b/internal/verify/platformsim/request.go
@@ -20,7 +20,7 @@
 	timeout          time.Duration
 	owner            *ownerConn
 	cancelSent       bool                 // the owner has sent a cancel, which the placer may not have received
-	canceled         bool                 // the placer has received a cancel, or cannot answer any more
+	canceled         bool                 // the placer has read a cancel, was killed, or has lost the owner's connection
 	answer           platform.MessageType // type of the answer; empty if none was sent
 	finalMessage     platform.MessageType // type of the release, or finalLost; empty if there is none
 	attempts         []*attempt
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// line returns the request as a message. For a task that is handed over, the parameter runsAt is the field with the
-// name of the task's host; otherwise the parameter is empty.
+// line returns the request as a message. If the message hands over a running task, the parameter runsAt is the field
+// with the name of the task's host; otherwise runsAt is empty.
 func (r *request) line(runsAt string) string {
 	names := r.placer.w.WireNames
 	tenant := ""
@@ -80,7 +80,7 @@
 	return r.line(";at:" + r.boundAttempt().host.name())
 }
 
-// encodeLine returns a message as a line. A message that says that a task is bound has a description.
+// encodeLine returns a message as a line. Only a message that says that a task is bound gets a Message.Description.
 func encodeLine(messageType platform.MessageType, ref string, cause platform.Cause, fields ...platform.Field) string {
 	var description []byte
 	if messageType == platform.TypeBound {
--- a/internal/verify/platformsim/run.go
+++ b/internal/verify/platformsim/run.go
@@ -34,8 +34,10 @@
 	Breaches                                     []string // the first maxBreaches breaches of the rules
 	Requests, Placed, Rejected, Failed, Canceled int      // Canceled counts requests whose owner disconnected
 	Offers, HandedOver, Kills, SlowStartOffers   int      // SlowStartOffers counts the offers to hosts in a slow start
-	Lost, Ended                                  int      // bound tasks that ended unnoticed while their placer was down; released ones
-	Steps                                        int      // steps of all cores
+	// Lost counts bound tasks that ended unnoticed while their placer was down. Ended counts bound tasks that were
+	// released.
+	Lost, Ended int
+	Steps       int // steps of all cores
 }
 
 const (
--- a/internal/verify/platformsim/run_test.go
+++ b/internal/verify/platformsim/run_test.go
@@ -65,7 +65,7 @@
 }
 
 // For all drawn settings and faults, the messages that are written break no rule, nothing panics, and every request is
-// answered. The runs are the same each time; TestNewDrawnSettingsKeepTheRules runs others.
+// answered. The test draws the same settings each time; TestNewDrawnSettingsKeepTheRules draws new ones.
 func TestDrawnSettingsKeepTheRules(t *testing.T) {
 	configs := rapid.Custom(drawnConfig)
 	for seed := range 150 {
@@ -75,8 +75,9 @@
 	}
 }
 
-// TestNewDrawnSettingsKeepTheRules runs settings that are drawn from a new seed each time, as many as -rapid.checks
-// says. It runs on request only: NODELIVES=1 go test -run NewDrawnSettings -rapid.checks=3000.
+// TestNewDrawnSettingsKeepTheRules draws settings from a new seed each time and runs each of them. The flag
+// -rapid.checks is the number of settings. The test runs on request only: NODELIVES=1 go test -run NewDrawnSettings
+// -rapid.checks=3000.
 func TestNewDrawnSettingsKeepTheRules(t *testing.T) {
 	if os.Getenv("NODELIVES") == "" {
 		t.Skip("NODELIVES is not set")
--- a/internal/verify/replay/play.go
+++ b/internal/verify/replay/play.go
@@ -39,7 +39,7 @@
 type player struct {
 	decoder *gob.Decoder
 	core    *core.Core
-	base    capture.Event // the fields that all events have in common
+	base    capture.Event // the fields that all captured events have in common
 	result  *Result
 }
 
--- a/internal/verify/replay/recording.go
+++ b/internal/verify/replay/recording.go
@@ -95,8 +95,8 @@
 	return w.err
 }
 
-// Bytes ends the recording and returns it. Its error joins the error after which Add recorded no further steps with an
-// error of ending the recording.
+// Bytes ends the recording and returns it. The returned error joins two errors: the first one of NewWriter or Add,
+// after which Add recorded no further steps, and one of ending the recording.
 func (w *Writer) Bytes() ([]byte, error) {
 	err := w.zip.Close() // must precede the read of buf, since Close writes the last bytes
 	return w.buf.Bytes(), errors.Join(err, w.err)
--- a/internal/verify/rules/answers.go
+++ b/internal/verify/rules/answers.go
@@ -14,8 +14,8 @@
 	outcomeFailed   = "failed"
 )
 
-// decisionTolerance is the time after its timeout within which a placer may still decide an outcome, by the placer's
-// clock. It covers the rounding of times.
+// decisionTolerance is the time after a submission's timeout within which the placer may still decide an outcome, by
+// the placer's clock. It covers the rounding of times.
 const decisionTolerance = time.Millisecond
 
 // submission is a client's submission of tasks.
@@ -80,15 +80,16 @@
 	c.checkDecisionTime(s, e)
 }
 
-// mayReadAgain reports whether a client may read an outcome again, or late, at a given time. This is allowed after the
-// stream of outcomes broke, and if the placer was down and keeps accepted requests over a restart.
+// mayReadAgain reports whether, at a given time, a client may read an outcome again or read it late. Both are allowed
+// after the stream of outcomes broke. If placers keep accepted requests over a restart, both are also allowed if the
+// placer was down since the submission.
 func (c *checker) mayReadAgain(s *submission, at time.Duration) bool {
 	return happenedBy(s.disconnectedAt, at) || c.config.Durable && c.trace.placers[s.placer].wasDown(s.submittedAt, at)
 }
 
-// checkDelivery checks that an outcome reached its client within Config.MaxOutcomeDelay of the time at which it was
-// due. If the capture has the time at which the placer received the submission, and the outcome was decided after it
-// was due, the delay is counted from the decision; checkDecisionTime checks whether the decision was in time.
+// checkDelivery checks that a client read an outcome at most Config.MaxOutcomeDelay after it was due. If the outcome
+// was decided after it was due, and the capture has the time at which the placer received the submission, the delay is
+// counted from the decision instead; checkDecisionTime checks whether the decision was in time.
 func (c *checker) checkDelivery(s *submission, e *capture.Event) {
 	since := s.dueAt()
 	if s.receivedAt > 0 {
@@ -140,8 +141,8 @@
 	}
 }
 
-// checkOffersCaptured checks that each offer that reached a host is in the capture at the sockets of its placer, if
-// they were captured. An offer that is missing there would escape the checks of the placers' views.
+// checkOffersCaptured checks the capture at the sockets of each placer, if there is one: it must have each offer of the
+// placer that reached a host. An offer that is missing there would escape the checks of the placers' views.
 func (c *checker) checkOffersCaptured(views map[incarnation]*placerView) {
 	for _, a := range c.trace.attempts {
 		view := views[a.sender]
--- a/internal/verify/rules/answers_test.go
+++ b/internal/verify/rules/answers_test.go
@@ -111,8 +111,8 @@
 	want   Accounts
 }
 
-// checkAccounts checks the accounts of each case, that they cover all tasks, and that there is a breach exactly if a
-// task is unanswered.
+// checkAccounts checks, for each case, that the accounts are as wanted, that they cover all tasks, and that there is a
+// breach if and only if a task is unanswered.
 func checkAccounts(t *testing.T, cases []accountsCase) {
 	t.Helper()
 	for _, c := range cases {
@@ -178,7 +178,7 @@
 	})
 }
 
-// An outcome that is read twice counts once, and at most as many tasks as were submitted count as answered.
+// An outcome that is read twice counts once, and no more tasks count as answered than were submitted.
 func TestCheckCountsEachOutcomeOnce(t *testing.T) {
 	outcome := func(at time.Duration, name, result string) capture.Event {
 		return capture.Event{At: at, Type: capture.Outcome, Submission: "s", Name: name, Result: result}
--- a/internal/verify/rules/config.go
+++ b/internal/verify/rules/config.go
@@ -42,7 +42,7 @@
 type Class struct {
 	Effect       forkhead.Effect
 	DedupDomain  forkhead.Domain // for a keyed class: domain whose hosts deduplicate repeated starts
-	DedupWindow  time.Duration   // for a keyed class: begins with the first attempt that may have run
+	DedupWindow  time.Duration   // for a keyed class: duration of deduplication, from the first attempt that may have run
 	SpreadDomain forkhead.Domain
 	MaxPerDomain int // largest number of tasks of one service in a SpreadDomain
 }
--- a/internal/verify/rules/drain.go
+++ b/internal/verify/rules/drain.go
@@ -7,8 +7,8 @@
 	"forkhead/internal/scheduler/invariant"
 )
 
-// drainNotices holds what a placer was notified of about hosts that must get no new tasks. The maps notReady and
-// draining give the time of the notice by host; a host without a notice has no entry.
+// drainNotices holds a placer's notices about hosts that must get no new tasks. The maps notReady and draining give the
+// time of the notice by host; a host without a notice has no entry.
 type drainNotices struct {
 	known    map[string]bool          // hosts that were in an endpoint list since the start of the placer
 	notReady map[string]time.Duration // hosts that drain by the endpoint list or are no longer in it
@@ -71,8 +71,8 @@
 	}
 }
 
-// checkDrains checks, on the traffic that hosts and the catalog captured, that a placer sends no offer to a host later
-// than the grace period after it was notified that the host drains or has left the endpoint list.
+// checkDrains checks offers in the traffic that hosts and the catalog captured. Once a placer was notified that a host
+// drains or has left the endpoint list, the placer may offer tasks to that host only during the grace period.
 func (c *checker) checkDrains() {
 	byPlacer := map[int]*drainNotices{}
 	notices := func(placer int) *drainNotices {
--- a/internal/verify/rules/drain_test.go
+++ b/internal/verify/rules/drain_test.go
@@ -29,7 +29,8 @@
 	})
 }
 
-// A notice counts from the first one of its kind until it is revoked, and only for the placer that got it.
+// The grace period begins with a host's first drain notice of a kind. Further notices of that kind do not restart the
+// period unless the first one was revoked. A notice counts only for the placer that got it.
 func TestCheckDrainsNotices(t *testing.T) {
 	drains := func(at time.Duration, on bool) capture.Event {
 		return capture.Event{At: at, Type: capture.Drain, Host: "a", HostDraining: on}
--- a/internal/verify/rules/golden_test.go
+++ b/internal/verify/rules/golden_test.go
@@ -49,7 +49,7 @@
 	config.Durable = s.Durable
 	v := Check(events, config)
 	for _, kind := range []core.OutcomeKind{core.OutcomePlaced, core.OutcomeRejected, core.OutcomeFailed} {
-		v.Outcomes[string(kind)] += 0 // the stored result lists outcomes that did not occur, too
+		v.Outcomes[string(kind)] += 0 // the stored result also lists the kinds of outcomes that did not occur
 	}
 	return v
 }
--- a/internal/verify/rules/helpers_test.go
+++ b/internal/verify/rules/helpers_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// checkBreaches checks that a trace breaches each rule as often as the parameter broken has the rule, and no other
-// rule.
+// checkBreaches checks that a trace breaches each rule as often as the rule is listed in the parameter broken. A rule
+// that is not listed must not be breached.
 func checkBreaches(t *testing.T, config Config, events []capture.Event, broken ...invariant.Rule) {
 	t.Helper()
 	var want [invariant.RuleCount]int
@@ -152,13 +152,13 @@
 	return e
 }
 
-// ofPlacer returns e as an event of an incarnation of a placer that also began the attempt.
+// ofPlacer returns e as an event of a placer's incarnation. The same incarnation also began the attempt.
 func ofPlacer(placer int, epoch uint64, e capture.Event) capture.Event {
 	e.Placer, e.PlacerEpoch, e.RefEpoch = placer, epoch, epoch
 	return e
 }
 
-// sentBy returns e as sent by an incarnation of its placer, which need not have begun the attempt.
+// sentBy returns e as sent by the given incarnation of its placer. Another incarnation may have begun the attempt.
 func sentBy(epoch uint64, e capture.Event) capture.Event {
 	e.PlacerEpoch = epoch
 	return e
--- a/internal/verify/rules/norepeat_test.go
+++ b/internal/verify/rules/norepeat_test.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// Each case puts an event at, or 1ms after, the latest time at which the placer may have known of it when it sent the
-// next offer. Most of these offers reach their host at 1s.
+// Each case has an event and a further offer. The event is at the latest time at which the placer may have known of the
+// event when it sent the offer, or 1ms later. Most of these offers reach their host at 1s.
 func TestCheckRepeatsBounds(t *testing.T) {
 	first := func(class string) capture.Event { return offer(10*ms, "a", class, 1) }
 	onFirst := func(at time.Duration, kind capture.EventType) capture.Event { return message(at, kind, "a", 1) }
@@ -137,8 +137,8 @@
 			offer(10*ms, "a", "keyed", 1), retry(6*time.Second, "b", "keyed"),
 		}, invariant.NoRepeat},
 	})
-	// The window begins with the first attempt. The third attempt is after the end of the window, which is one breach
-	// for each of the two earlier attempts.
+	// The deduplication window begins with the first attempt. The third attempt comes after the end of the window,
+	// which is one breach for each of the two earlier attempts.
 	checkBreaches(t, testConfig(), slices.Concat(testHosts(), []capture.Event{
 		offer(10*ms, "a", "keyed", 1), disconnected, retry(time.Second, "b", "keyed"),
 		message(1001*ms, capture.Disconnected, "b", 0), thirdAttempt(5111*ms, "keyed"),
@@ -171,7 +171,7 @@
 		"nothing":      nil,
 	} {
 		rejected := message(20*ms, capture.Refused, "a", 1)
-		rejected.PlacerEpoch = 9 // the incarnation that reads the message doesn't matter
+		rejected.PlacerEpoch = 9 // it doesn't matter which incarnation of the placer reads the message
 		want := noBreach
 		if change != nil {
 			change(&rejected)
--- a/internal/verify/rules/placers.go
+++ b/internal/verify/rules/placers.go
@@ -21,7 +21,7 @@
 	epoch uint64 // of the incarnation that died; 0 if not captured
 }
 
-// with returns the history with the start or death of an event added.
+// with returns the history with one more start or death, which it takes from an event.
 func (h placerHistory) with(e *capture.Event) placerHistory {
 	if e.Type == capture.PlacerUp {
 		h.starts = append(h.starts, e.At)
@@ -79,9 +79,9 @@
 	return false
 }
 
-// stalledFor returns for how long within an interval at least one placer had an overdue step. All placers and clients
-// of a capture are in one process, which is taken to be stalled for that time, including the clients that read
-// outcomes.
+// stalledFor returns for how long, within an interval, a step of at least one placer was overdue. All placers and
+// clients of a capture run in one process. The whole process is taken to be stalled for that time, including the
+// clients that read outcomes.
 func (t *trace) stalledFor(from, to time.Duration) (sum time.Duration) {
 	for _, step := range t.lateSteps {
 		if end := min(step.ranAt, to); end > max(step.dueAt, from) {
--- a/internal/verify/rules/placerview_test.go
+++ b/internal/verify/rules/placerview_test.go
@@ -30,15 +30,15 @@
 	return e
 }
 
-// finishedCase has the events of unsafe request 1 at host a before its task is offered to host b, which is a breach
-// unless the attempt at host a has finished.
+// finishedCase has events of unsafe request 1 at host a. Its task is then offered to host b, which is a breach unless
+// the attempt at host a has finished.
 type finishedCase struct {
 	name     string
 	events   []capture.Event
 	finished bool
 }
 
-// checkFinished checks of each case whether the attempt at host a has finished.
+// checkFinished checks, for each case, whether the attempt at host a has finished.
 func checkFinished(t *testing.T, cases []finishedCase) {
 	t.Helper()
 	var ruleCases []ruleCase
@@ -129,8 +129,8 @@
 	})
 }
 
-// Each case has messages on safe request 1 at host a before its next attempt at host c, which is a breach if the first
-// attempt is still unanswered.
+// Each case has messages about the attempt of safe request 1 at host a. The request's next attempt is at host c, which
+// is a breach if the first attempt is still unanswered.
 func TestPlacerViewAwaitsAnswer(t *testing.T) {
 	safe := offer(10*ms, "a", "safe", 1)
 	next := retry(60*ms, "c", "safe")
@@ -160,8 +160,8 @@
 	})
 }
 
-// Each case has messages on request 1 at host a before another task of its service is offered to host b, which is a
-// breach if the first task counts as placed.
+// Each case has messages about the attempt of request 1 at host a. Another task of the same service is then offered to
+// host b, which is a breach if the task of request 1 counts as placed.
 func TestPlacerViewPlaced(t *testing.T) {
 	first := offer(10*ms, "a", "spread", 1)
 	onFirst := func(at time.Duration, kind capture.EventType) capture.Event { return message(at, kind, "a", 1) }
--- a/internal/verify/rules/sentattempt.go
+++ b/internal/verify/rules/sentattempt.go
@@ -48,8 +48,9 @@
 	}
 }
 
-// onStop handles the placer's Stop. An attempt that reappeared in the same step no longer counts as placed, because the
-// placer doesn't want the task; any other attempt counts until the host reports that it ended.
+// onStop handles the placer's Stop. If the host reported the attempt as bound in the same step, although the placer no
+// longer waited for the answer, the attempt no longer counts as placed, because the placer doesn't want the task. Any
+// other attempt counts until the host reports that it ended.
 func (a *sentAttempt) onStop(at time.Duration) {
 	if a.state == bound && a.reappearedAt == at {
 		a.state = mayRun
--- a/internal/verify/rules/slowstart.go
+++ b/internal/verify/rules/slowstart.go
@@ -15,8 +15,8 @@
 	offeredAt []time.Duration // times of the offers in the window that ends at the latest offer
 }
 
-// checkSlowStarts checks that all placers together offered no host that is warming up more tasks than the limit, and
-// that no such host crashed from overload.
+// checkSlowStarts checks, for each host that is warming up, that all placers together did not offer it more tasks than
+// the limit, and that the host did not crash from overload.
 func (c *checker) checkSlowStarts() {
 	hosts := map[string]*hostIncarnation{}
 	for i := range c.trace.events {
@@ -48,8 +48,8 @@
 	}
 }
 
-// slowStartLimit returns the number of offers allowed in a window to a host of an age below SlowStartDuration. The rate
-// at which the host starts tasks grows linearly with its age.
+// slowStartLimit returns the number of offers that are allowed in a window to a host. The host's age is the time since
+// its start and is below SlowStartDuration. The rate at which the host starts tasks grows linearly with its age.
 func (c *checker) slowStartLimit(age time.Duration) float64 {
 	initial := c.config.SlowStartInitialRate
 	rate := c.config.WarmStartRate * (initial + (1-initial)*float64(age)/float64(c.config.SlowStartDuration))
--- a/internal/verify/rules/spread.go
+++ b/internal/verify/rules/spread.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// countsTowardSpread reports whether the placer that sent the second of two attempts certainly still had the first one
-// at that time.
+// countsTowardSpread reports whether the placer that sent attempt a certainly still had the attempt other when it sent
+// a.
 func (c *checker) countsTowardSpread(other, a *attempt) bool {
 	if other.sender.placer != a.sender.placer || other.offeredAt > a.offeredAt {
 		return false
@@ -62,9 +62,10 @@
 	return true
 }
 
-// wasReportedTo reports whether a host reported an attempt of an earlier incarnation of a placer to the incarnation
-// that sent a later attempt, which counts the earlier one from then on. An attempt that ended while no incarnation was
-// connected is not listed in a later handshake, and no placer is notified of its end.
+// wasReportedTo reports whether a host had reported an earlier attempt to the incarnation of the placer that sent
+// attempt a, by the time at which a was offered. The incarnation counts the earlier attempt from that report on. An
+// attempt that ended while no incarnation was connected is not listed in a later handshake, and no placer is notified
+// of its end.
 func (c *checker) wasReportedTo(earlier, a *attempt) bool {
 	successor := incarnation{a.sender.placer, a.placerEpoch}
 	for _, handshake := range c.trace.holds[earlier.attemptID] {
--- a/internal/verify/scenario/read.go
+++ b/internal/verify/scenario/read.go
@@ -16,7 +16,7 @@
 const (
 	day                  = 24 * time.Hour
 	minLength            = 100 * time.Millisecond
-	minInterval          = 10 * time.Millisecond // between repetitions; also the shortest timeout of the catalog
+	minInterval          = 10 * time.Millisecond // shortest time between repetitions, and shortest timeout of the catalog
 	maxHostGroup         = 10_000                // hosts of a group, and racks of a group
 	maxReplicas          = 10_000                // tasks of one submission
 	maxHostCount         = 1e6                   // tasks or programs at a host
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// rangeField returns a Field that sets a range from one value, which is both ends, or from the minimum and the maximum.
+// rangeField returns a Field that sets a range. The element has the minimum and the maximum, or one value for both.
 func rangeField[T cmp.Ordered](to *[2]T, read func(v *sexp.Node) (T, error)) sexp.Field {
 	return func(n *sexp.Node) error {
 		args := n.Args()
--- a/internal/verify/scenario/scenario.go
+++ b/internal/verify/scenario/scenario.go
@@ -22,7 +22,8 @@
 //go:embed recovery.sexp
 var Recovery []byte
 
-// FaultFree is a scenario that has hosts and neither load nor faults. The command try places tasks on these hosts.
+// FaultFree is a scenario that has hosts and neither load nor faults. The command `forkhead try` places tasks on these
+// hosts.
 //
 //go:embed faultfree.sexp
 var FaultFree []byte
@@ -33,7 +34,7 @@
 	Text         []byte // the text that the scenario was read from
 	Settings     *settings.Settings
 	Seed         int           // seed of all random draws
-	Length       time.Duration // time from the start in which loads submit and faults begin
+	Length       time.Duration // period from the start of the run, in which loads submit and faults begin
 	Durable      bool          // placers keep a store that survives a kill
 	Settle       time.Duration // time that submissions may take beyond twice the placement timeout of their class
 	HostGroups   []HostGroup
--- a/internal/verify/simulation/random.go
+++ b/internal/verify/simulation/random.go
@@ -34,7 +34,7 @@
 	settleTime     = 30 * time.Second      // time from the end of the faults until all submissions must be complete
 	checkInterval  = 25 * time.Millisecond // time between two checks during the settle time
 	removalTime    = 20 * time.Second      // time from the removal of all projects until no task may run
-	maxOutcomeTime = 41 * time.Second      // attempt timeouts for ending an old copy of a task, then starting the new one
+	maxOutcomeTime = 41 * time.Second      // covers the attempt timeouts to end an old copy of a task and to start the new one
 )
 
 // randomRun is the state of a run of RunRandom.
--- a/internal/verify/simulation/simulation.go
+++ b/internal/verify/simulation/simulation.go
@@ -122,7 +122,7 @@
 	end := s.Now + d
 	for {
 		at, do := s.nextEvent(end)
-		s.Now = max(s.Now, at) // not back: the time of an overdue event is in the past
+		s.Now = max(s.Now, at) // the clock must not go back to the time of an overdue event
 		if do == nil {
 			return
 		}
@@ -131,7 +131,7 @@
 }
 
 // nextEvent returns the time and function of the earliest event that is due until end, or end and nil if there is none.
-// At the same time, timers come before the core, and the core before the hosts. Timers that are due at end itself are
+// Of events at the same time, timers come first, then the core, then the hosts. Timers that are due at end itself are
 // included; events of the core and the hosts at end are not, and run when the clock next advances.
 func (s *Sim) nextEvent(end time.Duration) (at time.Duration, do func()) {
 	at = end
--- a/internal/verify/testcluster/cluster.go
+++ b/internal/verify/testcluster/cluster.go
@@ -38,7 +38,7 @@
 	opt     Options
 	engine  *netio.Engine // serves the sockets of the hosts
 	placers []placerSlot
-	folder  string // holds the placers' stores; "": the placers have no stores
+	folder  string // folder with the placers' stores; "": the placers have no stores
 
 	startStop  sync.Mutex    // held while a placer is started or killed
 	recordings []Recording   // guarded by startStop
