--- a/internal/verify/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -5,7 +5,7 @@
 // Each rule has a file. Most rules are checked in two ways. The traffic that hosts and clients captured shows a placer
 // from the other end of the wire, which needs a slack of Config.MaxTransit. The traffic that was captured at the
 // placer's own sockets (placerView) shows exactly what the placer had read and written before each offer, which needs
-// no slack; where that traffic was captured, the second check replaces the first.
+// no slack. If that traffic was captured, the second check replaces the first.
 package rules
 
 import (
--- a/internal/verify/rules/spread_test.go
+++ b/internal/verify/rules/spread_test.go
@@ -33,9 +33,9 @@
 	})
 }
 
-// The attempt at host a counts toward the spread limit until an event such as a rejection. Each case puts the event at
-// the latest time at which another offer, to host b in the same rack, is no breach, or 1ms later. Most of these offers
-// reach b at 1s.
+// The attempt at host a counts toward the spread limit until an event such as a rejection. In each case, another offer
+// goes to host b in the same rack, and the event is at the latest time at which this offer is no breach, or 1ms later.
+// Most of these offers reach b at 1s.
 func TestCheckSpreadsBounds(t *testing.T) {
 	first := offer(10*ms, "a", "spread", 1)
 	onFirst := func(at time.Duration, kind capture.EventType) capture.Event { return message(at, kind, "a", 1) }
--- a/internal/verify/simulation/crashes.go
+++ b/internal/verify/simulation/crashes.go
@@ -10,8 +10,8 @@
 	"forkhead/internal/scheduler/durable"
 )
 
-// CrashCounts counts the crashes of the placer in a run of RunDurable by the place where they happened. A crash during
-// recovery is also counted at its crash point.
+// CrashCounts counts the crashes of the placer in a run of RunDurable. The fields are the places where the placer
+// crashed. A crash during recovery is also counted at its crash point.
 type CrashCounts struct{ BeforeCommit, AfterCommit, AfterHalfOutputs, BetweenSteps, DuringRecovery int }
 
 const (
